--- a/src/main/java/brambletray/platform/controlplane/ControlPlaneProgram.java
+++ b/src/main/java/brambletray/platform/controlplane/ControlPlaneProgram.java
@@ -6,22 +6,22 @@
 import brambletray.platform.distribution.FrameTypes;
 import brambletray.platform.distribution.LinkIntroduction;
 import brambletray.platform.distribution.ProcessSignals;
-import brambletray.platform.election.ElectionMessages;
+import brambletray.platform.election.ElectionMessage;
 import brambletray.platform.election.LeaseElection;
 import brambletray.platform.election.LeaseTimings;
 import brambletray.platform.failuredetection.EdgeHello;
 import brambletray.platform.failuredetection.EdgeWelcome;
 import brambletray.platform.failuredetection.Roster;
 import brambletray.platform.logging.EventLog;
-import brambletray.platform.replication.Declaration;
 import brambletray.platform.replication.DurableState;
 import brambletray.platform.replication.FaultTolerance;
-import brambletray.platform.replication.Frame;
 import brambletray.platform.replication.Member;
+import brambletray.platform.replication.MemberRemovalOutcome;
 import brambletray.platform.replication.ProposalOutcome;
 import brambletray.platform.replication.Replica;
 import brambletray.platform.replication.ReplicaStatus;
 import brambletray.platform.replication.ReplicationActions;
+import brambletray.platform.replication.ReplicationMessage;
 import brambletray.platform.replication.ReplicationSettings;
 import brambletray.platform.settings.Address;
 import brambletray.platform.settings.NodeSettings;
@@ -127,9 +127,9 @@
                 now());
         election = new LeaseElection(
                 COORDINATOR,
-                members.status().me(),
+                members.status().self(),
                 kept.get(LeaseElection.key(COORDINATOR)),
-                LeaseTimings.usual(),
+                LeaseTimings.defaults(),
                 new VowOut(),
                 now());
         views = new OperatorViews(new StatusSources(
@@ -147,7 +147,7 @@
                 nodeSettings.zoneLosses(),
                 nodeSettings.regionLosses(),
                 nodeSettings.zones());
-        return ReplicationSettings.usual(borne, leaveMs(nodeSettings));
+        return ReplicationSettings.defaults(borne, leaveMs(nodeSettings));
     }
 
     /** How long a process that is told to end stays at most, ms: grace-s less a margin, in which it ends by itself. */
@@ -203,8 +203,8 @@
         return new ControlPlaneServer(table).open(machine, nodeSettings.control());
     }
 
-    private void declareDead(String address, long life, Consumer<Declaration> then) {
-        members.declareDead(address, life, now(), result -> machine.loop().execute(() -> then.accept(result)));
+    private void declareDead(String address, long life, Consumer<MemberRemovalOutcome> then) {
+        members.removeMember(address, life, now(), result -> machine.loop().execute(() -> then.accept(result)));
     }
 
     /**
@@ -238,7 +238,7 @@
             members.tick(now);
             operators.tick(now);
             peerLinks.tick(now);
-            election.view(members.status(), now);
+            election.updateView(members.status(), now);
             election.tick(now);
             views.tick();
             takeUp();
@@ -321,7 +321,7 @@
     private void reread() {
         try {
             NodeSettings now = nodeSettings.reread();
-            members.settings(settings(now), seeds(now));
+            members.updateSettings(settings(now), seeds(now));
             LOG.tell("settings read again");
         } catch (SettingsException fault) {
             LOG.warn("settings not used", "code", fault.code(), "why", fault.getMessage());
@@ -337,13 +337,13 @@
         LOG.tell("leaving");
         int most = leaveMs(nodeSettings);
         machine.loop().schedule(exit, most + Math.min(500, most / 10), TimeUnit.MILLISECONDS);
-        election.yield(leavingAt);
+        election.handOver(leavingAt);
         members.leave(leavingAt);
     }
 
     /** Ends the process once the others go on without it and the calls under way have their answers. */
     private void depart(long now) {
-        if (leftAt < 0 && members.left()) {
+        if (leftAt < 0 && members.mayTerminate()) {
             leftAt = now;
         }
         boolean still = leftAt < 0 || !operators.idle();
@@ -383,7 +383,7 @@
 
         @Override
         public void confirm(long token) {
-            machine.loop().execute(() -> members.confirm(token, now()));
+            machine.loop().execute(() -> members.requestReadIndex(token, now()));
         }
     }
 
@@ -409,7 +409,7 @@
 
     private final class VowOut implements brambletray.platform.election.ElectionActions {
         @Override
-        public void send(String to, ElectionMessages frame) {
+        public void send(String to, ElectionMessage frame) {
             peerLinks.say(to, frame);
         }
 
@@ -438,7 +438,7 @@
 
     private final class MemberOut implements ReplicationActions {
         @Override
-        public void send(String to, Frame frame) {
+        public void send(String to, ReplicationMessage frame) {
             peerLinks.say(to, frame);
         }
 
@@ -448,17 +448,17 @@
         }
 
         @Override
-        public void outcome(long token, ProposalOutcome outcome) {
+        public void proposalCompleted(long token, ProposalOutcome outcome) {
             machine.loop().execute(() -> operators.outcome(token, outcome));
         }
 
         @Override
-        public void confirmed(long token, boolean yes) {
+        public void readIndexCompleted(long token, boolean yes) {
             machine.loop().execute(() -> operators.confirmed(token, yes));
         }
 
         @Override
-        public void changed() {
+        public void statusChanged() {
             machine.loop().execute(operators::changed);
         }
 
@@ -491,23 +491,23 @@
 
         @Override
         public void fenced(long term) {
-            election.doubt(term + 1, now());
+            election.revalidate(term + 1, now());
         }
     }
 
     private final class KinEar implements PeerLinks.Ear {
         @Override
         public void member(String from, Object frame) {
-            if (frame instanceof ElectionMessages) {
-                election.heard(from, frame, now());
+            if (frame instanceof ElectionMessage) {
+                election.receive(from, frame, now());
             } else {
-                members.heard(from, frame, now());
+                members.receive(from, frame, now());
             }
         }
 
         @Override
         public void gone(String who) {
-            members.gone(who, now());
+            members.onDisconnected(who, now());
         }
 
         @Override
@@ -518,7 +518,7 @@
         @Override
         public void edge(String name, Link link, Object frame) {
             if (frame instanceof EdgeHello hello) {
-                election.doubt(hello.term(), now());
+                election.revalidate(hello.term(), now());
                 edges.hello(link, hello);
             }
             if (hub != null) {
--- a/src/main/java/brambletray/platform/controlplane/EdgeGreeter.java
+++ b/src/main/java/brambletray/platform/controlplane/EdgeGreeter.java
@@ -50,16 +50,17 @@
      */
     static EdgeWelcome welcome(
             ReplicaStatus status, LeaseHolder holder, long hubTerm, Roster newest, Function<Member, String> inner) {
-        boolean inTouch = status.standing() == ReplicaRole.MEMBER;
-        boolean here = holder != null && holder.member().life() == status.me().life();
+        boolean inTouch = status.role() == ReplicaRole.MEMBER;
+        boolean here =
+                holder != null && holder.member().incarnation() == status.self().incarnation();
         boolean named = holder != null && (here ? hubTerm == holder.term() : inTouch);
         List<String> reached =
-                status.inForce() ? status.members().stream().map(inner).toList() : List.of();
+                status.active() ? status.members().stream().map(inner).toList() : List.of();
         return new EdgeWelcome(
                 named ? inner.apply(holder.member()) : "",
                 named ? holder.term() : 0,
                 inTouch,
-                status.inForce() ? status.number() : 0,
+                status.active() ? status.viewNumber() : 0,
                 reached,
                 newest.term(),
                 newest.number());
--- a/src/main/java/brambletray/platform/controlplane/MemberOrders.java
+++ b/src/main/java/brambletray/platform/controlplane/MemberOrders.java
@@ -1,6 +1,6 @@
 package brambletray.platform.controlplane;
 
-import brambletray.platform.replication.Declaration;
+import brambletray.platform.replication.MemberRemovalOutcome;
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
 
@@ -16,7 +16,7 @@
 
     /** Declares a member dead; the outcome comes on the loop. */
     interface Declare {
-        void dead(String address, long life, Consumer<Declaration> then);
+        void dead(String address, long life, Consumer<MemberRemovalOutcome> then);
     }
 
     private final Declare declare;
@@ -43,9 +43,9 @@
         declare.dead(address, life, result -> answer(call, address, life, result));
     }
 
-    private static void answer(ControlCall call, String address, long life, Declaration result) {
+    private static void answer(ControlCall call, String address, long life, MemberRemovalOutcome result) {
         switch (result) {
-            case DECLARED ->
+            case REMOVED ->
                 call.give(
                         200,
                         new JsonObjectWriter()
@@ -53,24 +53,24 @@
                                 .text("life", Long.toHexString(life))
                                 .flag("declared-dead", true)
                                 .bytes());
-            case NO_MEMBER ->
+            case UNKNOWN_MEMBER ->
                 call.refuse(
                         404,
                         "controlplane.no-member",
                         "no other member of the view here has this address and this life");
-            case NOT_NEEDED ->
+            case VIEW_IS_HEALTHY ->
                 call.refuse(409, "controlplane.not-needed", "the view is at work here, nothing waits for that machine");
-            case HEARD ->
+            case RECENTLY_HEARD ->
                 call.refuse(
                         409,
                         "controlplane.heard",
                         "the machine answers, or was heard lately, or this process hasn't listened for 10 s");
-            case TOO_MANY ->
+            case MAJORITY_WOULD_BE_LOST ->
                 call.refuse(
                         409,
                         "controlplane.too-many",
                         "with it a majority of a view would be dead, and acknowledged changes with it");
-            case BUSY -> call.refuse(503, "controlplane.busy", "another order is being looked into");
+            case ANOTHER_PENDING -> call.refuse(503, "controlplane.busy", "another order is being looked into");
             default -> throw new IllegalStateException("no answer for " + result);
         }
     }
--- a/src/main/java/brambletray/platform/controlplane/OperatorCalls.java
+++ b/src/main/java/brambletray/platform/controlplane/OperatorCalls.java
@@ -122,7 +122,7 @@
      */
     private boolean leading() {
         ReplicaStatus status = order.status();
-        return status.leading() && status.standing() == ReplicaRole.MEMBER;
+        return status.isLeader() && status.role() == ReplicaRole.MEMBER;
     }
 
     /** Whether no call waits for its answer: the process may end. */
@@ -137,8 +137,8 @@
             return successor;
         }
         ReplicaStatus status = order.status();
-        boolean heard = !status.leading() && status.standing() == ReplicaRole.MEMBER && status.leader() != null;
-        return heard && !status.leader().address().equals(status.me().address())
+        boolean heard = !status.isLeader() && status.role() == ReplicaRole.MEMBER && status.leader() != null;
+        return heard && !status.leader().address().equals(status.self().address())
                 ? status.leader().address()
                 : null;
     }
@@ -297,7 +297,7 @@
                 stateMachine.configuration().revision());
         if (taken || outcome == ProposalOutcome.COMMITTED && verdict instanceof ChangeDecision.Stale) {
             answer(change.call, verdict);
-        } else if (outcome != ProposalOutcome.REFUSED || order.successor() == null || !sendOn(change.call)) {
+        } else if (outcome != ProposalOutcome.REJECTED || order.successor() == null || !sendOn(change.call)) {
             change.call.refuse(503, "controlplane.unclear", "not known to be kept; send it again");
         }
         next();
@@ -350,7 +350,7 @@
     }
 
     @Override
-    public void deliver(long index, byte[] change) {
+    public void apply(long index, byte[] change) {
         if (stateMachine.deliver(change) instanceof ChangeDecision.Taken) {
             version++;
             news.run();
--- a/src/main/java/brambletray/platform/controlplane/OperatorViews.java
+++ b/src/main/java/brambletray/platform/controlplane/OperatorViews.java
@@ -5,6 +5,7 @@
 import brambletray.platform.failuredetection.Roster;
 import brambletray.platform.provisioning.InstanceInfo;
 import brambletray.platform.replication.Member;
+import brambletray.platform.replication.ReplicaRole;
 import brambletray.platform.replication.ReplicaStatus;
 import java.util.List;
 import java.util.Map;
@@ -95,7 +96,7 @@
         if (book != null) {
             call.give(200, page.of(book));
         } else if (coordinator == null
-                || coordinator.member().address().equals(source.status().me().address())) {
+                || coordinator.member().address().equals(source.status().self().address())) {
             call.refuse(503, "controlplane.no-helm", "nobody is known to hold the helm at present");
         } else {
             call.answer()
@@ -107,23 +108,23 @@
     }
 
     private JsonObjectWriter head() {
-        return new JsonObjectWriter().text("node", source.status().me().name());
+        return new JsonObjectWriter().text("node", source.status().self().name());
     }
 
     private byte[] views() {
         ReplicaStatus status = source.status();
         List<String> half = source.zonesThatHoldHalf();
-        JsonObjectWriter sheet = head().text("address", status.me().address())
-                .text("life", Long.toHexString(status.me().life()))
-                .text("standing", status.standing().name().toLowerCase(java.util.Locale.ROOT))
-                .number("view", status.number())
-                .flag("in-force", status.inForce())
+        JsonObjectWriter sheet = head().text("address", status.self().address())
+                .text("life", Long.toHexString(status.self().incarnation()))
+                .text("standing", shownRole(status.role()))
+                .number("view", status.viewNumber())
+                .flag("in-force", status.active())
                 .flag("settled", status.settled())
                 .text("leader", status.leader() == null ? null : status.leader().name())
-                .flag("leading", status.leading())
-                .number("commit", status.commit())
-                .number("delivered", status.delivered())
-                .flag("ill", status.ill())
+                .flag("leading", status.isLeader())
+                .number("commit", status.commitIndex())
+                .number("delivered", status.appliedIndex())
+                .flag("ill", status.diskUnhealthy())
                 .number("revision", source.revision())
                 .text("zones-holding-half", half.isEmpty() ? null : String.join(" ", half))
                 .list("members");
@@ -131,13 +132,23 @@
             sheet.item()
                     .text("name", member.name())
                     .text("address", member.address())
-                    .text("life", Long.toHexString(member.life()))
+                    .text("life", Long.toHexString(member.incarnation()))
                     .text("zone", member.zone())
                     .end();
         }
         return sheet.close().bytes();
     }
 
+    /** The words under which operators know the roles; they stay when a constant is renamed. */
+    private static String shownRole(ReplicaRole role) {
+        return switch (role) {
+            case FOUNDING -> "founding";
+            case MEMBER -> "member";
+            case SUSPENDED -> "stopped";
+            case JOINING -> "knocking";
+        };
+    }
+
     private byte[] duties() {
         LeaseHolder coordinator = source.coordinator();
         JsonObjectWriter sheet = head().list("duties")
--- a/src/main/java/brambletray/platform/controlplane/PeerLinks.java
+++ b/src/main/java/brambletray/platform/controlplane/PeerLinks.java
@@ -1,7 +1,7 @@
 package brambletray.platform.controlplane;
 
 import brambletray.platform.distribution.LinkIntroduction;
-import brambletray.platform.replication.Frame;
+import brambletray.platform.replication.ReplicationMessage;
 import brambletray.platform.settings.Address;
 import brambletray.platform.transport.FrameCodec;
 import brambletray.platform.transport.Link;
@@ -78,7 +78,7 @@
             spokes.put(address, spoke);
         }
         spoke.usedAt = now();
-        if (frame instanceof Frame.Piece) {
+        if (frame instanceof ReplicationMessage.FetchChunkResponse) {
             // pieces of a state transfer never stand in front of heartbeats, entries, acknowledgements and ballots
             spoke.dialler.sayBulk(frame);
         } else {
--- a/src/main/java/brambletray/platform/distribution/FrameTypes.java
+++ b/src/main/java/brambletray/platform/distribution/FrameTypes.java
@@ -17,7 +17,12 @@
             RosterRequest.class);
 
     public static final List<List<Class<?>>> ALL = List.of(
-            NEWS, WatchRing.FRAMES, AdmissionFrames.FRAMES, Provisioner.FRAMES, Replica.FRAMES, LeaseElection.FRAMES);
+            NEWS,
+            WatchRing.FRAMES,
+            AdmissionFrames.FRAMES,
+            Provisioner.FRAMES,
+            Replica.MESSAGES,
+            LeaseElection.MESSAGES);
 
     private FrameTypes() {}
 }
--- a/src/main/java/brambletray/platform/drill/CoreNode.java
+++ b/src/main/java/brambletray/platform/drill/CoreNode.java
@@ -146,14 +146,14 @@
             return false;
         }
         ReplicaStatus newest = keep.status();
-        long life = newest.me().life();
+        long life = newest.self().incarnation();
         for (CoreNode other : world.cores) {
-            if (other.running() && other.keep.status().number() >= newest.number()) {
+            if (other.running() && other.keep.status().viewNumber() >= newest.viewNumber()) {
                 newest = other.keep.status();
             }
         }
-        boolean member = newest.members().stream().anyMatch(each -> each.life() == life);
-        return newest.inForce() && member && newest.members().size() > 1;
+        boolean member = newest.members().stream().anyMatch(each -> each.incarnation() == life);
+        return newest.active() && member && newest.members().size() > 1;
     }
 
     /** The process ends at once; with {@code power}, the machine says nothing more until it is back. */
@@ -221,10 +221,10 @@
 
     private String role() {
         ReplicaStatus status = keep.status();
-        String standing = status.leading() && status.inForce()
+        String standing = status.isLeader() && status.active()
                 ? "leads"
-                : status.standing().toString().toLowerCase(Locale.ROOT);
-        return standing + " view " + status.number() + (keep.mayAct() ? ", helm" : "");
+                : status.role().toString().toLowerCase(Locale.ROOT);
+        return standing + " view " + status.viewNumber() + (keep.mayAct() ? ", helm" : "");
     }
 
     /** The disk is lost with the power. */
--- a/src/main/java/brambletray/platform/drill/World.java
+++ b/src/main/java/brambletray/platform/drill/World.java
@@ -263,8 +263,8 @@
     CoreNode leader() {
         for (CoreNode core : cores) {
             if (core.running()
-                    && core.keep().status().leading()
-                    && core.keep().status().inForce()) {
+                    && core.keep().status().isLeader()
+                    && core.keep().status().active()) {
                 return core;
             }
         }
--- a/src/main/java/brambletray/platform/election/ElectionActions.java
+++ b/src/main/java/brambletray/platform/election/ElectionActions.java
@@ -5,7 +5,7 @@
 /** What a vow wants done. None of these may call back into {@link LeaseElection} before they return. */
 public interface ElectionActions {
     /** Sends a frame; it may be lost. */
-    void send(String address, ElectionMessages frame);
+    void send(String address, ElectionMessage frame);
 
     /** Keeps this durably, then answers {@link LeaseElection#synced} or {@link LeaseElection#syncFailed}. */
     void persist(long ticket, Map<String, byte[]> changes);
--- a/src/main/java/brambletray/platform/election/ElectionView.java
+++ b/src/main/java/brambletray/platform/election/ElectionView.java
@@ -14,30 +14,30 @@
      * Whether this member is in it now, in touch with its leader, and has delivered all that earlier views may have
      * acknowledged.
      */
-    boolean in;
+    boolean isMember;
     /** Number and members of the last view that it was in. */
-    long view;
+    long viewNumber;
 
     List<Member> members = List.of();
-    long since = Long.MIN_VALUE / 2;
+    long activeSinceMs = Long.MIN_VALUE / 2;
     /** Since when the view before was in force here: ever, for who has seen none. */
-    private long beforeSince = Long.MIN_VALUE / 2;
+    private long previousActiveSinceMs = Long.MIN_VALUE / 2;
 
-    private boolean follows;
+    private boolean followsDirectly;
     private List<ViewMembership> lineage = List.of();
 
     /** Takes in how it stands now; true when the view is another one. */
-    boolean look(ReplicaStatus status, long now) {
+    boolean update(ReplicaStatus status, long nowMs) {
         // one alone after a restart has the newest changes on disk, but can't deliver them: it must not act on the
         // snapshot's state
-        in = status.standing() == ReplicaRole.MEMBER && status.inForce() && status.settled();
-        if (!in || view == status.number()) {
+        isMember = status.role() == ReplicaRole.MEMBER && status.active() && status.settled();
+        if (!isMember || viewNumber == status.viewNumber()) {
             return false;
         }
-        follows = status.before() == view;
-        beforeSince = since;
-        since = now;
-        view = status.number();
+        followsDirectly = status.previousViewNumber() == viewNumber;
+        previousActiveSinceMs = activeSinceMs;
+        activeSinceMs = nowMs;
+        viewNumber = status.viewNumber();
         members = status.members();
         lineage = status.lineage();
         return true;
@@ -59,11 +59,11 @@
         if (first < 0) {
             return false;
         }
-        Set<Long> lives = new HashSet<>();
-        members.forEach(member -> lives.add(member.life()));
+        Set<Long> incarnations = new HashSet<>();
+        members.forEach(member -> incarnations.add(member.incarnation()));
         for (ViewMembership between : lineage.subList(first + 1, lineage.size())) {
             for (Member member : between.members()) {
-                if (!lives.contains(member.life())) {
+                if (!incarnations.contains(member.incarnation())) {
                     return false;
                 }
             }
@@ -72,9 +72,9 @@
     }
 
     /** Place in the list of the view, the leader's being 0; -1 when not in. */
-    int rank(long life) {
+    int rank(long incarnation) {
         for (int i = 0; i < members.size(); i++) {
-            if (members.get(i).life() == life) {
+            if (members.get(i).incarnation() == incarnation) {
                 return i;
             }
         }
@@ -86,7 +86,7 @@
      * that had been in force here for as long as a lease is held to run, and some member of this view was asked to
      * agree in that one.
      */
-    boolean quick(long now, int vacantMs) {
-        return follows && now - beforeSince >= vacantMs;
+    boolean knowsRunningLeases(long nowMs, int vacantMs) {
+        return followsDirectly && nowMs - previousActiveSinceMs >= vacantMs;
     }
 }
--- a/src/main/java/brambletray/platform/election/Lease.java
+++ b/src/main/java/brambletray/platform/election/LeaseAttempt.java
@@ -8,58 +8,58 @@
 import java.util.Set;
 
 /** One term from the first question to its end, at the candidate: who agreed to what was sent when. */
-final class Lease {
-    private static final int SEQS = 16;
+final class LeaseAttempt {
+    private static final int REMEMBERED_MESSAGES = 16;
 
     final long term;
     final boolean probe;
-    private final long[] sentAt = new long[SEQS];
-    private final Map<Long, Long> agreed = new HashMap<>();
-    private final Set<Long> refused = new HashSet<>();
-    private long seq;
+    private final long[] sentAtMs = new long[REMEMBERED_MESSAGES];
+    private final Map<Long, Long> grantedAtMs = new HashMap<>();
+    private final Set<Long> deniedBy = new HashSet<>();
+    private long lastSequence;
     /** A voter knows that this view descends from the one that the duty was held in. */
-    boolean descends;
+    boolean viewDescends;
 
     boolean won;
-    long saidAt = Long.MIN_VALUE / 2;
-    final long since;
+    long lastSentAtMs = Long.MIN_VALUE / 2;
+    final long startedAtMs;
 
-    Lease(long term, boolean probe, long now) {
+    LeaseAttempt(long term, boolean probe, long nowMs) {
         this.term = term;
         this.probe = probe;
-        this.since = now;
+        this.startedAtMs = nowMs;
     }
 
     /** Number of the next message, sent now. */
-    long next(long now) {
-        saidAt = now;
-        sentAt[(int) (++seq % SEQS)] = now;
-        return seq;
+    long nextSequence(long nowMs) {
+        lastSentAtMs = nowMs;
+        sentAtMs[(int) (++lastSequence % REMEMBERED_MESSAGES)] = nowMs;
+        return lastSequence;
     }
 
     /** A member agreed to the message of this number. */
-    void agree(long life, long number) {
-        if (number <= seq - SEQS || number > seq) {
+    void onGranted(long incarnation, long number) {
+        if (number <= lastSequence - REMEMBERED_MESSAGES || number > lastSequence) {
             return;
         }
-        agreed.merge(life, sentAt[(int) (number % SEQS)], Math::max);
+        grantedAtMs.merge(incarnation, sentAtMs[(int) (number % REMEMBERED_MESSAGES)], Math::max);
     }
 
     /** A member refused; true when a majority can't be had any more. */
-    boolean refuse(long life, List<Member> members) {
-        refused.add(life);
+    boolean onDenied(long incarnation, List<Member> members) {
+        deniedBy.add(incarnation);
         int against = 0;
         for (Member member : members) {
-            if (refused.contains(member.life())) {
+            if (deniedBy.contains(member.incarnation())) {
                 against++;
             }
         }
         return probe || 2 * against >= members.size();
     }
 
-    boolean all(List<Member> members) {
+    boolean isGrantedByAll(List<Member> members) {
         for (Member member : members) {
-            if (!agreed.containsKey(member.life())) {
+            if (!grantedAtMs.containsKey(member.incarnation())) {
                 return false;
             }
         }
@@ -67,11 +67,11 @@
     }
 
     /** Sending time of the latest message to which a majority of these has agreed; a time long ago when none is. */
-    long agreedAt(List<Member> members) {
+    long majorityGrantedAtMs(List<Member> members) {
         long[] times = new long[members.size()];
         int i = 0;
         for (Member member : members) {
-            times[i++] = agreed.getOrDefault(member.life(), Long.MIN_VALUE / 2);
+            times[i++] = grantedAtMs.getOrDefault(member.incarnation(), Long.MIN_VALUE / 2);
         }
         java.util.Arrays.sort(times);
         return times.length == 0 ? Long.MIN_VALUE / 2 : times[times.length - (times.length / 2 + 1)];
--- a/src/main/java/brambletray/platform/election/LeaseElection.java
+++ b/src/main/java/brambletray/platform/election/LeaseElection.java
@@ -13,33 +13,33 @@
  * a member, which keeps the highest granted term on its disk before it says so and refuses lower and equal ones; a
  * member that loses its disk is out of that view. So nothing goes through the one order for it.
  *
- * <p>Why the old holder has stopped before a new one starts: it acts for {@link LeaseTimings#actMs} from the sending of
+ * <p>Why the old holder has stopped before a new one starts: it acts for {@link LeaseTimings#holderLeaseMs} from the sending of
  * what a
- * majority agreed to; each that agreed refuses others for {@link LeaseTimings#vacantMs} from hearing it. In one view
+ * majority agreed to; each that agreed refuses others for {@link LeaseTimings#voterLeaseMs} from hearing it. In one view
  * the
  * majorities share a member. After a change of view some member of the new view had agreed in the old one, before it
  * stopped: a candidate waits for the answers of all, or until that long after it saw the view in force.
  */
 public final class LeaseElection {
     /** All frames, for registration with the codec; {@link Member} is registered by the view. */
-    public static final List<Class<?>> FRAMES = List.of(
-            ElectionMessages.Plea.class,
-            ElectionMessages.Grant.class,
-            ElectionMessages.Deny.class,
-            ElectionMessages.Renew.class,
-            ElectionMessages.Agree.class,
-            ElectionMessages.Vacate.class);
+    public static final List<Class<?>> MESSAGES = List.of(
+            ElectionMessage.LeaseRequest.class,
+            ElectionMessage.LeaseGranted.class,
+            ElectionMessage.LeaseDenied.class,
+            ElectionMessage.RenewRequest.class,
+            ElectionMessage.RenewGranted.class,
+            ElectionMessage.LeaseReleased.class);
     /** Terms of one view. */
-    private static final int RANGE = 20;
+    private static final int TERM_BITS_PER_VIEW = 20;
 
-    private static final int AGAIN_MS = 150;
-    private static final int NAMED_MS = 600;
-    private static final int FIRST_MS = 300;
+    private static final int RETRY_INTERVAL_MS = 150;
+    private static final int NAMED_SUCCESSOR_WAIT_MS = 600;
+    private static final int INITIAL_WAIT_MS = 300;
 
-    private final String duty;
-    private final Member me;
-    private final LeaseTimings spans;
-    private final ElectionActions out;
+    private final String role;
+    private final Member self;
+    private final LeaseTimings timings;
+    private final ElectionActions actions;
     private final LeaseVoter voter;
     /**
      * The last view in which this life held the duty before its process ended, until it has won it again or has agreed
@@ -50,135 +50,146 @@
      * until that lease is over. So once all
      * of such a view have granted there is nothing to wait for.
      */
-    private long resuming;
-
-    private boolean willing = true;
-    private final ElectionView seat = new ElectionView();
-    private Lease lease;
-    private long seen;
-    private long doubtAt = Long.MIN_VALUE / 2;
-    private long pauseUntil = Long.MIN_VALUE / 2;
-    private long tickAt;
-    private ElectionMessages.Vacate farewell;
-    private long farewellUntil;
-    private long now;
-
-    /** {@code kept}: what the disk has under {@link #key}, or null. */
-    public LeaseElection(String duty, Member me, byte[] kept, LeaseTimings spans, ElectionActions out, long now) {
-        this.duty = duty;
-        this.me = me;
-        this.spans = spans;
-        this.out = out;
-        this.now = now;
-        tickAt = now;
-        voter = new LeaseVoter(duty, kept, out, spans, now);
-        resuming = voter.heldBefore(me.life());
+    private long resumableViewNumber;
+
+    private boolean wantsLease = true;
+    private final ElectionView electionView = new ElectionView();
+    private LeaseAttempt attempt;
+    private long highestSeenTerm;
+    private long revalidateSinceMs = Long.MIN_VALUE / 2;
+    private long noCandidacyBeforeMs = Long.MIN_VALUE / 2;
+    private long lastTickAtMs;
+    private ElectionMessage.LeaseReleased release;
+    private long releaseResendUntilMs;
+    private long nowMs;
+
+    /** {@code stored}: what the disk has under {@link #key}, or null. */
+    public LeaseElection(
+            String role, Member self, byte[] stored, LeaseTimings timings, ElectionActions actions, long nowMs) {
+        this.role = role;
+        this.self = self;
+        this.timings = timings;
+        this.actions = actions;
+        this.nowMs = nowMs;
+        lastTickAtMs = nowMs;
+        voter = new LeaseVoter(role, stored, actions, timings, nowMs);
+        resumableViewNumber = voter.previouslyHeldInView(self.incarnation());
     }
 
     /** Key under which the grant of a duty is kept. */
-    public static String key(String duty) {
-        return LeaseVoter.key(duty);
+    public static String key(String role) {
+        return LeaseVoter.key(role);
     }
 
     /** Whether this process wants the duty; a process that is told to end does not. */
-    public void willing(boolean yes) {
-        willing = yes;
+    public void setWantsLease(boolean yes) {
+        wantsLease = yes;
     }
 
     /** The view as it stands now; to be called at each change and at each tick. */
-    public void view(ReplicaStatus status, long at) {
-        enter(at);
-        if (seat.look(status, now) && lease != null && !lease.won) {
-            lease = null;
+    public void updateView(ReplicaStatus status, long timeMs) {
+        advanceTime(timeMs);
+        if (electionView.update(status, nowMs) && attempt != null && !attempt.won) {
+            attempt = null;
         }
-        leave();
+        flush();
     }
 
     /** To be called every 25 to 50 ms. */
-    public void tick(long at) {
-        enter(at);
-        tickAt = now;
-        if (lease != null && lease.won) {
-            hold();
-        } else if (lease != null) {
-            ask();
-        } else if (seat.in && willing && farewell == null) {
-            stand();
-        }
-        if (farewell != null) {
-            bid();
-        }
-        leave();
+    public void tick(long timeMs) {
+        advanceTime(timeMs);
+        lastTickAtMs = nowMs;
+        if (attempt != null && attempt.won) {
+            maintainLease();
+        } else if (attempt != null) {
+            requestLease();
+        } else if (electionView.isMember && wantsLease && release == null) {
+            maybeStartCandidacy();
+        }
+        if (release != null) {
+            sendRelease();
+        }
+        flush();
     }
 
-    private void enter(long at) {
-        now = Math.max(now, at);
-        if (now - tickAt <= spans.sleepMs()) {
+    private void advanceTime(long timeMs) {
+        nowMs = Math.max(nowMs, timeMs);
+        if (nowMs - lastTickAtMs <= timings.maxTickDelayMs()) {
             return;
         }
-        tickAt = now;
-        doubtAt = now;
-        if (lease != null && !lease.won) {
-            lease = null;
+        lastTickAtMs = nowMs;
+        revalidateSinceMs = nowMs;
+        if (attempt != null && !attempt.won) {
+            attempt = null;
         }
     }
 
-    private void leave() {
-        voter.flush(now);
+    private void flush() {
+        voter.flush(nowMs);
     }
 
-    private void stand() {
-        if (now < pauseUntil) {
+    private void maybeStartCandidacy() {
+        if (nowMs < noCandidacyBeforeMs) {
             return;
         }
-        if (resuming != 0) {
-            begin(true);
+        if (resumableViewNumber != 0) {
+            startCandidacy(true);
             return;
         }
-        if (voter.remaining(now) > 0) {
+        if (voter.remainingMs(nowMs) > 0) {
             return;
         }
-        int rank = seat.rank(me.life());
+        int rank = electionView.rank(self.incarnation());
         if (rank < 0) {
             return;
         }
-        long wait = (long) rank * spans.staggerMs();
-        if (voter.named() != 0) {
-            wait = voter.named() == me.life() ? 0 : NAMED_MS + wait;
-        } else if (voter.granted() == 0 && rank > 0) {
-            wait += FIRST_MS;
+        long wait = (long) rank * timings.rankDelayMs();
+        if (voter.namedSuccessor() != 0) {
+            wait = voter.namedSuccessor() == self.incarnation() ? 0 : NAMED_SUCCESSOR_WAIT_MS + wait;
+        } else if (voter.grantedTerm() == 0 && rank > 0) {
+            wait += INITIAL_WAIT_MS;
         }
-        long since = seat.quick(now, spans.vacantMs()) ? seat.since : seat.since + spans.vacantMs();
-        if (now - Math.max(voter.vacantSince(), since) >= wait) {
-            begin(true);
+        long since = electionView.knowsRunningLeases(nowMs, timings.voterLeaseMs())
+                ? electionView.activeSinceMs
+                : electionView.activeSinceMs + timings.voterLeaseMs();
+        if (nowMs - Math.max(voter.vacantSinceMs(), since) >= wait) {
+            startCandidacy(true);
         }
     }
 
-    private void begin(boolean probe) {
-        long term = Math.max(Math.max(voter.granted(), seen), seat.view << RANGE) + 1;
-        if (term >= (seat.view + 1) << RANGE) {
+    private void startCandidacy(boolean probe) {
+        long term =
+                Math.max(Math.max(voter.grantedTerm(), highestSeenTerm), electionView.viewNumber << TERM_BITS_PER_VIEW)
+                        + 1;
+        if (term >= (electionView.viewNumber + 1) << TERM_BITS_PER_VIEW) {
             return;
         }
-        lease = new Lease(term, probe, now);
-        ask();
+        attempt = new LeaseAttempt(term, probe, nowMs);
+        requestLease();
     }
 
-    private void ask() {
-        if (!seat.in || now - lease.since > spans.actMs()) {
-            giveUp(AGAIN_MS);
+    private void requestLease() {
+        if (!electionView.isMember || nowMs - attempt.startedAtMs > timings.holderLeaseMs()) {
+            abandonCandidacy(RETRY_INTERVAL_MS);
             return;
         }
-        if (now - lease.saidAt < AGAIN_MS) {
+        if (nowMs - attempt.lastSentAtMs < RETRY_INTERVAL_MS) {
             return;
         }
-        ElectionMessages.Plea plea =
-                new ElectionMessages.Plea(duty, lease.probe, seat.view, lease.term, lease.next(now), me, resuming);
-        for (Member member : seat.members) {
-            if (member.life() != me.life()) {
-                out.send(member.address(), plea);
+        ElectionMessage.LeaseRequest request = new ElectionMessage.LeaseRequest(
+                role,
+                attempt.probe,
+                electionView.viewNumber,
+                attempt.term,
+                attempt.nextSequence(nowMs),
+                self,
+                resumableViewNumber);
+        for (Member member : electionView.members) {
+            if (member.incarnation() != self.incarnation()) {
+                actions.send(member.address(), request);
             }
         }
-        plea(null, plea);
+        onLeaseRequest(null, request);
     }
 
     /**
@@ -186,246 +197,267 @@
      * granted, and the view must follow at once on one that was in force here for as long: some member of this view had
      * then agreed to any lease that still runs, and would have refused.
      */
-    private void count() {
-        if (lease == null || lease.won) {
+    private void maybeWin() {
+        if (attempt == null || attempt.won) {
             return;
         }
-        long agreedAt = lease.agreedAt(seat.members);
-        if (now - agreedAt >= spans.actMs()) {
+        long agreedAt = attempt.majorityGrantedAtMs(electionView.members);
+        if (nowMs - agreedAt >= timings.holderLeaseMs()) {
             return;
         }
-        boolean all = lease.all(seat.members);
-        boolean quick = seat.quick(now, spans.vacantMs()) || lease.descends;
-        if (!(all && quick) && now - seat.since < spans.vacantMs()) {
-            if (all && resuming != 0) {
-                withdraw();
+        boolean all = attempt.isGrantedByAll(electionView.members);
+        boolean quick = electionView.knowsRunningLeases(nowMs, timings.voterLeaseMs()) || attempt.viewDescends;
+        if (!(all && quick) && nowMs - electionView.activeSinceMs < timings.voterLeaseMs()) {
+            if (all && resumableViewNumber != 0) {
+                abandonResumption();
             }
             return;
         }
-        if (lease.probe) {
-            begin(false);
+        if (attempt.probe) {
+            startCandidacy(false);
             return;
         }
-        lease.won = true;
-        resuming = 0;
-        out.tell("election.won", "duty", duty, "term", lease.term, "view", seat.view);
-        out.won(lease.term);
-        renew();
+        attempt.won = true;
+        resumableViewNumber = 0;
+        actions.tell("election.won", "duty", role, "term", attempt.term, "view", electionView.viewNumber);
+        actions.won(attempt.term);
+        renewLease();
     }
 
     /**
      * All would grant, but nobody knows that this view descends from the one that the duty was held in: the usual wait.
      */
-    private void withdraw() {
-        resuming = 0;
-        if (lease.probe) {
-            lease = null;
+    private void abandonResumption() {
+        resumableViewNumber = 0;
+        if (attempt.probe) {
+            attempt = null;
         }
     }
 
-    private void hold() {
-        boolean over = now - lease.agreedAt(seat.members) >= spans.vacantMs();
-        if (over || (seat.in && seat.rank(me.life()) < 0)) {
-            lose(over ? "not renewed" : "not in the view");
+    private void maintainLease() {
+        boolean over = nowMs - attempt.majorityGrantedAtMs(electionView.members) >= timings.voterLeaseMs();
+        if (over || (electionView.isMember && electionView.rank(self.incarnation()) < 0)) {
+            loseLease(over ? "not renewed" : "not in the view");
             return;
         }
-        if (now - lease.saidAt >= spans.renewMs()) {
-            renew();
+        if (nowMs - attempt.lastSentAtMs >= timings.renewIntervalMs()) {
+            renewLease();
         }
     }
 
-    private void renew() {
-        if (!seat.in) {
+    private void renewLease() {
+        if (!electionView.isMember) {
             return;
         }
-        ElectionMessages.Renew renew = new ElectionMessages.Renew(duty, seat.view, lease.term, lease.next(now), me);
-        for (Member member : seat.members) {
-            if (member.life() != me.life()) {
-                out.send(member.address(), renew);
+        ElectionMessage.RenewRequest request = new ElectionMessage.RenewRequest(
+                role, electionView.viewNumber, attempt.term, attempt.nextSequence(nowMs), self);
+        for (Member member : electionView.members) {
+            if (member.incarnation() != self.incarnation()) {
+                actions.send(member.address(), request);
             }
         }
-        renew(null, renew);
+        onRenewRequest(null, request);
     }
 
-    private void lose(String why) {
-        long term = lease.term;
-        lease = null;
-        pauseUntil = now + spans.renewMs();
-        out.tell("election.lost", "duty", duty, "term", term, "why", why);
-        out.lost(term);
+    private void loseLease(String why) {
+        long term = attempt.term;
+        attempt = null;
+        noCandidacyBeforeMs = nowMs + timings.renewIntervalMs();
+        actions.tell("election.lost", "duty", role, "term", term, "why", why);
+        actions.lost(term);
     }
 
     /** Hands the duty over, if it is held here: stops acting at once and names the next, who stands at once. */
-    public void yield(long at) {
-        enter(at);
-        willing = false;
-        if (lease != null && lease.won) {
+    public void handOver(long timeMs) {
+        advanceTime(timeMs);
+        wantsLease = false;
+        if (attempt != null && attempt.won) {
             long next = 0;
-            for (Member member : seat.members) {
-                if (member.life() != me.life() && next == 0) {
-                    next = member.life();
+            for (Member member : electionView.members) {
+                if (member.incarnation() != self.incarnation() && next == 0) {
+                    next = member.incarnation();
                 }
             }
-            farewell = new ElectionMessages.Vacate(duty, lease.term, me.life(), next);
-            farewellUntil = now + spans.actMs();
-            lose("handed over");
-            bid();
+            release = new ElectionMessage.LeaseReleased(role, attempt.term, self.incarnation(), next);
+            releaseResendUntilMs = nowMs + timings.holderLeaseMs();
+            loseLease("handed over");
+            sendRelease();
         }
-        leave();
+        flush();
     }
 
-    private void bid() {
-        voter.vacate(farewell.term(), farewell.life(), farewell.next(), now);
-        for (Member member : seat.members) {
-            if (member.life() != me.life()) {
-                out.send(member.address(), farewell);
+    private void sendRelease() {
+        voter.release(release.term(), release.holderIncarnation(), release.successorIncarnation(), nowMs);
+        for (Member member : electionView.members) {
+            if (member.incarnation() != self.incarnation()) {
+                actions.send(member.address(), release);
             }
         }
-        if (now >= farewellUntil) {
-            farewell = null;
+        if (nowMs >= releaseResendUntilMs) {
+            release = null;
         }
     }
 
     /** A frame from the member at this address. */
-    public void heard(String from, Object frame, long at) {
-        enter(at);
-        if (frame instanceof ElectionMessages ballots && ballots.duty().equals(duty)) {
-            hear(from, ballots);
+    public void receive(String from, Object frame, long timeMs) {
+        advanceTime(timeMs);
+        if (frame instanceof ElectionMessage message && message.role().equals(role)) {
+            dispatch(from, message);
         }
-        leave();
+        flush();
     }
 
-    private void hear(String from, ElectionMessages frame) {
-        if (frame instanceof ElectionMessages.Plea plea) {
-            plea(from, plea);
-        } else if (frame instanceof ElectionMessages.Renew renew) {
-            renew(from, renew);
-        } else if (frame instanceof ElectionMessages.Grant grant) {
-            if (lease != null && lease.term == grant.term() && lease.probe == grant.probe()) {
-                lease.agree(grant.life(), grant.seq());
-                lease.descends |= grant.descends() && resuming != 0;
-                count();
+    private void dispatch(String from, ElectionMessage frame) {
+        if (frame instanceof ElectionMessage.LeaseRequest request) {
+            onLeaseRequest(from, request);
+        } else if (frame instanceof ElectionMessage.RenewRequest request) {
+            onRenewRequest(from, request);
+        } else if (frame instanceof ElectionMessage.LeaseGranted granted) {
+            if (attempt != null && attempt.term == granted.term() && attempt.probe == granted.probe()) {
+                attempt.onGranted(granted.voterIncarnation(), granted.sequence());
+                attempt.viewDescends |= granted.viewDescends() && resumableViewNumber != 0;
+                maybeWin();
             }
-        } else if (frame instanceof ElectionMessages.Agree agree) {
-            if (lease != null && lease.won && lease.term == agree.term()) {
-                lease.agree(agree.life(), agree.seq());
+        } else if (frame instanceof ElectionMessage.RenewGranted granted) {
+            if (attempt != null && attempt.won && attempt.term == granted.term()) {
+                attempt.onGranted(granted.voterIncarnation(), granted.sequence());
             }
-        } else if (frame instanceof ElectionMessages.Deny deny) {
-            denied(deny);
-        } else if (frame instanceof ElectionMessages.Vacate vacate) {
-            if (voter.vacate(vacate.term(), vacate.life(), vacate.next(), now) && vacate.next() == me.life()) {
-                pauseUntil = now;
-                if (lease == null && seat.in && willing) {
-                    stand();
+        } else if (frame instanceof ElectionMessage.LeaseDenied denied) {
+            onDenied(denied);
+        } else if (frame instanceof ElectionMessage.LeaseReleased released) {
+            if (voter.release(released.term(), released.holderIncarnation(), released.successorIncarnation(), nowMs)
+                    && released.successorIncarnation() == self.incarnation()) {
+                noCandidacyBeforeMs = nowMs;
+                if (attempt == null && electionView.isMember && wantsLease) {
+                    maybeStartCandidacy();
                 }
             }
         }
     }
 
-    private void denied(ElectionMessages.Deny deny) {
-        seen = Math.max(seen, deny.granted() >>> RANGE <= seat.view ? deny.granted() : 0);
-        if (lease == null || lease.won || lease.term != deny.term() || !lease.refuse(deny.life(), seat.members)) {
+    private void onDenied(ElectionMessage.LeaseDenied denied) {
+        highestSeenTerm = Math.max(
+                highestSeenTerm,
+                denied.grantedTerm() >>> TERM_BITS_PER_VIEW <= electionView.viewNumber ? denied.grantedTerm() : 0);
+        if (attempt == null
+                || attempt.won
+                || attempt.term != denied.term()
+                || !attempt.onDenied(denied.voterIncarnation(), electionView.members)) {
             return;
         }
-        giveUp(Math.max(20, Math.min(deny.remainingMs(), AGAIN_MS)));
+        abandonCandidacy(Math.max(20, Math.min(denied.remainingMs(), RETRY_INTERVAL_MS)));
     }
 
     /** Stands no more for now; whoever granted needn't hold the duty taken. */
-    private void giveUp(int pauseMs) {
-        if (!lease.probe) {
-            ElectionMessages.Vacate vacate = new ElectionMessages.Vacate(duty, lease.term, me.life(), 0);
-            voter.vacate(lease.term, me.life(), 0, now);
-            for (Member member : seat.members) {
-                if (member.life() != me.life()) {
-                    out.send(member.address(), vacate);
+    private void abandonCandidacy(int pauseMs) {
+        if (!attempt.probe) {
+            ElectionMessage.LeaseReleased released =
+                    new ElectionMessage.LeaseReleased(role, attempt.term, self.incarnation(), 0);
+            voter.release(attempt.term, self.incarnation(), 0, nowMs);
+            for (Member member : electionView.members) {
+                if (member.incarnation() != self.incarnation()) {
+                    actions.send(member.address(), released);
                 }
             }
         }
-        lease = null;
-        pauseUntil = now + pauseMs + (long) Math.max(0, seat.rank(me.life())) * spans.staggerMs() / 2;
+        attempt = null;
+        noCandidacyBeforeMs =
+                nowMs + pauseMs + (long) Math.max(0, electionView.rank(self.incarnation())) * timings.rankDelayMs() / 2;
     }
 
-    private void plea(String from, ElectionMessages.Plea plea) {
-        if (!seat.in || plea.view() != seat.view) {
+    private void onLeaseRequest(String from, ElectionMessage.LeaseRequest request) {
+        if (!electionView.isMember || request.viewNumber() != electionView.viewNumber) {
             return;
         }
-        Member who = plea.from();
-        if (!voter.would(plea.term(), who.life(), now)) {
+        Member candidate = request.candidate();
+        if (!voter.wouldGrant(request.term(), candidate.incarnation(), nowMs)) {
             if (from != null) {
-                out.send(
+                actions.send(
                         from,
-                        new ElectionMessages.Deny(duty, plea.term(), voter.granted(), voter.remaining(now), me.life()));
-            } else if (lease != null && !lease.won) {
-                giveUp(AGAIN_MS);
+                        new ElectionMessage.LeaseDenied(
+                                role,
+                                request.term(),
+                                voter.grantedTerm(),
+                                voter.remainingMs(nowMs),
+                                self.incarnation()));
+            } else if (attempt != null && !attempt.won) {
+                abandonCandidacy(RETRY_INTERVAL_MS);
             }
             return;
         }
-        boolean better = from != null && lease != null && lease.probe && seat.rank(who.life()) < seat.rank(me.life());
+        boolean better = from != null
+                && attempt != null
+                && attempt.probe
+                && electionView.rank(candidate.incarnation()) < electionView.rank(self.incarnation());
         if (better) {
-            giveUp(2 * spans.staggerMs());
+            abandonCandidacy(2 * timings.rankDelayMs());
         }
-        if (!plea.probe() && from != null) {
-            resuming = 0;
+        if (!request.probe() && from != null) {
+            resumableViewNumber = 0;
         }
-        if (plea.probe()) {
-            grant(from, plea);
+        if (request.probe()) {
+            sendGrant(from, request);
         } else {
-            voter.grant(plea.term(), who, now, () -> grant(from, plea));
+            voter.grant(request.term(), candidate, nowMs, () -> sendGrant(from, request));
         }
     }
 
-    private void grant(String from, ElectionMessages.Plea plea) {
-        boolean descends = plea.heldIn() != 0 && seat.descendsFrom(plea.heldIn());
-        ElectionMessages.Grant grant =
-                new ElectionMessages.Grant(duty, plea.probe(), plea.term(), plea.seq(), me.life(), descends);
+    private void sendGrant(String from, ElectionMessage.LeaseRequest request) {
+        boolean descends =
+                request.previouslyHeldInView() != 0 && electionView.descendsFrom(request.previouslyHeldInView());
+        ElectionMessage.LeaseGranted granted = new ElectionMessage.LeaseGranted(
+                role, request.probe(), request.term(), request.sequence(), self.incarnation(), descends);
         if (from != null) {
-            out.send(from, grant);
+            actions.send(from, granted);
         } else {
-            hear(null, grant);
+            dispatch(null, granted);
         }
     }
 
-    private void renew(String from, ElectionMessages.Renew renew) {
-        if (!seat.in || renew.view() != seat.view) {
+    private void onRenewRequest(String from, ElectionMessage.RenewRequest request) {
+        if (!electionView.isMember || request.viewNumber() != electionView.viewNumber) {
             return;
         }
-        ElectionMessages.Agree agree = new ElectionMessages.Agree(duty, renew.term(), renew.seq(), me.life());
-        boolean yes = voter.renew(renew.view(), renew.term(), renew.from(), now, () -> {
+        ElectionMessage.RenewGranted granted =
+                new ElectionMessage.RenewGranted(role, request.term(), request.sequence(), self.incarnation());
+        boolean yes = voter.renew(request.viewNumber(), request.term(), request.holder(), nowMs, () -> {
             if (from != null) {
-                out.send(from, agree);
+                actions.send(from, granted);
             } else {
-                hear(null, agree);
+                dispatch(null, granted);
             }
         });
         if (yes && from != null) {
-            resuming = 0;
+            resumableViewNumber = 0;
         }
         if (!yes && from != null) {
-            out.send(from, new ElectionMessages.Deny(duty, renew.term(), voter.granted(), 0, me.life()));
+            actions.send(
+                    from,
+                    new ElectionMessage.LeaseDenied(role, request.term(), voter.grantedTerm(), 0, self.incarnation()));
         }
     }
 
     /** The grant of this ticket is kept. */
-    public void synced(long ticket, long at) {
-        enter(at);
+    public void synced(long ticket, long timeMs) {
+        advanceTime(timeMs);
         voter.synced(ticket);
-        leave();
+        flush();
     }
 
     /** It isn't; it will be tried again. */
-    public void syncFailed(long ticket, long at) {
-        enter(at);
-        voter.failed(ticket, now);
-        leave();
+    public void syncFailed(long ticket, long timeMs) {
+        advanceTime(timeMs);
+        voter.syncFailed(ticket, nowMs);
+        flush();
     }
 
     /** Whether this process may act under its term at this moment: to be asked right before each act. */
-    public boolean mayAct(long at) {
-        if (lease == null || !lease.won || at - tickAt > spans.sleepMs()) {
+    public boolean mayAct(long timeMs) {
+        if (attempt == null || !attempt.won || timeMs - lastTickAtMs > timings.maxTickDelayMs()) {
             return false;
         }
-        long agreedAt = lease.agreedAt(seat.members);
-        return agreedAt >= doubtAt && at - agreedAt < spans.actMs();
+        long agreedAt = attempt.majorityGrantedAtMs(electionView.members);
+        return agreedAt >= revalidateSinceMs && timeMs - agreedAt < timings.holderLeaseMs();
     }
 
     /**
@@ -433,25 +465,25 @@
      * is held here may act again only once a majority has agreed to it anew: who has been succeeded never is agreed to,
      * and a false word costs one round.
      */
-    public void doubt(long higher, long at) {
-        enter(at);
-        if (lease != null && lease.won && higher > lease.term) {
-            out.tell("election.doubt", "duty", duty, "term", lease.term, "seen", higher);
-            doubtAt = now;
-            renew();
-        }
-        leave();
+    public void revalidate(long seenTerm, long timeMs) {
+        advanceTime(timeMs);
+        if (attempt != null && attempt.won && seenTerm > attempt.term) {
+            actions.tell("election.doubt", "duty", role, "term", attempt.term, "seen", seenTerm);
+            revalidateSinceMs = nowMs;
+            renewLease();
+        }
+        flush();
     }
 
     /**
      * Who has the duty as far as known here, or null. Itself only while it may act: that it has agreed to its own lease
      * is no lease.
      */
-    public LeaseHolder holder(long at) {
-        if (lease != null && lease.won) {
-            return mayAct(at) ? new LeaseHolder(lease.term, me) : null;
+    public LeaseHolder holder(long timeMs) {
+        if (attempt != null && attempt.won) {
+            return mayAct(timeMs) ? new LeaseHolder(attempt.term, self) : null;
         }
-        LeaseHolder other = voter.holder(at);
-        return other == null || other.member().life() == me.life() ? null : other;
+        LeaseHolder other = voter.holder(timeMs);
+        return other == null || other.member().incarnation() == self.incarnation() ? null : other;
     }
 }
--- a/src/main/java/brambletray/platform/election/LeaseTimings.java
+++ b/src/main/java/brambletray/platform/election/LeaseTimings.java
@@ -5,15 +5,16 @@
  * the duty taken for {@code vacantMs} from hearing it, which is later and longer: so the old holder has stopped before
  * a new one begins, by steady clocks that run alike.
  *
- * @param renewMs   between renewals
- * @param actMs     how long the holder acts on a renewal
- * @param vacantMs  how long the others hold it taken
- * @param sleepMs   lateness of its own tick after which a holder doubts itself
- * @param staggerMs between candidates of neighbouring rank
+ * @param renewIntervalMs   between renewals
+ * @param holderLeaseMs     how long the holder acts on a renewal
+ * @param voterLeaseMs  how long the others hold it taken
+ * @param maxTickDelayMs   lateness of its own tick after which a holder doubts itself
+ * @param rankDelayMs between candidates of neighbouring rank
  */
-public record LeaseTimings(int renewMs, int actMs, int vacantMs, int sleepMs, int staggerMs) {
+public record LeaseTimings(
+        int renewIntervalMs, int holderLeaseMs, int voterLeaseMs, int maxTickDelayMs, int rankDelayMs) {
     /** The usual spans. */
-    public static LeaseTimings usual() {
+    public static LeaseTimings defaults() {
         return new LeaseTimings(200, 800, 1200, 400, 250);
     }
 }
--- a/src/main/java/brambletray/platform/election/LeaseVoter.java
+++ b/src/main/java/brambletray/platform/election/LeaseVoter.java
@@ -9,193 +9,196 @@
 
 /** The part of a member that grants terms and keeps them, and knows whose lease runs. */
 final class LeaseVoter {
-    private static final int RETRY_MS = 250;
-    private static final byte FORM = 2;
+    private static final int RETRY_INTERVAL_MS = 250;
+    private static final byte CURRENT_FORM = 2;
     /** The form before, which did not tell in which view the term was held. */
-    private static final byte FORM_BEFORE = 1;
+    private static final byte PREVIOUS_FORM = 1;
 
     private final String key;
-    private final ElectionActions out;
-    private final LeaseTimings spans;
-    private long granted;
+    private final ElectionActions actions;
+    private final LeaseTimings timings;
+    private long grantedTerm;
     private long grantedTo;
     /** Number of the last view in which the holder of that term has renewed it here; 0 where it has not. */
-    private long heldIn;
+    private long heldInViewNumber;
     /** What is known of it was read from the disk, and no lease has been agreed to since. */
-    private boolean reborn;
+    private boolean restoredFromDisk;
 
     private LeaseHolder holder;
-    private long takenUntil;
-    private long named;
+    private long leaseExpiresAtMs;
+    private long namedSuccessor;
     private long ticket;
-    private boolean flying;
-    private long retryAt = Long.MIN_VALUE / 2;
+    private boolean writeInFlight;
+    private long retryAtMs = Long.MIN_VALUE / 2;
     private boolean dirty;
-    private List<Runnable> then = new ArrayList<>();
-    private List<Runnable> flyingThen = new ArrayList<>();
-
-    LeaseVoter(String duty, byte[] kept, ElectionActions out, LeaseTimings spans, long now) {
-        this.key = key(duty);
-        this.out = out;
-        this.spans = spans;
-        takenUntil = now;
-        if (kept == null) {
+    private List<Runnable> pendingCallbacks = new ArrayList<>();
+    private List<Runnable> inFlightCallbacks = new ArrayList<>();
+
+    LeaseVoter(String role, byte[] stored, ElectionActions actions, LeaseTimings timings, long nowMs) {
+        this.key = key(role);
+        this.actions = actions;
+        this.timings = timings;
+        leaseExpiresAtMs = nowMs;
+        if (stored == null) {
             return;
         }
-        ByteBuffer in = ByteBuffer.wrap(kept);
+        ByteBuffer in = ByteBuffer.wrap(stored);
         byte form = in.get();
-        if (form != FORM && form != FORM_BEFORE) {
+        if (form != CURRENT_FORM && form != PREVIOUS_FORM) {
             throw new ElectionException(
-                    "election.form", "kept in form " + kept[0] + ", this program reads form " + FORM);
+                    "election.form", "kept in form " + stored[0] + ", this program reads form " + CURRENT_FORM);
         }
-        granted = in.getLong();
+        grantedTerm = in.getLong();
         grantedTo = in.getLong();
-        heldIn = form == FORM ? in.getLong() : 0;
-        reborn = true;
+        heldInViewNumber = form == CURRENT_FORM ? in.getLong() : 0;
+        restoredFromDisk = true;
         // whose lease this member agreed to before it died isn't kept: it is held to run
-        takenUntil = now + spans.vacantMs();
+        leaseExpiresAtMs = nowMs + timings.voterLeaseMs();
     }
 
-    static String key(String duty) {
-        return "vow." + duty;
+    static String key(String role) {
+        return "vow." + role;
     }
 
-    long granted() {
-        return granted;
+    long grantedTerm() {
+        return grantedTerm;
     }
 
     /** Whose lease runs, or null. */
-    LeaseHolder holder(long now) {
-        return now < takenUntil ? holder : null;
+    LeaseHolder holder(long nowMs) {
+        return nowMs < leaseExpiresAtMs ? holder : null;
     }
 
     /** Milliseconds until it is vacant as far as known here; 0 when it is. */
-    int remaining(long now) {
-        return (int) Math.max(0, takenUntil - now);
+    int remainingMs(long nowMs) {
+        return (int) Math.max(0, leaseExpiresAtMs - nowMs);
     }
 
-    long vacantSince() {
-        return takenUntil;
+    long vacantSinceMs() {
+        return leaseExpiresAtMs;
     }
 
     /** Life named by the last holder as the next, 0 when none. */
-    long named() {
-        return named;
+    long namedSuccessor() {
+        return namedSuccessor;
     }
 
     /**
      * The last view in which this life held the duty before its process ended, as far as this disk knows; 0 for none.
      */
-    long heldBefore(long life) {
-        return reborn && grantedTo == life ? heldIn : 0;
+    long previouslyHeldInView(long incarnation) {
+        return restoredFromDisk && grantedTo == incarnation ? heldInViewNumber : 0;
     }
 
     /**
      * Whether this term would be granted to this life now. Who asks holds nothing any more: its own lease stands in
      * nobody's way.
      */
-    boolean would(long term, long life, long now) {
-        boolean free = now >= takenUntil
-                || (holder != null && holder.member().life() == life)
-                || (reborn && grantedTo == life);
-        return free && (term > granted || (term == granted && grantedTo == life));
+    boolean wouldGrant(long term, long incarnation, long nowMs) {
+        boolean free = nowMs >= leaseExpiresAtMs
+                || (holder != null && holder.member().incarnation() == incarnation)
+                || (restoredFromDisk && grantedTo == incarnation);
+        return free && (term > grantedTerm || (term == grantedTerm && grantedTo == incarnation));
     }
 
-    /** Grants; {@code then} runs once it is kept. */
-    void grant(long term, Member to, long now, Runnable run) {
-        keep(term, to.life());
-        take(new LeaseHolder(term, to), now);
-        then.add(run);
+    /** Grants; {@code pendingCallbacks} runs once it is kept. */
+    void grant(long term, Member to, long nowMs, Runnable run) {
+        recordGrant(term, to.incarnation());
+        startLease(new LeaseHolder(term, to), nowMs);
+        pendingCallbacks.add(run);
     }
 
     /** Agrees to a lease unless a higher term was granted. */
-    boolean renew(long view, long term, Member from, long now, Runnable run) {
-        if (term < granted || (term == granted && grantedTo != from.life())) {
+    boolean renew(long view, long term, Member from, long nowMs, Runnable run) {
+        if (term < grantedTerm || (term == grantedTerm && grantedTo != from.incarnation())) {
             return false;
         }
-        keep(term, from.life());
-        dirty |= heldIn != view;
-        heldIn = view;
-        take(new LeaseHolder(term, from), now);
-        then.add(run);
+        recordGrant(term, from.incarnation());
+        dirty |= heldInViewNumber != view;
+        heldInViewNumber = view;
+        startLease(new LeaseHolder(term, from), nowMs);
+        pendingCallbacks.add(run);
         return true;
     }
 
-    private void keep(long term, long life) {
-        if (term == granted && grantedTo == life) {
+    private void recordGrant(long term, long incarnation) {
+        if (term == grantedTerm && grantedTo == incarnation) {
             return;
         }
-        granted = term;
-        grantedTo = life;
-        heldIn = 0;
+        grantedTerm = term;
+        grantedTo = incarnation;
+        heldInViewNumber = 0;
         dirty = true;
     }
 
-    private void take(LeaseHolder who, long now) {
-        holder = who;
-        reborn = false;
-        takenUntil = now + spans.vacantMs();
-        named = 0;
+    private void startLease(LeaseHolder candidate, long nowMs) {
+        holder = candidate;
+        restoredFromDisk = false;
+        leaseExpiresAtMs = nowMs + timings.voterLeaseMs();
+        namedSuccessor = 0;
     }
 
     /** The holder says that it has stopped. */
-    boolean vacate(long term, long life, long next, long now) {
-        if (holder == null || holder.term() != term || holder.member().life() != life || now >= takenUntil) {
+    boolean release(long term, long incarnation, long next, long nowMs) {
+        if (holder == null
+                || holder.term() != term
+                || holder.member().incarnation() != incarnation
+                || nowMs >= leaseExpiresAtMs) {
             return false;
         }
-        takenUntil = now;
-        named = next;
+        leaseExpiresAtMs = nowMs;
+        namedSuccessor = next;
         return true;
     }
 
-    void flush(long now) {
-        if (flying || now < retryAt) {
+    void flush(long nowMs) {
+        if (writeInFlight || nowMs < retryAtMs) {
             return;
         }
         if (!dirty) {
-            List<Runnable> runs = then;
+            List<Runnable> runs = pendingCallbacks;
             if (runs.isEmpty()) {
                 return;
             }
-            then = new ArrayList<>();
+            pendingCallbacks = new ArrayList<>();
             runs.forEach(Runnable::run);
             return;
         }
         dirty = false;
-        flying = true;
-        flyingThen = then;
-        then = new ArrayList<>();
+        writeInFlight = true;
+        inFlightCallbacks = pendingCallbacks;
+        pendingCallbacks = new ArrayList<>();
         Map<String, byte[]> changes = new HashMap<>();
         changes.put(
                 key,
                 ByteBuffer.allocate(25)
-                        .put(FORM)
-                        .putLong(granted)
+                        .put(CURRENT_FORM)
+                        .putLong(grantedTerm)
                         .putLong(grantedTo)
-                        .putLong(heldIn)
+                        .putLong(heldInViewNumber)
                         .array());
-        out.persist(++ticket, changes);
+        actions.persist(++ticket, changes);
     }
 
     void synced(long which) {
-        if (!flying || which != ticket) {
+        if (!writeInFlight || which != ticket) {
             return;
         }
-        flying = false;
-        List<Runnable> runs = flyingThen;
-        flyingThen = new ArrayList<>();
+        writeInFlight = false;
+        List<Runnable> runs = inFlightCallbacks;
+        inFlightCallbacks = new ArrayList<>();
         runs.forEach(Runnable::run);
     }
 
-    void failed(long which, long now) {
-        if (!flying || which != ticket) {
+    void syncFailed(long which, long nowMs) {
+        if (!writeInFlight || which != ticket) {
             return;
         }
-        flying = false;
+        writeInFlight = false;
         dirty = true;
-        flyingThen.addAll(then);
-        then = flyingThen;
-        flyingThen = new ArrayList<>();
-        retryAt = now + RETRY_MS;
+        inFlightCallbacks.addAll(pendingCallbacks);
+        pendingCallbacks = inFlightCallbacks;
+        inFlightCallbacks = new ArrayList<>();
+        retryAtMs = nowMs + RETRY_INTERVAL_MS;
     }
 }
--- a/src/main/java/brambletray/platform/replication/DurableState.java
+++ b/src/main/java/brambletray/platform/replication/DurableState.java
@@ -8,73 +8,76 @@
 /**
  * What a member finds on its disk at the start.
  *
- * @param life    drawn when the disk was empty; 0 when it is empty now
+ * @param incarnation    drawn when the disk was empty; 0 when it is empty now
  * @param seeds   list that the core is founded from, if this member was one of the first; else empty
- * @param promise highest ballot promised
+ * @param promisedBallot highest ballot promised
  * @param view    last view kept, or null
- * @param inForce whether it was known to be in force
- * @param log     the order
- * @param dead    lives whose disks are proven lost
- * @param known   addresses of members met
+ * @param active whether it was known to be in force
+ * @param readLog     the order
+ * @param retiredIncarnations    lives whose disks are proven lost
+ * @param knownAddresses   addresses of members met
  */
 public record DurableState(
-        long life,
+        long incarnation,
         List<String> seeds,
-        Ballot promise,
+        Ballot promisedBallot,
         View view,
-        boolean inForce,
-        ReplicatedLog log,
-        List<Long> dead,
-        List<String> known) {
+        boolean active,
+        ReplicatedLog readLog,
+        List<Long> retiredIncarnations,
+        List<String> knownAddresses) {
     /** All keys of this plane begin so. */
-    public static final String PREFIX = "view.";
+    public static final String KEY_PREFIX = "view.";
 
-    static final String LIFE = "view.life";
-    static final String SEEDS = "view.seeds";
-    static final String PROMISE = "view.promise";
-    static final String VIEW = "view.view";
-    static final String SNAP = "view.snap";
-    static final String DEAD = "view.dead";
-    static final String KNOWN = "view.known";
-    static final String LOG = "view.log.";
+    static final String INCARNATION_KEY = "view.life";
+    static final String SEEDS_KEY = "view.seeds";
+    static final String PROMISED_BALLOT_KEY = "view.promise";
+    static final String VIEW_KEY = "view.view";
+    static final String SNAPSHOT_KEY = "view.snap";
+    static final String RETIRED_INCARNATIONS_KEY = "view.dead";
+    static final String KNOWN_ADDRESSES_KEY = "view.known";
+    static final String LOG_KEY_PREFIX = "view.log.";
 
     /** An empty disk. */
-    public static DurableState none() {
+    public static DurableState empty() {
         return new DurableState(0, List.of(), Ballot.NONE, null, false, ReplicatedLog.empty(), List.of(), List.of());
     }
 
     /**
-     * Rebuilds it from all keys that begin with {@link #PREFIX}. Throws {@link ReplicationException} when they can't be
+     * Rebuilds it from all keys that begin with {@link #KEY_PREFIX}. Throws {@link ReplicationException} when they can't be
      * read.
      */
     public static DurableState read(Map<String, byte[]> map) {
-        if (!map.containsKey(LIFE)) {
-            return none();
+        if (!map.containsKey(INCARNATION_KEY)) {
+            return empty();
         }
-        long life = ReplicationCodec.read(map.get(LIFE), in -> in.readLong());
-        List<String> seeds =
-                map.containsKey(SEEDS) ? ReplicationCodec.read(map.get(SEEDS), ReplicationCodec::strings) : List.of();
-        Ballot promise = map.containsKey(PROMISE)
-                ? ReplicationCodec.read(map.get(PROMISE), ReplicationCodec::ballot)
+        long incarnation = ReplicationCodec.read(map.get(INCARNATION_KEY), in -> in.readLong());
+        List<String> seeds = map.containsKey(SEEDS_KEY)
+                ? ReplicationCodec.read(map.get(SEEDS_KEY), ReplicationCodec::strings)
+                : List.of();
+        Ballot promise = map.containsKey(PROMISED_BALLOT_KEY)
+                ? ReplicationCodec.read(map.get(PROMISED_BALLOT_KEY), ReplicationCodec::ballot)
                 : Ballot.NONE;
-        boolean inForce = map.containsKey(VIEW) && ReplicationCodec.read(map.get(VIEW), in -> in.readBoolean());
-        View view = map.containsKey(VIEW)
-                ? ReplicationCodec.read(map.get(VIEW), in -> {
+        boolean inForce = map.containsKey(VIEW_KEY) && ReplicationCodec.read(map.get(VIEW_KEY), in -> in.readBoolean());
+        View view = map.containsKey(VIEW_KEY)
+                ? ReplicationCodec.read(map.get(VIEW_KEY), in -> {
                     in.readBoolean();
                     return ReplicationCodec.view(in);
                 })
                 : null;
-        List<Long> dead =
-                map.containsKey(DEAD) ? ReplicationCodec.read(map.get(DEAD), ReplicationCodec::longs) : List.of();
-        List<String> known =
-                map.containsKey(KNOWN) ? ReplicationCodec.read(map.get(KNOWN), ReplicationCodec::strings) : List.of();
-        return new DurableState(life, seeds, promise, view, inForce, log(map), dead, known);
+        List<Long> dead = map.containsKey(RETIRED_INCARNATIONS_KEY)
+                ? ReplicationCodec.read(map.get(RETIRED_INCARNATIONS_KEY), ReplicationCodec::longs)
+                : List.of();
+        List<String> known = map.containsKey(KNOWN_ADDRESSES_KEY)
+                ? ReplicationCodec.read(map.get(KNOWN_ADDRESSES_KEY), ReplicationCodec::strings)
+                : List.of();
+        return new DurableState(incarnation, seeds, promise, view, inForce, readLog(map), dead, known);
     }
 
-    private static ReplicatedLog log(Map<String, byte[]> map) {
+    private static ReplicatedLog readLog(Map<String, byte[]> map) {
         TreeMap<String, byte[]> sorted = new TreeMap<>();
         map.forEach((key, value) -> {
-            if (key.startsWith(LOG)) {
+            if (key.startsWith(LOG_KEY_PREFIX)) {
                 sorted.put(key, value);
             }
         });
@@ -83,9 +86,9 @@
             entries.add(ReplicationCodec.read(value, ReplicationCodec::entry));
         }
         ReplicatedLog log = ReplicatedLog.empty();
-        if (map.containsKey(SNAP)) {
+        if (map.containsKey(SNAPSHOT_KEY)) {
             log = ReplicationCodec.read(
-                    map.get(SNAP),
+                    map.get(SNAPSHOT_KEY),
                     in -> new ReplicatedLog(
                             in.readLong(), ReplicationCodec.ballot(in), in.readNBytes(in.readInt()), List.of()));
         }
@@ -95,8 +98,8 @@
         return log;
     }
 
-    static String key(long index) {
+    static String logKey(long index) {
         String hex = Long.toHexString(index);
-        return LOG + "0000000000000000".substring(hex.length()) + hex;
+        return LOG_KEY_PREFIX + "0000000000000000".substring(hex.length()) + hex;
     }
 }
--- a/src/main/java/brambletray/platform/replication/FaultTolerance.java
+++ b/src/main/java/brambletray/platform/replication/FaultTolerance.java
@@ -28,7 +28,7 @@
      * Whether a change that is on the disks of all of these outlasts each such loss: whichever machines, zones or
      * regions go, one of them is left. Members whose zone isn't known count as of one zone.
      */
-    boolean bears(Collection<Member> members) {
+    boolean toleratesLossWith(Collection<Member> members) {
         Set<String> in = new HashSet<>();
         Set<String> over = new HashSet<>();
         for (Member member : members) {
@@ -43,14 +43,15 @@
      * majority: what is kept stays kept, but
      * nothing goes on until they are back. Empty where there are none.
      */
-    List<String> holdingHalf(Collection<Member> members) {
-        List<String> some = holdingHalf(members, zones, Member::zone);
+    List<String> groupsHoldingHalf(Collection<Member> members) {
+        List<String> some = groupsHoldingHalf(members, zones, Member::zone);
         return some.isEmpty()
-                ? holdingHalf(members, regions, member -> regionOf.getOrDefault(member.zone(), ""))
+                ? groupsHoldingHalf(members, regions, member -> regionOf.getOrDefault(member.zone(), ""))
                 : some;
     }
 
-    private static List<String> holdingHalf(Collection<Member> members, int losses, Function<Member, String> group) {
+    private static List<String> groupsHoldingHalf(
+            Collection<Member> members, int losses, Function<Member, String> group) {
         Map<String, Integer> sizes = new TreeMap<>();
         members.forEach(member -> sizes.merge(group.apply(member), 1, Integer::sum));
         List<String> largest = sizes.keySet().stream()
--- a/src/main/java/brambletray/platform/replication/JoinAdmission.java
+++ b/src/main/java/brambletray/platform/replication/JoinAdmission.java
@@ -10,97 +10,99 @@
  * of view.
  */
 final class JoinAdmission {
-    private static final int NEAR_ENTRIES = 64;
-    private static final int MOST = 8;
-    private static final int WAIT_MS = 1000;
-    private static final int FORGIVEN_MS = 20_000;
+    private static final int MAX_LAG_ENTRIES = 64;
+    private static final int MAX_NEWCOMERS = 8;
+    private static final int REQUEST_EXPIRY_MS = 1000;
+    private static final int PENALTY_MEMORY_MS = 20_000;
 
     /** How often a member was taken out lately, and until when it stays out. */
-    private record Penalty(int times, long at, long until) {}
+    private record Penalty(int count, long imposedAtMs, long untilMs) {}
 
-    private final MemberState desk;
-    private final Replica members;
-    private final Map<Long, Frame.JoinRequest> waiting = new LinkedHashMap<>();
-    private final Map<Long, Long> waitingAt = new HashMap<>();
+    private final ReplicaState state;
+    private final Replica replica;
+    private final Map<Long, ReplicationMessage.JoinRequest> admitted = new LinkedHashMap<>();
+    private final Map<Long, Long> requestedAtMs = new HashMap<>();
     /** When newcomers that haven't got the state yet were heard last. */
-    private final Map<Long, Long> arriving = new HashMap<>();
+    private final Map<Long, Long> catchingUp = new HashMap<>();
 
     private final Map<String, Penalty> penalties = new HashMap<>();
-    private final Map<String, Long> asked = new HashMap<>();
+    private final Map<String, Long> challenges = new HashMap<>();
     private long nonce;
 
-    JoinAdmission(MemberState desk, Replica members) {
-        this.desk = desk;
-        this.members = members;
-        nonce = desk.origin;
+    JoinAdmission(ReplicaState state, Replica members) {
+        this.state = state;
+        this.replica = members;
+        nonce = state.origin;
     }
 
-    void knock(String from, Frame.JoinRequest knock) {
-        Member who = knock.me();
-        if (desk.dead.contains(who.life()) || who.life() == desk.me.life()) {
+    void onJoinRequest(String from, ReplicationMessage.JoinRequest joinRequest) {
+        Member who = joinRequest.requester();
+        if (state.retiredIncarnations.contains(who.incarnation()) || who.incarnation() == state.self.incarnation()) {
             return;
         }
-        if (desk.view != null) {
+        if (state.view != null) {
             challenge(who);
         }
-        if (desk.view == null || !desk.inForce || members.fallen() || desk.view.founding()) {
-            if (!desk.known.isEmpty()) {
-                desk.out.send(from, new Frame.KnownMembers(List.copyOf(desk.known)));
+        if (state.view == null || !state.active || replica.isExcluded() || state.view.isFounding()) {
+            if (!state.knownAddresses.isEmpty()) {
+                state.actions.send(from, new ReplicationMessage.KnownMembers(List.copyOf(state.knownAddresses)));
             }
             return;
         }
-        if (desk.view.has(who.life())) {
+        if (state.view.contains(who.incarnation())) {
             return;
         }
-        if (knock.view().above(desk.view.ballot())) {
-            desk.seen = Math.max(desk.seen, knock.view().number());
+        if (joinRequest.viewBallot().isAbove(state.view.ballot())) {
+            state.highestSeenNumber =
+                    Math.max(state.highestSeenNumber, joinRequest.viewBallot().number());
         }
-        if (!members.leading()) {
-            if (desk.view.ballot().who() != desk.me.life()) {
-                desk.out.send(from, new Frame.JoinAnswer(desk.view, false));
+        if (!replica.isLeader()) {
+            if (state.view.ballot().proposer() != state.self.incarnation()) {
+                state.actions.send(from, new ReplicationMessage.JoinResponse(state.view, false));
             }
             return;
         }
-        boolean fit = near(desk.log.since(knock.end(), knock.endView(), knock.commit()));
-        desk.out.send(from, new Frame.JoinAnswer(desk.view, fit));
+        boolean fit = isCaughtUp(
+                state.log.patchFor(joinRequest.lastIndex(), joinRequest.lastView(), joinRequest.commitIndex()));
+        state.actions.send(from, new ReplicationMessage.JoinResponse(state.view, fit));
         if (!fit) {
-            if (arriving.size() < MOST) {
-                arriving.put(who.life(), desk.now);
+            if (catchingUp.size() < MAX_NEWCOMERS) {
+                catchingUp.put(who.incarnation(), state.nowMs);
             }
             return;
         }
-        arriving.remove(who.life());
+        catchingUp.remove(who.incarnation());
         Penalty penalty = penalties.get(who.address());
-        if (penalty != null && desk.now < penalty.until()) {
+        if (penalty != null && state.nowMs < penalty.untilMs()) {
             return;
         }
-        if (waiting.size() >= MOST && !waiting.containsKey(who.life())) {
+        if (admitted.size() >= MAX_NEWCOMERS && !admitted.containsKey(who.incarnation())) {
             return;
         }
-        waiting.put(who.life(), knock);
-        waitingAt.put(who.life(), desk.now);
+        admitted.put(who.incarnation(), joinRequest);
+        requestedAtMs.put(who.incarnation(), state.nowMs);
     }
 
-    private static boolean near(LogPatch patch) {
-        return patch.entries().size() <= NEAR_ENTRIES && patch.isShort();
+    private static boolean isCaughtUp(LogPatch patch) {
+        return patch.entries().size() <= MAX_LAG_ENTRIES && patch.fitsInline();
     }
 
     /** Another life at the address of one of ours: asked who it is now, so that an old frame proves nothing. */
     private void challenge(Member who) {
-        if (!older(who)) {
+        if (!replacesMember(who)) {
             return;
         }
-        if (asked.size() > MOST) {
-            asked.clear();
+        if (challenges.size() > MAX_NEWCOMERS) {
+            challenges.clear();
         }
-        asked.put(who.address(), ++nonce);
-        desk.out.send(who.address(), new Frame.IdentityRequest(nonce));
+        challenges.put(who.address(), ++nonce);
+        state.actions.send(who.address(), new ReplicationMessage.IdentityRequest(nonce));
     }
 
-    private boolean older(Member who) {
-        for (ViewMembership roll : desk.view.chain(false)) {
-            for (Member member : roll.members()) {
-                if (proves(who, member)) {
+    private boolean replacesMember(Member who) {
+        for (ViewMembership membership : state.view.viewsToConsult(false)) {
+            for (Member member : membership.members()) {
+                if (provesDiskLost(who, member)) {
                     return true;
                 }
             }
@@ -108,76 +110,82 @@
         return false;
     }
 
-    private boolean proves(Member now, Member before) {
+    private boolean provesDiskLost(Member now, Member before) {
         return before.address().equals(now.address())
-                && before.life() != now.life()
-                && before.life() != 0
-                && before.life() != desk.me.life()
-                && !desk.dead.contains(before.life());
+                && before.incarnation() != now.incarnation()
+                && before.incarnation() != 0
+                && before.incarnation() != state.self.incarnation()
+                && !state.retiredIncarnations.contains(before.incarnation());
     }
 
-    void here(Frame.IdentityAnswer here) {
-        Long mine = asked.get(here.me().address());
-        if (mine == null || mine != here.nonce() || desk.view == null) {
+    void onIdentityResponse(ReplicationMessage.IdentityResponse here) {
+        Long mine = challenges.get(here.responder().address());
+        if (mine == null || mine != here.nonce() || state.view == null) {
             return;
         }
-        asked.remove(here.me().address());
-        java.util.Set<Long> lost = new java.util.LinkedHashSet<>();
-        for (ViewMembership roll : desk.view.chain(false)) {
-            for (Member member : roll.members()) {
-                if (proves(here.me(), member)) {
-                    lost.add(member.life());
+        challenges.remove(here.responder().address());
+        java.util.Set<Long> lostIncarnations = new java.util.LinkedHashSet<>();
+        for (ViewMembership membership : state.view.viewsToConsult(false)) {
+            for (Member member : membership.members()) {
+                if (provesDiskLost(here.responder(), member)) {
+                    lostIncarnations.add(member.incarnation());
                 }
             }
         }
-        if (desk.bury(lost)) {
-            desk.out.tell(
+        if (state.retire(lostIncarnations)) {
+            state.actions.tell(
                     "replication.disk-lost",
                     "address",
-                    here.me().address(),
+                    here.responder().address(),
                     "life",
-                    Long.toHexString(here.me().life()),
+                    Long.toHexString(here.responder().incarnation()),
                     "lost",
-                    lost);
-            members.buried();
+                    lostIncarnations);
+            replica.onMembersRetired();
         }
     }
 
     /** A member has been taken out for trouble: each further time within a while it waits longer to be let in again. */
     void penalise(String address) {
         Penalty old = penalties.get(address);
-        int times = old == null || desk.now - old.at() > FORGIVEN_MS ? 1 : old.times() + 1;
+        int times = old == null || state.nowMs - old.imposedAtMs() > PENALTY_MEMORY_MS ? 1 : old.count() + 1;
         long wait = times <= 2 ? 0 : Math.min(4000, 250L << Math.min(times - 2, 4));
         if (penalties.size() > 32) {
             penalties.clear();
         }
-        penalties.put(address, new Penalty(times, desk.now, desk.now + wait));
+        penalties.put(address, new Penalty(times, state.nowMs, state.nowMs + wait));
     }
 
     /** Newcomers that wait and were heard of late. */
-    Map<Long, Frame.JoinRequest> waiting() {
-        if (waiting.isEmpty()) {
+    Map<Long, ReplicationMessage.JoinRequest> admitted() {
+        if (admitted.isEmpty()) {
             return Map.of();
         }
-        waiting.keySet()
-                .removeIf(life ->
-                        desk.now - waitingAt.get(life) > WAIT_MS || desk.view.has(life) || desk.dead.contains(life));
+        admitted.keySet()
+                .removeIf(incarnation -> state.nowMs - requestedAtMs.get(incarnation) > REQUEST_EXPIRY_MS
+                        || state.view.contains(incarnation)
+                        || state.retiredIncarnations.contains(incarnation));
         // changes and compactions since the knock: a change of view that can't let it in isn't begun for it
-        waiting.values().removeIf(knock -> !near(desk.log.since(knock.end(), knock.endView(), knock.commit())));
-        waitingAt.keySet().retainAll(waiting.keySet());
-        return new LinkedHashMap<>(waiting);
+        admitted.values()
+                .removeIf(joinRequest -> !isCaughtUp(state.log.patchFor(
+                        joinRequest.lastIndex(), joinRequest.lastView(), joinRequest.commitIndex())));
+        requestedAtMs.keySet().retainAll(admitted.keySet());
+        return new LinkedHashMap<>(admitted);
     }
 
     /** Whether a newcomer is on its way that hasn't got the state yet. */
-    boolean expecting() {
-        arriving.values().removeIf(at -> desk.now - at > WAIT_MS);
-        arriving.keySet().removeIf(life -> desk.view.has(life) || desk.dead.contains(life));
-        return !arriving.isEmpty();
+    boolean hasNewcomersCatchingUp() {
+        catchingUp.values().removeIf(at -> state.nowMs - at > REQUEST_EXPIRY_MS);
+        catchingUp
+                .keySet()
+                .removeIf(incarnation ->
+                        state.view.contains(incarnation) || state.retiredIncarnations.contains(incarnation));
+        return !catchingUp.isEmpty();
     }
 
     void clear() {
-        waiting.clear();
-        waitingAt.clear();
-        arriving.clear();
+        admitted.clear();
+        requestedAtMs.clear();
+        catchingUp.clear();
     }
 }
--- a/src/main/java/brambletray/platform/replication/JoinRequester.java
+++ b/src/main/java/brambletray/platform/replication/JoinRequester.java
@@ -9,42 +9,42 @@
  * when the process dies.
  */
 final class JoinRequester {
-    private static final int AGAIN_MS = 250;
+    private static final int RETRY_INTERVAL_MS = 250;
     /** Silence of a giver after which another leader's word ends the transfer. */
-    private static final int IDLE_MS = 1000;
+    private static final int SOURCE_IDLE_TIMEOUT_MS = 1000;
 
-    private final MemberState desk;
-    private final Follower following;
-    private ReplicatedLog hand;
-    private long handCommit;
-    private StateTransfer transfer;
+    private final ReplicaState state;
+    private final FollowerState follower;
+    private ReplicatedLog fetchedLog;
+    private long fetchedCommitIndex;
+    private StateTransferClient transfer;
     /** One whose giver fell silent or has nothing to give; the next giver goes on with it. */
-    private StateTransfer interrupted;
+    private StateTransferClient interrupted;
 
-    private long knockAt = Long.MIN_VALUE / 2;
-    private long transferredAt = Long.MIN_VALUE / 2;
+    private long requestedAtMs = Long.MIN_VALUE / 2;
+    private long transferStartedAtMs = Long.MIN_VALUE / 2;
 
-    JoinRequester(MemberState desk, Follower following) {
-        this.desk = desk;
-        this.following = following;
+    JoinRequester(ReplicaState state, FollowerState follower) {
+        this.state = state;
+        this.follower = follower;
     }
 
-    boolean active() {
-        return desk.view == null || following.fallen();
+    boolean isOutsideView() {
+        return state.view == null || follower.isExcluded();
     }
 
     /** Who has just started may have been left out meanwhile: a member of the later view says so. */
-    private boolean unsure() {
-        return desk.view != null && following.fresh() && !desk.view.founding();
+    private boolean mayHaveBeenExcluded() {
+        return state.view != null && follower.noLeaderSeenYet() && !state.view.isFounding();
     }
 
     /** The log that a patch is put on. */
-    ReplicatedLog base() {
-        return hand != null && active() ? hand : desk.log;
+    ReplicatedLog patchBase() {
+        return fetchedLog != null && isOutsideView() ? fetchedLog : state.log;
     }
 
-    void accepted() {
-        hand = null;
+    void onViewAccepted() {
+        fetchedLog = null;
         transfer = null;
         interrupted = null;
     }
@@ -53,106 +53,112 @@
         if (transfer != null) {
             transfer.tick();
             if (transfer.failed()) {
-                interrupt();
+                interruptTransfer();
             }
         }
-        if (!(active() || unsure()) || desk.ill() || desk.leaving || desk.now - knockAt < AGAIN_MS) {
+        if (!(isOutsideView() || mayHaveBeenExcluded())
+                || state.diskUnhealthy()
+                || state.leaving
+                || state.nowMs - requestedAtMs < RETRY_INTERVAL_MS) {
             return;
         }
-        knock(seeds);
+        sendJoinRequests(seeds);
     }
 
-    private void interrupt() {
-        if (transfer.resumable()) {
+    private void interruptTransfer() {
+        if (transfer.isResumable()) {
             interrupted = transfer;
         }
         transfer = null;
     }
 
-    void knock(Iterable<String> seeds) {
-        if (desk.leaving) {
+    void sendJoinRequests(Iterable<String> seeds) {
+        if (state.leaving) {
             return;
         }
-        knockAt = desk.now;
+        requestedAtMs = state.nowMs;
         Set<String> all = new LinkedHashSet<>();
         seeds.forEach(all::add);
-        all.addAll(desk.known);
-        if (following.left() != null) {
-            following.left().members().forEach(member -> all.add(member.address()));
+        all.addAll(state.knownAddresses);
+        if (follower.successorView() != null) {
+            follower.successorView().members().forEach(member -> all.add(member.address()));
         }
-        all.remove(desk.me.address());
-        Frame.JoinRequest knock = mine();
+        all.remove(state.self.address());
+        ReplicationMessage.JoinRequest joinRequest = joinRequest();
         for (String address : all) {
-            desk.out.send(address, knock);
+            state.actions.send(address, joinRequest);
         }
     }
 
-    private Frame.JoinRequest mine() {
-        ReplicatedLog log = base();
-        long commit = hand != null ? handCommit : desk.commit;
-        return new Frame.JoinRequest(
-                desk.me,
-                desk.view == null ? Ballot.NONE : desk.view.ballot(),
-                log.end(),
-                log.endView(),
-                Math.min(commit, log.end()));
+    private ReplicationMessage.JoinRequest joinRequest() {
+        ReplicatedLog log = patchBase();
+        long commit = fetchedLog != null ? fetchedCommitIndex : state.commitIndex;
+        return new ReplicationMessage.JoinRequest(
+                state.self,
+                state.view == null ? Ballot.NONE : state.view.ballot(),
+                log.lastIndex(),
+                log.lastView(),
+                Math.min(commit, log.lastIndex()));
     }
 
     /** The view in force; its leader says whether what is in hand is near enough. */
-    void come(String from, Frame.JoinAnswer come) {
-        if (!active()) {
-            following.left(new Frame.NotMember(come.view()));
+    void onJoinResponse(String from, ReplicationMessage.JoinResponse response) {
+        if (!isOutsideView()) {
+            follower.successorView(new ReplicationMessage.NotMember(response.view()));
         }
-        if (!active()) {
+        if (!isOutsideView()) {
             return;
         }
-        for (Member member : come.view().members()) {
-            desk.meet(member.address());
+        for (Member member : response.view().members()) {
+            state.addKnownAddress(member.address());
         }
-        Member leader = come.view().leader();
+        Member leader = response.view().leader();
         // the giver may be gone, and another one lead
         boolean leads = leader != null && leader.address().equals(from);
-        if (leads && transfer != null && !transfer.from().equals(from) && transfer.idleMs() > IDLE_MS) {
-            interrupt();
+        if (leads
+                && transfer != null
+                && !transfer.source().equals(from)
+                && transfer.idleMs() > SOURCE_IDLE_TIMEOUT_MS) {
+            interruptTransfer();
         }
-        if (leader == null || come.fit() || transfer != null) {
+        if (leader == null || response.caughtUp() || transfer != null) {
             return;
         }
         if (!leader.address().equals(from)) {
-            desk.out.send(leader.address(), mine());
+            state.actions.send(leader.address(), joinRequest());
             return;
         }
-        if (desk.now - transferredAt < AGAIN_MS) {
+        if (state.nowMs - transferStartedAtMs < RETRY_INTERVAL_MS) {
             return;
         }
-        transferredAt = desk.now;
-        fetch(from);
+        transferStartedAtMs = state.nowMs;
+        startTransfer(from);
     }
 
-    private void fetch(String from) {
+    private void startTransfer(String from) {
         if (interrupted != null) {
             transfer = interrupted;
             interrupted = null;
             transfer.resume(from, Ballot.NONE);
             return;
         }
-        transfer = new StateTransfer(desk, from, base(), Ballot.NONE);
+        transfer = new StateTransferClient(state, from, patchBase(), Ballot.NONE);
         transfer.tick();
     }
 
-    void piece(Frame.Piece piece) {
-        if (transfer == null || !transfer.piece(piece)) {
+    void onChunk(ReplicationMessage.FetchChunkResponse chunk) {
+        if (transfer == null || !transfer.onChunk(chunk)) {
             return;
         }
         if (transfer.failed()) {
-            interrupt();
+            interruptTransfer();
             return;
         }
         if (transfer.log() != null) {
-            hand = transfer.log();
-            handCommit = transfer.commit();
-            desk.out.tell("replication.transferred", "from", transfer.from(), "end", hand.end());
-            desk.out.send(transfer.from(), mine());
+            fetchedLog = transfer.log();
+            fetchedCommitIndex = transfer.commitIndex();
+            state.actions.tell("replication.transferred", "from", transfer.source(), "end", fetchedLog.lastIndex());
+            state.actions.send(transfer.source(), joinRequest());
         }
         transfer = null;
     }
--- /dev/null
+++ b/src/main/java/brambletray/platform/replication/MemberRemovalOrders.java
@@ -0,0 +1,139 @@
+package brambletray.platform.replication;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.Consumer;
+
+/**
+ * Operators' orders that declare a machine dead which is gone for good and whose address never answers again. A
+ * declared death counts like a proven one
+ * (see {@link Quorum}), so the order is refused while there is any sign that the machine lives, and while the view
+ * works without it.
+ */
+final class MemberRemovalOrders {
+    /** ms for which the machine must not have been heard, by a process that listened all the while. */
+    static final int MIN_SILENCE_MS = 10_000;
+    /** ms for an answer to the question that precedes the declaration. */
+    static final int IDENTITY_TIMEOUT_MS = 2_000;
+
+    private record PendingRemoval(Member member, long startedAtMs, Consumer<MemberRemovalOutcome> onOutcome) {}
+
+    private final ReplicaState state;
+    private final Replica replica;
+    private final long startedAtMs;
+    private final Map<String, Long> lastHeardAtMs = new HashMap<>();
+    private PendingRemoval pending;
+
+    MemberRemovalOrders(ReplicaState state, Replica members) {
+        this.state = state;
+        this.replica = members;
+        startedAtMs = state.nowMs;
+    }
+
+    /** Something has come from the machine at this address. */
+    void onMessage(String address) {
+        lastHeardAtMs.put(address, state.nowMs);
+    }
+
+    void pending(String address, long incarnation, Consumer<MemberRemovalOutcome> then) {
+        Member who = findMember(address, incarnation);
+        MemberRemovalOutcome refusal = findRejection(who);
+        if (refusal != null) {
+            then.accept(refusal);
+            return;
+        }
+        pending = new PendingRemoval(who, state.nowMs, then);
+        state.actions.tell(
+                "replication.death-ordered",
+                "member",
+                who.name(),
+                "address",
+                address,
+                "life",
+                Long.toHexString(incarnation));
+        state.actions.send(address, new ReplicationMessage.IdentityRequest(state.origin ^ state.nowMs));
+    }
+
+    private MemberRemovalOutcome findRejection(Member who) {
+        if (who == null) {
+            return MemberRemovalOutcome.UNKNOWN_MEMBER;
+        }
+        if (pending != null) {
+            return MemberRemovalOutcome.ANOTHER_PENDING;
+        }
+        if (replica.status().role() == ReplicaRole.MEMBER) {
+            return MemberRemovalOutcome.VIEW_IS_HEALTHY;
+        }
+        if (state.nowMs - Math.max(startedAtMs, lastHeardAtMs.getOrDefault(who.address(), startedAtMs))
+                < MIN_SILENCE_MS) {
+            return MemberRemovalOutcome.RECENTLY_HEARD;
+        }
+        return wouldLoseMajority(who) ? MemberRemovalOutcome.MAJORITY_WOULD_BE_LOST : null;
+    }
+
+    /** The member of the last view, or of one that it came from; null if there is none, or it is this one. */
+    private Member findMember(String address, long incarnation) {
+        if (state.view == null || state.view.isFounding() || incarnation == state.self.incarnation()) {
+            return null;
+        }
+        for (ViewMembership membership : state.view.viewsToConsult(state.active)) {
+            for (Member member : membership.members()) {
+                if (member.incarnation() == incarnation
+                        && incarnation != 0
+                        && member.address().equals(address)) {
+                    return member;
+                }
+            }
+        }
+        return null;
+    }
+
+    private boolean wouldLoseMajority(Member who) {
+        for (ViewMembership membership : state.view.viewsToConsult(state.active)) {
+            long gone = membership.members().stream()
+                    .filter(member -> member.incarnation() == who.incarnation()
+                            || state.retiredIncarnations.contains(member.incarnation()))
+                    .count();
+            if (gone >= membership.members().size() / 2 + 1) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    void tick() {
+        if (pending == null) {
+            return;
+        }
+        Member who = pending.member();
+        if (lastHeardAtMs.getOrDefault(who.address(), startedAtMs) >= pending.startedAtMs()) {
+            complete(MemberRemovalOutcome.RECENTLY_HEARD);
+        } else if (state.nowMs - pending.startedAtMs() >= IDENTITY_TIMEOUT_MS) {
+            remove(who);
+        }
+    }
+
+    private void remove(Member who) {
+        Consumer<MemberRemovalOutcome> then = pending.onOutcome();
+        pending = null;
+        state.retire(java.util.Set.of(who.incarnation()));
+        state.writeAheadQueue.onSynced(() -> {
+            state.actions.tell(
+                    "replication.declared-dead",
+                    "member",
+                    who.name(),
+                    "address",
+                    who.address(),
+                    "life",
+                    Long.toHexString(who.incarnation()));
+            then.accept(MemberRemovalOutcome.REMOVED);
+            replica.onMembersRetired();
+        });
+    }
+
+    private void complete(MemberRemovalOutcome result) {
+        Consumer<MemberRemovalOutcome> then = pending.onOutcome();
+        pending = null;
+        then.accept(result);
+    }
+}
--- a/src/main/java/brambletray/platform/replication/Declaration.java
+++ b/src/main/java/brambletray/platform/replication/MemberRemovalOutcome.java
@@ -1,26 +1,26 @@
 package brambletray.platform.replication;
 
-/** What became of an operator's order that declares a member's machine dead ({@link Replica#declareDead}). */
-public enum Declaration {
+/** What became of an operator's order that declares a member's machine dead ({@link Replica#removeMember}). */
+public enum MemberRemovalOutcome {
     /** Kept on this member's disk; it counts from now on. */
-    DECLARED,
+    REMOVED,
     /**
      * No member of the view, or of one that it came from, has this address and life; or it is the member that was
      * asked.
      */
-    NO_MEMBER,
+    UNKNOWN_MEMBER,
     /** The view is at work, so nothing waits for the machine. */
-    NOT_NEEDED,
+    VIEW_IS_HEALTHY,
     /**
      * It was heard lately, answered the question that precedes the declaration, or this process hasn't listened for
      * long enough.
      */
-    HEARD,
+    RECENTLY_HEARD,
     /**
      * As many members as a majority would be dead then, and no later view could be shown to have all that was
      * acknowledged.
      */
-    TOO_MANY,
+    MAJORITY_WOULD_BE_LOST,
     /** Another order is being looked into. */
-    BUSY
+    ANOTHER_PENDING
 }
--- a/src/main/java/brambletray/platform/replication/PlannedLeave.java
+++ b/src/main/java/brambletray/platform/replication/PlannedLeave.java
@@ -9,51 +9,53 @@
  */
 final class PlannedLeave {
     /** ms between two Byes: one may be lost, or may come to who can't act on it yet. */
-    private static final int AGAIN_MS = 100;
+    private static final int RETRY_INTERVAL_MS = 100;
     /** ms for what is under way to be kept; longer only when a member is in trouble. */
-    private static final int DRAIN_MS = 300;
+    private static final int DRAIN_TIMEOUT_MS = 300;
 
-    private final MemberState desk;
-    private final Replica members;
-    private final long since;
-    private long saidAt = Long.MIN_VALUE / 2;
-    private long drainAt;
-    private String why;
+    private final ReplicaState state;
+    private final Replica replica;
+    private final long startedAtMs;
+    private long announcedAtMs = Long.MIN_VALUE / 2;
+    private long drainingSinceMs;
+    private String endReason;
 
-    PlannedLeave(MemberState desk, Replica members) {
-        this.desk = desk;
-        this.members = members;
-        since = desk.now;
-        desk.out.tell(
+    PlannedLeave(ReplicaState state, Replica members) {
+        this.state = state;
+        this.replica = members;
+        startedAtMs = state.nowMs;
+        state.actions.tell(
                 "replication.leave",
                 "view",
-                desk.view == null ? "none" : desk.view.ballot(),
+                state.view == null ? "none" : state.view.ballot(),
                 "leading",
-                members.leading(),
+                members.isLeader(),
                 "commit",
-                desk.commit,
+                state.commitIndex,
                 "end",
-                desk.log.end());
+                state.log.lastIndex());
     }
 
     /** Whether the process may end. */
-    boolean over() {
-        return why != null;
+    boolean isOver() {
+        return endReason != null;
     }
 
     void tick() {
-        if (why != null) {
+        if (endReason != null) {
             return;
         }
-        boolean member = desk.view != null && !desk.view.founding() && !members.fallen();
+        boolean member = state.view != null && !state.view.isFounding() && !replica.isExcluded();
         if (!member) {
-            end(desk.view == null || desk.view.founding() ? "not a member" : "gone on without it");
-        } else if (desk.now - since >= desk.set.leaveMs()) {
+            end(state.view == null || state.view.isFounding() ? "not a member" : "gone on without it");
+        } else if (state.nowMs - startedAtMs >= state.settings.leaveTimeoutMs()) {
             end("nobody has gone on without it in time");
-        } else if (desk.view.members().size() == 1 && !members.expecting()) {
+        } else if (state.view.members().size() == 1 && !replica.hasNewcomers()) {
             end("alone");
-        } else if (members.changing() == null && desk.now - saidAt >= AGAIN_MS && (!members.leading() || ready())) {
-            bye();
+        } else if (replica.viewChange() == null
+                && state.nowMs - announcedAtMs >= RETRY_INTERVAL_MS
+                && (!replica.isLeader() || isDrained())) {
+            announce();
         }
     }
 
@@ -61,40 +63,42 @@
      * Whether this leader has nothing to finish first: newcomers that are on their way (for half of what it has, at
      * most), the last change of view, and then what is under way.
      */
-    private boolean ready() {
-        boolean settles = !members.rested() || members.expecting();
-        if (settles && 2 * (desk.now - since) < desk.set.leaveMs()) {
+    private boolean isDrained() {
+        boolean settles = !replica.hasBeenLeaderForAWhile() || replica.hasNewcomers();
+        if (settles && 2 * (state.nowMs - startedAtMs) < state.settings.leaveTimeoutMs()) {
             return false;
         }
-        if (!desk.draining) {
-            drainAt = desk.now;
+        if (!state.draining) {
+            drainingSinceMs = state.nowMs;
         }
-        desk.draining = true;
-        return desk.commit >= desk.log.end() || desk.now - drainAt >= DRAIN_MS;
+        state.draining = true;
+        return state.commitIndex >= state.log.lastIndex() || state.nowMs - drainingSinceMs >= DRAIN_TIMEOUT_MS;
     }
 
-    private void bye() {
-        saidAt = desk.now;
-        for (Member member : desk.view.members()) {
-            if (member.life() != desk.me.life()) {
-                desk.out.send(member.address(), new Frame.Leave(desk.view.ballot(), desk.me.life()));
+    private void announce() {
+        announcedAtMs = state.nowMs;
+        for (Member member : state.view.members()) {
+            if (member.incarnation() != state.self.incarnation()) {
+                state.actions.send(
+                        member.address(),
+                        new ReplicationMessage.LeaveRequest(state.view.ballot(), state.self.incarnation()));
             }
         }
     }
 
     private void end(String how) {
-        why = how;
-        View view = members.without() != null ? members.without() : desk.view;
-        desk.out.tell(
+        endReason = how;
+        View view = replica.successorView() != null ? replica.successorView() : state.view;
+        state.actions.tell(
                 "replication.leave-over",
                 "why",
                 how,
                 "ms",
-                desk.now - since,
+                state.nowMs - startedAtMs,
                 "view",
                 view == null ? "none" : view.ballot(),
                 "members",
-                view == null ? "" : MemberState.names(view.members()));
-        desk.out.changed();
+                view == null ? "" : ReplicaState.names(view.members()));
+        state.actions.statusChanged();
     }
 }
--- a/src/main/java/brambletray/platform/replication/ProposalOutcome.java
+++ b/src/main/java/brambletray/platform/replication/ProposalOutcome.java
@@ -5,7 +5,7 @@
     /** In the order and kept on enough disks; delivered here just before. */
     COMMITTED,
     /** Not in the order, and it never will be. */
-    REFUSED,
+    REJECTED,
     /** May or may not be in the order, now or later. */
-    UNCLEAR
+    UNKNOWN
 }
--- a/src/main/java/brambletray/platform/replication/Quorum.java
+++ b/src/main/java/brambletray/platform/replication/Quorum.java
@@ -21,13 +21,13 @@
 final class Quorum {
     private Quorum() {}
 
-    static boolean enough(List<Member> members, Collection<Member> answered, Set<Long> dead) {
+    static boolean isReached(List<Member> members, Collection<Member> answered, Set<Long> dead) {
         int heard = 0;
         int gone = 0;
         for (Member member : members) {
-            if (among(member, answered)) {
+            if (hasAnswered(member, answered)) {
                 heard++;
-            } else if (member.life() != 0 && dead.contains(member.life())) {
+            } else if (member.incarnation() != 0 && dead.contains(member.incarnation())) {
                 gone++;
             }
         }
@@ -35,9 +35,11 @@
         return heard >= majority || (gone < majority && heard > 0 && heard + gone == members.size());
     }
 
-    private static boolean among(Member member, Collection<Member> answered) {
+    private static boolean hasAnswered(Member member, Collection<Member> answered) {
         for (Member one : answered) {
-            if (member.life() == 0 ? one.address().equals(member.address()) : one.life() == member.life()) {
+            if (member.incarnation() == 0
+                    ? one.address().equals(member.address())
+                    : one.incarnation() == member.incarnation()) {
                 return true;
             }
         }
--- a/src/main/java/brambletray/platform/replication/ReadIndex.java
+++ b/src/main/java/brambletray/platform/replication/ReadIndex.java
@@ -14,123 +14,133 @@
  * silent member holds up no read and no refusal, as it does commits until it is out.
  */
 final class ReadIndex {
-    private static final int AGAIN_MS = 200;
-    private static final int MOST = 256;
+    private static final int RETRY_INTERVAL_MS = 200;
+    private static final int MAX_ROUNDS = 256;
 
     private static final class Round {
         final long token;
-        final long until;
-        Ballot view;
-        long seq;
-        long saidAt;
-        final Set<Long> same = new HashSet<>();
-        long target = -1;
+        final long deadlineMs;
+        Ballot viewBallot;
+        long sequence;
+        long sentAtMs;
+        final Set<Long> confirmedBy = new HashSet<>();
+        long requiredIndex = -1;
 
         Round(long token, long until) {
             this.token = token;
-            this.until = until;
+            this.deadlineMs = until;
         }
     }
 
-    private final MemberState desk;
-    private final Replica members;
+    private final ReplicaState state;
+    private final Replica replica;
     private final List<Round> rounds = new ArrayList<>();
-    private long seq;
+    private long lastSequence;
 
-    ReadIndex(MemberState desk, Replica members) {
-        this.desk = desk;
-        this.members = members;
-        seq = desk.origin;
+    ReadIndex(ReplicaState state, Replica members) {
+        this.state = state;
+        this.replica = members;
+        lastSequence = state.origin;
     }
 
     void confirm(long token) {
-        if (rounds.size() >= MOST) {
-            desk.out.confirmed(token, false);
+        if (rounds.size() >= MAX_ROUNDS) {
+            state.actions.readIndexCompleted(token, false);
             return;
         }
-        Round round = new Round(token, desk.now + desk.set.proposeMs());
+        Round round = new Round(token, state.nowMs + state.settings.proposalTimeoutMs());
         rounds.add(round);
-        work();
+        advance();
     }
 
-    void asked(String from, Frame.ConfirmRequest ask) {
-        if (!desk.works(ask.view())) {
+    void onReadIndexRequest(String from, ReplicationMessage.ReadIndexRequest request) {
+        if (!state.isOperationalIn(request.viewBallot())) {
             return;
         }
-        boolean leads = members.leading();
-        desk.out.send(
+        boolean leads = replica.isLeader();
+        state.actions.send(
                 from,
-                new Frame.ConfirmAnswer(
-                        ask.view(), desk.me.life(), ask.seq(), leads ? desk.commit : -1, leads && desk.settled()));
+                new ReplicationMessage.ReadIndexResponse(
+                        request.viewBallot(),
+                        state.self.incarnation(),
+                        request.sequence(),
+                        leads ? state.commitIndex : -1,
+                        leads && state.settled()));
     }
 
-    void same(Frame.ConfirmAnswer same) {
+    void onReadIndexResponse(ReplicationMessage.ReadIndexResponse response) {
         for (Round round : rounds) {
-            if (round.view == null || !round.view.equals(same.view()) || round.seq != same.seq()) {
+            if (round.viewBallot == null
+                    || !round.viewBallot.equals(response.viewBallot())
+                    || round.sequence != response.sequence()) {
                 continue;
             }
-            if (same.life() == same.view().who()) {
-                if (!same.settled()) {
+            if (response.incarnation() == response.viewBallot().proposer()) {
+                if (!response.settled()) {
                     continue;
                 }
-                round.target = same.commit();
+                round.requiredIndex = response.commitIndex();
             }
-            round.same.add(same.life());
+            round.confirmedBy.add(response.incarnation());
         }
-        work();
+        advance();
     }
 
-    void work() {
+    void advance() {
         if (rounds.isEmpty()) {
             return;
         }
-        boolean may = desk.view != null && desk.inForce && desk.works(desk.view.ballot()) && !members.fallen();
+        boolean may = state.view != null
+                && state.active
+                && state.isOperationalIn(state.view.ballot())
+                && !replica.isExcluded();
         List<Round> over = new ArrayList<>();
         Iterator<Round> all = rounds.iterator();
         while (all.hasNext()) {
             Round round = all.next();
             if (may) {
-                ask(round);
+                sendRequests(round);
             }
-            boolean yes = may && done(round);
-            if (!yes && desk.now <= round.until && !(desk.leaving && members.fallen())) {
+            boolean yes = may && isConfirmed(round);
+            if (!yes && state.nowMs <= round.deadlineMs && !(state.leaving && replica.isExcluded())) {
                 continue;
             }
             all.remove();
-            round.target = yes ? 1 : -1;
+            round.requiredIndex = yes ? 1 : -1;
             over.add(round);
         }
         for (Round round : over) {
-            desk.out.confirmed(round.token, round.target > 0);
+            state.actions.readIndexCompleted(round.token, round.requiredIndex > 0);
         }
     }
 
-    private void ask(Round round) {
-        if (!desk.view.ballot().equals(round.view)) {
-            round.view = desk.view.ballot();
-            round.seq = ++seq;
-            round.same.clear();
-            round.target = -1;
-            round.saidAt = desk.now - AGAIN_MS;
+    private void sendRequests(Round round) {
+        if (!state.view.ballot().equals(round.viewBallot)) {
+            round.viewBallot = state.view.ballot();
+            round.sequence = ++lastSequence;
+            round.confirmedBy.clear();
+            round.requiredIndex = -1;
+            round.sentAtMs = state.nowMs - RETRY_INTERVAL_MS;
         }
-        if (desk.now - round.saidAt < AGAIN_MS) {
+        if (state.nowMs - round.sentAtMs < RETRY_INTERVAL_MS) {
             return;
         }
-        round.saidAt = desk.now;
-        for (Member member : desk.view.members()) {
-            if (member.life() != desk.me.life() && !round.same.contains(member.life())) {
-                desk.out.send(member.address(), new Frame.ConfirmRequest(round.view, round.seq));
+        round.sentAtMs = state.nowMs;
+        for (Member member : state.view.members()) {
+            if (member.incarnation() != state.self.incarnation() && !round.confirmedBy.contains(member.incarnation())) {
+                state.actions.send(
+                        member.address(), new ReplicationMessage.ReadIndexRequest(round.viewBallot, round.sequence));
             }
         }
     }
 
-    private boolean done(Round round) {
-        if (2 * (round.same.size() + 1) <= desk.view.members().size()) {
+    private boolean isConfirmed(Round round) {
+        if (2 * (round.confirmedBy.size() + 1) <= state.view.members().size()) {
             return false;
         }
-        if (members.leading()) {
-            return desk.settled();
+        if (replica.isLeader()) {
+            return state.settled();
         }
-        return round.target >= 0 && desk.delivered >= round.target;
+        return round.requiredIndex >= 0 && state.appliedIndex >= round.requiredIndex;
     }
 }
--- a/src/main/java/brambletray/platform/replication/Replica.java
+++ b/src/main/java/brambletray/platform/replication/Replica.java
@@ -15,63 +15,63 @@
  */
 public final class Replica {
     /** All frames, for registration with the codec; the records within them come first. */
-    public static final List<Class<?>> FRAMES = List.of(
+    public static final List<Class<?>> MESSAGES = List.of(
             Ballot.class,
             Member.class,
             ViewMembership.class,
             View.class,
             LogEntry.class,
             LogPatch.class,
-            CutDigest.class,
-            Frame.Heartbeat.class,
-            Frame.HeartbeatAnswer.class,
-            Frame.Append.class,
-            Frame.Ack.class,
-            Frame.StopRequest.class,
-            Frame.StopAnswer.class,
-            Frame.Refuse.class,
-            Frame.Install.class,
-            Frame.TransferOffer.class,
-            Frame.Installed.class,
-            Frame.PatchMismatch.class,
-            Frame.NotMember.class,
-            Frame.JoinRequest.class,
-            Frame.JoinAnswer.class,
-            Frame.KnownMembers.class,
-            Frame.IdentityRequest.class,
-            Frame.IdentityAnswer.class,
-            Frame.PieceRequest.class,
-            Frame.Piece.class,
-            Frame.Leave.class,
-            Frame.Submit.class,
-            Frame.ConfirmRequest.class,
-            Frame.ConfirmAnswer.class);
-
-    private final MemberState desk;
-    private final Follower following;
+            TransferDescriptor.class,
+            ReplicationMessage.HeartbeatRequest.class,
+            ReplicationMessage.HeartbeatResponse.class,
+            ReplicationMessage.AppendRequest.class,
+            ReplicationMessage.AppendResponse.class,
+            ReplicationMessage.PrepareRequest.class,
+            ReplicationMessage.PrepareResponse.class,
+            ReplicationMessage.BallotRejected.class,
+            ReplicationMessage.InstallViewRequest.class,
+            ReplicationMessage.InstallViewOffer.class,
+            ReplicationMessage.InstallViewResponse.class,
+            ReplicationMessage.PatchMismatch.class,
+            ReplicationMessage.NotMember.class,
+            ReplicationMessage.JoinRequest.class,
+            ReplicationMessage.JoinResponse.class,
+            ReplicationMessage.KnownMembers.class,
+            ReplicationMessage.IdentityRequest.class,
+            ReplicationMessage.IdentityResponse.class,
+            ReplicationMessage.FetchChunkRequest.class,
+            ReplicationMessage.FetchChunkResponse.class,
+            ReplicationMessage.LeaveRequest.class,
+            ReplicationMessage.ProposeRequest.class,
+            ReplicationMessage.ReadIndexRequest.class,
+            ReplicationMessage.ReadIndexResponse.class);
+
+    private final ReplicaState state;
+    private final FollowerState follower;
     private final JoinRequester joinRequester;
-    private final JoinAdmission gate;
-    private final Proposals proposals;
-    private final ReadIndex confirms;
-    private final DeathOrders deathOrders;
-    private final FrameDispatcher frameDispatcher;
+    private final JoinAdmission joinAdmission;
+    private final PendingProposals pendingProposals;
+    private final ReadIndex readIndex;
+    private final MemberRemovalOrders memberRemovalOrders;
+    private final MessageDispatcher messageDispatcher;
     private List<String> seeds;
-    private boolean born;
-    private Leader leading;
-    private ViewChange changing;
-    private long tickAt;
+    private boolean incarnationIsDurable;
+    private LeaderState leader;
+    private ViewChange viewChange;
+    private long lastTickAtMs;
     /** When each member that is about to end first said so. */
-    private final Map<Long, Long> leavers = new LinkedHashMap<>();
+    private final Map<Long, Long> leavingSinceMs = new LinkedHashMap<>();
 
-    private PlannedLeave leaving;
+    private PlannedLeave plannedLeave;
 
     /**
      * @param address      of this machine's control-plane, as the others call it
      * @param name         node-name
      * @param zone         that this machine stands in; "" if it isn't known
-     * @param freshLife    drawn at random, not 0: taken when {@code kept} is of an empty disk
+     * @param newIncarnation    drawn at random, not 0: taken when {@code durableState} is of an empty disk
      * @param origin       drawn at random at each start of the process, not 0
-     * @param kept         what the disk holds
+     * @param durableState         what the disk holds
      * @param seeds        addresses from the settings
      * @param initialStart whether the settings say that the whole system starts for the first time
      * @param now          steady clock, ms
@@ -80,205 +80,219 @@
             String address,
             String name,
             String zone,
-            long freshLife,
+            long newIncarnation,
             long origin,
-            DurableState kept,
+            DurableState durableState,
             List<String> seeds,
             boolean initialStart,
             ReplicationSettings settings,
             ReplicationActions out,
             StateMachine stateMachine,
             long now) {
-        desk = new MemberState(settings, out, stateMachine, origin);
-        desk.now = now;
-        tickAt = now;
+        state = new ReplicaState(settings, out, stateMachine, origin);
+        state.nowMs = now;
+        lastTickAtMs = now;
         this.seeds = List.copyOf(seeds);
-        boolean empty = kept.life() == 0;
-        desk.me = new Member(address, name, empty ? freshLife : kept.life(), zone);
-        desk.load(kept);
-        List<String> founders = kept.seeds();
+        boolean empty = durableState.incarnation() == 0;
+        state.self = new Member(address, name, empty ? newIncarnation : durableState.incarnation(), zone);
+        state.load(durableState);
+        List<String> founders = durableState.seeds();
         if (empty) {
-            desk.writeAheadQueue.put(DurableState.LIFE, ReplicationCodec.write(o -> o.writeLong(freshLife)), now);
+            state.writeAheadQueue.put(
+                    DurableState.INCARNATION_KEY, ReplicationCodec.write(o -> o.writeLong(newIncarnation)), now);
             if (initialStart && seeds.contains(address)) {
                 founders = this.seeds;
-                desk.writeAheadQueue.put(DurableState.SEEDS, ReplicationCodec.strings(founders), now);
+                state.writeAheadQueue.put(DurableState.SEEDS_KEY, ReplicationCodec.strings(founders), now);
             }
         }
-        if (desk.view == null && !founders.isEmpty()) {
-            desk.view = View.ofSeeds(founders);
-            desk.inForce = true;
+        if (state.view == null && !founders.isEmpty()) {
+            state.view = View.ofSeeds(founders);
+            state.active = true;
         }
-        following = new Follower(desk, this);
-        joinRequester = new JoinRequester(desk, following);
-        gate = new JoinAdmission(desk, this);
-        proposals = new Proposals(desk, this);
-        confirms = new ReadIndex(desk, this);
-        deathOrders = new DeathOrders(desk, this);
-        frameDispatcher = new FrameDispatcher(desk, this, following, joinRequester, gate, confirms);
-        desk.passed = proposals::delivered;
-        desk.jumped = proposals::jumped;
-        desk.writeAheadQueue.then(() -> born = true);
+        follower = new FollowerState(state, this);
+        joinRequester = new JoinRequester(state, follower);
+        joinAdmission = new JoinAdmission(state, this);
+        pendingProposals = new PendingProposals(state, this);
+        readIndex = new ReadIndex(state, this);
+        memberRemovalOrders = new MemberRemovalOrders(state, this);
+        messageDispatcher = new MessageDispatcher(state, this, follower, joinRequester, joinAdmission, readIndex);
+        state.passed = pendingProposals::onApplied;
+        state.jumped = pendingProposals::onSnapshotInstalled;
+        state.writeAheadQueue.onSynced(() -> incarnationIsDurable = true);
         out.tell(
                 "replication.start",
                 "life",
-                Long.toHexString(desk.me.life()),
+                Long.toHexString(state.self.incarnation()),
                 "empty",
                 empty,
                 "founder",
                 !founders.isEmpty(),
                 "view",
-                desk.view == null ? "none" : desk.view.ballot(),
+                state.view == null ? "none" : state.view.ballot(),
                 "end",
-                desk.log.end());
-        desk.writeAheadQueue.flush(now);
+                state.log.lastIndex());
+        state.writeAheadQueue.flush(now);
     }
 
     /** The settings or the seeds have changed (SIGHUP). */
-    public void settings(ReplicationSettings settings, List<String> newSeeds) {
-        desk.set = settings;
+    public void updateSettings(ReplicationSettings settings, List<String> newSeeds) {
+        state.settings = settings;
         seeds = List.copyOf(newSeeds);
     }
 
     /** To be called every 25 to 50 ms; much later calls make this member doubt itself. */
     public void tick(long now) {
-        enter(now);
-        tickAt = now;
-        if (born) {
-            if (leading != null) {
-                leading.tick();
+        advanceTime(now);
+        lastTickAtMs = now;
+        if (incarnationIsDurable) {
+            if (leader != null) {
+                leader.tick();
             }
-            if (changing != null) {
-                changing.tick();
+            if (viewChange != null) {
+                viewChange.tick();
             }
-            decide();
-            knock();
-            frameDispatcher.tick();
-            proposals.tick();
-            confirms.work();
-            deathOrders.tick();
+            maybeStartViewChange();
+            maybeRequestJoin();
+            messageDispatcher.tick();
+            pendingProposals.tick();
+            readIndex.advance();
+            memberRemovalOrders.tick();
         }
         leave();
     }
 
-    private void enter(long now) {
-        desk.now = Math.max(now, desk.now);
-        if (desk.now - tickAt <= desk.set.sleepMs()) {
+    private void advanceTime(long now) {
+        state.nowMs = Math.max(now, state.nowMs);
+        if (state.nowMs - lastTickAtMs <= state.settings.maxTickDelayMs()) {
             return;
         }
-        desk.out.tell("replication.slept", "ms", desk.now - tickAt);
-        tickAt = desk.now;
-        following.doubt();
-        if (leading != null) {
-            leading.doubt();
+        state.actions.tell("replication.slept", "ms", state.nowMs - lastTickAtMs);
+        lastTickAtMs = state.nowMs;
+        follower.resetTimers();
+        if (leader != null) {
+            leader.resetTimers();
         }
-        if (changing != null && changing.asking()) {
-            changing = null;
+        if (viewChange != null && viewChange.isPreparing()) {
+            viewChange = null;
         }
     }
 
     private void leave() {
-        if (leaving != null && born) {
-            leaving.tick();
+        if (plannedLeave != null && incarnationIsDurable) {
+            plannedLeave.tick();
         }
-        if (leading != null) {
-            leading.flush();
+        if (leader != null) {
+            leader.announceCommit();
         }
-        desk.writeAheadQueue.flush(desk.now);
+        state.writeAheadQueue.flush(state.nowMs);
     }
 
     /** Begins a change of view where one is due. */
-    private void decide() {
-        if (changing != null && changing.asking() && leading == null && following.calm() && !desk.stopped()) {
-            drop("the leader is heard again", 0);
+    private void maybeStartViewChange() {
+        if (viewChange != null
+                && viewChange.isPreparing()
+                && leader == null
+                && follower.leaderIsHealthy()
+                && !state.hasPromisedHigherBallot()) {
+            abandonViewChange("the leader is heard again", 0);
         }
-        if (changing != null || desk.view == null || desk.ill()) {
+        if (viewChange != null || state.view == null || state.diskUnhealthy()) {
             return;
         }
-        if (leading == null) {
-            if (!desk.leaving && following.impatient()) {
-                takeOver();
+        if (leader == null) {
+            if (!state.leaving && follower.electionTimeoutExpired()) {
+                startTakeover();
             }
             return;
         }
-        Set<Long> silent = leading.silent();
-        Set<Long> slow = leading.slow();
+        Set<Long> silent = leader.silentMembers();
+        Set<Long> slow = leader.slowMembers();
         if (!silent.isEmpty() || !slow.isEmpty()) {
-            Set<Long> doubted = new LinkedHashSet<>(silent);
-            doubted.addAll(slow);
-            doubted.forEach(life -> gate.penalise(desk.view.member(life).address()));
-            change(doubted, slow, (silent.isEmpty() ? "" : "silent ") + (slow.isEmpty() ? "" : "slow"));
-        } else if (leading.stuck()) {
-            change(Set.of(), Set.of(), "a member has stopped");
-        } else if (desk.view.members().stream().anyMatch(member -> desk.dead.contains(member.life()))) {
-            change(Set.of(), Set.of(), "a disk is lost");
-        } else if (leading.rested()) {
-            Set<Long> leaves = leaves();
-            if (!gate.waiting().isEmpty()) {
-                change(leaves, leaves, "newcomers");
-            } else if (!leaves.isEmpty() && !awaited()) {
-                change(leaves, leaves, "leaves");
+            Set<Long> suspected = new LinkedHashSet<>(silent);
+            suspected.addAll(slow);
+            suspected.forEach(incarnation ->
+                    joinAdmission.penalise(state.view.memberOf(incarnation).address()));
+            startViewChange(suspected, slow, (silent.isEmpty() ? "" : "silent ") + (slow.isEmpty() ? "" : "slow"));
+        } else if (leader.hasSupersededMember()) {
+            startViewChange(Set.of(), Set.of(), "a member has stopped");
+        } else if (state.view.members().stream()
+                .anyMatch(member -> state.retiredIncarnations.contains(member.incarnation()))) {
+            startViewChange(Set.of(), Set.of(), "a disk is lost");
+        } else if (leader.hasBeenActiveForAWhile()) {
+            Set<Long> leaves = removableLeavers();
+            if (!joinAdmission.admitted().isEmpty()) {
+                startViewChange(leaves, leaves, "newcomers");
+            } else if (!leaves.isEmpty() && !replacementIsCatchingUp()) {
+                startViewChange(leaves, leaves, "leaves");
             }
         }
     }
 
     /** Begins a change in place of a leader that is silent or about to end. */
-    private void takeOver() {
-        Member leader = desk.view.leader();
-        Set<Long> without = leader == null || leader.life() == desk.me.life() ? Set.of() : Set.of(leader.life());
-        boolean released = following.released() && !without.isEmpty();
+    private void startTakeover() {
+        Member leader = state.view.leader();
+        Set<Long> without = leader == null || leader.incarnation() == state.self.incarnation()
+                ? Set.of()
+                : Set.of(leader.incarnation());
+        boolean released = follower.leaderIsLeaving() && !without.isEmpty();
         if (released) {
             // told on before the Stop that follows on the same link: who hasn't heard it would refuse, as the leader is
             // well
-            for (Member member : desk.view.members()) {
-                if (member.life() != desk.me.life()) {
-                    desk.out.send(member.address(), new Frame.Leave(desk.view.ballot(), leader.life()));
+            for (Member member : state.view.members()) {
+                if (member.incarnation() != state.self.incarnation()) {
+                    state.actions.send(
+                            member.address(),
+                            new ReplicationMessage.LeaveRequest(state.view.ballot(), leader.incarnation()));
                 }
             }
         }
-        change(without, released ? without : Set.of(), released ? "leader leaves" : "leader silent");
+        startViewChange(without, released ? without : Set.of(), released ? "leader leaves" : "leader silent");
     }
 
     /** Members that are about to end, if the rest can go on without them and bears the losses; else none. */
-    private Set<Long> leaves() {
-        leavers.keySet().removeIf(life -> !desk.view.has(life));
-        if (leavers.isEmpty()) {
+    private Set<Long> removableLeavers() {
+        leavingSinceMs.keySet().removeIf(incarnation -> !state.view.contains(incarnation));
+        if (leavingSinceMs.isEmpty()) {
             return Set.of();
         }
-        List<Member> rest = new ArrayList<>(desk.view.members());
-        rest.removeIf(member -> leavers.containsKey(member.life()));
-        boolean enough = desk.set.tolerance().bears(rest) && Quorum.enough(desk.view.members(), rest, desk.dead);
-        return enough ? Set.copyOf(leavers.keySet()) : Set.of();
+        List<Member> rest = new ArrayList<>(state.view.members());
+        rest.removeIf(member -> leavingSinceMs.containsKey(member.incarnation()));
+        boolean enough = state.settings.tolerance().toleratesLossWith(rest)
+                && Quorum.isReached(state.view.members(), rest, state.retiredIncarnations);
+        return enough ? Set.copyOf(leavingSinceMs.keySet()) : Set.of();
     }
 
     /**
      * Whether who is about to end stays, as the one that takes its place is on its way: for half of what the leaver
      * has, at most.
      */
-    private boolean awaited() {
-        for (long at : leavers.values()) {
-            if (2 * (desk.now - at) > desk.set.leaveMs()) {
+    private boolean replacementIsCatchingUp() {
+        for (long at : leavingSinceMs.values()) {
+            if (2 * (state.nowMs - at) > state.settings.leaveTimeoutMs()) {
                 return false;
             }
         }
-        return gate.expecting();
+        return joinAdmission.hasNewcomersCatchingUp();
     }
 
     /** Whether a newcomer knocks. */
-    boolean expecting() {
-        return gate.expecting() || !gate.waiting().isEmpty();
+    boolean hasNewcomers() {
+        return joinAdmission.hasNewcomersCatchingUp()
+                || !joinAdmission.admitted().isEmpty();
     }
 
-    private void change(Set<Long> doubted, Set<Long> shunned, String why) {
-        Map<Long, Frame.JoinRequest> newcomers = leading != null ? gate.waiting() : new LinkedHashMap<>();
-        changing = new ViewChange(desk, this, doubted, shunned, newcomers, why);
+    private void startViewChange(Set<Long> suspected, Set<Long> excluded, String why) {
+        Map<Long, ReplicationMessage.JoinRequest> newcomers =
+                leader != null ? joinAdmission.admitted() : new LinkedHashMap<>();
+        viewChange = new ViewChange(state, this, suspected, excluded, newcomers, why);
     }
 
     /** A frame from the member at this control-plane address. */
-    public void heard(String from, Object frame, long now) {
-        enter(now);
-        deathOrders.heard(from);
-        if (born && frame instanceof Frame known) {
-            frameDispatcher.hear(from, known);
+    public void receive(String from, Object frame, long now) {
+        advanceTime(now);
+        memberRemovalOrders.onMessage(from);
+        if (incarnationIsDurable && frame instanceof ReplicationMessage known) {
+            messageDispatcher.dispatch(from, known);
         }
         leave();
     }
@@ -290,18 +304,18 @@
      * or within
      * a few seconds, and may not call back into this object before it returns.
      *
-     * @param life as {@link ReplicaStatus#members} has it
+     * @param incarnation as {@link ReplicaStatus#members} has it
      */
-    public void declareDead(String address, long life, long now, Consumer<Declaration> then) {
-        enter(now);
-        deathOrders.order(address, life, then);
+    public void removeMember(String address, long incarnation, long now, Consumer<MemberRemovalOutcome> then) {
+        advanceTime(now);
+        memberRemovalOrders.pending(address, incarnation, then);
         leave();
     }
 
     /** The batch of this ticket is on the disk. */
     public void synced(long ticket, long now) {
-        enter(now);
-        desk.writeAheadQueue.synced(ticket);
+        advanceTime(now);
+        state.writeAheadQueue.synced(ticket);
         leave();
     }
 
@@ -310,120 +324,124 @@
      * again.
      */
     public void syncFailed(long ticket, long now) {
-        enter(now);
-        if (!desk.writeAheadQueue.failing()) {
-            desk.out.tell("replication.disk-refuses", "ticket", ticket);
+        advanceTime(now);
+        if (!state.writeAheadQueue.isFailing()) {
+            state.actions.tell("replication.disk-refuses", "ticket", ticket);
         }
-        desk.writeAheadQueue.failed(ticket, desk.now);
+        state.writeAheadQueue.failed(ticket, state.nowMs);
         leave();
     }
 
     /** A connection to this address was refused or reset: a hint that only counts together with silence. */
-    public void gone(String address, long now) {
-        enter(now);
-        following.gone(address);
-        if (leading != null) {
-            leading.gone(address);
+    public void onDisconnected(String address, long now) {
+        advanceTime(now);
+        follower.onDisconnected(address);
+        if (leader != null) {
+            leader.onDisconnected(address);
         }
         leave();
     }
 
     /**
-     * Proposes a change; its outcome comes through {@link ReplicationActions#outcome}. A token is used once in the life
+     * Proposes a change; its outcome comes through {@link ReplicationActions#proposalCompleted}. A token is used once in the life
      * of a process.
      */
     public void propose(long token, byte[] bytes, long now) {
-        enter(now);
-        proposals.propose(token, bytes);
+        advanceTime(now);
+        pendingProposals.propose(token, bytes);
         leave();
     }
 
     /**
      * Asks whether what has been delivered here is no older than all that was acknowledged until now:
-     * {@link ReplicationActions#confirmed}.
+     * {@link ReplicationActions#readIndexCompleted}.
      */
-    public void confirm(long token, long now) {
-        enter(now);
-        confirms.confirm(token);
+    public void requestReadIndex(long token, long now) {
+        advanceTime(now);
+        readIndex.confirm(token);
         leave();
     }
 
     /**
      * This process is about to end, as planned (SIGTERM): others lead and go on without it, and it doesn't come in
-     * again. {@link #left} says when.
+     * again. {@link #mayTerminate} says when.
      */
     public void leave(long now) {
-        enter(now);
-        if (leaving == null) {
-            desk.leaving = true;
-            leaving = new PlannedLeave(desk, this);
+        advanceTime(now);
+        if (plannedLeave == null) {
+            state.leaving = true;
+            plannedLeave = new PlannedLeave(state, this);
         }
         leave();
     }
 
     /**
      * Whether this process may end: a view without it is in force, or it has waited for as long as it may
-     * ({@link ReplicationSettings#leaveMs}).
+     * ({@link ReplicationSettings#leaveTimeoutMs}).
      */
-    public boolean left() {
-        return leaving != null && leaving.over();
+    public boolean mayTerminate() {
+        return plannedLeave != null && plannedLeave.isOver();
     }
 
     /** Whether this process has been told to end. */
     boolean leaving() {
-        return desk.leaving;
+        return state.leaving;
     }
 
     /** A member is about to end. */
-    void bye(String from, Frame.Leave bye) {
-        View view = desk.view;
+    void onLeaveRequest(String from, ReplicationMessage.LeaveRequest request) {
+        View view = state.view;
         if (view == null) {
             return;
         }
-        if (!view.ballot().equals(bye.view())) {
+        if (!view.ballot().equals(request.viewBallot())) {
             // the view without it is in force, and it hasn't heard of it
-            boolean out = desk.inForce && view.ballot().above(bye.view()) && !view.has(bye.life());
+            boolean out = state.active
+                    && view.ballot().isAbove(request.viewBallot())
+                    && !view.contains(request.incarnation());
             if (out) {
-                desk.out.send(from, new Frame.NotMember(view));
+                state.actions.send(from, new ReplicationMessage.NotMember(view));
             }
             return;
         }
-        if (!view.has(bye.life()) || bye.life() == desk.me.life()) {
+        if (!view.contains(request.incarnation()) || request.incarnation() == state.self.incarnation()) {
             return;
         }
-        if (leading != null) {
-            leavers.putIfAbsent(bye.life(), desk.now);
-        } else if (bye.life() == view.ballot().who()) {
-            following.bye();
+        if (leader != null) {
+            leavingSinceMs.putIfAbsent(request.incarnation(), state.nowMs);
+        } else if (request.incarnation() == view.ballot().proposer()) {
+            follower.onLeaderLeaving();
         }
-        decide();
+        maybeStartViewChange();
     }
 
     /** What this member knows. */
     public ReplicaStatus status() {
-        View view = desk.view;
-        boolean founding = view != null && view.founding();
-        boolean well = leading != null ? leading.well() : following.calm();
-        ReplicaRole standing = joinRequester.active()
-                ? ReplicaRole.KNOCKING
+        View view = state.view;
+        boolean founding = view != null && view.isFounding();
+        boolean well = leader != null ? leader.hasActiveQuorum() : follower.leaderIsHealthy();
+        ReplicaRole standing = joinRequester.isOutsideView()
+                ? ReplicaRole.JOINING
                 : founding
                         ? ReplicaRole.FOUNDING
-                        : desk.inForce && desk.works(view.ballot()) && well ? ReplicaRole.MEMBER : ReplicaRole.STOPPED;
+                        : state.active && state.isOperationalIn(view.ballot()) && well
+                                ? ReplicaRole.MEMBER
+                                : ReplicaRole.SUSPENDED;
         List<Member> members = view == null || founding ? List.of() : view.members();
         return new ReplicaStatus(
                 standing,
-                desk.me,
+                state.self,
                 view == null ? 0 : view.number(),
-                desk.before,
+                state.previousViewNumber,
                 members,
                 view == null ? null : view.leader(),
-                leading != null,
-                desk.inForce && !founding,
-                desk.settled(),
-                desk.commit,
-                desk.delivered,
-                desk.ill(),
-                desk.lineage);
+                leader != null,
+                state.active && !founding,
+                state.settled(),
+                state.commitIndex,
+                state.appliedIndex,
+                state.diskUnhealthy(),
+                state.lineage);
     }
 
     /**
@@ -431,8 +449,8 @@
      * go on.
      */
     public List<String> zonesHoldingHalf() {
-        boolean known = desk.view != null && desk.inForce && !desk.view.founding();
-        return known ? desk.set.tolerance().holdingHalf(desk.view.members()) : List.of();
+        boolean known = state.view != null && state.active && !state.view.isFounding();
+        return known ? state.settings.tolerance().groupsHoldingHalf(state.view.members()) : List.of();
     }
 
     /**
@@ -440,123 +458,127 @@
      * else null.
      */
     public String successor() {
-        return desk.leaving && following.fallen() ? following.left().leader().address() : null;
+        return state.leaving && follower.isExcluded()
+                ? follower.successorView().leader().address()
+                : null;
     }
 
-    boolean leading() {
-        return leading != null;
+    boolean isLeader() {
+        return leader != null;
     }
 
     /** Whether this member leads a view that has been in force for a while. */
-    boolean rested() {
-        return leading != null && leading.rested();
+    boolean hasBeenLeaderForAWhile() {
+        return leader != null && leader.hasBeenActiveForAWhile();
     }
 
     /** The later view without this member, or null. */
-    View without() {
-        return following.left();
+    View successorView() {
+        return follower.successorView();
     }
 
-    boolean well() {
-        return leading != null && leading.well() && !desk.leaving;
+    boolean hasActiveQuorum() {
+        return leader != null && leader.hasActiveQuorum() && !state.leaving;
     }
 
-    boolean fallen() {
-        return following.fallen();
+    boolean isExcluded() {
+        return follower.isExcluded();
     }
 
-    boolean fresh() {
-        return following.fresh();
+    boolean noLeaderSeenYet() {
+        return follower.noLeaderSeenYet();
     }
 
     int rank() {
-        return following.rank();
+        return follower.rank();
     }
 
-    ViewChange changing() {
-        return changing;
+    ViewChange viewChange() {
+        return viewChange;
     }
 
     /** The part that leads, if this member leads the view of this name and may work in it; else null. */
-    Leader leads(Ballot view) {
-        return leading != null && desk.works(view) ? leading : null;
+    LeaderState leaderOf(Ballot view) {
+        return leader != null && state.isOperationalIn(view) ? leader : null;
     }
 
     /** Knocks, if there is reason to and it is time. */
-    void knock() {
+    void maybeRequestJoin() {
         joinRequester.tick(seeds);
     }
 
-    boolean take(long token, byte[] bytes) {
-        return leading.take(desk.origin, token, bytes);
+    boolean proposeLocally(long token, byte[] bytes) {
+        return leader.propose(state.origin, token, bytes);
     }
 
     /** Highest ballot that stands in the way of lower ones: promised, or counted by our own attempt. */
-    Ballot reserved() {
-        return changing != null && changing.ballot().above(desk.promised) ? changing.ballot() : desk.promised;
+    Ballot highestReservedBallot() {
+        return viewChange != null && viewChange.ballot().isAbove(state.promisedBallot)
+                ? viewChange.ballot()
+                : state.promisedBallot;
     }
 
     /** Another's change goes before ours: neither lead nor change. */
-    void yield() {
-        changing = null;
+    void abandonLeadership() {
+        viewChange = null;
         stopLeading();
     }
 
     void stopLeading() {
-        if (leading == null) {
+        if (leader == null) {
             return;
         }
-        leading = null;
-        gate.clear();
-        desk.out.changed();
+        leader = null;
+        joinAdmission.clear();
+        state.actions.statusChanged();
     }
 
     /** Gives the attempt up; the next one not before the pause is over. */
-    void drop(String why, long pauseMs) {
-        desk.out.tell("replication.change-dropped", "ballot", changing.ballot(), "why", why);
-        changing = null;
-        following.quiet(pauseMs);
+    void abandonViewChange(String why, long pauseMs) {
+        state.actions.tell("replication.change-dropped", "ballot", viewChange.ballot(), "why", why);
+        viewChange = null;
+        follower.postponeElection(pauseMs);
     }
 
     /**
      * Begins anew at once, without waiting for these; who answers all the same is left out if the rest is enough: it
      * would hold it up again.
      */
-    void again(Set<Long> absent, String why) {
-        changing = null;
-        change(absent, absent, why);
+    void restartViewChange(Set<Long> absent, String why) {
+        viewChange = null;
+        startViewChange(absent, absent, why);
     }
 
     /** A view has been kept here. */
-    void accepted() {
-        joinRequester.accepted();
+    void onViewAccepted() {
+        joinRequester.onViewAccepted();
     }
 
     /** The view of this member is in force, said by its leader. */
-    void inForce() {
-        proposals.pump();
+    void onViewActivated() {
+        pendingProposals.sendPending();
     }
 
     /** All members have kept the view that this member has proposed. */
-    void lead(List<String> leftOut) {
-        changing = null;
-        following.installed();
-        desk.force();
-        desk.floor = desk.log.end();
-        desk.draining = false;
-        gate.clear();
-        leading = new Leader(desk);
+    void becomeLeader(List<String> leftOut) {
+        viewChange = null;
+        follower.onViewInstalled();
+        state.activateView();
+        state.viewStartIndex = state.log.lastIndex();
+        state.draining = false;
+        joinAdmission.clear();
+        leader = new LeaderState(state);
         for (String address : new ArrayList<>(leftOut)) {
-            desk.out.send(address, new Frame.NotMember(desk.view));
+            state.actions.send(address, new ReplicationMessage.NotMember(state.view));
         }
-        desk.out.changed();
-        proposals.pump();
+        state.actions.statusChanged();
+        pendingProposals.sendPending();
     }
 
     /** A disk is proven lost: an attempt under way is made anew with it. */
-    void buried() {
-        if (changing != null && changing.asking()) {
-            again(Set.of(), "a disk is lost");
+    void onMembersRetired() {
+        if (viewChange != null && viewChange.isPreparing()) {
+            restartViewChange(Set.of(), "a disk is lost");
         }
     }
 }
--- a/src/main/java/brambletray/platform/replication/ReplicaRole.java
+++ b/src/main/java/brambletray/platform/replication/ReplicaRole.java
@@ -7,7 +7,7 @@
     /** In a view that is in force, and in touch with its leader. */
     MEMBER,
     /** Of a view whose leader isn't heard, or that is being changed. */
-    STOPPED,
+    SUSPENDED,
     /** Not in the view; asks to be let in. */
-    KNOCKING
+    JOINING
 }
--- a/src/main/java/brambletray/platform/replication/ReplicatedLog.java
+++ b/src/main/java/brambletray/platform/replication/ReplicatedLog.java
@@ -12,35 +12,35 @@
  */
 final class ReplicatedLog {
     /** A snapshot is taken after so many delivered entries, or so many bytes in entries. */
-    static final int ENTRIES = 256;
+    static final int MAX_ENTRIES_BEFORE_SNAPSHOT = 256;
 
-    static final int BYTES = 1 << 20;
+    static final int MAX_BYTES_BEFORE_SNAPSHOT = 1 << 20;
     /**
      * Entries before the snapshot that are remembered, in memory only, for who lacks little of them; and their bytes.
      */
-    private static final int TRAIL_ENTRIES = 512;
+    private static final int MAX_COMPACTED_ENTRIES = 512;
 
-    private static final int TRAIL_BYTES = 1 << 20;
+    private static final int MAX_COMPACTED_BYTES = 1 << 20;
 
-    private long base;
-    private Ballot baseView;
+    private long snapshotIndex;
+    private Ballot snapshotView;
     private byte[] snapshot;
     private final List<LogEntry> entries;
-    private long bytes;
+    private long entryBytes;
     /** Those that the last compactions took out of {@link #entries}, up to the snapshot's place without gaps. */
-    private final ArrayDeque<LogEntry> trail = new ArrayDeque<>();
+    private final ArrayDeque<LogEntry> compacted = new ArrayDeque<>();
 
-    private long trailBytes;
+    private long compactedBytes;
     /** View of the entry before the first of these. */
-    private Ballot trailView = Ballot.NONE;
+    private Ballot viewBeforeCompacted = Ballot.NONE;
 
     ReplicatedLog(long base, Ballot baseView, byte[] snapshot, List<LogEntry> entries) {
-        this.base = base;
-        this.baseView = baseView;
+        this.snapshotIndex = base;
+        this.snapshotView = baseView;
         this.snapshot = snapshot;
         this.entries = new ArrayList<>(entries);
         for (LogEntry entry : entries) {
-            bytes += entry.bytes().length;
+            entryBytes += entry.bytes().length;
         }
     }
 
@@ -49,12 +49,12 @@
     }
 
     /** Place of the snapshot. */
-    long base() {
-        return base;
+    long snapshotIndex() {
+        return snapshotIndex;
     }
 
-    Ballot baseView() {
-        return baseView;
+    Ballot snapshotView() {
+        return snapshotView;
     }
 
     byte[] snapshot() {
@@ -66,55 +66,57 @@
     }
 
     /** Last place. */
-    long end() {
-        return base + entries.size();
+    long lastIndex() {
+        return snapshotIndex + entries.size();
     }
 
-    Ballot endView() {
-        return viewAt(end());
+    Ballot lastView() {
+        return viewAt(lastIndex());
     }
 
     /** View of the entry at this place; null when the place is behind the snapshot or not there. */
-    Ballot viewAt(long place) {
-        if (place == base) {
-            return baseView;
+    Ballot viewAt(long index) {
+        if (index == snapshotIndex) {
+            return snapshotView;
         }
-        return place < base || place > end() ? null : at(place).view();
+        return index < snapshotIndex || index > lastIndex()
+                ? null
+                : entryAt(index).view();
     }
 
     /** Entry at a place after the snapshot's, up to the end. */
-    LogEntry at(long place) {
-        return entries.get((int) (place - base - 1));
+    LogEntry entryAt(long index) {
+        return entries.get((int) (index - snapshotIndex - 1));
     }
 
     void append(LogEntry entry) {
-        if (entry.index() != end() + 1) {
-            throw new ReplicationException("replication.gap", "entry " + entry.index() + " after " + end());
+        if (entry.index() != lastIndex() + 1) {
+            throw new ReplicationException("replication.gap", "entry " + entry.index() + " after " + lastIndex());
         }
         entries.add(entry);
-        bytes += entry.bytes().length;
+        entryBytes += entry.bytes().length;
     }
 
     /** Bytes of the entries after one place up to another, of those behind the snapshot. */
-    long bytes(long after, long to) {
+    long bytesBetween(long after, long to) {
         long some = 0;
-        for (long place = Math.max(after, base) + 1; place <= Math.min(to, end()); place++) {
-            some += at(place).bytes().length;
+        for (long index = Math.max(after, snapshotIndex) + 1; index <= Math.min(to, lastIndex()); index++) {
+            some += entryAt(index).bytes().length;
         }
         return some;
     }
 
     /** Entries after one place up to another; both lie between the snapshot's place and the end. */
-    List<LogEntry> between(long after, long to) {
-        return List.copyOf(entries.subList((int) (after - base), (int) (to - base)));
+    List<LogEntry> entriesBetween(long after, long to) {
+        return List.copyOf(entries.subList((int) (after - snapshotIndex), (int) (to - snapshotIndex)));
     }
 
     /** Entries after a place, up to so many bytes but one at least. */
-    List<LogEntry> after(long place, int most) {
+    List<LogEntry> entriesAfter(long index, int most) {
         List<LogEntry> some = new ArrayList<>();
         int size = 0;
-        for (long at = place + 1; at <= end(); at++) {
-            LogEntry entry = at(at);
+        for (long at = index + 1; at <= lastIndex(); at++) {
+            LogEntry entry = entryAt(at);
             size += entry.bytes().length + 64;
             if (size > most && !some.isEmpty()) {
                 break;
@@ -125,7 +127,7 @@
     }
 
     /** Whether an entry of this proposal is there. */
-    boolean has(long origin, long token) {
+    boolean containsProposal(long origin, long token) {
         for (LogEntry entry : entries) {
             if (entry.origin() == origin && entry.token() == token) {
                 return true;
@@ -138,27 +140,27 @@
      * What a log lacks that ends so, and of which all up to {@code commit} is known to be kept (and so is in every
      * later log).
      */
-    LogPatch since(long end, Ballot endView, long commit) {
+    LogPatch patchFor(long end, Ballot endView, long commit) {
         if (endView.equals(viewAt(end))) {
-            return cut(end);
+            return patchAfter(end);
         }
-        if (commit >= base && commit <= end()) {
-            return cut(commit);
+        if (commit >= snapshotIndex && commit <= lastIndex()) {
+            return patchAfter(commit);
         }
-        LogPatch whole = new LogPatch(true, base, baseView, snapshot, List.copyOf(entries));
-        LogPatch tail = trail(end, endView);
-        return tail != null && tail.bytes() <= whole.bytes() ? tail : whole;
+        LogPatch whole = new LogPatch(true, snapshotIndex, snapshotView, snapshot, List.copyOf(entries));
+        LogPatch tail = patchFromCompacted(end, endView);
+        return tail != null && tail.sizeBytes() <= whole.sizeBytes() ? tail : whole;
     }
 
     /** What follows a place before the snapshot; null if it isn't known any more, or the entry there is another. */
-    private LogPatch trail(long end, Ballot endView) {
-        long before = base - trail.size();
-        if (end < before || end >= base) {
+    private LogPatch patchFromCompacted(long end, Ballot endView) {
+        long before = snapshotIndex - compacted.size();
+        if (end < before || end >= snapshotIndex) {
             return null;
         }
         List<LogEntry> some = new ArrayList<>();
-        Ballot view = trailView;
-        for (LogEntry entry : trail) {
+        Ballot view = viewBeforeCompacted;
+        for (LogEntry entry : compacted) {
             if (entry.index() == end) {
                 view = entry.view();
             }
@@ -173,75 +175,76 @@
         return new LogPatch(false, end, endView, new byte[0], some);
     }
 
-    private LogPatch cut(long place) {
+    private LogPatch patchAfter(long index) {
         return new LogPatch(
                 false,
-                place,
-                viewAt(place),
+                index,
+                viewAt(index),
                 new byte[0],
-                List.copyOf(entries.subList((int) (place - base), entries.size())));
+                List.copyOf(entries.subList((int) (index - snapshotIndex), entries.size())));
     }
 
     /** This log after the patch, or null if the patch doesn't fit. */
     ReplicatedLog patched(LogPatch patch) {
-        if (patch.whole()) {
-            return new ReplicatedLog(patch.after(), patch.afterView(), patch.snapshot(), patch.entries());
+        if (patch.replacesAll()) {
+            return new ReplicatedLog(patch.previousIndex(), patch.previousView(), patch.snapshot(), patch.entries());
         }
-        if (!patch.afterView().equals(viewAt(patch.after()))) {
+        if (!patch.previousView().equals(viewAt(patch.previousIndex()))) {
             return null;
         }
-        ReplicatedLog log =
-                new ReplicatedLog(base, baseView, snapshot, entries.subList(0, (int) (patch.after() - base)));
+        ReplicatedLog log = new ReplicatedLog(snapshotIndex, snapshotView, snapshot, entries.subList(0, (int)
+                (patch.previousIndex() - snapshotIndex)));
         for (LogEntry entry : patch.entries()) {
             log.append(entry);
         }
-        log.trail.addAll(trail);
-        log.trailBytes = trailBytes;
-        log.trailView = trailView;
+        log.compacted.addAll(compacted);
+        log.compactedBytes = compactedBytes;
+        log.viewBeforeCompacted = viewBeforeCompacted;
         return log;
     }
 
     /** Whether it is time for a snapshot, when all up to this place has been delivered. */
-    boolean full(long delivered) {
-        return delivered - base >= ENTRIES || (bytes > BYTES && delivered > base);
+    boolean needsSnapshot(long delivered) {
+        return delivered - snapshotIndex >= MAX_ENTRIES_BEFORE_SNAPSHOT
+                || (entryBytes > MAX_BYTES_BEFORE_SNAPSHOT && delivered > snapshotIndex);
     }
 
     /** Replaces all up to this place by the state after it. */
-    void compact(long place, byte[] state) {
-        Ballot view = viewAt(place);
-        List<LogEntry> gone = entries.subList(0, (int) (place - base));
-        if (trail.isEmpty()) {
-            trailView = baseView;
+    void compact(long index, byte[] state) {
+        Ballot view = viewAt(index);
+        List<LogEntry> gone = entries.subList(0, (int) (index - snapshotIndex));
+        if (compacted.isEmpty()) {
+            viewBeforeCompacted = snapshotView;
         }
         for (LogEntry entry : gone) {
-            bytes -= entry.bytes().length;
-            trail.add(entry);
-            trailBytes += entry.bytes().length;
+            entryBytes -= entry.bytes().length;
+            compacted.add(entry);
+            compactedBytes += entry.bytes().length;
         }
         gone.clear();
-        while (trail.size() > TRAIL_ENTRIES || trailBytes > TRAIL_BYTES) {
-            LogEntry first = trail.remove();
-            trailBytes -= first.bytes().length;
-            trailView = first.view();
+        while (compacted.size() > MAX_COMPACTED_ENTRIES || compactedBytes > MAX_COMPACTED_BYTES) {
+            LogEntry first = compacted.remove();
+            compactedBytes -= first.bytes().length;
+            viewBeforeCompacted = first.view();
         }
-        base = place;
-        baseView = view;
+        snapshotIndex = index;
+        snapshotView = view;
         snapshot = state;
     }
 
     /** Puts into the map what turns the kept form of one log into that of the other. */
-    static void differences(ReplicatedLog before, ReplicatedLog now, Map<String, byte[]> changes) {
-        if (before.base != now.base || !before.baseView.equals(now.baseView)) {
-            changes.put(DurableState.SNAP, ReplicationCodec.snap(now));
+    static void collectChanges(ReplicatedLog before, ReplicatedLog now, Map<String, byte[]> changes) {
+        if (before.snapshotIndex != now.snapshotIndex || !before.snapshotView.equals(now.snapshotView)) {
+            changes.put(DurableState.SNAPSHOT_KEY, ReplicationCodec.snapshot(now));
         }
         for (LogEntry entry : before.entries) {
-            if (!entry.view().equals(now.viewAt(entry.index())) || entry.index() <= now.base) {
-                changes.put(DurableState.key(entry.index()), null);
+            if (!entry.view().equals(now.viewAt(entry.index())) || entry.index() <= now.snapshotIndex) {
+                changes.put(DurableState.logKey(entry.index()), null);
             }
         }
         for (LogEntry entry : now.entries) {
-            if (entry.index() <= before.base || !entry.view().equals(before.viewAt(entry.index()))) {
-                changes.put(DurableState.key(entry.index()), ReplicationCodec.entry(entry));
+            if (entry.index() <= before.snapshotIndex || !entry.view().equals(before.viewAt(entry.index()))) {
+                changes.put(DurableState.logKey(entry.index()), ReplicationCodec.entry(entry));
             }
         }
     }
--- a/src/main/java/brambletray/platform/replication/ReplicationActions.java
+++ b/src/main/java/brambletray/platform/replication/ReplicationActions.java
@@ -8,7 +8,7 @@
      * Sends a frame to the member at this address; it may be lost, but frames that arrive over one connection keep
      * their order.
      */
-    void send(String address, Frame frame);
+    void send(String address, ReplicationMessage frame);
 
     /**
      * Keeps changes durably and all at once, then answers {@link Replica#synced} or {@link Replica#syncFailed} with the
@@ -17,16 +17,16 @@
     void persist(long ticket, Map<String, byte[]> changes);
 
     /** What became of a proposal of this process; said once for each. */
-    void outcome(long token, ProposalOutcome outcome);
+    void proposalCompleted(long token, ProposalOutcome outcome);
 
     /**
-     * Whether this process has seen all that was acknowledged before {@link Replica#confirm} was called; said once for
+     * Whether this process has seen all that was acknowledged before {@link Replica#requestReadIndex} was called; said once for
      * each token.
      */
-    void confirmed(long token, boolean yes);
+    void readIndexCompleted(long token, boolean yes);
 
     /** The view, its leader or its being in force has changed: see {@link Replica#status}. */
-    void changed();
+    void statusChanged();
 
     /** An event to log: pairs of a name and a value. */
     void tell(String event, Object... facts);
--- a/src/main/java/brambletray/platform/replication/ReplicationCodec.java
+++ b/src/main/java/brambletray/platform/replication/ReplicationCodec.java
@@ -11,23 +11,23 @@
 /** Bytes of what is kept and of what is carried in pieces. Each begins with the version of its form. */
 final class ReplicationCodec {
     /** 1: without the zones of members; still read. */
-    private static final int FORM = 2;
+    private static final int CURRENT_FORM = 2;
 
     private ReplicationCodec() {}
 
-    interface Writing {
-        void to(DataOutputStream out) throws IOException;
+    interface Writer {
+        void writeTo(DataOutputStream out) throws IOException;
     }
 
-    interface Reading<T> {
-        T from(DataInputStream in) throws IOException;
+    interface Reader<T> {
+        T readFrom(DataInputStream in) throws IOException;
     }
 
-    static byte[] write(Writing writing) {
+    static byte[] write(Writer writing) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeByte(FORM);
-            writing.to(out);
+            out.writeByte(CURRENT_FORM);
+            writing.writeTo(out);
         } catch (IOException e) {
             throw new ReplicationException("replication.form", "cannot be written", e);
         }
@@ -35,22 +35,23 @@
     }
 
     /** What is read, and the form that it was written in. */
-    private static final class Input extends DataInputStream {
+    private static final class VersionedInput extends DataInputStream {
         final int form;
 
-        Input(byte[] bytes) throws IOException {
+        VersionedInput(byte[] bytes) throws IOException {
             super(new ByteArrayInputStream(bytes));
             form = readByte();
         }
     }
 
-    static <T> T read(byte[] bytes, Reading<T> reading) {
-        try (Input in = new Input(bytes)) {
-            if (in.form < 1 || in.form > FORM) {
+    static <T> T read(byte[] bytes, Reader<T> reading) {
+        try (VersionedInput in = new VersionedInput(bytes)) {
+            if (in.form < 1 || in.form > CURRENT_FORM) {
                 throw new ReplicationException(
-                        "replication.form", "kept in form " + in.form + ", this program reads forms up to " + FORM);
+                        "replication.form",
+                        "kept in form " + in.form + ", this program reads forms up to " + CURRENT_FORM);
             }
-            return reading.from(in);
+            return reading.readFrom(in);
         } catch (IOException e) {
             throw new ReplicationException("replication.form", "cannot be read: " + e.getMessage(), e);
         }
@@ -58,7 +59,7 @@
 
     static void ballot(DataOutputStream out, Ballot ballot) throws IOException {
         out.writeLong(ballot.number());
-        out.writeLong(ballot.who());
+        out.writeLong(ballot.proposer());
     }
 
     static Ballot ballot(DataInputStream in) throws IOException {
@@ -74,13 +75,13 @@
         for (Member member : members) {
             out.writeUTF(member.address());
             out.writeUTF(member.name());
-            out.writeLong(member.life());
+            out.writeLong(member.incarnation());
             out.writeUTF(member.zone());
         }
     }
 
     private static List<Member> members(DataInputStream in) throws IOException {
-        boolean zones = !(in instanceof Input input) || input.form > 1;
+        boolean zones = !(in instanceof VersionedInput input) || input.form > 1;
         int count = in.readInt();
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -94,10 +95,10 @@
             out.writeBoolean(inForce);
             ballot(out, view.ballot());
             members(out, view.members());
-            out.writeInt(view.past().size());
-            for (ViewMembership roll : view.past()) {
-                ballot(out, roll.ballot());
-                members(out, roll.members());
+            out.writeInt(view.predecessors().size());
+            for (ViewMembership membership : view.predecessors()) {
+                ballot(out, membership.ballot());
+                members(out, membership.members());
             }
         });
     }
@@ -130,10 +131,10 @@
         return new LogEntry(in.readLong(), ballot(in), in.readLong(), in.readLong(), bytes(in));
     }
 
-    static byte[] snap(ReplicatedLog log) {
+    static byte[] snapshot(ReplicatedLog log) {
         return write(out -> {
-            out.writeLong(log.base());
-            ballot(out, log.baseView());
+            out.writeLong(log.snapshotIndex());
+            ballot(out, log.snapshotView());
             bytes(out, log.snapshot());
         });
     }
@@ -141,9 +142,9 @@
     static byte[] patch(LogPatch patch, long commit) {
         return write(out -> {
             out.writeLong(commit);
-            out.writeBoolean(patch.whole());
-            out.writeLong(patch.after());
-            ballot(out, patch.afterView());
+            out.writeBoolean(patch.replacesAll());
+            out.writeLong(patch.previousIndex());
+            ballot(out, patch.previousView());
             bytes(out, patch.snapshot());
             out.writeInt(patch.entries().size());
             for (LogEntry entry : patch.entries()) {
--- a/src/main/java/brambletray/platform/replication/StateMachine.java
+++ b/src/main/java/brambletray/platform/replication/StateMachine.java
@@ -20,5 +20,5 @@
     byte[] replay(byte[] snapshot, List<byte[]> changes);
 
     /** The next change. Once for each place between a restore and the end of the process, in order. Must not throw. */
-    void deliver(long index, byte[] change);
+    void apply(long index, byte[] change);
 }
--- /dev/null
+++ b/src/main/java/brambletray/platform/replication/StateTransferClient.java
@@ -0,0 +1,226 @@
+package brambletray.platform.replication;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/** Gets what a log lacks from one other member, in pieces, a few at a time. */
+final class StateTransferClient {
+    /** Bytes of a piece: 66 ms of a link of 2 Mbit/s, which is what a heartbeat said after one may have to wait. */
+    static final int CHUNK_BYTES = 16 << 10;
+    /** Pieces asked for ahead; no more bytes are ever on their way to one receiver. */
+    private static final int MAX_CHUNKS_IN_FLIGHT = 4;
+    /**
+     * Silence after which all that is missing is asked for again: pieces are lost with their link only, so on a slow
+     * link patience is what keeps the same pieces from being sent again and again. Doubles each time.
+     */
+    private static final int RETRY_TIMEOUT_MS = 500;
+
+    private static final int IDLE_TIMEOUT_MS = 4000;
+    private static final int MAX_TOTAL_BYTES = 64 << 20;
+
+    private final ReplicaState state;
+    private String source;
+    private final ReplicatedLog ownLog;
+    private Ballot viewBallot;
+    private long transferId;
+    /** Of the bytes of which the pieces are. */
+    private TransferDescriptor descriptor = TransferDescriptor.NONE;
+
+    private final List<byte[]> chunks = new ArrayList<>();
+    private int totalBytes = -1;
+    private int requestedChunks;
+    private int receivedChunks;
+    private int retryTimeoutMs = RETRY_TIMEOUT_MS / 2;
+    private long requestedAtMs = Long.MIN_VALUE / 2;
+    private long progressAtMs;
+    private ReplicatedLog log;
+    private long commitIndex;
+    private boolean failed;
+    /** What has come is no log, so nothing of it is of use. */
+    private boolean corrupt;
+
+    /**
+     * {@code view}: one that is being installed there, whose log is fetched; {@link Ballot#NONE} for what the giver has
+     * itself.
+     */
+    StateTransferClient(ReplicaState state, String from, ReplicatedLog mine, Ballot view) {
+        this.viewBallot = view;
+        this.state = state;
+        this.source = from;
+        this.ownLog = mine;
+        this.transferId = nextTransferId();
+        this.progressAtMs = state.nowMs;
+    }
+
+    private long nextTransferId() {
+        return state.origin ^ (++state.transferCount << 1);
+    }
+
+    String source() {
+        return source;
+    }
+
+    /** Whether a part has come that another giver may go on from. */
+    boolean isResumable() {
+        return !chunks.isEmpty() && !corrupt;
+    }
+
+    /** Asks another giver, or the same one again, for what hasn't come. */
+    void resume(String giver, Ballot of) {
+        state.actions.tell(
+                "replication.transfer-resumed",
+                "from",
+                giver,
+                "before",
+                source,
+                "bytes",
+                receivedChunks * CHUNK_BYTES,
+                "of",
+                totalBytes);
+        source = giver;
+        viewBallot = of;
+        transferId = nextTransferId();
+        failed = false;
+        progressAtMs = state.nowMs;
+        retryTimeoutMs = RETRY_TIMEOUT_MS;
+        requestedChunks = receivedChunks;
+        requestChunks();
+    }
+
+    Ballot viewBallot() {
+        return viewBallot;
+    }
+
+    /** The log is that of a later attempt to install it, too. */
+    void continueForView(Ballot later) {
+        viewBallot = later;
+    }
+
+    /** Milliseconds since something came. */
+    long idleMs() {
+        return state.nowMs - progressAtMs;
+    }
+
+    /** Asks again for what hasn't come. */
+    void tick() {
+        if (state.nowMs - progressAtMs > IDLE_TIMEOUT_MS) {
+            failed = true;
+        }
+        if (failed
+                || log != null
+                || (requestedChunks > 0 && state.nowMs - Math.max(requestedAtMs, progressAtMs) < retryTimeoutMs)) {
+            return;
+        }
+        retryTimeoutMs = Math.min(2 * retryTimeoutMs, IDLE_TIMEOUT_MS);
+        requestedChunks = receivedChunks;
+        requestChunks();
+    }
+
+    private void requestChunks() {
+        int until = totalBytes < 0
+                ? 1
+                : Math.min(receivedChunks + MAX_CHUNKS_IN_FLIGHT, (totalBytes + CHUNK_BYTES - 1) / CHUNK_BYTES);
+        for (; requestedChunks < until; requestedChunks++) {
+            requestedAtMs = state.nowMs;
+            state.actions.send(
+                    source,
+                    new ReplicationMessage.FetchChunkRequest(
+                            transferId,
+                            requestedChunks * CHUNK_BYTES,
+                            viewBallot,
+                            ownLog.lastIndex(),
+                            ownLog.lastView(),
+                            Math.min(state.commitIndex, ownLog.lastIndex()),
+                            descriptor));
+        }
+    }
+
+    /** Takes a piece; true when it is over, well or not. */
+    boolean onChunk(ReplicationMessage.FetchChunkResponse chunk) {
+        if (chunk.transferId() != transferId || log != null || failed) {
+            return false;
+        }
+        if (chunk.totalBytes() < 0 || chunk.totalBytes() > MAX_TOTAL_BYTES) {
+            failed = true;
+            return true;
+        }
+        if (chunk.offset() == 0 && !chunks.isEmpty() && !chunk.transfer().equals(descriptor)) {
+            restart();
+        }
+        if (chunk.offset() != receivedChunks * CHUNK_BYTES) {
+            return false;
+        }
+        if (chunks.isEmpty()) {
+            descriptor = chunk.transfer();
+        }
+        if (!chunk.transfer().equals(descriptor)) {
+            return false;
+        }
+        totalBytes = chunk.totalBytes();
+        chunks.add(chunk.bytes());
+        receivedChunks++;
+        progressAtMs = state.nowMs;
+        retryTimeoutMs = RETRY_TIMEOUT_MS;
+        if (receivedChunks * CHUNK_BYTES < totalBytes) {
+            if (requestedChunks < receivedChunks) {
+                requestedChunks = receivedChunks;
+            }
+            requestChunks();
+            return false;
+        }
+        assemble();
+        return true;
+    }
+
+    /** The giver has another state: what has come is of no use with it. */
+    private void restart() {
+        state.actions.tell(
+                "replication.transfer-anew",
+                "from",
+                source,
+                "bytes",
+                receivedChunks * CHUNK_BYTES,
+                "why",
+                "the giver packs another cut");
+        chunks.clear();
+        receivedChunks = 0;
+        requestedChunks = 0;
+        totalBytes = -1;
+    }
+
+    private void assemble() {
+        byte[] whole = new byte[totalBytes];
+        int at = 0;
+        for (byte[] chunk : chunks) {
+            System.arraycopy(chunk, 0, whole, at, chunk.length);
+            at += chunk.length;
+        }
+        chunks.clear();
+        if (!descriptor.matches(whole)) {
+            state.actions.tell("replication.transfer-spoilt", "from", source, "bytes", totalBytes);
+            corrupt = true;
+            failed = true;
+            return;
+        }
+        log = ReplicationCodec.read(whole, in -> {
+            commitIndex = in.readLong();
+            return ownLog.patched(ReplicationCodec.patch(in));
+        });
+        failed = log == null;
+        corrupt = failed;
+    }
+
+    boolean failed() {
+        return failed;
+    }
+
+    /** The log after the pieces; null while they are coming and when they didn't fit. */
+    ReplicatedLog log() {
+        return log;
+    }
+
+    /** Up to here the log was known to be kept at the one who gave it. */
+    long commitIndex() {
+        return commitIndex;
+    }
+}
--- a/src/main/java/brambletray/platform/replication/StateTransferServer.java
+++ b/src/main/java/brambletray/platform/replication/StateTransferServer.java
@@ -16,26 +16,26 @@
  */
 final class StateTransferServer {
     /** Cuts, of a few megabytes each, and receivers at a time. */
-    private static final int MOST_CUTS = 4;
+    private static final int MAX_PACKED = 4;
 
-    private static final int MOST = 16;
-    private static final int KEEP_MS = 3000;
+    private static final int MAX_RECEIVERS = 16;
+    private static final int RECEIVER_IDLE_TIMEOUT_MS = 3000;
 
-    private record Cut(Ballot view, CutDigest name, byte[] bytes) {
-        static Cut of(Ballot view, LogPatch patch, long commit) {
+    private record PackedPatch(Ballot viewBallot, TransferDescriptor descriptor, byte[] bytes) {
+        static PackedPatch of(Ballot view, LogPatch patch, long commit) {
             byte[] packed = ReplicationCodec.patch(patch, commit);
-            return new Cut(view, CutDigest.of(patch, commit, packed), packed);
+            return new PackedPatch(view, TransferDescriptor.of(patch, commit, packed), packed);
         }
     }
 
     private static final class Receiver {
-        long id;
-        Cut cut;
-        long usedAt;
-        boolean over;
+        long transferId;
+        PackedPatch packed;
+        long lastUsedAtMs;
+        boolean complete;
     }
 
-    private final MemberState desk;
+    private final ReplicaState state;
     private final Function<Ballot, ReplicatedLog> logs;
     private final Map<String, Receiver> receivers = new LinkedHashMap<>();
 
@@ -43,130 +43,142 @@
      * {@code logs}: of a view that is being installed the log it begins with; of {@link Ballot#NONE} this member's own;
      * null if none.
      */
-    StateTransferServer(MemberState desk, Function<Ballot, ReplicatedLog> logs) {
-        this.desk = desk;
+    StateTransferServer(ReplicaState state, Function<Ballot, ReplicatedLog> logs) {
+        this.state = state;
         this.logs = logs;
     }
 
-    void pull(String from, Frame.PieceRequest pull) {
+    void onFetchChunk(String from, ReplicationMessage.FetchChunkRequest request) {
         Receiver receiver = receivers.get(from);
-        ReplicatedLog log = logs.apply(pull.view());
-        int offset = pull.offset();
-        if (receiver == null || receiver.id != pull.id()) {
+        ReplicatedLog log = logs.apply(request.viewBallot());
+        int offset = request.offset();
+        if (receiver == null || receiver.transferId != request.transferId()) {
             receivers.remove(from);
-            Cut cut = log == null ? null : same(pull, log);
+            PackedPatch cut = log == null ? null : resumePacked(request, log);
             if (cut == null && log != null) {
-                cut = cut(pull, log);
+                cut = selectPacked(request, log);
                 offset = 0;
             }
             if (cut == null) {
-                desk.out.send(from, new Frame.Piece(pull.id(), pull.offset(), -1, new byte[0], CutDigest.NONE));
+                state.actions.send(
+                        from,
+                        new ReplicationMessage.FetchChunkResponse(
+                                request.transferId(), request.offset(), -1, new byte[0], TransferDescriptor.NONE));
                 return;
             }
             receiver = new Receiver();
-            receiver.id = pull.id();
-            receiver.cut = cut;
+            receiver.transferId = request.transferId();
+            receiver.packed = cut;
             receivers.put(from, receiver);
         }
-        receiver.usedAt = desk.now;
-        byte[] bytes = receiver.cut.bytes;
-        int size = Math.min(StateTransfer.PIECE, bytes.length - offset);
+        receiver.lastUsedAtMs = state.nowMs;
+        byte[] bytes = receiver.packed.bytes;
+        int size = Math.min(StateTransferClient.CHUNK_BYTES, bytes.length - offset);
         if (size <= 0) {
             return;
         }
-        receiver.over |= offset + size == bytes.length;
-        byte[] piece = java.util.Arrays.copyOfRange(bytes, offset, offset + size);
-        desk.out.send(from, new Frame.Piece(pull.id(), offset, bytes.length, piece, receiver.cut.name));
+        receiver.complete |= offset + size == bytes.length;
+        byte[] chunk = java.util.Arrays.copyOfRange(bytes, offset, offset + size);
+        state.actions.send(
+                from,
+                new ReplicationMessage.FetchChunkResponse(
+                        request.transferId(), offset, bytes.length, chunk, receiver.packed.descriptor));
     }
 
     /**
      * The cut of which the receiver has got a part from another member, or from this one before its restart; null if it
      * isn't to be had here.
      */
-    private Cut same(Frame.PieceRequest pull, ReplicatedLog log) {
-        CutDigest name = pull.cut();
-        if (name.equals(CutDigest.NONE)) {
+    private PackedPatch resumePacked(ReplicationMessage.FetchChunkRequest request, ReplicatedLog log) {
+        TransferDescriptor name = request.transfer();
+        if (name.equals(TransferDescriptor.NONE)) {
             return null;
         }
         for (Receiver other : receivers.values()) {
-            if (other.cut.name.equals(name)) {
-                return other.cut;
+            if (other.packed.descriptor.equals(name)) {
+                return other.packed;
             }
         }
-        if (receivers.size() >= MOST) {
+        if (receivers.size() >= MAX_RECEIVERS) {
             return null;
         }
-        LogPatch patch = name.whole() ? whole(name, log) : tail(name, pull, log);
+        LogPatch patch = name.isSnapshot() ? snapshotPatch(name, log) : entriesPatch(name, request, log);
         if (patch == null) {
             return null;
         }
-        byte[] packed = ReplicationCodec.patch(patch, name.commit());
-        return name.matches(packed) ? new Cut(pull.view(), name, packed) : null;
+        byte[] packed = ReplicationCodec.patch(patch, name.commitIndex());
+        return name.matches(packed) ? new PackedPatch(request.viewBallot(), name, packed) : null;
     }
 
     /**
      * The state at the cut's place, made again from this log, and the entries behind it; null where this log begins
      * later or ends earlier.
      */
-    private LogPatch whole(CutDigest name, ReplicatedLog log) {
-        long after = name.after();
-        if (after < log.base() || name.end() < after || name.end() > log.end()) {
+    private LogPatch snapshotPatch(TransferDescriptor name, ReplicatedLog log) {
+        long after = name.previousIndex();
+        if (after < log.snapshotIndex() || name.lastIndex() < after || name.lastIndex() > log.lastIndex()) {
             return null;
         }
-        byte[] state = log.snapshot();
-        if (after > log.base()) {
+        byte[] snapshot = log.snapshot();
+        if (after > log.snapshotIndex()) {
             List<byte[]> changes = new ArrayList<>();
-            log.between(log.base(), after).forEach(entry -> changes.add(entry.bytes()));
-            state = desk.stateMachine.replay(state, changes);
+            log.entriesBetween(log.snapshotIndex(), after).forEach(entry -> changes.add(entry.bytes()));
+            snapshot = state.stateMachine.replay(snapshot, changes);
         }
-        return new LogPatch(true, after, log.viewAt(after), state, log.between(after, name.end()));
+        return new LogPatch(true, after, log.viewAt(after), snapshot, log.entriesBetween(after, name.lastIndex()));
     }
 
-    private static LogPatch tail(CutDigest name, Frame.PieceRequest pull, ReplicatedLog log) {
-        LogPatch patch = log.since(pull.end(), pull.endView(), pull.commit());
-        if (patch.whole() || patch.after() != name.after() || patch.end() < name.end() || name.end() < name.after()) {
+    private static LogPatch entriesPatch(
+            TransferDescriptor name, ReplicationMessage.FetchChunkRequest request, ReplicatedLog log) {
+        LogPatch patch = log.patchFor(request.lastIndex(), request.lastView(), request.commitIndex());
+        if (patch.replacesAll()
+                || patch.previousIndex() != name.previousIndex()
+                || patch.lastIndex() < name.lastIndex()
+                || name.lastIndex() < name.previousIndex()) {
             return null;
         }
-        List<LogEntry> entries = patch.entries().subList(0, (int) (name.end() - name.after()));
-        return new LogPatch(false, patch.after(), patch.afterView(), patch.snapshot(), entries);
+        List<LogEntry> entries = patch.entries().subList(0, (int) (name.lastIndex() - name.previousIndex()));
+        return new LogPatch(false, patch.previousIndex(), patch.previousView(), patch.snapshot(), entries);
     }
 
-    private Cut cut(Frame.PieceRequest pull, ReplicatedLog log) {
-        LogPatch patch = log.since(pull.end(), pull.endView(), pull.commit());
-        if (pull.view().equals(Ballot.NONE) && !patch.isShort()) {
-            patch = lighter(patch);
+    private PackedPatch selectPacked(ReplicationMessage.FetchChunkRequest request, ReplicatedLog log) {
+        LogPatch patch = log.patchFor(request.lastIndex(), request.lastView(), request.commitIndex());
+        if (request.viewBallot().equals(Ballot.NONE) && !patch.fitsInline()) {
+            patch = smallerOf(patch);
         }
-        Set<Cut> cuts = new HashSet<>();
+        Set<PackedPatch> cuts = new HashSet<>();
         for (Receiver other : receivers.values()) {
-            Cut cut = other.cut;
-            CutDigest name = cut.name;
-            boolean same = name.whole() == patch.whole() && name.after() == patch.after() && name.end() == patch.end();
-            if (same && cut.view.equals(pull.view())) {
+            PackedPatch cut = other.packed;
+            TransferDescriptor name = cut.descriptor;
+            boolean response = name.isSnapshot() == patch.replacesAll()
+                    && name.previousIndex() == patch.previousIndex()
+                    && name.lastIndex() == patch.lastIndex();
+            if (response && cut.viewBallot.equals(request.viewBallot())) {
                 return cut;
             }
             cuts.add(cut);
         }
-        if (cuts.size() >= MOST_CUTS || receivers.size() >= MOST) {
-            receivers.values().removeIf(other -> other.over);
+        if (cuts.size() >= MAX_PACKED || receivers.size() >= MAX_RECEIVERS) {
+            receivers.values().removeIf(other -> other.complete);
         }
-        if (receivers.size() >= MOST) {
+        if (receivers.size() >= MAX_RECEIVERS) {
             return null;
         }
         cuts.clear();
         for (Receiver other : receivers.values()) {
-            cuts.add(other.cut);
+            cuts.add(other.packed);
         }
-        if (cuts.size() < MOST_CUTS) {
-            return Cut.of(pull.view(), patch, desk.commit);
+        if (cuts.size() < MAX_PACKED) {
+            return PackedPatch.of(request.viewBallot(), patch, state.commitIndex);
         }
         // a whole one does for everybody; what has come since is fetched in another round
-        Cut newest = null;
-        for (Cut cut : cuts) {
-            boolean fits = cut.name.whole()
-                    && cut.view.equals(pull.view())
-                    && pull.view().equals(Ballot.NONE)
-                    && cut.name.end() > pull.end();
-            if (fits && (newest == null || cut.name.end() > newest.name.end())) {
+        PackedPatch newest = null;
+        for (PackedPatch cut : cuts) {
+            boolean fits = cut.descriptor.isSnapshot()
+                    && cut.viewBallot.equals(request.viewBallot())
+                    && request.viewBallot().equals(Ballot.NONE)
+                    && cut.descriptor.lastIndex() > request.lastIndex();
+            if (fits && (newest == null || cut.descriptor.lastIndex() > newest.descriptor.lastIndex())) {
                 newest = cut;
             }
         }
@@ -174,13 +186,15 @@
     }
 
     /** The state as it is now, where that is less than what it was made of: changes replace each other. */
-    private LogPatch lighter(LogPatch patch) {
-        ReplicatedLog log = desk.log;
+    private LogPatch smallerOf(LogPatch patch) {
+        ReplicatedLog log = state.log;
         List<LogEntry> rest = List.copyOf(log.entries()
-                .subList((int) (desk.delivered - log.base()), log.entries().size()));
-        LogPatch fresh =
-                new LogPatch(true, desk.delivered, log.viewAt(desk.delivered), desk.stateMachine.snapshot(), rest);
-        return fresh.bytes() < patch.bytes() ? fresh : patch;
+                .subList(
+                        (int) (state.appliedIndex - log.snapshotIndex()),
+                        log.entries().size()));
+        LogPatch fresh = new LogPatch(
+                true, state.appliedIndex, log.viewAt(state.appliedIndex), state.stateMachine.snapshot(), rest);
+        return fresh.sizeBytes() < patch.sizeBytes() ? fresh : patch;
     }
 
     void tick() {
@@ -189,7 +203,7 @@
         }
         Iterator<Receiver> all = receivers.values().iterator();
         while (all.hasNext()) {
-            if (desk.now - all.next().usedAt > KEEP_MS) {
+            if (state.nowMs - all.next().lastUsedAtMs > RECEIVER_IDLE_TIMEOUT_MS) {
                 all.remove();
             }
         }
