--- a/src/main/java/brambletray/platform/replication/CutDigest.java
+++ b/src/main/java/brambletray/platform/replication/TransferDescriptor.java
@@ -10,18 +10,20 @@
  * again, and a digest that tells whether the result is the same.
  *
  * @param digest CRC-32 and CRC-32C of the packed bytes, 64 bits together; 0 in {@link #NONE} only
- * @param whole  whether a snapshot replaces all that the receiver has
- * @param after  place behind which the entries follow; the snapshot's place when whole
- * @param end    last place
- * @param commit place up to which the member that packed it first knew the log to be kept
+ * @param isSnapshot  whether a snapshot replaces all that the receiver has
+ * @param previousIndex  place behind which the entries follow; the snapshot's place when whole
+ * @param lastIndex    last place
+ * @param commitIndex place up to which the member that packed it first knew the log to be kept
  */
-public record CutDigest(long digest, boolean whole, long after, long end, long commit) {
+public record TransferDescriptor(
+        long digest, boolean isSnapshot, long previousIndex, long lastIndex, long commitIndex) {
     /** Of a transfer of which nothing has come yet, and of an answer that gives nothing. */
-    static final CutDigest NONE = new CutDigest(0, false, 0, 0, 0);
+    static final TransferDescriptor NONE = new TransferDescriptor(0, false, 0, 0, 0);
 
     /** Of a patch, packed with this commit. */
-    static CutDigest of(LogPatch patch, long commit, byte[] packed) {
-        return new CutDigest(digest(packed), patch.whole(), patch.after(), patch.end(), commit);
+    static TransferDescriptor of(LogPatch patch, long commit, byte[] packed) {
+        return new TransferDescriptor(
+                digest(packed), patch.replacesAll(), patch.previousIndex(), patch.lastIndex(), commit);
     }
 
     /** Whether these are the bytes that this names. */
@@ -30,11 +32,11 @@
     }
 
     private static long digest(byte[] packed) {
-        long digest = sum(new CRC32(), packed) << Integer.SIZE | sum(new CRC32C(), packed);
+        long digest = checksum(new CRC32(), packed) << Integer.SIZE | checksum(new CRC32C(), packed);
         return digest == 0 ? 1 : digest;
     }
 
-    private static long sum(Checksum checksum, byte[] packed) {
+    private static long checksum(Checksum checksum, byte[] packed) {
         checksum.update(packed, 0, packed.length);
         return checksum.getValue();
     }
--- a/src/main/java/brambletray/platform/replication/View.java
+++ b/src/main/java/brambletray/platform/replication/View.java
@@ -8,19 +8,19 @@
  *
  * @param ballot  name; its number is the view's number
  * @param members leader first
- * @param past    the view that this one came from, and further ones back to the last that was known to be in force when
+ * @param predecessors    the view that this one came from, and further ones back to the last that was known to be in force when
  * this one was proposed
  */
-public record View(Ballot ballot, List<Member> members, List<ViewMembership> past) {
+public record View(Ballot ballot, List<Member> members, List<ViewMembership> predecessors) {
     /** Told by who has kept no view yet. */
-    static final View NOTHING = new View(new Ballot(-1, 0), List.of(), List.of());
+    static final View NONE = new View(new Ballot(-1, 0), List.of(), List.of());
 
     /** The views that have to be asked, this one first: only this one when it is known to be in force. */
-    public List<ViewMembership> chain(boolean inForce) {
+    public List<ViewMembership> viewsToConsult(boolean inForce) {
         List<ViewMembership> all = new ArrayList<>();
         all.add(new ViewMembership(ballot, members));
         if (!inForce) {
-            all.addAll(past);
+            all.addAll(predecessors);
         }
         return all;
     }
@@ -28,7 +28,7 @@
     /** The member that leads. In the founding list nobody does. */
     public Member leader() {
         for (Member member : members) {
-            if (member.life() == ballot.who()) {
+            if (member.incarnation() == ballot.proposer()) {
                 return member;
             }
         }
@@ -36,14 +36,14 @@
     }
 
     /** Whether this life is in. */
-    public boolean has(long life) {
-        return member(life) != null;
+    public boolean contains(long incarnation) {
+        return memberOf(incarnation) != null;
     }
 
     /** Member of this life, or null. */
-    public Member member(long life) {
+    public Member memberOf(long incarnation) {
         for (Member member : members) {
-            if (member.life() == life) {
+            if (member.incarnation() == incarnation) {
                 return member;
             }
         }
@@ -51,7 +51,7 @@
     }
 
     /** Member at this address, or null. */
-    public Member at(String address) {
+    public Member memberAt(String address) {
         for (Member member : members) {
             if (member.address().equals(address)) {
                 return member;
@@ -61,7 +61,7 @@
     }
 
     /** Whether this is the list of seeds, which stands before the first view. */
-    public boolean founding() {
+    public boolean isFounding() {
         return ballot.equals(Ballot.NONE);
     }
 
--- a/src/main/java/brambletray/platform/replication/ViewChange.java
+++ b/src/main/java/brambletray/platform/replication/ViewChange.java
@@ -12,76 +12,77 @@
  * with a view in force that this member leads, or is given up for a higher ballot.
  */
 final class ViewChange {
-    private static final int AGAIN_MS = 100;
+    private static final int RETRY_INTERVAL_MS = 100;
     /** Fetching goes on while pieces come, but not longer than this: on a link of 2 Mbit/s enough for 7 MB. */
-    private static final int FETCH_MS = 30_000;
+    private static final int FETCH_TIMEOUT_MS = 30_000;
     /**
      * Silence after which a member that fetches the new view's log isn't waited for: longer than its disk may take for
      * the last piece.
      */
-    private static final int PULLED_MS = 2000;
+    private static final int CHUNK_SERVED_TIMEOUT_MS = 2000;
 
-    private static final int MOST_PAST = 64;
+    private static final int MAX_PREDECESSORS = 64;
 
     private enum Phase {
-        ASKING,
+        PREPARING,
         PROMISING,
         FETCHING,
         INSTALLING
     }
 
-    private final MemberState desk;
-    private final Replica members;
+    private final ReplicaState state;
+    private final Replica replica;
     private final Ballot ballot;
-    private final Set<Long> doubted;
-    private final Set<Long> shunned;
-    private final Map<Long, Frame.JoinRequest> newcomers;
-    private final Map<String, Member> asked = new LinkedHashMap<>();
-    private final Map<Long, Frame.StopAnswer> tolds = new LinkedHashMap<>();
-    private final Set<Long> calm = new HashSet<>();
-    private final Set<Long> installed = new HashSet<>();
-    private final long since;
-    private Phase phase = Phase.ASKING;
-    private long enoughAt = -1;
-    private long askedAt;
-    private long phaseAt;
-    private long pulledAt = Long.MIN_VALUE / 2;
-    private StateTransfer transfer;
-    private View next;
-    private StopAnswers chosen;
-    private ReplicatedLog base;
+    private final Set<Long> notWaitedFor;
+    private final Set<Long> excluded;
+    private final Map<Long, ReplicationMessage.JoinRequest> newcomers;
+    private final Map<String, Member> contacted = new LinkedHashMap<>();
+    private final Map<Long, ReplicationMessage.PrepareResponse> responses = new LinkedHashMap<>();
+    private final Set<Long> rejectedBy = new HashSet<>();
+    private final Set<Long> installedBy = new HashSet<>();
+    private final long startedAtMs;
+    private Phase phase = Phase.PREPARING;
+    private long quorumAtMs = -1;
+    private long sentAtMs;
+    private long phaseSinceMs;
+    private long chunkServedAtMs = Long.MIN_VALUE / 2;
+    private StateTransferClient transfer;
+    private View nextView;
+    private PrepareResponses chosen;
+    private ReplicatedLog nextLog;
 
-    /** {@code doubted} aren't waited for; {@code shunned} are left out if the rest is enough. */
+    /** {@code suspected} aren't waited for; {@code excluded} are left out if the rest is enough. */
     ViewChange(
-            MemberState desk,
+            ReplicaState state,
             Replica members,
-            Set<Long> doubted,
-            Set<Long> shunned,
-            Map<Long, Frame.JoinRequest> newcomers,
+            Set<Long> suspected,
+            Set<Long> excluded,
+            Map<Long, ReplicationMessage.JoinRequest> newcomers,
             String why) {
-        this.desk = desk;
-        this.members = members;
-        this.doubted = doubted;
-        this.shunned = shunned;
+        this.state = state;
+        this.replica = members;
+        this.notWaitedFor = suspected;
+        this.excluded = excluded;
         this.newcomers = newcomers;
-        this.since = desk.now;
-        desk.seen = Math.max(desk.seen, Math.max(desk.promised.number(), desk.view.number())) + 1;
-        ballot = new Ballot(desk.seen, desk.me.life());
-        desk.out.tell(
+        this.startedAtMs = state.nowMs;
+        state.highestSeenNumber =
+                Math.max(state.highestSeenNumber, Math.max(state.promisedBallot.number(), state.view.number())) + 1;
+        ballot = new Ballot(state.highestSeenNumber, state.self.incarnation());
+        state.actions.tell(
                 "replication.change",
                 "ballot",
                 ballot,
                 "view",
-                desk.view.ballot(),
+                state.view.ballot(),
                 "why",
                 why,
                 "newcomers",
                 newcomers.size(),
                 "end",
-                desk.log.end());
-        ask(desk.view);
-        stop();
-        weigh();
+                state.log.lastIndex());
+        contactMembersOf(state.view);
+        sendPrepareRequests();
+        maybePromise();
     }
 
     Ballot ballot() {
@@ -89,120 +90,130 @@
     }
 
     /** Whether it may still be dropped without a trace: nothing was promised to itself. */
-    boolean asking() {
-        return phase == Phase.ASKING;
+    boolean isPreparing() {
+        return phase == Phase.PREPARING;
     }
 
-    private void ask(View view) {
-        for (ViewMembership roll : view.chain(view == desk.view && desk.inForce)) {
-            for (Member member : roll.members()) {
-                if (!member.address().equals(desk.me.address())) {
-                    asked.putIfAbsent(member.address(), member);
+    private void contactMembersOf(View view) {
+        for (ViewMembership membership : view.viewsToConsult(view == state.view && state.active)) {
+            for (Member member : membership.members()) {
+                if (!member.address().equals(state.self.address())) {
+                    contacted.putIfAbsent(member.address(), member);
                 }
             }
         }
     }
 
-    private void stop() {
-        askedAt = desk.now;
-        StopAnswers now = answers();
-        for (String address : asked.keySet()) {
-            if (!now.heard(address)) {
-                desk.out.send(address, new Frame.StopRequest(ballot, desk.me, List.copyOf(desk.dead)));
+    private void sendPrepareRequests() {
+        sentAtMs = state.nowMs;
+        PrepareResponses now = allResponses();
+        for (String address : contacted.keySet()) {
+            if (!now.hasAnswerFrom(address)) {
+                state.actions.send(
+                        address,
+                        new ReplicationMessage.PrepareRequest(
+                                ballot, state.self, List.copyOf(state.retiredIncarnations)));
             }
         }
     }
 
-    void told(Frame.StopAnswer told) {
-        boolean open = phase == Phase.ASKING || phase == Phase.PROMISING;
-        if (!open || !told.ballot().equals(ballot) || told.me().life() == desk.me.life()) {
+    void onPrepareResponse(ReplicationMessage.PrepareResponse response) {
+        boolean open = phase == Phase.PREPARING || phase == Phase.PROMISING;
+        if (!open
+                || !response.ballot().equals(ballot)
+                || response.responder().incarnation() == state.self.incarnation()) {
             return;
         }
-        if (tolds.put(told.me().life(), told) == null) {
-            desk.out.tell(
+        if (responses.put(response.responder().incarnation(), response) == null) {
+            state.actions.tell(
                     "replication.told",
                     "ballot",
                     ballot,
                     "by",
-                    told.me().name(),
+                    response.responder().name(),
                     "view",
-                    told.view().ballot(),
+                    response.view().ballot(),
                     "inForce",
-                    told.inForce(),
+                    response.active(),
                     "end",
-                    told.end(),
+                    response.lastIndex(),
                     "ill",
-                    told.ill());
+                    response.diskUnhealthy());
         }
-        int before = asked.size();
-        ask(told.view());
-        if (desk.bury(told.dead()) || asked.size() > before) {
-            stop();
+        int before = contacted.size();
+        contactMembersOf(response.view());
+        if (state.retire(response.retiredIncarnations()) || contacted.size() > before) {
+            sendPrepareRequests();
         }
-        weigh();
+        maybePromise();
     }
 
-    void nay(Frame.Refuse nay, String from) {
-        if (!nay.ballot().equals(ballot)) {
+    void onBallotRejected(ReplicationMessage.BallotRejected rejection, String from) {
+        if (!rejection.ballot().equals(ballot)) {
             return;
         }
-        desk.seen = Math.max(desk.seen, nay.promised().number());
-        if (nay.promised().above(ballot) || nay.promised().number() >= ballot.number() && !nay.calm()) {
-            members.drop("promised " + nay.promised(), (long) (1 + members.rank()) * desk.set.staggerMs());
-        } else if (nay.calm()) {
-            Member who = asked.get(from);
+        state.highestSeenNumber =
+                Math.max(state.highestSeenNumber, rejection.promisedBallot().number());
+        if (rejection.promisedBallot().isAbove(ballot)
+                || rejection.promisedBallot().number() >= ballot.number() && !rejection.leaderIsHealthy()) {
+            replica.abandonViewChange(
+                    "promised " + rejection.promisedBallot(),
+                    (long) (1 + replica.rank()) * state.settings.rankDelayMs());
+        } else if (rejection.leaderIsHealthy()) {
+            Member who = contacted.get(from);
             if (who != null) {
-                calm.add(who.life());
+                rejectedBy.add(who.incarnation());
             }
-            if (phase == Phase.ASKING && 2 * calm.size() >= desk.view.members().size()) {
-                members.drop("the leader is well", desk.set.silentMs());
+            if (phase == Phase.PREPARING
+                    && 2 * rejectedBy.size() >= state.view.members().size()) {
+                replica.abandonViewChange("the leader is well", state.settings.electionTimeoutMs());
             }
         }
     }
 
     /** All that was told, with what this member would say itself. */
-    private StopAnswers answers() {
-        List<Frame.StopAnswer> all = new ArrayList<>();
-        all.add(desk.told(ballot));
-        all.addAll(tolds.values());
-        return new StopAnswers(all);
+    private PrepareResponses allResponses() {
+        List<ReplicationMessage.PrepareResponse> all = new ArrayList<>();
+        all.add(state.prepareResponse(ballot));
+        all.addAll(responses.values());
+        return new PrepareResponses(all);
     }
 
     /** Goes on when enough have answered and the others have been waited for. */
-    private void weigh() {
-        StopAnswers now = answers();
-        if (!now.enough()) {
-            enoughAt = -1;
+    private void maybePromise() {
+        PrepareResponses now = allResponses();
+        if (!now.hasQuorum()) {
+            quorumAtMs = -1;
             return;
         }
-        if (enoughAt < 0) {
-            enoughAt = desk.now;
+        if (quorumAtMs < 0) {
+            quorumAtMs = state.nowMs;
         }
         if (phase == Phase.PROMISING) {
             return;
         }
-        int wait = now.top.founding()
-                ? desk.set.foundMs()
-                : members.fresh() ? 3 * desk.set.gatherMs() : desk.set.gatherMs();
-        if (desk.now - enoughAt < wait && missing(now)) {
+        int wait = now.latestView.isFounding()
+                ? state.settings.foundingGraceMs()
+                : replica.noLeaderSeenYet() ? 3 * state.settings.prepareGraceMs() : state.settings.prepareGraceMs();
+        if (state.nowMs - quorumAtMs < wait && isWaitingForResponses(now)) {
             return;
         }
         phase = Phase.PROMISING;
-        phaseAt = desk.now;
-        members.stopLeading();
-        desk.promise(ballot);
-        desk.writeAheadQueue.then(() -> {
-            if (members.changing() == this && desk.promised.equals(ballot)) {
-                choose();
+        phaseSinceMs = state.nowMs;
+        replica.stopLeading();
+        state.promise(ballot);
+        state.writeAheadQueue.onSynced(() -> {
+            if (replica.viewChange() == this && state.promisedBallot.equals(ballot)) {
+                chooseLog();
             }
         });
     }
 
-    private boolean missing(StopAnswers now) {
-        for (Member member : asked.values()) {
-            if (!now.heard(member.address())
-                    && !doubted.contains(member.life())
-                    && !desk.dead.contains(member.life())) {
+    private boolean isWaitingForResponses(PrepareResponses now) {
+        for (Member member : contacted.values()) {
+            if (!now.hasAnswerFrom(member.address())
+                    && !notWaitedFor.contains(member.incarnation())
+                    && !state.retiredIncarnations.contains(member.incarnation())) {
                 return true;
             }
         }
@@ -210,77 +221,79 @@
     }
 
     /** Promised: what was told until now is final, as all who told have stopped; what is told later doesn't count. */
-    private void choose() {
-        chosen = answers();
-        if (!chosen.enough()) {
-            phase = Phase.ASKING;
+    private void chooseLog() {
+        chosen = allResponses();
+        if (!chosen.hasQuorum()) {
+            phase = Phase.PREPARING;
             return;
         }
-        Frame.StopAnswer longest = chosen.longest();
-        phaseAt = desk.now;
-        if (longest.me().life() == desk.me.life()) {
-            install(desk.log);
+        ReplicationMessage.PrepareResponse longest = chosen.longestLog();
+        phaseSinceMs = state.nowMs;
+        if (longest.responder().incarnation() == state.self.incarnation()) {
+            install(state.log);
             return;
         }
         phase = Phase.FETCHING;
-        transfer = new StateTransfer(desk, longest.me().address(), desk.log, Ballot.NONE);
+        transfer = new StateTransferClient(state, longest.responder().address(), state.log, Ballot.NONE);
         transfer.tick();
     }
 
-    void piece(Frame.Piece piece) {
-        if (phase != Phase.FETCHING || !transfer.piece(piece)) {
+    void onChunk(ReplicationMessage.FetchChunkResponse chunk) {
+        if (phase != Phase.FETCHING || !transfer.onChunk(chunk)) {
             return;
         }
         ReplicatedLog fetched = transfer.log();
-        Frame.StopAnswer longest = chosen.longest();
+        ReplicationMessage.PrepareResponse longest = chosen.longestLog();
         // who told may have gone on to a higher ballot, and its log with it
-        boolean same = fetched != null
-                && fetched.end() == longest.end()
-                && fetched.endView().equals(longest.endView());
-        if (same) {
+        boolean response = fetched != null
+                && fetched.lastIndex() == longest.lastIndex()
+                && fetched.lastView().equals(longest.lastView());
+        if (response) {
             install(fetched);
         } else {
-            members.drop("log can't be fetched", desk.set.staggerMs());
+            replica.abandonViewChange("log can't be fetched", state.settings.rankDelayMs());
         }
     }
 
     private void install(ReplicatedLog log) {
-        List<Member> in = chosen.next(shunned, desk.set.tolerance());
-        for (Frame.JoinRequest knock : newcomers.values()) {
+        List<Member> in = chosen.nextMembers(excluded, state.settings.tolerance());
+        for (ReplicationMessage.JoinRequest joinRequest : newcomers.values()) {
             boolean free = in.stream()
-                    .noneMatch(member -> member.address().equals(knock.me().address()));
+                    .noneMatch(member ->
+                            member.address().equals(joinRequest.requester().address()));
             // who has fallen behind since it knocked gets the rest outside of the change, and knocks again
-            boolean near =
-                    log.since(knock.end(), knock.endView(), knock.commit()).isShort();
+            boolean near = log.patchFor(joinRequest.lastIndex(), joinRequest.lastView(), joinRequest.commitIndex())
+                    .fitsInline();
             if (free
                     && near
-                    && in.size() < ReplicationSettings.MOST
-                    && !desk.dead.contains(knock.me().life())) {
-                in.add(knock.me());
+                    && in.size() < ReplicationSettings.MAX_MEMBERS
+                    && !state.retiredIncarnations.contains(
+                            joinRequest.requester().incarnation())) {
+                in.add(joinRequest.requester());
             }
         }
-        List<ViewMembership> past = chosen.past();
-        if (past.size() > MOST_PAST) {
-            members.drop("too many unfinished views", desk.set.silentMs());
+        List<ViewMembership> past = chosen.viewsToConsult();
+        if (past.size() > MAX_PREDECESSORS) {
+            replica.abandonViewChange("too many unfinished views", state.settings.electionTimeoutMs());
             return;
         }
         phase = Phase.INSTALLING;
-        base = log;
-        next = new View(ballot, List.copyOf(in), List.copyOf(past));
-        phaseAt = desk.now;
-        desk.out.tell(
+        nextLog = log;
+        nextView = new View(ballot, List.copyOf(in), List.copyOf(past));
+        phaseSinceMs = state.nowMs;
+        state.actions.tell(
                 "replication.install",
                 "ballot",
                 ballot,
                 "members",
-                MemberState.names(in),
+                ReplicaState.names(in),
                 "end",
-                log.end(),
+                log.lastIndex(),
                 "from",
-                chosen.top.ballot());
-        say();
-        if (next.members().size() == 1) {
-            keep();
+                chosen.latestView.ballot());
+        sendInstallRequests();
+        if (nextView.members().size() == 1) {
+            acceptLocally();
         }
     }
 
@@ -288,119 +301,122 @@
      * All others have kept it. This member comes last: while it hasn't, the view can't be in force, and an attempt that
      * fails binds nobody to it.
      */
-    private void keep() {
-        if (desk.view.ballot().equals(ballot)) {
+    private void acceptLocally() {
+        if (state.view.ballot().equals(ballot)) {
             return;
         }
-        if (!desk.accept(next, base)) {
-            members.drop("trim behind what is kept", desk.set.silentMs());
+        if (!state.acceptView(nextView, nextLog)) {
+            replica.abandonViewChange("trim behind what is kept", state.settings.electionTimeoutMs());
             return;
         }
-        members.accepted();
-        desk.writeAheadQueue.then(() -> {
-            if (members.changing() == this && desk.works(ballot)) {
-                installed(desk.me.life());
+        replica.onViewAccepted();
+        state.writeAheadQueue.onSynced(() -> {
+            if (replica.viewChange() == this && state.isOperationalIn(ballot)) {
+                onInstalled(state.self.incarnation());
             }
         });
     }
 
-    private void say() {
-        askedAt = desk.now;
-        for (Member member : next.members()) {
-            if (member.life() == desk.me.life() || installed.contains(member.life())) {
+    private void sendInstallRequests() {
+        sentAtMs = state.nowMs;
+        for (Member member : nextView.members()) {
+            if (member.incarnation() == state.self.incarnation() || installedBy.contains(member.incarnation())) {
                 continue;
             }
-            Frame.StopAnswer told = chosen.of(member.life());
-            Frame.JoinRequest knock = newcomers.get(member.life());
-            LogPatch patch = told != null
-                    ? base.since(told.end(), told.endView(), told.commit())
-                    : base.since(knock.end(), knock.endView(), knock.commit());
-            Frame frame = patch.isShort()
-                    ? new Frame.Install(next, patch)
-                    : new Frame.TransferOffer(next, base.end(), base.endView());
-            desk.out.send(member.address(), frame);
+            ReplicationMessage.PrepareResponse response = chosen.fromIncarnation(member.incarnation());
+            ReplicationMessage.JoinRequest joinRequest = newcomers.get(member.incarnation());
+            LogPatch patch = response != null
+                    ? nextLog.patchFor(response.lastIndex(), response.lastView(), response.commitIndex())
+                    : nextLog.patchFor(joinRequest.lastIndex(), joinRequest.lastView(), joinRequest.commitIndex());
+            ReplicationMessage frame = patch.fitsInline()
+                    ? new ReplicationMessage.InstallViewRequest(nextView, patch)
+                    : new ReplicationMessage.InstallViewOffer(nextView, nextLog.lastIndex(), nextLog.lastView());
+            state.actions.send(member.address(), frame);
         }
     }
 
     /** The log of the view of this name, which a member fetches in pieces; null if it isn't being installed. */
-    ReplicatedLog offered(Ballot view) {
+    ReplicatedLog logForTransfer(Ballot view) {
         if (phase != Phase.INSTALLING || !ballot.equals(view)) {
             return null;
         }
-        pulledAt = desk.now;
-        return base;
+        chunkServedAtMs = state.nowMs;
+        return nextLog;
     }
 
-    void installed(long life) {
-        if (phase != Phase.INSTALLING || !next.has(life) || !installed.add(life)) {
+    void onInstalled(long incarnation) {
+        if (phase != Phase.INSTALLING || !nextView.contains(incarnation) || !installedBy.add(incarnation)) {
             return;
         }
-        if (installed.size() == next.members().size() - 1 && !installed.contains(desk.me.life())) {
-            keep();
+        if (installedBy.size() == nextView.members().size() - 1 && !installedBy.contains(state.self.incarnation())) {
+            acceptLocally();
         }
-        if (installed.size() < next.members().size()) {
+        if (installedBy.size() < nextView.members().size()) {
             return;
         }
         List<String> out = new ArrayList<>();
-        for (Member member : asked.values()) {
-            if (next.at(member.address()) == null) {
+        for (Member member : contacted.values()) {
+            if (nextView.memberAt(member.address()) == null) {
                 out.add(member.address());
             }
         }
-        desk.out.tell("replication.installed", "ballot", ballot, "ms", desk.now - since);
-        members.lead(out);
+        state.actions.tell("replication.installed", "ballot", ballot, "ms", state.nowMs - startedAtMs);
+        replica.becomeLeader(out);
     }
 
-    void unfit(long life) {
-        if (phase == Phase.INSTALLING && next.has(life)) {
-            members.again(Set.of(life), "patch of " + Long.toHexString(life) + " doesn't fit");
+    void onPatchMismatch(long incarnation) {
+        if (phase == Phase.INSTALLING && nextView.contains(incarnation)) {
+            replica.restartViewChange(
+                    Set.of(incarnation), "patch of " + Long.toHexString(incarnation) + " doesn't fit");
         }
     }
 
     void tick() {
         switch (phase) {
-            case ASKING, PROMISING -> {
-                if (desk.now - askedAt >= AGAIN_MS) {
-                    stop();
+            case PREPARING, PROMISING -> {
+                if (state.nowMs - sentAtMs >= RETRY_INTERVAL_MS) {
+                    sendPrepareRequests();
                 }
-                if (phase == Phase.ASKING) {
-                    weigh();
+                if (phase == Phase.PREPARING) {
+                    maybePromise();
                 }
             }
             case FETCHING -> {
-                if (transfer.failed() || desk.now - phaseAt > FETCH_MS) {
-                    members.drop("log isn't fetched in time", desk.set.staggerMs());
+                if (transfer.failed() || state.nowMs - phaseSinceMs > FETCH_TIMEOUT_MS) {
+                    replica.abandonViewChange("log isn't fetched in time", state.settings.rankDelayMs());
                 } else {
                     transfer.tick();
                 }
             }
             default -> {
-                if (desk.now - phaseAt > desk.set.installMs() && (spared() || desk.now - pulledAt > PULLED_MS)) {
-                    members.again(absent(), "not kept by all in time");
-                } else if (desk.now - askedAt >= 2 * AGAIN_MS) {
-                    say();
+                if (state.nowMs - phaseSinceMs > state.settings.installTimeoutMs()
+                        && (canDoWithoutAbsent() || state.nowMs - chunkServedAtMs > CHUNK_SERVED_TIMEOUT_MS)) {
+                    replica.restartViewChange(absentMembers(), "not kept by all in time");
+                } else if (state.nowMs - sentAtMs >= 2 * RETRY_INTERVAL_MS) {
+                    sendInstallRequests();
                 }
             }
         }
     }
 
     /** Whether the view may do without those that haven't kept it. */
-    private boolean spared() {
-        Set<Long> absent = absent();
-        Set<Long> out = new HashSet<>(shunned);
+    private boolean canDoWithoutAbsent() {
+        Set<Long> absent = absentMembers();
+        Set<Long> out = new HashSet<>(excluded);
         out.addAll(absent);
-        return chosen.next(out, desk.set.tolerance()).stream().noneMatch(member -> absent.contains(member.life()));
+        return chosen.nextMembers(out, state.settings.tolerance()).stream()
+                .noneMatch(member -> absent.contains(member.incarnation()));
     }
 
     /** Others that haven't kept it; none when it is this member's own disk that is slow. */
-    private Set<Long> absent() {
+    private Set<Long> absentMembers() {
         Set<Long> absent = new HashSet<>();
-        for (Member member : next.members()) {
-            if (!installed.contains(member.life())) {
-                absent.add(member.life());
+        for (Member member : nextView.members()) {
+            if (!installedBy.contains(member.incarnation())) {
+                absent.add(member.incarnation());
             }
         }
-        absent.remove(desk.me.life());
+        absent.remove(state.self.incarnation());
         return absent;
     }
 }
--- a/src/main/java/brambletray/platform/replication/WriteAheadQueue.java
+++ b/src/main/java/brambletray/platform/replication/WriteAheadQueue.java
@@ -10,33 +10,33 @@
  * again after a failure. What is to be said once they are synced waits here.
  */
 final class WriteAheadQueue {
-    private static final int RETRY_MS = 250;
+    private static final int RETRY_INTERVAL_MS = 250;
 
-    private final ReplicationActions out;
-    private Map<String, byte[]> open = new LinkedHashMap<>();
-    private List<Runnable> then = new ArrayList<>();
-    private long openSince = -1;
-    private Map<String, byte[]> flying;
-    private List<Runnable> flyingThen;
-    private long flyingSince;
+    private final ReplicationActions actions;
+    private Map<String, byte[]> openBatch = new LinkedHashMap<>();
+    private List<Runnable> openCallbacks = new ArrayList<>();
+    private long openSinceMs = -1;
+    private Map<String, byte[]> inFlightBatch;
+    private List<Runnable> inFlightCallbacks;
+    private long inFlightSinceMs;
     private long ticket;
-    private boolean failed;
-    private long retryAt;
-    private long size;
-    private long flyingSize;
+    private boolean lastWriteFailed;
+    private long retryAtMs;
+    private long openBytes;
+    private long inFlightBytes;
 
     WriteAheadQueue(ReplicationActions out) {
-        this.out = out;
+        this.actions = out;
     }
 
     /** Changes to keep with the next batch; a null value removes. */
     void put(String key, byte[] value, long now) {
-        if (openSince < 0) {
-            openSince = now;
+        if (openSinceMs < 0) {
+            openSinceMs = now;
         }
-        open.put(key, value);
+        openBatch.put(key, value);
         if (value != null) {
-            size += value.length;
+            openBytes += value.length;
         }
     }
 
@@ -45,77 +45,77 @@
     }
 
     /** Runs once all that was put so far is synced. */
-    void then(Runnable run) {
-        then.add(run);
+    void onSynced(Runnable run) {
+        openCallbacks.add(run);
     }
 
     /** Hands over the next batch if none is out. */
     void flush(long now) {
-        if (flying != null || (failed && now < retryAt)) {
+        if (inFlightBatch != null || (lastWriteFailed && now < retryAtMs)) {
             return;
         }
-        while (open.isEmpty()) {
-            List<Runnable> runs = then;
+        while (openBatch.isEmpty()) {
+            List<Runnable> runs = openCallbacks;
             if (runs.isEmpty()) {
                 return;
             }
-            then = new ArrayList<>();
+            openCallbacks = new ArrayList<>();
             runs.forEach(Runnable::run);
         }
-        flying = open;
-        flyingThen = then;
-        flyingSince = openSince;
-        open = new LinkedHashMap<>();
-        then = new ArrayList<>();
-        openSince = -1;
-        flyingSize = size;
-        size = 0;
-        out.persist(++ticket, flying);
+        inFlightBatch = openBatch;
+        inFlightCallbacks = openCallbacks;
+        inFlightSinceMs = openSinceMs;
+        openBatch = new LinkedHashMap<>();
+        openCallbacks = new ArrayList<>();
+        openSinceMs = -1;
+        inFlightBytes = openBytes;
+        openBytes = 0;
+        actions.persist(++ticket, inFlightBatch);
     }
 
     void synced(long which) {
-        if (flying == null || which != ticket) {
+        if (inFlightBatch == null || which != ticket) {
             return;
         }
-        List<Runnable> runs = flyingThen;
-        flying = null;
-        flyingThen = null;
-        failed = false;
+        List<Runnable> runs = inFlightCallbacks;
+        inFlightBatch = null;
+        inFlightCallbacks = null;
+        lastWriteFailed = false;
         runs.forEach(Runnable::run);
     }
 
     /** The batch goes in front of what came after it, and is tried again after a pause. */
     void failed(long which, long now) {
-        if (flying == null || which != ticket) {
+        if (inFlightBatch == null || which != ticket) {
             return;
         }
-        flying.putAll(open);
-        flyingThen.addAll(then);
-        open = flying;
-        then = flyingThen;
-        openSince = flyingSince;
-        size += flyingSize;
-        flying = null;
-        flyingThen = null;
-        failed = true;
-        retryAt = now + RETRY_MS;
+        inFlightBatch.putAll(openBatch);
+        inFlightCallbacks.addAll(openCallbacks);
+        openBatch = inFlightBatch;
+        openCallbacks = inFlightCallbacks;
+        openSinceMs = inFlightSinceMs;
+        openBytes += inFlightBytes;
+        inFlightBatch = null;
+        inFlightCallbacks = null;
+        lastWriteFailed = true;
+        retryAtMs = now + RETRY_INTERVAL_MS;
     }
 
     /** Whether the last try failed. */
-    boolean failing() {
-        return failed;
+    boolean isFailing() {
+        return lastWriteFailed;
     }
 
     /** Milliseconds that the oldest write has been waiting; 0 when none is. */
-    long age(long now) {
-        if (flying != null) {
-            return now - flyingSince;
+    long oldestWriteAgeMs(long now) {
+        if (inFlightBatch != null) {
+            return now - inFlightSinceMs;
         }
-        return openSince < 0 ? 0 : now - openSince;
+        return openSinceMs < 0 ? 0 : now - openSinceMs;
     }
 
     /** Whether more than this many bytes wait for the batch that is out. */
-    boolean crowded(long most) {
-        return size > most;
+    boolean hasOpenBytesAbove(long most) {
+        return openBytes > most;
     }
 }
--- a/src/main/java/brambletray/platform/replication/package-info.java
+++ b/src/main/java/brambletray/platform/replication/package-info.java
@@ -20,7 +20,7 @@
  * {@link brambletray.platform.replication.Quorum} of {@code top}, and, unless somebody knows that {@code top} is in
  * force, of each
  * view that it came from, back to the last that is known to be in force (a view carries these with it:
- * {@link brambletray.platform.replication.View#past}). Of those whose last view is {@code top}, the longest log is
+ * {@link brambletray.platform.replication.View#predecessors}). Of those whose last view is {@code top}, the longest log is
  * taken, fetched
  * if it is another's. The new view's members are those that answered (the ill left out while the rest is enough by the
  * same rule) and newcomers that have the state.
@@ -68,7 +68,7 @@
  * process that dies on the way leaves nothing behind.
  *
  * <h2>State transfer</h2>
- * What doesn't fit in {@link brambletray.platform.replication.LogPatch#SHORT} never rides on a change of view. Who
+ * What doesn't fit in {@link brambletray.platform.replication.LogPatch#MAX_INLINE_BYTES} never rides on a change of view. Who
  * isn't in is a
  * learner: it pulls a cut from the leader in pieces, the state as it is where that is less than the snapshot and the
  * entries behind it, and is let in once it lacks little; that is judged when it knocks, before a change begins for it,
--- a/src/test/java/brambletray/platform/controlplane/EdgeGreeterTest.java
+++ b/src/test/java/brambletray/platform/controlplane/EdgeGreeterTest.java
@@ -31,7 +31,7 @@
 
     @Test
     void whoIsCutOffNamesNoOther() {
-        for (ReplicaRole standing : List.of(ReplicaRole.STOPPED, ReplicaRole.KNOCKING)) {
+        for (ReplicaRole standing : List.of(ReplicaRole.SUSPENDED, ReplicaRole.JOINING)) {
             assertEquals(
                     new EdgeWelcome("", 0, false, 7, List.of("a", "b"), 60, 3),
                     welcome(standing, true, new LeaseHolder(70, OTHER), 0));
@@ -45,7 +45,8 @@
                 welcome(ReplicaRole.MEMBER, true, new LeaseHolder(70, ME), 70).helmAddress());
         assertEquals(
                 "a",
-                welcome(ReplicaRole.STOPPED, true, new LeaseHolder(70, ME), 70).helmAddress());
+                welcome(ReplicaRole.SUSPENDED, true, new LeaseHolder(70, ME), 70)
+                        .helmAddress());
         assertEquals(
                 "",
                 welcome(ReplicaRole.MEMBER, true, new LeaseHolder(70, ME), 0).helmAddress());
@@ -58,6 +59,7 @@
     void nobodyIsNamedWhereNobodyIsKnownAndNoMembersOfAViewThatMayNotBeInForce() {
         assertEquals(
                 new EdgeWelcome("", 0, true, 7, List.of("a", "b"), 60, 3), welcome(ReplicaRole.MEMBER, true, null, 0));
-        assertEquals(new EdgeWelcome("", 0, false, 0, List.of(), 60, 3), welcome(ReplicaRole.STOPPED, false, null, 0));
+        assertEquals(
+                new EdgeWelcome("", 0, false, 0, List.of(), 60, 3), welcome(ReplicaRole.SUSPENDED, false, null, 0));
     }
 }
--- a/src/test/java/brambletray/platform/controlplane/MemberOrdersTest.java
+++ b/src/test/java/brambletray/platform/controlplane/MemberOrdersTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brambletray.platform.replication.Declaration;
+import brambletray.platform.replication.MemberRemovalOutcome;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -18,7 +18,7 @@
 
     private final Dispatch<ControlPlaneServer.Desk> table = new Dispatch<>();
     private final List<String> ordered = new ArrayList<>();
-    private Consumer<Declaration> then;
+    private Consumer<MemberRemovalOutcome> then;
     private Integer status;
     private String body;
 
@@ -58,21 +58,21 @@
         post("fedcba9876543210\n");
         assertEquals(List.of("10.0.0.2:90 fedcba9876543210"), ordered);
         assertNull(status);
-        then.accept(Declaration.DECLARED);
+        then.accept(MemberRemovalOutcome.REMOVED);
         assertEquals(200, status);
         assertEquals("{\"address\":\"10.0.0.2:90\",\"life\":\"fedcba9876543210\",\"declared-dead\":true}", body);
     }
 
     @Test
     void eachRefusalSaysWhy() {
-        Map<Declaration, String> refusals = Map.of(
-                Declaration.NO_MEMBER, "404 controlplane.no-member",
-                Declaration.NOT_NEEDED, "409 controlplane.not-needed",
-                Declaration.HEARD, "409 controlplane.heard",
-                Declaration.TOO_MANY, "409 controlplane.too-many",
-                Declaration.BUSY, "503 controlplane.busy");
-        for (Declaration result : Declaration.values()) {
-            if (result == Declaration.DECLARED) {
+        Map<MemberRemovalOutcome, String> refusals = Map.of(
+                MemberRemovalOutcome.UNKNOWN_MEMBER, "404 controlplane.no-member",
+                MemberRemovalOutcome.VIEW_IS_HEALTHY, "409 controlplane.not-needed",
+                MemberRemovalOutcome.RECENTLY_HEARD, "409 controlplane.heard",
+                MemberRemovalOutcome.MAJORITY_WOULD_BE_LOST, "409 controlplane.too-many",
+                MemberRemovalOutcome.ANOTHER_PENDING, "503 controlplane.busy");
+        for (MemberRemovalOutcome result : MemberRemovalOutcome.values()) {
+            if (result == MemberRemovalOutcome.REMOVED) {
                 continue;
             }
             post("a2");
--- a/src/test/java/brambletray/platform/controlplane/OperatorCallsTest.java
+++ b/src/test/java/brambletray/platform/controlplane/OperatorCallsTest.java
@@ -123,7 +123,7 @@
 
     /** The oldest proposal is kept: delivered, and its outcome said. */
     private void keep() {
-        operators.deliver(++index, order.changes.remove());
+        operators.apply(++index, order.changes.remove());
         operators.outcome(order.tokens.remove(), ProposalOutcome.COMMITTED);
     }
 
@@ -180,7 +180,7 @@
         begin();
         byte[] adds = elsewhere(operators.snapshot(), "replace", 5, whole(8, "a", "b"));
         Reply ahead = modify(8, move(9, "b"));
-        operators.deliver(++index, adds);
+        operators.apply(++index, adds);
         confirm(true);
         assertNull(ahead.status, "refused by what was known before the round");
         keep();
@@ -194,9 +194,9 @@
         begin();
         byte[] before = operators.snapshot();
         byte[] adds = elsewhere(before, "replace", 5, whole(8, "a", "b"));
-        operators.deliver(++index, adds);
+        operators.apply(++index, adds);
         byte[] moves = elsewhere(operators.snapshot(), "modify", 8, move(9, "b"));
-        operators.deliver(++index, moves);
+        operators.apply(++index, moves);
         byte[] after = operators.snapshot();
         OperatorCalls other = new OperatorCalls(new Scripted(), () -> {});
         assertArrayEquals(after, other.replay(before, List.of(adds, moves)));
@@ -208,8 +208,8 @@
         begin();
         OperatorCalls newer = new OperatorCalls(new Scripted(), () -> {});
         newer.restore(operators.snapshot());
-        newer.deliver(2, elsewhere(operators.snapshot(), "replace", 5, whole(8, "a", "b")));
-        newer.deliver(3, elsewhere(newer.snapshot(), "modify", 8, move(9, "b")));
+        newer.apply(2, elsewhere(operators.snapshot(), "replace", 5, whole(8, "a", "b")));
+        newer.apply(3, elsewhere(newer.snapshot(), "modify", 8, move(9, "b")));
         Reply again = modify(8, move(9, "b"));
         operators.restore(newer.snapshot());
         confirm(true);
@@ -235,20 +235,20 @@
         begin();
         byte[] other = elsewhere(operators.snapshot(), "modify", 5, move(8, "a"));
         Reply mine = modify(5, move(7, "a"));
-        operators.deliver(++index, order.changes.remove());
-        operators.deliver(++index, other);
+        operators.apply(++index, order.changes.remove());
+        operators.apply(++index, other);
         operators.outcome(order.tokens.remove(), ProposalOutcome.COMMITTED);
         assertEquals(200, mine.status, "it is in force, what came after it lost: " + mine.body);
 
         byte[] first = elsewhere(operators.snapshot(), "modify", 7, move(10, "a"));
         OperatorCalls ahead = new OperatorCalls(new Scripted(), () -> {});
         ahead.restore(operators.snapshot());
-        ahead.deliver(9, first);
+        ahead.apply(9, first);
         byte[] second = elsewhere(ahead.snapshot(), "modify", 10, move(12, "a"));
         Reply loser = modify(7, move(9, "a"));
-        operators.deliver(++index, first);
-        operators.deliver(++index, order.changes.remove());
-        operators.deliver(++index, second);
+        operators.apply(++index, first);
+        operators.apply(++index, order.changes.remove());
+        operators.apply(++index, second);
         operators.outcome(order.tokens.remove(), ProposalOutcome.COMMITTED);
         assertEquals(412, loser.status, "confirmed though it lost its race");
         assertEquals(12, operators.stateMachine().configuration().revision());
@@ -258,11 +258,11 @@
     void takenThoughTheOutcomeIsUnclear() {
         begin();
         Reply reply = modify(5, move(7, "a"));
-        operators.deliver(++index, order.changes.remove());
-        operators.outcome(order.tokens.remove(), ProposalOutcome.UNCLEAR);
+        operators.apply(++index, order.changes.remove());
+        operators.outcome(order.tokens.remove(), ProposalOutcome.UNKNOWN);
         assertEquals(200, reply.status, "the state has it, so it is kept");
         Reply open = modify(7, move(9, "a"));
-        operators.outcome(order.tokens.remove(), ProposalOutcome.UNCLEAR);
+        operators.outcome(order.tokens.remove(), ProposalOutcome.UNKNOWN);
         assertEquals(503, open.status);
     }
 
@@ -277,7 +277,7 @@
         assertEquals(200, replace(0, whole(5, "a")).status, "not behind the one under way");
         order.leader = OTHER;
         assertEquals(200, replace(0, whole(5, "a")).status, "a member that follows has it too");
-        order.standing = ReplicaRole.STOPPED;
+        order.standing = ReplicaRole.SUSPENDED;
         assertEquals(200, replace(0, whole(5, "a")).status, "and one that is cut off");
         assertNull(open.status);
         assertEquals(1, order.tokens.size());
@@ -308,7 +308,7 @@
     @Test
     void callsWaitForALeaderButNotForLong() {
         begin();
-        order.standing = ReplicaRole.STOPPED;
+        order.standing = ReplicaRole.SUSPENDED;
         operators.tick(2_000);
         Reply first = modify(5, move(7, "a"));
         Reply refusal = modify(3, move(7, "a"));
@@ -323,7 +323,7 @@
         confirm(true);
         assertEquals(412, refusal.status);
 
-        order.standing = ReplicaRole.STOPPED;
+        order.standing = ReplicaRole.SUSPENDED;
         operators.tick(10_000);
         Reply second = modify(7, move(9, "a"));
         operators.tick(10_900);
@@ -343,7 +343,7 @@
         Reply read = show();
         operators.tick(1_900);
         assertNull(open.status, "a leader in touch holds it longer");
-        order.standing = ReplicaRole.STOPPED;
+        order.standing = ReplicaRole.SUSPENDED;
         operators.tick(1_950);
         assertEquals(503, open.status);
         assertEquals(503, refusal.status);
@@ -366,7 +366,7 @@
         Reply sent = modify(5, move(7, "a"));
         assertEquals(307, sent.status);
         assertEquals("http://10.0.0.2:90/brambletray/configuration/modify", sent.headers.get("Location"));
-        order.standing = ReplicaRole.STOPPED;
+        order.standing = ReplicaRole.SUSPENDED;
         operators.tick(2_000);
         Reply held = modify(5, move(7, "a"));
         assertNull(held.status, "a circle: the other may be naming this one");
@@ -425,13 +425,13 @@
         Reply show = call("GET", "show", null, new byte[0]);
         Reply stale = replace(3, whole(9, "a"));
         assertFalse(operators.idle());
-        order.standing = ReplicaRole.STOPPED;
+        order.standing = ReplicaRole.SUSPENDED;
         Reply late = modify(5, move(11, "a"));
         assertNull(late.status, "held while nobody is known to lead");
-        order.standing = ReplicaRole.KNOCKING;
+        order.standing = ReplicaRole.JOINING;
         order.successor = "10.0.0.2:90";
         operators.changed();
-        operators.outcome(order.tokens.remove(), ProposalOutcome.REFUSED);
+        operators.outcome(order.tokens.remove(), ProposalOutcome.REJECTED);
         while (!order.confirms.isEmpty()) {
             confirm(false);
         }
--- a/src/test/java/brambletray/platform/controlplane/OperatorViewsTest.java
+++ b/src/test/java/brambletray/platform/controlplane/OperatorViewsTest.java
@@ -33,7 +33,7 @@
         @Override
         public ReplicaStatus status() {
             return new ReplicaStatus(
-                    ReplicaRole.STOPPED, ONE, 7, 6, List.of(TWO, ONE), TWO, false, true, false, 12, 11, true);
+                    ReplicaRole.SUSPENDED, ONE, 7, 6, List.of(TWO, ONE), TWO, false, true, false, 12, 11, true);
         }
 
         @Override
--- a/src/test/java/brambletray/platform/controlplane/OrdersModel.java
+++ b/src/test/java/brambletray/platform/controlplane/OrdersModel.java
@@ -77,7 +77,7 @@
 
         private void deliver(int upTo) {
             while (delivered < Math.min(upTo, order.size())) {
-                operators.deliver(delivered + 1, order.get(delivered++));
+                operators.apply(delivered + 1, order.get(delivered++));
             }
             if (random.nextInt(40) == 0) {
                 disk = operators.snapshot();
@@ -292,7 +292,7 @@
         // one that is cut off finds out in its own time
         for (Machine machine : machines) {
             if (machine.cut && chance(300)) {
-                machine.standing = ReplicaRole.STOPPED;
+                machine.standing = ReplicaRole.SUSPENDED;
             }
         }
     }
@@ -308,13 +308,13 @@
     private void heal(Machine one) {
         if (one.cut) {
             one.cut = false;
-            one.standing = ReplicaRole.STOPPED;
+            one.standing = ReplicaRole.SUSPENDED;
         }
     }
 
     private void restart(Machine one) {
         one.begin();
-        one.standing = ReplicaRole.STOPPED;
+        one.standing = ReplicaRole.SUSPENDED;
         if (one == leader) {
             leader = null;
             electAt = now + 300 + random.nextInt(1_200);
@@ -332,7 +332,7 @@
         for (Pending item : List.copyOf(pending)) {
             if (item.from == one && item.boot == one.boot && !item.ended) {
                 item.ended = true;
-                one.operators.outcome(item.token, ProposalOutcome.UNCLEAR);
+                one.operators.outcome(item.token, ProposalOutcome.UNKNOWN);
             }
         }
     }
@@ -389,7 +389,7 @@
             } else if (lives && !item.ended && now - item.since > PROPOSE_MS) {
                 item.ended = true;
                 item.gone = item.place < 0 && chance(2);
-                item.from.operators.outcome(item.token, item.gone ? ProposalOutcome.REFUSED : ProposalOutcome.UNCLEAR);
+                item.from.operators.outcome(item.token, item.gone ? ProposalOutcome.REJECTED : ProposalOutcome.UNKNOWN);
             }
         }
         pending.removeIf(item -> now - item.since > 2 * PROPOSE_MS);
--- a/src/test/java/brambletray/platform/controlplane/PeerLinksTest.java
+++ b/src/test/java/brambletray/platform/controlplane/PeerLinksTest.java
@@ -7,8 +7,8 @@
 import brambletray.platform.distribution.LinkIntroduction;
 import brambletray.platform.distribution.RosterRequest;
 import brambletray.platform.replication.Ballot;
-import brambletray.platform.replication.CutDigest;
-import brambletray.platform.replication.Frame;
+import brambletray.platform.replication.ReplicationMessage;
+import brambletray.platform.replication.TransferDescriptor;
 import brambletray.platform.settings.Address;
 import brambletray.platform.transport.FrameCodec;
 import brambletray.platform.transport.Link;
@@ -30,7 +30,7 @@
 class PeerLinksTest {
     private static final int PORT = 7_400;
 
-    private static final CutDigest NOTHING_BEFORE = new CutDigest(0, false, 0, 0, 0);
+    private static final TransferDescriptor NOTHING_BEFORE = new TransferDescriptor(0, false, 0, 0, 0);
 
     private final Simulation simulation = new Simulation(7, 0);
     private final List<String> heard = new ArrayList<>();
@@ -148,20 +148,22 @@
         List<Integer> offsets = new ArrayList<>();
         PeerLinks giver = member("10.0.0.1");
         member("10.0.0.2", (from, frame) -> {
-            if (frame instanceof Frame.Piece piece) {
+            if (frame instanceof ReplicationMessage.FetchChunkResponse piece) {
                 offsets.add(piece.offset());
-            } else if (frame instanceof Frame.Heartbeat beat) {
-                beatAt.put(beat.seq(), TimeUnit.NANOSECONDS.toMillis(simulation.now()));
+            } else if (frame instanceof ReplicationMessage.HeartbeatRequest beat) {
+                beatAt.put(beat.sequence(), TimeUnit.NANOSECONDS.toMillis(simulation.now()));
             }
         });
         giver.say("10.0.0.2:90", new RosterRequest(1, 1));
         simulation.runUntil(ms(500));
         for (int i = 0; i < pieces; i++) {
-            giver.say("10.0.0.2:90", new Frame.Piece(1, i, pieces, new byte[pieceBytes], NOTHING_BEFORE));
+            giver.say(
+                    "10.0.0.2:90",
+                    new ReplicationMessage.FetchChunkResponse(1, i, pieces, new byte[pieceBytes], NOTHING_BEFORE));
         }
         for (long seq = 1; seq <= 10; seq++) {
             simulation.runUntil(ms(500 + 100 * seq));
-            giver.say("10.0.0.2:90", new Frame.Heartbeat(Ballot.NONE, seq, 0, 0, true, false));
+            giver.say("10.0.0.2:90", new ReplicationMessage.HeartbeatRequest(Ballot.NONE, seq, 0, 0, true, false));
         }
         simulation.runUntil(ms(3_000));
         assertEquals(10, beatAt.size(), beatAt::toString);
--- a/src/test/java/brambletray/platform/election/ElectionNode.java
+++ b/src/test/java/brambletray/platform/election/ElectionNode.java
@@ -22,9 +22,9 @@
         this.witness = witness;
         election = new LeaseElection(
                 "helm",
-                node.members.status().me(),
+                node.members.status().self(),
                 node.disk.kept.get(LeaseElection.key("helm")),
-                LeaseTimings.usual(),
+                LeaseTimings.defaults(),
                 this,
                 now());
     }
@@ -35,7 +35,7 @@
 
     @Override
     public void tick() {
-        election.view(node.members.status(), now());
+        election.updateView(node.members.status(), now());
         election.tick(now());
         act();
     }
@@ -52,8 +52,8 @@
 
     @Override
     public void heard(String from, Object frame) {
-        election.view(node.members.status(), now());
-        election.heard(from, frame, now());
+        election.updateView(node.members.status(), now());
+        election.receive(from, frame, now());
         act();
     }
 
@@ -68,7 +68,7 @@
     }
 
     @Override
-    public void send(String address, ElectionMessages frame) {
+    public void send(String address, ElectionMessage frame) {
         node.world.send(node, address, frame);
     }
 
--- a/src/test/java/brambletray/platform/election/ElectionRandomFaultsTest.java
+++ b/src/test/java/brambletray/platform/election/ElectionRandomFaultsTest.java
@@ -53,8 +53,8 @@
         weather.world().riders = node -> new ElectionNode(node, witness);
         weather.prank = node -> {
             ElectionNode ride = (ElectionNode) node.rider;
-            ride.election.yield(node.world.now);
-            ride.election.willing(true);
+            ride.election.handOver(node.world.now);
+            ride.election.setWantsLease(true);
         };
         try {
             weather.play();
--- a/src/test/java/brambletray/platform/election/ElectionSteps.java
+++ b/src/test/java/brambletray/platform/election/ElectionSteps.java
@@ -60,8 +60,8 @@
                 acted.put(node.address, term >= fence);
                 fence = Math.max(fence, term);
             }
-            case "doubt" -> ride(node).election.doubt(ride(node).term + 1, core.world.now);
-            case "yield" -> ride(node).election.yield(core.world.now);
+            case "doubt" -> ride(node).election.revalidate(ride(node).term + 1, core.world.now);
+            case "yield" -> ride(node).election.handOver(core.world.now);
             default -> {
                 return false;
             }
--- a/src/test/java/brambletray/platform/election/ResumptionTest.java
+++ b/src/test/java/brambletray/platform/election/ResumptionTest.java
@@ -43,7 +43,7 @@
     private long now = 10_000;
 
     private static ViewMembership roll(long number, Member... members) {
-        return new ViewMembership(new Ballot(number, members[0].life()), List.of(members));
+        return new ViewMembership(new Ballot(number, members[0].incarnation()), List.of(members));
     }
 
     /** What the disk has of a term that was granted to this life and renewed in view 5. */
@@ -51,24 +51,24 @@
         return ByteBuffer.allocate(25)
                 .put((byte) 2)
                 .putLong(HELD)
-                .putLong(holder.life())
+                .putLong(holder.incarnation())
                 .putLong(5)
                 .array();
     }
 
-    private void start(Member me, byte[] disk) {
+    private void start(Member self, byte[] disk) {
         LeaseElection[] made = new LeaseElection[1];
         made[0] = new LeaseElection(
                 "helm",
-                me,
+                self,
                 disk,
-                LeaseTimings.usual(),
+                LeaseTimings.defaults(),
                 new ElectionActions() {
                     @Override
-                    public void send(String address, ElectionMessages frame) {
+                    public void send(String address, ElectionMessage frame) {
                         mail.add(() -> vows.forEach((to, election) -> {
                             if (to.address().equals(address)) {
-                                election.heard(me.address(), frame, now);
+                                election.receive(self.address(), frame, now);
                             }
                         }));
                     }
@@ -88,37 +88,37 @@
                     public void tell(String event, Object... facts) {}
                 },
                 now);
-        vows.put(me, made[0]);
+        vows.put(self, made[0]);
     }
 
-    private void view(Member me, ViewMembership view, ViewMembership... lineage) {
+    private void view(Member self, ViewMembership view, ViewMembership... lineage) {
         long before =
                 lineage.length == 0 ? -1 : lineage[lineage.length - 1].ballot().number();
         List<Member> members = view.members();
         seats.put(
-                me,
+                self,
                 new ReplicaStatus(
                         ReplicaRole.MEMBER,
-                        me,
+                        self,
                         view.ballot().number(),
                         before,
                         members,
                         members.get(0),
-                        members.get(0).equals(me),
+                        members.get(0).equals(self),
                         true,
                         true,
                         0,
                         0,
                         false,
                         List.of(lineage)));
-        vows.get(me).view(seats.get(me), now);
+        vows.get(self).updateView(seats.get(self), now);
     }
 
     private void run(long ms) {
         for (long until = now + ms; now < until; now += TICK_MS) {
-            vows.forEach((me, election) -> {
-                if (seats.containsKey(me)) {
-                    election.view(seats.get(me), now);
+            vows.forEach((self, election) -> {
+                if (seats.containsKey(self)) {
+                    election.updateView(seats.get(self), now);
                 }
                 election.tick(now);
             });
@@ -128,8 +128,8 @@
         }
     }
 
-    private boolean holds(Member me) {
-        return vows.get(me).mayAct(now);
+    private boolean holds(Member self) {
+        return vows.get(self).mayAct(now);
     }
 
     private void startAll() {
--- a/src/test/java/brambletray/platform/replication/CatchUpTest.java
+++ b/src/test/java/brambletray/platform/replication/CatchUpTest.java
@@ -85,8 +85,8 @@
     }
 
     private static boolean back(SimWorld world, SimNode away) {
-        if (away.members.status().standing() != ReplicaRole.MEMBER
-                || !away.members.status().inForce()) {
+        if (away.members.status().role() != ReplicaRole.MEMBER
+                || !away.members.status().active()) {
             return false;
         }
         return away.state.containsAll(world.oracle.acknowledged);
--- a/src/test/java/brambletray/platform/replication/Core.java
+++ b/src/test/java/brambletray/platform/replication/Core.java
@@ -13,7 +13,7 @@
 
     /** The same; {@code a/z} stands in zone z. */
     Core(List<String> names, FaultTolerance tolerance) {
-        world = new SimWorld(1, ReplicationSettings.usual(tolerance, 5000));
+        world = new SimWorld(1, ReplicationSettings.defaults(tolerance, 5000));
         world.jitter = false;
         List<String> seeds = names.subList(0, Math.min(3, names.size())).stream()
                 .map(Core::address)
@@ -42,7 +42,7 @@
                     return leader != null
                             && leader.members.status().members().size() == world.nodes.size()
                             && world.nodes.values().stream()
-                                    .allMatch(node -> node.members.status().standing() == ReplicaRole.MEMBER);
+                                    .allMatch(node -> node.members.status().role() == ReplicaRole.MEMBER);
                 },
                 5000,
                 "founding");
--- a/src/test/java/brambletray/platform/replication/DeathOrdersTest.java
+++ b/src/test/java/brambletray/platform/replication/DeathOrdersTest.java
@@ -14,7 +14,7 @@
  */
 class DeathOrdersTest {
     private SimWorld world;
-    private Declaration result;
+    private MemberRemovalOutcome result;
 
     private void core(String... names) {
         Core core = new Core(List.of(names));
@@ -27,16 +27,16 @@
     }
 
     private long life(String name) {
-        return node(name).members.status().me().life();
+        return node(name).members.status().self().incarnation();
     }
 
-    private void order(String at, String address, long life) {
+    private void order(String at, String address, long incarnation) {
         result = null;
-        node(at).members.declareDead(address, life, world.now, told -> result = told);
+        node(at).members.removeMember(address, incarnation, world.now, response -> result = response);
     }
 
-    private Declaration declared(String at, String address, long life) {
-        order(at, address, life);
+    private MemberRemovalOutcome declared(String at, String address, long incarnation) {
+        order(at, address, incarnation);
         world.await(() -> result != null, 4_000, "an answer to the order");
         return result;
     }
@@ -44,7 +44,7 @@
     private boolean in(String name) {
         SimNode leader = world.leader();
         return leader != null
-                && leader.members.status().inForce()
+                && leader.members.status().active()
                 && leader.members.status().members().stream()
                         .anyMatch(member -> member.name().equals(name));
     }
@@ -75,9 +75,9 @@
         node("c").start();
         world.until(world.now + 20_000);
         assertFalse(in("c"), "let in without the other of two");
-        assertEquals(ReplicaRole.STOPPED, node("a").members.status().standing());
+        assertEquals(ReplicaRole.SUSPENDED, node("a").members.status().role());
 
-        assertEquals(Declaration.DECLARED, declared("a", "b", gone));
+        assertEquals(MemberRemovalOutcome.REMOVED, declared("a", "b", gone));
         world.await(() -> in("c") && !in("b"), 3_000, "the view of a and c");
         long after = world.oracle.propose(node("a"));
         world.await(() -> world.oracle.acknowledged.contains("c" + after), 3_000, "a change without b");
@@ -86,7 +86,7 @@
         node("b").start();
         for (int i = 0; i < 500; i++) {
             world.until(world.now + 10);
-            assertFalse(node("b").members.status().leading());
+            assertFalse(node("b").members.status().isLeader());
             assertFalse(in("b"), "who was declared dead is let in with its disk");
         }
         node("b").kill(true);
@@ -102,10 +102,10 @@
         core("a", "b");
         long gone = life("b");
         node("b").kill(true);
-        world.until(world.now + DeathOrders.SILENT_MS - 1_000);
-        assertEquals(Declaration.HEARD, declared("a", "b", gone));
+        world.until(world.now + MemberRemovalOrders.MIN_SILENCE_MS - 1_000);
+        assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, declared("a", "b", gone));
         world.until(world.now + 2_000);
-        assertEquals(Declaration.DECLARED, declared("a", "b", gone));
+        assertEquals(MemberRemovalOutcome.REMOVED, declared("a", "b", gone));
     }
 
     /** A process that has just started can't say how long the other has been silent. */
@@ -114,11 +114,11 @@
         core("a", "b");
         long gone = life("b");
         node("b").kill(true);
-        world.until(world.now + 2 * DeathOrders.SILENT_MS);
+        world.until(world.now + 2 * MemberRemovalOrders.MIN_SILENCE_MS);
         node("a").kill(false);
         node("a").start();
         world.until(world.now + 1_000);
-        assertEquals(Declaration.HEARD, declared("a", "b", gone));
+        assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, declared("a", "b", gone));
     }
 
     /** The partition heals while the order is looked into. */
@@ -126,13 +126,13 @@
     void whoAnswersTheQuestionIsNotDeclaredDead() {
         core("a", "b");
         world.cut("a", "b", true);
-        world.until(world.now + DeathOrders.SILENT_MS + 1_000);
+        world.until(world.now + MemberRemovalOrders.MIN_SILENCE_MS + 1_000);
         order("a", "b", life("b"));
-        world.until(world.now + DeathOrders.ANSWER_MS / 2);
+        world.until(world.now + MemberRemovalOrders.IDENTITY_TIMEOUT_MS / 2);
         assertNull(result);
         world.cut("a", "b", false);
         world.await(() -> result != null, 4_000, "an answer to the order");
-        assertEquals(Declaration.HEARD, result);
+        assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, result);
         world.await(() -> in("a") && in("b"), 4_000, "both go on");
     }
 
@@ -141,9 +141,9 @@
         core("a", "b", "c");
         long gone = life("c");
         node("c").kill(true);
-        world.until(world.now + DeathOrders.SILENT_MS + 1_000);
-        assertEquals(Declaration.NO_MEMBER, declared("a", "c", gone), "left out long ago");
-        assertEquals(Declaration.NOT_NEEDED, declared("a", "b", life("b")));
+        world.until(world.now + MemberRemovalOrders.MIN_SILENCE_MS + 1_000);
+        assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, declared("a", "c", gone), "left out long ago");
+        assertEquals(MemberRemovalOutcome.VIEW_IS_HEALTHY, declared("a", "b", life("b")));
     }
 
     @Test
@@ -151,10 +151,10 @@
         core("a", "b");
         long gone = life("b");
         node("b").kill(true);
-        world.until(world.now + DeathOrders.SILENT_MS + 1_000);
-        assertEquals(Declaration.NO_MEMBER, declared("a", "b", gone + 1));
-        assertEquals(Declaration.NO_MEMBER, declared("a", "x", gone));
-        assertEquals(Declaration.NO_MEMBER, declared("a", "a", life("a")));
+        world.until(world.now + MemberRemovalOrders.MIN_SILENCE_MS + 1_000);
+        assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, declared("a", "b", gone + 1));
+        assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, declared("a", "x", gone));
+        assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, declared("a", "a", life("a")));
     }
 
     /**
@@ -168,11 +168,11 @@
         long second = life("c");
         node("b").kill(true);
         node("c").kill(true);
-        world.until(world.now + DeathOrders.SILENT_MS + 1_000);
-        assertEquals(Declaration.DECLARED, declared("a", "b", first));
-        assertEquals(Declaration.TOO_MANY, declared("a", "c", second));
+        world.until(world.now + MemberRemovalOrders.MIN_SILENCE_MS + 1_000);
+        assertEquals(MemberRemovalOutcome.REMOVED, declared("a", "b", first));
+        assertEquals(MemberRemovalOutcome.MAJORITY_WOULD_BE_LOST, declared("a", "c", second));
         world.until(world.now + 3_000);
-        assertTrue(node("a").members.status().standing() != ReplicaRole.MEMBER);
+        assertTrue(node("a").members.status().role() != ReplicaRole.MEMBER);
     }
 
     /** A declaration outlasts a kill right after it: it is on the disk before it counts. */
@@ -182,8 +182,8 @@
         world.node("c", List.of("a", "b"));
         long gone = life("b");
         node("b").kill(true);
-        world.until(world.now + DeathOrders.SILENT_MS + 1_000);
-        assertEquals(Declaration.DECLARED, declared("a", "b", gone));
+        world.until(world.now + MemberRemovalOrders.MIN_SILENCE_MS + 1_000);
+        assertEquals(MemberRemovalOutcome.REMOVED, declared("a", "b", gone));
         node("a").kill(true);
         node("a").start();
         node("c").start();
--- a/src/test/java/brambletray/platform/replication/DiskPositionsTest.java
+++ b/src/test/java/brambletray/platform/replication/DiskPositionsTest.java
@@ -123,7 +123,7 @@
     private static void change(SimWorld world, int count) {
         for (int i = 0; i < count; i++) {
             for (SimNode node : List.copyOf(world.nodes.values())) {
-                if (node.up() && node.members.status().leading()) {
+                if (node.up() && node.members.status().isLeader()) {
                     world.oracle.propose(node);
                 }
             }
@@ -154,7 +154,7 @@
         return leader != null
                 && leader.members.status().members().size() == world.nodes.size()
                 && world.nodes.values().stream()
-                        .allMatch(node -> node.up() && node.members.status().standing() == ReplicaRole.MEMBER);
+                        .allMatch(node -> node.up() && node.members.status().role() == ReplicaRole.MEMBER);
     }
 
     private static boolean alike(SimWorld world) {
--- a/src/test/java/brambletray/platform/replication/FaultToleranceTest.java
+++ b/src/test/java/brambletray/platform/replication/FaultToleranceTest.java
@@ -20,11 +20,11 @@
         Set<String> groups = new HashSet<>();
         members.forEach(member -> groups.add(group.apply(member)));
         List<String> all = List.copyOf(groups);
-        for (int lost = 0; lost < 1 << all.size(); lost++) {
-            if (Integer.bitCount(lost) > losses) {
+        for (int lostIncarnations = 0; lostIncarnations < 1 << all.size(); lostIncarnations++) {
+            if (Integer.bitCount(lostIncarnations) > losses) {
                 continue;
             }
-            int gone = lost;
+            int gone = lostIncarnations;
             if (members.stream().allMatch(member -> (gone >> all.indexOf(group.apply(member)) & 1) == 1)) {
                 return false;
             }
@@ -50,7 +50,7 @@
                     boolean expected = outlasts(members, tolerance.machines(), Member::address)
                             && outlasts(members, tolerance.zones(), Member::zone)
                             && outlasts(members, tolerance.regions(), member -> REGIONS.get(member.zone()));
-                    assertEquals(expected, tolerance.bears(members), () -> tolerance + " " + members);
+                    assertEquals(expected, tolerance.toleratesLossWith(members), () -> tolerance + " " + members);
                     cases++;
                 }
             }
@@ -61,11 +61,11 @@
     /** Whether a majority is left whichever so many of the groups are lost. */
     private static boolean leavesMajority(List<Member> members, int losses, Function<Member, String> group) {
         List<String> all = members.stream().map(group).distinct().sorted().toList();
-        for (int lost = 0; lost < 1 << all.size(); lost++) {
-            if (Integer.bitCount(lost) > losses) {
+        for (int lostIncarnations = 0; lostIncarnations < 1 << all.size(); lostIncarnations++) {
+            if (Integer.bitCount(lostIncarnations) > losses) {
                 continue;
             }
-            int gone = lost;
+            int gone = lostIncarnations;
             long rest = members.stream()
                     .filter(member -> (gone >> all.indexOf(group.apply(member)) & 1) == 0)
                     .count();
@@ -90,7 +90,8 @@
                     FaultTolerance tolerance = new FaultTolerance(1, all & 3, all >> 2, REGIONS);
                     boolean sound = leavesMajority(members, tolerance.zones(), Member::zone)
                             && leavesMajority(members, tolerance.regions(), member -> REGIONS.get(member.zone()));
-                    assertEquals(sound, tolerance.holdingHalf(members).isEmpty(), () -> tolerance + " " + members);
+                    assertEquals(
+                            sound, tolerance.groupsHoldingHalf(members).isEmpty(), () -> tolerance + " " + members);
                     warned += sound ? 0 : 1;
                 }
             }
@@ -101,17 +102,17 @@
                 new Member("b", "b", 2, "z0"),
                 new Member("c", "c", 3, "z2"),
                 new Member("d", "d", 4, "z3"));
-        assertEquals(List.of("z0"), new FaultTolerance(1, 1, 0, REGIONS).holdingHalf(four));
-        assertEquals(List.of("r0"), new FaultTolerance(1, 0, 1, REGIONS).holdingHalf(four));
-        assertEquals(List.of(), new FaultTolerance(1, 0, 0, REGIONS).holdingHalf(four));
+        assertEquals(List.of("z0"), new FaultTolerance(1, 1, 0, REGIONS).groupsHoldingHalf(four));
+        assertEquals(List.of("r0"), new FaultTolerance(1, 0, 1, REGIONS).groupsHoldingHalf(four));
+        assertEquals(List.of(), new FaultTolerance(1, 0, 0, REGIONS).groupsHoldingHalf(four));
     }
 
     @Test
     void membersWhoseZoneIsNotKnownCountAsOfOne() {
         List<Member> two = List.of(new Member("a", "a", 1), new Member("b", "b", 2));
-        assertTrue(FaultTolerance.ofMachines(1).bears(two));
-        assertFalse(new FaultTolerance(1, 1, 0, Map.of()).bears(two));
+        assertTrue(FaultTolerance.ofMachines(1).toleratesLossWith(two));
+        assertFalse(new FaultTolerance(1, 1, 0, Map.of()).toleratesLossWith(two));
         assertFalse(new FaultTolerance(1, 0, 1, REGIONS)
-                .bears(List.of(new Member("a", "a", 1, "x"), new Member("b", "b", 2, "y"))));
+                .toleratesLossWith(List.of(new Member("a", "a", 1, "x"), new Member("b", "b", 2, "y"))));
     }
 }
--- a/src/test/java/brambletray/platform/replication/Frames.java
+++ b/src/test/java/brambletray/platform/replication/Frames.java
@@ -13,21 +13,23 @@
     private Frames() {}
 
     static int bytes(Object frame) {
-        if (frame instanceof Frame.Append append) {
+        if (frame instanceof ReplicationMessage.AppendRequest append) {
             return SMALL + bytes(append.entries());
         }
-        if (frame instanceof Frame.Install install) {
+        if (frame instanceof ReplicationMessage.InstallViewRequest install) {
             return 4 * SMALL
                     + install.patch().snapshot().length
                     + bytes(install.patch().entries());
         }
-        if (frame instanceof Frame.Piece piece) {
-            return SMALL + piece.bytes().length;
+        if (frame instanceof ReplicationMessage.FetchChunkResponse chunk) {
+            return SMALL + chunk.bytes().length;
         }
-        if (frame instanceof Frame.Submit submit) {
+        if (frame instanceof ReplicationMessage.ProposeRequest submit) {
             return SMALL + submit.bytes().length;
         }
-        return frame instanceof Frame.StopAnswer || frame instanceof Frame.JoinAnswer ? 4 * SMALL : SMALL;
+        return frame instanceof ReplicationMessage.PrepareResponse || frame instanceof ReplicationMessage.JoinResponse
+                ? 4 * SMALL
+                : SMALL;
     }
 
     private static int bytes(List<LogEntry> entries) {
--- a/src/test/java/brambletray/platform/replication/FramesTest.java
+++ b/src/test/java/brambletray/platform/replication/FramesTest.java
@@ -19,7 +19,7 @@
 class FramesTest {
     @Test
     void everyFrameIsRegisteredAndComesAsItWent() {
-        FrameCodec speech = new FrameCodec(List.of(Replica.FRAMES));
+        FrameCodec speech = new FrameCodec(List.of(Replica.MESSAGES));
         Set<Class<?>> seen = new HashSet<>();
         for (long seed = 1; seed <= 60; seed++) {
             RandomFaults weather = new RandomFaults(seed, false);
@@ -30,11 +30,12 @@
             weather.play();
         }
         // hardly ever seen: a patch that doesn't fit
-        seen.add(speech.echo(new Frame.PatchMismatch(new Ballot(1, 2), 3)).getClass());
-        Set<Class<?>> never = new HashSet<>(List.of(Frame.class.getPermittedSubclasses()));
+        seen.add(speech.echo(new ReplicationMessage.PatchMismatch(new Ballot(1, 2), 3))
+                .getClass());
+        Set<Class<?>> never = new HashSet<>(List.of(ReplicationMessage.class.getPermittedSubclasses()));
         never.removeAll(seen);
         assertEquals(Set.of(), never, "frames never sent");
-        assertTrue(Replica.FRAMES.containsAll(List.of(Frame.class.getPermittedSubclasses())));
+        assertTrue(Replica.MESSAGES.containsAll(List.of(ReplicationMessage.class.getPermittedSubclasses())));
     }
 
     @Test
@@ -48,7 +49,7 @@
 
     @Test
     void anEmptyDiskIsNone() {
-        assertEquals(0, DurableState.read(Map.of()).life());
+        assertEquals(0, DurableState.read(Map.of()).incarnation());
     }
 
     /** As programs wrote it before the zones of members were kept. */
--- a/src/test/java/brambletray/platform/replication/LeadingTest.java
+++ b/src/test/java/brambletray/platform/replication/LeadingTest.java
@@ -13,26 +13,28 @@
     private static final int HEARTBEAT_MS = 100;
 
     private final RecordingOut out = new RecordingOut();
-    private final MemberState desk = new MemberState(ReplicationSettings.usual(1), out, RecordingOut.stateless(), 77);
+    private final ReplicaState desk =
+            new ReplicaState(ReplicationSettings.defaults(1), out, RecordingOut.stateless(), 77);
 
-    private Leader leading() {
-        desk.now = 1_000;
-        desk.me = LEADER;
+    private LeaderState leading() {
+        desk.nowMs = 1_000;
+        desk.self = LEADER;
         desk.view = VIEW;
-        desk.inForce = true;
-        return new Leader(desk);
+        desk.active = true;
+        return new LeaderState(desk);
     }
 
     /** Heartbeat answers without progress, for so long. */
-    private void answersWithoutProgress(Leader leading, int ms) {
+    private void answersWithoutProgress(LeaderState leader, int ms) {
         for (int passed = 0; passed < ms; passed += HEARTBEAT_MS) {
-            desk.now += HEARTBEAT_MS;
-            leading.back(new Frame.HeartbeatAnswer(VIEW.ballot(), FOLLOWER.life(), passed, 0, VIEW.ballot(), false));
+            desk.nowMs += HEARTBEAT_MS;
+            leader.onHeartbeatResponse(new ReplicationMessage.HeartbeatResponse(
+                    VIEW.ballot(), FOLLOWER.incarnation(), passed, 0, VIEW.ballot(), false));
         }
     }
 
     private long timesSent() {
-        return out.sentTo("b", Frame.Append.class).stream()
+        return out.sentTo("b", ReplicationMessage.AppendRequest.class).stream()
                 .filter(append -> !append.entries().isEmpty())
                 .count();
     }
@@ -48,19 +50,19 @@
      */
     @Test
     void waitsForAsLongAsTheBytesTakeBeforeItSendsThemAgain() {
-        Leader leading = leading();
-        leading.take(77, 1, new byte[100_000]);
-        answersWithoutProgress(leading, 600);
+        LeaderState leader = leading();
+        leader.propose(77, 1, new byte[100_000]);
+        answersWithoutProgress(leader, 600);
         assertEquals(1, timesSent(), "100 kB take 800 ms at 1 Mbit/s");
-        answersWithoutProgress(leading, 200);
+        answersWithoutProgress(leader, 200);
         assertEquals(2, timesSent(), "before the member is held to be slow");
     }
 
     @Test
     void sendsAFewBytesAgainSoon() {
-        Leader leading = leading();
-        leading.take(77, 1, new byte[100]);
-        answersWithoutProgress(leading, 300);
+        LeaderState leader = leading();
+        leader.propose(77, 1, new byte[100]);
+        answersWithoutProgress(leader, 300);
         assertEquals(2, timesSent());
     }
 }
--- a/src/test/java/brambletray/platform/replication/LeaveTest.java
+++ b/src/test/java/brambletray/platform/replication/LeaveTest.java
@@ -52,7 +52,7 @@
 
         Course(long seed, int machines, boolean talks) {
             random = new Random(seed);
-            world = new SimWorld(seed, ReplicationSettings.usual(machines / 2));
+            world = new SimWorld(seed, ReplicationSettings.defaults(machines / 2));
             world.talks = talks;
             List<String> seeds = List.of("a", "b", "c");
             for (int i = 0; i < machines; i++) {
@@ -72,7 +72,7 @@
             return leader != null
                     && leader.members.status().members().size() == machines
                     && live.stream()
-                            .allMatch(node -> node.up() && node.members.status().standing() == ReplicaRole.MEMBER);
+                            .allMatch(node -> node.up() && node.members.status().role() == ReplicaRole.MEMBER);
         }
 
         /** Calls for so long. */
@@ -127,7 +127,7 @@
                 if (node.boot != boot || !node.up()) {
                     return;
                 }
-                if (node.members.left()) {
+                if (node.members.mayTerminate()) {
                     node.kill(false);
                 } else {
                     ends(node, boot);
--- a/src/test/java/brambletray/platform/replication/LogTest.java
+++ b/src/test/java/brambletray/platform/replication/LogTest.java
@@ -29,28 +29,28 @@
         ReplicatedLog log = log(300, FIRST);
         log.compact(300, new byte[STATE]);
         log.append(entry(301, FIRST));
-        LogPatch patch = log.since(290, FIRST, 0);
-        assertFalse(patch.whole());
+        LogPatch patch = log.patchFor(290, FIRST, 0);
+        assertFalse(patch.replacesAll());
         assertEquals(11, patch.entries().size());
         ReplicatedLog other = log(290, FIRST).patched(patch);
-        assertEquals(301, other.end());
-        assertEquals(FIRST, other.endView());
+        assertEquals(301, other.lastIndex());
+        assertEquals(FIRST, other.lastView());
     }
 
     @Test
     void theStateIsGivenToWhoLacksMoreThanItWeighsOrThanIsRemembered() {
         ReplicatedLog log = log(300, FIRST);
         log.compact(300, new byte[STATE]);
-        assertTrue(log.since(100, FIRST, 0).whole());
+        assertTrue(log.patchFor(100, FIRST, 0).replacesAll());
         for (int i = 301; i <= 1000; i++) {
             log.append(entry(i, FIRST));
         }
         log.compact(1000, new byte[1 << 20]);
-        assertTrue(log.since(400, FIRST, 0).whole(), "not remembered any more");
-        assertFalse(log.since(600, FIRST, 0).whole());
+        assertTrue(log.patchFor(400, FIRST, 0).replacesAll(), "not remembered any more");
+        assertFalse(log.patchFor(600, FIRST, 0).replacesAll());
         // 512 are remembered, and the view of the one before them
-        assertFalse(log.since(488, FIRST, 0).whole());
-        assertTrue(log.since(487, FIRST, 0).whole());
+        assertFalse(log.patchFor(488, FIRST, 0).replacesAll());
+        assertTrue(log.patchFor(487, FIRST, 0).replacesAll());
     }
 
     /**
@@ -62,15 +62,15 @@
         ReplicatedLog log = log(300, FIRST);
         log.compact(300, new byte[STATE]);
         for (long end : new long[] {250, 290, 300}) {
-            assertTrue(log.since(end, SECOND, 0).whole(), "end " + end);
+            assertTrue(log.patchFor(end, SECOND, 0).replacesAll(), "end " + end);
         }
         ReplicatedLog later = log(250, FIRST);
         for (int i = 251; i <= 300; i++) {
             later.append(entry(i, SECOND));
         }
         later.compact(300, new byte[STATE]);
-        assertFalse(later.since(251, SECOND, 0).whole());
-        assertTrue(later.since(251, FIRST, 0).whole());
-        assertFalse(later.since(250, FIRST, 0).whole());
+        assertFalse(later.patchFor(251, SECOND, 0).replacesAll());
+        assertTrue(later.patchFor(251, FIRST, 0).replacesAll());
+        assertFalse(later.patchFor(250, FIRST, 0).replacesAll());
     }
 }
--- a/src/test/java/brambletray/platform/replication/MemberTest.java
+++ b/src/test/java/brambletray/platform/replication/MemberTest.java
@@ -22,7 +22,7 @@
 
     private final ReplicationActions out = new ReplicationActions() {
         @Override
-        public void send(String address, Frame frame) {
+        public void send(String address, ReplicationMessage frame) {
             said.add(frame);
         }
 
@@ -32,17 +32,17 @@
         }
 
         @Override
-        public void outcome(long token, ProposalOutcome outcome) {
+        public void proposalCompleted(long token, ProposalOutcome outcome) {
             said.add(outcome);
         }
 
         @Override
-        public void confirmed(long token, boolean yes) {
+        public void readIndexCompleted(long token, boolean yes) {
             said.add(yes);
         }
 
         @Override
-        public void changed() {}
+        public void statusChanged() {}
 
         @Override
         public void tell(String event, Object... facts) {}
@@ -63,14 +63,14 @@
         public void restore(byte[] snapshot) {}
 
         @Override
-        public void deliver(long index, byte[] change) {
+        public void apply(long index, byte[] change) {
             said.add(index);
         }
     };
 
     /** Member b of a view in force that a leads. */
     private Replica follower() {
-        DurableState kept =
+        DurableState durableState =
                 new DurableState(2, List.of(), VIEW.ballot(), VIEW, true, ReplicatedLog.empty(), List.of(), List.of());
         return new Replica(
                 "b",
@@ -78,10 +78,10 @@
                 "",
                 9,
                 77,
-                kept,
+                durableState,
                 List.of("a", "b", "c"),
                 false,
-                ReplicationSettings.usual(1),
+                ReplicationSettings.defaults(1),
                 out,
                 stateMachine,
                 now);
@@ -100,95 +100,113 @@
         return new LogEntry(index, VIEW.ballot(), 7, index, new byte[] {1});
     }
 
-    private static Frame.Append append(long after, long commit) {
-        return new Frame.Append(
+    private static ReplicationMessage.AppendRequest append(long after, long commit) {
+        return new ReplicationMessage.AppendRequest(
                 VIEW.ballot(), after, after == 0 ? Ballot.NONE : VIEW.ballot(), List.of(entry(after + 1)), commit);
     }
 
     @Test
     void acknowledgesOnlyWhatIsOnTheDiskAndDeliversOnlyWhatIsKept() {
         Replica b = follower();
-        b.heard("a", append(0, 0), now);
-        assertNull(last(Frame.Ack.class));
+        b.receive("a", append(0, 0), now);
+        assertNull(last(ReplicationMessage.AppendResponse.class));
         b.synced(ticket, now);
-        assertEquals(1, last(Frame.Ack.class).index());
+        assertEquals(1, last(ReplicationMessage.AppendResponse.class).durableIndex());
         assertNull(last(Long.class));
-        b.heard("a", append(1, 1), now);
+        b.receive("a", append(1, 1), now);
         assertEquals(1, last(Long.class));
     }
 
     @Test
     void tellsOnlyAfterItsPromiseIsOnTheDiskAndThenAcknowledgesNothing() {
         Replica b = follower();
-        b.heard("c", new Frame.StopRequest(new Ballot(6, 3), C, List.of()), now + 3000);
-        assertNull(last(Frame.StopAnswer.class));
+        b.receive("c", new ReplicationMessage.PrepareRequest(new Ballot(6, 3), C, List.of()), now + 3000);
+        assertNull(last(ReplicationMessage.PrepareResponse.class));
         b.synced(ticket, now + 3000);
-        assertEquals(new Ballot(6, 3), last(Frame.StopAnswer.class).ballot());
-        b.heard("a", append(0, 0), now + 3000);
+        assertEquals(
+                new Ballot(6, 3), last(ReplicationMessage.PrepareResponse.class).ballot());
+        b.receive("a", append(0, 0), now + 3000);
         b.synced(ticket, now + 3000);
-        assertNull(last(Frame.Ack.class));
-        b.heard("a", new Frame.StopRequest(new Ballot(6, 1), A, List.of()), now + 3000);
-        assertEquals(new Ballot(6, 3), last(Frame.Refuse.class).promised());
+        assertNull(last(ReplicationMessage.AppendResponse.class));
+        b.receive("a", new ReplicationMessage.PrepareRequest(new Ballot(6, 1), A, List.of()), now + 3000);
+        assertEquals(
+                new Ballot(6, 3), last(ReplicationMessage.BallotRejected.class).promisedBallot());
     }
 
     @Test
     void whoHearsItsLeaderRefusesOthersAndWhoIsntInIsToldSo() {
         Replica b = follower();
-        b.heard("a", new Frame.Heartbeat(VIEW.ballot(), 1, 0, 0, true, false), now);
-        b.heard("c", new Frame.StopRequest(new Ballot(6, 3), C, List.of()), now + 100);
-        assertTrue(last(Frame.Refuse.class).calm());
-        b.heard("d", new Frame.StopRequest(new Ballot(7, 4), new Member("d", "d", 4), List.of()), now + 3000);
-        assertEquals(VIEW, last(Frame.NotMember.class).view());
+        b.receive("a", new ReplicationMessage.HeartbeatRequest(VIEW.ballot(), 1, 0, 0, true, false), now);
+        b.receive("c", new ReplicationMessage.PrepareRequest(new Ballot(6, 3), C, List.of()), now + 100);
+        assertTrue(last(ReplicationMessage.BallotRejected.class).leaderIsHealthy());
+        b.receive(
+                "d",
+                new ReplicationMessage.PrepareRequest(new Ballot(7, 4), new Member("d", "d", 4), List.of()),
+                now + 3000);
+        assertEquals(VIEW, last(ReplicationMessage.NotMember.class).view());
     }
 
     @Test
     void onlyTheAnswerToItsOwnQuestionProvesADiskLost() {
         Replica b = follower();
-        b.heard("c", new Frame.IdentityAnswer(1, new Member("c", "c", 33)), now);
-        b.heard("c", new Frame.JoinRequest(new Member("c", "c", 33), Ballot.NONE, 0, Ballot.NONE, 0), now);
-        long nonce = last(Frame.IdentityRequest.class).nonce();
-        b.heard("c", new Frame.IdentityAnswer(nonce + 1, new Member("c", "c", 33)), now);
-        b.heard("a", new Frame.StopRequest(new Ballot(6, 1), A, List.of()), now);
+        b.receive("c", new ReplicationMessage.IdentityResponse(1, new Member("c", "c", 33)), now);
+        b.receive(
+                "c", new ReplicationMessage.JoinRequest(new Member("c", "c", 33), Ballot.NONE, 0, Ballot.NONE, 0), now);
+        long nonce = last(ReplicationMessage.IdentityRequest.class).nonce();
+        b.receive("c", new ReplicationMessage.IdentityResponse(nonce + 1, new Member("c", "c", 33)), now);
+        b.receive("a", new ReplicationMessage.PrepareRequest(new Ballot(6, 1), A, List.of()), now);
         b.synced(ticket, now);
-        assertEquals(List.of(), last(Frame.StopAnswer.class).dead());
-        b.heard("c", new Frame.IdentityAnswer(nonce, new Member("c", "c", 33)), now);
+        assertEquals(List.of(), last(ReplicationMessage.PrepareResponse.class).retiredIncarnations());
+        b.receive("c", new ReplicationMessage.IdentityResponse(nonce, new Member("c", "c", 33)), now);
         b.synced(ticket, now);
-        b.heard("a", new Frame.StopRequest(new Ballot(6, 1), A, List.of()), now);
-        assertEquals(List.of(3L), last(Frame.StopAnswer.class).dead());
+        b.receive("a", new ReplicationMessage.PrepareRequest(new Ballot(6, 1), A, List.of()), now);
+        assertEquals(List.of(3L), last(ReplicationMessage.PrepareResponse.class).retiredIncarnations());
     }
 
     @Test
     void aProposalThatWasNeverGivenToALeaderIsRefusedAndOneThatWasIsUnclear() {
         Replica b = follower();
         b.propose(1, new byte[] {1}, now);
-        assertEquals(VIEW.ballot(), last(Frame.Submit.class).view());
-        b.heard("a", new Frame.StopRequest(new Ballot(6, 1), A, List.of()), now);
+        assertEquals(
+                VIEW.ballot(), last(ReplicationMessage.ProposeRequest.class).viewBallot());
+        b.receive("a", new ReplicationMessage.PrepareRequest(new Ballot(6, 1), A, List.of()), now);
         b.propose(2, new byte[] {2}, now);
         for (int i = 0; i < 100; i++) {
             b.tick(now += 40);
         }
         assertEquals(
-                List.of(ProposalOutcome.UNCLEAR, ProposalOutcome.REFUSED),
+                List.of(ProposalOutcome.UNKNOWN, ProposalOutcome.REJECTED),
                 said.stream().filter(one -> one instanceof ProposalOutcome).toList());
     }
 
     @Test
     void aLeaderTakesProposalsOfItsOwnViewOnlyAndEachOnce() {
         View alone = new View(new Ballot(5, 2), List.of(B), List.of());
-        DurableState kept = new DurableState(
+        DurableState durableState = new DurableState(
                 2, List.of(), alone.ballot(), alone, true, ReplicatedLog.empty(), List.of(), List.of());
         Replica b = new Replica(
-                "b", "b", "", 9, 77, kept, List.of("b"), false, ReplicationSettings.usual(0), out, stateMachine, now);
-        for (int i = 0; i < 20 && !b.status().leading(); i++) {
+                "b",
+                "b",
+                "",
+                9,
+                77,
+                durableState,
+                List.of("b"),
+                false,
+                ReplicationSettings.defaults(0),
+                out,
+                stateMachine,
+                now);
+        for (int i = 0; i < 20 && !b.status().isLeader(); i++) {
             b.tick(now += 40);
             b.synced(ticket, now);
         }
-        Ballot mine = new Ballot(b.status().number(), 2);
-        b.heard("a", new Frame.Submit(alone.ballot(), 7, 1, new byte[0]), now);
+        Ballot mine = new Ballot(b.status().viewNumber(), 2);
+        b.receive("a", new ReplicationMessage.ProposeRequest(alone.ballot(), 7, 1, new byte[0]), now);
         b.synced(ticket, now);
         assertNull(last(Long.class), "an old view's");
-        b.heard("a", new Frame.Submit(mine, 7, 1, new byte[0]), now);
-        b.heard("a", new Frame.Submit(mine, 7, 1, new byte[0]), now);
+        b.receive("a", new ReplicationMessage.ProposeRequest(mine, 7, 1, new byte[0]), now);
+        b.receive("a", new ReplicationMessage.ProposeRequest(mine, 7, 1, new byte[0]), now);
         b.synced(ticket, now);
         b.synced(ticket, now);
         assertEquals(1, last(Long.class));
@@ -201,14 +219,14 @@
     @Test
     void whoHasStoppedAcknowledgesNoEntryThatIsSyncedLaterAndConfirmsNoRead() {
         Replica b = follower();
-        b.heard("a", append(0, 0), now);
-        b.heard("a", new Frame.StopRequest(new Ballot(6, 1), A, List.of()), now);
+        b.receive("a", append(0, 0), now);
+        b.receive("a", new ReplicationMessage.PrepareRequest(new Ballot(6, 1), A, List.of()), now);
         b.synced(ticket, now);
         b.synced(ticket, now);
-        assertEquals(1, last(Frame.StopAnswer.class).end());
-        assertNull(last(Frame.Ack.class));
-        b.heard("c", new Frame.ConfirmRequest(VIEW.ballot(), 1), now);
-        assertNull(last(Frame.ConfirmAnswer.class));
+        assertEquals(1, last(ReplicationMessage.PrepareResponse.class).lastIndex());
+        assertNull(last(ReplicationMessage.AppendResponse.class));
+        b.receive("c", new ReplicationMessage.ReadIndexRequest(VIEW.ballot(), 1), now);
+        assertNull(last(ReplicationMessage.ReadIndexResponse.class));
     }
 
     /** The giver's log may have changed since it was offered: only the one that was offered is kept with the view. */
@@ -216,21 +234,25 @@
     void keepsNoOtherLogThanTheOneThatWasOffered() {
         View next = new View(new Ballot(6, 1), List.of(A, B, C), List.of());
         Replica b = follower();
-        b.heard("a", new Frame.TransferOffer(next, 2, VIEW.ballot()), now);
-        b.heard("a", piece(last(Frame.PieceRequest.class), List.of(entry(1))), now);
+        b.receive("a", new ReplicationMessage.InstallViewOffer(next, 2, VIEW.ballot()), now);
+        b.receive("a", piece(last(ReplicationMessage.FetchChunkRequest.class), List.of(entry(1))), now);
         b.synced(ticket, now);
-        assertNull(last(Frame.Installed.class), "one entry, where two were offered");
-        assertEquals(5, b.status().number());
-        b.heard("a", new Frame.TransferOffer(next, 2, VIEW.ballot()), now);
-        b.heard("a", piece(last(Frame.PieceRequest.class), List.of(entry(1), entry(2))), now);
+        assertNull(last(ReplicationMessage.InstallViewResponse.class), "one entry, where two were offered");
+        assertEquals(5, b.status().viewNumber());
+        b.receive("a", new ReplicationMessage.InstallViewOffer(next, 2, VIEW.ballot()), now);
+        b.receive("a", piece(last(ReplicationMessage.FetchChunkRequest.class), List.of(entry(1), entry(2))), now);
         b.synced(ticket, now);
-        assertEquals(next.ballot(), last(Frame.Installed.class).view());
+        assertEquals(
+                next.ballot(),
+                last(ReplicationMessage.InstallViewResponse.class).viewBallot());
     }
 
     /** All of it in one piece. */
-    private static Frame.Piece piece(Frame.PieceRequest asked, List<LogEntry> entries) {
+    private static ReplicationMessage.FetchChunkResponse piece(
+            ReplicationMessage.FetchChunkRequest asked, List<LogEntry> entries) {
         LogPatch patch = new LogPatch(false, 0, Ballot.NONE, new byte[0], entries);
         byte[] bytes = ReplicationCodec.patch(patch, 0);
-        return new Frame.Piece(asked.id(), 0, bytes.length, bytes, CutDigest.of(patch, 0, bytes));
+        return new ReplicationMessage.FetchChunkResponse(
+                asked.transferId(), 0, bytes.length, bytes, TransferDescriptor.of(patch, 0, bytes));
     }
 }
--- a/src/test/java/brambletray/platform/replication/PausesTest.java
+++ b/src/test/java/brambletray/platform/replication/PausesTest.java
@@ -46,7 +46,7 @@
 
         Course(long seed, int machines) {
             random = new Random(seed);
-            world = new SimWorld(seed, ReplicationSettings.usual(1));
+            world = new SimWorld(seed, ReplicationSettings.defaults(1));
             nodes = new SimNode[machines];
             for (int i = 0; i < machines; i++) {
                 nodes[i] = world.node(String.valueOf((char) ('a' + i)), List.of("a", "b", "c"));
@@ -67,7 +67,7 @@
             if (leader == null || leader.members.status().members().size() < nodes.length) {
                 return false;
             }
-            return Arrays.stream(nodes).allMatch(node -> node.members.status().standing() == ReplicaRole.MEMBER);
+            return Arrays.stream(nodes).allMatch(node -> node.members.status().role() == ReplicaRole.MEMBER);
         }
 
         Pauses play(Trouble trouble, boolean leader) {
--- a/src/test/java/brambletray/platform/replication/QuorumTest.java
+++ b/src/test/java/brambletray/platform/replication/QuorumTest.java
@@ -29,13 +29,13 @@
     }
 
     private static Set<Long> lives(List<Member> members) {
-        Set<Long> lives = new HashSet<>();
-        members.forEach(member -> lives.add(member.life()));
-        return lives;
+        Set<Long> incarnations = new HashSet<>();
+        members.forEach(member -> incarnations.add(member.incarnation()));
+        return incarnations;
     }
 
     private static boolean enough(List<Member> members, int answered, int dead) {
-        return (answered & dead) == 0 && Quorum.enough(members, some(members, answered), lives(some(members, dead)));
+        return (answered & dead) == 0 && Quorum.isReached(members, some(members, answered), lives(some(members, dead)));
     }
 
     /**
@@ -81,7 +81,7 @@
     @Test
     void seedsAreCountedByAddressAndNeverDead() {
         View seeds = View.ofSeeds(List.of("m0", "m1", "m2"));
-        assertTrue(Quorum.enough(seeds.members(), some(members(3), 3), Set.of()));
-        assertFalse(Quorum.enough(seeds.members(), some(members(3), 1), Set.of(2L, 3L, 0L)));
+        assertTrue(Quorum.isReached(seeds.members(), some(members(3), 3), Set.of()));
+        assertFalse(Quorum.isReached(seeds.members(), some(members(3), 1), Set.of(2L, 3L, 0L)));
     }
 }
--- a/src/test/java/brambletray/platform/replication/RandomFaults.java
+++ b/src/test/java/brambletray/platform/replication/RandomFaults.java
@@ -17,7 +17,7 @@
     public RandomFaults(long seed, boolean talks) {
         random = new Random(seed);
         machines = random.nextInt(4) == 0 ? 5 : 3;
-        world = new SimWorld(seed, ReplicationSettings.usual(1));
+        world = new SimWorld(seed, ReplicationSettings.defaults(1));
         world.talks = talks;
         world.oracle.harsh = seed % 4 == 0;
         // large changes on links that take their time
@@ -115,8 +115,8 @@
                 return false;
             }
             ReplicaStatus status = node.members.status();
-            if (status.standing() != ReplicaRole.MEMBER
-                    || status.number() != leader.members.status().number()) {
+            if (status.role() != ReplicaRole.MEMBER
+                    || status.viewNumber() != leader.members.status().viewNumber()) {
                 return false;
             }
         }
@@ -160,7 +160,7 @@
             if (node.boot != boot || !node.up()) {
                 return;
             }
-            if (!node.members.left()) {
+            if (!node.members.mayTerminate()) {
                 ends(node, boot);
                 return;
             }
--- a/src/test/java/brambletray/platform/replication/RecordingOut.java
+++ b/src/test/java/brambletray/platform/replication/RecordingOut.java
@@ -7,17 +7,17 @@
 /** Keeps the frames that one member sends; everything else that it says is dropped. */
 final class RecordingOut implements ReplicationActions {
     /** A frame and the address that it was sent to. */
-    record Sent(String address, Frame frame) {}
+    record Sent(String address, ReplicationMessage frame) {}
 
     final List<Sent> sent = new ArrayList<>();
 
     @Override
-    public void send(String address, Frame frame) {
+    public void send(String address, ReplicationMessage frame) {
         sent.add(new Sent(address, frame));
     }
 
     /** Frames of this type to this address. */
-    <T extends Frame> List<T> sentTo(String address, Class<T> type) {
+    <T extends ReplicationMessage> List<T> sentTo(String address, Class<T> type) {
         return sent.stream()
                 .filter(one -> one.address().equals(address) && type.isInstance(one.frame()))
                 .map(one -> type.cast(one.frame()))
@@ -28,13 +28,13 @@
     public void persist(long ticket, Map<String, byte[]> changes) {}
 
     @Override
-    public void outcome(long token, ProposalOutcome outcome) {}
+    public void proposalCompleted(long token, ProposalOutcome outcome) {}
 
     @Override
-    public void confirmed(long token, boolean yes) {}
+    public void readIndexCompleted(long token, boolean yes) {}
 
     @Override
-    public void changed() {}
+    public void statusChanged() {}
 
     @Override
     public void tell(String event, Object... facts) {}
@@ -56,7 +56,7 @@
             public void restore(byte[] snapshot) {}
 
             @Override
-            public void deliver(long index, byte[] change) {}
+            public void apply(long index, byte[] change) {}
         };
     }
 }
--- a/src/test/java/brambletray/platform/replication/RuleChecker.java
+++ b/src/test/java/brambletray/platform/replication/RuleChecker.java
@@ -62,9 +62,9 @@
         throw new AssertionError(text.toString());
     }
 
-    void born(SimNode node, long life) {
-        lifeAt.put(node.address, life);
-        lives.add(life);
+    void born(SimNode node, long incarnation) {
+        lifeAt.put(node.address, incarnation);
+        lives.add(incarnation);
     }
 
     void wiped(SimNode node) {
@@ -81,8 +81,8 @@
         if (latest == null || latest.members().size() < 2 || world.now - latestAt < SPREAD_MS) {
             return false;
         }
-        recovering.removeIf(
-                address -> latest.at(address) != null && latest.at(address).life() == lifeAt.getOrDefault(address, 0L));
+        recovering.removeIf(address -> latest.memberAt(address) != null
+                && latest.memberAt(address).incarnation() == lifeAt.getOrDefault(address, 0L));
         if (!recovering.isEmpty()) {
             troubleAt = world.now;
             return false;
@@ -91,7 +91,7 @@
             return false;
         }
         for (Member member : latest.members()) {
-            if (!lives.contains(member.life())) {
+            if (!lives.contains(member.incarnation())) {
                 return false;
             }
         }
@@ -100,19 +100,20 @@
 
     void look(SimNode node) {
         ReplicaStatus status = node.members.status();
-        if (!status.inForce()) {
+        if (!status.active()) {
             return;
         }
-        View view = views.get(status.number());
-        View mine = new View(new Ballot(status.number(), status.leader().life()), status.members(), List.of());
+        View view = views.get(status.viewNumber());
+        View mine =
+                new View(new Ballot(status.viewNumber(), status.leader().incarnation()), status.members(), List.of());
         if (view == null) {
-            views.put(status.number(), mine);
-            if (latest == null || mine.ballot().above(latest.ballot())) {
+            views.put(status.viewNumber(), mine);
+            if (latest == null || mine.ballot().isAbove(latest.ballot())) {
                 latest = mine;
                 latestAt = world.now;
             }
         } else if (!view.equals(mine)) {
-            fail("two views of number " + status.number() + ": " + view + " and " + mine);
+            fail("two views of number " + status.viewNumber() + ": " + view + " and " + mine);
         }
     }
 
@@ -143,7 +144,7 @@
                 fail(text + " acknowledged but not in the order");
             }
             acknowledged.add(text);
-        } else if (outcome == ProposalOutcome.REFUSED) {
+        } else if (outcome == ProposalOutcome.REJECTED) {
             if (ordered.contains(text)) {
                 fail(text + " refused but in the order");
             }
@@ -156,7 +157,7 @@
     long confirm(SimNode node) {
         long token = ++tokens;
         expected.put(token, new HashSet<>(acknowledged));
-        node.members.confirm(token, world.now);
+        node.members.requestReadIndex(token, world.now);
         return token;
     }
 
--- a/src/test/java/brambletray/platform/replication/ServingTest.java
+++ b/src/test/java/brambletray/platform/replication/ServingTest.java
@@ -12,22 +12,26 @@
     private static final int RECEIVERS = 8;
 
     private final RecordingOut out = new RecordingOut();
-    private final MemberState desk = new MemberState(ReplicationSettings.usual(1), out, RecordingOut.stateless(), 77);
+    private final ReplicaState desk =
+            new ReplicaState(ReplicationSettings.defaults(1), out, RecordingOut.stateless(), 77);
 
     /** The log of a view that is being installed can be had only as it is: no other cut does in its stead. */
     @Test
     void allThatLackTheSameOfANewViewAreServedFromOneCut() {
-        LogEntry entry = new LogEntry(1, INSTALLING, 7, 1, new byte[2 * StateTransfer.PIECE]);
+        LogEntry entry = new LogEntry(1, INSTALLING, 7, 1, new byte[2 * StateTransferClient.CHUNK_BYTES]);
         ReplicatedLog log = new ReplicatedLog(0, Ballot.NONE, new byte[0], List.of(entry));
         StateTransferServer serving = new StateTransferServer(desk, view -> log);
         for (int i = 0; i < RECEIVERS; i++) {
-            serving.pull(
-                    "learner-" + i, new Frame.PieceRequest(i + 1, 0, INSTALLING, 0, Ballot.NONE, 0, CutDigest.NONE));
+            serving.onFetchChunk(
+                    "learner-" + i,
+                    new ReplicationMessage.FetchChunkRequest(
+                            i + 1, 0, INSTALLING, 0, Ballot.NONE, 0, TransferDescriptor.NONE));
         }
         for (int i = 0; i < RECEIVERS; i++) {
-            List<Frame.Piece> pieces = out.sentTo("learner-" + i, Frame.Piece.class);
+            List<ReplicationMessage.FetchChunkResponse> pieces =
+                    out.sentTo("learner-" + i, ReplicationMessage.FetchChunkResponse.class);
             assertEquals(1, pieces.size());
-            assertTrue(pieces.get(0).total() > 0, "learner-" + i + " was refused");
+            assertTrue(pieces.get(0).totalBytes() > 0, "learner-" + i + " was refused");
         }
         assertEquals(RECEIVERS, out.sent.size());
     }
--- a/src/test/java/brambletray/platform/replication/SimNode.java
+++ b/src/test/java/brambletray/platform/replication/SimNode.java
@@ -55,7 +55,7 @@
         has.clear();
         delivered = 0;
         long fresh = world.random.nextLong() | 1;
-        DurableState kept = DurableState.read(disk.kept);
+        DurableState durableState = DurableState.read(disk.kept);
         members = null;
         members = new Replica(
                 address,
@@ -63,14 +63,14 @@
                 zone,
                 fresh,
                 world.random.nextLong() | 1,
-                kept,
+                durableState,
                 seeds,
                 initial,
                 world.settings,
                 new Ways(boot),
                 new State(),
                 world.now);
-        world.oracle.born(this, members.status().me().life());
+        world.oracle.born(this, members.status().self().incarnation());
         rider = world.riders == null ? null : world.riders.apply(this);
         tick(boot);
     }
@@ -162,8 +162,8 @@
         if (members == null) {
             return;
         }
-        if (frame instanceof Frame) {
-            members.heard(from, frame, world.now);
+        if (frame instanceof ReplicationMessage) {
+            members.receive(from, frame, world.now);
             if (members != null) {
                 world.oracle.look(this);
             }
@@ -211,7 +211,7 @@
         }
 
         @Override
-        public void deliver(long index, byte[] change) {
+        public void apply(long index, byte[] change) {
             if (index != delivered + 1) {
                 world.oracle.fail(address + " delivers " + index + " after " + delivered);
             }
@@ -234,7 +234,7 @@
         }
 
         @Override
-        public void send(String to, Frame frame) {
+        public void send(String to, ReplicationMessage frame) {
             world.send(SimNode.this, to, frame);
         }
 
@@ -244,17 +244,17 @@
         }
 
         @Override
-        public void outcome(long token, ProposalOutcome outcome) {
+        public void proposalCompleted(long token, ProposalOutcome outcome) {
             world.oracle.outcome(SimNode.this, token, outcome);
         }
 
         @Override
-        public void confirmed(long token, boolean yes) {
+        public void readIndexCompleted(long token, boolean yes) {
             world.oracle.confirmed(SimNode.this, token, yes);
         }
 
         @Override
-        public void changed() {}
+        public void statusChanged() {}
 
         @Override
         public void tell(String event, Object... facts) {
--- a/src/test/java/brambletray/platform/replication/SimWorld.java
+++ b/src/test/java/brambletray/platform/replication/SimWorld.java
@@ -119,11 +119,11 @@
         int delay = link.delayMs + (jitter ? random.nextInt(link.delayMs + 1) : 0);
         link.lastAt = Math.max(link.lastAt, now + delay);
         if (!target.up()) {
-            at(from, from.boot, now + 2L * delay, () -> from.members.gone(to, now));
+            at(from, from.boot, now + 2L * delay, () -> from.members.onDisconnected(to, now));
             return;
         }
-        Object come = post.apply(frame);
-        at(target, target.boot, link.lastAt, () -> target.hear(from.address, come));
+        Object response = post.apply(frame);
+        at(target, target.boot, link.lastAt, () -> target.hear(from.address, response));
     }
 
     /** A frame on a link that takes its time: whole frames, one after the other. */
@@ -131,14 +131,14 @@
         if ((link.freeAt - now) * link.rate > Frames.MOST_WAITING) {
             link.breaks++;
             link.freeAt = now;
-            from.members.gone(target.address, now);
+            from.members.onDisconnected(target.address, now);
             return;
         }
         link.freeAt = Math.max(now, link.freeAt) + (double) size / link.rate;
         int breaks = link.breaks;
         link.lastAt = Math.max(link.lastAt, (long) link.freeAt + link.delayMs);
         if (!target.up()) {
-            at(from, from.boot, now + 2L * link.delayMs, () -> from.members.gone(target.address, now));
+            at(from, from.boot, now + 2L * link.delayMs, () -> from.members.onDisconnected(target.address, now));
             return;
         }
         at(target, target.boot, link.lastAt, () -> {
@@ -194,7 +194,7 @@
                     link.lastAt = now;
                     link.rate = 0;
                     if (nodes.get(a).up()) {
-                        nodes.get(a).members.gone(b, now);
+                        nodes.get(a).members.onDisconnected(b, now);
                     }
                 }
                 one(a, b, false);
@@ -259,7 +259,7 @@
 
     SimNode leader() {
         for (SimNode node : nodes.values()) {
-            if (node.up() && node.members.status().leading()) {
+            if (node.up() && node.members.status().isLeader()) {
                 return node;
             }
         }
--- a/src/test/java/brambletray/platform/replication/StateTransferTest.java
+++ b/src/test/java/brambletray/platform/replication/StateTransferTest.java
@@ -49,7 +49,7 @@
 
     private static boolean in(SimWorld world, String name) {
         SimNode leader = world.leader();
-        if (leader == null || !leader.members.status().inForce()) {
+        if (leader == null || !leader.members.status().active()) {
             return false;
         }
         return leader.members.status().members().stream()
@@ -112,8 +112,9 @@
     void aMemberThatAnswersButNeverKeepsTheViewIsLeftOutOfTheNext() {
         core("a", "b", "c", "d", "e");
         world.padding = "p".repeat(MB);
-        world.tap = (from, to, frame) ->
-                !(to.equals("e") && (frame instanceof Frame.Piece || frame instanceof Frame.Append));
+        world.tap = (from, to, frame) -> !(to.equals("e")
+                && (frame instanceof ReplicationMessage.FetchChunkResponse
+                        || frame instanceof ReplicationMessage.AppendRequest));
         for (int i = 0; i < 4; i++) {
             world.oracle.propose(world.leader());
         }
@@ -148,14 +149,16 @@
         changes(world, 20, 200);
         assertFalse(in(world, "e"));
         world.nodes.get("a").kill(true);
-        long lost = world.now;
+        long lostIncarnations = world.now;
         world.await(
                 () -> world.leader() != null && in(world, "b") && !in(world, "a"), 3000, "the view without the giver");
         for (int i = 0; i < 200 && !in(world, "e"); i++) {
             changes(world, 1, 200);
         }
         assertTrue(in(world, "e"), "not back in");
-        assertTrue(world.now - lost < 12_500, "back only " + (world.now - lost) + " ms after the loss of its giver");
+        assertTrue(
+                world.now - lostIncarnations < 12_500,
+                "back only " + (world.now - lostIncarnations) + " ms after the loss of its giver");
         world.nodes.get("a").start();
         world.await(() -> in(world, "a"), 4000, "the giver is back");
         world.until(world.now + 1000);
@@ -181,7 +184,7 @@
         world.ballast = "b".repeat(2 * MB);
         world.nodes.get("e").kill(true);
         world.await(() -> !in(world, "e"), 3000, "the view without it");
-        changes(world, 3 * ReplicatedLog.ENTRIES + 10, 12);
+        changes(world, 3 * ReplicatedLog.MAX_ENTRIES_BEFORE_SNAPSHOT + 10, 12);
         around(world, "e", SLOW);
         world.nodes.get("e").start();
         world.await(() -> world.link("a", "e").bytes > 5 * MB / 4, 12_000, "more than half of the state");
@@ -227,7 +230,7 @@
     /** The second giver has compacted what it would need for that: the learner begins anew, and says so. */
     @Test
     void aLearnerBeginsAnewWhereTheNextGiverCannotMakeTheSameState() {
-        long rest = learnerWhoseGiverIsLost(2 * ReplicatedLog.ENTRIES);
+        long rest = learnerWhoseGiverIsLost(2 * ReplicatedLog.MAX_ENTRIES_BEFORE_SNAPSHOT);
         assertTrue(told("replication.transfer-anew"));
         assertTrue(rest > 2 * MB, "bytes of the second giver " + rest);
     }
@@ -239,16 +242,19 @@
         world.talks = true;
         world.node("d", List.of("a", "b", "c"));
         world.ballast = "b".repeat(MB);
-        changes(world, 3 * ReplicatedLog.ENTRIES + 10, 12);
+        changes(world, 3 * ReplicatedLog.MAX_ENTRIES_BEFORE_SNAPSHOT + 10, 12);
         boolean[] spoil = {true};
         world.post = frame -> {
-            if (!(frame instanceof Frame.Piece piece) || piece.offset() != StateTransfer.PIECE || !spoil[0]) {
+            if (!(frame instanceof ReplicationMessage.FetchChunkResponse chunk)
+                    || chunk.offset() != StateTransferClient.CHUNK_BYTES
+                    || !spoil[0]) {
                 return frame;
             }
             spoil[0] = false;
-            byte[] other = piece.bytes().clone();
+            byte[] other = chunk.bytes().clone();
             other[100] ^= 1;
-            return new Frame.Piece(piece.id(), piece.offset(), piece.total(), other, piece.cut());
+            return new ReplicationMessage.FetchChunkResponse(
+                    chunk.transferId(), chunk.offset(), chunk.totalBytes(), other, chunk.transfer());
         };
         world.nodes.get("d").start();
         world.await(() -> in(world, "d"), 5000, "let in");
@@ -266,7 +272,7 @@
         core("a", "b", "c");
         world.node("d", List.of("a", "b", "c"));
         world.ballast = "b".repeat(2 * MB);
-        changes(world, 3 * ReplicatedLog.ENTRIES + 10, 12);
+        changes(world, 3 * ReplicatedLog.MAX_ENTRIES_BEFORE_SNAPSHOT + 10, 12);
         around(world, "d", SLOW);
         world.nodes.get("d").start();
         long begin = world.now;
@@ -321,7 +327,7 @@
             world.node(name, List.of("a", "b", "c"));
         }
         world.ballast = "b".repeat(2 * MB);
-        changes(world, 3 * ReplicatedLog.ENTRIES + 10, 12);
+        changes(world, 3 * ReplicatedLog.MAX_ENTRIES_BEFORE_SNAPSHOT + 10, 12);
         for (String name : List.of("d", "e", "f", "g", "h")) {
             around(world, name, 2 * SLOW);
             world.nodes.get(name).start();
@@ -382,7 +388,7 @@
                 world.until(world.now + 10);
                 for (SimNode node : world.nodes.values()) {
                     ReplicaStatus status = node.members.status();
-                    if (!status.leading() || !status.settled()) {
+                    if (!status.isLeader() || !status.settled()) {
                         continue;
                     }
                     assertTrue(
--- a/src/test/java/brambletray/platform/replication/SteppedWorld.java
+++ b/src/test/java/brambletray/platform/replication/SteppedWorld.java
@@ -68,11 +68,11 @@
                     this,
                     this,
                     board.now);
-            life = members.status().me().life();
+            life = members.status().self().incarnation();
         }
 
         @Override
-        public void send(String address, Frame frame) {
+        public void send(String address, ReplicationMessage frame) {
             board.links.get(SIZE * number + address.charAt(0) - 'a').add(frame);
         }
 
@@ -95,17 +95,17 @@
         }
 
         @Override
-        public void outcome(long token, ProposalOutcome outcome) {
+        public void proposalCompleted(long token, ProposalOutcome outcome) {
             if (outcome == ProposalOutcome.COMMITTED) {
                 board.acknowledged++;
             }
         }
 
         @Override
-        public void confirmed(long token, boolean yes) {}
+        public void readIndexCompleted(long token, boolean yes) {}
 
         @Override
-        public void changed() {}
+        public void statusChanged() {}
 
         @Override
         public void tell(String event, Object... facts) {
@@ -143,7 +143,7 @@
         }
 
         @Override
-        public void deliver(long index, byte[] change) {
+        public void apply(long index, byte[] change) {
             String text = new String(change, StandardCharsets.UTF_8);
             if (state.contains(text)) {
                 throw new AssertionError(text + " twice at " + NAMES[number]);
@@ -158,7 +158,7 @@
     }
 
     private final Seat[] seats = new Seat[SIZE];
-    private final List<ArrayDeque<Frame>> links = new ArrayList<>();
+    private final List<ArrayDeque<ReplicationMessage>> links = new ArrayList<>();
     private final TreeMap<Long, String> order = new TreeMap<>();
     private final TreeMap<Long, View> views = new TreeMap<>();
     private final List<Long> lost = new ArrayList<>();
@@ -191,7 +191,7 @@
         seats[0].members.tick(now);
         drain();
         // told to the others that the view is in force by their leader's next beat
-        if (!seats[0].members.status().leading()) {
+        if (!seats[0].members.status().isLeader()) {
             throw new AssertionError("not founded");
         }
     }
@@ -230,7 +230,7 @@
             case 1 -> purse.impatience > 0;
             case 2 -> purse.power > 0;
             case 3 -> purse.disks > 0 && intact();
-            case 4 -> seat.members.leaving() ? seat.members.left() : purse.leaves > 0;
+            case 4 -> seat.members.leaving() ? seat.members.mayTerminate() : purse.leaves > 0;
             default -> false;
         };
     }
@@ -241,19 +241,19 @@
         }
         View latest = views.lastEntry().getValue();
         return latest.members().size() > 1
-                && latest.members().stream().noneMatch(member -> lost.contains(member.life()));
+                && latest.members().stream().noneMatch(member -> lost.contains(member.incarnation()));
     }
 
     void play(int move) {
         if (move < SIZE * SIZE) {
-            Frame frame = links.get(move).poll();
+            ReplicationMessage frame = links.get(move).poll();
             if (seats[move % SIZE].members == null) {
                 return;
             }
             if (talks) {
                 System.out.println(NAMES[move / SIZE] + ">" + NAMES[move % SIZE] + " " + frame);
             }
-            seats[move % SIZE].members.heard(NAMES[move / SIZE], frame, now);
+            seats[move % SIZE].members.receive(NAMES[move / SIZE], frame, now);
             look(seats[move % SIZE]);
             return;
         }
@@ -271,7 +271,7 @@
             now += STEP_MS;
             seat.members.tick(now);
         } else if (kind == 4) {
-            if (seat.members.left()) {
+            if (seat.members.mayTerminate()) {
                 end(seat);
                 return;
             }
@@ -313,10 +313,10 @@
     private void end(Seat seat) {
         View latest = views.lastEntry().getValue();
         boolean alone = latest.members().size() == 1;
-        if (latest.has(seat.life) && !alone) {
+        if (latest.contains(seat.life) && !alone) {
             throw new AssertionError(NAMES[seat.number] + " has left, and is in " + latest);
         }
-        boolean one = !latest.has(seat.life) && alone && lost.isEmpty();
+        boolean one = !latest.contains(seat.life) && alone && lost.isEmpty();
         if (one) {
             throw new AssertionError(NAMES[seat.number] + " has left one disk: " + latest);
         }
@@ -329,18 +329,20 @@
     /** Holds the rules, and has each new leader propose something. */
     private void look(Seat seat) {
         ReplicaStatus status = seat.members.status();
-        if (!status.inForce()) {
+        if (!status.active()) {
             return;
         }
         joined |= status.members().stream().anyMatch(member -> member.address().equals(NAMES[FOUNDERS]));
-        View mine = new View(new Ballot(status.number(), status.leader().life()), status.members(), List.of());
-        View other = views.putIfAbsent(status.number(), mine);
+        View mine =
+                new View(new Ballot(status.viewNumber(), status.leader().incarnation()), status.members(), List.of());
+        View other = views.putIfAbsent(status.viewNumber(), mine);
         if (other != null && !other.equals(mine)) {
-            throw new AssertionError("two views of number " + status.number() + ": " + other + ", " + mine);
+            throw new AssertionError("two views of number " + status.viewNumber() + ": " + other + ", " + mine);
         }
-        if (status.leading() && seat.proposedIn < status.number()) {
-            seat.proposedIn = status.number();
-            seat.members.propose(status.number(), ("v" + status.number()).getBytes(StandardCharsets.UTF_8), now);
+        if (status.isLeader() && seat.proposedIn < status.viewNumber()) {
+            seat.proposedIn = status.viewNumber();
+            seat.members.propose(
+                    status.viewNumber(), ("v" + status.viewNumber()).getBytes(StandardCharsets.UTF_8), now);
         }
     }
 
--- a/src/test/java/brambletray/platform/replication/Timeline.java
+++ b/src/test/java/brambletray/platform/replication/Timeline.java
@@ -227,7 +227,7 @@
             return !node.state.contains(text(word.substring(1)));
         }
         if (word.equals("left") || word.equals("stays")) {
-            return node.members.left() == word.equals("left");
+            return node.members.mayTerminate() == word.equals("left");
         }
         if (word.equals("?ok")) {
             return world.oracle.confirmedOk > confirms;
@@ -240,16 +240,16 @@
         }
         ReplicaStatus status = node.members.status();
         if (word.startsWith("V")) {
-            return status.number() == number(word, 1);
+            return status.viewNumber() == number(word, 1);
         }
         if (word.length() > 1 && status.members().size() != word.charAt(1) - '0') {
             return false;
         }
         return switch (word.charAt(0)) {
-            case 'L' -> status.leading();
-            case 'M' -> status.standing() == ReplicaRole.MEMBER;
-            case 'S' -> status.standing() == ReplicaRole.STOPPED;
-            default -> status.standing() == ReplicaRole.KNOCKING;
+            case 'L' -> status.isLeader();
+            case 'M' -> status.role() == ReplicaRole.MEMBER;
+            case 'S' -> status.role() == ReplicaRole.SUSPENDED;
+            default -> status.role() == ReplicaRole.JOINING;
         };
     }
 
--- a/src/test/java/brambletray/platform/replication/TimelineSteps.java
+++ b/src/test/java/brambletray/platform/replication/TimelineSteps.java
@@ -59,7 +59,7 @@
     @Given("a state of {int} kB")
     public void state(int kb) {
         core.world.ballast = "b".repeat(kb << 10);
-        changes(ReplicatedLog.ENTRIES + 10);
+        changes(ReplicatedLog.MAX_ENTRIES_BEFORE_SNAPSHOT + 10);
     }
 
     @When("this happens")
--- a/src/test/java/brambletray/platform/replication/ZoneWarningTest.java
+++ b/src/test/java/brambletray/platform/replication/ZoneWarningTest.java
@@ -49,7 +49,8 @@
             world.nodes.get(name).kill(true);
         }
         world.until(world.now + 5_000);
-        assertEquals(ReplicaRole.STOPPED, world.nodes.get("a").members.status().standing());
+        assertEquals(
+                ReplicaRole.SUSPENDED, world.nodes.get("a").members.status().role());
         assertTrue(world.nodes.get("a").state.contains("c" + token));
         for (String name : List.of("c", "d")) {
             world.nodes.get(name).start();
--- a/src/test/resources/brambletray/platform/replication/change.feature
+++ b/src/test/resources/brambletray/platform/replication/change.feature
@@ -22,10 +22,10 @@
 
     Examples:
       | how | step      |
-      | XX@ | StopRequest      |
-      | XX> | StopRequest      |
-      | XX< | StopAnswer      |
-      | XX@ | Install   |
+      | XX@ | PrepareRequest      |
+      | XX> | PrepareRequest      |
+      | XX< | PrepareResponse      |
+      | XX@ | InstallViewRequest   |
 
   Scenario Outline: the leader of a change dies when another has kept the new view: it may be in force, so both are waited for (<how> <step>)
     When this happens
@@ -43,9 +43,9 @@
 
     Examples:
       | how | step      |
-      | XX> | Install   |
-      | XX< | Installed |
-      | XX@ | Heartbeat      |
+      | XX> | InstallViewRequest   |
+      | XX< | InstallViewResponse |
+      | XX@ | HeartbeatRequest      |
 
   Scenario Outline: the other one of a change of two dies as it is about to say, or has just said, <step>
     When this happens
@@ -63,10 +63,10 @@
 
     Examples:
       | how | step      |
-      | XX@ | StopAnswer      |
-      | XX> | StopAnswer      |
-      | XX< | Install   |
-      | XX@ | Installed |
+      | XX@ | PrepareResponse      |
+      | XX> | PrepareResponse      |
+      | XX< | InstallViewRequest   |
+      | XX@ | InstallViewResponse |
 
   Scenario: a dead member is out within a second, and in again within a second and a half
     When this happens
--- a/src/test/resources/brambletray/platform/replication/leave.feature
+++ b/src/test/resources/brambletray/platform/replication/leave.feature
@@ -87,7 +87,7 @@
     When this happens
       """
               a            b            c            d
-      0       bye<JoinRequest    .            .            ^,X@PieceRequest
+      0       bye<JoinRequest    .            .            ^,X@FetchChunkRequest
       1000    stays,L3     M3           M3           .
       <1300   left         L2           M2           .
       """
--- a/src/test/resources/brambletray/platform/replication/newcomers.feature
+++ b/src/test/resources/brambletray/platform/replication/newcomers.feature
@@ -117,7 +117,7 @@
       1000    +x           .            .
       <1100   ok:x         =x           .
       1200    W            .            .
-      1500    ^,X>IdentityAnswer     .            .
+      1500    ^,X>IdentityResponse     .            .
       <2600   .            L1           .
       2700    .            +y           .
       4000    .            L1,no:y      .
@@ -132,7 +132,7 @@
     When this happens
       """
               a            b            c            d
-      0       .            ~>a@Installed X           ^,~>a@Installed
+      0       .            ~>a@InstallViewResponse X           ^,~>a@InstallViewResponse
       850     ~b,~d        .            .            .
       900     .            .            ^,~b,~d      .
       <4000   L2           S3           M2           S3
--- a/src/test/resources/brambletray/platform/replication/order.feature
+++ b/src/test/resources/brambletray/platform/replication/order.feature
@@ -46,7 +46,7 @@
     When this happens
       """
               a            b            c
-      0       X<Ack        .            .
+      0       X<AppendResponse        .            .
       1       +x           .            .
       <1300   .            L2,=x        M2,=x
       1400    ^            .            .
@@ -133,7 +133,7 @@
     When this happens
       """
               a            b            c
-      0       X@Append     .            .
+      0       X@AppendRequest     .            .
       1       .            +x           .
       <1500   .            L2,ok:x      M2,=x
       """
@@ -145,7 +145,7 @@
       """
               a            b            c
       0       .            .            W
-      100     .            .            ^,X<Piece
+      100     .            .            ^,X<FetchChunkResponse
       <400    .            .            .
       400     X            X            .
       700     ^            ^            ^
