--- a/src/main/java/brambletray/platform/cli/ProgramLauncher.java
+++ b/src/main/java/brambletray/platform/cli/ProgramLauncher.java
@@ -40,7 +40,7 @@
             LogOutput.begin(nodeSettings.node(), java.util.logging.Level.INFO, () -> clock.micros() / 1_000);
             SecureRandom random = new SecureRandom();
             if (program.equals("controlplane")) {
-                ControlPlaneProgram.begin(nodeSettings, random.nextLong() | 1, random.nextLong() | 1);
+                ControlPlaneProgram.run(nodeSettings, random.nextLong() | 1, random.nextLong() | 1);
             } else {
                 EdgeProgram.begin(nodeSettings, random.nextLong() >>> 1 | 1);
             }
--- a/src/main/java/brambletray/platform/cli/StatusVerbs.java
+++ b/src/main/java/brambletray/platform/cli/StatusVerbs.java
@@ -224,7 +224,7 @@
                         JsonValues.text(edge, "zone"),
                         JsonValues.text(edge, "address"),
                         0,
-                        "in".equals(edge.get("state")) ? Peer.IN : Peer.LEAVING));
+                        "in".equals(edge.get("state")) ? Peer.ACTIVE : Peer.LEAVING));
             }
             HomeAssignment homes = new HomeAssignment(new Roster(1, 1, peers));
             List<String> heads = new ArrayList<>(List.of("service"));
--- a/src/main/java/brambletray/platform/configuration/ChangeDecision.java
+++ b/src/main/java/brambletray/platform/configuration/ChangeDecision.java
@@ -4,26 +4,26 @@
 public sealed interface ChangeDecision {
     /**
      * It may be taken as things stand: {@code change} goes into the order, and {@link
-     * ConfigurationStateMachine#deliver} says what became
+     * ConfigurationStateMachine#apply} says what became
      * of it.
      */
-    record Fine(byte[] change) implements ChangeDecision {}
+    record Proposable(byte[] encodedChange) implements ChangeDecision {}
 
     /** Delivered: this is the configuration from here on. */
-    record Taken(Configuration configuration) implements ChangeDecision {}
+    record Applied(Configuration configuration) implements ChangeDecision {}
 
     /** This very change was taken as that revision, and its answer got lost: 200. */
-    record TakenBefore(long revision) implements ChangeDecision {}
+    record AlreadyApplied(long revision) implements ChangeDecision {}
 
     /** Another revision is the current one: 412. */
-    record Stale(long current) implements ChangeDecision {}
+    record Stale(long currentRevision) implements ChangeDecision {}
 
     /**
      * It builds on a revision from before those that are remembered, the oldest of which is this: it may have been
      * taken then or not, so there is no clear answer: 503.
      */
-    record Forgotten(long oldest) implements ChangeDecision {}
+    record HistoryExpired(long oldestRevision) implements ChangeDecision {}
 
     /** 400, with the fault's code and message. */
-    record Invalid(ConfigurationException fault) implements ChangeDecision {}
+    record Invalid(ConfigurationException error) implements ChangeDecision {}
 }
--- a/src/main/java/brambletray/platform/configuration/ChangeHistory.java
+++ b/src/main/java/brambletray/platform/configuration/ChangeHistory.java
@@ -15,14 +15,14 @@
  */
 public final class ChangeHistory {
     /** Versions that are remembered, and names that these touched together; beyond either the oldest are forgotten. */
-    static final int VERSIONS = 4_096;
+    static final int MAX_VERSIONS = 4_096;
 
-    static final int NAMES = 65_536;
+    static final int MAX_NAMES = 65_536;
 
-    private record Step(long from, Set<ConfigurationDocument.Key> touched) {}
+    private record VersionChange(long fromRevision, Set<ConfigurationDocument.Key> touchedEntries) {}
 
-    private final ArrayDeque<Step> steps = new ArrayDeque<>();
-    private int names;
+    private final ArrayDeque<VersionChange> versions = new ArrayDeque<>();
+    private int nameCount;
     private Configuration current = Configuration.NONE;
 
     public Configuration current() {
@@ -30,38 +30,39 @@
     }
 
     /** This one is in force from here on; what came in between, if anything did, is taken as one step. */
-    public void become(Configuration next) {
+    public void advanceTo(Configuration next) {
         if (next.revision() <= current.revision()) {
             return;
         }
         if (current != Configuration.NONE) {
-            Step step = new Step(current.revision(), next.changedSince(current));
-            steps.add(step);
-            names += step.touched.size();
-            while (steps.size() > VERSIONS || names > NAMES) {
-                names -= steps.remove().touched.size();
+            VersionChange version = new VersionChange(current.revision(), next.changedSince(current));
+            versions.add(version);
+            nameCount += version.touchedEntries.size();
+            while (versions.size() > MAX_VERSIONS || nameCount > MAX_NAMES) {
+                nameCount -= versions.remove().touchedEntries.size();
             }
         }
         current = next;
     }
 
     /** Whether it is known what has changed since this revision. */
-    boolean remembers(long base) {
-        return base == current.revision() || steps.stream().anyMatch(step -> step.from == base);
+    boolean isRemembered(long baseRevision) {
+        return baseRevision == current.revision()
+                || versions.stream().anyMatch(version -> version.fromRevision == baseRevision);
     }
 
     /** From this revision to the current one; null: it isn't remembered, or the whole is no larger. */
-    public ConfigurationDelta since(long base) {
+    public ConfigurationDelta deltaSince(long baseRevision) {
         Set<ConfigurationDocument.Key> touched = new TreeSet<>(
                 Comparator.comparing(ConfigurationDocument.Key::table).thenComparing(ConfigurationDocument.Key::name));
         long from = current.revision();
-        for (Iterator<Step> back = steps.descendingIterator(); from != base && back.hasNext(); ) {
-            Step step = back.next();
-            touched.addAll(step.touched);
-            from = step.from;
+        for (Iterator<VersionChange> back = versions.descendingIterator(); from != baseRevision && back.hasNext(); ) {
+            VersionChange version = back.next();
+            touched.addAll(version.touchedEntries);
+            from = version.fromRevision;
         }
-        if (from != base
-                || base == 0
+        if (from != baseRevision
+                || baseRevision == 0
                 || touched.size() > current.routes().size() + current.services().size()) {
             return null;
         }
@@ -69,11 +70,11 @@
         for (ConfigurationDocument.Key key : touched) {
             entries.add(new ConfigurationDelta.Entry(key.table(), key.name(), current.entry(key)));
         }
-        return new ConfigurationDelta(base, current.revision(), current.digest(), entries);
+        return new ConfigurationDelta(baseRevision, current.revision(), current.digest(), entries);
     }
 
     /** The whole of the current one, for who has none that is remembered. */
-    public ConfigurationDelta whole() {
+    public ConfigurationDelta fullDelta() {
         List<ConfigurationDelta.Entry> entries = new ArrayList<>();
         current.entries()
                 .forEach((key, body) -> entries.add(new ConfigurationDelta.Entry(key.table(), key.name(), body)));
--- a/src/main/java/brambletray/platform/configuration/Configuration.java
+++ b/src/main/java/brambletray/platform/configuration/Configuration.java
@@ -15,7 +15,7 @@
 public final class Configuration {
     /** Revision 0: nothing is routed. The first configuration builds on it. */
     public static final Configuration NONE =
-            new Configuration(0, Map.of(), Map.of(), ClientLimits.USUAL, new ConfigurationDocument());
+            new Configuration(0, Map.of(), Map.of(), ClientLimits.DEFAULTS, new ConfigurationDocument());
 
     private static final String REVISION = "revision";
     private static final String LIMITS = "limits";
@@ -24,24 +24,24 @@
     private final Map<String, Route> routes;
     private final Map<String, Service> services;
     private final ClientLimits limits;
-    private final RouteTable places;
-    private final ConfigurationDocument parts;
+    private final RouteTable routeTable;
+    private final ConfigurationDocument document;
     /** Over all entries; 0: not counted yet. Two threads that count it at once find the same. */
-    private long sum;
+    private long entrySum;
 
     private Configuration(
             long revision,
             Map<String, Route> routes,
             Map<String, Service> services,
             ClientLimits limits,
-            ConfigurationDocument parts) {
+            ConfigurationDocument document) {
         this.revision = revision;
         this.routes = Collections.unmodifiableMap(routes);
         this.services = Collections.unmodifiableMap(services);
         this.limits = limits;
-        this.parts = parts;
-        if (parts.size() > ConfigurationJson.LARGEST) {
-            throw ConfigurationJson.tooLarge(parts.size());
+        this.document = document;
+        if (document.size() > ConfigurationJson.MAX_BODY_BYTES) {
+            throw ConfigurationJson.tooLarge(document.size());
         }
         for (Route route : routes.values()) {
             for (int i = 0; i < route.shares().size(); i++) {
@@ -49,43 +49,43 @@
                 if (!services.containsKey(service)) {
                     throw new ConfigurationException(
                             "unknown-service",
-                            "routes[" + ConfigurationJson.brief(route.name()) + "].service",
-                            "expected a service of the configuration, found " + ConfigurationJson.brief(service));
+                            "routes[" + ConfigurationJson.abbreviate(route.name()) + "].service",
+                            "expected a service of the configuration, found " + ConfigurationJson.abbreviate(service));
                 }
             }
         }
-        places = new RouteTable(routes.values());
+        routeTable = new RouteTable(routes.values());
     }
 
     /**
      * The body of a replacement; {@link ConfigurationException} where it is invalid. Whether its revision is above
      * another's says
-     * {@link #after}.
+     * {@link #requireNewerThan}.
      */
     public static Configuration read(byte[] body) {
-        JsonFields in = JsonFields.from("", ConfigurationJson.read(body).plain());
-        long revision = in.number(REVISION, 1, Long.MAX_VALUE);
+        JsonFields in = JsonFields.from("", ConfigurationJson.read(body).content());
+        long revision = in.requiredLong(REVISION, 1, Long.MAX_VALUE);
         for (String table : List.of(ConfigurationDocument.ROUTES, ConfigurationDocument.SERVICES)) {
             if (!in.has(table)) {
-                throw in.fault("missing", table, "expected a list, is missing");
+                throw in.error("missing", table, "expected a list, is missing");
             }
         }
-        ConfigurationDocument parts = new ConfigurationDocument();
+        ConfigurationDocument document = new ConfigurationDocument();
         for (String field : in.names()) {
             if (!field.equals(REVISION)) {
-                parts.put(field, in.raw(field), body);
+                document.put(field, in.rawValue(field), body);
             }
         }
         return new Configuration(
                 revision,
                 routes(in, new LinkedHashMap<>()),
                 services(in, new LinkedHashMap<>()),
-                in.has(LIMITS) ? ClientLimits.from(in.below(LIMITS)) : ClientLimits.USUAL,
-                parts);
+                in.has(LIMITS) ? ClientLimits.from(in.object(LIMITS)) : ClientLimits.DEFAULTS,
+                document);
     }
 
     /** This one, if its revision is above the current one's; else {@link ConfigurationException}. */
-    public Configuration after(Configuration current) {
+    public Configuration requireNewerThan(Configuration current) {
         if (revision <= current.revision) {
             throw new ConfigurationException(
                     "old-revision",
@@ -102,32 +102,32 @@
      * it.
      */
     public Configuration modify(byte[] body) {
-        JsonFields in = JsonFields.from("", ConfigurationJson.read(body).plain());
-        long next = in.number(REVISION, 1, Long.MAX_VALUE);
-        ConfigurationDocument changed = parts.copy();
+        JsonFields in = JsonFields.from("", ConfigurationJson.read(body).content());
+        long next = in.requiredLong(REVISION, 1, Long.MAX_VALUE);
+        ConfigurationDocument changed = document.copy();
         Map<String, Route> nextRoutes = new LinkedHashMap<>(routes);
         Map<String, Service> nextServices = new LinkedHashMap<>(services);
         ClientLimits nextLimits = limits;
         Set<String> set = new HashSet<>();
         if (in.has("upsert")) {
-            JsonFields upsert = in.below("upsert");
+            JsonFields upsert = in.object("upsert");
             routes(upsert, nextRoutes);
             services(upsert, nextServices);
             for (String field : upsert.names()) {
                 if (upsert.has(field)) {
-                    changed.put(field, upsert.raw(field), body);
+                    changed.put(field, upsert.rawValue(field), body);
                     set.addAll(ConfigurationDocument.names(field, upsert.value(field)));
                 }
             }
             if (upsert.has(LIMITS)) {
                 nextLimits = ClientLimits.from(JsonFields.from(
-                        LIMITS, ConfigurationJson.read(changed.field(LIMITS)).plain()));
+                        LIMITS, ConfigurationJson.read(changed.field(LIMITS)).content()));
             }
         }
         if (in.has("withdraw")) {
-            withdraw(in.below("withdraw"), set, changed, nextRoutes, nextServices);
+            withdraw(in.object("withdraw"), set, changed, nextRoutes, nextServices);
         }
-        return new Configuration(next, nextRoutes, nextServices, nextLimits, changed).after(this);
+        return new Configuration(next, nextRoutes, nextServices, nextLimits, changed).requireNewerThan(this);
     }
 
     private static void withdraw(
@@ -139,14 +139,14 @@
         for (String table : in.names()) {
             List<ConfigurationJson.Value> names = in.list(table);
             for (int i = 0; names != null && i < names.size(); i++) {
-                if (!(names.get(i).plain() instanceof String name)) {
-                    throw in.fault("wrong-type", table + '[' + i + ']', "expected a name");
+                if (!(names.get(i).content() instanceof String name)) {
+                    throw in.error("wrong-type", table + '[' + i + ']', "expected a name");
                 }
                 if (set.contains(table + '/' + name)) {
-                    throw in.fault(
+                    throw in.error(
                             "ambiguous",
                             table + '[' + i + ']',
-                            "expected a name that isn't in upsert too, found " + ConfigurationJson.brief(name));
+                            "expected a name that isn't in upsert too, found " + ConfigurationJson.abbreviate(name));
                 }
                 changed.remove(table, name);
                 if (table.equals(ConfigurationDocument.ROUTES)) {
@@ -163,8 +163,8 @@
         Set<String> seen = new HashSet<>();
         for (ConfigurationJson.Value item : items(in, ConfigurationDocument.ROUTES)) {
             Route route =
-                    Route.from(JsonFields.from(ConfigurationDocument.ROUTES + '[' + seen.size() + ']', item.plain()));
-            once(seen, ConfigurationDocument.ROUTES, route.name());
+                    Route.from(JsonFields.from(ConfigurationDocument.ROUTES + '[' + seen.size() + ']', item.content()));
+            requireUnique(seen, ConfigurationDocument.ROUTES, route.name());
             into.put(route.name(), route);
         }
         return into;
@@ -174,8 +174,8 @@
         Set<String> seen = new HashSet<>();
         for (ConfigurationJson.Value item : items(in, ConfigurationDocument.SERVICES)) {
             Service service = Service.from(
-                    JsonFields.from(ConfigurationDocument.SERVICES + '[' + seen.size() + ']', item.plain()));
-            once(seen, ConfigurationDocument.SERVICES, service.name());
+                    JsonFields.from(ConfigurationDocument.SERVICES + '[' + seen.size() + ']', item.content()));
+            requireUnique(seen, ConfigurationDocument.SERVICES, service.name());
             into.put(service.name(), service);
         }
         return into;
@@ -186,33 +186,33 @@
         return items == null ? List.of() : items;
     }
 
-    private static void once(Set<String> seen, String table, String name) {
+    private static void requireUnique(Set<String> seen, String table, String name) {
         if (!seen.add(name)) {
             throw new ConfigurationException(
                     "duplicate-name",
-                    table + '[' + ConfigurationJson.brief(name) + "].name",
+                    table + '[' + ConfigurationJson.abbreviate(name) + "].name",
                     "expected each name once");
         }
     }
 
     /**
-     * This one with a taken change ({@link ChangeDecision.Fine#change}) on top, for those who follow: far smaller than
+     * This one with a taken change ({@link ChangeDecision.Proposable#encodedChange}) on top, for those who follow: far smaller than
      * the
      * whole. {@link ConfigurationException} {@code creed.stale} where the change builds on another revision: ask for
      * the whole
      * then.
      */
     public Configuration apply(byte[] change) {
-        return ConfigurationChange.from(change).on(this);
+        return ConfigurationChange.decode(change).applyTo(this);
     }
 
     /** {@link #json} packed, for a slow or dear link. */
-    public byte[] packed() {
+    public byte[] toCompressedBytes() {
         return DeltaCompression.pack(json());
     }
 
-    /** From {@link #packed}; {@link ConfigurationException}. */
-    public static Configuration unpack(byte[] packed) {
+    /** From {@link #toCompressedBytes}; {@link ConfigurationException}. */
+    public static Configuration fromCompressedBytes(byte[] packed) {
         return read(DeltaCompression.unpack(packed));
     }
 
@@ -224,15 +224,15 @@
      * codes where an entry can't be read: ask for the whole then.
      */
     public Configuration apply(ConfigurationDelta delta) {
-        if (delta.base() != 0 && delta.base() != revision) {
+        if (delta.baseRevision() != 0 && delta.baseRevision() != revision) {
             throw new ConfigurationException(
-                    "stale", "", "expected a difference from " + revision + ", found one from " + delta.base());
+                    "stale", "", "expected a difference from " + revision + ", found one from " + delta.baseRevision());
         }
         if (delta.revision() <= revision) {
             throw new ConfigurationException(
                     "not-newer", "", "expected a revision above " + revision + ", found " + delta.revision());
         }
-        Configuration next = delta.base() == 0 ? NONE.with(delta) : with(delta);
+        Configuration next = delta.baseRevision() == 0 ? NONE.with(delta) : with(delta);
         if (next.digest() != delta.digest()) {
             throw new ConfigurationException(
                     "digest",
@@ -244,43 +244,45 @@
     }
 
     private Configuration with(ConfigurationDelta delta) {
-        ConfigurationDocument changed = parts.copy();
+        ConfigurationDocument changed = document.copy();
         Map<String, Route> nextRoutes = new LinkedHashMap<>(routes);
         Map<String, Service> nextServices = new LinkedHashMap<>(services);
-        long nextSum = sum();
+        long nextSum = computeEntrySum();
         for (ConfigurationDelta.Entry entry : delta.entries()) {
             nextSum += ConfigurationDigest.of(entry)
-                    - ConfigurationDigest.of(entry.table(), entry.name(), parts.entry(entry.table(), entry.name()));
+                    - ConfigurationDigest.of(entry.table(), entry.name(), document.entry(entry.table(), entry.name()));
             changed.set(entry.table(), entry.name(), entry.body());
             if (entry.table().equals(ConfigurationDocument.ROUTES)) {
-                put(nextRoutes, entry, Route::from);
+                applyEntry(nextRoutes, entry, Route::from);
             } else if (entry.table().equals(ConfigurationDocument.SERVICES)) {
-                put(nextServices, entry, Service::from);
+                applyEntry(nextServices, entry, Service::from);
             }
         }
-        ClientLimits nextLimits = changed.field(LIMITS) == parts.field(LIMITS) ? limits : limits(changed.field(LIMITS));
+        ClientLimits nextLimits =
+                changed.field(LIMITS) == document.field(LIMITS) ? limits : limits(changed.field(LIMITS));
         Configuration next = new Configuration(delta.revision(), nextRoutes, nextServices, nextLimits, changed);
-        next.sum = nextSum;
+        next.entrySum = nextSum;
         return next;
     }
 
-    private static <T> void put(Map<String, T> items, ConfigurationDelta.Entry entry, Function<JsonFields, T> read) {
+    private static <T> void applyEntry(
+            Map<String, T> items, ConfigurationDelta.Entry entry, Function<JsonFields, T> read) {
         if (entry.body() == null) {
             items.remove(entry.name());
         } else {
             items.put(
                     entry.name(),
                     read.apply(JsonFields.from(
-                            entry.table() + '[' + ConfigurationJson.brief(entry.name()) + ']',
-                            ConfigurationJson.read(entry.body()).plain())));
+                            entry.table() + '[' + ConfigurationJson.abbreviate(entry.name()) + ']',
+                            ConfigurationJson.read(entry.body()).content())));
         }
     }
 
     private static ClientLimits limits(byte[] field) {
         return field == null || field[0] != '{'
-                ? ClientLimits.USUAL
+                ? ClientLimits.DEFAULTS
                 : ClientLimits.from(
-                        JsonFields.from(LIMITS, ConfigurationJson.read(field).plain()));
+                        JsonFields.from(LIMITS, ConfigurationJson.read(field).content()));
     }
 
     /**
@@ -288,18 +290,18 @@
      * entries.
      */
     public long digest() {
-        return ConfigurationDigest.of(revision, sum());
+        return ConfigurationDigest.of(revision, computeEntrySum());
     }
 
-    private long sum() {
-        long known = sum;
+    private long computeEntrySum() {
+        long known = entrySum;
         if (known == 0) {
             for (Map.Entry<ConfigurationDocument.Key, byte[]> one :
-                    parts.entries().entrySet()) {
+                    document.entries().entrySet()) {
                 known += ConfigurationDigest.of(
                         one.getKey().table(), one.getKey().name(), one.getValue());
             }
-            sum = known;
+            entrySum = known;
         }
         return known;
     }
@@ -309,25 +311,25 @@
      * is used here.
      */
     Set<ConfigurationDocument.Key> changedSince(Configuration before) {
-        Set<ConfigurationDocument.Key> changed = parts.changedSince(before.parts);
-        if (sum == 0 && before.sum != 0) {
-            long next = before.sum;
+        Set<ConfigurationDocument.Key> changed = document.changedSince(before.document);
+        if (entrySum == 0 && before.entrySum != 0) {
+            long next = before.entrySum;
             for (ConfigurationDocument.Key key : changed) {
                 next += ConfigurationDigest.of(key.table(), key.name(), entry(key))
                         - ConfigurationDigest.of(key.table(), key.name(), before.entry(key));
             }
-            sum = next;
+            entrySum = next;
         }
         return changed;
     }
 
     /** As bytes, or null: it isn't there. */
     byte[] entry(ConfigurationDocument.Key key) {
-        return parts.entry(key.table(), key.name());
+        return document.entry(key.table(), key.name());
     }
 
     Map<ConfigurationDocument.Key, byte[]> entries() {
-        return parts.entries();
+        return document.entries();
     }
 
     /**
@@ -335,12 +337,12 @@
      * null: 404.
      */
     public Route match(CharSequence host, String path) {
-        return places.match(host, path);
+        return routeTable.match(host, path);
     }
 
     /** The whole configuration as it is shown, what isn't understood included; made anew at each call. */
     public byte[] json() {
-        return parts.json(revision);
+        return document.json(revision);
     }
 
     public long revision() {
--- a/src/main/java/brambletray/platform/configuration/ConfigurationDelta.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationDelta.java
@@ -14,22 +14,22 @@
  * What leads from one revision of the configuration to a later one: the entries that were set and withdrawn between
  * them.
  *
- * @param base the revision that it is put on; 0: on nothing, it holds the whole
+ * @param baseRevision the revision that it is put on; 0: on nothing, it holds the whole
  * @param digest of the result ({@link Configuration#digest})
  */
-public record ConfigurationDelta(long base, long revision, long digest, List<Entry> entries) {
+public record ConfigurationDelta(long baseRevision, long revision, long digest, List<Entry> entries) {
     private static final byte FORMAT = 1;
-    private static final int GONE = -1;
+    private static final int REMOVED = -1;
 
     /** One entry: {@code table} empty: a field that holds no named items; {@code body} null: withdrawn. */
     public record Entry(String table, String name, byte[] body) {}
 
     /** As it goes over a slow link: deflated. The same content gives the same bytes. */
-    public byte[] packed() {
+    public byte[] toCompressedBytes() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(FORMAT);
-            out.writeLong(base);
+            out.writeLong(baseRevision);
             out.writeLong(revision);
             out.writeLong(digest);
             out.writeInt(entries.size());
@@ -45,26 +45,26 @@
     }
 
     /** A number for these bytes, never 0: the same for the same, so that a transfer is known again. */
-    public static long id(byte[] packed) {
+    public static long transferId(byte[] packed) {
         long id = ConfigurationDigest.of(packed);
         return id == 0 ? 1 : id;
     }
 
     private static void write(DataOutputStream out, byte[] bytes) throws IOException {
-        out.writeInt(bytes == null ? GONE : bytes.length);
+        out.writeInt(bytes == null ? REMOVED : bytes.length);
         if (bytes != null) {
             out.write(bytes);
         }
     }
 
-    /** From {@link #packed}; {@link ConfigurationException} {@code creed.bad-packing} or {@code creed.bad-delta}. */
-    public static ConfigurationDelta unpack(byte[] packed) {
+    /** From {@link #toCompressedBytes}; {@link ConfigurationException} {@code creed.bad-packing} or {@code creed.bad-delta}. */
+    public static ConfigurationDelta fromCompressedBytes(byte[] packed) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(DeltaCompression.unpack(packed)))) {
             byte format = in.readByte();
             if (format != FORMAT) {
-                throw bad("a difference of format " + FORMAT + ", found " + format, null);
+                throw malformed("a difference of format " + FORMAT + ", found " + format, null);
             }
-            long base = in.readLong();
+            long baseRevision = in.readLong();
             long revision = in.readLong();
             long digest = in.readLong();
             int count = in.readInt();
@@ -75,34 +75,34 @@
                 entries.add(new Entry(table, name, read(in)));
             }
             if (in.available() > 0) {
-                throw bad("nothing after its entries", null);
+                throw malformed("nothing after its entries", null);
             }
-            return new ConfigurationDelta(base, revision, digest, entries);
+            return new ConfigurationDelta(baseRevision, revision, digest, entries);
         } catch (IOException e) {
-            throw bad("a whole difference", e);
+            throw malformed("a whole difference", e);
         }
     }
 
     private static String text(DataInputStream in) throws IOException {
         byte[] bytes = read(in);
         if (bytes == null) {
-            throw bad("a name", null);
+            throw malformed("a name", null);
         }
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
     private static byte[] read(DataInputStream in) throws IOException {
         int length = in.readInt();
-        if (length == GONE) {
+        if (length == REMOVED) {
             return null;
         }
         if (length < 0 || length > in.available()) {
-            throw bad("a whole entry", null);
+            throw malformed("a whole entry", null);
         }
         return in.readNBytes(length);
     }
 
-    private static ConfigurationException bad(String expected, Throwable cause) {
+    private static ConfigurationException malformed(String expected, Throwable cause) {
         return new ConfigurationException("bad-delta", "", "expected " + expected, cause);
     }
 }
--- a/src/main/java/brambletray/platform/configuration/ConfigurationDocument.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationDocument.java
@@ -22,7 +22,7 @@
     /** Where an entry stands: {@code table} empty: a field by itself. */
     record Key(String table, String name) {}
 
-    private static final String FIELD = "";
+    private static final String TOP_LEVEL = "";
 
     private final Map<String, Map<String, byte[]>> tables = new LinkedHashMap<>();
     private final Map<String, byte[]> fields = new LinkedHashMap<>();
@@ -50,20 +50,20 @@
         if (items != null) {
             fields.remove(name);
             tables.computeIfAbsent(name, n -> new LinkedHashMap<>()).putAll(items);
-        } else if (value.plain() instanceof Map && former != null && former[0] == '{') {
+        } else if (value.content() instanceof Map && former != null && former[0] == '{') {
             fields.put(name, overlay(former, value, body));
         } else if (!tables.containsKey(name) || !empty(value)) {
             tables.remove(name);
-            fields.put(name, value.cut(body));
+            fields.put(name, value.bytesIn(body));
         }
     }
 
     private static byte[] overlay(byte[] former, ConfigurationJson.Value value, byte[] body) {
         Map<String, byte[]> merged = new LinkedHashMap<>();
-        ((Map<?, ?>) ConfigurationJson.read(former).plain())
-                .forEach((field, old) -> merged.put((String) field, ((ConfigurationJson.Value) old).cut(former)));
-        ((Map<?, ?>) value.plain())
-                .forEach((field, now) -> merged.put((String) field, ((ConfigurationJson.Value) now).cut(body)));
+        ((Map<?, ?>) ConfigurationJson.read(former).content())
+                .forEach((field, old) -> merged.put((String) field, ((ConfigurationJson.Value) old).bytesIn(former)));
+        ((Map<?, ?>) value.content())
+                .forEach((field, now) -> merged.put((String) field, ((ConfigurationJson.Value) now).bytesIn(body)));
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         merged.forEach((field, raw) -> {
             out.write(out.size() == 0 ? '{' : ',');
@@ -75,13 +75,13 @@
     }
 
     /** The names of the items of a list, each behind its table's. */
-    static Set<String> names(String table, Object plain) {
+    static Set<String> names(String table, Object content) {
         Set<String> names = new HashSet<>();
-        if (plain instanceof List<?> list) {
+        if (content instanceof List<?> list) {
             for (Object entry : list) {
-                if (((ConfigurationJson.Value) entry).plain() instanceof Map<?, ?> map
+                if (((ConfigurationJson.Value) entry).content() instanceof Map<?, ?> map
                         && map.get("name") instanceof ConfigurationJson.Value name) {
-                    names.add(table + '/' + name.plain());
+                    names.add(table + '/' + name.content());
                 }
             }
         }
@@ -98,7 +98,7 @@
 
     /** An entry's bytes, or null: it isn't there. A field that holds an empty list is as good as none. */
     byte[] entry(String table, String name) {
-        if (!table.equals(FIELD)) {
+        if (!table.equals(TOP_LEVEL)) {
             return tables.getOrDefault(table, Map.of()).get(name);
         }
         byte[] field = fields.get(name);
@@ -111,7 +111,7 @@
         tables.forEach((table, items) -> items.forEach((name, body) -> all.put(new Key(table, name), body)));
         fields.forEach((name, body) -> {
             if (!empty(body)) {
-                all.put(new Key(FIELD, name), body);
+                all.put(new Key(TOP_LEVEL, name), body);
             }
         });
         return all;
@@ -136,7 +136,7 @@
 
     /** Puts an entry as it is, or takes it out where {@code body} is null. */
     void set(String table, String name, byte[] body) {
-        if (table.equals(FIELD)) {
+        if (table.equals(TOP_LEVEL)) {
             if (body == null) {
                 fields.remove(name);
             } else {
@@ -167,21 +167,21 @@
     }
 
     private static boolean empty(ConfigurationJson.Value value) {
-        return value.plain() instanceof List<?> list && list.isEmpty();
+        return value.content() instanceof List<?> list && list.isEmpty();
     }
 
     /** The items of a list of objects with names of their own; null: it is something else. */
     private static Map<String, byte[]> items(ConfigurationJson.Value value, byte[] body) {
-        if (!(value.plain() instanceof List<?> list) || list.isEmpty()) {
+        if (!(value.content() instanceof List<?> list) || list.isEmpty()) {
             return null;
         }
         Map<String, byte[]> items = new LinkedHashMap<>();
         for (Object entry : list) {
             ConfigurationJson.Value item = (ConfigurationJson.Value) entry;
-            if (!(item.plain() instanceof Map<?, ?> map)
+            if (!(item.content() instanceof Map<?, ?> map)
                     || !(map.get("name") instanceof ConfigurationJson.Value name)
-                    || !(name.plain() instanceof String text)
-                    || items.put(text, item.cut(body)) != null) {
+                    || !(name.content() instanceof String text)
+                    || items.put(text, item.bytesIn(body)) != null) {
                 return null;
             }
         }
--- a/src/main/java/brambletray/platform/configuration/ConfigurationJson.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationJson.java
@@ -16,10 +16,10 @@
  */
 final class ConfigurationJson {
     /** Bytes of a body. */
-    static final int LARGEST = 4 << 20;
+    static final int MAX_BODY_BYTES = 4 << 20;
 
     /** Made at the first use: it costs tens of ms of a slow core. */
-    private static final class Maker {
+    private static final class LazyParser {
         static final DslJson<Object> JSON = new DslJson<>(new DslJson.Settings<>()
                 .unknownNumbers(JsonReader.UnknownNumberParsing.LONG_AND_BIGDECIMAL)
                 .errorInfo(JsonReader.ErrorInfo.MINIMAL));
@@ -29,8 +29,8 @@
      * A value: {@code Map<String, Value>}, {@code List<Value>}, String, Long, BigDecimal, Boolean or null; from and to
      * in the body.
      */
-    record Value(Object plain, int from, int to) {
-        byte[] cut(byte[] body) {
+    record Value(Object content, int from, int to) {
+        byte[] bytesIn(byte[] body) {
             return Arrays.copyOfRange(body, from, to);
         }
     }
@@ -40,12 +40,12 @@
 
     private ConfigurationJson(byte[] body) {
         this.body = body;
-        reader = Maker.JSON.newReader(body);
+        reader = LazyParser.JSON.newReader(body);
     }
 
     /** The whole body as one object; {@link ConfigurationException} where it isn't exactly one. */
     static Value read(byte[] body) {
-        if (body.length > LARGEST) {
+        if (body.length > MAX_BODY_BYTES) {
             throw tooLarge(body.length);
         }
         JsonTextValidator.check(body);
@@ -53,7 +53,7 @@
         try {
             json.reader.getNextToken();
             Value value = json.value("");
-            if (!(value.plain instanceof Map)) {
+            if (!(value.content instanceof Map)) {
                 throw new ConfigurationException("wrong-type", "", "expected an object");
             }
             for (int i = value.to; i < body.length; i++) {
@@ -73,14 +73,15 @@
     }
 
     static ConfigurationException tooLarge(long found) {
-        return new ConfigurationException("too-large", "", "expected at most " + LARGEST + " bytes, found " + found);
+        return new ConfigurationException(
+                "too-large", "", "expected at most " + MAX_BODY_BYTES + " bytes, found " + found);
     }
 
-    private Value value(String at) throws IOException {
+    private Value value(String path) throws IOException {
         int from = reader.getCurrentIndex() - 1;
-        Object plain = switch (reader.last()) {
-            case '{' -> object(at);
-            case '[' -> list(at);
+        Object content = switch (reader.last()) {
+            case '{' -> object(path);
+            case '[' -> list(path);
             case '"' -> reader.readString();
             case 't' -> constant(reader.wasTrue(), Boolean.TRUE);
             case 'f' -> constant(reader.wasFalse(), Boolean.FALSE);
@@ -91,10 +92,10 @@
         while (body[to - 1] <= ' ' && body[to - 1] >= 0) {
             to--;
         }
-        if (plain instanceof Number) {
-            JsonTextValidator.number(body, from, to);
+        if (content instanceof Number) {
+            JsonTextValidator.checkNumber(body, from, to);
         }
-        return new Value(plain, from, to);
+        return new Value(content, from, to);
     }
 
     private Boolean constant(boolean was, Boolean value) throws IOException {
@@ -104,7 +105,7 @@
         return value;
     }
 
-    private Map<String, Value> object(String at) throws IOException {
+    private Map<String, Value> object(String path) throws IOException {
         Map<String, Value> fields = new LinkedHashMap<>();
         if (reader.getNextToken() == '}') {
             return fields;
@@ -118,12 +119,12 @@
                 throw reader.newParseError("Expected ':'");
             }
             reader.getNextToken();
-            String field = at.isEmpty() ? brief(name) : at;
+            String field = path.isEmpty() ? abbreviate(name) : path;
             if (fields.put(name, value(field)) != null) {
                 throw new ConfigurationException(
                         "duplicate-field",
                         field,
-                        "expected each field once, found " + brief(name) + " twice near byte "
+                        "expected each field once, found " + abbreviate(name) + " twice near byte "
                                 + reader.getCurrentIndex());
             }
             byte next = reader.getNextToken();
@@ -137,13 +138,13 @@
         }
     }
 
-    private List<Value> list(String at) throws IOException {
+    private List<Value> list(String path) throws IOException {
         List<Value> items = new ArrayList<>();
         if (reader.getNextToken() == ']') {
             return items;
         }
         while (true) {
-            items.add(value(at));
+            items.add(value(path));
             byte next = reader.getNextToken();
             if (next == ']') {
                 return items;
@@ -156,7 +157,7 @@
     }
 
     /** A text from outside as messages show it: not longer than they should be. */
-    static String brief(String text) {
+    static String abbreviate(String text) {
         return text.length() > 60 ? text.substring(0, 60) + "..." : text;
     }
 }
--- a/src/main/java/brambletray/platform/configuration/ConfigurationStateMachine.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationStateMachine.java
@@ -19,9 +19,9 @@
     /**
      * Taken changes that are remembered, in snapshots too (24 bytes each); an operator sends a change again within
      * seconds, and a day holds hundreds. What builds on a revision from before them is not refused:
-     * {@link ChangeDecision.Forgotten}.
+     * {@link ChangeDecision.HistoryExpired}.
      */
-    static final int REMEMBERED = 2_000;
+    static final int MAX_REMEMBERED_CHANGES = 2_000;
 
     private static final byte FORMAT = 1;
     /** Of a change's fingerprint, bytes. */
@@ -30,15 +30,15 @@
     /** A change's fingerprint: the first half of its SHA-256. */
     private record Fingerprint(long high, long low) {}
 
-    private record Step(long revision, Fingerprint fingerprint) {}
+    private record AppliedChange(long revision, Fingerprint fingerprint) {}
 
     private Configuration configuration = Configuration.NONE;
-    private final ArrayDeque<Step> history = new ArrayDeque<>();
-    private final Map<Fingerprint, Long> taken = new HashMap<>();
+    private final ArrayDeque<AppliedChange> history = new ArrayDeque<>();
+    private final Map<Fingerprint, Long> appliedRevisions = new HashMap<>();
     /** What the last change that was judged leads to: it mostly comes back as the next to be delivered. */
-    private Fingerprint judged;
+    private Fingerprint lastEvaluated;
 
-    private Configuration outcome;
+    private Configuration lastResult;
 
     public Configuration configuration() {
         return configuration;
@@ -48,7 +48,7 @@
      * The revision that a call names as its base; 0 for the first. {@link ConfigurationException} where it is missing
      * or no number.
      */
-    public static long base(String header) {
+    public static long parseBaseRevision(String header) {
         boolean digits = header != null && !header.isEmpty() && header.chars().allMatch(c -> c >= '0' && c <= '9');
         try {
             if (digits) {
@@ -64,9 +64,10 @@
      * Whether this very change was taken: for good, whatever came on top of it since. False also where it is no longer
      * remembered.
      */
-    public boolean taken(ChangeKind verb, long base, byte[] body) {
-        return body.length <= ConfigurationJson.LARGEST
-                && taken.containsKey(fingerprint(new ConfigurationChange(verb, base, body).bytes()));
+    public boolean wasApplied(ChangeKind kind, long baseRevision, byte[] body) {
+        return body.length <= ConfigurationJson.MAX_BODY_BYTES
+                && appliedRevisions.containsKey(
+                        fingerprint(new ConfigurationChange(kind, baseRevision, body).encode()));
     }
 
     /**
@@ -74,61 +75,61 @@
      * {@code Forgotten} or {@code Invalid}. Whether it was taken before is asked first: a change that was taken is on
      * an old base, and where it was the last one its revision isn't above the current one.
      */
-    public ChangeDecision judge(ChangeKind verb, long base, byte[] body) {
-        if (body.length > ConfigurationJson.LARGEST) {
+    public ChangeDecision evaluate(ChangeKind kind, long baseRevision, byte[] body) {
+        if (body.length > ConfigurationJson.MAX_BODY_BYTES) {
             return new ChangeDecision.Invalid(ConfigurationJson.tooLarge(body.length));
         }
-        byte[] change = new ConfigurationChange(verb, base, body).bytes();
-        ChangeDecision verdict = weigh(change);
-        return verdict instanceof ChangeDecision.Taken ? new ChangeDecision.Fine(change) : verdict;
+        byte[] change = new ConfigurationChange(kind, baseRevision, body).encode();
+        ChangeDecision decision = evaluateEncoded(change);
+        return decision instanceof ChangeDecision.Applied ? new ChangeDecision.Proposable(change) : decision;
     }
 
     /**
      * A change at its place in the order; {@code Taken}, or why it is not: another may have come before it since it was
      * judged, and then nothing changes here or on any other member.
      */
-    public ChangeDecision deliver(byte[] change) {
-        ChangeDecision verdict = weigh(change);
-        if (verdict instanceof ChangeDecision.Taken fresh) {
-            configuration = fresh.configuration();
-            remember(new Step(configuration.revision(), judged));
+    public ChangeDecision apply(byte[] change) {
+        ChangeDecision decision = evaluateEncoded(change);
+        if (decision instanceof ChangeDecision.Applied applied) {
+            configuration = applied.configuration();
+            remember(new AppliedChange(configuration.revision(), lastEvaluated));
         }
-        return verdict;
+        return decision;
     }
 
-    private ChangeDecision weigh(byte[] bytes) {
+    private ChangeDecision evaluateEncoded(byte[] bytes) {
         Fingerprint fingerprint = fingerprint(bytes);
-        Long before = taken.get(fingerprint);
+        Long before = appliedRevisions.get(fingerprint);
         if (before != null) {
-            return new ChangeDecision.TakenBefore(before);
+            return new ChangeDecision.AlreadyApplied(before);
         }
         try {
-            ConfigurationChange change = ConfigurationChange.from(bytes);
-            if (change.base() != configuration.revision()) {
-                return forgotten(change.base())
-                        ? new ChangeDecision.Forgotten(history.peek().revision)
+            ConfigurationChange change = ConfigurationChange.decode(bytes);
+            if (change.baseRevision() != configuration.revision()) {
+                return mayHaveExpired(change.baseRevision())
+                        ? new ChangeDecision.HistoryExpired(history.peek().revision)
                         : new ChangeDecision.Stale(configuration.revision());
             }
-            if (!fingerprint.equals(judged)) {
-                outcome = change.on(configuration);
-                judged = fingerprint;
+            if (!fingerprint.equals(lastEvaluated)) {
+                lastResult = change.applyTo(configuration);
+                lastEvaluated = fingerprint;
             }
-            return new ChangeDecision.Taken(outcome);
-        } catch (ConfigurationException fault) {
-            return new ChangeDecision.Invalid(fault);
+            return new ChangeDecision.Applied(lastResult);
+        } catch (ConfigurationException error) {
+            return new ChangeDecision.Invalid(error);
         }
     }
 
     /** Whether a change on this base may have been taken so long ago that it isn't remembered. */
-    private boolean forgotten(long base) {
-        return history.size() >= REMEMBERED && base < history.peek().revision;
+    private boolean mayHaveExpired(long baseRevision) {
+        return history.size() >= MAX_REMEMBERED_CHANGES && baseRevision < history.peek().revision;
     }
 
-    private void remember(Step step) {
-        history.add(step);
-        taken.put(step.fingerprint, step.revision);
-        while (history.size() > REMEMBERED) {
-            taken.remove(history.remove().fingerprint);
+    private void remember(AppliedChange change) {
+        history.add(change);
+        appliedRevisions.put(change.fingerprint, change.revision);
+        while (history.size() > MAX_REMEMBERED_CHANGES) {
+            appliedRevisions.remove(history.remove().fingerprint);
         }
     }
 
@@ -147,8 +148,8 @@
         byte[] json = configuration == Configuration.NONE ? new byte[0] : configuration.json();
         ByteBuffer out = ByteBuffer.allocate(1 + 4 + history.size() * (8 + FINGERPRINT_BYTES) + json.length);
         out.put(FORMAT).putInt(history.size());
-        for (Step step : history) {
-            out.putLong(step.revision).putLong(step.fingerprint.high).putLong(step.fingerprint.low);
+        for (AppliedChange change : history) {
+            out.putLong(change.revision).putLong(change.fingerprint.high).putLong(change.fingerprint.low);
         }
         return out.put(json).array();
     }
@@ -160,11 +161,11 @@
      */
     public void restore(byte[] snapshot) {
         if (snapshot.length == 0) {
-            become(Configuration.NONE, List.of());
+            reset(Configuration.NONE, List.of());
             return;
         }
         ByteBuffer in = ByteBuffer.wrap(snapshot);
-        ArrayDeque<Step> read = new ArrayDeque<>();
+        ArrayDeque<AppliedChange> read = new ArrayDeque<>();
         Configuration current;
         try {
             byte format = in.get();
@@ -174,7 +175,7 @@
             }
             int count = in.getInt();
             for (int i = 0; i < count; i++) {
-                read.add(new Step(in.getLong(), new Fingerprint(in.getLong(), in.getLong())));
+                read.add(new AppliedChange(in.getLong(), new Fingerprint(in.getLong(), in.getLong())));
             }
             byte[] json = new byte[in.remaining()];
             in.get(json);
@@ -182,15 +183,15 @@
         } catch (BufferUnderflowException e) {
             throw new ConfigurationException("bad-snapshot", "", "expected a whole snapshot, its end is missing", e);
         }
-        become(current, read);
+        reset(current, read);
     }
 
-    private void become(Configuration current, Collection<Step> read) {
+    private void reset(Configuration current, Collection<AppliedChange> read) {
         configuration = current;
-        judged = null;
-        outcome = null;
+        lastEvaluated = null;
+        lastResult = null;
         history.clear();
-        taken.clear();
+        appliedRevisions.clear();
         read.forEach(this::remember);
     }
 }
--- a/src/main/java/brambletray/platform/configuration/DeltaCompression.java
+++ b/src/main/java/brambletray/platform/configuration/DeltaCompression.java
@@ -10,7 +10,7 @@
     private DeltaCompression() {}
 
     /** Bytes unpacked: twice the largest configuration, as names and lengths come on top of an entry's own bytes. */
-    private static final int MOST = 2 * ConfigurationJson.LARGEST;
+    private static final int MAX_UNPACKED_BYTES = 2 * ConfigurationJson.MAX_BODY_BYTES;
 
     static byte[] pack(byte[] json) {
         Deflater deflater = new Deflater();
@@ -32,12 +32,13 @@
         Inflater inflater = new Inflater();
         try {
             inflater.setInput(packed);
-            ByteArrayOutputStream out = new ByteArrayOutputStream(Math.min(MOST, 8 * Math.min(packed.length, MOST)));
+            ByteArrayOutputStream out = new ByteArrayOutputStream(
+                    Math.min(MAX_UNPACKED_BYTES, 8 * Math.min(packed.length, MAX_UNPACKED_BYTES)));
             byte[] part = new byte[8_192];
             while (!inflater.finished()) {
                 int count = inflater.inflate(part);
                 out.write(part, 0, count);
-                if (count == 0 && !inflater.finished() || out.size() > MOST) {
+                if (count == 0 && !inflater.finished() || out.size() > MAX_UNPACKED_BYTES) {
                     throw new ConfigurationException("bad-packing", "", "expected a whole configuration, packed");
                 }
             }
--- a/src/main/java/brambletray/platform/configuration/JsonFields.java
+++ b/src/main/java/brambletray/platform/configuration/JsonFields.java
@@ -7,34 +7,34 @@
 
 /** The fields of one object, each read as what it should be; faults say which, and where. */
 final class JsonFields {
-    private final String at;
+    private final String path;
     private final Map<String, ConfigurationJson.Value> map;
 
-    private JsonFields(String at, Map<String, ConfigurationJson.Value> map) {
-        this.at = at;
+    private JsonFields(String path, Map<String, ConfigurationJson.Value> map) {
+        this.path = path;
         this.map = map;
     }
 
-    /** The fields of this value, which stands at {@code at}. */
+    /** The fields of this value, which stands at {@code path}. */
     @SuppressWarnings("unchecked")
-    static JsonFields from(String at, Object plain) {
-        if (!(plain instanceof Map)) {
-            throw new ConfigurationException("wrong-type", at, "expected an object");
+    static JsonFields from(String path, Object content) {
+        if (!(content instanceof Map)) {
+            throw new ConfigurationException("wrong-type", path, "expected an object");
         }
-        return new JsonFields(at, (Map<String, ConfigurationJson.Value>) plain);
+        return new JsonFields(path, (Map<String, ConfigurationJson.Value>) content);
     }
 
     /** The same fields, under a better name. */
-    JsonFields at(String where) {
-        return new JsonFields(where, map);
+    JsonFields withPath(String path) {
+        return new JsonFields(path, map);
     }
 
-    JsonFields of(String field, Object plain) {
-        return from(path(field), plain);
+    JsonFields objectAt(String field, Object content) {
+        return from(pathOf(field), content);
     }
 
-    JsonFields below(String field) {
-        return of(field, value(field));
+    JsonFields object(String field) {
+        return objectAt(field, value(field));
     }
 
     Set<String> names() {
@@ -48,30 +48,30 @@
     /** Null: missing, or null. */
     Object value(String field) {
         ConfigurationJson.Value value = map.get(field);
-        return value == null ? null : value.plain();
+        return value == null ? null : value.content();
     }
 
-    ConfigurationJson.Value raw(String field) {
+    ConfigurationJson.Value rawValue(String field) {
         return map.get(field);
     }
 
-    private String path(String field) {
-        return at.isEmpty() ? field : at + '.' + field;
+    private String pathOf(String field) {
+        return path.isEmpty() ? field : path + '.' + field;
     }
 
-    ConfigurationException fault(String code, String field, String reason) {
-        return new ConfigurationException(code, path(field), reason);
+    ConfigurationException error(String code, String field, String reason) {
+        return new ConfigurationException(code, pathOf(field), reason);
     }
 
     String name() {
-        return need("name");
+        return requiredText("name");
     }
 
     /** A text that must be there. */
-    String need(String field) {
+    String requiredText(String field) {
         String text = text(field);
         if (text == null || text.isEmpty()) {
-            throw fault("missing", field, "expected a text, is missing");
+            throw error("missing", field, "expected a text, is missing");
         }
         return text;
     }
@@ -79,7 +79,7 @@
     String text(String field) {
         Object value = value(field);
         if (value != null && !(value instanceof String)) {
-            throw fault("wrong-type", field, "expected a text");
+            throw error("wrong-type", field, "expected a text");
         }
         return (String) value;
     }
@@ -89,23 +89,23 @@
     List<ConfigurationJson.Value> list(String field) {
         Object value = value(field);
         if (value != null && !(value instanceof List)) {
-            throw fault("wrong-type", field, "expected a list");
+            throw error("wrong-type", field, "expected a list");
         }
         return (List<ConfigurationJson.Value>) value;
     }
 
-    int whole(String field, int least, int otherwise) {
-        return has(field) ? (int) number(field, least, Integer.MAX_VALUE) : otherwise;
+    int intOrDefault(String field, int min, int defaultValue) {
+        return has(field) ? (int) requiredLong(field, min, Integer.MAX_VALUE) : defaultValue;
     }
 
     /** A whole number from least to most; 2500.0 is one, too. */
-    long number(String field, long least, long most) {
+    long requiredLong(String field, long min, long max) {
         Object value = value(field);
         if (value == null) {
-            throw fault("missing", field, "expected a number, is missing");
+            throw error("missing", field, "expected a number, is missing");
         }
         if (!(value instanceof Number)) {
-            throw fault("wrong-type", field, "expected a number");
+            throw error("wrong-type", field, "expected a number");
         }
         long number;
         if (value instanceof Long small) {
@@ -114,31 +114,29 @@
             try {
                 number = ((BigDecimal) value).longValueExact();
             } catch (ArithmeticException e) {
-                throw fault("out-of-range", field, "expected a whole number from " + least + " to " + most);
+                throw error("out-of-range", field, "expected a whole number from " + min + " to " + max);
             }
         }
-        if (number < least || number > most) {
-            throw fault(
-                    "out-of-range",
-                    field,
-                    "expected a whole number from " + least + " to " + most + ", found " + number);
+        if (number < min || number > max) {
+            throw error(
+                    "out-of-range", field, "expected a whole number from " + min + " to " + max + ", found " + number);
         }
         return number;
     }
 
     /** A number of at least 0. */
-    double real(String field, double otherwise) {
+    double nonNegativeDouble(String field, double defaultValue) {
         Object value = value(field);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
         if (!(value instanceof Number number)) {
-            throw fault("wrong-type", field, "expected a number");
+            throw error("wrong-type", field, "expected a number");
         }
-        double real = number.doubleValue();
-        if (!(real >= 0) || Double.isInfinite(real)) {
-            throw fault("out-of-range", field, "expected a number of at least 0");
+        double parsed = number.doubleValue();
+        if (!(parsed >= 0) || Double.isInfinite(parsed)) {
+            throw error("out-of-range", field, "expected a number of at least 0");
         }
-        return real;
+        return parsed;
     }
 }
--- a/src/main/java/brambletray/platform/configuration/JsonTextValidator.java
+++ b/src/main/java/brambletray/platform/configuration/JsonTextValidator.java
@@ -13,7 +13,7 @@
  */
 final class JsonTextValidator {
     /** Objects and lists inside each other. */
-    static final int DEEPEST = 64;
+    static final int MAX_DEPTH = 64;
 
     private JsonTextValidator() {}
 
@@ -35,9 +35,9 @@
             } else if (b == '"') {
                 quoted = true;
             } else if (b == '{' || b == '[') {
-                if (++depth > DEEPEST) {
+                if (++depth > MAX_DEPTH) {
                     throw new ConfigurationException(
-                            "too-deep", "", "expected at most " + DEEPEST + " levels, found more at byte " + i);
+                            "too-deep", "", "expected at most " + MAX_DEPTH + " levels, found more at byte " + i);
                 }
             } else if (b == '}' || b == ']') {
                 depth--;
@@ -74,37 +74,38 @@
      * A number as JSON writes it: the library takes {@code +1}, {@code 05.1} and {@code 1.}, too, and they would be
      * shown as they came.
      */
-    static void number(byte[] body, int from, int to) {
-        int at = body[from] == '-' ? from + 1 : from;
-        int whole = digits(body, at, to);
-        boolean good = whole == at + 1 || whole > at && body[at] != '0';
-        at = whole;
-        if (good && at < to && body[at] == '.') {
-            int end = digits(body, at + 1, to);
-            good = end > at + 1;
-            at = end;
+    static void checkNumber(byte[] body, int from, int to) {
+        int position = body[from] == '-' ? from + 1 : from;
+        int digitsEnd = digits(body, position, to);
+        boolean good = digitsEnd == position + 1 || digitsEnd > position && body[position] != '0';
+        position = digitsEnd;
+        if (good && position < to && body[position] == '.') {
+            int end = digits(body, position + 1, to);
+            good = end > position + 1;
+            position = end;
         }
-        if (good && at < to && (body[at] | ' ') == 'e') {
-            at++;
-            at += at < to && (body[at] == '+' || body[at] == '-') ? 1 : 0;
-            int end = digits(body, at, to);
-            good = end > at;
-            at = end;
+        if (good && position < to && (body[position] | ' ') == 'e') {
+            position++;
+            position += position < to && (body[position] == '+' || body[position] == '-') ? 1 : 0;
+            int end = digits(body, position, to);
+            good = end > position;
+            position = end;
         }
-        if (!good || at != to) {
+        if (!good || position != to) {
             throw unreadable("a number that is none", from);
         }
     }
 
     private static int digits(byte[] body, int from, int to) {
-        int at = from;
-        while (at < to && body[at] >= '0' && body[at] <= '9') {
-            at++;
+        int position = from;
+        while (position < to && body[position] >= '0' && body[position] <= '9') {
+            position++;
         }
-        return at;
+        return position;
     }
 
-    private static ConfigurationException unreadable(String found, int at) {
-        return new ConfigurationException("unreadable", "", "expected whole JSON, found " + found + " at byte " + at);
+    private static ConfigurationException unreadable(String found, int position) {
+        return new ConfigurationException(
+                "unreadable", "", "expected whole JSON, found " + found + " at byte " + position);
     }
 }
--- a/src/main/java/brambletray/platform/configuration/Route.java
+++ b/src/main/java/brambletray/platform/configuration/Route.java
@@ -8,9 +8,9 @@
  *
  * @param host lower case, without port
  * @param prefix begins and ends with a slash
- * @param repeatable whether a request may run more than once
+ * @param idempotent whether a request may run more than once
  * @param timeoutMs the longest that the operator wants a request held; above 0
- * @param targetMs an answer within it earns its full worth
+ * @param latencyTargetMs an answer within it earns its full worth
  * @param priority 0 is the highest rank
  * @param retryCount to how many hosts one try may be sent; who sends takes 0 as 1
  * @param shares services with their weights, at least one weight above 0
@@ -19,15 +19,15 @@
         String name,
         String host,
         String prefix,
-        boolean repeatable,
+        boolean idempotent,
         int timeoutMs,
-        int targetMs,
+        int latencyTargetMs,
         int priority,
         int retryCount,
         List<ServiceShare> shares) {
 
     /** The service for a number drawn evenly from 0 to 1 (1 left out). */
-    public String pick(double u) {
+    public String selectService(double u) {
         if (shares.size() == 1) {
             return shares.get(0).service();
         }
@@ -52,35 +52,35 @@
 
     static Route from(JsonFields in) {
         String name = in.name();
-        JsonFields at = in.at("routes[" + ConfigurationJson.brief(name) + ']');
-        String host = RouteTable.bare(at.need("host"));
+        JsonFields at = in.withPath("routes[" + ConfigurationJson.abbreviate(name) + ']');
+        String host = RouteTable.normalizeHost(at.requiredText("host"));
         if (host.isEmpty()) {
-            throw at.fault("missing", "host", "expected a host's name");
+            throw at.error("missing", "host", "expected a host's name");
         }
-        String prefix = at.need("path-prefix");
+        String prefix = at.requiredText("path-prefix");
         if (prefix.charAt(0) != '/' || prefix.charAt(prefix.length() - 1) != '/') {
-            throw at.fault(
+            throw at.error(
                     "bad-prefix",
                     "path-prefix",
-                    "expected a path that begins and ends with a slash, found " + ConfigurationJson.brief(prefix));
+                    "expected a path that begins and ends with a slash, found " + ConfigurationJson.abbreviate(prefix));
         }
-        String kind = at.need("route-type");
+        String kind = at.requiredText("route-type");
         if (!kind.equals("idempotent") && !kind.equals("non_idempotent")) {
-            throw at.fault(
+            throw at.error(
                     "bad-route-type",
                     "route-type",
-                    "expected idempotent or non_idempotent, found " + ConfigurationJson.brief(kind));
+                    "expected idempotent or non_idempotent, found " + ConfigurationJson.abbreviate(kind));
         }
-        int timeout = at.whole("timeout-ms", 1, 60_000);
+        int timeout = at.intOrDefault("timeout-ms", 1, 60_000);
         return new Route(
                 name,
                 host,
                 prefix,
                 kind.equals("idempotent"),
                 timeout,
-                at.whole("target-ms", 0, timeout),
-                at.whole("priority", 0, 0),
-                at.whole("retry-count", 0, 1),
+                at.intOrDefault("target-ms", 0, timeout),
+                at.intOrDefault("priority", 0, 0),
+                at.intOrDefault("retry-count", 0, 1),
                 shares(at));
     }
 
@@ -98,28 +98,28 @@
             }
         }
         if (under == null) {
-            throw in.fault("missing", "service", "expected a service's name");
+            throw in.error("missing", "service", "expected a service's name");
         }
         List<ServiceShare> shares = new ArrayList<>(1);
         Object value = in.value(under);
         if (value instanceof List<?> list) {
             for (int i = 0; i < list.size(); i++) {
-                shares.add(share(in, under + '[' + i + ']', ((ConfigurationJson.Value) list.get(i)).plain()));
+                shares.add(share(in, under + '[' + i + ']', ((ConfigurationJson.Value) list.get(i)).content()));
             }
         } else if (value instanceof java.util.Map<?, ?>) {
-            JsonFields weights = in.below(under);
+            JsonFields weights = in.object(under);
             for (String service : weights.names()) {
-                shares.add(new ServiceShare(service, weights.real(service, 1)));
+                shares.add(new ServiceShare(service, weights.nonNegativeDouble(service, 1)));
             }
         } else {
-            return List.of(new ServiceShare(in.need(under), 1));
+            return List.of(new ServiceShare(in.requiredText(under), 1));
         }
         double sum = 0;
         for (ServiceShare share : shares) {
             sum += share.weight();
         }
         if (!(sum > 0) || Double.isInfinite(sum)) {
-            throw in.fault("no-weight", under, "expected weights that add up to more than 0");
+            throw in.error("no-weight", under, "expected weights that add up to more than 0");
         }
         return List.copyOf(shares);
     }
@@ -128,7 +128,8 @@
         if (value instanceof String service && !service.isEmpty()) {
             return new ServiceShare(service, 1);
         }
-        JsonFields part = in.of(at, value);
-        return new ServiceShare(part.need(part.has("service") ? "service" : "name"), part.real("weight", 1));
+        JsonFields part = in.objectAt(at, value);
+        return new ServiceShare(
+                part.requiredText(part.has("service") ? "service" : "name"), part.nonNegativeDouble("weight", 1));
     }
 }
--- a/src/main/java/brambletray/platform/configuration/RouteTable.java
+++ b/src/main/java/brambletray/platform/configuration/RouteTable.java
@@ -7,37 +7,37 @@
 
 /** Routes by host and prefix: one look-up for the host, then one for each slash of the path, from its end on. */
 final class RouteTable {
-    private static final class Host {
+    private static final class HostRoutes {
         final Map<String, Route> routes = new HashMap<>();
-        int longest;
+        int longestPrefix;
     }
 
-    private final Map<String, Host> hosts = new HashMap<>();
+    private final Map<String, HostRoutes> hosts = new HashMap<>();
 
     /** {@link ConfigurationException} where two routes share host and prefix. */
     RouteTable(Collection<Route> routes) {
         for (Route route : routes) {
-            Host host = hosts.computeIfAbsent(route.host(), h -> new Host());
+            HostRoutes host = hosts.computeIfAbsent(route.host(), h -> new HostRoutes());
             Route other = host.routes.put(route.prefix(), route);
             if (other != null) {
                 throw new ConfigurationException(
                         "same-place",
-                        "routes[" + ConfigurationJson.brief(route.name()) + "].path-prefix",
+                        "routes[" + ConfigurationJson.abbreviate(route.name()) + "].path-prefix",
                         "expected a host and prefix of its own, shares them with "
-                                + ConfigurationJson.brief(other.name()));
+                                + ConfigurationJson.abbreviate(other.name()));
             }
-            host.longest = Math.max(host.longest, route.prefix().length());
+            host.longestPrefix = Math.max(host.longestPrefix, route.prefix().length());
         }
     }
 
     /** The route with the longest prefix of this path, with or without its query; null: none. */
     Route match(CharSequence name, String path) {
-        Host host = hosts.get(bare(name));
+        HostRoutes host = hosts.get(normalizeHost(name));
         if (host == null) {
             return null;
         }
         // no prefix is longer than the longest: a path of slashes costs no more than that
-        int slash = Math.min(path.length(), host.longest) - 1;
+        int slash = Math.min(path.length(), host.longestPrefix) - 1;
         while ((slash = path.lastIndexOf('/', slash)) >= 0) {
             Route route = host.routes.get(path.substring(0, slash + 1));
             if (route != null) {
@@ -49,7 +49,7 @@
     }
 
     /** A host's name as routes are kept under it: lower case, without its port. */
-    static String bare(CharSequence host) {
+    static String normalizeHost(CharSequence host) {
         String text = host.toString();
         int colon = text.lastIndexOf(':');
         if (colon >= 0 && text.indexOf(']', colon) < 0) {
--- a/src/main/java/brambletray/platform/controlplane/ControlPlaneProgram.java
+++ b/src/main/java/brambletray/platform/controlplane/ControlPlaneProgram.java
@@ -45,113 +45,113 @@
 import java.util.function.Consumer;
 
 /**
- * The program of the core: puts the planes together, and decides nothing. For the loop only, once {@link #begin} has
+ * The program of the core: puts the planes together, and decides nothing. For the loop only, once {@link #run} has
  * run.
  */
 public final class ControlPlaneProgram {
     private static final EventLog LOG = EventLog.of("controlplane");
     /** ms between ticks, each of which costs a wake-up. */
-    private static final int TICK = 50;
+    private static final int TICK_INTERVAL_MS = 50;
     /** ms until a disk that could not be opened is tried again. */
-    private static final int DISK_AGAIN = 200;
+    private static final int DISK_RETRY_MS = 200;
     /** ms that a process stays at least after it was told to end, so that the others hear that the helm is free. */
-    private static final int STAY = 300;
+    private static final int MIN_SHUTDOWN_MS = 300;
     /** ms that its last answers are given to go out. */
-    private static final int LAST_WORDS = 100;
+    private static final int SHUTDOWN_FLUSH_MS = 100;
 
-    private static final String COORDINATOR = "helm";
+    private static final String COORDINATOR_ROLE = "helm";
 
     private final NodeSettings nodeSettings;
     private final Machine machine;
-    private final FrameCodec speech = new FrameCodec(FrameTypes.ALL);
+    private final FrameCodec codec = new FrameCodec(FrameTypes.ALL);
     private final String address;
     private final DurableStore store;
     private final Runnable exit;
-    private final OperatorCalls operators;
-    private final Replica members;
+    private final OperatorCalls operatorCalls;
+    private final Replica replica;
     private final PeerLinks peerLinks;
     private final LeaseElection election;
-    private final OperatorViews views;
-    private final EdgeGreeter edges = new EdgeGreeter(this::welcome);
+    private final OperatorViews operatorViews;
+    private final EdgeGreeter edgeGreeter = new EdgeGreeter(this::welcome);
     /**
      * Kept by each member, whether it holds the helm or not: the next holder goes on with differences from what edges
      * have.
      */
-    private final ChangeHistory history = new ChangeHistory();
+    private final ChangeHistory changeHistory = new ChangeHistory();
 
-    private final ConfigurationPublisher publisher = new ConfigurationPublisher(history);
-    private EdgeCoordinator hub;
+    private final ConfigurationPublisher publisher = new ConfigurationPublisher(changeHistory);
+    private EdgeCoordinator coordinator;
     /** Steady ms since when this process is to end, and since when the others go on without it; -1: not so. */
-    private long leavingAt = -1;
+    private long leavingSinceMs = -1;
 
-    private long leftAt = -1;
+    private long removedSinceMs = -1;
     /** The term of the helm that is held here, 0 for none. */
-    private long held;
+    private long heldTerm;
 
     /**
      * What a process of the core runs on. Real, or simulated with the same contract.
      *
-     * @param kept what the disk held at the start
+     * @param stored what the disk held at the start
      * @param store writes to that disk; replies come on the machine's loop
      * @param exit ends the process; may return, and nothing of it counts from then on
      */
-    record Environment(Machine machine, Map<String, byte[]> kept, DurableStore store, Runnable exit) {}
+    record Environment(Machine machine, Map<String, byte[]> stored, DurableStore store, Runnable exit) {}
 
-    /** On the loop; {@link #start} follows. {@code life}, {@code origin}: drawn at random, not 0. */
-    ControlPlaneProgram(NodeSettings nodeSettings, Environment environment, long life, long origin) {
+    /** On the loop; {@link #start} follows. {@code newIncarnation}, {@code origin}: drawn at random, not 0. */
+    ControlPlaneProgram(NodeSettings nodeSettings, Environment environment, long newIncarnation, long origin) {
         this.nodeSettings = nodeSettings;
         machine = environment.machine();
         store = environment.store();
         exit = environment.exit();
-        Map<String, byte[]> kept = environment.kept();
+        Map<String, byte[]> stored = environment.stored();
         address = nodeSettings.control().toString();
-        operators = new OperatorCalls(new MemberOrder(), this::creedChanged);
+        operatorCalls = new OperatorCalls(new ReplicaAccess(), this::onConfigurationChanged);
         peerLinks = new PeerLinks(
                 machine,
-                speech,
+                codec,
                 new Address(nodeSettings.ip(), nodeSettings.innerLow()),
                 new LinkIntroduction(nodeSettings.node(), address, true),
-                new KinEar());
-        members = new Replica(
+                new LinkEvents());
+        replica = new Replica(
                 address,
                 nodeSettings.node(),
                 nodeSettings.zone(),
-                life,
+                newIncarnation,
                 origin,
-                DurableState.read(kept),
+                DurableState.read(stored),
                 seeds(nodeSettings),
                 nodeSettings.initialStart(),
-                settings(nodeSettings),
-                new MemberOut(),
-                operators,
-                now());
+                replicationSettings(nodeSettings),
+                new ReplicationOutput(),
+                operatorCalls,
+                nowMs());
         election = new LeaseElection(
-                COORDINATOR,
-                members.status().self(),
-                kept.get(LeaseElection.key(COORDINATOR)),
+                COORDINATOR_ROLE,
+                replica.status().self(),
+                stored.get(LeaseElection.key(COORDINATOR_ROLE)),
                 LeaseTimings.defaults(),
-                new VowOut(),
-                now());
-        views = new OperatorViews(new StatusSources(
-                members::status,
-                members::zonesHoldingHalf,
-                () -> operators.stateMachine().configuration(),
-                () -> election.holder(now()),
-                () -> hub != null && mayAct() ? hub : null,
-                this::now));
+                new ElectionOutput(),
+                nowMs());
+        operatorViews = new OperatorViews(new ReplicaStatusSource(
+                replica::status,
+                replica::zonesHoldingHalf,
+                () -> operatorCalls.stateMachine().configuration(),
+                () -> election.holder(nowMs()),
+                () -> coordinator != null && mayAct() ? coordinator : null,
+                this::nowMs));
     }
 
-    private static ReplicationSettings settings(NodeSettings nodeSettings) {
-        FaultTolerance borne = new FaultTolerance(
+    private static ReplicationSettings replicationSettings(NodeSettings nodeSettings) {
+        FaultTolerance tolerance = new FaultTolerance(
                 nodeSettings.machineLosses(),
                 nodeSettings.zoneLosses(),
                 nodeSettings.regionLosses(),
                 nodeSettings.zones());
-        return ReplicationSettings.defaults(borne, leaveMs(nodeSettings));
+        return ReplicationSettings.defaults(tolerance, leaveTimeoutMs(nodeSettings));
     }
 
     /** How long a process that is told to end stays at most, ms: grace-s less a margin, in which it ends by itself. */
-    private static int leaveMs(NodeSettings nodeSettings) {
+    private static int leaveTimeoutMs(NodeSettings nodeSettings) {
         int grace = (int) (nodeSettings.bounds().graceS() * 1_000);
         return Math.max(grace / 2, grace - 1_000);
     }
@@ -163,91 +163,92 @@
     }
 
     /**
-     * Runs until it is told to end. {@code life}, {@code origin}: drawn at random. Throws {@link StorageException}
+     * Runs until it is told to end. {@code newIncarnation}, {@code origin}: drawn at random. Throws {@link StorageException}
      * where the
      * disk cannot be used.
      */
-    public static void begin(NodeSettings nodeSettings, long life, long origin) throws InterruptedException {
+    public static void run(NodeSettings nodeSettings, long newIncarnation, long origin) throws InterruptedException {
         Machine machine = Sockets.machine();
         Address control = nodeSettings.need("bind-addresses.control-plane", nodeSettings.control());
-        KeyValueStore keyValueStore = open(nodeSettings.need("data-dir", nodeSettings.dataDir()));
-        Map<String, byte[]> kept = new HashMap<>();
+        KeyValueStore keyValueStore = openStore(nodeSettings.need("data-dir", nodeSettings.dataDir()));
+        Map<String, byte[]> stored = new HashMap<>();
         for (Map.Entry<String, byte[]> one : keyValueStore.prefix("")) {
-            kept.put(one.getKey(), one.getValue());
+            stored.put(one.getKey(), one.getValue());
         }
         Environment real =
-                new Environment(machine, kept, new SyncWriter(keyValueStore, machine.loop()), () -> System.exit(0));
-        ControlPlaneProgram[] made = new ControlPlaneProgram[1];
+                new Environment(machine, stored, new SyncWriter(keyValueStore, machine.loop()), () -> System.exit(0));
+        ControlPlaneProgram[] program = new ControlPlaneProgram[1];
         machine.loop()
                 .submit(() -> {
-                    made[0] = new ControlPlaneProgram(nodeSettings, real, life, origin);
-                    made[0].start();
-                    ProcessSignals.heardBy(made[0].new Signalled());
+                    program[0] = new ControlPlaneProgram(nodeSettings, real, newIncarnation, origin);
+                    program[0].start();
+                    ProcessSignals.registerProgram(program[0].new SignalListener());
                 })
                 .sync();
-        made[0].open().sync();
-        LOG.tell("started", "node", nodeSettings.node(), "control", control, "kept", kept.size());
+        program[0].listen().sync();
+        LOG.tell("started", "node", nodeSettings.node(), "control", control, "kept", stored.size());
     }
 
     /** Ticks from now on; on the loop. */
     void start() {
-        machine.loop().scheduleWithFixedDelay(this::tick, TICK, TICK, TimeUnit.MILLISECONDS);
+        machine.loop().scheduleWithFixedDelay(this::tick, TICK_INTERVAL_MS, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Listens at the control-plane address; the future fails with what the system says where it cannot. */
-    ChannelFuture open() {
-        Dispatch<ControlPlaneServer.Desk> table = new Dispatch<>();
-        operators.register(table);
-        views.register(table);
-        new MemberOrders(this::declareDead).register(table);
-        return new ControlPlaneServer(table).open(machine, nodeSettings.control());
+    ChannelFuture listen() {
+        CallRouter<ControlPlaneServer.CallHandler> table = new CallRouter<>();
+        operatorCalls.register(table);
+        operatorViews.register(table);
+        new MemberRemovalCalls(this::removeMember).register(table);
+        return new ControlPlaneServer(table).listen(machine, nodeSettings.control());
     }
 
-    private void declareDead(String address, long life, Consumer<MemberRemovalOutcome> then) {
-        members.removeMember(address, life, now(), result -> machine.loop().execute(() -> then.accept(result)));
+    private void removeMember(String address, long incarnation, Consumer<MemberRemovalOutcome> then) {
+        replica.removeMember(
+                address, incarnation, nowMs(), result -> machine.loop().execute(() -> then.accept(result)));
     }
 
     /**
      * The disk, for as long as it takes: one that refuses is tried again, one that holds no whole store counts as lost,
      * and its life with it.
      */
-    private static KeyValueStore open(Path dir) throws InterruptedException {
+    private static KeyValueStore openStore(Path dir) throws InterruptedException {
         for (; ; ) {
             try {
                 return KeyValueStore.open(dir);
-            } catch (StorageException fault) {
-                LOG.warn("disk not opened", "code", fault.code(), "why", fault.getMessage());
-                if (fault.code().equals("storage.broken")) {
+            } catch (StorageException error) {
+                LOG.warn("disk not opened", "code", error.code(), "why", error.getMessage());
+                if (error.code().equals("storage.broken")) {
                     KeyValueStore.abandon(dir);
-                } else if (fault.code().equals("storage.format")) {
-                    throw fault;
+                } else if (error.code().equals("storage.format")) {
+                    throw error;
                 } else {
-                    TimeUnit.MILLISECONDS.sleep(DISK_AGAIN);
+                    TimeUnit.MILLISECONDS.sleep(DISK_RETRY_MS);
                 }
             }
         }
     }
 
-    private long now() {
+    private long nowMs() {
         return machine.clock().nanos() / 1_000_000;
     }
 
     private void tick() {
         try {
-            long now = now();
-            members.tick(now);
-            operators.tick(now);
-            peerLinks.tick(now);
-            election.updateView(members.status(), now);
-            election.tick(now);
-            views.tick();
-            takeUp();
-            if (hub != null) {
-                hub.tick(now);
+            long nowMs = nowMs();
+            replica.tick(nowMs);
+            operatorCalls.tick(nowMs);
+            peerLinks.tick(nowMs);
+            election.updateView(replica.status(), nowMs);
+            election.tick(nowMs);
+            operatorViews.tick();
+            updateCoordinator();
+            if (coordinator != null) {
+                coordinator.tick(nowMs);
             }
-            edges.tick(now);
-            if (leavingAt >= 0) {
-                depart(now);
+            edgeGreeter.tick(nowMs);
+            if (leavingSinceMs >= 0) {
+                maybeExit(nowMs);
             }
         } catch (RuntimeException e) {
             LOG.warn("tick failed", "why", e, "at", e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "");
@@ -258,53 +259,53 @@
      * There is a hub for the term that is held, and for no other; one that was won but may not act yet is taken up at a
      * later tick.
      */
-    private void takeUp() {
-        long now = now();
-        if (hub != null && hub.term() != held) {
-            hub.end();
-            hub = null;
-        }
-        if (hub == null && held != 0 && election.mayAct(now)) {
-            hub = new EdgeCoordinator(
+    private void updateCoordinator() {
+        long nowMs = nowMs();
+        if (coordinator != null && coordinator.term() != heldTerm) {
+            coordinator.close();
+            coordinator = null;
+        }
+        if (coordinator == null && heldTerm != 0 && election.mayAct(nowMs)) {
+            coordinator = new EdgeCoordinator(
                     machine,
                     nodeSettings,
-                    held,
-                    () -> operators.stateMachine().configuration(),
+                    heldTerm,
+                    () -> operatorCalls.stateMachine().configuration(),
                     publisher,
-                    new HubAuthority(),
-                    now);
-            edges.hub(hub, now);
+                    new CoordinatorAuthority(),
+                    nowMs);
+            edgeGreeter.onCoordinatorStarted(coordinator, nowMs);
         }
     }
 
     /** Where this member stands. */
     ReplicaStatus status() {
-        return members.status();
+        return replica.status();
     }
 
     /** Whether it holds the helm, and may act by it now. */
     boolean mayAct() {
-        return election.mayAct(now());
+        return election.mayAct(nowMs());
     }
 
     /** Where edges reach a member of the core. */
-    private String inner(Member member) {
+    private String edgeFacingAddress(Member member) {
         return new Address(Address.parse(member.address()).host(), nodeSettings.innerLow()).toString();
     }
 
     private EdgeWelcome welcome() {
-        long hubTerm = hub == null ? 0 : hub.term();
+        long coordinatorTerm = coordinator == null ? 0 : coordinator.term();
         return EdgeGreeter.welcome(
-                members.status(),
-                election.holder(now()),
-                hubTerm,
-                hub == null ? Roster.NONE : hub.newest(),
-                this::inner);
+                replica.status(),
+                election.holder(nowMs()),
+                coordinatorTerm,
+                coordinator == null ? Roster.NONE : coordinator.newestRoster(),
+                this::edgeFacingAddress);
     }
 
-    private void creedChanged() {
-        Configuration configuration = operators.stateMachine().configuration();
-        history.become(configuration);
+    private void onConfigurationChanged() {
+        Configuration configuration = operatorCalls.stateMachine().configuration();
+        changeHistory.advanceTo(configuration);
         LOG.tell(
                 "configuration",
                 "revision",
@@ -313,47 +314,47 @@
                 configuration.routes().size(),
                 "services",
                 configuration.services().size());
-        if (hub != null) {
-            hub.configuration(now());
+        if (coordinator != null) {
+            coordinator.onConfigurationChanged(nowMs());
         }
     }
 
-    private void reread() {
+    private void reloadSettings() {
         try {
-            NodeSettings now = nodeSettings.reread();
-            members.updateSettings(settings(now), seeds(now));
+            NodeSettings nowMs = nodeSettings.reread();
+            replica.updateSettings(replicationSettings(nowMs), seeds(nowMs));
             LOG.tell("settings read again");
-        } catch (SettingsException fault) {
-            LOG.warn("settings not used", "code", fault.code(), "why", fault.getMessage());
+        } catch (SettingsException error) {
+            LOG.warn("settings not used", "code", error.code(), "why", error.getMessage());
         }
     }
 
     /** SIGTERM; a second one changes nothing. */
     void leave() {
-        if (leavingAt >= 0) {
+        if (leavingSinceMs >= 0) {
             return;
         }
-        leavingAt = now();
+        leavingSinceMs = nowMs();
         LOG.tell("leaving");
-        int most = leaveMs(nodeSettings);
-        machine.loop().schedule(exit, most + Math.min(500, most / 10), TimeUnit.MILLISECONDS);
-        election.handOver(leavingAt);
-        members.leave(leavingAt);
+        int maxMs = leaveTimeoutMs(nodeSettings);
+        machine.loop().schedule(exit, maxMs + Math.min(500, maxMs / 10), TimeUnit.MILLISECONDS);
+        election.handOver(leavingSinceMs);
+        replica.leave(leavingSinceMs);
     }
 
     /** Ends the process once the others go on without it and the calls under way have their answers. */
-    private void depart(long now) {
-        if (leftAt < 0 && members.mayTerminate()) {
-            leftAt = now;
+    private void maybeExit(long nowMs) {
+        if (removedSinceMs < 0 && replica.mayTerminate()) {
+            removedSinceMs = nowMs;
         }
-        boolean still = leftAt < 0 || !operators.idle();
-        if (!still && now - leftAt >= LAST_WORDS && now - leavingAt >= STAY) {
-            LOG.tell("left", "ms", now - leavingAt);
+        boolean busy = removedSinceMs < 0 || !operatorCalls.isIdle();
+        if (!busy && nowMs - removedSinceMs >= SHUTDOWN_FLUSH_MS && nowMs - leavingSinceMs >= MIN_SHUTDOWN_MS) {
+            LOG.tell("left", "ms", nowMs - leavingSinceMs);
             exit.run();
         }
     }
 
-    private final class Signalled implements ProcessSignals.Program {
+    private final class SignalListener implements ProcessSignals.Program {
         @Override
         public void terminate() {
             machine.loop().execute(ControlPlaneProgram.this::leave);
@@ -361,73 +362,73 @@
 
         @Override
         public void reload() {
-            machine.loop().execute(ControlPlaneProgram.this::reread);
+            machine.loop().execute(ControlPlaneProgram.this::reloadSettings);
         }
     }
 
-    private final class MemberOrder implements OperatorCalls.Order {
+    private final class ReplicaAccess implements OperatorCalls.ReplicaAccess {
         @Override
         public ReplicaStatus status() {
-            return members.status();
+            return replica.status();
         }
 
         @Override
         public String successor() {
-            return members.successor();
+            return replica.successor();
         }
 
         @Override
         public void propose(long token, byte[] change) {
-            machine.loop().execute(() -> members.propose(token, change, now()));
+            machine.loop().execute(() -> replica.propose(token, change, nowMs()));
         }
 
         @Override
-        public void confirm(long token) {
-            machine.loop().execute(() -> members.requestReadIndex(token, now()));
+        public void requestReadIndex(long token) {
+            machine.loop().execute(() -> replica.requestReadIndex(token, nowMs()));
         }
     }
 
     /** Keeps changes durably; one of the two follows, on the loop. */
-    private void keep(Map<String, byte[]> changes, Runnable done, Runnable failed) {
+    private void commitToStore(Map<String, byte[]> changes, Runnable done, Runnable failed) {
         List<KeyChange> all = new ArrayList<>(changes.size());
         changes.forEach((key, value) -> all.add(new KeyChange(key, value)));
-        boolean taken = store.commit(all, now(), new DurableStore.Reply() {
+        boolean accepted = store.commit(all, nowMs(), new DurableStore.CommitCallback() {
             @Override
-            public void done() {
+            public void onCommitted() {
                 done.run();
             }
 
             @Override
-            public void failed(StorageException fault) {
+            public void onFailed(StorageException error) {
                 failed.run();
             }
         });
-        if (!taken) {
+        if (!accepted) {
             machine.loop().execute(failed);
         }
     }
 
-    private final class VowOut implements brambletray.platform.election.ElectionActions {
+    private final class ElectionOutput implements brambletray.platform.election.ElectionActions {
         @Override
         public void send(String to, ElectionMessage frame) {
-            peerLinks.say(to, frame);
+            peerLinks.send(to, frame);
         }
 
         @Override
         public void persist(long ticket, Map<String, byte[]> changes) {
-            keep(changes, () -> election.synced(ticket, now()), () -> election.syncFailed(ticket, now()));
+            commitToStore(changes, () -> election.synced(ticket, nowMs()), () -> election.syncFailed(ticket, nowMs()));
         }
 
         @Override
         public void won(long term) {
-            held = term;
-            machine.loop().execute(ControlPlaneProgram.this::takeUp);
+            heldTerm = term;
+            machine.loop().execute(ControlPlaneProgram.this::updateCoordinator);
         }
 
         @Override
         public void lost(long term) {
-            held = 0;
-            machine.loop().execute(ControlPlaneProgram.this::takeUp);
+            heldTerm = 0;
+            machine.loop().execute(ControlPlaneProgram.this::updateCoordinator);
         }
 
         @Override
@@ -436,30 +437,30 @@
         }
     }
 
-    private final class MemberOut implements ReplicationActions {
+    private final class ReplicationOutput implements ReplicationActions {
         @Override
         public void send(String to, ReplicationMessage frame) {
-            peerLinks.say(to, frame);
+            peerLinks.send(to, frame);
         }
 
         @Override
         public void persist(long ticket, Map<String, byte[]> changes) {
-            keep(changes, () -> members.synced(ticket, now()), () -> members.syncFailed(ticket, now()));
+            commitToStore(changes, () -> replica.synced(ticket, nowMs()), () -> replica.syncFailed(ticket, nowMs()));
         }
 
         @Override
         public void proposalCompleted(long token, ProposalOutcome outcome) {
-            machine.loop().execute(() -> operators.outcome(token, outcome));
+            machine.loop().execute(() -> operatorCalls.onProposalCompleted(token, outcome));
         }
 
         @Override
-        public void readIndexCompleted(long token, boolean yes) {
-            machine.loop().execute(() -> operators.confirmed(token, yes));
+        public void readIndexCompleted(long token, boolean confirmed) {
+            machine.loop().execute(() -> operatorCalls.onReadIndexCompleted(token, confirmed));
         }
 
         @Override
         public void statusChanged() {
-            machine.loop().execute(operators::changed);
+            machine.loop().execute(operatorCalls::onStatusChanged);
         }
 
         @Override
@@ -473,15 +474,15 @@
         }
     }
 
-    private final class HubAuthority implements EdgeCoordinator.Authority {
+    private final class CoordinatorAuthority implements EdgeCoordinator.Authority {
         @Override
         public boolean mayAct() {
             return ControlPlaneProgram.this.mayAct();
         }
 
         @Override
-        public boolean applied() {
-            return members.status().settled();
+        public boolean isSettled() {
+            return replica.status().settled();
         }
 
         @Override
@@ -490,47 +491,47 @@
         }
 
         @Override
-        public void fenced(long term) {
-            election.revalidate(term + 1, now());
+        public void onFenced(long term) {
+            election.revalidate(term + 1, nowMs());
         }
     }
 
-    private final class KinEar implements PeerLinks.Ear {
+    private final class LinkEvents implements PeerLinks.Receiver {
         @Override
-        public void member(String from, Object frame) {
+        public void onMemberMessage(String from, Object frame) {
             if (frame instanceof ElectionMessage) {
-                election.receive(from, frame, now());
+                election.receive(from, frame, nowMs());
             } else {
-                members.receive(from, frame, now());
+                replica.receive(from, frame, nowMs());
             }
         }
 
         @Override
-        public void gone(String who) {
-            members.onDisconnected(who, now());
+        public void onMemberDisconnected(String who) {
+            replica.onDisconnected(who, nowMs());
         }
 
         @Override
-        public void edge(String name, Link link) {
-            edges.came(name, link);
+        public void onEdgeConnected(String name, Link link) {
+            edgeGreeter.onConnected(name, link);
         }
 
         @Override
-        public void edge(String name, Link link, Object frame) {
+        public void onEdgeMessage(String name, Link link, Object frame) {
             if (frame instanceof EdgeHello hello) {
-                election.revalidate(hello.term(), now());
-                edges.hello(link, hello);
+                election.revalidate(hello.term(), nowMs());
+                edgeGreeter.onHello(link, hello);
             }
-            if (hub != null) {
-                hub.heard(name, link, frame, now());
+            if (coordinator != null) {
+                coordinator.receive(name, link, frame, nowMs());
             }
         }
 
         @Override
-        public void edgeGone(String name, Link link) {
-            edges.gone(link);
-            if (hub != null) {
-                hub.parted(name, link, now());
+        public void onEdgeDisconnected(String name, Link link) {
+            edgeGreeter.onDisconnected(link);
+            if (coordinator != null) {
+                coordinator.onDisconnected(name, link, nowMs());
             }
         }
     }
--- a/src/main/java/brambletray/platform/controlplane/ControlPlaneServer.java
+++ b/src/main/java/brambletray/platform/controlplane/ControlPlaneServer.java
@@ -26,62 +26,65 @@
 
 /**
  * The control-plane address: calls of hosts and operators, one table of method and path segments. A body has at most
- * {@link #BODY} bytes (413 beyond), a connection that is silent for {@link #IDLE_S} is closed. Calls of one connection
+ * {@link #MAX_BODY_BYTES} bytes (413 beyond), a connection that is silent for {@link #IDLE_TIMEOUT_S} is closed. Calls of one connection
  * are dealt with one after the other, as answers bear no sign of which call they are to; a caller that sends more than
- * {@link #AHEAD} ahead is cut off.
+ * {@link #MAX_PIPELINED_CALLS} ahead is cut off.
  */
 final class ControlPlaneServer {
-    static final int BODY = 4 << 20;
-    static final int IDLE_S = 30;
-    static final int AHEAD = 8;
-    static final String BASE = "Brambletray-Base-Revision";
+    static final int MAX_BODY_BYTES = 4 << 20;
+    static final int IDLE_TIMEOUT_S = 30;
+    static final int MAX_PIPELINED_CALLS = 8;
+    static final String BASE_REVISION_HEADER = "Brambletray-Base-Revision";
 
-    private final Dispatch<Desk> table;
+    private final CallRouter<CallHandler> router;
 
     /** One kind of call. */
-    interface Desk {
-        /** {@code part}: what a {@code *} in the path stood for, or null. */
-        void handle(ControlCall call, String part);
+    interface CallHandler {
+        /** {@code wildcard}: what a {@code *} in the path stood for, or null. */
+        void handle(ControlCall call, String wildcard);
     }
 
-    ControlPlaneServer(Dispatch<Desk> table) {
-        this.table = table;
+    ControlPlaneServer(CallRouter<CallHandler> router) {
+        this.router = router;
     }
 
     /** Listens; the future fails with what the system says where it cannot. */
-    ChannelFuture open(Machine machine, Address at) {
+    ChannelFuture listen(Machine machine, Address at) {
         return machine.listening(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new IdleStateHandler(0, 0, IDLE_S) {
+                        channel.pipeline().addLast(new IdleStateHandler(0, 0, IDLE_TIMEOUT_S) {
                             @Override
                             protected void channelIdle(
                                     ChannelHandlerContext context, io.netty.handler.timeout.IdleStateEvent event) {
                                 context.close();
                             }
                         });
-                        calls(channel);
+                        addCallHandlers(channel);
                     }
                 })
                 .bind(new InetSocketAddress(at.host(), at.port()));
     }
 
     /** The handlers of a connection's calls, at the end of its pipeline. */
-    void calls(Channel channel) {
+    void addCallHandlers(Channel channel) {
         channel.pipeline()
-                .addLast(new HttpServerCodec(4_096, 16_384, 8_192), new HttpObjectAggregator(BODY, true), new Visit());
+                .addLast(
+                        new HttpServerCodec(4_096, 16_384, 8_192),
+                        new HttpObjectAggregator(MAX_BODY_BYTES, true),
+                        new CallDispatcher());
     }
 
-    private final class Visit extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final ArrayDeque<FullHttpRequest> ahead = new ArrayDeque<>();
-        private boolean busy;
+    private final class CallDispatcher extends SimpleChannelInboundHandler<FullHttpRequest> {
+        private final ArrayDeque<FullHttpRequest> pipelined = new ArrayDeque<>();
+        private boolean callInProgress;
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-            if (!busy) {
-                visit(context, request);
-            } else if (ahead.size() < AHEAD) {
-                ahead.add(request.retain());
+            if (!callInProgress) {
+                dispatchCall(context, request);
+            } else if (pipelined.size() < MAX_PIPELINED_CALLS) {
+                pipelined.add(request.retain());
             } else {
                 context.close();
             }
@@ -89,20 +92,20 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) throws Exception {
-            drop();
+            releasePipelined();
             super.channelInactive(context);
         }
 
-        private void drop() {
-            ahead.forEach(FullHttpRequest::release);
-            ahead.clear();
+        private void releasePipelined() {
+            pipelined.forEach(FullHttpRequest::release);
+            pipelined.clear();
         }
 
-        private void visit(ChannelHandlerContext context, FullHttpRequest request) {
-            busy = true;
-            boolean keep = HttpUtil.isKeepAlive(request);
+        private void dispatchCall(ChannelHandlerContext context, FullHttpRequest request) {
+            callInProgress = true;
+            boolean keepAlive = HttpUtil.isKeepAlive(request);
             if (request.decoderResult().isFailure()) {
-                reply(
+                writeResponse(
                         context,
                         false,
                         400,
@@ -113,23 +116,23 @@
             String uri = request.uri();
             int query = uri.indexOf('?');
             String path = query < 0 ? uri : uri.substring(0, query);
-            boolean[] given = new boolean[1];
+            boolean[] responded = new boolean[1];
             ControlCall call = new ControlCall(
                     request.method().name(),
                     path,
-                    request.headers().get(BASE),
+                    request.headers().get(BASE_REVISION_HEADER),
                     ByteBufUtil.getBytes(request.content()),
                     (status, json, headers) -> {
-                        if (!given[0]) {
-                            given[0] = true;
-                            reply(context, keep, status, json, headers);
+                        if (!responded[0]) {
+                            responded[0] = true;
+                            writeResponse(context, keepAlive, status, json, headers);
                         }
                     });
-            Dispatch.Found<Desk> found = path.startsWith("/") ? table.find(call.method(), path) : null;
-            if (found == null) {
-                call.refuse(404, "controlplane.no-such-call", call.method() + " " + path);
+            CallRouter.Match<CallHandler> match = path.startsWith("/") ? router.find(call.method(), path) : null;
+            if (match == null) {
+                call.reject(404, "controlplane.no-such-call", call.method() + " " + path);
             } else {
-                found.handler().handle(call, found.part());
+                match.handler().handle(call, match.wildcard());
             }
         }
 
@@ -137,24 +140,24 @@
          * The next call of this connection, once the one before it has its answer; none after one that closes it. By
          * way of the loop, since whoever gives an answer may be in the midst of its own calls.
          */
-        private void next(ChannelHandlerContext context, boolean keep) {
-            if (!keep) {
-                drop();
-            } else if (ahead.isEmpty()) {
-                busy = false;
+        private void onResponded(ChannelHandlerContext context, boolean keepAlive) {
+            if (!keepAlive) {
+                releasePipelined();
+            } else if (pipelined.isEmpty()) {
+                callInProgress = false;
             } else {
-                context.executor().execute(() -> visitNext(context));
+                context.executor().execute(() -> dispatchNext(context));
             }
         }
 
-        private void visitNext(ChannelHandlerContext context) {
-            FullHttpRequest request = ahead.poll();
+        private void dispatchNext(ChannelHandlerContext context) {
+            FullHttpRequest request = pipelined.poll();
             if (request == null) {
-                busy = false;
+                callInProgress = false;
                 return;
             }
             try {
-                visit(context, request);
+                dispatchCall(context, request);
             } catch (RuntimeException e) {
                 exceptionCaught(context, e);
             } finally {
@@ -162,22 +165,26 @@
             }
         }
 
-        private void reply(
-                ChannelHandlerContext context, boolean keep, int status, byte[] json, Map<String, String> headers) {
+        private void writeResponse(
+                ChannelHandlerContext context,
+                boolean keepAlive,
+                int status,
+                byte[] json,
+                Map<String, String> headers) {
             ByteBuf body = json == null ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(json);
-            DefaultFullHttpResponse answer =
+            DefaultFullHttpResponse response =
                     new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), body);
-            answer.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
+            response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
             if (json != null) {
-                answer.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
+                response.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
             }
-            headers.forEach(answer.headers()::set);
-            if (!keep) {
-                answer.headers().set(HttpHeaderNames.CONNECTION, "close");
+            headers.forEach(response.headers()::set);
+            if (!keepAlive) {
+                response.headers().set(HttpHeaderNames.CONNECTION, "close");
             }
-            context.writeAndFlush(answer)
-                    .addListener(keep ? ChannelFutureListener.CLOSE_ON_FAILURE : ChannelFutureListener.CLOSE);
-            next(context, keep);
+            context.writeAndFlush(response)
+                    .addListener(keepAlive ? ChannelFutureListener.CLOSE_ON_FAILURE : ChannelFutureListener.CLOSE);
+            onResponded(context, keepAlive);
         }
 
         @Override
--- a/src/main/java/brambletray/platform/controlplane/EdgeCoordinator.java
+++ b/src/main/java/brambletray/platform/controlplane/EdgeCoordinator.java
@@ -45,38 +45,38 @@
 final class EdgeCoordinator {
     private static final EventLog LOG = EventLog.of("hub");
     /** ms between pulses. */
-    private static final int PULSE = 250;
+    private static final int HEARTBEAT_INTERVAL_MS = 250;
     /**
      * ms without the right to act after which edges are let go: a late tick of this process puts its lease in doubt for
      * one round only.
      */
-    static final int DOUBT = 100;
+    static final int LEASE_DOUBT_GRACE_MS = 100;
 
     private static final long NEVER = Long.MIN_VALUE;
 
-    private static final class Edge {
+    private static final class ConnectedEdge {
         private Link link;
         private Peer peer;
         /** Has been pulsed on this link, and not been let go since: what is said now is said under this term. */
-        private boolean open;
+        private boolean heartbeatSent;
         /** That it serves by, as it says itself. */
-        private long revision;
+        private long servedRevision;
     }
 
     private final long term;
     private final Supplier<Configuration> configuration;
     private final ConfigurationPublisher publisher;
-    private final Map<String, Edge> edges = new HashMap<>();
+    private final Map<String, ConnectedEdge> edges = new HashMap<>();
     private final MembershipRegistry membership;
     private final Provisioner provisioner;
     private final PlatformClient platform;
-    private HomeAssignment homes = new HomeAssignment(Roster.NONE);
-    private long pulsedAt;
-    private CoordinatorHeartbeat pulse;
+    private HomeAssignment homeAssignment = new HomeAssignment(Roster.NONE);
+    private long heartbeatsSentAtMs;
+    private CoordinatorHeartbeat heartbeat;
     /** Since when the newest configuration is on its way to edges, ms; {@link #NEVER}: all have it. */
-    private long spreadingSince = NEVER;
+    private long rolloutSinceMs = NEVER;
 
-    private long lapsedAt = NEVER;
+    private long authorityLostAtMs = NEVER;
     private final Machine machine;
     private final Authority authority;
 
@@ -89,13 +89,13 @@
          * Whether all that was kept before the view in force has been applied here. Until then the configuration that
          * is known here may be older than one that was acknowledged.
          */
-        boolean applied();
+        boolean isSettled();
 
         /** What this member says to an edge's Hello. */
         EdgeWelcome welcome();
 
         /** The platform has refused a call under this term, as it has seen a higher one. */
-        void fenced(long term);
+        void onFenced(long term);
     }
 
     EdgeCoordinator(
@@ -105,27 +105,28 @@
             Supplier<Configuration> configuration,
             ConfigurationPublisher publisher,
             Authority authority,
-            long now) {
+            long nowMs) {
         this.machine = machine;
         this.authority = authority;
         this.term = term;
         this.configuration = configuration;
         this.publisher = publisher;
-        pulse = new CoordinatorHeartbeat(term, 0, 0);
-        membership = new MembershipRegistry(term, now, this::roster);
-        brambletray.platform.settings.CloudApiSettings told =
+        heartbeat = new CoordinatorHeartbeat(term, 0, 0);
+        membership = new MembershipRegistry(term, nowMs, this::onRoster);
+        brambletray.platform.settings.CloudApiSettings cloudApi =
                 nodeSettings.need("cloud-api.address", nodeSettings.platform());
         platform = new PlatformClient(
                 machine,
-                new InetSocketAddress(told.address().host(), told.address().port()),
+                new InetSocketAddress(
+                        cloudApi.address().host(), cloudApi.address().port()),
                 new PlatformClient.Name(nodeSettings.node(), term),
-                told.ratePerS());
+                cloudApi.ratePerS());
         provisioner = new Provisioner(
-                new PlatformTerms(nodeSettings.zones(), told.lagMs(), told.ratePerS(), told.dutyRatePerS()),
-                new YardHands(),
+                new PlatformTerms(nodeSettings.zones(), cloudApi.lagMs(), cloudApi.ratePerS(), cloudApi.dutyRatePerS()),
+                new ProvisionerOutput(),
                 this::homeOf,
-                now);
-        configuration(now);
+                nowMs);
+        onConfigurationChanged(nowMs);
         LOG.tell("begins", "term", term, "revision", configuration.get().revision());
     }
 
@@ -133,7 +134,7 @@
         return term;
     }
 
-    Roster newest() {
+    Roster newestRoster() {
         return membership.newest();
     }
 
@@ -142,18 +143,18 @@
     }
 
     /** For operators: the revision that this edge says it serves by, or -1: it has no link here. */
-    long has(String name) {
-        Edge edge = edges.get(name);
-        return edge == null ? -1 : edge.revision;
+    long servedRevision(String name) {
+        ConnectedEdge edge = edges.get(name);
+        return edge == null ? -1 : edge.servedRevision;
     }
 
-    private String homeOf(String service, String seat) {
-        Peer home = homes.homeOf(service, seat);
+    private String homeOf(String service, String zone) {
+        Peer home = homeAssignment.homeOf(service, zone);
         return home == null ? null : home.name();
     }
 
     /** Another configuration is in force. */
-    void configuration(long now) {
+    void onConfigurationChanged(long nowMs) {
         Map<String, InstanceSize> sizes = new HashMap<>();
         Configuration current = configuration.get();
         if (current == Configuration.NONE) {
@@ -162,22 +163,23 @@
         for (Service service : current.services().values()) {
             sizes.put(service.name(), new InstanceSize(service.memoryMb(), service.bootMs()));
         }
-        provisioner.configuration(sizes, now);
-        spreadingSince = now;
+        provisioner.configuration(sizes, nowMs);
+        rolloutSinceMs = nowMs;
         if (authority.mayAct()) {
-            pulseAll(now);
+            sendHeartbeats(nowMs);
         }
     }
 
     /** For who may act, of what may be handed out: edges fetch what they lack. */
-    private void pulseAll(long now) {
-        pulsedAt = now;
-        pulse = new CoordinatorHeartbeat(term, revision(), membership.roster().number());
-        edges.values().forEach(this::pulse);
+    private void sendHeartbeats(long nowMs) {
+        heartbeatsSentAtMs = nowMs;
+        heartbeat = new CoordinatorHeartbeat(
+                term, publishableRevision(), membership.roster().number());
+        edges.values().forEach(this::sendHeartbeat);
     }
 
-    private void roster(Roster roster, String why) {
-        homes = new HomeAssignment(roster);
+    private void onRoster(Roster roster, String why) {
+        homeAssignment = new HomeAssignment(roster);
         Set<String> names = new HashSet<>();
         for (Peer peer : roster.peers()) {
             names.add(peer.name());
@@ -197,132 +199,132 @@
                 why);
     }
 
-    void heard(String name, Link link, Object frame, long now) {
+    void receive(String name, Link link, Object frame, long nowMs) {
         if (frame instanceof EdgeHello hello) {
-            hello(name, link, hello, now);
+            onHello(name, link, hello, nowMs);
             return;
         }
-        Edge edge = edges.get(name);
+        ConnectedEdge edge = edges.get(name);
         if (edge == null || edge.link != link) {
             return;
         }
-        if (frame instanceof StartRequest need) {
-            provisioner.need(name, need, now);
-        } else if (frame instanceof StopRequest quit) {
-            provisioner.quit(name, quit, now);
-        } else if (frame instanceof InstanceUp seen) {
-            provisioner.seen(name, seen, now);
+        if (frame instanceof StartRequest startRequest) {
+            provisioner.need(name, startRequest, nowMs);
+        } else if (frame instanceof StopRequest stopRequest) {
+            provisioner.quit(name, stopRequest, nowMs);
+        } else if (frame instanceof InstanceUp instanceUp) {
+            provisioner.seen(name, instanceUp, nowMs);
         } else if (frame instanceof HomeClaim claim) {
-            provisioner.claim(name, claim, now);
-        } else if (frame instanceof KnownInstances mine) {
-            provisioner.mine(name, mine, now);
-        } else if (frame instanceof SuspicionReport suspect) {
-            membership.suspect(suspect);
-        } else if (frame instanceof SuspicionWithdrawal trust) {
-            membership.trust(trust);
+            provisioner.claim(name, claim, nowMs);
+        } else if (frame instanceof KnownInstances knownInstances) {
+            provisioner.mine(name, knownInstances, nowMs);
+        } else if (frame instanceof SuspicionReport report) {
+            membership.onSuspicion(report);
+        } else if (frame instanceof SuspicionWithdrawal withdrawal) {
+            membership.onWithdrawal(withdrawal);
         } else if (frame instanceof Roster roster) {
-            membership.told(roster, now);
-        } else if (frame instanceof DeltaRequest fetch) {
-            fetch(edge, fetch, now);
+            membership.onReportedRoster(roster, nowMs);
+        } else if (frame instanceof DeltaRequest request) {
+            onDeltaRequest(edge, request, nowMs);
         } else if (frame instanceof RosterRequest
-                && edge.open
+                && edge.heartbeatSent
                 && authority.mayAct()
                 && membership.roster().number() > 0) {
             edge.link.say(membership.roster());
         }
     }
 
-    private void fetch(Edge edge, DeltaRequest fetch, long now) {
-        edge.revision = fetch.revision();
-        if (edge.open && authority.mayAct() && revision() > 0) {
-            DeltaChunk chunk = publisher.answer(fetch, term);
+    private void onDeltaRequest(ConnectedEdge edge, DeltaRequest request, long nowMs) {
+        edge.servedRevision = request.revision();
+        if (edge.heartbeatSent && authority.mayAct() && publishableRevision() > 0) {
+            DeltaChunk chunk = publisher.nextChunk(request, term);
             if (chunk != null) {
                 edge.link.say(chunk);
             }
         }
-        spread(now);
+        maybeLogRollout(nowMs);
     }
 
     /** Tells once when all edges on the line serve by the newest configuration. */
-    private void spread(long now) {
-        long newest = revision();
-        if (spreadingSince != NEVER
+    private void maybeLogRollout(long nowMs) {
+        long newest = publishableRevision();
+        if (rolloutSinceMs != NEVER
                 && newest > 0
-                && edges.values().stream().allMatch(edge -> edge.revision >= newest)) {
-            LOG.tell("spread", "term", term, "revision", newest, "edges", edges.size(), "ms", now - spreadingSince);
-            spreadingSince = NEVER;
+                && edges.values().stream().allMatch(edge -> edge.servedRevision >= newest)) {
+            LOG.tell("spread", "term", term, "revision", newest, "edges", edges.size(), "ms", nowMs - rolloutSinceMs);
+            rolloutSinceMs = NEVER;
         }
     }
 
-    private void hello(String name, Link link, EdgeHello hello, long now) {
-        Edge edge = edges.computeIfAbsent(name, none -> new Edge());
-        edge.open &= edge.link == link;
+    private void onHello(String name, Link link, EdgeHello hello, long nowMs) {
+        ConnectedEdge edge = edges.computeIfAbsent(name, none -> new ConnectedEdge());
+        edge.heartbeatSent &= edge.link == link;
         edge.link = link;
         edge.peer = hello.self();
-        edge.revision = hello.revision();
-        membership.hello(hello, now);
+        edge.servedRevision = hello.revision();
+        membership.onHello(hello, nowMs);
         if (authority.mayAct()) {
-            pulse = new CoordinatorHeartbeat(
-                    term, revision(), membership.roster().number());
-            pulse(edge);
+            heartbeat = new CoordinatorHeartbeat(
+                    term, publishableRevision(), membership.roster().number());
+            sendHeartbeat(edge);
         }
     }
 
-    private void pulse(Edge edge) {
-        edge.open |= edge.link.say(pulse);
+    private void sendHeartbeat(ConnectedEdge edge) {
+        edge.heartbeatSent |= edge.link.say(heartbeat);
     }
 
     /** Of the configuration that may be handed out, or 0: none yet. */
-    private long revision() {
-        return authority.applied() ? publisher.revision() : 0;
+    private long publishableRevision() {
+        return authority.isSettled() ? publisher.revision() : 0;
     }
 
     /** Edges look elsewhere, until this hub pulses again. */
-    private void letGo(String why) {
-        int all = 0;
-        EdgeWelcome welcome = authority.welcome().withoutHelm();
-        for (Edge edge : edges.values()) {
-            if (edge.open) {
-                all++;
-                letGo(edge, welcome);
+    private void releaseEdges(String why) {
+        int released = 0;
+        EdgeWelcome welcome = authority.welcome().withoutCoordinator();
+        for (ConnectedEdge edge : edges.values()) {
+            if (edge.heartbeatSent) {
+                released++;
+                releaseEdge(edge, welcome);
             }
         }
-        if (all > 0) {
-            LOG.tell("edges let go", "term", term, "why", why, "edges", all);
+        if (released > 0) {
+            LOG.tell("edges let go", "term", term, "why", why, "edges", released);
         }
     }
 
-    private void letGo(Edge edge, EdgeWelcome welcome) {
-        edge.open = false;
+    private void releaseEdge(ConnectedEdge edge, EdgeWelcome welcome) {
+        edge.heartbeatSent = false;
         edge.link.say(welcome);
     }
 
-    void parted(String name, Link link, long now) {
-        Edge edge = edges.get(name);
+    void onDisconnected(String name, Link link, long nowMs) {
+        ConnectedEdge edge = edges.get(name);
         if (edge != null && edge.link == link) {
             edges.remove(name);
-            membership.parted(name, edge.peer.life(), now);
-            provisioner.edgeGone(name, now);
+            membership.onDisconnected(name, edge.peer.incarnation(), nowMs);
+            provisioner.edgeGone(name, nowMs);
         }
     }
 
     /** Says and does nothing with authority while this term may not act. */
-    void tick(long now) {
+    void tick(long nowMs) {
         if (!authority.mayAct()) {
-            if (lapsedAt == NEVER) {
-                lapsedAt = now;
-            } else if (now - lapsedAt >= DOUBT) {
-                letGo("the lease has run out or is in doubt");
+            if (authorityLostAtMs == NEVER) {
+                authorityLostAtMs = nowMs;
+            } else if (nowMs - authorityLostAtMs >= LEASE_DOUBT_GRACE_MS) {
+                releaseEdges("the lease has run out or is in doubt");
             }
             return;
         }
-        lapsedAt = NEVER;
-        membership.tick(now);
-        provisioner.tick(now);
-        if (now - pulsedAt >= PULSE
-                || revision() != pulse.revision()
-                || membership.roster().number() != pulse.roster()) {
-            pulseAll(now);
+        authorityLostAtMs = NEVER;
+        membership.tick(nowMs);
+        provisioner.tick(nowMs);
+        if (nowMs - heartbeatsSentAtMs >= HEARTBEAT_INTERVAL_MS
+                || publishableRevision() != heartbeat.revision()
+                || membership.roster().number() != heartbeat.rosterNumber()) {
+            sendHeartbeats(nowMs);
         }
     }
 
@@ -330,27 +332,27 @@
      * The term is over: nothing more is called, nor said but that. The links stay, by which edges are told of the next
      * helm.
      */
-    void end() {
+    void close() {
         platform.close();
-        letGo("the term is over");
+        releaseEdges("the term is over");
         edges.clear();
         LOG.tell("ends", "term", term);
     }
 
-    private final class YardHands implements ProvisioningActions {
+    private final class ProvisionerOutput implements ProvisioningActions {
         private long now() {
             return machine.clock().nanos() / 1_000_000;
         }
 
         @Override
         public void tell(String name, Object frame) {
-            Edge edge = edges.get(name);
+            ConnectedEdge edge = edges.get(name);
             // Who is not open tells what its seats know when it is again, and is told then what it has missed.
-            if (edge != null && edge.open) {
+            if (edge != null && edge.heartbeatSent) {
                 if (authority.mayAct()) {
                     edge.link.say(frame);
                 } else {
-                    letGo(edge, authority.welcome().withoutHelm());
+                    releaseEdge(edge, authority.welcome().withoutCoordinator());
                 }
             }
         }
@@ -361,9 +363,9 @@
                 machine.loop().execute(() -> provisioner.begun(nonce, StartResponse.of(CallResult.UNKNOWN), now()));
                 return;
             }
-            platform.begin(service, worker, nonce, begun -> {
-                fenced(begun.result());
-                provisioner.begun(nonce, begun, now());
+            platform.begin(service, worker, nonce, response -> {
+                fenced(response.result());
+                provisioner.begun(nonce, response, now());
             });
         }
 
@@ -381,7 +383,7 @@
 
         private void fenced(CallResult result) {
             if (result == CallResult.FENCED) {
-                authority.fenced(term);
+                authority.onFenced(term);
             }
         }
 
--- a/src/main/java/brambletray/platform/controlplane/EdgeGreeter.java
+++ b/src/main/java/brambletray/platform/controlplane/EdgeGreeter.java
@@ -23,20 +23,20 @@
 final class EdgeGreeter {
     private static final long NEVER = Long.MIN_VALUE;
 
-    private static final class Guest {
+    private static final class ConnectedEdge {
         private final String name;
         private EdgeHello hello;
         /** The roster part left out, which the Welcome of a later Hello brings up to date. */
-        private EdgeWelcome told;
+        private EdgeWelcome lastWelcome;
 
-        Guest(String name) {
+        ConnectedEdge(String name) {
             this.name = name;
         }
     }
 
     private final Supplier<EdgeWelcome> welcome;
-    private final Map<Link, Guest> guests = new LinkedHashMap<>();
-    private long noneSince = NEVER;
+    private final Map<Link, ConnectedEdge> connectedEdges = new LinkedHashMap<>();
+    private long noCoordinatorSinceMs = NEVER;
 
     /** {@code welcome}: what this member says at that moment. */
     EdgeGreeter(Supplier<EdgeWelcome> welcome) {
@@ -45,86 +45,99 @@
 
     /**
      * What a member says to edges that stands like this. It names itself as the helm while its hub may act
-     * ({@code hubTerm}, 0: it has none), another only while it is in touch itself: who is cut off may not know that the
-     * other has been succeeded. {@code inner}: where edges reach a member.
+     * ({@code coordinatorTerm}, 0: it has none), another only while it is in touch itself: who is cut off may not know that the
+     * other has been succeeded. {@code edgeFacingAddress}: where edges reach a member.
      */
     static EdgeWelcome welcome(
-            ReplicaStatus status, LeaseHolder holder, long hubTerm, Roster newest, Function<Member, String> inner) {
+            ReplicaStatus status,
+            LeaseHolder holder,
+            long coordinatorTerm,
+            Roster newest,
+            Function<Member, String> edgeFacingAddress) {
         boolean inTouch = status.role() == ReplicaRole.MEMBER;
-        boolean here =
+        boolean heldHere =
                 holder != null && holder.member().incarnation() == status.self().incarnation();
-        boolean named = holder != null && (here ? hubTerm == holder.term() : inTouch);
-        List<String> reached =
-                status.active() ? status.members().stream().map(inner).toList() : List.of();
+        boolean named = holder != null && (heldHere ? coordinatorTerm == holder.term() : inTouch);
+        List<String> memberAddresses = status.active()
+                ? status.members().stream().map(edgeFacingAddress).toList()
+                : List.of();
         return new EdgeWelcome(
-                named ? inner.apply(holder.member()) : "",
+                named ? edgeFacingAddress.apply(holder.member()) : "",
                 named ? holder.term() : 0,
                 inTouch,
                 status.active() ? status.viewNumber() : 0,
-                reached,
+                memberAddresses,
                 newest.term(),
                 newest.number());
     }
 
-    void came(String name, Link link) {
-        guests.put(link, new Guest(name));
+    void onConnected(String name, Link link) {
+        connectedEdges.put(link, new ConnectedEdge(name));
     }
 
-    void gone(Link link) {
-        guests.remove(link);
+    void onDisconnected(Link link) {
+        connectedEdges.remove(link);
     }
 
     /** Answers an edge's Hello. */
-    void hello(Link link, EdgeHello hello) {
-        Guest guest = guests.get(link);
-        if (guest != null) {
-            guest.hello = hello;
-            say(link, guest, welcome.get());
+    void onHello(Link link, EdgeHello hello) {
+        ConnectedEdge edge = connectedEdges.get(link);
+        if (edge != null) {
+            edge.hello = hello;
+            sendWelcome(link, edge, welcome.get());
         }
     }
 
     /** The helm is held here from now on: its hub hears who is on the line. */
-    void hub(EdgeCoordinator hub, long now) {
-        EdgeWelcome say = welcome.get();
-        new LinkedHashMap<>(guests).forEach((link, guest) -> {
-            if (guest.hello != null) {
-                say(link, guest, say);
-                hub.heard(guest.name, link, guest.hello, now);
+    void onCoordinatorStarted(EdgeCoordinator coordinator, long nowMs) {
+        EdgeWelcome current = welcome.get();
+        new LinkedHashMap<>(connectedEdges).forEach((link, edge) -> {
+            if (edge.hello != null) {
+                sendWelcome(link, edge, current);
+                coordinator.receive(edge.name, link, edge.hello, nowMs);
             }
         });
     }
 
     /**
      * Every 50 ms or so; steady ms. That there is no helm any more is said once that has lasted for {@link
-     * EdgeCoordinator#DOUBT}.
+     * EdgeCoordinator#LEASE_DOUBT_GRACE_MS}.
      */
-    void tick(long now) {
-        if (guests.isEmpty()) {
+    void tick(long nowMs) {
+        if (connectedEdges.isEmpty()) {
             return;
         }
-        EdgeWelcome say = welcome.get();
-        EdgeWelcome key = key(say);
-        if (!key.helmAddress().isEmpty()) {
-            noneSince = NEVER;
-        } else if (noneSince == NEVER) {
-            noneSince = now;
+        EdgeWelcome current = welcome.get();
+        EdgeWelcome key = withoutRoster(current);
+        if (!key.coordinatorAddress().isEmpty()) {
+            noCoordinatorSinceMs = NEVER;
+        } else if (noCoordinatorSinceMs == NEVER) {
+            noCoordinatorSinceMs = nowMs;
         }
-        boolean doubt = noneSince != NEVER && now - noneSince < EdgeCoordinator.DOUBT;
-        guests.forEach((link, guest) -> {
-            if (guest.told != null
-                    && !guest.told.equals(key)
-                    && !(doubt && !guest.told.helmAddress().isEmpty())) {
-                say(link, guest, say);
+        boolean inGracePeriod =
+                noCoordinatorSinceMs != NEVER && nowMs - noCoordinatorSinceMs < EdgeCoordinator.LEASE_DOUBT_GRACE_MS;
+        connectedEdges.forEach((link, edge) -> {
+            if (edge.lastWelcome != null
+                    && !edge.lastWelcome.equals(key)
+                    && !(inGracePeriod && !edge.lastWelcome.coordinatorAddress().isEmpty())) {
+                sendWelcome(link, edge, current);
             }
         });
     }
 
-    private void say(Link link, Guest guest, EdgeWelcome say) {
-        link.say(say);
-        guest.told = key(say);
+    private void sendWelcome(Link link, ConnectedEdge edge, EdgeWelcome current) {
+        link.say(current);
+        edge.lastWelcome = withoutRoster(current);
     }
 
-    private static EdgeWelcome key(EdgeWelcome all) {
-        return new EdgeWelcome(all.helmAddress(), all.term(), all.inTouch(), all.view(), all.members(), 0, 0);
+    private static EdgeWelcome withoutRoster(EdgeWelcome welcome) {
+        return new EdgeWelcome(
+                welcome.coordinatorAddress(),
+                welcome.term(),
+                welcome.inActiveView(),
+                welcome.viewNumber(),
+                welcome.members(),
+                0,
+                0);
     }
 }
--- a/src/main/java/brambletray/platform/controlplane/MemberOrders.java
+++ b/src/main/java/brambletray/platform/controlplane/MemberRemovalCalls.java
@@ -11,67 +11,67 @@
  * is asked decides and answers
  * for itself. For the loop only.
  */
-final class MemberOrders {
-    private static final int HEX = 16;
+final class MemberRemovalCalls {
+    private static final int HEX_RADIX = 16;
 
     /** Declares a member dead; the outcome comes on the loop. */
-    interface Declare {
-        void dead(String address, long life, Consumer<MemberRemovalOutcome> then);
+    interface RemovalAction {
+        void remove(String address, long incarnation, Consumer<MemberRemovalOutcome> onOutcome);
     }
 
-    private final Declare declare;
+    private final RemovalAction removal;
 
-    MemberOrders(Declare declare) {
-        this.declare = declare;
+    MemberRemovalCalls(RemovalAction removal) {
+        this.removal = removal;
     }
 
-    void register(Dispatch<ControlPlaneServer.Desk> table) {
-        table.on("POST", OperatorViews.AT + "dead/*", this::dead);
+    void register(CallRouter<ControlPlaneServer.CallHandler> table) {
+        table.route("POST", OperatorViews.PATH_PREFIX + "dead/*", this::onRemoveMember);
     }
 
-    private void dead(ControlCall call, String address) {
-        long life;
+    private void onRemoveMember(ControlCall call, String address) {
+        long incarnation;
         try {
-            life = Long.parseUnsignedLong(new String(call.body(), StandardCharsets.UTF_8).strip(), HEX);
+            incarnation = Long.parseUnsignedLong(new String(call.body(), StandardCharsets.UTF_8).strip(), HEX_RADIX);
         } catch (NumberFormatException e) {
-            call.refuse(
+            call.reject(
                     400,
                     "controlplane.unconfirmed",
                     "expected as body the life of the member in hex, as views shows it");
             return;
         }
-        declare.dead(address, life, result -> answer(call, address, life, result));
+        removal.remove(address, incarnation, outcome -> respond(call, address, incarnation, outcome));
     }
 
-    private static void answer(ControlCall call, String address, long life, MemberRemovalOutcome result) {
-        switch (result) {
+    private static void respond(ControlCall call, String address, long incarnation, MemberRemovalOutcome outcome) {
+        switch (outcome) {
             case REMOVED ->
-                call.give(
+                call.respond(
                         200,
                         new JsonObjectWriter()
                                 .text("address", address)
-                                .text("life", Long.toHexString(life))
+                                .text("life", Long.toHexString(incarnation))
                                 .flag("declared-dead", true)
                                 .bytes());
             case UNKNOWN_MEMBER ->
-                call.refuse(
+                call.reject(
                         404,
                         "controlplane.no-member",
                         "no other member of the view here has this address and this life");
             case VIEW_IS_HEALTHY ->
-                call.refuse(409, "controlplane.not-needed", "the view is at work here, nothing waits for that machine");
+                call.reject(409, "controlplane.not-needed", "the view is at work here, nothing waits for that machine");
             case RECENTLY_HEARD ->
-                call.refuse(
+                call.reject(
                         409,
                         "controlplane.heard",
                         "the machine answers, or was heard lately, or this process hasn't listened for 10 s");
             case MAJORITY_WOULD_BE_LOST ->
-                call.refuse(
+                call.reject(
                         409,
                         "controlplane.too-many",
                         "with it a majority of a view would be dead, and acknowledged changes with it");
-            case ANOTHER_PENDING -> call.refuse(503, "controlplane.busy", "another order is being looked into");
-            default -> throw new IllegalStateException("no answer for " + result);
+            case ANOTHER_PENDING -> call.reject(503, "controlplane.busy", "another order is being looked into");
+            default -> throw new IllegalStateException("no answer for " + outcome);
         }
     }
 }
--- a/src/main/java/brambletray/platform/controlplane/OperatorCalls.java
+++ b/src/main/java/brambletray/platform/controlplane/OperatorCalls.java
@@ -27,26 +27,26 @@
 final class OperatorCalls implements StateMachine {
     private static final EventLog LOG = EventLog.of("controlplane");
     /** Changes that wait for the one under way, or for a leader. */
-    private static final int QUEUE = 64;
+    private static final int MAX_QUEUED_CHANGES = 64;
     /** Bytes of bodies of calls that wait here, beyond which a further one is told to come back: six of the largest. */
-    private static final long HELD = 24 << 20;
+    private static final long MAX_QUEUED_BYTES = 24 << 20;
     /**
      * ms that a call may wait before it gets no clear answer; below ack-ms of all deployments, so that a caller asks
      * again in time.
      */
-    private static final int PATIENCE = 2_500;
+    private static final int CALL_TIMEOUT_MS = 2_500;
     /**
      * The same at a member out of touch: callers wait a second and then go to another, which an answer lets them do at
      * once.
      */
-    private static final int HOLD = 800;
+    private static final int DISCONNECTED_CALL_TIMEOUT_MS = 800;
     /**
      * ms out of touch after which no call is held: that is longer than a change of view takes, this member is cut off.
      */
-    private static final int CUT_OFF = 1_500;
+    private static final int DISCONNECTED_REJECT_MS = 1_500;
 
     /** What the operators' calls need of the member. */
-    interface Order {
+    interface ReplicaAccess {
         /** Where it stands now. */
         ReplicaStatus status();
 
@@ -60,58 +60,66 @@
 
         void propose(long token, byte[] change);
 
-        /** Whether this member still knows the newest of all: answered by {@link #confirmed}. */
-        void confirm(long token);
+        /** Whether this member still knows the newest of all: answered by {@link #onReadIndexCompleted}. */
+        void requestReadIndex(long token);
     }
 
-    private record Change(ControlCall call, ChangeKind verb, long base, long since) {}
+    private record PendingChange(ControlCall call, ChangeKind kind, long baseRevision, long receivedAtMs) {}
 
     /** A confirming round and the call that waits for it. */
-    private record Round(ControlCall call, long since, Runnable yes, Runnable no) {}
+    private record PendingRead(ControlCall call, long receivedAtMs, Runnable onConfirmed, Runnable onUnconfirmed) {}
 
-    private static final byte[] DONE = {'{', '}'};
+    private static final byte[] EMPTY_JSON_OBJECT = {'{', '}'};
 
-    private final Order order;
-    private final Runnable news;
+    private final ReplicaAccess replica;
+    private final Runnable configurationListener;
     private final ConfigurationStateMachine stateMachine = new ConfigurationStateMachine();
-    private final ArrayDeque<Change> queue = new ArrayDeque<>();
-    private final Map<Long, Round> rounds = new HashMap<>();
-    private Change inFlight;
-    private long token;
-    private long proposal;
+    private final ArrayDeque<PendingChange> queue = new ArrayDeque<>();
+    private final Map<Long, PendingRead> pendingReads = new HashMap<>();
+    private PendingChange inFlight;
+    private long lastToken;
+    private long proposalToken;
     /** Counts states of the charter: what was judged by an earlier one is judged anew. */
-    private long version;
+    private long stateVersion;
     /** Steady ms of the last tick. */
-    private long now;
+    private long nowMs;
     /** Since when no leader is heard here; -1: in touch. */
-    private long outSince = -1;
+    private long disconnectedSinceMs = -1;
 
-    /** {@code news}: called after each new configuration. */
-    OperatorCalls(Order order, Runnable news) {
-        this.order = order;
-        this.news = news;
+    /** {@code configurationListener}: called after each new configuration. */
+    OperatorCalls(ReplicaAccess replica, Runnable configurationListener) {
+        this.replica = replica;
+        this.configurationListener = configurationListener;
     }
 
     ConfigurationStateMachine stateMachine() {
         return stateMachine;
     }
 
-    void register(Dispatch<ControlPlaneServer.Desk> table) {
-        table.on("POST", "/brambletray/configuration/replace", (call, part) -> change(call, ChangeKind.REPLACE))
-                .on("POST", "/brambletray/configuration/modify", (call, part) -> change(call, ChangeKind.MODIFY))
-                .on("GET", "/brambletray/configuration/show", (call, part) -> show(call));
+    void register(CallRouter<ControlPlaneServer.CallHandler> table) {
+        table.route(
+                        "POST",
+                        "/brambletray/configuration/replace",
+                        (call, wildcard) -> onChange(call, ChangeKind.REPLACE))
+                .route(
+                        "POST",
+                        "/brambletray/configuration/modify",
+                        (call, wildcard) -> onChange(call, ChangeKind.MODIFY))
+                .route("GET", "/brambletray/configuration/show", (call, wildcard) -> show(call));
     }
 
     /** Steady ms. Ends calls that have waited too long. */
-    void tick(long at) {
-        now = at;
-        boolean inTouch = inTouch();
-        outSince = inTouch ? -1 : outSince < 0 ? now : outSince;
-        next();
-        queue.removeIf(change -> late(change.since, inTouch) && busy(change.call));
-        rounds.values().stream().filter(round -> late(round.since, inTouch)).forEach(round -> unsure(round.call));
-        if (inFlight != null && late(inFlight.since, inTouch)) {
-            inFlight.call.refuse(503, "controlplane.unclear", "not known to be kept yet; send it again");
+    void tick(long timeMs) {
+        nowMs = timeMs;
+        boolean connected = isConnected();
+        disconnectedSinceMs = connected ? -1 : disconnectedSinceMs < 0 ? nowMs : disconnectedSinceMs;
+        processQueue();
+        queue.removeIf(change -> isExpired(change.receivedAtMs, connected) && rejectBusy(change.call));
+        pendingReads.values().stream()
+                .filter(read -> isExpired(read.receivedAtMs, connected))
+                .forEach(read -> rejectUnconfirmed(read.call));
+        if (inFlight != null && isExpired(inFlight.receivedAtMs, connected)) {
+            inFlight.call.reject(503, "controlplane.unclear", "not known to be kept yet; send it again");
         }
     }
 
@@ -120,84 +128,87 @@
      * begins a change of view, or has promised to one, doesn't; nor does it name the former leader, as two that name
      * each other would send a caller round in a circle.
      */
-    private boolean leading() {
-        ReplicaStatus status = order.status();
+    private boolean isHealthyLeader() {
+        ReplicaStatus status = replica.status();
         return status.isLeader() && status.role() == ReplicaRole.MEMBER;
     }
 
     /** Whether no call waits for its answer: the process may end. */
-    boolean idle() {
-        return inFlight == null && queue.isEmpty() && rounds.isEmpty();
+    boolean isIdle() {
+        return inFlight == null && queue.isEmpty() && pendingReads.isEmpty();
     }
 
     /** Control-plane address of the leader, if it is another and heard; else null. */
-    private String leader() {
-        String successor = order.successor();
+    private String otherLeaderAddress() {
+        String successor = replica.successor();
         if (successor != null) {
             return successor;
         }
-        ReplicaStatus status = order.status();
+        ReplicaStatus status = replica.status();
         boolean heard = !status.isLeader() && status.role() == ReplicaRole.MEMBER && status.leader() != null;
         return heard && !status.leader().address().equals(status.self().address())
                 ? status.leader().address()
                 : null;
     }
 
-    private boolean inTouch() {
-        return leading() || leader() != null;
+    private boolean isConnected() {
+        return isHealthyLeader() || otherLeaderAddress() != null;
     }
 
-    private boolean late(long since, boolean inTouch) {
-        return now - since > (inTouch ? PATIENCE : HOLD);
+    private boolean isExpired(long receivedAtMs, boolean connected) {
+        return nowMs - receivedAtMs > (connected ? CALL_TIMEOUT_MS : DISCONNECTED_CALL_TIMEOUT_MS);
     }
 
     /** The member leads, leads no longer, or the view has changed: those in line go on. */
-    void changed() {
-        next();
+    void onStatusChanged() {
+        processQueue();
     }
 
-    private boolean sendOn(ControlCall call) {
-        if (leading()) {
+    private boolean redirect(ControlCall call) {
+        if (isHealthyLeader()) {
             return false;
         }
-        String leader = leader();
+        String leader = otherLeaderAddress();
         if (leader == null) {
-            call.refuse(503, "controlplane.no-leader", "the members of the core are not in touch");
+            call.reject(503, "controlplane.no-leader", "the members of the core are not in touch");
         } else {
-            call.answer().give(307, null, Map.of("Location", "http://" + leader + call.path()));
+            call.responder().respond(307, null, Map.of("Location", "http://" + leader + call.path()));
         }
         return true;
     }
 
-    private static boolean busy(ControlCall call) {
-        call.refuse(503, "controlplane.busy", "other changes are under way, or no leader is known");
+    private static boolean rejectBusy(ControlCall call) {
+        call.reject(503, "controlplane.busy", "other changes are under way, or no leader is known");
         return true;
     }
 
-    private static void unsure(ControlCall call) {
-        call.refuse(503, "controlplane.unsure", "not sure to know the newest");
+    private static void rejectUnconfirmed(ControlCall call) {
+        call.reject(503, "controlplane.unsure", "not sure to know the newest");
     }
 
     private void show(ControlCall call) {
-        if (!sendOn(call)) {
-            confirm(call, now, () -> call.give(200, stateMachine.configuration().json()));
+        if (!redirect(call)) {
+            confirmAndRun(
+                    call,
+                    nowMs,
+                    () -> call.respond(200, stateMachine.configuration().json()));
         }
     }
 
-    private void confirm(ControlCall call, long since, Runnable yes) {
-        rounds.put(++token, new Round(call, since, yes, () -> {
+    private void confirmAndRun(ControlCall call, long receivedAtMs, Runnable onConfirmed) {
+        pendingReads.put(++lastToken, new PendingRead(call, receivedAtMs, onConfirmed, () -> {
             // this member has left meanwhile: another can say
-            if (order.successor() == null || !sendOn(call)) {
-                unsure(call);
+            if (replica.successor() == null || !redirect(call)) {
+                rejectUnconfirmed(call);
             }
         }));
-        order.confirm(token);
+        replica.requestReadIndex(lastToken);
     }
 
-    void confirmed(long of, boolean yes) {
-        Round round = rounds.remove(of);
-        if (round != null) {
-            (yes ? round.yes : round.no).run();
+    void onReadIndexCompleted(long token, boolean confirmed) {
+        PendingRead read = pendingReads.remove(token);
+        if (read != null) {
+            (confirmed ? read.onConfirmed : read.onUnconfirmed).run();
         }
     }
 
@@ -205,69 +216,70 @@
      * What was taken before is acknowledged by any member that has it delivered: that is kept, whoever leads and
      * whatever came since.
      */
-    private void change(ControlCall call, ChangeKind verb) {
-        long base;
+    private void onChange(ControlCall call, ChangeKind kind) {
+        long baseRevision;
         try {
-            base = ConfigurationStateMachine.base(call.base());
-        } catch (ConfigurationException fault) {
+            baseRevision = ConfigurationStateMachine.parseBaseRevision(call.baseRevision());
+        } catch (ConfigurationException error) {
             // a fault of the call itself, whatever the configuration
-            answer(call, new ChangeDecision.Invalid(fault));
+            respond(call, new ChangeDecision.Invalid(error));
             return;
         }
-        if (stateMachine.taken(verb, base, call.body())) {
-            call.give(200, DONE);
-        } else if (queue.size() >= QUEUE || held() + call.body().length > HELD) {
-            busy(call);
-        } else if (!inTouch() && outSince >= 0 && now - outSince > CUT_OFF) {
-            sendOn(call);
+        if (stateMachine.wasApplied(kind, baseRevision, call.body())) {
+            call.respond(200, EMPTY_JSON_OBJECT);
+        } else if (queue.size() >= MAX_QUEUED_CHANGES || queuedBytes() + call.body().length > MAX_QUEUED_BYTES) {
+            rejectBusy(call);
+        } else if (!isConnected() && disconnectedSinceMs >= 0 && nowMs - disconnectedSinceMs > DISCONNECTED_REJECT_MS) {
+            redirect(call);
         } else {
-            queue.add(new Change(call, verb, base, now));
-            next();
+            queue.add(new PendingChange(call, kind, baseRevision, nowMs));
+            processQueue();
         }
     }
 
-    private long held() {
-        long held = inFlight == null ? 0 : inFlight.call.body().length;
-        for (Change change : queue) {
-            held += change.call.body().length;
+    private long queuedBytes() {
+        long bytes = inFlight == null ? 0 : inFlight.call.body().length;
+        for (PendingChange change : queue) {
+            bytes += change.call.body().length;
         }
-        for (Round round : rounds.values()) {
-            held += round.call.body().length;
+        for (PendingRead read : pendingReads.values()) {
+            bytes += read.call.body().length;
         }
-        return held;
+        return bytes;
     }
 
     /** Those in line: judged one by one at the leader, sent on elsewhere, held for a while where no leader is heard. */
-    private void next() {
-        while (!queue.isEmpty() && (leading() ? inFlight == null : leader() != null)) {
-            Change change = queue.poll();
-            if (!sendOn(change.call)) {
-                judge(change);
+    private void processQueue() {
+        while (!queue.isEmpty() && (isHealthyLeader() ? inFlight == null : otherLeaderAddress() != null)) {
+            PendingChange change = queue.poll();
+            if (!redirect(change.call)) {
+                evaluate(change);
             }
         }
     }
 
-    private void judge(Change change) {
-        ChangeDecision verdict = stateMachine.judge(change.verb, change.base, change.call.body());
-        if (verdict instanceof ChangeDecision.Fine fine) {
+    private void evaluate(PendingChange change) {
+        ChangeDecision decision = stateMachine.evaluate(change.kind, change.baseRevision, change.call.body());
+        if (decision instanceof ChangeDecision.Proposable proposable) {
             inFlight = change;
-            proposal = ++token;
-            order.propose(proposal, fine.change());
-        } else if (verdict instanceof ChangeDecision.TakenBefore || verdict instanceof ChangeDecision.Forgotten) {
-            answer(change.call, verdict);
+            proposalToken = ++lastToken;
+            replica.propose(proposalToken, proposable.encodedChange());
+        } else if (decision instanceof ChangeDecision.AlreadyApplied
+                || decision instanceof ChangeDecision.HistoryExpired) {
+            respond(change.call, decision);
         } else {
-            long judgedBy = version;
-            confirm(change.call, change.since, () -> refuse(change, verdict, judgedBy));
+            long evaluatedVersion = stateVersion;
+            confirmAndRun(change.call, change.receivedAtMs, () -> rejectConfirmed(change, decision, evaluatedVersion));
         }
     }
 
     /** The round has confirmed what is known here now; what was known when the change was judged may be older. */
-    private void refuse(Change change, ChangeDecision verdict, long judgedBy) {
-        if (judgedBy == version) {
-            answer(change.call, verdict);
+    private void rejectConfirmed(PendingChange change, ChangeDecision decision, long evaluatedVersion) {
+        if (evaluatedVersion == stateVersion) {
+            respond(change.call, decision);
         } else {
             queue.addFirst(change);
-            next();
+            processQueue();
         }
     }
 
@@ -275,54 +287,61 @@
      * What the change came to is read off the charter, not off the last delivery: between the delivery and this call
      * others may have been delivered, such as the proposal of a former leader that was resubmitted to this one.
      */
-    void outcome(long of, ProposalOutcome outcome) {
-        if (of != proposal || inFlight == null) {
+    void onProposalCompleted(long token, ProposalOutcome outcome) {
+        if (token != proposalToken || inFlight == null) {
             return;
         }
-        Change change = inFlight;
+        PendingChange change = inFlight;
         inFlight = null;
-        ChangeDecision verdict = stateMachine.judge(change.verb, change.base, change.call.body());
-        boolean taken = verdict instanceof ChangeDecision.TakenBefore;
+        ChangeDecision decision = stateMachine.evaluate(change.kind, change.baseRevision, change.call.body());
+        boolean applied = decision instanceof ChangeDecision.AlreadyApplied;
         LOG.tell(
                 "change",
                 "verb",
-                change.verb,
+                change.kind,
                 "base",
-                change.base,
+                change.baseRevision,
                 "outcome",
                 outcome,
                 "taken",
-                taken,
+                applied,
                 "revision",
                 stateMachine.configuration().revision());
-        if (taken || outcome == ProposalOutcome.COMMITTED && verdict instanceof ChangeDecision.Stale) {
-            answer(change.call, verdict);
-        } else if (outcome != ProposalOutcome.REJECTED || order.successor() == null || !sendOn(change.call)) {
-            change.call.refuse(503, "controlplane.unclear", "not known to be kept; send it again");
+        if (applied || outcome == ProposalOutcome.COMMITTED && decision instanceof ChangeDecision.Stale) {
+            respond(change.call, decision);
+        } else if (outcome != ProposalOutcome.REJECTED || replica.successor() == null || !redirect(change.call)) {
+            change.call.reject(503, "controlplane.unclear", "not known to be kept; send it again");
         }
-        next();
+        processQueue();
     }
 
-    private static void answer(ControlCall call, ChangeDecision verdict) {
-        if (verdict instanceof ChangeDecision.Invalid invalid) {
+    private static void respond(ControlCall call, ChangeDecision decision) {
+        if (decision instanceof ChangeDecision.Invalid invalid) {
             LOG.tell(
                     "refused",
                     "code",
-                    invalid.fault().code(),
+                    invalid.error().code(),
                     "why",
-                    invalid.fault().getMessage());
-            call.refuse(400, invalid.fault().code(), invalid.fault().getMessage());
-        } else if (verdict instanceof ChangeDecision.Stale stale) {
-            LOG.tell("refused", "code", "controlplane.stale", "base", call.base(), "current", stale.current());
-            call.refuse(412, "controlplane.stale", "the current revision is " + stale.current());
-        } else if (verdict instanceof ChangeDecision.Forgotten forgotten) {
-            call.refuse(
+                    invalid.error().getMessage());
+            call.reject(400, invalid.error().code(), invalid.error().getMessage());
+        } else if (decision instanceof ChangeDecision.Stale stale) {
+            LOG.tell(
+                    "refused",
+                    "code",
+                    "controlplane.stale",
+                    "base",
+                    call.baseRevision(),
+                    "current",
+                    stale.currentRevision());
+            call.reject(412, "controlplane.stale", "the current revision is " + stale.currentRevision());
+        } else if (decision instanceof ChangeDecision.HistoryExpired expired) {
+            call.reject(
                     503,
                     "controlplane.forgotten",
-                    "what was taken before revision " + forgotten.oldest()
+                    "what was taken before revision " + expired.oldestRevision()
                             + " isn't remembered; look at the configuration");
         } else {
-            call.give(200, DONE);
+            call.respond(200, EMPTY_JSON_OBJECT);
         }
     }
 
@@ -335,25 +354,25 @@
     public byte[] replay(byte[] snapshot, List<byte[]> changes) {
         ConfigurationStateMachine other = new ConfigurationStateMachine();
         other.restore(snapshot);
-        changes.forEach(other::deliver);
+        changes.forEach(other::apply);
         return other.snapshot();
     }
 
     @Override
     public void restore(byte[] snapshot) {
-        boolean fresh = snapshot.length == 0 && stateMachine.configuration().revision() == 0;
+        boolean unchanged = snapshot.length == 0 && stateMachine.configuration().revision() == 0;
         stateMachine.restore(snapshot);
-        version++;
-        if (!fresh) {
-            news.run();
+        stateVersion++;
+        if (!unchanged) {
+            configurationListener.run();
         }
     }
 
     @Override
     public void apply(long index, byte[] change) {
-        if (stateMachine.deliver(change) instanceof ChangeDecision.Taken) {
-            version++;
-            news.run();
+        if (stateMachine.apply(change) instanceof ChangeDecision.Applied) {
+            stateVersion++;
+            configurationListener.run();
         }
     }
 }
--- a/src/main/java/brambletray/platform/controlplane/OperatorViews.java
+++ b/src/main/java/brambletray/platform/controlplane/OperatorViews.java
@@ -12,16 +12,16 @@
 
 /**
  * What operators may look at, below {@code /brambletray/system}. Each member answers for itself where it stands
- * ({@code views}) and who it holds to have the duty ({@code duties}); edges and hosts are known at the helm, and
+ * ({@code views}) and who it holds to have the duty ({@code roles}); edges and hosts are known at the helm, and
  * callers are sent there by 307. Nothing is changed here. The loop's.
  */
 final class OperatorViews {
-    static final String AT = "/brambletray/system/";
+    static final String PATH_PREFIX = "/brambletray/system/";
     /** Hosts in one answer; {@code known} says how many there are. */
-    static final int MOST = 4_096;
+    static final int MAX_INSTANCES = 4_096;
 
-    private static final String COORDINATOR = "helm";
-    private static final String[] STATES = {"booting", "up", "leaving"};
+    private static final String COORDINATOR_ROLE = "helm";
+    private static final String[] INSTANCE_STATES = {"booting", "up", "leaving"};
 
     /** What this member knows. */
     interface Source {
@@ -30,7 +30,7 @@
         /**
          * Zones, or else regions, that may be lost and hold half of the view or more; empty where the rest would go on.
          */
-        List<String> zonesThatHoldHalf();
+        List<String> zonesHoldingHalf();
 
         /** Of the configuration in force here. */
         long revision();
@@ -39,68 +39,74 @@
         LeaseHolder coordinator();
 
         /** Null: the helm is not held here. */
-        Book book();
+        CoordinatorView coordinatorView();
 
         /** Steady ms. */
-        long now();
+        long nowMs();
     }
 
     /** What the holder of the helm knows. */
-    interface Book {
+    interface CoordinatorView {
         Roster roster();
 
         /** The configuration's revision that this edge says it serves by, or -1: it has no link here. */
-        long has(String edge);
+        long servedRevision(String edge);
 
-        /** At most {@link #MOST}; {@code service} null: of all. */
-        List<InstanceInfo> hosts(String service);
+        /** At most {@link #MAX_INSTANCES}; {@code service} null: of all. */
+        List<InstanceInfo> instances(String service);
 
         /** Hosts of all services. */
-        int known();
+        int instanceCount();
     }
 
     private final Source source;
     private long term;
-    private long since;
+    private long holderSinceMs;
 
     OperatorViews(Source source) {
         this.source = source;
-        since = source.now();
+        holderSinceMs = source.nowMs();
     }
 
-    void register(Dispatch<ControlPlaneServer.Desk> table) {
-        table.on("GET", AT + "views", (call, part) -> call.give(200, views()))
-                .on("GET", AT + "duties", (call, part) -> call.give(200, duties()))
-                .on("GET", AT + "edges", (call, part) -> atHelm(call, this::edges))
-                .on("GET", AT + "hosts", (call, part) -> atHelm(call, book -> hosts(book, null)))
-                .on("GET", AT + "hosts/*", (call, part) -> atHelm(call, book -> hosts(book, part)));
+    void register(CallRouter<ControlPlaneServer.CallHandler> table) {
+        table.route("GET", PATH_PREFIX + "views", (call, wildcard) -> call.respond(200, views()))
+                .route("GET", PATH_PREFIX + "duties", (call, wildcard) -> call.respond(200, roles()))
+                .route("GET", PATH_PREFIX + "edges", (call, wildcard) -> atCoordinator(call, this::edges))
+                .route(
+                        "GET",
+                        PATH_PREFIX + "hosts",
+                        (call, wildcard) -> atCoordinator(call, view -> instances(view, null)))
+                .route(
+                        "GET",
+                        PATH_PREFIX + "hosts/*",
+                        (call, wildcard) -> atCoordinator(call, view -> instances(view, wildcard)));
     }
 
     /** Remembers since when the holder is known. */
     void tick() {
         LeaseHolder coordinator = source.coordinator();
-        long now = coordinator == null ? 0 : coordinator.term();
-        if (now != term) {
-            term = now;
-            since = source.now();
+        long currentTerm = coordinator == null ? 0 : coordinator.term();
+        if (currentTerm != term) {
+            term = currentTerm;
+            holderSinceMs = source.nowMs();
         }
     }
 
     private interface Page {
-        byte[] of(Book book);
+        byte[] of(CoordinatorView view);
     }
 
-    private void atHelm(ControlCall call, Page page) {
-        Book book = source.book();
+    private void atCoordinator(ControlCall call, Page page) {
+        CoordinatorView view = source.coordinatorView();
         LeaseHolder coordinator = source.coordinator();
-        if (book != null) {
-            call.give(200, page.of(book));
+        if (view != null) {
+            call.respond(200, page.of(view));
         } else if (coordinator == null
                 || coordinator.member().address().equals(source.status().self().address())) {
-            call.refuse(503, "controlplane.no-helm", "nobody is known to hold the helm at present");
+            call.reject(503, "controlplane.no-helm", "nobody is known to hold the helm at present");
         } else {
-            call.answer()
-                    .give(
+            call.responder()
+                    .respond(
                             307,
                             null,
                             Map.of("Location", "http://" + coordinator.member().address() + call.path()));
@@ -113,8 +119,8 @@
 
     private byte[] views() {
         ReplicaStatus status = source.status();
-        List<String> half = source.zonesThatHoldHalf();
-        JsonObjectWriter sheet = head().text("address", status.self().address())
+        List<String> zones = source.zonesHoldingHalf();
+        JsonObjectWriter json = head().text("address", status.self().address())
                 .text("life", Long.toHexString(status.self().incarnation()))
                 .text("standing", shownRole(status.role()))
                 .number("view", status.viewNumber())
@@ -126,17 +132,17 @@
                 .number("delivered", status.appliedIndex())
                 .flag("ill", status.diskUnhealthy())
                 .number("revision", source.revision())
-                .text("zones-holding-half", half.isEmpty() ? null : String.join(" ", half))
+                .text("zones-holding-half", zones.isEmpty() ? null : String.join(" ", zones))
                 .list("members");
         for (Member member : status.members()) {
-            sheet.item()
+            json.item()
                     .text("name", member.name())
                     .text("address", member.address())
                     .text("life", Long.toHexString(member.incarnation()))
                     .text("zone", member.zone())
                     .end();
         }
-        return sheet.close().bytes();
+        return json.close().bytes();
     }
 
     /** The words under which operators know the roles; they stay when a constant is renamed. */
@@ -149,11 +155,11 @@
         };
     }
 
-    private byte[] duties() {
+    private byte[] roles() {
         LeaseHolder coordinator = source.coordinator();
-        JsonObjectWriter sheet = head().list("duties")
+        JsonObjectWriter json = head().list("duties")
                 .item()
-                .text("duty", COORDINATOR)
+                .text("duty", COORDINATOR_ROLE)
                 .text(
                         "holder",
                         coordinator == null ? null : coordinator.member().name())
@@ -161,46 +167,50 @@
                         "address",
                         coordinator == null ? null : coordinator.member().address())
                 .number("term", coordinator == null ? 0 : coordinator.term())
-                .number("since-ms", source.now() - since)
-                .flag("here", source.book() != null);
-        return sheet.end().close().bytes();
+                .number("since-ms", source.nowMs() - holderSinceMs)
+                .flag("here", source.coordinatorView() != null);
+        return json.end().close().bytes();
     }
 
-    private byte[] edges(Book book) {
-        Roster roster = book.roster();
-        JsonObjectWriter sheet = head().number("term", roster.term())
+    private byte[] edges(CoordinatorView view) {
+        Roster roster = view.roster();
+        JsonObjectWriter json = head().number("term", roster.term())
                 .number("number", roster.number())
                 .number("revision", source.revision())
                 .list("edges");
         for (Peer peer : roster.peers()) {
-            long has = book.has(peer.name());
-            sheet.item()
+            long revision = view.servedRevision(peer.name());
+            json.item()
                     .text("name", peer.name())
                     .text("zone", peer.zone())
                     .text("address", peer.address())
-                    .text("life", Long.toHexString(peer.life()))
-                    .text("state", peer.in() ? "in" : "leaving")
-                    .flag("linked", has >= 0)
-                    .number("revision", Math.max(0, has))
+                    .text("life", Long.toHexString(peer.incarnation()))
+                    .text("state", peer.isActive() ? "in" : "leaving")
+                    .flag("linked", revision >= 0)
+                    .number("revision", Math.max(0, revision))
                     .end();
         }
-        return sheet.close().bytes();
+        return json.close().bytes();
     }
 
-    private byte[] hosts(Book book, String service) {
-        JsonObjectWriter sheet = head().number("known", book.known()).list("hosts");
-        for (InstanceInfo host : book.hosts(service)) {
-            sheet.item()
+    private byte[] instances(CoordinatorView view, String service) {
+        JsonObjectWriter json = head().number("known", view.instanceCount()).list("hosts");
+        for (InstanceInfo host : view.instances(service)) {
+            json.item()
                     .text("id", host.id())
                     .text("service", host.service())
                     .text("address", host.address())
                     .text("zone", host.zone())
                     .text("seat", host.seat())
                     .text("worker", host.worker())
-                    .text("state", host.state() >= 0 && host.state() < STATES.length ? STATES[host.state()] : "?")
+                    .text(
+                            "state",
+                            host.state() >= 0 && host.state() < INSTANCE_STATES.length
+                                    ? INSTANCE_STATES[host.state()]
+                                    : "?")
                     .number("age-ms", host.bornAgoMs())
                     .end();
         }
-        return sheet.close().bytes();
+        return json.close().bytes();
     }
 }
--- a/src/main/java/brambletray/platform/controlplane/PeerLinks.java
+++ b/src/main/java/brambletray/platform/controlplane/PeerLinks.java
@@ -20,98 +20,98 @@
  */
 final class PeerLinks {
     /** ms without a word after which a link to a member is given up. */
-    private static final long UNUSED = 30_000;
+    private static final long IDLE_CLOSE_MS = 30_000;
     /** Members that links are kept to. */
-    private static final int MOST = 32;
+    private static final int MAX_MEMBERS = 32;
 
     /** Who hears. */
-    interface Ear {
+    interface Receiver {
         /** A member, by its control-plane address. */
-        void member(String address, Object frame);
+        void onMemberMessage(String address, Object frame);
 
         /** A member's address refused, or ended, our link. */
-        void gone(String address);
+        void onMemberDisconnected(String address);
 
         /** An edge's link is there: what it says comes next. */
-        void edge(String name, Link link);
+        void onEdgeConnected(String name, Link link);
 
-        void edge(String name, Link link, Object frame);
+        void onEdgeMessage(String name, Link link, Object frame);
 
-        void edgeGone(String name, Link link);
+        void onEdgeDisconnected(String name, Link link);
     }
 
-    private static final class Spoke {
-        private LinkDialer dialler;
-        private long usedAt;
+    private static final class MemberLink {
+        private LinkDialer dialer;
+        private long lastUsedAtMs;
     }
 
     private final Machine machine;
-    private final FrameCodec speech;
+    private final FrameCodec codec;
     private final LinkIntroduction self;
     private final int port;
-    private final Ear frameDispatcher;
-    private final Map<String, Spoke> spokes = new HashMap<>();
+    private final Receiver receiver;
+    private final Map<String, MemberLink> memberLinks = new HashMap<>();
 
     /** {@code port}: where members listen for links, on each machine the same. */
-    PeerLinks(Machine machine, FrameCodec speech, Address bind, LinkIntroduction self, Ear frameDispatcher) {
+    PeerLinks(Machine machine, FrameCodec codec, Address bind, LinkIntroduction self, Receiver receiver) {
         this.machine = machine;
-        this.speech = speech;
+        this.codec = codec;
         this.self = self;
         this.port = bind.port();
-        this.frameDispatcher = frameDispatcher;
-        new LinkListener(machine, speech, bind, new Called());
+        this.receiver = receiver;
+        new LinkListener(machine, codec, bind, new InboundHandler());
     }
 
-    void say(String address, Object frame) {
-        Spoke spoke = spokes.get(address);
-        if (spoke == null) {
-            if (spokes.size() >= MOST) {
+    void send(String address, Object frame) {
+        MemberLink memberLink = memberLinks.get(address);
+        if (memberLink == null) {
+            if (memberLinks.size() >= MAX_MEMBERS) {
                 return;
             }
-            spoke = new Spoke();
-            spoke.dialler = new LinkDialer(
+            memberLink = new MemberLink();
+            memberLink.dialer = new LinkDialer(
                     machine,
-                    speech,
+                    codec,
                     new Address(Address.parse(address).host(), port),
-                    new Dialled(address),
+                    new OutboundHandler(address),
                     address.hashCode());
-            spokes.put(address, spoke);
+            memberLinks.put(address, memberLink);
         }
-        spoke.usedAt = now();
+        memberLink.lastUsedAtMs = nowMs();
         if (frame instanceof ReplicationMessage.FetchChunkResponse) {
             // pieces of a state transfer never stand in front of heartbeats, entries, acknowledgements and ballots
-            spoke.dialler.sayBulk(frame);
+            memberLink.dialer.sayBulk(frame);
         } else {
-            spoke.dialler.say(frame);
+            memberLink.dialer.say(frame);
         }
     }
 
-    void tick(long now) {
-        for (Iterator<Spoke> each = spokes.values().iterator(); each.hasNext(); ) {
-            Spoke spoke = each.next();
-            if (now - spoke.usedAt > UNUSED) {
+    void tick(long nowMs) {
+        for (Iterator<MemberLink> each = memberLinks.values().iterator(); each.hasNext(); ) {
+            MemberLink memberLink = each.next();
+            if (nowMs - memberLink.lastUsedAtMs > IDLE_CLOSE_MS) {
                 each.remove();
-                spoke.dialler.close();
+                memberLink.dialer.close();
             }
         }
     }
 
     /** A member has called: what is to be said to it needn't wait for a call that began while it was away. */
-    private void there(String address) {
-        Spoke spoke = spokes.get(address);
-        if (spoke != null && !spoke.dialler.up()) {
-            spoke.dialler.hurry();
+    private void hurryDialing(String address) {
+        MemberLink memberLink = memberLinks.get(address);
+        if (memberLink != null && !memberLink.dialer.up()) {
+            memberLink.dialer.hurry();
         }
     }
 
-    private long now() {
+    private long nowMs() {
         return machine.clock().nanos() / 1_000_000;
     }
 
-    private final class Dialled implements LinkHandler {
+    private final class OutboundHandler implements LinkHandler {
         private final String address;
 
-        Dialled(String address) {
+        OutboundHandler(String address) {
             this.address = address;
         }
 
@@ -122,33 +122,33 @@
 
         @Override
         public void heard(Link link, Object frame) {
-            frameDispatcher.member(address, frame);
+            receiver.onMemberMessage(address, frame);
         }
 
         @Override
         public void down(Link link, String why) {
-            frameDispatcher.gone(address);
+            receiver.onMemberDisconnected(address);
         }
     }
 
-    private final class Called implements LinkHandler {
+    private final class InboundHandler implements LinkHandler {
         @Override
         public void up(Link link) {}
 
         @Override
         public void heard(Link link, Object frame) {
-            if (link.tag() instanceof LinkIntroduction iam) {
-                if (iam.keep()) {
-                    frameDispatcher.member(iam.address(), frame);
+            if (link.tag() instanceof LinkIntroduction introduction) {
+                if (introduction.isCoreMember()) {
+                    receiver.onMemberMessage(introduction.address(), frame);
                 } else {
-                    frameDispatcher.edge(iam.name(), link, frame);
+                    receiver.onEdgeMessage(introduction.name(), link, frame);
                 }
-            } else if (frame instanceof LinkIntroduction iam) {
-                link.tag(iam);
-                if (iam.keep()) {
-                    there(iam.address());
+            } else if (frame instanceof LinkIntroduction introduction) {
+                link.tag(introduction);
+                if (introduction.isCoreMember()) {
+                    hurryDialing(introduction.address());
                 } else {
-                    frameDispatcher.edge(iam.name(), link);
+                    receiver.onEdgeConnected(introduction.name(), link);
                 }
             } else {
                 link.close("said something before its name");
@@ -157,8 +157,8 @@
 
         @Override
         public void down(Link link, String why) {
-            if (link.tag() instanceof LinkIntroduction iam && !iam.keep()) {
-                frameDispatcher.edgeGone(iam.name(), link);
+            if (link.tag() instanceof LinkIntroduction introduction && !introduction.isCoreMember()) {
+                receiver.onEdgeDisconnected(introduction.name(), link);
             }
         }
     }
--- a/src/main/java/brambletray/platform/controlplane/StatusSources.java
+++ b/src/main/java/brambletray/platform/controlplane/ReplicaStatusSource.java
@@ -12,22 +12,22 @@
 /**
  * What a running member shows in its {@link OperatorViews}. {@code hub}: gives null while the helm is not held here.
  */
-record StatusSources(
-        Supplier<ReplicaStatus> member,
-        Supplier<List<String>> zonesHoldingHalf,
+record ReplicaStatusSource(
+        Supplier<ReplicaStatus> replicaStatus,
+        Supplier<List<String>> zoneNames,
         Supplier<Configuration> configuration,
         Supplier<LeaseHolder> holder,
-        Supplier<EdgeCoordinator> hub,
+        Supplier<EdgeCoordinator> coordinatorHeldHere,
         LongSupplier clock)
         implements OperatorViews.Source {
     @Override
     public ReplicaStatus status() {
-        return member.get();
+        return replicaStatus.get();
     }
 
     @Override
-    public List<String> zonesThatHoldHalf() {
-        return zonesHoldingHalf.get();
+    public List<String> zonesHoldingHalf() {
+        return zoneNames.get();
     }
 
     @Override
@@ -41,35 +41,35 @@
     }
 
     @Override
-    public OperatorViews.Book book() {
-        EdgeCoordinator held = hub.get();
-        return held == null ? null : new Held(held, now());
+    public OperatorViews.CoordinatorView coordinatorView() {
+        EdgeCoordinator heldCoordinator = coordinatorHeldHere.get();
+        return heldCoordinator == null ? null : new HeldCoordinator(heldCoordinator, nowMs());
     }
 
     @Override
-    public long now() {
+    public long nowMs() {
         return clock.getAsLong();
     }
 
-    private record Held(EdgeCoordinator hub, long now) implements OperatorViews.Book {
+    private record HeldCoordinator(EdgeCoordinator coordinator, long nowMs) implements OperatorViews.CoordinatorView {
         @Override
         public Roster roster() {
-            return hub.newest();
+            return coordinator.newestRoster();
         }
 
         @Override
-        public long has(String edge) {
-            return hub.has(edge);
+        public long servedRevision(String edge) {
+            return coordinator.servedRevision(edge);
         }
 
         @Override
-        public List<InstanceInfo> hosts(String service) {
-            return hub.provisioner().hosts(service, OperatorViews.MOST, now);
+        public List<InstanceInfo> instances(String service) {
+            return coordinator.provisioner().hosts(service, OperatorViews.MAX_INSTANCES, nowMs);
         }
 
         @Override
-        public int known() {
-            return hub.provisioner().known();
+        public int instanceCount() {
+            return coordinator.provisioner().known();
         }
     }
 }
--- a/src/main/java/brambletray/platform/controlplane/SimulatedControlPlane.java
+++ b/src/main/java/brambletray/platform/controlplane/SimulatedControlPlane.java
@@ -8,36 +8,39 @@
 
 /** The production {@link ControlPlaneProgram} on a simulated machine. */
 public final class SimulatedControlPlane {
-    private final ControlPlaneProgram keep;
+    private final ControlPlaneProgram program;
 
-    private SimulatedControlPlane(ControlPlaneProgram keep) {
-        this.keep = keep;
+    private SimulatedControlPlane(ControlPlaneProgram program) {
+        this.program = program;
     }
 
     public static SimulatedControlPlane start(
             NodeSettings nodeSettings,
             Machine machine,
-            Map<String, byte[]> kept,
+            Map<String, byte[]> stored,
             DurableStore store,
             Runnable exit,
-            long life,
+            long newIncarnation,
             long origin) {
-        ControlPlaneProgram keep = new ControlPlaneProgram(
-                nodeSettings, new ControlPlaneProgram.Environment(machine, kept, store, exit), life, origin);
-        keep.start();
-        keep.open();
-        return new SimulatedControlPlane(keep);
+        ControlPlaneProgram program = new ControlPlaneProgram(
+                nodeSettings,
+                new ControlPlaneProgram.Environment(machine, stored, store, exit),
+                newIncarnation,
+                origin);
+        program.start();
+        program.listen();
+        return new SimulatedControlPlane(program);
     }
 
     public void leave() {
-        keep.leave();
+        program.leave();
     }
 
     public ReplicaStatus status() {
-        return keep.status();
+        return program.status();
     }
 
     public boolean mayAct() {
-        return keep.mayAct();
+        return program.mayAct();
     }
 }
--- a/src/main/java/brambletray/platform/distribution/ConfigurationPublisher.java
+++ b/src/main/java/brambletray/platform/distribution/ConfigurationPublisher.java
@@ -18,25 +18,25 @@
     /**
      * Bodies that are kept, and bytes of them together; the least lately asked for go first, but never the last one.
      */
-    static final int BODIES = 256;
+    static final int MAX_CACHED_DELTAS = 256;
 
-    static final int BYTES = 8 << 20;
+    static final int MAX_CACHED_BYTES = 8 << 20;
     /**
      * A whole one is packed anew when what has changed since is more than this part of it: under many changes, those
      * who need the whole share one, and take what has changed since on top.
      */
-    private static final int PART = 8;
+    private static final int REPACK_FRACTION = 8;
 
-    private record Body(long id, long revision, byte[] packed) {}
+    private record PackedDelta(long transferId, long revision, byte[] bytes) {}
 
     private final ChangeHistory history;
-    private final Map<Long, Body> bodies = new LinkedHashMap<>(16, 0.75f, true);
-    /** What leads from each asked revision to {@link #current}. */
-    private final Map<Long, Long> bases = new LinkedHashMap<>();
+    private final Map<Long, PackedDelta> cachedDeltas = new LinkedHashMap<>(16, 0.75f, true);
+    /** What leads from each asked revision to {@link #currentRevision}. */
+    private final Map<Long, Long> transferByBase = new LinkedHashMap<>();
 
-    private long current;
-    private int bytes;
-    private Body whole;
+    private long currentRevision;
+    private int cachedBytes;
+    private PackedDelta fullDelta;
 
     public ConfigurationPublisher(ChangeHistory history) {
         this.history = history;
@@ -48,72 +48,83 @@
     }
 
     /** A part of what the asker lacks, or null: it has the newest. */
-    public DeltaChunk answer(DeltaRequest fetch, long term) {
-        Body body = fetch.body() == 0 ? null : bodies.get(fetch.body());
-        if (body == null || body.revision <= fetch.revision()) {
-            if (fetch.revision() >= revision()) {
+    public DeltaChunk nextChunk(DeltaRequest request, long term) {
+        PackedDelta delta = request.transferId() == 0 ? null : cachedDeltas.get(request.transferId());
+        if (delta == null || delta.revision <= request.revision()) {
+            if (request.revision() >= revision()) {
                 return null;
             }
-            body = bodyFor(fetch);
+            delta = deltaFor(request);
         }
-        int offset = body.id == fetch.body() && fetch.offset() >= 0 && fetch.offset() < body.packed.length
-                ? fetch.offset()
+        int offset = delta.transferId == request.transferId()
+                        && request.offset() >= 0
+                        && request.offset() < delta.bytes.length
+                ? request.offset()
                 : 0;
-        int end = Math.min(body.packed.length, offset + DeltaChunk.BYTES);
+        int end = Math.min(delta.bytes.length, offset + DeltaChunk.CHUNK_BYTES);
         return new DeltaChunk(
-                term, body.revision, body.id, body.packed.length, offset, Arrays.copyOfRange(body.packed, offset, end));
+                term,
+                delta.revision,
+                delta.transferId,
+                delta.bytes.length,
+                offset,
+                Arrays.copyOfRange(delta.bytes, offset, end));
     }
 
-    private Body bodyFor(DeltaRequest fetch) {
-        if (current != revision()) {
-            current = revision();
-            bases.clear();
+    private PackedDelta deltaFor(DeltaRequest request) {
+        if (currentRevision != revision()) {
+            currentRevision = revision();
+            transferByBase.clear();
         }
-        if (fetch.whole()) {
-            return whole(fetch.revision());
+        if (request.full()) {
+            return fullDeltaAbove(request.revision());
         }
-        Long known = bases.get(fetch.revision());
-        Body body = known == null ? null : bodies.get(known);
-        if (body == null) {
-            ConfigurationDelta delta = history.since(fetch.revision());
-            body = delta == null ? whole(fetch.revision()) : keep(pack(delta));
-            if (bases.size() < BODIES) {
-                bases.put(fetch.revision(), body.id);
+        Long known = transferByBase.get(request.revision());
+        PackedDelta delta = known == null ? null : cachedDeltas.get(known);
+        if (delta == null) {
+            ConfigurationDelta difference = history.deltaSince(request.revision());
+            delta = difference == null ? fullDeltaAbove(request.revision()) : cache(pack(difference));
+            if (transferByBase.size() < MAX_CACHED_DELTAS) {
+                transferByBase.put(request.revision(), delta.transferId);
             }
         }
-        return body;
+        return delta;
     }
 
-    private Body whole(long above) {
-        if (whole != null && whole.revision > above) {
-            ConfigurationDelta since = whole.revision == revision() ? null : history.since(whole.revision);
-            if (whole.revision == revision() || since != null && since.packed().length <= whole.packed.length / PART) {
-                return keep(whole);
+    private PackedDelta fullDeltaAbove(long minRevision) {
+        if (fullDelta != null && fullDelta.revision > minRevision) {
+            ConfigurationDelta difference =
+                    fullDelta.revision == revision() ? null : history.deltaSince(fullDelta.revision);
+            if (fullDelta.revision == revision()
+                    || difference != null
+                            && difference.toCompressedBytes().length <= fullDelta.bytes.length / REPACK_FRACTION) {
+                return cache(fullDelta);
             }
         }
-        whole = pack(history.whole());
-        return keep(whole);
+        fullDelta = pack(history.fullDelta());
+        return cache(fullDelta);
     }
 
     /** Bytes of packed bodies. */
-    int kept() {
-        return bytes;
+    int cachedBytes() {
+        return cachedBytes;
     }
 
-    private static Body pack(ConfigurationDelta delta) {
-        byte[] packed = delta.packed();
-        return new Body(ConfigurationDelta.id(packed), delta.revision(), packed);
+    private static PackedDelta pack(ConfigurationDelta source) {
+        byte[] packed = source.toCompressedBytes();
+        return new PackedDelta(ConfigurationDelta.transferId(packed), source.revision(), packed);
     }
 
-    private Body keep(Body body) {
-        if (bodies.put(body.id, body) == null) {
-            bytes += body.packed.length;
+    private PackedDelta cache(PackedDelta delta) {
+        if (cachedDeltas.put(delta.transferId, delta) == null) {
+            cachedBytes += delta.bytes.length;
         }
-        for (Iterator<Body> each = bodies.values().iterator();
-                bodies.size() > 1 && (bodies.size() > BODIES || bytes > BYTES); ) {
-            bytes -= each.next().packed.length;
+        for (Iterator<PackedDelta> each = cachedDeltas.values().iterator();
+                cachedDeltas.size() > 1
+                        && (cachedDeltas.size() > MAX_CACHED_DELTAS || cachedBytes > MAX_CACHED_BYTES); ) {
+            cachedBytes -= each.next().bytes.length;
             each.remove();
         }
-        return body;
+        return delta;
     }
 }
