--- a/src/main/java/brambletray/platform/distribution/ConfigurationSubscriber.java
+++ b/src/main/java/brambletray/platform/distribution/ConfigurationSubscriber.java
@@ -14,52 +14,52 @@
      * Chunks that are asked for ahead, so that a link is never idle; more would only stand in front of heartbeats and
      * requests.
      */
-    static final int AHEAD = 2;
+    static final int MAX_CHUNKS_AHEAD = 2;
     /**
      * ms without a chunk after which it is asked for again, doubled each time until one comes. A link that ends is
      * asked anew at once; this is for a helm that kept silent as its lease was in doubt. What is asked twice comes
      * twice, on a link that may be full already.
      */
-    static final int AGAIN = 500;
+    static final int RETRY_MS = 500;
 
-    static final int LONGEST = 4_000;
+    static final int MAX_RETRY_MS = 4_000;
 
     /** What comes out. */
-    public interface Out {
+    public interface Actions {
         /** To the helm; lost where there is none. */
-        void fetch(DeltaRequest fetch);
+        void sendRequest(DeltaRequest request);
 
         /**
-         * Another configuration is in force here; {@code bytes} on the wire, in {@code ms} from the first question on.
+         * Another configuration is in force here; {@code bytes} on the wire, in {@code durationMs} from the first question on.
          */
-        void took(Configuration configuration, int bytes, long ms);
+        void onConfiguration(Configuration configuration, int bytes, long durationMs);
 
         /** What had come doesn't lead to what the helm has. */
-        void refused(ConfigurationException fault);
+        void onRejected(ConfigurationException error);
     }
 
-    private final Out out;
+    private final Actions actions;
     private Configuration configuration = Configuration.NONE;
-    private long newest;
-    private boolean whole;
-    private boolean asking;
-    private long askedAt;
-    private int patience = AGAIN;
-    private long began;
+    private long newestRevision;
+    private boolean needsFull;
+    private boolean requestPending;
+    private long requestedAtMs;
+    private int retryMs = RETRY_MS;
+    private long startedAtMs;
     /** What came last was no good: nothing is asked before. */
-    private long notBefore = Long.MIN_VALUE;
+    private long noRequestBeforeMs = Long.MIN_VALUE;
 
     /** The transfer under way; 0: none has begun. */
-    private long body;
+    private long transferId;
 
     private long revision;
     private byte[] bytes;
-    private int got;
+    private int receivedBytes;
     /** Up to which offset chunks have been asked for. */
-    private int asked;
+    private int requestedBytes;
 
-    public ConfigurationSubscriber(Out out) {
-        this.out = out;
+    public ConfigurationSubscriber(Actions actions) {
+        this.actions = actions;
     }
 
     public Configuration configuration() {
@@ -67,101 +67,102 @@
     }
 
     /** The helm says which revision is the newest. */
-    public void newest(long next, long now) {
-        newest = next;
-        if (!asking && newest > configuration.revision() && now >= notBefore) {
-            began = now;
-            ask(now);
+    public void onNewestRevision(long next, long nowMs) {
+        newestRevision = next;
+        if (!requestPending && newestRevision > configuration.revision() && nowMs >= noRequestBeforeMs) {
+            startedAtMs = nowMs;
+            request(nowMs);
         }
     }
 
     /** A link to a helm is there: what was asked on the one before is lost. */
-    public void attached(long now) {
-        patience = AGAIN;
-        if (asking) {
-            ask(now);
+    public void onLinkUp(long nowMs) {
+        retryMs = RETRY_MS;
+        if (requestPending) {
+            request(nowMs);
         }
     }
 
     /** To be called now and then. */
-    public void tick(long now) {
-        if (asking && now - askedAt >= patience) {
-            patience = Math.min(LONGEST, 2 * patience);
-            ask(now);
+    public void tick(long nowMs) {
+        if (requestPending && nowMs - requestedAtMs >= retryMs) {
+            retryMs = Math.min(MAX_RETRY_MS, 2 * retryMs);
+            request(nowMs);
         }
     }
 
-    private void ask(long now) {
-        asking = true;
-        askedAt = now;
-        asked = got + DeltaChunk.BYTES;
-        out.fetch(new DeltaRequest(configuration.revision(), body, got, whole));
+    private void request(long nowMs) {
+        requestPending = true;
+        requestedAtMs = nowMs;
+        requestedBytes = receivedBytes + DeltaChunk.CHUNK_BYTES;
+        actions.sendRequest(new DeltaRequest(configuration.revision(), transferId, receivedBytes, needsFull));
     }
 
     /** Some bytes have come. */
-    public void heard(DeltaChunk chunk, long now) {
+    public void onChunk(DeltaChunk chunk, long nowMs) {
         if (chunk.revision() <= configuration.revision()
-                || chunk.size() <= 0
-                || chunk.size() > DeltaChunk.MOST
+                || chunk.totalBytes() <= 0
+                || chunk.totalBytes() > DeltaChunk.MAX_TOTAL_BYTES
                 || chunk.offset() < 0
                 || chunk.bytes().length == 0
-                || chunk.bytes().length > chunk.size() - chunk.offset()) {
+                || chunk.bytes().length > chunk.totalBytes() - chunk.offset()) {
             return;
         }
-        if (chunk.body() != body) {
+        if (chunk.transferId() != transferId) {
             if (chunk.offset() != 0) {
                 return;
             }
             // The helm has that transfer no longer, or begins one.
-            body = chunk.body();
+            transferId = chunk.transferId();
             revision = chunk.revision();
-            bytes = new byte[chunk.size()];
-            got = 0;
-            asked = DeltaChunk.BYTES;
+            bytes = new byte[chunk.totalBytes()];
+            receivedBytes = 0;
+            requestedBytes = DeltaChunk.CHUNK_BYTES;
         }
-        if (chunk.size() != bytes.length || chunk.offset() != got) {
+        if (chunk.totalBytes() != bytes.length || chunk.offset() != receivedBytes) {
             return;
         }
-        System.arraycopy(chunk.bytes(), 0, bytes, got, chunk.bytes().length);
-        got += chunk.bytes().length;
-        asking = true;
-        askedAt = now;
-        patience = AGAIN;
-        if (got == bytes.length) {
-            complete(now);
+        System.arraycopy(chunk.bytes(), 0, bytes, receivedBytes, chunk.bytes().length);
+        receivedBytes += chunk.bytes().length;
+        requestPending = true;
+        requestedAtMs = nowMs;
+        retryMs = RETRY_MS;
+        if (receivedBytes == bytes.length) {
+            complete(nowMs);
         } else {
-            while (asked < bytes.length && asked < got + AHEAD * DeltaChunk.BYTES) {
-                out.fetch(new DeltaRequest(configuration.revision(), body, asked, whole));
-                asked += DeltaChunk.BYTES;
+            while (requestedBytes < bytes.length
+                    && requestedBytes < receivedBytes + MAX_CHUNKS_AHEAD * DeltaChunk.CHUNK_BYTES) {
+                actions.sendRequest(new DeltaRequest(configuration.revision(), transferId, requestedBytes, needsFull));
+                requestedBytes += DeltaChunk.CHUNK_BYTES;
             }
         }
     }
 
-    private void complete(long now) {
+    private void complete(long nowMs) {
         byte[] all = bytes;
-        body = 0;
+        transferId = 0;
         bytes = null;
-        got = 0;
-        asking = false;
+        receivedBytes = 0;
+        requestPending = false;
         Configuration next;
         try {
-            next = configuration.apply(ConfigurationDelta.unpack(all));
-        } catch (ConfigurationException fault) {
+            next = configuration.apply(ConfigurationDelta.fromCompressedBytes(all));
+        } catch (ConfigurationException error) {
             // Where even the whole was no good the next question waits, so that it is not fetched in circles.
-            notBefore = whole ? now + 2 * AGAIN : now;
-            whole = true;
-            out.refused(fault);
-            newest(newest, now);
+            noRequestBeforeMs = needsFull ? nowMs + 2 * RETRY_MS : nowMs;
+            needsFull = true;
+            actions.onRejected(error);
+            onNewestRevision(newestRevision, nowMs);
             return;
         }
-        whole = false;
+        needsFull = false;
         configuration = next;
-        out.took(configuration, all.length, now - began);
-        began = now;
-        if (newest > configuration.revision()) {
-            ask(now);
+        actions.onConfiguration(configuration, all.length, nowMs - startedAtMs);
+        startedAtMs = nowMs;
+        if (newestRevision > configuration.revision()) {
+            request(nowMs);
         } else {
-            out.fetch(new DeltaRequest(configuration.revision(), 0, 0, false));
+            actions.sendRequest(new DeltaRequest(configuration.revision(), 0, 0, false));
         }
     }
 }
--- a/src/main/java/brambletray/platform/distribution/CoordinatorHeartbeat.java
+++ b/src/main/java/brambletray/platform/distribution/CoordinatorHeartbeat.java
@@ -5,4 +5,4 @@
  * helm says before its first pulse, or after a Welcome without a helm, has no authority. An edge that has less fetches
  * it: so what is large comes at the pace of its link, and a pulse stands behind two chunks at most.
  */
-public record CoordinatorHeartbeat(long term, long revision, long roster) {}
+public record CoordinatorHeartbeat(long term, long revision, long rosterNumber) {}
--- a/src/main/java/brambletray/platform/distribution/DeltaRequest.java
+++ b/src/main/java/brambletray/platform/distribution/DeltaRequest.java
@@ -5,8 +5,8 @@
  * when it has just taken a version.
  *
  * @param revision that it serves by; 0: none
- * @param body the transfer that it goes on with; 0: a new one
+ * @param transferId the transfer that it goes on with; 0: a new one
  * @param offset bytes of it that it needn't be sent
- * @param whole a difference didn't lead where it should: it wants the whole
+ * @param full a difference didn't lead where it should: it wants the whole
  */
-public record DeltaRequest(long revision, long body, int offset, boolean whole) {}
+public record DeltaRequest(long revision, long transferId, int offset, boolean full) {}
--- a/src/main/java/brambletray/platform/distribution/FrameTypes.java
+++ b/src/main/java/brambletray/platform/distribution/FrameTypes.java
@@ -9,7 +9,7 @@
 
 /** All that processes of the system say to one another, in the order in which Kryo registers it. */
 public final class FrameTypes {
-    private static final List<Class<?>> NEWS = List.of(
+    private static final List<Class<?>> DISTRIBUTION = List.of(
             LinkIntroduction.class,
             CoordinatorHeartbeat.class,
             DeltaRequest.class,
@@ -17,8 +17,8 @@
             RosterRequest.class);
 
     public static final List<List<Class<?>>> ALL = List.of(
-            NEWS,
-            WatchRing.FRAMES,
+            DISTRIBUTION,
+            WatchRing.MESSAGES,
             AdmissionFrames.FRAMES,
             Provisioner.FRAMES,
             Replica.MESSAGES,
--- a/src/main/java/brambletray/platform/distribution/ProcessSignals.java
+++ b/src/main/java/brambletray/platform/distribution/ProcessSignals.java
@@ -20,7 +20,7 @@
     private final ReentrantLock lock;
     private Program program;
     private boolean terminated;
-    private boolean reloadDue;
+    private boolean reloadPending;
 
     /** A program that runs. Called on a thread of the system's; neither method may block or throw. */
     public interface Program {
@@ -47,16 +47,16 @@
     }
 
     /** The program of this process runs, and hears of signals from now on. */
-    public static void heardBy(Program program) {
-        PROCESS.runs(program);
+    public static void registerProgram(Program program) {
+        PROCESS.register(program);
     }
 
-    void runs(Program started) {
+    void register(Program started) {
         lock.lock();
         try {
             program = started;
-            if (reloadDue && !terminated) {
-                reloadDue = false;
+            if (reloadPending && !terminated) {
+                reloadPending = false;
                 program.reload();
             }
         } finally {
@@ -88,7 +88,7 @@
                 return;
             }
             if (program == null) {
-                reloadDue = true;
+                reloadPending = true;
             } else {
                 program.reload();
             }
--- a/src/main/java/brambletray/platform/drill/CoreNode.java
+++ b/src/main/java/brambletray/platform/drill/CoreNode.java
@@ -18,7 +18,7 @@
     final String name;
     final String ip;
     final InetAddress address;
-    SimulatedStore.Platter disk;
+    SimulatedStore.SimulatedDisk disk;
     private final boolean first;
     private boolean began;
     private Machine machine;
@@ -40,7 +40,7 @@
         name = "core-" + number;
         ip = "10.1." + number + ".1";
         address = World.ip(10, 1, number, 1);
-        disk = new SimulatedStore.Platter(world.syncMs);
+        disk = new SimulatedStore.SimulatedDisk(world.syncMs);
         world.listed(control());
     }
 
@@ -64,9 +64,9 @@
     }
 
     boolean sick() {
-        return disk.full
+        return disk.refusesWrites
                 || disk.syncMs > world.syncMs
-                || disk.hungUntil
+                || disk.hungUntilMs
                         > TimeUnit.NANOSECONDS.toMillis(world.simulation.clock().nanos());
     }
 
@@ -168,7 +168,7 @@
             world.simulation.network().vanish(address);
         }
         world.simulation.kill(machine);
-        store.cutOff();
+        store.crash();
         machine = null;
         keep = null;
         frozen = false;
@@ -231,6 +231,6 @@
     void wipe() {
         kill(true);
         world.note(name, "disk lost");
-        disk = new SimulatedStore.Platter(world.syncMs);
+        disk = new SimulatedStore.SimulatedDisk(world.syncMs);
     }
 }
--- a/src/main/java/brambletray/platform/drill/FaultInjector.java
+++ b/src/main/java/brambletray/platform/drill/FaultInjector.java
@@ -27,8 +27,8 @@
         operators.whenAcknowledged(null);
         for (CoreNode core : world.cores) {
             core.freeze(false);
-            core.disk.full = false;
-            core.disk.hungUntil = 0;
+            core.disk.refusesWrites = false;
+            core.disk.hungUntilMs = 0;
             core.disk.syncMs = world.syncMs;
             core.start();
         }
@@ -181,10 +181,10 @@
                 core.disk.syncMs = 50 + trouble.arg() % 1_500;
                 network.later(span, () -> core.disk.syncMs = world.syncMs);
             }
-            case HUNG_DISK -> core.disk.hungUntil = world.simulation.clock().nanos() / 1_000_000 + span;
+            case HUNG_DISK -> core.disk.hungUntilMs = world.simulation.clock().nanos() / 1_000_000 + span;
             default -> {
-                core.disk.full = true;
-                network.later(span, () -> core.disk.full = false);
+                core.disk.refusesWrites = true;
+                network.later(span, () -> core.disk.refusesWrites = false);
             }
         }
     }
--- a/src/main/java/brambletray/platform/edge/CoordinatorClient.java
+++ b/src/main/java/brambletray/platform/edge/CoordinatorClient.java
@@ -236,11 +236,11 @@
     private void welcome(EdgeWelcome welcome, long now) {
         List<Address> members = new ArrayList<>();
         welcome.members().forEach(member -> members.add(Address.parse(member)));
-        candidates.members(welcome.view(), members);
-        boolean named = !welcome.helmAddress().isEmpty() && welcome.term() >= term;
-        Address coordinator = named ? Address.parse(welcome.helmAddress()) : null;
+        candidates.members(welcome.viewNumber(), members);
+        boolean named = !welcome.coordinatorAddress().isEmpty() && welcome.term() >= term;
+        Address coordinator = named ? Address.parse(welcome.coordinatorAddress()) : null;
         boolean here = named && coordinator.equals(dialler.to());
-        if (here && welcome.lacks(frameDispatcher.roster())) {
+        if (here && welcome.isMissing(frameDispatcher.roster())) {
             dialler.say(frameDispatcher.roster());
         }
         if (attached && named && welcome.term() == term) {
@@ -252,7 +252,7 @@
         if (here) {
             stay(TRY, now);
         } else if (!named) {
-            stay(welcome.inTouch() ? WAIT : SHORT, now);
+            stay(welcome.inActiveView() ? WAIT : SHORT, now);
         } else if (coordinator.equals(avoided.coordinator())
                 && welcome.term() == avoided.term()
                 && now < avoided.until()) {
@@ -289,7 +289,8 @@
         }
         frameDispatcher.newest(pulse.revision());
         Roster roster = frameDispatcher.roster();
-        boolean behind = pulse.roster() > 0 && (roster.term() != pulse.term() || roster.number() < pulse.roster());
+        boolean behind =
+                pulse.rosterNumber() > 0 && (roster.term() != pulse.term() || roster.number() < pulse.rosterNumber());
         if (behind && now - rosterAsked > ROSTER) {
             rosterAsked = now;
             dialler.say(new RosterRequest(roster.term(), roster.number()));
--- a/src/main/java/brambletray/platform/edge/EdgeLinks.java
+++ b/src/main/java/brambletray/platform/edge/EdgeLinks.java
@@ -63,7 +63,7 @@
             if (peer == null || !peer.address().equals(one.getValue().peer.address())) {
                 each.remove();
                 one.getValue().dialler.close();
-            } else if (peer.life() != one.getValue().peer.life()) {
+            } else if (peer.incarnation() != one.getValue().peer.incarnation()) {
                 one.getValue().peer = peer;
                 one.getValue().dialler.hurry();
             }
--- a/src/main/java/brambletray/platform/edge/EdgeProgram.java
+++ b/src/main/java/brambletray/platform/edge/EdgeProgram.java
@@ -103,7 +103,7 @@
         this.nodeSettings = nodeSettings;
         this.machine = machine;
         Address inner = new Address(nodeSettings.ip(), nodeSettings.innerLow());
-        self = new Peer(nodeSettings.node(), nodeSettings.zone(), inner.toString(), life, Peer.IN);
+        self = new Peer(nodeSettings.node(), nodeSettings.zone(), inner.toString(), life, Peer.ACTIVE);
         iam = new LinkIntroduction(self.name(), self.address(), false);
         lines = new HostConnectionPools(machine, 4_000, counters);
         AdmissionParameters laws = AdmissionParameters.of(
@@ -152,7 +152,7 @@
         machine.loop().execute(() -> {
             EdgeProgram program = new EdgeProgram(nodeSettings, machine, life, System::exit);
             program.open(frontEnd, readiness);
-            ProcessSignals.heardBy(program.new Signalled());
+            ProcessSignals.registerProgram(program.new Signalled());
         });
     }
 
@@ -174,7 +174,7 @@
                 .open(readiness)
                 .addListener(done -> opened("readiness", readiness, done.cause()));
         machine.loop().scheduleWithFixedDelay(this::tick, TICK, TICK, TimeUnit.MILLISECONDS);
-        LOG.tell("started", "node", self.name(), "zone", self.zone(), "life", Long.toHexString(self.life()));
+        LOG.tell("started", "node", self.name(), "zone", self.zone(), "life", Long.toHexString(self.incarnation()));
     }
 
     private void opened(String what, Address at, Throwable cause) {
@@ -262,24 +262,24 @@
         long grace = (long) (nodeSettings.bounds().graceS() * 1_000);
         LOG.tell("leaving", "grace-ms", grace, "in-flight", flow.inFlight());
         shutdown.begin(grace);
-        self = self.leaving();
-        watch.self(self, configuration.revision());
+        self = self.asLeaving();
+        watch.updateSelf(self, configuration.revision());
         coordinatorClient.say(new EdgeHello(
                 self, roster.term(), roster.number(), configuration.revision(), coordinatorClient.term()));
     }
 
     // ---- News -----------------------------------------------------------------------------------
-    private final class SubscriberOut implements ConfigurationSubscriber.Out {
+    private final class SubscriberOut implements ConfigurationSubscriber.Actions {
         @Override
-        public void fetch(DeltaRequest fetch) {
+        public void sendRequest(DeltaRequest fetch) {
             coordinatorClient.say(fetch);
         }
 
         @Override
-        public void took(Configuration next, int bytes, long ms) {
+        public void onConfiguration(Configuration next, int bytes, long ms) {
             long before = configuration.revision();
             configuration = next;
-            watch.self(self, configuration.revision());
+            watch.updateSelf(self, configuration.revision());
             localAdmission.configuration(configuration);
             LOG.tell(
                     "configuration",
@@ -296,7 +296,7 @@
         }
 
         @Override
-        public void refused(ConfigurationException fault) {
+        public void onRejected(ConfigurationException fault) {
             LOG.warn(
                     "configuration not taken",
                     "revision",
@@ -309,13 +309,13 @@
     }
 
     private void take(Roster next) {
-        if (!next.newerThan(roster)) {
+        if (!next.isNewerThan(roster)) {
             return;
         }
         List<String> gone = new ArrayList<>();
         for (Peer peer : roster.peers()) {
             Peer now = next.find(peer.name());
-            if (now == null || now.life() != peer.life()) {
+            if (now == null || now.incarnation() != peer.incarnation()) {
                 gone.add(peer.name());
             }
         }
@@ -324,7 +324,7 @@
         edgeLinks.roster(next);
         localAdmission.roster(homes, gone);
         slotClient.roster(homes);
-        watch.ring(new WatchRing(next), now());
+        watch.updateRing(new WatchRing(next), now());
         LOG.tell(
                 "roster",
                 "term",
@@ -335,7 +335,7 @@
                 next.peers().size(),
                 "gone",
                 gone);
-        if (!next.lists(self)) {
+        if (!next.contains(self)) {
             coordinatorClient.say(new EdgeHello(
                     self, roster.term(), roster.number(), configuration.revision(), coordinatorClient.term()));
         }
@@ -360,12 +360,12 @@
 
         @Override
         public void newest(long revision) {
-            subscriber.newest(revision, now());
+            subscriber.onNewestRevision(revision, now());
         }
 
         @Override
         public void chunk(DeltaChunk chunk) {
-            subscriber.heard(chunk, now());
+            subscriber.onChunk(chunk, now());
         }
 
         @Override
@@ -375,9 +375,9 @@
 
         @Override
         public void attached(long term) {
-            watch.hub();
+            watch.onCoordinatorConnected();
             coordinatorClient.say(localAdmission.mine());
-            subscriber.attached(now());
+            subscriber.onLinkUp(now());
         }
     }
 
@@ -399,7 +399,7 @@
             } else if (frame instanceof HeldSlots held) {
                 localAdmission.held(held);
             } else if (frame instanceof Heartbeat beat) {
-                watch.heard(beat, now());
+                watch.onHeartbeat(beat, now());
             }
         }
 
@@ -414,24 +414,24 @@
         }
     }
 
-    private final class WatchHands implements HeartbeatMonitor.Hands {
+    private final class WatchHands implements HeartbeatMonitor.Actions {
         @Override
-        public void beat(Peer watcher, Heartbeat beat) {
+        public void sendHeartbeat(Peer watcher, Heartbeat beat) {
             edgeLinks.say(watcher.name(), beat);
         }
 
         @Override
-        public void suspect(SuspicionReport suspect) {
+        public void reportSuspicion(SuspicionReport suspect) {
             coordinatorClient.say(suspect);
         }
 
         @Override
-        public void trust(SuspicionWithdrawal trust) {
+        public void withdrawSuspicion(SuspicionWithdrawal trust) {
             coordinatorClient.say(trust);
         }
 
         @Override
-        public void slept(long ms) {
+        public void onProcessPaused(long ms) {
             LOG.tell("slept", "ms", ms);
         }
     }
--- a/src/main/java/brambletray/platform/edge/LocalAdmission.java
+++ b/src/main/java/brambletray/platform/edge/LocalAdmission.java
@@ -218,7 +218,7 @@
         Map<String, Integer> targets = new HashMap<>();
         for (Route route : configuration.routes().values()) {
             for (ServiceShare share : route.shares()) {
-                targets.merge(share.service(), route.targetMs(), Math::min);
+                targets.merge(share.service(), route.latencyTargetMs(), Math::min);
             }
         }
         Set<String> before = new HashSet<>(specs.keySet());
@@ -229,7 +229,7 @@
                     service.name(),
                     service.memoryMb(),
                     service.bootMs(),
-                    service.most(),
+                    service.maxConcurrency(),
                     targets.getOrDefault(service.name(), 0));
             specs.put(service.name(), spec);
             seats.spec(spec, now);
--- a/src/main/java/brambletray/platform/failuredetection/EdgeWelcome.java
+++ b/src/main/java/brambletray/platform/failuredetection/EdgeWelcome.java
@@ -10,20 +10,20 @@
  * carries none of its authority: that comes with the helm's own pulses.
  */
 public record EdgeWelcome(
-        String helmAddress,
+        String coordinatorAddress,
         long term,
-        boolean inTouch,
-        long view,
+        boolean inActiveView,
+        long viewNumber,
         List<String> members,
         long rosterTerm,
         long rosterNumber) {
     /** Whether the edge should say this roster to whoever welcomed it. */
-    public boolean lacks(Roster roster) {
-        return Roster.newer(roster.term(), roster.number(), rosterTerm, rosterNumber);
+    public boolean isMissing(Roster roster) {
+        return Roster.isNewer(roster.term(), roster.number(), rosterTerm, rosterNumber);
     }
 
     /** The same by a member that names no helm. */
-    public EdgeWelcome withoutHelm() {
-        return new EdgeWelcome("", 0, inTouch, view, members, rosterTerm, rosterNumber);
+    public EdgeWelcome withoutCoordinator() {
+        return new EdgeWelcome("", 0, inActiveView, viewNumber, members, rosterTerm, rosterNumber);
     }
 }
--- a/src/main/java/brambletray/platform/failuredetection/Heartbeat.java
+++ b/src/main/java/brambletray/platform/failuredetection/Heartbeat.java
@@ -1,4 +1,4 @@
 package brambletray.platform.failuredetection;
 
 /** Edge to its watchers, each interval: I live. */
-public record Heartbeat(String name, long life, long revision, int state) {}
+public record Heartbeat(String name, long incarnation, long revision, int state) {}
--- a/src/main/java/brambletray/platform/failuredetection/HeartbeatMonitor.java
+++ b/src/main/java/brambletray/platform/failuredetection/HeartbeatMonitor.java
@@ -10,117 +10,118 @@
  */
 public final class HeartbeatMonitor {
     /** What is to be done. */
-    public interface Hands {
+    public interface Actions {
         /** Say this to a watcher. */
-        void beat(Peer watcher, Heartbeat beat);
+        void sendHeartbeat(Peer watcher, Heartbeat heartbeat);
 
         /** Say this to the hub. */
-        void suspect(SuspicionReport suspect);
+        void reportSuspicion(SuspicionReport report);
 
         /** Say this to the hub. */
-        void trust(SuspicionWithdrawal trust);
+        void withdrawSuspicion(SuspicionWithdrawal withdrawal);
 
         /** This process did not run for so long; what it believes may be old. */
-        void slept(long ms);
+        void onProcessPaused(long durationMs);
     }
 
     /** Intervals without a beat until a ward is suspected, in halves. */
-    private static final int MISSED_HALVES = 7;
+    private static final int TIMEOUT_HALF_INTERVALS = 7;
     /**
      * Intervals that a ward has beyond that for its first beat: it may learn of us later than we of it, and has to
      * connect.
      */
-    private static final int FIRST = 5;
+    private static final int FIRST_HEARTBEAT_INTERVALS = 5;
     /** Intervals between two ticks from which on we have slept. */
-    private static final int SLEPT = 3;
+    private static final int PAUSE_INTERVALS = 3;
     /** Intervals after which a suspicion is said again, as a new hub does not know it. */
-    private static final int AGAIN = 5;
+    private static final int REPORT_INTERVALS = 5;
 
-    private static final class Ward {
+    private static final class WatchedPeer {
         private final Peer peer;
-        private long due;
+        private long deadlineMs;
         private boolean suspected;
-        private long toldAt;
+        private long reportedAtMs;
 
-        private Ward(Peer peer) {
+        private WatchedPeer(Peer peer) {
             this.peer = peer;
         }
     }
 
     private final String name;
     private final int intervalMs;
-    private final Hands hands;
-    private final Map<String, Ward> wards = new HashMap<>();
+    private final Actions actions;
+    private final Map<String, WatchedPeer> watchedPeers = new HashMap<>();
     private List<Peer> watchers = List.of();
-    private Heartbeat beat;
-    private long lastTick = Long.MIN_VALUE;
-    private long nextBeat = Long.MIN_VALUE;
+    private Heartbeat heartbeat;
+    private long lastTickMs = Long.MIN_VALUE;
+    private long nextHeartbeatMs = Long.MIN_VALUE;
 
     /** {@code intervalMs}: ms between two beats; {@link #tick} is to be called about as often, or more often. */
-    public HeartbeatMonitor(Peer self, int intervalMs, Hands hands) {
+    public HeartbeatMonitor(Peer self, int intervalMs, Actions actions) {
         this.name = self.name();
         this.intervalMs = intervalMs;
-        this.hands = hands;
-        this.beat = new Heartbeat(name, self.life(), 0, self.state());
+        this.actions = actions;
+        this.heartbeat = new Heartbeat(name, self.incarnation(), 0, self.state());
     }
 
     /** What the next beats say of this process. */
-    public void self(Peer self, long revision) {
-        beat = new Heartbeat(name, self.life(), revision, self.state());
+    public void updateSelf(Peer self, long revision) {
+        heartbeat = new Heartbeat(name, self.incarnation(), revision, self.state());
     }
 
     /** Another roster is in force: who stays keeps its wait, who is new has a longer one. */
-    public void ring(WatchRing ring, long now) {
+    public void updateRing(WatchRing ring, long nowMs) {
         watchers = ring.watchersOf(name);
-        Map<String, Ward> before = new HashMap<>(wards);
-        wards.clear();
-        for (Peer peer : ring.wardsOf(name)) {
-            Ward context = before.get(peer.name());
-            if (context == null || context.peer.life() != peer.life()) {
-                context = new Ward(peer);
-                context.due = now + missed() + (long) FIRST * intervalMs;
+        Map<String, WatchedPeer> previous = new HashMap<>(watchedPeers);
+        watchedPeers.clear();
+        for (Peer peer : ring.watchedBy(name)) {
+            WatchedPeer watched = previous.get(peer.name());
+            if (watched == null || watched.peer.incarnation() != peer.incarnation()) {
+                watched = new WatchedPeer(peer);
+                watched.deadlineMs = nowMs + timeoutMs() + (long) FIRST_HEARTBEAT_INTERVALS * intervalMs;
             }
-            wards.put(peer.name(), context);
+            watchedPeers.put(peer.name(), watched);
         }
-        nextBeat = now;
+        nextHeartbeatMs = nowMs;
     }
 
     /** A beat has come. */
-    public void heard(Heartbeat from, long now) {
-        Ward context = wards.get(from.name());
-        if (context == null || context.peer.life() != from.life()) {
+    public void onHeartbeat(Heartbeat heartbeat, long nowMs) {
+        WatchedPeer watched = watchedPeers.get(heartbeat.name());
+        if (watched == null || watched.peer.incarnation() != heartbeat.incarnation()) {
             return;
         }
-        context.due = Math.max(context.due, now + missed());
-        if (context.suspected) {
-            context.suspected = false;
-            hands.trust(new SuspicionWithdrawal(from.name(), from.life(), name));
+        watched.deadlineMs = Math.max(watched.deadlineMs, nowMs + timeoutMs());
+        if (watched.suspected) {
+            watched.suspected = false;
+            actions.withdrawSuspicion(new SuspicionWithdrawal(heartbeat.name(), heartbeat.incarnation(), name));
         }
     }
 
     /** Time has passed. */
-    public void tick(long now) {
-        long before = lastTick;
-        lastTick = now;
-        if (before != Long.MIN_VALUE && now - before > (long) SLEPT * intervalMs) {
-            for (Ward context : wards.values()) {
-                context.due = Math.max(context.due, now + missed());
+    public void tick(long nowMs) {
+        long previous = lastTickMs;
+        lastTickMs = nowMs;
+        if (previous != Long.MIN_VALUE && nowMs - previous > (long) PAUSE_INTERVALS * intervalMs) {
+            for (WatchedPeer watched : watchedPeers.values()) {
+                watched.deadlineMs = Math.max(watched.deadlineMs, nowMs + timeoutMs());
             }
-            hands.slept(now - before);
+            actions.onProcessPaused(nowMs - previous);
         }
-        if (now >= nextBeat) {
-            nextBeat = now - nextBeat < intervalMs && nextBeat != Long.MIN_VALUE
-                    ? nextBeat + intervalMs
-                    : now + intervalMs;
+        if (nowMs >= nextHeartbeatMs) {
+            nextHeartbeatMs = nowMs - nextHeartbeatMs < intervalMs && nextHeartbeatMs != Long.MIN_VALUE
+                    ? nextHeartbeatMs + intervalMs
+                    : nowMs + intervalMs;
             for (Peer watcher : watchers) {
-                hands.beat(watcher, beat);
+                actions.sendHeartbeat(watcher, heartbeat);
             }
         }
-        for (Ward context : wards.values()) {
-            if (now >= context.due && (!context.suspected || now - context.toldAt >= (long) AGAIN * intervalMs)) {
-                context.suspected = true;
-                context.toldAt = now;
-                hands.suspect(new SuspicionReport(context.peer.name(), context.peer.life(), name));
+        for (WatchedPeer watched : watchedPeers.values()) {
+            if (nowMs >= watched.deadlineMs
+                    && (!watched.suspected || nowMs - watched.reportedAtMs >= (long) REPORT_INTERVALS * intervalMs)) {
+                watched.suspected = true;
+                watched.reportedAtMs = nowMs;
+                actions.reportSuspicion(new SuspicionReport(watched.peer.name(), watched.peer.incarnation(), name));
             }
         }
     }
@@ -129,30 +130,30 @@
      * A hub has welcomed us: the next tick tells it what is suspected. But who misses all its wards, and was out of the
      * hub's touch as well, doubts itself: it has been cut off rather than they, and waits anew.
      */
-    public void hub() {
-        boolean all = wards.size() > 1;
-        for (Ward context : wards.values()) {
-            all &= context.suspected;
-            context.toldAt = Long.MIN_VALUE / 2;
+    public void onCoordinatorConnected() {
+        boolean all = watchedPeers.size() > 1;
+        for (WatchedPeer watched : watchedPeers.values()) {
+            all &= watched.suspected;
+            watched.reportedAtMs = Long.MIN_VALUE / 2;
         }
         if (all) {
-            for (Ward context : wards.values()) {
-                context.suspected = false;
-                context.due = lastTick + missed();
+            for (WatchedPeer watched : watchedPeers.values()) {
+                watched.suspected = false;
+                watched.deadlineMs = lastTickMs + timeoutMs();
             }
         }
     }
 
     /** Whose beats are missed now. */
     public List<String> suspected() {
-        return wards.values().stream()
-                .filter(context -> context.suspected)
-                .map(context -> context.peer.name())
+        return watchedPeers.values().stream()
+                .filter(watched -> watched.suspected)
+                .map(watched -> watched.peer.name())
                 .sorted()
                 .toList();
     }
 
-    private long missed() {
-        return (long) MISSED_HALVES * intervalMs / 2;
+    private long timeoutMs() {
+        return (long) TIMEOUT_HALF_INTERVALS * intervalMs / 2;
     }
 }
--- a/src/main/java/brambletray/platform/failuredetection/HomeAssignment.java
+++ b/src/main/java/brambletray/platform/failuredetection/HomeAssignment.java
@@ -14,19 +14,19 @@
  */
 public final class HomeAssignment {
     /** Answers that are kept at most, of each kind; what is asked beyond that is reckoned each time. */
-    private static final int MOST = 8_192;
+    private static final int MAX_CACHED = 8_192;
 
-    private record Seat(String zone, long hash, Peer[] peers, long[] hashes, Map<String, Peer> homes) {}
+    private record ZonePeers(String zone, long hash, Peer[] peers, long[] hashes, Map<String, Peer> homeCache) {}
 
     private final Roster roster;
-    private final Map<String, Seat> zones = new LinkedHashMap<>();
-    private final Map<String, String> roots = new HashMap<>();
+    private final Map<String, ZonePeers> zones = new LinkedHashMap<>();
+    private final Map<String, String> rootZoneCache = new HashMap<>();
 
     public HomeAssignment(Roster roster) {
         this.roster = roster;
         Map<String, List<Peer>> byZone = new TreeMap<>();
         for (Peer peer : roster.peers()) {
-            if (peer.in()) {
+            if (peer.isActive()) {
                 byZone.computeIfAbsent(peer.zone(), zone -> new ArrayList<>()).add(peer);
             }
         }
@@ -35,7 +35,9 @@
             for (int i = 0; i < hashes.length; i++) {
                 hashes[i] = StableHash.of(peers.get(i).name());
             }
-            zones.put(zone, new Seat(zone, StableHash.of(zone), peers.toArray(new Peer[0]), hashes, new HashMap<>()));
+            zones.put(
+                    zone,
+                    new ZonePeers(zone, StableHash.of(zone), peers.toArray(new Peer[0]), hashes, new HashMap<>()));
         });
     }
 
@@ -45,45 +47,46 @@
 
     /** The home of a service in a zone, or null if no peer is in there. */
     public Peer homeOf(String service, String zone) {
-        Seat seat = zones.get(zone);
-        if (seat == null) {
+        ZonePeers zonePeers = zones.get(zone);
+        if (zonePeers == null) {
             return null;
         }
-        Peer known = seat.homes().get(service);
+        Peer known = zonePeers.homeCache().get(service);
         if (known != null) {
             return known;
         }
         long hash = StableHash.of(service);
         int best = 0;
-        long most = 0;
-        for (int i = 0; i < seat.hashes().length; i++) {
-            long weight = StableHash.of(hash, seat.hashes()[i]);
-            if (i == 0 || Long.compareUnsigned(weight, most) > 0) {
+        long highest = 0;
+        for (int i = 0; i < zonePeers.hashes().length; i++) {
+            long weight = StableHash.of(hash, zonePeers.hashes()[i]);
+            if (i == 0 || Long.compareUnsigned(weight, highest) > 0) {
                 best = i;
-                most = weight;
+                highest = weight;
             }
         }
-        return keep(seat.homes(), service, seat.peers()[best]);
+        return cache(zonePeers.homeCache(), service, zonePeers.peers()[best]);
     }
 
     /**
-     * The home and those that would be home without it, the next best first; {@code most} of them or as many as are in.
+     * The home and those that would be home without it, the next best first; {@code maxCount} of them or as many as are in.
      */
-    public List<Peer> homes(String service, String zone, int most) {
-        Seat seat = zones.get(zone);
-        if (seat == null) {
+    public List<Peer> homes(String service, String zone, int maxCount) {
+        ZonePeers zonePeers = zones.get(zone);
+        if (zonePeers == null) {
             return List.of();
         }
         long hash = StableHash.of(service);
         List<Integer> order = new ArrayList<>();
-        for (int i = 0; i < seat.hashes().length; i++) {
+        for (int i = 0; i < zonePeers.hashes().length; i++) {
             order.add(i);
         }
-        order.sort((a, b) ->
-                Long.compareUnsigned(StableHash.of(hash, seat.hashes()[b]), StableHash.of(hash, seat.hashes()[a])));
+        order.sort((a, b) -> Long.compareUnsigned(
+                StableHash.of(hash, zonePeers.hashes()[b]),
+                StableHash.of(hash, zonePeers.hashes()[a])));
         List<Peer> best = new ArrayList<>();
-        for (int i = 0; i < most && i < order.size(); i++) {
-            best.add(seat.peers()[order.get(i)]);
+        for (int i = 0; i < maxCount && i < order.size(); i++) {
+            best.add(zonePeers.peers()[order.get(i)]);
         }
         return best;
     }
@@ -93,21 +96,21 @@
      * null if none has.
      */
     public String rootZone(String service) {
-        String known = roots.get(service);
+        String known = rootZoneCache.get(service);
         if (known != null) {
             return known;
         }
         long hash = StableHash.of(service);
         String best = null;
-        long most = 0;
-        for (Seat seat : zones.values()) {
-            long weight = StableHash.of(hash, seat.hash());
-            if (best == null || Long.compareUnsigned(weight, most) > 0) {
-                best = seat.zone();
-                most = weight;
+        long highest = 0;
+        for (ZonePeers zonePeers : zones.values()) {
+            long weight = StableHash.of(hash, zonePeers.hash());
+            if (best == null || Long.compareUnsigned(weight, highest) > 0) {
+                best = zonePeers.zone();
+                highest = weight;
             }
         }
-        return best == null ? null : keep(roots, service, best);
+        return best == null ? null : cache(rootZoneCache, service, best);
     }
 
     /** The home in the root zone, or null. */
@@ -121,9 +124,9 @@
         return List.copyOf(zones.keySet());
     }
 
-    private static <T> T keep(Map<String, T> kept, String service, T answer) {
-        if (kept.size() < MOST) {
-            kept.put(service, answer);
+    private static <T> T cache(Map<String, T> cache, String service, T answer) {
+        if (cache.size() < MAX_CACHED) {
+            cache.put(service, answer);
         }
         return answer;
     }
--- a/src/main/java/brambletray/platform/failuredetection/MembershipEntry.java
+++ b/src/main/java/brambletray/platform/failuredetection/MembershipEntry.java
@@ -9,33 +9,33 @@
     /** Its link to the hub is open. */
     boolean linked;
     /** When the link closed, or the hub began to list it; ms. */
-    long since;
+    long sinceMs;
     /** Never heard by this hub, only told of. */
-    boolean toldOf;
+    boolean onlyReported;
     /** Until then the watchers' word alone does not put it out; ms. */
-    long pardonedUntil = Long.MIN_VALUE;
+    long immuneUntilMs = Long.MIN_VALUE;
 
     final Set<String> suspectedBy = new HashSet<>();
 
-    private MembershipEntry(Peer peer, long now) {
+    private MembershipEntry(Peer peer, long nowMs) {
         this.peer = peer;
-        this.since = now;
+        this.sinceMs = nowMs;
     }
 
-    static MembershipEntry heard(Peer peer, long now) {
-        MembershipEntry entry = new MembershipEntry(peer, now);
+    static MembershipEntry connected(Peer peer, long nowMs) {
+        MembershipEntry entry = new MembershipEntry(peer, nowMs);
         entry.linked = true;
         return entry;
     }
 
-    static MembershipEntry toldOf(Peer peer, long now) {
-        MembershipEntry entry = new MembershipEntry(peer, now);
-        entry.toldOf = true;
+    static MembershipEntry reported(Peer peer, long nowMs) {
+        MembershipEntry entry = new MembershipEntry(peer, nowMs);
+        entry.onlyReported = true;
         return entry;
     }
 
     /** Whether nothing speaks against it. */
-    boolean sound() {
+    boolean isHealthy() {
         return linked && suspectedBy.isEmpty();
     }
 }
--- a/src/main/java/brambletray/platform/failuredetection/SuspicionRule.java
+++ b/src/main/java/brambletray/platform/failuredetection/RemovalRule.java
@@ -4,55 +4,55 @@
 import java.util.Set;
 
 /** The rule by which a peer is out. */
-final class SuspicionRule {
+final class RemovalRule {
     /** ms without a link after which one that nobody watches is out. */
-    private static final int ALONE_MS = 1_000;
+    private static final int UNWATCHED_TIMEOUT_MS = 1_000;
 
     private static final String NOBODY = "";
 
     private final Map<String, MembershipEntry> entries;
     private final WatchRing ring;
-    private final long now;
-    private final boolean held;
+    private final long nowMs;
+    private final boolean inGracePeriod;
 
-    /** {@code held}: a new hub still waits for those that it hasn't heard. */
-    SuspicionRule(Map<String, MembershipEntry> entries, WatchRing ring, long now, boolean held) {
+    /** {@code inGracePeriod}: a new hub still waits for those that it hasn't heard. */
+    RemovalRule(Map<String, MembershipEntry> entries, WatchRing ring, long nowMs, boolean inGracePeriod) {
         this.entries = entries;
         this.ring = ring;
-        this.now = now;
-        this.held = held;
+        this.nowMs = nowMs;
+        this.inGracePeriod = inGracePeriod;
     }
 
     /** Why this peer is out, or null if it isn't. */
-    String of(String name) {
+    String reasonToRemove(String name) {
         MembershipEntry entry = entries.get(name);
-        Set<String> by = entry.suspectedBy;
-        if (!entry.linked && !by.isEmpty()) {
-            return "link closed, suspected by " + String.join(", ", by);
+        Set<String> suspectedBy = entry.suspectedBy;
+        if (!entry.linked && !suspectedBy.isEmpty()) {
+            return "link closed, suspected by " + String.join(", ", suspectedBy);
         }
-        if (!entry.linked && !held) {
-            return unlinked(name, entry);
+        if (!entry.linked && !inGracePeriod) {
+            return reasonToRemoveUnlinked(name, entry);
         }
-        if (by.isEmpty() || now < entry.pardonedUntil) {
+        if (suspectedBy.isEmpty() || nowMs < entry.immuneUntilMs) {
             return null;
         }
-        if (by.size() >= 2) {
-            return "suspected by " + String.join(", ", by);
+        if (suspectedBy.size() >= 2) {
+            return "suspected by " + String.join(", ", suspectedBy);
         }
-        String accuser = by.iterator().next();
-        return accuser.equals(onlyLiving(name, accuser))
+        String accuser = suspectedBy.iterator().next();
+        return accuser.equals(onlyHealthyWatcher(name, accuser))
                 ? "suspected by " + accuser + ", its only watcher that lives"
                 : null;
     }
 
-    private String unlinked(String name, MembershipEntry entry) {
-        if (entry.toldOf) {
+    private String reasonToRemoveUnlinked(String name, MembershipEntry entry) {
+        if (entry.onlyReported) {
             return "not heard by this hub";
         }
-        if (!entry.peer.in()) {
+        if (!entry.peer.isActive()) {
             return "left";
         }
-        return now - entry.since >= ALONE_MS && NOBODY.equals(onlyLiving(name, NOBODY))
+        return nowMs - entry.sinceMs >= UNWATCHED_TIMEOUT_MS && NOBODY.equals(onlyHealthyWatcher(name, NOBODY))
                 ? "link closed, and nobody watches it"
                 : null;
     }
@@ -62,7 +62,7 @@
      * somebody suspects may be dead as well; the accuser's own word is no proof of that, as it may have lost touch with
      * all of them.
      */
-    private String onlyLiving(String name, String accuser) {
+    private String onlyHealthyWatcher(String name, String accuser) {
         String only = NOBODY;
         for (Peer watcher : ring.watchersOf(name)) {
             MembershipEntry entry = entries.get(watcher.name());
--- a/src/main/java/brambletray/platform/failuredetection/Roster.java
+++ b/src/main/java/brambletray/platform/failuredetection/Roster.java
@@ -10,11 +10,11 @@
     public static final Roster NONE = new Roster(0, 0, List.of());
 
     /** Whether this one replaces {@code other}. */
-    public boolean newerThan(Roster other) {
-        return newer(term, number, other.term, other.number);
+    public boolean isNewerThan(Roster other) {
+        return isNewer(term, number, other.term, other.number);
     }
 
-    static boolean newer(long term, long number, long otherTerm, long otherNumber) {
+    static boolean isNewer(long term, long number, long otherTerm, long otherNumber) {
         return term != otherTerm ? term > otherTerm : number > otherNumber;
     }
 
@@ -29,7 +29,7 @@
     }
 
     /** Whether a process is listed as it is; if not, it should say its {@link EdgeHello} again. */
-    public boolean lists(Peer self) {
+    public boolean contains(Peer self) {
         return self.equals(find(self.name()));
     }
 
--- a/src/main/java/brambletray/platform/failuredetection/SuspicionWithdrawal.java
+++ b/src/main/java/brambletray/platform/failuredetection/SuspicionWithdrawal.java
@@ -1,4 +1,4 @@
 package brambletray.platform.failuredetection;
 
 /** Edge to hub: the beats come again, {@code by} takes its suspicion back. */
-public record SuspicionWithdrawal(String name, long life, String by) {}
+public record SuspicionWithdrawal(String name, long incarnation, String reportedBy) {}
--- a/src/main/java/brambletray/platform/failuredetection/WatchRing.java
+++ b/src/main/java/brambletray/platform/failuredetection/WatchRing.java
@@ -13,7 +13,7 @@
  */
 public final class WatchRing {
     /** What edges and hub say to each other about who lives. */
-    public static final List<Class<?>> FRAMES = List.of(
+    public static final List<Class<?>> MESSAGES = List.of(
             Peer.class,
             Roster.class,
             EdgeHello.class,
@@ -27,7 +27,7 @@
 
     private final Roster roster;
     private final Map<String, List<Peer>> watchers = new HashMap<>();
-    private final Map<String, List<Peer>> wards = new HashMap<>();
+    private final Map<String, List<Peer>> watchedPeers = new HashMap<>();
 
     public WatchRing(Roster roster) {
         this.roster = roster;
@@ -40,7 +40,9 @@
             List<Peer> chosen = next(circle, i);
             watchers.put(circle[i].name(), chosen);
             for (Peer watcher : chosen) {
-                wards.computeIfAbsent(watcher.name(), name -> new ArrayList<>()).add(circle[i]);
+                watchedPeers
+                        .computeIfAbsent(watcher.name(), name -> new ArrayList<>())
+                        .add(circle[i]);
             }
         }
     }
@@ -55,8 +57,8 @@
     }
 
     /** Whose beats this peer is to hear. */
-    public List<Peer> wardsOf(String name) {
-        return wards.getOrDefault(name, List.of());
+    public List<Peer> watchedBy(String name) {
+        return watchedPeers.getOrDefault(name, List.of());
     }
 
     private static List<Peer> next(Peer[] circle, int at) {
@@ -66,7 +68,7 @@
         for (int step = 1; step < circle.length; step++) {
             Peer peer = circle[(at + step) % circle.length];
             boolean other = !peer.zone().equals(zone);
-            if (!peer.in()) {
+            if (!peer.isActive()) {
                 continue;
             }
             if (chosen.size() < WATCHERS) {
--- a/src/main/java/brambletray/platform/localsystem/InstanceServer.java
+++ b/src/main/java/brambletray/platform/localsystem/InstanceServer.java
@@ -137,7 +137,7 @@
                 refuse(context, 400, null);
             } else if (target != null && !target.equals(id)) {
                 refuse(context, 421, attempt);
-            } else if (working >= service.most() || remaining <= 0) {
+            } else if (working >= service.maxConcurrency() || remaining <= 0) {
                 turnedAway++;
                 refuse(context, 503, attempt);
             } else {
--- a/src/main/java/brambletray/platform/localsystem/TrafficGenerator.java
+++ b/src/main/java/brambletray/platform/localsystem/TrafficGenerator.java
@@ -78,7 +78,7 @@
         Route route = of.get(random.nextInt(of.size()));
         int client = random.nextInt(CLIENTS);
         String path = route.prefix() + Integer.toHexString(random.nextInt());
-        byte[] body = route.repeatable()
+        byte[] body = route.idempotent()
                 ? new byte[0]
                 : ("{\"amount\":" + random.nextInt(1_000) + '}').getBytes(StandardCharsets.US_ASCII);
         TrafficRequest visit = new TrafficRequest(
@@ -96,7 +96,7 @@
         String attempt = Long.toHexString(random.nextLong() | Long.MIN_VALUE);
         visit.names(attempt, visit.attempt());
         LocalSite.Place edge = fronts.pick(visit.zone, visit.hash(), turn);
-        boolean fresh = turn > 0 || !visit.route.repeatable() || random.nextInt(3) == 0;
+        boolean fresh = turn > 0 || !visit.route.idempotent() || random.nextInt(3) == 0;
         wires.send(
                 edge.ip(), site.ports().frontEnd(), new ClientConnections.Letter(visit, attempt, remainingMs, fresh));
         return attempt;
--- a/src/main/java/brambletray/platform/localsystem/TrafficRequest.java
+++ b/src/main/java/brambletray/platform/localsystem/TrafficRequest.java
@@ -59,7 +59,7 @@
         this.route = route;
         this.zone = zone;
         this.hash = hash;
-        this.method = route.repeatable() ? "GET" : "POST";
+        this.method = route.idempotent() ? "GET" : "POST";
         this.path = path;
         this.body = body;
         this.ledger = ledger;
@@ -89,7 +89,7 @@
     /** Before each try is sent: its id is known to the ledger. */
     void names(String id, String former) {
         if (former == null) {
-            ledger.asked(id, route.repeatable());
+            ledger.asked(id, route.idempotent());
         } else {
             ledger.again(id, former);
         }
@@ -110,7 +110,7 @@
                 ledger.wrong(attempt + " on " + path + " got " + status + " with another's answer or a wrong one");
                 end(End.FAILED);
             } else {
-                end(now - began <= route.targetMs() ? End.ANSWERED : End.LATE);
+                end(now - began <= route.latencyTargetMs() ? End.ANSWERED : End.LATE);
             }
         } else if (status == 429 || status == 503 || status == 408 || status == 421) {
             ledger.promised(attempt, status);
@@ -138,7 +138,7 @@
 
     private void failed(long now) {
         refused = false;
-        if (route.repeatable()) {
+        if (route.idempotent()) {
             again(pause(), now);
         } else {
             end(End.FAILED);
--- a/src/main/java/brambletray/platform/proxy/ClientConnection.java
+++ b/src/main/java/brambletray/platform/proxy/ClientConnection.java
@@ -276,8 +276,8 @@
         long spent = now - since;
         switch (state) {
             case IDLE -> closeIf(spent >= (pen.isWriting() ? WRITING_MOST_MS : idleMs()));
-            case HEAD -> late(spent >= limits.headerMs());
-            case BODY -> late(spent >= limits.idleMs());
+            case HEAD -> late(spent >= limits.headerTimeoutMs());
+            case BODY -> late(spent >= limits.idleTimeoutMs());
             case LAST -> closeIf(spent >= (pen.isWriting() ? WRITING_MOST_MS : LINGER_MS));
             default -> {}
         }
@@ -285,7 +285,7 @@
 
     /** A client knows the limits of when its last request began, or newer ones: the longer time is kept. */
     private int idleMs() {
-        return Math.max(limits.idleMs(), front.flow().limits().idleMs());
+        return Math.max(limits.idleTimeoutMs(), front.flow().limits().idleTimeoutMs());
     }
 
     private void closeIf(boolean due) {
--- a/src/main/java/brambletray/platform/proxy/FrontEndServer.java
+++ b/src/main/java/brambletray/platform/proxy/FrontEndServer.java
@@ -40,7 +40,7 @@
                     protected void initChannel(Channel channel) {
                         ClientLimits limits = flow.limits();
                         ClientConnection client = new ClientConnection(FrontEndServer.this, limits);
-                        channel.pipeline().addLast(new RequestDecoder(client, limits.headerBytes()), client);
+                        channel.pipeline().addLast(new RequestDecoder(client, limits.maxHeaderBytes()), client);
                     }
                 })
                 .bind(new InetSocketAddress(at.host(), at.port()));
--- a/src/main/java/brambletray/platform/proxy/Rejection.java
+++ b/src/main/java/brambletray/platform/proxy/Rejection.java
@@ -50,7 +50,7 @@
                     || headers.contains(HttpHeaderNames.CONTENT_LENGTH)) {
                 return LENGTHS;
             }
-        } else if (HttpUtil.getContentLength(request, 0L) > limits.bodyBytes()) {
+        } else if (HttpUtil.getContentLength(request, 0L) > limits.maxBodyBytes()) {
             return TOO_LARGE;
         }
         return request.uri().startsWith("/") ? null : FORM;
--- a/src/main/java/brambletray/platform/proxy/RequestReader.java
+++ b/src/main/java/brambletray/platform/proxy/RequestReader.java
@@ -49,7 +49,7 @@
         if (n == 0) {
             return null;
         }
-        if (size + n > limits.bodyBytes()) {
+        if (size + n > limits.maxBodyBytes()) {
             return Rejection.TOO_LARGE;
         }
         if (!hold.take(n)) {
--- a/src/main/java/brambletray/platform/proxy/RequestRouter.java
+++ b/src/main/java/brambletray/platform/proxy/RequestRouter.java
@@ -138,14 +138,14 @@
             own(client, clientRequest, 503, refusing ? "proxy.ending" : "proxy.full", COME_BACK_MS, id);
             return;
         }
-        String service = route.pick(shares.nextDouble());
+        String service = route.selectService(shares.nextDouble());
         Service known = now.services().get(service);
         RequestPlan plan = new RequestPlan(
                 service,
-                route.repeatable(),
+                route.idempotent(),
                 Math.max(1, route.retryCount()),
                 route.priority(),
-                route.targetMs(),
+                route.latencyTargetMs(),
                 isHost.test(client.ip()),
                 end(headers, route, clientRequest.at()));
         RequestDriver driver = new RequestDriver(
--- a/src/main/java/brambletray/platform/storage/CommitQueue.java
+++ b/src/main/java/brambletray/platform/storage/CommitQueue.java
@@ -12,41 +12,41 @@
  */
 final class CommitQueue {
     /** A commit that was asked for; {@code askedAt}: ms of the steady clock, {@code bytes}: of its values. */
-    record Entry(List<KeyChange> changes, DurableStore.Reply reply, long askedAt, long bytes) {}
+    record Entry(List<KeyChange> changes, DurableStore.CommitCallback callback, long requestedAtMs, long valueBytes) {}
 
-    private static final long NOTHING_IS_WRITTEN = -1;
+    private static final long NOT_WRITING = -1;
 
-    private final int mostCommits;
-    private final long mostBytes;
+    private final int maxCommits;
+    private final long maxBytes;
     private final ReentrantLock lock;
-    private final Condition changed;
+    private final Condition stateChanged;
 
-    private List<Entry> waiting = new ArrayList<>();
-    private long waitingBytes;
-    private long writtenSince = NOTHING_IS_WRITTEN;
-    private int written;
+    private List<Entry> pending = new ArrayList<>();
+    private long pendingBytes;
+    private long writingSinceMs = NOT_WRITING;
+    private int writingCount;
     private boolean closed;
 
-    /** {@code mostCommits}, {@code mostBytes}: what may wait; a single commit may be larger. */
-    CommitQueue(int mostCommits, long mostBytes, ReentrantLock lock) {
-        this.mostCommits = mostCommits;
-        this.mostBytes = mostBytes;
+    /** {@code maxCommits}, {@code maxBytes}: what may wait; a single commit may be larger. */
+    CommitQueue(int maxCommits, long maxBytes, ReentrantLock lock) {
+        this.maxCommits = maxCommits;
+        this.maxBytes = maxBytes;
         this.lock = lock;
-        this.changed = lock.newCondition();
+        this.stateChanged = lock.newCondition();
     }
 
     /** Returns false, and takes nothing, if too much waits or the queue is closed. */
     boolean add(Entry entry) {
         lock.lock();
         try {
-            boolean full = waiting.size() >= mostCommits;
-            boolean tooLarge = waitingBytes > 0 && waitingBytes + entry.bytes() > mostBytes;
+            boolean full = pending.size() >= maxCommits;
+            boolean tooLarge = pendingBytes > 0 && pendingBytes + entry.valueBytes() > maxBytes;
             if (closed || full || tooLarge) {
                 return false;
             }
-            waiting.add(entry);
-            waitingBytes += entry.bytes();
-            changed.signal();
+            pending.add(entry);
+            pendingBytes += entry.valueBytes();
+            stateChanged.signal();
             return true;
         } finally {
             lock.unlock();
@@ -59,13 +59,13 @@
     List<Entry> take() {
         lock.lock();
         try {
-            while (waiting.isEmpty() && !closed) {
-                changed.await();
+            while (pending.isEmpty() && !closed) {
+                stateChanged.await();
             }
-            return waiting.isEmpty() ? null : takeAll();
+            return pending.isEmpty() ? null : takeAll();
         } catch (InterruptedException e) {
             closed = true;
-            return waiting.isEmpty() ? null : takeAll();
+            return pending.isEmpty() ? null : takeAll();
         } finally {
             lock.unlock();
         }
@@ -75,40 +75,40 @@
     List<Entry> poll() {
         lock.lock();
         try {
-            return waiting.isEmpty() ? null : takeAll();
+            return pending.isEmpty() ? null : takeAll();
         } finally {
             lock.unlock();
         }
     }
 
     private List<Entry> takeAll() {
-        List<Entry> taken = waiting;
-        waiting = new ArrayList<>();
-        waitingBytes = 0;
-        writtenSince = Math.max(0, taken.get(0).askedAt());
-        written = taken.size();
+        List<Entry> taken = pending;
+        pending = new ArrayList<>();
+        pendingBytes = 0;
+        writingSinceMs = Math.max(0, taken.get(0).requestedAtMs());
+        writingCount = taken.size();
         return taken;
     }
 
     /** What was taken last has been written, or has failed. */
-    void finished() {
+    void markFinished() {
         lock.lock();
         try {
-            writtenSince = NOTHING_IS_WRITTEN;
-            written = 0;
+            writingSinceMs = NOT_WRITING;
+            writingCount = 0;
         } finally {
             lock.unlock();
         }
     }
 
-    /** ms that the oldest commit has waited at {@code now}, on the disk or for it; 0 if there is none. */
-    long oldestWaitMs(long now) {
+    /** ms that the oldest commit has waited at {@code nowMs}, on the disk or for it; 0 if there is none. */
+    long oldestWaitMs(long nowMs) {
         lock.lock();
         try {
-            if (writtenSince != NOTHING_IS_WRITTEN) {
-                return Math.max(0, now - writtenSince);
+            if (writingSinceMs != NOT_WRITING) {
+                return Math.max(0, nowMs - writingSinceMs);
             }
-            return waiting.isEmpty() ? 0 : Math.max(0, now - waiting.get(0).askedAt());
+            return pending.isEmpty() ? 0 : Math.max(0, nowMs - pending.get(0).requestedAtMs());
         } finally {
             lock.unlock();
         }
@@ -118,7 +118,7 @@
     int size() {
         lock.lock();
         try {
-            return waiting.size() + written;
+            return pending.size() + writingCount;
         } finally {
             lock.unlock();
         }
@@ -129,7 +129,7 @@
         lock.lock();
         try {
             closed = true;
-            changed.signalAll();
+            stateChanged.signalAll();
         } finally {
             lock.unlock();
         }
--- a/src/main/java/brambletray/platform/storage/CommitSummary.java
+++ b/src/main/java/brambletray/platform/storage/CommitSummary.java
@@ -7,22 +7,22 @@
  * What each commit says of the whole store: the format, the number of the commit, and count and sum of all that is in
  * it. A store whose entries do not add up to its seal is torn.
  */
-record CommitSummary(long commit, int count, long sum) {
+record CommitSummary(long commitNumber, int entryCount, long entrySum) {
     static final int FORMAT = 1;
     static final int BYTES = Integer.BYTES + Long.BYTES + Integer.BYTES + Long.BYTES;
-    static final CommitSummary NEW = new CommitSummary(0, 0, 0);
+    static final CommitSummary EMPTY = new CommitSummary(0, 0, 0);
 
-    byte[] bytes() {
+    byte[] toBytes() {
         return ByteBuffer.allocate(BYTES)
                 .putInt(FORMAT)
-                .putLong(commit)
-                .putInt(count)
-                .putLong(sum)
+                .putLong(commitNumber)
+                .putInt(entryCount)
+                .putLong(entrySum)
                 .array();
     }
 
     /** @throws StorageException {@code trove.format} */
-    static CommitSummary of(byte[] bytes) {
+    static CommitSummary fromBytes(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         if (bytes.length < Integer.BYTES) {
             return null;
@@ -38,7 +38,7 @@
     }
 
     /** The part of an entry in the sum; sums of parts tell any two stores apart that a torn disk could make of one. */
-    static long part(byte[] key, byte[] value) {
+    static long entryChecksum(byte[] key, byte[] value) {
         CRC32C sum = new CRC32C();
         sum.update(key);
         long keys = sum.getValue();
@@ -50,11 +50,14 @@
     }
 
     /** With an entry more (old 0), less (new 0) or changed; 0 stands for no entry. */
-    CommitSummary with(long old, long now) {
-        return new CommitSummary(commit, count + (now != 0 ? 1 : 0) - (old != 0 ? 1 : 0), sum - old + now);
+    CommitSummary withEntry(long oldChecksum, long newChecksum) {
+        return new CommitSummary(
+                commitNumber,
+                entryCount + (newChecksum != 0 ? 1 : 0) - (oldChecksum != 0 ? 1 : 0),
+                entrySum - oldChecksum + newChecksum);
     }
 
-    CommitSummary next() {
-        return new CommitSummary(commit + 1, count, sum);
+    CommitSummary nextCommit() {
+        return new CommitSummary(commitNumber + 1, entryCount, entrySum);
     }
 }
--- a/src/main/java/brambletray/platform/storage/Directory.java
+++ b/src/main/java/brambletray/platform/storage/Directory.java
@@ -6,7 +6,7 @@
 /** One folder of a disk, by the few operations that a trove needs. Names have no folders in them. */
 interface Directory {
     /** The file that is written to; it is at most one at a time. */
-    interface Pen {
+    interface FileWriter {
         /** Appends. */
         void write(byte[] bytes, int offset, int count) throws IOException;
 
@@ -26,10 +26,10 @@
     int read(String name, long at, byte[] to, int offset, int count) throws IOException;
 
     /** Goes on with a file at this length; it is made, cut or filled up if it has another. */
-    Pen open(String name, long length) throws IOException;
+    FileWriter open(String name, long length) throws IOException;
 
     /** Cuts a file, durably. */
-    void cut(String name, long length) throws IOException;
+    void truncate(String name, long length) throws IOException;
 
     /** Removes a file, if it is there. */
     void remove(String name) throws IOException;
--- a/src/main/java/brambletray/platform/storage/DiskDirectory.java
+++ b/src/main/java/brambletray/platform/storage/DiskDirectory.java
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public Pen open(String name, long length) throws IOException {
+    public FileWriter open(String name, long length) throws IOException {
         RandomAccessFile file = new RandomAccessFile(file(name), "rw");
         try {
             if (file.length() != length) {
@@ -63,7 +63,7 @@
             file.close();
             throw e;
         }
-        return new Pen() {
+        return new FileWriter() {
             @Override
             public void write(byte[] bytes, int offset, int count) throws IOException {
                 file.write(bytes, offset, count);
@@ -82,7 +82,7 @@
     }
 
     @Override
-    public void cut(String name, long length) throws IOException {
+    public void truncate(String name, long length) throws IOException {
         try (RandomAccessFile file = new RandomAccessFile(file(name), "rw")) {
             file.setLength(length);
             file.getFD().sync();
--- a/src/main/java/brambletray/platform/storage/DurableStore.java
+++ b/src/main/java/brambletray/platform/storage/DurableStore.java
@@ -5,19 +5,19 @@
 /** Durable writes for a loop, in the order in which they were asked for. */
 public interface DurableStore {
     /** How a commit went; called on the loop. */
-    interface Reply {
+    interface CommitCallback {
         /** Durable. */
-        void done();
+        void onCommitted();
 
-        /** May be there or not: {@code fault} says why. */
-        void failed(StorageException fault);
+        /** May be there or not: {@code error} says why. */
+        void onFailed(StorageException error);
     }
 
     /**
      * Asks for a commit, wholly there or not at all; from the loop.
      *
-     * @param now ms of the steady clock
+     * @param nowMs ms of the steady clock
      * @return false if too much waits: nothing is taken, and no reply comes
      */
-    boolean commit(List<KeyChange> changes, long now, Reply reply);
+    boolean commit(List<KeyChange> changes, long nowMs, CommitCallback callback);
 }
--- a/src/main/java/brambletray/platform/storage/KeyValueStore.java
+++ b/src/main/java/brambletray/platform/storage/KeyValueStore.java
@@ -12,28 +12,28 @@
  * {@link #commit} has returned for is there after any kill or loss of power. One thread commits; any may read.
  *
  * <p>The files are of one generation, and grow with each commit. Once they hold much more than what is in force,
- * {@link #tidy} writes that into a new generation and removes the old one before any other commit. So where two
+ * {@link #compact} writes that into a new generation and removes the old one before any other commit. So where two
  * generations are found, nothing was kept in the newer one alone, and if that is torn the older one is whole.
  */
 public final class KeyValueStore implements AutoCloseable, SyncWriter.Disk {
     /** Bytes of a key's UTF-8, and of a value. */
-    public static final int LONGEST_KEY = 1_024;
+    public static final int MAX_KEY_BYTES = 1_024;
 
-    public static final int LONGEST = 8 << 20;
+    public static final int MAX_VALUE_BYTES = 8 << 20;
     static final EventLog LOG = EventLog.of("storage");
     /** Bytes of files that are always allowed, and how many times what is in force. */
-    private static final long ROOMY = 8L << 20;
+    private static final long MIN_COMPACTION_BYTES = 8L << 20;
 
-    private static final int TIMES = 4;
+    private static final int MAX_SPACE_AMPLIFICATION = 4;
     /** Bytes after which a tidying that failed is tried again. */
-    private static final long AGAIN = 4L << 20;
+    private static final long COMPACTION_RETRY_BYTES = 4L << 20;
 
     private final Directory directory;
-    private volatile StoreGeneration storeGeneration;
-    private boolean hurt;
-    private LogSegmentFile old;
-    private long tidyAt;
-    private final long roomy;
+    private volatile StoreGeneration generation;
+    private boolean lastCommitFailed;
+    private LogSegmentFiles obsoleteSegments;
+    private long nextCompactionBytes;
+    private final long minCompactionBytes;
     private volatile boolean closed;
 
     static {
@@ -42,9 +42,9 @@
         }
     }
 
-    private KeyValueStore(Directory directory, long roomy) {
+    private KeyValueStore(Directory directory, long minCompactionBytes) {
         this.directory = directory;
-        this.roomy = roomy;
+        this.minCompactionBytes = minCompactionBytes;
     }
 
     /**
@@ -61,21 +61,21 @@
         try {
             return open(new DiskDirectory(dir));
         } catch (IOException e) {
-            throw fault(e);
+            throw storageException(e);
         }
     }
 
     static KeyValueStore open(Directory directory) throws StorageException {
-        return open(directory, ROOMY);
+        return open(directory, MIN_COMPACTION_BYTES);
     }
 
-    /** {@code roomy}: bytes of files that are always allowed. */
-    static KeyValueStore open(Directory directory, long roomy) throws StorageException {
-        KeyValueStore keyValueStore = new KeyValueStore(directory, roomy);
+    /** {@code minCompactionBytes}: bytes of files that are always allowed. */
+    static KeyValueStore open(Directory directory, long minCompactionBytes) throws StorageException {
+        KeyValueStore keyValueStore = new KeyValueStore(directory, minCompactionBytes);
         try {
-            keyValueStore.storeGeneration = new StoreOpening(directory).open();
+            keyValueStore.generation = new StoreOpening(directory).open();
         } catch (IOException | RuntimeException e) {
-            throw fault(e);
+            throw storageException(e);
         }
         return keyValueStore;
     }
@@ -85,36 +85,36 @@
         try {
             abandon(new DiskDirectory(dir));
         } catch (IOException e) {
-            throw fault(e);
+            throw storageException(e);
         }
     }
 
     static void abandon(Directory directory) throws StorageException {
         try {
-            for (long generation : LogSegmentFile.generations(directory)) {
-                new LogSegmentFile(directory, generation).remove();
+            for (long generation : LogSegmentFiles.generations(directory)) {
+                new LogSegmentFiles(directory, generation).remove();
             }
             directory.sync();
-            directory.remove(StoreOpening.BORN);
+            directory.remove(StoreOpening.MARKER_FILE);
             directory.sync();
         } catch (IOException e) {
-            throw fault(e);
+            throw storageException(e);
         }
     }
 
     /** The value of a key, or null. */
     public byte[] get(String key) {
-        return read(() -> storeGeneration.get(key));
+        return read(() -> generation.get(key));
     }
 
     /** All whose keys begin so, by key. */
     public List<Map.Entry<String, byte[]>> prefix(String prefix) {
-        return read(() -> storeGeneration.prefix(prefix));
+        return read(() -> generation.prefix(prefix));
     }
 
     /** The number of commits this store has had; after a restart at least that of the last one that returned. */
-    public long commits() {
-        return storeGeneration.commits();
+    public long commitCount() {
+        return generation.commitCount();
     }
 
     /**
@@ -128,7 +128,8 @@
     @Override
     public void commit(List<KeyChange> changes) throws StorageException {
         for (KeyChange change : changes) {
-            if (change.key().length() > LONGEST_KEY || change.value() != null && change.value().length > LONGEST) {
+            if (change.key().length() > MAX_KEY_BYTES
+                    || change.value() != null && change.value().length > MAX_VALUE_BYTES) {
                 throw new StorageException(
                         "storage.too-long",
                         "the value of "
@@ -138,15 +139,15 @@
             }
         }
         try {
-            heal();
-            if (storeGeneration.used() >= 2 * room()) {
-                tidy();
-                heal();
+            recover();
+            if (generation.usedBytes() >= 2 * compactionThresholdBytes()) {
+                compact();
+                recover();
             }
-            storeGeneration.commit(changes);
+            generation.commit(changes);
         } catch (IOException | RuntimeException e) {
-            hurt = true;
-            throw fault(e);
+            lastCommitFailed = true;
+            throw storageException(e);
         }
     }
 
@@ -155,47 +156,47 @@
      * pause hurts least; a commit does it itself once there is twice as much.
      */
     @Override
-    public void tidy() {
-        long used = storeGeneration.used();
-        if (hurt || closed || used < room()) {
+    public void compact() {
+        long usedBytes = generation.usedBytes();
+        if (lastCommitFailed || closed || usedBytes < compactionThresholdBytes()) {
             return;
         }
-        LogSegmentFile next =
-                new LogSegmentFile(directory, storeGeneration.segment().generation() + 1);
-        StoreGeneration fresh = null;
+        LogSegmentFiles next =
+                new LogSegmentFiles(directory, generation.segments().generation() + 1);
+        StoreGeneration compacted = null;
         try {
-            fresh = StoreGeneration.make(next);
-            storeGeneration.copyTo(fresh);
+            compacted = StoreGeneration.create(next);
+            generation.copyTo(compacted);
             directory.sync();
         } catch (IOException | RuntimeException e) {
-            LOG.warn("not-tidied", "bytes", used, "live", storeGeneration.live(), "why", e);
-            tidyAt = used + AGAIN;
-            old = next;
-            if (fresh != null) {
-                fresh.close();
+            LOG.warn("not-tidied", "bytes", usedBytes, "live", generation.liveBytes(), "why", e);
+            nextCompactionBytes = usedBytes + COMPACTION_RETRY_BYTES;
+            obsoleteSegments = next;
+            if (compacted != null) {
+                compacted.close();
             }
-            tryRemoveOld();
+            tryRemoveObsolete();
             return;
         }
-        StoreGeneration before = storeGeneration;
-        storeGeneration = fresh;
-        tidyAt = 0;
+        StoreGeneration before = generation;
+        generation = compacted;
+        nextCompactionBytes = 0;
         before.close();
-        old = before.segment();
-        tryRemoveOld();
-        LOG.debug("tidied", "generation", next.generation(), "bytes", used, "live", fresh.live());
+        obsoleteSegments = before.segments();
+        tryRemoveObsolete();
+        LOG.debug("tidied", "generation", next.generation(), "bytes", usedBytes, "live", compacted.liveBytes());
     }
 
     /** Bytes of the store's files. */
-    public long used() {
-        return storeGeneration.used();
+    public long usedBytes() {
+        return generation.usedBytes();
     }
 
     @Override
     public void close() {
         closed = true;
-        if (storeGeneration != null) {
-            storeGeneration.close();
+        if (generation != null) {
+            generation.close();
         }
     }
 
@@ -203,64 +204,65 @@
      * After a failure: what was left of it is cut off, and the store opened again where the last commit that returned
      * ends.
      */
-    private void heal() throws IOException {
+    private void recover() throws IOException {
         if (closed) {
             throw new StorageException("storage.closed", "the store is closed", null);
         }
-        if (old != null) {
-            removeOld();
+        if (obsoleteSegments != null) {
+            removeObsolete();
         }
-        if (hurt) {
-            LogSegmentFile segment =
-                    new LogSegmentFile(directory, storeGeneration.segment().generation());
-            storeGeneration.close();
-            new StoreRepair(segment).cut(storeGeneration.end());
-            StoreGeneration healed = StoreGeneration.read(segment);
-            if (healed == null || healed.commits() != storeGeneration.commits()) {
+        if (lastCommitFailed) {
+            LogSegmentFiles segment =
+                    new LogSegmentFiles(directory, generation.segments().generation());
+            generation.close();
+            new StoreRepair(segment).truncateAfter(generation.durableEnd());
+            StoreGeneration recovered = StoreGeneration.read(segment);
+            if (recovered == null || recovered.commitCount() != generation.commitCount()) {
                 throw new StorageException("storage.refused", "the store does not read as it was written", null);
             }
-            storeGeneration = healed;
-            hurt = false;
-            LOG.tell("healed", "generation", segment.generation(), "commits", healed.commits());
+            generation = recovered;
+            lastCommitFailed = false;
+            LOG.tell("healed", "generation", segment.generation(), "commits", recovered.commitCount());
         }
     }
 
     /** Bytes that the files may have before a tidying. */
-    private long room() {
-        return Math.max(tidyAt, Math.max(roomy, TIMES * storeGeneration.live()));
+    private long compactionThresholdBytes() {
+        return Math.max(
+                nextCompactionBytes, Math.max(minCompactionBytes, MAX_SPACE_AMPLIFICATION * generation.liveBytes()));
     }
 
-    private void tryRemoveOld() {
+    private void tryRemoveObsolete() {
         try {
-            removeOld();
+            removeObsolete();
         } catch (IOException e) {
-            LOG.warn("not-removed", "generation", old.generation(), "why", e);
+            LOG.warn("not-removed", "generation", obsoleteSegments.generation(), "why", e);
         }
     }
 
-    private void removeOld() throws IOException {
-        old.remove();
+    private void removeObsolete() throws IOException {
+        obsoleteSegments.remove();
         directory.sync();
-        old = null;
+        obsoleteSegments = null;
     }
 
-    private interface Reading<T> {
+    private interface ReadOperation<T> {
         T run();
     }
 
-    private <T> T read(Reading<T> reading) {
+    private <T> T read(ReadOperation<T> operation) {
         try {
-            return reading.run();
+            return operation.run();
         } catch (RuntimeException e) {
-            throw fault(e);
+            throw storageException(e);
         }
     }
 
-    private static StorageException fault(Exception thrown) {
+    private static StorageException storageException(Exception thrown) {
         if (thrown instanceof StorageException fault) {
             return fault;
         }
-        UncheckedIOException io = StoreGeneration.ioIn(thrown);
+        UncheckedIOException io = StoreGeneration.findIoCause(thrown);
         String why = io == null ? thrown.toString() : io.getCause().getMessage();
         boolean full = why != null && (why.contains("No space left") || why.contains("quota"));
         return new StorageException(
--- a/src/main/java/brambletray/platform/storage/LogSegmentFile.java
+++ b/src/main/java/brambletray/platform/storage/LogSegmentFiles.java
@@ -14,22 +14,22 @@
  * One generation of a store: the files that Xodus' log is written to and read from, named by generation and address. In
  * the place of Xodus' own files, which lock, look at the machine's beans and never sync the folder after a removal.
  */
-final class LogSegmentFile extends AbstractDataWriter implements DataReader {
+final class LogSegmentFiles extends AbstractDataWriter implements DataReader {
     /** Bytes of a file; all but the newest have just that length. */
     static final int FILE_BYTES = 1 << 20;
 
-    private static final String ENDING = ".xd";
+    private static final String FILE_EXTENSION = ".xd";
     private static final int GENERATION_DIGITS = 8;
     private static final int ADDRESS_DIGITS = 12;
-    private static final int NAME_LENGTH = GENERATION_DIGITS + 1 + ADDRESS_DIGITS + ENDING.length();
+    private static final int NAME_LENGTH = GENERATION_DIGITS + 1 + ADDRESS_DIGITS + FILE_EXTENSION.length();
 
     private final Directory directory;
     private final long generation;
-    private Directory.Pen pen;
-    private Reel reel;
-    private volatile boolean dead;
+    private Directory.FileWriter writer;
+    private LogBlock currentBlock;
+    private volatile boolean disabled;
 
-    LogSegmentFile(Directory directory, long generation) {
+    LogSegmentFiles(Directory directory, long generation) {
         this.directory = directory;
         this.generation = generation;
     }
@@ -38,7 +38,7 @@
     static List<Long> generations(Directory directory) throws IOException {
         TreeSet<Long> found = new TreeSet<>();
         for (String name : directory.names()) {
-            if (name.length() == NAME_LENGTH && name.endsWith(ENDING)) {
+            if (name.length() == NAME_LENGTH && name.endsWith(FILE_EXTENSION)) {
                 found.add(Long.parseLong(name.substring(0, GENERATION_DIGITS), 16));
             }
         }
@@ -65,20 +65,20 @@
         return new ArrayList<>(found);
     }
 
-    String name(long address) {
-        return hex(generation, GENERATION_DIGITS) + '-' + hex(address, ADDRESS_DIGITS) + ENDING;
+    String fileName(long address) {
+        return hex(generation, GENERATION_DIGITS) + '-' + hex(address, ADDRESS_DIGITS) + FILE_EXTENSION;
     }
 
     /** Removes all its files; the folder has still to be synced. */
     void remove() throws IOException {
         for (long address : addresses()) {
-            directory.remove(name(address));
+            directory.remove(fileName(address));
         }
     }
 
     /** Writes nothing more: whoever still holds it is to be done away with. */
-    void kill() {
-        dead = true;
+    void disable() {
+        disabled = true;
     }
 
     @Override
@@ -93,11 +93,11 @@
 
     @Override
     public Iterable<Block> getBlocks(long from) {
-        return io(() -> {
+        return unchecked(() -> {
             List<Block> blocks = new ArrayList<>();
             for (long address : addresses()) {
                 if (address >= from) {
-                    blocks.add(new Reel(address));
+                    blocks.add(new LogBlock(address));
                 }
             }
             return blocks;
@@ -106,20 +106,20 @@
 
     @Override
     public Block write(byte[] bytes, int offset, int count) {
-        return io(() -> {
-            if (pen == null || dead) {
+        return unchecked(() -> {
+            if (writer == null || disabled) {
                 throw new IOException("the store is closed");
             }
-            pen.write(bytes, offset, count);
-            return reel;
+            writer.write(bytes, offset, count);
+            return currentBlock;
         });
     }
 
     @Override
     protected void syncImpl() {
-        if (!dead) {
-            io(() -> {
-                pen.sync();
+        if (!disabled) {
+            unchecked(() -> {
+                writer.sync();
                 return null;
             });
         }
@@ -127,8 +127,8 @@
 
     @Override
     public void syncDirectory() {
-        if (!dead) {
-            io(() -> {
+        if (!disabled) {
+            unchecked(() -> {
                 directory.sync();
                 return null;
             });
@@ -137,21 +137,21 @@
 
     @Override
     protected Block openOrCreateBlockImpl(long address, long length) {
-        return io(() -> {
-            if (dead) {
+        return unchecked(() -> {
+            if (disabled) {
                 throw new IOException("the store is closed");
             }
-            pen = directory.open(name(address), length);
-            reel = new Reel(address);
-            return reel;
+            writer = directory.open(fileName(address), length);
+            currentBlock = new LogBlock(address);
+            return currentBlock;
         });
     }
 
     @Override
     protected void closeImpl() {
-        Directory.Pen last = pen;
-        pen = null;
-        io(() -> {
+        Directory.FileWriter last = writer;
+        writer = null;
+        unchecked(() -> {
             last.close();
             return null;
         });
@@ -164,19 +164,19 @@
 
     @Override
     public void removeBlock(long address, RemoveBlockType type) {
-        io(() -> {
-            directory.remove(name(address));
+        unchecked(() -> {
+            directory.remove(fileName(address));
             return null;
         });
     }
 
     @Override
     public void truncateBlock(long address, long length) {
-        io(() -> {
-            if (dead) {
+        unchecked(() -> {
+            if (disabled) {
                 throw new IOException("the store is closed");
             }
-            directory.cut(name(address), length);
+            directory.truncate(fileName(address), length);
             return null;
         });
     }
@@ -196,13 +196,13 @@
         return null;
     }
 
-    private interface Step<T> {
+    private interface IoOperation<T> {
         T run() throws IOException;
     }
 
-    private static <T> T io(Step<T> step) {
+    private static <T> T unchecked(IoOperation<T> operation) {
         try {
-            return step.run();
+            return operation.run();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -214,10 +214,10 @@
     }
 
     /** One file. */
-    private final class Reel implements Block {
+    private final class LogBlock implements Block {
         private final long address;
 
-        private Reel(long address) {
+        private LogBlock(long address) {
             this.address = address;
         }
 
@@ -228,12 +228,12 @@
 
         @Override
         public long length() {
-            return directory.length(name(address));
+            return directory.length(fileName(address));
         }
 
         @Override
         public int read(byte[] output, long position, int offset, int count) {
-            return io(() -> directory.read(name(address), position, output, offset, count));
+            return unchecked(() -> directory.read(fileName(address), position, output, offset, count));
         }
 
         @Override
--- a/src/main/java/brambletray/platform/storage/SimulatedStore.java
+++ b/src/main/java/brambletray/platform/storage/SimulatedStore.java
@@ -14,81 +14,81 @@
  */
 public final class SimulatedStore implements SyncWriter.Disk {
     /** What stays when the process ends. */
-    public static final class Platter {
-        private final Map<String, byte[]> kept = new TreeMap<>();
+    public static final class SimulatedDisk {
+        private final Map<String, byte[]> contents = new TreeMap<>();
         /** ms a sync takes at least; half of that again at most. */
         public int syncMs;
         /** Every write is refused. */
-        public boolean full;
+        public boolean refusesWrites;
         /** Steady ms; a sync that would end before ends then. */
-        public long hungUntil;
+        public long hungUntilMs;
 
-        public Platter(int syncMs) {
+        public SimulatedDisk(int syncMs) {
             this.syncMs = syncMs;
         }
 
         public Map<String, byte[]> read() {
-            return new HashMap<>(kept);
+            return new HashMap<>(contents);
         }
     }
 
-    private final Platter directory;
+    private final SimulatedDisk disk;
     private final Machine machine;
     private final SplittableRandom random;
     private final SyncWriter syncWriter;
-    private Runnable writing;
+    private Runnable batchInProgress;
 
-    public SimulatedStore(Platter directory, Machine machine, SplittableRandom random) {
-        this.directory = directory;
+    public SimulatedStore(SimulatedDisk disk, Machine machine, SplittableRandom random) {
+        this.disk = disk;
         this.machine = machine;
         this.random = random;
-        syncWriter = new SyncWriter(this, machine.loop(), () -> machine.loop().execute(this::begin));
+        syncWriter = new SyncWriter(this, machine.loop(), () -> machine.loop().execute(this::startBatch));
     }
 
     public DurableStore store() {
         return syncWriter;
     }
 
-    private void begin() {
-        if (writing != null) {
+    private void startBatch() {
+        if (batchInProgress != null) {
             return;
         }
-        writing = syncWriter.batch();
-        if (writing != null) {
-            int ms = directory.full ? 1 : directory.syncMs + random.nextInt(directory.syncMs / 2 + 1);
-            machine.loop().schedule(this::end, ms, TimeUnit.MILLISECONDS);
+        batchInProgress = syncWriter.pollBatch();
+        if (batchInProgress != null) {
+            int ms = disk.refusesWrites ? 1 : disk.syncMs + random.nextInt(disk.syncMs / 2 + 1);
+            machine.loop().schedule(this::finishBatch, ms, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void end() {
+    private void finishBatch() {
         long now = machine.clock().nanos() / 1_000_000;
-        if (directory.hungUntil > now) {
-            machine.loop().schedule(this::end, directory.hungUntil - now, TimeUnit.MILLISECONDS);
+        if (disk.hungUntilMs > now) {
+            machine.loop().schedule(this::finishBatch, disk.hungUntilMs - now, TimeUnit.MILLISECONDS);
             return;
         }
-        Runnable batch = writing;
-        writing = null;
+        Runnable batch = batchInProgress;
+        batchInProgress = null;
         batch.run();
-        begin();
+        startBatch();
     }
 
     /** The process is gone; what it was just writing may be there or not. */
-    public void cutOff() {
-        if (writing != null && !directory.full && random.nextBoolean()) {
-            writing.run();
+    public void crash() {
+        if (batchInProgress != null && !disk.refusesWrites && random.nextBoolean()) {
+            batchInProgress.run();
         }
     }
 
     @Override
     public void commit(List<KeyChange> changes) throws StorageException {
-        if (directory.full) {
+        if (disk.refusesWrites) {
             throw new StorageException("storage.full", "no room", null);
         }
         for (KeyChange change : changes) {
             if (change.value() == null) {
-                directory.kept.remove(change.key());
+                disk.contents.remove(change.key());
             } else {
-                directory.kept.put(change.key(), change.value());
+                disk.contents.put(change.key(), change.value());
             }
         }
     }
--- a/src/main/java/brambletray/platform/storage/StoreGeneration.java
+++ b/src/main/java/brambletray/platform/storage/StoreGeneration.java
@@ -23,26 +23,26 @@
     private static final String STORE = "trove";
     private static final long CACHE_BYTES = 2L << 20;
     private static final int CACHE_PAGE = 64 << 10;
-    private static final ArrayByteIterable SEAL = new ArrayByteIterable(new byte[] {'s'});
+    private static final ArrayByteIterable SUMMARY_KEY = new ArrayByteIterable(new byte[] {'s'});
 
-    private record Mark(long part, int length) {}
+    private record EntryInfo(long checksum, int lengthBytes) {}
 
-    private final LogSegmentFile segment;
+    private final LogSegmentFiles segments;
     private final EnvironmentImpl environment;
-    private final Map<String, Mark> marks = new HashMap<>();
+    private final Map<String, EntryInfo> entries = new HashMap<>();
     private Store store;
-    private CommitSummary seal;
-    private long live;
-    private long end;
+    private CommitSummary summary;
+    private long liveBytes;
+    private long durableEnd;
 
-    private StoreGeneration(LogSegmentFile segment) {
-        this.segment = segment;
+    private StoreGeneration(LogSegmentFiles segments) {
+        this.segments = segments;
         EnvironmentConfig config = new EnvironmentConfig();
         config.setManagementEnabled(false)
                 .setEnvGatherStatistics(false)
                 .setEnvMonitorTxnsExpirationTimeout(0)
                 .setLogDurableWrite(true)
-                .setLogFileSize(LogSegmentFile.FILE_BYTES >> 10)
+                .setLogFileSize(LogSegmentFiles.FILE_BYTES >> 10)
                 .setMemoryUsage(CACHE_BYTES)
                 .setLogCachePageSize(CACHE_PAGE)
                 .setFullFileReadonly(false)
@@ -50,17 +50,17 @@
                 .setGcEnabled(false)
                 .setGcStartIn(Integer.MAX_VALUE)
                 .setLogDataReaderWriterProvider(DataReaderWriterProvider.IN_MEMORY_READER_WRITER_PROVIDER);
-        environment = (EnvironmentImpl) Environments.newInstance(LogConfig.create(segment, segment), config);
+        environment = (EnvironmentImpl) Environments.newInstance(LogConfig.create(segments, segments), config);
     }
 
     /** An empty one, not yet sealed: until its first commit it doesn't count. */
-    static StoreGeneration make(LogSegmentFile segment) {
-        StoreGeneration storeGeneration = new StoreGeneration(segment);
-        storeGeneration.seal = CommitSummary.NEW;
-        storeGeneration.store = storeGeneration.environment.computeInTransaction(
-                t -> storeGeneration.environment.openStore(STORE, StoreConfig.WITHOUT_DUPLICATES, t));
-        storeGeneration.noteEnd();
-        return storeGeneration;
+    static StoreGeneration create(LogSegmentFiles segments) {
+        StoreGeneration generation = new StoreGeneration(segments);
+        generation.summary = CommitSummary.EMPTY;
+        generation.store = generation.environment.computeInTransaction(
+                t -> generation.environment.openStore(STORE, StoreConfig.WITHOUT_DUPLICATES, t));
+        generation.recordEnd();
+        return generation;
     }
 
     /**
@@ -68,29 +68,29 @@
      *
      * @throws UncheckedIOException if the disk does not read
      */
-    static StoreGeneration read(LogSegmentFile segment) {
-        StoreGeneration storeGeneration = null;
+    static StoreGeneration read(LogSegmentFiles segments) {
+        StoreGeneration generation = null;
         try {
-            storeGeneration = new StoreGeneration(segment);
-            if (storeGeneration.check()) {
-                storeGeneration.noteEnd();
-                return storeGeneration;
+            generation = new StoreGeneration(segments);
+            if (generation.verify()) {
+                generation.recordEnd();
+                return generation;
             }
         } catch (StorageException e) {
             throw e;
         } catch (RuntimeException e) {
-            UncheckedIOException io = ioIn(e);
+            UncheckedIOException io = findIoCause(e);
             if (io != null) {
                 throw io;
             }
         }
-        if (storeGeneration != null) {
-            storeGeneration.close();
+        if (generation != null) {
+            generation.close();
         }
         return null;
     }
 
-    static UncheckedIOException ioIn(Throwable thrown) {
+    static UncheckedIOException findIoCause(Throwable thrown) {
         for (Throwable cause = thrown; cause != null; cause = cause.getCause()) {
             if (cause instanceof UncheckedIOException io) {
                 return io;
@@ -102,68 +102,69 @@
         return null;
     }
 
-    private boolean check() {
+    private boolean verify() {
         if (!environment.computeInReadonlyTransaction(t -> environment.storeExists(STORE, t))) {
             return false;
         }
         store = environment.computeInReadonlyTransaction(
                 t -> environment.openStore(STORE, StoreConfig.USE_EXISTING, t));
         return environment.computeInReadonlyTransaction(t -> {
-            ByteIterable sealed = store.get(t, SEAL);
-            seal = sealed == null ? null : CommitSummary.of(ValueChunks.bytes(sealed));
-            if (seal == null) {
+            ByteIterable summaryBytes = store.get(t, SUMMARY_KEY);
+            summary = summaryBytes == null ? null : CommitSummary.fromBytes(ValueChunks.bytes(summaryBytes));
+            if (summary == null) {
                 return false;
             }
             long sum = 0;
             try (Cursor cursor = store.openCursor(t)) {
                 while (cursor.getNext()) {
                     byte[] key = ValueChunks.bytes(cursor.getKey());
-                    if (key[0] != ValueChunks.HEAD) {
+                    if (key[0] != ValueChunks.FIRST_CHUNK_PREFIX) {
                         continue;
                     }
-                    byte[] value = ValueChunks.whole(store, t, key, ValueChunks.bytes(cursor.getValue()));
+                    byte[] value = ValueChunks.readValue(store, t, key, ValueChunks.bytes(cursor.getValue()));
                     if (value == null) {
                         return false;
                     }
-                    String name = ValueChunks.name(key);
-                    Mark mark = new Mark(CommitSummary.part(ValueChunks.utf(name), value), value.length);
-                    marks.put(name, mark);
-                    live += value.length;
-                    sum += mark.part();
+                    String name = ValueChunks.keyOf(key);
+                    EntryInfo entry =
+                            new EntryInfo(CommitSummary.entryChecksum(ValueChunks.utf8(name), value), value.length);
+                    entries.put(name, entry);
+                    liveBytes += value.length;
+                    sum += entry.checksum();
                 }
             }
-            return marks.size() == seal.count() && sum == seal.sum();
+            return entries.size() == summary.entryCount() && sum == summary.entrySum();
         });
     }
 
-    LogSegmentFile segment() {
-        return segment;
+    LogSegmentFiles segments() {
+        return segments;
     }
 
     /** Where the last commit that was kept ends. */
-    long end() {
-        return end;
+    long durableEnd() {
+        return durableEnd;
     }
 
     /** Bytes of all values. */
-    long live() {
-        return live;
+    long liveBytes() {
+        return liveBytes;
     }
 
     /** Bytes of all files. */
-    long used() {
+    long usedBytes() {
         return environment.getLog().getDiskUsage();
     }
 
-    long commits() {
-        return seal.commit();
+    long commitCount() {
+        return summary.commitNumber();
     }
 
     byte[] get(String key) {
         return environment.computeInReadonlyTransaction(t -> {
-            byte[] head = ValueChunks.head(key);
+            byte[] head = ValueChunks.firstChunkKey(key);
             ByteIterable found = store.get(t, new ArrayByteIterable(head));
-            return found == null ? null : ValueChunks.whole(store, t, head, ValueChunks.bytes(found));
+            return found == null ? null : ValueChunks.readValue(store, t, head, ValueChunks.bytes(found));
         });
     }
 
@@ -172,15 +173,16 @@
         return environment.computeInReadonlyTransaction(t -> {
             List<Map.Entry<String, byte[]>> found = new ArrayList<>();
             try (Cursor cursor = store.openCursor(t)) {
-                ByteIterable value = cursor.getSearchKeyRange(new ArrayByteIterable(ValueChunks.head(prefix)));
+                ByteIterable value = cursor.getSearchKeyRange(new ArrayByteIterable(ValueChunks.firstChunkKey(prefix)));
                 while (value != null) {
                     byte[] key = ValueChunks.bytes(cursor.getKey());
-                    if (key[0] != ValueChunks.HEAD || !ValueChunks.name(key).startsWith(prefix)) {
+                    if (key[0] != ValueChunks.FIRST_CHUNK_PREFIX
+                            || !ValueChunks.keyOf(key).startsWith(prefix)) {
                         break;
                     }
                     found.add(Map.entry(
-                            ValueChunks.name(key),
-                            ValueChunks.whole(store, t, key, ValueChunks.bytes(cursor.getValue()))));
+                            ValueChunks.keyOf(key),
+                            ValueChunks.readValue(store, t, key, ValueChunks.bytes(cursor.getValue()))));
                     value = cursor.getNext() ? cursor.getValue() : null;
                 }
             }
@@ -190,22 +192,23 @@
 
     /** Durable on return; throws what Xodus or the disk throws, and is then to be closed. */
     void commit(List<KeyChange> changes) {
-        Map<String, Mark> changed = new HashMap<>();
-        CommitSummary next = seal.next();
+        Map<String, EntryInfo> changed = new HashMap<>();
+        CommitSummary next = summary.nextCommit();
         Transaction t = environment.beginExclusiveTransaction();
         try {
             for (KeyChange change : changes) {
-                Mark old = changed.containsKey(change.key()) ? changed.get(change.key()) : marks.get(change.key());
-                Mark now = change.value() == null
+                EntryInfo old =
+                        changed.containsKey(change.key()) ? changed.get(change.key()) : entries.get(change.key());
+                EntryInfo now = change.value() == null
                         ? null
-                        : new Mark(
-                                CommitSummary.part(ValueChunks.utf(change.key()), change.value()),
+                        : new EntryInfo(
+                                CommitSummary.entryChecksum(ValueChunks.utf8(change.key()), change.value()),
                                 change.value().length);
-                ValueChunks.put(store, t, change, old == null ? 0 : old.length());
+                ValueChunks.put(store, t, change, old == null ? 0 : old.lengthBytes());
                 changed.put(change.key(), now);
-                next = next.with(old == null ? 0 : old.part(), now == null ? 0 : now.part());
+                next = next.withEntry(old == null ? 0 : old.checksum(), now == null ? 0 : now.checksum());
             }
-            store.put(t, SEAL, new ArrayByteIterable(next.bytes()));
+            store.put(t, SUMMARY_KEY, new ArrayByteIterable(next.toBytes()));
             if (!t.commit()) {
                 throw new IllegalStateException("another wrote at the same time");
             }
@@ -214,27 +217,27 @@
                 t.abort();
             }
         }
-        changed.forEach(this::note);
-        seal = next;
-        noteEnd();
+        changed.forEach(this::recordChange);
+        summary = next;
+        recordEnd();
     }
 
-    private void note(String key, Mark now) {
-        Mark old = now == null ? marks.remove(key) : marks.put(key, now);
-        live += (now == null ? 0 : now.length()) - (old == null ? 0 : old.length());
+    private void recordChange(String key, EntryInfo now) {
+        EntryInfo old = now == null ? entries.remove(key) : entries.put(key, now);
+        liveBytes += (now == null ? 0 : now.lengthBytes()) - (old == null ? 0 : old.lengthBytes());
     }
 
     /** Copies all into an empty vault, in one commit. */
     void copyTo(StoreGeneration other) {
         List<KeyChange> all = new ArrayList<>();
         prefix("").forEach(entry -> all.add(new KeyChange(entry.getKey(), entry.getValue())));
-        other.seal = new CommitSummary(seal.commit(), 0, 0);
+        other.summary = new CommitSummary(summary.commitNumber(), 0, 0);
         other.commit(all);
     }
 
     /** Writes nothing more. */
     void close() {
-        segment.kill();
+        segments.disable();
         try {
             environment.close();
         } catch (RuntimeException e) {
@@ -242,7 +245,7 @@
         }
     }
 
-    private void noteEnd() {
-        end = environment.getLog().getHighAddress();
+    private void recordEnd() {
+        durableEnd = environment.getLog().getHighAddress();
     }
 }
--- a/src/main/java/brambletray/platform/storage/StoreOpening.java
+++ b/src/main/java/brambletray/platform/storage/StoreOpening.java
@@ -10,9 +10,9 @@
  */
 final class StoreOpening {
     /** There once a store has been made here: from then on what can't be read was lost, and not just not begun. */
-    static final String BORN = "trove";
+    static final String MARKER_FILE = "trove";
 
-    private static final byte[] BORN_TEXT = "a store of format 1\n".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] MARKER_TEXT = "a store of format 1\n".getBytes(StandardCharsets.US_ASCII);
 
     private final Directory directory;
 
@@ -22,63 +22,63 @@
 
     /** The store as the last commit left it, or the one before if that is torn. */
     StoreGeneration open() throws IOException {
-        List<Long> generations = LogSegmentFile.generations(directory);
-        if (directory.length(BORN) == 0) {
+        List<Long> generations = LogSegmentFiles.generations(directory);
+        if (directory.length(MARKER_FILE) == 0) {
             for (long generation : generations) {
-                new LogSegmentFile(directory, generation).remove();
+                new LogSegmentFiles(directory, generation).remove();
             }
-            return begin();
+            return createFirstGeneration();
         }
         for (int i = generations.size() - 1; i >= 0; i--) {
-            LogSegmentFile segment = new LogSegmentFile(directory, generations.get(i));
-            StoreGeneration storeGeneration = whole(segment);
-            if (storeGeneration != null) {
-                removeOthers(generations, segment);
-                return storeGeneration;
+            LogSegmentFiles segments = new LogSegmentFiles(directory, generations.get(i));
+            StoreGeneration generation = openGeneration(segments);
+            if (generation != null) {
+                removeOthers(generations, segments);
+                return generation;
             }
-            KeyValueStore.LOG.warn("torn-generation", "generation", segment.generation(), "older", i);
+            KeyValueStore.LOG.warn("torn-generation", "generation", segments.generation(), "older", i);
         }
         throw new StorageException(
                 "storage.broken", "no whole store in " + directory + ", generations " + generations, null);
     }
 
-    private StoreGeneration begin() throws IOException {
-        StoreGeneration storeGeneration = StoreGeneration.make(new LogSegmentFile(directory, 1));
-        storeGeneration.commit(List.of());
+    private StoreGeneration createFirstGeneration() throws IOException {
+        StoreGeneration generation = StoreGeneration.create(new LogSegmentFiles(directory, 1));
+        generation.commit(List.of());
         directory.sync();
-        Directory.Pen pen = directory.open(BORN, 0);
+        Directory.FileWriter pen = directory.open(MARKER_FILE, 0);
         try {
-            pen.write(BORN_TEXT, 0, BORN_TEXT.length);
+            pen.write(MARKER_TEXT, 0, MARKER_TEXT.length);
             pen.sync();
         } finally {
             pen.close();
         }
         directory.sync();
-        return storeGeneration;
+        return generation;
     }
 
     /** By its last commit, or the one before if the last is torn: only one is ever on its way to the disk. */
-    private StoreGeneration whole(LogSegmentFile segment) throws IOException {
-        StoreRepair mend = new StoreRepair(segment);
-        List<Long> ends = mend.ends(2);
+    private StoreGeneration openGeneration(LogSegmentFiles segments) throws IOException {
+        StoreRepair repair = new StoreRepair(segments);
+        List<Long> ends = repair.commitEnds(2);
         for (int i = 0; i < ends.size(); i++) {
-            boolean cut = mend.cut(ends.get(i));
-            StoreGeneration read = StoreGeneration.read(new LogSegmentFile(directory, segment.generation()));
-            if (read != null) {
-                settle(segment, i + 1 < ends.size() ? ends.get(i + 1) : 0);
+            boolean cut = repair.truncateAfter(ends.get(i));
+            StoreGeneration generation = StoreGeneration.read(new LogSegmentFiles(directory, segments.generation()));
+            if (generation != null) {
+                syncGeneration(segments, i + 1 < ends.size() ? ends.get(i + 1) : 0);
                 if (cut) {
                     KeyValueStore.LOG.tell(
                             "torn-tail",
                             "generation",
-                            segment.generation(),
+                            segments.generation(),
                             "end",
                             ends.get(i),
                             "commits",
-                            read.commits(),
+                            generation.commitCount(),
                             "why",
                             i == 0 ? "bytes behind the last commit" : "the last commit was not whole");
                 }
-                return read;
+                return generation;
             }
         }
         return null;
@@ -89,20 +89,20 @@
      * never synced, and files may stand under names that were not: who opens acts on both, so a loss of power must not
      * take them back. What lies before {@code from}, the end of the commit before, had returned and is durable already.
      */
-    private void settle(LogSegmentFile segment, long from) throws IOException {
-        for (long file : segment.addresses()) {
-            if (file + LogSegmentFile.FILE_BYTES > from) {
-                directory.sync(segment.name(file));
+    private void syncGeneration(LogSegmentFiles segments, long from) throws IOException {
+        for (long file : segments.addresses()) {
+            if (file + LogSegmentFiles.FILE_BYTES > from) {
+                directory.sync(segments.fileName(file));
             }
         }
-        directory.sync(BORN);
+        directory.sync(MARKER_FILE);
         directory.sync();
     }
 
-    private void removeOthers(List<Long> generations, LogSegmentFile kept) throws IOException {
+    private void removeOthers(List<Long> generations, LogSegmentFiles opened) throws IOException {
         for (long generation : generations) {
-            if (generation != kept.generation()) {
-                new LogSegmentFile(directory, generation).remove();
+            if (generation != opened.generation()) {
+                new LogSegmentFiles(directory, generation).remove();
             }
         }
         if (generations.size() > 1) {
--- a/src/main/java/brambletray/platform/storage/StoreRepair.java
+++ b/src/main/java/brambletray/platform/storage/StoreRepair.java
@@ -17,26 +17,26 @@
  * (type 1) ends each commit and holds three numbers, the third the sum of the others and 199.
  */
 final class StoreRepair {
-    private static final int TURN = 0x80;
-    private static final int NULL = 0;
-    private static final int ROOT = 1;
-    private static final long ROOT_SUM = 199;
+    private static final int TYPE_FLAG = 0x80;
+    private static final int PADDING_TYPE = 0;
+    private static final int ROOT_TYPE = 1;
+    private static final long ROOT_CHECK_CONSTANT = 199;
 
-    private final LogSegmentFile segment;
+    private final LogSegmentFiles segments;
     private byte[] bytes;
-    private int at;
-    private int end;
+    private int position;
+    private int limit;
 
-    StoreRepair(LogSegmentFile segment) {
-        this.segment = segment;
+    StoreRepair(LogSegmentFiles segments) {
+        this.segments = segments;
     }
 
-    /** Where the last commits end, the newest first, at most {@code most}. */
-    List<Long> ends(int most) throws IOException {
-        List<Long> whole = whole();
+    /** Where the last commits end, the newest first, at most {@code maxCount}. */
+    List<Long> commitEnds(int maxCount) throws IOException {
+        List<Long> files = contiguousFiles();
         List<Long> ends = new ArrayList<>();
-        for (int i = whole.size() - 1; i >= 0 && ends.size() < most; i--) {
-            Deque<Long> roots = roots(whole.get(i), most - ends.size());
+        for (int i = files.size() - 1; i >= 0 && ends.size() < maxCount; i--) {
+            Deque<Long> roots = findRoots(files.get(i), maxCount - ends.size());
             while (!roots.isEmpty()) {
                 ends.add(roots.removeLast());
             }
@@ -45,15 +45,15 @@
     }
 
     /** Cuts off all behind this address, durably; true if there was anything. */
-    boolean cut(long address) throws IOException {
-        Directory directory = segment.directory();
+    boolean truncateAfter(long address) throws IOException {
+        Directory directory = segments.directory();
         boolean removed = false;
         boolean cut = false;
-        List<Long> files = segment.addresses();
+        List<Long> files = segments.addresses();
         for (int i = files.size() - 1; i >= 0; i--) {
             long file = files.get(i);
             if (file >= address) {
-                directory.remove(segment.name(file));
+                directory.remove(segments.fileName(file));
                 removed = true;
             }
         }
@@ -62,9 +62,9 @@
         }
         for (long file : files) {
             if (file < address
-                    && address < file + LogSegmentFile.FILE_BYTES
-                    && directory.length(segment.name(file)) > address - file) {
-                directory.cut(segment.name(file), address - file);
+                    && address < file + LogSegmentFiles.FILE_BYTES
+                    && directory.length(segments.fileName(file)) > address - file) {
+                directory.truncate(segments.fileName(file), address - file);
                 cut = true;
             }
         }
@@ -72,66 +72,66 @@
     }
 
     /** The files up to the first that is short: what comes behind that one belongs to no commit. */
-    private List<Long> whole() throws IOException {
-        List<Long> whole = new ArrayList<>();
+    private List<Long> contiguousFiles() throws IOException {
+        List<Long> files = new ArrayList<>();
         long next = -1;
-        for (long file : segment.addresses()) {
+        for (long file : segments.addresses()) {
             if (next >= 0 && file != next) {
                 break;
             }
-            whole.add(file);
-            if (segment.directory().length(segment.name(file)) < LogSegmentFile.FILE_BYTES) {
+            files.add(file);
+            if (segments.directory().length(segments.fileName(file)) < LogSegmentFiles.FILE_BYTES) {
                 break;
             }
-            next = file + LogSegmentFile.FILE_BYTES;
+            next = file + LogSegmentFiles.FILE_BYTES;
         }
-        return whole;
+        return files;
     }
 
-    private Deque<Long> roots(long file, int most) throws IOException {
+    private Deque<Long> findRoots(long file, int maxCount) throws IOException {
         int length =
-                (int) Math.min(LogSegmentFile.FILE_BYTES, segment.directory().length(segment.name(file)));
+                (int) Math.min(LogSegmentFiles.FILE_BYTES, segments.directory().length(segments.fileName(file)));
         bytes = new byte[length];
-        end = segment.directory().read(segment.name(file), 0, bytes, 0, length);
-        at = 0;
+        limit = segments.directory().read(segments.fileName(file), 0, bytes, 0, length);
+        position = 0;
         Deque<Long> roots = new ArrayDeque<>();
-        while (at < end) {
-            int type = (bytes[at++] ^ TURN) & 0xff;
-            if (type == NULL) {
+        while (position < limit) {
+            int type = (bytes[position++] ^ TYPE_FLAG) & 0xff;
+            if (type == PADDING_TYPE) {
                 continue;
             }
-            long structure = number(end);
-            long size = number(end);
-            if (type >= TURN || structure < 0 || size < 0 || size > end - at) {
+            long structure = readNumber(limit);
+            long size = readNumber(limit);
+            if (type >= TYPE_FLAG || structure < 0 || size < 0 || size > limit - position) {
                 break;
             }
-            int next = at + (int) size;
-            if (type == ROOT && root(next)) {
+            int next = position + (int) size;
+            if (type == ROOT_TYPE && isValidRoot(next)) {
                 roots.addLast(file + next);
-                if (roots.size() > most) {
+                if (roots.size() > maxCount) {
                     roots.removeFirst();
                 }
             }
-            at = next;
+            position = next;
         }
         bytes = null;
         return roots;
     }
 
-    private boolean root(int next) {
-        long tree = number(next);
-        long structures = number(next);
-        long sum = number(next);
-        return tree >= 0 && structures >= 0 && sum == tree + structures + ROOT_SUM;
+    private boolean isValidRoot(int next) {
+        long tree = readNumber(next);
+        long structures = readNumber(next);
+        long sum = readNumber(next);
+        return tree >= 0 && structures >= 0 && sum == tree + structures + ROOT_CHECK_CONSTANT;
     }
 
     /** The number at this place, or -1 if there is none. */
-    private long number(int limit) {
+    private long readNumber(int limit) {
         long number = 0;
-        for (int shift = 0; at < limit && shift < Long.SIZE - 1; shift += 7) {
-            byte one = bytes[at++];
+        for (int shift = 0; position < limit && shift < Long.SIZE - 1; shift += 7) {
+            byte one = bytes[position++];
             number |= (long) (one & 0x7f) << shift;
-            if ((one & TURN) != 0) {
+            if ((one & TYPE_FLAG) != 0) {
                 return number;
             }
         }
--- a/src/main/java/brambletray/platform/storage/SyncWriter.java
+++ b/src/main/java/brambletray/platform/storage/SyncWriter.java
@@ -19,13 +19,13 @@
         void commit(List<KeyChange> changes) throws StorageException;
 
         /** Nothing waits for an answer now: time to put things in entry. */
-        default void tidy() {}
+        default void compact() {}
     }
 
     /** Commits, and bytes of their values, that may wait. */
-    public static final int MOST_COMMITS = 4_096;
+    public static final int MAX_PENDING_COMMITS = 4_096;
 
-    public static final long MOST_BYTES = 16L << 20;
+    public static final long MAX_PENDING_BYTES = 16L << 20;
 
     private static final EventLog LOG = EventLog.of("storage");
 
@@ -34,28 +34,28 @@
     private final CommitQueue queue;
     private final Thread thread;
     /** Called on the loop after each commit that was taken in. */
-    private final Runnable due;
+    private final Runnable onPending;
 
     /** Starts the thread; {@code loop} runs the replies. */
     public SyncWriter(Disk disk, Executor loop) {
         this.disk = disk;
         this.loop = loop;
-        queue = queue(new ReentrantLock());
-        due = () -> {};
+        queue = createQueue(new ReentrantLock());
+        onPending = () -> {};
         thread = new Thread(this::run, "scribe");
         thread.setDaemon(true);
         thread.start();
     }
 
     /**
-     * Without a thread, for simulated time: {@code due} is called whenever something has come to wait, {@link #batch}
+     * Without a thread, for simulated time: {@code onPending} is called whenever something has come to wait, {@link #pollBatch}
      * takes it.
      */
-    SyncWriter(Disk disk, Executor loop, Runnable due) {
+    SyncWriter(Disk disk, Executor loop, Runnable onPending) {
         this.disk = disk;
         this.loop = loop;
-        this.due = due;
-        queue = queue(new ReentrantLock());
+        this.onPending = onPending;
+        queue = createQueue(new ReentrantLock());
         thread = null;
     }
 
@@ -63,32 +63,32 @@
     SyncWriter(Disk disk, Executor loop, ReentrantLock lock) {
         this.disk = disk;
         this.loop = loop;
-        due = () -> {};
-        queue = queue(lock);
+        onPending = () -> {};
+        queue = createQueue(lock);
         thread = null;
     }
 
-    private static CommitQueue queue(ReentrantLock lock) {
-        return new CommitQueue(MOST_COMMITS, MOST_BYTES, lock);
+    private static CommitQueue createQueue(ReentrantLock lock) {
+        return new CommitQueue(MAX_PENDING_COMMITS, MAX_PENDING_BYTES, lock);
     }
 
-    /** {@inheritDoc} {@code now}: as {@link #oldestWaitMs} will be asked with. */
+    /** {@inheritDoc} {@code nowMs}: as {@link #oldestWaitMs} will be asked with. */
     @Override
-    public boolean commit(List<KeyChange> changes, long now, Reply reply) {
+    public boolean commit(List<KeyChange> changes, long nowMs, CommitCallback callback) {
         long bytes = 0;
         for (KeyChange change : changes) {
             bytes += change.value() == null ? 0 : change.value().length;
         }
-        boolean taken = queue.add(new CommitQueue.Entry(changes, reply, now, bytes));
+        boolean taken = queue.add(new CommitQueue.Entry(changes, callback, nowMs, bytes));
         if (taken) {
-            due.run();
+            onPending.run();
         }
         return taken;
     }
 
     /** ms that the commit which has waited longest has waited, on the disk or for it; 0 if none does. */
-    public long oldestWaitMs(long now) {
-        return queue.oldestWaitMs(now);
+    public long oldestWaitMs(long nowMs) {
+        return queue.oldestWaitMs(nowMs);
     }
 
     /** Commits that wait or are being written. */
@@ -103,10 +103,10 @@
     }
 
     /** Waits up to so many ms for all that was asked for; true if it is done. */
-    public boolean drain(long ms) {
+    public boolean drain(long timeoutMs) {
         close();
         try {
-            thread.join(ms);
+            thread.join(timeoutMs);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -116,16 +116,16 @@
     /** Writes until the queue is closed and empty: what the thread does. */
     void run() {
         for (List<CommitQueue.Entry> entries = queue.take(); entries != null; entries = queue.take()) {
-            finish(entries);
+            writeBatch(entries);
         }
     }
 
-    private void finish(List<CommitQueue.Entry> entries) {
-        StorageException fault = write(entries);
-        queue.finished();
-        reply(entries, fault);
-        if (fault == null) {
-            tidy();
+    private void writeBatch(List<CommitQueue.Entry> entries) {
+        StorageException error = tryWrite(entries);
+        queue.markFinished();
+        notifyCallbacks(entries, error);
+        if (error == null) {
+            compact();
         }
     }
 
@@ -133,21 +133,21 @@
      * All that waits, taken as the thread would take it: the rest, to be run once, writes it and replies. Null: nothing
      * waits.
      */
-    Runnable batch() {
+    Runnable pollBatch() {
         List<CommitQueue.Entry> entries = queue.poll();
-        return entries == null ? null : () -> finish(entries);
+        return entries == null ? null : () -> writeBatch(entries);
     }
 
-    private void tidy() {
+    private void compact() {
         try {
-            disk.tidy();
+            disk.compact();
         } catch (RuntimeException e) {
             LOG.warn("not-tidied", "why", e);
         }
     }
 
-    private StorageException write(List<CommitQueue.Entry> entries) {
-        List<KeyChange> changes = entries.size() == 1 ? entries.get(0).changes() : merged(entries);
+    private StorageException tryWrite(List<CommitQueue.Entry> entries) {
+        List<KeyChange> changes = entries.size() == 1 ? entries.get(0).changes() : mergeChanges(entries);
         try {
             disk.commit(changes);
             return null;
@@ -169,7 +169,7 @@
         }
     }
 
-    private static List<KeyChange> merged(List<CommitQueue.Entry> entries) {
+    private static List<KeyChange> mergeChanges(List<CommitQueue.Entry> entries) {
         Map<String, KeyChange> last = new HashMap<>();
         for (CommitQueue.Entry entry : entries) {
             for (KeyChange change : entry.changes()) {
@@ -179,14 +179,14 @@
         return new ArrayList<>(last.values());
     }
 
-    private void reply(List<CommitQueue.Entry> entries, StorageException fault) {
+    private void notifyCallbacks(List<CommitQueue.Entry> entries, StorageException error) {
         try {
             loop.execute(() -> {
                 for (CommitQueue.Entry entry : entries) {
-                    if (fault == null) {
-                        entry.reply().done();
+                    if (error == null) {
+                        entry.callback().onCommitted();
                     } else {
-                        entry.reply().failed(fault);
+                        entry.callback().onFailed(error);
                     }
                 }
             });
--- a/src/main/java/brambletray/platform/storage/ValueChunks.java
+++ b/src/main/java/brambletray/platform/storage/ValueChunks.java
@@ -14,93 +14,93 @@
  */
 final class ValueChunks {
     /** What the keys of values begin with; those of their further pieces begin with another. */
-    static final byte HEAD = 'k';
+    static final byte FIRST_CHUNK_PREFIX = 'k';
 
-    private static final byte FURTHER = 'p';
-    private static final int PIECE = 192 << 10;
+    private static final byte NEXT_CHUNK_PREFIX = 'p';
+    private static final int CHUNK_BYTES = 192 << 10;
 
     private ValueChunks() {}
 
     /** Writes a value, or removes it, and what is left of a longer one before. */
-    static void put(Store store, Transaction t, KeyChange change, int oldLength) {
+    static void put(Store store, Transaction transaction, KeyChange change, int oldLength) {
         byte[] value = change.value();
-        int pieces = value == null ? 0 : Math.max(1, (value.length + PIECE - 1) / PIECE);
-        byte[] head = head(change.key());
-        for (int i = Math.max(1, pieces); i * (long) PIECE < oldLength; i++) {
-            store.delete(t, further(head, i));
+        int chunks = value == null ? 0 : Math.max(1, (value.length + CHUNK_BYTES - 1) / CHUNK_BYTES);
+        byte[] firstKey = firstChunkKey(change.key());
+        for (int i = Math.max(1, chunks); i * (long) CHUNK_BYTES < oldLength; i++) {
+            store.delete(transaction, nextChunkKey(firstKey, i));
         }
         if (value == null) {
-            store.delete(t, new ArrayByteIterable(head));
+            store.delete(transaction, new ArrayByteIterable(firstKey));
             return;
         }
-        int first = Math.min(PIECE, value.length);
+        int first = Math.min(CHUNK_BYTES, value.length);
         store.put(
-                t,
-                new ArrayByteIterable(head),
+                transaction,
+                new ArrayByteIterable(firstKey),
                 new ArrayByteIterable(ByteBuffer.allocate(Integer.BYTES + first)
                         .putInt(value.length)
                         .put(value, 0, first)
                         .array()));
-        for (int i = 1; i < pieces; i++) {
-            byte[] piece = Arrays.copyOfRange(value, i * PIECE, Math.min(value.length, (i + 1) * PIECE));
-            store.put(t, further(head, i), new ArrayByteIterable(piece));
+        for (int i = 1; i < chunks; i++) {
+            byte[] chunk = Arrays.copyOfRange(value, i * CHUNK_BYTES, Math.min(value.length, (i + 1) * CHUNK_BYTES));
+            store.put(transaction, nextChunkKey(firstKey, i), new ArrayByteIterable(chunk));
         }
     }
 
     /** The whole value whose first piece this is; null if a piece is not as it was written. */
-    static byte[] whole(Store store, Transaction t, byte[] head, byte[] first) {
+    static byte[] readValue(Store store, Transaction transaction, byte[] firstKey, byte[] first) {
         if (first.length < Integer.BYTES) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(first);
         int length = in.getInt();
-        if (length < in.remaining() || length > KeyValueStore.LONGEST) {
+        if (length < in.remaining() || length > KeyValueStore.MAX_VALUE_BYTES) {
             return null;
         }
         byte[] value = new byte[length];
         int done = in.remaining();
         in.get(value, 0, done);
         for (int i = 1; done < length; i++) {
-            ByteIterable found = store.get(t, further(head, i));
+            ByteIterable found = store.get(transaction, nextChunkKey(firstKey, i));
             if (found == null || found.getLength() == 0 || found.getLength() > length - done) {
                 return null;
             }
-            byte[] piece = bytes(found);
-            System.arraycopy(piece, 0, value, done, piece.length);
-            done += piece.length;
+            byte[] chunk = bytes(found);
+            System.arraycopy(chunk, 0, value, done, chunk.length);
+            done += chunk.length;
         }
         return value;
     }
 
-    static byte[] utf(String text) {
+    static byte[] utf8(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
     /** The key of a value's first piece. */
-    static byte[] head(String key) {
-        byte[] utf = utf(key);
-        byte[] head = new byte[utf.length + 1];
-        head[0] = HEAD;
-        System.arraycopy(utf, 0, head, 1, utf.length);
-        return head;
+    static byte[] firstChunkKey(String key) {
+        byte[] utf = utf8(key);
+        byte[] firstKey = new byte[utf.length + 1];
+        firstKey[0] = FIRST_CHUNK_PREFIX;
+        System.arraycopy(utf, 0, firstKey, 1, utf.length);
+        return firstKey;
     }
 
-    /** The key that {@link #head} was made of. */
-    static String name(byte[] head) {
-        return new String(head, 1, head.length - 1, StandardCharsets.UTF_8);
+    /** The key that {@link #firstChunkKey} was made of. */
+    static String keyOf(byte[] firstKey) {
+        return new String(firstKey, 1, firstKey.length - 1, StandardCharsets.UTF_8);
     }
 
     static byte[] bytes(ByteIterable value) {
         return Arrays.copyOf(value.getBytesUnsafe(), value.getLength());
     }
 
-    private static ArrayByteIterable further(byte[] head, int index) {
-        byte[] key = ByteBuffer.allocate(head.length + 1 + Integer.BYTES)
-                .put(head)
+    private static ArrayByteIterable nextChunkKey(byte[] firstKey, int index) {
+        byte[] key = ByteBuffer.allocate(firstKey.length + 1 + Integer.BYTES)
+                .put(firstKey)
                 .put((byte) 0)
                 .putInt(index)
                 .array();
-        key[0] = FURTHER;
+        key[0] = NEXT_CHUNK_PREFIX;
         return new ArrayByteIterable(key);
     }
 }
--- a/src/test/java/brambletray/platform/configuration/ConfigurationDeltaTest.java
+++ b/src/test/java/brambletray/platform/configuration/ConfigurationDeltaTest.java
@@ -54,7 +54,7 @@
     }
 
     private static Configuration travelled(Configuration at, ConfigurationDelta delta) {
-        return at.apply(ConfigurationDelta.unpack(delta.packed()));
+        return at.apply(ConfigurationDelta.fromCompressedBytes(delta.toCompressedBytes()));
     }
 
     private static TreeMap<String, String> content(Configuration configuration) {
@@ -80,16 +80,16 @@
     void oneRouteOfManyTravelsAlone() {
         for (Configuration before : List.of(large(1, 721), routes(1, 36_000))) {
             ChangeHistory many = new ChangeHistory();
-            many.become(before);
+            many.advanceTo(before);
             Configuration after = route(before, "r5", "/moved/", "s0");
-            many.become(after);
-            ConfigurationDelta delta = many.since(1);
+            many.advanceTo(after);
+            ConfigurationDelta delta = many.deltaSince(1);
             assertEquals(
                     List.of("routes/r5"),
                     delta.entries().stream()
                             .map(e -> e.table() + "/" + e.name())
                             .toList());
-            assertTrue(delta.packed().length < 300, "bytes: " + delta.packed().length);
+            assertTrue(delta.toCompressedBytes().length < 300, "bytes: " + delta.toCompressedBytes().length);
             assertSame(after, travelled(before, delta));
         }
     }
@@ -97,24 +97,24 @@
     @Test
     void theWholeTravelsPackedToWhoHasNothing() {
         Configuration configuration = large(7, 721);
-        history.become(configuration);
-        byte[] packed = history.whole().packed();
+        history.advanceTo(configuration);
+        byte[] packed = history.fullDelta().toCompressedBytes();
         assertTrue(
                 packed.length * 8 < configuration.json().length, packed.length + " of " + configuration.json().length);
-        assertSame(configuration, Configuration.NONE.apply(ConfigurationDelta.unpack(packed)));
-        assertSame(configuration, large(3, 9).apply(ConfigurationDelta.unpack(packed)));
+        assertSame(configuration, Configuration.NONE.apply(ConfigurationDelta.fromCompressedBytes(packed)));
+        assertSame(configuration, large(3, 9).apply(ConfigurationDelta.fromCompressedBytes(packed)));
     }
 
     @Test
     void whoIsTwoThousandVersionsBehindGetsOneDifference() {
         Configuration first = large(1, 50);
         Configuration last = first;
-        history.become(first);
+        history.advanceTo(first);
         for (int i = 0; i < 2_000; i++) {
             last = route(last, "r" + i % 20, "/v" + i + "/", "s3");
-            history.become(last);
+            history.advanceTo(last);
         }
-        ConfigurationDelta delta = history.since(1);
+        ConfigurationDelta delta = history.deltaSince(1);
         assertEquals(20, delta.entries().size());
         assertSame(last, travelled(first, delta));
     }
@@ -122,42 +122,42 @@
     @Test
     void onlySoManyVersionsAreRemembered() {
         Configuration last = large(1, 30);
-        history.become(last);
-        for (int i = 0; i < ChangeHistory.VERSIONS; i++) {
+        history.advanceTo(last);
+        for (int i = 0; i < ChangeHistory.MAX_VERSIONS; i++) {
             last = route(last, "r1", "/v" + i + "/", "s3");
-            history.become(last);
+            history.advanceTo(last);
         }
-        assertNotNull(history.since(1));
-        history.become(route(last, "r1", "/last/", "s3"));
-        assertNull(history.since(1));
-        assertNotNull(history.since(2));
+        assertNotNull(history.deltaSince(1));
+        history.advanceTo(route(last, "r1", "/last/", "s3"));
+        assertNull(history.deltaSince(1));
+        assertNotNull(history.deltaSince(2));
     }
 
     @Test
     void namesAreBoundedAsVersionsAre() {
         int count = 4_000;
-        history.become(large(1, count));
+        history.advanceTo(large(1, count));
         int step = 1;
-        for (int names = 0; names <= ChangeHistory.NAMES; names += 2 * count) {
-            assertTrue(step == 1 || history.remembers(1), "after " + names + " names");
+        for (int names = 0; names <= ChangeHistory.MAX_NAMES; names += 2 * count) {
+            assertTrue(step == 1 || history.isRemembered(1), "after " + names + " names");
             step++;
-            history.become(
+            history.advanceTo(
                     step % 2 == 1
                             ? large(step, count)
                             : Sample.configuration(Sample.whole(
                                     step, Sample.route("only", "h.example", "/", "t"), Sample.service("t"))));
         }
-        assertTrue(!history.remembers(1));
-        assertTrue(history.remembers(step - 1));
+        assertTrue(!history.isRemembered(1));
+        assertTrue(history.isRemembered(step - 1));
     }
 
     @Test
     void whatIsWithdrawnIsGone() {
         Configuration before = Sample.configuration(Sample.two(1));
-        history.become(before);
+        history.advanceTo(before);
         Configuration after = modified(before, "", "'routes':['r2'],'services':['b']");
-        history.become(after);
-        Configuration found = travelled(before, history.since(1));
+        history.advanceTo(after);
+        Configuration found = travelled(before, history.deltaSince(1));
         assertSame(after, found);
         assertNull(found.match("h.example", "/two/x"));
         assertNull(found.services().get("b"));
@@ -166,21 +166,21 @@
     @Test
     void aReplacementOfAllIsToldAsWhole() {
         Configuration before = large(1, 40);
-        history.become(before);
+        history.advanceTo(before);
         Configuration after = Sample.configuration(Sample.two(9));
-        history.become(after);
-        assertNull(history.since(1));
-        assertSame(after, travelled(before, history.whole()));
+        history.advanceTo(after);
+        assertNull(history.deltaSince(1));
+        assertSame(after, travelled(before, history.fullDelta()));
     }
 
     @Test
     void aReplacementThatChangesLittleIsToldAsLittle() {
-        history.become(large(1, 40));
+        history.advanceTo(large(1, 40));
         Configuration after = Sample.configuration(
                 new String(large(2, 40).json(), java.nio.charset.StandardCharsets.UTF_8).replace("/p7/", "/other/"));
-        history.become(after);
-        assertEquals(1, history.since(1).entries().size());
-        assertSame(after, travelled(large(1, 40), history.since(1)));
+        history.advanceTo(after);
+        assertEquals(1, history.deltaSince(1).entries().size());
+        assertSame(after, travelled(large(1, 40), history.deltaSince(1)));
     }
 
     @Test
@@ -188,25 +188,25 @@
         Configuration one = Sample.configuration(Sample.two(1));
         Configuration two = route(one, "r3", "/three/", "a");
         Configuration three = route(two, "r4", "/four/", "a");
-        history.become(one);
-        history.become(two);
-        history.become(three);
+        history.advanceTo(one);
+        history.advanceTo(two);
+        history.advanceTo(three);
         assertEquals(
                 "configuration.stale",
-                code(assertThrows(ConfigurationException.class, () -> one.apply(history.since(2)))));
-        assertNull(history.since(17));
+                code(assertThrows(ConfigurationException.class, () -> one.apply(history.deltaSince(2)))));
+        assertNull(history.deltaSince(17));
         assertEquals(
                 "configuration.not-newer",
-                code(assertThrows(ConfigurationException.class, () -> three.apply(history.whole()))));
+                code(assertThrows(ConfigurationException.class, () -> three.apply(history.fullDelta()))));
     }
 
     @Test
     void aResultThatIsNotTheSendersIsNotTaken() {
         Configuration one = Sample.configuration(Sample.two(1));
-        history.become(one);
-        history.become(
+        history.advanceTo(one);
+        history.advanceTo(
                 modified(one, "'routes':[" + Sample.route("r3", "h.example", "/three/", "a") + "]", "'routes':['r1']"));
-        ConfigurationDelta good = history.since(1);
+        ConfigurationDelta good = history.deltaSince(1);
         List<ConfigurationDelta> wrong = new ArrayList<>();
         for (int i = 0; i < good.entries().size(); i++) {
             List<ConfigurationDelta.Entry> fewer = new ArrayList<>(good.entries());
@@ -226,8 +226,8 @@
 
     @Test
     void brokenBytesAreAFaultOfOursAndNothingElse() {
-        history.become(large(1, 30));
-        byte[] packed = history.whole().packed();
+        history.advanceTo(large(1, 30));
+        byte[] packed = history.fullDelta().toCompressedBytes();
         Random random = new Random(5);
         for (int i = 0; i < 400; i++) {
             byte[] broken = Arrays.copyOf(packed, i % 2 == 0 ? packed.length : random.nextInt(packed.length));
@@ -236,7 +236,7 @@
             }
             assertThrows(
                     ConfigurationException.class,
-                    () -> Configuration.NONE.apply(ConfigurationDelta.unpack(broken)),
+                    () -> Configuration.NONE.apply(ConfigurationDelta.fromCompressedBytes(broken)),
                     "broken " + i);
         }
     }
@@ -267,15 +267,15 @@
             Random random = new Random(seed);
             ChangeHistory course = new ChangeHistory();
             Configuration configuration = Sample.configuration(Sample.two(1));
-            course.become(configuration);
+            course.advanceTo(configuration);
             List<Configuration> edges = new ArrayList<>(List.of(configuration, configuration, Configuration.NONE));
             for (int step = 0; step < 40; step++) {
                 configuration = change(configuration, random);
-                course.become(random.nextInt(5) == 0 ? Configuration.read(configuration.json()) : configuration);
+                course.advanceTo(random.nextInt(5) == 0 ? Configuration.read(configuration.json()) : configuration);
                 int which = random.nextInt(edges.size());
                 Configuration edge = edges.get(which);
-                ConfigurationDelta delta = course.since(edge.revision());
-                Configuration next = travelled(edge, delta == null ? course.whole() : delta);
+                ConfigurationDelta delta = course.deltaSince(edge.revision());
+                Configuration next = travelled(edge, delta == null ? course.fullDelta() : delta);
                 assertSame(configuration, next);
                 assertEquals(content(configuration), content(Configuration.read(next.json())), "seed " + seed);
                 edges.set(which, next);
--- a/src/test/java/brambletray/platform/configuration/ConfigurationStateMachineTest.java
+++ b/src/test/java/brambletray/platform/configuration/ConfigurationStateMachineTest.java
@@ -25,23 +25,23 @@
     }
 
     private byte[] fine(ChangeKind verb, long base, byte[] body) {
-        return assertInstanceOf(ChangeDecision.Fine.class, stateMachine.judge(verb, base, body))
-                .change();
+        return assertInstanceOf(ChangeDecision.Proposable.class, stateMachine.evaluate(verb, base, body))
+                .encodedChange();
     }
 
     private void take(ChangeKind verb, long base, byte[] body) {
-        assertInstanceOf(ChangeDecision.Taken.class, stateMachine.deliver(fine(verb, base, body)));
+        assertInstanceOf(ChangeDecision.Applied.class, stateMachine.apply(fine(verb, base, body)));
     }
 
     @Test
     void theFirstBuildsOnNothing() {
         assertEquals(
-                new ChangeDecision.Stale(0), stateMachine.judge(ChangeKind.REPLACE, 5, Sample.bytes(Sample.two(7))));
+                new ChangeDecision.Stale(0), stateMachine.evaluate(ChangeKind.REPLACE, 5, Sample.bytes(Sample.two(7))));
         byte[] change = fine(ChangeKind.REPLACE, 0, Sample.bytes(Sample.two(7)));
         assertEquals(0, stateMachine.configuration().revision(), "judged only");
         assertEquals(
                 7,
-                assertInstanceOf(ChangeDecision.Taken.class, stateMachine.deliver(change))
+                assertInstanceOf(ChangeDecision.Applied.class, stateMachine.apply(change))
                         .configuration()
                         .revision());
         assertEquals(7, stateMachine.configuration().revision());
@@ -52,11 +52,12 @@
         take(ChangeKind.REPLACE, 0, Sample.bytes(Sample.two(7)));
         byte[] one = fine(ChangeKind.MODIFY, 7, move(9, "b"));
         byte[] other = fine(ChangeKind.REPLACE, 7, Sample.bytes(Sample.two(12)));
-        assertInstanceOf(ChangeDecision.Taken.class, stateMachine.deliver(one));
-        assertEquals(new ChangeDecision.Stale(9), stateMachine.deliver(other));
+        assertInstanceOf(ChangeDecision.Applied.class, stateMachine.apply(one));
+        assertEquals(new ChangeDecision.Stale(9), stateMachine.apply(other));
         assertEquals(9, stateMachine.configuration().revision());
         assertEquals(
-                new ChangeDecision.Stale(9), stateMachine.judge(ChangeKind.REPLACE, 7, Sample.bytes(Sample.two(12))));
+                new ChangeDecision.Stale(9),
+                stateMachine.evaluate(ChangeKind.REPLACE, 7, Sample.bytes(Sample.two(12))));
     }
 
     @Test
@@ -64,19 +65,19 @@
         byte[] first = Sample.bytes(Sample.two(7));
         take(ChangeKind.REPLACE, 0, first);
         byte[] twice = fine(ChangeKind.MODIFY, 7, move(9, "b"));
-        assertInstanceOf(ChangeDecision.Taken.class, stateMachine.deliver(twice));
+        assertInstanceOf(ChangeDecision.Applied.class, stateMachine.apply(twice));
         assertEquals(
-                new ChangeDecision.TakenBefore(9), stateMachine.deliver(twice), "put into the order by two members");
+                new ChangeDecision.AlreadyApplied(9), stateMachine.apply(twice), "put into the order by two members");
         take(ChangeKind.MODIFY, 9, move(11, "a"));
-        assertEquals(new ChangeDecision.TakenBefore(7), stateMachine.judge(ChangeKind.REPLACE, 0, first));
-        assertEquals(new ChangeDecision.TakenBefore(9), stateMachine.judge(ChangeKind.MODIFY, 7, move(9, "b")));
+        assertEquals(new ChangeDecision.AlreadyApplied(7), stateMachine.evaluate(ChangeKind.REPLACE, 0, first));
+        assertEquals(new ChangeDecision.AlreadyApplied(9), stateMachine.evaluate(ChangeKind.MODIFY, 7, move(9, "b")));
         assertEquals(
                 new ChangeDecision.Stale(11),
-                stateMachine.judge(ChangeKind.REPLACE, 7, first),
+                stateMachine.evaluate(ChangeKind.REPLACE, 7, first),
                 "the same body on another base");
         assertEquals(
                 new ChangeDecision.Stale(11),
-                stateMachine.judge(ChangeKind.REPLACE, 9, move(11, "a")),
+                stateMachine.evaluate(ChangeKind.REPLACE, 9, move(11, "a")),
                 "by another verb");
         assertEquals(11, stateMachine.configuration().revision());
     }
@@ -85,18 +86,19 @@
     void invalidOnesChangeNothing() {
         take(ChangeKind.REPLACE, 0, Sample.bytes(Sample.two(7)));
         byte[] before = stateMachine.snapshot();
-        ChangeDecision.Invalid invalid =
-                assertInstanceOf(ChangeDecision.Invalid.class, stateMachine.judge(ChangeKind.MODIFY, 7, move(9, "z")));
-        assertEquals("configuration.unknown-service", invalid.fault().code());
+        ChangeDecision.Invalid invalid = assertInstanceOf(
+                ChangeDecision.Invalid.class, stateMachine.evaluate(ChangeKind.MODIFY, 7, move(9, "z")));
+        assertEquals("configuration.unknown-service", invalid.error().code());
         assertInstanceOf(
-                ChangeDecision.Invalid.class, stateMachine.judge(ChangeKind.REPLACE, 7, Sample.bytes(Sample.two(7))));
+                ChangeDecision.Invalid.class,
+                stateMachine.evaluate(ChangeKind.REPLACE, 7, Sample.bytes(Sample.two(7))));
         assertInstanceOf(
                 ChangeDecision.Invalid.class,
-                stateMachine.judge(ChangeKind.REPLACE, 7, new byte[ConfigurationJson.LARGEST + 1]));
+                stateMachine.evaluate(ChangeKind.REPLACE, 7, new byte[ConfigurationJson.MAX_BODY_BYTES + 1]));
         assertInstanceOf(
                 ChangeDecision.Invalid.class,
-                stateMachine.deliver(new ConfigurationChange(ChangeKind.MODIFY, 7, move(9, "z")).bytes()));
-        assertInstanceOf(ChangeDecision.Invalid.class, stateMachine.deliver(new byte[] {9, 9, 9}));
+                stateMachine.apply(new ConfigurationChange(ChangeKind.MODIFY, 7, move(9, "z")).encode()));
+        assertInstanceOf(ChangeDecision.Invalid.class, stateMachine.apply(new byte[] {9, 9, 9}));
         assertArrayEquals(before, stateMachine.snapshot());
         take(ChangeKind.MODIFY, 7, move(9, "b"));
     }
@@ -113,7 +115,7 @@
         ConfigurationStateMachine joiner = null;
         List<byte[]> changes = new ArrayList<>();
         take(ChangeKind.REPLACE, 0, Sample.bytes(Sample.two(1)));
-        follower.deliver(new ConfigurationChange(ChangeKind.REPLACE, 0, Sample.bytes(Sample.two(1))).bytes());
+        follower.apply(new ConfigurationChange(ChangeKind.REPLACE, 0, Sample.bytes(Sample.two(1))).encode());
         for (int i = 0; i < 300; i++) {
             long current = stateMachine.configuration().revision();
             long base = current - random.nextInt(2);
@@ -125,17 +127,17 @@
             boolean again = random.nextInt(5) == 0 && !changes.isEmpty();
             byte[] change = again
                     ? changes.get(random.nextInt(changes.size()))
-                    : new ConfigurationChange(verb, base, body).bytes();
+                    : new ConfigurationChange(verb, base, body).encode();
             changes.add(change);
             if (i == 150) {
                 joiner = new ConfigurationStateMachine();
                 joiner.restore(stateMachine.snapshot());
             }
-            stateMachine.judge(verb, base, body);
-            stateMachine.deliver(change);
-            follower.deliver(change);
+            stateMachine.evaluate(verb, base, body);
+            stateMachine.apply(change);
+            follower.apply(change);
             if (joiner != null) {
-                joiner.deliver(change);
+                joiner.apply(change);
                 assertArrayEquals(stateMachine.snapshot(), joiner.snapshot(), "seed " + seed + ", change " + i);
             }
             assertArrayEquals(stateMachine.snapshot(), follower.snapshot(), "seed " + seed + ", change " + i);
@@ -148,7 +150,10 @@
     void theHighestNumbersAreBasesToo() {
         long high = Long.MAX_VALUE - 1;
         take(ChangeKind.REPLACE, 0, Sample.bytes(Sample.two(high)));
-        take(ChangeKind.MODIFY, ConfigurationStateMachine.base(Long.toString(high)), move(Long.MAX_VALUE, "b"));
+        take(
+                ChangeKind.MODIFY,
+                ConfigurationStateMachine.parseBaseRevision(Long.toString(high)),
+                move(Long.MAX_VALUE, "b"));
         assertEquals(Long.MAX_VALUE, stateMachine.configuration().revision());
     }
 
@@ -162,25 +167,25 @@
         byte[] snapshot = stateMachine.snapshot();
         ConfigurationStateMachine other = new ConfigurationStateMachine();
         other.restore(snapshot);
-        assertEquals(new ChangeDecision.TakenBefore(9), other.judge(ChangeKind.MODIFY, 7, move(9, "b")));
-        assertEquals("b", other.configuration().match("h.example", "/one/").pick(0));
+        assertEquals(new ChangeDecision.AlreadyApplied(9), other.evaluate(ChangeKind.MODIFY, 7, move(9, "b")));
+        assertEquals("b", other.configuration().match("h.example", "/one/").selectService(0));
         byte[] judged = fine(ChangeKind.MODIFY, 9, Sample.bytes("{'revision':11}"));
         take(ChangeKind.MODIFY, 9, Sample.bytes("{'revision':12}"));
         ConfigurationStateMachine apart = new ConfigurationStateMachine();
-        apart.deliver(new ConfigurationChange(
+        apart.apply(new ConfigurationChange(
                         ChangeKind.REPLACE, 0, Sample.bytes(Sample.two(9).replace("/one/", "/uno/")))
-                .bytes());
-        apart.judge(ChangeKind.MODIFY, 9, Sample.bytes("{'revision':11}"));
+                .encode());
+        apart.evaluate(ChangeKind.MODIFY, 9, Sample.bytes("{'revision':11}"));
         apart.restore(snapshot);
         assertArrayEquals(snapshot, apart.snapshot(), "nothing of the former state stays");
-        apart.deliver(judged);
+        apart.apply(judged);
         assertEquals(
                 "r1",
                 apart.configuration().match("h.example", "/one/").name(),
                 "what was judged before was of another state");
         other.restore(new byte[0]);
         assertEquals(0, other.configuration().revision(), "empty bytes are the state before the first change");
-        assertEquals(new ChangeDecision.Stale(0), other.judge(ChangeKind.MODIFY, 7, move(9, "b")));
+        assertEquals(new ChangeDecision.Stale(0), other.evaluate(ChangeKind.MODIFY, 7, move(9, "b")));
         other.restore(snapshot);
         for (int length : new int[] {3, 20, snapshot.length - 1}) {
             assertThrows(
@@ -199,26 +204,26 @@
     @Test
     void onlySoManyAreRemembered() {
         take(ChangeKind.REPLACE, 0, Sample.bytes(Sample.two(1)));
-        for (int i = 1; i <= ConfigurationStateMachine.REMEMBERED; i++) {
+        for (int i = 1; i <= ConfigurationStateMachine.MAX_REMEMBERED_CHANGES; i++) {
             take(ChangeKind.MODIFY, i, move(i + 1, "a"));
         }
         assertEquals(
-                new ChangeDecision.Forgotten(2),
-                stateMachine.judge(ChangeKind.REPLACE, 0, Sample.bytes(Sample.two(1))),
+                new ChangeDecision.HistoryExpired(2),
+                stateMachine.evaluate(ChangeKind.REPLACE, 0, Sample.bytes(Sample.two(1))),
                 "it was taken: not refused");
         assertEquals(
-                new ChangeDecision.Forgotten(2),
-                stateMachine.deliver(
-                        new ConfigurationChange(ChangeKind.REPLACE, 0, Sample.bytes(Sample.two(1))).bytes()));
+                new ChangeDecision.HistoryExpired(2),
+                stateMachine.apply(
+                        new ConfigurationChange(ChangeKind.REPLACE, 0, Sample.bytes(Sample.two(1))).encode()));
         assertEquals(
-                new ChangeDecision.Stale(ConfigurationStateMachine.REMEMBERED + 1),
-                stateMachine.judge(ChangeKind.MODIFY, 2, move(3, "b")),
+                new ChangeDecision.Stale(ConfigurationStateMachine.MAX_REMEMBERED_CHANGES + 1),
+                stateMachine.evaluate(ChangeKind.MODIFY, 2, move(3, "b")),
                 "that base is remembered");
-        assertEquals(new ChangeDecision.TakenBefore(2), stateMachine.judge(ChangeKind.MODIFY, 1, move(2, "a")));
+        assertEquals(new ChangeDecision.AlreadyApplied(2), stateMachine.evaluate(ChangeKind.MODIFY, 1, move(2, "a")));
         ConfigurationStateMachine other = new ConfigurationStateMachine();
         other.restore(stateMachine.snapshot());
         assertArrayEquals(stateMachine.snapshot(), other.snapshot());
-        assertEquals(new ChangeDecision.TakenBefore(2), other.judge(ChangeKind.MODIFY, 1, move(2, "a")));
-        assertEquals(new ChangeDecision.Forgotten(2), other.judge(ChangeKind.MODIFY, 0, move(2, "a")));
+        assertEquals(new ChangeDecision.AlreadyApplied(2), other.evaluate(ChangeKind.MODIFY, 1, move(2, "a")));
+        assertEquals(new ChangeDecision.HistoryExpired(2), other.evaluate(ChangeKind.MODIFY, 0, move(2, "a")));
     }
 }
--- a/src/test/java/brambletray/platform/configuration/ConfigurationTest.java
+++ b/src/test/java/brambletray/platform/configuration/ConfigurationTest.java
@@ -34,7 +34,7 @@
         assertEquals(
                 new Service("b", 512, 750, 4, 72, null),
                 configuration.services().get("b"));
-        assertEquals(ClientLimits.USUAL, configuration.limits());
+        assertEquals(ClientLimits.DEFAULTS, configuration.limits());
         assertThrows(
                 UnsupportedOperationException.class,
                 () -> configuration.routes().clear());
@@ -52,7 +52,7 @@
         Configuration configuration = Sample.configuration(body);
         assertEquals(body, Sample.text(configuration.json()));
         String spaced = body.replace(",'", " ,\n '");
-        assertEquals(10, Sample.configuration(spaced).limits().bodyBytes());
+        assertEquals(10, Sample.configuration(spaced).limits().maxBodyBytes());
         byte[] shown = Sample.configuration(spaced).json();
         assertArrayEquals(shown, Configuration.read(shown).json());
 
@@ -79,7 +79,7 @@
         assertEquals(20, next.revision());
         assertEquals(List.of("r1"), List.copyOf(next.routes().keySet()));
         assertEquals(List.of("a", "c"), List.copyOf(next.services().keySet()));
-        assertEquals("c", next.match("h.example", "/uno/x").pick(0));
+        assertEquals("c", next.match("h.example", "/uno/x").selectService(0));
         assertNull(next.match("h.example", "/one/x"));
         assertNull(next.match("h.example", "/two/x"));
         assertEquals(
@@ -153,17 +153,17 @@
                 .get("r");
         Map<String, Integer> picked = new HashMap<>();
         for (int i = 0; i < 1_000; i++) {
-            picked.merge(route.pick(i / 1_000.0), 1, Integer::sum);
+            picked.merge(route.selectService(i / 1_000.0), 1, Integer::sum);
         }
         assertEquals(Map.of("a", 250, "b", 750), picked);
-        assertNotEquals("c", route.pick(1), "a weight of 0 gets nothing, whatever was rounded");
+        assertNotEquals("c", route.selectService(1), "a weight of 0 gets nothing, whatever was rounded");
     }
 
     @Test
     void followersGetChangesOrThePackedWhole() {
         Configuration base = Sample.configuration(Sample.two(7));
         byte[] body = Sample.bytes("{'revision':9,'withdraw':{'routes':['r1']}}");
-        byte[] change = new ConfigurationChange(ChangeKind.MODIFY, 7, body).bytes();
+        byte[] change = new ConfigurationChange(ChangeKind.MODIFY, 7, body).encode();
         assertArrayEquals(base.modify(body).json(), base.apply(change).json());
         assertEquals(
                 "configuration.stale",
@@ -171,15 +171,17 @@
                                 ConfigurationException.class,
                                 () -> base.apply(change).apply(change))
                         .code());
-        byte[] packed = base.packed();
-        assertArrayEquals(base.json(), Configuration.unpack(packed).json());
+        byte[] packed = base.toCompressedBytes();
+        assertArrayEquals(base.json(), Configuration.fromCompressedBytes(packed).json());
         packed[packed.length / 2] ^= 1;
-        assertThrows(ConfigurationException.class, () -> Configuration.unpack(packed));
-        assertThrows(ConfigurationException.class, () -> Configuration.unpack(Arrays.copyOf(base.packed(), 40)));
+        assertThrows(ConfigurationException.class, () -> Configuration.fromCompressedBytes(packed));
+        assertThrows(
+                ConfigurationException.class,
+                () -> Configuration.fromCompressedBytes(Arrays.copyOf(base.toCompressedBytes(), 40)));
         byte[] bomb = DeltaCompression.pack(new byte[64 << 20]);
         assertEquals(
                 "configuration.bad-packing",
-                assertThrows(ConfigurationException.class, () -> Configuration.unpack(bomb))
+                assertThrows(ConfigurationException.class, () -> Configuration.fromCompressedBytes(bomb))
                         .code());
     }
 
--- a/src/test/java/brambletray/platform/configuration/InvalidConfigurationTest.java
+++ b/src/test/java/brambletray/platform/configuration/InvalidConfigurationTest.java
@@ -151,7 +151,7 @@
                         () -> Sample.configuration("{'x':[" + deep + "]," + GOOD.substring(1))),
                 "too-deep",
                 "");
-        String filler = " ".repeat(ConfigurationJson.LARGEST - GOOD.length());
+        String filler = " ".repeat(ConfigurationJson.MAX_BODY_BYTES - GOOD.length());
         assertEquals(7, Sample.configuration(GOOD + filler).revision());
         refused(
                 assertThrows(ConfigurationException.class, () -> Sample.configuration(GOOD + filler + ' ')),
@@ -194,11 +194,12 @@
     @Test
     void replacementsHaveToRise() {
         Configuration seven = Sample.configuration(GOOD);
-        assertEquals(8, Sample.configuration(Sample.two(8)).after(seven).revision());
+        assertEquals(
+                8, Sample.configuration(Sample.two(8)).requireNewerThan(seven).revision());
         refused(
                 assertThrows(
                         ConfigurationException.class,
-                        () -> Sample.configuration(GOOD).after(seven)),
+                        () -> Sample.configuration(GOOD).requireNewerThan(seven)),
                 "old-revision",
                 "revision");
     }
@@ -220,10 +221,12 @@
         if (base < 0) {
             assertEquals(
                     "configuration.bad-base",
-                    assertThrows(ConfigurationException.class, () -> ConfigurationStateMachine.base(header))
+                    assertThrows(
+                                    ConfigurationException.class,
+                                    () -> ConfigurationStateMachine.parseBaseRevision(header))
                             .code());
         } else {
-            assertEquals(base, ConfigurationStateMachine.base(header));
+            assertEquals(base, ConfigurationStateMachine.parseBaseRevision(header));
         }
     }
 }
--- a/src/test/java/brambletray/platform/controlplane/ControlPlaneServerTest.java
+++ b/src/test/java/brambletray/platform/controlplane/ControlPlaneServerTest.java
@@ -22,9 +22,9 @@
     private final EmbeddedChannel channel = new EmbeddedChannel();
 
     ControlPlaneServerTest() {
-        Dispatch<ControlPlaneServer.Desk> table = new Dispatch<>();
-        table.on("GET", "/held/*", (call, part) -> calls.add(call));
-        new ControlPlaneServer(table).calls(channel);
+        CallRouter<ControlPlaneServer.CallHandler> table = new CallRouter<>();
+        table.route("GET", "/held/*", (call, part) -> calls.add(call));
+        new ControlPlaneServer(table).addCallHandlers(channel);
     }
 
     private void send(String text) {
@@ -49,15 +49,15 @@
         send(get("/held/one") + get("/none") + get("/held/two"));
         assertEquals("", got(), "the second call's answer is ready, and would be taken for the first's");
         assertEquals(1, calls.size());
-        calls.get(0).give(200, "1".getBytes(StandardCharsets.US_ASCII));
-        calls.get(0).give(503, null);
+        calls.get(0).respond(200, "1".getBytes(StandardCharsets.US_ASCII));
+        calls.get(0).respond(503, null);
         channel.runPendingTasks();
         assertEquals(2, calls.size());
         String both = got();
         assertTrue(both.startsWith("HTTP/1.1 200 OK") && both.indexOf("HTTP/1.1 404") > 0, both);
         assertEquals(
                 both.indexOf("HTTP/1.1 404"), both.lastIndexOf("HTTP/1.1"), "an answer for a call that waits: " + both);
-        calls.get(1).answer().give(307, null, Map.of("Location", "http://10.0.0.2:90/x"));
+        calls.get(1).responder().respond(307, null, Map.of("Location", "http://10.0.0.2:90/x"));
         assertTrue(got().contains("Location: http://10.0.0.2:90/x"));
     }
 
@@ -72,7 +72,7 @@
             }
         });
         send("GET /held/one HTTP/1.1\nHost: h\nConnection: close\n\n" + get("/held/two"));
-        calls.get(0).give(200, null);
+        calls.get(0).respond(200, null);
         channel.runPendingTasks();
         send(get("/held/three"));
         assertEquals(1, calls.size());
@@ -84,12 +84,12 @@
 
     @Test
     void whoSendsTooFarAheadIsCutOff() {
-        for (int i = 0; i <= ControlPlaneServer.AHEAD + 1; i++) {
+        for (int i = 0; i <= ControlPlaneServer.MAX_PIPELINED_CALLS + 1; i++) {
             send(get("/held/" + i));
         }
         assertFalse(channel.isActive());
         assertEquals(1, calls.size());
-        calls.get(0).give(200, null);
+        calls.get(0).respond(200, null);
         channel.runPendingTasks();
         assertEquals(1, calls.size());
     }
--- a/src/test/java/brambletray/platform/controlplane/EdgeCoordinatorTest.java
+++ b/src/test/java/brambletray/platform/controlplane/EdgeCoordinatorTest.java
@@ -117,7 +117,7 @@
         stand.worker("w-1", "za", 4_000, ms());
         stand.service("tea", new ServiceKind(512, 750, 0));
         new PlatformStubServer(cloud, stand).open(new InetSocketAddress("10.0.0.9", 8_240));
-        history.become(configuration);
+        history.advanceTo(configuration);
         hub = new EdgeCoordinator(
                 core,
                 NodeSettings.read(file),
@@ -150,7 +150,7 @@
         }
 
         @Override
-        public boolean applied() {
+        public boolean isSettled() {
             return applied;
         }
 
@@ -160,36 +160,36 @@
         }
 
         @Override
-        public void fenced(long term) {
+        public void onFenced(long term) {
             assertEquals(TERM, term);
             fenced++;
         }
     }
 
-    private final class Ear implements PeerLinks.Ear {
+    private final class Ear implements PeerLinks.Receiver {
         @Override
-        public void member(String address, Object frame) {}
+        public void onMemberMessage(String address, Object frame) {}
 
         @Override
-        public void gone(String address) {}
+        public void onMemberDisconnected(String address) {}
 
         @Override
-        public void edge(String name, Link link) {
-            greeter.came(name, link);
+        public void onEdgeConnected(String name, Link link) {
+            greeter.onConnected(name, link);
         }
 
         @Override
-        public void edge(String name, Link link, Object frame) {
+        public void onEdgeMessage(String name, Link link, Object frame) {
             if (frame instanceof EdgeHello hello) {
-                greeter.hello(link, hello);
+                greeter.onHello(link, hello);
             }
-            hub.heard(name, link, frame, ms());
+            hub.receive(name, link, frame, ms());
         }
 
         @Override
-        public void edgeGone(String name, Link link) {
-            greeter.gone(link);
-            hub.parted(name, link, ms());
+        public void onEdgeDisconnected(String name, Link link) {
+            greeter.onDisconnected(link);
+            hub.onDisconnected(name, link, ms());
         }
     }
 
@@ -198,7 +198,7 @@
         if (pulse.revision() > has) {
             link.say(new DeltaRequest(has, 0, 0, false));
         }
-        if (pulse.roster() > listed) {
+        if (pulse.rosterNumber() > listed) {
             link.say(new RosterRequest(TERM, listed));
         }
     }
@@ -213,7 +213,8 @@
                     @Override
                     public void up(Link link) {
                         link.say(new LinkIntroduction("edge-1", "10.0.0.2:" + PORT, false));
-                        link.say(new EdgeHello(new Peer("edge-1", "za", "10.0.0.2:" + PORT, 1, Peer.IN), 0, 0, 0, 0));
+                        link.say(new EdgeHello(
+                                new Peer("edge-1", "za", "10.0.0.2:" + PORT, 1, Peer.ACTIVE), 0, 0, 0, 0));
                     }
 
                     @Override
@@ -239,8 +240,8 @@
 
     private void become(Configuration next) {
         configuration = next;
-        history.become(next);
-        hub.configuration(ms());
+        history.advanceTo(next);
+        hub.onConfigurationChanged(ms());
     }
 
     private <T> List<T> all(Class<T> kind) {
@@ -262,11 +263,11 @@
         assertEquals(
                 List.of(EdgeWelcome.class, CoordinatorHeartbeat.class, DeltaChunk.class),
                 first.stream().map(Object::getClass).toList());
-        assertEquals(ADDRESS, all(EdgeWelcome.class).get(0).helmAddress());
+        assertEquals(ADDRESS, all(EdgeWelcome.class).get(0).coordinatorAddress());
         assertEquals(new CoordinatorHeartbeat(TERM, 9, 0), heard.get(1));
         assertEquals(TERM, all(DeltaChunk.class).get(0).term());
         assertEquals(TERM, all(Roster.class).get(0).term());
-        assertEquals(9, hub.has("edge-1"));
+        assertEquals(9, hub.servedRevision("edge-1"));
     }
 
     @Test
@@ -278,8 +279,8 @@
         become(configuration(12));
         run(1_000);
         assertNothingWithAuthority();
-        assertEquals("", all(EdgeWelcome.class).get(0).helmAddress());
-        assertFalse(all(EdgeWelcome.class).get(0).inTouch());
+        assertEquals("", all(EdgeWelcome.class).get(0).coordinatorAddress());
+        assertFalse(all(EdgeWelcome.class).get(0).inActiveView());
         acts = true;
         run(400);
         Object pulse = heard.stream()
@@ -302,11 +303,11 @@
         heard.clear();
         acts = false;
         configuration = configuration(11);
-        hub.configuration(ms());
+        hub.onConfigurationChanged(ms());
         run(5);
         assertNothingWithAuthority();
         run(195);
-        assertEquals("", all(EdgeWelcome.class).get(0).helmAddress());
+        assertEquals("", all(EdgeWelcome.class).get(0).coordinatorAddress());
         become(configuration(12));
         edge.say(new StartRequest("coffee", "za", "n-1", 1));
         run(3_000);
@@ -379,7 +380,7 @@
         run(5);
         assertEquals(0, all(StartRefusal.class).size());
         assertEquals(1, all(EdgeWelcome.class).size(), "the edge knows that it has missed something: " + heard);
-        assertEquals("", all(EdgeWelcome.class).get(0).helmAddress());
+        assertEquals("", all(EdgeWelcome.class).get(0).coordinatorAddress());
     }
 
     @Test
@@ -467,15 +468,15 @@
         run(1_000);
         heard.clear();
         acts = false;
-        hub.end();
+        hub.close();
         run(100);
-        assertEquals("", all(EdgeWelcome.class).get(0).helmAddress());
+        assertEquals("", all(EdgeWelcome.class).get(0).coordinatorAddress());
         acts = true;
         coordinator = "10.0.0.3:" + PORT;
         run(100);
         assertEquals(
                 coordinator,
-                all(EdgeWelcome.class).get(all(EdgeWelcome.class).size() - 1).helmAddress());
+                all(EdgeWelcome.class).get(all(EdgeWelcome.class).size() - 1).coordinatorAddress());
         assertNothingWithAuthority();
     }
 
@@ -509,10 +510,10 @@
         come();
         run(300);
         assertNothingWithAuthority();
-        hub.end();
+        hub.close();
         hub = later;
         acts = true;
-        greeter.hub(hub, ms());
+        greeter.onCoordinatorStarted(hub, ms());
         run(10);
         assertEquals(
                 new CoordinatorHeartbeat(TERM, 9, 0),
@@ -530,19 +531,19 @@
         List<Long> took = new ArrayList<>();
         ConfigurationSubscriber[] subscriber = new ConfigurationSubscriber[1];
         Link[] up = new Link[1];
-        subscriber[0] = new ConfigurationSubscriber(new ConfigurationSubscriber.Out() {
+        subscriber[0] = new ConfigurationSubscriber(new ConfigurationSubscriber.Actions() {
             @Override
-            public void fetch(DeltaRequest fetch) {
+            public void sendRequest(DeltaRequest fetch) {
                 up[0].say(fetch);
             }
 
             @Override
-            public void took(Configuration next, int bytes, long ms) {
+            public void onConfiguration(Configuration next, int bytes, long ms) {
                 took.add(next.revision());
             }
 
             @Override
-            public void refused(ConfigurationException fault) {
+            public void onRejected(ConfigurationException fault) {
                 throw new IllegalStateException(fault);
             }
         });
@@ -555,16 +556,17 @@
                     public void up(Link link) {
                         up[0] = link;
                         link.say(new LinkIntroduction("edge-1", "10.0.0.2:" + PORT, false));
-                        link.say(new EdgeHello(new Peer("edge-1", "za", "10.0.0.2:" + PORT, 1, Peer.IN), 0, 0, 0, 0));
+                        link.say(new EdgeHello(
+                                new Peer("edge-1", "za", "10.0.0.2:" + PORT, 1, Peer.ACTIVE), 0, 0, 0, 0));
                     }
 
                     @Override
                     public void heard(Link link, Object frame) {
                         if (frame instanceof CoordinatorHeartbeat pulse) {
                             pulses.add(ms());
-                            subscriber[0].newest(pulse.revision(), ms());
+                            subscriber[0].onNewestRevision(pulse.revision(), ms());
                         } else if (frame instanceof DeltaChunk chunk) {
-                            subscriber[0].heard(chunk, ms());
+                            subscriber[0].onChunk(chunk, ms());
                         }
                     }
 
@@ -584,7 +586,7 @@
         }
         assertTrue(pulses.size() >= 8);
         run(10);
-        assertEquals(10, hub.has("edge-1"));
+        assertEquals(10, hub.servedRevision("edge-1"));
     }
 
     private static Configuration dense(long revision, int bytes) {
--- a/src/test/java/brambletray/platform/controlplane/EdgeGreeterTest.java
+++ b/src/test/java/brambletray/platform/controlplane/EdgeGreeterTest.java
@@ -42,17 +42,17 @@
     void itselfIsNamedWhileItsHubIsOfThatTermEvenDuringAChangeOfView() {
         assertEquals(
                 "a",
-                welcome(ReplicaRole.MEMBER, true, new LeaseHolder(70, ME), 70).helmAddress());
+                welcome(ReplicaRole.MEMBER, true, new LeaseHolder(70, ME), 70).coordinatorAddress());
         assertEquals(
                 "a",
                 welcome(ReplicaRole.SUSPENDED, true, new LeaseHolder(70, ME), 70)
-                        .helmAddress());
+                        .coordinatorAddress());
         assertEquals(
                 "",
-                welcome(ReplicaRole.MEMBER, true, new LeaseHolder(70, ME), 0).helmAddress());
+                welcome(ReplicaRole.MEMBER, true, new LeaseHolder(70, ME), 0).coordinatorAddress());
         assertEquals(
                 "",
-                welcome(ReplicaRole.MEMBER, true, new LeaseHolder(71, ME), 70).helmAddress());
+                welcome(ReplicaRole.MEMBER, true, new LeaseHolder(71, ME), 70).coordinatorAddress());
     }
 
     @Test
--- a/src/test/java/brambletray/platform/controlplane/MemberOrdersTest.java
+++ b/src/test/java/brambletray/platform/controlplane/MemberOrdersTest.java
@@ -16,14 +16,14 @@
 class MemberOrdersTest {
     private static final String PATH = "/brambletray/system/dead/10.0.0.2:90";
 
-    private final Dispatch<ControlPlaneServer.Desk> table = new Dispatch<>();
+    private final CallRouter<ControlPlaneServer.CallHandler> table = new CallRouter<>();
     private final List<String> ordered = new ArrayList<>();
     private Consumer<MemberRemovalOutcome> then;
     private Integer status;
     private String body;
 
     MemberOrdersTest() {
-        new MemberOrders((address, life, told) -> {
+        new MemberRemovalCalls((address, life, told) -> {
                     ordered.add(address + " " + Long.toHexString(life));
                     then = told;
                 })
@@ -32,7 +32,7 @@
 
     private void post(String confirmation) {
         status = null;
-        Dispatch.Found<ControlPlaneServer.Desk> found = table.find("POST", PATH);
+        CallRouter.Match<ControlPlaneServer.CallHandler> found = table.find("POST", PATH);
         byte[] bytes = confirmation.getBytes(StandardCharsets.UTF_8);
         found.handler()
                 .handle(
@@ -40,7 +40,7 @@
                             status = given;
                             body = new String(json, StandardCharsets.UTF_8);
                         }),
-                        found.part());
+                        found.wildcard());
     }
 
     @Test
--- a/src/test/java/brambletray/platform/controlplane/OperatorCallsTest.java
+++ b/src/test/java/brambletray/platform/controlplane/OperatorCallsTest.java
@@ -29,7 +29,7 @@
     private static final Member ME = new Member("10.0.0.1:90", "core-1", 0xa1);
     private static final Member OTHER = new Member("10.0.0.2:90", "core-2", 0xa2);
 
-    private final Dispatch<ControlPlaneServer.Desk> table = new Dispatch<>();
+    private final CallRouter<ControlPlaneServer.CallHandler> table = new CallRouter<>();
     private final Scripted order = new Scripted();
     private final OperatorCalls operators = new OperatorCalls(order, () -> {});
     private long index;
@@ -40,7 +40,7 @@
     }
 
     /** What the member says of itself, and what it was asked to do. */
-    private static final class Scripted implements OperatorCalls.Order {
+    private static final class Scripted implements OperatorCalls.ReplicaAccess {
         private Member leader = ME;
         private ReplicaRole standing = ReplicaRole.MEMBER;
         private String successor;
@@ -66,20 +66,20 @@
         }
 
         @Override
-        public void confirm(long token) {
+        public void requestReadIndex(long token) {
             confirms.add(token);
         }
     }
 
     /** One call's answer; null status: none yet. */
-    private static final class Reply implements ControlCall.Answer {
+    private static final class Reply implements ControlCall.Responder {
         private Integer status;
         private String body;
         private Map<String, String> headers;
         private int given;
 
         @Override
-        public void give(int code, byte[] json, Map<String, String> further) {
+        public void respond(int code, byte[] json, Map<String, String> further) {
             if (given++ == 0) {
                 status = code;
                 body = json == null ? null : new String(json, StandardCharsets.UTF_8);
@@ -124,11 +124,11 @@
     /** The oldest proposal is kept: delivered, and its outcome said. */
     private void keep() {
         operators.apply(++index, order.changes.remove());
-        operators.outcome(order.tokens.remove(), ProposalOutcome.COMMITTED);
+        operators.onProposalCompleted(order.tokens.remove(), ProposalOutcome.COMMITTED);
     }
 
     private void confirm(boolean yes) {
-        operators.confirmed(order.confirms.remove(), yes);
+        operators.onReadIndexCompleted(order.confirms.remove(), yes);
     }
 
     /** The bytes of a change as another member puts it into the order. */
@@ -237,7 +237,7 @@
         Reply mine = modify(5, move(7, "a"));
         operators.apply(++index, order.changes.remove());
         operators.apply(++index, other);
-        operators.outcome(order.tokens.remove(), ProposalOutcome.COMMITTED);
+        operators.onProposalCompleted(order.tokens.remove(), ProposalOutcome.COMMITTED);
         assertEquals(200, mine.status, "it is in force, what came after it lost: " + mine.body);
 
         byte[] first = elsewhere(operators.snapshot(), "modify", 7, move(10, "a"));
@@ -249,7 +249,7 @@
         operators.apply(++index, first);
         operators.apply(++index, order.changes.remove());
         operators.apply(++index, second);
-        operators.outcome(order.tokens.remove(), ProposalOutcome.COMMITTED);
+        operators.onProposalCompleted(order.tokens.remove(), ProposalOutcome.COMMITTED);
         assertEquals(412, loser.status, "confirmed though it lost its race");
         assertEquals(12, operators.stateMachine().configuration().revision());
     }
@@ -259,10 +259,10 @@
         begin();
         Reply reply = modify(5, move(7, "a"));
         operators.apply(++index, order.changes.remove());
-        operators.outcome(order.tokens.remove(), ProposalOutcome.UNKNOWN);
+        operators.onProposalCompleted(order.tokens.remove(), ProposalOutcome.UNKNOWN);
         assertEquals(200, reply.status, "the state has it, so it is kept");
         Reply open = modify(7, move(9, "a"));
-        operators.outcome(order.tokens.remove(), ProposalOutcome.UNKNOWN);
+        operators.onProposalCompleted(order.tokens.remove(), ProposalOutcome.UNKNOWN);
         assertEquals(503, open.status);
     }
 
@@ -316,7 +316,7 @@
         assertNull(first.status, "a change of view takes less than this");
         assertTrue(order.confirms.isEmpty(), "it doesn't lead, so it judges nothing");
         order.standing = ReplicaRole.MEMBER;
-        operators.changed();
+        operators.onStatusChanged();
         assertEquals(1, order.tokens.size(), "judged once it leads");
         keep();
         assertEquals(200, first.status);
@@ -372,7 +372,7 @@
         assertNull(held.status, "a circle: the other may be naming this one");
         assertEquals(503, show().status);
         order.standing = ReplicaRole.MEMBER;
-        operators.changed();
+        operators.onStatusChanged();
         assertEquals(307, held.status);
     }
 
@@ -419,19 +419,19 @@
     @Test
     void whoLeavesSendsItsCallersOnOnceItIsOutAndIsIdleWhenAllAreAnswered() {
         begin();
-        assertTrue(operators.idle());
+        assertTrue(operators.isIdle());
         Reply under = modify(5, move(7, "a"));
         Reply waiting = modify(5, move(9, "a"));
         Reply show = call("GET", "show", null, new byte[0]);
         Reply stale = replace(3, whole(9, "a"));
-        assertFalse(operators.idle());
+        assertFalse(operators.isIdle());
         order.standing = ReplicaRole.SUSPENDED;
         Reply late = modify(5, move(11, "a"));
         assertNull(late.status, "held while nobody is known to lead");
         order.standing = ReplicaRole.JOINING;
         order.successor = "10.0.0.2:90";
-        operators.changed();
-        operators.outcome(order.tokens.remove(), ProposalOutcome.REJECTED);
+        operators.onStatusChanged();
+        operators.onProposalCompleted(order.tokens.remove(), ProposalOutcome.REJECTED);
         while (!order.confirms.isEmpty()) {
             confirm(false);
         }
@@ -441,6 +441,6 @@
                     reply.headers.get("Location").startsWith("http://10.0.0.2:90/brambletray/configuration/"),
                     reply.headers::toString);
         }
-        assertTrue(operators.idle());
+        assertTrue(operators.isIdle());
     }
 }
--- a/src/test/java/brambletray/platform/controlplane/OperatorViewsTest.java
+++ b/src/test/java/brambletray/platform/controlplane/OperatorViewsTest.java
@@ -20,7 +20,7 @@
     private static final Member ONE = new Member("10.0.0.1:90", "core-\"1\"", 0xa1);
     private static final Member TWO = new Member("10.0.0.2:90", "core-2", 0xa2, "north");
 
-    private final Dispatch<ControlPlaneServer.Desk> table = new Dispatch<>();
+    private final CallRouter<ControlPlaneServer.CallHandler> table = new CallRouter<>();
     private LeaseHolder coordinator;
     private boolean here;
     private List<String> half = List.of();
@@ -37,7 +37,7 @@
         }
 
         @Override
-        public List<String> zonesThatHoldHalf() {
+        public List<String> zonesHoldingHalf() {
             return half;
         }
 
@@ -52,34 +52,34 @@
         }
 
         @Override
-        public OperatorViews.Book book() {
+        public OperatorViews.CoordinatorView coordinatorView() {
             return here ? new Known() : null;
         }
 
         @Override
-        public long now() {
+        public long nowMs() {
             return now;
         }
     });
 
-    private static final class Known implements OperatorViews.Book {
+    private static final class Known implements OperatorViews.CoordinatorView {
         @Override
         public Roster roster() {
             return new Roster(
                     70,
                     3,
                     List.of(
-                            new Peer("edge-1", "north", "10.0.1.1:91", 0xb1, Peer.IN),
+                            new Peer("edge-1", "north", "10.0.1.1:91", 0xb1, Peer.ACTIVE),
                             new Peer("edge-2", "south", "10.0.1.2:91", 0xb2, Peer.LEAVING)));
         }
 
         @Override
-        public long has(String edge) {
+        public long servedRevision(String edge) {
             return edge.equals("edge-1") ? 9 : -1;
         }
 
         @Override
-        public List<InstanceInfo> hosts(String service) {
+        public List<InstanceInfo> instances(String service) {
             return List.of(new InstanceInfo(
                     "i-1",
                     service == null ? "any" : service,
@@ -93,13 +93,13 @@
         }
 
         @Override
-        public int known() {
+        public int instanceCount() {
             return 4;
         }
     }
 
     private void get(String path) {
-        Dispatch.Found<ControlPlaneServer.Desk> found = table.find("GET", path);
+        CallRouter.Match<ControlPlaneServer.CallHandler> found = table.find("GET", path);
         found.handler()
                 .handle(
                         new ControlCall("GET", path, null, new byte[0], (given, json, more) -> {
@@ -107,7 +107,7 @@
                             body = json == null ? null : new String(json, StandardCharsets.UTF_8);
                             headers = more;
                         }),
-                        found.part());
+                        found.wildcard());
     }
 
     OperatorViewsTest() {
--- a/src/test/java/brambletray/platform/controlplane/OrdersModel.java
+++ b/src/test/java/brambletray/platform/controlplane/OrdersModel.java
@@ -48,10 +48,10 @@
 
     private record Question(Machine from, int boot, long token, int need, long since) {}
 
-    private final class Machine implements OperatorCalls.Order {
+    private final class Machine implements OperatorCalls.ReplicaAccess {
         private final Member me;
         private OperatorCalls operators;
-        private Dispatch<ControlPlaneServer.Desk> table;
+        private CallRouter<ControlPlaneServer.CallHandler> table;
         private int boot;
         private int delivered;
         private byte[] disk = new byte[0];
@@ -68,7 +68,7 @@
         private void begin() {
             boot++;
             operators = new OperatorCalls(this, () -> {});
-            table = new Dispatch<>();
+            table = new CallRouter<>();
             operators.register(table);
             operators.restore(disk);
             operators.tick(now);
@@ -98,7 +98,7 @@
         }
 
         @Override
-        public void confirm(long token) {
+        public void requestReadIndex(long token) {
             questions.add(new Question(this, boot, token, order.size(), now));
         }
     }
@@ -148,7 +148,7 @@
             String method = written == null ? "GET" : "POST";
             int boot = to.boot;
             boolean[] given = new boolean[1];
-            ControlCall.Answer answer = (status, json, headers) -> {
+            ControlCall.Responder answer = (status, json, headers) -> {
                 boolean first = !given[0];
                 given[0] = true;
                 if (first && !lost && mine == round && waits && !over && boot == to.boot) {
@@ -332,7 +332,7 @@
         for (Pending item : List.copyOf(pending)) {
             if (item.from == one && item.boot == one.boot && !item.ended) {
                 item.ended = true;
-                one.operators.outcome(item.token, ProposalOutcome.UNKNOWN);
+                one.operators.onProposalCompleted(item.token, ProposalOutcome.UNKNOWN);
             }
         }
     }
@@ -350,7 +350,7 @@
                     && chance(20)) {
                 one.sees = leader;
                 one.standing = ReplicaRole.MEMBER;
-                one.operators.changed();
+                one.operators.onStatusChanged();
             }
         }
     }
@@ -367,7 +367,7 @@
         next.deliver(order.size());
         next.sees = next;
         next.standing = ReplicaRole.MEMBER;
-        next.operators.changed();
+        next.operators.onStatusChanged();
     }
 
     private void append(Pending item) {
@@ -385,11 +385,12 @@
             }
             if (lives && !item.ended && item.place > 0 && item.from.delivered >= item.place && chance(3)) {
                 item.ended = true;
-                item.from.operators.outcome(item.token, ProposalOutcome.COMMITTED);
+                item.from.operators.onProposalCompleted(item.token, ProposalOutcome.COMMITTED);
             } else if (lives && !item.ended && now - item.since > PROPOSE_MS) {
                 item.ended = true;
                 item.gone = item.place < 0 && chance(2);
-                item.from.operators.outcome(item.token, item.gone ? ProposalOutcome.REJECTED : ProposalOutcome.UNKNOWN);
+                item.from.operators.onProposalCompleted(
+                        item.token, item.gone ? ProposalOutcome.REJECTED : ProposalOutcome.UNKNOWN);
             }
         }
         pending.removeIf(item -> now - item.since > 2 * PROPOSE_MS);
@@ -404,7 +405,7 @@
             if (!lives || late || sure && chance(2)) {
                 questions.remove(question);
                 if (lives) {
-                    from.operators.confirmed(question.token, sure && !late);
+                    from.operators.onReadIndexCompleted(question.token, sure && !late);
                 }
             }
         }
--- a/src/test/java/brambletray/platform/controlplane/PeerLinksTest.java
+++ b/src/test/java/brambletray/platform/controlplane/PeerLinksTest.java
@@ -68,23 +68,23 @@
                         new FrameCodec(FrameTypes.ALL),
                         new Address(ip, PORT),
                         new LinkIntroduction(ip, ip + ":90", true),
-                        new PeerLinks.Ear() {
+                        new PeerLinks.Receiver() {
                             @Override
-                            public void member(String address, Object frame) {
+                            public void onMemberMessage(String address, Object frame) {
                                 told.accept(address, frame);
                             }
 
                             @Override
-                            public void gone(String address) {}
+                            public void onMemberDisconnected(String address) {}
 
                             @Override
-                            public void edge(String name, Link link) {}
+                            public void onEdgeConnected(String name, Link link) {}
 
                             @Override
-                            public void edge(String name, Link link, Object frame) {}
+                            public void onEdgeMessage(String name, Link link, Object frame) {}
 
                             @Override
-                            public void edgeGone(String name, Link link) {}
+                            public void onEdgeDisconnected(String name, Link link) {}
                         }));
         simulation.runUntil(simulation.now());
         return made[0];
@@ -98,14 +98,14 @@
     void whoIsBackIsSpokenToAtOnce() {
         PeerLinks one = member("10.0.0.1");
         simulation.network().vanish(ip("10.0.0.2"));
-        one.say("10.0.0.2:90", new RosterRequest(1, 1));
+        one.send("10.0.0.2:90", new RosterRequest(1, 1));
         simulation.runUntil(ms(300));
         simulation.network().comeBack(ip("10.0.0.2"));
         PeerLinks other = member("10.0.0.2");
-        other.say("10.0.0.1:90", new RosterRequest(1, 1));
+        other.send("10.0.0.1:90", new RosterRequest(1, 1));
         for (int at = 310; at <= 400; at += 10) {
             simulation.runUntil(ms(at));
-            one.say("10.0.0.2:90", new RosterRequest(1, 1));
+            one.send("10.0.0.2:90", new RosterRequest(1, 1));
         }
         assertTrue(heard.stream().anyMatch(line -> line.contains("10.0.0.2 hears 10.0.0.1:90")), heard::toString);
     }
@@ -115,13 +115,13 @@
     void whoSaysNothingIsCalledWhenTheHungCallIsOver() {
         PeerLinks one = member("10.0.0.1");
         simulation.network().vanish(ip("10.0.0.2"));
-        one.say("10.0.0.2:90", new RosterRequest(1, 1));
+        one.send("10.0.0.2:90", new RosterRequest(1, 1));
         simulation.runUntil(ms(300));
         simulation.network().comeBack(ip("10.0.0.2"));
         member("10.0.0.2");
         for (int at = 310; at <= 900; at += 10) {
             simulation.runUntil(ms(at));
-            one.say("10.0.0.2:90", new RosterRequest(1, 1));
+            one.send("10.0.0.2:90", new RosterRequest(1, 1));
         }
         assertEquals(List.of(), heard);
     }
@@ -154,16 +154,16 @@
                 beatAt.put(beat.sequence(), TimeUnit.NANOSECONDS.toMillis(simulation.now()));
             }
         });
-        giver.say("10.0.0.2:90", new RosterRequest(1, 1));
+        giver.send("10.0.0.2:90", new RosterRequest(1, 1));
         simulation.runUntil(ms(500));
         for (int i = 0; i < pieces; i++) {
-            giver.say(
+            giver.send(
                     "10.0.0.2:90",
                     new ReplicationMessage.FetchChunkResponse(1, i, pieces, new byte[pieceBytes], NOTHING_BEFORE));
         }
         for (long seq = 1; seq <= 10; seq++) {
             simulation.runUntil(ms(500 + 100 * seq));
-            giver.say("10.0.0.2:90", new ReplicationMessage.HeartbeatRequest(Ballot.NONE, seq, 0, 0, true, false));
+            giver.send("10.0.0.2:90", new ReplicationMessage.HeartbeatRequest(Ballot.NONE, seq, 0, 0, true, false));
         }
         simulation.runUntil(ms(3_000));
         assertEquals(10, beatAt.size(), beatAt::toString);
