--- a/src/test/java/brambletray/platform/distribution/ConfigurationDistributionTest.java
+++ b/src/test/java/brambletray/platform/distribution/ConfigurationDistributionTest.java
@@ -88,8 +88,8 @@
 
     private static int packed(Configuration configuration) {
         ChangeHistory history = new ChangeHistory();
-        history.become(configuration);
-        return history.whole().packed().length;
+        history.advanceTo(configuration);
+        return history.fullDelta().toCompressedBytes().length;
     }
 
     @Test
@@ -115,7 +115,7 @@
         SimulatedEdges town = new SimulatedEdges(3, SLOW);
         Configuration configuration = SimulatedEdges.dense(1, 400_000);
         ChangeHistory other = new ChangeHistory();
-        other.become(configuration);
+        other.advanceTo(configuration);
         town.become(configuration);
         town.run(800);
         long before = town.edges.get(0).bytes;
@@ -162,42 +162,42 @@
         ChangeHistory history = new ChangeHistory();
         ConfigurationPublisher publisher = new ConfigurationPublisher(history);
         Configuration configuration = SimulatedEdges.dense(1, 40_000);
-        history.become(configuration);
-        long first = publisher.answer(new DeltaRequest(0, 0, 0, false), 1).body();
+        history.advanceTo(configuration);
+        long first = publisher.nextChunk(new DeltaRequest(0, 0, 0, false), 1).transferId();
         configuration = SimulatedEdges.moved(configuration, "r1", 7);
-        history.become(configuration);
-        DeltaChunk again = publisher.answer(new DeltaRequest(0, 0, 0, false), 1);
-        assertEquals(first, again.body());
+        history.advanceTo(configuration);
+        DeltaChunk again = publisher.nextChunk(new DeltaRequest(0, 0, 0, false), 1);
+        assertEquals(first, again.transferId());
         assertEquals(1, again.revision());
         assertEquals(
                 2,
-                publisher.answer(new DeltaRequest(1, 0, 0, true), 1).revision(),
+                publisher.nextChunk(new DeltaRequest(1, 0, 0, true), 1).revision(),
                 "no whole one that the asker has already");
-        history.become(SimulatedEdges.dense(9, 40_000));
-        assertEquals(9, publisher.answer(new DeltaRequest(0, 0, 0, false), 1).revision());
+        history.advanceTo(SimulatedEdges.dense(9, 40_000));
+        assertEquals(9, publisher.nextChunk(new DeltaRequest(0, 0, 0, false), 1).revision());
     }
 
     @Test
     void aTransferThatTheHelmDoesNotKnowBeginsAnew() {
         ChangeHistory history = new ChangeHistory();
         ConfigurationPublisher publisher = new ConfigurationPublisher(history);
-        history.become(SimulatedEdges.dense(1, 40_000));
-        DeltaChunk begun = publisher.answer(new DeltaRequest(0, 12_345, DeltaChunk.BYTES, false), 1);
+        history.advanceTo(SimulatedEdges.dense(1, 40_000));
+        DeltaChunk begun = publisher.nextChunk(new DeltaRequest(0, 12_345, DeltaChunk.CHUNK_BYTES, false), 1);
         assertEquals(0, begun.offset());
         assertEquals(
-                DeltaChunk.BYTES,
+                DeltaChunk.CHUNK_BYTES,
                 publisher
-                        .answer(new DeltaRequest(0, begun.body(), DeltaChunk.BYTES, false), 1)
+                        .nextChunk(new DeltaRequest(0, begun.transferId(), DeltaChunk.CHUNK_BYTES, false), 1)
                         .offset());
         assertEquals(
                 0,
                 publisher
-                        .answer(new DeltaRequest(0, begun.body(), begun.size(), false), 1)
+                        .nextChunk(new DeltaRequest(0, begun.transferId(), begun.totalBytes(), false), 1)
                         .offset());
         assertEquals(
                 0,
                 publisher
-                        .answer(new DeltaRequest(0, begun.body(), -1, false), 1)
+                        .nextChunk(new DeltaRequest(0, begun.transferId(), -1, false), 1)
                         .offset());
     }
 
@@ -240,7 +240,7 @@
         town.run(1_000);
         Configuration next = SimulatedEdges.moved(configuration, "r3", 400_000);
         ChangeHistory fresh = new ChangeHistory();
-        fresh.become(next);
+        fresh.advanceTo(next);
         town.newHelm(fresh);
         town.run(1_000);
         assertTrue(town.all(2));
@@ -256,9 +256,9 @@
         // The helm's history is not the edge's: under the same number it has something else.
         ChangeHistory other = new ChangeHistory();
         Configuration strange = SimulatedEdges.large(1, 720);
-        other.become(strange);
+        other.advanceTo(strange);
         Configuration next = SimulatedEdges.moved(strange, "r3", 400_000);
-        other.become(next);
+        other.advanceTo(next);
         town.newHelm(other);
         town.run(1_000);
         assertEquals(List.of("configuration.digest"), edge.faults);
@@ -297,7 +297,7 @@
         SimulatedEdges town = new SimulatedEdges(1, SLOW);
         Configuration configuration = SimulatedEdges.large(1, 721);
         ChangeHistory late = new ChangeHistory();
-        late.become(configuration);
+        late.advanceTo(configuration);
         town.become(configuration);
         town.run(500);
         town.become(SimulatedEdges.moved(configuration, "r1", 500_000));
@@ -305,8 +305,8 @@
         town.newHelm(late);
         town.run(3_000);
         assertEquals(List.of(1L, 2L), town.edges.get(0).revisions);
-        assertNull(town.coordinator.answer(new DeltaRequest(2, 0, 0, false), 2));
-        town.edges.get(0).subscriber.heard(new DeltaChunk(2, 1, 9, 5, 0, new byte[5]), town.now);
+        assertNull(town.coordinator.nextChunk(new DeltaRequest(2, 0, 0, false), 2));
+        town.edges.get(0).subscriber.onChunk(new DeltaChunk(2, 1, 9, 5, 0, new byte[5]), town.now);
         assertTrue(town.all(2));
     }
 
@@ -322,7 +322,7 @@
                 new DeltaChunk(1, 5, 1, 10, 9, new byte[1]),
                 new DeltaChunk(1, 5, 1, 10, 0, new byte[0]),
                 new DeltaChunk(1, 5, 1, 10, 0, new byte[10]))) {
-            edge.heard(odd, 0);
+            edge.onChunk(odd, 0);
         }
         town.become(SimulatedEdges.large(6, 50));
         town.run(2_000);
@@ -334,10 +334,13 @@
         ChangeHistory history = new ChangeHistory();
         ConfigurationPublisher publisher = new ConfigurationPublisher(history);
         for (int i = 1; i < 12; i++) {
-            history.become(SimulatedEdges.dense(i, 3 << 20));
-            publisher.answer(new DeltaRequest(0, 0, 0, false), 1);
+            history.advanceTo(SimulatedEdges.dense(i, 3 << 20));
+            publisher.nextChunk(new DeltaRequest(0, 0, 0, false), 1);
         }
-        assertTrue(publisher.kept() <= ConfigurationPublisher.BYTES, "kept " + publisher.kept());
-        assertTrue(ConfigurationDelta.unpack(history.whole().packed()).revision() == 11);
+        assertTrue(
+                publisher.cachedBytes() <= ConfigurationPublisher.MAX_CACHED_BYTES, "kept " + publisher.cachedBytes());
+        assertTrue(ConfigurationDelta.fromCompressedBytes(history.fullDelta().toCompressedBytes())
+                        .revision()
+                == 11);
     }
 }
--- a/src/test/java/brambletray/platform/distribution/SignalTurnsTest.java
+++ b/src/test/java/brambletray/platform/distribution/SignalTurnsTest.java
@@ -21,7 +21,7 @@
             turns.thread("start", () -> {
                 known[0] = settings[0];
                 turns.point();
-                signals.runs(new Reloads(() -> known[0] = settings[0]));
+                signals.register(new Reloads(() -> known[0] = settings[0]));
             });
             turns.run();
             assertEquals(2, known[0], "the settings that the process goes by");
--- a/src/test/java/brambletray/platform/distribution/SignalsTest.java
+++ b/src/test/java/brambletray/platform/distribution/SignalsTest.java
@@ -25,7 +25,7 @@
 
     @Test
     void aProgramHearsEachHangUpAndTheFirstTermination() {
-        signals.runs(program);
+        signals.register(program);
         signals.reload();
         signals.reload();
         signals.terminate();
@@ -34,7 +34,7 @@
 
     @Test
     void aSecondTerminationChangesNothing() {
-        signals.runs(program);
+        signals.register(program);
         signals.terminate();
         signals.terminate();
         signals.terminate();
@@ -43,7 +43,7 @@
 
     @Test
     void aHangUpAfterATerminationChangesNothing() {
-        signals.runs(program);
+        signals.register(program);
         signals.terminate();
         signals.reload();
         assertEquals(List.of("terminate"), done);
@@ -53,7 +53,7 @@
     void aTerminationBeforeTheProgramRunsEndsTheProcessWithZero() {
         signals.terminate();
         signals.terminate();
-        signals.runs(program);
+        signals.register(program);
         assertEquals(List.of("exit 0"), done);
     }
 
@@ -62,7 +62,7 @@
         signals.reload();
         signals.reload();
         assertEquals(List.of(), done);
-        signals.runs(program);
+        signals.register(program);
         assertEquals(List.of("reload"), done);
     }
 }
--- a/src/test/java/brambletray/platform/distribution/SimulatedEdges.java
+++ b/src/test/java/brambletray/platform/distribution/SimulatedEdges.java
@@ -22,7 +22,7 @@
 
     private record Event(long at, long order, Runnable what) {}
 
-    final class Edge implements ConfigurationSubscriber.Out {
+    final class Edge implements ConfigurationSubscriber.Actions {
         final int number;
         ConfigurationSubscriber subscriber = new ConfigurationSubscriber(this);
         boolean linked = true;
@@ -43,7 +43,7 @@
         }
 
         @Override
-        public void fetch(DeltaRequest fetch) {
+        public void sendRequest(DeltaRequest fetch) {
             fetches++;
             if (!linked) {
                 return;
@@ -52,10 +52,10 @@
             ConfigurationPublisher to = coordinator;
             at(now + way, () -> {
                 if (asked == life && to == coordinator) {
-                    DeltaChunk chunk = coordinator.answer(fetch, term);
+                    DeltaChunk chunk = coordinator.nextChunk(fetch, term);
                     if (chunk != null) {
-                        wholes += chunk.offset() == 0 && chunk.size() > DeltaChunk.BYTES ? 1 : 0;
-                        send(chunk.bytes().length, () -> subscriber.heard(onTheWay.apply(chunk), now));
+                        wholes += chunk.offset() == 0 && chunk.totalBytes() > DeltaChunk.CHUNK_BYTES ? 1 : 0;
+                        send(chunk.bytes().length, () -> subscriber.onChunk(onTheWay.apply(chunk), now));
                     }
                 }
             });
@@ -83,7 +83,7 @@
         void join() {
             linked = true;
             lastPulse = now;
-            subscriber.attached(now);
+            subscriber.onLinkUp(now);
         }
 
         void restart() {
@@ -93,13 +93,13 @@
         }
 
         @Override
-        public void took(Configuration configuration, int size, long ms) {
+        public void onConfiguration(Configuration configuration, int size, long ms) {
             revisions.add(configuration.revision());
             took = now;
         }
 
         @Override
-        public void refused(ConfigurationException fault) {
+        public void onRejected(ConfigurationException fault) {
             faults.add(fault.code());
         }
     }
@@ -142,7 +142,7 @@
             edge.send(20, () -> {
                 edge.longestSilence = Math.max(edge.longestSilence, now - edge.lastPulse);
                 edge.lastPulse = now;
-                edge.subscriber.newest(revision, now);
+                edge.subscriber.onNewestRevision(revision, now);
             });
         }
     }
@@ -154,7 +154,7 @@
 
     /** In force here, and pulsed at once. */
     void become(Configuration configuration) {
-        history.become(configuration);
+        history.advanceTo(configuration);
         edges.forEach(this::pulse);
     }
 
@@ -231,6 +231,7 @@
     static DeltaChunk broken(DeltaChunk chunk) {
         byte[] other = Arrays.copyOf(chunk.bytes(), chunk.bytes().length);
         other[other.length / 2] ^= 4;
-        return new DeltaChunk(chunk.term(), chunk.revision(), chunk.body(), chunk.size(), chunk.offset(), other);
+        return new DeltaChunk(
+                chunk.term(), chunk.revision(), chunk.transferId(), chunk.totalBytes(), chunk.offset(), other);
     }
 }
--- a/src/test/java/brambletray/platform/drill/IsolatedCoordinatorTest.java
+++ b/src/test/java/brambletray/platform/drill/IsolatedCoordinatorTest.java
@@ -235,7 +235,8 @@
                     @Override
                     public void up(Link link) {
                         link.say(new LinkIntroduction("edge-9", "10.9.0.2:7400", false));
-                        link.say(new EdgeHello(new Peer("edge-9", "z1", "10.9.0.2:7400", 1, Peer.IN), 0, 0, 0, term));
+                        link.say(new EdgeHello(
+                                new Peer("edge-9", "z1", "10.9.0.2:7400", 1, Peer.ACTIVE), 0, 0, 0, term));
                     }
 
                     @Override
--- a/src/test/java/brambletray/platform/edge/CoordinatorClientTest.java
+++ b/src/test/java/brambletray/platform/edge/CoordinatorClientTest.java
@@ -139,7 +139,7 @@
                     coordinator.isEmpty() ? "" : at(coordinator),
                     under,
                     true,
-                    welcome.view(),
+                    welcome.viewNumber(),
                     welcome.members(),
                     0,
                     0));
@@ -148,7 +148,7 @@
         /** Is out of touch with the others from now on, names nobody and holds nothing. */
         Core cutOff() {
             term = 0;
-            return welcomes(new EdgeWelcome("", 0, false, welcome.view(), welcome.members(), 0, 0));
+            return welcomes(new EdgeWelcome("", 0, false, welcome.viewNumber(), welcome.members(), 0, 0));
         }
 
         /** Tells a view of these members. */
@@ -157,8 +157,8 @@
             for (String member : members) {
                 all.add(at(member));
             }
-            return welcomes(
-                    new EdgeWelcome(welcome.helmAddress(), welcome.term(), welcome.inTouch(), number, all, 0, 0));
+            return welcomes(new EdgeWelcome(
+                    welcome.coordinatorAddress(), welcome.term(), welcome.inActiveView(), number, all, 0, 0));
         }
 
         private Core welcomes(EdgeWelcome next) {
@@ -217,7 +217,7 @@
         @Override
         public Object hello() {
             return new EdgeHello(
-                    new Peer("edge-1", "za", "10.0.1.1:" + PORT, 1, Peer.IN), 0, 0, 0, coordinatorClient.term());
+                    new Peer("edge-1", "za", "10.0.1.1:" + PORT, 1, Peer.ACTIVE), 0, 0, 0, coordinatorClient.term());
         }
 
         @Override
--- a/src/test/java/brambletray/platform/edge/SlotClientTest.java
+++ b/src/test/java/brambletray/platform/edge/SlotClientTest.java
@@ -110,7 +110,7 @@
     static HomeAssignment homes(long number, String... names) {
         List<Peer> peers = new ArrayList<>();
         for (String name : names) {
-            peers.add(new Peer(name, "z", name + ":1", 1, Peer.IN));
+            peers.add(new Peer(name, "z", name + ":1", 1, Peer.ACTIVE));
         }
         return new HomeAssignment(new Roster(1, number, peers));
     }
--- a/src/test/java/brambletray/platform/failuredetection/FailureDetectionSteps.java
+++ b/src/test/java/brambletray/platform/failuredetection/FailureDetectionSteps.java
@@ -35,7 +35,7 @@
     @Given("no path between {word} and its first watcher")
     public void noPathToWatcher(String one) {
         List<Peer> all = new ArrayList<>();
-        village.names().forEach(name -> all.add(new Peer(name, name.substring(0, 1), name + ":7400", 0, Peer.IN)));
+        village.names().forEach(name -> all.add(new Peer(name, name.substring(0, 1), name + ":7400", 0, Peer.ACTIVE)));
         village.cutBetween(
                 one, new WatchRing(Roster.of(1, 1, all)).watchersOf(one).get(0).name());
     }
@@ -87,7 +87,7 @@
         List<String> named = Arrays.asList(words).subList(1, words.length);
         TreeSet<String> in = new TreeSet<>();
         TreeSet<String> leaving = new TreeSet<>();
-        village.hub().roster().peers().forEach(peer -> (peer.in() ? in : leaving).add(peer.name()));
+        village.hub().roster().peers().forEach(peer -> (peer.isActive() ? in : leaving).add(peer.name()));
         switch (words[0]) {
             case "calm" -> assertEquals(said, village.hub().said.size(), where);
             case "silent" -> assertEquals(0, village.hub().roster().number(), where);
--- a/src/test/java/brambletray/platform/failuredetection/HeartbeatMonitorTest.java
+++ b/src/test/java/brambletray/platform/failuredetection/HeartbeatMonitorTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class HeartbeatMonitorTest implements HeartbeatMonitor.Hands {
+class HeartbeatMonitorTest implements HeartbeatMonitor.Actions {
     private static final int INTERVAL = 200;
     private static final int FEW = 4;
 
@@ -24,30 +24,30 @@
             peers.add(peer(i));
         }
         ring = new WatchRing(Roster.of(1, 1, peers));
-        watch.ring(ring, now);
+        watch.updateRing(ring, now);
     }
 
     private static Peer peer(int number) {
-        return new Peer("edge-" + number, "zone", "10.0.0." + number + ":7400", 5, Peer.IN);
+        return new Peer("edge-" + number, "zone", "10.0.0." + number + ":7400", 5, Peer.ACTIVE);
     }
 
     @Override
-    public void beat(Peer watcher, Heartbeat beat) {
+    public void sendHeartbeat(Peer watcher, Heartbeat beat) {
         beats.add(watcher.name());
     }
 
     @Override
-    public void suspect(SuspicionReport suspect) {
+    public void reportSuspicion(SuspicionReport suspect) {
         told.add("suspect " + suspect.name());
     }
 
     @Override
-    public void trust(SuspicionWithdrawal trust) {
+    public void withdrawSuspicion(SuspicionWithdrawal trust) {
         told.add("trust " + trust.name());
     }
 
     @Override
-    public void slept(long ms) {
+    public void onProcessPaused(long ms) {
         told.add("slept");
     }
 
@@ -55,7 +55,7 @@
         for (long until = now + ms; now < until; now += 50) {
             if (now % INTERVAL == 0) {
                 for (int one : beating) {
-                    watch.heard(new Heartbeat("edge-" + one, 5, 0, 0), now);
+                    watch.onHeartbeat(new Heartbeat("edge-" + one, 5, 0, 0), now);
                 }
             }
             watch.tick(now);
@@ -91,7 +91,7 @@
     void beatsOfAnotherLifeAreNotThoseThatAreMissed() {
         run(2_000, 1, 2, 3);
         for (int i = 0; i < 40; i++) {
-            watch.heard(new Heartbeat("edge-3", 6, 0, 0), now);
+            watch.onHeartbeat(new Heartbeat("edge-3", 6, 0, 0), now);
             run(50, 1, 2);
         }
         assertEquals("suspect edge-3", told.get(0));
@@ -102,7 +102,7 @@
         run(2_000, 1, 2, 3);
         run(800, 1, 2);
         told.clear();
-        watch.hub();
+        watch.onCoordinatorConnected();
         run(50, 1, 2);
         assertEquals(List.of("suspect edge-3"), told);
     }
@@ -113,7 +113,7 @@
         run(800);
         assertEquals(3, told.size());
         told.clear();
-        watch.hub();
+        watch.onCoordinatorConnected();
         run(600);
         assertEquals(List.of(), told);
         run(200);
@@ -136,7 +136,7 @@
         assertEquals(List.of(), told);
         run(200);
         assertEquals(3, told.size());
-        watch.ring(ring, now);
+        watch.updateRing(ring, now);
         run(50, 1, 2, 3);
         assertEquals(List.of(), watch.suspected());
     }
--- a/src/test/java/brambletray/platform/failuredetection/HomeAssignmentTest.java
+++ b/src/test/java/brambletray/platform/failuredetection/HomeAssignmentTest.java
@@ -22,7 +22,7 @@
         for (int zone = 0; zone < zones; zone++) {
             for (int i = 0; i < each; i++) {
                 peers.add(new Peer(
-                        "edge-" + zone + "-" + i, "zone-" + zone, "10." + zone + ".0." + i + ":7400", 1, Peer.IN));
+                        "edge-" + zone + "-" + i, "zone-" + zone, "10." + zone + ".0." + i + ":7400", 1, Peer.ACTIVE));
             }
         }
         return Roster.of(1, 1, peers);
@@ -90,7 +90,7 @@
 
     @Test
     void oneThatIsLeavingIsNoHome() {
-        Peer going = roster(1, 3).find("edge-0-1").leaving();
+        Peer going = roster(1, 3).find("edge-0-1").asLeaving();
         List<Peer> peers = new ArrayList<>(without(roster(1, 3), "edge-0-1").peers());
         peers.add(going);
         HomeAssignment homes = new HomeAssignment(Roster.of(1, 2, peers));
@@ -110,8 +110,9 @@
             others.remove(peer);
             assertEquals(WatchRing.WATCHERS, others.size());
             assertTrue(watchers.stream().anyMatch(watcher -> !watcher.zone().equals(peer.zone())));
-            watchers.forEach(watcher -> assertTrue(ring.wardsOf(watcher.name()).contains(peer)));
-            watched += ring.wardsOf(peer.name()).size();
+            watchers.forEach(
+                    watcher -> assertTrue(ring.watchedBy(watcher.name()).contains(peer)));
+            watched += ring.watchedBy(peer.name()).size();
         }
         assertEquals(WatchRing.WATCHERS * roster.peers().size(), watched);
     }
@@ -119,9 +120,9 @@
     @Test
     void theOnlyOneOfAnotherZoneWatchesAll() {
         List<Peer> peers = new ArrayList<>(roster(1, 20).peers());
-        peers.add(new Peer("far", "zone-9", "10.9.0.1:7400", 1, Peer.IN));
+        peers.add(new Peer("far", "zone-9", "10.9.0.1:7400", 1, Peer.ACTIVE));
         WatchRing ring = new WatchRing(Roster.of(1, 1, peers));
-        assertEquals(20, ring.wardsOf("far").size());
+        assertEquals(20, ring.watchedBy("far").size());
     }
 
     /** The hashes are part of what processes agree on: they may not change from one version to the next unnoticed. */
--- a/src/test/java/brambletray/platform/failuredetection/MembershipRegistryTest.java
+++ b/src/test/java/brambletray/platform/failuredetection/MembershipRegistryTest.java
@@ -16,7 +16,7 @@
     private final MembershipRegistry membership = new MembershipRegistry(TERM, 0, (roster, why) -> said.add(roster));
 
     private static Peer peer(int number) {
-        return new Peer("edge-" + number, "zone-" + number % 3, "10.0.0." + number + ":7400", 1, Peer.IN);
+        return new Peer("edge-" + number, "zone-" + number % 3, "10.0.0." + number + ":7400", 1, Peer.ACTIVE);
     }
 
     private static Roster old(int peers) {
@@ -35,7 +35,7 @@
 
     private void begin(int peers) {
         for (int i = 0; i < peers; i++) {
-            membership.hello(new EdgeHello(peer(i), 0, 0, 0, 0), 0);
+            membership.onHello(new EdgeHello(peer(i), 0, 0, 0, 0), 0);
         }
         run(0, 2_500);
         assertEquals(1, said.size());
@@ -43,27 +43,27 @@
 
     @Test
     void aRosterThatAnEdgeSpeaksOfIsWaitedFor() {
-        membership.hello(new EdgeHello(peer(0), TERM - 1, 40, 0, 0), 0);
+        membership.onHello(new EdgeHello(peer(0), TERM - 1, 40, 0, 0), 0);
         run(0, 1_500);
         assertEquals(List.of(), said);
-        membership.told(old(5), 1_500);
+        membership.onReportedRoster(old(5), 1_500);
         run(1_500, 1_600);
         assertEquals(5, said.get(0).peers().size());
     }
 
     @Test
     void aRosterThatIsNeverToldIsNotWaitedForForever() {
-        membership.hello(new EdgeHello(peer(0), TERM - 1, 40, 0, 0), 0);
-        run(0, MembershipRegistry.HOLD_MS + 100);
+        membership.onHello(new EdgeHello(peer(0), TERM - 1, 40, 0, 0), 0);
+        run(0, MembershipRegistry.REPORTED_GRACE_MS + 100);
         assertEquals(1, said.get(0).peers().size());
     }
 
     @Test
     void theNewestRosterThatIsToldCounts() {
-        membership.hello(new EdgeHello(peer(0), TERM - 1, 40, 0, 0), 0);
-        membership.told(old(5), 0);
-        membership.told(Roster.of(TERM - 2, 90, List.of(peer(9))), 0);
-        membership.told(Roster.of(TERM, 90, List.of(peer(8))), 0);
+        membership.onHello(new EdgeHello(peer(0), TERM - 1, 40, 0, 0), 0);
+        membership.onReportedRoster(old(5), 0);
+        membership.onReportedRoster(Roster.of(TERM - 2, 90, List.of(peer(9))), 0);
+        membership.onReportedRoster(Roster.of(TERM, 90, List.of(peer(8))), 0);
         run(0, 100);
         assertEquals(old(5).peers(), said.get(0).peers());
     }
@@ -75,12 +75,12 @@
         List<Peer> watchers = new WatchRing(said.get(0)).watchersOf(accused.name());
         String accuser = watchers.get(0).name();
         for (Peer one : List.of(accused, watchers.get(1), watchers.get(2))) {
-            membership.suspect(new SuspicionReport(one.name(), one.life(), accuser));
+            membership.onSuspicion(new SuspicionReport(one.name(), one.incarnation(), accuser));
         }
         run(2_500, 5_000);
         assertEquals(1, said.size());
         for (Peer dead : List.of(watchers.get(1), watchers.get(2))) {
-            membership.parted(dead.name(), dead.life(), 5_000);
+            membership.onDisconnected(dead.name(), dead.incarnation(), 5_000);
         }
         run(5_000, 5_200);
         assertNull(said.get(said.size() - 1).find(accused.name()), "two watchers are gone, and the third misses it");
@@ -90,11 +90,11 @@
     void aWordAboutAnotherLifeOrOfAStrangerCountsForNothing() {
         begin(6);
         for (int i = 1; i < 4; i++) {
-            membership.suspect(new SuspicionReport("edge-0", 99, "edge-" + i));
-            membership.suspect(new SuspicionReport("edge-0", 1, "stranger-" + i));
+            membership.onSuspicion(new SuspicionReport("edge-0", 99, "edge-" + i));
+            membership.onSuspicion(new SuspicionReport("edge-0", 1, "stranger-" + i));
         }
-        membership.suspect(new SuspicionReport("edge-0", 1, "edge-0"));
-        membership.suspect(new SuspicionReport("edge-0", 1, "edge-1"));
+        membership.onSuspicion(new SuspicionReport("edge-0", 1, "edge-0"));
+        membership.onSuspicion(new SuspicionReport("edge-0", 1, "edge-1"));
         run(2_500, 5_000);
         assertEquals(1, said.size());
     }
@@ -102,9 +102,9 @@
     @Test
     void aWordThatIsTakenBackCountsForNothing() {
         begin(6);
-        membership.suspect(new SuspicionReport("edge-0", 1, "edge-1"));
-        membership.trust(new SuspicionWithdrawal("edge-0", 1, "edge-1"));
-        membership.suspect(new SuspicionReport("edge-0", 1, "edge-2"));
+        membership.onSuspicion(new SuspicionReport("edge-0", 1, "edge-1"));
+        membership.onWithdrawal(new SuspicionWithdrawal("edge-0", 1, "edge-1"));
+        membership.onSuspicion(new SuspicionReport("edge-0", 1, "edge-2"));
         run(2_500, 5_000);
         assertEquals(1, said.size());
     }
@@ -113,12 +113,12 @@
     void manyChangesAtOnceAreOneRoster() {
         begin(40);
         for (int i = 0; i < 20; i++) {
-            membership.hello(new EdgeHello(peer(i).leaving(), TERM, 1, 0, 0), 3_000);
+            membership.onHello(new EdgeHello(peer(i).asLeaving(), TERM, 1, 0, 0), 3_000);
         }
         run(3_000, 3_100);
         assertEquals(2, said.size());
         assertEquals(Peer.LEAVING, said.get(1).find("edge-3").state());
         assertNotNull(said.get(1).find("edge-30"));
-        assertTrue(said.get(1).newerThan(said.get(0)));
+        assertTrue(said.get(1).isNewerThan(said.get(0)));
     }
 }
--- a/src/test/java/brambletray/platform/failuredetection/TimelineColumn.java
+++ b/src/test/java/brambletray/platform/failuredetection/TimelineColumn.java
@@ -48,7 +48,7 @@
     }
 
     /** An edge. */
-    static final class Edge extends TimelineColumn implements HeartbeatMonitor.Hands {
+    static final class Edge extends TimelineColumn implements HeartbeatMonitor.Actions {
         private final SimulatedEdges village;
         private final String zone;
         private Peer self;
@@ -67,7 +67,7 @@
 
         void start(long life) {
             inbox.clear();
-            self = new Peer(name, zone, name + ":7400", life, Peer.IN);
+            self = new Peer(name, zone, name + ":7400", life, Peer.ACTIVE);
             watch = new HeartbeatMonitor(self, SimulatedEdges.INTERVAL, this);
             roster = Roster.NONE;
         }
@@ -78,13 +78,13 @@
         }
 
         void leave() {
-            self = self.leaving();
-            watch.self(self, 0);
+            self = self.asLeaving();
+            watch.updateSelf(self, 0);
             hello();
         }
 
         long life() {
-            return self.life();
+            return self.incarnation();
         }
 
         Roster roster() {
@@ -94,16 +94,16 @@
         @Override
         void read(String from, Object frame, long now) {
             if (frame instanceof Heartbeat beat) {
-                watch.heard(beat, now);
+                watch.onHeartbeat(beat, now);
             } else if (frame instanceof EdgeWelcome welcome) {
-                if (welcome.lacks(roster)) {
+                if (welcome.isMissing(roster)) {
                     village.send(name, SimulatedEdges.HUB, roster);
                 }
-                watch.hub();
-            } else if (frame instanceof Roster newer && newer.newerThan(roster)) {
+                watch.onCoordinatorConnected();
+            } else if (frame instanceof Roster newer && newer.isNewerThan(roster)) {
                 roster = newer;
-                watch.ring(new WatchRing(newer), now);
-                if (!newer.lists(self)) {
+                watch.updateRing(new WatchRing(newer), now);
+                if (!newer.contains(self)) {
                     hello();
                 }
             }
@@ -115,23 +115,23 @@
         }
 
         @Override
-        public void beat(Peer watcher, Heartbeat beat) {
+        public void sendHeartbeat(Peer watcher, Heartbeat beat) {
             village.send(name, watcher.name(), beat);
         }
 
         @Override
-        public void suspect(SuspicionReport suspect) {
+        public void reportSuspicion(SuspicionReport suspect) {
             told.add(suspect.name());
             village.send(name, SimulatedEdges.HUB, suspect);
         }
 
         @Override
-        public void trust(SuspicionWithdrawal trust) {
+        public void withdrawSuspicion(SuspicionWithdrawal trust) {
             village.send(name, SimulatedEdges.HUB, trust);
         }
 
         @Override
-        public void slept(long ms) {
+        public void onProcessPaused(long ms) {
             sleeps++;
         }
     }
@@ -166,7 +166,7 @@
         @Override
         void read(String from, Object frame, long now) {
             if (frame instanceof EdgeHello hello) {
-                membership.hello(hello, now);
+                membership.onHello(hello, now);
                 Roster newest = membership.newest();
                 village.send(
                         name,
@@ -177,13 +177,13 @@
                     village.send(name, from, membership.roster());
                 }
             } else if (frame instanceof Parted parted) {
-                membership.parted(from, parted.life(), now);
+                membership.onDisconnected(from, parted.life(), now);
             } else if (frame instanceof Roster other) {
-                membership.told(other, now);
+                membership.onReportedRoster(other, now);
             } else if (frame instanceof SuspicionReport suspect) {
-                membership.suspect(suspect);
+                membership.onSuspicion(suspect);
             } else if (frame instanceof SuspicionWithdrawal trust) {
-                membership.trust(trust);
+                membership.onWithdrawal(trust);
             }
         }
 
--- a/src/test/java/brambletray/platform/proxy/SimulatedProxy.java
+++ b/src/test/java/brambletray/platform/proxy/SimulatedProxy.java
@@ -68,9 +68,9 @@
                         + hosts
                         + "}],\"services\":[{\"name\":\"s\",\"health-path\":null,\"max-connections\":8,\"protocol\":\"h1\",\"tls-mode\":false,\"memory-mb\":128,"
                         + "\"boot-ms\":500,\"max-concurrency\":4}],\"limits\":{\"max-header-bytes\":"
-                        + limits.headerBytes()
-                        + ",\"max-body-bytes\":" + limits.bodyBytes() + ",\"header-timeout-ms\":"
-                        + limits.headerMs() + ",\"idle-timeout-ms\":" + limits.idleMs() + "}}")
+                        + limits.maxHeaderBytes()
+                        + ",\"max-body-bytes\":" + limits.maxBodyBytes() + ",\"header-timeout-ms\":"
+                        + limits.headerTimeoutMs() + ",\"idle-timeout-ms\":" + limits.idleTimeoutMs() + "}}")
                 .getBytes(StandardCharsets.UTF_8));
     }
 
--- a/src/test/java/brambletray/platform/storage/KeyValueStoreTest.java
+++ b/src/test/java/brambletray/platform/storage/KeyValueStoreTest.java
@@ -74,7 +74,7 @@
             }
             changes.add(new KeyChange("number", new byte[] {(byte) i, (byte) (i >> 8)}));
             commit(keyValueStore, changes.toArray(new KeyChange[0]));
-            keyValueStore.tidy();
+            keyValueStore.compact();
         }
     }
 
@@ -100,7 +100,7 @@
         }
         try (KeyValueStore again = KeyValueStore.open(dir)) {
             assertTrue(holds(again, kept));
-            assertEquals(4, again.commits());
+            assertEquals(4, again.commitCount());
         }
     }
 
@@ -129,7 +129,7 @@
             for (int i = 0; i < 10_000; i++) {
                 value[i % value.length]++;
                 keyValueStore.commit(List.of(new KeyChange("key-" + i % 5, value.clone())));
-                keyValueStore.tidy();
+                keyValueStore.compact();
                 most = Math.max(most, disk.bytes());
             }
             assertArrayEquals(value, keyValueStore.get("key-4"));
@@ -269,7 +269,7 @@
                 }
             }
             assertTrue(holds(keyValueStore, kept), where);
-            keyValueStore.tidy();
+            keyValueStore.compact();
             if (hurt) {
                 checks++;
                 darkAfter(disk, random, where, seen);
--- a/src/test/java/brambletray/platform/storage/RefusedStepsTest.java
+++ b/src/test/java/brambletray/platform/storage/RefusedStepsTest.java
@@ -233,7 +233,7 @@
             refused = !commits(store, changes(number), where);
             if (!refused) {
                 put(kept, changes(number));
-                store.tidy();
+                store.compact();
             }
         }
         if (refused) {
--- a/src/test/java/brambletray/platform/storage/SimulatedDirectory.java
+++ b/src/test/java/brambletray/platform/storage/SimulatedDirectory.java
@@ -243,7 +243,7 @@
     }
 
     @Override
-    public Pen open(String name, long length) throws IOException {
+    public FileWriter open(String name, long length) throws IOException {
         step();
         if (full && length(name) < Math.max(1, length)) {
             throw new IOException("No space left on device");
@@ -252,7 +252,7 @@
         if (item.length != length) {
             item.length((int) length);
         }
-        return new Pen() {
+        return new FileWriter() {
             private int at = (int) length;
 
             @Override
@@ -278,7 +278,7 @@
     }
 
     @Override
-    public void cut(String name, long length) throws IOException {
+    public void truncate(String name, long length) throws IOException {
         step();
         files.get(name).length((int) length);
     }
--- a/src/test/java/brambletray/platform/storage/SyncWriterTest.java
+++ b/src/test/java/brambletray/platform/storage/SyncWriterTest.java
@@ -38,15 +38,15 @@
         assertTrue(syncWriter.drain(10_000));
     }
 
-    private DurableStore.Reply reply(String name) {
-        return new DurableStore.Reply() {
+    private DurableStore.CommitCallback reply(String name) {
+        return new DurableStore.CommitCallback() {
             @Override
-            public void done() {
+            public void onCommitted() {
                 heard.add(name + " done");
             }
 
             @Override
-            public void failed(StorageException why) {
+            public void onFailed(StorageException why) {
                 heard.add(name + ' ' + why.code());
             }
         };
@@ -92,7 +92,7 @@
     void takesNoMoreThanItHasRoomFor() throws Exception {
         syncWriter.commit(List.of(new KeyChange("a", new byte[1])), 0, reply("first"));
         writing.await();
-        byte[] large = new byte[(int) (SyncWriter.MOST_BYTES / 2 + 1)];
+        byte[] large = new byte[(int) (SyncWriter.MAX_PENDING_BYTES / 2 + 1)];
         assertTrue(syncWriter.commit(List.of(new KeyChange("b", large)), 0, reply("second")));
         assertFalse(syncWriter.commit(List.of(new KeyChange("c", large)), 0, reply("third")));
     }
--- a/src/test/java/brambletray/platform/storage/WriterTurnsTest.java
+++ b/src/test/java/brambletray/platform/storage/WriterTurnsTest.java
@@ -68,16 +68,16 @@
         private void commit(String key, int value) {
             String name = key + value;
             assertTrue(writer.commit(
-                    List.of(new KeyChange(key, new byte[] {(byte) value})), NOW_MS, new DurableStore.Reply() {
+                    List.of(new KeyChange(key, new byte[] {(byte) value})), NOW_MS, new DurableStore.CommitCallback() {
                         @Override
-                        public void done() {
+                        public void onCommitted() {
                             assertTrue(
                                     disk.getOrDefault(key, 0) >= value, name + " is acknowledged and not on the disk");
                             heard.add(name + " done");
                         }
 
                         @Override
-                        public void failed(StorageException fault) {
+                        public void onFailed(StorageException fault) {
                             heard.add(name + ' ' + fault.code());
                         }
                     }));
@@ -168,7 +168,7 @@
                     () -> assertEquals(1, queue.size()),
                     () -> assertEquals(5, queue.oldestWaitMs(NOW_MS + 5)),
                     () -> assertEquals(List.of(entry), queue.take()),
-                    queue::finished,
+                    queue::markFinished,
                     queue::close,
                     () -> assertNull(queue.take()));
             turns.thread("one", () -> {
