--- a/src/main/java/brambletray/platform/admission/InstancePool.java
+++ b/src/main/java/brambletray/platform/admission/InstancePool.java
@@ -73,7 +73,11 @@
         if (post == null || post.leaving()) {
             return false;
         }
-        LOG.tell("leaving", "service", context.service(), "host", id, "held", post.held);
+        LOG.info("leaving")
+                .with("service", context.service())
+                .with("host", id)
+                .with("held", post.held)
+                .log();
         carried(post, now);
         post.state = InstanceInfo.LEAVING;
         post.leavingSince = now;
@@ -97,7 +101,11 @@
         if (post == null) {
             return false;
         }
-        LOG.tell("gone", "service", context.service(), "host", id, "held", post.held);
+        LOG.info("gone")
+                .with("service", context.service())
+                .with("host", id)
+                .with("held", post.held)
+                .log();
         carried(post, now);
         forget(post);
         return true;
@@ -114,7 +122,12 @@
 
     /** Given up: not used any more, and stopped lest it cost on. */
     void drop(PooledInstance post, String why, long now) {
-        LOG.tell("dropped", "service", context.service(), "host", post.id, "why", why, "held", post.held);
+        LOG.info("dropped")
+                .with("service", context.service())
+                .with("host", post.id)
+                .with("why", why)
+                .with("held", post.held)
+                .log();
         carried(post, now);
         end(post, now);
     }
--- a/src/main/java/brambletray/platform/admission/ServiceQueues.java
+++ b/src/main/java/brambletray/platform/admission/ServiceQueues.java
@@ -96,7 +96,11 @@
             seat.scheduled = Long.MIN_VALUE;
             seatOf.values().removeIf(one -> one == seat);
             if (seat.waiting() > 0 || seat.heldPlaces() > 0) {
-                LOG.tell("ceded", "service", service, "held", seat.heldPlaces(), "waiting", seat.waiting());
+                LOG.info("ceded")
+                        .with("service", service)
+                        .with("held", seat.heldPlaces())
+                        .with("waiting", seat.waiting())
+                        .log();
             }
         }
     }
--- a/src/main/java/brambletray/platform/controlplane/ControlPlaneProgram.java
+++ b/src/main/java/brambletray/platform/controlplane/ControlPlaneProgram.java
@@ -6,6 +6,7 @@
 import brambletray.platform.distribution.FrameTypes;
 import brambletray.platform.distribution.LinkIntroduction;
 import brambletray.platform.distribution.ProcessSignals;
+import brambletray.platform.election.ElectionEvent;
 import brambletray.platform.election.ElectionMessage;
 import brambletray.platform.election.LeaseElection;
 import brambletray.platform.election.LeaseTimings;
@@ -21,6 +22,7 @@
 import brambletray.platform.replication.Replica;
 import brambletray.platform.replication.ReplicaStatus;
 import brambletray.platform.replication.ReplicationActions;
+import brambletray.platform.replication.ReplicationEvent;
 import brambletray.platform.replication.ReplicationMessage;
 import brambletray.platform.replication.ReplicationSettings;
 import brambletray.platform.settings.Address;
@@ -186,7 +188,11 @@
                 })
                 .sync();
         program[0].listen().sync();
-        LOG.tell("started", "node", nodeSettings.node(), "control", control, "kept", stored.size());
+        LOG.info("started")
+                .with("node", nodeSettings.node())
+                .with("control", control)
+                .with("kept", stored.size())
+                .log();
     }
 
     /** Ticks from now on; on the loop. */
@@ -217,7 +223,10 @@
             try {
                 return KeyValueStore.open(dir);
             } catch (StorageException error) {
-                LOG.warn("disk not opened", "code", error.code(), "why", error.getMessage());
+                LOG.warn("disk not opened")
+                        .with("code", error.code())
+                        .with("why", error.getMessage())
+                        .log();
                 if (error.code().equals("storage.broken")) {
                     KeyValueStore.abandon(dir);
                 } else if (error.code().equals("storage.format")) {
@@ -251,7 +260,10 @@
                 maybeExit(nowMs);
             }
         } catch (RuntimeException e) {
-            LOG.warn("tick failed", "why", e, "at", e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "");
+            LOG.warn("tick failed")
+                    .with("why", e)
+                    .with("at", e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "")
+                    .log();
         }
     }
 
@@ -306,14 +318,11 @@
     private void onConfigurationChanged() {
         Configuration configuration = operatorCalls.stateMachine().configuration();
         changeHistory.advanceTo(configuration);
-        LOG.tell(
-                "configuration",
-                "revision",
-                configuration.revision(),
-                "routes",
-                configuration.routes().size(),
-                "services",
-                configuration.services().size());
+        LOG.info("configuration")
+                .with("revision", configuration.revision())
+                .with("routes", configuration.routes().size())
+                .with("services", configuration.services().size())
+                .log();
         if (coordinator != null) {
             coordinator.onConfigurationChanged(nowMs());
         }
@@ -323,9 +332,12 @@
         try {
             NodeSettings nowMs = nodeSettings.reread();
             replica.updateSettings(replicationSettings(nowMs), seeds(nowMs));
-            LOG.tell("settings read again");
+            LOG.info("settings read again").log();
         } catch (SettingsException error) {
-            LOG.warn("settings not used", "code", error.code(), "why", error.getMessage());
+            LOG.warn("settings not used")
+                    .with("code", error.code())
+                    .with("why", error.getMessage())
+                    .log();
         }
     }
 
@@ -335,7 +347,7 @@
             return;
         }
         leavingSinceMs = nowMs();
-        LOG.tell("leaving");
+        LOG.info("leaving").log();
         int maxMs = leaveTimeoutMs(nodeSettings);
         machine.loop().schedule(exit, maxMs + Math.min(500, maxMs / 10), TimeUnit.MILLISECONDS);
         election.handOver(leavingSinceMs);
@@ -349,7 +361,7 @@
         }
         boolean busy = removedSinceMs < 0 || !operatorCalls.isIdle();
         if (!busy && nowMs - removedSinceMs >= SHUTDOWN_FLUSH_MS && nowMs - leavingSinceMs >= MIN_SHUTDOWN_MS) {
-            LOG.tell("left", "ms", nowMs - leavingSinceMs);
+            LOG.info("left").with("ms", nowMs - leavingSinceMs).log();
             exit.run();
         }
     }
@@ -432,8 +444,8 @@
         }
 
         @Override
-        public void tell(String event, Object... facts) {
-            LOG.tell(event, facts);
+        public void log(ElectionEvent event) {
+            LOG.log(event);
         }
     }
 
@@ -464,13 +476,8 @@
         }
 
         @Override
-        public void tell(String event, Object... facts) {
-            LOG.tell(event, facts);
-        }
-
-        @Override
-        public void warn(String event, Object... facts) {
-            LOG.warn(event, facts);
+        public void log(ReplicationEvent event) {
+            LOG.log(event);
         }
     }
 
--- a/src/main/java/brambletray/platform/controlplane/EdgeCoordinator.java
+++ b/src/main/java/brambletray/platform/controlplane/EdgeCoordinator.java
@@ -127,7 +127,10 @@
                 this::homeOf,
                 nowMs);
         onConfigurationChanged(nowMs);
-        LOG.tell("begins", "term", term, "revision", configuration.get().revision());
+        LOG.info("begins")
+                .with("term", term)
+                .with("revision", configuration.get().revision())
+                .log();
     }
 
     long term() {
@@ -187,16 +190,12 @@
         if (roster.number() == 1) {
             provisioner.expect(names);
         }
-        LOG.tell(
-                "roster",
-                "term",
-                roster.term(),
-                "number",
-                roster.number(),
-                "peers",
-                roster.peers().size(),
-                "why",
-                why);
+        LOG.info("roster")
+                .with("term", roster.term())
+                .with("number", roster.number())
+                .with("peers", roster.peers().size())
+                .with("why", why)
+                .log();
     }
 
     void receive(String name, Link link, Object frame, long nowMs) {
@@ -251,7 +250,12 @@
         if (rolloutSinceMs != NEVER
                 && newest > 0
                 && edges.values().stream().allMatch(edge -> edge.servedRevision >= newest)) {
-            LOG.tell("spread", "term", term, "revision", newest, "edges", edges.size(), "ms", nowMs - rolloutSinceMs);
+            LOG.info("spread")
+                    .with("term", term)
+                    .with("revision", newest)
+                    .with("edges", edges.size())
+                    .with("ms", nowMs - rolloutSinceMs)
+                    .log();
             rolloutSinceMs = NEVER;
         }
     }
@@ -290,7 +294,11 @@
             }
         }
         if (released > 0) {
-            LOG.tell("edges let go", "term", term, "why", why, "edges", released);
+            LOG.info("edges let go")
+                    .with("term", term)
+                    .with("why", why)
+                    .with("edges", released)
+                    .log();
         }
     }
 
@@ -336,7 +344,7 @@
         platform.close();
         releaseEdges("the term is over");
         edges.clear();
-        LOG.tell("ends", "term", term);
+        LOG.info("ends").with("term", term).log();
     }
 
     private final class ProvisionerOutput implements ProvisioningActions {
--- a/src/main/java/brambletray/platform/controlplane/OperatorCalls.java
+++ b/src/main/java/brambletray/platform/controlplane/OperatorCalls.java
@@ -295,18 +295,13 @@
         inFlight = null;
         ChangeDecision decision = stateMachine.evaluate(change.kind, change.baseRevision, change.call.body());
         boolean applied = decision instanceof ChangeDecision.AlreadyApplied;
-        LOG.tell(
-                "change",
-                "verb",
-                change.kind,
-                "base",
-                change.baseRevision,
-                "outcome",
-                outcome,
-                "taken",
-                applied,
-                "revision",
-                stateMachine.configuration().revision());
+        LOG.info("change")
+                .with("verb", change.kind)
+                .with("base", change.baseRevision)
+                .with("outcome", outcome)
+                .with("taken", applied)
+                .with("revision", stateMachine.configuration().revision())
+                .log();
         if (applied || outcome == ProposalOutcome.COMMITTED && decision instanceof ChangeDecision.Stale) {
             respond(change.call, decision);
         } else if (outcome != ProposalOutcome.REJECTED || replica.successor() == null || !redirect(change.call)) {
@@ -317,22 +312,17 @@
 
     private static void respond(ControlCall call, ChangeDecision decision) {
         if (decision instanceof ChangeDecision.Invalid invalid) {
-            LOG.tell(
-                    "refused",
-                    "code",
-                    invalid.error().code(),
-                    "why",
-                    invalid.error().getMessage());
+            LOG.info("refused")
+                    .with("code", invalid.error().code())
+                    .with("why", invalid.error().getMessage())
+                    .log();
             call.reject(400, invalid.error().code(), invalid.error().getMessage());
         } else if (decision instanceof ChangeDecision.Stale stale) {
-            LOG.tell(
-                    "refused",
-                    "code",
-                    "controlplane.stale",
-                    "base",
-                    call.baseRevision(),
-                    "current",
-                    stale.currentRevision());
+            LOG.info("refused")
+                    .with("code", "controlplane.stale")
+                    .with("base", call.baseRevision())
+                    .with("current", stale.currentRevision())
+                    .log();
             call.reject(412, "controlplane.stale", "the current revision is " + stale.currentRevision());
         } else if (decision instanceof ChangeDecision.HistoryExpired expired) {
             call.reject(
--- a/src/main/java/brambletray/platform/edge/CoordinatorClient.java
+++ b/src/main/java/brambletray/platform/edge/CoordinatorClient.java
@@ -146,7 +146,11 @@
         attached = false;
         avoided = new Avoided(dialler.to(), term, now + AVOID);
         candidates.again();
-        LOG.tell("adrift", "helm", dialler.to(), "term", term, "why", why);
+        LOG.info("adrift")
+                .with("helm", dialler.to())
+                .with("term", term)
+                .with("why", why)
+                .log();
     }
 
     private void turn(long now) {
@@ -217,18 +221,13 @@
     private boolean counts(long under, Object frame) {
         boolean yes = attached && under == term;
         if (!yes) {
-            LOG.tell(
-                    "not taken",
-                    "frame",
-                    frame.getClass().getSimpleName(),
-                    "from",
-                    dialler.to(),
-                    "its term",
-                    under,
-                    "term",
-                    term,
-                    "attached",
-                    attached);
+            LOG.info("not taken")
+                    .with("frame", frame.getClass().getSimpleName())
+                    .with("from", dialler.to())
+                    .with("its term", under)
+                    .with("term", term)
+                    .with("attached", attached)
+                    .log();
         }
         return yes;
     }
@@ -264,18 +263,13 @@
 
     private void pulse(CoordinatorHeartbeat pulse, long now) {
         if (pulse.term() < term) {
-            LOG.tell(
-                    "not taken",
-                    "frame",
-                    "Pulse",
-                    "from",
-                    dialler.to(),
-                    "its term",
-                    pulse.term(),
-                    "term",
-                    term,
-                    "attached",
-                    attached);
+            LOG.info("not taken")
+                    .with("frame", "Pulse")
+                    .with("from", dialler.to())
+                    .with("its term", pulse.term())
+                    .with("term", term)
+                    .with("attached", attached)
+                    .log();
             return;
         }
         boolean fresh = !attached || pulse.term() > term;
@@ -283,7 +277,7 @@
         term = pulse.term();
         attached = true;
         if (fresh) {
-            LOG.tell("attached", "helm", dialler.to(), "term", term);
+            LOG.info("attached").with("helm", dialler.to()).with("term", term).log();
             rosterAsked = NEVER;
             frameDispatcher.attached(term);
         }
--- a/src/main/java/brambletray/platform/edge/EdgeProgram.java
+++ b/src/main/java/brambletray/platform/edge/EdgeProgram.java
@@ -26,6 +26,7 @@
 import brambletray.platform.failuredetection.SuspicionWithdrawal;
 import brambletray.platform.failuredetection.WatchRing;
 import brambletray.platform.logging.EventLog;
+import brambletray.platform.logging.LogEventBuilder;
 import brambletray.platform.proxy.FrontEndServer;
 import brambletray.platform.proxy.GracefulShutdown;
 import brambletray.platform.proxy.HostConnectionPools;
@@ -174,12 +175,20 @@
                 .open(readiness)
                 .addListener(done -> opened("readiness", readiness, done.cause()));
         machine.loop().scheduleWithFixedDelay(this::tick, TICK, TICK, TimeUnit.MILLISECONDS);
-        LOG.tell("started", "node", self.name(), "zone", self.zone(), "life", Long.toHexString(self.incarnation()));
+        LOG.info("started")
+                .with("node", self.name())
+                .with("zone", self.zone())
+                .with("life", Long.toHexString(self.incarnation()))
+                .log();
     }
 
     private void opened(String what, Address at, Throwable cause) {
         if (cause != null) {
-            LOG.warn("cannot listen", "field", "bind-addresses." + what, "address", at, "why", cause);
+            LOG.warn("cannot listen")
+                    .with("field", "bind-addresses." + what)
+                    .with("address", at)
+                    .with("why", cause)
+                    .log();
             exit.accept(2);
         }
     }
@@ -210,22 +219,20 @@
             }
             if (now - figuresAt > FIGURES) {
                 figuresAt = now;
-                List<Object> facts = new ArrayList<>(List.of(
-                        "waiting",
-                        slotClient.waiting(),
-                        "held",
-                        slotClient.held(),
-                        "seats",
-                        localAdmission.seats(),
-                        "revision",
-                        configuration.revision(),
-                        "connections",
-                        front.connections()));
-                facts.addAll(List.of(counters.facts()));
-                LOG.tell("figures", facts.toArray());
+                LogEventBuilder line = LOG.info("figures")
+                        .with("waiting", slotClient.waiting())
+                        .with("held", slotClient.held())
+                        .with("seats", localAdmission.seats())
+                        .with("revision", configuration.revision())
+                        .with("connections", front.connections());
+                counters.forEachNonZero(line::with);
+                line.log();
             }
         } catch (RuntimeException e) {
-            LOG.warn("tick failed", "why", e, "at", e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "");
+            LOG.warn("tick failed")
+                    .with("why", e)
+                    .with("at", e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "")
+                    .log();
         }
     }
 
@@ -247,9 +254,12 @@
     void reread() {
         try {
             coordinatorClient.members(members(nodeSettings.reread()));
-            LOG.tell("settings read again");
+            LOG.info("settings read again").log();
         } catch (SettingsException fault) {
-            LOG.warn("settings not used", "code", fault.code(), "why", fault.getMessage());
+            LOG.warn("settings not used")
+                    .with("code", fault.code())
+                    .with("why", fault.getMessage())
+                    .log();
         }
     }
 
@@ -260,7 +270,10 @@
         }
         leaving = true;
         long grace = (long) (nodeSettings.bounds().graceS() * 1_000);
-        LOG.tell("leaving", "grace-ms", grace, "in-flight", flow.inFlight());
+        LOG.info("leaving")
+                .with("grace-ms", grace)
+                .with("in-flight", flow.inFlight())
+                .log();
         shutdown.begin(grace);
         self = self.asLeaving();
         watch.updateSelf(self, configuration.revision());
@@ -281,30 +294,22 @@
             configuration = next;
             watch.updateSelf(self, configuration.revision());
             localAdmission.configuration(configuration);
-            LOG.tell(
-                    "configuration",
-                    "revision",
-                    configuration.revision(),
-                    "before",
-                    before,
-                    "routes",
-                    configuration.routes().size(),
-                    "bytes",
-                    bytes,
-                    "ms",
-                    ms);
+            LOG.info("configuration")
+                    .with("revision", configuration.revision())
+                    .with("before", before)
+                    .with("routes", configuration.routes().size())
+                    .with("bytes", bytes)
+                    .with("ms", ms)
+                    .log();
         }
 
         @Override
         public void onRejected(ConfigurationException fault) {
-            LOG.warn(
-                    "configuration not taken",
-                    "revision",
-                    configuration.revision(),
-                    "code",
-                    fault.code(),
-                    "why",
-                    fault.getMessage());
+            LOG.warn("configuration not taken")
+                    .with("revision", configuration.revision())
+                    .with("code", fault.code())
+                    .with("why", fault.getMessage())
+                    .log();
         }
     }
 
@@ -325,16 +330,12 @@
         localAdmission.roster(homes, gone);
         slotClient.roster(homes);
         watch.updateRing(new WatchRing(next), now());
-        LOG.tell(
-                "roster",
-                "term",
-                next.term(),
-                "number",
-                next.number(),
-                "peers",
-                next.peers().size(),
-                "gone",
-                gone);
+        LOG.info("roster")
+                .with("term", next.term())
+                .with("number", next.number())
+                .with("peers", next.peers().size())
+                .with("gone", gone)
+                .log();
         if (!next.contains(self)) {
             coordinatorClient.say(new EdgeHello(
                     self, roster.term(), roster.number(), configuration.revision(), coordinatorClient.term()));
@@ -432,7 +433,7 @@
 
         @Override
         public void onProcessPaused(long ms) {
-            LOG.tell("slept", "ms", ms);
+            LOG.info("slept").with("ms", ms).log();
         }
     }
 
--- a/src/main/java/brambletray/platform/election/ElectionActions.java
+++ b/src/main/java/brambletray/platform/election/ElectionActions.java
@@ -16,6 +16,6 @@
     /** This process has it no longer. */
     void lost(long term);
 
-    /** An event to log: pairs of a name and a value. */
-    void tell(String event, Object... facts);
+    /** Something to be logged. */
+    void log(ElectionEvent event);
 }
--- a/src/main/java/brambletray/platform/election/LeaseElection.java
+++ b/src/main/java/brambletray/platform/election/LeaseElection.java
@@ -219,7 +219,7 @@
         }
         attempt.won = true;
         resumableViewNumber = 0;
-        actions.tell("election.won", "duty", role, "term", attempt.term, "view", electionView.viewNumber);
+        actions.log(new ElectionEvent.Won(role, attempt.term, electionView.viewNumber));
         actions.won(attempt.term);
         renewLease();
     }
@@ -263,7 +263,7 @@
         long term = attempt.term;
         attempt = null;
         noCandidacyBeforeMs = nowMs + timings.renewIntervalMs();
-        actions.tell("election.lost", "duty", role, "term", term, "why", why);
+        actions.log(new ElectionEvent.Lost(role, term, why));
         actions.lost(term);
     }
 
@@ -468,7 +468,7 @@
     public void revalidate(long seenTerm, long timeMs) {
         advanceTime(timeMs);
         if (attempt != null && attempt.won && seenTerm > attempt.term) {
-            actions.tell("election.doubt", "duty", role, "term", attempt.term, "seen", seenTerm);
+            actions.log(new ElectionEvent.Revalidating(role, attempt.term, seenTerm));
             revalidateSinceMs = nowMs;
             renewLease();
         }
--- a/src/main/java/brambletray/platform/logging/EventLog.java
+++ b/src/main/java/brambletray/platform/logging/EventLog.java
@@ -3,10 +3,13 @@
 import org.jboss.logging.Logger;
 
 /**
- * Log lines that say why: one JSON object a line, through JBoss Logging.
- * {@code EventLog.of("replication").tell("installed", "view", 7, "why", "...")}. Rare at the ordinary pace, complete
- * around a
- * change. {@link LogOutput#begin} says where they go.
+ * Log lines that say why something was done: one JSON object a line, through JBoss Logging. Thread-safe.
+ * {@link LogOutput#begin} says where the lines go.
+ *
+ * <pre>{@code
+ * private static final EventLog LOG = EventLog.of("replication");
+ * LOG.info("view-installed").with("view", 7).with("ms", 120).log();
+ * }</pre>
  */
 public final class EventLog {
     static {
@@ -15,30 +18,34 @@
 
     private final Logger logger;
 
-    private EventLog(String plane) {
-        logger = Logger.getLogger(plane);
+    private EventLog(String category) {
+        logger = Logger.getLogger(category);
     }
 
-    public static EventLog of(String plane) {
-        return new EventLog(plane);
+    /** The log of one package; {@code category} appears in each line as its {@code plane}. */
+    public static EventLog of(String category) {
+        return new EventLog(category);
     }
 
-    /** An event, and its facts as names and values in turn. */
-    public void tell(String event, Object... facts) {
-        if (logger.isInfoEnabled()) {
-            logger.info(LogLine.of(event, facts));
-        }
+    /** Begins a line about something ordinary: rare at the usual pace, complete around a change. */
+    public LogEventBuilder info(String event) {
+        return LogEventBuilder.of(logger, Logger.Level.INFO, event);
     }
 
-    /** The same, for what an operator should look at. */
-    public void warn(String event, Object... facts) {
-        logger.warn(LogLine.of(event, facts));
+    /** Begins a line about something that an operator should look at. */
+    public LogEventBuilder warn(String event) {
+        return LogEventBuilder.of(logger, Logger.Level.WARN, event);
     }
 
-    /** The same, for what is of use only to who looks for a fault. */
-    public void debug(String event, Object... facts) {
-        if (logger.isDebugEnabled()) {
-            logger.debug(LogLine.of(event, facts));
-        }
+    /** Begins a line that is of use only when looking for a fault. */
+    public LogEventBuilder debug(String event) {
+        return LogEventBuilder.of(logger, Logger.Level.DEBUG, event);
+    }
+
+    /** Logs a typed event, as a warning where it needs attention. */
+    public void log(LogEvent event) {
+        LogEventBuilder builder = event.needsAttention() ? warn(event.name()) : info(event.name());
+        event.writeFields(builder::with);
+        builder.log();
     }
 }
--- a/src/main/java/brambletray/platform/logging/JsonLogHandler.java
+++ b/src/main/java/brambletray/platform/logging/JsonLogHandler.java
@@ -96,7 +96,8 @@
         if (ours) {
             line.append(message);
         } else {
-            LogLine.facts(line, "foreign", "text", message);
+            LogLine.appendEvent(line, "foreign");
+            LogLine.appendField(line, "text", message);
         }
         if (entry.getThrown() != null) {
             thrown(entry.getThrown());
--- a/src/main/java/brambletray/platform/logging/LogLine.java
+++ b/src/main/java/brambletray/platform/logging/LogLine.java
@@ -1,38 +1,40 @@
 package brambletray.platform.logging;
 
-/** The inside of a log line: {@code "event":..., then each fact}, without the braces. */
+/** The inside of a log line, without the braces: {@code "event":...}, then each field. */
 final class LogLine {
-    /** What each line of ours begins with. */
+    /** How each line of this project begins; lines of libraries do not. */
     static final String START = "\"event\":\"";
     /** Characters of one text; longer ones are cut. */
-    static final int LONGEST = 2_000;
+    static final int MAX_TEXT_LENGTH = 2_000;
 
     private LogLine() {}
 
-    static String of(String event, Object... facts) {
-        return facts(new StringBuilder(96), event, facts).toString();
+    /** Begins a line with the event's name. */
+    static StringBuilder begin(String event) {
+        StringBuilder line = new StringBuilder(96);
+        appendEvent(line, event);
+        return line;
     }
 
-    static StringBuilder facts(StringBuilder line, String event, Object... facts) {
+    static void appendEvent(StringBuilder line, String event) {
         line.append("\"event\":");
         quote(line, event);
-        for (int i = 0; i + 1 < facts.length; i += 2) {
-            line.append(',');
-            quote(line, String.valueOf(facts[i]));
-            line.append(':');
-            Object value = facts[i + 1];
-            if (value == null
-                    || value instanceof Boolean
-                    || value instanceof Number number && Double.isFinite(number.doubleValue())) {
-                line.append(value);
-            } else {
-                quote(line, value.toString());
-            }
+    }
+
+    static void appendField(StringBuilder line, String name, Object value) {
+        line.append(',');
+        quote(line, name);
+        line.append(':');
+        if (value == null
+                || value instanceof Boolean
+                || value instanceof Number number && Double.isFinite(number.doubleValue())) {
+            line.append(value);
+        } else {
+            quote(line, value.toString());
         }
-        return line;
     }
 
-    /** The event of a line that {@link #of} made, as it stands there. */
+    /** The event of a line that {@link #begin} has begun, quoted as it stands there. */
     static String event(String line) {
         int end = START.length();
         while (line.charAt(end) != '"') {
@@ -42,7 +44,7 @@
     }
 
     static void quote(StringBuilder out, String text) {
-        int end = Math.min(text.length(), LONGEST);
+        int end = Math.min(text.length(), MAX_TEXT_LENGTH);
         out.append('"');
         for (int i = 0; i < end; i++) {
             char c = text.charAt(i);
--- a/src/main/java/brambletray/platform/provisioning/InstanceListReconciler.java
+++ b/src/main/java/brambletray/platform/provisioning/InstanceListReconciler.java
@@ -93,7 +93,10 @@
             if (registry.endedAgo(listed.id(), now) < AFTER_END + lag || listed.draining()) {
                 return;
             }
-            LOG.warn("still there", "host", listed.id(), "ended as", end.why());
+            LOG.warn("still there")
+                    .with("host", listed.id())
+                    .with("ended as", end.why())
+                    .log();
             registry.revive(listed.id());
             if (end.stopped()) {
                 stops.want(listed.id(), "stopped before, and still there", now);
@@ -101,11 +104,19 @@
             }
         }
         if (sizes.apply(listed.service()) == null) {
-            LOG.tell("orphan stopped", "host", listed.id(), "service", listed.service(), "why", "no such service");
+            LOG.info("orphan stopped")
+                    .with("host", listed.id())
+                    .with("service", listed.service())
+                    .with("why", "no such service")
+                    .log();
             stops.want(listed.id(), "of no service", now);
             return;
         }
-        LOG.tell("orphan adopted", "host", listed.id(), "service", listed.service(), "seat", listed.zone());
+        LOG.info("orphan adopted")
+                .with("host", listed.id())
+                .with("service", listed.service())
+                .with("seat", listed.zone())
+                .log();
         InstanceLifecycle life = new InstanceLifecycle(
                         listed.id(), listed.service(), listed.address(), listed.id(), now)
                 .at(listed.zone(), listed.zone(), listed.worker());
--- a/src/main/java/brambletray/platform/provisioning/InstanceRegistry.java
+++ b/src/main/java/brambletray/platform/provisioning/InstanceRegistry.java
@@ -114,7 +114,11 @@
             return;
         }
         life.state = InstanceInfo.LEAVING;
-        LOG.tell("leaving", "host", life.id, "service", life.service, "why", why);
+        LOG.info("leaving")
+                .with("host", life.id)
+                .with("service", life.service)
+                .with("why", why)
+                .log();
         if (!life.stopping) {
             tell(life, new InstanceDraining(life.id, life.service));
         }
@@ -133,7 +137,12 @@
         fleet.instances(life.worker, life.service, -1);
         ended(life.id, why, stopped, now);
         if (!stopped) {
-            LOG.tell("gone", "host", life.id, "service", life.service, "worker", life.worker, "why", why);
+            LOG.info("gone")
+                    .with("host", life.id)
+                    .with("service", life.service)
+                    .with("worker", life.worker)
+                    .with("why", why)
+                    .log();
         }
         tell(life, new InstanceGone(life.id, life.service));
     }
--- a/src/main/java/brambletray/platform/provisioning/InstanceStarts.java
+++ b/src/main/java/brambletray/platform/provisioning/InstanceStarts.java
@@ -224,16 +224,12 @@
 
     /** 409: the nonce has not been used, so it is free for another worker. */
     private void refused(PendingStart start, long now) {
-        LOG.debug(
-                "refused",
-                "service",
-                start.service,
-                "worker",
-                start.worker,
-                "nonce",
-                start.nonce,
-                "refusals",
-                start.refused.size() + 1);
+        LOG.debug("refused")
+                .with("service", start.service)
+                .with("worker", start.worker)
+                .with("nonce", start.nonce)
+                .with("refusals", start.refused.size() + 1)
+                .log();
         InstanceSize size = sizes.apply(start.service);
         fleet.refused(start.worker, size == null ? 1 : size.memoryMb(), now);
         polls.hasten();
--- a/src/main/java/brambletray/platform/provisioning/InstanceStops.java
+++ b/src/main/java/brambletray/platform/provisioning/InstanceStops.java
@@ -105,7 +105,10 @@
         switch (result) {
             case OK, NO_SUCH -> end(stop, result, now);
             case BAD, REFUSED -> {
-                LOG.warn("stop not understood", "host", id, "result", result);
+                LOG.warn("stop not understood")
+                        .with("host", id)
+                        .with("result", result)
+                        .log();
                 end(stop, result, now);
             }
             default -> {
--- a/src/main/java/brambletray/platform/provisioning/KnowledgeRecovery.java
+++ b/src/main/java/brambletray/platform/provisioning/KnowledgeRecovery.java
@@ -55,7 +55,12 @@
         }
         InstanceLifecycle life = registry.get(host.id());
         if (life != null && !life.seat.equals(host.seat())) {
-            LOG.warn("told twice", "host", life.id, "seat", life.seat, "from", edge, "its seat", host.seat());
+            LOG.warn("told twice")
+                    .with("host", life.id)
+                    .with("seat", life.seat)
+                    .with("from", edge)
+                    .with("its seat", host.seat())
+                    .log();
             hands.tell(edge, new InstanceGone(host.id(), host.service()));
             return;
         }
--- a/src/main/java/brambletray/platform/provisioning/PlatformClient.java
+++ b/src/main/java/brambletray/platform/provisioning/PlatformClient.java
@@ -134,7 +134,11 @@
         try {
             return pages.begun(body);
         } catch (ProvisioningException e) {
-            LOG.warn("answer not understood", "call", "begin", "code", e.code(), "why", e.getMessage());
+            LOG.warn("answer not understood")
+                    .with("call", "begin")
+                    .with("code", e.code())
+                    .with("why", e.getMessage())
+                    .log();
             return StartResponse.of(CallResult.UNKNOWN);
         }
     }
@@ -143,7 +147,11 @@
         try {
             return status == 200 ? pages.workers(body) : null;
         } catch (ProvisioningException e) {
-            LOG.warn("answer not understood", "call", "workers", "code", e.code(), "why", e.getMessage());
+            LOG.warn("answer not understood")
+                    .with("call", "workers")
+                    .with("code", e.code())
+                    .with("why", e.getMessage())
+                    .log();
             return null;
         }
     }
@@ -152,7 +160,11 @@
         try {
             return status == 200 ? pages.hosts(body) : null;
         } catch (ProvisioningException e) {
-            LOG.warn("answer not understood", "call", "list", "code", e.code(), "why", e.getMessage());
+            LOG.warn("answer not understood")
+                    .with("call", "list")
+                    .with("code", e.code())
+                    .with("why", e.getMessage())
+                    .log();
             return null;
         }
     }
--- a/src/main/java/brambletray/platform/provisioning/Provisioner.java
+++ b/src/main/java/brambletray/platform/provisioning/Provisioner.java
@@ -110,7 +110,11 @@
         if (life != null) {
             String home = homes.edge(life.service, life.seat);
             if (home != null && !home.equals(edge)) {
-                LOG.debug("quit ignored", "host", life.id, "from", edge, "home", home);
+                LOG.debug("quit ignored")
+                        .with("host", life.id)
+                        .with("from", edge)
+                        .with("home", home)
+                        .log();
                 return;
             }
         } else if (registry.end(quit.id(), now) != null) {
@@ -187,12 +191,18 @@
         }
         for (String worker : news.draining()) {
             List<InstanceLifecycle> there = registry.at(worker);
-            LOG.tell("worker drains", "worker", worker, "hosts", there.size());
+            LOG.info("worker drains")
+                    .with("worker", worker)
+                    .with("hosts", there.size())
+                    .log();
             there.forEach(life -> registry.leaving(life, "its worker drains"));
         }
         for (String worker : news.down()) {
             List<InstanceLifecycle> there = registry.at(worker);
-            LOG.tell("worker down", "worker", worker, "hosts", there.size());
+            LOG.info("worker down")
+                    .with("worker", worker)
+                    .with("hosts", there.size())
+                    .log();
             there.forEach(life -> registry.gone(life, "its worker is down", false, now));
         }
         pump(now);
--- a/src/main/java/brambletray/platform/provisioning/StartAnswers.java
+++ b/src/main/java/brambletray/platform/provisioning/StartAnswers.java
@@ -91,18 +91,13 @@
     public void turnedDown(PendingStart start, int comeBackMs, String why, long now) {
         untold++;
         if (now - toldAt >= SELDOM) {
-            LOG.tell(
-                    "no start",
-                    "service",
-                    start.service,
-                    "seat",
-                    start.seat,
-                    "why",
-                    why,
-                    "come back",
-                    comeBackMs,
-                    "as many",
-                    untold);
+            LOG.info("no start")
+                    .with("service", start.service)
+                    .with("seat", start.seat)
+                    .with("why", why)
+                    .with("come back", comeBackMs)
+                    .with("as many", untold)
+                    .log();
             toldAt = now;
             untold = 0;
         }
--- a/src/main/java/brambletray/platform/proxy/GracefulShutdown.java
+++ b/src/main/java/brambletray/platform/proxy/GracefulShutdown.java
@@ -72,7 +72,7 @@
             return;
         }
         ended = true;
-        LOG.tell("ended", "in-flight", flow.inFlight());
+        LOG.info("ended").with("in-flight", flow.inFlight()).log();
         exit.accept(0);
     }
 }
--- a/src/main/java/brambletray/platform/proxy/HostConnectionPools.java
+++ b/src/main/java/brambletray/platform/proxy/HostConnectionPools.java
@@ -76,7 +76,12 @@
 
     /** A host's bytes were no answer. */
     void broken(HostCall hostCall, String why) {
-        rateLimitedLog.tell(now(), "broken", "host", hostCall.host(), "id", hostCall.id(), "why", why);
+        rateLimitedLog
+                .info(now(), "broken")
+                .with("host", hostCall.host())
+                .with("id", hostCall.id())
+                .with("why", why)
+                .log();
     }
 
     /** Takes back one that is waiting for a connection. */
--- a/src/main/java/brambletray/platform/proxy/RateLimitedLog.java
+++ b/src/main/java/brambletray/platform/proxy/RateLimitedLog.java
@@ -1,23 +1,23 @@
 package brambletray.platform.proxy;
 
 import brambletray.platform.logging.EventLog;
+import brambletray.platform.logging.LogEventBuilder;
 
-/** Tells a tale a few times a second at most: what goes wrong with one request may go wrong with thousands. */
+/** Logs a few lines a second at most: what goes wrong with one request may go wrong with thousands. */
 final class RateLimitedLog {
-    private static final int A_SECOND = 3;
+    private static final int MAX_LINES_PER_SECOND = 3;
+    private static final int MS_PER_SECOND = 1_000;
 
     private final EventLog log = EventLog.of("proxy");
     private long second;
-    private int told;
+    private int linesThisSecond;
 
-    /** {@code now}: ms of the steady clock. */
-    void tell(long now, String event, Object... facts) {
-        if (now / 1_000 != second) {
-            second = now / 1_000;
-            told = 0;
-        }
-        if (told++ < A_SECOND) {
-            log.tell(event, facts);
+    /** Begins a line, which is dropped where this second has had its lines; {@code nowMs}: of the steady clock. */
+    LogEventBuilder info(long nowMs, String event) {
+        if (nowMs / MS_PER_SECOND != second) {
+            second = nowMs / MS_PER_SECOND;
+            linesThisSecond = 0;
         }
+        return linesThisSecond++ < MAX_LINES_PER_SECOND ? log.info(event) : LogEventBuilder.disabled();
     }
 }
--- a/src/main/java/brambletray/platform/proxy/RequestCounters.java
+++ b/src/main/java/brambletray/platform/proxy/RequestCounters.java
@@ -1,6 +1,8 @@
 package brambletray.platform.proxy;
 
 import brambletray.platform.admission.AttemptOutcome;
+import java.util.Locale;
+import java.util.function.ObjLongConsumer;
 
 /** What has passed through this edge since it began; plain counts, for a log line every few seconds. The loop's. */
 public final class RequestCounters {
@@ -52,65 +54,35 @@
         return fates[fate.ordinal()];
     }
 
-    /**
-     * Names and values in turn, as {@link brambletray.platform.logging.EventLog#tell} takes them; fates that never came
-     * are left
-     * out.
-     */
-    public Object[] facts() {
-        java.util.List<Object> facts = new java.util.ArrayList<>(64);
-        add(
-                facts,
-                "requests",
-                requests,
-                "passed",
-                passed,
-                "unrouted",
-                unrouted,
-                "refused",
-                refused,
-                "failed",
-                failed,
-                "late",
-                late,
-                "wrong",
-                wrong,
-                "left",
-                left,
-                "asks",
-                asks,
-                "sends",
-                sends,
-                "copies",
-                copies,
-                "copies_won",
-                copiesWon,
-                "copies_refused",
-                copiesRefused,
-                "agains",
-                agains,
-                "dialled",
-                dialled,
-                "undialled",
-                undialled,
-                "stale",
-                stale,
-                "surplus",
-                surplus,
-                "streamed",
-                streamed);
-        for (AttemptOutcome fate : FATES) {
-            add(facts, fate.name().toLowerCase(java.util.Locale.ROOT), of(fate));
+    /** Hands over each counter that is not 0, by its name in the log. */
+    public void forEachNonZero(ObjLongConsumer<String> consumer) {
+        accept(consumer, "requests", requests);
+        accept(consumer, "passed", passed);
+        accept(consumer, "unrouted", unrouted);
+        accept(consumer, "refused", refused);
+        accept(consumer, "failed", failed);
+        accept(consumer, "late", late);
+        accept(consumer, "wrong", wrong);
+        accept(consumer, "left", left);
+        accept(consumer, "asks", asks);
+        accept(consumer, "sends", sends);
+        accept(consumer, "copies", copies);
+        accept(consumer, "copies_won", copiesWon);
+        accept(consumer, "copies_refused", copiesRefused);
+        accept(consumer, "agains", agains);
+        accept(consumer, "dialled", dialled);
+        accept(consumer, "undialled", undialled);
+        accept(consumer, "stale", stale);
+        accept(consumer, "surplus", surplus);
+        accept(consumer, "streamed", streamed);
+        for (AttemptOutcome outcome : FATES) {
+            accept(consumer, outcome.name().toLowerCase(Locale.ROOT), of(outcome));
         }
-        return facts.toArray();
     }
 
-    private static void add(java.util.List<Object> facts, Object... pairs) {
-        for (int i = 0; i < pairs.length; i += 2) {
-            if ((Long) pairs[i + 1] != 0) {
-                facts.add(pairs[i]);
-                facts.add(pairs[i + 1]);
-            }
+    private static void accept(ObjLongConsumer<String> consumer, String name, long count) {
+        if (count != 0) {
+            consumer.accept(name, count);
         }
     }
 }
--- a/src/main/java/brambletray/platform/proxy/RequestDriver.java
+++ b/src/main/java/brambletray/platform/proxy/RequestDriver.java
@@ -230,19 +230,13 @@
         flow.counters().failed += status == 502 ? 1 : 0;
         if (!refused) {
             flow.rateLimitedLog()
-                    .tell(
-                            flow.now(),
-                            "gave-up",
-                            "status",
-                            status,
-                            "id",
-                            id,
-                            "service",
-                            plan.service(),
-                            "hosts",
-                            stops.size(),
-                            "took",
-                            flow.now() - clientRequest.at());
+                    .info(flow.now(), "gave-up")
+                    .with("status", status)
+                    .with("id", id)
+                    .with("service", plan.service())
+                    .with("hosts", stops.size())
+                    .with("took", flow.now() - clientRequest.at())
+                    .log();
         }
         String code = refused ? "proxy.no-place" : status == 504 ? "proxy.out-of-time" : "proxy.host-failed";
         to().own(
--- a/src/main/java/brambletray/platform/replication/FollowerState.java
+++ b/src/main/java/brambletray/platform/replication/FollowerState.java
@@ -169,16 +169,8 @@
         }
         Ballot at = state.log.viewAt(append.previousIndex());
         if (at != null && !at.equals(append.previousView())) {
-            state.actions.tell(
-                    "replication.logs-differ",
-                    "view",
-                    append.viewBallot(),
-                    "place",
-                    append.previousIndex(),
-                    "mine",
-                    at,
-                    "leader",
-                    append.previousView());
+            state.actions.log(new ReplicationEvent.LogsDiffer(
+                    append.viewBallot(), append.previousIndex(), at, append.previousView()));
             return;
         }
         long before = state.log.lastIndex();
@@ -237,16 +229,8 @@
             state.promise(stop.ballot());
             int wait = (view.isFounding() ? state.settings.foundingGraceMs() : 0) + state.settings.electionTimeoutMs();
             postponeElection(wait + (state.view == null ? 0 : (long) rank() * state.settings.rankDelayMs()));
-            state.actions.tell(
-                    "replication.promise",
-                    "ballot",
-                    stop.ballot(),
-                    "to",
-                    stop.proposer().name(),
-                    "view",
-                    view.ballot(),
-                    "end",
-                    state.log.lastIndex());
+            state.actions.log(new ReplicationEvent.BallotPromised(
+                    stop.ballot(), stop.proposer().name(), view.ballot(), state.log.lastIndex()));
         }
         state.writeAheadQueue.onSynced(() -> {
             boolean over = state.view != null && state.view.ballot().equals(stop.ballot());
@@ -269,14 +253,8 @@
                 state.addKnownAddress(member.address());
             }
             replica.abandonLeadership();
-            state.actions.tell(
-                    "replication.left-out",
-                    "mine",
-                    state.view.ballot(),
-                    "now",
-                    view.ballot(),
-                    "members",
-                    ReplicaState.names(view.members()));
+            state.actions.log(new ReplicationEvent.ExcludedFromView(
+                    state.view.ballot(), view.ballot(), ReplicaState.names(view.members())));
             state.actions.statusChanged();
         }
     }
--- a/src/main/java/brambletray/platform/replication/JoinAdmission.java
+++ b/src/main/java/brambletray/platform/replication/JoinAdmission.java
@@ -133,14 +133,10 @@
             }
         }
         if (state.retire(lostIncarnations)) {
-            state.actions.tell(
-                    "replication.disk-lost",
-                    "address",
+            state.actions.log(new ReplicationEvent.DiskLost(
                     here.responder().address(),
-                    "life",
                     Long.toHexString(here.responder().incarnation()),
-                    "lost",
-                    lostIncarnations);
+                    lostIncarnations));
             replica.onMembersRetired();
         }
     }
--- a/src/main/java/brambletray/platform/replication/JoinRequester.java
+++ b/src/main/java/brambletray/platform/replication/JoinRequester.java
@@ -157,7 +157,7 @@
         if (transfer.log() != null) {
             fetchedLog = transfer.log();
             fetchedCommitIndex = transfer.commitIndex();
-            state.actions.tell("replication.transferred", "from", transfer.source(), "end", fetchedLog.lastIndex());
+            state.actions.log(new ReplicationEvent.TransferCompleted(transfer.source(), fetchedLog.lastIndex()));
             state.actions.send(transfer.source(), joinRequest());
         }
         transfer = null;
--- a/src/main/java/brambletray/platform/replication/LeaderState.java
+++ b/src/main/java/brambletray/platform/replication/LeaderState.java
@@ -132,14 +132,8 @@
         }
         if (peer.nextIndex <= state.log.snapshotIndex()) {
             // can't be: what is compacted all members have on disk
-            state.actions.tell(
-                    "replication.behind-snapshot",
-                    "member",
-                    peer.member.name(),
-                    "next",
-                    peer.nextIndex,
-                    "base",
-                    state.log.snapshotIndex());
+            state.actions.log(
+                    new ReplicationEvent.BehindSnapshot(peer.member.name(), peer.nextIndex, state.log.snapshotIndex()));
             return;
         }
         List<LogEntry> entries = state.log.entriesAfter(peer.nextIndex - 1, MAX_APPEND_BYTES);
--- a/src/main/java/brambletray/platform/replication/MemberRemovalOrders.java
+++ b/src/main/java/brambletray/platform/replication/MemberRemovalOrders.java
@@ -43,14 +43,7 @@
             return;
         }
         pending = new PendingRemoval(who, state.nowMs, then);
-        state.actions.tell(
-                "replication.death-ordered",
-                "member",
-                who.name(),
-                "address",
-                address,
-                "life",
-                Long.toHexString(incarnation));
+        state.actions.log(new ReplicationEvent.RemovalRequested(who.name(), address, Long.toHexString(incarnation)));
         state.actions.send(address, new ReplicationMessage.IdentityRequest(state.origin ^ state.nowMs));
     }
 
@@ -118,14 +111,8 @@
         pending = null;
         state.retire(java.util.Set.of(who.incarnation()));
         state.writeAheadQueue.onSynced(() -> {
-            state.actions.tell(
-                    "replication.declared-dead",
-                    "member",
-                    who.name(),
-                    "address",
-                    who.address(),
-                    "life",
-                    Long.toHexString(who.incarnation()));
+            state.actions.log(
+                    new ReplicationEvent.MemberRemoved(who.name(), who.address(), Long.toHexString(who.incarnation())));
             then.accept(MemberRemovalOutcome.REMOVED);
             replica.onMembersRetired();
         });
--- a/src/main/java/brambletray/platform/replication/PlannedLeave.java
+++ b/src/main/java/brambletray/platform/replication/PlannedLeave.java
@@ -24,16 +24,8 @@
         this.state = state;
         this.replica = members;
         startedAtMs = state.nowMs;
-        state.actions.tell(
-                "replication.leave",
-                "view",
-                state.view == null ? "none" : state.view.ballot(),
-                "leading",
-                members.isLeader(),
-                "commit",
-                state.commitIndex,
-                "end",
-                state.log.lastIndex());
+        state.actions.log(new ReplicationEvent.LeaveStarted(
+                state.viewName(), members.isLeader(), state.commitIndex, state.log.lastIndex()));
     }
 
     /** Whether the process may end. */
@@ -89,16 +81,11 @@
     private void end(String how) {
         endReason = how;
         View view = replica.successorView() != null ? replica.successorView() : state.view;
-        state.actions.tell(
-                "replication.leave-over",
-                "why",
+        state.actions.log(new ReplicationEvent.LeaveFinished(
                 how,
-                "ms",
                 state.nowMs - startedAtMs,
-                "view",
-                view == null ? "none" : view.ballot(),
-                "members",
-                view == null ? "" : ReplicaState.names(view.members()));
+                view == null ? "none" : view.ballot().toString(),
+                view == null ? "" : ReplicaState.names(view.members())));
         state.actions.statusChanged();
     }
 }
--- a/src/main/java/brambletray/platform/replication/Replica.java
+++ b/src/main/java/brambletray/platform/replication/Replica.java
@@ -119,18 +119,12 @@
         state.passed = pendingProposals::onApplied;
         state.jumped = pendingProposals::onSnapshotInstalled;
         state.writeAheadQueue.onSynced(() -> incarnationIsDurable = true);
-        out.tell(
-                "replication.start",
-                "life",
+        out.log(new ReplicationEvent.Started(
                 Long.toHexString(state.self.incarnation()),
-                "empty",
                 empty,
-                "founder",
                 !founders.isEmpty(),
-                "view",
-                state.view == null ? "none" : state.view.ballot(),
-                "end",
-                state.log.lastIndex());
+                state.viewName(),
+                state.log.lastIndex()));
         state.writeAheadQueue.flush(now);
     }
 
@@ -166,7 +160,7 @@
         if (state.nowMs - lastTickAtMs <= state.settings.maxTickDelayMs()) {
             return;
         }
-        state.actions.tell("replication.slept", "ms", state.nowMs - lastTickAtMs);
+        state.actions.log(new ReplicationEvent.ProcessPaused(state.nowMs - lastTickAtMs));
         lastTickAtMs = state.nowMs;
         follower.resetTimers();
         if (leader != null) {
@@ -326,7 +320,7 @@
     public void syncFailed(long ticket, long now) {
         advanceTime(now);
         if (!state.writeAheadQueue.isFailing()) {
-            state.actions.tell("replication.disk-refuses", "ticket", ticket);
+            state.actions.log(new ReplicationEvent.WriteFailed(ticket));
         }
         state.writeAheadQueue.failed(ticket, state.nowMs);
         leave();
@@ -535,7 +529,7 @@
 
     /** Gives the attempt up; the next one not before the pause is over. */
     void abandonViewChange(String why, long pauseMs) {
-        state.actions.tell("replication.change-dropped", "ballot", viewChange.ballot(), "why", why);
+        state.actions.log(new ReplicationEvent.ViewChangeAbandoned(viewChange.ballot(), why));
         viewChange = null;
         follower.postponeElection(pauseMs);
     }
--- a/src/main/java/brambletray/platform/replication/ReplicaState.java
+++ b/src/main/java/brambletray/platform/replication/ReplicaState.java
@@ -138,14 +138,7 @@
         boolean broken = chosen.lastIndex() < commitIndex
                 || (both && !chosen.viewAt(commitIndex).equals(log.viewAt(commitIndex)));
         if (broken) {
-            actions.tell(
-                    "replication.trim-behind-commit",
-                    "view",
-                    next.ballot(),
-                    "end",
-                    chosen.lastIndex(),
-                    "commit",
-                    commitIndex);
+            actions.log(new ReplicationEvent.CommittedEntriesMissing(next.ballot(), chosen.lastIndex(), commitIndex));
             return false;
         }
         Map<String, byte[]> changes = new LinkedHashMap<>();
@@ -206,16 +199,8 @@
         active = true;
         view = new View(view.ballot(), view.members(), List.of());
         writeAheadQueue.put(DurableState.VIEW_KEY, ReplicationCodec.view(view, true), nowMs);
-        actions.tell(
-                "replication.in-force",
-                "view",
-                view.ballot(),
-                "members",
-                names(view.members()),
-                "leader",
-                view.leader().name(),
-                "end",
-                log.lastIndex());
+        actions.log(new ReplicationEvent.ViewActivated(
+                view.ballot(), names(view.members()), view.leader().name(), log.lastIndex()));
         warnOfZonesHoldingHalf();
         actions.statusChanged();
     }
@@ -226,16 +211,11 @@
     private void warnOfZonesHoldingHalf() {
         List<String> zones = settings.tolerance().groupsHoldingHalf(view.members());
         if (!zones.isEmpty()) {
-            actions.warn(
-                    "replication.zones-hold-half",
-                    "view",
+            actions.log(new ReplicationEvent.ZonesHoldHalf(
                     view.ballot(),
-                    "zones",
                     String.join(" ", zones),
-                    "members",
                     names(view.members()),
-                    "why",
-                    "if they are lost, the rest waits until they are back");
+                    "if they are lost, the rest waits until they are back"));
         }
     }
 
@@ -265,6 +245,11 @@
         writeAheadQueue.put(changes, nowMs);
     }
 
+    /** Ballot of the last view, for log lines; "none" before the first. */
+    String viewName() {
+        return view == null ? "none" : view.ballot().toString();
+    }
+
     boolean settled() {
         return active && commitIndex >= viewStartIndex;
     }
--- a/src/main/java/brambletray/platform/replication/ReplicationActions.java
+++ b/src/main/java/brambletray/platform/replication/ReplicationActions.java
@@ -28,11 +28,6 @@
     /** The view, its leader or its being in force has changed: see {@link Replica#status}. */
     void statusChanged();
 
-    /** An event to log: pairs of a name and a value. */
-    void tell(String event, Object... facts);
-
-    /** The same, for what an operator should act on. */
-    default void warn(String event, Object... facts) {
-        tell(event, facts);
-    }
+    /** Something to be logged. */
+    void log(ReplicationEvent event);
 }
--- /dev/null
+++ b/src/main/java/brambletray/platform/replication/ReplicationEvent.java
@@ -0,0 +1,384 @@
+package brambletray.platform.replication;
+
+import brambletray.platform.logging.LogEvent;
+import java.util.Set;
+
+/** What a member of the core logs about views and its log; {@code docs/operating.md} says what to do about which. */
+public sealed interface ReplicationEvent extends LogEvent {
+    /** The process has read its disk and takes part from now on. */
+    record Started(String incarnation, boolean diskEmpty, boolean isFounder, String view, long lastIndex)
+            implements ReplicationEvent {
+        @Override
+        public String name() {
+            return "replication.started";
+        }
+
+        @Override
+        public void writeFields(FieldSink sink) {
+            sink.field("incarnation", incarnation);
+            sink.field("disk-empty", diskEmpty);
+            sink.field("is-founder", isFounder);
+            sink.field("view", view);
+            sink.field("last-index", lastIndex);
+        }
+    }
+
+    /** The tick of this process came late: all timers start anew before anybody is suspected. */
+    record ProcessPaused(long ms) implements ReplicationEvent {
+        @Override
+        public String name() {
+            return "replication.process-paused";
+        }
+
+        @Override
+        public void writeFields(FieldSink sink) {
+            sink.field("ms", ms);
+        }
+    }
+
+    /** This member proposes a new view and asks the members of the last one to stop. */
+    record ViewChangeStarted(Ballot ballot, Ballot view, String reason, int newcomers, long lastIndex)
+            implements ReplicationEvent {
+        @Override
+        public String name() {
+            return "replication.view-change-started";
+        }
+
+        @Override
+        public void writeFields(FieldSink sink) {
+            sink.field("ballot", ballot);
+            sink.field("view", view);
+            sink.field("why", reason);
+            sink.field("newcomers", newcomers);
+            sink.field("last-index", lastIndex);
+        }
+    }
+
+    /** A view change of this member ends without a new view. */
+    record ViewChangeAbandoned(Ballot ballot, String reason) implements ReplicationEvent {
+        @Override
+        public String name() {
+            return "replication.view-change-abandoned";
+        }
+
+        @Override
+        public void writeFields(FieldSink sink) {
+            sink.field("ballot", ballot);
+            sink.field("why", reason);
+        }
+    }
+
+    /** A member has promised the ballot of this member's view change and told its state. */
+    record PrepareAnswered(
+            Ballot ballot, String responder, Ballot view, boolean active, long lastIndex, boolean diskUnhealthy)
+            implements ReplicationEvent {
+        @Override
+        public String name() {
+            return "replication.prepare-answered";
+        }
+
+        @Override
+        public void writeFields(FieldSink sink) {
+            sink.field("ballot", ballot);
+            sink.field("responder", responder);
+            sink.field("view", view);
+            sink.field("active", active);
+            sink.field("last-index", lastIndex);
+            sink.field("disk-unhealthy", diskUnhealthy);
+        }
+    }
+
+    /** This member has stopped for the view change of another. */
+    record BallotPromised(Ballot ballot, String proposer, Ballot view, long lastIndex) implements ReplicationEvent {
+        @Override
+        public String name() {
+            return "replication.ballot-promised";
+        }
+
+        @Override
+        public void writeFields(FieldSink sink) {
+            sink.field("ballot", ballot);
+            sink.field("proposer", proposer);
+            sink.field("view", view);
+            sink.field("last-index", lastIndex);
+        }
+    }
+
+    /** A quorum has answered: the new view and its log are sent to its members. */
+    record ViewProposed(Ballot ballot, String members, long lastIndex, Ballot source) implements ReplicationEvent {
+        @Override
+        public String name() {
+            return "replication.view-proposed";
+        }
+
+        @Override
+        public void writeFields(FieldSink sink) {
+            sink.field("ballot", ballot);
+            sink.field("members", members);
+            sink.field("last-index", lastIndex);
+            sink.field("source", source);
+        }
+    }
+
+    /** All members of the new view have it on disk; this member leads it. */
+    record ViewInstalled(Ballot ballot, long ms) implements ReplicationEvent {
+        @Override
+        public String name() {
+            return "replication.view-installed";
+        }
+
+        @Override
+        public void writeFields(FieldSink sink) {
+            sink.field("ballot", ballot);
+            sink.field("ms", ms);
+        }
+    }
+
+    /** The view of this member is active: changes are committed in it. */
+    record ViewActivated(Ballot view, String members, String leader, long lastIndex) implements ReplicationEvent {
+        @Override
+        public String name() {
+            return "replication.view-active";
+        }
+
+        @Override
+        public void writeFields(FieldSink sink) {
+            sink.field("view", view);
+            sink.field("members", members);
+            sink.field("leader", leader);
+            sink.field("last-index", lastIndex);
+        }
+    }
+
+    /** Zones or regions that may be lost hold half of the active view: without them the rest has no majority. */
+    record ZonesHoldHalf(Ballot view, String zones, String members, String reason) implements ReplicationEvent {
+        @Override
+        public String name() {
+            return "replication.zones-hold-half";
+        }
+
+        @Override
+        public boolean needsAttention() {
+            return true;
+        }
+
+        @Override
+        public void writeFields(FieldSink sink) {
+            sink.field("view", view);
+            sink.field("zones", zones);
+            sink.field("members", members);
+            sink.field("why", reason);
+        }
+    }
+
+    /** The others have gone on in a later view without this member, which asks to join again. */
+    record ExcludedFromView(Ballot ownView, Ballot newView, String members) implements ReplicationEvent {
+        @Override
+        public String name() {
+            return "replication.excluded";
+        }
+
+        @Override
+        public void writeFields(FieldSink sink) {
+            sink.field("own-view", ownView);
+            sink.field("new-view", newView);
+            sink.field("members", members);
+        }
+    }
+
+    /** This process was told to end and hands over. */
+    record LeaveStarted(String view, boolean isLeader, long commitIndex, long lastIndex) implements ReplicationEvent {
+        @Override
+        public String name() {
+            return "replication.leave-started";
+        }
+
+        @Override
+        public void writeFields(FieldSink sink) {
+            sink.field("view", view);
+            sink.field("is-leader", isLeader);
+            sink.field("commit-index", commitIndex);
+            sink.field("last-index", lastIndex);
+        }
+    }
+
+    /** This process may end. */
+    record LeaveFinished(String reason, long ms, String view, String members) implements ReplicationEvent {
+        @Override
+        public String name() {
+            return "replication.leave-finished";
+        }
+
+        @Override
+        public void writeFields(FieldSink sink) {
+            sink.field("why", reason);
+            sink.field("ms", ms);
+            sink.field("view", view);
+            sink.field("members", members);
+        }
+    }
+
+    /** The disk has refused a batch; it is tried again. */
+    record WriteFailed(long ticket) implements ReplicationEvent {
+        @Override
+        public String name() {
+            return "replication.write-failed";
+        }
+
+        @Override
+        public void writeFields(FieldSink sink) {
+            sink.field("ticket", ticket);
+        }
+    }
+
+    /** A machine has answered with another incarnation: the disk of the earlier one is gone. */
+    record DiskLost(String address, String incarnation, Set<Long> lostIncarnations) implements ReplicationEvent {
+        @Override
+        public String name() {
+            return "replication.disk-lost";
+        }
+
+        @Override
+        public void writeFields(FieldSink sink) {
+            sink.field("address", address);
+            sink.field("incarnation", incarnation);
+            sink.field("lost-incarnations", lostIncarnations);
+        }
+    }
+
+    /** An operator says that a machine is gone for good; it is asked once more whether it lives. */
+    record RemovalRequested(String member, String address, String incarnation) implements ReplicationEvent {
+        @Override
+        public String name() {
+            return "replication.removal-requested";
+        }
+
+        @Override
+        public void writeFields(FieldSink sink) {
+            sink.field("member", member);
+            sink.field("address", address);
+            sink.field("incarnation", incarnation);
+        }
+    }
+
+    /** A machine counts as gone for good, by an operator's word. */
+    record MemberRemoved(String member, String address, String incarnation) implements ReplicationEvent {
+        @Override
+        public String name() {
+            return "replication.member-removed";
+        }
+
+        @Override
+        public void writeFields(FieldSink sink) {
+            sink.field("member", member);
+            sink.field("address", address);
+            sink.field("incarnation", incarnation);
+        }
+    }
+
+    /** An append does not fit this member's log; it is ignored. */
+    record LogsDiffer(Ballot view, long index, Ballot ownView, Ballot leaderView) implements ReplicationEvent {
+        @Override
+        public String name() {
+            return "replication.logs-differ";
+        }
+
+        @Override
+        public void writeFields(FieldSink sink) {
+            sink.field("view", view);
+            sink.field("index", index);
+            sink.field("own-view", ownView);
+            sink.field("leader-view", leaderView);
+        }
+    }
+
+    /** A member lacks entries that the leader has compacted, which cannot happen within a view. */
+    record BehindSnapshot(String member, long nextIndex, long snapshotIndex) implements ReplicationEvent {
+        @Override
+        public String name() {
+            return "replication.behind-snapshot";
+        }
+
+        @Override
+        public void writeFields(FieldSink sink) {
+            sink.field("member", member);
+            sink.field("next-index", nextIndex);
+            sink.field("snapshot-index", snapshotIndex);
+        }
+    }
+
+    /** A proposed view would lose committed entries; it is rejected. */
+    record CommittedEntriesMissing(Ballot view, long lastIndex, long commitIndex) implements ReplicationEvent {
+        @Override
+        public String name() {
+            return "replication.committed-entries-missing";
+        }
+
+        @Override
+        public void writeFields(FieldSink sink) {
+            sink.field("view", view);
+            sink.field("last-index", lastIndex);
+            sink.field("commit-index", commitIndex);
+        }
+    }
+
+    /** A state transfer goes on at another member, from the byte that was reached. */
+    record TransferResumed(String source, String previousSource, int bytes, int totalBytes)
+            implements ReplicationEvent {
+        @Override
+        public String name() {
+            return "replication.transfer-resumed";
+        }
+
+        @Override
+        public void writeFields(FieldSink sink) {
+            sink.field("source", source);
+            sink.field("previous-source", previousSource);
+            sink.field("bytes", bytes);
+            sink.field("total-bytes", totalBytes);
+        }
+    }
+
+    /** A state transfer starts at its first byte again. */
+    record TransferRestarted(String source, int bytes, String reason) implements ReplicationEvent {
+        @Override
+        public String name() {
+            return "replication.transfer-restarted";
+        }
+
+        @Override
+        public void writeFields(FieldSink sink) {
+            sink.field("source", source);
+            sink.field("bytes", bytes);
+            sink.field("why", reason);
+        }
+    }
+
+    /** The bytes of a state transfer do not have the digest that was announced. */
+    record TransferCorrupt(String source, int bytes) implements ReplicationEvent {
+        @Override
+        public String name() {
+            return "replication.transfer-corrupt";
+        }
+
+        @Override
+        public void writeFields(FieldSink sink) {
+            sink.field("source", source);
+            sink.field("bytes", bytes);
+        }
+    }
+
+    /** A newcomer has fetched the state and asks to join with it. */
+    record TransferCompleted(String source, long lastIndex) implements ReplicationEvent {
+        @Override
+        public String name() {
+            return "replication.transfer-completed";
+        }
+
+        @Override
+        public void writeFields(FieldSink sink) {
+            sink.field("source", source);
+            sink.field("last-index", lastIndex);
+        }
+    }
+}
--- a/src/main/java/brambletray/platform/replication/StateTransferClient.java
+++ b/src/main/java/brambletray/platform/replication/StateTransferClient.java
@@ -67,16 +67,8 @@
 
     /** Asks another giver, or the same one again, for what hasn't come. */
     void resume(String giver, Ballot of) {
-        state.actions.tell(
-                "replication.transfer-resumed",
-                "from",
-                giver,
-                "before",
-                source,
-                "bytes",
-                receivedChunks * CHUNK_BYTES,
-                "of",
-                totalBytes);
+        state.actions.log(
+                new ReplicationEvent.TransferResumed(giver, source, receivedChunks * CHUNK_BYTES, totalBytes));
         source = giver;
         viewBallot = of;
         transferId = nextTransferId();
@@ -174,14 +166,8 @@
 
     /** The giver has another state: what has come is of no use with it. */
     private void restart() {
-        state.actions.tell(
-                "replication.transfer-anew",
-                "from",
-                source,
-                "bytes",
-                receivedChunks * CHUNK_BYTES,
-                "why",
-                "the giver packs another cut");
+        state.actions.log(new ReplicationEvent.TransferRestarted(
+                source, receivedChunks * CHUNK_BYTES, "the giver packs another cut"));
         chunks.clear();
         receivedChunks = 0;
         requestedChunks = 0;
@@ -197,7 +183,7 @@
         }
         chunks.clear();
         if (!descriptor.matches(whole)) {
-            state.actions.tell("replication.transfer-spoilt", "from", source, "bytes", totalBytes);
+            state.actions.log(new ReplicationEvent.TransferCorrupt(source, totalBytes));
             corrupt = true;
             failed = true;
             return;
--- a/src/main/java/brambletray/platform/replication/ViewChange.java
+++ b/src/main/java/brambletray/platform/replication/ViewChange.java
@@ -68,18 +68,8 @@
         state.highestSeenNumber =
                 Math.max(state.highestSeenNumber, Math.max(state.promisedBallot.number(), state.view.number())) + 1;
         ballot = new Ballot(state.highestSeenNumber, state.self.incarnation());
-        state.actions.tell(
-                "replication.change",
-                "ballot",
-                ballot,
-                "view",
-                state.view.ballot(),
-                "why",
-                why,
-                "newcomers",
-                newcomers.size(),
-                "end",
-                state.log.lastIndex());
+        state.actions.log(new ReplicationEvent.ViewChangeStarted(
+                ballot, state.view.ballot(), why, newcomers.size(), state.log.lastIndex()));
         contactMembersOf(state.view);
         sendPrepareRequests();
         maybePromise();
@@ -125,20 +115,13 @@
             return;
         }
         if (responses.put(response.responder().incarnation(), response) == null) {
-            state.actions.tell(
-                    "replication.told",
-                    "ballot",
+            state.actions.log(new ReplicationEvent.PrepareAnswered(
                     ballot,
-                    "by",
                     response.responder().name(),
-                    "view",
                     response.view().ballot(),
-                    "inForce",
                     response.active(),
-                    "end",
                     response.lastIndex(),
-                    "ill",
-                    response.diskUnhealthy());
+                    response.diskUnhealthy()));
         }
         int before = contacted.size();
         contactMembersOf(response.view());
@@ -281,16 +264,8 @@
         nextLog = log;
         nextView = new View(ballot, List.copyOf(in), List.copyOf(past));
         phaseSinceMs = state.nowMs;
-        state.actions.tell(
-                "replication.install",
-                "ballot",
-                ballot,
-                "members",
-                ReplicaState.names(in),
-                "end",
-                log.lastIndex(),
-                "from",
-                chosen.latestView.ballot());
+        state.actions.log(new ReplicationEvent.ViewProposed(
+                ballot, ReplicaState.names(in), log.lastIndex(), chosen.latestView.ballot()));
         sendInstallRequests();
         if (nextView.members().size() == 1) {
             acceptLocally();
@@ -360,7 +335,7 @@
                 out.add(member.address());
             }
         }
-        state.actions.tell("replication.installed", "ballot", ballot, "ms", state.nowMs - startedAtMs);
+        state.actions.log(new ReplicationEvent.ViewInstalled(ballot, state.nowMs - startedAtMs));
         replica.becomeLeader(out);
     }
 
--- a/src/main/java/brambletray/platform/storage/KeyValueStore.java
+++ b/src/main/java/brambletray/platform/storage/KeyValueStore.java
@@ -169,7 +169,11 @@
             generation.copyTo(compacted);
             directory.sync();
         } catch (IOException | RuntimeException e) {
-            LOG.warn("not-tidied", "bytes", usedBytes, "live", generation.liveBytes(), "why", e);
+            LOG.warn("not-tidied")
+                    .with("bytes", usedBytes)
+                    .with("live", generation.liveBytes())
+                    .with("why", e)
+                    .log();
             nextCompactionBytes = usedBytes + COMPACTION_RETRY_BYTES;
             obsoleteSegments = next;
             if (compacted != null) {
@@ -184,7 +188,11 @@
         before.close();
         obsoleteSegments = before.segments();
         tryRemoveObsolete();
-        LOG.debug("tidied", "generation", next.generation(), "bytes", usedBytes, "live", compacted.liveBytes());
+        LOG.debug("tidied")
+                .with("generation", next.generation())
+                .with("bytes", usedBytes)
+                .with("live", compacted.liveBytes())
+                .log();
     }
 
     /** Bytes of the store's files. */
@@ -222,7 +230,10 @@
             }
             generation = recovered;
             lastCommitFailed = false;
-            LOG.tell("healed", "generation", segment.generation(), "commits", recovered.commitCount());
+            LOG.info("healed")
+                    .with("generation", segment.generation())
+                    .with("commits", recovered.commitCount())
+                    .log();
         }
     }
 
@@ -236,7 +247,10 @@
         try {
             removeObsolete();
         } catch (IOException e) {
-            LOG.warn("not-removed", "generation", obsoleteSegments.generation(), "why", e);
+            LOG.warn("not-removed")
+                    .with("generation", obsoleteSegments.generation())
+                    .with("why", e)
+                    .log();
         }
     }
 
--- a/src/main/java/brambletray/platform/storage/StoreGeneration.java
+++ b/src/main/java/brambletray/platform/storage/StoreGeneration.java
@@ -241,7 +241,7 @@
         try {
             environment.close();
         } catch (RuntimeException e) {
-            KeyValueStore.LOG.debug("closed-badly", "why", e);
+            KeyValueStore.LOG.debug("closed-badly").with("why", e).log();
         }
     }
 
--- a/src/main/java/brambletray/platform/storage/StoreOpening.java
+++ b/src/main/java/brambletray/platform/storage/StoreOpening.java
@@ -36,7 +36,11 @@
                 removeOthers(generations, segments);
                 return generation;
             }
-            KeyValueStore.LOG.warn("torn-generation", "generation", segments.generation(), "older", i);
+            KeyValueStore.LOG
+                    .warn("torn-generation")
+                    .with("generation", segments.generation())
+                    .with("older", i)
+                    .log();
         }
         throw new StorageException(
                 "storage.broken", "no whole store in " + directory + ", generations " + generations, null);
@@ -67,16 +71,13 @@
             if (generation != null) {
                 syncGeneration(segments, i + 1 < ends.size() ? ends.get(i + 1) : 0);
                 if (cut) {
-                    KeyValueStore.LOG.tell(
-                            "torn-tail",
-                            "generation",
-                            segments.generation(),
-                            "end",
-                            ends.get(i),
-                            "commits",
-                            generation.commitCount(),
-                            "why",
-                            i == 0 ? "bytes behind the last commit" : "the last commit was not whole");
+                    KeyValueStore.LOG
+                            .info("torn-tail")
+                            .with("generation", segments.generation())
+                            .with("end", ends.get(i))
+                            .with("commits", generation.commitCount())
+                            .with("why", i == 0 ? "bytes behind the last commit" : "the last commit was not whole")
+                            .log();
                 }
                 return generation;
             }
--- a/src/main/java/brambletray/platform/storage/SyncWriter.java
+++ b/src/main/java/brambletray/platform/storage/SyncWriter.java
@@ -142,7 +142,7 @@
         try {
             disk.compact();
         } catch (RuntimeException e) {
-            LOG.warn("not-tidied", "why", e);
+            LOG.warn("not-tidied").with("why", e).log();
         }
     }
 
@@ -152,19 +152,19 @@
             disk.commit(changes);
             return null;
         } catch (StorageException e) {
-            LOG.warn(
-                    "commit-failed",
-                    "code",
-                    e.code(),
-                    "commits",
-                    entries.size(),
-                    "changes",
-                    changes.size(),
-                    "why",
-                    e.getMessage());
+            LOG.warn("commit-failed")
+                    .with("code", e.code())
+                    .with("commits", entries.size())
+                    .with("changes", changes.size())
+                    .with("why", e.getMessage())
+                    .log();
             return e;
         } catch (RuntimeException | Error e) {
-            LOG.warn("commit-failed", "commits", entries.size(), "changes", changes.size(), "why", e);
+            LOG.warn("commit-failed")
+                    .with("commits", entries.size())
+                    .with("changes", changes.size())
+                    .with("why", e)
+                    .log();
             return new StorageException("storage.refused", "cannot write: " + e, e);
         }
     }
@@ -191,7 +191,7 @@
                 }
             });
         } catch (RuntimeException e) {
-            LOG.debug("loop-is-gone", "why", e);
+            LOG.debug("loop-is-gone").with("why", e).log();
         }
     }
 }
--- a/src/main/java/brambletray/platform/transport/FrameChannelHandler.java
+++ b/src/main/java/brambletray/platform/transport/FrameChannelHandler.java
@@ -61,20 +61,14 @@
         late.cancel(false);
         if (word != GREETING || format != FrameCodec.FORMAT || fingerprint != speech.fingerprint()) {
             Link.log()
-                    .warn(
-                            "stranger",
-                            "link",
-                            link,
-                            "format",
-                            format,
-                            "ours",
-                            FrameCodec.FORMAT,
-                            "fingerprint",
-                            Long.toHexString(fingerprint),
-                            "our-fingerprint",
-                            Long.toHexString(speech.fingerprint()),
-                            "why",
-                            word == GREETING ? "another build, with other frames" : "no process of ours");
+                    .warn("stranger")
+                    .with("link", link)
+                    .with("format", format)
+                    .with("ours", FrameCodec.FORMAT)
+                    .with("fingerprint", Long.toHexString(fingerprint))
+                    .with("our-fingerprint", Long.toHexString(speech.fingerprint()))
+                    .with("why", word == GREETING ? "another build, with other frames" : "no process of ours")
+                    .log();
             link.close("a stranger");
             return;
         }
@@ -106,7 +100,12 @@
     }
 
     private void bad(String code, String why) {
-        Link.log().warn("bad-frame", "code", code, "link", link, "why", why);
+        Link.log()
+                .warn("bad-frame")
+                .with("code", code)
+                .with("link", link)
+                .with("why", why)
+                .log();
         link.close(why);
     }
 
@@ -115,7 +114,12 @@
             step.run();
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
-            Link.log().warn("handler-failed", "link", link, "why", e, "at", trace.length == 0 ? "" : trace[0]);
+            Link.log()
+                    .warn("handler-failed")
+                    .with("link", link)
+                    .with("why", e)
+                    .with("at", trace.length == 0 ? "" : trace[0])
+                    .log();
             link.close("its handler failed: " + e);
         }
     }
@@ -148,7 +152,7 @@
             return;
         }
         if (!(cause instanceof IOException)) {
-            Link.log().warn("link-failed", "link", link, "why", cause);
+            Link.log().warn("link-failed").with("link", link).with("why", cause).log();
         }
         link.close(String.valueOf(cause.getMessage()));
     }
--- a/src/main/java/brambletray/platform/transport/LinkListener.java
+++ b/src/main/java/brambletray/platform/transport/LinkListener.java
@@ -78,7 +78,12 @@
             }
             if (!told) {
                 told = true;
-                Link.log().warn("not-listening", "address", bind, "why", done.cause(), "again-ms", AGAIN_MS);
+                Link.log()
+                        .warn("not-listening")
+                        .with("address", bind)
+                        .with("why", done.cause())
+                        .with("again-ms", AGAIN_MS)
+                        .log();
             }
             machine.loop().schedule(this::listen, AGAIN_MS, TimeUnit.MILLISECONDS);
         });
--- a/src/main/java/brambletray/platform/transport/Sockets.java
+++ b/src/main/java/brambletray/platform/transport/Sockets.java
@@ -83,7 +83,10 @@
         try {
             channel.config().setOption(EpollChannelOption.TCP_NOTSENT_LOWAT, UNSENT_BYTES);
         } catch (ChannelException refused) {
-            Link.log().tell("no bound of unsent bytes", "why", refused.getMessage());
+            Link.log()
+                    .info("no bound of unsent bytes")
+                    .with("why", refused.getMessage())
+                    .log();
         }
     }
 
--- a/src/test/java/brambletray/platform/election/ElectionNode.java
+++ b/src/test/java/brambletray/platform/election/ElectionNode.java
@@ -89,10 +89,9 @@
     }
 
     @Override
-    public void tell(String event, Object... facts) {
+    public void log(ElectionEvent event) {
         if (node.world.talks) {
-            node.world.tales.add(
-                    node.world.now + " " + node.address + " " + event + " " + java.util.Arrays.toString(facts));
+            node.world.tales.add(node.world.now + " " + node.address + " " + event);
         }
     }
 }
--- a/src/test/java/brambletray/platform/election/ResumptionTest.java
+++ b/src/test/java/brambletray/platform/election/ResumptionTest.java
@@ -85,7 +85,7 @@
                     public void lost(long term) {}
 
                     @Override
-                    public void tell(String event, Object... facts) {}
+                    public void log(ElectionEvent event) {}
                 },
                 now);
         vows.put(self, made[0]);
--- a/src/test/java/brambletray/platform/logging/EventLogTest.java
+++ b/src/test/java/brambletray/platform/logging/EventLogTest.java
@@ -30,7 +30,7 @@
     }
 
     private void event(String event) {
-        publish(Level.INFO, LogLine.of(event), null);
+        publish(Level.INFO, LogLine.begin(event).toString(), null);
     }
 
     @Test
@@ -38,9 +38,16 @@
         LogOutput.begin("n0", Level.INFO, () -> now, out);
         LogOutput.begin("n1", Level.INFO, () -> now, out);
         EventLog log = EventLog.of("failuredetection");
-        log.debug("unheard");
-        log.tell("lost", "edge", "e\n1", "ms", 12, "share", 0.5, "bad", Double.NaN, "sure", true, "why", null, "odd");
-        log.warn("worse");
+        log.debug("unheard").log();
+        log.info("lost")
+                .with("edge", "e\n1")
+                .with("ms", 12)
+                .with("share", 0.5)
+                .with("bad", Double.NaN)
+                .with("sure", true)
+                .with("why", null)
+                .log();
+        log.warn("worse").log();
         assertEquals(
                 List.of(
                         "{\"t\":1234,\"level\":\"info\",\"plane\":\"failuredetection\",\"node\":\"n1\",\"event\":\"lost\",\"edge\":\"e\\u000a1\",\"ms\":12,\"share\":0.5,"
@@ -52,7 +59,7 @@
     @Test
     void othersLinesAndWhatWasThrown() {
         publish(Level.SEVERE, "up {0} \"now\"", null);
-        publish(Level.FINE, LogLine.of("a\"b"), new IllegalStateException("no\tway"));
+        publish(Level.FINE, LogLine.begin("a\"b").toString(), new IllegalStateException("no\tway"));
         List<String> lines = lines();
         assertEquals(
                 "{\"t\":1234,\"level\":\"error\",\"plane\":\"replication\",\"node\":\"n\\\"1\",\"event\":\"foreign\",\"text\":\"up {0} \\\"now\\\"\"}",
@@ -100,7 +107,9 @@
             event("e" + i);
         }
         assertEquals(JsonLogHandler.EVENTS + JsonLogHandler.MOST, lines().size());
-        String line = LogLine.of("e", "long", "x".repeat(5_000));
-        assertTrue(line.length() < LogLine.LONGEST + 40 && line.endsWith("x...\""), line);
+        StringBuilder built = LogLine.begin("e");
+        LogLine.appendField(built, "long", "x".repeat(5_000));
+        String line = built.toString();
+        assertTrue(line.length() < LogLine.MAX_TEXT_LENGTH + 40 && line.endsWith("x...\""), line);
     }
 }
--- a/src/test/java/brambletray/platform/logging/TaleTurnsTest.java
+++ b/src/test/java/brambletray/platform/logging/JsonLogHandlerTurnsTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Threads that log at the same time, under every order of their turns. */
-class TaleTurnsTest {
+class JsonLogHandlerTurnsTest {
     /** What was written; another thread may go on before each write. */
     private static final class Output extends ByteArrayOutputStream {
         private final Turns turns;
@@ -32,7 +32,9 @@
 
     private static void publish(JsonLogHandler handler, String event, int lines) {
         for (int i = 0; i < lines; i++) {
-            LogRecord entry = new LogRecord(Level.INFO, LogLine.of(event, "number", i));
+            StringBuilder line = LogLine.begin(event);
+            LogLine.appendField(line, "number", i);
+            LogRecord entry = new LogRecord(Level.INFO, line.toString());
             entry.setLoggerName(event);
             handler.publish(entry);
         }
--- a/src/test/java/brambletray/platform/proxy/ExchangeCoursesTest.java
+++ b/src/test/java/brambletray/platform/proxy/ExchangeCoursesTest.java
@@ -75,8 +75,8 @@
             all.failed += of.failed;
             all.late += of.late;
         }
-        String seen = tries + " tries, " + successes + " successes, " + promises + " promises "
-                + java.util.Arrays.toString(all.facts());
+        String seen =
+                tries + " tries, " + successes + " successes, " + promises + " promises " + RandomCourse.shown(all);
         assertTrue(
                 sealedFailures > 20 && ranAgain > 20,
                 sealedFailures + " sealed failures, " + ranAgain + " at another host again; " + seen);
--- a/src/test/java/brambletray/platform/proxy/RandomCourse.java
+++ b/src/test/java/brambletray/platform/proxy/RandomCourse.java
@@ -402,7 +402,15 @@
             }
         }
         System.out.println(bad + " bad; tries " + tries + " successes " + successes + " promises " + promises + " "
-                + java.util.Arrays.toString(all.facts())
+                + shown(all)
                 + " s " + (System.nanoTime() - began) / 1e9);
     }
+
+    /** The counters that are not 0, for messages. */
+    static String shown(RequestCounters counters) {
+        StringBuilder shown = new StringBuilder();
+        counters.forEachNonZero(
+                (name, count) -> shown.append(name).append('=').append(count).append(' '));
+        return shown.toString();
+    }
 }
--- a/src/test/java/brambletray/platform/replication/MemberTest.java
+++ b/src/test/java/brambletray/platform/replication/MemberTest.java
@@ -45,7 +45,7 @@
         public void statusChanged() {}
 
         @Override
-        public void tell(String event, Object... facts) {}
+        public void log(ReplicationEvent event) {}
     };
 
     private final StateMachine stateMachine = new StateMachine() {
--- a/src/test/java/brambletray/platform/replication/RecordingOut.java
+++ b/src/test/java/brambletray/platform/replication/RecordingOut.java
@@ -37,7 +37,7 @@
     public void statusChanged() {}
 
     @Override
-    public void tell(String event, Object... facts) {}
+    public void log(ReplicationEvent event) {}
 
     /** A state machine without a state. */
     static StateMachine stateless() {
--- a/src/test/java/brambletray/platform/replication/SimNode.java
+++ b/src/test/java/brambletray/platform/replication/SimNode.java
@@ -257,9 +257,9 @@
         public void statusChanged() {}
 
         @Override
-        public void tell(String event, Object... facts) {
-            if (event.equals("replication.behind-snapshot")) {
-                world.oracle.fail(address + " can't send what a member lacks: " + List.of(facts));
+        public void log(ReplicationEvent event) {
+            if (event instanceof ReplicationEvent.BehindSnapshot) {
+                world.oracle.fail(address + " can't send what a member lacks: " + event);
             }
             if (!world.talks) {
                 return;
@@ -269,10 +269,9 @@
                     .append(' ')
                     .append(address)
                     .append(' ')
-                    .append(event);
-            for (int i = 0; i < facts.length; i += 2) {
-                line.append(' ').append(facts[i]).append('=').append(facts[i + 1]);
-            }
+                    .append(event.name());
+            event.writeFields(
+                    (name, value) -> line.append(' ').append(name).append('=').append(value));
             world.tales.add(line.toString());
         }
     }
--- a/src/test/java/brambletray/platform/replication/StateTransferTest.java
+++ b/src/test/java/brambletray/platform/replication/StateTransferTest.java
@@ -206,15 +206,15 @@
         return rest;
     }
 
-    private boolean told(String event) {
+    private boolean logged(String event) {
         return world.tales.stream().anyMatch(line -> line.contains(" " + event + " "));
     }
 
     @Test
     void aLearnerGoesOnAtTheNextGiverWhereTheFirstStopped() {
         long rest = learnerWhoseGiverIsLost(0);
-        assertTrue(told("replication.transfer-resumed"));
-        assertFalse(told("replication.transfer-anew"));
+        assertTrue(logged("replication.transfer-resumed"));
+        assertFalse(logged("replication.transfer-restarted"));
         assertTrue(rest < MB, "bytes of the second giver " + rest);
     }
 
@@ -222,8 +222,8 @@
     @Test
     void aLearnerGoesOnAtTheNextGiverThoughTheStateHasMovedOn() {
         long rest = learnerWhoseGiverIsLost(20);
-        assertTrue(told("replication.transfer-resumed"));
-        assertFalse(told("replication.transfer-anew"));
+        assertTrue(logged("replication.transfer-resumed"));
+        assertFalse(logged("replication.transfer-restarted"));
         assertTrue(rest < MB, "bytes of the second giver " + rest);
     }
 
@@ -231,7 +231,7 @@
     @Test
     void aLearnerBeginsAnewWhereTheNextGiverCannotMakeTheSameState() {
         long rest = learnerWhoseGiverIsLost(2 * ReplicatedLog.MAX_ENTRIES_BEFORE_SNAPSHOT);
-        assertTrue(told("replication.transfer-anew"));
+        assertTrue(logged("replication.transfer-restarted"));
         assertTrue(rest > 2 * MB, "bytes of the second giver " + rest);
     }
 
@@ -258,7 +258,7 @@
         };
         world.nodes.get("d").start();
         world.await(() -> in(world, "d"), 5000, "let in");
-        assertTrue(told("replication.transfer-spoilt"));
+        assertTrue(logged("replication.transfer-corrupt"));
         world.until(world.now + 500);
         world.oracle.end(List.copyOf(world.nodes.values()));
     }
--- a/src/test/java/brambletray/platform/replication/SteppedWorld.java
+++ b/src/test/java/brambletray/platform/replication/SteppedWorld.java
@@ -108,14 +108,13 @@
         public void statusChanged() {}
 
         @Override
-        public void tell(String event, Object... facts) {
+        public void log(ReplicationEvent event) {
             if (!board.talks) {
                 return;
             }
-            StringBuilder line = new StringBuilder(NAMES[number]).append(' ').append(event);
-            for (int i = 0; i < facts.length; i += 2) {
-                line.append(' ').append(facts[i]).append('=').append(facts[i + 1]);
-            }
+            StringBuilder line = new StringBuilder(NAMES[number]).append(' ').append(event.name());
+            event.writeFields(
+                    (name, value) -> line.append(' ').append(name).append('=').append(value));
             System.out.println(line);
         }
 
