--- a/src/main/java/brambletray/platform/admission/AdmissionActions.java
+++ b/src/main/java/brambletray/platform/admission/AdmissionActions.java
@@ -18,20 +18,20 @@
     void refuse(String edge, SlotRefusal refuse);
 
     /** To an edge: ask the home of another zone. */
-    void elsewhere(String edge, SlotRedirect elsewhere);
+    void redirect(String edge, SlotRedirect elsewhere);
 
     /** To the hub: one more host. */
-    void need(StartRequest need);
+    void requestStart(StartRequest need);
 
     /** To the hub: stop an empty host. Repeated until it is said to be gone. */
-    void quit(StopRequest quit);
+    void requestStop(StopRequest quit);
 
     /** To the hub: a host has started. */
-    void seen(InstanceUp seen);
+    void reportUp(InstanceUp seen);
 
     /** To the hub: this seat is ours, which hosts has it? */
-    void claim(HomeClaim claim);
+    void claimHome(HomeClaim claim);
 
-    /** Try a TCP connection to a host, and report by {@link ServiceQueues#knocked}. */
-    void knock(String service, String hostId, String address);
+    /** Try a TCP connection to a host, and report by {@link ServiceQueues#onProbed}. */
+    void probe(String service, String hostId, String address);
 }
--- a/src/main/java/brambletray/platform/admission/AdmissionFrames.java
+++ b/src/main/java/brambletray/platform/admission/AdmissionMessages.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /** The plane's frames, in the order in which Kryo registers them. */
-public final class AdmissionFrames {
-    public static final List<Class<?>> FRAMES = List.of(
+public final class AdmissionMessages {
+    public static final List<Class<?>> ALL = List.of(
             SlotRequest.class,
             SlotGrant.class,
             SlotRefusal.class,
@@ -14,5 +14,5 @@
             HeldSlots.class,
             SlotRequestCancel.class);
 
-    private AdmissionFrames() {}
+    private AdmissionMessages() {}
 }
--- a/src/main/java/brambletray/platform/admission/AdmissionParameters.java
+++ b/src/main/java/brambletray/platform/admission/AdmissionParameters.java
@@ -6,21 +6,21 @@
  */
 public record AdmissionParameters(
         Limit limit,
-        Choice choice,
+        Selection selection,
         Queue queue,
-        Room room,
-        Again again,
-        Scale scale,
-        Keep keep,
-        Taking taking,
-        Spread spread) {
+        NestedCalls nestedCalls,
+        RetryBudgetLimits retryBudget,
+        Scaling scaling,
+        KeepAlive keepAlive,
+        Takeover takeover,
+        Spread zoneSpread) {
 
     /**
      * {@code lostMs}: a place is lost this long after the end of its request; {@code goneMs}: how long at most a place
      * of an edge that is gone stays closed; {@code fullMs}: how long a host that turned a request away is counted
      * fuller by one.
      */
-    public record Limit(int lostMs, int goneMs, int fullMs) {}
+    public record Limit(int lostAfterMs, int edgeGoneGraceMs, int fullInstancePauseMs) {}
 
     /**
      * {@code slow}: a host whose answers take this many times the others' is used last; {@code pauseMs},
@@ -28,7 +28,7 @@
      * {@code leaveMs}: how long a leaving host is still used where nothing else is free (0: not at all; must stay well
      * below {@code drain-ms}).
      */
-    public record Choice(double slow, int pauseMs, int pauseMostMs, double blame, int leaveMs) {}
+    public record Selection(double slowFactor, int minPauseMs, int maxPauseMs, double blame, int drainingUseMs) {}
 
     /**
      * {@code most}: waiting asks of a seat; {@code ageMs}: a rank of priority is worth this much of waiting;
@@ -36,18 +36,25 @@
      * that a reckoned wait may use up; {@code marginMs}: added to a time for coming back; {@code third}: share of its
      * remaining time that a client heeds.
      */
-    public record Queue(int most, int ageMs, int innerMs, int lateMs, double safe, int marginMs, double third) {}
+    public record Queue(
+            int maxSize,
+            int priorityRankMs,
+            int nestedCallBonusMs,
+            int lateRequestPenaltyMs,
+            double safetyFactor,
+            int marginMs,
+            double third) {}
 
     /**
      * Places kept for calls of hosts: one of every {@code of}, from {@code least} places on, as long as such a call was
      * seen within {@code forMs}. */
-    public record Room(int of, int least, int forMs) {}
+    public record NestedCalls(int oneOf, int minSlots, int rememberMs) {}
 
     /**
      * Rule BUDGET: {@code ratio} and {@code slack} as stated, {@code windowMs}; {@code share}: the part of the slack
      * that this seat may use.
      */
-    public record Again(double ratio, int slack, int windowMs, double share) {}
+    public record RetryBudgetLimits(double ratio, int slack, int windowMs, double hedgeShare) {}
 
     /**
      * {@code fastMs}, {@code slowMs}: memory of the two rates, the fast one counting less {@code sure} standard errors;
@@ -57,116 +64,117 @@
      * {@code knockMs}: between knocks at a booting host, at least; else a 25th of the boot while asks wait, an 8th
      * while none does.
      */
-    public record Scale(
-            int fastMs,
-            int slowMs,
-            double sure,
-            double k,
+    public record Scaling(
+            int fastMemoryMs,
+            int slowMemoryMs,
+            double standardErrors,
+            double headroomFactor,
             double tail,
             double burst,
-            int atOnce,
-            int againMs,
-            int dropMs,
-            int knockMs) {}
+            int maxConcurrentStarts,
+            int retryIntervalMs,
+            int giveUpMs,
+            int probeIntervalMs) {}
 
     /**
      * {@code startGbS}: price of a start; {@code lateGbS}: price of a request made late; {@code leastMs}: no idle host
      * ends sooner; {@code settleMs}: none ends this soon after the seat was taken over; {@code mostMs}: none is kept
      * idle longer, but for the warm one.
      */
-    public record Keep(double startGbS, double lateGbS, int leastMs, int settleMs, int mostMs) {}
+    public record KeepAlive(double startGbS, double lateRequestGbS, int minIdleMs, int settlingMs, int maxIdleMs) {}
 
     /**
      * {@code hostsMs}: wait for the hub's list; {@code heldMs}: wait for the edges to tell what they hold;
      * {@code againMs}: claim repeated; {@code requestMs}: rest of a request's time where an edge tells of its place
      * (they don't say).
      */
-    public record Taking(int hostsMs, int heldMs, int againMs, int requestMs) {}
+    public record Takeover(int instanceListWaitMs, int heldSlotsWaitMs, int retryIntervalMs, int requestMs) {}
 
     /**
      * {@code crossGbS}: price of one request and answer across zones; {@code openMs}: demand must have paid for so long
      * before a zone's own seat opens; {@code closeShare}, {@code closeMs}: and been below that share of it for so long
      * before it closes.
      */
-    public record Spread(double crossGbS, int openMs, double closeShare, int closeMs) {}
+    public record Spread(double crossZoneGbS, int openAfterMs, double closeShare, int closeAfterMs) {}
 
     /** The laws as they stand, with the site's budget of further tries and its number of zones. */
     public static AdmissionParameters of(double budgetRatio, int budgetSlack, int windowMs, int zones) {
         return new AdmissionParameters(
                 new Limit(500, 1500, 300),
-                new Choice(1.7, 200, 5000, 2.0, 0),
+                new Selection(1.7, 200, 5000, 2.0, 0),
                 new Queue(256, 2000, 8000, 1500, 0.9, 20, 1.0 / 3),
-                new Room(8, 4, 10000),
-                new Again(budgetRatio * 0.8, budgetSlack, windowMs, 0.5 / Math.max(1, zones)),
-                new Scale(500, 4000, 2.0, 1.0, 3.0, 0.15, 6, 500, 10000, 20),
-                new Keep(0.4, 0.6, 300, 3000, 60000),
-                new Taking(300, 400, 1000, 8000),
+                new NestedCalls(8, 4, 10000),
+                new RetryBudgetLimits(budgetRatio * 0.8, budgetSlack, windowMs, 0.5 / Math.max(1, zones)),
+                new Scaling(500, 4000, 2.0, 1.0, 3.0, 0.15, 6, 500, 10000, 20),
+                new KeepAlive(0.4, 0.6, 300, 3000, 60000),
+                new Takeover(300, 400, 1000, 8000),
                 new Spread(0.04, 1000, 0.5, 4000));
     }
 
     /** The same with another price of crossing zones, GB-seconds a request. */
-    public AdmissionParameters crossing(double gbS) {
+    public AdmissionParameters withCrossZonePrice(double gbS) {
         return new AdmissionParameters(
                 limit,
-                choice,
+                selection,
                 queue,
-                room,
-                again,
-                scale,
-                keep,
-                taking,
-                new Spread(gbS, spread.openMs(), spread.closeShare(), spread.closeMs()));
+                nestedCalls,
+                retryBudget,
+                scaling,
+                keepAlive,
+                takeover,
+                new Spread(gbS, zoneSpread.openAfterMs(), zoneSpread.closeShare(), zoneSpread.closeAfterMs()));
     }
 
     /** The same, with leaving hosts used for {@code ms} more where nothing else is free. */
-    public AdmissionParameters leaving(int ms) {
+    public AdmissionParameters withDrainingUse(int ms) {
         return new AdmissionParameters(
                 limit,
-                new Choice(choice.slow(), choice.pauseMs(), choice.pauseMostMs(), choice.blame(), ms),
+                new Selection(
+                        selection.slowFactor(), selection.minPauseMs(), selection.maxPauseMs(), selection.blame(), ms),
                 queue,
-                room,
-                again,
-                scale,
-                keep,
-                taking,
-                spread);
+                nestedCalls,
+                retryBudget,
+                scaling,
+                keepAlive,
+                takeover,
+                zoneSpread);
     }
 
     /** The same with other prices of keeping, GB-seconds. */
-    public AdmissionParameters keepAlive(double startGbS, double lateGbS) {
+    public AdmissionParameters withKeepAlivePrices(double startGbS, double lateGbS) {
         return new AdmissionParameters(
                 limit,
-                choice,
+                selection,
                 queue,
-                room,
-                again,
-                scale,
-                new Keep(startGbS, lateGbS, keep.leastMs(), keep.settleMs(), keep.mostMs()),
-                taking,
-                spread);
+                nestedCalls,
+                retryBudget,
+                scaling,
+                new KeepAlive(startGbS, lateGbS, keepAlive.minIdleMs(), keepAlive.settlingMs(), keepAlive.maxIdleMs()),
+                takeover,
+                zoneSpread);
     }
 
     /** The same with other headroom. */
-    public AdmissionParameters scaling(double k, double tail, double burst) {
+    public AdmissionParameters withHeadroom(double k, double tail, double burst) {
         return new AdmissionParameters(
                 limit,
-                choice,
+                selection,
                 queue,
-                room,
-                again,
-                new Scale(
-                        scale.fastMs(),
-                        scale.slowMs(),
-                        scale.sure(),
+                nestedCalls,
+                retryBudget,
+                new Scaling(
+                        scaling.fastMemoryMs(),
+                        scaling.slowMemoryMs(),
+                        scaling.standardErrors(),
                         k,
                         tail,
                         burst,
-                        scale.atOnce(),
-                        scale.againMs(),
-                        scale.dropMs(),
-                        scale.knockMs()),
-                keep,
-                taking,
-                spread);
+                        scaling.maxConcurrentStarts(),
+                        scaling.retryIntervalMs(),
+                        scaling.giveUpMs(),
+                        scaling.probeIntervalMs()),
+                keepAlive,
+                takeover,
+                zoneSpread);
     }
 }
--- a/src/main/java/brambletray/platform/admission/EventRate.java
+++ b/src/main/java/brambletray/platform/admission/EventRate.java
@@ -1,40 +1,40 @@
 package brambletray.platform.admission;
 
 /**
- * Events per ms, with a memory that fades by e in {@code tau} ms; right from the start, as the part of the memory not
+ * Events per ms, with a memory that fades by e in {@code decayMs} ms; right from the start, as the part of the memory not
  * yet filled is left out.
  */
 final class EventRate {
-    private final double tau;
+    private final double decayMs;
     private double sum;
-    private long last;
-    private long first = Long.MIN_VALUE;
+    private long lastMs;
+    private long firstMs = Long.MIN_VALUE;
 
     EventRate(int tauMs) {
-        tau = tauMs;
+        decayMs = tauMs;
     }
 
     void add(long now) {
-        if (first == Long.MIN_VALUE) {
-            first = now;
+        if (firstMs == Long.MIN_VALUE) {
+            firstMs = now;
         }
         fade(now);
         sum += 1;
     }
 
     double perMs(long now) {
-        if (first == Long.MIN_VALUE) {
+        if (firstMs == Long.MIN_VALUE) {
             return 0;
         }
         fade(now);
-        double filled = 1 - Math.exp(-Math.max(1.0, (now - first) / tau));
-        return sum / (tau * filled);
+        double filled = 1 - Math.exp(-Math.max(1.0, (now - firstMs) / decayMs));
+        return sum / (decayMs * filled);
     }
 
     private void fade(long now) {
-        if (now > last) {
-            sum *= Math.exp((last - now) / tau);
-            last = now;
+        if (now > lastMs) {
+            sum *= Math.exp((lastMs - now) / decayMs);
+            lastMs = now;
         }
     }
 }
--- a/src/main/java/brambletray/platform/admission/FairShare.java
+++ b/src/main/java/brambletray/platform/admission/FairShare.java
@@ -14,107 +14,109 @@
  */
 final class FairShare {
     /** A kind is behind below this share of the rate at which all are served. */
-    private static final double LEAST_SHARE = 0.5;
+    private static final double MIN_SHARE = 0.5;
     /** Memory of outcomes, ms. */
     private static final int MEMORY_MS = 10_000;
     /** ms between two fadings of the counts. */
-    private static final int FADE_MS = 100;
+    private static final int DECAY_INTERVAL_MS = 100;
     /** Outcomes of a kind that are needed to judge it. */
-    private static final double JUDGED_FROM = 1.5;
+    private static final double MIN_REQUESTS = 1.5;
     /** Kinds that are told apart; what comes beyond counts as the last of them. */
-    private static final int KINDS_MOST = 32;
+    private static final int MAX_KINDS = 32;
 
     /** What is counted together: calls of hosts or requests of clients, of one priority and one target. */
-    static final class Kind {
-        private final boolean call;
+    static final class RequestClass {
+        private final boolean nestedCall;
         private final int priority;
         private final int targetMs;
         private double served;
         private double lost;
-        private boolean behind;
+        private boolean disadvantaged;
 
-        private Kind(SlotRequest ask) {
-            call = ask.inner();
-            priority = ask.priority();
-            targetMs = ask.targetMs();
+        private RequestClass(SlotRequest request) {
+            nestedCall = request.nestedCall();
+            priority = request.priority();
+            targetMs = request.targetMs();
         }
 
-        private boolean includes(SlotRequest ask) {
-            return call == ask.inner() && priority == ask.priority() && targetMs == ask.targetMs();
+        private boolean includes(SlotRequest request) {
+            return nestedCall == request.nestedCall()
+                    && priority == request.priority()
+                    && targetMs == request.targetMs();
         }
 
         /** Whether it is served less than half as often as all. */
-        boolean isBehind() {
-            return behind;
+        boolean isDisadvantaged() {
+            return disadvantaged;
         }
     }
 
-    private final List<Kind> kinds = new ArrayList<>(4);
-    private long fadedAt = Long.MIN_VALUE;
+    private final List<RequestClass> classes = new ArrayList<>(4);
+    private long decayedAtMs = Long.MIN_VALUE;
 
     /** The kind of an ask. */
-    Kind of(SlotRequest ask) {
-        for (int i = 0; i < kinds.size(); i++) {
-            if (kinds.get(i).includes(ask)) {
-                return kinds.get(i);
+    RequestClass classOf(SlotRequest request) {
+        for (int i = 0; i < classes.size(); i++) {
+            if (classes.get(i).includes(request)) {
+                return classes.get(i);
             }
         }
-        if (kinds.size() == KINDS_MOST) {
-            return kinds.get(KINDS_MOST - 1);
+        if (classes.size() == MAX_KINDS) {
+            return classes.get(MAX_KINDS - 1);
         }
-        Kind kind = new Kind(ask);
-        kinds.add(kind);
-        return kind;
+        RequestClass requestClass = new RequestClass(request);
+        classes.add(requestClass);
+        return requestClass;
     }
 
     /** An ask has been given a slot. */
-    void served(SlotRequest ask, long now) {
-        if (counts(ask)) {
-            of(ask).served++;
-            judge(now);
+    void onServed(SlotRequest request, long now) {
+        if (counts(request)) {
+            classOf(request).served++;
+            evaluate(now);
         }
     }
 
     /** An ask has been refused, or its time has run out in the queue. */
-    void lost(SlotRequest ask, long now) {
-        if (counts(ask)) {
-            of(ask).lost++;
-            judge(now);
+    void onLost(SlotRequest request, long now) {
+        if (counts(request)) {
+            classOf(request).lost++;
+            evaluate(now);
         }
     }
 
     /** Further tries and copies are bounded by their budget, whatever their kind. */
-    private static boolean counts(SlotRequest ask) {
-        return !ask.again() && !ask.copy();
+    private static boolean counts(SlotRequest request) {
+        return !request.retry() && !request.hedge();
     }
 
-    private void judge(long now) {
-        fade(now);
+    private void evaluate(long now) {
+        decay(now);
         double served = 0;
         double asked = 0;
-        for (int i = 0; i < kinds.size(); i++) {
-            served += kinds.get(i).served;
-            asked += kinds.get(i).served + kinds.get(i).lost;
+        for (int i = 0; i < classes.size(); i++) {
+            served += classes.get(i).served;
+            asked += classes.get(i).served + classes.get(i).lost;
         }
-        for (int i = 0; i < kinds.size(); i++) {
-            Kind kind = kinds.get(i);
-            double own = kind.served + kind.lost;
-            kind.behind = own >= JUDGED_FROM && kind.served * asked < LEAST_SHARE * served * own;
+        for (int i = 0; i < classes.size(); i++) {
+            RequestClass requestClass = classes.get(i);
+            double own = requestClass.served + requestClass.lost;
+            requestClass.disadvantaged = own >= MIN_REQUESTS && requestClass.served * asked < MIN_SHARE * served * own;
         }
     }
 
-    private void fade(long now) {
-        if (fadedAt == Long.MIN_VALUE) {
-            fadedAt = now;
+    private void decay(long now) {
+        if (decayedAtMs == Long.MIN_VALUE) {
+            decayedAtMs = now;
         }
-        if (now - fadedAt < FADE_MS) {
+        if (now - decayedAtMs < DECAY_INTERVAL_MS) {
             return;
         }
-        double left = Math.exp((double) (fadedAt - now) / MEMORY_MS);
-        fadedAt = now;
-        for (int i = 0; i < kinds.size(); i++) {
-            kinds.get(i).served *= left;
-            kinds.get(i).lost *= left;
+        double left = Math.exp((double) (decayedAtMs - now) / MEMORY_MS);
+        decayedAtMs = now;
+        for (int i = 0; i < classes.size(); i++) {
+            classes.get(i).served *= left;
+            classes.get(i).lost *= left;
         }
     }
 }
--- a/src/main/java/brambletray/platform/admission/HeldSlots.java
+++ b/src/main/java/brambletray/platform/admission/HeldSlots.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /** An edge tells a new home which places it holds at hosts of a service. */
-public record HeldSlots(String edge, String service, List<SlotGrant> grants) {
+public record HeldSlots(String edge, String service, List<SlotGrant> slots) {
     /** The same but for the place of one ask, if it is among them. */
     public HeldSlots without(long askId) {
-        if (grants.stream().noneMatch(grant -> grant.askId() == askId)) {
+        if (slots.stream().noneMatch(grant -> grant.requestId() == askId)) {
             return this;
         }
         return new HeldSlots(
                 edge,
                 service,
-                grants.stream().filter(grant -> grant.askId() != askId).toList());
+                slots.stream().filter(grant -> grant.requestId() != askId).toList());
     }
 }
--- a/src/main/java/brambletray/platform/admission/HeldSlotsRecovery.java
+++ b/src/main/java/brambletray/platform/admission/HeldSlotsRecovery.java
@@ -9,60 +9,60 @@
  * hosts that edges hold places at are taken from them: rebuilt from those who told it first.
  */
 final class HeldSlotsRecovery {
-    private static final int EARLY_MOST = 256;
+    private static final int MAX_EARLY_REPORTS = 256;
 
     private final QueueContext context;
     private final InstancePool instances;
-    private final InstanceSlots places;
-    private final QueueTakeover taking;
-    private final List<HeldSlots> early = new ArrayList<>();
+    private final InstanceSlots slots;
+    private final QueueTakeover takeover;
+    private final List<HeldSlots> earlyReports = new ArrayList<>();
 
-    HeldSlotsRecovery(QueueContext context, InstancePool instances, InstanceSlots places, QueueTakeover taking) {
+    HeldSlotsRecovery(QueueContext context, InstancePool instances, InstanceSlots slots, QueueTakeover takeover) {
         this.context = context;
         this.instances = instances;
-        this.places = places;
-        this.taking = taking;
+        this.slots = slots;
+        this.takeover = takeover;
     }
 
-    void told(HeldSlots held, long now) {
-        if (taking.unlisted(now) && early.size() < EARLY_MOST) {
-            early.add(held);
+    void onReported(HeldSlots held, long now) {
+        if (takeover.isWaitingForList(now) && earlyReports.size() < MAX_EARLY_REPORTS) {
+            earlyReports.add(held);
         } else {
             mark(held, now);
         }
-        taking.told(held.edge());
+        takeover.onReported(held.edge());
     }
 
     /** A place told early has been given back. */
-    void done(String edge, long askId) {
-        early.replaceAll(held -> held.edge().equals(edge) ? held.without(askId) : held);
+    void onReleased(String edge, long askId) {
+        earlyReports.replaceAll(held -> held.edge().equals(edge) ? held.without(askId) : held);
     }
 
     /** The hub has listed the hosts. */
-    void listed(long now) {
-        taking.listed();
+    void onListed(long now) {
+        takeover.onListed();
         markEarly(now);
     }
 
     void tick(long now) {
-        if (!early.isEmpty() && !taking.unlisted(now)) {
+        if (!earlyReports.isEmpty() && !takeover.isWaitingForList(now)) {
             markEarly(now);
         }
     }
 
     private void markEarly(long now) {
-        for (HeldSlots held : early) {
+        for (HeldSlots held : earlyReports) {
             mark(held, now);
         }
-        early.clear();
+        earlyReports.clear();
     }
 
     private void mark(HeldSlots held, long now) {
-        for (SlotGrant grant : held.grants()) {
-            if (!taking.isListed()) {
-                instances.take(
+        for (SlotGrant grant : held.slots()) {
+            if (!takeover.isListed()) {
+                instances.onInstance(
                         new InstanceInfo(
-                                grant.host(),
+                                grant.instanceId(),
                                 context.service(),
                                 grant.address(),
                                 context.zone,
@@ -74,10 +74,14 @@
                         false,
                         now);
             }
-            PooledInstance post = instances.posts.find(grant.host());
-            if (post != null) {
-                places.told(
-                        held.edge(), grant.askId(), post, context.laws.taking().requestMs(), now);
+            PooledInstance instance = instances.instances.find(grant.instanceId());
+            if (instance != null) {
+                slots.onReported(
+                        held.edge(),
+                        grant.requestId(),
+                        instance,
+                        context.parameters.takeover().requestMs(),
+                        now);
             }
         }
     }
--- a/src/main/java/brambletray/platform/admission/InstancePool.java
+++ b/src/main/java/brambletray/platform/admission/InstancePool.java
@@ -10,137 +10,137 @@
 /** The hosts of a seat through their lives: booting, up, doubted, leaving, stopped. */
 final class InstancePool {
     private static final EventLog LOG = EventLog.of("admission");
-    private static final int QUIT_AGAIN_MS = 1000;
-    private static final int QUIT_TRIES = 20;
+    private static final int STOP_RETRY_MS = 1000;
+    private static final int MAX_STOP_ATTEMPTS = 20;
     /** A knock that has no answer by then is taken as lost. */
-    private static final int KNOCK_LOST_MS = 1000;
+    private static final int PROBE_TIMEOUT_MS = 1000;
 
     /** Told which hosts are this seat's. */
-    interface Index {
-        void added(String host);
+    interface Listener {
+        void onAdded(String host);
 
-        void removed(String host);
+        void onRemoved(String host);
     }
 
-    private static final class Leaver {
+    private static final class StoppingInstance {
         final String id;
-        long next;
-        int tries;
+        long nextAttemptMs;
+        int attempts;
 
-        Leaver(String id) {
+        StoppingInstance(String id) {
             this.id = id;
         }
     }
 
-    final PooledInstances posts;
+    final PooledInstances instances;
     private final QueueContext context;
-    private final InstanceSlots places;
+    private final InstanceSlots slots;
     private final PendingStarts starts;
-    private final Index index;
-    private final List<Leaver> leavers = new ArrayList<>();
-    private long replaceUntil = Long.MIN_VALUE;
+    private final Listener listener;
+    private final List<StoppingInstance> stopping = new ArrayList<>();
+    private long replaceUntilMs = Long.MIN_VALUE;
 
-    InstancePool(QueueContext context, InstanceSlots places, PendingStarts starts, Index index) {
+    InstancePool(QueueContext context, InstanceSlots slots, PendingStarts starts, Listener listener) {
         this.context = context;
-        this.places = places;
+        this.slots = slots;
         this.starts = starts;
-        this.index = index;
-        posts = new PooledInstances(context.laws.choice());
+        this.listener = listener;
+        instances = new PooledInstances(context.parameters.selection());
     }
 
     /**
      * A host told by the hub; new ones are taken in. {@code own}: born under this home, so that all its places are
      * known here.
      */
-    void take(InstanceInfo host, boolean own, long now) {
-        PooledInstance post = posts.find(host.id());
-        if (post == null) {
-            if (host.state() != InstanceInfo.LEAVING && !quitting(host.id())) {
-                post = new PooledInstance(host, own, now);
-                post.nextKnock = post.bornAt + starts.bootMs(context.spec) / 2;
-                posts.add(post);
-                index.added(post.id);
+    void onInstance(InstanceInfo host, boolean own, long now) {
+        PooledInstance instance = instances.find(host.id());
+        if (instance == null) {
+            if (host.state() != InstanceInfo.LEAVING && !isStopping(host.id())) {
+                instance = new PooledInstance(host, own, now);
+                instance.nextProbeMs = instance.startedAtMs + starts.bootMs(context.spec) / 2;
+                instances.add(instance);
+                listener.onAdded(instance.id);
             }
-        } else if (post.booting() && host.state() == InstanceInfo.UP) {
-            up(post, now);
+        } else if (instance.isBooting() && host.state() == InstanceInfo.UP) {
+            onUp(instance, now);
         } else if (host.state() == InstanceInfo.LEAVING) {
-            leaving(host.id(), now);
+            onDraining(host.id(), now);
         }
     }
 
-    boolean leaving(String id, long now) {
-        PooledInstance post = posts.find(id);
-        if (post == null || post.leaving()) {
+    boolean onDraining(String id, long now) {
+        PooledInstance instance = instances.find(id);
+        if (instance == null || instance.isDraining()) {
             return false;
         }
         LOG.info("leaving")
                 .with("service", context.service())
                 .with("host", id)
-                .with("held", post.held)
+                .with("held", instance.heldSlots)
                 .log();
-        carried(post, now);
-        post.state = InstanceInfo.LEAVING;
-        post.leavingSince = now;
+        onLoadedInstanceLeaving(instance, now);
+        instance.state = InstanceInfo.LEAVING;
+        instance.drainingSinceMs = now;
         return true;
     }
 
     /** A host that carried load goes away: another is wanted, whether any ask waits yet or not. */
-    private void carried(PooledInstance post, long now) {
-        if (post.up() && (post.held > 0 || now - post.idleSince < 1000)) {
-            replaceUntil = now + 2L * starts.bootMs(context.spec);
+    private void onLoadedInstanceLeaving(PooledInstance instance, long now) {
+        if (instance.isUp() && (instance.heldSlots > 0 || now - instance.idleSinceMs < 1000)) {
+            replaceUntilMs = now + 2L * starts.bootMs(context.spec);
         }
     }
 
     boolean replacing(long now) {
-        return now < replaceUntil;
+        return now < replaceUntilMs;
     }
 
-    boolean gone(String id, long now) {
-        leavers.removeIf(one -> one.id.equals(id));
-        PooledInstance post = posts.find(id);
-        if (post == null) {
+    boolean onGone(String id, long now) {
+        stopping.removeIf(other -> other.id.equals(id));
+        PooledInstance instance = instances.find(id);
+        if (instance == null) {
             return false;
         }
         LOG.info("gone")
                 .with("service", context.service())
                 .with("host", id)
-                .with("held", post.held)
+                .with("held", instance.heldSlots)
                 .log();
-        carried(post, now);
-        forget(post);
+        onLoadedInstanceLeaving(instance, now);
+        forget(instance);
         return true;
     }
 
     /** Not used any more, and stopped. */
-    void end(PooledInstance post, long now) {
-        forget(post);
-        Leaver one = new Leaver(post.id);
-        one.next = now + QUIT_AGAIN_MS;
-        leavers.add(one);
-        context.out.quit(new StopRequest(post.id, context.service()));
+    void stop(PooledInstance instance, long now) {
+        forget(instance);
+        StoppingInstance other = new StoppingInstance(instance.id);
+        other.nextAttemptMs = now + STOP_RETRY_MS;
+        stopping.add(other);
+        context.actions.requestStop(new StopRequest(instance.id, context.service()));
     }
 
     /** Given up: not used any more, and stopped lest it cost on. */
-    void drop(PooledInstance post, String why, long now) {
+    void drop(PooledInstance instance, String why, long now) {
         LOG.info("dropped")
                 .with("service", context.service())
-                .with("host", post.id)
+                .with("host", instance.id)
                 .with("why", why)
-                .with("held", post.held)
+                .with("held", instance.heldSlots)
                 .log();
-        carried(post, now);
-        end(post, now);
+        onLoadedInstanceLeaving(instance, now);
+        stop(instance, now);
     }
 
-    private void forget(PooledInstance post) {
-        posts.remove(post);
-        index.removed(post.id);
-        places.drop(post);
+    private void forget(PooledInstance instance) {
+        instances.remove(instance);
+        listener.onRemoved(instance.id);
+        slots.drop(instance);
     }
 
-    private boolean quitting(String id) {
-        for (Leaver one : leavers) {
-            if (one.id.equals(id)) {
+    private boolean isStopping(String id) {
+        for (StoppingInstance other : stopping) {
+            if (other.id.equals(id)) {
                 return true;
             }
         }
@@ -148,55 +148,57 @@
     }
 
     /** No host, and none to be stopped. */
-    boolean empty() {
-        return posts.all().isEmpty() && leavers.isEmpty();
+    boolean isEmpty() {
+        return instances.all().isEmpty() && stopping.isEmpty();
     }
 
-    private void up(PooledInstance post, long now) {
-        post.state = InstanceInfo.UP;
-        post.idleSince = now;
-        post.misses = 0;
+    private void onUp(PooledInstance instance, long now) {
+        instance.state = InstanceInfo.UP;
+        instance.idleSinceMs = now;
+        instance.unreachableCount = 0;
     }
 
     /** The answer to a knock. */
-    void knocked(String id, boolean ok, int waiting, long now) {
-        PooledInstance post = posts.find(id);
-        if (post == null) {
+    void onProbed(String id, boolean ok, int waiting, long now) {
+        PooledInstance instance = instances.find(id);
+        if (instance == null) {
             return;
         }
-        post.knockedAt = Long.MIN_VALUE;
-        if (post.booting()) {
-            booting(post, ok, waiting, now);
+        instance.probedAtMs = Long.MIN_VALUE;
+        if (instance.isBooting()) {
+            onBootProbed(instance, ok, waiting, now);
         } else if (ok) {
-            post.misses = 0;
-            post.pauses = 0;
-            post.doubted = false;
-            post.pausedUntil = Math.min(post.pausedUntil, now);
-        } else if (post.up() && (post.misses > 0 || post.doubted)) {
-            miss(post, now);
+            instance.unreachableCount = 0;
+            instance.pauseCount = 0;
+            instance.suspected = false;
+            instance.pausedUntilMs = Math.min(instance.pausedUntilMs, now);
+        } else if (instance.isUp() && (instance.unreachableCount > 0 || instance.suspected)) {
+            onUnreachable(instance, now);
         }
     }
 
-    private void booting(PooledInstance post, boolean ok, int waiting, long now) {
+    private void onBootProbed(PooledInstance instance, boolean ok, int waiting, long now) {
         if (ok) {
-            up(post, now);
-            if (post.own) {
-                starts.measured(now - post.bornAt, context.spec);
+            onUp(instance, now);
+            if (instance.startedHere) {
+                starts.onBootMeasured(now - instance.startedAtMs, context.spec);
             }
-            context.out.seen(new InstanceUp(post.id, context.service()));
-        } else if (now - post.bornAt > 6L * starts.bootMs(context.spec) + 2000) {
-            drop(post, "never came up", now);
+            context.actions.reportUp(new InstanceUp(instance.id, context.service()));
+        } else if (now - instance.startedAtMs > 6L * starts.bootMs(context.spec) + 2000) {
+            drop(instance, "never came up", now);
         } else {
-            post.nextKnock = now
-                    + Math.max(context.laws.scale().knockMs(), starts.bootMs(context.spec) / (waiting > 0 ? 25 : 8));
+            instance.nextProbeMs = now
+                    + Math.max(
+                            context.parameters.scaling().probeIntervalMs(),
+                            starts.bootMs(context.spec) / (waiting > 0 ? 25 : 8));
         }
     }
 
     /** An answer was cut off or never came: a knock tells whether the host is still there. */
-    void doubt(PooledInstance post, long now) {
-        if (post.up() && !post.doubted) {
-            post.doubted = true;
-            post.nextKnock = now;
+    void suspect(PooledInstance instance, long now) {
+        if (instance.isUp() && !instance.suspected) {
+            instance.suspected = true;
+            instance.nextProbeMs = now;
         }
     }
 
@@ -204,64 +206,65 @@
      * A try that found no host, by an edge or by a knock. The second in a row drops it, unless most hosts don't answer:
      * then it may be us.
      */
-    void miss(PooledInstance post, long now) {
-        posts.judge(post, AttemptOutcome.UNREACHED, 0, now);
+    void onUnreachable(PooledInstance instance, long now) {
+        instances.onReleased(instance, AttemptOutcome.UNREACHED, 0, now);
         int up = 0;
         int suspects = 0;
-        for (PooledInstance one : posts.all()) {
-            up += one.up() ? 1 : 0;
-            suspects += one.up() && one.suspect(now) ? 1 : 0;
+        for (PooledInstance other : instances.all()) {
+            up += other.isUp() ? 1 : 0;
+            suspects += other.isUp() && other.isSuspect(now) ? 1 : 0;
         }
-        if (post.misses >= 2 && post.up() && suspects <= Math.max(1, up / 2)) {
-            drop(post, "unreached", now);
+        if (instance.unreachableCount >= 2 && instance.isUp() && suspects <= Math.max(1, up / 2)) {
+            drop(instance, "unreached", now);
         } else {
-            post.nextKnock = post.misses == 1 ? now : Math.max(now + 1, post.pausedUntil - 30);
+            instance.nextProbeMs =
+                    instance.unreachableCount == 1 ? now : Math.max(now + 1, instance.pausedUntilMs - 30);
         }
     }
 
-    private static boolean awaitsKnock(PooledInstance post) {
-        return post.booting() || post.up() && (post.misses > 0 || post.doubted);
+    private static boolean awaitsProbe(PooledInstance instance) {
+        return instance.isBooting() || instance.isUp() && (instance.unreachableCount > 0 || instance.suspected);
     }
 
-    private static long knockDue(PooledInstance post) {
-        return post.knockedAt == Long.MIN_VALUE
-                ? post.nextKnock
-                : Math.max(post.nextKnock, post.knockedAt + KNOCK_LOST_MS);
+    private static long nextProbeMs(PooledInstance instance) {
+        return instance.probedAtMs == Long.MIN_VALUE
+                ? instance.nextProbeMs
+                : Math.max(instance.nextProbeMs, instance.probedAtMs + PROBE_TIMEOUT_MS);
     }
 
     void tick(long now) {
-        List<PooledInstance> all = posts.all();
+        List<PooledInstance> all = instances.all();
         for (int i = 0; i < all.size(); i++) {
-            PooledInstance post = all.get(i);
-            if (awaitsKnock(post) && knockDue(post) <= now) {
-                post.knockedAt = now;
-                context.out.knock(context.service(), post.id, post.address);
+            PooledInstance instance = all.get(i);
+            if (awaitsProbe(instance) && nextProbeMs(instance) <= now) {
+                instance.probedAtMs = now;
+                context.actions.probe(context.service(), instance.id, instance.address);
             }
         }
-        for (int i = leavers.size() - 1; i >= 0; i--) {
-            Leaver one = leavers.get(i);
-            if (one.next > now) {
+        for (int i = stopping.size() - 1; i >= 0; i--) {
+            StoppingInstance other = stopping.get(i);
+            if (other.nextAttemptMs > now) {
                 continue;
             }
-            one.next = now + QUIT_AGAIN_MS;
-            if (++one.tries >= QUIT_TRIES) {
-                leavers.remove(i);
+            other.nextAttemptMs = now + STOP_RETRY_MS;
+            if (++other.attempts >= MAX_STOP_ATTEMPTS) {
+                stopping.remove(i);
             } else {
-                context.out.quit(new StopRequest(one.id, context.service()));
+                context.actions.requestStop(new StopRequest(other.id, context.service()));
             }
         }
     }
 
-    long nextDue(long now) {
-        long next = posts.nextEase(now);
-        List<PooledInstance> all = posts.all();
+    long nextDueMs(long now) {
+        long next = instances.nextPauseEndMs(now);
+        List<PooledInstance> all = instances.all();
         for (int i = 0; i < all.size(); i++) {
-            if (awaitsKnock(all.get(i))) {
-                next = Math.min(next, knockDue(all.get(i)));
+            if (awaitsProbe(all.get(i))) {
+                next = Math.min(next, nextProbeMs(all.get(i)));
             }
         }
-        for (int i = 0; i < leavers.size(); i++) {
-            next = Math.min(next, leavers.get(i).next);
+        for (int i = 0; i < stopping.size(); i++) {
+            next = Math.min(next, stopping.get(i).nextAttemptMs);
         }
         return next;
     }
--- a/src/main/java/brambletray/platform/admission/InstanceSlots.java
+++ b/src/main/java/brambletray/platform/admission/InstanceSlots.java
@@ -13,135 +13,137 @@
  * gone (closed for at most {@code goneMs}) or {@code lostMs} after the end of its request's time.
  */
 final class InstanceSlots {
-    private final AdmissionParameters.Limit law;
+    private final AdmissionParameters.Limit limits;
     private final Map<String, Map<Long, Slot>> byEdge = new HashMap<>();
-    private long nextEnd = Long.MAX_VALUE;
+    private long nextEndMs = Long.MAX_VALUE;
     private int size;
-    private int calls;
-    private long lastBack = Long.MIN_VALUE / 2;
+    private int nestedCalls;
+    private long lastReleasedAtMs = Long.MIN_VALUE / 2;
 
-    InstanceSlots(AdmissionParameters.Limit law) {
-        this.law = law;
+    InstanceSlots(AdmissionParameters.Limit limits) {
+        this.limits = limits;
     }
 
-    Slot find(String edge, long ask) {
-        Map<Long, Slot> of = byEdge.get(edge);
-        return of == null ? null : of.get(ask);
+    Slot find(String edge, long requestId) {
+        Map<Long, Slot> slots = byEdge.get(edge);
+        return slots == null ? null : slots.get(requestId);
     }
 
     /** Takes a place at a host for a request that has {@code remainingMs} left. */
-    Slot take(SlotRequest ask, PooledInstance post, long remainingMs, long now) {
-        return take(ask.edge(), ask.id(), ask.inner(), post, remainingMs, now);
+    Slot take(SlotRequest requestId, PooledInstance instance, long remainingMs, long now) {
+        return take(requestId.edge(), requestId.id(), requestId.nestedCall(), instance, remainingMs, now);
     }
 
-    private Slot take(String edge, long ask, boolean call, PooledInstance post, long remainingMs, long now) {
+    private Slot take(
+            String edge, long requestId, boolean nestedCall, PooledInstance instance, long remainingMs, long now) {
         long requestEnd = now + remainingMs;
-        Slot place = new Slot(edge, ask, call, post, requestEnd, requestEnd + law.lostMs());
-        byEdge.computeIfAbsent(edge, e -> new HashMap<>()).put(ask, place);
-        post.held++;
-        calls += call ? 1 : 0;
+        Slot slot = new Slot(edge, requestId, nestedCall, instance, requestEnd, requestEnd + limits.lostAfterMs());
+        byEdge.computeIfAbsent(edge, e -> new HashMap<>()).put(requestId, slot);
+        instance.heldSlots++;
+        nestedCalls += nestedCall ? 1 : 0;
         size++;
-        nextEnd = Math.min(nextEnd, place.ends);
-        return place;
+        nextEndMs = Math.min(nextEndMs, slot.endsAtMs);
+        return slot;
     }
 
     /** An edge tells of a place given out before, or taken for lost. */
-    void told(String edge, long ask, PooledInstance post, long remainingMs, long now) {
-        Slot known = find(edge, ask);
+    void onReported(String edge, long requestId, PooledInstance instance, long remainingMs, long now) {
+        Slot known = find(edge, requestId);
         if (known == null) {
-            take(edge, ask, false, post, remainingMs, now);
-        } else if (known.closed && known.post == post) {
+            take(edge, requestId, false, instance, remainingMs, now);
+        } else if (known.closed && known.instance == instance) {
             reopen(known, now + remainingMs);
         }
     }
 
-    private void reopen(Slot place, long requestEnd) {
-        place.closed = false;
-        place.lost = false;
-        place.ends = requestEnd + law.lostMs();
+    private void reopen(Slot slot, long requestEnd) {
+        slot.closed = false;
+        slot.lost = false;
+        slot.endsAtMs = requestEnd + limits.lostAfterMs();
     }
 
     /**
      * An edge that was taken for gone asks again: it has not had its place, which is still its own. False: it has given
      * it back.
      */
-    boolean backFrom(Slot place) {
-        if (place.closed && place.lost) {
-            reopen(place, place.requestEnd);
+    boolean reclaimFrom(Slot slot) {
+        if (slot.closed && slot.lost) {
+            reopen(slot, slot.requestEndMs);
         }
-        return !place.closed;
+        return !slot.closed;
     }
 
     /** Frees it at once. */
-    void free(Slot place, long now) {
-        Map<Long, Slot> of = byEdge.get(place.edge);
-        if (of != null && of.remove(place.ask, place)) {
-            if (of.isEmpty()) {
-                byEdge.remove(place.edge);
+    void free(Slot slot, long now) {
+        Map<Long, Slot> slots = byEdge.get(slot.edge);
+        if (slots != null && slots.remove(slot.requestId, slot)) {
+            if (slots.isEmpty()) {
+                byEdge.remove(slot.edge);
             }
-            release(place, now);
+            release(slot, now);
         }
     }
 
     /** Keeps it closed for {@code spanMs}, no longer than its request's time: the host may still be at work. */
-    void close(Slot place, long spanMs, long now) {
-        place.closed = true;
-        place.ends = Math.max(now + 1, Math.min(now + spanMs, Math.min(place.ends, place.requestEnd + law.lostMs())));
-        nextEnd = Math.min(nextEnd, place.ends);
+    void close(Slot slot, long spanMs, long now) {
+        slot.closed = true;
+        slot.endsAtMs = Math.max(
+                now + 1, Math.min(now + spanMs, Math.min(slot.endsAtMs, slot.requestEndMs + limits.lostAfterMs())));
+        nextEndMs = Math.min(nextEndMs, slot.endsAtMs);
     }
 
     /** An edge is gone: its places stay closed for a while, as the hosts may still be at work. */
-    void gone(String edge, long now) {
-        Map<Long, Slot> of = byEdge.get(edge);
-        if (of != null) {
-            for (Slot place : of.values()) {
-                place.lost |= !place.closed;
-                close(place, Math.max(0, Math.min(law.goneMs(), place.requestEnd - now)), now);
+    void onEdgeGone(String edge, long now) {
+        Map<Long, Slot> slots = byEdge.get(edge);
+        if (slots != null) {
+            for (Slot slot : slots.values()) {
+                slot.lost |= !slot.closed;
+                close(slot, Math.max(0, Math.min(limits.edgeGoneGraceMs(), slot.requestEndMs - now)), now);
             }
         }
     }
 
     /** Forgets the places at a host that is no more. */
-    void drop(PooledInstance post) {
+    void drop(PooledInstance instance) {
         for (Iterator<Map<Long, Slot>> edges = byEdge.values().iterator(); edges.hasNext(); ) {
-            Map<Long, Slot> of = edges.next();
-            int before = of.size();
-            of.values().removeIf(place -> {
-                calls -= place.post == post && place.call ? 1 : 0;
-                return place.post == post;
+            Map<Long, Slot> slots = edges.next();
+            int before = slots.size();
+            slots.values().removeIf(slot -> {
+                nestedCalls -= slot.instance == instance && slot.nestedCall ? 1 : 0;
+                return slot.instance == instance;
             });
-            size -= before - of.size();
-            if (of.isEmpty()) {
+            size -= before - slots.size();
+            if (slots.isEmpty()) {
                 edges.remove();
             }
         }
-        post.held = 0;
+        instance.heldSlots = 0;
     }
 
     /** Frees what has run out; true if anything did. */
     boolean expire(long now) {
-        if (nextEnd > now) {
+        if (nextEndMs > now) {
             return false;
         }
         List<Slot> over = new ArrayList<>();
-        nextEnd = Long.MAX_VALUE;
-        for (Map<Long, Slot> of : byEdge.values()) {
-            for (Slot place : of.values()) {
-                if (place.ends <= now) {
-                    over.add(place);
+        nextEndMs = Long.MAX_VALUE;
+        for (Map<Long, Slot> slots : byEdge.values()) {
+            for (Slot slot : slots.values()) {
+                if (slot.endsAtMs <= now) {
+                    over.add(slot);
                 } else {
-                    nextEnd = Math.min(nextEnd, place.ends);
+                    nextEndMs = Math.min(nextEndMs, slot.endsAtMs);
                 }
             }
         }
-        for (Slot place : over) {
-            free(place, now);
+        for (Slot slot : over) {
+            free(slot, now);
         }
         return !over.isEmpty();
     }
 
-    long nextEnd() {
-        return nextEnd;
+    long nextEndMs() {
+        return nextEndMs;
     }
 
     int size() {
@@ -149,21 +151,21 @@
     }
 
     /** Places held by requests of clients, those whose asks are not known included. */
-    int ofClients() {
-        return size - calls;
+    int clientSlots() {
+        return size - nestedCalls;
     }
 
     /** When a place came back last. */
-    long lastBack() {
-        return lastBack;
+    long lastReleasedAtMs() {
+        return lastReleasedAtMs;
     }
 
-    private void release(Slot place, long now) {
+    private void release(Slot slot, long now) {
         size--;
-        calls -= place.call ? 1 : 0;
-        lastBack = now;
-        if (--place.post.held == 0) {
-            place.post.idleSince = now;
+        nestedCalls -= slot.nestedCall ? 1 : 0;
+        lastReleasedAtMs = now;
+        if (--slot.instance.heldSlots == 0) {
+            slot.instance.idleSinceMs = now;
         }
     }
 }
--- a/src/main/java/brambletray/platform/admission/KeepAlivePolicy.java
+++ b/src/main/java/brambletray/platform/admission/KeepAlivePolicy.java
@@ -7,83 +7,84 @@
  * gaps fade.
  */
 final class KeepAlivePolicy {
-    private static final int CLASSES = 18;
+    private static final int BUCKETS = 18;
     /** Upper ends of the classes, ms: from 100 ms on, each half as long again. */
-    private static final int[] ENDS = new int[CLASSES];
+    private static final int[] BUCKET_ENDS_MS = new int[BUCKETS];
 
     static {
         double end = 100;
-        for (int i = 0; i < CLASSES; i++) {
-            ENDS[i] = (int) end;
+        for (int i = 0; i < BUCKETS; i++) {
+            BUCKET_ENDS_MS[i] = (int) end;
             end *= 1.5;
         }
     }
 
-    private final AdmissionParameters.Keep law;
-    private float[] gaps;
-    private long lastAt = Long.MIN_VALUE;
+    private final AdmissionParameters.KeepAlive parameters;
+    private float[] gapWeights;
+    private long lastArrivalMs = Long.MIN_VALUE;
 
-    KeepAlivePolicy(AdmissionParameters.Keep law) {
-        this.law = law;
+    KeepAlivePolicy(AdmissionParameters.KeepAlive parameters) {
+        this.parameters = parameters;
     }
 
     /** A request has come; {@code idle}: none was at work or waiting. */
-    void arrived(boolean idle, long now) {
-        if (idle && lastAt != Long.MIN_VALUE) {
-            long gap = now - lastAt;
-            if (gaps == null) {
-                gaps = new float[CLASSES + 1];
+    void onArrival(boolean idle, long now) {
+        if (idle && lastArrivalMs != Long.MIN_VALUE) {
+            long gap = now - lastArrivalMs;
+            if (gapWeights == null) {
+                gapWeights = new float[BUCKETS + 1];
             }
-            for (int i = 0; i <= CLASSES; i++) {
-                gaps[i] *= 0.97f;
+            for (int i = 0; i <= BUCKETS; i++) {
+                gapWeights[i] *= 0.97f;
             }
-            gaps[of(gap)] += 1;
+            gapWeights[bucketOf(gap)] += 1;
         }
-        lastAt = now;
+        lastArrivalMs = now;
     }
 
     /** The price of a start, GB-seconds, with its share of lateness. */
-    double startGbS(ServiceSpec spec, int bootMs) {
+    double startPriceGbS(ServiceSpec spec, int bootMs) {
         double late = spec.targetMs() <= 0 ? 0 : Math.min(1, Math.max(0, 2.0 * bootMs / spec.targetMs() - 1));
-        return law.startGbS() + law.lateGbS() * late * late;
+        return parameters.startGbS() + parameters.lateRequestGbS() * late * late;
     }
 
     /** The break-even of a start against memory, ms. */
     int breakEvenMs(ServiceSpec spec, int bootMs) {
-        return (int)
-                Math.max(law.leastMs(), Math.min(law.mostMs(), startGbS(spec, bootMs) * 1024_000 / spec.memoryMb()));
+        return (int) Math.max(
+                parameters.minIdleMs(),
+                Math.min(parameters.maxIdleMs(), startPriceGbS(spec, bootMs) * 1024_000 / spec.memoryMb()));
     }
 
     /** The span for the last host, ms. */
     int spanMs(ServiceSpec spec, int bootMs) {
         int even = breakEvenMs(spec, bootMs);
-        if (gaps == null) {
+        if (gapWeights == null) {
             return even;
         }
-        double prior = 2.0 / (CLASSES + 1);
+        double prior = 2.0 / (BUCKETS + 1);
         double more = 0;
-        for (int i = 0; i <= CLASSES; i++) {
-            more += gaps[i] + prior;
+        for (int i = 0; i <= BUCKETS; i++) {
+            more += gapWeights[i] + prior;
         }
         double kept = 0;
         double best = more * even;
-        int span = law.leastMs();
-        for (int i = 0; i < CLASSES; i++) {
-            double here = gaps[i] + prior;
-            kept += here * (i == 0 ? ENDS[0] / 2.0 : (ENDS[i] + ENDS[i - 1]) / 2.0);
+        int span = parameters.minIdleMs();
+        for (int i = 0; i < BUCKETS; i++) {
+            double here = gapWeights[i] + prior;
+            kept += here * (i == 0 ? BUCKET_ENDS_MS[0] / 2.0 : (BUCKET_ENDS_MS[i] + BUCKET_ENDS_MS[i - 1]) / 2.0);
             more -= here;
-            double cost = kept + more * ((double) ENDS[i] + even);
+            double cost = kept + more * ((double) BUCKET_ENDS_MS[i] + even);
             if (cost < best) {
                 best = cost;
-                span = ENDS[i];
+                span = BUCKET_ENDS_MS[i];
             }
         }
-        return Math.max(law.leastMs(), Math.min(law.mostMs(), span));
+        return Math.max(parameters.minIdleMs(), Math.min(parameters.maxIdleMs(), span));
     }
 
-    private static int of(long gap) {
+    private static int bucketOf(long gap) {
         int i = 0;
-        while (i < CLASSES && gap > ENDS[i]) {
+        while (i < BUCKETS && gap > BUCKET_ENDS_MS[i]) {
             i++;
         }
         return i;
--- a/src/main/java/brambletray/platform/admission/NestedCallReserve.java
+++ b/src/main/java/brambletray/platform/admission/NestedCallReserve.java
@@ -9,42 +9,44 @@
  */
 final class NestedCallReserve {
     /** Places of which one can be kept: one for a parent, one for its call. */
-    private static final int STALL_LEAST = 2;
+    private static final int MIN_STALL_MS = 2;
 
-    private final AdmissionParameters.Room law;
-    private long seenAt = Long.MIN_VALUE / 2;
-    private long stalledAt = Long.MIN_VALUE / 2;
+    private final AdmissionParameters.NestedCalls parameters;
+    private long nestedCallAtMs = Long.MIN_VALUE / 2;
+    private long stalledAtMs = Long.MIN_VALUE / 2;
 
-    NestedCallReserve(AdmissionParameters.Room law) {
-        this.law = law;
+    NestedCallReserve(AdmissionParameters.NestedCalls parameters) {
+        this.parameters = parameters;
     }
 
     /** A call of a host. */
-    void inner(long now) {
-        seenAt = now;
-        if (now - stalledAt <= law.forMs()) {
-            stalledAt = now;
+    void onNestedCall(long now) {
+        nestedCallAtMs = now;
+        if (now - stalledAtMs <= parameters.rememberMs()) {
+            stalledAtMs = now;
         }
     }
 
     /** Calls wait while their parents hold all places. */
-    void stalled(long now) {
-        stalledAt = now;
+    void onStalled(long now) {
+        stalledAtMs = now;
     }
 
     /** Places without which calls could not be served beside their parents. */
-    int leastPlaces(long now) {
-        return now - stalledAt <= law.forMs() ? STALL_LEAST : 0;
+    int minSlots(long now) {
+        return now - stalledAtMs <= parameters.rememberMs() ? MIN_STALL_MS : 0;
     }
 
     /** Places that copies leave free, of so many: a quarter (the design: copies go out while the window has room). */
-    int fromCopies(int places) {
-        return places / 4;
+    int reservedFromHedges(int slots) {
+        return slots / 4;
     }
 
     /** Places kept of so many. */
-    int kept(int places, long now) {
-        int least = leastPlaces(now) > 0 ? STALL_LEAST : law.least();
-        return now - seenAt > law.forMs() || places < least ? 0 : Math.max(1, places / law.of());
+    int reserved(int slots, long now) {
+        int least = minSlots(now) > 0 ? MIN_STALL_MS : parameters.minSlots();
+        return now - nestedCallAtMs > parameters.rememberMs() || slots < least
+                ? 0
+                : Math.max(1, slots / parameters.oneOf());
     }
 }
--- a/src/main/java/brambletray/platform/admission/PendingStarts.java
+++ b/src/main/java/brambletray/platform/admission/PendingStarts.java
@@ -10,30 +10,30 @@
  * it is answered, so that whoever carries it out makes one host of it. Bounded by {@code atOnce}.
  */
 final class PendingStarts {
-    private static final class Wanted {
+    private static final class PendingNonce {
         final String nonce;
-        final long since;
-        long next;
-        int tries;
+        final long requestedAtMs;
+        long nextAttemptMs;
+        int attempts;
 
-        Wanted(String nonce, long since) {
+        PendingNonce(String nonce, long since) {
             this.nonce = nonce;
-            this.since = since;
+            this.requestedAtMs = since;
         }
     }
 
-    private final AdmissionParameters.Scale law;
+    private final AdmissionParameters.Scaling parameters;
     private final String service;
-    private final String seat;
+    private final String homeZone;
     private final StartNonces nonces;
-    private final List<Wanted> wanted = new ArrayList<>();
-    private long blockedUntil = Long.MIN_VALUE;
+    private final List<PendingNonce> pending = new ArrayList<>();
+    private long blockedUntilMs = Long.MIN_VALUE;
     private double bootMs = -1;
 
-    PendingStarts(AdmissionParameters.Scale law, String service, String seat, StartNonces nonces) {
-        this.law = law;
+    PendingStarts(AdmissionParameters.Scaling parameters, String service, String homeZone, StartNonces nonces) {
+        this.parameters = parameters;
         this.service = service;
-        this.seat = seat;
+        this.homeZone = homeZone;
         this.nonces = nonces;
     }
 
@@ -42,7 +42,7 @@
         return bootMs < 0 ? Math.max(1, spec.bootMs()) : (int) bootMs;
     }
 
-    void measured(long tookMs, ServiceSpec spec) {
+    void onBootMeasured(long tookMs, ServiceSpec spec) {
         if (bootMs < 0) {
             bootMs = spec.bootMs();
         }
@@ -50,61 +50,65 @@
         bootMs += (bounded - bootMs) * 0.1;
     }
 
-    int open() {
-        return wanted.size();
+    int count() {
+        return pending.size();
     }
 
-    long since(int i) {
-        return wanted.get(i).since;
+    long requestedAtMs(int i) {
+        return pending.get(i).requestedAtMs;
     }
 
     /** For how long the platform has no room, ms; 0 where it has. */
     int blockedMs(long now) {
-        return blockedUntil > now ? (int) Math.min(SlotForecast.NEVER / 2, blockedUntil - now) : 0;
+        return blockedUntilMs > now ? (int) Math.min(SlotForecast.NEVER / 2, blockedUntilMs - now) : 0;
     }
 
     /** Whether one more may be under way: {@code atOnce}, and two for each host that works. */
-    boolean may(int booting, int working, long now) {
-        return now >= blockedUntil && wanted.size() + booting < law.atOnce() + 2 * working;
+    boolean mayRequest(int booting, int working, long now) {
+        return now >= blockedUntilMs && pending.size() + booting < parameters.maxConcurrentStarts() + 2 * working;
     }
 
-    void ask(int urgency, AdmissionActions out, long now) {
-        Wanted one = new Wanted(nonces.next(), now);
-        one.next = now + law.againMs();
-        wanted.add(one);
-        out.need(new StartRequest(service, seat, one.nonce, urgency));
+    void request(int urgency, AdmissionActions actions, long now) {
+        PendingNonce start = new PendingNonce(nonces.next(), now);
+        start.nextAttemptMs = now + parameters.retryIntervalMs();
+        pending.add(start);
+        actions.requestStart(new StartRequest(service, homeZone, start.nonce, urgency));
     }
 
-    boolean born(String nonce) {
-        return wanted.removeIf(one -> one.nonce.equals(nonce));
+    boolean onStarted(String nonce) {
+        return pending.removeIf(start -> start.nonce.equals(nonce));
     }
 
-    boolean noRoom(String nonce, int comeBackMs, long now) {
-        if (!wanted.removeIf(one -> one.nonce.equals(nonce))) {
+    boolean onRejected(String nonce, int retryAfterMs, long now) {
+        if (!pending.removeIf(start -> start.nonce.equals(nonce))) {
             return false;
         }
-        blockedUntil = now + Math.max(50, comeBackMs);
+        blockedUntilMs = now + Math.max(50, retryAfterMs);
         return true;
     }
 
     /** Repeats what is not answered; gives up what has been so for long. */
-    void tick(int urgency, AdmissionActions out, long now) {
-        for (Iterator<Wanted> each = wanted.iterator(); each.hasNext(); ) {
-            Wanted one = each.next();
-            if (now - one.since >= law.dropMs()) {
+    void tick(int urgency, AdmissionActions actions, long now) {
+        for (Iterator<PendingNonce> each = pending.iterator(); each.hasNext(); ) {
+            PendingNonce start = each.next();
+            if (now - start.requestedAtMs >= parameters.giveUpMs()) {
                 each.remove();
-            } else if (one.next <= now) {
-                one.tries++;
-                one.next = now + Math.min(4L * law.againMs(), (long) law.againMs() << Math.min(3, one.tries));
-                out.need(new StartRequest(service, seat, one.nonce, urgency));
+            } else if (start.nextAttemptMs <= now) {
+                start.attempts++;
+                start.nextAttemptMs = now
+                        + Math.min(
+                                4L * parameters.retryIntervalMs(),
+                                (long) parameters.retryIntervalMs() << Math.min(3, start.attempts));
+                actions.requestStart(new StartRequest(service, homeZone, start.nonce, urgency));
             }
         }
     }
 
-    long nextDue(long now) {
-        long next = blockedUntil > now ? blockedUntil : Long.MAX_VALUE;
-        for (int i = 0; i < wanted.size(); i++) {
-            next = Math.min(next, Math.min(wanted.get(i).next, wanted.get(i).since + law.dropMs()));
+    long nextDueMs(long now) {
+        long next = blockedUntilMs > now ? blockedUntilMs : Long.MAX_VALUE;
+        for (int i = 0; i < pending.size(); i++) {
+            next = Math.min(
+                    next, Math.min(pending.get(i).nextAttemptMs, pending.get(i).requestedAtMs + parameters.giveUpMs()));
         }
         return next;
     }
--- a/src/main/java/brambletray/platform/admission/PooledInstance.java
+++ b/src/main/java/brambletray/platform/admission/PooledInstance.java
@@ -9,67 +9,67 @@
     final String zone;
     final String worker;
     final String nonce;
-    final long bornAt;
+    final long startedAtMs;
     /** Born under this seat: all its places are known here. */
-    final boolean own;
+    final boolean startedHere;
 
     int state;
     /** Places granted and not given back, those kept closed included. */
-    int held;
+    int heldSlots;
 
-    long fullUntil;
-    long pausedUntil;
-    int pauses;
+    long fullUntilMs;
+    long pausedUntilMs;
+    int pauseCount;
     /** UNREACHED or failed knocks in a row, at a host that was up. */
-    int misses;
+    int unreachableCount;
     /** An answer from it was cut off or never came; a knock will tell. */
-    boolean doubted;
+    boolean suspected;
 
-    double blame;
-    long blamedAt;
-    double tookMs;
-    int answers;
-    long idleSince;
-    long leavingSince;
-    long nextKnock;
-    long knockedAt = Long.MIN_VALUE;
+    double failureScore;
+    long failureScoreAtMs;
+    double meanResponseMs;
+    int responseCount;
+    long idleSinceMs;
+    long drainingSinceMs;
+    long nextProbeMs;
+    long probedAtMs = Long.MIN_VALUE;
 
-    PooledInstance(InstanceInfo host, boolean own, long now) {
+    PooledInstance(InstanceInfo host, boolean startedHere, long now) {
         this.id = host.id();
         this.address = host.address();
         this.zone = host.zone();
         this.worker = host.worker();
         this.nonce = host.nonce();
         this.state = host.state();
-        this.bornAt = now - Math.max(0, host.bornAgoMs());
-        this.own = own;
-        this.idleSince = now;
-        this.leavingSince = now;
+        this.startedAtMs = now - Math.max(0, host.ageMs());
+        this.startedHere = startedHere;
+        this.idleSinceMs = now;
+        this.drainingSinceMs = now;
     }
 
-    boolean up() {
+    boolean isUp() {
         return state == InstanceInfo.UP;
     }
 
-    boolean booting() {
+    boolean isBooting() {
         return state == InstanceInfo.BOOTING;
     }
 
-    boolean leaving() {
+    boolean isDraining() {
         return state == InstanceInfo.LEAVING;
     }
 
     /** Free places, as far as this seat can know. */
-    int free(int most, long now) {
-        return most - held - (fullUntil > now ? 1 : 0);
+    int freeSlots(int maxConcurrency, long now) {
+        return maxConcurrency - heldSlots - (fullUntilMs > now ? 1 : 0);
     }
 
     /** Whether it is suspected of being dead: not to be used at all until a knock is answered or the pause is over. */
-    boolean suspect(long now) {
-        return misses > 0 && pausedUntil > now;
+    boolean isSuspect(long now) {
+        return unreachableCount > 0 && pausedUntilMs > now;
     }
 
-    InstanceInfo toHost(String service, String seat, long now) {
-        return new InstanceInfo(id, service, address, zone, seat, worker, nonce, state, now - bornAt);
+    InstanceInfo toInfo(String service, String homeZone, long now) {
+        return new InstanceInfo(id, service, address, zone, homeZone, worker, nonce, state, now - startedAtMs);
     }
 }
--- a/src/main/java/brambletray/platform/admission/PooledInstances.java
+++ b/src/main/java/brambletray/platform/admission/PooledInstances.java
@@ -10,42 +10,42 @@
  * come last, suspects not at all.
  */
 final class PooledInstances {
-    private final AdmissionParameters.Choice law;
-    private final List<PooledInstance> posts = new ArrayList<>();
+    private final AdmissionParameters.Selection parameters;
+    private final List<PooledInstance> instances = new ArrayList<>();
 
-    PooledInstances(AdmissionParameters.Choice law) {
-        this.law = law;
+    PooledInstances(AdmissionParameters.Selection parameters) {
+        this.parameters = parameters;
     }
 
     List<PooledInstance> all() {
-        return posts;
+        return instances;
     }
 
     PooledInstance find(String id) {
-        for (int i = 0; i < posts.size(); i++) {
-            if (posts.get(i).id.equals(id)) {
-                return posts.get(i);
+        for (int i = 0; i < instances.size(); i++) {
+            if (instances.get(i).id.equals(id)) {
+                return instances.get(i);
             }
         }
         return null;
     }
 
-    void add(PooledInstance post) {
-        int at = posts.size();
-        while (at > 0 && posts.get(at - 1).bornAt > post.bornAt) {
+    void add(PooledInstance instance) {
+        int at = instances.size();
+        while (at > 0 && instances.get(at - 1).startedAtMs > instance.startedAtMs) {
             at--;
         }
-        posts.add(at, post);
+        instances.add(at, instance);
     }
 
-    void remove(PooledInstance post) {
-        posts.remove(post);
+    void remove(PooledInstance instance) {
+        instances.remove(instance);
     }
 
     int count(int state) {
         int n = 0;
-        for (int i = 0; i < posts.size(); i++) {
-            if (posts.get(i).state == state) {
+        for (int i = 0; i < instances.size(); i++) {
+            if (instances.get(i).state == state) {
                 n++;
             }
         }
@@ -53,87 +53,90 @@
     }
 
     /** Free places at hosts that are up and not suspect. */
-    int free(int most, long now) {
+    int freeSlots(int maxConcurrency, long now) {
         int n = 0;
-        for (int i = 0; i < posts.size(); i++) {
-            PooledInstance post = posts.get(i);
-            if (post.up() && !post.suspect(now)) {
-                n += Math.max(0, post.free(most, now));
+        for (int i = 0; i < instances.size(); i++) {
+            PooledInstance instance = instances.get(i);
+            if (instance.isUp() && !instance.isSuspect(now)) {
+                n += Math.max(0, instance.freeSlots(maxConcurrency, now));
             }
         }
         return n;
     }
 
     /** Hosts that are up and not suspect. */
-    int well(long now) {
+    int healthyCount(long now) {
         int n = 0;
-        for (int i = 0; i < posts.size(); i++) {
-            if (posts.get(i).up() && !posts.get(i).suspect(now)) {
+        for (int i = 0; i < instances.size(); i++) {
+            if (instances.get(i).isUp() && !instances.get(i).isSuspect(now)) {
                 n++;
             }
         }
         return n;
     }
 
-    /** The host for an ask, or null. {@code blind}: only hosts whose holders are all known. */
-    PooledInstance choose(SlotRequest ask, int most, boolean blind, long now) {
-        double usual = usualMs();
+    /** The host for an ask, or null. {@code onlyStartedHere}: only hosts whose holders are all known. */
+    PooledInstance choose(SlotRequest request, int maxConcurrency, boolean onlyStartedHere, long now) {
+        double medianMs = medianResponseMs();
         PooledInstance best = null;
         int bestRank = Integer.MAX_VALUE;
-        for (int i = 0; i < posts.size(); i++) {
-            PooledInstance post = posts.get(i);
-            if (blind && !post.own || post.suspect(now)) {
+        for (int i = 0; i < instances.size(); i++) {
+            PooledInstance instance = instances.get(i);
+            if (onlyStartedHere && !instance.startedHere || instance.isSuspect(now)) {
                 continue;
             }
-            int free = post.free(most, now);
+            int free = instance.freeSlots(maxConcurrency, now);
             if (free <= 0) {
                 continue;
             }
-            int rank = rank(post, ask, free, most, usual, now);
+            int rank = rank(instance, request, free, maxConcurrency, medianMs, now);
             if (rank < bestRank) {
                 bestRank = rank;
-                best = post;
+                best = instance;
             }
         }
         return best;
     }
 
-    private int rank(PooledInstance post, SlotRequest ask, int free, int most, double usual, long now) {
+    private int rank(
+            PooledInstance instance, SlotRequest request, int free, int maxConcurrency, double medianMs, long now) {
         int rank = 0;
-        if (post.leaving()) {
-            if (law.leaveMs() <= 0 || now - post.leavingSince >= law.leaveMs()) {
+        if (instance.isDraining()) {
+            if (parameters.drainingUseMs() <= 0 || now - instance.drainingSinceMs >= parameters.drainingUseMs()) {
                 return Integer.MAX_VALUE;
             }
             rank += 32;
-        } else if (!post.up()) {
+        } else if (!instance.isUp()) {
             return Integer.MAX_VALUE;
         }
-        if (ask.avoid() != null && ask.avoid().contains(post.id)) {
-            if (ask.copy() || others(post, now)) {
+        if (request.excludedInstances() != null && request.excludedInstances().contains(instance.id)) {
+            if (request.hedge() || hasOthers(instance, now)) {
                 return Integer.MAX_VALUE;
             }
             rank += 64;
         }
-        if (post.pausedUntil > now) {
+        if (instance.pausedUntilMs > now) {
             rank += 16;
         }
-        if (usual > 0 && post.answers >= 8 && post.tookMs > law.slow() * usual) {
+        if (medianMs > 0
+                && instance.responseCount >= 8
+                && instance.meanResponseMs > parameters.slowFactor() * medianMs) {
             rank += 8;
         }
-        if (!post.zone.equals(ask.zone())) {
+        if (!instance.zone.equals(request.zone())) {
             rank += 4;
         }
-        if (most > 2 && free == 1) {
+        if (maxConcurrency > 2 && free == 1) {
             rank += 2;
         }
         return rank;
     }
 
     /** Whether there is another host that works, or soon will. */
-    private boolean others(PooledInstance one, long now) {
-        for (int i = 0; i < posts.size(); i++) {
-            PooledInstance post = posts.get(i);
-            if (post != one && !post.leaving() && !post.suspect(now)) {
+    private boolean hasOthers(PooledInstance one, long now) {
+        for (int i = 0; i < instances.size(); i++) {
+            PooledInstance instance = instances.get(i);
+            if (instance != one && !instance.isDraining() && !instance.isSuspect(now)) {
                 return true;
             }
         }
@@ -141,90 +144,92 @@
     }
 
     /** The median of the hosts' answer times, ms; 0 where fewer than three are known. */
-    private double usualMs() {
-        if (posts.size() < 3) {
+    private double medianResponseMs() {
+        if (instances.size() < 3) {
             return 0;
         }
         double[] known = null;
         int n = 0;
-        for (int i = 0; i < posts.size(); i++) {
-            PooledInstance post = posts.get(i);
-            if (post.answers >= 8) {
+        for (int i = 0; i < instances.size(); i++) {
+            PooledInstance instance = instances.get(i);
+            if (instance.responseCount >= 8) {
                 if (known == null) {
-                    known = new double[posts.size()];
+                    known = new double[instances.size()];
                 }
                 int at = n++;
-                while (at > 0 && known[at - 1] > post.tookMs) {
+                while (at > 0 && known[at - 1] > instance.meanResponseMs) {
                     known[at] = known[at - 1];
                     at--;
                 }
-                known[at] = post.tookMs;
+                known[at] = instance.meanResponseMs;
             }
         }
         return n < 3 ? 0 : known[(n - 1) / 2];
     }
 
     /** What a host did with a request: its record, and a pause where it fails again and again. */
-    void judge(PooledInstance post, AttemptOutcome fate, int tookMs, long now) {
-        post.blame *= Math.exp((post.blamedAt - now) / 1000.0);
-        post.blamedAt = now;
-        switch (fate) {
+    void onReleased(PooledInstance instance, AttemptOutcome outcome, int durationMs, long now) {
+        instance.failureScore *= Math.exp((instance.failureScoreAtMs - now) / 1000.0);
+        instance.failureScoreAtMs = now;
+        switch (outcome) {
             case SERVED -> {
-                post.misses = 0;
-                post.blame *= 0.8;
-                post.answers++;
-                post.tookMs += (tookMs - post.tookMs) * Math.max(0.1, 1.0 / post.answers);
-                if (post.pausedUntil <= now) {
-                    post.pauses = 0;
+                instance.unreachableCount = 0;
+                instance.failureScore *= 0.8;
+                instance.responseCount++;
+                instance.meanResponseMs +=
+                        (durationMs - instance.meanResponseMs) * Math.max(0.1, 1.0 / instance.responseCount);
+                if (instance.pausedUntilMs <= now) {
+                    instance.pauseCount = 0;
                 }
             }
             case BROKEN, SILENT -> {
-                post.blame += 1;
-                if (post.blame >= law.blame()) {
-                    pause(post, now);
-                    post.blame = 0;
+                instance.failureScore += 1;
+                if (instance.failureScore >= parameters.blame()) {
+                    pause(instance, now);
+                    instance.failureScore = 0;
                 }
             }
             case UNREACHED -> {
-                post.misses++;
-                pause(post, now);
+                instance.unreachableCount++;
+                pause(instance, now);
             }
             default -> {}
         }
     }
 
-    void pause(PooledInstance post, long now) {
-        long span = Math.min(law.pauseMostMs(), (long) law.pauseMs() << Math.min(post.pauses, 8));
-        post.pauses++;
-        post.pausedUntil = Math.max(post.pausedUntil, now + span);
+    void pause(PooledInstance instance, long now) {
+        long span =
+                Math.min(parameters.maxPauseMs(), (long) parameters.minPauseMs() << Math.min(instance.pauseCount, 8));
+        instance.pauseCount++;
+        instance.pausedUntilMs = Math.max(instance.pausedUntilMs, now + span);
     }
 
     /** The first moment after now at which a pause, or a mark of a full host, ends. */
-    long nextEase(long now) {
+    long nextPauseEndMs(long now) {
         long next = Long.MAX_VALUE;
-        for (int i = 0; i < posts.size(); i++) {
-            PooledInstance post = posts.get(i);
-            if (post.pausedUntil > now) {
-                next = Math.min(next, post.pausedUntil);
+        for (int i = 0; i < instances.size(); i++) {
+            PooledInstance instance = instances.get(i);
+            if (instance.pausedUntilMs > now) {
+                next = Math.min(next, instance.pausedUntilMs);
             }
-            if (post.fullUntil > now) {
-                next = Math.min(next, post.fullUntil);
+            if (instance.fullUntilMs > now) {
+                next = Math.min(next, instance.fullUntilMs);
             }
         }
         return next;
     }
 
     /** Hosts born under another home: who else holds places there has to be told. */
-    boolean anyUnknown() {
-        for (int i = 0; i < posts.size(); i++) {
-            if (!posts.get(i).own) {
+    boolean hasInheritedInstances() {
+        for (int i = 0; i < instances.size(); i++) {
+            if (!instances.get(i).startedHere) {
                 return true;
             }
         }
         return false;
     }
 
-    boolean anyUp() {
+    boolean hasUpInstance() {
         return count(InstanceInfo.UP) > 0;
     }
 }
--- a/src/main/java/brambletray/platform/admission/QueueContext.java
+++ b/src/main/java/brambletray/platform/admission/QueueContext.java
@@ -3,26 +3,26 @@
 /** What all parts of one seat share. */
 final class QueueContext {
     final String zone;
-    final AdmissionParameters laws;
-    final AdmissionActions out;
+    final AdmissionParameters parameters;
+    final AdmissionActions actions;
     ServiceSpec spec;
 
-    QueueContext(ServiceSpec spec, String zone, AdmissionParameters laws, AdmissionActions out) {
+    QueueContext(ServiceSpec spec, String zone, AdmissionParameters parameters, AdmissionActions actions) {
         this.spec = spec;
         this.zone = zone;
-        this.laws = laws;
-        this.out = out;
+        this.parameters = parameters;
+        this.actions = actions;
     }
 
     String service() {
         return spec.service();
     }
 
-    int most() {
-        return spec.most();
+    int maxConcurrency() {
+        return spec.maxConcurrency();
     }
 
-    void refuse(SlotRequest ask, int comeBackMs) {
-        out.refuse(ask.edge(), new SlotRefusal(ask.id(), comeBackMs));
+    void refuse(SlotRequest request, int retryAfterMs) {
+        actions.refuse(request.edge(), new SlotRefusal(request.id(), retryAfterMs));
     }
 }
--- a/src/main/java/brambletray/platform/admission/QueueTakeover.java
+++ b/src/main/java/brambletray/platform/admission/QueueTakeover.java
@@ -11,31 +11,31 @@
  * {@code heldMs} are over, only hosts born under this home are given out.
  */
 final class QueueTakeover {
-    private final AdmissionParameters.Taking law;
+    private final AdmissionParameters.Takeover parameters;
     private final String service;
-    private final String seat;
-    private final long since;
+    private final String homeZone;
+    private final long startedAtMs;
     private final Set<String> awaited = new HashSet<>();
     private boolean listed;
-    private long nextClaim;
+    private long nextClaimMs;
 
-    QueueTakeover(AdmissionParameters.Taking law, String service, String seat, long now) {
-        this.law = law;
+    QueueTakeover(AdmissionParameters.Takeover parameters, String service, String homeZone, long now) {
+        this.parameters = parameters;
         this.service = service;
-        this.seat = seat;
-        since = now;
-        nextClaim = now;
+        this.homeZone = homeZone;
+        startedAtMs = now;
+        nextClaimMs = now;
     }
 
     void expect(Collection<String> edges) {
         awaited.addAll(edges);
     }
 
-    void told(String edge) {
+    void onReported(String edge) {
         awaited.remove(edge);
     }
 
-    void listed() {
+    void onListed() {
         listed = true;
     }
 
@@ -44,33 +44,35 @@
     }
 
     /** The hosts are not known yet. */
-    boolean unlisted(long now) {
-        return !listed && now - since < law.hostsMs();
+    boolean isWaitingForList(long now) {
+        return !listed && now - startedAtMs < parameters.instanceListWaitMs();
     }
 
     /** Not all edges have told what they hold. */
-    boolean blind(long now) {
-        return !awaited.isEmpty() && now - since < law.heldMs();
+    boolean isWaitingForReports(long now) {
+        return !awaited.isEmpty() && now - startedAtMs < parameters.heldSlotsWaitMs();
     }
 
     /** ms until the seat can see. */
     int waitMs(long now) {
-        int wait = unlisted(now) ? (int) (since + law.hostsMs() - now) : 0;
-        return blind(now) ? Math.max(wait, (int) (since + law.heldMs() - now)) : wait;
+        int wait = isWaitingForList(now) ? (int) (startedAtMs + parameters.instanceListWaitMs() - now) : 0;
+        return isWaitingForReports(now)
+                ? Math.max(wait, (int) (startedAtMs + parameters.heldSlotsWaitMs() - now))
+                : wait;
     }
 
-    void tick(AdmissionActions out, long now) {
-        if (!listed && now >= nextClaim) {
-            nextClaim = now + law.againMs();
-            out.claim(new HomeClaim(service, seat));
+    void tick(AdmissionActions actions, long now) {
+        if (!listed && now >= nextClaimMs) {
+            nextClaimMs = now + parameters.retryIntervalMs();
+            actions.claimHome(new HomeClaim(service, homeZone));
         }
     }
 
-    long nextDue(long now) {
-        long next = listed ? Long.MAX_VALUE : nextClaim;
-        if (unlisted(now)) {
-            next = Math.min(next, since + law.hostsMs());
+    long nextDueMs(long now) {
+        long next = listed ? Long.MAX_VALUE : nextClaimMs;
+        if (isWaitingForList(now)) {
+            next = Math.min(next, startedAtMs + parameters.instanceListWaitMs());
         }
-        return blind(now) ? Math.min(next, since + law.heldMs()) : next;
+        return isWaitingForReports(now) ? Math.min(next, startedAtMs + parameters.heldSlotsWaitMs()) : next;
     }
 }
--- a/src/main/java/brambletray/platform/admission/RequestQueue.java
+++ b/src/main/java/brambletray/platform/admission/RequestQueue.java
@@ -12,61 +12,67 @@
  */
 final class RequestQueue {
     static final class Waiter {
-        final SlotRequest ask;
-        final long since;
-        final long end;
-        final long aim;
+        final SlotRequest request;
+        final long queuedAtMs;
+        final long deadlineMs;
+        final long targetAtMs;
         final long key;
-        final FairShare.Kind kind;
-        int passed;
-
-        Waiter(SlotRequest ask, FairShare.Kind kind, long now, AdmissionParameters.Queue law) {
-            this.ask = ask;
-            this.kind = kind;
-            since = now;
-            end = now + ask.remainingMs();
-            aim = now + ask.targetMs();
-            key = end + (long) ask.priority() * law.ageMs() - (ask.inner() ? law.innerMs() : 0);
+        final FairShare.RequestClass requestClass;
+        int skippedInRound;
+
+        Waiter(
+                SlotRequest request,
+                FairShare.RequestClass requestClass,
+                long now,
+                AdmissionParameters.Queue parameters) {
+            this.request = request;
+            this.requestClass = requestClass;
+            queuedAtMs = now;
+            deadlineMs = now + request.remainingMs();
+            targetAtMs = now + request.targetMs();
+            key = deadlineMs
+                    + (long) request.priority() * parameters.priorityRankMs()
+                    - (request.nestedCall() ? parameters.nestedCallBonusMs() : 0);
         }
     }
 
     /** Before any key that time alone can make, ms. */
-    private static final long BEHIND_MS = 1L << 40;
+    private static final long DISADVANTAGED_BONUS_MS = 1L << 40;
 
-    private final AdmissionParameters.Queue law;
-    private final FairShare shares;
+    private final AdmissionParameters.Queue parameters;
+    private final FairShare fairShare;
     private final List<Waiter> waiters = new ArrayList<>();
     private int round;
 
-    RequestQueue(AdmissionParameters.Queue law, FairShare shares) {
-        this.law = law;
-        this.shares = shares;
+    RequestQueue(AdmissionParameters.Queue parameters, FairShare fairShare) {
+        this.parameters = parameters;
+        this.fairShare = fairShare;
     }
 
     int size() {
         return waiters.size();
     }
 
-    boolean full() {
-        return waiters.size() >= law.most();
+    boolean isFull() {
+        return waiters.size() >= parameters.maxSize();
     }
 
     List<Waiter> all() {
         return waiters;
     }
 
-    Waiter find(String edge, long ask) {
+    Waiter find(String edge, long requestId) {
         for (int i = 0; i < waiters.size(); i++) {
             Waiter waiter = waiters.get(i);
-            if (waiter.ask.id() == ask && waiter.ask.edge().equals(edge)) {
+            if (waiter.request.id() == requestId && waiter.request.edge().equals(edge)) {
                 return waiter;
             }
         }
         return null;
     }
 
-    Waiter join(SlotRequest ask, long now) {
-        Waiter waiter = new Waiter(ask, shares.of(ask), now, law);
+    Waiter add(SlotRequest request, long now) {
+        Waiter waiter = new Waiter(request, fairShare.classOf(request), now, parameters);
         waiters.add(waiter);
         return waiter;
     }
@@ -76,26 +82,28 @@
     }
 
     void removeEdge(String edge) {
-        waiters.removeIf(waiter -> waiter.ask.edge().equals(edge));
+        waiters.removeIf(waiter -> waiter.request.edge().equals(edge));
     }
 
     /** A new round of {@link #next}: those passed over are looked at again. */
-    void round() {
+    void startRound() {
         round++;
     }
 
     /**
-     * The one whose turn it is, of those not passed over in this round; null where there is none. {@code onlyCalls}:
+     * The one whose turn it is, of those not passed over in this round; null where there is none. {@code onlyNestedCalls}:
      * requests of clients may not
-     * have what is free, but for kinds that are behind where {@code behindToo}.
+     * have what is free, but for kinds that are behind where {@code includeDisadvantaged}.
      */
-    Waiter next(boolean onlyCalls, boolean behindToo, int workMs, long now) {
+    Waiter next(boolean onlyNestedCalls, boolean includeDisadvantaged, int workMs, long now) {
         Waiter best = null;
         long bestKey = Long.MAX_VALUE;
         for (int i = 0; i < waiters.size(); i++) {
             Waiter waiter = waiters.get(i);
-            boolean barred = onlyCalls && !waiter.ask.inner() && !(behindToo && waiter.kind.isBehind());
-            if (barred || waiter.passed == round) {
+            boolean barred = onlyNestedCalls
+                    && !waiter.request.nestedCall()
+                    && !(includeDisadvantaged && waiter.requestClass.isDisadvantaged());
+            if (barred || waiter.skippedInRound == round) {
                 continue;
             }
             long key = key(waiter, workMs, now);
@@ -108,18 +116,18 @@
     }
 
     /** No host suits this one now. */
-    void pass(Waiter waiter) {
-        waiter.passed = round;
+    void skip(Waiter waiter) {
+        waiter.skippedInRound = round;
     }
 
     private long key(Waiter waiter, int workMs, long now) {
-        long late = now + workMs > waiter.aim ? law.lateMs() : 0;
-        return waiter.key + late - (waiter.kind.isBehind() ? BEHIND_MS : 0);
+        long late = now + workMs > waiter.targetAtMs ? parameters.lateRequestPenaltyMs() : 0;
+        return waiter.key + late - (waiter.requestClass.isDisadvantaged() ? DISADVANTAGED_BONUS_MS : 0);
     }
 
     /** How many would go before such an ask. */
-    int ahead(SlotRequest ask, int workMs, long now) {
-        long key = key(new Waiter(ask, shares.of(ask), now, law), workMs, now);
+    int countAhead(SlotRequest request, int workMs, long now) {
+        long key = key(new Waiter(request, fairShare.classOf(request), now, parameters), workMs, now);
         int n = 0;
         for (int i = 0; i < waiters.size(); i++) {
             if (key(waiters.get(i), workMs, now) <= key) {
@@ -133,8 +141,8 @@
      * Makes room in a full queue: takes out and returns the one that would go last, if such an ask would go before it;
      * else null.
      */
-    Waiter displace(SlotRequest ask, int workMs, long now) {
-        long key = key(new Waiter(ask, shares.of(ask), now, law), workMs, now);
+    Waiter displace(SlotRequest request, int workMs, long now) {
+        long key = key(new Waiter(request, fairShare.classOf(request), now, parameters), workMs, now);
         Waiter last = null;
         for (int i = 0; i < waiters.size(); i++) {
             long one = key(waiters.get(i), workMs, now);
@@ -148,19 +156,19 @@
     }
 
     /** Calls of hosts that have waited since before {@code moment}. */
-    int callsBefore(long moment) {
+    int nestedCallsQueuedBefore(long moment) {
         int n = 0;
         for (int i = 0; i < waiters.size(); i++) {
             Waiter waiter = waiters.get(i);
-            n += waiter.ask.inner() && waiter.since < moment ? 1 : 0;
+            n += waiter.request.nestedCall() && waiter.queuedAtMs < moment ? 1 : 0;
         }
         return n;
     }
 
     /** Removes and returns one whose time no longer suffices; null where there is none. */
-    Waiter hopeless(int workMs, long now) {
+    Waiter pollExpired(int workMs, long now) {
         for (int i = 0; i < waiters.size(); i++) {
-            if (waiters.get(i).end - workMs <= now) {
+            if (waiters.get(i).deadlineMs - workMs <= now) {
                 return waiters.remove(i);
             }
         }
@@ -168,10 +176,10 @@
     }
 
     /** When the next one's time no longer suffices. */
-    long nextEnd(int workMs) {
+    long nextExpiryMs(int workMs) {
         long next = Long.MAX_VALUE;
         for (int i = 0; i < waiters.size(); i++) {
-            next = Math.min(next, waiters.get(i).end - workMs);
+            next = Math.min(next, waiters.get(i).deadlineMs - workMs);
         }
         return next;
     }
--- a/src/main/java/brambletray/platform/admission/RetryBudget.java
+++ b/src/main/java/brambletray/platform/admission/RetryBudget.java
@@ -15,80 +15,81 @@
 final class RetryBudget {
     private static final int BUCKETS = 40;
     /** Part of a home's share of the slack in its first window, where it has taken the service over. */
-    private static final double TAKEN_OVER = 1.0 / 3;
+    private static final double REDUCED_SHARE = 1.0 / 3;
 
-    private final AdmissionParameters.Again law;
-    private final int width;
+    private final AdmissionParameters.RetryBudgetLimits limits;
+    private final int bucketMs;
     private final int[] requests = new int[BUCKETS + 1];
-    private final int[] repeats = new int[BUCKETS + 1];
-    private final int[] copies = new int[BUCKETS + 1];
+    private final int[] retries = new int[BUCKETS + 1];
+    private final int[] hedges = new int[BUCKETS + 1];
     private long head = Long.MIN_VALUE;
-    private long reducedUntil = Long.MIN_VALUE;
+    private long reducedUntilMs = Long.MIN_VALUE;
 
-    RetryBudget(AdmissionParameters.Again law) {
-        this.law = law;
-        this.width = Math.max(1, law.windowMs() / BUCKETS);
+    RetryBudget(AdmissionParameters.RetryBudgetLimits limits) {
+        this.limits = limits;
+        this.bucketMs = Math.max(1, limits.windowMs() / BUCKETS);
     }
 
     /** Another edge was home until now, as far as is known. */
-    void takenOver(long now) {
-        reducedUntil = now + law.windowMs() + width;
+    void onTakenOver(long now) {
+        reducedUntilMs = now + limits.windowMs() + bucketMs;
     }
 
     /** No other edge was home. */
-    void takenFirst() {
-        reducedUntil = Long.MIN_VALUE;
+    void onFirstHome() {
+        reducedUntilMs = Long.MIN_VALUE;
     }
 
     /** A first ask for a client's request. */
-    void request(long now) {
+    void onRequest(long now) {
         roll(now);
-        requests[at(head)]++;
+        requests[bucketIndex(head)]++;
     }
 
     /** Whether a further arrival may go now; {@link #spend} counts it. */
-    boolean may(boolean copy, long now) {
+    boolean isAllowed(boolean hedge, long now) {
         roll(now);
         int asked = 0;
         int other = 0;
-        int copied = 0;
+        int hedged = 0;
         for (int i = 0; i <= BUCKETS; i++) {
             long bucket = head - i;
             if (i < BUCKETS) {
-                asked += requests[at(bucket)];
+                asked += requests[bucketIndex(bucket)];
             }
-            other += repeats[at(bucket)];
-            copied += copies[at(bucket)];
+            other += retries[bucketIndex(bucket)];
+            hedged += hedges[bucketIndex(bucket)];
         }
-        double allowed = law.ratio() * asked + law.slack() * law.share() * (now < reducedUntil ? TAKEN_OVER : 1);
-        if (copy) {
-            return copied + 1 <= (allowed - other) / 2;
+        double allowed = limits.ratio() * asked
+                + limits.slack() * limits.hedgeShare() * (now < reducedUntilMs ? REDUCED_SHARE : 1);
+        if (hedge) {
+            return hedged + 1 <= (allowed - other) / 2;
         }
-        return other + copied + 1 <= allowed;
+        return other + hedged + 1 <= allowed;
     }
 
-    void spend(boolean copy, long now) {
+    void spend(boolean hedge, long now) {
         roll(now);
-        (copy ? copies : repeats)[at(head)]++;
+        (hedge ? hedges : retries)[bucketIndex(head)]++;
     }
 
     private void roll(long now) {
-        long bucket = Math.floorDiv(now, width);
+        long bucket = Math.floorDiv(now, bucketMs);
         if (head == Long.MIN_VALUE || bucket - head > BUCKETS) {
             java.util.Arrays.fill(requests, 0);
-            java.util.Arrays.fill(repeats, 0);
-            java.util.Arrays.fill(copies, 0);
+            java.util.Arrays.fill(retries, 0);
+            java.util.Arrays.fill(hedges, 0);
             head = bucket;
         }
         while (head < bucket) {
             head++;
-            requests[at(head)] = 0;
-            repeats[at(head)] = 0;
-            copies[at(head)] = 0;
+            requests[bucketIndex(head)] = 0;
+            retries[bucketIndex(head)] = 0;
+            hedges[bucketIndex(head)] = 0;
         }
     }
 
-    private static int at(long bucket) {
+    private static int bucketIndex(long bucket) {
         return (int) Math.floorMod(bucket, BUCKETS + 1L);
     }
 }
--- a/src/main/java/brambletray/platform/admission/Scaler.java
+++ b/src/main/java/brambletray/platform/admission/Scaler.java
@@ -15,92 +15,99 @@
     private final QueueContext context;
     private final InstancePool instances;
     private final PendingStarts starts;
-    private final NestedCallReserve room;
+    private final NestedCallReserve nestedCallReserve;
     private final SlotForecast forecast;
-    private final long takenAt;
+    private final long takenOverAtMs;
 
     Scaler(
             QueueContext context,
             InstancePool instances,
             PendingStarts starts,
-            NestedCallReserve room,
+            NestedCallReserve nestedCallReserve,
             SlotForecast forecast,
             long now) {
         this.context = context;
         this.instances = instances;
         this.starts = starts;
-        this.room = room;
+        this.nestedCallReserve = nestedCallReserve;
         this.forecast = forecast;
-        takenAt = now;
-        demand = new SlotDemand(context.laws.scale());
-        keepAlive = new KeepAlivePolicy(context.laws.keep());
+        takenOverAtMs = now;
+        demand = new SlotDemand(context.parameters.scaling());
+        keepAlive = new KeepAlivePolicy(context.parameters.keepAlive());
     }
 
     /** Places at hosts that work. */
-    int working(long now) {
-        return instances.posts.well(now) * context.most();
+    int workingSlots(long now) {
+        return instances.instances.healthyCount(now) * context.maxConcurrency();
     }
 
-    /** What is up and what is under way, less {@code kept} places. */
-    SlotForecast forecast(int kept, long now) {
-        forecast.reset(Math.max(0, working(now) - kept), demand.workMs(context.spec), context.most(), now);
-        int boot = starts.bootMs(context.spec);
-        List<PooledInstance> all = instances.posts.all();
+    /** What is up and what is under way, less {@code reservedSlots} places. */
+    SlotForecast forecast(int reservedSlots, long now) {
+        forecast.reset(
+                Math.max(0, workingSlots(now) - reservedSlots),
+                demand.workMs(context.spec),
+                context.maxConcurrency(),
+                now);
+        int bootMs = starts.bootMs(context.spec);
+        List<PooledInstance> all = instances.instances.all();
         for (int i = 0; i < all.size(); i++) {
-            PooledInstance post = all.get(i);
-            if (post.booting()) {
-                forecast.boot(Math.max(now + boot / 8, post.bornAt + boot));
+            PooledInstance instance = all.get(i);
+            if (instance.isBooting()) {
+                forecast.addBoot(Math.max(now + bootMs / 8, instance.startedAtMs + bootMs));
             }
         }
-        for (int i = 0; i < starts.open(); i++) {
-            forecast.boot(Math.max(now + boot / 4, starts.since(i) + boot));
+        for (int i = 0; i < starts.count(); i++) {
+            forecast.addBoot(Math.max(now + bootMs / 4, starts.requestedAtMs(i) + bootMs));
         }
         return forecast;
     }
 
     /** ms until a place is free for the one after {@code ahead} others. */
-    int waitMs(int ahead, RefusedRequests herd, long now) {
-        SlotForecast sight = forecast(room.kept(working(now), now), now);
+    int waitMs(int ahead, RejectedRequests herd, long now) {
+        SlotForecast sight = forecast(nestedCallReserve.reserved(workingSlots(now), now), now);
         int wait = sight.waitMs(ahead);
         if (wait < SlotForecast.NEVER) {
-            return sight.waitMs(ahead + herd.within(wait, now));
+            return sight.waitMs(ahead + herd.dueWithin(wait, now));
         }
         return starts.bootMs(context.spec) + starts.blockedMs(now);
     }
 
     /** Hosts that a rate of requests needs, with room for calls of hosts. */
-    private int wanted(double rate, long now) {
-        double need = demand.places(rate, context.spec);
-        int n = (int) Math.ceil(need / context.most() - 1e-9);
-        int least = room.leastPlaces(now);
+    private int wantedInstances(double rate, long now) {
+        double need = demand.slotsFor(rate, context.spec);
+        int n = (int) Math.ceil(need / context.maxConcurrency() - 1e-9);
+        int minInstances = nestedCallReserve.minSlots(now);
         while (n > 0
-                && (n * context.most() < least || n * context.most() - room.kept(n * context.most(), now) < need)) {
+                && (n * context.maxConcurrency() < minInstances
+                        || n * context.maxConcurrency() - nestedCallReserve.reserved(n * context.maxConcurrency(), now)
+                                < need)) {
             n++;
         }
         return n;
     }
 
     /**
-     * Starts what is missing. {@code least}: hosts wanted whatever the demand; {@code waiting}: those in line and
+     * Starts what is missing. {@code minInstances}: hosts wanted whatever the demand; {@code waiting}: those in line and
      * promised to be back.
      */
-    void scale(int least, int waiting, long now) {
-        int booting = instances.posts.count(InstanceInfo.BOOTING);
-        int well = instances.posts.well(now);
-        int have = well + booting + starts.open();
-        int want = have == 0 && least == 0 ? 0 : Math.max(least, wanted(demand.rate(now), now));
-        while (have < want && starts.may(booting, well, now)) {
-            starts.ask(waiting, context.out, now);
+    void scale(int minInstances, int waiting, long now) {
+        int booting = instances.instances.count(InstanceInfo.BOOTING);
+        int healthy = instances.instances.healthyCount(now);
+        int have = healthy + booting + starts.count();
+        int want = have == 0 && minInstances == 0 ? 0 : Math.max(minInstances, wantedInstances(demand.rate(now), now));
+        while (have < want && starts.mayRequest(booting, healthy, now)) {
+            starts.request(waiting, context.actions, now);
             have++;
         }
         if (waiting > 0 && have > 0) {
-            int boot = starts.bootMs(context.spec);
-            int slack = (int) (context.laws.queue().safe() * context.spec.targetMs()) - demand.tailMs(context.spec);
-            int bearable = Math.max(slack, boot + boot / 2);
+            int bootMs = starts.bootMs(context.spec);
+            int slack = (int) (context.parameters.queue().safetyFactor() * context.spec.targetMs())
+                    - demand.tailMs(context.spec);
+            int bearable = Math.max(slack, bootMs + bootMs / 2);
             SlotForecast sight = forecast(0, now);
-            while (starts.may(booting, well, now) && sight.waitMs(waiting - 1) > bearable) {
-                starts.ask(waiting, context.out, now);
-                sight.boot(now + boot);
+            while (starts.mayRequest(booting, healthy, now) && sight.waitMs(waiting - 1) > bearable) {
+                starts.request(waiting, context.actions, now);
+                sight.addBoot(now + bootMs);
             }
         }
     }
@@ -109,43 +116,45 @@
      * Starts hosts for calls whose parents hold all places, unless so many boot already: no place would come back by
      * itself.
      */
-    void relieve(int stalledCalls, int waiting, long now) {
+    void startForStalledCalls(int stalledCalls, int waiting, long now) {
         if (stalledCalls == 0) {
             return;
         }
-        room.stalled(now);
-        int booting = instances.posts.count(InstanceInfo.BOOTING);
-        int wanted = (stalledCalls + context.most() - 1) / context.most();
-        for (int under = booting + starts.open(); under < wanted; under++) {
-            if (starts.may(booting, instances.posts.well(now), now)) {
-                starts.ask(waiting, context.out, now);
+        nestedCallReserve.onStalled(now);
+        int booting = instances.instances.count(InstanceInfo.BOOTING);
+        int wanted = (stalledCalls + context.maxConcurrency() - 1) / context.maxConcurrency();
+        for (int under = booting + starts.count(); under < wanted; under++) {
+            if (starts.mayRequest(booting, instances.instances.healthyCount(now), now)) {
+                starts.request(waiting, context.actions, now);
             }
         }
     }
 
     /**
-     * Ends hosts that are empty and no longer worth their memory. {@code least}: hosts kept whatever happens; {@code
+     * Ends hosts that are empty and no longer worth their memory. {@code minInstances}: hosts kept whatever happens; {@code
      * closing}: none is.
      */
-    void retire(int least, boolean closing, long now) {
-        List<PooledInstance> all = instances.posts.all();
-        int n = instances.posts.well(now);
-        int keep = closing ? 0 : Math.max(least, Math.max(1, wanted(demand.slowRate(now), now)));
+    void stopIdle(int minInstances, boolean closing, long now) {
+        List<PooledInstance> all = instances.instances.all();
+        int n = instances.instances.healthyCount(now);
+        int keep = closing ? 0 : Math.max(minInstances, Math.max(1, wantedInstances(demand.slowRate(now), now)));
         for (int i = all.size() - 1; i >= 0; i--) {
-            PooledInstance post = all.get(i);
-            if (post.held > 0 || post.booting()) {
+            PooledInstance instance = all.get(i);
+            if (instance.heldSlots > 0 || instance.isBooting()) {
                 continue;
             }
-            if (post.leaving()) {
-                if (now - post.leavingSince >= context.laws.choice().leaveMs()) {
-                    instances.end(post, now);
+            if (instance.isDraining()) {
+                if (now - instance.drainingSinceMs
+                        >= context.parameters.selection().drainingUseMs()) {
+                    instances.stop(instance, now);
                 }
             } else if (closing
-                    || n > least
+                    || n > minInstances
                             && (n > keep || n == 1)
-                            && now - takenAt >= context.laws.keep().settleMs()
-                            && now - post.idleSince >= span(n)) {
-                instances.end(post, now);
+                            && now - takenOverAtMs
+                                    >= context.parameters.keepAlive().settlingMs()
+                            && now - instance.idleSinceMs >= idleSpanMs(n)) {
+                instances.stop(instance, now);
                 n--;
             }
         }
@@ -153,42 +162,44 @@
 
     /** Ends hosts that have been idle for so long, for others that need their memory. */
     void reclaim(int idleMs, long now) {
-        List<PooledInstance> all = instances.posts.all();
+        List<PooledInstance> all = instances.instances.all();
         for (int i = all.size() - 1; i >= 0; i--) {
-            PooledInstance post = all.get(i);
-            if (post.up() && post.held == 0 && now - post.idleSince >= idleMs) {
-                instances.end(post, now);
+            PooledInstance instance = all.get(i);
+            if (instance.isUp() && instance.heldSlots == 0 && now - instance.idleSinceMs >= idleMs) {
+                instances.stop(instance, now);
             }
         }
     }
 
-    private int span(int n) {
-        int boot = starts.bootMs(context.spec);
-        return n == 1 ? keepAlive.spanMs(context.spec, boot) : keepAlive.breakEvenMs(context.spec, boot);
+    private int idleSpanMs(int n) {
+        int bootMs = starts.bootMs(context.spec);
+        return n == 1 ? keepAlive.spanMs(context.spec, bootMs) : keepAlive.breakEvenMs(context.spec, bootMs);
     }
 
     /** When a host may have been idle for long enough. */
-    long nextDue(int least, boolean closing, long now) {
+    long nextDueMs(int minInstances, boolean closing, long now) {
         long next = Long.MAX_VALUE;
-        int n = instances.posts.well(now);
-        List<PooledInstance> all = instances.posts.all();
+        int n = instances.instances.healthyCount(now);
+        List<PooledInstance> all = instances.instances.all();
         for (int i = 0; i < all.size(); i++) {
-            PooledInstance post = all.get(i);
-            if (post.held > 0 || post.booting()) {
+            PooledInstance instance = all.get(i);
+            if (instance.heldSlots > 0 || instance.isBooting()) {
                 continue;
             }
             if (closing) {
                 return now + 1;
             }
-            if (post.leaving()) {
+            if (instance.isDraining()) {
                 next = Math.min(
                         next,
                         Math.max(
                                 now + 1,
-                                post.leavingSince + context.laws.choice().leaveMs()));
-            } else if (n > least) {
+                                instance.drainingSinceMs
+                                        + context.parameters.selection().drainingUseMs()));
+            } else if (n > minInstances) {
                 long at = Math.max(
-                        post.idleSince + span(n), takenAt + context.laws.keep().settleMs());
+                        instance.idleSinceMs + idleSpanMs(n),
+                        takenOverAtMs + context.parameters.keepAlive().settlingMs());
                 next = Math.min(next, at > now ? at : now + 500);
             }
         }
--- a/src/main/java/brambletray/platform/admission/ServiceQueue.java
+++ b/src/main/java/brambletray/platform/admission/ServiceQueue.java
@@ -15,55 +15,55 @@
  */
 final class ServiceQueue {
     /** ms after a lack of room in which no host is kept, or started, for nobody. */
-    private static final int RECLAIM_MS = 10_000;
+    private static final int NO_WARM_INSTANCE_MS = 10_000;
 
     /** Where the heap of {@link ServiceQueues} has it. */
-    long scheduled = Long.MAX_VALUE;
+    long scheduledAtMs = Long.MAX_VALUE;
 
     private final QueueContext context;
-    private final InstanceSlots places;
+    private final InstanceSlots slots;
     private final PendingStarts starts;
     private final InstancePool instances;
     private final Scaler scaler;
-    private final SlotAllocator desk;
-    private final QueueTakeover taking;
-    private final ZoneSpread spread;
+    private final SlotAllocator slotAllocator;
+    private final QueueTakeover takeover;
+    private final ZoneSpread zoneSpread;
     private final ZoneServiceQueue zoneQueue;
-    private final HeldSlotsRecovery holders;
+    private final HeldSlotsRecovery heldSlotsRecovery;
     private String rootZone;
     private boolean withdrawn;
-    private long noWarmUntil = Long.MIN_VALUE;
+    private long noWarmInstanceUntilMs = Long.MIN_VALUE;
 
     ServiceQueue(
             QueueContext context,
             String rootZone,
             StartNonces nonces,
             SlotForecast forecast,
-            Map<String, ServiceQueue> seatOf,
+            Map<String, ServiceQueue> queueOfInstance,
             long now) {
         this.context = context;
         this.rootZone = rootZone;
-        AdmissionParameters laws = context.laws;
-        places = new InstanceSlots(laws.limit());
-        starts = new PendingStarts(laws.scale(), context.service(), context.zone, nonces);
-        instances = new InstancePool(context, places, starts, new InstancePool.Index() {
+        AdmissionParameters parameters = context.parameters;
+        slots = new InstanceSlots(parameters.limit());
+        starts = new PendingStarts(parameters.scaling(), context.service(), context.zone, nonces);
+        instances = new InstancePool(context, slots, starts, new InstancePool.Listener() {
             @Override
-            public void added(String host) {
-                seatOf.put(host, ServiceQueue.this);
+            public void onAdded(String info) {
+                queueOfInstance.put(info, ServiceQueue.this);
             }
 
             @Override
-            public void removed(String host) {
-                seatOf.remove(host, ServiceQueue.this);
+            public void onRemoved(String info) {
+                queueOfInstance.remove(info, ServiceQueue.this);
             }
         });
-        NestedCallReserve room = new NestedCallReserve(laws.room());
-        scaler = new Scaler(context, instances, starts, room, forecast, now);
-        taking = new QueueTakeover(laws.taking(), context.service(), context.zone, now);
-        holders = new HeldSlotsRecovery(context, instances, places, taking);
-        desk = new SlotAllocator(context, instances, scaler, places, room, taking);
-        spread = new ZoneSpread(laws.spread());
-        zoneQueue = new ZoneServiceQueue(laws.spread());
+        NestedCallReserve nestedCallReserve = new NestedCallReserve(parameters.nestedCalls());
+        scaler = new Scaler(context, instances, starts, nestedCallReserve, forecast, now);
+        takeover = new QueueTakeover(parameters.takeover(), context.service(), context.zone, now);
+        heldSlotsRecovery = new HeldSlotsRecovery(context, instances, slots, takeover);
+        slotAllocator = new SlotAllocator(context, instances, scaler, slots, nestedCallReserve, takeover);
+        zoneSpread = new ZoneSpread(parameters.zoneSpread());
+        zoneQueue = new ZoneServiceQueue(parameters.zoneSpread());
     }
 
     String service() {
@@ -74,228 +74,232 @@
         return rootZone;
     }
 
-    void change(ServiceSpec changed, String root) {
+    void onServiceChanged(ServiceSpec changed, String root) {
         context.spec = changed;
         rootZone = root;
         withdrawn = false;
     }
 
-    void expect(Collection<String> edges, long now) {
-        taking.expect(edges);
+    void expectReportsFrom(Collection<String> edges, long now) {
+        takeover.expect(edges);
         if (!edges.isEmpty()) {
-            desk.takenOver(now);
+            slotAllocator.onTakenOver(now);
         }
     }
 
     /** The service is no more: hosts end as they become empty, those in line are refused. */
     void withdraw(long now) {
         withdrawn = true;
-        desk.refuseAll();
+        slotAllocator.refuseAll();
         tick(now);
     }
 
     /** Withdrawn, and nothing is left to end. */
-    boolean over() {
-        return withdrawn && instances.empty() && starts.open() == 0;
+    boolean isOver() {
+        return withdrawn && instances.isEmpty() && starts.count() == 0;
     }
 
-    private boolean root() {
+    private boolean isRootZone() {
         return context.zone.equals(rootZone);
     }
 
     /**
      * Hosts kept whatever happens: one at the root where a cold start cannot be hidden, unless others lack its memory.
      */
-    private int warm(long now) {
-        return !withdrawn && root() && context.spec.slowToStart() && now >= noWarmUntil ? 1 : 0;
+    private int warmInstances(long now) {
+        return !withdrawn && isRootZone() && context.spec.slowToStart() && now >= noWarmInstanceUntilMs ? 1 : 0;
     }
 
-    private boolean closing(long now) {
-        return withdrawn || !root() && zoneQueue.closed(now);
+    private boolean isClosing(long now) {
+        return withdrawn || !isRootZone() && zoneQueue.isClosed(now);
     }
 
-    /** An edge asks. The same ask again: the same answer. {@code stay}: to be served here whatever the demand. */
-    void ask(SlotRequest ask, boolean stay, long now) {
-        Slot known = places.find(ask.edge(), ask.id());
+    /** An edge asks. The same ask again: the same answer. {@code serveHere}: to be served here whatever the demand. */
+    void onSlotRequest(SlotRequest request, boolean serveHere, long now) {
+        Slot known = slots.find(request.edge(), request.id());
         if (known != null) {
-            if (places.backFrom(known)) {
-                context.out.grant(ask.edge(), new SlotGrant(ask.id(), known.post.id, known.post.address, false));
+            if (slots.reclaimFrom(known)) {
+                context.actions.grant(
+                        request.edge(), new SlotGrant(request.id(), known.instance.id, known.instance.address, false));
             }
             return;
         }
-        if (desk.line().find(ask.edge(), ask.id()) != null) {
+        if (slotAllocator.queue().find(request.edge(), request.id()) != null) {
             return;
         }
         if (withdrawn) {
-            context.refuse(ask, -1);
+            context.refuse(request, -1);
             return;
         }
-        if (stay) {
+        if (serveHere) {
             zoneQueue.serveAnyway();
-        } else if (sentAway(ask, now)) {
+        } else if (redirectIfClosed(request, now)) {
             return;
         }
-        desk.ask(ask, now);
+        slotAllocator.onRequest(request, now);
         scale(now);
     }
 
-    private boolean sentAway(SlotRequest ask, long now) {
+    private boolean redirectIfClosed(SlotRequest request, long now) {
         int work = scaler.demand.workMs(context.spec);
         int boot = starts.bootMs(context.spec);
-        String to = ask.zone();
-        if (root()) {
-            if (to.equals(context.zone) || !spread.away(ask, context.spec, work, boot, now)) {
+        String to = request.zone();
+        if (isRootZone()) {
+            if (to.equals(context.zone) || !zoneSpread.shouldRedirect(request, context.spec, work, boot, now)) {
                 return false;
             }
         } else {
-            double pays = ZoneSpread.pays(context.laws.spread(), context.spec, work);
-            if (!zoneQueue.away(instances.posts.anyUp(), scaler.demand.slowRate(now), pays, boot, now)) {
+            double pays = ZoneSpread.breakEvenRate(context.parameters.zoneSpread(), context.spec, work);
+            if (!zoneQueue.shouldRedirect(
+                    instances.instances.hasUpInstance(), scaler.demand.slowRate(now), pays, boot, now)) {
                 return false;
             }
             to = rootZone;
             scale(now);
         }
-        context.out.elsewhere(ask.edge(), new SlotRedirect(context.service(), ask.id(), to));
+        context.actions.redirect(request.edge(), new SlotRedirect(context.service(), request.id(), to));
         return true;
     }
 
-    void done(String edge, SlotRelease done, long now) {
-        holders.done(edge, done.askId());
-        if (desk.done(edge, done, now)) {
-            after(now);
+    void onSlotRelease(String edge, SlotRelease release, long now) {
+        heldSlotsRecovery.onReleased(edge, release.requestId());
+        if (slotAllocator.onRelease(edge, release, now)) {
+            afterEvent(now);
         }
     }
 
     /** A place at a host that is not known here (yet) has been given back. */
-    void doneEarly(String edge, SlotRelease done) {
-        holders.done(edge, done.askId());
+    void onEarlyRelease(String edge, SlotRelease release) {
+        heldSlotsRecovery.onReleased(edge, release.requestId());
     }
 
-    void forget(String edge, long ask, long now) {
-        holders.done(edge, ask);
-        RequestQueue.Waiter waiter = desk.line().find(edge, ask);
+    void onCancel(String edge, long requestId, long now) {
+        heldSlotsRecovery.onReleased(edge, requestId);
+        RequestQueue.Waiter waiter = slotAllocator.queue().find(edge, requestId);
         if (waiter != null) {
-            desk.forget(waiter, now);
+            slotAllocator.onCancelled(waiter, now);
         }
-        Slot place = places.find(edge, ask);
-        if (place != null && !place.closed) {
-            places.free(place, now);
-            after(now);
+        Slot slot = slots.find(edge, requestId);
+        if (slot != null && !slot.closed) {
+            slots.free(slot, now);
+            afterEvent(now);
         }
     }
 
-    void edgeGone(String edge, long now) {
-        desk.line().removeEdge(edge);
-        places.gone(edge, now);
-        taking.told(edge);
-        after(now);
+    void onEdgeGone(String edge, long now) {
+        slotAllocator.queue().removeEdge(edge);
+        slots.onEdgeGone(edge, now);
+        takeover.onReported(edge);
+        afterEvent(now);
     }
 
-    void held(HeldSlots held, long now) {
-        holders.told(held, now);
-        after(now);
+    void onHeldSlots(HeldSlots held, long now) {
+        heldSlotsRecovery.onReported(held, now);
+        afterEvent(now);
     }
 
-    void hosts(InstanceList hosts, long now) {
-        if (hosts.hosts().isEmpty() && !taking.isListed()) {
-            desk.takenFirst();
+    void onInstanceList(InstanceList infos, long now) {
+        if (infos.instances().isEmpty() && !takeover.isListed()) {
+            slotAllocator.onFirstHome();
         }
-        for (InstanceInfo host : hosts.hosts()) {
-            instances.take(host, false, now);
+        for (InstanceInfo info : infos.instances()) {
+            instances.onInstance(info, false, now);
         }
-        holders.listed(now);
-        after(now);
+        heldSlotsRecovery.onListed(now);
+        afterEvent(now);
     }
 
-    void born(InstanceStarted born, long now) {
-        instances.take(born.host(), starts.born(born.nonce()), now);
-        after(now);
+    void onInstanceStarted(InstanceStarted started, long now) {
+        instances.onInstance(started.instance(), starts.onStarted(started.nonce()), now);
+        afterEvent(now);
     }
 
-    boolean noRoom(StartRefusal answer, long now) {
-        if (!starts.noRoom(answer.nonce(), answer.comeBackMs(), now)) {
+    boolean onStartRefused(StartRefusal answer, long now) {
+        if (!starts.onRejected(answer.nonce(), answer.retryAfterMs(), now)) {
             return false;
         }
-        after(now);
+        afterEvent(now);
         return true;
     }
 
     /** No worker has room: hosts that have been idle for so long end, and none is kept warm for a while. */
     void reclaim(int idleMs, long now) {
-        noWarmUntil = now + RECLAIM_MS;
-        if (desk.line().size() == 0) {
+        noWarmInstanceUntilMs = now + NO_WARM_INSTANCE_MS;
+        if (slotAllocator.queue().size() == 0) {
             scaler.reclaim(idleMs, now);
         }
     }
 
-    void leaving(String id, long now) {
-        if (instances.leaving(id, now)) {
-            after(now);
+    void onInstanceDraining(String id, long now) {
+        if (instances.onDraining(id, now)) {
+            afterEvent(now);
         }
     }
 
-    void gone(String id, long now) {
-        if (instances.gone(id, now)) {
-            after(now);
+    void onInstanceGone(String id, long now) {
+        if (instances.onGone(id, now)) {
+            afterEvent(now);
         }
     }
 
-    void knocked(String id, boolean ok, long now) {
-        instances.knocked(id, ok, desk.line().size(), now);
-        after(now);
+    void onProbed(String id, boolean ok, long now) {
+        instances.onProbed(id, ok, slotAllocator.queue().size(), now);
+        afterEvent(now);
     }
 
-    private void after(long now) {
-        desk.pump(now);
+    private void afterEvent(long now) {
+        slotAllocator.serveQueue(now);
         scale(now);
     }
 
     private void scale(long now) {
-        if (withdrawn || taking.unlisted(now)) {
+        if (withdrawn || takeover.isWaitingForList(now)) {
             return;
         }
-        boolean wanted = desk.line().size() > 0
-                || warm(now) > 0
+        boolean wanted = slotAllocator.queue().size() > 0
+                || warmInstances(now) > 0
                 || instances.replacing(now)
-                || !root() && zoneQueue.warming(now);
-        scaler.scale(wanted ? 1 : 0, desk.pressing(now), now);
-        scaler.relieve(desk.stalledCalls(now), desk.line().size(), now);
+                || !isRootZone() && zoneQueue.isWarming(now);
+        scaler.scale(wanted ? 1 : 0, slotAllocator.pressure(now), now);
+        scaler.startForStalledCalls(
+                slotAllocator.stalledCalls(now), slotAllocator.queue().size(), now);
     }
 
     void tick(long now) {
-        taking.tick(context.out, now);
-        holders.tick(now);
-        places.expire(now);
-        starts.tick(desk.line().size(), context.out, now);
+        takeover.tick(context.actions, now);
+        heldSlotsRecovery.tick(now);
+        slots.expire(now);
+        starts.tick(slotAllocator.queue().size(), context.actions, now);
         instances.tick(now);
-        after(now);
-        if (!taking.unlisted(now)) {
-            scaler.retire(warm(now), closing(now), now);
+        afterEvent(now);
+        if (!takeover.isWaitingForList(now)) {
+            scaler.stopIdle(warmInstances(now), isClosing(now), now);
         }
     }
 
-    long nextDue(long now) {
-        long next = Math.min(taking.nextDue(now), Math.min(places.nextEnd(), starts.nextDue(now)));
-        next = Math.min(next, Math.min(instances.nextDue(now), scaler.nextDue(warm(now), closing(now), now)));
-        if (now < noWarmUntil) {
-            next = Math.min(next, noWarmUntil);
+    long nextDueMs(long now) {
+        long next = Math.min(takeover.nextDueMs(now), Math.min(slots.nextEndMs(), starts.nextDueMs(now)));
+        next = Math.min(
+                next, Math.min(instances.nextDueMs(now), scaler.nextDueMs(warmInstances(now), isClosing(now), now)));
+        if (now < noWarmInstanceUntilMs) {
+            next = Math.min(next, noWarmInstanceUntilMs);
         }
-        return Math.min(next, desk.nextDue(now));
+        return Math.min(next, slotAllocator.nextDueMs(now));
     }
 
-    List<InstanceInfo> mine(long now) {
-        List<InstanceInfo> mine = new ArrayList<>();
-        for (PooledInstance post : instances.posts.all()) {
-            mine.add(post.toHost(context.service(), context.zone, now));
+    List<InstanceInfo> knownInstances(long now) {
+        List<InstanceInfo> known = new ArrayList<>();
+        for (PooledInstance instance : instances.instances.all()) {
+            known.add(instance.toInfo(context.service(), context.zone, now));
         }
-        return mine;
+        return known;
     }
 
-    int waiting() {
-        return desk.line().size();
+    int queuedCount() {
+        return slotAllocator.queue().size();
     }
 
-    int heldPlaces() {
-        return places.size();
+    int heldSlotCount() {
+        return slots.size();
     }
 }
--- a/src/main/java/brambletray/platform/admission/ServiceQueues.java
+++ b/src/main/java/brambletray/platform/admission/ServiceQueues.java
@@ -7,7 +7,7 @@
 import brambletray.platform.provisioning.InstanceList;
 import brambletray.platform.provisioning.InstanceStarted;
 import brambletray.platform.provisioning.KnownInstances;
-import brambletray.platform.provisioning.Reclaim;
+import brambletray.platform.provisioning.ReclaimIdleInstances;
 import brambletray.platform.provisioning.StartRefusal;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -18,88 +18,94 @@
 
 /**
  * All seats that an edge is home of, in one zone. Pure: {@code now} is in ms of a steady clock and never goes back. One
- * thread. Seats that have nothing to do cost nothing: {@link #tick} touches only those that are due, {@link #nextDue}
+ * thread. Seats that have nothing to do cost nothing: {@link #tick} touches only those that are due, {@link #nextDueMs}
  * tells when the next one is.
  */
 public final class ServiceQueues {
     private static final EventLog LOG = EventLog.of("admission");
 
-    private record Due(long at, ServiceQueue seat) {}
+    private record DueQueue(long dueAtMs, ServiceQueue queue) {}
 
     private final String zone;
-    private final AdmissionParameters laws;
+    private final AdmissionParameters parameters;
     private final StartNonces nonces;
-    private final AdmissionActions out;
+    private final AdmissionActions actions;
     private final SlotForecast forecast = new SlotForecast();
-    private final Map<String, ServiceQueue> seats = new HashMap<>();
-    private final Map<String, ServiceQueue> seatOf = new HashMap<>();
+    private final Map<String, ServiceQueue> queues = new HashMap<>();
+    private final Map<String, ServiceQueue> queueOfInstance = new HashMap<>();
     private final Map<String, ServiceSpec> specs = new HashMap<>();
-    private final PriorityQueue<Due> dues = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
+    private final PriorityQueue<DueQueue> dues = new PriorityQueue<>((a, b) -> Long.compare(a.dueAtMs, b.dueAtMs));
 
     /** {@code zone}: the seats' zone; {@code prefix}: of nonces, unique to node and life, at most 48 characters. */
-    public ServiceQueues(String zone, String prefix, AdmissionParameters laws, AdmissionActions out) {
+    public ServiceQueues(String zone, String prefix, AdmissionParameters parameters, AdmissionActions actions) {
         this.zone = zone;
-        this.laws = laws;
+        this.parameters = parameters;
         this.nonces = new StartNonces(prefix);
-        this.out = out;
+        this.actions = actions;
     }
 
     /** A service is there, or has changed. Its seat, where this edge has it, goes by the new figures from now on. */
-    public void spec(ServiceSpec spec, long now) {
+    public void onServiceSpec(ServiceSpec spec, long now) {
         ServiceSpec before = specs.put(spec.service(), spec);
-        ServiceQueue seat = seats.get(spec.service());
-        if (seat != null && !spec.equals(before)) {
-            seat.change(spec, seat.rootZone());
-            seat.tick(now);
-            plan(seat, now);
+        ServiceQueue queue = queues.get(spec.service());
+        if (queue != null && !spec.equals(before)) {
+            queue.onServiceChanged(spec, queue.rootZone());
+            queue.tick(now);
+            schedule(queue, now);
         }
     }
 
     /** A service is no more: its seat ends its hosts as they become empty, and then is given up. */
     public void withdraw(String service, long now) {
         specs.remove(service);
-        ServiceQueue seat = seats.get(service);
-        if (seat != null) {
-            seat.withdraw(now);
-            plan(seat, now);
+        ServiceQueue queue = queues.get(service);
+        if (queue != null) {
+            queue.withdraw(now);
+            schedule(queue, now);
         }
     }
 
     /**
      * This edge is home of a service's seat in this zone from now on; {@code rootZone}: where the service's root seat
      * is; {@code edges}: those that may hold places given out by another home before, empty where there was none. A
-     * seat that is held already only learns the root. Services unknown to {@link #spec} are left out.
+     * seat that is held already only learns the root. Services unknown to {@link #onServiceSpec} are left out.
      */
-    public void take(String service, String rootZone, Collection<String> edges, long now) {
+    public void takeOver(String service, String rootZone, Collection<String> edges, long now) {
         ServiceSpec spec = specs.get(service);
         if (spec == null) {
             return;
         }
-        ServiceQueue seat = seats.get(service);
-        if (seat == null) {
-            seat = new ServiceQueue(new QueueContext(spec, zone, laws, out), rootZone, nonces, forecast, seatOf, now);
-            seat.expect(edges, now);
-            seats.put(service, seat);
-        } else if (seat.rootZone().equals(rootZone)) {
+        ServiceQueue queue = queues.get(service);
+        if (queue == null) {
+            queue = new ServiceQueue(
+                    new QueueContext(spec, zone, parameters, actions),
+                    rootZone,
+                    nonces,
+                    forecast,
+                    queueOfInstance,
+                    now);
+            queue.expectReportsFrom(edges, now);
+            queues.put(service, queue);
+        } else if (queue.rootZone().equals(rootZone)) {
             return;
         } else {
-            seat.change(spec, rootZone);
+            queue.onServiceChanged(spec, rootZone);
         }
-        seat.tick(now);
-        plan(seat, now);
+        queue.tick(now);
+        schedule(queue, now);
     }
 
     /** Another edge is home now: nothing more is sent; those in line are to be asked anew there by their edges. */
-    public void cede(String service, long now) {
-        ServiceQueue seat = seats.remove(service);
-        if (seat != null) {
-            seat.scheduled = Long.MIN_VALUE;
-            seatOf.values().removeIf(one -> one == seat);
-            if (seat.waiting() > 0 || seat.heldPlaces() > 0) {
+    public void handOver(String service, long now) {
+        ServiceQueue queue = queues.remove(service);
+        if (queue != null) {
+            queue.scheduledAtMs = Long.MIN_VALUE;
+            queueOfInstance.values().removeIf(other -> other == queue);
+            if (queue.queuedCount() > 0 || queue.heldSlotCount() > 0) {
                 LOG.info("ceded")
                         .with("service", service)
-                        .with("held", seat.heldPlaces())
-                        .with("waiting", seat.waiting())
+                        .with("held", queue.heldSlotCount())
+                        .with("waiting", queue.queuedCount())
                         .log();
             }
         }
@@ -107,158 +113,159 @@
 
     /** Services whose seat is held. */
     public Collection<String> services() {
-        return List.copyOf(seats.keySet());
+        return List.copyOf(queues.keySet());
     }
 
-    public boolean holds(String service) {
-        return seats.containsKey(service);
+    public boolean isHomeOf(String service) {
+        return queues.containsKey(service);
     }
 
     /**
-     * An edge asks for a place; false where no seat of the service is held here. {@code stay}: it is to be served here
+     * An edge asks for a place; false where no seat of the service is held here. {@code serveHere}: it is to be served here
      * although another zone's seat might be better, as that one cannot be reached. */
-    public boolean ask(SlotRequest ask, boolean stay, long now) {
-        ServiceQueue seat = seats.get(ask.service());
-        if (seat == null) {
+    public boolean onSlotRequest(SlotRequest request, boolean serveHere, long now) {
+        ServiceQueue queue = queues.get(request.service());
+        if (queue == null) {
             return false;
         }
-        seat.ask(ask, stay, now);
-        plan(seat, now);
+        queue.onSlotRequest(request, serveHere, now);
+        schedule(queue, now);
         return true;
     }
 
     /** An edge gives a place back. */
-    public void done(String edge, SlotRelease done, long now) {
-        ServiceQueue seat = seatOf.get(done.host());
-        if (seat != null) {
-            seat.done(edge, done, now);
-            plan(seat, now);
+    public void onSlotRelease(String edge, SlotRelease release, long now) {
+        ServiceQueue queue = queueOfInstance.get(release.instanceId());
+        if (queue != null) {
+            queue.onSlotRelease(edge, release, now);
+            schedule(queue, now);
         } else {
-            seats.values().forEach(one -> one.doneEarly(edge, done));
+            queues.values().forEach(other -> other.onEarlyRelease(edge, release));
         }
     }
 
     /** An edge no longer waits for an ask's answer, and will not use a grant that is on its way. */
-    public void forget(String edge, SlotRequestCancel forget, long now) {
-        ServiceQueue seat = seats.get(forget.service());
-        if (seat != null) {
-            seat.forget(edge, forget.askId(), now);
-            plan(seat, now);
+    public void onCancel(String edge, SlotRequestCancel cancel, long now) {
+        ServiceQueue queue = queues.get(cancel.service());
+        if (queue != null) {
+            queue.onCancel(edge, cancel.requestId(), now);
+            schedule(queue, now);
         }
     }
 
     /** An edge tells what it holds (an empty list tells as well). */
-    public void held(HeldSlots held, long now) {
-        ServiceQueue seat = seats.get(held.service());
-        if (seat != null) {
-            seat.held(held, now);
-            plan(seat, now);
+    public void onHeldSlots(HeldSlots held, long now) {
+        ServiceQueue queue = queues.get(held.service());
+        if (queue != null) {
+            queue.onHeldSlots(held, now);
+            schedule(queue, now);
         }
     }
 
     /** An edge is gone, by the roster: its places are closed for a while, its asks leave the lines. */
-    public void edgeGone(String edge, long now) {
-        for (ServiceQueue seat : seats.values()) {
-            seat.edgeGone(edge, now);
-            plan(seat, now);
+    public void onEdgeGone(String edge, long now) {
+        for (ServiceQueue queue : queues.values()) {
+            queue.onEdgeGone(edge, now);
+            schedule(queue, now);
         }
     }
 
-    public void hosts(InstanceList hosts, long now) {
-        ServiceQueue seat = zone.equals(hosts.seat()) ? seats.get(hosts.service()) : null;
-        if (seat != null) {
-            seat.hosts(hosts, now);
-            plan(seat, now);
+    public void onInstanceList(InstanceList list, long now) {
+        ServiceQueue queue = zone.equals(list.homeZone()) ? queues.get(list.service()) : null;
+        if (queue != null) {
+            queue.onInstanceList(list, now);
+            schedule(queue, now);
         }
     }
 
-    public void born(InstanceStarted born, long now) {
-        ServiceQueue seat =
-                zone.equals(born.host().seat()) ? seats.get(born.host().service()) : null;
-        if (seat != null) {
-            seat.born(born, now);
-            plan(seat, now);
+    public void onInstanceStarted(InstanceStarted started, long now) {
+        ServiceQueue queue = zone.equals(started.instance().homeZone())
+                ? queues.get(started.instance().service())
+                : null;
+        if (queue != null) {
+            queue.onInstanceStarted(started, now);
+            schedule(queue, now);
         }
     }
 
-    public void noRoom(StartRefusal answer, long now) {
-        for (ServiceQueue seat : seats.values()) {
-            if (seat.noRoom(answer, now)) {
-                plan(seat, now);
+    public void onStartRefused(StartRefusal answer, long now) {
+        for (ServiceQueue queue : queues.values()) {
+            if (queue.onStartRefused(answer, now)) {
+                schedule(queue, now);
                 return;
             }
         }
     }
 
     /** No worker has room: instances that have been idle for so long end, that others may start. */
-    public void reclaim(Reclaim reclaim, long now) {
-        for (ServiceQueue seat : seats.values()) {
-            seat.reclaim(reclaim.idleMs(), now);
-            plan(seat, now);
+    public void reclaim(ReclaimIdleInstances reclaim, long now) {
+        for (ServiceQueue queue : queues.values()) {
+            queue.reclaim(reclaim.idleMs(), now);
+            schedule(queue, now);
         }
     }
 
-    public void leaving(InstanceDraining leaving, long now) {
-        ServiceQueue seat = seats.get(leaving.service());
-        if (seat != null) {
-            seat.leaving(leaving.id(), now);
-            plan(seat, now);
+    public void onInstanceDraining(InstanceDraining draining, long now) {
+        ServiceQueue queue = queues.get(draining.service());
+        if (queue != null) {
+            queue.onInstanceDraining(draining.id(), now);
+            schedule(queue, now);
         }
     }
 
-    public void gone(InstanceGone gone, long now) {
-        ServiceQueue seat = seats.get(gone.service());
-        if (seat != null) {
-            seat.gone(gone.id(), now);
-            plan(seat, now);
+    public void onInstanceGone(InstanceGone gone, long now) {
+        ServiceQueue queue = queues.get(gone.service());
+        if (queue != null) {
+            queue.onInstanceGone(gone.id(), now);
+            schedule(queue, now);
         }
     }
 
-    /** The answer to {@link AdmissionActions#knock}: whether a connection came up. */
-    public void knocked(String hostId, boolean ok, long now) {
-        ServiceQueue seat = seatOf.get(hostId);
-        if (seat != null) {
-            seat.knocked(hostId, ok, now);
-            plan(seat, now);
+    /** The answer to {@link AdmissionActions#probe}: whether a connection came up. */
+    public void onProbed(String hostId, boolean ok, long now) {
+        ServiceQueue queue = queueOfInstance.get(hostId);
+        if (queue != null) {
+            queue.onProbed(hostId, ok, now);
+            schedule(queue, now);
         }
     }
 
     /** All hosts that these seats know, for a new hub. */
-    public KnownInstances mine(long now) {
+    public KnownInstances knownInstances(long now) {
         List<InstanceInfo> all = new ArrayList<>();
-        for (ServiceQueue seat : seats.values()) {
-            all.addAll(seat.mine(now));
+        for (ServiceQueue queue : queues.values()) {
+            all.addAll(queue.knownInstances(now));
         }
         return new KnownInstances(all);
     }
 
     /** Does what is due. */
     public void tick(long now) {
-        for (Due due = dues.peek(); due != null && due.at <= now; due = dues.peek()) {
+        for (DueQueue due = dues.peek(); due != null && due.dueAtMs <= now; due = dues.peek()) {
             dues.poll();
-            if (due.seat.scheduled == due.at) {
-                due.seat.scheduled = Long.MAX_VALUE;
-                due.seat.tick(now);
-                if (due.seat.over()) {
-                    seats.remove(due.seat.service());
+            if (due.queue.scheduledAtMs == due.dueAtMs) {
+                due.queue.scheduledAtMs = Long.MAX_VALUE;
+                due.queue.tick(now);
+                if (due.queue.isOver()) {
+                    queues.remove(due.queue.service());
                 } else {
-                    plan(due.seat, now);
+                    schedule(due.queue, now);
                 }
             }
         }
     }
 
     /** When {@link #tick} is due next, ms; {@link Long#MAX_VALUE}: not before something else happens. */
-    public long nextDue() {
-        Due due = dues.peek();
-        return due == null ? Long.MAX_VALUE : due.at;
+    public long nextDueMs() {
+        DueQueue due = dues.peek();
+        return due == null ? Long.MAX_VALUE : due.dueAtMs;
     }
 
-    private void plan(ServiceQueue seat, long now) {
-        long at = Math.max(now + 1, seat.nextDue(now));
-        if (at < seat.scheduled && at != Long.MAX_VALUE && at > Long.MIN_VALUE) {
-            seat.scheduled = at;
-            dues.add(new Due(at, seat));
+    private void schedule(ServiceQueue queue, long now) {
+        long at = Math.max(now + 1, queue.nextDueMs(now));
+        if (at < queue.scheduledAtMs && at != Long.MAX_VALUE && at > Long.MIN_VALUE) {
+            queue.scheduledAtMs = at;
+            dues.add(new DueQueue(at, queue));
         }
     }
 }
--- a/src/main/java/brambletray/platform/admission/ServiceSpec.java
+++ b/src/main/java/brambletray/platform/admission/ServiceSpec.java
@@ -5,9 +5,9 @@
  * {@code most}: requests that one host may hold at a time ({@code max-concurrency}); {@code targetMs}: the smallest
  * target of the routes that lead here, 0 where none does.
  */
-public record ServiceSpec(String service, int memoryMb, int bootMs, int most, int targetMs) {
+public record ServiceSpec(String service, int memoryMb, int bootMs, int maxConcurrency, int targetMs) {
     public ServiceSpec {
-        if (most < 1 || memoryMb < 1 || bootMs < 0) {
+        if (maxConcurrency < 1 || memoryMb < 1 || bootMs < 0) {
             throw new AdmissionException(
                     "admission.spec",
                     "service " + service + ": memory-mb and max-concurrency of 1 or more, boot-ms of 0 or more",
--- a/src/main/java/brambletray/platform/admission/SlotAllocator.java
+++ b/src/main/java/brambletray/platform/admission/SlotAllocator.java
@@ -15,113 +15,113 @@
     private final QueueContext context;
     private final InstancePool instances;
     private final Scaler scaler;
-    private final InstanceSlots places;
-    private final NestedCallReserve room;
-    private final QueueTakeover taking;
-    private final FairShare shares = new FairShare();
-    private final RequestQueue line;
-    private final RetryBudget budget;
-    private final RefusedRequests herd = new RefusedRequests();
+    private final InstanceSlots slots;
+    private final NestedCallReserve nestedCallReserve;
+    private final QueueTakeover takeover;
+    private final FairShare fairShare = new FairShare();
+    private final RequestQueue queue;
+    private final RetryBudget retryBudget;
+    private final RejectedRequests rejectedRequests = new RejectedRequests();
 
     SlotAllocator(
             QueueContext context,
             InstancePool instances,
             Scaler scaler,
-            InstanceSlots places,
-            NestedCallReserve room,
-            QueueTakeover taking) {
+            InstanceSlots slots,
+            NestedCallReserve nestedCallReserve,
+            QueueTakeover takeover) {
         this.context = context;
         this.instances = instances;
         this.scaler = scaler;
-        this.places = places;
-        this.room = room;
-        this.taking = taking;
-        line = new RequestQueue(context.laws.queue(), shares);
-        budget = new RetryBudget(context.laws.again());
+        this.slots = slots;
+        this.nestedCallReserve = nestedCallReserve;
+        this.takeover = takeover;
+        queue = new RequestQueue(context.parameters.queue(), fairShare);
+        retryBudget = new RetryBudget(context.parameters.retryBudget());
     }
 
-    RequestQueue line() {
-        return line;
+    RequestQueue queue() {
+        return queue;
     }
 
     /** The service may have had another home, which has spent of the budget what is not known here. */
-    void takenOver(long now) {
-        budget.takenOver(now);
+    void onTakenOver(long now) {
+        retryBudget.onTakenOver(now);
     }
 
     /** The service has no hosts: it has had no home whose further tries reached any of late. */
-    void takenFirst() {
-        budget.takenFirst();
+    void onFirstHome() {
+        retryBudget.onFirstHome();
     }
 
     /** Those in line and those told to come back. */
-    int pressing(long now) {
-        return line.size() + herd.open(now);
+    int pressure(long now) {
+        return queue.size() + rejectedRequests.pendingCount(now);
     }
 
     /** An ask that is to be answered here. */
-    void ask(SlotRequest ask, long now) {
-        boolean extra = ask.again() || ask.copy();
-        note(ask, extra, now);
-        if (extra && !budget.may(ask.copy(), now)) {
-            context.refuse(ask, -1);
+    void onRequest(SlotRequest request, long now) {
+        boolean furtherAttempt = request.retry() || request.hedge();
+        countRequest(request, furtherAttempt, now);
+        if (furtherAttempt && !retryBudget.isAllowed(request.hedge(), now)) {
+            context.refuse(request, -1);
             return;
         }
-        if (taking.unlisted(now)) {
-            if (ask.copy()) {
-                context.refuse(ask, -1);
-            } else if (!join(ask, now)) {
-                refuse(ask, taking.waitMs(now), now);
+        if (takeover.isWaitingForList(now)) {
+            if (request.hedge()) {
+                context.refuse(request, -1);
+            } else if (!enqueue(request, now)) {
+                refuse(request, takeover.waitMs(now), now);
             }
             return;
         }
-        PooledInstance post = free(ask, now);
-        if (post != null) {
-            grant(ask, ask.remainingMs(), post, now);
-        } else if (ask.copy()) {
-            context.refuse(ask, -1);
+        PooledInstance instance = findInstance(request, now);
+        if (instance != null) {
+            grant(request, request.remainingMs(), instance, now);
+        } else if (request.hedge()) {
+            context.refuse(request, -1);
         } else {
-            decide(ask, extra, now);
+            queueOrRefuse(request, furtherAttempt, now);
         }
     }
 
-    private void note(SlotRequest ask, boolean extra, long now) {
-        if (ask.inner()) {
-            room.inner(now);
+    private void countRequest(SlotRequest request, boolean furtherAttempt, long now) {
+        if (request.nestedCall()) {
+            nestedCallReserve.onNestedCall(now);
         }
-        if (!extra) {
-            if (!ask.inner()) {
-                budget.request(now);
+        if (!furtherAttempt) {
+            if (!request.nestedCall()) {
+                retryBudget.onRequest(now);
             }
-            scaler.keepAlive.arrived(places.size() == 0 && line.size() == 0, now);
+            scaler.keepAlive.onArrival(slots.size() == 0 && queue.size() == 0, now);
         }
-        if (!ask.copy()) {
-            scaler.demand.arrived(now);
+        if (!request.hedge()) {
+            scaler.demand.onArrival(now);
         }
     }
 
     /** Puts an ask into the queue; false where that is full of those that go before it. */
-    private boolean join(SlotRequest ask, long now) {
-        if (line.full()) {
-            RequestQueue.Waiter displaced = line.displace(ask, scaler.demand.workMs(context.spec), now);
+    private boolean enqueue(SlotRequest request, long now) {
+        if (queue.isFull()) {
+            RequestQueue.Waiter displaced = queue.displace(request, scaler.demand.workMs(context.spec), now);
             if (displaced == null) {
                 return false;
             }
-            refuse(displaced.ask, -1, now);
+            refuse(displaced.request, -1, now);
         }
-        line.join(ask, now);
+        queue.add(request, now);
         return true;
     }
 
-    private void refuse(SlotRequest ask, int comeBackMs, long now) {
-        shares.lost(ask, now);
-        context.refuse(ask, comeBackMs);
+    private void refuse(SlotRequest request, int retryAfterMs, long now) {
+        fairShare.onLost(request, now);
+        context.refuse(request, retryAfterMs);
     }
 
     /** An edge no longer waits for this one, whose time is mostly over. */
-    void forget(RequestQueue.Waiter waiter, long now) {
-        line.remove(waiter);
-        shares.lost(waiter.ask, now);
+    void onCancelled(RequestQueue.Waiter waiter, long now) {
+        queue.remove(waiter);
+        fairShare.onLost(waiter.request, now);
     }
 
     /**
@@ -130,55 +130,57 @@
      * kind that is behind its fair share only has to leave them to calls altogether, whether these use them now or not:
      * calls may fill the service.
      */
-    private PooledInstance free(SlotRequest ask, long now) {
-        int total = scaler.working(now);
-        int kept = ask.inner() ? 0 : room.kept(total, now);
-        if (ask.copy()) {
-            kept = Math.max(kept, room.fromCopies(total));
+    private PooledInstance findInstance(SlotRequest request, long now) {
+        int total = scaler.workingSlots(now);
+        int reservedSlots = request.nestedCall() ? 0 : nestedCallReserve.reserved(total, now);
+        if (request.hedge()) {
+            reservedSlots = Math.max(reservedSlots, nestedCallReserve.reservedFromHedges(total));
         }
-        if (kept > 0 && instances.posts.free(context.most(), now) <= kept) {
-            boolean fair = !ask.copy() && shares.of(ask).isBehind() && behindMay(total, kept);
+        if (reservedSlots > 0 && instances.instances.freeSlots(context.maxConcurrency(), now) <= reservedSlots) {
+            boolean fair = !request.hedge()
+                    && fairShare.classOf(request).isDisadvantaged()
+                    && disadvantagedMayUseReserve(total, reservedSlots);
             if (!fair) {
                 return null;
             }
         }
-        return instances.posts.choose(ask, context.most(), taking.blind(now), now);
+        return instances.instances.choose(request, context.maxConcurrency(), takeover.isWaitingForReports(now), now);
     }
 
     /** Whether requests of clients hold so few places that those kept for calls would stay theirs. */
-    private boolean behindMay(int total, int kept) {
-        return places.ofClients() < total - kept;
+    private boolean disadvantagedMayUseReserve(int total, int reservedSlots) {
+        return slots.clientSlots() < total - reservedSlots;
     }
 
-    private void grant(SlotRequest ask, long remainingMs, PooledInstance post, long now) {
-        shares.served(ask, now);
-        if (ask.again() || ask.copy()) {
-            budget.spend(ask.copy(), now);
+    private void grant(SlotRequest request, long remainingMs, PooledInstance instance, long now) {
+        fairShare.onServed(request, now);
+        if (request.retry() || request.hedge()) {
+            retryBudget.spend(request.hedge(), now);
         }
-        places.take(ask, post, remainingMs, now);
-        context.out.grant(ask.edge(), new SlotGrant(ask.id(), post.id, post.address, false));
+        slots.take(request, instance, remainingMs, now);
+        context.actions.grant(request.edge(), new SlotGrant(request.id(), instance.id, instance.address, false));
     }
 
-    private void decide(SlotRequest ask, boolean extra, long now) {
-        AdmissionParameters.Queue law = context.laws.queue();
-        int work = scaler.demand.workMs(context.spec);
+    private void queueOrRefuse(SlotRequest request, boolean furtherAttempt, long now) {
+        AdmissionParameters.Queue parameters = context.parameters.queue();
+        int workMs = scaler.demand.workMs(context.spec);
         int wait = Math.max(
-                instances.posts.anyUnknown() ? taking.waitMs(now) : 0,
-                scaler.waitMs(line.ahead(ask, work, now), herd, now));
-        int target = ask.targetMs() > 0 ? ask.targetMs() : ask.remainingMs();
+                instances.instances.hasInheritedInstances() ? takeover.waitMs(now) : 0,
+                scaler.waitMs(queue.countAhead(request, workMs, now), rejectedRequests, now));
+        int target = request.targetMs() > 0 ? request.targetMs() : request.remainingMs();
         // What goes before all others waits for one place only, whatever is reckoned from the rest.
-        boolean first = ask.inner() || shares.of(ask).isBehind();
-        boolean fits = (first ? 0 : wait) + work <= ask.remainingMs();
-        int back = wait + law.marginMs();
-        boolean heeded = back <= law.third() * ask.remainingMs();
-        boolean stays = first || extra || !heeded || wait + work <= law.safe() * target;
-        if (fits && stays && join(ask, now)) {
+        boolean first = request.nestedCall() || fairShare.classOf(request).isDisadvantaged();
+        boolean fits = (first ? 0 : wait) + workMs <= request.remainingMs();
+        int back = wait + parameters.marginMs();
+        boolean heeded = back <= parameters.third() * request.remainingMs();
+        boolean stays = first || furtherAttempt || !heeded || wait + workMs <= parameters.safetyFactor() * target;
+        if (fits && stays && enqueue(request, now)) {
             return;
         }
         if (heeded) {
-            herd.promise(wait, now);
+            rejectedRequests.onRejected(wait, now);
         }
-        refuse(ask, extra ? -1 : back, now);
+        refuse(request, furtherAttempt ? -1 : back, now);
     }
 
     /**
@@ -186,90 +188,96 @@
      * parents may hold all of them.
      */
     int stalledCalls(long now) {
-        int work = scaler.demand.workMs(context.spec);
-        return now - places.lastBack() < work ? 0 : line.callsBefore(now - work);
+        int workMs = scaler.demand.workMs(context.spec);
+        return now - slots.lastReleasedAtMs() < workMs ? 0 : queue.nestedCallsQueuedBefore(now - workMs);
     }
 
     /** Gives free places to those in line, and refuses those whose time no longer suffices. */
-    void pump(long now) {
-        if (line.size() == 0) {
+    void serveQueue(long now) {
+        if (queue.size() == 0) {
             return;
         }
-        int work = scaler.demand.workMs(context.spec);
-        for (RequestQueue.Waiter over = line.hopeless(work, now); over != null; over = line.hopeless(work, now)) {
-            refuse(over.ask, -1, now);
+        int workMs = scaler.demand.workMs(context.spec);
+        for (RequestQueue.Waiter over = queue.pollExpired(workMs, now);
+                over != null;
+                over = queue.pollExpired(workMs, now)) {
+            refuse(over.request, -1, now);
         }
-        if (taking.unlisted(now)) {
+        if (takeover.isWaitingForList(now)) {
             return;
         }
-        line.round();
-        while (line.size() > 0) {
-            int free = instances.posts.free(context.most(), now);
-            int total = scaler.working(now);
-            int kept = room.kept(total, now);
-            if (free == 0 && context.laws.choice().leaveMs() <= 0) {
+        queue.startRound();
+        while (queue.size() > 0) {
+            int free = instances.instances.freeSlots(context.maxConcurrency(), now);
+            int total = scaler.workingSlots(now);
+            int reservedSlots = nestedCallReserve.reserved(total, now);
+            if (free == 0 && context.parameters.selection().drainingUseMs() <= 0) {
                 return;
             }
-            RequestQueue.Waiter first = line.next(kept > 0 && free <= kept, behindMay(total, kept), work, now);
+            RequestQueue.Waiter first = queue.next(
+                    reservedSlots > 0 && free <= reservedSlots,
+                    disadvantagedMayUseReserve(total, reservedSlots),
+                    workMs,
+                    now);
             if (first == null) {
                 return;
             }
-            PooledInstance post = free(first.ask, now);
-            if (post == null) {
-                line.pass(first);
+            PooledInstance instance = findInstance(first.request, now);
+            if (instance == null) {
+                queue.skip(first);
                 continue;
             }
-            line.remove(first);
-            if (first.ask.again() && !budget.may(false, now)) {
-                context.refuse(first.ask, -1);
+            queue.remove(first);
+            if (first.request.retry() && !retryBudget.isAllowed(false, now)) {
+                context.refuse(first.request, -1);
             } else {
-                grant(first.ask, first.end - now, post, now);
+                grant(first.request, first.deadlineMs - now, instance, now);
             }
         }
     }
 
     /** A place comes back; false where it is not out any more. */
-    boolean done(String edge, SlotRelease done, long now) {
-        Slot place = places.find(edge, done.askId());
-        if (place == null || place.closed || !place.post.id.equals(done.host())) {
+    boolean onRelease(String edge, SlotRelease release, long now) {
+        Slot slot = slots.find(edge, release.requestId());
+        if (slot == null || slot.closed || !slot.instance.id.equals(release.instanceId())) {
             return false;
         }
-        PooledInstance post = place.post;
-        switch (done.fate()) {
+        PooledInstance instance = slot.instance;
+        switch (release.outcome()) {
             case SERVED, FAILED -> {
-                places.free(place, now);
-                scaler.demand.answered(done.tookMs());
+                slots.free(slot, now);
+                scaler.demand.onAnswered(release.durationMs());
             }
-            case CANCELLED, SILENT, BROKEN -> places.close(place, scaler.demand.tailMs(context.spec), now);
+            case CANCELLED, SILENT, BROKEN -> slots.close(slot, scaler.demand.tailMs(context.spec), now);
             case NOT_RUN -> {
-                places.free(place, now);
-                post.fullUntil = now + context.laws.limit().fullMs();
+                slots.free(slot, now);
+                instance.fullUntilMs = now + context.parameters.limit().fullInstancePauseMs();
             }
-            case WRONG_HOST, UNREACHED, UNUSED -> places.free(place, now);
+            case WRONG_HOST, UNREACHED, UNUSED -> slots.free(slot, now);
         }
-        switch (done.fate()) {
-            case UNREACHED -> instances.miss(post, now);
-            case WRONG_HOST -> instances.drop(post, "wrong host", now);
+        switch (release.outcome()) {
+            case UNREACHED -> instances.onUnreachable(instance, now);
+            case WRONG_HOST -> instances.drop(instance, "wrong host", now);
             case SILENT, BROKEN -> {
-                instances.posts.judge(post, done.fate(), done.tookMs(), now);
-                instances.doubt(post, now);
+                instances.instances.onReleased(instance, release.outcome(), release.durationMs(), now);
+                instances.suspect(instance, now);
             }
-            default -> instances.posts.judge(post, done.fate(), done.tookMs(), now);
+            default -> instances.instances.onReleased(instance, release.outcome(), release.durationMs(), now);
         }
         return true;
     }
 
     /** Nothing will be served here any more. */
     void refuseAll() {
-        for (RequestQueue.Waiter waiter : line.all()) {
-            context.refuse(waiter.ask, -1);
+        for (RequestQueue.Waiter waiter : queue.all()) {
+            context.refuse(waiter.request, -1);
         }
-        line.all().clear();
+        queue.all().clear();
     }
 
-    long nextDue(long now) {
-        return line.size() == 0
+    long nextDueMs(long now) {
+        return queue.size() == 0
                 ? Long.MAX_VALUE
-                : Math.min(now + 100, line.nextEnd(scaler.demand.workMs(context.spec)));
+                : Math.min(now + 100, queue.nextExpiryMs(scaler.demand.workMs(context.spec)));
     }
 }
--- a/src/main/java/brambletray/platform/admission/SlotDemand.java
+++ b/src/main/java/brambletray/platform/admission/SlotDemand.java
@@ -6,33 +6,33 @@
  * the slack of the target, no more than k roots of the load, and {@code burst} of the load besides.
  */
 final class SlotDemand {
-    private final AdmissionParameters.Scale law;
-    private final EventRate fast;
-    private final EventRate slow;
-    private final HedgeDelay took = new HedgeDelay();
+    private final AdmissionParameters.Scaling parameters;
+    private final EventRate fastRate;
+    private final EventRate slowRate;
+    private final HedgeDelay responseTimes = new HedgeDelay();
     private double workMs;
-    private int answers;
+    private int responseCount;
 
-    SlotDemand(AdmissionParameters.Scale law) {
-        this.law = law;
-        fast = new EventRate(law.fastMs());
-        slow = new EventRate(law.slowMs());
+    SlotDemand(AdmissionParameters.Scaling parameters) {
+        this.parameters = parameters;
+        fastRate = new EventRate(parameters.fastMemoryMs());
+        slowRate = new EventRate(parameters.slowMemoryMs());
     }
 
-    void arrived(long now) {
-        fast.add(now);
-        slow.add(now);
+    void onArrival(long now) {
+        fastRate.add(now);
+        slowRate.add(now);
     }
 
-    void answered(int tookMs) {
-        answers++;
-        workMs += (tookMs - workMs) * Math.max(0.05, 1.0 / answers);
-        took.add(tookMs);
+    void onAnswered(int durationMs) {
+        responseCount++;
+        workMs += (durationMs - workMs) * Math.max(0.05, 1.0 / responseCount);
+        responseTimes.add(durationMs);
     }
 
     /** The mean time that a request holds a place, ms; before any is known a quarter of the target, 100 ms at most. */
     int workMs(ServiceSpec spec) {
-        if (answers > 0) {
+        if (responseCount > 0) {
             return Math.max(1, (int) Math.ceil(workMs));
         }
         return spec.targetMs() > 0 ? Math.max(5, Math.min(100, spec.targetMs() / 4)) : 50;
@@ -40,28 +40,30 @@
 
     /** The time within which nine in ten answers come, ms. */
     int tailMs(ServiceSpec spec) {
-        return took.percentile(0.9, 2 * workMs(spec));
+        return responseTimes.percentile(0.9, 2 * workMs(spec));
     }
 
     /** Requests per ms. */
     double rate(long now) {
-        double f = fast.perMs(now);
-        return Math.max(slow.perMs(now), f - law.sure() * Math.sqrt(f / (2 * law.fastMs())));
+        double f = fastRate.perMs(now);
+        return Math.max(
+                slowRate.perMs(now), f - parameters.standardErrors() * Math.sqrt(f / (2 * parameters.fastMemoryMs())));
     }
 
     /** The same, slowly: for what may go away. */
     double slowRate(long now) {
-        return slow.perMs(now);
+        return slowRate.perMs(now);
     }
 
     /** Places needed at a rate. */
-    double places(double rate, ServiceSpec spec) {
+    double slotsFor(double rate, ServiceSpec spec) {
         if (rate <= 0) {
             return 0;
         }
         double work = workMs(spec);
         double load = rate * work;
         double slack = Math.max(work / 4, 0.9 * spec.targetMs() - tailMs(spec));
-        return load * (1 + law.burst()) + Math.min(law.k() * Math.sqrt(load), law.tail() * work / slack);
+        return load * (1 + parameters.burst())
+                + Math.min(parameters.headroomFactor() * Math.sqrt(load), parameters.tail() * work / slack);
     }
 }
--- a/src/main/java/brambletray/platform/admission/SlotForecast.java
+++ b/src/main/java/brambletray/platform/admission/SlotForecast.java
@@ -11,38 +11,38 @@
     /** Never, ms. */
     static final int NEVER = Integer.MAX_VALUE / 4;
 
-    private final long[] boots = new long[32];
+    private final long[] bootEndsMs = new long[32];
     private int starts;
-    private double working;
+    private double workingSlots;
     private double workMs;
-    private int most;
-    private long now;
+    private int maxConcurrency;
+    private long nowMs;
 
-    SlotForecast reset(int workingPlaces, int workMs, int most, long now) {
+    SlotForecast reset(int slots, int workMs, int maxConcurrency, long now) {
         starts = 0;
-        working = workingPlaces;
+        workingSlots = slots;
         this.workMs = workMs;
-        this.most = most;
-        this.now = now;
+        this.maxConcurrency = maxConcurrency;
+        this.nowMs = now;
         return this;
     }
 
     /** A start under way, expected up at {@code at}. */
-    void boot(long at) {
-        if (starts < boots.length) {
-            boots[starts++] = Math.max(0, at - now);
+    void addBoot(long at) {
+        if (starts < bootEndsMs.length) {
+            bootEndsMs[starts++] = Math.max(0, at - nowMs);
         }
     }
 
     /** ms until the place for the one after {@code ahead} others; {@link #NEVER} where nothing works or boots. */
     int waitMs(int ahead) {
-        Arrays.sort(boots, 0, starts);
+        Arrays.sort(bootEndsMs, 0, starts);
         double need = ahead + 1;
         double done = 0;
-        double speed = working / workMs;
+        double speed = workingSlots / workMs;
         long at = 0;
         for (int i = 0; i <= starts; i++) {
-            long until = i < starts ? boots[i] : NEVER;
+            long until = i < starts ? bootEndsMs[i] : NEVER;
             if (speed > 0) {
                 double when = at + (need - done) / speed;
                 if (when <= until) {
@@ -54,11 +54,11 @@
                 break;
             }
             at = until;
-            done += most;
+            done += maxConcurrency;
             if (done >= need) {
                 return (int) at;
             }
-            speed += most / workMs;
+            speed += maxConcurrency / workMs;
         }
         return NEVER;
     }
--- a/src/main/java/brambletray/platform/admission/SlotRequest.java
+++ b/src/main/java/brambletray/platform/admission/SlotRequest.java
@@ -14,7 +14,7 @@
         int priority,
         int remainingMs,
         int targetMs,
-        boolean copy,
-        boolean again,
-        boolean inner,
-        List<String> avoid) {}
+        boolean hedge,
+        boolean retry,
+        boolean nestedCall,
+        List<String> excludedInstances) {}
--- a/src/main/java/brambletray/platform/admission/ZoneServiceQueue.java
+++ b/src/main/java/brambletray/platform/admission/ZoneServiceQueue.java
@@ -6,51 +6,51 @@
  * asks go back to the root, and its hosts end as they become empty.
  */
 final class ZoneServiceQueue {
-    private final AdmissionParameters.Spread law;
-    private long lowSince = Long.MIN_VALUE;
-    private long closedUntil = Long.MIN_VALUE;
-    private long warmUntil = Long.MIN_VALUE;
+    private final AdmissionParameters.Spread parameters;
+    private long lowDemandSinceMs = Long.MIN_VALUE;
+    private long closedUntilMs = Long.MIN_VALUE;
+    private long warmUntilMs = Long.MIN_VALUE;
 
-    ZoneServiceQueue(AdmissionParameters.Spread law) {
-        this.law = law;
+    ZoneServiceQueue(AdmissionParameters.Spread parameters) {
+        this.parameters = parameters;
     }
 
     /**
-     * Whether an ask is sent back to the root. {@code rate}: this seat's requests per ms, slowly; {@code pays}: what
+     * Whether an ask is sent back to the root. {@code rate}: this seat's requests per ms, slowly; {@code breakEvenRate}: what
      * pays for hosts.
      */
-    boolean away(boolean anyUp, double rate, double pays, int bootMs, long now) {
-        if (closed(now)) {
+    boolean shouldRedirect(boolean anyUp, double rate, double breakEvenRate, int bootMs, long now) {
+        if (isClosed(now)) {
             return true;
         }
         if (!anyUp) {
-            warmUntil = now + 2L * bootMs;
-            lowSince = Long.MIN_VALUE;
+            warmUntilMs = now + 2L * bootMs;
+            lowDemandSinceMs = Long.MIN_VALUE;
             return true;
         }
-        if (rate >= law.closeShare() * pays) {
-            lowSince = Long.MIN_VALUE;
-        } else if (lowSince == Long.MIN_VALUE) {
-            lowSince = now;
-        } else if (now - lowSince >= law.closeMs()) {
-            lowSince = Long.MIN_VALUE;
-            closedUntil = now + 2L * law.closeMs();
+        if (rate >= parameters.closeShare() * breakEvenRate) {
+            lowDemandSinceMs = Long.MIN_VALUE;
+        } else if (lowDemandSinceMs == Long.MIN_VALUE) {
+            lowDemandSinceMs = now;
+        } else if (now - lowDemandSinceMs >= parameters.closeAfterMs()) {
+            lowDemandSinceMs = Long.MIN_VALUE;
+            closedUntilMs = now + 2L * parameters.closeAfterMs();
             return true;
         }
         return false;
     }
 
     /** Its hosts end as they become empty. */
-    boolean closed(long now) {
-        return now < closedUntil;
+    boolean isClosed(long now) {
+        return now < closedUntilMs;
     }
 
     /** A first host is wanted though none waits here. */
-    boolean warming(long now) {
-        return now < warmUntil && !closed(now);
+    boolean isWarming(long now) {
+        return now < warmUntilMs && !isClosed(now);
     }
 
     void serveAnyway() {
-        closedUntil = Long.MIN_VALUE;
+        closedUntilMs = Long.MIN_VALUE;
     }
 }
--- a/src/main/java/brambletray/platform/admission/ZoneSpread.java
+++ b/src/main/java/brambletray/platform/admission/ZoneSpread.java
@@ -10,67 +10,69 @@
  * its seat is not open (any more).
  */
 final class ZoneSpread {
-    private static final int RETURNS = 32;
+    private static final int MAX_REMEMBERED_REDIRECTS = 32;
 
     private static final class Zone {
         final EventRate rate = new EventRate(2000);
-        long aboveSince = Long.MIN_VALUE;
+        long aboveSinceMs = Long.MIN_VALUE;
         boolean open;
-        long warmAt;
+        long warmAtMs;
     }
 
-    private final AdmissionParameters.Spread law;
+    private final AdmissionParameters.Spread parameters;
     private final Map<String, Zone> zones = new HashMap<>();
-    private final long[] sent = new long[RETURNS];
-    private int sentAt;
+    private final long[] redirected = new long[MAX_REMEMBERED_REDIRECTS];
+    private int redirectedIndex;
 
-    ZoneSpread(AdmissionParameters.Spread law) {
-        this.law = law;
+    ZoneSpread(AdmissionParameters.Spread parameters) {
+        this.parameters = parameters;
     }
 
     /** Requests per ms above which a zone pays for hosts of its own. */
-    static double pays(AdmissionParameters.Spread law, ServiceSpec spec, int workMs) {
-        double byPrice = law.crossGbS() <= 0 ? Double.MAX_VALUE : spec.memoryMb() / 1024.0 / law.crossGbS() / 1000;
-        return Math.min(byPrice, (double) spec.most() / Math.max(1, workMs));
+    static double breakEvenRate(AdmissionParameters.Spread parameters, ServiceSpec spec, int workMs) {
+        double byPrice = parameters.crossZoneGbS() <= 0
+                ? Double.MAX_VALUE
+                : spec.memoryMb() / 1024.0 / parameters.crossZoneGbS() / 1000;
+        return Math.min(byPrice, (double) spec.maxConcurrency() / Math.max(1, workMs));
     }
 
     /** Whether an ask from {@code zone} is sent to that zone's seat. */
-    boolean away(SlotRequest ask, ServiceSpec spec, int workMs, int bootMs, long now) {
-        Zone zone = zones.computeIfAbsent(ask.zone(), z -> new Zone());
-        if (!ask.copy() && !ask.again()) {
+    boolean shouldRedirect(SlotRequest request, ServiceSpec spec, int workMs, int bootMs, long now) {
+        Zone zone = zones.computeIfAbsent(request.zone(), z -> new Zone());
+        if (!request.hedge() && !request.retry()) {
             zone.rate.add(now);
         }
-        long key = key(ask);
-        for (long one : sent) {
+        long key = key(request);
+        for (long one : redirected) {
             if (one == key) {
-                zone.open &= zone.rate.perMs(now) >= pays(law, spec, workMs);
-                zone.warmAt = now + bootMs + bootMs / 2;
+                zone.open &= zone.rate.perMs(now) >= breakEvenRate(parameters, spec, workMs);
+                zone.warmAtMs = now + bootMs + bootMs / 2;
                 return false;
             }
         }
         if (!zone.open) {
-            if (zone.rate.perMs(now) < pays(law, spec, workMs)) {
-                zone.aboveSince = Long.MIN_VALUE;
+            if (zone.rate.perMs(now) < breakEvenRate(parameters, spec, workMs)) {
+                zone.aboveSinceMs = Long.MIN_VALUE;
                 return false;
             }
-            if (zone.aboveSince == Long.MIN_VALUE) {
-                zone.aboveSince = now;
+            if (zone.aboveSinceMs == Long.MIN_VALUE) {
+                zone.aboveSinceMs = now;
             }
-            if (now - zone.aboveSince < law.openMs() || ask.copy()) {
+            if (now - zone.aboveSinceMs < parameters.openAfterMs() || request.hedge()) {
                 return false;
             }
             zone.open = true;
-            zone.warmAt = now;
+            zone.warmAtMs = now;
         }
-        if (now < zone.warmAt || ask.copy()) {
+        if (now < zone.warmAtMs || request.hedge()) {
             return false;
         }
-        sent[sentAt] = key;
-        sentAt = (sentAt + 1) % RETURNS;
+        redirected[redirectedIndex] = key;
+        redirectedIndex = (redirectedIndex + 1) % MAX_REMEMBERED_REDIRECTS;
         return true;
     }
 
-    private static long key(SlotRequest ask) {
-        return ask.id() * 31 + ask.edge().hashCode() | 1;
+    private static long key(SlotRequest request) {
+        return request.id() * 31 + request.edge().hashCode() | 1;
     }
 }
--- a/src/main/java/brambletray/platform/cli/CheckVerb.java
+++ b/src/main/java/brambletray/platform/cli/CheckCommand.java
@@ -8,7 +8,7 @@
 import org.kohsuke.args4j.Argument;
 
 /** Reads a settings file or a configuration as the programs do, and says what is wrong with it. */
-final class CheckVerb extends Verb {
+final class CheckCommand extends Command {
     /** What the file should be. */
     enum Kind {
         settings,
@@ -41,17 +41,18 @@
 
     private void settings(PrintStream out) {
         NodeSettings nodeSettings = NodeSettings.read(file);
-        if (nodeSettings.control() != null) {
-            nodeSettings.need("data-dir", nodeSettings.dataDir());
-            nodeSettings.need("cloud-api.address", nodeSettings.platform().address());
+        if (nodeSettings.controlPlane() != null) {
+            nodeSettings.require("data-dir", nodeSettings.dataDir());
+            nodeSettings.require("cloud-api.address", nodeSettings.cloudApi().address());
         } else {
-            nodeSettings.need("bind-addresses.front-end", nodeSettings.frontEnd());
-            nodeSettings.need("bind-addresses.readiness", nodeSettings.readiness());
+            nodeSettings.require("bind-addresses.front-end", nodeSettings.frontEnd());
+            nodeSettings.require("bind-addresses.readiness", nodeSettings.readiness());
         }
-        nodeSettings.need("internal-port-range", nodeSettings.innerLow() == 0 ? null : nodeSettings.innerLow());
-        nodeSettings.need("seed-peers", nodeSettings.seeds().isEmpty() ? null : nodeSettings.seeds());
+        nodeSettings.require(
+                "internal-port-range", nodeSettings.internalPortLow() == 0 ? null : nodeSettings.internalPortLow());
+        nodeSettings.require("seed-peers", nodeSettings.seeds().isEmpty() ? null : nodeSettings.seeds());
         out.println(file + ": " + nodeSettings.node() + ", for "
-                + (nodeSettings.control() != null ? "controlplane" : "edge") + " at " + nodeSettings.ip() + " in "
+                + (nodeSettings.controlPlane() != null ? "controlplane" : "edge") + " at " + nodeSettings.ip() + " in "
                 + nodeSettings.zone() + ", " + nodeSettings.seeds().size() + " seeds");
     }
 
@@ -60,8 +61,8 @@
         byte[] body = InputFiles.read(file);
         try {
             return Configuration.read(body);
-        } catch (ConfigurationException fault) {
-            throw new UsageException(file + ": " + fault.getMessage(), fault);
+        } catch (ConfigurationException error) {
+            throw new UsageException(file + ": " + error.getMessage(), error);
         }
     }
 }
--- a/src/main/java/brambletray/platform/cli/Verb.java
+++ b/src/main/java/brambletray/platform/cli/Command.java
@@ -4,12 +4,12 @@
 import org.kohsuke.args4j.Option;
 
 /** One verb of the command line; args4j fills in its fields. */
-abstract class Verb {
+abstract class Command {
     /** Exit codes: all well; a verdict that is not; bad input. */
     static final int OK = 0;
 
-    static final int NO = 1;
-    static final int BAD = 2;
+    static final int FAILED = 1;
+    static final int INVALID_INPUT = 2;
 
     @Option(name = "--help", aliases = "-h", help = true, usage = "shows this and does nothing else")
     boolean help;
--- a/src/main/java/brambletray/platform/cli/Verbs.java
+++ b/src/main/java/brambletray/platform/cli/Commands.java
@@ -16,64 +16,64 @@
  * {@code system VERB ...}: one table of verbs, each read by args4j. Exit codes: 0 all well, 1 a verdict that is not, 2
  * bad input, with one line on standard error that says what was expected.
  */
-final class Verbs {
+final class Commands {
     private static final int WIDTH = 110;
     /** Columns for a verb's name in the list of them. */
     private static final int NAME_WIDTH = 14;
 
-    private static final Map<String, Supplier<Verb>> TABLE = new LinkedHashMap<>();
+    private static final Map<String, Supplier<Command>> TABLE = new LinkedHashMap<>();
 
     static {
-        TABLE.put("check", CheckVerb::new);
-        TABLE.put("show", ConfigurationVerbs.Show::new);
-        TABLE.put("replace", () -> new ConfigurationVerbs.Deliver("replace"));
-        TABLE.put("modify", () -> new ConfigurationVerbs.Deliver("modify"));
-        TABLE.put("views", StatusVerbs.Views::new);
-        TABLE.put("duties", StatusVerbs.Duties::new);
-        TABLE.put("edges", StatusVerbs.Edges::new);
-        TABLE.put("hosts", StatusVerbs.Hosts::new);
-        TABLE.put("homes", StatusVerbs.Seats::new);
-        TABLE.put("declare-dead", DeclareDead::new);
-        TABLE.put("up", UpVerb::new);
-        TABLE.put("drill", DrillVerb::new);
+        TABLE.put("check", CheckCommand::new);
+        TABLE.put("show", ConfigurationCommands.Show::new);
+        TABLE.put("replace", () -> new ConfigurationCommands.Deliver("replace"));
+        TABLE.put("modify", () -> new ConfigurationCommands.Deliver("modify"));
+        TABLE.put("views", StatusCommands.Views::new);
+        TABLE.put("duties", StatusCommands.Roles::new);
+        TABLE.put("edges", StatusCommands.Edges::new);
+        TABLE.put("hosts", StatusCommands.Hosts::new);
+        TABLE.put("homes", StatusCommands.Homes::new);
+        TABLE.put("declare-dead", RemoveMemberCommand::new);
+        TABLE.put("up", UpCommand::new);
+        TABLE.put("drill", DrillCommand::new);
     }
 
-    private Verbs() {}
+    private Commands() {}
 
     /** {@code args}: what follows {@code system}. */
     static int run(String[] args, PrintStream out, PrintStream err) {
         if (args.length == 0 || args[0].equals("--help") || args[0].equals("-h")) {
             help(args.length == 0 ? err : out);
-            return args.length == 0 ? Verb.BAD : Verb.OK;
+            return args.length == 0 ? Command.INVALID_INPUT : Command.OK;
         }
-        Supplier<Verb> made = TABLE.get(args[0]);
-        if (made == null) {
+        Supplier<Command> created = TABLE.get(args[0]);
+        if (created == null) {
             err.println("system: expected one of controlplane, edge, " + String.join(", ", TABLE.keySet()) + "; found "
                     + args[0]);
-            return Verb.BAD;
+            return Command.INVALID_INPUT;
         }
-        Verb verb = made.get();
+        Command verb = created.get();
         CmdLineParser parser = new CmdLineParser(
                 verb, ParserProperties.defaults().withUsageWidth(WIDTH).withOptionSorter(null));
         try {
             parser.parseArgument(Arrays.copyOfRange(args, 1, args.length));
             if (verb.help) {
-                usage(args[0], made.get(), out);
-                return Verb.OK;
+                usage(args[0], created.get(), out);
+                return Command.OK;
             }
             return verb.run(out, err);
         } catch (CmdLineException e) {
             err.println(args[0] + ": " + line(e.getMessage()) + "; see 'system " + args[0] + " --help'");
-            return Verb.BAD;
-        } catch (PlatformException fault) {
-            err.println(args[0] + ": " + line(fault.getMessage()));
-            return fault instanceof LocalSystemException && !fault.code().equals("localsystem.bad-plan")
-                    ? Verb.NO
-                    : Verb.BAD;
+            return Command.INVALID_INPUT;
+        } catch (PlatformException error) {
+            err.println(args[0] + ": " + line(error.getMessage()));
+            return error instanceof LocalSystemException && !error.code().equals("localsystem.bad-plan")
+                    ? Command.FAILED
+                    : Command.INVALID_INPUT;
         }
     }
 
-    private static void usage(String name, Verb verb, PrintStream out) {
+    private static void usage(String name, Command verb, PrintStream out) {
         CmdLineParser parser = new CmdLineParser(
                 verb, ParserProperties.defaults().withUsageWidth(WIDTH).withOptionSorter(null));
         StringWriter synopsis = new StringWriter();
--- a/src/main/java/brambletray/platform/cli/ConfigurationVerbs.java
+++ b/src/main/java/brambletray/platform/cli/ConfigurationCommands.java
@@ -9,11 +9,11 @@
 import org.kohsuke.args4j.Option;
 
 /** The verbs around the configuration. */
-final class ConfigurationVerbs {
-    private ConfigurationVerbs() {}
+final class ConfigurationCommands {
+    private ConfigurationCommands() {}
 
     /** Shows the newest. */
-    static final class Show extends RemoteVerb {
+    static final class Show extends RemoteCommand {
         @Override
         String purpose() {
             return "prints the newest configuration in full, as JSON";
@@ -39,10 +39,10 @@
     }
 
     /** Delivers a whole one, or a change. */
-    static final class Deliver extends RemoteVerb {
+    static final class Deliver extends RemoteCommand {
         private static final int INVALID = 400;
         private static final int TOO_LARGE = 413;
-        private static final int UNFIT = 422;
+        private static final int CONFLICT = 422;
 
         private final String verb;
 
@@ -69,7 +69,7 @@
         @Override
         int run(PrintStream out, PrintStream err) {
             if (verb.equals("replace")) {
-                CheckVerb.read(file);
+                CheckCommand.read(file);
             }
             byte[] body = InputFiles.read(file);
             OperatorClient operator = operator();
@@ -81,7 +81,9 @@
             }
             err.println(
                     file + ": " + reply.from() + " answered " + reply.status() + ' ' + JsonValues.reason(reply.body()));
-            return reply.status() == INVALID || reply.status() == TOO_LARGE || reply.status() == UNFIT ? BAD : NO;
+            return reply.status() == INVALID || reply.status() == TOO_LARGE || reply.status() == CONFLICT
+                    ? INVALID_INPUT
+                    : FAILED;
         }
     }
 }
--- a/src/main/java/brambletray/platform/cli/DrillVerb.java
+++ b/src/main/java/brambletray/platform/cli/DrillCommand.java
@@ -1,9 +1,9 @@
 package brambletray.platform.cli;
 
-import brambletray.platform.drill.CourseReplay;
 import brambletray.platform.drill.DrillPlan;
 import brambletray.platform.drill.DrillReport;
 import brambletray.platform.drill.DrillRunner;
+import brambletray.platform.drill.ScenarioReplay;
 import brambletray.platform.localsystem.JsonValues;
 import brambletray.runtime.Clock;
 import java.io.PrintStream;
@@ -13,9 +13,9 @@
 import org.kohsuke.args4j.Option;
 
 /** Plays drills: the programs in simulated time under drawn faults. */
-final class DrillVerb extends Verb {
+final class DrillCommand extends Command {
     /** Courses after which the count so far is told. */
-    private static final int PROGRESS_EACH = 100;
+    private static final int PROGRESS_INTERVAL = 100;
 
     private static final double MICROS_PER_SECOND = 1e6;
 
@@ -68,7 +68,7 @@
         DrillPlan plan = new DrillPlan(members, seed, courses, threads, template, shrink);
         Clock clock = Clock.system();
         DrillReport report = DrillRunner.run(plan, sofar -> {
-            if (sofar.played() % PROGRESS_EACH == 0 && sofar.played() < courses) {
+            if (sofar.played() % PROGRESS_INTERVAL == 0 && sofar.played() < courses) {
                 err.println("drill: " + sofar.played() + " of " + courses + " courses, "
                         + sofar.broken().size() + " broken, " + rate(sofar, clock) + " a second");
             }
@@ -80,10 +80,10 @@
             printJson(out, answer);
         } else {
             report.broken().forEach(course -> printBroken(out, course));
-            report.programFaults().forEach(fault -> out.println("fault of a program: " + fault));
+            report.programFaults().forEach(error -> out.println("fault of a program: " + error));
             out.println(report.summary() + "; " + rate + " courses a second");
         }
-        return report.broken().isEmpty() ? OK : NO;
+        return report.broken().isEmpty() ? OK : FAILED;
     }
 
     private static String rate(DrillReport report, Clock clock) {
@@ -101,13 +101,13 @@
 
     private int replayCourse(PrintStream out, PrintStream err) {
         Consumer<String> logLines = log ? err::println : null;
-        CourseReplay played = CourseReplay.play(replay, members, shrink, logLines);
+        ScenarioReplay played = ScenarioReplay.play(replay, members, shrink, logLines);
         if (json) {
             printJson(out, played.json());
         } else {
             out.print(played.text());
         }
-        return played.broken() == null ? OK : NO;
+        return played.broken() == null ? OK : FAILED;
     }
 
     private static void printJson(PrintStream out, Map<String, Object> answer) {
--- a/src/main/java/brambletray/platform/cli/InputFiles.java
+++ b/src/main/java/brambletray/platform/cli/InputFiles.java
@@ -6,15 +6,15 @@
 /** Files that verbs are given. */
 final class InputFiles {
     /** Bytes; a larger file is no configuration. */
-    private static final long MOST = 4 << 20;
+    private static final long MAX_BYTES = 4 << 20;
 
     private InputFiles() {}
 
     /** {@link UsageException} with file and reason. */
     static byte[] read(Path file) {
         try {
-            if (java.nio.file.Files.size(file) > MOST) {
-                throw new UsageException(file + ": expected at most " + MOST + " bytes", null);
+            if (java.nio.file.Files.size(file) > MAX_BYTES) {
+                throw new UsageException(file + ": expected at most " + MAX_BYTES + " bytes", null);
             }
             return java.nio.file.Files.readAllBytes(file);
         } catch (IOException e) {
--- a/src/main/java/brambletray/platform/cli/ProgramLauncher.java
+++ b/src/main/java/brambletray/platform/cli/ProgramLauncher.java
@@ -22,13 +22,13 @@
 
     /**
      * {@code system VERB ...}, {@code args} as they came: the programs are started here, with no class of the command
-     * line loaded; all else is up to {@link Verbs}. Returns the exit code.
+     * line loaded; all else is up to {@link Commands}. Returns the exit code.
      */
     public static int system(String[] args, PrintStream out, PrintStream err) {
         if (args.length == 2 && (args[1].equals("controlplane") || args[1].equals("edge"))) {
             return run(args[1]);
         }
-        return Verbs.run(Arrays.copyOfRange(args, 1, args.length), out, err);
+        return Commands.run(Arrays.copyOfRange(args, 1, args.length), out, err);
     }
 
     /** {@code keep} or {@code carry}; returns only where it cannot start. */
@@ -37,15 +37,15 @@
         try {
             NodeSettings nodeSettings = NodeSettings.fromEnvironment();
             Clock clock = Clock.system();
-            LogOutput.begin(nodeSettings.node(), java.util.logging.Level.INFO, () -> clock.micros() / 1_000);
+            LogOutput.install(nodeSettings.node(), java.util.logging.Level.INFO, () -> clock.micros() / 1_000);
             SecureRandom random = new SecureRandom();
             if (program.equals("controlplane")) {
                 ControlPlaneProgram.run(nodeSettings, random.nextLong() | 1, random.nextLong() | 1);
             } else {
-                EdgeProgram.begin(nodeSettings, random.nextLong() >>> 1 | 1);
+                EdgeProgram.run(nodeSettings, random.nextLong() >>> 1 | 1);
             }
-        } catch (PlatformException fault) {
-            System.err.println(fault.getMessage());
+        } catch (PlatformException error) {
+            System.err.println(error.getMessage());
             return 2;
         } catch (Exception e) {
             Logger.getLogger("programs").error("start", e);
--- a/src/main/java/brambletray/platform/cli/RemoteVerb.java
+++ b/src/main/java/brambletray/platform/cli/RemoteCommand.java
@@ -7,8 +7,8 @@
 import org.kohsuke.args4j.Option;
 
 /** A verb that calls members of the core. */
-abstract class RemoteVerb extends Verb {
-    private static final int LONGEST_S = 600;
+abstract class RemoteCommand extends Command {
+    private static final int MAX_WAIT_S = 600;
 
     @Option(
             name = "--control",
@@ -34,8 +34,8 @@
     }
 
     final OperatorClient operator() {
-        if (wait < 1 || wait > LONGEST_S) {
-            throw new UsageException("--wait: expected seconds from 1 to " + LONGEST_S + ", found " + wait, null);
+        if (wait < 1 || wait > MAX_WAIT_S) {
+            throw new UsageException("--wait: expected seconds from 1 to " + MAX_WAIT_S + ", found " + wait, null);
         }
         return new OperatorClient(members(), wait * 1_000);
     }
--- a/src/main/java/brambletray/platform/cli/DeclareDead.java
+++ b/src/main/java/brambletray/platform/cli/RemoveMemberCommand.java
@@ -9,19 +9,19 @@
 import org.kohsuke.args4j.Option;
 
 /** Orders one member to declare another's machine dead, with the life as confirmation. */
-final class DeclareDead extends RemoteVerb {
-    private static final String AT = "/brambletray/system/dead/";
-    private static final int ANSWER_MS = 10_000;
+final class RemoveMemberCommand extends RemoteCommand {
+    private static final String PATH_PREFIX = "/brambletray/system/dead/";
+    private static final int RESPONSE_TIMEOUT_MS = 10_000;
 
     @Argument(required = true, metaVar = "MEMBER", usage = "control-plane address of the machine that is gone for good")
-    String dead;
+    String memberAddress;
 
     @Option(
             name = "--life",
             required = true,
             metaVar = "HEX",
             usage = "confirms the order: the life of that member, as views --json shows it")
-    String life;
+    String incarnation;
 
     @Override
     String purpose() {
@@ -30,15 +30,16 @@
 
     @Override
     int run(PrintStream out, PrintStream err) {
-        Address target = address(dead);
+        Address target = address(memberAddress);
         if (members().size() != 1) {
             throw new UsageException("--control: expected the one member that is to go on without it", null);
         }
-        if (!life.matches("[0-9a-f]{1,16}")) {
-            throw new UsageException("--life: expected up to 16 hex digits, found '" + life + "'", null);
+        if (!incarnation.matches("[0-9a-f]{1,16}")) {
+            throw new UsageException("--life: expected up to 16 hex digits, found '" + incarnation + "'", null);
         }
-        byte[] confirmation = life.getBytes(StandardCharsets.UTF_8);
-        OperatorClient.Reply reply = operator().order(members().get(0), AT + target, confirmation, ANSWER_MS);
+        byte[] confirmation = incarnation.getBytes(StandardCharsets.UTF_8);
+        OperatorClient.Reply reply =
+                operator().order(members().get(0), PATH_PREFIX + target, confirmation, RESPONSE_TIMEOUT_MS);
         if (reply.status() == 200) {
             out.println(target + " counts as dead at " + reply.from());
             return OK;
@@ -46,7 +47,7 @@
         String reason =
                 reply.status() == 0 ? "no answer; ask again" : reply.status() + " " + JsonValues.reason(reply.body());
         err.println("declare-dead: " + reply.from() + ": " + reason);
-        return NO;
+        return FAILED;
     }
 
     private static Address address(String text) {
