--- a/src/main/java/brambletray/platform/cli/StatusVerbs.java
+++ b/src/main/java/brambletray/platform/cli/StatusCommands.java
@@ -16,14 +16,14 @@
 import org.kohsuke.args4j.Option;
 
 /** The verbs that look at how the system stands, as a table or as JSON. */
-final class StatusVerbs {
-    private static final String AT = "/brambletray/system/";
-    private static final int EACH_MS = 2_000;
+final class StatusCommands {
+    private static final String PATH_PREFIX = "/brambletray/system/";
+    private static final int CALL_TIMEOUT_MS = 2_000;
 
-    private StatusVerbs() {}
+    private StatusCommands() {}
 
     /** One that prints. */
-    abstract static class Sight extends RemoteVerb {
+    abstract static class StatusCommand extends RemoteCommand {
         @Option(name = "--json", usage = "prints JSON, as the members answer it")
         boolean json;
 
@@ -50,11 +50,11 @@
         }
 
         /** What each of the members says of itself; null for one that says nothing. */
-        final Map<String, Object> each(String path) {
+        final Map<String, Object> fromEachMember(String path) {
             OperatorClient operator = operator();
             Map<String, java.util.concurrent.CompletableFuture<OperatorClient.Reply>> asked = new LinkedHashMap<>();
             for (Address member : members()) {
-                asked.put(member.toString(), operator.ask(member, AT + path, EACH_MS));
+                asked.put(member.toString(), operator.ask(member, PATH_PREFIX + path, CALL_TIMEOUT_MS));
             }
             Map<String, Object> answers = new LinkedHashMap<>();
             asked.forEach((member, reply) -> answers.put(
@@ -72,7 +72,7 @@
     }
 
     /** Where each member stands. */
-    static final class Views extends Sight {
+    static final class Views extends StatusCommand {
         @Override
         String purpose() {
             return "where each of the named members of the core stands; 1 where one doesn't answer, is ill or in no view in force";
@@ -83,11 +83,11 @@
             TextTable table = new TextTable(
                     "member", "node", "standing", "view", "in force", "members", "leader", "commit", "revision", "ill");
             int[] code = {OK};
-            Map<String, Object> answers = each("views");
+            Map<String, Object> answers = fromEachMember("views");
             answers.forEach((member, answer) -> {
                 if (answer == null) {
                     table.row(member, "-", "no answer");
-                    code[0] = NO;
+                    code[0] = FAILED;
                     return;
                 }
                 Map<String, Object> one = object(answer);
@@ -108,7 +108,7 @@
                 if (Boolean.TRUE.equals(one.get("ill"))
                         || !Boolean.TRUE.equals(one.get("in-force"))
                         || !"member".equals(one.get("standing"))) {
-                    code[0] = NO;
+                    code[0] = FAILED;
                 }
             });
             print(out, answers, table);
@@ -117,7 +117,7 @@
     }
 
     /** Who each member holds to have the duty. */
-    static final class Duties extends Sight {
+    static final class Roles extends StatusCommand {
         @Override
         String purpose() {
             return "who holds the helm, as each of the named members knows it; 1 where none of them knows a holder";
@@ -126,8 +126,8 @@
         @Override
         int run(PrintStream out, PrintStream err) {
             TextTable table = new TextTable("member", "duty", "holder", "term", "known for s", "here");
-            boolean[] held = new boolean[1];
-            Map<String, Object> answers = each("duties");
+            boolean[] holder = new boolean[1];
+            Map<String, Object> answers = fromEachMember("duties");
             answers.forEach((member, answer) -> {
                 if (answer == null) {
                     table.row(member, "-", "no answer");
@@ -141,16 +141,16 @@
                             duty.get("term"),
                             JsonValues.number(duty, "since-ms") / 1_000,
                             duty.get("here"));
-                    held[0] |= duty.get("holder") != null;
+                    holder[0] |= duty.get("holder") != null;
                 }
             });
             print(out, answers, table);
-            return held[0] ? OK : NO;
+            return holder[0] ? OK : FAILED;
         }
     }
 
     /** The roster. */
-    static final class Edges extends Sight {
+    static final class Edges extends StatusCommand {
         @Override
         String purpose() {
             return "the roster of edges at the helm, and the configuration that each was told";
@@ -158,7 +158,7 @@
 
         @Override
         int run(PrintStream out, PrintStream err) {
-            Map<String, Object> answer = get(AT + "edges");
+            Map<String, Object> answer = get(PATH_PREFIX + "edges");
             TextTable table = new TextTable("edge", "zone", "address", "life", "state", "linked", "revision");
             for (Map<String, Object> edge : JsonValues.list(answer, "edges")) {
                 table.row(
@@ -176,7 +176,7 @@
     }
 
     /** The registry. */
-    static final class Hosts extends Sight {
+    static final class Hosts extends StatusCommand {
         @Argument(metaVar = "SERVICE", usage = "only the hosts of this service")
         String service;
 
@@ -187,7 +187,7 @@
 
         @Override
         int run(PrintStream out, PrintStream err) {
-            Map<String, Object> answer = get(AT + "hosts" + (service == null ? "" : '/' + service));
+            Map<String, Object> answer = get(PATH_PREFIX + "hosts" + (service == null ? "" : '/' + service));
             TextTable table = new TextTable("id", "service", "address", "zone", "seat", "worker", "state", "age s");
             for (Map<String, Object> host : JsonValues.list(answer, "hosts")) {
                 table.row(
@@ -206,7 +206,7 @@
     }
 
     /** Homes, reckoned from the roster as edges do. */
-    static final class Seats extends Sight {
+    static final class Homes extends StatusCommand {
         @Argument(metaVar = "SERVICE", usage = "only this service")
         String service;
 
@@ -218,7 +218,7 @@
         @Override
         int run(PrintStream out, PrintStream err) {
             List<Peer> peers = new ArrayList<>();
-            for (Map<String, Object> edge : JsonValues.list(get(AT + "edges"), "edges")) {
+            for (Map<String, Object> edge : JsonValues.list(get(PATH_PREFIX + "edges"), "edges")) {
                 peers.add(new Peer(
                         JsonValues.text(edge, "name"),
                         JsonValues.text(edge, "zone"),
@@ -227,9 +227,9 @@
                         "in".equals(edge.get("state")) ? Peer.ACTIVE : Peer.LEAVING));
             }
             HomeAssignment homes = new HomeAssignment(new Roster(1, 1, peers));
-            List<String> heads = new ArrayList<>(List.of("service"));
-            heads.addAll(homes.zones());
-            TextTable table = new TextTable(heads.toArray(String[]::new));
+            List<String> header = new ArrayList<>(List.of("service"));
+            header.addAll(homes.zones());
+            TextTable table = new TextTable(header.toArray(String[]::new));
             Map<String, Object> answer = new LinkedHashMap<>();
             for (Map<String, Object> one : JsonValues.list(get("/brambletray/configuration/show"), "services")) {
                 String name = JsonValues.text(one, "name");
--- a/src/main/java/brambletray/platform/cli/TextTable.java
+++ b/src/main/java/brambletray/platform/cli/TextTable.java
@@ -8,8 +8,8 @@
 final class TextTable {
     private final List<String[]> rows = new ArrayList<>();
 
-    TextTable(String... heads) {
-        rows.add(heads);
+    TextTable(String... header) {
+        rows.add(header);
     }
 
     TextTable row(Object... cells) {
--- a/src/main/java/brambletray/platform/controlplane/ControlPlaneProgram.java
+++ b/src/main/java/brambletray/platform/controlplane/ControlPlaneProgram.java
@@ -106,12 +106,12 @@
         store = environment.store();
         exit = environment.exit();
         Map<String, byte[]> stored = environment.stored();
-        address = nodeSettings.control().toString();
+        address = nodeSettings.controlPlane().toString();
         operatorCalls = new OperatorCalls(new ReplicaAccess(), this::onConfigurationChanged);
         peerLinks = new PeerLinks(
                 machine,
                 codec,
-                new Address(nodeSettings.ip(), nodeSettings.innerLow()),
+                new Address(nodeSettings.ip(), nodeSettings.internalPortLow()),
                 new LinkIntroduction(nodeSettings.node(), address, true),
                 new LinkEvents());
         replica = new Replica(
@@ -171,8 +171,8 @@
      */
     public static void run(NodeSettings nodeSettings, long newIncarnation, long origin) throws InterruptedException {
         Machine machine = Sockets.machine();
-        Address control = nodeSettings.need("bind-addresses.control-plane", nodeSettings.control());
-        KeyValueStore keyValueStore = openStore(nodeSettings.need("data-dir", nodeSettings.dataDir()));
+        Address control = nodeSettings.require("bind-addresses.control-plane", nodeSettings.controlPlane());
+        KeyValueStore keyValueStore = openStore(nodeSettings.require("data-dir", nodeSettings.dataDir()));
         Map<String, byte[]> stored = new HashMap<>();
         for (Map.Entry<String, byte[]> one : keyValueStore.prefix("")) {
             stored.put(one.getKey(), one.getValue());
@@ -206,7 +206,7 @@
         operatorCalls.register(table);
         operatorViews.register(table);
         new MemberRemovalCalls(this::removeMember).register(table);
-        return new ControlPlaneServer(table).listen(machine, nodeSettings.control());
+        return new ControlPlaneServer(table).listen(machine, nodeSettings.controlPlane());
     }
 
     private void removeMember(String address, long incarnation, Consumer<MemberRemovalOutcome> then) {
@@ -302,7 +302,7 @@
 
     /** Where edges reach a member of the core. */
     private String edgeFacingAddress(Member member) {
-        return new Address(Address.parse(member.address()).host(), nodeSettings.innerLow()).toString();
+        return new Address(Address.parse(member.address()).host(), nodeSettings.internalPortLow()).toString();
     }
 
     private EdgeWelcome welcome() {
--- a/src/main/java/brambletray/platform/controlplane/EdgeCoordinator.java
+++ b/src/main/java/brambletray/platform/controlplane/EdgeCoordinator.java
@@ -114,15 +114,19 @@
         heartbeat = new CoordinatorHeartbeat(term, 0, 0);
         membership = new MembershipRegistry(term, nowMs, this::onRoster);
         brambletray.platform.settings.CloudApiSettings cloudApi =
-                nodeSettings.need("cloud-api.address", nodeSettings.platform());
+                nodeSettings.require("cloud-api.address", nodeSettings.cloudApi());
         platform = new PlatformClient(
                 machine,
                 new InetSocketAddress(
                         cloudApi.address().host(), cloudApi.address().port()),
-                new PlatformClient.Name(nodeSettings.node(), term),
+                new PlatformClient.CallerIdentity(nodeSettings.node(), term),
                 cloudApi.ratePerS());
         provisioner = new Provisioner(
-                new PlatformTerms(nodeSettings.zones(), cloudApi.lagMs(), cloudApi.ratePerS(), cloudApi.dutyRatePerS()),
+                new PlatformTerms(
+                        nodeSettings.zones(),
+                        cloudApi.listLagMs(),
+                        cloudApi.ratePerS(),
+                        cloudApi.coordinatorRatePerS()),
                 new ProvisionerOutput(),
                 this::homeOf,
                 nowMs);
@@ -166,7 +170,7 @@
         for (Service service : current.services().values()) {
             sizes.put(service.name(), new InstanceSize(service.memoryMb(), service.bootMs()));
         }
-        provisioner.configuration(sizes, nowMs);
+        provisioner.onConfigurationChanged(sizes, nowMs);
         rolloutSinceMs = nowMs;
         if (authority.mayAct()) {
             sendHeartbeats(nowMs);
@@ -188,7 +192,7 @@
             names.add(peer.name());
         }
         if (roster.number() == 1) {
-            provisioner.expect(names);
+            provisioner.expectReportsFrom(names);
         }
         LOG.info("roster")
                 .with("term", roster.term())
@@ -208,15 +212,15 @@
             return;
         }
         if (frame instanceof StartRequest startRequest) {
-            provisioner.need(name, startRequest, nowMs);
+            provisioner.onStartRequest(name, startRequest, nowMs);
         } else if (frame instanceof StopRequest stopRequest) {
-            provisioner.quit(name, stopRequest, nowMs);
+            provisioner.onStopRequest(name, stopRequest, nowMs);
         } else if (frame instanceof InstanceUp instanceUp) {
-            provisioner.seen(name, instanceUp, nowMs);
+            provisioner.onInstanceUp(name, instanceUp, nowMs);
         } else if (frame instanceof HomeClaim claim) {
-            provisioner.claim(name, claim, nowMs);
+            provisioner.onHomeClaim(name, claim, nowMs);
         } else if (frame instanceof KnownInstances knownInstances) {
-            provisioner.mine(name, knownInstances, nowMs);
+            provisioner.onKnownInstances(name, knownInstances, nowMs);
         } else if (frame instanceof SuspicionReport report) {
             membership.onSuspicion(report);
         } else if (frame instanceof SuspicionWithdrawal withdrawal) {
@@ -229,7 +233,7 @@
                 && edge.heartbeatSent
                 && authority.mayAct()
                 && membership.roster().number() > 0) {
-            edge.link.say(membership.roster());
+            edge.link.send(membership.roster());
         }
     }
 
@@ -238,7 +242,7 @@
         if (edge.heartbeatSent && authority.mayAct() && publishableRevision() > 0) {
             DeltaChunk chunk = publisher.nextChunk(request, term);
             if (chunk != null) {
-                edge.link.say(chunk);
+                edge.link.send(chunk);
             }
         }
         maybeLogRollout(nowMs);
@@ -275,7 +279,7 @@
     }
 
     private void sendHeartbeat(ConnectedEdge edge) {
-        edge.heartbeatSent |= edge.link.say(heartbeat);
+        edge.heartbeatSent |= edge.link.send(heartbeat);
     }
 
     /** Of the configuration that may be handed out, or 0: none yet. */
@@ -304,7 +308,7 @@
 
     private void releaseEdge(ConnectedEdge edge, EdgeWelcome welcome) {
         edge.heartbeatSent = false;
-        edge.link.say(welcome);
+        edge.link.send(welcome);
     }
 
     void onDisconnected(String name, Link link, long nowMs) {
@@ -312,7 +316,7 @@
         if (edge != null && edge.link == link) {
             edges.remove(name);
             membership.onDisconnected(name, edge.peer.incarnation(), nowMs);
-            provisioner.edgeGone(name, nowMs);
+            provisioner.onEdgeGone(name, nowMs);
         }
     }
 
@@ -353,12 +357,12 @@
         }
 
         @Override
-        public void tell(String name, Object frame) {
+        public void send(String name, Object frame) {
             ConnectedEdge edge = edges.get(name);
             // Who is not open tells what its seats know when it is again, and is told then what it has missed.
             if (edge != null && edge.heartbeatSent) {
                 if (authority.mayAct()) {
-                    edge.link.say(frame);
+                    edge.link.send(frame);
                 } else {
                     releaseEdge(edge, authority.welcome().withoutCoordinator());
                 }
@@ -366,26 +370,27 @@
         }
 
         @Override
-        public void begin(String service, String worker, String nonce) {
+        public void startInstance(String service, String worker, String nonce) {
             if (!authority.mayAct()) {
-                machine.loop().execute(() -> provisioner.begun(nonce, StartResponse.of(CallResult.UNKNOWN), now()));
+                machine.loop()
+                        .execute(() -> provisioner.onStartAnswered(nonce, StartResponse.of(CallResult.UNKNOWN), now()));
                 return;
             }
             platform.begin(service, worker, nonce, response -> {
                 fenced(response.result());
-                provisioner.begun(nonce, response, now());
+                provisioner.onStartAnswered(nonce, response, now());
             });
         }
 
         @Override
-        public void stop(String id) {
+        public void stopInstance(String id) {
             if (!authority.mayAct()) {
-                machine.loop().execute(() -> provisioner.stopped(id, CallResult.UNKNOWN, now()));
+                machine.loop().execute(() -> provisioner.onStopAnswered(id, CallResult.UNKNOWN, now()));
                 return;
             }
             platform.stop(id, result -> {
                 fenced(result);
-                provisioner.stopped(id, result, now());
+                provisioner.onStopAnswered(id, result, now());
             });
         }
 
@@ -396,17 +401,17 @@
         }
 
         @Override
-        public void askList() {
-            platform.list((hosts, complete) -> provisioner.listed(hosts, complete, now()));
+        public void requestInstanceList() {
+            platform.list((hosts, complete) -> provisioner.onInstanceList(hosts, complete, now()));
         }
 
         @Override
-        public void askWorkers() {
+        public void requestWorkerList() {
             platform.workers(workers -> {
                 if (workers == null) {
-                    provisioner.workersFailed(now());
+                    provisioner.onWorkerListFailed(now());
                 } else {
-                    provisioner.workers(workers, now());
+                    provisioner.onWorkerList(workers, now());
                 }
             });
         }
--- a/src/main/java/brambletray/platform/controlplane/EdgeGreeter.java
+++ b/src/main/java/brambletray/platform/controlplane/EdgeGreeter.java
@@ -126,7 +126,7 @@
     }
 
     private void sendWelcome(Link link, ConnectedEdge edge, EdgeWelcome current) {
-        link.say(current);
+        link.send(current);
         edge.lastWelcome = withoutRoster(current);
     }
 
--- a/src/main/java/brambletray/platform/controlplane/OperatorViews.java
+++ b/src/main/java/brambletray/platform/controlplane/OperatorViews.java
@@ -201,14 +201,14 @@
                     .text("service", host.service())
                     .text("address", host.address())
                     .text("zone", host.zone())
-                    .text("seat", host.seat())
+                    .text("seat", host.homeZone())
                     .text("worker", host.worker())
                     .text(
                             "state",
                             host.state() >= 0 && host.state() < INSTANCE_STATES.length
                                     ? INSTANCE_STATES[host.state()]
                                     : "?")
-                    .number("age-ms", host.bornAgoMs())
+                    .number("age-ms", host.ageMs())
                     .end();
         }
         return json.close().bytes();
--- a/src/main/java/brambletray/platform/controlplane/PeerLinks.java
+++ b/src/main/java/brambletray/platform/controlplane/PeerLinks.java
@@ -80,9 +80,9 @@
         memberLink.lastUsedAtMs = nowMs();
         if (frame instanceof ReplicationMessage.FetchChunkResponse) {
             // pieces of a state transfer never stand in front of heartbeats, entries, acknowledgements and ballots
-            memberLink.dialer.sayBulk(frame);
+            memberLink.dialer.sendBulk(frame);
         } else {
-            memberLink.dialer.say(frame);
+            memberLink.dialer.send(frame);
         }
     }
 
@@ -99,8 +99,8 @@
     /** A member has called: what is to be said to it needn't wait for a call that began while it was away. */
     private void hurryDialing(String address) {
         MemberLink memberLink = memberLinks.get(address);
-        if (memberLink != null && !memberLink.dialer.up()) {
-            memberLink.dialer.hurry();
+        if (memberLink != null && !memberLink.dialer.isUp()) {
+            memberLink.dialer.dialNow();
         }
     }
 
@@ -116,27 +116,27 @@
         }
 
         @Override
-        public void up(Link link) {
-            link.say(self);
+        public void onLinkUp(Link link) {
+            link.send(self);
         }
 
         @Override
-        public void heard(Link link, Object frame) {
+        public void onFrame(Link link, Object frame) {
             receiver.onMemberMessage(address, frame);
         }
 
         @Override
-        public void down(Link link, String why) {
+        public void onLinkDown(Link link, String why) {
             receiver.onMemberDisconnected(address);
         }
     }
 
     private final class InboundHandler implements LinkHandler {
         @Override
-        public void up(Link link) {}
+        public void onLinkUp(Link link) {}
 
         @Override
-        public void heard(Link link, Object frame) {
+        public void onFrame(Link link, Object frame) {
             if (link.tag() instanceof LinkIntroduction introduction) {
                 if (introduction.isCoreMember()) {
                     receiver.onMemberMessage(introduction.address(), frame);
@@ -156,7 +156,7 @@
         }
 
         @Override
-        public void down(Link link, String why) {
+        public void onLinkDown(Link link, String why) {
             if (link.tag() instanceof LinkIntroduction introduction && !introduction.isCoreMember()) {
                 receiver.onEdgeDisconnected(introduction.name(), link);
             }
--- a/src/main/java/brambletray/platform/controlplane/ReplicaStatusSource.java
+++ b/src/main/java/brambletray/platform/controlplane/ReplicaStatusSource.java
@@ -64,12 +64,12 @@
 
         @Override
         public List<InstanceInfo> instances(String service) {
-            return coordinator.provisioner().hosts(service, OperatorViews.MAX_INSTANCES, nowMs);
+            return coordinator.provisioner().instances(service, OperatorViews.MAX_INSTANCES, nowMs);
         }
 
         @Override
         public int instanceCount() {
-            return coordinator.provisioner().known();
+            return coordinator.provisioner().instanceCount();
         }
     }
 }
--- a/src/main/java/brambletray/platform/distribution/FrameTypes.java
+++ b/src/main/java/brambletray/platform/distribution/FrameTypes.java
@@ -1,6 +1,6 @@
 package brambletray.platform.distribution;
 
-import brambletray.platform.admission.AdmissionFrames;
+import brambletray.platform.admission.AdmissionMessages;
 import brambletray.platform.election.LeaseElection;
 import brambletray.platform.failuredetection.WatchRing;
 import brambletray.platform.provisioning.Provisioner;
@@ -19,8 +19,8 @@
     public static final List<List<Class<?>>> ALL = List.of(
             DISTRIBUTION,
             WatchRing.MESSAGES,
-            AdmissionFrames.FRAMES,
-            Provisioner.FRAMES,
+            AdmissionMessages.ALL,
+            Provisioner.MESSAGES,
             Replica.MESSAGES,
             LeaseElection.MESSAGES);
 
--- a/src/main/java/brambletray/platform/drill/CoreNode.java
+++ b/src/main/java/brambletray/platform/drill/CoreNode.java
@@ -14,7 +14,7 @@
     /** ms before the end of the grace from which a process may end although others count on it. */
     private static final int GRACE_MARGIN_MS = 1_100;
 
-    private final World world;
+    private final SimulatedCluster cluster;
     final String name;
     final String ip;
     final InetAddress address;
@@ -23,89 +23,90 @@
     private boolean began;
     private Machine machine;
     private SimulatedStore store;
-    private SimulatedControlPlane keep;
+    private SimulatedControlPlane program;
     private boolean frozen;
-    private boolean dark;
-    private boolean told;
+    private boolean poweredOff;
+    private boolean terminating;
     /** When SIGTERM came, ms of the course. */
-    private long toldAt;
+    private long terminatingSinceMs;
     /** Counts processes. */
-    private int boot;
+    private int processNumber;
 
     private String notedRole = "";
 
-    CoreNode(World world, int number, boolean first) {
-        this.world = world;
+    CoreNode(SimulatedCluster cluster, int number, boolean first) {
+        this.cluster = cluster;
         this.first = first;
         name = "core-" + number;
         ip = "10.1." + number + ".1";
-        address = World.ip(10, 1, number, 1);
-        disk = new SimulatedStore.SimulatedDisk(world.syncMs);
-        world.listed(control());
+        address = SimulatedCluster.ip(10, 1, number, 1);
+        disk = new SimulatedStore.SimulatedDisk(cluster.syncMs);
+        cluster.listed(control());
     }
 
     String control() {
-        return ip + ":" + World.CONTROL;
+        return ip + ":" + SimulatedCluster.CONTROL;
     }
 
     /** Whether a process is there, frozen or not. */
-    boolean there() {
+    boolean hasProcess() {
         return machine != null;
     }
 
     /** Whether it runs. */
-    boolean up() {
+    boolean isRunning() {
         return machine != null && !frozen;
     }
 
     /** Whether its program has come up. */
     boolean running() {
-        return up() && keep != null;
+        return isRunning() && program != null;
     }
 
-    boolean sick() {
+    boolean isImpaired() {
         return disk.refusesWrites
-                || disk.syncMs > world.syncMs
+                || disk.syncMs > cluster.syncMs
                 || disk.hungUntilMs
-                        > TimeUnit.NANOSECONDS.toMillis(world.simulation.clock().nanos());
+                        > TimeUnit.NANOSECONDS.toMillis(
+                                cluster.simulation.clock().nanos());
     }
 
-    SimulatedControlPlane keep() {
-        return keep;
+    SimulatedControlPlane program() {
+        return program;
     }
 
-    int boot() {
-        return boot;
+    int processNumber() {
+        return processNumber;
     }
 
     void start() {
         if (machine != null) {
             return;
         }
-        world.disturb();
-        if (dark) {
-            dark = false;
-            world.simulation.network().comeBack(address);
+        cluster.disturb();
+        if (poweredOff) {
+            poweredOff = false;
+            cluster.simulation.network().comeBack(address);
         }
-        world.note(name, "start");
+        cluster.note(name, "start");
         boolean initial = first && !began;
         began = true;
-        told = false;
-        int mine = ++boot;
-        machine = world.machine(address, name);
+        terminating = false;
+        int mine = ++processNumber;
+        machine = cluster.machine(address, name);
         Machine here = machine;
-        store = new SimulatedStore(disk, here, world.random.split());
-        long life = world.random.nextLong() | 1;
-        long origin = world.random.nextLong() | 1;
+        store = new SimulatedStore(disk, here, cluster.random.split());
+        long newIncarnation = cluster.random.nextLong() | 1;
+        long origin = cluster.random.nextLong() | 1;
         String settings = settings(initial);
         here.loop()
-                .execute(() -> keep = SimulatedControlPlane.start(
+                .execute(() -> program = SimulatedControlPlane.start(
                         SimulatedSettings.of(settings),
                         here,
                         disk.read(),
                         store.store(),
-                        () -> world.director.loop().execute(() -> exited(mine)),
-                        life,
+                        () -> cluster.director.loop().execute(() -> exited(mine)),
+                        newIncarnation,
                         origin));
     }
 
@@ -113,25 +114,25 @@
         return "node-name=" + name + "\nrole=keep\nhardware-class=core\nserved-roles=control\nip-address=" + ip
                 + "\nzone=z1\nregion=r\nzones.z1=r"
                 + "\nbind-addresses.control-plane=" + control() + "\ninternal-port-range=7400,7415\nseed-peers="
-                + world.seeds()
+                + cluster.seeds()
                 + "\ninitial-start="
-                + initial + "\nloss-counted=true\nfault-tolerance.machine-losses=" + world.script.losses()
-                + "\ncloud-api.address=10.200.0.1:" + World.PLATFORM
+                + initial + "\nloss-counted=true\nfault-tolerance.machine-losses=" + cluster.script.losses()
+                + "\ncloud-api.address=10.200.0.1:" + SimulatedCluster.PLATFORM
                 + "\ncloud-api.rate-per-s=4\ncloud-api.lag-ms=800\ncloud-api.duty-rate-s=20\n";
     }
 
     private void exited(int which) {
-        if (which == boot && machine != null) {
-            world.note(name, "ends by itself");
-            if (told && endsEarly()) {
-                world.whenLeftEarly.accept(name + " ended " + (world.now() - toldAt)
+        if (which == processNumber && machine != null) {
+            cluster.note(name, "ends by itself");
+            if (terminating && endsEarly()) {
+                cluster.whenLeftEarly.accept(name + " ended " + (cluster.now() - terminatingSinceMs)
                         + " ms after SIGTERM, a member of the newest view in force");
             }
             kill(false);
-            if (told) {
-                world.left++;
+            if (terminating) {
+                cluster.left++;
             } else {
-                world.after(300, this::start);
+                cluster.after(300, this::start);
             }
         }
     }
@@ -142,17 +143,17 @@
      * member knows, that view is in force and has others in it, and its time is not nearly over.
      */
     private boolean endsEarly() {
-        if (keep == null || world.now() - toldAt >= Script.GRACE - GRACE_MARGIN_MS) {
+        if (program == null || cluster.now() - terminatingSinceMs >= ScenarioScript.GRACE - GRACE_MARGIN_MS) {
             return false;
         }
-        ReplicaStatus newest = keep.status();
-        long life = newest.self().incarnation();
-        for (CoreNode other : world.cores) {
-            if (other.running() && other.keep.status().viewNumber() >= newest.viewNumber()) {
-                newest = other.keep.status();
+        ReplicaStatus newest = program.status();
+        long newIncarnation = newest.self().incarnation();
+        for (CoreNode other : cluster.cores) {
+            if (other.running() && other.program.status().viewNumber() >= newest.viewNumber()) {
+                newest = other.program.status();
             }
         }
-        boolean member = newest.members().stream().anyMatch(each -> each.incarnation() == life);
+        boolean member = newest.members().stream().anyMatch(each -> each.incarnation() == newIncarnation);
         return newest.active() && member && newest.members().size() > 1;
     }
 
@@ -161,23 +162,23 @@
         if (machine == null) {
             return;
         }
-        world.disturb();
-        world.note(name, power ? "power lost" : "killed");
+        cluster.disturb();
+        cluster.note(name, power ? "power lost" : "killed");
         if (power) {
-            dark = true;
-            world.simulation.network().vanish(address);
+            poweredOff = true;
+            cluster.simulation.network().vanish(address);
         }
-        world.simulation.kill(machine);
+        cluster.simulation.kill(machine);
         store.crash();
         machine = null;
-        keep = null;
+        program = null;
         frozen = false;
     }
 
     /** The grace after SIGTERM is over. */
     void graceOver(int which, boolean power) {
-        if (which == boot && machine != null) {
-            world.cutShort++;
+        if (which == processNumber && machine != null) {
+            cluster.cutShort++;
             kill(power);
         }
     }
@@ -185,11 +186,11 @@
     /** SIGTERM. */
     void terminate() {
         if (running()) {
-            world.disturb();
-            world.note(name, "SIGTERM");
-            told = true;
-            toldAt = world.now();
-            SimulatedControlPlane leaving = keep;
+            cluster.disturb();
+            cluster.note(name, "SIGTERM");
+            terminating = true;
+            terminatingSinceMs = cluster.now();
+            SimulatedControlPlane leaving = program;
             machine.loop().execute(leaving::leave);
         }
     }
@@ -198,13 +199,13 @@
         if (machine == null || frozen == still) {
             return;
         }
-        world.disturb();
-        world.note(name, still ? "frozen" : "thawed");
+        cluster.disturb();
+        cluster.note(name, still ? "frozen" : "thawed");
         frozen = still;
         if (still) {
-            world.simulation.freeze(machine);
+            cluster.simulation.freeze(machine);
         } else {
-            world.simulation.thaw(machine);
+            cluster.simulation.thaw(machine);
         }
     }
 
@@ -214,23 +215,23 @@
         if (!role.equals(notedRole)) {
             notedRole = role;
             if (!role.isEmpty()) {
-                world.note(name, role);
+                cluster.note(name, role);
             }
         }
     }
 
     private String role() {
-        ReplicaStatus status = keep.status();
+        ReplicaStatus status = program.status();
         String standing = status.isLeader() && status.active()
                 ? "leads"
                 : status.role().toString().toLowerCase(Locale.ROOT);
-        return standing + " view " + status.viewNumber() + (keep.mayAct() ? ", helm" : "");
+        return standing + " view " + status.viewNumber() + (program.mayAct() ? ", helm" : "");
     }
 
     /** The disk is lost with the power. */
     void wipe() {
         kill(true);
-        world.note(name, "disk lost");
-        disk = new SimulatedStore.SimulatedDisk(world.syncMs);
+        cluster.note(name, "disk lost");
+        disk = new SimulatedStore.SimulatedDisk(cluster.syncMs);
     }
 }
--- a/src/main/java/brambletray/platform/drill/DrillJudge.java
+++ b/src/main/java/brambletray/platform/drill/DrillJudge.java
@@ -23,20 +23,20 @@
     /** One answer to a reading. */
     private record Shown(int order, long revision, long askedAt, long at, int mostAcked) {}
 
-    private final World world;
-    private final Map<Integer, Order> orders = new LinkedHashMap<>();
+    private final SimulatedCluster cluster;
+    private final Map<Integer, OperatorRequest> orders = new LinkedHashMap<>();
     /** Given and not yet at an end. */
-    private final Set<Order> open = new LinkedHashSet<>();
+    private final Set<OperatorRequest> open = new LinkedHashSet<>();
     /** Of valid ones, by their base. */
     private final Map<Long, Integer> given = new HashMap<>();
 
-    private final Map<Long, Order> ackedByBase = new HashMap<>();
-    private final Map<Long, Order> ackedByRevision = new HashMap<>();
+    private final Map<Long, OperatorRequest> ackedByBase = new HashMap<>();
+    private final Map<Long, OperatorRequest> ackedByRevision = new HashMap<>();
     /** Newest acknowledged revision, by the time from which it was. */
-    private final TreeMap<Long, Order> acked = new TreeMap<>();
+    private final TreeMap<Long, OperatorRequest> acked = new TreeMap<>();
 
     private final List<Shown> shown = new ArrayList<>();
-    private final Map<Integer, String> inForce = new LinkedHashMap<>();
+    private final Map<Integer, String> servedRequestByEdge = new LinkedHashMap<>();
     private String broken;
     int acknowledged;
     int refused;
@@ -47,8 +47,8 @@
 
     long longest;
 
-    DrillJudge(World world) {
-        this.world = world;
+    DrillJudge(SimulatedCluster cluster) {
+        this.cluster = cluster;
     }
 
     String broken() {
@@ -57,16 +57,16 @@
 
     void fail(String rule, String why) {
         if (broken == null) {
-            broken = rule + " at " + world.now() + ": " + why;
-            world.note(Timeline.OPERATORS, "BROKEN " + rule);
+            broken = rule + " at " + cluster.now() + ": " + why;
+            cluster.note(Timeline.OPERATORS, "BROKEN " + rule);
         }
     }
 
-    void made(Order order) {
-        orders.put(order.id, order);
-        if (order.kind == Order.Kind.VALID) {
-            open.add(order);
-            given.merge(order.base, 1, Integer::sum);
+    void made(OperatorRequest request) {
+        orders.put(request.id, request);
+        if (request.kind == OperatorRequest.Kind.VALID) {
+            open.add(request);
+            given.merge(request.base, 1, Integer::sum);
         }
     }
 
@@ -74,105 +74,107 @@
         return orders.size() + 1;
     }
 
-    Order order(int id) {
+    OperatorRequest order(int id) {
         return orders.get(id);
     }
 
-    Order newestAcked() {
+    OperatorRequest newestAcked() {
         return acked.isEmpty() ? null : acked.lastEntry().getValue();
     }
 
     private long revisionAcked(long at) {
-        Map.Entry<Long, Order> entry = acked.floorEntry(at);
+        Map.Entry<Long, OperatorRequest> entry = acked.floorEntry(at);
         return entry == null ? 0 : entry.getValue().revision;
     }
 
     // ---- Orders ---------------------------------------------------------------------------------
     /** Answered with 200. */
-    void acked(Order order) {
-        if (order.ackedAt >= 0) {
+    void acked(OperatorRequest request) {
+        if (request.ackedAt >= 0) {
             return;
         }
-        if (order.kind == Order.Kind.INVALID) {
-            fail("INVALID-CONFIRMED", order.toString());
+        if (request.kind == OperatorRequest.Kind.INVALID) {
+            fail("INVALID-CONFIRMED", request.toString());
             return;
         }
-        order.ackedAt = world.now();
+        request.ackedAt = cluster.now();
         acknowledged++;
-        world.timeline.acknowledged();
-        longest = Math.max(longest, order.ackedAt - order.sentAt);
-        Order same = ackedByBase.put(order.base, order);
+        cluster.timeline.acknowledged();
+        longest = Math.max(longest, request.ackedAt - request.sentAt);
+        OperatorRequest same = ackedByBase.put(request.base, request);
         if (same != null) {
-            fail("TWO-ON-ONE-BASE", same + " and " + order);
+            fail("TWO-ON-ONE-BASE", same + " and " + request);
         }
-        same = ackedByRevision.put(order.revision, order);
+        same = ackedByRevision.put(request.revision, request);
         if (same != null) {
-            fail("TWO-UNDER-ONE-NUMBER", same + " and " + order);
+            fail("TWO-UNDER-ONE-NUMBER", same + " and " + request);
         }
-        Order newest = newestAcked();
-        if (newest == null || order.revision > newest.revision) {
-            acked.put(world.now(), order);
+        OperatorRequest newest = newestAcked();
+        if (newest == null || request.revision > newest.revision) {
+            acked.put(cluster.now(), request);
         }
     }
 
     /** Answered with a clear refusal; {@code triedAt}: when this try was sent. */
-    void refused(Order order, int status, long triedAt) {
-        if (order.ackedAt >= 0) {
-            fail("TAKEN-REFUSED", order + ", acknowledged at " + order.ackedAt + ", sent again, " + status);
+    void refused(OperatorRequest request, int status, long triedAt) {
+        if (request.ackedAt >= 0) {
+            fail("TAKEN-REFUSED", request + ", acknowledged at " + request.ackedAt + ", sent again, " + status);
         }
-        order.refusedAt = world.now();
-        order.refusal = status;
-        order.refusedTryAt = triedAt;
+        request.refusedAt = cluster.now();
+        request.refusal = status;
+        request.refusedTryAt = triedAt;
         refused++;
     }
 
     // ---- Readings -------------------------------------------------------------------------------
-    void shown(int order, long revision, long askedAt) {
+    void shown(int request, long revision, long askedAt) {
         reads++;
         long must = revisionAcked(askedAt - 1);
         if (revision < must) {
             fail(
                     "OLD-READ",
-                    "shows " + revision + " (o" + order + "), asked at " + askedAt + ", " + must
+                    "shows " + revision + " (o" + request + "), asked at " + askedAt + ", " + must
                             + " was acknowledged before");
         }
         for (Shown before : shown) {
             if (before.at < askedAt && before.revision > revision) {
                 fail(
                         "READ-GOES-BACK",
-                        "shows " + revision + " (o" + order + "), asked at " + askedAt + ", " + before.revision + " (o"
+                        "shows " + revision + " (o" + request + "), asked at " + askedAt + ", " + before.revision
+                                + " (o"
                                 + before.order
                                 + ") was shown at " + before.at);
             }
         }
-        known(order, revision);
+        known(request, revision);
         shown.removeIf(before -> before.revision < revision);
-        shown.add(new Shown(order, revision, askedAt, world.now(), 0));
-        inForce.putIfAbsent(order, "shown at " + world.now());
+        shown.add(new Shown(request, revision, askedAt, cluster.now(), 0));
+        servedRequestByEdge.putIfAbsent(request, "shown at " + cluster.now());
     }
 
     private void known(int id, long revision) {
-        Order order = orders.get(id);
-        if (id != 0 && (order == null || order.revision != revision || order.kind == Order.Kind.INVALID)) {
-            fail("NOT-AS-SENT", "o" + id + " under " + revision + ", sent as " + order);
+        OperatorRequest request = orders.get(id);
+        if (id != 0
+                && (request == null || request.revision != revision || request.kind == OperatorRequest.Kind.INVALID)) {
+            fail("NOT-AS-SENT", "o" + id + " under " + revision + ", sent as " + request);
         }
     }
 
     // ---- Edges and time -------------------------------------------------------------------------
     void look() {
-        world.look();
-        for (EdgeNode edge : world.edges) {
-            if (edge.out()) {
-                edge.outAt = world.now();
+        cluster.look();
+        for (EdgeNode edge : cluster.edges) {
+            if (edge.isOutOfTouch()) {
+                edge.outOfTouchSinceMs = cluster.now();
             }
-            if (edge.up()) {
+            if (edge.isRunning()) {
                 look(edge);
             }
         }
-        long since = world.settledSince();
+        long since = cluster.settledSince();
         if (since >= 0) {
-            open.removeIf(Order::ended);
-            open.forEach(order -> overdue(order, since));
+            open.removeIf(OperatorRequest::ended);
+            open.forEach(request -> overdue(request, since));
         }
     }
 
@@ -184,30 +186,33 @@
         }
         if (revision != edge.newest) {
             edge.newest = revision;
-            int order = EdgeNode.order(configuration);
-            known(order, revision);
-            inForce.putIfAbsent(order, "in force on " + edge.name + " at " + world.now());
+            int request = EdgeNode.order(configuration);
+            known(request, revision);
+            servedRequestByEdge.putIfAbsent(request, "in force on " + edge.name + " at " + cluster.now());
         }
-        long must = revisionAcked(world.now() - World.APPLY - SLACK);
-        if (revision < must && world.settledSince() >= 0 && world.now() - edge.outAt > World.CONTACT + SLACK) {
+        long must = revisionAcked(cluster.now() - SimulatedCluster.APPLY - SLACK);
+        if (revision < must
+                && cluster.settledSince() >= 0
+                && cluster.now() - edge.outOfTouchSinceMs > SimulatedCluster.CONTACT + SLACK) {
             fail(
                     "EDGE-BEHIND",
                     edge.name + (edge.ready() ? " (ready)" : " (not ready)") + " holds " + revision + ", " + must
-                            + " was acknowledged over " + World.APPLY + " ms ago; out of touch last at " + edge.outAt
+                            + " was acknowledged over " + SimulatedCluster.APPLY + " ms ago; out of touch last at "
+                            + edge.outOfTouchSinceMs
                             + ", settled since "
-                            + world.settledSince());
+                            + cluster.settledSince());
         }
     }
 
-    private void overdue(Order order, long since) {
+    private void overdue(OperatorRequest request, long since) {
         // where another may have been taken in its stead, nothing is owed
-        if (order.sentAt < 0 || order.base != revisionAcked(world.now()) || given.get(order.base) > 1) {
+        if (request.sentAt < 0 || request.base != revisionAcked(cluster.now()) || given.get(request.base) > 1) {
             return;
         }
-        long waits = world.now() - Math.max(order.sentAt, since);
+        long waits = cluster.now() - Math.max(request.sentAt, since);
         longestSettled = Math.max(longestSettled, waits);
-        if (waits > World.ACK + SLACK) {
-            fail("ACKS", order + " sent at " + order.sentAt + " has no answer, settled since " + since);
+        if (waits > SimulatedCluster.ACK + SLACK) {
+            fail("ACKS", request + " sent at " + request.sentAt + " has no answer, settled since " + since);
         }
     }
 
@@ -215,48 +220,48 @@
     /** The last reading, after all have returned. */
     void end(int last) {
         Map<Integer, Integer> place = new HashMap<>();
-        List<Order> chain = new ArrayList<>();
-        for (Order order = orders.get(last); order != null; order = orders.get(order.parent)) {
-            chain.add(0, order);
+        List<OperatorRequest> chain = new ArrayList<>();
+        for (OperatorRequest request = orders.get(last); request != null; request = orders.get(request.parent)) {
+            chain.add(0, request);
         }
         for (int i = 0; i < chain.size(); i++) {
             place.put(chain.get(i).id, i);
         }
         Set<Integer> taken = new HashSet<>(place.keySet());
-        for (Order order : orders.values()) {
-            if (order.ackedAt >= 0 && !taken.contains(order.id)) {
-                fail("LOST", order + " acknowledged at " + order.ackedAt + " did not lead to o" + last);
+        for (OperatorRequest request : orders.values()) {
+            if (request.ackedAt >= 0 && !taken.contains(request.id)) {
+                fail("LOST", request + " acknowledged at " + request.ackedAt + " did not lead to o" + last);
             }
-            if (order.refusedAt >= 0 && taken.contains(order.id)) {
+            if (request.refusedAt >= 0 && taken.contains(request.id)) {
                 fail(
                         "TAKEN-REFUSED",
-                        order + " refused with " + order.refusal + " at " + order.refusedAt + " led to o" + last);
+                        request + " refused with " + request.refusal + " at " + request.refusedAt + " led to o" + last);
             }
         }
-        inForce.forEach((id, where) -> {
+        servedRequestByEdge.forEach((id, where) -> {
             if (id != 0 && !taken.contains(id)) {
                 fail("NOT-TAKEN-IN-FORCE", orders.get(id) + " " + where + " did not lead to o" + last);
             }
         });
-        for (Order order : orders.values()) {
-            if (order.kind == Order.Kind.VALID && order.refusedAt >= 0 && !taken.contains(order.id)) {
-                refusedRightly(order, chain, place);
+        for (OperatorRequest request : orders.values()) {
+            if (request.kind == OperatorRequest.Kind.VALID && request.refusedAt >= 0 && !taken.contains(request.id)) {
+                refusedRightly(request, chain, place);
             }
         }
     }
 
     /** It was refused: then another had been sent on the same base before the refusal came, and was taken. */
-    private void refusedRightly(Order order, List<Order> chain, Map<Integer, Integer> place) {
-        Integer at = order.parent == 0 ? Integer.valueOf(-1) : place.get(order.parent);
+    private void refusedRightly(OperatorRequest request, List<OperatorRequest> chain, Map<Integer, Integer> place) {
+        Integer at = request.parent == 0 ? Integer.valueOf(-1) : place.get(request.parent);
         if (at == null) {
             return;
         }
-        Order next = at + 1 < chain.size() ? chain.get(at + 1) : null;
-        if (next == null || next.sentAt > order.refusedAt) {
+        OperatorRequest next = at + 1 < chain.size() ? chain.get(at + 1) : null;
+        if (next == null || next.sentAt > request.refusedAt) {
             fail(
                     "VALID-REFUSED",
-                    order + " refused with " + order.refusal + " at " + order.refusedAt + ", next on the same base: "
-                            + next);
+                    request + " refused with " + request.refusal + " at " + request.refusedAt
+                            + ", next on the same base: " + next);
         }
     }
 
--- a/src/main/java/brambletray/platform/drill/DrillPlan.java
+++ b/src/main/java/brambletray/platform/drill/DrillPlan.java
@@ -16,27 +16,27 @@
     private static final int COURSES_MOST = 10_000_000;
     private static final int THREADS_MOST = 64;
 
-    /** {@link DrillFault} where a figure is out of its range, or the template cannot be read. */
+    /** {@link InvalidDrillException} where a figure is out of its range, or the template cannot be read. */
     public DrillPlan {
         check("members", members, MEMBERS_LEAST, MEMBERS_MOST);
         check("courses", courses, 1, COURSES_MOST);
         check("threads", threads, 1, THREADS_MOST);
         if (firstSeed < 0 || firstSeed > Long.MAX_VALUE - courses) {
-            throw new DrillFault("--seed: expected a number from 0, found " + firstSeed);
+            throw new InvalidDrillException("--seed: expected a number from 0, found " + firstSeed);
         }
         if (template != null) {
-            Script.parse(firstSeed + "/" + template);
+            ScenarioScript.parse(firstSeed + "/" + template);
         }
     }
 
     /** The course of this seed. */
-    Script script(long seed) {
-        return template == null ? Script.draw(seed, members) : Script.parse(seed + "/" + template);
+    ScenarioScript script(long seed) {
+        return template == null ? ScenarioScript.draw(seed, members) : ScenarioScript.parse(seed + "/" + template);
     }
 
     static void check(String option, int value, int least, int most) {
         if (value < least || value > most) {
-            throw new DrillFault(
+            throw new InvalidDrillException(
                     "--" + option + ": expected a number from " + least + " to " + most + ", found " + value);
         }
     }
--- a/src/main/java/brambletray/platform/drill/DrillReport.java
+++ b/src/main/java/brambletray/platform/drill/DrillReport.java
@@ -14,14 +14,14 @@
      *
      * @param seed     its seed
      * @param rule     the rule, when and why it was broken
-     * @param script   the course, as {@link CourseReplay} reads it
+     * @param script   the course, as {@link ScenarioReplay} reads it
      * @param shortest the shortest course that breaks the same rule, or null where it was not shrunk
      */
     public record BrokenCourse(long seed, String rule, String script, String shortest) {}
 
     private final DrillPlan plan;
     private final Map<String, Integer> rules = new TreeMap<>();
-    private final Map<Trouble.Kind, Integer> troubles = new TreeMap<>();
+    private final Map<Fault.Kind, Integer> troubles = new TreeMap<>();
     private final List<BrokenCourse> broken = new ArrayList<>();
     private final List<String> programFaults = new ArrayList<>();
     private int played;
@@ -37,7 +37,7 @@
         this.plan = plan;
     }
 
-    void add(Course.Result result, Course.Result shortest) {
+    void add(Scenario.Result result, Scenario.Result shortest) {
         played++;
         acknowledged += result.acknowledged();
         refused += result.refused();
@@ -46,11 +46,11 @@
         longestWaitMs = Math.max(longestWaitMs, result.longestSettled());
         endedThemselves += result.left();
         endedByGrace += result.cutShort();
-        Script script = result.script();
-        script.troubles().forEach(trouble -> troubles.merge(trouble.kind(), 1, Integer::sum));
+        ScenarioScript script = result.script();
+        script.faults().forEach(fault -> troubles.merge(fault.kind(), 1, Integer::sum));
         result.faults().forEach(fault -> programFaults.add("seed " + script.seed() + ": " + fault));
         if (result.broken() != null) {
-            rules.merge(Shrinker.rule(result), 1, Integer::sum);
+            rules.merge(ScenarioShrinker.rule(result), 1, Integer::sum);
             String least = shortest == null ? null : shortest.script().toString();
             broken.add(new BrokenCourse(script.seed(), result.broken(), script.toString(), least));
             broken.sort(Comparator.comparingLong(BrokenCourse::seed));
@@ -103,12 +103,12 @@
         return json;
     }
 
-    private static Map<String, Object> brokenJson(BrokenCourse course) {
+    private static Map<String, Object> brokenJson(BrokenCourse scenario) {
         Map<String, Object> json = new LinkedHashMap<>();
-        json.put("seed", course.seed());
-        json.put("rule", course.rule());
-        json.put("script", course.script());
-        json.put("shortest", course.shortest());
+        json.put("seed", scenario.seed());
+        json.put("rule", scenario.rule());
+        json.put("script", scenario.script());
+        json.put("shortest", scenario.shortest());
         return json;
     }
 }
--- a/src/main/java/brambletray/platform/drill/DrillRunner.java
+++ b/src/main/java/brambletray/platform/drill/DrillRunner.java
@@ -58,9 +58,9 @@
     private void playUntilDone() {
         long end = plan.firstSeed() + plan.courses();
         for (long seed = nextSeed.getAndIncrement(); seed < end; seed = nextSeed.getAndIncrement()) {
-            Course.Result result = Course.play(plan.script(seed), null);
+            Scenario.Result result = Scenario.play(plan.script(seed), null);
             boolean shrinks = plan.shrink() && result.broken() != null;
-            Course.Result shortest = shrinks ? Shrinker.shrink(result) : null;
+            Scenario.Result shortest = shrinks ? ScenarioShrinker.shrink(result) : null;
             synchronized (report) {
                 report.add(result, shortest);
                 progress.accept(report);
--- a/src/main/java/brambletray/platform/drill/EdgeNode.java
+++ b/src/main/java/brambletray/platform/drill/EdgeNode.java
@@ -9,7 +9,7 @@
 
 /** One machine of the edge, and its process: the whole program, with nobody calling it. */
 final class EdgeNode {
-    private final World world;
+    private final SimulatedCluster cluster;
     final String name;
     private final String ip;
     final InetAddress address;
@@ -17,18 +17,18 @@
     private SimulatedEdge program;
     private boolean frozen;
     /** When it last was out of touch by itself or its links. */
-    long outAt;
+    long outOfTouchSinceMs;
     /** Of this life: the newest revision that was seen in force. */
     long newest;
 
-    EdgeNode(World world, int number) {
-        this.world = world;
+    EdgeNode(SimulatedCluster cluster, int number) {
+        this.cluster = cluster;
         name = "edge-" + number;
         ip = "10.2." + number + ".1";
-        address = World.ip(10, 2, number, 1);
+        address = SimulatedCluster.ip(10, 2, number, 1);
     }
 
-    boolean up() {
+    boolean isRunning() {
         return machine != null && !frozen;
     }
 
@@ -36,32 +36,32 @@
         if (machine != null) {
             return;
         }
-        world.note(name, "start");
+        cluster.note(name, "start");
         newest = 0;
-        outAt = world.now();
-        machine = world.machine(address, name);
+        outOfTouchSinceMs = cluster.now();
+        machine = cluster.machine(address, name);
         Machine here = machine;
-        long life = world.random.nextLong() | 1;
+        long newIncarnation = cluster.random.nextLong() | 1;
         String settings = "node-name=" + name + "\nrole=edge\nhardware-class=edge\nserved-roles=edge\nip-address=" + ip
-                + "\nzone=z1\nregion=r\nzones.z1=r\nbind-addresses.front-end=" + ip + ":" + World.FRONT
+                + "\nzone=z1\nregion=r\nzones.z1=r\nbind-addresses.front-end=" + ip + ":" + SimulatedCluster.FRONT
                 + "\nbind-addresses.readiness="
                 + ip + ":"
-                + World.READY + "\ninternal-port-range=7400,7415\nseed-peers=" + world.seeds()
-                + "\ninitial-start=false\nloss-counted=false\nfault-tolerance.machine-losses=" + world.script.losses()
+                + SimulatedCluster.READY + "\ninternal-port-range=7400,7415\nseed-peers=" + cluster.seeds()
+                + "\ninitial-start=false\nloss-counted=false\nfault-tolerance.machine-losses=" + cluster.script.losses()
                 + "\n";
         here.loop()
                 .execute(() -> program = SimulatedEdge.start(
                         SimulatedSettings.of(settings),
                         here,
-                        life,
-                        code -> world.director.loop().execute(this::kill)));
+                        newIncarnation,
+                        code -> cluster.director.loop().execute(this::kill)));
     }
 
     void kill() {
         if (machine != null) {
-            world.note(name, "killed");
-            outAt = world.now();
-            world.simulation.kill(machine);
+            cluster.note(name, "killed");
+            outOfTouchSinceMs = cluster.now();
+            cluster.simulation.kill(machine);
             machine = null;
             program = null;
             frozen = false;
@@ -72,23 +72,23 @@
         if (machine == null || frozen == still) {
             return;
         }
-        world.note(name, still ? "frozen" : "thawed");
-        outAt = world.now();
+        cluster.note(name, still ? "frozen" : "thawed");
+        outOfTouchSinceMs = cluster.now();
         frozen = still;
         if (still) {
-            world.simulation.freeze(machine);
+            cluster.simulation.freeze(machine);
         } else {
-            world.simulation.thaw(machine);
+            cluster.simulation.thaw(machine);
         }
     }
 
     /** Whether it is out of touch just now. */
-    boolean out() {
-        if (!up()) {
+    boolean isOutOfTouch() {
+        if (!isRunning()) {
             return true;
         }
-        for (CoreNode core : world.most()) {
-            if (!world.path(address, core.address)) {
+        for (CoreNode core : cluster.most()) {
+            if (!cluster.path(address, core.address)) {
                 return true;
             }
         }
@@ -101,7 +101,7 @@
     }
 
     boolean ready() {
-        return program != null && program.ready();
+        return program != null && program.isReady();
     }
 
     /** The order that this configuration came of; 0: none. */
--- a/src/main/java/brambletray/platform/drill/PlatformDesk.java
+++ b/src/main/java/brambletray/platform/drill/EmptyPlatform.java
@@ -17,13 +17,13 @@
 import java.nio.charset.StandardCharsets;
 
 /** The platform of a system without hosts: empty lists. */
-final class PlatformDesk extends SimpleChannelInboundHandler<FullHttpRequest> {
+final class EmptyPlatform extends SimpleChannelInboundHandler<FullHttpRequest> {
     static void open(Machine machine, Address at) {
         machine.listening(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
-                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(65_536), new PlatformDesk());
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(65_536), new EmptyPlatform());
                     }
                 })
                 .bind(new InetSocketAddress(at.host(), at.port()));
--- a/src/main/java/brambletray/platform/drill/Trouble.java
+++ b/src/main/java/brambletray/platform/drill/Fault.java
@@ -6,15 +6,15 @@
 /**
  * One trouble of a course.
  *
- * @param at   ms since the start of the course
- * @param who  whom it meets, found when it begins
- * @param span ms until it ends, or until the machine is back
- * @param arg  drawn: further choices within the kind
+ * @param atMs   ms since the start of the course
+ * @param target  whom it meets, found when it begins
+ * @param durationMs ms until it ends, or until the machine is back
+ * @param argument  drawn: further choices within the kind
  */
-record Trouble(Kind kind, int at, Who who, int span, int arg) {
+record Fault(Kind kind, int atMs, Target target, int durationMs, int argument) {
     private static final int ARGUMENT_MOST = (1 << 20) - 1;
 
-    enum Who {
+    enum Target {
         LEADER,
         COORDINATOR,
         ANY
@@ -83,27 +83,28 @@
         }
     }
 
-    Trouble beginning(int ms) {
-        return new Trouble(kind, ms, who, span, arg);
+    Fault beginning(int ms) {
+        return new Fault(kind, ms, target, durationMs, argument);
     }
 
     @Override
     public String toString() {
-        return kind + ":" + at + ":" + who + ":" + span + ":" + arg;
+        return kind + ":" + atMs + ":" + target + ":" + durationMs + ":" + argument;
     }
 
-    /** Reads KIND:AT-MS:WHO:SPAN-MS:ARGUMENT; {@link DrillFault} where it is none. */
-    static Trouble parse(String text) {
+    /** Reads KIND:AT-MS:WHO:SPAN-MS:ARGUMENT; {@link InvalidDrillException} where it is none. */
+    static Fault parse(String text) {
         String[] part = text.trim().toUpperCase(Locale.ROOT).split(":");
         if (part.length != 5) {
-            throw new DrillFault("course: trouble: expected KIND:AT-MS:WHO:SPAN-MS:ARGUMENT, found '" + text + "'");
+            throw new InvalidDrillException(
+                    "course: trouble: expected KIND:AT-MS:WHO:SPAN-MS:ARGUMENT, found '" + text + "'");
         }
-        return new Trouble(
+        return new Fault(
                 named("kind", part[0], Kind.values()),
-                Script.number("at", part[1], 0, Script.END_MOST),
-                named("who", part[2], Who.values()),
-                Script.number("span", part[3], 0, Script.END_MOST),
-                Script.number("argument", part[4], 0, ARGUMENT_MOST));
+                ScenarioScript.number("at", part[1], 0, ScenarioScript.END_MOST),
+                named("who", part[2], Target.values()),
+                ScenarioScript.number("span", part[3], 0, ScenarioScript.END_MOST),
+                ScenarioScript.number("argument", part[4], 0, ARGUMENT_MOST));
     }
 
     private static <T extends Enum<T>> T named(String field, String text, T[] values) {
@@ -112,7 +113,7 @@
                 return value;
             }
         }
-        throw new DrillFault("course: trouble: " + field + ": expected one of " + Arrays.toString(values) + ", found '"
-                + text + "'");
+        throw new InvalidDrillException("course: trouble: " + field + ": expected one of " + Arrays.toString(values)
+                + ", found '" + text + "'");
     }
 }
--- a/src/main/java/brambletray/platform/drill/LogTap.java
+++ b/src/main/java/brambletray/platform/drill/LogTap.java
@@ -9,13 +9,13 @@
 final class LogTap implements AutoCloseable {
     private static final int FAULTS_MOST = 20;
 
-    private final World world;
+    private final SimulatedCluster cluster;
     private final Consumer<String> lines;
     private final List<String> faults = new ArrayList<>();
 
     /** Taps the log of this thread until it is closed; {@code lines} takes all lines, or is null. */
-    LogTap(World world, Consumer<String> lines) {
-        this.world = world;
+    LogTap(SimulatedCluster cluster, Consumer<String> lines) {
+        this.cluster = cluster;
         this.lines = lines;
         LogRouter.open(this);
     }
@@ -28,7 +28,7 @@
     /** A line of the course's own. */
     void note(String text) {
         if (lines != null) {
-            lines.accept(world.now() + " ---- " + text);
+            lines.accept(cluster.now() + " ---- " + text);
         }
     }
 
@@ -39,11 +39,11 @@
     void publish(LogRecord entry) {
         String message = String.valueOf(entry.getMessage());
         if (tellsOfFault(entry, message) && faults.size() < FAULTS_MOST) {
-            faults.add(world.now() + " " + world.running() + " " + message
+            faults.add(cluster.now() + " " + cluster.running() + " " + message
                     + (entry.getThrown() == null ? "" : " " + entry.getThrown()));
         }
         if (lines != null) {
-            lines.accept(world.now() + " " + world.running() + " " + entry.getLoggerName() + " " + message);
+            lines.accept(cluster.now() + " " + cluster.running() + " " + entry.getLoggerName() + " " + message);
         }
     }
 
--- a/src/main/java/brambletray/platform/drill/NetworkFaults.java
+++ b/src/main/java/brambletray/platform/drill/NetworkFaults.java
@@ -27,12 +27,12 @@
         }
     }
 
-    private final World world;
+    private final SimulatedCluster cluster;
     /** What ends the faults that are in force. */
     private final List<Runnable> undo = new ArrayList<>();
 
-    NetworkFaults(World world) {
-        this.world = world;
+    NetworkFaults(SimulatedCluster cluster) {
+        this.cluster = cluster;
     }
 
     /** Ends all that is in force. */
@@ -49,12 +49,12 @@
             }
         };
         undo.add(once[0]);
-        world.after(span, once[0]);
+        cluster.after(span, once[0]);
     }
 
     /** Cuts a machine off from the rest of the core. */
     void cutFromCore(CoreNode core, int span, Direction direction) {
-        for (CoreNode other : world.cores) {
+        for (CoreNode other : cluster.cores) {
             if (other != core) {
                 cut(core.address, other.address, span, direction);
             }
@@ -70,51 +70,51 @@
 
     void cut(InetAddress one, InetAddress other, int span, Direction direction) {
         if (direction.out()) {
-            world.cut(one, other);
+            cluster.cut(one, other);
         }
         if (direction.in()) {
-            world.cut(other, one);
+            cluster.cut(other, one);
         }
         later(span, () -> {
             if (direction.out()) {
-                world.join(one, other);
+                cluster.join(one, other);
             }
             if (direction.in()) {
-                world.join(other, one);
+                cluster.join(other, one);
             }
         });
     }
 
     /** Operators reach this machine, and hear nothing of it. */
     void loseAnswers(CoreNode core, int span) {
-        world.troubledLinks++;
-        later(span, () -> world.troubledLinks--);
+        cluster.troubledLinks++;
+        later(span, () -> cluster.troubledLinks--);
         for (InetAddress operator : outside(-1)) {
             cut(core.address, operator, span, Direction.OUT);
         }
     }
 
     void reset(CoreNode core) {
-        world.disturb();
-        world.simulation.network().at(core.address).forEach(SimChannel::breakBoth);
+        cluster.disturb();
+        cluster.simulation.network().at(core.address).forEach(SimChannel::breakBoth);
     }
 
     /** The links of this machine take so much longer, ms, for a span; {@code within}: only those to the core. */
     void slow(CoreNode core, int delayMs, boolean within, int span) {
-        world.troubledLinks++;
+        cluster.troubledLinks++;
         ways(core, within, new SimNetwork.Way(delayMs * NANOS_PER_MS, SLOW_JITTER));
         later(span, () -> {
-            world.troubledLinks--;
-            ways(core, within, World.USUAL);
+            cluster.troubledLinks--;
+            ways(core, within, SimulatedCluster.USUAL);
         });
     }
 
     private void ways(CoreNode core, boolean within, SimNetwork.Way way) {
         List<InetAddress> others = within ? new ArrayList<>() : outside(0);
-        world.cores.forEach(other -> others.add(other.address));
+        cluster.cores.forEach(other -> others.add(other.address));
         for (InetAddress other : others) {
-            world.simulation.network().way(core.address, other, way);
-            world.simulation.network().way(other, core.address, way);
+            cluster.simulation.network().way(core.address, other, way);
+            cluster.simulation.network().way(other, core.address, way);
         }
     }
 
@@ -122,11 +122,11 @@
     private List<InetAddress> outside(int drawn) {
         List<InetAddress> outside = new ArrayList<>();
         for (int i = 1; i <= OPERATORS; i++) {
-            outside.add(World.ip(10, 9, 0, i));
+            outside.add(SimulatedCluster.ip(10, 9, 0, i));
         }
-        for (int i = 0; i < world.edges.size(); i++) {
+        for (int i = 0; i < cluster.edges.size(); i++) {
             if ((drawn >> 4 + i & 1) == 0) {
-                outside.add(world.edges.get(i).address);
+                outside.add(cluster.edges.get(i).address);
             }
         }
         return outside;
--- a/src/main/java/brambletray/platform/drill/Order.java
+++ b/src/main/java/brambletray/platform/drill/OperatorRequest.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** One order of an operator: a change with a number of its own, which says on whose change it builds. */
-final class Order {
+final class OperatorRequest {
     enum Kind {
         VALID,
         INVALID
@@ -27,7 +27,7 @@
     /** When the try that was refused had been sent. */
     long refusedTryAt;
 
-    private Order(int id, Kind kind, int parent, long base, long revision, boolean whole, String text) {
+    private OperatorRequest(int id, Kind kind, int parent, long base, long revision, boolean whole, String text) {
         this.id = id;
         this.kind = kind;
         this.parent = parent;
@@ -47,10 +47,10 @@
             "'services':[{'name':'a','health-path':null,'max-connections':72,'memory-mb':512,'boot-ms':750,'max-concurrency':4}]";
 
     /** {@code ballast}: bytes of further routes, about. */
-    static Order valid(int id, int parent, long base, long revision, boolean whole, int ballast) {
+    static OperatorRequest valid(int id, int parent, long base, long revision, boolean whole, int ballast) {
         String mark = route("mark", "/o" + id + "/p" + parent + "/", "a", 2_500);
         if (!whole) {
-            return new Order(
+            return new OperatorRequest(
                     id,
                     Kind.VALID,
                     parent,
@@ -63,7 +63,7 @@
         for (int i = 0; routes.length() < ballast; i++) {
             routes.append(',').append(route("b" + i, "/b" + i + "/" + id + "/", "a", 2_500));
         }
-        return new Order(
+        return new OperatorRequest(
                 id,
                 Kind.VALID,
                 parent,
@@ -74,7 +74,7 @@
     }
 
     /** {@code flaw}: which of the faults it has. */
-    static Order invalid(int id, int parent, long base, int flaw) {
+    static OperatorRequest invalid(int id, int parent, long base, int flaw) {
         long revision = base + 1;
         String prefix = "/o" + id + "/p" + parent + "/";
         String text = switch (flaw % 6) {
@@ -89,7 +89,7 @@
             case 4 -> "{'revision':" + revision + ",'routes':[" + route("mark", prefix, "a", 2_500);
             default -> "not JSON at all";
         };
-        return new Order(id, Kind.INVALID, parent, base, revision, true, text);
+        return new OperatorRequest(id, Kind.INVALID, parent, base, revision, true, text);
     }
 
     boolean ended() {
--- a/src/main/java/brambletray/platform/drill/CourseReplay.java
+++ b/src/main/java/brambletray/platform/drill/ScenarioReplay.java
@@ -5,11 +5,11 @@
 import java.util.function.Consumer;
 
 /** Plays one course again and draws its timeline: one column for each process, time downwards, faults in place. */
-public final class CourseReplay {
-    private final Course.Result result;
+public final class ScenarioReplay {
+    private final Scenario.Result result;
     private final Timeline timeline;
 
-    private CourseReplay(Course.Result result, Timeline timeline) {
+    private ScenarioReplay(Scenario.Result result, Timeline timeline) {
         this.result = result;
         this.timeline = timeline;
     }
@@ -17,28 +17,30 @@
     /**
      * Plays the course.
      *
-     * @param course   a script, SEED/MEMBERS/LOSSES/END-MS/TROUBLES, or a seed alone
+     * @param scenario   a script, SEED/MEMBERS/LOSSES/END-MS/TROUBLES, or a seed alone
      * @param members  core machines of a course that is named by its seed alone
      * @param shrink   whether a broken course is shrunk first; the shortest one is drawn
      * @param logLines takes the log lines of all processes, or null
-     * @throws DrillFault where the course cannot be read
+     * @throws InvalidDrillException where the course cannot be read
      */
-    public static CourseReplay play(String course, int members, boolean shrink, Consumer<String> logLines) {
-        Script script = script(course, members);
+    public static ScenarioReplay play(String scenario, int members, boolean shrink, Consumer<String> logLines) {
+        ScenarioScript script = script(scenario, members);
         if (shrink) {
-            Course.Result first = Course.play(script, null);
-            script = first.broken() == null ? script : Shrinker.shrink(first).script();
+            Scenario.Result first = Scenario.play(script, null);
+            script = first.broken() == null
+                    ? script
+                    : ScenarioShrinker.shrink(first).script();
         }
         Timeline timeline = Timeline.recording();
-        return new CourseReplay(Course.play(script, logLines, timeline), timeline);
+        return new ScenarioReplay(Scenario.play(script, logLines, timeline), timeline);
     }
 
-    private static Script script(String course, int members) {
-        if (course.contains("/")) {
-            return Script.parse(course);
+    private static ScenarioScript script(String scenario, int members) {
+        if (scenario.contains("/")) {
+            return ScenarioScript.parse(scenario);
         }
         DrillPlan.check("members", members, DrillPlan.MEMBERS_LEAST, DrillPlan.MEMBERS_MOST);
-        return Script.draw(Script.seed(course), members);
+        return ScenarioScript.draw(ScenarioScript.seed(scenario), members);
     }
 
     /** The rule that was broken, when and why, or null. */
--- a/src/main/java/brambletray/platform/drill/Script.java
+++ b/src/main/java/brambletray/platform/drill/ScenarioScript.java
@@ -9,7 +9,7 @@
 /**
  * A course's troubles, drawn from its seed or shrunk from another's. All else is drawn from the seed while it plays.
  */
-record Script(long seed, int members, int losses, int endMs, List<Trouble> troubles) {
+record ScenarioScript(long seed, int members, int losses, int endMs, List<Fault> faults) {
     /**
      * ms that a machine counts as lost after its return (sync-s), and how long a machine that leaves may take
      * (grace-s).
@@ -22,41 +22,41 @@
     /** ms; the longest course that is read. */
     static final int END_MOST = 600_000;
 
-    static Script draw(long seed, int members) {
+    static ScenarioScript draw(long seed, int members) {
         SplittableRandom random = new SplittableRandom(mix(seed * 31 + members));
         int losses = members >= 5 && random.nextBoolean() ? 2 : 1;
         int end = 16_000 + random.nextInt(20_000);
         int wanted = 2 + random.nextInt(6);
-        List<Trouble> drawn = new ArrayList<>();
+        List<Fault> drawn = new ArrayList<>();
         List<Loss> lost = new ArrayList<>();
         int replaced = 0;
         for (int i = 0; i < 4 * wanted && drawn.size() < wanted; i++) {
-            Trouble trouble = one(random, end);
+            Fault fault = one(random, end);
             if (!lost.isEmpty() && random.nextInt(3) == 0) {
                 // the next loss as soon as the one before counts no more
-                trouble = trouble.beginning(lost.get(lost.size() - 1).untilMs() + random.nextInt(600));
-                if (trouble.at() > end) {
+                fault = fault.beginning(lost.get(lost.size() - 1).untilMs() + random.nextInt(600));
+                if (fault.atMs() > end) {
                     continue;
                 }
             }
-            if (trouble.kind() == Trouble.Kind.REPLACE || trouble.kind() == Trouble.Kind.REPLACE_PLANNED) {
+            if (fault.kind() == Fault.Kind.REPLACE || fault.kind() == Fault.Kind.REPLACE_PLANNED) {
                 if (replaced == 2) {
                     continue;
                 }
                 replaced++;
             }
-            if (trouble.kind().counted) {
-                Loss loss = Loss.of(trouble);
-                boolean all = trouble.kind().all();
+            if (fault.kind().counted) {
+                Loss loss = Loss.of(fault);
+                boolean all = fault.kind().all();
                 if (most(lost, loss) > losses && !(all && most(lost, loss.ofMachines(0)) == 0)) {
                     continue;
                 }
                 lost.add(loss);
             }
-            drawn.add(trouble);
+            drawn.add(fault);
         }
-        drawn.sort(Comparator.comparingInt(Trouble::at));
-        return new Script(seed, members, losses, end, drawn);
+        drawn.sort(Comparator.comparingInt(Fault::atMs));
+        return new ScenarioScript(seed, members, losses, end, drawn);
     }
 
     /** Neighbouring seeds are to have nothing in common (the last steps of MurmurHash3). */
@@ -71,9 +71,9 @@
         /** More than any course may lose. */
         private static final int ALL = 9;
 
-        static Loss of(Trouble trouble) {
-            int machines = trouble.kind().all() ? ALL : 1;
-            return new Loss(trouble.at(), trouble.at() + held(trouble), machines);
+        static Loss of(Fault fault) {
+            int machines = fault.kind().all() ? ALL : 1;
+            return new Loss(fault.atMs(), fault.atMs() + held(fault), machines);
         }
 
         Loss ofMachines(int count) {
@@ -89,11 +89,11 @@
         }
 
         /** ms for which it counts as a loss. */
-        private static int held(Trouble trouble) {
-            return switch (trouble.kind()) {
-                case REPLACE_PLANNED, LEAVE -> trouble.span() + GRACE + SYNC;
-                case AFTER_ACK_KILL, AFTER_ACK_WIPE, AFTER_ACK_ALL -> trouble.span() + SYNC + 4_000;
-                default -> trouble.span() + SYNC;
+        private static int held(Fault fault) {
+            return switch (fault.kind()) {
+                case REPLACE_PLANNED, LEAVE -> fault.durationMs() + GRACE + SYNC;
+                case AFTER_ACK_KILL, AFTER_ACK_WIPE, AFTER_ACK_ALL -> fault.durationMs() + SYNC + 4_000;
+                default -> fault.durationMs() + SYNC;
             };
         }
     }
@@ -114,11 +114,11 @@
         return most;
     }
 
-    private static Trouble one(SplittableRandom random, int end) {
-        Trouble.Kind[] kinds = Trouble.Kind.values();
-        Trouble.Kind kind = kinds[random.nextInt(kinds.length)];
+    private static Fault one(SplittableRandom random, int end) {
+        Fault.Kind[] kinds = Fault.Kind.values();
+        Fault.Kind kind = kinds[random.nextInt(kinds.length)];
         int at = FIRST + random.nextInt(end - FIRST);
-        Trouble.Who who = Trouble.Who.values()[random.nextInt(3)];
+        Fault.Target who = Fault.Target.values()[random.nextInt(3)];
         int span = switch (kind) {
             case CUT_CORE, CUT_ALL, CUT_OUT, CUT_IN ->
                 random.nextInt(3) == 0 ? 200 + random.nextInt(4_000) : 15_000 + random.nextInt(8_000);
@@ -137,55 +137,56 @@
                 random.nextInt(4) == 0 ? 5_000 + random.nextInt(15_000) : 200 + random.nextInt(3_000);
             default -> 200 + random.nextInt(3_000);
         };
-        return new Trouble(kind, at, who, span, random.nextInt(1 << 20));
+        return new Fault(kind, at, who, span, random.nextInt(1 << 20));
     }
 
-    Script with(List<Trouble> fewer) {
-        return new Script(seed, members, losses, endMs, List.copyOf(fewer));
+    ScenarioScript with(List<Fault> fewer) {
+        return new ScenarioScript(seed, members, losses, endMs, List.copyOf(fewer));
     }
 
-    Script endingAt(int ms) {
-        return new Script(seed, members, losses, ms, troubles);
+    ScenarioScript endingAt(int ms) {
+        return new ScenarioScript(seed, members, losses, ms, faults);
     }
 
     @Override
     public String toString() {
         return seed + "/" + members + "/" + losses + "/" + endMs + "/"
-                + troubles.stream().map(Trouble::toString).collect(Collectors.joining(","));
+                + faults.stream().map(Fault::toString).collect(Collectors.joining(","));
     }
 
-    /** Reads SEED/MEMBERS/LOSSES/END-MS/TROUBLES; {@link DrillFault} where it is none. */
-    static Script parse(String text) {
+    /** Reads SEED/MEMBERS/LOSSES/END-MS/TROUBLES; {@link InvalidDrillException} where it is none. */
+    static ScenarioScript parse(String text) {
         String[] part = text.trim().split("/", -1);
         if (part.length != 5) {
-            throw new DrillFault("course: expected SEED/MEMBERS/LOSSES/END-MS/TROUBLES, found '" + text + "'");
+            throw new InvalidDrillException(
+                    "course: expected SEED/MEMBERS/LOSSES/END-MS/TROUBLES, found '" + text + "'");
         }
         int members = number("members", part[1], DrillPlan.MEMBERS_LEAST, DrillPlan.MEMBERS_MOST);
         int losses = number("losses", part[2], 0, members - 1);
         int endMs = number("end", part[3], 1, END_MOST);
-        List<Trouble> troubles = new ArrayList<>();
+        List<Fault> faults = new ArrayList<>();
         for (String one : part[4].split(",")) {
             if (!one.isBlank()) {
-                troubles.add(Trouble.parse(one));
+                faults.add(Fault.parse(one));
             }
         }
-        return new Script(seed(part[0]), members, losses, endMs, troubles);
+        return new ScenarioScript(seed(part[0]), members, losses, endMs, faults);
     }
 
-    /** A seed, from 0; {@link DrillFault} where it is none. */
+    /** A seed, from 0; {@link InvalidDrillException} where it is none. */
     static long seed(String text) {
         if (!text.matches("\\d{1,18}")) {
-            throw new DrillFault("course: seed: expected a number from 0, found '" + text + "'");
+            throw new InvalidDrillException("course: seed: expected a number from 0, found '" + text + "'");
         }
         return Long.parseLong(text);
     }
 
-    /** A field of a script; {@link DrillFault} where it is no number of this range. */
+    /** A field of a script; {@link InvalidDrillException} where it is no number of this range. */
     static int number(String field, String text, int least, int most) {
         int value = text.matches("\\d{1,9}") ? Integer.parseInt(text) : -1;
         if (value < least || value > most) {
-            throw new DrillFault("course: " + field + ": expected a number from " + least + " to " + most + ", found '"
-                    + text + "'");
+            throw new InvalidDrillException("course: " + field + ": expected a number from " + least + " to " + most
+                    + ", found '" + text + "'");
         }
         return value;
     }
--- a/src/main/java/brambletray/platform/drill/World.java
+++ b/src/main/java/brambletray/platform/drill/SimulatedCluster.java
@@ -21,7 +21,7 @@
  * Machines of a course, the links between them, and when the core counts as settled (page RULES). Times: ms since the
  * start of the course.
  */
-final class World {
+final class SimulatedCluster {
     static final int CONTROL = 8_248;
     static final int INNER = 7_400;
     static final int FRONT = 8_241;
@@ -40,7 +40,7 @@
 
     private static final long IDLE = TimeUnit.SECONDS.toNanos(1);
 
-    final Script script;
+    final ScenarioScript script;
     final Simulation simulation;
     final SplittableRandom random;
     final Machine director;
@@ -72,10 +72,10 @@
     private long disturbedAt;
     private long settledSince = -1;
 
-    World(Script script) {
+    SimulatedCluster(ScenarioScript script) {
         this.script = script;
-        simulation = new Simulation(Script.mix(script.seed()), 1_900_000_000_000L);
-        random = new SplittableRandom(Script.mix(script.seed() ^ 0x5bd1e995L << 32));
+        simulation = new Simulation(ScenarioScript.mix(script.seed()), 1_900_000_000_000L);
+        random = new SplittableRandom(ScenarioScript.mix(script.seed() ^ 0x5bd1e995L << 32));
         syncMs = new int[] {1, 5, 20}[random.nextInt(3)];
         director = simulation.machine(ip(10, 255, 0, 1));
         simulation.network().usual(USUAL);
@@ -91,7 +91,7 @@
         for (int i = 1; i <= 3; i++) {
             edges.add(new EdgeNode(this, i));
         }
-        PlatformDesk.open(simulation.machine(platform()), new Address("10.200.0.1", PLATFORM));
+        EmptyPlatform.open(simulation.machine(platform()), new Address("10.200.0.1", PLATFORM));
     }
 
     static InetAddress ip(int a, int b, int c, int d) {
@@ -225,7 +225,7 @@
     private Set<CoreNode> reached(CoreNode from) {
         Set<CoreNode> group = new LinkedHashSet<>();
         for (CoreNode other : cores) {
-            if (other.up() && path(from.address, other.address)) {
+            if (other.isRunning() && path(from.address, other.address)) {
                 group.add(other);
             }
         }
@@ -236,7 +236,7 @@
     List<CoreNode> most() {
         List<CoreNode> most = new ArrayList<>();
         for (CoreNode core : cores) {
-            if (core.up() && 2 * reached(core).size() > cores.size()) {
+            if (core.isRunning() && 2 * reached(core).size() > cores.size()) {
                 most.add(core);
             }
         }
@@ -244,7 +244,7 @@
     }
 
     void look() {
-        boolean sick = troubledLinks > 0 || cores.stream().anyMatch(core -> core.up() && core.sick());
+        boolean sick = troubledLinks > 0 || cores.stream().anyMatch(core -> core.isRunning() && core.isImpaired());
         if (sick) {
             disturb();
         }
@@ -263,8 +263,8 @@
     CoreNode leader() {
         for (CoreNode core : cores) {
             if (core.running()
-                    && core.keep().status().isLeader()
-                    && core.keep().status().active()) {
+                    && core.program().status().isLeader()
+                    && core.program().status().active()) {
                 return core;
             }
         }
@@ -273,7 +273,7 @@
 
     CoreNode coordinator() {
         for (CoreNode core : cores) {
-            if (core.running() && core.keep().mayAct()) {
+            if (core.running() && core.program().mayAct()) {
                 return core;
             }
         }
--- a/src/main/java/brambletray/platform/drill/Operator.java
+++ b/src/main/java/brambletray/platform/drill/SimulatedOperator.java
@@ -16,7 +16,7 @@
  * follows 307 twice, goes on to
  * another member after a failure, a 5xx, a 408 or 429, or a second of silence, with a pause that grows.
  */
-final class Operator {
+final class SimulatedOperator {
     private static final Pattern MARK = Pattern.compile("\"path-prefix\":\"/o(\\d+)/p\\d+/\"");
     private static final Pattern REVISION = Pattern.compile("\"revision\":(\\d+)");
     private static final int PAUSE = 100;
@@ -26,7 +26,7 @@
     private static final int FEW = 5;
 
     /** What one call is about. */
-    private interface Errand {
+    private interface CallHandler {
         String path();
 
         Long base();
@@ -37,12 +37,12 @@
         boolean answered(int status, byte[] body, long askedAt, String member);
     }
 
-    private final World world;
-    private final DrillJudge book;
-    private final Operators all;
+    private final SimulatedCluster cluster;
+    private final DrillJudge judge;
+    private final SimulatedOperators others;
     private final Machine machine;
     private final SplittableRandom random;
-    private final List<Order> own = new ArrayList<>();
+    private final List<OperatorRequest> own = new ArrayList<>();
     private boolean busy;
     private int knownOrder;
     private long knownRevision;
@@ -53,12 +53,12 @@
     /** Counts errands: late answers to an earlier one are passed over. */
     private int hostCall;
 
-    Operator(World world, DrillJudge book, Operators all, int number) {
-        this.world = world;
-        this.book = book;
-        this.all = all;
-        machine = world.machine(World.ip(10, 9, 0, number), "operator-" + number);
-        random = world.random.split();
+    SimulatedOperator(SimulatedCluster cluster, DrillJudge judge, SimulatedOperators all, int number) {
+        this.cluster = cluster;
+        this.judge = judge;
+        this.others = all;
+        machine = cluster.machine(SimulatedCluster.ip(10, 9, 0, number), "operator-" + number);
+        random = cluster.random.split();
     }
 
     boolean busy() {
@@ -76,7 +76,7 @@
 
     private void rest() {
         busy = false;
-        int pace = burst > 0 ? 2 : 2 * all.pace;
+        int pace = burst > 0 ? 2 : 2 * others.pace;
         machine.loop().schedule(this::idle, 1 + random.nextInt(pace), TimeUnit.MILLISECONDS);
     }
 
@@ -103,7 +103,7 @@
             }
             long revision = knownRevision + 1 + random.nextInt(5);
             if (drawn < 11) {
-                Operator rival = all.idler(this);
+                SimulatedOperator rival = others.idler(this);
                 if (rival != null) {
                     rival.rival(knownOrder, knownRevision, random.nextBoolean() ? revision : revision + 1);
                 }
@@ -114,7 +114,7 @@
 
     /** Takes over what others were told. */
     private void heed() {
-        Order newest = book.newestAcked();
+        OperatorRequest newest = judge.newestAcked();
         if (newest != null && newest.revision > knownRevision) {
             knownOrder = newest.id;
             knownRevision = newest.revision;
@@ -139,57 +139,57 @@
 
     private void order(int parent, long base, long revision) {
         boolean whole = parent == 0 || random.nextInt(3) > 0;
-        int ballast = whole && all.ballast > 0 ? random.nextInt(all.ballast) : 0;
-        Order order = Order.valid(book.next(), parent, base, revision, whole, ballast);
-        book.made(order);
-        send(order, Integer.MAX_VALUE);
+        int ballast = whole && others.ballast > 0 ? random.nextInt(others.ballast) : 0;
+        OperatorRequest request = OperatorRequest.valid(judge.next(), parent, base, revision, whole, ballast);
+        judge.made(request);
+        send(request, Integer.MAX_VALUE);
     }
 
     private void invalid() {
-        Order order = Order.invalid(book.next(), knownOrder, knownRevision, random.nextInt(6));
-        book.made(order);
-        send(order, FEW);
+        OperatorRequest request = OperatorRequest.invalid(judge.next(), knownOrder, knownRevision, random.nextInt(6));
+        judge.made(request);
+        send(request, FEW);
     }
 
-    private void resend(Order order) {
-        book.resent++;
-        send(order, FEW);
+    private void resend(OperatorRequest request) {
+        judge.resent++;
+        send(request, FEW);
     }
 
-    private void send(Order order, int tries) {
-        if (order.sentAt < 0) {
-            order.sentAt = world.now();
+    private void send(OperatorRequest request, int tries) {
+        if (request.sentAt < 0) {
+            request.sentAt = cluster.now();
         }
         run(
-                new Errand() {
+                new CallHandler() {
                     @Override
                     public String path() {
-                        return order.path();
+                        return request.path();
                     }
 
                     @Override
                     public Long base() {
-                        return order.base;
+                        return request.base;
                     }
 
                     @Override
                     public byte[] body() {
-                        return order.body;
+                        return request.body;
                     }
 
                     @Override
                     public boolean answered(int status, byte[] body, long askedAt, String member) {
                         if (status == 200) {
-                            book.acked(order);
-                            all.acknowledged(member);
-                            own.add(order);
-                            if (order.revision > knownRevision) {
-                                knownOrder = order.id;
-                                knownRevision = order.revision;
+                            judge.acked(request);
+                            others.acknowledged(member);
+                            own.add(request);
+                            if (request.revision > knownRevision) {
+                                knownOrder = request.id;
+                                knownRevision = request.revision;
                             }
                             rest();
                         } else {
-                            book.refused(order, status, askedAt);
+                            judge.refused(request, status, askedAt);
                             show(FEW);
                         }
                         return true;
@@ -210,7 +210,7 @@
 
     private void show(int tries, Runnable then) {
         run(
-                new Errand() {
+                new CallHandler() {
                     @Override
                     public String path() {
                         return "/brambletray/configuration/show";
@@ -234,9 +234,9 @@
                             Matcher revision = REVISION.matcher(text);
                             knownOrder = mark.find() ? Integer.parseInt(mark.group(1)) : 0;
                             knownRevision = revision.find() ? Long.parseLong(revision.group(1)) : 0;
-                            book.shown(knownOrder, knownRevision, askedAt);
+                            judge.shown(knownOrder, knownRevision, askedAt);
                         } else {
-                            book.fail("READ-REFUSED", "show: " + status);
+                            judge.fail("READ-REFUSED", "show: " + status);
                         }
                         then.run();
                         return true;
@@ -245,16 +245,16 @@
                 tries);
     }
 
-    private void run(Errand what, int tries) {
+    private void run(CallHandler what, int tries) {
         busy = true;
         hostCall++;
-        List<String> members = world.list();
+        List<String> members = cluster.list();
         attempt(what, members.get(random.nextInt(members.size())), 0, 1, tries, PAUSE);
     }
 
-    private void attempt(Errand what, String member, int hops, int tried, int tries, int pause) {
+    private void attempt(CallHandler what, String member, int hops, int tried, int tries, int pause) {
         int mine = hostCall;
-        long askedAt = world.now();
+        long askedAt = cluster.now();
         HttpCall.make(
                 machine, Address.parse(member), what.path(), what.base(), what.body(), (status, location, body) -> {
                     if (mine != hostCall) {
@@ -284,7 +284,7 @@
     }
 
     private String other(String than) {
-        List<String> members = world.list();
+        List<String> members = cluster.list();
         int at = members.indexOf(than);
         return at < 0
                 ? members.get(random.nextInt(members.size()))
--- a/src/main/java/brambletray/platform/drill/Operators.java
+++ b/src/main/java/brambletray/platform/drill/SimulatedOperators.java
@@ -6,8 +6,8 @@
 import java.util.function.IntConsumer;
 
 /** All operators of a course. */
-final class Operators {
-    private final List<Operator> all = new ArrayList<>();
+final class SimulatedOperators {
+    private final List<SimulatedOperator> members = new ArrayList<>();
     /** ms between the orders of one, about. */
     final int pace;
     /** Bytes that some orders are larger by, at most. */
@@ -15,32 +15,32 @@
     /** Told once of the member that gives the next acknowledgement. */
     private Consumer<String> whenAcknowledged;
 
-    Operators(World world, DrillJudge book) {
-        pace = 200 + world.random.nextInt(1_300);
-        ballast = world.script.seed() % 16 == 0 ? 40_000 : 0;
+    SimulatedOperators(SimulatedCluster cluster, DrillJudge judge) {
+        pace = 200 + cluster.random.nextInt(1_300);
+        ballast = cluster.script.seed() % 16 == 0 ? 40_000 : 0;
         for (int i = 1; i <= 4; i++) {
-            all.add(new Operator(world, book, this, i));
+            members.add(new SimulatedOperator(cluster, judge, this, i));
         }
     }
 
     void begin() {
-        all.get(0).begin(300);
-        for (Operator one : all.subList(1, all.size())) {
+        members.get(0).begin(300);
+        for (SimulatedOperator one : members.subList(1, members.size())) {
             one.begin(1_500);
         }
     }
 
     void end() {
-        all.forEach(Operator::end);
+        members.forEach(SimulatedOperator::end);
     }
 
     boolean busy() {
-        return all.stream().anyMatch(Operator::busy);
+        return members.stream().anyMatch(SimulatedOperator::busy);
     }
 
     /** One with nothing under way, or null. */
-    Operator idler(Operator but) {
-        for (Operator one : all) {
+    SimulatedOperator idler(SimulatedOperator but) {
+        for (SimulatedOperator one : members) {
             if (one != but && !one.busy()) {
                 return one;
             }
@@ -50,19 +50,19 @@
 
     /** All read; each one's answer is handed on. */
     void last(IntConsumer then) {
-        all.forEach(one -> one.last(then));
+        members.forEach(one -> one.last(then));
     }
 
     int count() {
-        return all.size();
+        return members.size();
     }
 
-    Operator any(int drawn) {
-        return all.get(drawn % all.size());
+    SimulatedOperator any(int drawn) {
+        return members.get(drawn % members.size());
     }
 
     void orderNow() {
-        Operator idle = idler(null);
+        SimulatedOperator idle = idler(null);
         if (idle != null) {
             idle.orderNow();
         }
--- a/src/main/java/brambletray/platform/drill/package-info.java
+++ b/src/main/java/brambletray/platform/drill/package-info.java
@@ -3,7 +3,7 @@
  * drawn from a seed, judged
  * by what operators were answered and what edges serve by. One course runs on one thread; the same seed is the same
  * course, byte for byte.
- * {@link brambletray.platform.drill.DrillRunner} plays many courses, {@link brambletray.platform.drill.CourseReplay}
+ * {@link brambletray.platform.drill.DrillRunner} plays many courses, {@link brambletray.platform.drill.ScenarioReplay}
  * one with its timeline. For
  * engineers; nothing in production loads this package.
  */
--- a/src/main/java/brambletray/platform/edge/CoordinatorCandidates.java
+++ b/src/main/java/brambletray/platform/edge/CoordinatorCandidates.java
@@ -13,59 +13,59 @@
  */
 final class CoordinatorCandidates {
     /** Addresses of the settings that are remembered. */
-    private static final int MOST = 16;
+    private static final int MAX_CANDIDATES = 16;
 
-    private final int turn;
+    private final int startOffset;
     private List<Address> seeds = List.of();
     private List<Address> members = List.of();
-    private long view;
+    private long viewNumber;
     private List<Address> order = List.of();
-    private int at;
+    private int position;
 
-    /** {@code turn}: any number, another in each process. */
-    CoordinatorCandidates(int turn) {
-        this.turn = turn;
+    /** {@code startOffset}: any number, another in each process. */
+    CoordinatorCandidates(int startOffset) {
+        this.startOffset = startOffset;
     }
 
     /** The settings name these now; those that they named before are kept behind them. */
-    void seeds(List<Address> named) {
+    void onSeeds(List<Address> named) {
         Set<Address> all = new LinkedHashSet<>(named);
         all.addAll(seeds);
-        seeds = List.copyOf(all).subList(0, Math.min(MOST, all.size()));
-        order();
+        seeds = List.copyOf(all).subList(0, Math.min(MAX_CANDIDATES, all.size()));
+        rebuildOrder();
     }
 
     /** A member tells the members of a view in force, of this number; of an older one than is known: nothing new. */
-    void members(long number, List<Address> told) {
-        if (number > view && !told.isEmpty()) {
-            view = number;
-            members = List.copyOf(told);
-            order();
+    void onViewMembers(long reportedView, List<Address> reported) {
+        if (reportedView > viewNumber && !reported.isEmpty()) {
+            viewNumber = reportedView;
+            members = List.copyOf(reported);
+            rebuildOrder();
         }
     }
 
-    private void order() {
+    private void rebuildOrder() {
         Set<Address> all = new LinkedHashSet<>();
         for (List<Address> part : List.of(members, seeds)) {
             for (int i = 0; i < part.size(); i++) {
-                all.add(part.get(Math.floorMod(turn + i, part.size())));
+                all.add(part.get(Math.floorMod(startOffset + i, part.size())));
             }
         }
         order = new ArrayList<>(all);
-        at = 0;
+        position = 0;
     }
 
     /** A new search begins: at the members of the newest view. */
-    void again() {
-        at = 0;
+    void restart() {
+        position = 0;
     }
 
     /** The next to ask, in turn, but not this one (null: any) if there is another; null: none is known. */
-    Address next(Address but) {
+    Address next(Address excluded) {
         if (order.isEmpty()) {
             return null;
         }
-        Address next = order.get(at++ % order.size());
-        return next.equals(but) && order.size() > 1 ? order.get(at++ % order.size()) : next;
+        Address next = order.get(position++ % order.size());
+        return next.equals(excluded) && order.size() > 1 ? order.get(position++ % order.size()) : next;
     }
 }
--- a/src/main/java/brambletray/platform/edge/CoordinatorClient.java
+++ b/src/main/java/brambletray/platform/edge/CoordinatorClient.java
@@ -28,95 +28,95 @@
 final class CoordinatorClient implements LinkHandler {
     private static final EventLog LOG = EventLog.of("edge");
     /** ms without a sign of life after which the helm is looked for elsewhere; it pulses four times in that. */
-    private static final int ADRIFT = 1_000;
+    private static final int HEARTBEAT_TIMEOUT_MS = 1_000;
     /** ms between two ticks from which on this process itself has slept, and what the helm said may lie unread. */
-    private static final int SLEPT = 500;
+    private static final int MAX_TICK_DELAY_MS = 500;
     /** ms after which a roster that was asked for is asked for again. */
-    private static final int ROSTER = 1_000;
+    private static final int ROSTER_RETRY_MS = 1_000;
 
     private static final long NEVER = Long.MIN_VALUE / 2;
     /** ms that a member is given to come up and say where the helm is, and the helm to pulse. */
-    private static final int TRY = 400;
+    private static final int CONNECT_TIMEOUT_MS = 400;
     /**
      * ms to stay with a member that is in touch with the others and knows of no helm: it says so as soon as there is
      * one.
      */
-    private static final int WAIT = 1_000;
+    private static final int WELCOME_TIMEOUT_MS = 1_000;
     /**
      * ms to stay with a member that is out of touch: it may be cut off from the rest for long, or a view may be about
      * to begin.
      */
-    private static final int SHORT = 150;
+    private static final int RETRY_INTERVAL_MS = 150;
     /**
      * ms for which a helm that did not pulse, or let us go, is not returned to on others' word, which may be as old as
      * its lease.
      */
-    private static final int AVOID = 600;
+    private static final int AVOID_MS = 600;
 
     /** What an edge does with what it hears. */
-    interface Ear {
+    interface Listener {
         /** What to say first on each link, and again when not listed as it is. */
-        Object hello();
+        Object helloFrame();
 
-        Roster roster();
+        Roster currentRoster();
 
-        void roster(Roster roster);
+        void onRoster(Roster roster);
 
         /** The helm says which configuration is the newest. */
-        void newest(long revision);
+        void onNewestRevision(long revision);
 
         /** A part of it, as was fetched. */
-        void chunk(DeltaChunk chunk);
+        void onChunk(DeltaChunk chunk);
 
         /** Everything else that the helm says. */
-        void heard(Object frame);
+        void onFrame(Object frame);
 
         /** A helm has been found: of this term; the first word to it is still to be said. */
-        void attached(long term);
+        void onAttached(long term);
     }
 
-    private record Avoided(Address coordinator, long term, long until) {}
+    private record Avoided(Address coordinator, long term, long untilMs) {}
 
     private final Machine machine;
-    private final FrameCodec speech;
+    private final FrameCodec codec;
     private final LinkIntroduction self;
-    private final Ear frameDispatcher;
+    private final Listener listener;
     private final CoordinatorCandidates candidates;
-    private LinkDialer dialler;
-    private long since;
-    /** ms from {@link #since} until the next member is asked. */
-    private int patience = TRY;
+    private LinkDialer dialer;
+    private long connectingSinceMs;
+    /** ms from {@link #connectingSinceMs} until the next member is asked. */
+    private int timeoutMs = CONNECT_TIMEOUT_MS;
 
     private Avoided avoided = new Avoided(null, 0, Long.MIN_VALUE / 2);
-    private long pulsed = Long.MIN_VALUE / 2;
+    private long heartbeatAtMs = Long.MIN_VALUE / 2;
     private long term;
-    private boolean attached;
-    private long ticked = Long.MIN_VALUE / 2;
+    private boolean isAttached;
+    private long lastTickMs = Long.MIN_VALUE / 2;
     /** When the roster was asked for, and hasn't come; ms. */
-    private long rosterAsked = NEVER;
+    private long rosterRequestedAtMs = NEVER;
 
     CoordinatorClient(
             Machine machine,
-            FrameCodec speech,
+            FrameCodec codec,
             LinkIntroduction self,
             List<Address> members,
-            int turn,
-            Ear frameDispatcher) {
+            int startOffset,
+            Listener listener) {
         this.machine = machine;
-        this.speech = speech;
+        this.codec = codec;
         this.self = self;
-        this.frameDispatcher = frameDispatcher;
-        this.candidates = new CoordinatorCandidates(turn);
-        members(members);
+        this.listener = listener;
+        this.candidates = new CoordinatorCandidates(startOffset);
+        onMembers(members);
     }
 
     /** Members of the core, as the settings name them now. */
-    void members(List<Address> members) {
-        candidates.seeds(members);
+    void onMembers(List<Address> members) {
+        candidates.onSeeds(members);
     }
 
-    boolean attached() {
-        return attached;
+    boolean isAttached() {
+        return isAttached;
     }
 
     /** The highest that any helm has spoken under to this process; 0: none yet. */
@@ -125,59 +125,59 @@
     }
 
     /** To the helm; lost where there is none. */
-    boolean say(Object frame) {
-        return attached && dialler != null && dialler.say(frame);
+    boolean send(Object frame) {
+        return isAttached && dialer != null && dialer.send(frame);
     }
 
     void tick(long now) {
-        if (now - ticked > SLEPT) {
-            pulsed = Math.max(pulsed, now - SLEPT);
+        if (now - lastTickMs > MAX_TICK_DELAY_MS) {
+            heartbeatAtMs = Math.max(heartbeatAtMs, now - MAX_TICK_DELAY_MS);
         }
-        ticked = now;
-        if (attached && now - pulsed > ADRIFT) {
-            adrift("no pulse for " + (now - pulsed) + " ms", now);
-            turn(now);
-        } else if (!attached && (dialler == null || now - since > patience)) {
-            turn(now);
+        lastTickMs = now;
+        if (isAttached && now - heartbeatAtMs > HEARTBEAT_TIMEOUT_MS) {
+            onCoordinatorLost("no pulse for " + (now - heartbeatAtMs) + " ms", now);
+            tryNext(now);
+        } else if (!isAttached && (dialer == null || now - connectingSinceMs > timeoutMs)) {
+            tryNext(now);
         }
     }
 
-    private void adrift(String why, long now) {
-        attached = false;
-        avoided = new Avoided(dialler.to(), term, now + AVOID);
-        candidates.again();
+    private void onCoordinatorLost(String reason, long now) {
+        isAttached = false;
+        avoided = new Avoided(dialer.target(), term, now + AVOID_MS);
+        candidates.restart();
         LOG.info("adrift")
-                .with("helm", dialler.to())
+                .with("helm", dialer.target())
                 .with("term", term)
-                .with("why", why)
+                .with("why", reason)
                 .log();
     }
 
-    private void turn(long now) {
-        Address next = candidates.next(dialler == null ? null : dialler.to());
+    private void tryNext(long now) {
+        Address next = candidates.next(dialer == null ? null : dialer.target());
         if (next != null) {
-            to(next, now);
+            connectTo(next, now);
         }
     }
 
-    private void to(Address member, long now) {
-        stay(TRY, now);
-        if (dialler != null && dialler.to().equals(member)) {
-            dialler.hurry();
-            if (dialler.up()) {
-                dialler.say(frameDispatcher.hello());
+    private void connectTo(Address member, long now) {
+        waitFor(CONNECT_TIMEOUT_MS, now);
+        if (dialer != null && dialer.target().equals(member)) {
+            dialer.dialNow();
+            if (dialer.isUp()) {
+                dialer.send(listener.helloFrame());
             }
             return;
         }
-        if (dialler != null) {
-            dialler.close();
+        if (dialer != null) {
+            dialer.close();
         }
-        dialler = new LinkDialer(machine, speech, member, this, now ^ member.hashCode());
+        dialer = new LinkDialer(machine, codec, member, this, now ^ member.hashCode());
     }
 
-    private void stay(int ms, long now) {
-        since = now;
-        patience = ms;
+    private void waitFor(int ms, long now) {
+        connectingSinceMs = now;
+        timeoutMs = ms;
     }
 
     private long now() {
@@ -185,117 +185,120 @@
     }
 
     @Override
-    public void up(Link link) {
-        link.say(self);
-        link.say(frameDispatcher.hello());
+    public void onLinkUp(Link link) {
+        link.send(self);
+        link.send(listener.helloFrame());
     }
 
     @Override
-    public void heard(Link link, Object frame) {
-        if (dialler == null || dialler.link() != link) {
+    public void onFrame(Link link, Object frame) {
+        if (dialer == null || dialer.link() != link) {
             return;
         }
         long now = now();
         if (frame instanceof EdgeWelcome welcome) {
-            welcome(welcome, now);
-        } else if (frame instanceof CoordinatorHeartbeat pulse) {
-            pulse(pulse, now);
+            onWelcome(welcome, now);
+        } else if (frame instanceof CoordinatorHeartbeat heartbeat) {
+            onHeartbeat(heartbeat, now);
         } else if (frame instanceof Roster roster) {
-            if (counts(roster.term(), frame)) {
-                pulsed = now;
-                rosterAsked = NEVER;
-                frameDispatcher.roster(roster);
+            if (hasAuthority(roster.term(), frame)) {
+                heartbeatAtMs = now;
+                rosterRequestedAtMs = NEVER;
+                listener.onRoster(roster);
             }
         } else if (frame instanceof DeltaChunk chunk) {
-            if (counts(chunk.term(), frame)) {
+            if (hasAuthority(chunk.term(), frame)) {
                 // Said by a helm that may act, as a pulse is.
-                pulsed = now;
-                frameDispatcher.chunk(chunk);
+                heartbeatAtMs = now;
+                listener.onChunk(chunk);
             }
-        } else if (counts(term, frame)) {
-            frameDispatcher.heard(frame);
+        } else if (hasAuthority(term, frame)) {
+            listener.onFrame(frame);
         }
     }
 
     /** Whether a frame under this term has authority here and now. */
-    private boolean counts(long under, Object frame) {
-        boolean yes = attached && under == term;
-        if (!yes) {
+    private boolean hasAuthority(long frameTerm, Object frame) {
+        boolean authoritative = isAttached && frameTerm == term;
+        if (!authoritative) {
             LOG.info("not taken")
                     .with("frame", frame.getClass().getSimpleName())
-                    .with("from", dialler.to())
-                    .with("its term", under)
+                    .with("from", dialer.target())
+                    .with("its term", frameTerm)
                     .with("term", term)
-                    .with("attached", attached)
+                    .with("attached", isAttached)
                     .log();
         }
-        return yes;
+        return authoritative;
     }
 
-    private void welcome(EdgeWelcome welcome, long now) {
+    private void onWelcome(EdgeWelcome welcome, long now) {
         List<Address> members = new ArrayList<>();
         welcome.members().forEach(member -> members.add(Address.parse(member)));
-        candidates.members(welcome.viewNumber(), members);
+        candidates.onViewMembers(welcome.viewNumber(), members);
         boolean named = !welcome.coordinatorAddress().isEmpty() && welcome.term() >= term;
         Address coordinator = named ? Address.parse(welcome.coordinatorAddress()) : null;
-        boolean here = named && coordinator.equals(dialler.to());
-        if (here && welcome.isMissing(frameDispatcher.roster())) {
-            dialler.say(frameDispatcher.roster());
+        boolean here = named && coordinator.equals(dialer.target());
+        if (here && welcome.isMissing(listener.currentRoster())) {
+            dialer.send(listener.currentRoster());
         }
-        if (attached && named && welcome.term() == term) {
+        if (isAttached && named && welcome.term() == term) {
             return;
         }
-        if (attached) {
-            adrift(named ? "it names another helm" : "its lease has run out", now);
+        if (isAttached) {
+            onCoordinatorLost(named ? "it names another helm" : "its lease has run out", now);
         }
         if (here) {
-            stay(TRY, now);
+            waitFor(CONNECT_TIMEOUT_MS, now);
         } else if (!named) {
-            stay(welcome.inActiveView() ? WAIT : SHORT, now);
+            waitFor(welcome.inActiveView() ? WELCOME_TIMEOUT_MS : RETRY_INTERVAL_MS, now);
         } else if (coordinator.equals(avoided.coordinator())
                 && welcome.term() == avoided.term()
-                && now < avoided.until()) {
-            stay((int) (avoided.until() - now), now);
+                && now < avoided.untilMs()) {
+            waitFor((int) (avoided.untilMs() - now), now);
         } else {
-            to(coordinator, now);
+            connectTo(coordinator, now);
         }
     }
 
-    private void pulse(CoordinatorHeartbeat pulse, long now) {
-        if (pulse.term() < term) {
+    private void onHeartbeat(CoordinatorHeartbeat heartbeat, long now) {
+        if (heartbeat.term() < term) {
             LOG.info("not taken")
                     .with("frame", "Pulse")
-                    .with("from", dialler.to())
-                    .with("its term", pulse.term())
+                    .with("from", dialer.target())
+                    .with("its term", heartbeat.term())
                     .with("term", term)
-                    .with("attached", attached)
+                    .with("attached", isAttached)
                     .log();
             return;
         }
-        boolean fresh = !attached || pulse.term() > term;
-        pulsed = now;
-        term = pulse.term();
-        attached = true;
+        boolean fresh = !isAttached || heartbeat.term() > term;
+        heartbeatAtMs = now;
+        term = heartbeat.term();
+        isAttached = true;
         if (fresh) {
-            LOG.info("attached").with("helm", dialler.to()).with("term", term).log();
-            rosterAsked = NEVER;
-            frameDispatcher.attached(term);
+            LOG.info("attached")
+                    .with("helm", dialer.target())
+                    .with("term", term)
+                    .log();
+            rosterRequestedAtMs = NEVER;
+            listener.onAttached(term);
         }
-        frameDispatcher.newest(pulse.revision());
-        Roster roster = frameDispatcher.roster();
-        boolean behind =
-                pulse.rosterNumber() > 0 && (roster.term() != pulse.term() || roster.number() < pulse.rosterNumber());
-        if (behind && now - rosterAsked > ROSTER) {
-            rosterAsked = now;
-            dialler.say(new RosterRequest(roster.term(), roster.number()));
+        listener.onNewestRevision(heartbeat.revision());
+        Roster roster = listener.currentRoster();
+        boolean behind = heartbeat.rosterNumber() > 0
+                && (roster.term() != heartbeat.term() || roster.number() < heartbeat.rosterNumber());
+        if (behind && now - rosterRequestedAtMs > ROSTER_RETRY_MS) {
+            rosterRequestedAtMs = now;
+            dialer.send(new RosterRequest(roster.term(), roster.number()));
         }
     }
 
     @Override
-    public void down(Link link, String why) {
-        if (attached && dialler.link() == null) {
-            adrift(why, now());
-            stay(SHORT, now());
+    public void onLinkDown(Link link, String reason) {
+        if (isAttached && dialer.link() == null) {
+            onCoordinatorLost(reason, now());
+            waitFor(RETRY_INTERVAL_MS, now());
         }
     }
 }
--- a/src/main/java/brambletray/platform/edge/EdgeLinks.java
+++ b/src/main/java/brambletray/platform/edge/EdgeLinks.java
@@ -20,148 +20,150 @@
  */
 final class EdgeLinks {
     /** ms for which a link must be down before its peer is passed over. */
-    private static final int SHUN = 120;
+    private static final int UNREACHABLE_AFTER_MS = 120;
 
     /** Who hears what peers say. */
-    interface Ear {
-        void heard(String peer, Object frame);
+    interface Listener {
+        void onFrame(String peer, Object frame);
 
         /** A link that we dialled is up: what was said before it may be lost. */
-        void up(String peer);
+        void onLinkUp(String peer);
 
         /** A link that we dialled is down; the peer may be gone. */
-        void down(String peer);
+        void onLinkDown(String peer);
     }
 
-    private static final class Spoke {
+    private static final class DialedLink {
         private Peer peer;
-        private LinkDialer dialler;
-        private long downSince = Long.MIN_VALUE;
+        private LinkDialer dialer;
+        private long downSinceMs = Long.MIN_VALUE;
     }
 
     private final Machine machine;
-    private final FrameCodec speech;
+    private final FrameCodec codec;
     private final LinkIntroduction self;
-    private final Ear frameDispatcher;
-    private final Map<String, Spoke> spokes = new HashMap<>();
-    private final Map<String, Link> callers = new HashMap<>();
+    private final Listener listener;
+    private final Map<String, DialedLink> dialedLinks = new HashMap<>();
+    private final Map<String, Link> acceptedLinks = new HashMap<>();
     private Roster roster = Roster.NONE;
 
-    EdgeLinks(Machine machine, FrameCodec speech, Address bind, LinkIntroduction self, Ear frameDispatcher) {
+    EdgeLinks(Machine machine, FrameCodec codec, Address bind, LinkIntroduction self, Listener listener) {
         this.machine = machine;
-        this.speech = speech;
+        this.codec = codec;
         this.self = self;
-        this.frameDispatcher = frameDispatcher;
-        new LinkListener(machine, speech, bind, new Called());
+        this.listener = listener;
+        new LinkListener(machine, codec, bind, new InboundHandler());
     }
 
-    void roster(Roster next) {
+    void onRoster(Roster next) {
         roster = next;
-        for (Iterator<Map.Entry<String, Spoke>> each = spokes.entrySet().iterator(); each.hasNext(); ) {
-            Map.Entry<String, Spoke> one = each.next();
+        for (Iterator<Map.Entry<String, DialedLink>> each =
+                        dialedLinks.entrySet().iterator();
+                each.hasNext(); ) {
+            Map.Entry<String, DialedLink> one = each.next();
             Peer peer = next.find(one.getKey());
             if (peer == null || !peer.address().equals(one.getValue().peer.address())) {
                 each.remove();
-                one.getValue().dialler.close();
+                one.getValue().dialer.close();
             } else if (peer.incarnation() != one.getValue().peer.incarnation()) {
                 one.getValue().peer = peer;
-                one.getValue().dialler.hurry();
+                one.getValue().dialer.dialNow();
             }
         }
     }
 
     /**
-     * To a peer of the roster, on a link that is dialled if there is none yet (and then is lost, but {@link Ear#up}
+     * To a peer of the roster, on a link that is dialled if there is none yet (and then is lost, but {@link Listener#onLinkUp}
      * tells when to say it again).
      */
-    boolean say(String name, Object frame) {
-        Spoke spoke = spoke(name);
-        return spoke != null && spoke.dialler.say(frame);
+    boolean send(String name, Object frame) {
+        DialedLink dialedLink = dialedLink(name);
+        return dialedLink != null && dialedLink.dialer.send(frame);
     }
 
-    private Spoke spoke(String name) {
-        Spoke spoke = spokes.get(name);
-        if (spoke == null) {
+    private DialedLink dialedLink(String name) {
+        DialedLink dialedLink = dialedLinks.get(name);
+        if (dialedLink == null) {
             Peer peer = roster.find(name);
             if (peer == null) {
                 return null;
             }
-            Spoke made = new Spoke();
-            made.peer = peer;
-            made.downSince = now();
-            made.dialler = new LinkDialer(
-                    machine, speech, Address.parse(peer.address()), new Dialled(name, made), name.hashCode());
-            spokes.put(name, made);
-            return made;
+            DialedLink created = new DialedLink();
+            created.peer = peer;
+            created.downSinceMs = now();
+            created.dialer = new LinkDialer(
+                    machine, codec, Address.parse(peer.address()), new OutboundHandler(name, created), name.hashCode());
+            dialedLinks.put(name, created);
+            return created;
         }
-        return spoke;
+        return dialedLink;
     }
 
     /** Whether a link to it has been down for too long to wait for. */
-    boolean shunned(String name) {
-        Spoke spoke = spokes.get(name);
-        return spoke != null && !spoke.dialler.up() && now() - spoke.downSince > SHUN;
+    boolean isUnreachable(String name) {
+        DialedLink dialedLink = dialedLinks.get(name);
+        return dialedLink != null && !dialedLink.dialer.isUp() && now() - dialedLink.downSinceMs > UNREACHABLE_AFTER_MS;
     }
 
     /** Answers a peer on the link on which it calls. */
-    boolean answer(String name, Object frame) {
-        Link link = callers.get(name);
-        return link != null && link.say(frame);
+    boolean respond(String name, Object frame) {
+        Link link = acceptedLinks.get(name);
+        return link != null && link.send(frame);
     }
 
     private long now() {
         return machine.clock().nanos() / 1_000_000;
     }
 
-    private final class Dialled implements LinkHandler {
+    private final class OutboundHandler implements LinkHandler {
         private final String name;
-        private final Spoke spoke;
+        private final DialedLink spoke;
 
-        Dialled(String name, Spoke spoke) {
+        OutboundHandler(String name, DialedLink dialedLink) {
             this.name = name;
-            this.spoke = spoke;
+            this.spoke = dialedLink;
         }
 
         @Override
-        public void up(Link link) {
-            link.say(self);
-            frameDispatcher.up(name);
+        public void onLinkUp(Link link) {
+            link.send(self);
+            listener.onLinkUp(name);
         }
 
         @Override
-        public void heard(Link link, Object frame) {
-            frameDispatcher.heard(name, frame);
+        public void onFrame(Link link, Object frame) {
+            listener.onFrame(name, frame);
         }
 
         @Override
-        public void down(Link link, String why) {
-            spoke.downSince = now();
-            if (spokes.get(name) == spoke) {
-                frameDispatcher.down(name);
+        public void onLinkDown(Link link, String why) {
+            spoke.downSinceMs = now();
+            if (dialedLinks.get(name) == spoke) {
+                listener.onLinkDown(name);
             }
         }
     }
 
-    private final class Called implements LinkHandler {
+    private final class InboundHandler implements LinkHandler {
         @Override
-        public void up(Link link) {}
+        public void onLinkUp(Link link) {}
 
         @Override
-        public void heard(Link link, Object frame) {
-            if (frame instanceof LinkIntroduction iam) {
-                link.tag(iam.name());
-                callers.put(iam.name(), link);
+        public void onFrame(Link link, Object frame) {
+            if (frame instanceof LinkIntroduction introduction) {
+                link.tag(introduction.name());
+                acceptedLinks.put(introduction.name(), link);
             } else if (link.tag() instanceof String name) {
-                frameDispatcher.heard(name, frame);
+                listener.onFrame(name, frame);
             } else {
                 link.close("said something before its name");
             }
         }
 
         @Override
-        public void down(Link link, String why) {
+        public void onLinkDown(Link link, String why) {
             if (link.tag() instanceof String name) {
-                callers.remove(name, link);
+                acceptedLinks.remove(name, link);
             }
         }
     }
--- a/src/main/java/brambletray/platform/edge/EdgeProgram.java
+++ b/src/main/java/brambletray/platform/edge/EdgeProgram.java
@@ -47,117 +47,123 @@
 import java.util.function.IntConsumer;
 
 /**
- * The program of an edge: puts the planes together, and decides nothing. For the loop only, once {@link #begin} has
+ * The program of an edge: puts the planes together, and decides nothing. For the loop only, once {@link #run} has
  * run.
  */
 public final class EdgeProgram {
     private static final EventLog LOG = EventLog.of("edge");
     /** ms: between ticks, each of which costs a wake-up; between figures in the log. */
-    private static final int TICK = 50;
+    private static final int TICK_INTERVAL_MS = 50;
 
-    private static final int FIGURES = 5_000;
+    private static final int METRICS_INTERVAL_MS = 5_000;
 
-    private static final int BEAT = 200;
+    private static final int HEARTBEAT_INTERVAL_MS = 200;
     /** Addresses of hosts that are remembered, to know their calls by. */
-    private static final int HOSTS = 4_096;
+    private static final int MAX_REMEMBERED_INSTANCE_IPS = 4_096;
     /** Connections of clients; the rest of the descriptors is for hosts, relays and files. */
-    private static final int CLIENTS = 2_000;
+    private static final int MAX_CLIENTS = 2_000;
 
     private final NodeSettings nodeSettings;
     private final Machine machine;
     private final IntConsumer exit;
-    private final FrameCodec speech = new FrameCodec(FrameTypes.ALL);
-    private final LinkIntroduction iam;
+    private final FrameCodec codec = new FrameCodec(FrameTypes.ALL);
+    private final LinkIntroduction introduction;
     private final RequestCounters counters = new RequestCounters();
-    private final HostConnectionPools lines;
-    private final RequestRouter flow;
-    private final FrontEndServer front;
+    private final HostConnectionPools connectionPools;
+    private final RequestRouter requestRouter;
+    private final FrontEndServer frontEndServer;
     private final GracefulShutdown shutdown;
     private final SlotClient slotClient;
     private final LocalAdmission localAdmission;
     private final EdgeLinks edgeLinks;
     private final CoordinatorClient coordinatorClient;
-    private final ConfigurationSubscriber subscriber = new ConfigurationSubscriber(new SubscriberOut());
-    private final HeartbeatMonitor watch;
-    private final Map<String, Boolean> hostIps = new LinkedHashMap<>(64, 0.75f, true) {
+    private final ConfigurationSubscriber subscriber = new ConfigurationSubscriber(new SubscriberActions());
+    private final HeartbeatMonitor heartbeatMonitor;
+    private final Map<String, Boolean> instanceIps = new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > HOSTS;
+            return size() > MAX_REMEMBERED_INSTANCE_IPS;
         }
     };
     private Peer self;
     private Configuration configuration = Configuration.NONE;
     private Roster roster = Roster.NONE;
-    private HomeAssignment homes = new HomeAssignment(Roster.NONE);
+    private HomeAssignment homeAssignment = new HomeAssignment(Roster.NONE);
     private boolean leaving;
-    private long figuresAt;
+    private long metricsLoggedAtMs;
     /** When the seats are called next, ms. */
-    private long hallAt = Long.MAX_VALUE;
+    private long admissionDueMs = Long.MAX_VALUE;
 
     /**
-     * On the loop; {@link #open} follows. {@code life}: drawn at random; {@code exit}: ends the process with this code.
+     * On the loop; {@link #open} follows. {@code newIncarnation}: drawn at random; {@code exit}: ends the process with this code.
      */
-    EdgeProgram(NodeSettings nodeSettings, Machine machine, long life, IntConsumer exit) {
+    EdgeProgram(NodeSettings nodeSettings, Machine machine, long newIncarnation, IntConsumer exit) {
         this.exit = exit;
         this.nodeSettings = nodeSettings;
         this.machine = machine;
-        Address inner = new Address(nodeSettings.ip(), nodeSettings.innerLow());
-        self = new Peer(nodeSettings.node(), nodeSettings.zone(), inner.toString(), life, Peer.ACTIVE);
-        iam = new LinkIntroduction(self.name(), self.address(), false);
-        lines = new HostConnectionPools(machine, 4_000, counters);
-        AdmissionParameters laws = AdmissionParameters.of(
+        Address inner = new Address(nodeSettings.ip(), nodeSettings.internalPortLow());
+        self = new Peer(nodeSettings.node(), nodeSettings.zone(), inner.toString(), newIncarnation, Peer.ACTIVE);
+        introduction = new LinkIntroduction(self.name(), self.address(), false);
+        connectionPools = new HostConnectionPools(machine, 4_000, counters);
+        AdmissionParameters parameters = AdmissionParameters.of(
                 nodeSettings.bounds().retryBudgetRatio(),
                 (int) nodeSettings.bounds().retryBudgetSlack(),
                 (int) (nodeSettings.bounds().retryWindowS() * 1_000),
                 Math.max(1, nodeSettings.zones().size()));
-        String nonces = self.name() + "-" + Long.toHexString(life & 0xffffffffL);
-        localAdmission = new LocalAdmission(self.name(), self.zone(), nonces, laws, new HallWays(), this::now);
-        slotClient = new SlotClient(new StewardWays(), new Spots(), this::now);
-        flow = new RequestRouter(
+        String nonces = self.name() + "-" + Long.toHexString(newIncarnation & 0xffffffffL);
+        localAdmission =
+                new LocalAdmission(self.name(), self.zone(), nonces, parameters, new AdmissionTransport(), this::now);
+        slotClient = new SlotClient(new SlotClientTransport(), new InstanceTracking(), this::now);
+        requestRouter = new RequestRouter(
                 machine,
                 self.name(),
                 self.zone(),
                 () -> configuration,
                 slotClient,
-                hostIps::containsKey,
-                lines,
+                instanceIps::containsKey,
+                connectionPools,
                 counters,
                 Math.min(48L << 20, (long) nodeSettings.limits().memoryMb() << 17),
-                life);
-        front = new FrontEndServer(machine, flow, CLIENTS);
-        shutdown = new GracefulShutdown(machine, flow, front, exit);
-        edgeLinks = new EdgeLinks(machine, speech, inner, iam, new Peers());
-        coordinatorClient =
-                new CoordinatorClient(machine, speech, iam, members(nodeSettings), (int) life, new HubEar());
-        watch = new HeartbeatMonitor(self, BEAT, new WatchHands());
+                newIncarnation);
+        frontEndServer = new FrontEndServer(machine, requestRouter, MAX_CLIENTS);
+        shutdown = new GracefulShutdown(machine, requestRouter, frontEndServer, exit);
+        edgeLinks = new EdgeLinks(machine, codec, inner, introduction, new PeerListener());
+        coordinatorClient = new CoordinatorClient(
+                machine,
+                codec,
+                introduction,
+                coreMembers(nodeSettings),
+                (int) newIncarnation,
+                new CoordinatorListener());
+        heartbeatMonitor = new HeartbeatMonitor(self, HEARTBEAT_INTERVAL_MS, new MonitorActions());
     }
 
-    private static List<Address> members(NodeSettings nodeSettings) {
+    private static List<Address> coreMembers(NodeSettings nodeSettings) {
         List<Address> members = new ArrayList<>();
         for (Address seed : nodeSettings.seeds()) {
-            members.add(new Address(seed.host(), nodeSettings.innerLow()));
+            members.add(new Address(seed.host(), nodeSettings.internalPortLow()));
         }
         return members;
     }
 
-    /** Runs until it is told to end; the process's exit code. {@code life}: drawn at random. */
-    public static void begin(NodeSettings nodeSettings, long life) {
+    /** Runs until it is told to end; the process's exit code. {@code newIncarnation}: drawn at random. */
+    public static void run(NodeSettings nodeSettings, long newIncarnation) {
         Machine machine = Sockets.machine();
-        Address frontEnd = nodeSettings.need("bind-addresses.front-end", nodeSettings.frontEnd());
-        Address readiness = nodeSettings.need("bind-addresses.readiness", nodeSettings.readiness());
-        if (nodeSettings.innerLow() == 0) {
-            nodeSettings.need("internal-port-range", null);
+        Address frontEnd = nodeSettings.require("bind-addresses.front-end", nodeSettings.frontEnd());
+        Address readiness = nodeSettings.require("bind-addresses.readiness", nodeSettings.readiness());
+        if (nodeSettings.internalPortLow() == 0) {
+            nodeSettings.require("internal-port-range", null);
         }
         machine.loop().execute(() -> {
-            EdgeProgram program = new EdgeProgram(nodeSettings, machine, life, System::exit);
+            EdgeProgram program = new EdgeProgram(nodeSettings, machine, newIncarnation, System::exit);
             program.open(frontEnd, readiness);
-            ProcessSignals.registerProgram(program.new Signalled());
+            ProcessSignals.registerProgram(program.new SignalListener());
         });
     }
 
-    private final class Signalled implements ProcessSignals.Program {
+    private final class SignalListener implements ProcessSignals.Program {
         @Override
         public void terminate() {
             machine.loop().execute(EdgeProgram.this::leave);
@@ -165,16 +171,16 @@
 
         @Override
         public void reload() {
-            machine.loop().execute(EdgeProgram.this::reread);
+            machine.loop().execute(EdgeProgram.this::reloadSettings);
         }
     }
 
     void open(Address frontEnd, Address readiness) {
-        front.open(frontEnd).addListener(done -> opened("front-end", frontEnd, done.cause()));
-        new Readiness(machine, this::ready)
-                .open(readiness)
-                .addListener(done -> opened("readiness", readiness, done.cause()));
-        machine.loop().scheduleWithFixedDelay(this::tick, TICK, TICK, TimeUnit.MILLISECONDS);
+        frontEndServer.listen(frontEnd).addListener(release -> onListening("front-end", frontEnd, release.cause()));
+        new Readiness(machine, this::isReady)
+                .listen(readiness)
+                .addListener(release -> onListening("readiness", readiness, release.cause()));
+        machine.loop().scheduleWithFixedDelay(this::tick, TICK_INTERVAL_MS, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         LOG.info("started")
                 .with("node", self.name())
                 .with("zone", self.zone())
@@ -182,7 +188,7 @@
                 .log();
     }
 
-    private void opened(String what, Address at, Throwable cause) {
+    private void onListening(String what, Address at, Throwable cause) {
         if (cause != null) {
             LOG.warn("cannot listen")
                     .with("field", "bind-addresses." + what)
@@ -198,7 +204,7 @@
         return configuration;
     }
 
-    boolean ready() {
+    boolean isReady() {
         return !leaving && configuration != Configuration.NONE && roster.find(self.name()) != null;
     }
 
@@ -211,20 +217,20 @@
             long now = now();
             coordinatorClient.tick(now);
             subscriber.tick(now);
-            watch.tick(now);
-            if (hallAt == Long.MAX_VALUE || now - hallAt > 200) {
+            heartbeatMonitor.tick(now);
+            if (admissionDueMs == Long.MAX_VALUE || now - admissionDueMs > 200) {
                 // Guards against a call that failed, and said no next time.
-                hallAt = Long.MAX_VALUE;
-                hallDue(now);
+                admissionDueMs = Long.MAX_VALUE;
+                scheduleAdmission(now);
             }
-            if (now - figuresAt > FIGURES) {
-                figuresAt = now;
+            if (now - metricsLoggedAtMs > METRICS_INTERVAL_MS) {
+                metricsLoggedAtMs = now;
                 LogEventBuilder line = LOG.info("figures")
-                        .with("waiting", slotClient.waiting())
-                        .with("held", slotClient.held())
-                        .with("seats", localAdmission.seats())
+                        .with("waiting", slotClient.pendingCount())
+                        .with("held", slotClient.heldCount())
+                        .with("seats", localAdmission.queueCount())
                         .with("revision", configuration.revision())
-                        .with("connections", front.connections());
+                        .with("connections", frontEndServer.connectionCount());
                 counters.forEachNonZero(line::with);
                 line.log();
             }
@@ -237,28 +243,28 @@
     }
 
     /** The seats are called when they have asked to be, and no oftener. */
-    private void hallDue(long at) {
-        if (at < hallAt) {
-            hallAt = at;
-            machine.loop().schedule(() -> hallCall(at), Math.max(1, at - now()), TimeUnit.MILLISECONDS);
+    private void scheduleAdmission(long at) {
+        if (at < admissionDueMs) {
+            admissionDueMs = at;
+            machine.loop().schedule(() -> scheduleAdmissionCall(at), Math.max(1, at - now()), TimeUnit.MILLISECONDS);
         }
     }
 
-    private void hallCall(long at) {
-        if (at == hallAt) {
-            hallAt = Long.MAX_VALUE;
+    private void scheduleAdmissionCall(long at) {
+        if (at == admissionDueMs) {
+            admissionDueMs = Long.MAX_VALUE;
             localAdmission.tick();
         }
     }
 
-    void reread() {
+    void reloadSettings() {
         try {
-            coordinatorClient.members(members(nodeSettings.reread()));
+            coordinatorClient.onMembers(coreMembers(nodeSettings.reread()));
             LOG.info("settings read again").log();
-        } catch (SettingsException fault) {
+        } catch (SettingsException error) {
             LOG.warn("settings not used")
-                    .with("code", fault.code())
-                    .with("why", fault.getMessage())
+                    .with("code", error.code())
+                    .with("why", error.getMessage())
                     .log();
         }
     }
@@ -272,28 +278,28 @@
         long grace = (long) (nodeSettings.bounds().graceS() * 1_000);
         LOG.info("leaving")
                 .with("grace-ms", grace)
-                .with("in-flight", flow.inFlight())
+                .with("in-flight", requestRouter.inFlight())
                 .log();
-        shutdown.begin(grace);
+        shutdown.start(grace);
         self = self.asLeaving();
-        watch.updateSelf(self, configuration.revision());
-        coordinatorClient.say(new EdgeHello(
+        heartbeatMonitor.updateSelf(self, configuration.revision());
+        coordinatorClient.send(new EdgeHello(
                 self, roster.term(), roster.number(), configuration.revision(), coordinatorClient.term()));
     }
 
     // ---- News -----------------------------------------------------------------------------------
-    private final class SubscriberOut implements ConfigurationSubscriber.Actions {
+    private final class SubscriberActions implements ConfigurationSubscriber.Actions {
         @Override
-        public void sendRequest(DeltaRequest fetch) {
-            coordinatorClient.say(fetch);
+        public void sendRequest(DeltaRequest request) {
+            coordinatorClient.send(request);
         }
 
         @Override
         public void onConfiguration(Configuration next, int bytes, long ms) {
             long before = configuration.revision();
             configuration = next;
-            watch.updateSelf(self, configuration.revision());
-            localAdmission.configuration(configuration);
+            heartbeatMonitor.updateSelf(self, configuration.revision());
+            localAdmission.onConfiguration(configuration);
             LOG.info("configuration")
                     .with("revision", configuration.revision())
                     .with("before", before)
@@ -304,16 +310,16 @@
         }
 
         @Override
-        public void onRejected(ConfigurationException fault) {
+        public void onRejected(ConfigurationException error) {
             LOG.warn("configuration not taken")
                     .with("revision", configuration.revision())
-                    .with("code", fault.code())
-                    .with("why", fault.getMessage())
+                    .with("code", error.code())
+                    .with("why", error.getMessage())
                     .log();
         }
     }
 
-    private void take(Roster next) {
+    private void onConfiguration(Roster next) {
         if (!next.isNewerThan(roster)) {
             return;
         }
@@ -325,11 +331,11 @@
             }
         }
         roster = next;
-        homes = new HomeAssignment(next);
-        edgeLinks.roster(next);
-        localAdmission.roster(homes, gone);
-        slotClient.roster(homes);
-        watch.updateRing(new WatchRing(next), now());
+        homeAssignment = new HomeAssignment(next);
+        edgeLinks.onRoster(next);
+        localAdmission.onRoster(homeAssignment, gone);
+        slotClient.onRoster(homeAssignment);
+        heartbeatMonitor.updateRing(new WatchRing(next), now());
         LOG.info("roster")
                 .with("term", next.term())
                 .with("number", next.number())
@@ -337,98 +343,98 @@
                 .with("gone", gone)
                 .log();
         if (!next.contains(self)) {
-            coordinatorClient.say(new EdgeHello(
+            coordinatorClient.send(new EdgeHello(
                     self, roster.term(), roster.number(), configuration.revision(), coordinatorClient.term()));
         }
     }
 
-    private final class HubEar implements CoordinatorClient.Ear {
+    private final class CoordinatorListener implements CoordinatorClient.Listener {
         @Override
-        public Object hello() {
+        public Object helloFrame() {
             return new EdgeHello(
                     self, roster.term(), roster.number(), configuration.revision(), coordinatorClient.term());
         }
 
         @Override
-        public Roster roster() {
+        public Roster currentRoster() {
             return roster;
         }
 
         @Override
-        public void roster(Roster next) {
-            take(next);
+        public void onRoster(Roster next) {
+            onConfiguration(next);
         }
 
         @Override
-        public void newest(long revision) {
+        public void onNewestRevision(long revision) {
             subscriber.onNewestRevision(revision, now());
         }
 
         @Override
-        public void chunk(DeltaChunk chunk) {
+        public void onChunk(DeltaChunk chunk) {
             subscriber.onChunk(chunk, now());
         }
 
         @Override
-        public void heard(Object frame) {
-            localAdmission.heard(frame);
+        public void onFrame(Object frame) {
+            localAdmission.onCoordinatorFrame(frame);
         }
 
         @Override
-        public void attached(long term) {
-            watch.onCoordinatorConnected();
-            coordinatorClient.say(localAdmission.mine());
+        public void onAttached(long term) {
+            heartbeatMonitor.onCoordinatorConnected();
+            coordinatorClient.send(localAdmission.knownInstances());
             subscriber.onLinkUp(now());
         }
     }
 
-    private final class Peers implements EdgeLinks.Ear {
+    private final class PeerListener implements EdgeLinks.Listener {
         @Override
-        public void heard(String peer, Object frame) {
-            if (frame instanceof SlotRequest ask) {
-                localAdmission.ask(ask, false);
-            } else if (frame instanceof SlotRelease done) {
-                localAdmission.done(peer, done);
+        public void onFrame(String peer, Object frame) {
+            if (frame instanceof SlotRequest request) {
+                localAdmission.onSlotRequest(request, false);
+            } else if (frame instanceof SlotRelease release) {
+                localAdmission.onSlotRelease(peer, release);
             } else if (frame instanceof SlotGrant grant) {
-                slotClient.granted(peer, grant);
-            } else if (frame instanceof SlotRefusal refuse) {
-                slotClient.refused(peer, refuse);
-            } else if (frame instanceof SlotRedirect elsewhere) {
-                slotClient.elsewhere(peer, elsewhere);
-            } else if (frame instanceof SlotRequestCancel forget) {
-                localAdmission.forget(peer, forget);
+                slotClient.onGranted(peer, grant);
+            } else if (frame instanceof SlotRefusal refusal) {
+                slotClient.onRefused(peer, refusal);
+            } else if (frame instanceof SlotRedirect redirect) {
+                slotClient.onRedirect(peer, redirect);
+            } else if (frame instanceof SlotRequestCancel cancel) {
+                localAdmission.onCancel(peer, cancel);
             } else if (frame instanceof HeldSlots held) {
-                localAdmission.held(held);
-            } else if (frame instanceof Heartbeat beat) {
-                watch.onHeartbeat(beat, now());
+                localAdmission.onHeldSlots(held);
+            } else if (frame instanceof Heartbeat heartbeat) {
+                heartbeatMonitor.onHeartbeat(heartbeat, now());
             }
         }
 
         @Override
-        public void up(String peer) {
-            slotClient.again(peer);
+        public void onLinkUp(String peer) {
+            slotClient.onHomeReconnected(peer);
         }
 
         @Override
-        public void down(String peer) {
+        public void onLinkDown(String peer) {
             machine.loop().schedule(slotClient::reroute, 150, TimeUnit.MILLISECONDS);
         }
     }
 
-    private final class WatchHands implements HeartbeatMonitor.Actions {
+    private final class MonitorActions implements HeartbeatMonitor.Actions {
         @Override
-        public void sendHeartbeat(Peer watcher, Heartbeat beat) {
-            edgeLinks.say(watcher.name(), beat);
+        public void sendHeartbeat(Peer watcher, Heartbeat heartbeat) {
+            edgeLinks.send(watcher.name(), heartbeat);
         }
 
         @Override
-        public void reportSuspicion(SuspicionReport suspect) {
-            coordinatorClient.say(suspect);
+        public void reportSuspicion(SuspicionReport report) {
+            coordinatorClient.send(report);
         }
 
         @Override
-        public void withdrawSuspicion(SuspicionWithdrawal trust) {
-            coordinatorClient.say(trust);
+        public void withdrawSuspicion(SuspicionWithdrawal withdrawal) {
+            coordinatorClient.send(withdrawal);
         }
 
         @Override
@@ -437,19 +443,19 @@
         }
     }
 
-    private final class Spots implements SlotClient.Spots {
+    private final class InstanceTracking implements SlotClient.InstanceTracking {
         @Override
-        public void host(String address) {
-            hostIps.put(address.substring(0, address.lastIndexOf(':')), Boolean.TRUE);
+        public void onInstanceAddress(String address) {
+            instanceIps.put(address.substring(0, address.lastIndexOf(':')), Boolean.TRUE);
         }
 
         @Override
-        public void heldHere(HeldSlots held) {
-            localAdmission.held(held);
+        public void onHeldHere(HeldSlots held) {
+            localAdmission.onHeldSlots(held);
         }
     }
 
-    private final class StewardWays implements SlotClient.Ways {
+    private final class SlotClientTransport implements SlotClient.Transport {
         @Override
         public String self() {
             return self.name();
@@ -461,72 +467,72 @@
         }
 
         @Override
-        public void here(SlotRequest ask, boolean stay) {
-            localAdmission.ask(ask, stay);
+        public void requestHere(SlotRequest request, boolean serveHere) {
+            localAdmission.onSlotRequest(request, serveHere);
         }
 
         @Override
-        public void doneHere(SlotRelease done) {
-            localAdmission.done(self.name(), done);
+        public void releaseHere(SlotRelease release) {
+            localAdmission.onSlotRelease(self.name(), release);
         }
 
         @Override
-        public void forgetHere(SlotRequestCancel forget) {
-            localAdmission.forget(self.name(), forget);
+        public void cancelHere(SlotRequestCancel cancel) {
+            localAdmission.onCancel(self.name(), cancel);
         }
 
         @Override
-        public boolean say(String edge, Object frame) {
-            return edgeLinks.say(edge, frame);
+        public boolean send(String edge, Object frame) {
+            return edgeLinks.send(edge, frame);
         }
 
         @Override
-        public boolean shunned(String edge) {
-            return edgeLinks.shunned(edge);
+        public boolean isUnreachable(String edge) {
+            return edgeLinks.isUnreachable(edge);
         }
     }
 
-    private final class HallWays implements LocalAdmission.Ways {
+    private final class AdmissionTransport implements LocalAdmission.Transport {
         @Override
         public void grant(String edge, SlotGrant grant) {
             if (edge.equals(self.name())) {
-                slotClient.granted(edge, grant);
+                slotClient.onGranted(edge, grant);
             } else {
-                edgeLinks.answer(edge, grant);
+                edgeLinks.respond(edge, grant);
             }
         }
 
         @Override
-        public void refuse(String edge, SlotRefusal refuse) {
+        public void refuse(String edge, SlotRefusal refusal) {
             if (edge.equals(self.name())) {
-                slotClient.refused(edge, refuse);
+                slotClient.onRefused(edge, refusal);
             } else {
-                edgeLinks.answer(edge, refuse);
+                edgeLinks.respond(edge, refusal);
             }
         }
 
         @Override
-        public void elsewhere(String edge, SlotRedirect elsewhere) {
+        public void redirect(String edge, SlotRedirect redirect) {
             if (edge.equals(self.name())) {
-                slotClient.elsewhere(edge, elsewhere);
+                slotClient.onRedirect(edge, redirect);
             } else {
-                edgeLinks.answer(edge, elsewhere);
+                edgeLinks.respond(edge, redirect);
             }
         }
 
         @Override
-        public void due(long at) {
-            hallDue(at);
+        public void scheduleTick(long at) {
+            scheduleAdmission(at);
         }
 
         @Override
-        public void hub(Object frame) {
-            coordinatorClient.say(frame);
+        public void sendToCoordinator(Object frame) {
+            coordinatorClient.send(frame);
         }
 
         @Override
-        public void knock(String service, String host, String address) {
-            lines.knock(host, address, ok -> localAdmission.knocked(host, ok));
+        public void probe(String service, String host, String address) {
+            connectionPools.probe(host, address, ok -> localAdmission.onProbed(host, ok));
         }
     }
 }
--- a/src/main/java/brambletray/platform/edge/LocalAdmission.java
+++ b/src/main/java/brambletray/platform/edge/LocalAdmission.java
@@ -25,7 +25,7 @@
 import brambletray.platform.provisioning.InstanceStarted;
 import brambletray.platform.provisioning.InstanceUp;
 import brambletray.platform.provisioning.KnownInstances;
-import brambletray.platform.provisioning.Reclaim;
+import brambletray.platform.provisioning.ReclaimIdleInstances;
 import brambletray.platform.provisioning.StartRefusal;
 import brambletray.platform.provisioning.StartRequest;
 import brambletray.platform.provisioning.StopRequest;
@@ -44,53 +44,58 @@
  */
 final class LocalAdmission {
     /** ms between two looks for seats that are another edge's by now. */
-    private static final int SWEEP = 1_000;
+    private static final int SWEEP_INTERVAL_MS = 1_000;
 
     /**
      * ms for which slots told of a seat that is not held here are remembered: rosters reach edges at different moments.
      */
     private static final int EARLY_MS = 2_000;
     /** Of these words, remembered at a time. */
-    private static final int EARLY_MOST = 1_024;
+    private static final int MAX_EARLY_REPORTS = 1_024;
 
     /** What an edge told of the slots it holds, before this edge knew that it is home. */
-    private record Early(HeldSlots held, long at) {}
+    private record EarlyReport(HeldSlots held, long reportedAtMs) {}
 
     /** Where its words go. */
-    interface Ways {
+    interface Transport {
         void grant(String edge, SlotGrant grant);
 
-        void refuse(String edge, SlotRefusal refuse);
+        void refuse(String edge, SlotRefusal refusal);
 
-        void elsewhere(String edge, SlotRedirect elsewhere);
+        void redirect(String edge, SlotRedirect redirect);
 
-        void hub(Object frame);
+        void sendToCoordinator(Object frame);
 
         /** {@link #tick} is to be called then, ms; said at each change. */
-        void due(long at);
+        void scheduleTick(long at);
 
-        void knock(String service, String host, String address);
+        void probe(String service, String host, String address);
     }
 
     private final String self;
     private final String zone;
-    private final ServiceQueues seats;
-    private final Ways ways;
+    private final ServiceQueues queues;
+    private final Transport transport;
     private final LongSupplier clock;
-    private final ArrayDeque<Runnable> todo = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> deferredActions = new ArrayDeque<>();
     private final Map<String, ServiceSpec> specs = new HashMap<>();
-    private final List<Early> early = new ArrayList<>();
-    private HomeAssignment homes = new HomeAssignment(Roster.NONE);
-    private boolean doing;
-    private long swept;
+    private final List<EarlyReport> earlyReports = new ArrayList<>();
+    private HomeAssignment homeAssignment = new HomeAssignment(Roster.NONE);
+    private boolean runningActions;
+    private long sweptAtMs;
 
     LocalAdmission(
-            String self, String zone, String noncePrefix, AdmissionParameters laws, Ways ways, LongSupplier clock) {
+            String self,
+            String zone,
+            String noncePrefix,
+            AdmissionParameters parameters,
+            Transport transport,
+            LongSupplier clock) {
         this.self = self;
         this.zone = zone;
-        this.ways = ways;
+        this.transport = transport;
         this.clock = clock;
-        this.seats = new ServiceQueues(zone, noncePrefix, laws, new Later());
+        this.queues = new ServiceQueues(zone, noncePrefix, parameters, new DeferredActions());
     }
 
     private long now() {
@@ -98,61 +103,62 @@
     }
 
     /** Does what the seats wanted during the call that has just returned. */
-    private void then() {
-        if (doing) {
+    private void runDeferred() {
+        if (runningActions) {
             return;
         }
-        doing = true;
+        runningActions = true;
         try {
-            for (Runnable next = todo.poll(); next != null; next = todo.poll()) {
+            for (Runnable next = deferredActions.poll(); next != null; next = deferredActions.poll()) {
                 next.run();
             }
         } finally {
-            doing = false;
+            runningActions = false;
         }
-        ways.due(Math.min(seats.nextDue(), swept + SWEEP + 1));
+        transport.scheduleTick(Math.min(queues.nextDueMs(), sweptAtMs + SWEEP_INTERVAL_MS + 1));
     }
 
-    void ask(SlotRequest ask, boolean stay) {
-        if (!seats.holds(ask.service())) {
-            take(ask.service(), homes.rootZone(ask.service()));
+    void onSlotRequest(SlotRequest request, boolean serveHere) {
+        if (!queues.isHomeOf(request.service())) {
+            takeOver(request.service(), homeAssignment.rootZone(request.service()));
         }
-        if (!seats.ask(ask, stay, now())) {
-            ways.refuse(ask.edge(), new SlotRefusal(ask.id(), -1));
+        if (!queues.onSlotRequest(request, serveHere, now())) {
+            transport.refuse(request.edge(), new SlotRefusal(request.id(), -1));
         }
-        then();
+        runDeferred();
     }
 
     /** Becomes home of a service, and is told what edges have said of its slots already. */
-    private void take(String service, String rootZone) {
-        seats.take(service, rootZone, others(), now());
-        if (!seats.holds(service)) {
+    private void takeOver(String service, String rootZone) {
+        queues.takeOver(service, rootZone, otherEdges(), now());
+        if (!queues.isHomeOf(service)) {
             return;
         }
-        for (Early one : early) {
-            if (one.held.service().equals(service) && now() - one.at <= EARLY_MS) {
-                seats.held(one.held, now());
+        for (EarlyReport one : earlyReports) {
+            if (one.held.service().equals(service) && now() - one.reportedAtMs <= EARLY_MS) {
+                queues.onHeldSlots(one.held, now());
             }
         }
-        early.removeIf(one -> one.held.service().equals(service));
+        earlyReports.removeIf(one -> one.held.service().equals(service));
     }
 
-    private void remember(HeldSlots held) {
-        early.removeIf(one -> now() - one.at > EARLY_MS
+    private void rememberEarly(HeldSlots held) {
+        earlyReports.removeIf(one -> now() - one.reportedAtMs > EARLY_MS
                 || one.held.edge().equals(held.edge()) && one.held.service().equals(held.service()));
-        if (early.size() < EARLY_MOST) {
-            early.add(new Early(held, now()));
+        if (earlyReports.size() < MAX_EARLY_REPORTS) {
+            earlyReports.add(new EarlyReport(held, now()));
         }
     }
 
     /** A slot told early has been given back, or will not be used. */
-    private void dropEarly(String edge, long askId) {
-        early.replaceAll(one -> one.held.edge().equals(edge) ? new Early(one.held.without(askId), one.at) : one);
+    private void dropEarly(String edge, long requestId) {
+        earlyReports.replaceAll(one ->
+                one.held.edge().equals(edge) ? new EarlyReport(one.held.without(requestId), one.reportedAtMs) : one);
     }
 
-    private List<String> others() {
+    private List<String> otherEdges() {
         List<String> names = new ArrayList<>();
-        for (Peer peer : homes.roster().peers()) {
+        for (Peer peer : homeAssignment.roster().peers()) {
             if (!peer.name().equals(self)) {
                 names.add(peer.name());
             }
@@ -160,61 +166,61 @@
         return names;
     }
 
-    void done(String edge, SlotRelease done) {
-        dropEarly(edge, done.askId());
-        seats.done(edge, done, now());
-        then();
+    void onSlotRelease(String edge, SlotRelease release) {
+        dropEarly(edge, release.requestId());
+        queues.onSlotRelease(edge, release, now());
+        runDeferred();
     }
 
-    void forget(String edge, SlotRequestCancel forget) {
-        dropEarly(edge, forget.askId());
-        seats.forget(edge, forget, now());
-        then();
+    void onCancel(String edge, SlotRequestCancel cancel) {
+        dropEarly(edge, cancel.requestId());
+        queues.onCancel(edge, cancel, now());
+        runDeferred();
     }
 
-    void held(HeldSlots held) {
-        if (seats.holds(held.service())) {
-            seats.held(held, now());
+    void onHeldSlots(HeldSlots held) {
+        if (queues.isHomeOf(held.service())) {
+            queues.onHeldSlots(held, now());
         } else {
-            remember(held);
+            rememberEarly(held);
             if (isHome(held.service())) {
-                take(held.service(), homes.rootZone(held.service()));
+                takeOver(held.service(), homeAssignment.rootZone(held.service()));
             }
         }
-        then();
+        runDeferred();
     }
 
-    void knocked(String host, boolean ok) {
-        seats.knocked(host, ok, now());
-        then();
+    void onProbed(String host, boolean ok) {
+        queues.onProbed(host, ok, now());
+        runDeferred();
     }
 
     private boolean isHome(String service) {
-        Peer home = homes.homeOf(service, zone);
+        Peer home = homeAssignment.homeOf(service, zone);
         return home != null && home.name().equals(self);
     }
 
     /** What the hub says. */
-    void heard(Object frame) {
+    void onCoordinatorFrame(Object frame) {
         long now = now();
-        if (frame instanceof InstanceStarted born) {
-            seats.born(born, now);
+        if (frame instanceof InstanceStarted started) {
+            queues.onInstanceStarted(started, now);
         } else if (frame instanceof InstanceList hosts) {
-            seats.hosts(hosts, now);
-        } else if (frame instanceof StartRefusal noRoom) {
-            seats.noRoom(noRoom, now);
-        } else if (frame instanceof InstanceDraining leaving) {
-            seats.leaving(leaving, now);
+            queues.onInstanceList(hosts, now);
+        } else if (frame instanceof StartRefusal refusal) {
+            queues.onStartRefused(refusal, now);
+        } else if (frame instanceof InstanceDraining draining) {
+            queues.onInstanceDraining(draining, now);
         } else if (frame instanceof InstanceGone gone) {
-            seats.gone(gone, now);
-        } else if (frame instanceof Reclaim reclaim) {
-            seats.reclaim(reclaim, now);
+            queues.onInstanceGone(gone, now);
+        } else if (frame instanceof ReclaimIdleInstances reclaim) {
+            queues.reclaim(reclaim, now);
         }
-        then();
+        runDeferred();
     }
 
     /** Another configuration. */
-    void configuration(Configuration configuration) {
+    void onConfiguration(Configuration configuration) {
         Map<String, Integer> targets = new HashMap<>();
         for (Route route : configuration.routes().values()) {
             for (ServiceShare share : route.shares()) {
@@ -232,113 +238,113 @@
                     service.maxConcurrency(),
                     targets.getOrDefault(service.name(), 0));
             specs.put(service.name(), spec);
-            seats.spec(spec, now);
+            queues.onServiceSpec(spec, now);
             before.remove(service.name());
         }
         for (String gone : before) {
-            seats.withdraw(gone, now);
+            queues.withdraw(gone, now);
         }
-        warm();
-        then();
+        startWarmInstances();
+        runDeferred();
     }
 
     /**
      * Services whose start cannot be hidden behind their target have one warm host at their root, from the
      * configuration on.
      */
-    private void warm() {
+    private void startWarmInstances() {
         for (ServiceSpec spec : specs.values()) {
             if (spec.targetMs() > 0
                     && spec.bootMs() > spec.targetMs()
-                    && !seats.holds(spec.service())
-                    && zone.equals(homes.rootZone(spec.service()))
+                    && !queues.isHomeOf(spec.service())
+                    && zone.equals(homeAssignment.rootZone(spec.service()))
                     && isHome(spec.service())) {
-                take(spec.service(), zone);
+                takeOver(spec.service(), zone);
             }
         }
     }
 
     /** Another roster: {@code gone} are those that are no longer the process they were. */
-    void roster(HomeAssignment next, List<String> gone) {
-        homes = next;
+    void onRoster(HomeAssignment next, List<String> gone) {
+        homeAssignment = next;
         for (String edge : gone) {
-            early.removeIf(one -> one.held.edge().equals(edge));
-            seats.edgeGone(edge, now());
+            earlyReports.removeIf(one -> one.held.edge().equals(edge));
+            queues.onEdgeGone(edge, now());
         }
         sweep();
-        warm();
-        then();
+        startWarmInstances();
+        runDeferred();
     }
 
     private void sweep() {
-        swept = now();
-        for (String service : seats.services()) {
+        sweptAtMs = now();
+        for (String service : queues.services()) {
             if (!isHome(service)) {
-                seats.cede(service, swept);
+                queues.handOver(service, sweptAtMs);
             } else {
-                seats.take(service, homes.rootZone(service), List.of(), swept);
+                queues.takeOver(service, homeAssignment.rootZone(service), List.of(), sweptAtMs);
             }
         }
     }
 
     void tick() {
         long now = now();
-        if (now - swept > SWEEP) {
+        if (now - sweptAtMs > SWEEP_INTERVAL_MS) {
             sweep();
         }
-        if (seats.nextDue() <= now) {
-            seats.tick(now);
+        if (queues.nextDueMs() <= now) {
+            queues.tick(now);
         }
-        then();
+        runDeferred();
     }
 
-    KnownInstances mine() {
-        return seats.mine(now());
+    KnownInstances knownInstances() {
+        return queues.knownInstances(now());
     }
 
-    int seats() {
-        return seats.services().size();
+    int queueCount() {
+        return queues.services().size();
     }
 
-    private final class Later implements AdmissionActions {
+    private final class DeferredActions implements AdmissionActions {
         @Override
         public void grant(String edge, SlotGrant grant) {
-            todo.add(() -> ways.grant(edge, grant));
+            deferredActions.add(() -> transport.grant(edge, grant));
         }
 
         @Override
-        public void refuse(String edge, SlotRefusal refuse) {
-            todo.add(() -> ways.refuse(edge, refuse));
+        public void refuse(String edge, SlotRefusal refusal) {
+            deferredActions.add(() -> transport.refuse(edge, refusal));
         }
 
         @Override
-        public void elsewhere(String edge, SlotRedirect elsewhere) {
-            todo.add(() -> ways.elsewhere(edge, elsewhere));
+        public void redirect(String edge, SlotRedirect redirect) {
+            deferredActions.add(() -> transport.redirect(edge, redirect));
         }
 
         @Override
-        public void need(StartRequest need) {
-            todo.add(() -> ways.hub(need));
+        public void requestStart(StartRequest startRequest) {
+            deferredActions.add(() -> transport.sendToCoordinator(startRequest));
         }
 
         @Override
-        public void quit(StopRequest quit) {
-            todo.add(() -> ways.hub(quit));
+        public void requestStop(StopRequest stopRequest) {
+            deferredActions.add(() -> transport.sendToCoordinator(stopRequest));
         }
 
         @Override
-        public void seen(InstanceUp seen) {
-            todo.add(() -> ways.hub(seen));
+        public void reportUp(InstanceUp instanceUp) {
+            deferredActions.add(() -> transport.sendToCoordinator(instanceUp));
         }
 
         @Override
-        public void claim(HomeClaim claim) {
-            todo.add(() -> ways.hub(claim));
+        public void claimHome(HomeClaim claim) {
+            deferredActions.add(() -> transport.sendToCoordinator(claim));
         }
 
         @Override
-        public void knock(String service, String host, String address) {
-            todo.add(() -> ways.knock(service, host, address));
+        public void probe(String service, String host, String address) {
+            deferredActions.add(() -> transport.probe(service, host, address));
         }
     }
 }
--- a/src/main/java/brambletray/platform/edge/SimulatedEdge.java
+++ b/src/main/java/brambletray/platform/edge/SimulatedEdge.java
@@ -25,7 +25,7 @@
 
     /** SIGHUP. */
     void hangUp() {
-        program.reread();
+        program.reloadSettings();
     }
 
     /** SIGTERM. */
@@ -33,7 +33,7 @@
         program.leave();
     }
 
-    public boolean ready() {
-        return program.ready();
+    public boolean isReady() {
+        return program.isReady();
     }
 }
--- a/src/main/java/brambletray/platform/edge/SlotClient.java
+++ b/src/main/java/brambletray/platform/edge/SlotClient.java
@@ -32,53 +32,53 @@
  */
 final class SlotClient implements SlotBroker {
     /** Times that one ask is sent on by seats that are not open, before the root is told to serve it. */
-    private static final int HOPS = 2;
+    private static final int MAX_REDIRECTS_BEFORE_STAY = 2;
 
-    private static final int HOPS_MOST = 5;
+    private static final int MAX_REDIRECTS = 5;
     /** ms told where no home can be reached. */
-    private static final int COME_BACK = 800;
+    private static final int RETRY_AFTER_MS = 800;
     /** Asks that wait. */
-    private static final int MOST = 8_192;
+    private static final int MAX_PENDING = 8_192;
 
     /** How it reaches homes. */
-    interface Ways {
+    interface Transport {
         String self();
 
-        /** An ask for the seat of this edge; {@code stay}: not to be sent on again. */
-        void here(SlotRequest ask, boolean stay);
+        /** An ask for the seat of this edge; {@code serveHere}: not to be sent on again. */
+        void requestHere(SlotRequest request, boolean serveHere);
 
-        void doneHere(SlotRelease done);
+        void releaseHere(SlotRelease release);
 
-        void forgetHere(SlotRequestCancel forget);
+        void cancelHere(SlotRequestCancel forget);
 
-        boolean say(String edge, Object frame);
+        boolean send(String edge, Object frame);
 
         /** It cannot be reached now. */
-        boolean shunned(String edge);
+        boolean isUnreachable(String edge);
 
         String zone();
     }
 
-    private static final class Pending {
-        private final SlotRequest ask;
-        private final SlotRequester taker;
+    private static final class PendingRequest {
+        private final SlotRequest request;
+        private final SlotRequester requester;
         private String zone;
         private String home;
-        private int hops;
+        private int redirects;
 
-        Pending(SlotRequest ask, SlotRequester taker) {
-            this.ask = ask;
-            this.taker = taker;
+        PendingRequest(SlotRequest request, SlotRequester requester) {
+            this.request = request;
+            this.requester = requester;
         }
     }
 
-    private static final class Place {
+    private static final class HeldSlot {
         private final String service;
         private final SlotGrant grant;
         private final String zone;
         private String home;
 
-        Place(String service, SlotGrant grant, String zone, String home) {
+        HeldSlot(String service, SlotGrant grant, String zone, String home) {
             this.service = service;
             this.grant = grant;
             this.zone = zone;
@@ -86,62 +86,62 @@
         }
     }
 
-    private final Ways ways;
-    private final Spots spots;
+    private final Transport transport;
+    private final InstanceTracking instanceTracking;
     private final LongSupplier clock;
-    private final Map<Long, Pending> pending = new HashMap<>();
-    private final Map<Long, Place> places = new HashMap<>();
+    private final Map<Long, PendingRequest> pending = new HashMap<>();
+    private final Map<Long, HeldSlot> slots = new HashMap<>();
     /** Services whose seat in a zone other than the root's serves us. */
-    private final Map<String, String> seats = new HashMap<>();
+    private final Map<String, String> zoneByService = new HashMap<>();
 
-    private HomeAssignment homes = new HomeAssignment(Roster.NONE);
+    private HomeAssignment homeAssignment = new HomeAssignment(Roster.NONE);
 
-    SlotClient(Ways ways, Spots spots, LongSupplier clock) {
-        this.ways = ways;
-        this.spots = spots;
+    SlotClient(Transport transport, InstanceTracking instanceTracking, LongSupplier clock) {
+        this.transport = transport;
+        this.instanceTracking = instanceTracking;
         this.clock = clock;
     }
 
     @Override
-    public void ask(SlotRequest ask, SlotRequester taker) {
-        if (pending.size() >= MOST) {
-            taker.refused(COME_BACK);
+    public void requestSlot(SlotRequest request, SlotRequester requester) {
+        if (pending.size() >= MAX_PENDING) {
+            requester.onRefused(RETRY_AFTER_MS);
             return;
         }
-        Pending one = new Pending(ask, taker);
-        one.zone = seats.get(ask.service());
-        pending.put(ask.id(), one);
-        route(one);
+        PendingRequest pendingRequest = new PendingRequest(request, requester);
+        pendingRequest.zone = zoneByService.get(request.service());
+        pending.put(request.id(), pendingRequest);
+        route(pendingRequest);
     }
 
-    private void route(Pending one) {
-        String service = one.ask.service();
-        if (one.zone == null) {
-            one.zone = homes.rootZone(service);
+    private void route(PendingRequest pendingRequest) {
+        String service = pendingRequest.request.service();
+        if (pendingRequest.zone == null) {
+            pendingRequest.zone = homeAssignment.rootZone(service);
         }
-        Peer home = one.zone == null ? null : home(service, one.zone);
+        Peer home = pendingRequest.zone == null ? null : home(service, pendingRequest.zone);
         if (home == null) {
-            pending.remove(one.ask.id());
-            one.taker.refused(COME_BACK);
+            pending.remove(pendingRequest.request.id());
+            pendingRequest.requester.onRefused(RETRY_AFTER_MS);
             return;
         }
-        one.home = home.name();
-        boolean stay = one.hops >= HOPS;
-        if (one.home.equals(ways.self())) {
-            ways.here(one.ask, stay);
+        pendingRequest.home = home.name();
+        boolean serveHere = pendingRequest.redirects >= MAX_REDIRECTS_BEFORE_STAY;
+        if (pendingRequest.home.equals(transport.self())) {
+            transport.requestHere(pendingRequest.request, serveHere);
         } else {
-            ways.say(one.home, one.ask);
+            transport.send(pendingRequest.home, pendingRequest.request);
         }
     }
 
     /** The home, or the next best where it cannot be reached. */
     private Peer home(String service, String zone) {
-        Peer home = homes.homeOf(service, zone);
-        if (home == null || home.name().equals(ways.self()) || !ways.shunned(home.name())) {
+        Peer home = homeAssignment.homeOf(service, zone);
+        if (home == null || home.name().equals(transport.self()) || !transport.isUnreachable(home.name())) {
             return home;
         }
-        for (Peer other : homes.homes(service, zone, 4)) {
-            if (other.name().equals(ways.self()) || !ways.shunned(other.name())) {
+        for (Peer other : homeAssignment.homes(service, zone, 4)) {
+            if (other.name().equals(transport.self()) || !transport.isUnreachable(other.name())) {
                 return other;
             }
         }
@@ -149,164 +149,165 @@
     }
 
     @Override
-    public void done(SlotGrant grant, AttemptOutcome fate, int tookMs) {
-        Place place = places.remove(grant.askId());
-        if (place != null) {
-            give(place.home, new SlotRelease(grant.askId(), grant.host(), fate, tookMs));
+    public void releaseSlot(SlotGrant grant, AttemptOutcome outcome, int durationMs) {
+        HeldSlot slot = slots.remove(grant.requestId());
+        if (slot != null) {
+            sendRelease(slot.home, new SlotRelease(grant.requestId(), grant.instanceId(), outcome, durationMs));
         }
     }
 
     @Override
-    public void forget(long askId) {
-        Pending one = pending.remove(askId);
-        Place place = places.remove(askId);
-        String service = one != null ? one.ask.service() : place != null ? place.service : null;
-        String home = one != null ? one.home : place != null ? place.home : null;
+    public void cancelRequest(long requestId) {
+        PendingRequest pendingRequest = pending.remove(requestId);
+        HeldSlot slot = slots.remove(requestId);
+        String service = pendingRequest != null ? pendingRequest.request.service() : slot != null ? slot.service : null;
+        String home = pendingRequest != null ? pendingRequest.home : slot != null ? slot.home : null;
         if (home != null) {
-            if (home.equals(ways.self())) {
-                ways.forgetHere(new SlotRequestCancel(askId, service));
+            if (home.equals(transport.self())) {
+                transport.cancelHere(new SlotRequestCancel(requestId, service));
             } else {
-                ways.say(home, new SlotRequestCancel(askId, service));
+                transport.send(home, new SlotRequestCancel(requestId, service));
             }
         }
     }
 
     /** A home's answer. */
-    void granted(String home, SlotGrant grant) {
-        Pending one = pending.get(grant.askId());
-        if (one == null || !home.equals(one.home)) {
-            surplus(home, grant);
+    void onGranted(String home, SlotGrant grant) {
+        PendingRequest pendingRequest = pending.get(grant.requestId());
+        if (pendingRequest == null || !home.equals(pendingRequest.home)) {
+            releaseSurplus(home, grant);
             return;
         }
-        pending.remove(grant.askId());
-        places.put(grant.askId(), new Place(one.ask.service(), grant, one.zone, home));
-        spots.host(grant.address());
-        one.taker.granted(grant);
+        pending.remove(grant.requestId());
+        slots.put(grant.requestId(), new HeldSlot(pendingRequest.request.service(), grant, pendingRequest.zone, home));
+        instanceTracking.onInstanceAddress(grant.address());
+        pendingRequest.requester.onGranted(grant);
     }
 
-    private void surplus(String home, SlotGrant grant) {
-        Place place = places.get(grant.askId());
-        boolean ours = place != null && home.equals(place.home);
-        if (ours && place.grant.host().equals(grant.host())) {
+    private void releaseSurplus(String home, SlotGrant grant) {
+        HeldSlot slot = slots.get(grant.requestId());
+        boolean ours = slot != null && home.equals(slot.home);
+        if (ours && slot.grant.instanceId().equals(grant.instanceId())) {
             return;
         }
-        give(home, new SlotRelease(grant.askId(), grant.host(), AttemptOutcome.UNUSED, 0));
+        sendRelease(home, new SlotRelease(grant.requestId(), grant.instanceId(), AttemptOutcome.UNUSED, 0));
         if (ours) {
             // The home knows one place an ask: it has taken this one for ours, and is to know that which is.
-            tell(home, held(home, place.service));
+            reportHeld(home, heldAt(home, slot.service));
         }
     }
 
-    private void give(String home, SlotRelease done) {
-        if (home.equals(ways.self())) {
-            ways.doneHere(done);
+    private void sendRelease(String home, SlotRelease release) {
+        if (home.equals(transport.self())) {
+            transport.releaseHere(release);
         } else {
-            ways.say(home, done);
+            transport.send(home, release);
         }
     }
 
-    private HeldSlots held(String home, String service) {
+    private HeldSlots heldAt(String home, String service) {
         List<SlotGrant> grants = new ArrayList<>();
-        for (Place place : places.values()) {
-            if (home.equals(place.home) && service.equals(place.service)) {
-                grants.add(place.grant);
+        for (HeldSlot slot : slots.values()) {
+            if (home.equals(slot.home) && service.equals(slot.service)) {
+                grants.add(slot.grant);
             }
         }
-        return new HeldSlots(ways.self(), service, grants);
+        return new HeldSlots(transport.self(), service, grants);
     }
 
-    void refused(String home, SlotRefusal refuse) {
-        Pending one = pending.get(refuse.askId());
-        if (one != null && home.equals(one.home)) {
-            pending.remove(refuse.askId());
-            one.taker.refused(refuse.comeBackMs());
+    void onRefused(String home, SlotRefusal refusal) {
+        PendingRequest pendingRequest = pending.get(refusal.requestId());
+        if (pendingRequest != null && home.equals(pendingRequest.home)) {
+            pending.remove(refusal.requestId());
+            pendingRequest.requester.onRefused(refusal.retryAfterMs());
         }
     }
 
     /** A seat is not open: the ask goes on to another zone's, and so do the next ones. */
-    void elsewhere(String home, SlotRedirect elsewhere) {
-        if (elsewhere.zone().equals(homes.rootZone(elsewhere.service()))) {
-            seats.remove(elsewhere.service());
-        } else if (elsewhere.zone().equals(ways.zone())) {
-            seats.put(elsewhere.service(), elsewhere.zone());
+    void onRedirect(String home, SlotRedirect redirect) {
+        if (redirect.zone().equals(homeAssignment.rootZone(redirect.service()))) {
+            zoneByService.remove(redirect.service());
+        } else if (redirect.zone().equals(transport.zone())) {
+            zoneByService.put(redirect.service(), redirect.zone());
         }
-        Pending one = pending.get(elsewhere.askId());
-        if (one != null && home.equals(one.home)) {
-            one.zone = elsewhere.zone();
-            if (++one.hops > HOPS_MOST) {
-                pending.remove(elsewhere.askId());
-                one.taker.refused(COME_BACK);
+        PendingRequest pendingRequest = pending.get(redirect.requestId());
+        if (pendingRequest != null && home.equals(pendingRequest.home)) {
+            pendingRequest.zone = redirect.zone();
+            if (++pendingRequest.redirects > MAX_REDIRECTS) {
+                pending.remove(redirect.requestId());
+                pendingRequest.requester.onRefused(RETRY_AFTER_MS);
             } else {
-                route(one);
+                route(pendingRequest);
             }
         }
     }
 
     /** Another roster: homes that have changed are asked anew, and told what is held. */
-    void roster(HomeAssignment next) {
-        homes = next;
-        Map<String, Map<String, List<SlotGrant>>> told = new HashMap<>();
-        for (Place place : places.values()) {
-            Peer home = homes.homeOf(place.service, place.zone);
-            if (home != null && !home.name().equals(place.home)) {
-                place.home = home.name();
-                told.computeIfAbsent(home.name(), name -> new HashMap<>())
-                        .computeIfAbsent(place.service, service -> new ArrayList<>())
-                        .add(place.grant);
+    void onRoster(HomeAssignment next) {
+        homeAssignment = next;
+        Map<String, Map<String, List<SlotGrant>>> reported = new HashMap<>();
+        for (HeldSlot slot : slots.values()) {
+            Peer home = homeAssignment.homeOf(slot.service, slot.zone);
+            if (home != null && !home.name().equals(slot.home)) {
+                slot.home = home.name();
+                reported.computeIfAbsent(home.name(), name -> new HashMap<>())
+                        .computeIfAbsent(slot.service, service -> new ArrayList<>())
+                        .add(slot.grant);
             }
         }
-        told.forEach((home, services) ->
-                services.forEach((service, grants) -> tell(home, new HeldSlots(ways.self(), service, grants))));
+        reported.forEach((home, services) -> services.forEach(
+                (service, grants) -> reportHeld(home, new HeldSlots(transport.self(), service, grants))));
         reroute();
     }
 
-    private void tell(String home, HeldSlots held) {
-        if (home.equals(ways.self())) {
-            spots.heldHere(held);
+    private void reportHeld(String home, HeldSlots held) {
+        if (home.equals(transport.self())) {
+            instanceTracking.onHeldHere(held);
         } else {
-            ways.say(home, held);
+            transport.send(home, held);
         }
     }
 
     /** Asks whose home is another now, or cannot be reached, go to the one that can. */
     void reroute() {
-        for (Pending one : new ArrayList<>(pending.values())) {
-            Peer home = one.zone == null ? null : home(one.ask.service(), one.zone);
-            if (pending.get(one.ask.id()) == one
-                    && (home == null || !home.name().equals(one.home))) {
+        for (PendingRequest pendingRequest : new ArrayList<>(pending.values())) {
+            Peer home =
+                    pendingRequest.zone == null ? null : home(pendingRequest.request.service(), pendingRequest.zone);
+            if (pending.get(pendingRequest.request.id()) == pendingRequest
+                    && (home == null || !home.name().equals(pendingRequest.home))) {
                 if (home == null) {
-                    one.zone = null;
+                    pendingRequest.zone = null;
                 }
-                route(one);
+                route(pendingRequest);
             }
         }
     }
 
     /** A link to a home is up (anew): what was asked on the one before may be lost. */
-    void again(String home) {
-        for (Pending one : new ArrayList<>(pending.values())) {
-            if (home.equals(one.home)) {
+    void onHomeReconnected(String home) {
+        for (PendingRequest pendingRequest : new ArrayList<>(pending.values())) {
+            if (home.equals(pendingRequest.home)) {
                 // Not forgotten first: the grant may be on its way, and its place must not be free while we use it.
-                ways.say(home, one.ask);
+                transport.send(home, pendingRequest.request);
             }
         }
         Set<String> services = new HashSet<>();
-        for (Place place : places.values()) {
-            if (home.equals(place.home)) {
-                services.add(place.service);
+        for (HeldSlot slot : slots.values()) {
+            if (home.equals(slot.home)) {
+                services.add(slot.service);
             }
         }
         for (String service : services) {
-            ways.say(home, held(home, service));
+            transport.send(home, heldAt(home, service));
         }
     }
 
-    int waiting() {
+    int pendingCount() {
         return pending.size();
     }
 
-    int held() {
-        return places.size();
+    int heldCount() {
+        return slots.size();
     }
 
     long now() {
@@ -314,10 +315,10 @@
     }
 
     /** What else is to be known of places. */
-    interface Spots {
+    interface InstanceTracking {
         /** A host's address, which its own calls come from. */
-        void host(String address);
+        void onInstanceAddress(String address);
 
-        void heldHere(HeldSlots held);
+        void onHeldHere(HeldSlots held);
     }
 }
--- a/src/main/java/brambletray/platform/localsystem/ChildProcess.java
+++ b/src/main/java/brambletray/platform/localsystem/ChildProcess.java
@@ -69,7 +69,7 @@
                     .redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile()));
             builder.environment()
                     .put(
-                            brambletray.platform.settings.NodeSettings.VARIABLE,
+                            brambletray.platform.settings.NodeSettings.FILE_VARIABLE,
                             settings.toAbsolutePath().toString());
             process = builder.start();
             starts++;
--- a/src/main/java/brambletray/platform/localsystem/InstanceFleet.java
+++ b/src/main/java/brambletray/platform/localsystem/InstanceFleet.java
@@ -65,7 +65,7 @@
             }
         }
         for (Service service : services.values()) {
-            for (String id : stand.there(service.name(), now)) {
+            for (String id : stand.occupying(service.name(), now)) {
                 if (!booths.containsKey(id) && stand.up(id, now)) {
                     start(id, service);
                 }
--- a/src/main/java/brambletray/platform/logging/EventLog.java
+++ b/src/main/java/brambletray/platform/logging/EventLog.java
@@ -4,7 +4,7 @@
 
 /**
  * Log lines that say why something was done: one JSON object a line, through JBoss Logging. Thread-safe.
- * {@link LogOutput#begin} says where the lines go.
+ * {@link LogOutput#install} says where the lines go.
  *
  * <pre>{@code
  * private static final EventLog LOG = EventLog.of("replication");
@@ -13,7 +13,7 @@
  */
 public final class EventLog {
     static {
-        LogOutput.provide();
+        LogOutput.selectProvider();
     }
 
     private final Logger logger;
--- a/src/main/java/brambletray/platform/logging/JsonLogHandler.java
+++ b/src/main/java/brambletray/platform/logging/JsonLogHandler.java
@@ -14,16 +14,16 @@
 import java.util.logging.Level;
 import java.util.logging.LogRecord;
 
-/** Prints each record as one JSON object on one line, at most {@value #MOST} of one event in {@value #SPAN} ms. */
+/** Prints each record as one JSON object on one line, at most {@value #MAX_LINES_PER_EVENT} of one event in {@value #RATE_WINDOW_MS} ms. */
 final class JsonLogHandler extends Handler {
     /**
      * Lines of one event in a span; the rest are counted into one line, which comes with the first line after the span.
      */
-    static final int MOST = 20;
+    static final int MAX_LINES_PER_EVENT = 20;
     /** ms. */
-    static final int SPAN = 1_000;
+    static final int RATE_WINDOW_MS = 1_000;
     /** Events that are told apart; those beyond them share one count. */
-    static final int EVENTS = 256;
+    static final int MAX_EVENTS = 256;
 
     /** Held for each line as a whole: the loop, the disk writer and the system's threads all log. */
     private final ReentrantLock lock;
@@ -32,19 +32,19 @@
     private final LongSupplier now;
     private final String tail;
     private final StringBuilder line = new StringBuilder(256);
-    private final Map<String, Pace> paces = new HashMap<>();
-    private final List<Pace> owing = new ArrayList<>();
+    private final Map<String, EventRateLimit> rateLimits = new HashMap<>();
+    private final List<EventRateLimit> limitsWithSkippedLines = new ArrayList<>();
 
-    private static final class Pace {
+    private static final class EventRateLimit {
         final String event;
         String plane;
-        long since;
-        int told;
+        long windowStartMs;
+        int linesInWindow;
         int skipped;
 
-        Pace(String event, long since) {
+        EventRateLimit(String event, long since) {
             this.event = event;
-            this.since = since;
+            this.windowStartMs = since;
         }
     }
 
@@ -78,21 +78,21 @@
     private void write(LogRecord entry) {
         long t = now.getAsLong();
         String message = String.valueOf(entry.getMessage());
-        boolean ours = message.startsWith(LogLine.START);
-        Pace pace = pace(ours ? LogLine.event(message) : "foreign", t);
-        owed(t);
-        if (t - pace.since >= SPAN) {
-            pace.since = t;
-            pace.told = 0;
+        boolean ours = message.startsWith(LogLine.LINE_START);
+        EventRateLimit rateLimit = rateLimitOf(ours ? LogLine.event(message) : "foreign", t);
+        writeSkippedCounts(t);
+        if (t - rateLimit.windowStartMs >= RATE_WINDOW_MS) {
+            rateLimit.windowStartMs = t;
+            rateLimit.linesInWindow = 0;
         }
-        if (++pace.told > MOST) {
-            if (pace.skipped++ == 0) {
-                pace.plane = entry.getLoggerName();
-                owing.add(pace);
+        if (++rateLimit.linesInWindow > MAX_LINES_PER_EVENT) {
+            if (rateLimit.skipped++ == 0) {
+                rateLimit.plane = entry.getLoggerName();
+                limitsWithSkippedLines.add(rateLimit);
             }
             return;
         }
-        head(t, entry.getLevel(), entry.getLoggerName());
+        writeHead(t, entry.getLevel(), entry.getLoggerName());
         if (ours) {
             line.append(message);
         } else {
@@ -100,39 +100,39 @@
             LogLine.appendField(line, "text", message);
         }
         if (entry.getThrown() != null) {
-            thrown(entry.getThrown());
+            writeThrown(entry.getThrown());
         }
         write();
     }
 
-    private Pace pace(String event, long t) {
-        Pace pace = paces.get(event);
-        if (pace == null) {
-            String name = paces.size() < EVENTS ? event : "others";
-            pace = paces.computeIfAbsent(name, e -> new Pace(e, t));
+    private EventRateLimit rateLimitOf(String event, long t) {
+        EventRateLimit rateLimit = rateLimits.get(event);
+        if (rateLimit == null) {
+            String name = rateLimits.size() < MAX_EVENTS ? event : "others";
+            rateLimit = rateLimits.computeIfAbsent(name, e -> new EventRateLimit(e, t));
         }
-        return pace;
+        return rateLimit;
     }
 
     /** One line for each event of which lines were left out, once its span is over. */
-    private void owed(long t) {
-        for (int i = owing.size() - 1; i >= 0; i--) {
-            Pace pace = owing.get(i);
-            if (t - pace.since >= SPAN) {
-                owing.remove(i);
-                head(t, Level.WARNING, pace.plane);
+    private void writeSkippedCounts(long t) {
+        for (int i = limitsWithSkippedLines.size() - 1; i >= 0; i--) {
+            EventRateLimit rateLimit = limitsWithSkippedLines.get(i);
+            if (t - rateLimit.windowStartMs >= RATE_WINDOW_MS) {
+                limitsWithSkippedLines.remove(i);
+                writeHead(t, Level.WARNING, rateLimit.plane);
                 // the event stands as it came from a line, quoted already
-                line.append(LogLine.START)
-                        .append(pace.event)
+                line.append(LogLine.LINE_START)
+                        .append(rateLimit.event)
                         .append("\",\"skipped\":")
-                        .append(pace.skipped);
-                pace.skipped = 0;
+                        .append(rateLimit.skipped);
+                rateLimit.skipped = 0;
                 write();
             }
         }
     }
 
-    private void head(long t, Level level, String plane) {
+    private void writeHead(long t, Level level, String plane) {
         int rank = level.intValue();
         line.setLength(0);
         line.append("{\"t\":")
@@ -144,7 +144,7 @@
         line.append(tail);
     }
 
-    private void thrown(Throwable thrown) {
+    private void writeThrown(Throwable thrown) {
         line.append(",\"thrown\":");
         LogLine.quote(line, thrown.toString());
         StackTraceElement[] trace = thrown.getStackTrace();
