--- a/src/main/java/brambletray/platform/logging/LogLine.java
+++ b/src/main/java/brambletray/platform/logging/LogLine.java
@@ -3,7 +3,7 @@
 /** The inside of a log line, without the braces: {@code "event":...}, then each field. */
 final class LogLine {
     /** How each line of this project begins; lines of libraries do not. */
-    static final String START = "\"event\":\"";
+    static final String LINE_START = "\"event\":\"";
     /** Characters of one text; longer ones are cut. */
     static final int MAX_TEXT_LENGTH = 2_000;
 
@@ -36,11 +36,11 @@
 
     /** The event of a line that {@link #begin} has begun, quoted as it stands there. */
     static String event(String line) {
-        int end = START.length();
+        int end = LINE_START.length();
         while (line.charAt(end) != '"') {
             end += line.charAt(end) == '\\' ? 2 : 1;
         }
-        return line.substring(START.length(), end);
+        return line.substring(LINE_START.length(), end);
     }
 
     static void quote(StringBuilder out, String text) {
--- a/src/main/java/brambletray/platform/logging/LogOutput.java
+++ b/src/main/java/brambletray/platform/logging/LogOutput.java
@@ -17,12 +17,12 @@
      *
      * @param sinceStart ms since the process began, from the one clock
      */
-    public static void begin(String node, Level level, LongSupplier sinceStart) {
-        begin(node, level, sinceStart, new FileOutputStream(FileDescriptor.err));
+    public static void install(String node, Level level, LongSupplier sinceStart) {
+        install(node, level, sinceStart, new FileOutputStream(FileDescriptor.err));
     }
 
-    static void begin(String node, Level level, LongSupplier sinceStart, OutputStream out) {
-        provide();
+    static void install(String node, Level level, LongSupplier sinceStart, OutputStream out) {
+        selectProvider();
         Logger root = Logger.getLogger("");
         for (Handler former : root.getHandlers()) {
             root.removeHandler(former);
@@ -37,14 +37,14 @@
      * JBoss Logging over java.util.logging, which reads no file: looking for other back-ends and parsing the usual file
      * cost time at each start.
      */
-    static void provide() {
+    static void selectProvider() {
         System.setProperty("org.jboss.logging.provider", "jdk");
         if (System.getProperty("java.util.logging.config.class") == null
                 && System.getProperty("java.util.logging.config.file") == null) {
-            System.setProperty("java.util.logging.config.class", Plain.class.getName());
+            System.setProperty("java.util.logging.config.class", EmptyLoggingConfiguration.class.getName());
         }
     }
 
     /** What java.util.logging makes instead of reading its file: nothing is set. */
-    public static final class Plain {}
+    public static final class EmptyLoggingConfiguration {}
 }
--- a/src/main/java/brambletray/platform/platformstub/AddressPool.java
+++ b/src/main/java/brambletray/platform/platformstub/AddressPool.java
@@ -8,28 +8,28 @@
 final class AddressPool {
     private final ArrayDeque<StubInstance> ended = new ArrayDeque<>();
     private final int holdMs;
-    private final IntFunction<String> fresh;
-    private int made;
+    private final IntFunction<String> newAddress;
+    private int createdCount;
 
     /** {@code fresh}: the next address that was never given, by the number of those before. */
     AddressPool(int holdMs, IntFunction<String> fresh) {
         this.holdMs = holdMs;
-        this.fresh = fresh;
+        this.newAddress = fresh;
     }
 
     /** It has ended, or will at a time that is known. */
-    void ended(StubInstance being) {
-        ended.add(being);
+    void ended(StubInstance instance) {
+        ended.add(instance);
     }
 
     String next(long now) {
         for (Iterator<StubInstance> each = ended.iterator(); each.hasNext(); ) {
             StubInstance former = each.next();
-            if (now - holdMs >= former.endAt) {
+            if (now - holdMs >= former.endAtMs) {
                 each.remove();
                 return former.address;
             }
         }
-        return fresh.apply(made++);
+        return newAddress.apply(createdCount++);
     }
 }
--- a/src/main/java/brambletray/platform/platformstub/CallRateLimiter.java
+++ b/src/main/java/brambletray/platform/platformstub/CallRateLimiter.java
@@ -2,21 +2,21 @@
 
 /** So many calls a second, a quarter of a second's worth at once. */
 final class CallRateLimiter {
-    private final double perMs;
-    private final double most;
+    private final double callsPerMs;
+    private final double maxTokens;
     private double tokens;
-    private long at;
+    private long updatedAtMs;
 
-    CallRateLimiter(double perS, long now) {
-        perMs = perS / 1000;
-        most = Math.max(1, perS / 4);
-        tokens = most;
-        at = now;
+    CallRateLimiter(double ratePerS, long now) {
+        callsPerMs = ratePerS / 1000;
+        maxTokens = Math.max(1, ratePerS / 4);
+        tokens = maxTokens;
+        updatedAtMs = now;
     }
 
-    boolean pass(long now) {
-        tokens = Math.min(most, tokens + (now - at) * perMs);
-        at = now;
+    boolean tryAcquire(long now) {
+        tokens = Math.min(maxTokens, tokens + (now - updatedAtMs) * callsPerMs);
+        updatedAtMs = now;
         if (tokens < 1) {
             return false;
         }
--- a/src/main/java/brambletray/platform/platformstub/PlatformParameters.java
+++ b/src/main/java/brambletray/platform/platformstub/PlatformParameters.java
@@ -6,4 +6,10 @@
  * given again; {@code shownMs}: how long a host that crashed is still listed.
  */
 public record PlatformParameters(
-        int lagMs, double listsPerS, double dutiesPerS, int page, int drainMs, int holdMs, int shownMs) {}
+        int lagMs,
+        double listsPerS,
+        double startsAndStopsPerS,
+        int page,
+        int drainMs,
+        int addressHoldMs,
+        int crashedShownMs) {}
--- a/src/main/java/brambletray/platform/platformstub/PlatformStub.java
+++ b/src/main/java/brambletray/platform/platformstub/PlatformStub.java
@@ -19,97 +19,99 @@
  */
 public final class PlatformStub {
     /** ms after which a host that has ended is forgotten. */
-    private static final long FORGET = 120_000;
+    private static final long FORGET_MS = 120_000;
     /** ms beyond {@code drain-ms} that a host goes on. */
     private static final long AFTER_DRAIN = 300;
 
-    private static final double LONGEST_BOOT = 6;
+    private static final double MAX_BOOT_MS = 6;
 
     /** One page of hosts, or a refusal for the rate ({@code hosts} null). */
     public record Page(List<ListedInstance> hosts, String next) {}
 
-    private final PlatformParameters ground;
+    private final PlatformParameters parameters;
     private final Random random;
     private final CallRateLimiter lists;
-    private final CallRateLimiter duties;
-    private final Map<String, ServiceKind> kinds = new HashMap<>();
-    private final Map<String, StubWorker> plots = new LinkedHashMap<>();
-    private final Map<String, StubInstance> beings = new LinkedHashMap<>();
+    private final CallRateLimiter startsAndStops;
+    private final Map<String, ServiceKind> services = new HashMap<>();
+    private final Map<String, StubWorker> workers = new LinkedHashMap<>();
+    private final Map<String, StubInstance> instances = new LinkedHashMap<>();
     private final Map<String, String> nonces = new HashMap<>();
-    private final AddressPool lots;
-    private long fence;
-    private int made;
+    private final AddressPool addresses;
+    private long fencingToken;
+    private int instanceCount;
     private int starts;
     private int refusals;
 
     /** {@code seed}: of the times that starts take. */
-    public PlatformStub(PlatformParameters ground, long seed, long now) {
-        this(ground, seed, now, made -> "10.9." + made / 250 + '.' + (1 + made % 250) + ":8080");
+    public PlatformStub(PlatformParameters parameters, long seed, long now) {
+        this(parameters, seed, now, made -> "10.9." + made / 250 + '.' + (1 + made % 250) + ":8080");
     }
 
     /** {@code fresh}: the address for the next host by the number of those made before, where none is free again. */
-    public PlatformStub(PlatformParameters ground, long seed, long now, IntFunction<String> fresh) {
-        this.ground = ground;
+    public PlatformStub(PlatformParameters parameters, long seed, long now, IntFunction<String> fresh) {
+        this.parameters = parameters;
         this.random = new Random(seed);
-        this.lots = new AddressPool(ground.holdMs(), fresh);
-        this.lists = new CallRateLimiter(ground.listsPerS(), now);
-        this.duties = new CallRateLimiter(ground.dutiesPerS(), now);
+        this.addresses = new AddressPool(parameters.addressHoldMs(), fresh);
+        this.lists = new CallRateLimiter(parameters.listsPerS(), now);
+        this.startsAndStops = new CallRateLimiter(parameters.startsAndStopsPerS(), now);
     }
 
     public void worker(String name, String zone, int memoryMb, long now) {
-        plots.put(name, new StubWorker(name, zone, memoryMb, now));
+        workers.put(name, new StubWorker(name, zone, memoryMb, now));
     }
 
-    /** A service as it is from now on; {@code kind} null: it is gone. */
-    public void service(String name, ServiceKind kind) {
-        if (kind == null) {
-            kinds.remove(name);
+    /** A service as it is from now on; {@code serviceKind} null: it is gone. */
+    public void service(String name, ServiceKind serviceKind) {
+        if (serviceKind == null) {
+            services.remove(name);
         } else {
-            kinds.put(name, kind);
+            services.put(name, serviceKind);
         }
     }
 
     /** {@code POST /brambletray/begin}. */
-    public StartResponse begin(String service, String worker, String nonce, long term, long now) {
-        if (!duties.pass(now)) {
+    public StartResponse startInstance(String service, String worker, String nonce, long term, long now) {
+        if (!startsAndStops.tryAcquire(now)) {
             refusals++;
             return StartResponse.of(CallResult.BUSY);
         }
-        if (term < fence) {
+        if (term < fencingToken) {
             return StartResponse.of(CallResult.FENCED);
         }
-        fence = term;
-        ServiceKind kind = kinds.get(service);
-        if (kind == null || worker == null || nonce == null || nonce.isEmpty() || nonce.length() > 64) {
-            return StartResponse.of(CallResult.BAD);
+        fencingToken = term;
+        ServiceKind serviceKind = services.get(service);
+        if (serviceKind == null || worker == null || nonce == null || nonce.isEmpty() || nonce.length() > 64) {
+            return StartResponse.of(CallResult.MALFORMED);
         }
-        StubInstance known = beings.get(nonces.getOrDefault(service + ' ' + nonce, ""));
+        StubInstance known = instances.get(nonces.getOrDefault(service + ' ' + nonce, ""));
         if (known == null) {
-            StubWorker plot = plots.get(worker);
-            if (plot == null || plot.state(now) != StubWorker.State.OPERATIONAL || free(plot, now) < kind.memoryMb()) {
-                return StartResponse.of(CallResult.REFUSED);
+            StubWorker target = workers.get(worker);
+            if (target == null
+                    || target.state(now) != StubWorker.State.OPERATIONAL
+                    || free(target, now) < serviceKind.memoryMb()) {
+                return StartResponse.of(CallResult.REJECTED);
             }
-            known = make(service, kind, plot, now);
+            known = make(service, serviceKind, target, now);
             nonces.put(service + ' ' + nonce, known.id);
         }
         return new StartResponse(CallResult.OK, known.id, known.address);
     }
 
     /** {@code POST /brambletray/stop}. */
-    public CallResult stop(String id, long term, long now) {
-        if (!duties.pass(now)) {
+    public CallResult stopInstance(String id, long term, long now) {
+        if (!startsAndStops.tryAcquire(now)) {
             refusals++;
             return CallResult.BUSY;
         }
-        if (term < fence) {
+        if (term < fencingToken) {
             return CallResult.FENCED;
         }
-        fence = term;
-        StubInstance being = beings.get(id);
-        if (being == null) {
+        fencingToken = term;
+        StubInstance instance = instances.get(id);
+        if (instance == null) {
             return CallResult.NO_SUCH;
         }
-        end(being, now, false);
+        end(instance, now, false);
         return CallResult.OK;
     }
 
@@ -118,38 +120,47 @@
      * meanwhile.
      */
     public Page list(String token, long now) {
-        if (!lists.pass(now)) {
+        if (!lists.tryAcquire(now)) {
             return new Page(null, null);
         }
-        long at = now - ground.lagMs();
+        long at = now - parameters.lagMs();
         List<ListedInstance> page = new ArrayList<>();
         boolean from = token == null;
-        for (StubInstance being : beings.values()) {
-            from |= being.id.equals(token);
-            if (!from || !being.listed(at, ground.shownMs())) {
+        for (StubInstance instance : instances.values()) {
+            from |= instance.id.equals(token);
+            if (!from || !instance.isListed(at, parameters.crashedShownMs())) {
                 continue;
             }
-            if (page.size() == ground.page()) {
-                return new Page(page, being.id);
+            if (page.size() == parameters.page()) {
+                return new Page(page, instance.id);
             }
             page.add(new ListedInstance(
-                    being.id, being.service, being.address, being.zone, being.worker, being.drainAt <= at));
+                    instance.id,
+                    instance.service,
+                    instance.address,
+                    instance.zone,
+                    instance.worker,
+                    instance.drainAtMs <= at));
         }
         return new Page(page, null);
     }
 
     /** {@code GET /brambletray/workers}; null: refused for the rate. */
     public List<WorkerInfo> workers(long now) {
-        if (!lists.pass(now)) {
+        if (!lists.tryAcquire(now)) {
             return null;
         }
-        long at = now - ground.lagMs();
+        long at = now - parameters.lagMs();
         List<WorkerInfo> shown = new ArrayList<>();
-        for (StubWorker plot : plots.values()) {
-            StubWorker.State state = plot.state(at);
+        for (StubWorker worker : workers.values()) {
+            StubWorker.State state = worker.state(at);
             if (state != StubWorker.State.DOWN) {
                 shown.add(new WorkerInfo(
-                        plot.name, plot.zone, plot.memoryMb, free(plot, at), state == StubWorker.State.DRAINING));
+                        worker.name,
+                        worker.zone,
+                        worker.memoryMb,
+                        free(worker, at),
+                        state == StubWorker.State.DRAINING));
             }
         }
         return shown;
@@ -157,56 +168,56 @@
 
     /** The worker drains: its hosts are listed as draining, and end. */
     public void drain(String worker, long now) {
-        plots.get(worker).turn(StubWorker.State.DRAINING, now);
-        for (StubInstance being : beings.values()) {
-            if (being.worker.equals(worker)) {
-                drainHost(being.id, now);
+        workers.get(worker).changeState(StubWorker.State.DRAINING, now);
+        for (StubInstance instance : instances.values()) {
+            if (instance.worker.equals(worker)) {
+                drainHost(instance.id, now);
             }
         }
     }
 
     /** One host is listed as draining, and ends. */
     public void drainHost(String id, long now) {
-        StubInstance being = beings.get(id);
-        if (being.there(now) && being.drainAt == StubInstance.NEVER) {
-            lots.ended(being);
-            being.drain(now, now + ground.drainMs() + AFTER_DRAIN);
+        StubInstance instance = instances.get(id);
+        if (instance.occupiesMemory(now) && instance.drainAtMs == StubInstance.NEVER) {
+            addresses.ended(instance);
+            instance.drain(now, now + parameters.drainMs() + AFTER_DRAIN);
         }
     }
 
     /** The worker crashes, with all its hosts, and is back after so many ms. */
     public void crash(String worker, long ms, long now) {
-        plots.get(worker).crash(now, ms);
-        for (StubInstance being : beings.values()) {
-            if (being.worker.equals(worker)) {
-                end(being, now, true);
+        workers.get(worker).crash(now, ms);
+        for (StubInstance instance : instances.values()) {
+            if (instance.worker.equals(worker)) {
+                end(instance, now, true);
             }
         }
     }
 
     /** One host crashes. */
     public void crashHost(String id, long now) {
-        end(beings.get(id), now, true);
+        end(instances.get(id), now, true);
     }
 
     /** It would take connections now. */
     public boolean up(String id, long now) {
-        StubInstance being = beings.get(id);
-        return being != null && being.up(now);
+        StubInstance instance = instances.get(id);
+        return instance != null && instance.acceptsConnections(now);
     }
 
     /** Where it runs or boots; null: it has ended, or there never was one. */
-    public String where(String id, long now) {
-        StubInstance being = beings.get(id);
-        return being != null && being.there(now) ? being.worker : null;
+    public String workerOf(String id, long now) {
+        StubInstance instance = instances.get(id);
+        return instance != null && instance.occupiesMemory(now) ? instance.worker : null;
     }
 
     /** The ids of the hosts of a service that take memory now. */
-    public List<String> there(String service, long now) {
+    public List<String> occupying(String service, long now) {
         List<String> ids = new ArrayList<>();
-        for (StubInstance being : beings.values()) {
-            if (being.service.equals(service) && being.there(now)) {
-                ids.add(being.id);
+        for (StubInstance instance : instances.values()) {
+            if (instance.service.equals(service) && instance.occupiesMemory(now)) {
+                ids.add(instance.id);
             }
         }
         return ids;
@@ -214,8 +225,8 @@
 
     /** The host's address; null: none such. */
     public String address(String id) {
-        StubInstance being = beings.get(id);
-        return being == null ? null : being.address;
+        StubInstance instance = instances.get(id);
+        return instance == null ? null : instance.address;
     }
 
     /** Hosts that were started so far. */
@@ -228,54 +239,54 @@
         return refusals;
     }
 
-    private StubInstance make(String service, ServiceKind kind, StubWorker plot, long now) {
-        double boot = kind.bootMs();
-        if (kind.spread() > 0) {
-            double sigma = kind.spread();
-            boot *= Math.min(LONGEST_BOOT, Math.exp(sigma * random.nextGaussian() - sigma * sigma / 2));
+    private StubInstance make(String service, ServiceKind serviceKind, StubWorker worker, long now) {
+        double boot = serviceKind.bootMs();
+        if (serviceKind.spread() > 0) {
+            double sigma = serviceKind.spread();
+            boot *= Math.min(MAX_BOOT_MS, Math.exp(sigma * random.nextGaussian() - sigma * sigma / 2));
         }
         forget(now);
-        StubInstance being = new StubInstance(
-                "i-" + Integer.toHexString(0x1000 + made),
+        StubInstance instance = new StubInstance(
+                "i-" + Integer.toHexString(0x1000 + instanceCount),
                 service,
-                lots.next(now),
-                plot,
-                kind.memoryMb(),
+                addresses.next(now),
+                worker,
+                serviceKind.memoryMb(),
                 now,
                 now + (long) boot);
-        made++;
+        instanceCount++;
         starts++;
-        beings.put(being.id, being);
-        return being;
+        instances.put(instance.id, instance);
+        return instance;
     }
 
-    private void end(StubInstance being, long now, boolean crash) {
-        if (being.there(now)) {
-            if (being.drainAt == StubInstance.NEVER) {
-                lots.ended(being);
+    private void end(StubInstance instance, long now, boolean crash) {
+        if (instance.occupiesMemory(now)) {
+            if (instance.drainAtMs == StubInstance.NEVER) {
+                addresses.ended(instance);
             }
-            being.end(now, crash);
+            instance.end(now, crash);
         }
     }
 
-    private int free(StubWorker plot, long at) {
-        int free = plot.memoryMb;
-        for (StubInstance being : beings.values()) {
-            if (being.worker.equals(plot.name) && being.there(at)) {
-                free -= being.memoryMb;
+    private int free(StubWorker worker, long at) {
+        int free = worker.memoryMb;
+        for (StubInstance instance : instances.values()) {
+            if (instance.worker.equals(worker.name) && instance.occupiesMemory(at)) {
+                free -= instance.memoryMb;
             }
         }
         return free;
     }
 
     private void forget(long now) {
-        for (Iterator<StubInstance> each = beings.values().iterator(); each.hasNext(); ) {
-            StubInstance being = each.next();
-            if (being.endAt == StubInstance.NEVER || now - being.endAt < FORGET) {
+        for (Iterator<StubInstance> each = instances.values().iterator(); each.hasNext(); ) {
+            StubInstance instance = each.next();
+            if (instance.endAtMs == StubInstance.NEVER || now - instance.endAtMs < FORGET_MS) {
                 return;
             }
             each.remove();
-            nonces.values().remove(being.id);
+            nonces.values().remove(instance.id);
         }
     }
 }
--- a/src/main/java/brambletray/platform/platformstub/PlatformStubServer.java
+++ b/src/main/java/brambletray/platform/platformstub/PlatformStubServer.java
@@ -36,20 +36,20 @@
 
 /** The stand-in behind the platform's own interface: HTTP/1.1 and JSON, on sockets or simulated ones. */
 public final class PlatformStubServer {
-    private static final int BODY_MOST = 64 * 1024;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
     private static final byte[] NOTHING = new byte[0];
 
     private record Answer(int status, byte[] body) {}
 
     private final Machine machine;
-    private final PlatformStub stand;
+    private final PlatformStub stub;
     private final DslJson<Object> json = new DslJson<>();
     private final JsonWriter out = json.newWriter();
     private Channel listener;
 
-    public PlatformStubServer(Machine machine, PlatformStub stand) {
+    public PlatformStubServer(Machine machine, PlatformStub stub) {
         this.machine = machine;
-        this.stand = stand;
+        this.stub = stub;
     }
 
     /** Listens there until {@link #close}; the future fails where the address can't be had. */
@@ -58,7 +58,7 @@
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
-                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(BODY_MOST), new Front());
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new Front());
                     }
                 })
                 .bind(address);
@@ -96,13 +96,13 @@
         long now = TimeUnit.NANOSECONDS.toMillis(machine.clock().nanos());
         String term = request.headers().get("Brambletray-Fence-Token", "0");
         return switch (request.method().name() + ' ' + query.path()) {
-            case "GET /instances" -> list(stand.list(first(query, "page-token"), now));
-            case "GET /brambletray/workers" -> workers(stand.workers(now));
+            case "GET /instances" -> list(stub.list(first(query, "page-token"), now));
+            case "GET /brambletray/workers" -> workers(stub.workers(now));
             case "POST /brambletray/begin" -> {
                 Map<String, Object> body = body(request);
                 yield body == null
                         ? new Answer(400, NOTHING)
-                        : begun(stand.begin(
+                        : begun(stub.startInstance(
                                 (String) body.get("service"),
                                 (String) body.get("worker"),
                                 (String) body.get("request-nonce"),
@@ -114,7 +114,7 @@
                 yield body == null
                         ? new Answer(400, NOTHING)
                         : new Answer(
-                                status(stand.stop((String) body.get("instance-id"), Long.parseLong(term), now)),
+                                status(stub.stopInstance((String) body.get("instance-id"), Long.parseLong(term), now)),
                                 NOTHING);
             }
             default -> new Answer(404, NOTHING);
@@ -210,10 +210,10 @@
     private static int status(CallResult result) {
         return switch (result) {
             case OK -> 200;
-            case BAD -> 400;
+            case MALFORMED -> 400;
             case FENCED -> 403;
             case NO_SUCH -> 404;
-            case REFUSED -> 409;
+            case REJECTED -> 409;
             case BUSY -> 429;
             case UNKNOWN -> 503;
         };
--- a/src/main/java/brambletray/platform/platformstub/StubInstance.java
+++ b/src/main/java/brambletray/platform/platformstub/StubInstance.java
@@ -10,47 +10,47 @@
     final String worker;
     final String zone;
     final int memoryMb;
-    final long begunAt;
-    final long upAt;
-    long drainAt = NEVER;
-    long endAt = NEVER;
+    final long startedAtMs;
+    final long upAtMs;
+    long drainAtMs = NEVER;
+    long endAtMs = NEVER;
     boolean crashed;
 
-    StubInstance(String id, String service, String address, StubWorker plot, int memoryMb, long begunAt, long upAt) {
+    StubInstance(String id, String service, String address, StubWorker worker, int memoryMb, long begunAt, long upAt) {
         this.id = id;
         this.service = service;
         this.address = address;
-        this.worker = plot.name;
-        this.zone = plot.zone;
+        this.worker = worker.name;
+        this.zone = worker.zone;
         this.memoryMb = memoryMb;
-        this.begunAt = begunAt;
-        this.upAt = upAt;
+        this.startedAtMs = begunAt;
+        this.upAtMs = upAt;
     }
 
     void drain(long at, long end) {
-        drainAt = Math.min(drainAt, at);
-        endAt = Math.min(endAt, end);
+        drainAtMs = Math.min(drainAtMs, at);
+        endAtMs = Math.min(endAtMs, end);
     }
 
     void end(long at, boolean crash) {
-        if (at < endAt) {
-            endAt = at;
+        if (at < endAtMs) {
+            endAtMs = at;
             crashed = crash;
         }
     }
 
     /** Takes memory then. */
-    boolean there(long at) {
-        return begunAt <= at && at < endAt;
+    boolean occupiesMemory(long at) {
+        return startedAtMs <= at && at < endAtMs;
     }
 
     /** Takes connections then. */
-    boolean up(long at) {
-        return upAt <= at && at < endAt;
+    boolean acceptsConnections(long at) {
+        return upAtMs <= at && at < endAtMs;
     }
 
     /** Is on a list of that moment; {@code shown}: ms that one which crashed stays there. */
-    boolean listed(long at, long shown) {
-        return upAt <= at && upAt < endAt && (crashed ? at - shown < endAt : at < endAt);
+    boolean isListed(long at, long shown) {
+        return upAtMs <= at && upAtMs < endAtMs && (crashed ? at - shown < endAtMs : at < endAtMs);
     }
 }
--- a/src/main/java/brambletray/platform/platformstub/StubWorker.java
+++ b/src/main/java/brambletray/platform/platformstub/StubWorker.java
@@ -22,7 +22,7 @@
         states.put(now, State.OPERATIONAL);
     }
 
-    void turn(State state, long at) {
+    void changeState(State state, long at) {
         states.tailMap(at, true).clear();
         states.put(at, state);
     }
@@ -35,7 +35,7 @@
 
     /** Down for so long, then back. */
     void crash(long at, long ms) {
-        turn(State.DOWN, at);
+        changeState(State.DOWN, at);
         states.put(at + ms, State.OPERATIONAL);
     }
 }
--- a/src/main/java/brambletray/platform/provisioning/CallPacer.java
+++ b/src/main/java/brambletray/platform/provisioning/CallPacer.java
@@ -6,61 +6,61 @@
  */
 final class CallPacer {
     /** Calls without an answer at a time. */
-    static final int WINDOW_MOST = 64;
+    static final int MAX_WINDOW = 64;
 
-    private static final int WINDOW_LEAST = 4;
+    private static final int MIN_WINDOW = 4;
     /** ms of the full rate that may be called at once. */
     private static final double BURST = 100;
     /** ms without calls after a 429. */
-    private static final long REST = 100;
+    private static final long BACKOFF_MS = 100;
 
-    private static final double LEAST_SHARE = 0.1;
-    private static final double SLOWER = 0.7;
-    private static final double FASTER = 0.01;
+    private static final double MIN_RATE_SHARE = 0.1;
+    private static final double RATE_DECREASE = 0.7;
+    private static final double RATE_INCREASE = 0.01;
 
-    private final double full;
+    private final double fullRate;
     private final double burst;
     private double rate;
     private double tokens;
-    private long at;
-    private long restUntil;
-    private int window = WINDOW_MOST;
-    private int out;
+    private long updatedAtMs;
+    private long backoffUntilMs;
+    private int window = MAX_WINDOW;
+    private int inFlight;
 
-    /** {@code perS}: calls accepted a second. A little below it is used, for calls bunch on their way. */
-    CallPacer(double perS, long now) {
-        full = perS * 0.95;
-        burst = Math.max(1, full * BURST / 1000);
-        rate = full;
+    /** {@code ratePerS}: calls accepted a second. A little below it is used, for calls bunch on their way. */
+    CallPacer(double ratePerS, long now) {
+        fullRate = ratePerS * 0.95;
+        burst = Math.max(1, fullRate * BURST / 1000);
+        rate = fullRate;
         tokens = burst;
-        at = now;
+        updatedAtMs = now;
     }
 
-    boolean free(long now) {
-        if (now > at) {
-            tokens = Math.min(burst, tokens + (now - at) * rate / 1000);
-            at = now;
+    boolean mayCall(long now) {
+        if (now > updatedAtMs) {
+            tokens = Math.min(burst, tokens + (now - updatedAtMs) * rate / 1000);
+            updatedAtMs = now;
         }
-        return tokens >= 1 && out < window && now >= restUntil;
+        return tokens >= 1 && inFlight < window && now >= backoffUntilMs;
     }
 
-    void called() {
+    void onCalled() {
         tokens--;
-        out++;
+        inFlight++;
     }
 
-    void answered(CallResult result, long now) {
-        out--;
+    void onAnswered(CallResult result, long now) {
+        inFlight--;
         switch (result) {
-            case UNKNOWN -> window = Math.max(WINDOW_LEAST, window / 2);
+            case UNKNOWN -> window = Math.max(MIN_WINDOW, window / 2);
             case BUSY -> {
-                rate = Math.max(full * LEAST_SHARE, rate * SLOWER);
+                rate = Math.max(fullRate * MIN_RATE_SHARE, rate * RATE_DECREASE);
                 tokens = Math.min(tokens, 0);
-                restUntil = now + REST;
+                backoffUntilMs = now + BACKOFF_MS;
             }
             default -> {
-                window = Math.min(WINDOW_MOST, window + 2);
-                rate = Math.min(full, rate + full * FASTER);
+                window = Math.min(MAX_WINDOW, window + 2);
+                rate = Math.min(fullRate, rate + fullRate * RATE_INCREASE);
             }
         }
     }
--- a/src/main/java/brambletray/platform/provisioning/CoordinatorTakeover.java
+++ b/src/main/java/brambletray/platform/provisioning/CoordinatorTakeover.java
@@ -14,20 +14,20 @@
  */
 final class CoordinatorTakeover {
     /** ms. */
-    private static final long MOST = 1_500;
+    private static final long MAX_WAIT_MS = 1_500;
 
-    private static final int CLAIMS_MOST = 4_096;
+    private static final int MAX_CLAIMS = 4_096;
 
-    private final long until;
+    private final long untilMs;
     private final Set<String> expected = new HashSet<>();
-    private final Set<String> told = new HashSet<>();
+    private final Set<String> reported = new HashSet<>();
     private boolean roster;
     private boolean done;
     private boolean listed;
     private final Map<HomeClaim, String> claims = new LinkedHashMap<>();
 
     CoordinatorTakeover(long now) {
-        until = now + MOST;
+        untilMs = now + MAX_WAIT_MS;
     }
 
     /** The edges that are there; may be said again as more are known. */
@@ -35,44 +35,44 @@
         roster = true;
         expected.clear();
         expected.addAll(edges);
-        expected.removeAll(told);
+        expected.removeAll(reported);
     }
 
-    void told(String edge) {
+    void onReported(String edge) {
         if (!done) {
-            told.add(edge);
+            reported.add(edge);
             expected.remove(edge);
         }
     }
 
-    boolean over(long now) {
-        if (!done && (now >= until || roster && expected.isEmpty())) {
+    boolean isOver(long now) {
+        if (!done && (now >= untilMs || roster && expected.isEmpty())) {
             done = true;
             expected.clear();
-            told.clear();
+            reported.clear();
         }
         return done;
     }
 
     /** A whole list has been taken in. */
-    void listed(long now) {
-        listed |= over(now);
+    void onListed(long now) {
+        listed |= isOver(now);
     }
 
     /** Nothing is known for sure yet. */
-    boolean blind(long now) {
-        return now < until && !(listed && over(now));
+    boolean isIncomplete(long now) {
+        return now < untilMs && !(listed && isOver(now));
     }
 
     /** A claim that is to be answered once it is known whether there are hosts. */
-    void await(String edge, HomeClaim claim) {
-        if (claims.size() < CLAIMS_MOST) {
+    void deferClaim(String edge, HomeClaim claim) {
+        if (claims.size() < MAX_CLAIMS) {
             claims.put(claim, edge);
         }
     }
 
     /** Hands out all claims that wait. */
-    void drain(BiConsumer<String, HomeClaim> each) {
+    void releaseClaims(BiConsumer<String, HomeClaim> each) {
         if (!claims.isEmpty()) {
             List<Map.Entry<HomeClaim, String>> all = new ArrayList<>(claims.entrySet());
             claims.clear();
--- a/src/main/java/brambletray/platform/provisioning/HomeClaim.java
+++ b/src/main/java/brambletray/platform/provisioning/HomeClaim.java
@@ -1,4 +1,4 @@
 package brambletray.platform.provisioning;
 
 /** An edge is the home of a seat from now on, and asks for its hosts. */
-public record HomeClaim(String service, String seat) {}
+public record HomeClaim(String service, String homeZone) {}
--- a/src/main/java/brambletray/platform/provisioning/InstanceInfo.java
+++ b/src/main/java/brambletray/platform/provisioning/InstanceInfo.java
@@ -10,11 +10,11 @@
         String service,
         String address,
         String zone,
-        String seat,
+        String homeZone,
         String worker,
         String nonce,
         int state,
-        long bornAgoMs) {
+        long ageMs) {
     public static final int BOOTING = 0;
     public static final int UP = 1;
     public static final int LEAVING = 2;
--- a/src/main/java/brambletray/platform/provisioning/InstanceLifecycle.java
+++ b/src/main/java/brambletray/platform/provisioning/InstanceLifecycle.java
@@ -6,17 +6,17 @@
     final String service;
     final String address;
     final String nonce;
-    final long bornAt;
+    final long startedAtMs;
     String zone;
-    String seat;
+    String homeZone;
     String worker;
     int state;
     /** ms; when it was first known to be up; -1: not yet. */
-    long upAt = -1;
+    long upAtMs = -1;
     /** Complete lists in a row that should show it and do not. */
-    int missed;
+    int missedLists;
     /** ms; since when its seat is without a home that wants it; -1: it has one. */
-    long lonelySince = -1;
+    long orphanedSinceMs = -1;
     /** Its stop is being called. */
     boolean stopping;
 
@@ -25,26 +25,26 @@
         this.service = service;
         this.address = address;
         this.nonce = nonce;
-        this.bornAt = bornAt;
+        this.startedAtMs = bornAt;
     }
 
-    InstanceLifecycle at(String itsZone, String itsSeat, String itsWorker) {
+    InstanceLifecycle place(String itsZone, String itsHomeZone, String itsWorker) {
         zone = itsZone;
-        seat = itsSeat;
+        homeZone = itsHomeZone;
         worker = itsWorker;
         return this;
     }
 
-    void up(long now) {
-        if (upAt < 0) {
-            upAt = now;
+    void markUp(long now) {
+        if (upAtMs < 0) {
+            upAtMs = now;
         }
         if (state == InstanceInfo.BOOTING) {
             state = InstanceInfo.UP;
         }
     }
 
-    InstanceInfo host(long now) {
-        return new InstanceInfo(id, service, address, zone, seat, worker, nonce, state, now - bornAt);
+    InstanceInfo toInfo(long now) {
+        return new InstanceInfo(id, service, address, zone, homeZone, worker, nonce, state, now - startedAtMs);
     }
 }
--- a/src/main/java/brambletray/platform/provisioning/InstanceListReconciler.java
+++ b/src/main/java/brambletray/platform/provisioning/InstanceListReconciler.java
@@ -11,21 +11,21 @@
 final class InstanceListReconciler {
     private static final EventLog LOG = EventLog.of("provisioning");
     /** Whole lists in a row that do not show a host until it counts as gone. */
-    private static final int MISSED_MOST = 2;
+    private static final int MAX_MISSED_LISTS = 2;
     /** ms; how much later than its stated lag a list may be. */
-    private static final long LATE = 200;
+    private static final long LIST_MARGIN_MS = 200;
     /** ms, and times the mean of a start: a start that takes longer has failed. */
-    private static final long BOOT_MOST = 10_000;
+    private static final long MAX_BOOT_MS = 10_000;
 
-    private static final int BOOTS_MOST = 6;
+    private static final int MAX_BOOT_FACTOR = 6;
     /** ms; a host that has ended may be on the list for so long: it crashed, or its stop had work to await. */
-    private static final long AFTER_END = 10_000;
+    private static final long REMEMBER_END_MS = 10_000;
 
     private final InstanceRegistry registry;
     private final InstanceStops stops;
     private final InstanceStarts starts;
     private final Function<String, InstanceSize> sizes;
-    private final long lag;
+    private final long listLagMs;
 
     InstanceListReconciler(
             InstanceRegistry registry,
@@ -37,69 +37,69 @@
         this.stops = stops;
         this.starts = starts;
         this.sizes = sizes;
-        this.lag = lagMs + LATE;
+        this.listLagMs = lagMs + LIST_MARGIN_MS;
     }
 
-    /** {@code asked}: when its first page was asked for; {@code settled}: who is unknown now is known to nobody. */
-    void take(List<ListedInstance> list, long asked, boolean whole, boolean settled, long now) {
+    /** {@code requestedAtMs}: when its first page was asked for; {@code settled}: who is unknown now is known to nobody. */
+    void reconcile(List<ListedInstance> list, long requestedAtMs, boolean complete, boolean settled, long now) {
         Set<String> shown = new HashSet<>(list.size() * 2);
         for (ListedInstance listed : list) {
             shown.add(listed.id());
-            InstanceLifecycle life = registry.get(listed.id());
-            if (life != null) {
-                seen(life, listed, now);
-            } else if (settled && whole) {
-                unknown(listed, now);
+            InstanceLifecycle instance = registry.get(listed.id());
+            if (instance != null) {
+                onListed(instance, listed, now);
+            } else if (settled && complete) {
+                onUnknown(listed, now);
             }
         }
-        if (whole) {
-            for (InstanceLifecycle life : new ArrayList<>(registry.all())) {
-                if (!shown.contains(life.id)) {
-                    absent(life, asked, now);
+        if (complete) {
+            for (InstanceLifecycle instance : new ArrayList<>(registry.all())) {
+                if (!shown.contains(instance.id)) {
+                    onAbsent(instance, requestedAtMs, now);
                 }
             }
         }
     }
 
-    private void seen(InstanceLifecycle life, ListedInstance listed, long now) {
-        life.missed = 0;
-        life.up(now);
-        registry.move(life, listed.zone(), listed.worker());
+    private void onListed(InstanceLifecycle instance, ListedInstance listed, long now) {
+        instance.missedLists = 0;
+        instance.markUp(now);
+        registry.move(instance, listed.zone(), listed.worker());
         if (listed.draining()) {
-            registry.leaving(life, "the list shows it as draining");
+            registry.onDraining(instance, "the list shows it as draining");
         }
     }
 
-    private void absent(InstanceLifecycle life, long asked, long now) {
-        if (life.upAt < 0) {
-            InstanceSize size = sizes.apply(life.service);
-            long boot = Math.max(BOOT_MOST, size == null ? 0 : (long) size.bootMs() * BOOTS_MOST);
-            if (asked - life.bornAt > boot + lag) {
-                registry.gone(life, "has not started within " + boot + " ms", false, now);
-                stops.want(life.id, "has not started", now);
+    private void onAbsent(InstanceLifecycle instance, long requestedAtMs, long now) {
+        if (instance.upAtMs < 0) {
+            InstanceSize size = sizes.apply(instance.service);
+            long boot = Math.max(MAX_BOOT_MS, size == null ? 0 : (long) size.bootMs() * MAX_BOOT_FACTOR);
+            if (requestedAtMs - instance.startedAtMs > boot + listLagMs) {
+                registry.onGone(instance, "has not started within " + boot + " ms", false, now);
+                stops.request(instance.id, "has not started", now);
             }
-        } else if (asked - life.upAt >= lag && ++life.missed >= MISSED_MOST) {
-            registry.gone(life, "is not on the list any more", false, now);
+        } else if (requestedAtMs - instance.upAtMs >= listLagMs && ++instance.missedLists >= MAX_MISSED_LISTS) {
+            registry.onGone(instance, "is not on the list any more", false, now);
         }
     }
 
     /** On the list, and in nobody's books. */
-    private void unknown(ListedInstance listed, long now) {
-        if (stops.wanted(listed.id()) || starts.pending(listed.service())) {
+    private void onUnknown(ListedInstance listed, long now) {
+        if (stops.isRequested(listed.id()) || starts.pending(listed.service())) {
             return;
         }
-        InstanceRegistry.End end = registry.end(listed.id(), now);
+        InstanceRegistry.End end = registry.findEnd(listed.id(), now);
         if (end != null) {
-            if (registry.endedAgo(listed.id(), now) < AFTER_END + lag || listed.draining()) {
+            if (registry.msSinceEnd(listed.id(), now) < REMEMBER_END_MS + listLagMs || listed.draining()) {
                 return;
             }
             LOG.warn("still there")
                     .with("host", listed.id())
-                    .with("ended as", end.why())
+                    .with("ended as", end.reason())
                     .log();
             registry.revive(listed.id());
-            if (end.stopped()) {
-                stops.want(listed.id(), "stopped before, and still there", now);
+            if (end.stopConfirmed()) {
+                stops.request(listed.id(), "stopped before, and still there", now);
                 return;
             }
         }
@@ -109,7 +109,7 @@
                     .with("service", listed.service())
                     .with("why", "no such service")
                     .log();
-            stops.want(listed.id(), "of no service", now);
+            stops.request(listed.id(), "of no service", now);
             return;
         }
         LOG.info("orphan adopted")
@@ -117,14 +117,14 @@
                 .with("service", listed.service())
                 .with("seat", listed.zone())
                 .log();
-        InstanceLifecycle life = new InstanceLifecycle(
+        InstanceLifecycle instance = new InstanceLifecycle(
                         listed.id(), listed.service(), listed.address(), listed.id(), now)
-                .at(listed.zone(), listed.zone(), listed.worker());
-        life.up(now);
+                .place(listed.zone(), listed.zone(), listed.worker());
+        instance.markUp(now);
         if (listed.draining()) {
-            life.state = InstanceInfo.LEAVING;
+            instance.state = InstanceInfo.LEAVING;
         }
-        registry.add(life);
-        registry.born(life, now);
+        registry.add(instance);
+        registry.onStarted(instance, now);
     }
 }
--- a/src/main/java/brambletray/platform/provisioning/InstanceRegistry.java
+++ b/src/main/java/brambletray/platform/provisioning/InstanceRegistry.java
@@ -14,162 +14,164 @@
 final class InstanceRegistry {
     private static final EventLog LOG = EventLog.of("provisioning");
     /** Ended hosts, and ms, for which an id is remembered: lists that lag may show it still. */
-    private static final int PAST_MOST = 8_192;
+    private static final int MAX_REMEMBERED_ENDS = 8_192;
 
-    private static final long PAST_AGE = 60_000;
+    private static final long REMEMBER_END_MS = 60_000;
 
-    /** Why a host ended. {@code stopped}: the platform has confirmed the stop. */
-    record End(String why, boolean stopped) {}
+    /** Why a host ended. {@code stopConfirmed}: the platform has confirmed the stop. */
+    record End(String reason, boolean stopConfirmed) {}
 
-    private final ProvisioningActions hands;
+    private final ProvisioningActions actions;
     private final HomeLookup homes;
-    private final WorkerPool fleet;
-    private final Map<String, InstanceLifecycle> lives = new LinkedHashMap<>();
-    private final Map<String, Map<String, InstanceLifecycle>> services = new HashMap<>();
-    private final Map<String, InstanceLifecycle> addresses = new HashMap<>();
-    private final RecentNames<End> past = new RecentNames<>(PAST_MOST, PAST_AGE);
-
-    InstanceRegistry(ProvisioningActions hands, HomeLookup homes, WorkerPool fleet) {
-        this.hands = hands;
+    private final WorkerPool workerPool;
+    private final Map<String, InstanceLifecycle> instances = new LinkedHashMap<>();
+    private final Map<String, Map<String, InstanceLifecycle>> byService = new HashMap<>();
+    private final Map<String, InstanceLifecycle> byAddress = new HashMap<>();
+    private final RecentNames<End> ended = new RecentNames<>(MAX_REMEMBERED_ENDS, REMEMBER_END_MS);
+
+    InstanceRegistry(ProvisioningActions actions, HomeLookup homes, WorkerPool workerPool) {
+        this.actions = actions;
         this.homes = homes;
-        this.fleet = fleet;
+        this.workerPool = workerPool;
     }
 
     InstanceLifecycle get(String id) {
-        return lives.get(id);
+        return instances.get(id);
     }
 
-    boolean empty() {
-        return lives.isEmpty();
+    boolean isEmpty() {
+        return instances.isEmpty();
     }
 
     int size() {
-        return lives.size();
+        return instances.size();
     }
 
     Collection<InstanceLifecycle> all() {
-        return lives.values();
+        return instances.values();
     }
 
     /** A copy: hosts may be removed while it is walked. */
-    List<InstanceLifecycle> of(String service) {
-        Map<String, InstanceLifecycle> instances = services.get(service);
-        return instances == null ? List.of() : new ArrayList<>(instances.values());
+    List<InstanceLifecycle> ofService(String service) {
+        Map<String, InstanceLifecycle> serviceInstances = byService.get(service);
+        return serviceInstances == null ? List.of() : new ArrayList<>(serviceInstances.values());
     }
 
     /** A copy. */
-    List<InstanceLifecycle> at(String worker) {
-        List<InstanceLifecycle> there = new ArrayList<>();
-        for (InstanceLifecycle life : lives.values()) {
-            if (worker.equals(life.worker)) {
-                there.add(life);
+    List<InstanceLifecycle> onWorker(String worker) {
+        List<InstanceLifecycle> onWorker = new ArrayList<>();
+        for (InstanceLifecycle instance : instances.values()) {
+            if (worker.equals(instance.worker)) {
+                onWorker.add(instance);
             }
         }
-        return there;
+        return onWorker;
     }
 
     /** Those of a seat that may be given work or still have some. */
-    List<InstanceInfo> seat(String service, String seat, long now) {
+    List<InstanceInfo> inHomeZone(String service, String homeZone, long now) {
         List<InstanceInfo> hosts = new ArrayList<>();
-        for (InstanceLifecycle life : of(service)) {
-            if (life.seat.equals(seat) && !life.stopping) {
-                hosts.add(life.host(now));
+        for (InstanceLifecycle instance : ofService(service)) {
+            if (instance.homeZone.equals(homeZone) && !instance.stopping) {
+                hosts.add(instance.toInfo(now));
             }
         }
         return hosts;
     }
 
     /** Adds it; tells nobody. */
-    void add(InstanceLifecycle life) {
-        lives.put(life.id, life);
-        services.computeIfAbsent(life.service, name -> new LinkedHashMap<>()).put(life.id, life);
-        addresses.put(life.address, life);
-        fleet.instances(life.worker, life.service, 1);
+    void add(InstanceLifecycle instance) {
+        instances.put(instance.id, instance);
+        byService
+                .computeIfAbsent(instance.service, name -> new LinkedHashMap<>())
+                .put(instance.id, instance);
+        byAddress.put(instance.address, instance);
+        workerPool.instances(instance.worker, instance.service, 1);
     }
 
     /** The platform has given this address to another host just now: who had it has ended. */
-    void reused(String address, String by, long now) {
-        InstanceLifecycle former = addresses.get(address);
+    void onAddressReused(String address, String by, long now) {
+        InstanceLifecycle former = byAddress.get(address);
         if (former != null && !former.id.equals(by)) {
-            gone(former, "its address has been given to " + by, false, now);
+            onGone(former, "its address has been given to " + by, false, now);
         }
     }
 
     /** A host turns out to be elsewhere than was thought. */
-    void move(InstanceLifecycle life, String zone, String worker) {
-        life.zone = zone;
-        if (worker != null && !worker.equals(life.worker)) {
-            fleet.instances(life.worker, life.service, -1);
-            life.worker = worker;
-            fleet.instances(worker, life.service, 1);
+    void move(InstanceLifecycle instance, String zone, String worker) {
+        instance.zone = zone;
+        if (worker != null && !worker.equals(instance.worker)) {
+            workerPool.instances(instance.worker, instance.service, -1);
+            instance.worker = worker;
+            workerPool.instances(worker, instance.service, 1);
         }
     }
 
-    void born(InstanceLifecycle life, long now) {
-        tell(life, new InstanceStarted(life.nonce, life.host(now)));
+    void onStarted(InstanceLifecycle instance, long now) {
+        notifyHome(instance, new InstanceStarted(instance.nonce, instance.toInfo(now)));
     }
 
-    void leaving(InstanceLifecycle life, String why) {
-        if (life.state == InstanceInfo.LEAVING) {
+    void onDraining(InstanceLifecycle instance, String reason) {
+        if (instance.state == InstanceInfo.LEAVING) {
             return;
         }
-        life.state = InstanceInfo.LEAVING;
+        instance.state = InstanceInfo.LEAVING;
         LOG.info("leaving")
-                .with("host", life.id)
-                .with("service", life.service)
-                .with("why", why)
+                .with("host", instance.id)
+                .with("service", instance.service)
+                .with("why", reason)
                 .log();
-        if (!life.stopping) {
-            tell(life, new InstanceDraining(life.id, life.service));
+        if (!instance.stopping) {
+            notifyHome(instance, new InstanceDraining(instance.id, instance.service));
         }
     }
 
-    void gone(InstanceLifecycle life, String why, boolean stopped, long now) {
-        if (lives.remove(life.id) == null) {
+    void onGone(InstanceLifecycle instance, String reason, boolean stopConfirmed, long now) {
+        if (instances.remove(instance.id) == null) {
             return;
         }
-        Map<String, InstanceLifecycle> instances = services.get(life.service);
-        instances.remove(life.id);
-        if (instances.isEmpty()) {
-            services.remove(life.service);
+        Map<String, InstanceLifecycle> serviceInstances = byService.get(instance.service);
+        serviceInstances.remove(instance.id);
+        if (serviceInstances.isEmpty()) {
+            byService.remove(instance.service);
         }
-        addresses.remove(life.address, life);
-        fleet.instances(life.worker, life.service, -1);
-        ended(life.id, why, stopped, now);
-        if (!stopped) {
+        byAddress.remove(instance.address, instance);
+        workerPool.instances(instance.worker, instance.service, -1);
+        recordEnd(instance.id, reason, stopConfirmed, now);
+        if (!stopConfirmed) {
             LOG.info("gone")
-                    .with("host", life.id)
-                    .with("service", life.service)
-                    .with("worker", life.worker)
-                    .with("why", why)
+                    .with("host", instance.id)
+                    .with("service", instance.service)
+                    .with("worker", instance.worker)
+                    .with("why", reason)
                     .log();
         }
-        tell(life, new InstanceGone(life.id, life.service));
+        notifyHome(instance, new InstanceGone(instance.id, instance.service));
     }
 
     /** Remembers the end of a host that may be unknown. */
-    void ended(String id, String why, boolean stopped, long now) {
-        past.put(id, new End(why, stopped), now);
+    void recordEnd(String id, String reason, boolean stopConfirmed, long now) {
+        ended.put(id, new End(reason, stopConfirmed), now);
     }
 
     /** Null: not known to have ended. */
-    End end(String id, long now) {
-        return past.get(id, now);
+    End findEnd(String id, long now) {
+        return ended.get(id, now);
     }
 
     /** ms since it ended; -1: not known to have ended. */
-    long endedAgo(String id, long now) {
-        return past.ago(id, now);
+    long msSinceEnd(String id, long now) {
+        return ended.ageMs(id, now);
     }
 
     void revive(String id) {
-        past.remove(id);
+        ended.remove(id);
     }
 
-    private void tell(InstanceLifecycle life, Object frame) {
-        String home = homes.edge(life.service, life.seat);
+    private void notifyHome(InstanceLifecycle instance, Object frame) {
+        String home = homes.edgeFor(instance.service, instance.homeZone);
         if (home != null) {
-            hands.tell(home, frame);
+            actions.send(home, frame);
         }
     }
 }
--- a/src/main/java/brambletray/platform/provisioning/InstanceStarts.java
+++ b/src/main/java/brambletray/platform/provisioning/InstanceStarts.java
@@ -15,98 +15,100 @@
  */
 final class InstanceStarts {
     private static final EventLog LOG = EventLog.of("provisioning");
-    private static final int MOST = 2_048;
+    private static final int MAX_OPEN = 2_048;
     /** ms; a start that has not been called, and not been asked for again for so long, is forgotten. */
-    private static final long FORGET = 3_000;
+    private static final long FORGET_MS = 3_000;
     /**
      * ms of waiting that each request that waits for the start counts as, and how many count: none is overtaken for
      * ever.
      */
     private static final int URGENCY_MS = 20;
 
-    private static final int URGENCY_MOST = 50;
+    private static final int MAX_URGENCY = 50;
     /**
      * ms that a start comes later for each start of its service, as urgent, that is wanted before it: a first one goes
      * before a tenth.
      */
     private static final int RANK_MS = 200;
     /** ms between two looks at all that wait. */
-    private static final long LOOK = 250;
+    private static final long EXPIRY_CHECK_MS = 250;
     /**
      * ms until a home had better ask again: when all is full, when nothing could be called, when the service is not
      * known.
      */
-    static final int FULL = 500;
+    static final int RETRY_WHEN_FULL_MS = 500;
 
-    static final int BUSY = 300;
-    static final int NO_SERVICE = 500;
+    static final int RETRY_WHEN_BUSY_MS = 300;
+    static final int RETRY_WITHOUT_SERVICE_MS = 500;
 
-    private static final int REFUSALS_MOST = 8;
+    private static final int MAX_REJECTIONS = 8;
     /** ms between calls without an answer. */
-    private static final long PAUSE_LEAST = 50;
+    private static final long MIN_BACKOFF_MS = 50;
 
-    private static final long PAUSE_MOST = 1_000;
+    private static final long MAX_BACKOFF_MS = 1_000;
 
     /** What becomes of a start. */
-    interface Ends {
-        void started(PendingStart start, StartResponse begun, long now);
+    interface Listener {
+        void onStarted(PendingStart start, StartResponse response, long now);
 
-        void turnedDown(PendingStart start, int comeBackMs, String why, long now);
+        void onRejected(PendingStart start, int comeBackMs, String reason, long now);
     }
 
-    private final ProvisioningActions hands;
-    private final WorkerPool fleet;
+    private final ProvisioningActions actions;
+    private final WorkerPool workerPool;
     private final Placement placement;
-    private final CallPacer pace;
-    private final ListPolling polls;
+    private final CallPacer callPacer;
+    private final ListPolling listPolling;
     private final Function<String, InstanceSize> sizes;
-    private final Ends ends;
-    private final MemoryPressure pressure;
+    private final Listener listener;
+    private final MemoryPressure memoryPressure;
     private final Map<String, PendingStart> open = new HashMap<>();
     private final TreeSet<PendingStart> waiting =
-            new TreeSet<>(Comparator.comparingLong(InstanceStarts::turn).thenComparing(start -> start.nonce));
+            new TreeSet<>(Comparator.comparingLong(InstanceStarts::orderKey).thenComparing(start -> start.nonce));
     private final List<PendingStart> called = new ArrayList<>();
     private final Map<String, Integer> pending = new HashMap<>();
-    private long nextLook;
+    private long nextExpiryCheckMs;
 
     InstanceStarts(
-            ProvisioningActions hands,
-            WorkerPool fleet,
+            ProvisioningActions actions,
+            WorkerPool workerPool,
             PlatformTerms terms,
-            CallPacer pace,
-            ListPolling polls,
+            CallPacer callPacer,
+            ListPolling listPolling,
             Function<String, InstanceSize> sizes,
-            Ends ends,
-            MemoryPressure pressure) {
-        this.hands = hands;
-        this.fleet = fleet;
-        this.placement = new Placement(fleet, terms);
-        this.pace = pace;
-        this.polls = polls;
+            Listener listener,
+            MemoryPressure memoryPressure) {
+        this.actions = actions;
+        this.workerPool = workerPool;
+        this.placement = new Placement(workerPool, terms);
+        this.callPacer = callPacer;
+        this.listPolling = listPolling;
         this.sizes = sizes;
-        this.ends = ends;
-        this.pressure = pressure;
+        this.listener = listener;
+        this.memoryPressure = memoryPressure;
     }
 
     /** The smallest goes first. */
-    private static long turn(PendingStart start) {
-        return start.since + (long) RANK_MS * start.rank - (long) URGENCY_MS * Math.min(URGENCY_MOST, start.urgency);
+    private static long orderKey(PendingStart start) {
+        return start.requestedAtMs
+                + (long) RANK_MS * start.rank
+                - (long) URGENCY_MS * Math.min(MAX_URGENCY, start.urgency);
     }
 
     /** Starts of the same service and seat that are as urgent, and not answered. */
-    private int before(StartRequest need) {
+    private int equallyUrgentPending(StartRequest request) {
         int n = 0;
         for (PendingStart start : open.values()) {
-            n += start.service.equals(need.service())
-                            && start.seat.equals(need.seat())
-                            && start.urgency >= need.urgency()
+            n += start.service.equals(request.service())
+                            && start.homeZone.equals(request.homeZone())
+                            && start.urgency >= request.urgency()
                     ? 1
                     : 0;
         }
         return n;
     }
 
-    boolean empty() {
+    boolean isEmpty() {
         return open.isEmpty();
     }
 
@@ -116,12 +118,12 @@
     }
 
     /** Wants it, or wants it still. */
-    void want(String edge, StartRequest need, long now) {
-        PendingStart start = open.get(need.nonce());
+    void request(String edge, StartRequest request, long now) {
+        PendingStart start = open.get(request.nonce());
         if (start == null) {
-            start = new PendingStart(edge, need, before(need), now);
-            if (open.size() >= MOST) {
-                ends.turnedDown(start, BUSY, "too many wait", now);
+            start = new PendingStart(edge, request, equallyUrgentPending(request), now);
+            if (open.size() >= MAX_OPEN) {
+                listener.onRejected(start, RETRY_WHEN_BUSY_MS, "too many wait", now);
                 return;
             }
             open.put(start.nonce, start);
@@ -129,10 +131,10 @@
             return;
         }
         start.edge = edge;
-        start.askedAt = now;
-        if (start.urgency != need.urgency()) {
+        start.lastRequestedAtMs = now;
+        if (start.urgency != request.urgency()) {
             boolean waits = waiting.remove(start);
-            start.urgency = need.urgency();
+            start.urgency = request.urgency();
             if (waits) {
                 waiting.add(start);
             }
@@ -149,9 +151,9 @@
     }
 
     /** The seat has another home: what its former one wanted and has not been called is not wanted any more. */
-    void forget(String service, String seat, String home) {
+    void forget(String service, String homeZone, String home) {
         for (PendingStart start : new ArrayList<>(waiting)) {
-            if (start.service.equals(service) && start.seat.equals(seat) && !start.edge.equals(home)) {
+            if (start.service.equals(service) && start.homeZone.equals(homeZone) && !start.edge.equals(home)) {
                 drop(start);
             }
         }
@@ -160,15 +162,15 @@
     /** True when one has been called. */
     boolean callOne(long now) {
         for (PendingStart start : called) {
-            if (!start.out && start.next <= now) {
+            if (!start.inFlight && start.nextAttemptMs <= now) {
                 call(start);
                 return true;
             }
         }
-        while (called.size() < CallPacer.WINDOW_MOST
-                && fleet.known()
+        while (called.size() < CallPacer.MAX_WINDOW
+                && workerPool.isKnown()
                 && !waiting.isEmpty()
-                && waiting.first().next <= now) {
+                && waiting.first().nextAttemptMs <= now) {
             PendingStart start = waiting.first();
             if (place(start, now)) {
                 call(start);
@@ -180,69 +182,72 @@
 
     /** Turns down what could not be called for long. */
     void tick(long now) {
-        if (waiting.isEmpty() || now < nextLook) {
+        if (waiting.isEmpty() || now < nextExpiryCheckMs) {
             return;
         }
-        nextLook = now + LOOK;
+        nextExpiryCheckMs = now + EXPIRY_CHECK_MS;
         for (PendingStart start : new ArrayList<>(waiting)) {
-            if (now - start.askedAt > FORGET) {
+            if (now - start.lastRequestedAtMs > FORGET_MS) {
                 drop(start);
-                ends.turnedDown(start, BUSY, "could not be called for long", now);
+                listener.onRejected(start, RETRY_WHEN_BUSY_MS, "could not be called for long", now);
             }
         }
     }
 
-    void answered(String nonce, StartResponse begun, long now) {
-        pace.answered(begun.result(), now);
+    void onAnswered(String nonce, StartResponse response, long now) {
+        callPacer.onAnswered(response.result(), now);
         PendingStart start = open.get(nonce);
-        if (start == null || !start.out) {
+        if (start == null || !start.inFlight) {
             return;
         }
-        start.out = false;
-        switch (begun.result()) {
+        start.inFlight = false;
+        switch (response.result()) {
             case OK -> {
-                uncall(start);
+                undoCall(start);
                 open.remove(nonce);
-                fleet.taken(start.hold, now);
-                ends.started(start, begun, now);
+                workerPool.confirm(start.reservation, now);
+                listener.onStarted(start, response, now);
             }
-            case REFUSED -> refused(start, now);
-            case BUSY -> start.next = now;
+            case REJECTED -> onWorkerRejected(start, now);
+            case BUSY -> start.nextAttemptMs = now;
             case FENCED, UNKNOWN -> {
-                boolean fenced = begun.result() == CallResult.FENCED;
-                start.unclear |= !fenced;
-                start.next =
-                        now + (fenced ? PAUSE_MOST : Math.min(PAUSE_MOST, PAUSE_LEAST << Math.min(start.tries - 1, 5)));
+                boolean fenced = response.result() == CallResult.FENCED;
+                start.outcomeUnknown |= !fenced;
+                start.nextAttemptMs = now
+                        + (fenced
+                                ? MAX_BACKOFF_MS
+                                : Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS << Math.min(start.attempts - 1, 5)));
             }
             default -> {
                 release(start);
                 open.remove(nonce);
-                ends.turnedDown(start, 10 * NO_SERVICE, "the platform knows no such service", now);
+                listener.onRejected(start, 10 * RETRY_WITHOUT_SERVICE_MS, "the platform knows no such service", now);
             }
         }
     }
 
     /** 409: the nonce has not been used, so it is free for another worker. */
-    private void refused(PendingStart start, long now) {
+    private void onWorkerRejected(PendingStart start, long now) {
         LOG.debug("refused")
                 .with("service", start.service)
                 .with("worker", start.worker)
                 .with("nonce", start.nonce)
-                .with("refusals", start.refused.size() + 1)
+                .with("refusals", start.rejectingWorkers.size() + 1)
                 .log();
         InstanceSize size = sizes.apply(start.service);
-        fleet.refused(start.worker, size == null ? 1 : size.memoryMb(), now);
-        polls.hasten();
-        start.refused.add(start.worker);
+        workerPool.onRejected(start.worker, size == null ? 1 : size.memoryMb(), now);
+        listPolling.hasten();
+        start.rejectingWorkers.add(start.worker);
         release(start);
         start.worker = null;
-        start.unclear = false;
-        if (start.refused.size() >= REFUSALS_MOST) {
+        start.outcomeUnknown = false;
+        if (start.rejectingWorkers.size() >= MAX_REJECTIONS) {
             open.remove(start.nonce);
             if (start.urgency > 0) {
-                pressure.noRoom(now);
+                memoryPressure.onNoRoom(now);
             }
-            ends.turnedDown(start, FULL, "refused by " + start.refused.size() + " workers", now);
+            listener.onRejected(
+                    start, RETRY_WHEN_FULL_MS, "refused by " + start.rejectingWorkers.size() + " workers", now);
         } else {
             waiting.add(start);
         }
@@ -251,35 +256,36 @@
     /** Finds a worker for the first that waits; false: it has been turned down. */
     private boolean place(PendingStart start, long now) {
         InstanceSize size = sizes.apply(start.service);
-        WorkerCapacity spot =
-                size == null ? null : placement.choose(start.service, size.memoryMb(), start.seat, start.refused);
-        if (spot == null) {
+        WorkerCapacity worker = size == null
+                ? null
+                : placement.choose(start.service, size.memoryMb(), start.homeZone, start.rejectingWorkers);
+        if (worker == null) {
             drop(start);
             if (size != null && start.urgency > 0) {
-                pressure.noRoom(now);
+                memoryPressure.onNoRoom(now);
             }
-            ends.turnedDown(
+            listener.onRejected(
                     start,
-                    size == null ? NO_SERVICE : FULL,
+                    size == null ? RETRY_WITHOUT_SERVICE_MS : RETRY_WHEN_FULL_MS,
                     size == null ? "no such service" : "no room anywhere",
                     now);
             return false;
         }
         waiting.remove(start);
-        start.worker = spot.name;
-        start.zone = spot.zone;
-        start.hold = fleet.take(spot.name, size.memoryMb());
-        fleet.instances(spot.name, start.service, 1);
+        start.worker = worker.name;
+        start.zone = worker.zone;
+        start.reservation = workerPool.reserve(worker.name, size.memoryMb());
+        workerPool.instances(worker.name, start.service, 1);
         called.add(start);
         pending.merge(start.service, 1, Integer::sum);
         return true;
     }
 
     private void call(PendingStart start) {
-        start.out = true;
-        start.tries++;
-        pace.called();
-        hands.begin(start.service, start.worker, start.nonce);
+        start.inFlight = true;
+        start.attempts++;
+        callPacer.onCalled();
+        actions.startInstance(start.service, start.worker, start.nonce);
     }
 
     private void drop(PendingStart start) {
@@ -289,13 +295,13 @@
 
     /** It is not at its worker after all. */
     private void release(PendingStart start) {
-        uncall(start);
-        fleet.untake(start.worker, start.hold);
+        undoCall(start);
+        workerPool.release(start.worker, start.reservation);
     }
 
-    private void uncall(PendingStart start) {
+    private void undoCall(PendingStart start) {
         if (called.remove(start)) {
-            fleet.instances(start.worker, start.service, -1);
+            workerPool.instances(start.worker, start.service, -1);
             pending.computeIfPresent(start.service, (name, many) -> many == 1 ? null : many - 1);
         }
     }
--- a/src/main/java/brambletray/platform/provisioning/InstanceStops.java
+++ b/src/main/java/brambletray/platform/provisioning/InstanceStops.java
@@ -10,80 +10,80 @@
 /** Stops that homes or the yard want: each is called until the platform has said 200 or 404. */
 final class InstanceStops {
     private static final EventLog LOG = EventLog.of("provisioning");
-    private static final int MOST = 8_192;
+    private static final int MAX_OPEN = 8_192;
     /** ms between two calls for one host. */
-    private static final long PAUSE_LEAST = 100;
+    private static final long MIN_BACKOFF_MS = 100;
 
-    private static final long PAUSE_MOST = 1_000;
+    private static final long MAX_BACKOFF_MS = 1_000;
 
-    private static final class Stop {
+    private static final class PendingStop {
         private final String id;
-        private final String why;
-        private final long since;
-        private int tries;
-        private long next;
+        private final String reason;
+        private final long requestedAtMs;
+        private int attempts;
+        private long nextAttemptMs;
 
-        private Stop(String id, String why, long now) {
+        private PendingStop(String id, String reason, long now) {
             this.id = id;
-            this.why = why;
-            this.since = now;
-            this.next = now;
+            this.reason = reason;
+            this.requestedAtMs = now;
+            this.nextAttemptMs = now;
         }
     }
 
-    private final ProvisioningActions hands;
+    private final ProvisioningActions actions;
     private final InstanceRegistry registry;
-    private final WorkerPool fleet;
-    private final CallPacer pace;
-    private final ToIntFunction<String> memory;
-    private final ArrayDeque<Stop> waiting = new ArrayDeque<>();
-    private final Map<String, Stop> open = new HashMap<>();
+    private final WorkerPool workerPool;
+    private final CallPacer callPacer;
+    private final ToIntFunction<String> memoryMbOf;
+    private final ArrayDeque<PendingStop> waiting = new ArrayDeque<>();
+    private final Map<String, PendingStop> open = new HashMap<>();
 
-    /** {@code memory}: MB of a host of a service. */
+    /** {@code memoryMbOf}: MB of a host of a service. */
     InstanceStops(
-            ProvisioningActions hands,
+            ProvisioningActions actions,
             InstanceRegistry registry,
-            WorkerPool fleet,
-            CallPacer pace,
-            ToIntFunction<String> memory) {
-        this.hands = hands;
+            WorkerPool workerPool,
+            CallPacer callPacer,
+            ToIntFunction<String> memoryMbOf) {
+        this.actions = actions;
         this.registry = registry;
-        this.fleet = fleet;
-        this.pace = pace;
-        this.memory = memory;
+        this.workerPool = workerPool;
+        this.callPacer = callPacer;
+        this.memoryMbOf = memoryMbOf;
     }
 
     /** The host may be unknown: one that a former holder of the duty knew. */
-    void want(String id, String why, long now) {
-        if (open.containsKey(id) || open.size() >= MOST) {
+    void request(String id, String reason, long now) {
+        if (open.containsKey(id) || open.size() >= MAX_OPEN) {
             return;
         }
-        InstanceLifecycle life = registry.get(id);
-        if (life != null) {
-            life.stopping = true;
+        InstanceLifecycle instance = registry.get(id);
+        if (instance != null) {
+            instance.stopping = true;
         }
-        Stop stop = new Stop(id, why, now);
+        PendingStop stop = new PendingStop(id, reason, now);
         open.put(id, stop);
         waiting.add(stop);
     }
 
-    boolean wanted(String id) {
+    boolean isRequested(String id) {
         return open.containsKey(id);
     }
 
-    boolean empty() {
+    boolean isEmpty() {
         return open.isEmpty();
     }
 
     /** True when one has been called. */
     boolean callOne(long now) {
-        for (Iterator<Stop> each = waiting.iterator(); each.hasNext(); ) {
-            Stop stop = each.next();
-            if (stop.next <= now) {
+        for (Iterator<PendingStop> each = waiting.iterator(); each.hasNext(); ) {
+            PendingStop stop = each.next();
+            if (stop.nextAttemptMs <= now) {
                 each.remove();
-                stop.tries++;
-                pace.called();
-                hands.stop(stop.id);
+                stop.attempts++;
+                callPacer.onCalled();
+                actions.stopInstance(stop.id);
                 return true;
             }
         }
@@ -91,44 +91,45 @@
     }
 
     /** ms that the first of those that can be called has been waiting; -1: none. */
-    long waited(long now) {
-        Stop first = waiting.peekFirst();
-        return first == null || first.next > now ? -1 : now - first.since;
+    long oldestWaitMs(long now) {
+        PendingStop first = waiting.peekFirst();
+        return first == null || first.nextAttemptMs > now ? -1 : now - first.requestedAtMs;
     }
 
-    void answered(String id, CallResult result, long now) {
-        pace.answered(result, now);
-        Stop stop = open.get(id);
+    void onAnswered(String id, CallResult result, long now) {
+        callPacer.onAnswered(result, now);
+        PendingStop stop = open.get(id);
         if (stop == null) {
             return;
         }
         switch (result) {
-            case OK, NO_SUCH -> end(stop, result, now);
-            case BAD, REFUSED -> {
+            case OK, NO_SUCH -> complete(stop, result, now);
+            case MALFORMED, REJECTED -> {
                 LOG.warn("stop not understood")
                         .with("host", id)
                         .with("result", result)
                         .log();
-                end(stop, result, now);
+                complete(stop, result, now);
             }
             default -> {
-                long pause = result == CallResult.FENCED ? PAUSE_MOST : PAUSE_LEAST << Math.min(stop.tries - 1, 4);
-                stop.next = now + Math.min(PAUSE_MOST, pause);
+                long backoffMs =
+                        result == CallResult.FENCED ? MAX_BACKOFF_MS : MIN_BACKOFF_MS << Math.min(stop.attempts - 1, 4);
+                stop.nextAttemptMs = now + Math.min(MAX_BACKOFF_MS, backoffMs);
                 waiting.add(stop);
             }
         }
     }
 
-    private void end(Stop stop, CallResult result, long now) {
+    private void complete(PendingStop stop, CallResult result, long now) {
         open.remove(stop.id);
-        InstanceLifecycle life = registry.get(stop.id);
-        if (life == null) {
-            registry.ended(stop.id, stop.why, true, now);
+        InstanceLifecycle instance = registry.get(stop.id);
+        if (instance == null) {
+            registry.recordEnd(stop.id, stop.reason, true, now);
             return;
         }
         if (result == CallResult.OK) {
-            fleet.gave(life.worker, memory.applyAsInt(life.service), now);
+            workerPool.onStopped(instance.worker, memoryMbOf.applyAsInt(instance.service), now);
         }
-        registry.gone(life, stop.why, true, now);
+        registry.onGone(instance, stop.reason, true, now);
     }
 }
--- a/src/main/java/brambletray/platform/provisioning/KnowledgeRecovery.java
+++ b/src/main/java/brambletray/platform/provisioning/KnowledgeRecovery.java
@@ -11,82 +11,84 @@
 final class KnowledgeRecovery {
     private static final EventLog LOG = EventLog.of("provisioning");
 
-    private final ProvisioningActions hands;
+    private final ProvisioningActions actions;
     private final HomeLookup homes;
     private final InstanceRegistry registry;
-    private final WorkerPool fleet;
+    private final WorkerPool workerPool;
     private final StartAnswers answers;
-    private final OrphanInstances orphans;
+    private final OrphanDetector orphans;
 
     KnowledgeRecovery(
-            ProvisioningActions hands,
+            ProvisioningActions actions,
             HomeLookup homes,
             InstanceRegistry registry,
-            WorkerPool fleet,
+            WorkerPool workerPool,
             StartAnswers answers,
-            OrphanInstances orphans) {
-        this.hands = hands;
+            OrphanDetector orphans) {
+        this.actions = actions;
         this.homes = homes;
         this.registry = registry;
-        this.fleet = fleet;
+        this.workerPool = workerPool;
         this.answers = answers;
         this.orphans = orphans;
     }
 
-    void mine(String edge, KnownInstances mine, long now) {
-        orphans.disclaimed(edge);
+    void onKnownInstances(String edge, KnownInstances knownInstances, long now) {
+        orphans.onEdgeRestarted(edge);
         Set<String> named = new HashSet<>();
-        for (InstanceInfo host : mine.hosts()) {
-            named.add(host.id());
-            orphans.claimed(host.service(), host.seat(), edge);
-            one(edge, host, now);
+        for (InstanceInfo info : knownInstances.instances()) {
+            named.add(info.id());
+            orphans.onClaimed(info.service(), info.homeZone(), edge);
+            onKnownInstance(edge, info, now);
         }
-        for (InstanceLifecycle life : registry.all()) {
-            if (!life.stopping && !named.contains(life.id) && edge.equals(homes.edge(life.service, life.seat))) {
-                registry.born(life, now);
+        for (InstanceLifecycle instance : registry.all()) {
+            if (!instance.stopping
+                    && !named.contains(instance.id)
+                    && edge.equals(homes.edgeFor(instance.service, instance.homeZone))) {
+                registry.onStarted(instance, now);
             }
         }
     }
 
-    private void one(String edge, InstanceInfo host, long now) {
-        if (registry.end(host.id(), now) != null) {
-            hands.tell(edge, new InstanceGone(host.id(), host.service()));
+    private void onKnownInstance(String edge, InstanceInfo info, long now) {
+        if (registry.findEnd(info.id(), now) != null) {
+            actions.send(edge, new InstanceGone(info.id(), info.service()));
             return;
         }
-        InstanceLifecycle life = registry.get(host.id());
-        if (life != null && !life.seat.equals(host.seat())) {
+        InstanceLifecycle instance = registry.get(info.id());
+        if (instance != null && !instance.homeZone.equals(info.homeZone())) {
             LOG.warn("told twice")
-                    .with("host", life.id)
-                    .with("seat", life.seat)
+                    .with("host", instance.id)
+                    .with("seat", instance.homeZone)
                     .with("from", edge)
-                    .with("its seat", host.seat())
+                    .with("its seat", info.homeZone())
                     .log();
-            hands.tell(edge, new InstanceGone(host.id(), host.service()));
+            actions.send(edge, new InstanceGone(info.id(), info.service()));
             return;
         }
-        answers.known(host, now);
-        if (life == null) {
-            remember(edge, host, now);
-        } else if (life.state == InstanceInfo.LEAVING && host.state() != InstanceInfo.LEAVING) {
-            hands.tell(edge, new InstanceDraining(life.id, life.service));
+        answers.onKnownInstance(info, now);
+        if (instance == null) {
+            adopt(edge, info, now);
+        } else if (instance.state == InstanceInfo.LEAVING && info.state() != InstanceInfo.LEAVING) {
+            actions.send(edge, new InstanceDraining(instance.id, instance.service));
         }
     }
 
-    private void remember(String edge, InstanceInfo host, long now) {
-        InstanceLifecycle life = new InstanceLifecycle(
-                        host.id(), host.service(), host.address(), host.nonce(), now - host.bornAgoMs())
-                .at(host.zone(), host.seat(), host.worker());
-        life.state = host.state();
-        if (host.state() != InstanceInfo.BOOTING) {
-            life.upAt = now;
+    private void adopt(String edge, InstanceInfo info, long now) {
+        InstanceLifecycle instance = new InstanceLifecycle(
+                        info.id(), info.service(), info.address(), info.nonce(), now - info.ageMs())
+                .place(info.zone(), info.homeZone(), info.worker());
+        instance.state = info.state();
+        if (info.state() != InstanceInfo.BOOTING) {
+            instance.upAtMs = now;
         }
-        registry.add(life);
-        if (!edge.equals(homes.edge(host.service(), host.seat()))) {
-            registry.born(life, now);
+        registry.add(instance);
+        if (!edge.equals(homes.edgeFor(info.service(), info.homeZone()))) {
+            registry.onStarted(instance, now);
         }
-        WorkerCapacity spot = fleet.spot(host.worker());
-        if (spot != null && spot.draining()) {
-            registry.leaving(life, "its worker drains");
+        WorkerCapacity worker = workerPool.worker(info.worker());
+        if (worker != null && worker.draining()) {
+            registry.onDraining(instance, "its worker drains");
         }
     }
 }
--- a/src/main/java/brambletray/platform/provisioning/ListPolling.java
+++ b/src/main/java/brambletray/platform/provisioning/ListPolling.java
@@ -9,77 +9,79 @@
      * ms between lists of hosts, of workers, of either while nothing runs, and the least between two of workers after a
      * refusal.
      */
-    private static final long HOSTS = 700;
+    private static final long INSTANCES_INTERVAL_MS = 700;
 
-    private static final long WORKERS = 1_000;
-    private static final long IDLE = 3_000;
-    private static final long HASTE = 300;
+    private static final long WORKERS_INTERVAL_MS = 1_000;
+    private static final long IDLE_INTERVAL_MS = 3_000;
+    private static final long HURRIED_INTERVAL_MS = 300;
     /** ms; a list that has not been answered by then is asked for again. */
-    private static final long LOST = 10_000;
+    private static final long LOST_TIMEOUT_MS = 10_000;
 
-    private static final long PAUSE_LEAST = 100;
-    private static final long PAUSE_MOST = 1_000;
+    private static final long MIN_BACKOFF_MS = 100;
+    private static final long MAX_BACKOFF_MS = 1_000;
 
     /** One of the two lists. */
     static final class Poll {
-        private final long busy;
-        private long askedAt = Long.MIN_VALUE / 2;
-        private long next = Long.MIN_VALUE / 2;
-        private boolean out;
-        private int failed;
+        private final long busyIntervalMs;
+        private long requestedAtMs = Long.MIN_VALUE / 2;
+        private long nextRequestMs = Long.MIN_VALUE / 2;
+        private boolean inFlight;
+        private int failures;
 
         private Poll(long busy) {
-            this.busy = busy;
+            this.busyIntervalMs = busy;
         }
 
         private boolean due(long now, boolean working) {
-            if (out && now - askedAt < LOST) {
+            if (inFlight && now - requestedAtMs < LOST_TIMEOUT_MS) {
                 return false;
             }
-            long at = failed > 0 ? next : Math.min(next, askedAt + (working ? busy : IDLE));
+            long at = failures > 0
+                    ? nextRequestMs
+                    : Math.min(nextRequestMs, requestedAtMs + (working ? busyIntervalMs : IDLE_INTERVAL_MS));
             if (now < at) {
                 return false;
             }
-            askedAt = now;
-            next = now + IDLE;
-            out = true;
+            requestedAtMs = now;
+            nextRequestMs = now + IDLE_INTERVAL_MS;
+            inFlight = true;
             return true;
         }
 
         /** It has come; returns when it had been asked for. */
-        long came(long now, boolean whole) {
-            out = false;
+        long onCompleted(long now, boolean whole) {
+            inFlight = false;
             if (whole) {
-                failed = 0;
+                failures = 0;
             } else {
-                next = now + Math.min(PAUSE_MOST, PAUSE_LEAST << Math.min(failed, 4));
-                failed++;
+                nextRequestMs = now + Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS << Math.min(failures, 4));
+                failures++;
             }
-            return askedAt;
+            return requestedAtMs;
         }
     }
 
-    final Poll hosts;
+    final Poll instances;
     final Poll workers;
 
-    /** {@code perS}: lists accepted a second; at most half of that is used. */
-    ListPolling(double perS) {
-        double stretch = Math.max(1, (1000.0 / HOSTS + 1000.0 / WORKERS) / (perS / 2));
-        hosts = new Poll((long) (HOSTS * stretch));
-        workers = new Poll((long) (WORKERS * stretch));
+    /** {@code ratePerS}: lists accepted a second; at most half of that is used. */
+    ListPolling(double ratePerS) {
+        double stretch = Math.max(1, (1000.0 / INSTANCES_INTERVAL_MS + 1000.0 / WORKERS_INTERVAL_MS) / (ratePerS / 2));
+        instances = new Poll((long) (INSTANCES_INTERVAL_MS * stretch));
+        workers = new Poll((long) (WORKERS_INTERVAL_MS * stretch));
     }
 
-    void tick(long now, boolean working, ProvisioningActions hands) {
+    void tick(long now, boolean working, ProvisioningActions actions) {
         if (workers.due(now, working)) {
-            hands.askWorkers();
+            actions.requestWorkerList();
         }
-        if (hosts.due(now, working)) {
-            hands.askList();
+        if (instances.due(now, working)) {
+            actions.requestInstanceList();
         }
     }
 
     /** A worker has refused what its list promised. */
     void hasten() {
-        workers.next = Math.min(workers.next, workers.askedAt + HASTE);
+        workers.nextRequestMs = Math.min(workers.nextRequestMs, workers.requestedAtMs + HURRIED_INTERVAL_MS);
     }
 }
--- a/src/main/java/brambletray/platform/provisioning/MemoryPressure.java
+++ b/src/main/java/brambletray/platform/provisioning/MemoryPressure.java
@@ -12,44 +12,44 @@
  */
 final class MemoryPressure {
     /** Age in the first notice, ms. */
-    private static final int IDLE_MOST_MS = 16_000;
+    private static final int MAX_IDLE_MS = 16_000;
     /** Age in the last notices, ms. */
-    private static final int IDLE_LEAST_MS = 500;
+    private static final int MIN_IDLE_MS = 500;
     /** By which the age is divided from one notice to the next. */
-    private static final int FALL = 4;
+    private static final int IDLE_DECREASE = 4;
     /** ms from one notice to the next, for the stops in between. */
-    private static final long PAUSE_MS = 200;
+    private static final long MIN_REPEAT_MS = 200;
     /** ms without lack of room after which the age begins anew. */
-    private static final long CALM_MS = 3_000;
+    private static final long RESET_AFTER_MS = 3_000;
 
-    private final ProvisioningActions hands;
+    private final ProvisioningActions actions;
     private final HomeLookup homes;
     private final InstanceRegistry registry;
-    private int idleMs = IDLE_MOST_MS;
-    private long saidAt = Long.MIN_VALUE / 2;
+    private int idleMs = MAX_IDLE_MS;
+    private long announcedAtMs = Long.MIN_VALUE / 2;
 
-    MemoryPressure(ProvisioningActions hands, HomeLookup homes, InstanceRegistry registry) {
-        this.hands = hands;
+    MemoryPressure(ProvisioningActions actions, HomeLookup homes, InstanceRegistry registry) {
+        this.actions = actions;
         this.homes = homes;
         this.registry = registry;
     }
 
     /** A start for which requests wait has found no room. */
-    void noRoom(long now) {
-        long since = now - saidAt;
-        if (since < PAUSE_MS) {
+    void onNoRoom(long now) {
+        long since = now - announcedAtMs;
+        if (since < MIN_REPEAT_MS) {
             return;
         }
-        idleMs = since > CALM_MS ? IDLE_MOST_MS : Math.max(IDLE_LEAST_MS, idleMs / FALL);
-        saidAt = now;
-        Reclaim reclaim = new Reclaim(idleMs);
-        homesOfHosts().forEach(edge -> hands.tell(edge, reclaim));
+        idleMs = since > RESET_AFTER_MS ? MAX_IDLE_MS : Math.max(MIN_IDLE_MS, idleMs / IDLE_DECREASE);
+        announcedAtMs = now;
+        ReclaimIdleInstances reclaim = new ReclaimIdleInstances(idleMs);
+        homesOfInstances().forEach(edge -> actions.send(edge, reclaim));
     }
 
-    private Set<String> homesOfHosts() {
+    private Set<String> homesOfInstances() {
         Set<String> edges = new LinkedHashSet<>();
-        for (InstanceLifecycle life : registry.all()) {
-            String home = homes.edge(life.service, life.seat);
+        for (InstanceLifecycle instance : registry.all()) {
+            String home = homes.edgeFor(instance.service, instance.homeZone);
             if (home != null) {
                 edges.add(home);
             }
--- a/src/main/java/brambletray/platform/provisioning/OrphanInstances.java
+++ b/src/main/java/brambletray/platform/provisioning/OrphanDetector.java
@@ -10,13 +10,13 @@
  * the configuration, and those of a seat whose home has never asked for it, as its former home died or they were found
  * on the list.
  */
-final class OrphanInstances {
+final class OrphanDetector {
     /** ms; hosts of a service that is gone are stopped after that. */
-    private static final long REMOVED = 10_000;
+    private static final long REMOVED_SERVICE_GRACE_MS = 10_000;
     /** ms; hosts of a seat that its home has not claimed are stopped after that. */
-    private static final long LONELY = 8_000;
+    private static final long UNCLAIMED_GRACE_MS = 8_000;
 
-    private static final int CLAIMS_MOST = 16_384;
+    private static final int MAX_CLAIMS = 16_384;
 
     private final InstanceRegistry registry;
     private final HomeLookup homes;
@@ -24,9 +24,9 @@
     private final Map<String, Long> removed = new HashMap<>();
     private final Map<HomeClaim, String> claims = new HashMap<>();
     private Set<String> services = Set.of();
-    private boolean told;
+    private boolean configured;
 
-    OrphanInstances(InstanceRegistry registry, HomeLookup homes, InstanceStops stops) {
+    OrphanDetector(InstanceRegistry registry, HomeLookup homes, InstanceStops stops) {
         this.registry = registry;
         this.homes = homes;
         this.stops = stops;
@@ -34,47 +34,47 @@
 
     /** The services of the configuration in force. */
     void configuration(Set<String> names) {
-        told = true;
+        configured = true;
         services = names;
         removed.keySet().removeAll(names);
     }
 
     /** This edge acts as home of the seat: it has claimed it, asked for hosts, or told of some. */
-    void claimed(String service, String seat, String edge) {
-        if (claims.size() >= CLAIMS_MOST) {
+    void onClaimed(String service, String homeZone, String edge) {
+        if (claims.size() >= MAX_CLAIMS) {
             claims.keySet().removeIf(claim -> !services.contains(claim.service()));
         }
-        if (claims.size() < CLAIMS_MOST) {
-            claims.put(new HomeClaim(service, seat), edge);
+        if (claims.size() < MAX_CLAIMS) {
+            claims.put(new HomeClaim(service, homeZone), edge);
         }
     }
 
     /** The edge begins anew: what it acts for it will say. */
-    void disclaimed(String edge) {
+    void onEdgeRestarted(String edge) {
         claims.values().removeIf(edge::equals);
     }
 
     /** Looks at all hosts; with each list. */
-    void look(long now) {
-        for (InstanceLifecycle life : new ArrayList<>(registry.all())) {
-            if (told && !services.contains(life.service)) {
-                long since = removed.computeIfAbsent(life.service, fresh -> now);
-                if (now - since >= REMOVED) {
-                    stops.want(life.id, "its service is gone", now);
+    void check(long now) {
+        for (InstanceLifecycle instance : new ArrayList<>(registry.all())) {
+            if (configured && !services.contains(instance.service)) {
+                long since = removed.computeIfAbsent(instance.service, fresh -> now);
+                if (now - since >= REMOVED_SERVICE_GRACE_MS) {
+                    stops.request(instance.id, "its service is gone", now);
                 }
-            } else if (kept(life)) {
-                life.lonelySince = -1;
-            } else if (life.lonelySince < 0) {
-                life.lonelySince = now;
-            } else if (now - life.lonelySince >= LONELY) {
-                stops.want(life.id, "no home has claimed its seat", now);
+            } else if (isClaimed(instance)) {
+                instance.orphanedSinceMs = -1;
+            } else if (instance.orphanedSinceMs < 0) {
+                instance.orphanedSinceMs = now;
+            } else if (now - instance.orphanedSinceMs >= UNCLAIMED_GRACE_MS) {
+                stops.request(instance.id, "no home has claimed its seat", now);
             }
         }
     }
 
     /** Without any edge that could be home nobody can have claimed it. */
-    private boolean kept(InstanceLifecycle life) {
-        String home = homes.edge(life.service, life.seat);
-        return home == null || home.equals(claims.get(new HomeClaim(life.service, life.seat)));
+    private boolean isClaimed(InstanceLifecycle instance) {
+        String home = homes.edgeFor(instance.service, instance.homeZone);
+        return home == null || home.equals(claims.get(new HomeClaim(instance.service, instance.homeZone)));
     }
 }
--- a/src/main/java/brambletray/platform/provisioning/PendingStart.java
+++ b/src/main/java/brambletray/platform/provisioning/PendingStart.java
@@ -7,37 +7,37 @@
 final class PendingStart {
     final String nonce;
     final String service;
-    final String seat;
-    final long since;
+    final String homeZone;
+    final long requestedAtMs;
     /** Starts of the same service and seat, as urgent, that were wanted before it. */
     final int rank;
 
     String edge;
     int urgency;
-    long askedAt;
+    long lastRequestedAtMs;
     /** Where it has been called; null: nowhere, or there it was refused. */
     String worker;
     /** Of the worker. */
     String zone;
 
-    WorkerCapacity.Hold hold;
+    WorkerCapacity.Reservation reservation;
     /** A call of it is without its answer. */
-    boolean out;
+    boolean inFlight;
     /** A call of it got no answer: it may have been made, and is called again with the same nonce and worker. */
-    boolean unclear;
+    boolean outcomeUnknown;
 
-    int tries;
-    long next;
-    final Set<String> refused = new HashSet<>(2);
+    int attempts;
+    long nextAttemptMs;
+    final Set<String> rejectingWorkers = new HashSet<>(2);
 
-    PendingStart(String edge, StartRequest need, int rank, long now) {
-        this.nonce = need.nonce();
-        this.service = need.service();
-        this.seat = need.seat();
+    PendingStart(String edge, StartRequest request, int rank, long now) {
+        this.nonce = request.nonce();
+        this.service = request.service();
+        this.homeZone = request.homeZone();
         this.edge = edge;
-        this.urgency = need.urgency();
-        this.since = now;
+        this.urgency = request.urgency();
+        this.requestedAtMs = now;
         this.rank = rank;
-        this.askedAt = now;
+        this.lastRequestedAtMs = now;
     }
 }
--- a/src/main/java/brambletray/platform/provisioning/Placement.java
+++ b/src/main/java/brambletray/platform/provisioning/Placement.java
@@ -8,34 +8,34 @@
  * memory. Never on a worker that drains or that the last list did not show.
  */
 final class Placement {
-    private final WorkerPool fleet;
+    private final WorkerPool workerPool;
     private final PlatformTerms terms;
 
-    Placement(WorkerPool fleet, PlatformTerms terms) {
-        this.fleet = fleet;
+    Placement(WorkerPool workerPool, PlatformTerms terms) {
+        this.workerPool = workerPool;
         this.terms = terms;
     }
 
-    /** {@code not}: workers that have refused this start. Null: no room anywhere. */
-    WorkerCapacity choose(String service, int mb, String zone, Set<String> not) {
+    /** {@code excluded}: workers that have refused this start. Null: no room anywhere. */
+    WorkerCapacity choose(String service, int memoryMb, String zone, Set<String> excluded) {
         WorkerCapacity best = null;
         int bestFar = 0;
-        int bestCrew = 0;
+        int bestInstances = 0;
         int bestFree = 0;
-        for (WorkerCapacity spot : fleet.spots()) {
-            int free = spot.free();
-            if (!spot.open() || free < mb || not.contains(spot.name)) {
+        for (WorkerCapacity worker : workerPool.workers()) {
+            int free = worker.freeMb();
+            if (!worker.acceptsInstances() || free < memoryMb || excluded.contains(worker.name)) {
                 continue;
             }
-            int far = terms.distance(zone, spot.zone);
-            int instances = fleet.instances(spot.name, service);
+            int far = terms.distance(zone, worker.zone);
+            int instances = workerPool.instances(worker.name, service);
             boolean better = best == null
                     || far < bestFar
-                    || far == bestFar && (instances < bestCrew || instances == bestCrew && free > bestFree);
+                    || far == bestFar && (instances < bestInstances || instances == bestInstances && free > bestFree);
             if (better) {
-                best = spot;
+                best = worker;
                 bestFar = far;
-                bestCrew = instances;
+                bestInstances = instances;
                 bestFree = free;
             }
         }
--- a/src/main/java/brambletray/platform/provisioning/PlatformClient.java
+++ b/src/main/java/brambletray/platform/provisioning/PlatformClient.java
@@ -17,122 +17,125 @@
  */
 public final class PlatformClient {
     private static final EventLog LOG = EventLog.of("provisioning");
-    private static final int PAGES_MOST = 64;
-    private static final int PAGE_TRIES = 3;
+    private static final int MAX_PAGES = 64;
+    private static final int MAX_PAGE_ATTEMPTS = 3;
     /** ms before a page that was refused is asked for again. */
-    private static final long PAGE_PAUSE = 200;
+    private static final long PAGE_BACKOFF_MS = 200;
 
     /**
      * What the platform is told of its caller: {@code holder} is the node's name, {@code fence} the term of its duty.
      */
-    public record Name(String holder, long fence) {}
+    public record CallerIdentity(String holder, long fencingToken) {}
 
     /** A list that came, or not: {@code complete} only with its last page. */
     @FunctionalInterface
-    public interface Lister {
-        void came(List<ListedInstance> hosts, boolean complete);
+    public interface ListCallback {
+        void onList(List<ListedInstance> hosts, boolean complete);
     }
 
     private final Machine machine;
-    private final PlatformHttpClient caller;
-    private final PlatformJson pages = new PlatformJson();
+    private final PlatformHttpClient httpClient;
+    private final PlatformJson json = new PlatformJson();
     private final String[] headers;
-    private final double perMs;
+    private final double listsPerMs;
     private double tokens = 1;
-    private long tokensAt;
+    private long tokensUpdatedAtMs;
     private boolean closed;
 
     /** {@code perS}: lists the platform accepts a second. */
-    public PlatformClient(Machine machine, InetSocketAddress address, Name name, double perS) {
+    public PlatformClient(Machine machine, InetSocketAddress address, CallerIdentity name, double perS) {
         this.machine = machine;
-        this.caller = new PlatformHttpClient(machine, address);
+        this.httpClient = new PlatformHttpClient(machine, address);
         this.headers = new String[] {
-            "Brambletray-Duty-Holder", name.holder(), "Brambletray-Fence-Token", Long.toString(name.fence())
+            "Brambletray-Duty-Holder", name.holder(), "Brambletray-Fence-Token", Long.toString(name.fencingToken())
         };
-        this.perMs = perS * 0.9 / 1000;
-        this.tokensAt = now();
+        this.listsPerMs = perS * 0.9 / 1000;
+        this.tokensUpdatedAtMs = now();
     }
 
     /** {@code POST /brambletray/begin}. */
     public void begin(String service, String worker, String nonce, Consumer<StartResponse> whenAnswered) {
-        byte[] body = pages.object("service", service, "worker", worker, "request-nonce", nonce);
-        caller.call(
-                "/brambletray/begin", body, (status, answer) -> whenAnswered.accept(begun(status, answer)), headers);
+        byte[] body = json.object("service", service, "worker", worker, "request-nonce", nonce);
+        httpClient.call(
+                "/brambletray/begin",
+                body,
+                (status, answer) -> whenAnswered.accept(parseStarted(status, answer)),
+                headers);
     }
 
     /** {@code POST /brambletray/stop}. */
     public void stop(String id, Consumer<CallResult> whenAnswered) {
-        caller.call(
+        httpClient.call(
                 "/brambletray/stop",
-                pages.object("instance-id", id),
-                (status, answer) -> whenAnswered.accept(result(status)),
+                json.object("instance-id", id),
+                (status, answer) -> whenAnswered.accept(resultOf(status)),
                 headers);
     }
 
     /** {@code GET /brambletray/workers}; null: they did not come. */
     public void workers(Consumer<List<WorkerInfo>> whenAnswered) {
-        paced(() -> caller.call(
-                "/brambletray/workers", null, (status, answer) -> whenAnswered.accept(workers(status, answer))));
+        runPaced(() -> httpClient.call(
+                "/brambletray/workers", null, (status, answer) -> whenAnswered.accept(parseWorkers(status, answer))));
     }
 
     /** {@code GET /instances}, page by page. */
-    public void list(Lister whenAnswered) {
+    public void list(ListCallback whenAnswered) {
         page(new ArrayList<>(), null, 1, 1, whenAnswered);
     }
 
     /** Ends all calls without an answer. */
     public void close() {
         closed = true;
-        caller.close();
+        httpClient.close();
     }
 
-    private void page(List<ListedInstance> before, String token, int number, int tried, Lister whenAnswered) {
+    private void page(List<ListedInstance> before, String token, int number, int tried, ListCallback whenAnswered) {
         String path = token == null
                 ? "/instances"
                 : "/instances?page-token=" + URLEncoder.encode(token, StandardCharsets.UTF_8);
-        paced(() -> caller.call(path, null, (status, body) -> {
-            if (status == 429 && tried < PAGE_TRIES && !closed) {
+        runPaced(() -> httpClient.call(path, null, (status, body) -> {
+            if (status == 429 && tried < MAX_PAGE_ATTEMPTS && !closed) {
                 machine.loop()
                         .schedule(
                                 () -> page(before, token, number, tried + 1, whenAnswered),
-                                PAGE_PAUSE,
+                                PAGE_BACKOFF_MS,
                                 TimeUnit.MILLISECONDS);
                 return;
             }
-            PlatformJson.Page page = hosts(status, body);
+            PlatformJson.Page page = parseInstances(status, body);
             if (page == null) {
-                whenAnswered.came(before, false);
+                whenAnswered.onList(before, false);
                 return;
             }
-            before.addAll(page.hosts());
-            if (page.next() != null && number < PAGES_MOST) {
+            before.addAll(page.instances());
+            if (page.next() != null && number < MAX_PAGES) {
                 page(before, page.next(), number + 1, 1, whenAnswered);
             } else {
-                whenAnswered.came(before, page.next() == null);
+                whenAnswered.onList(before, page.next() == null);
             }
         }));
     }
 
     /** Now, or once the rate allows it. */
-    private void paced(Runnable call) {
+    private void runPaced(Runnable call) {
         long now = now();
-        tokens = Math.min(Math.max(1, perMs * 200), tokens + (now - tokensAt) * perMs);
-        tokensAt = now;
+        tokens = Math.min(Math.max(1, listsPerMs * 200), tokens + (now - tokensUpdatedAtMs) * listsPerMs);
+        tokensUpdatedAtMs = now;
         tokens--;
         if (tokens >= 0) {
             call.run();
         } else {
-            machine.loop().schedule(call, (long) Math.ceil(-tokens / perMs), TimeUnit.MILLISECONDS);
+            machine.loop().schedule(call, (long) Math.ceil(-tokens / listsPerMs), TimeUnit.MILLISECONDS);
         }
     }
 
-    private StartResponse begun(int status, byte[] body) {
-        CallResult result = result(status);
+    private StartResponse parseStarted(int status, byte[] body) {
+        CallResult result = resultOf(status);
         if (result != CallResult.OK) {
             return StartResponse.of(result);
         }
         try {
-            return pages.begun(body);
+            return json.parseStarted(body);
         } catch (ProvisioningException e) {
             LOG.warn("answer not understood")
                     .with("call", "begin")
@@ -143,9 +146,9 @@
         }
     }
 
-    private List<WorkerInfo> workers(int status, byte[] body) {
+    private List<WorkerInfo> parseWorkers(int status, byte[] body) {
         try {
-            return status == 200 ? pages.workers(body) : null;
+            return status == 200 ? json.parseWorkers(body) : null;
         } catch (ProvisioningException e) {
             LOG.warn("answer not understood")
                     .with("call", "workers")
@@ -156,9 +159,9 @@
         }
     }
 
-    private PlatformJson.Page hosts(int status, byte[] body) {
+    private PlatformJson.Page parseInstances(int status, byte[] body) {
         try {
-            return status == 200 ? pages.hosts(body) : null;
+            return status == 200 ? json.parseInstances(body) : null;
         } catch (ProvisioningException e) {
             LOG.warn("answer not understood")
                     .with("call", "list")
@@ -169,13 +172,13 @@
         }
     }
 
-    private static CallResult result(int status) {
+    private static CallResult resultOf(int status) {
         return switch (status) {
             case 200 -> CallResult.OK;
-            case 400 -> CallResult.BAD;
+            case 400 -> CallResult.MALFORMED;
             case 403, 412 -> CallResult.FENCED;
             case 404 -> CallResult.NO_SUCH;
-            case 409 -> CallResult.REFUSED;
+            case 409 -> CallResult.REJECTED;
             case 429 -> CallResult.BUSY;
             default -> CallResult.UNKNOWN;
         };
--- a/src/main/java/brambletray/platform/provisioning/PlatformHttpClient.java
+++ b/src/main/java/brambletray/platform/provisioning/PlatformHttpClient.java
@@ -35,104 +35,104 @@
 final class PlatformHttpClient {
     /** What came of a call; called once. {@code status} 0: no whole answer in time. */
     @FunctionalInterface
-    interface Reply {
-        void came(int status, byte[] body);
+    interface ResponseCallback {
+        void onResponse(int status, byte[] body);
     }
 
     /**
      * ms for a whole answer: more while none comes in time, for a slow platform is better than none; and for a
      * connection to come up.
      */
-    private static final int PATIENCE = 1_500;
+    private static final int MIN_TIMEOUT_MS = 1_500;
 
-    private static final int PATIENCE_MOST = 4_000;
-    private static final int CONNECT = 1_000;
+    private static final int MAX_TIMEOUT_MS = 4_000;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
 
-    private static final int LINES_MOST = 32;
-    private static final int KEPT_MOST = 4;
-    private static final int QUEUE_MOST = 256;
+    private static final int MAX_CONNECTIONS = 32;
+    private static final int MAX_IDLE_CONNECTIONS = 4;
+    private static final int MAX_QUEUED_CALLS = 256;
     /** ms; an idle connection is not used after that. */
-    private static final long IDLE = 4_000;
+    private static final long IDLE_TIMEOUT_MS = 4_000;
 
-    private static final int HEAD_MOST = 16 * 1024;
-    private static final int BODY_MOST = 4 * 1024 * 1024;
-    private static final byte[] NOTHING = new byte[0];
+    private static final int MAX_HEADER_BYTES = 16 * 1024;
+    private static final int MAX_BODY_BYTES = 4 * 1024 * 1024;
+    private static final byte[] EMPTY_BODY = new byte[0];
 
     /** One call until its reply. */
     private final class Call {
         private final FullHttpRequest request;
-        private final Reply reply;
+        private final ResponseCallback callback;
         private final Future<?> timer;
-        private Line line;
-        private boolean again;
+        private Connection connection;
+        private boolean retried;
         private boolean ended;
 
-        private Call(FullHttpRequest request, Reply reply) {
+        private Call(FullHttpRequest request, ResponseCallback callback) {
             this.request = request;
-            this.reply = reply;
-            this.timer = machine.loop().schedule(this::late, patience, TimeUnit.MILLISECONDS);
+            this.callback = callback;
+            this.timer = machine.loop().schedule(this::onTimeout, timeoutMs, TimeUnit.MILLISECONDS);
         }
 
-        private void late() {
-            Line mine = line;
+        private void onTimeout() {
+            Connection mine = connection;
             if (mine != null) {
-                patience = Math.min(PATIENCE_MOST, patience * 5 / 4);
+                timeoutMs = Math.min(MAX_TIMEOUT_MS, timeoutMs * 5 / 4);
             }
-            end(0, NOTHING);
+            complete(0, EMPTY_BODY);
             if (mine != null) {
                 mine.channel.close();
             }
         }
 
-        private void end(int status, byte[] body) {
+        private void complete(int status, byte[] body) {
             if (!ended) {
                 ended = true;
                 timer.cancel(false);
                 waiting.remove(this);
                 request.release();
-                reply.came(status, body);
+                callback.onResponse(status, body);
             }
         }
     }
 
     /** One connection. */
-    private final class Line extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private Channel channel;
         private Call call;
         private boolean used;
-        private long idleSince;
+        private long idleSinceMs;
 
         private void send(Call next) {
             call = next;
-            next.line = this;
+            next.connection = this;
             channel.writeAndFlush(next.request.retainedDuplicate());
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext context, FullHttpResponse answer) {
+        protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
             Call mine = call;
-            if (mine == null || !answer.decoderResult().isSuccess()) {
+            if (mine == null || !response.decoderResult().isSuccess()) {
                 context.close();
                 return;
             }
             call = null;
             used = true;
-            boolean keep = HttpUtil.isKeepAlive(answer) && !closed;
+            boolean keep = HttpUtil.isKeepAlive(response) && !closed;
             if (keep) {
-                idleSince = now();
+                idleSinceMs = now();
                 idle.push(this);
             }
-            patience = Math.max(PATIENCE, patience * 9 / 10);
-            mine.end(answer.status().code(), ByteBufUtil.getBytes(answer.content()));
-            if (!keep || idle.size() > KEPT_MOST && idle.remove(this)) {
+            timeoutMs = Math.max(MIN_TIMEOUT_MS, timeoutMs * 9 / 10);
+            mine.complete(response.status().code(), ByteBufUtil.getBytes(response.content()));
+            if (!keep || idle.size() > MAX_IDLE_CONNECTIONS && idle.remove(this)) {
                 context.close();
             }
-            next();
+            sendNext();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            lost(this);
+            onConnectionLost(this);
         }
 
         @Override
@@ -145,9 +145,9 @@
     private final InetSocketAddress address;
     private final String host;
     private final ArrayDeque<Call> waiting = new ArrayDeque<>();
-    private final ArrayDeque<Line> idle = new ArrayDeque<>();
-    private final Set<Line> lines = new LinkedHashSet<>();
-    private int patience = PATIENCE;
+    private final ArrayDeque<Connection> idle = new ArrayDeque<>();
+    private final Set<Connection> connections = new LinkedHashSet<>();
+    private int timeoutMs = MIN_TIMEOUT_MS;
     private boolean closed;
 
     PlatformHttpClient(Machine machine, InetSocketAddress address) {
@@ -157,9 +157,9 @@
     }
 
     /** {@code body} null: a GET. {@code headers}: names and values in turn. */
-    void call(String path, byte[] body, Reply reply, String... headers) {
-        if (closed || waiting.size() >= QUEUE_MOST) {
-            machine.loop().execute(() -> reply.came(0, NOTHING));
+    void call(String path, byte[] body, ResponseCallback callback, String... headers) {
+        if (closed || waiting.size() >= MAX_QUEUED_CALLS) {
+            machine.loop().execute(() -> callback.onResponse(0, EMPTY_BODY));
             return;
         }
         FullHttpRequest request = new DefaultFullHttpRequest(
@@ -176,32 +176,32 @@
         for (int i = 0; i + 1 < headers.length; i += 2) {
             fields.set(headers[i], headers[i + 1]);
         }
-        waiting.add(new Call(request, reply));
-        next();
+        waiting.add(new Call(request, callback));
+        sendNext();
     }
 
     /** Ends all calls without an answer. */
     void close() {
         closed = true;
-        for (Line line : List.copyOf(lines)) {
-            line.channel.close();
+        for (Connection connection : List.copyOf(connections)) {
+            connection.channel.close();
         }
         for (Call call : new ArrayDeque<>(waiting)) {
-            call.end(0, NOTHING);
+            call.complete(0, EMPTY_BODY);
         }
     }
 
-    private void next() {
+    private void sendNext() {
         while (!waiting.isEmpty() && !closed) {
-            Line line = idle.poll();
-            if (line == null) {
+            Connection connection = idle.poll();
+            if (connection == null) {
                 dial();
                 return;
             }
-            if (!line.channel.isActive() || now() - line.idleSince > IDLE) {
-                line.channel.close();
+            if (!connection.channel.isActive() || now() - connection.idleSinceMs > IDLE_TIMEOUT_MS) {
+                connection.channel.close();
             } else {
-                line.send(waiting.poll());
+                connection.send(waiting.poll());
             }
         }
     }
@@ -209,63 +209,63 @@
     /** As many connections come up as calls wait, up to the most. */
     private void dial() {
         int coming = 0;
-        for (Line line : lines) {
-            coming += line.channel.isActive() ? 0 : 1;
+        for (Connection connection : connections) {
+            coming += connection.channel.isActive() ? 0 : 1;
         }
-        for (; coming < waiting.size() && lines.size() < LINES_MOST; coming++) {
-            Line line = new Line();
-            Bootstrap bootstrap = machine.dialling(CONNECT, new ChannelInitializer<>() {
+        for (; coming < waiting.size() && connections.size() < MAX_CONNECTIONS; coming++) {
+            Connection connection = new Connection();
+            Bootstrap bootstrap = machine.dialling(CONNECT_TIMEOUT_MS, new ChannelInitializer<>() {
                 @Override
                 protected void initChannel(Channel channel) {
                     channel.pipeline()
                             .addLast(
-                                    new HttpClientCodec(HEAD_MOST, HEAD_MOST, 8 * 1024),
-                                    new HttpObjectAggregator(BODY_MOST),
-                                    line);
+                                    new HttpClientCodec(MAX_HEADER_BYTES, MAX_HEADER_BYTES, 8 * 1024),
+                                    new HttpObjectAggregator(MAX_BODY_BYTES),
+                                    connection);
                 }
             });
             ChannelFuture connecting = bootstrap.connect(address);
-            line.channel = connecting.channel();
-            lines.add(line);
+            connection.channel = connecting.channel();
+            connections.add(connection);
             connecting.addListener(done -> {
                 if (!done.isSuccess()) {
-                    refused(line);
+                    onConnectFailed(connection);
                 } else if (closed) {
-                    line.channel.close();
+                    connection.channel.close();
                 } else {
-                    line.idleSince = now();
-                    idle.push(line);
-                    next();
+                    connection.idleSinceMs = now();
+                    idle.push(connection);
+                    sendNext();
                 }
             });
         }
     }
 
     /** No connection came up: the call that waits longest ends with no answer, lest all be dialled for without end. */
-    private void refused(Line line) {
-        lines.remove(line);
+    private void onConnectFailed(Connection connection) {
+        connections.remove(connection);
         Call first = waiting.poll();
         if (first != null) {
-            first.end(0, NOTHING);
+            first.complete(0, EMPTY_BODY);
         }
     }
 
-    private void lost(Line line) {
-        lines.remove(line);
-        idle.remove(line);
-        Call mine = line.call;
-        line.call = null;
-        if (mine == null || mine.ended) {
-            next();
+    private void onConnectionLost(Connection connection) {
+        connections.remove(connection);
+        idle.remove(connection);
+        Call call = connection.call;
+        connection.call = null;
+        if (call == null || call.ended) {
+            sendNext();
             return;
         }
-        mine.line = null;
-        if (line.used && !mine.again && !closed) {
-            mine.again = true;
-            waiting.addFirst(mine);
-            next();
+        call.connection = null;
+        if (connection.used && !call.retried && !closed) {
+            call.retried = true;
+            waiting.addFirst(call);
+            sendNext();
         } else {
-            mine.end(0, NOTHING);
+            call.complete(0, EMPTY_BODY);
         }
     }
 
--- a/src/main/java/brambletray/platform/provisioning/PlatformJson.java
+++ b/src/main/java/brambletray/platform/provisioning/PlatformJson.java
@@ -19,9 +19,9 @@
     private final JsonWriter writer = json.newWriter();
 
     /** One page of hosts; {@code next} null on the last. */
-    record Page(List<ListedInstance> hosts, String next) {}
+    record Page(List<ListedInstance> instances, String next) {}
 
-    Page hosts(byte[] body) {
+    Page parseInstances(byte[] body) {
         Map<String, Object> page = object(body);
         List<ListedInstance> hosts = new ArrayList<>();
         for (Map<String, Object> entry : entries(page, "instances")) {
@@ -36,7 +36,7 @@
         return new Page(hosts, page.get("next-token") instanceof String next && !next.isEmpty() ? next : null);
     }
 
-    List<WorkerInfo> workers(byte[] body) {
+    List<WorkerInfo> parseWorkers(byte[] body) {
         List<WorkerInfo> workers = new ArrayList<>();
         for (Map<String, Object> entry : entries(object(body), "workers")) {
             workers.add(new WorkerInfo(
@@ -49,7 +49,7 @@
         return workers;
     }
 
-    StartResponse begun(byte[] body) {
+    StartResponse parseStarted(byte[] body) {
         Map<String, Object> answer = object(body);
         return new StartResponse(CallResult.OK, text(answer, "instance-id"), text(answer, "address"));
     }
--- a/src/main/java/brambletray/platform/provisioning/PlatformTerms.java
+++ b/src/main/java/brambletray/platform/provisioning/PlatformTerms.java
@@ -7,7 +7,7 @@
  * {@code ratePerS}: lists accepted a second; {@code dutyRatePerS}: starts and stops accepted a second, from all
  * together.
  */
-public record PlatformTerms(Map<String, String> zones, int lagMs, double ratePerS, double dutyRatePerS) {
+public record PlatformTerms(Map<String, String> zones, int listLagMs, double ratePerS, double coordinatorRatePerS) {
     /** 0 in one zone, 1 in one region, 2 beyond. */
     int distance(String from, String to) {
         if (from.equals(to)) {
--- a/src/main/java/brambletray/platform/provisioning/Provisioner.java
+++ b/src/main/java/brambletray/platform/provisioning/Provisioner.java
@@ -13,7 +13,7 @@
  */
 public final class Provisioner {
     /** The frames of this plane, for the links. */
-    public static final List<Class<?>> FRAMES = List.of(
+    public static final List<Class<?>> MESSAGES = List.of(
             StartRequest.class,
             InstanceInfo.class,
             InstanceStarted.class,
@@ -25,111 +25,120 @@
             HomeClaim.class,
             InstanceList.class,
             KnownInstances.class,
-            Reclaim.class);
+            ReclaimIdleInstances.class);
 
     private static final EventLog LOG = EventLog.of("provisioning");
     /** ms; a stop that has waited so long goes before starts. */
-    private static final long STOP_WAIT = 500;
+    private static final long MAX_STOP_WAIT_MS = 500;
     /** ms of a new term in which hosts that its predecessor started may still appear. */
-    private static final long YOUNG = 5_000;
+    private static final long TAKEOVER_MS = 5_000;
 
-    private final ProvisioningActions hands;
+    private final ProvisioningActions actions;
     private final HomeLookup homes;
-    private final WorkerPool fleet;
+    private final WorkerPool workerPool;
     private final InstanceRegistry registry;
-    private final CallPacer pace;
-    private final ListPolling polls;
+    private final CallPacer callPacer;
+    private final ListPolling listPolling;
     private final InstanceStops stops;
     private final InstanceStarts starts;
     private final InstanceListReconciler reconciler;
-    private final CoordinatorTakeover settling;
+    private final CoordinatorTakeover takeover;
     private final StartAnswers answers;
-    private final OrphanInstances orphans;
-    private final KnowledgeRecovery recall;
-    private final long began;
+    private final OrphanDetector orphans;
+    private final KnowledgeRecovery knowledgeRecovery;
+    private final long startedAtMs;
     private Map<String, InstanceSize> sizes = Map.of();
     /** The configuration has been told: until then nothing is started, and no host is of no service. */
-    private boolean told;
+    private boolean configured;
 
     /** A new holder of the duty, that knows nothing yet. */
-    public Provisioner(PlatformTerms terms, ProvisioningActions hands, HomeLookup homes, long now) {
-        this.hands = hands;
+    public Provisioner(PlatformTerms terms, ProvisioningActions actions, HomeLookup homes, long now) {
+        this.actions = actions;
         this.homes = homes;
-        fleet = new WorkerPool(terms.lagMs());
-        registry = new InstanceRegistry(hands, homes, fleet);
-        pace = new CallPacer(terms.dutyRatePerS(), now);
-        polls = new ListPolling(terms.ratePerS());
+        workerPool = new WorkerPool(terms.listLagMs());
+        registry = new InstanceRegistry(actions, homes, workerPool);
+        callPacer = new CallPacer(terms.coordinatorRatePerS(), now);
+        listPolling = new ListPolling(terms.ratePerS());
         stops = new InstanceStops(
-                hands,
+                actions,
                 registry,
-                fleet,
-                pace,
+                workerPool,
+                callPacer,
                 service -> sizes.getOrDefault(service, new InstanceSize(0, 0)).memoryMb());
-        answers = new StartAnswers(hands, homes, registry, fleet);
-        MemoryPressure pressure = new MemoryPressure(hands, homes, registry);
-        starts = new InstanceStarts(hands, fleet, terms, pace, polls, service -> sizes.get(service), answers, pressure);
-        reconciler = new InstanceListReconciler(registry, stops, starts, service -> sizes.get(service), terms.lagMs());
-        settling = new CoordinatorTakeover(now);
-        orphans = new OrphanInstances(registry, homes, stops);
-        recall = new KnowledgeRecovery(hands, homes, registry, fleet, answers, orphans);
-        began = now;
+        answers = new StartAnswers(actions, homes, registry, workerPool);
+        MemoryPressure memoryPressure = new MemoryPressure(actions, homes, registry);
+        starts = new InstanceStarts(
+                actions,
+                workerPool,
+                terms,
+                callPacer,
+                listPolling,
+                service -> sizes.get(service),
+                answers,
+                memoryPressure);
+        reconciler =
+                new InstanceListReconciler(registry, stops, starts, service -> sizes.get(service), terms.listLagMs());
+        takeover = new CoordinatorTakeover(now);
+        orphans = new OrphanDetector(registry, homes, stops);
+        knowledgeRecovery = new KnowledgeRecovery(actions, homes, registry, workerPool, answers, orphans);
+        startedAtMs = now;
     }
 
     /**
      * The edges whose {@link KnownInstances} is awaited before a host counts as known to nobody; without it, 1.5 s are
      * waited.
      */
-    public void expect(Set<String> edges) {
-        settling.expect(edges);
+    public void expectReportsFrom(Set<String> edges) {
+        takeover.expect(edges);
     }
 
     /**
      * The services of the configuration in force. Hosts of those that are not in it are stopped after 10 s, unless
      * their homes are faster.
      */
-    public void configuration(Map<String, InstanceSize> services, long now) {
-        told = true;
+    public void onConfigurationChanged(Map<String, InstanceSize> services, long now) {
+        configured = true;
         sizes = Map.copyOf(services);
         orphans.configuration(sizes.keySet());
-        orphans.look(now);
+        orphans.check(now);
     }
 
     /** A home wants a host. The same nonce again: the same answer, or none yet. */
-    public void need(String edge, StartRequest need, long now) {
-        orphans.claimed(need.service(), need.seat(), edge);
-        if (answers.again(edge, need, now)) {
+    public void onStartRequest(String edge, StartRequest request, long now) {
+        orphans.onClaimed(request.service(), request.homeZone(), edge);
+        if (answers.repeatAnswer(edge, request, now)) {
             return;
         }
-        starts.want(edge, need, now);
-        pump(now);
+        starts.request(edge, request, now);
+        makeCalls(now);
     }
 
     /** A home has emptied a host. Only the home of its seat may have it stopped. */
-    public void quit(String edge, StopRequest quit, long now) {
-        InstanceLifecycle life = registry.get(quit.id());
-        if (life != null) {
-            String home = homes.edge(life.service, life.seat);
+    public void onStopRequest(String edge, StopRequest request, long now) {
+        InstanceLifecycle instance = registry.get(request.id());
+        if (instance != null) {
+            String home = homes.edgeFor(instance.service, instance.homeZone);
             if (home != null && !home.equals(edge)) {
                 LOG.debug("quit ignored")
-                        .with("host", life.id)
+                        .with("host", instance.id)
                         .with("from", edge)
                         .with("home", home)
                         .log();
                 return;
             }
-        } else if (registry.end(quit.id(), now) != null) {
-            hands.tell(edge, new InstanceGone(quit.id(), quit.service()));
+        } else if (registry.findEnd(request.id(), now) != null) {
+            actions.send(edge, new InstanceGone(request.id(), request.service()));
             return;
         }
-        stops.want(quit.id(), "its home wants it stopped", now);
-        pump(now);
+        stops.request(request.id(), "its home wants it stopped", now);
+        makeCalls(now);
     }
 
     /** A home has had a connection come up there. */
-    public void seen(String edge, InstanceUp seen, long now) {
-        InstanceLifecycle life = registry.get(seen.id());
-        if (life != null) {
-            life.up(now);
+    public void onInstanceUp(String edge, InstanceUp instanceUp, long now) {
+        InstanceLifecycle instance = registry.get(instanceUp.id());
+        if (instance != null) {
+            instance.markUp(now);
         }
     }
 
@@ -138,125 +147,125 @@
      * has just
      * begun, and knows none, says so only once it has been told and has seen a list.
      */
-    public void claim(String edge, HomeClaim claim, long now) {
-        orphans.claimed(claim.service(), claim.seat(), edge);
-        starts.forget(claim.service(), claim.seat(), edge);
-        List<InstanceInfo> hosts = registry.seat(claim.service(), claim.seat(), now);
-        if (hosts.isEmpty() && settling.blind(now)) {
-            settling.await(edge, claim);
+    public void onHomeClaim(String edge, HomeClaim claim, long now) {
+        orphans.onClaimed(claim.service(), claim.homeZone(), edge);
+        starts.forget(claim.service(), claim.homeZone(), edge);
+        List<InstanceInfo> hosts = registry.inHomeZone(claim.service(), claim.homeZone(), now);
+        if (hosts.isEmpty() && takeover.isIncomplete(now)) {
+            takeover.deferClaim(edge, claim);
         } else {
-            hands.tell(edge, new InstanceList(claim.service(), claim.seat(), hosts));
+            actions.send(edge, new InstanceList(claim.service(), claim.homeZone(), hosts));
         }
     }
 
     private void answerClaims(long now) {
-        if (!settling.blind(now)) {
-            settling.drain((edge, claim) -> claim(edge, claim, now));
+        if (!takeover.isIncomplete(now)) {
+            takeover.releaseClaims((edge, claim) -> onHomeClaim(edge, claim, now));
         }
     }
 
     /** What an edge's seats know, as its link comes up: all of it. It is told what it has missed. */
-    public void mine(String edge, KnownInstances mine, long now) {
-        recall.mine(edge, mine, now);
-        settling.told(edge);
+    public void onKnownInstances(String edge, KnownInstances knownInstances, long now) {
+        knowledgeRecovery.onKnownInstances(edge, knownInstances, now);
+        takeover.onReported(edge);
         answerClaims(now);
     }
 
     /** An edge is gone: what it asked for and has not been called is forgotten; its hosts await the next homes. */
-    public void edgeGone(String edge, long now) {
+    public void onEdgeGone(String edge, long now) {
         starts.forget(edge);
-        settling.told(edge);
+        takeover.onReported(edge);
     }
 
     /**
      * The platform's list. {@code complete}: all of its pages have come; else no absence is concluded from it, and it
      * is asked for again soon.
      */
-    public void listed(List<ListedInstance> list, boolean complete, long now) {
-        long asked = polls.hosts.came(now, complete);
-        reconciler.take(list, asked, complete, told && settling.over(now), now);
+    public void onInstanceList(List<ListedInstance> list, boolean complete, long now) {
+        long asked = listPolling.instances.onCompleted(now, complete);
+        reconciler.reconcile(list, asked, complete, configured && takeover.isOver(now), now);
         if (complete) {
-            settling.listed(now);
+            takeover.onListed(now);
         }
         answerClaims(now);
-        orphans.look(now);
-        pump(now);
+        orphans.check(now);
+        makeCalls(now);
     }
 
     /** The platform's workers. */
-    public void workers(List<WorkerInfo> workers, long now) {
-        WorkerPool.News news = fleet.listed(workers, polls.workers.came(now, true));
-        if (news.doubt()) {
-            polls.hasten();
+    public void onWorkerList(List<WorkerInfo> workers, long now) {
+        WorkerPool.Changes changes = workerPool.onListed(workers, listPolling.workers.onCompleted(now, true));
+        if (changes.uncertain()) {
+            listPolling.hasten();
         }
-        for (String worker : news.draining()) {
-            List<InstanceLifecycle> there = registry.at(worker);
+        for (String worker : changes.draining()) {
+            List<InstanceLifecycle> onWorker = registry.onWorker(worker);
             LOG.info("worker drains")
                     .with("worker", worker)
-                    .with("hosts", there.size())
+                    .with("hosts", onWorker.size())
                     .log();
-            there.forEach(life -> registry.leaving(life, "its worker drains"));
+            onWorker.forEach(instance -> registry.onDraining(instance, "its worker drains"));
         }
-        for (String worker : news.down()) {
-            List<InstanceLifecycle> there = registry.at(worker);
+        for (String worker : changes.down()) {
+            List<InstanceLifecycle> onWorker = registry.onWorker(worker);
             LOG.info("worker down")
                     .with("worker", worker)
-                    .with("hosts", there.size())
+                    .with("hosts", onWorker.size())
                     .log();
-            there.forEach(life -> registry.gone(life, "its worker is down", false, now));
+            onWorker.forEach(instance -> registry.onGone(instance, "its worker is down", false, now));
         }
-        pump(now);
+        makeCalls(now);
     }
 
     /** The workers did not come. */
-    public void workersFailed(long now) {
-        polls.workers.came(now, false);
+    public void onWorkerListFailed(long now) {
+        listPolling.workers.onCompleted(now, false);
     }
 
-    /** The answer to {@link ProvisioningActions#begin}. */
-    public void begun(String nonce, StartResponse begun, long now) {
-        starts.answered(nonce, begun, now);
-        pump(now);
+    /** The answer to {@link ProvisioningActions#startInstance}. */
+    public void onStartAnswered(String nonce, StartResponse response, long now) {
+        starts.onAnswered(nonce, response, now);
+        makeCalls(now);
     }
 
-    /** The answer to {@link ProvisioningActions#stop}. */
-    public void stopped(String id, CallResult result, long now) {
-        stops.answered(id, result, now);
-        pump(now);
+    /** The answer to {@link ProvisioningActions#stopInstance}. */
+    public void onStopAnswered(String id, CallResult result, long now) {
+        stops.onAnswered(id, result, now);
+        makeCalls(now);
     }
 
     /** Time has passed: every 20 to 50 ms. */
     public void tick(long now) {
-        boolean young = now - began < YOUNG;
-        polls.tick(now, young || !registry.empty() || !starts.empty() || !stops.empty(), hands);
+        boolean young = now - startedAtMs < TAKEOVER_MS;
+        listPolling.tick(now, young || !registry.isEmpty() || !starts.isEmpty() || !stops.isEmpty(), actions);
         starts.tick(now);
         answerClaims(now);
-        pump(now);
+        makeCalls(now);
     }
 
     /** Calls what the pace allows: starts first, but a stop does not wait for ever. */
-    private void pump(long now) {
-        while (pace.free(now)) {
-            boolean stopFirst = stops.waited(now) > STOP_WAIT;
-            if (!(stopFirst && stops.callOne(now)) && !(told && starts.callOne(now)) && !stops.callOne(now)) {
+    private void makeCalls(long now) {
+        while (callPacer.mayCall(now)) {
+            boolean stopFirst = stops.oldestWaitMs(now) > MAX_STOP_WAIT_MS;
+            if (!(stopFirst && stops.callOne(now)) && !(configured && starts.callOne(now)) && !stops.callOne(now)) {
                 return;
             }
         }
     }
 
-    /** The hosts that are known, for the operator: of one service, or (null) of all; not more than {@code most}. */
-    public List<InstanceInfo> hosts(String service, int most, long now) {
+    /** The hosts that are known, for the operator: of one service, or (null) of all; not more than {@code maxCount}. */
+    public List<InstanceInfo> instances(String service, int maxCount, long now) {
         List<InstanceInfo> hosts = new ArrayList<>();
-        for (InstanceLifecycle life : service == null ? registry.all() : registry.of(service)) {
-            if (hosts.size() < most) {
-                hosts.add(life.host(now));
+        for (InstanceLifecycle instance : service == null ? registry.all() : registry.ofService(service)) {
+            if (hosts.size() < maxCount) {
+                hosts.add(instance.toInfo(now));
             }
         }
         return hosts;
     }
 
     /** How many hosts are known, for log lines and the operator. */
-    public int known() {
+    public int instanceCount() {
         return registry.size();
     }
 }
--- a/src/main/java/brambletray/platform/provisioning/ProvisioningActions.java
+++ b/src/main/java/brambletray/platform/provisioning/ProvisioningActions.java
@@ -7,17 +7,17 @@
  */
 public interface ProvisioningActions {
     /** Says a frame to an edge; lost if there is no link. */
-    void tell(String edge, Object frame);
+    void send(String edge, Object frame);
 
-    /** {@code POST /brambletray/begin}; answered by {@link Provisioner#begun}. */
-    void begin(String service, String worker, String nonce);
+    /** {@code POST /brambletray/begin}; answered by {@link Provisioner#onStartAnswered}. */
+    void startInstance(String service, String worker, String nonce);
 
-    /** {@code POST /brambletray/stop}; answered by {@link Provisioner#stopped}. */
-    void stop(String id);
+    /** {@code POST /brambletray/stop}; answered by {@link Provisioner#onStopAnswered}. */
+    void stopInstance(String id);
 
-    /** The whole list of hosts; answered by {@link Provisioner#listed}. */
-    void askList();
+    /** The whole list of hosts; answered by {@link Provisioner#onInstanceList}. */
+    void requestInstanceList();
 
-    /** The workers; answered by {@link Provisioner#workers} or {@link Provisioner#workersFailed}. */
-    void askWorkers();
+    /** The workers; answered by {@link Provisioner#onWorkerList} or {@link Provisioner#onWorkerListFailed}. */
+    void requestWorkerList();
 }
--- a/src/main/java/brambletray/platform/provisioning/StartAnswers.java
+++ b/src/main/java/brambletray/platform/provisioning/StartAnswers.java
@@ -3,106 +3,106 @@
 import brambletray.platform.logging.EventLog;
 
 /** Tells homes what became of their starts, and the same again while they ask with the same nonce. */
-final class StartAnswers implements InstanceStarts.Ends {
+final class StartAnswers implements InstanceStarts.Listener {
     private static final EventLog LOG = EventLog.of("provisioning");
     /** Answers that are remembered, and ms for which. */
-    private static final int MOST = 8_192;
+    private static final int MAX_REMEMBERED = 8_192;
 
-    private static final long AGE = 60_000;
+    private static final long REMEMBER_MS = 60_000;
     /** ms between two log lines of starts that were turned down. */
-    private static final long SELDOM = 1_000;
+    private static final long MIN_LOG_INTERVAL_MS = 1_000;
 
-    private final ProvisioningActions hands;
+    private final ProvisioningActions actions;
     private final HomeLookup homes;
     private final InstanceRegistry registry;
-    private final WorkerPool fleet;
-    private final RecentNames<String> started = new RecentNames<>(MOST, AGE);
-    private final RecentNames<StartRefusal> turnedDown = new RecentNames<>(MOST, AGE);
-    private long toldAt = Long.MIN_VALUE / 2;
-    private int untold;
+    private final WorkerPool workerPool;
+    private final RecentNames<String> started = new RecentNames<>(MAX_REMEMBERED, REMEMBER_MS);
+    private final RecentNames<StartRefusal> rejected = new RecentNames<>(MAX_REMEMBERED, REMEMBER_MS);
+    private long loggedAtMs = Long.MIN_VALUE / 2;
+    private int skippedLogLines;
 
-    StartAnswers(ProvisioningActions hands, HomeLookup homes, InstanceRegistry registry, WorkerPool fleet) {
-        this.hands = hands;
+    StartAnswers(ProvisioningActions actions, HomeLookup homes, InstanceRegistry registry, WorkerPool workerPool) {
+        this.actions = actions;
         this.homes = homes;
         this.registry = registry;
-        this.fleet = fleet;
+        this.workerPool = workerPool;
     }
 
     /** False: it has not been answered, or turned down so long ago that it may be tried once more. */
-    boolean again(String edge, StartRequest need, long now) {
-        String id = started.get(need.nonce(), now);
+    boolean repeatAnswer(String edge, StartRequest request, long now) {
+        String id = started.get(request.nonce(), now);
         if (id != null) {
-            InstanceLifecycle life = registry.get(id);
-            hands.tell(
+            InstanceLifecycle instance = registry.get(id);
+            actions.send(
                     edge,
-                    life == null || life.stopping
-                            ? new StartRefusal(need.nonce(), 0)
-                            : new InstanceStarted(need.nonce(), life.host(now)));
+                    instance == null || instance.stopping
+                            ? new StartRefusal(request.nonce(), 0)
+                            : new InstanceStarted(request.nonce(), instance.toInfo(now)));
             return true;
         }
-        StartRefusal no = turnedDown.get(need.nonce(), now);
-        if (no != null && turnedDown.ago(need.nonce(), now) < no.comeBackMs()) {
-            hands.tell(edge, no);
+        StartRefusal rejection = rejected.get(request.nonce(), now);
+        if (rejection != null && rejected.ageMs(request.nonce(), now) < rejection.retryAfterMs()) {
+            actions.send(edge, rejection);
             return true;
         }
         return false;
     }
 
     /** An edge has told which host its nonce was answered with. */
-    void known(InstanceInfo host, long now) {
+    void onKnownInstance(InstanceInfo host, long now) {
         started.put(host.nonce(), host.id(), now);
     }
 
     @Override
-    public void started(PendingStart start, StartResponse begun, long now) {
-        InstanceLifecycle life = registry.get(begun.id());
-        if (registry.end(begun.id(), now) != null) {
-            turnedDown(start, 0, "host " + begun.id() + " has ended", now);
+    public void onStarted(PendingStart start, StartResponse response, long now) {
+        InstanceLifecycle instance = registry.get(response.id());
+        if (registry.findEnd(response.id(), now) != null) {
+            onRejected(start, 0, "host " + response.id() + " has ended", now);
             return;
         }
-        if (life != null && !life.seat.equals(start.seat)) {
-            turnedDown(start, 0, "host " + life.id + " belongs to the seat " + life.seat, now);
+        if (instance != null && !instance.homeZone.equals(start.homeZone)) {
+            onRejected(start, 0, "host " + instance.id + " belongs to the seat " + instance.homeZone, now);
             return;
         }
-        if (life == null) {
-            if (!start.unclear) {
-                registry.reused(begun.address(), begun.id(), now);
+        if (instance == null) {
+            if (!start.outcomeUnknown) {
+                registry.onAddressReused(response.address(), response.id(), now);
             }
-            life = new InstanceLifecycle(begun.id(), start.service, begun.address(), start.nonce, now)
-                    .at(start.zone, start.seat, start.worker);
-            registry.add(life);
+            instance = new InstanceLifecycle(response.id(), start.service, response.address(), start.nonce, now)
+                    .place(start.zone, start.homeZone, start.worker);
+            registry.add(instance);
         }
-        started.put(start.nonce, life.id, now);
-        InstanceStarted born = new InstanceStarted(start.nonce, life.host(now));
-        hands.tell(start.edge, born);
-        String home = homes.edge(start.service, start.seat);
+        started.put(start.nonce, instance.id, now);
+        InstanceStarted instanceStarted = new InstanceStarted(start.nonce, instance.toInfo(now));
+        actions.send(start.edge, instanceStarted);
+        String home = homes.edgeFor(start.service, start.homeZone);
         if (home != null && !home.equals(start.edge)) {
-            hands.tell(home, born);
+            actions.send(home, instanceStarted);
         }
-        WorkerCapacity spot = fleet.spot(life.worker);
-        if (spot == null) {
-            registry.gone(life, "its worker is down", false, now);
-        } else if (spot.draining()) {
-            registry.leaving(life, "its worker drains");
+        WorkerCapacity worker = workerPool.worker(instance.worker);
+        if (worker == null) {
+            registry.onGone(instance, "its worker is down", false, now);
+        } else if (worker.draining()) {
+            registry.onDraining(instance, "its worker drains");
         }
     }
 
     @Override
-    public void turnedDown(PendingStart start, int comeBackMs, String why, long now) {
-        untold++;
-        if (now - toldAt >= SELDOM) {
+    public void onRejected(PendingStart start, int comeBackMs, String reason, long now) {
+        skippedLogLines++;
+        if (now - loggedAtMs >= MIN_LOG_INTERVAL_MS) {
             LOG.info("no start")
                     .with("service", start.service)
-                    .with("seat", start.seat)
-                    .with("why", why)
+                    .with("seat", start.homeZone)
+                    .with("why", reason)
                     .with("come back", comeBackMs)
-                    .with("as many", untold)
+                    .with("as many", skippedLogLines)
                     .log();
-            toldAt = now;
-            untold = 0;
+            loggedAtMs = now;
+            skippedLogLines = 0;
         }
-        StartRefusal no = new StartRefusal(start.nonce, comeBackMs);
-        turnedDown.put(start.nonce, no, now);
-        hands.tell(start.edge, no);
+        StartRefusal rejection = new StartRefusal(start.nonce, comeBackMs);
+        rejected.put(start.nonce, rejection, now);
+        actions.send(start.edge, rejection);
     }
 }
--- a/src/main/java/brambletray/platform/provisioning/WorkerCapacity.java
+++ b/src/main/java/brambletray/platform/provisioning/WorkerCapacity.java
@@ -6,53 +6,53 @@
 /** One worker, and the memory free on it. */
 final class WorkerCapacity {
     /** Memory taken (or, if negative, given back) that the list may not show yet. */
-    static final class Hold {
-        private final int mb;
-        private long at = Long.MAX_VALUE;
+    static final class Reservation {
+        private final int memoryMb;
+        private long confirmedAtMs = Long.MAX_VALUE;
 
-        private Hold(int mb) {
-            this.mb = mb;
+        private Reservation(int memoryMb) {
+            this.memoryMb = memoryMb;
         }
 
         /** The call has been carried out; lists that are newer show it. */
-        void made(long now) {
-            at = now;
+        void confirm(long now) {
+            confirmedAtMs = now;
         }
     }
 
     final String name;
     final String zone;
-    private final List<Hold> holds = new ArrayList<>(4);
-    private int listedFree;
+    private final List<Reservation> reservations = new ArrayList<>(4);
+    private int listedFreeMb;
     private boolean draining;
-    private int missed;
-    private long refusedAt = Long.MIN_VALUE;
-    private int refusedMb = Integer.MAX_VALUE;
+    private int missedLists;
+    private long rejectedAtMs = Long.MIN_VALUE;
+    private int rejectedMb = Integer.MAX_VALUE;
 
     WorkerCapacity(WorkerInfo worker) {
         name = worker.name();
         zone = worker.zone();
     }
 
-    /** What the list shows, which is the state at {@code asOf}, ms, or later. */
-    void listed(WorkerInfo worker, long asOf) {
+    /** What the list shows, which is the state at {@code listedAtMs}, ms, or later. */
+    void onListed(WorkerInfo worker, long listedAtMs) {
         draining = worker.draining();
-        missed = 0;
-        listedFree = worker.freeMb();
-        holds.removeIf(hold -> hold.at <= asOf);
-        if (refusedAt <= asOf) {
-            refusedMb = Integer.MAX_VALUE;
+        missedLists = 0;
+        listedFreeMb = worker.freeMb();
+        reservations.removeIf(reservation -> reservation.confirmedAtMs <= listedAtMs);
+        if (rejectedAtMs <= listedAtMs) {
+            rejectedMb = Integer.MAX_VALUE;
         }
     }
 
     /** One more list that does not show it; returns how many in a row. */
-    int missed() {
-        return ++missed;
+    int onMissedList() {
+        return ++missedLists;
     }
 
     /** May take hosts, if there is room. */
-    boolean open() {
-        return !draining && missed == 0;
+    boolean acceptsInstances() {
+        return !draining && missedLists == 0;
     }
 
     boolean draining() {
@@ -60,27 +60,27 @@
     }
 
     /** MB. */
-    int free() {
-        int free = listedFree;
-        for (Hold hold : holds) {
-            free -= hold.mb;
+    int freeMb() {
+        int free = listedFreeMb;
+        for (Reservation reservation : reservations) {
+            free -= reservation.memoryMb;
         }
-        return Math.min(free, refusedMb - 1);
+        return Math.min(free, rejectedMb - 1);
     }
 
-    Hold hold(int mb) {
-        Hold hold = new Hold(mb);
-        holds.add(hold);
-        return hold;
+    Reservation reserve(int memoryMb) {
+        Reservation reservation = new Reservation(memoryMb);
+        reservations.add(reservation);
+        return reservation;
     }
 
-    void drop(Hold hold) {
-        holds.remove(hold);
+    void release(Reservation reservation) {
+        reservations.remove(reservation);
     }
 
     /** It had no room for so much, whatever the list says. */
-    void refused(int mb, long now) {
-        refusedAt = now;
-        refusedMb = Math.min(refusedMb, mb);
+    void onRejected(int memoryMb, long now) {
+        rejectedAtMs = now;
+        rejectedMb = Math.min(rejectedMb, memoryMb);
     }
 }
--- a/src/main/java/brambletray/platform/provisioning/WorkerPool.java
+++ b/src/main/java/brambletray/platform/provisioning/WorkerPool.java
@@ -10,125 +10,125 @@
 import java.util.Set;
 
 /**
- * The workers, and the memory free on them: what the platform's list says, which is {@code lag} ms old, less what has
+ * The workers, and the memory free on them: what the platform's list says, which is {@code listLagMs} ms old, less what has
  * been started since, plus what has been stopped since.
  */
 final class WorkerPool {
     /** Lists in a row without a worker until it counts as down. */
-    private static final int MISSED_MOST = 2;
+    private static final int MAX_MISSED_LISTS = 2;
     /** ms; how much later than its stated lag a list may be. */
-    private static final long LATE = 100;
+    private static final long LIST_MARGIN_MS = 100;
 
     /**
-     * What a list changed: workers that have begun to drain, and workers that are down; {@code doubt}: one was not
+     * What a list changed: workers that have begun to drain, and workers that are down; {@code uncertain}: one was not
      * shown, for the first time.
      */
-    record News(List<String> draining, List<String> down, boolean doubt) {}
+    record Changes(List<String> draining, List<String> down, boolean uncertain) {}
 
-    private final long lag;
-    private final Map<String, WorkerCapacity> spots = new LinkedHashMap<>();
-    private final Map<String, Map<String, Integer>> crews = new HashMap<>();
+    private final long listLagMs;
+    private final Map<String, WorkerCapacity> workers = new LinkedHashMap<>();
+    private final Map<String, Map<String, Integer>> instanceCounts = new HashMap<>();
 
     WorkerPool(long lagMs) {
-        this.lag = lagMs + LATE;
+        this.listLagMs = lagMs + LIST_MARGIN_MS;
     }
 
-    Iterable<WorkerCapacity> spots() {
-        return spots.values();
+    Iterable<WorkerCapacity> workers() {
+        return workers.values();
     }
 
-    boolean known() {
-        return !spots.isEmpty();
+    boolean isKnown() {
+        return !workers.isEmpty();
     }
 
     /** Null: not on the last lists. */
-    WorkerCapacity spot(String worker) {
-        return worker == null ? null : spots.get(worker);
+    WorkerCapacity worker(String worker) {
+        return worker == null ? null : workers.get(worker);
     }
 
-    /** A whole list of workers that was asked for at {@code askedAt}. */
-    News listed(List<WorkerInfo> workers, long askedAt) {
+    /** A whole list of workers that was asked for at {@code requestedAtMs}. */
+    Changes onListed(List<WorkerInfo> listed, long requestedAtMs) {
         List<String> drains = new ArrayList<>(0);
         List<String> downs = new ArrayList<>(0);
         Set<String> shown = new HashSet<>();
-        for (WorkerInfo worker : workers) {
+        for (WorkerInfo worker : listed) {
             shown.add(worker.name());
-            WorkerCapacity spot = spots.computeIfAbsent(worker.name(), name -> new WorkerCapacity(worker));
-            if (worker.draining() && !spot.draining()) {
-                drains.add(spot.name);
+            WorkerCapacity capacity = workers.computeIfAbsent(worker.name(), name -> new WorkerCapacity(worker));
+            if (worker.draining() && !capacity.draining()) {
+                drains.add(capacity.name);
             }
-            spot.listed(worker, askedAt - lag);
+            capacity.onListed(worker, requestedAtMs - listLagMs);
         }
-        boolean doubt = false;
-        for (Iterator<WorkerCapacity> each = spots.values().iterator(); each.hasNext(); ) {
-            WorkerCapacity spot = each.next();
-            if (shown.contains(spot.name)) {
+        boolean uncertain = false;
+        for (Iterator<WorkerCapacity> each = workers.values().iterator(); each.hasNext(); ) {
+            WorkerCapacity capacity = each.next();
+            if (shown.contains(capacity.name)) {
                 continue;
             }
-            if (spot.missed() >= MISSED_MOST) {
-                downs.add(spot.name);
+            if (capacity.onMissedList() >= MAX_MISSED_LISTS) {
+                downs.add(capacity.name);
                 each.remove();
             } else {
-                doubt = true;
+                uncertain = true;
             }
         }
-        return new News(drains, downs, doubt);
+        return new Changes(drains, downs, uncertain);
     }
 
     /** A start is being called there. Null where the worker is not known. */
-    WorkerCapacity.Hold take(String worker, int mb) {
-        WorkerCapacity spot = spots.get(worker);
-        if (spot == null) {
+    WorkerCapacity.Reservation reserve(String worker, int memoryMb) {
+        WorkerCapacity capacity = workers.get(worker);
+        if (capacity == null) {
             return null;
         }
-        return spot.hold(mb);
+        return capacity.reserve(memoryMb);
     }
 
     /** The start has been made. */
-    void taken(WorkerCapacity.Hold hold, long now) {
-        if (hold != null) {
-            hold.made(now);
+    void confirm(WorkerCapacity.Reservation reservation, long now) {
+        if (reservation != null) {
+            reservation.confirm(now);
         }
     }
 
     /** The start has not been made. */
-    void untake(String worker, WorkerCapacity.Hold hold) {
-        WorkerCapacity spot = spots.get(worker);
-        if (spot != null && hold != null) {
-            spot.drop(hold);
+    void release(String worker, WorkerCapacity.Reservation reservation) {
+        WorkerCapacity capacity = workers.get(worker);
+        if (capacity != null && reservation != null) {
+            capacity.release(reservation);
         }
     }
 
     /** A host has been stopped there. */
-    void gave(String worker, int mb, long now) {
-        taken(take(worker, -mb), now);
+    void onStopped(String worker, int memoryMb, long now) {
+        confirm(reserve(worker, -memoryMb), now);
     }
 
     /** The worker had no room for so much, whatever the list says. */
-    void refused(String worker, int mb, long now) {
-        WorkerCapacity spot = spots.get(worker);
-        if (spot != null) {
-            spot.refused(mb, now);
+    void onRejected(String worker, int memoryMb, long now) {
+        WorkerCapacity capacity = workers.get(worker);
+        if (capacity != null) {
+            capacity.onRejected(memoryMb, now);
         }
     }
 
-    /** One host more ({@code by} 1) or fewer (-1) of the service there. */
-    void instances(String worker, String service, int by) {
+    /** One host more ({@code change} 1) or fewer (-1) of the service there. */
+    void instances(String worker, String service, int change) {
         if (worker == null) {
             return;
         }
-        Map<String, Integer> instances = crews.computeIfAbsent(worker, name -> new HashMap<>());
-        if (instances.merge(service, by, Integer::sum) <= 0) {
+        Map<String, Integer> instances = instanceCounts.computeIfAbsent(worker, name -> new HashMap<>());
+        if (instances.merge(service, change, Integer::sum) <= 0) {
             instances.remove(service);
             if (instances.isEmpty()) {
-                crews.remove(worker);
+                instanceCounts.remove(worker);
             }
         }
     }
 
     /** Hosts of the service there, those whose start is being called included. */
     int instances(String worker, String service) {
-        Map<String, Integer> instances = crews.get(worker);
+        Map<String, Integer> instances = instanceCounts.get(worker);
         return instances == null ? 0 : instances.getOrDefault(service, 0);
     }
 }
--- a/src/main/java/brambletray/platform/proxy/Attempts.java
+++ b/src/main/java/brambletray/platform/proxy/Attempts.java
@@ -7,34 +7,34 @@
 
 /** The hosts that one request has been sent to, and the places it holds there: each is given back exactly once. */
 final class Attempts {
-    private final RequestActions hands;
-    private final long end;
+    private final RequestActions actions;
+    private final long deadlineMs;
     private final List<Attempt> all = new ArrayList<>(2);
-    private final List<String> hosts = new ArrayList<>(2);
-    private int live;
+    private final List<String> instances = new ArrayList<>(2);
+    private int activeCount;
 
-    /** {@code end}: when the request's time is over, ms. */
-    Attempts(RequestActions hands, long end) {
-        this.hands = hands;
-        this.end = end;
+    /** {@code deadlineMs}: when the request's time is over, ms. */
+    Attempts(RequestActions actions, long deadlineMs) {
+        this.actions = actions;
+        this.deadlineMs = deadlineMs;
     }
 
-    Attempt add(SlotGrant grant, boolean copy, long now) {
-        Attempt attempt = new Attempt(grant, copy, now);
+    Attempt add(SlotGrant grant, boolean hedge, long now) {
+        Attempt attempt = new Attempt(grant, hedge, now);
         all.add(attempt);
-        hosts.add(grant.host());
-        live++;
+        instances.add(grant.instanceId());
+        activeCount++;
         return attempt;
     }
 
-    int live() {
-        return live;
+    int activeCount() {
+        return activeCount;
     }
 
     /** Whether the place of this ask is in use. */
-    boolean holds(long askId) {
+    boolean isActive(long requestId) {
         for (int i = 0; i < all.size(); i++) {
-            if (all.get(i).live && all.get(i).grant.askId() == askId) {
+            if (all.get(i).active && all.get(i).grant.requestId() == requestId) {
                 return true;
             }
         }
@@ -42,43 +42,43 @@
     }
 
     /** All so far, used or not reached. */
-    List<String> hosts() {
-        return List.copyOf(hosts);
+    List<String> instances() {
+        return List.copyOf(instances);
     }
 
     /** The place goes back with its fate; false where it is back already. */
-    boolean end(Attempt attempt, AttemptOutcome fate, int took) {
-        if (!attempt.live) {
+    boolean complete(Attempt attempt, AttemptOutcome outcome, int durationMs) {
+        if (!attempt.active) {
             return false;
         }
-        attempt.live = false;
-        live--;
-        hands.done(attempt.grant, fate, took);
+        attempt.active = false;
+        activeCount--;
+        actions.releaseSlot(attempt.grant, outcome, durationMs);
         return true;
     }
 
     /** Closes its connection; a place at which nothing was sent has not been used. */
-    void callOff(Attempt attempt, AttemptOutcome fate, long now) {
-        hands.cancel(attempt);
-        if (attempt.sent()) {
-            end(attempt, fate, (int) (now - attempt.sentAt));
+    void cancel(Attempt attempt, AttemptOutcome outcome, long now) {
+        actions.cancel(attempt);
+        if (attempt.onSent()) {
+            complete(attempt, outcome, (int) (now - attempt.sentAtMs));
         } else {
-            attempt.live = false;
-            live--;
-            hands.forget(attempt.grant.askId());
+            attempt.active = false;
+            activeCount--;
+            actions.cancelSlotRequest(attempt.grant.requestId());
         }
     }
 
     /** The first usable answer settles: all others are called off. */
-    void callOffOthers(Attempt winner, long now) {
+    void cancelOthers(Attempt winner, long now) {
         for (int i = 0; i < all.size(); i++) {
             Attempt attempt = all.get(i);
-            if (attempt.live && attempt != winner) {
-                if (attempt.sent() && !attempt.copy) {
+            if (attempt.active && attempt != winner) {
+                if (attempt.onSent() && !attempt.hedge) {
                     // Guards the delay of copies against forgetting the slow: it took this long at least.
-                    hands.took((int) (now - attempt.sentAt));
+                    actions.recordResponseTime((int) (now - attempt.sentAtMs));
                 }
-                callOff(attempt, AttemptOutcome.CANCELLED, now);
+                cancel(attempt, AttemptOutcome.CANCELLED, now);
             }
         }
     }
@@ -86,22 +86,22 @@
     /**
      * Nobody waits any more: what no host has is dropped, the rest is left to finish there; true where there is such.
      */
-    boolean leave(long now) {
+    boolean onClientGone(long now) {
         for (int i = 0; i < all.size(); i++) {
             Attempt attempt = all.get(i);
-            if (attempt.live && !attempt.sent()) {
-                callOff(attempt, AttemptOutcome.CANCELLED, now);
+            if (attempt.active && !attempt.onSent()) {
+                cancel(attempt, AttemptOutcome.CANCELLED, now);
             }
         }
-        return live > 0;
+        return activeCount > 0;
     }
 
     /** A host that has not answered by now will not. */
     void giveUp(long now) {
         for (int i = 0; i < all.size(); i++) {
             Attempt attempt = all.get(i);
-            if (attempt.live) {
-                callOff(attempt, now >= end ? AttemptOutcome.SILENT : AttemptOutcome.CANCELLED, now);
+            if (attempt.active) {
+                cancel(attempt, now >= deadlineMs ? AttemptOutcome.SILENT : AttemptOutcome.CANCELLED, now);
             }
         }
     }
--- a/src/main/java/brambletray/platform/proxy/ClientConnection.java
+++ b/src/main/java/brambletray/platform/proxy/ClientConnection.java
@@ -24,268 +24,268 @@
     /** ms; after the last answer: what still comes is thrown away, lest a reset takes the answer with it. */
     private static final int LINGER_MS = 1_000;
     /** ms; a client that has not taken its whole answer by then is given up. */
-    private static final int WRITING_MOST_MS = 15_000;
+    private static final int MAX_WRITE_MS = 15_000;
 
     private enum State {
         IDLE,
         HEAD,
         BODY,
         BUSY,
-        LAST
+        CLOSING
     }
 
     /** A part of a request, and when it was read, ms of the steady clock. */
-    private record Ahead(Object part, long at) {}
+    private record PipelinedPart(Object part, long readAtMs) {}
 
     private final FrontEndServer front;
     /** Those in force when the newest request began: a change amid a request does not end it. */
     private ClientLimits limits;
 
-    private final RequestReader draft;
+    private final RequestReader requestReader;
     /** What was read while the request before it is at work. */
-    private final ArrayDeque<Ahead> ahead = new ArrayDeque<>(0);
+    private final ArrayDeque<PipelinedPart> pipelined = new ArrayDeque<>(0);
 
     private Channel channel;
-    private ResponseWriter pen;
-    private String ip;
+    private ResponseWriter writer;
+    private String clientIp;
     private State state = State.IDLE;
     /** When the state began, ms. */
-    private long since;
+    private long stateSinceMs;
 
     /** Answers a request of whose body not all came with its head, once its time is over. */
-    private Future<?> overdue;
+    private Future<?> bodyTimeout;
 
     private RequestDriver driver;
-    private boolean close;
-    private boolean catchingUp;
+    private boolean closeAfterResponse;
+    private boolean processingPipelined;
 
     ClientConnection(FrontEndServer front, ClientLimits limits) {
         this.front = front;
         this.limits = limits;
-        this.draft = new RequestReader(front.hold());
-        this.since = front.now();
+        this.requestReader = new RequestReader(front.memoryBudget());
+        this.stateSinceMs = front.now();
     }
 
     // ---- In -------------------------------------------------------------------------------------
     @Override
     public void handlerAdded(ChannelHandlerContext context) {
         channel = context.channel();
-        pen = new ResponseWriter(channel);
+        writer = new ResponseWriter(channel);
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        front.came(this);
+        front.onConnected(this);
     }
 
     /** Bytes are here, of whatever. */
-    void bytes() {
+    void onBytes() {
         if (state == State.IDLE) {
-            limits = front.flow().limits();
-            enter(State.HEAD);
+            limits = front.requestRouter().limits();
+            enterState(State.HEAD);
         }
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object part) {
-        if (state == State.LAST) {
+        if (state == State.CLOSING) {
             ReferenceCountUtil.release(part);
-        } else if (state == State.BUSY || !ahead.isEmpty()) {
+        } else if (state == State.BUSY || !pipelined.isEmpty()) {
             // One request at a time: the next ones wait, and no more is read meanwhile.
-            ahead.add(new Ahead(part, front.now()));
+            pipelined.add(new PipelinedPart(part, front.now()));
             channel.config().setAutoRead(false);
         } else {
-            take(part, front.now());
+            onPart(part, front.now());
         }
     }
 
-    private void take(Object part, long at) {
+    private void onPart(Object part, long readAtMs) {
         try {
-            Rejection turn =
+            Rejection rejection =
                     part instanceof HttpObject object && object.decoderResult().isFailure()
                             ? Rejection.of(object.decoderResult().cause())
                             : null;
-            if (turn == null && part instanceof HttpRequest request) {
-                turn = began(request, at);
+            if (rejection == null && part instanceof HttpRequest request) {
+                rejection = onHead(request, readAtMs);
             }
-            if (turn == null && part instanceof HttpContent content) {
-                turn = came(content);
+            if (rejection == null && part instanceof HttpContent content) {
+                rejection = onContent(content);
             }
-            if (turn != null) {
-                turnAway(turn.status(), turn.code());
+            if (rejection != null) {
+                reject(rejection.status(), rejection.code());
             }
         } finally {
             ReferenceCountUtil.release(part);
         }
     }
 
-    private Rejection began(HttpRequest request, long at) {
-        enter(State.BODY);
-        close = !HttpUtil.isKeepAlive(request);
-        Rejection turn = draft.head(request, at, limits);
-        if (turn == null && HttpUtil.is100ContinueExpected(request)) {
-            pen.proceed();
+    private Rejection onHead(HttpRequest request, long readAtMs) {
+        enterState(State.BODY);
+        closeAfterResponse = !HttpUtil.isKeepAlive(request);
+        Rejection rejection = requestReader.onHead(request, readAtMs, limits);
+        if (rejection == null && HttpUtil.is100ContinueExpected(request)) {
+            writer.writeContinue();
         }
-        return turn;
+        return rejection;
     }
 
-    private Rejection came(HttpContent content) {
-        Rejection turn = draft.body(content);
-        if (turn == null && content instanceof LastHttpContent) {
-            ClientRequest clientRequest = draft.whole();
-            enter(State.BUSY);
-            front.flow().serve(this, clientRequest);
+    private Rejection onContent(HttpContent content) {
+        Rejection rejection = requestReader.onBody(content);
+        if (rejection == null && content instanceof LastHttpContent) {
+            ClientRequest clientRequest = requestReader.takeRequest();
+            enterState(State.BUSY);
+            front.requestRouter().serve(this, clientRequest);
         }
-        return turn;
+        return rejection;
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        watchBody();
+        startBodyTimeout();
     }
 
-    private void watchBody() {
-        if (state != State.BODY || overdue != null) {
+    private void startBodyTimeout() {
+        if (state != State.BODY || bodyTimeout != null) {
             return;
         }
-        long end = draft.end(front.flow());
+        long end = requestReader.deadlineMs(front.requestRouter());
         if (end != Long.MAX_VALUE) {
-            overdue =
-                    channel.eventLoop().schedule(this::overdue, Math.max(0, end - front.now()), TimeUnit.MILLISECONDS);
+            bodyTimeout = channel.eventLoop()
+                    .schedule(this::onBodyTimeout, Math.max(0, end - front.now()), TimeUnit.MILLISECONDS);
         }
     }
 
-    private void overdue() {
-        overdue = null;
-        late(state == State.BODY);
+    private void onBodyTimeout() {
+        bodyTimeout = null;
+        timeOut(state == State.BODY);
     }
 
-    private void stopWatchingBody() {
-        if (overdue != null) {
-            overdue.cancel(false);
-            overdue = null;
+    private void stopBodyTimeout() {
+        if (bodyTimeout != null) {
+            bodyTimeout.cancel(false);
+            bodyTimeout = null;
         }
     }
 
     /** Who brings the answer to the request that was read last. */
-    void carried(RequestDriver by) {
+    void onDriverStarted(RequestDriver by) {
         driver = by;
     }
 
     // ---- Out ------------------------------------------------------------------------------------
-    String ip() {
-        if (ip == null) {
-            ip = channel.remoteAddress() instanceof InetSocketAddress peer
+    String clientIp() {
+        if (clientIp == null) {
+            clientIp = channel.remoteAddress() instanceof InetSocketAddress peer
                     ? peer.getAddress().getHostAddress()
                     : "";
         }
-        return ip;
+        return clientIp;
     }
 
     /** The edge leaves, and no request waits here that has been read already. */
     private boolean isLast() {
-        return front.draining() && ahead.isEmpty();
+        return front.isDraining() && pipelined.isEmpty();
     }
 
     /** A host's whole answer. */
-    void answer(HostResponse answer) {
-        close |= isLast();
-        pen.answer(answer, close);
-        answered();
+    void writeResponse(HostResponse response) {
+        closeAfterResponse |= isLast();
+        writer.writeResponse(response, closeAfterResponse);
+        onResponded();
     }
 
-    /** The head of a host's answer and what has come of its body; the rest follows by {@link #more}. */
-    void flow(HostResponse answer) {
-        close |= isLast();
-        pen.flow(answer, close);
+    /** The head of a host's answer and what has come of its body; the rest follows by {@link #writeMore}. */
+    void startStreaming(HostResponse response) {
+        closeAfterResponse |= isLast();
+        writer.startStreaming(response, closeAfterResponse);
     }
 
     /** More of it; false where the client has enough to read for now. */
-    boolean more(ByteBuf bytes) {
-        return pen.more(bytes);
+    boolean writeMore(ByteBuf bytes) {
+        return writer.writeMore(bytes);
     }
 
-    /** The answer that came by {@link #more} is whole. */
-    void flowed() {
-        pen.flowed();
-        answered();
+    /** The answer that came by {@link #writeMore} is whole. */
+    void finishStreaming() {
+        writer.finishStreaming();
+        onResponded();
     }
 
     /** An answer of ours. */
-    void own(int status, String code, int comeBackMs, CharSequence id, boolean bare) {
-        close |= isLast();
-        pen.own(status, code, comeBackMs, id, bare, close);
-        answered();
+    void writeOwnResponse(int status, String code, int retryAfterMs, CharSequence id, boolean bare) {
+        closeAfterResponse |= isLast();
+        writer.writeOwnResponse(status, code, retryAfterMs, id, bare, closeAfterResponse);
+        onResponded();
     }
 
     /** What was written must not look complete. */
-    void cut() {
+    void abort() {
         channel.close();
     }
 
-    private void answered() {
+    private void onResponded() {
         driver = null;
-        pen.whenWritten(this::written);
-        if (close) {
-            last();
+        writer.whenWritten(this::onWritten);
+        if (closeAfterResponse) {
+            closeAfterFlush();
             return;
         }
-        enter(State.IDLE);
-        if (!catchingUp) {
-            catchingUp = true;
-            while (!ahead.isEmpty() && state != State.BUSY && state != State.LAST) {
-                bytes();
-                Ahead next = ahead.poll();
-                take(next.part(), next.at());
+        enterState(State.IDLE);
+        if (!processingPipelined) {
+            processingPipelined = true;
+            while (!pipelined.isEmpty() && state != State.BUSY && state != State.CLOSING) {
+                onBytes();
+                PipelinedPart next = pipelined.poll();
+                onPart(next.part(), next.readAtMs());
             }
-            catchingUp = false;
+            processingPipelined = false;
         }
-        if (ahead.isEmpty() && state != State.LAST) {
+        if (pipelined.isEmpty() && state != State.CLOSING) {
             channel.config().setAutoRead(true);
         }
-        watchBody();
+        startBodyTimeout();
     }
 
     /** The client has taken its answer: its rest begins now. */
-    private void written() {
-        if (state == State.IDLE || state == State.LAST) {
-            since = front.now();
+    private void onWritten() {
+        if (state == State.IDLE || state == State.CLOSING) {
+            stateSinceMs = front.now();
         }
     }
 
-    private void last() {
-        enter(State.LAST);
-        drop();
+    private void closeAfterFlush() {
+        enterState(State.CLOSING);
+        releaseAll();
         channel.config().setAutoRead(true);
-        pen.last();
+        writer.closeAfterFlush();
     }
 
     /** Answers what can't be read further: nothing after it on this connection is looked at. */
-    private void turnAway(int status, String code) {
-        if (state != State.LAST && state != State.BUSY) {
-            boolean bare = draft.bare();
-            close = true;
-            front.flow().turnedAway(status);
-            own(status, code, status == 503 ? RequestRouter.COME_BACK_MS : -1, null, bare);
+    private void reject(int status, String code) {
+        if (state != State.CLOSING && state != State.BUSY) {
+            boolean bare = requestReader.isHeadRequest();
+            closeAfterResponse = true;
+            front.requestRouter().countRejected(status);
+            writeOwnResponse(status, code, status == 503 ? RequestRouter.RETRY_AFTER_MS : -1, null, bare);
         }
     }
 
     // ---- Ends -----------------------------------------------------------------------------------
     /** What time asks for. */
-    void look(long now) {
-        long spent = now - since;
+    void checkTimeouts(long now) {
+        long spent = now - stateSinceMs;
         switch (state) {
-            case IDLE -> closeIf(spent >= (pen.isWriting() ? WRITING_MOST_MS : idleMs()));
-            case HEAD -> late(spent >= limits.headerTimeoutMs());
-            case BODY -> late(spent >= limits.idleTimeoutMs());
-            case LAST -> closeIf(spent >= (pen.isWriting() ? WRITING_MOST_MS : LINGER_MS));
+            case IDLE -> closeIf(spent >= (writer.isWriting() ? MAX_WRITE_MS : idleMs()));
+            case HEAD -> timeOut(spent >= limits.headerTimeoutMs());
+            case BODY -> timeOut(spent >= limits.idleTimeoutMs());
+            case CLOSING -> closeIf(spent >= (writer.isWriting() ? MAX_WRITE_MS : LINGER_MS));
             default -> {}
         }
     }
 
     /** A client knows the limits of when its last request began, or newer ones: the longer time is kept. */
     private int idleMs() {
-        return Math.max(limits.idleTimeoutMs(), front.flow().limits().idleTimeoutMs());
+        return Math.max(limits.idleTimeoutMs(), front.requestRouter().limits().idleTimeoutMs());
     }
 
     private void closeIf(boolean due) {
@@ -294,30 +294,30 @@
         }
     }
 
-    private void late(boolean due) {
+    private void timeOut(boolean due) {
         if (due) {
-            turnAway(408, "proxy.slow-request");
+            reject(408, "proxy.slow-request");
         }
     }
 
     /** Nothing has begun on it, and nothing is owed on it. */
-    boolean idle() {
-        return state == State.IDLE && ahead.isEmpty() && !pen.isWriting();
+    boolean isIdle() {
+        return state == State.IDLE && pipelined.isEmpty() && !writer.isWriting();
     }
 
     /** The process ends: the request that is at work is answered now. */
-    void giveUp() {
+    void answerNow() {
         if (driver != null) {
-            driver.giveUp();
+            driver.answerNow();
         }
     }
 
     /** The edge leaves: closes the connection unless a request has begun on it; an answer under way goes out first. */
-    void leave() {
-        if (idle()) {
+    void closeIfIdle() {
+        if (isIdle()) {
             channel.close();
-        } else if (state == State.IDLE && ahead.isEmpty()) {
-            last();
+        } else if (state == State.IDLE && pipelined.isEmpty()) {
+            closeAfterFlush();
         }
     }
 
@@ -325,34 +325,34 @@
         channel.close();
     }
 
-    private void enter(State next) {
-        stopWatchingBody();
+    private void enterState(State next) {
+        stopBodyTimeout();
         state = next;
-        since = front.now();
+        stateSinceMs = front.now();
     }
 
-    private void drop() {
-        draft.drop();
-        ahead.forEach(next -> ReferenceCountUtil.release(next.part()));
-        ahead.clear();
+    private void releaseAll() {
+        requestReader.release();
+        pipelined.forEach(next -> ReferenceCountUtil.release(next.part()));
+        pipelined.clear();
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
         if (channel.isWritable() && driver != null) {
-            driver.roomAgain();
+            driver.onClientWritable();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        front.went(this);
-        enter(State.LAST);
-        drop();
+        front.onDisconnected(this);
+        enterState(State.CLOSING);
+        releaseAll();
         RequestDriver left = driver;
         driver = null;
         if (left != null) {
-            left.gone();
+            left.onClientGone();
         }
     }
 
--- a/src/main/java/brambletray/platform/proxy/ClientRequest.java
+++ b/src/main/java/brambletray/platform/proxy/ClientRequest.java
@@ -7,7 +7,7 @@
  * A request as a client sent it, read whole. {@code at}: when its head was here, ms of the steady clock;
  * {@code bodied}: a body was announced, if only an empty one.
  */
-record ClientRequest(String method, String uri, HttpHeaders headers, ByteBuf body, boolean bodied, long at) {
+record ClientRequest(String method, String uri, HttpHeaders headers, ByteBuf body, boolean hasBody, long receivedAtMs) {
     static final String ID = "brambletray-attempt-id";
     static final String REMAINING = "brambletray-deadline-remaining";
     static final String TARGET = "brambletray-target-instance";
--- a/src/main/java/brambletray/platform/proxy/FrontEndServer.java
+++ b/src/main/java/brambletray/platform/proxy/FrontEndServer.java
@@ -19,26 +19,26 @@
     private static final int SWEEP_MS = 250;
 
     private final Machine machine;
-    private final RequestRouter flow;
-    private final int mostClients;
+    private final RequestRouter requestRouter;
+    private final int maxClients;
     private final Set<ClientConnection> clients = new LinkedHashSet<>();
     private Channel listener;
-    private boolean draining;
+    private boolean isDraining;
 
-    /** {@code mostClients}: connections at once; the rest of the descriptors is for hosts and relays. */
-    public FrontEndServer(Machine machine, RequestRouter flow, int mostClients) {
+    /** {@code maxClients}: connections at once; the rest of the descriptors is for hosts and relays. */
+    public FrontEndServer(Machine machine, RequestRouter requestRouter, int maxClients) {
         this.machine = machine;
-        this.flow = flow;
-        this.mostClients = mostClients;
+        this.requestRouter = requestRouter;
+        this.maxClients = maxClients;
         machine.loop().scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Listens; the future fails where the address can't be had. */
-    public ChannelFuture open(Address at) {
+    public ChannelFuture listen(Address at) {
         ChannelFuture bound = machine.listening(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        ClientLimits limits = flow.limits();
+                        ClientLimits limits = requestRouter.limits();
                         ClientConnection client = new ClientConnection(FrontEndServer.this, limits);
                         channel.pipeline().addLast(new RequestDecoder(client, limits.maxHeaderBytes()), client);
                     }
@@ -48,16 +48,16 @@
         return bound;
     }
 
-    RequestRouter flow() {
-        return flow;
+    RequestRouter requestRouter() {
+        return requestRouter;
     }
 
-    MemoryBudget hold() {
-        return flow.hold();
+    MemoryBudget memoryBudget() {
+        return requestRouter.memoryBudget();
     }
 
-    boolean draining() {
-        return draining;
+    boolean isDraining() {
+        return isDraining;
     }
 
     long now() {
@@ -66,38 +66,38 @@
 
     /** From now on each answer ends its connection; new ones are still taken. */
     void drain() {
-        draining = true;
+        isDraining = true;
     }
 
     /** Takes no new connections, and closes those on which no request has begun, once the answer before is out. */
     void stopAccepting() {
-        draining = true;
+        isDraining = true;
         if (listener != null) {
             Machine.close(listener);
         }
         for (ClientConnection client : List.copyOf(clients)) {
-            client.leave();
+            client.closeIfIdle();
         }
     }
 
     /** Answers each request that still waits, and from now on each new one at once: the process is about to end. */
-    void giveUp() {
-        flow.refuseNew();
+    void answerNow() {
+        requestRouter.rejectNew();
         for (ClientConnection client : List.copyOf(clients)) {
-            client.giveUp();
+            client.answerNow();
         }
     }
 
     /** Connections of clients now. */
-    public int connections() {
+    public int connectionCount() {
         return clients.size();
     }
 
-    void came(ClientConnection client) {
+    void onConnected(ClientConnection client) {
         clients.add(client);
-        if (clients.size() > mostClients) {
+        if (clients.size() > maxClients) {
             for (ClientConnection other : clients) {
-                if (other != client && other.idle()) {
+                if (other != client && other.isIdle()) {
                     other.closeNow();
                     return;
                 }
@@ -106,7 +106,7 @@
         }
     }
 
-    void went(ClientConnection client) {
+    void onDisconnected(ClientConnection client) {
         clients.remove(client);
     }
 
@@ -114,7 +114,7 @@
         if (!clients.isEmpty()) {
             long now = now();
             for (ClientConnection client : new ArrayList<>(clients)) {
-                client.look(now);
+                client.checkTimeouts(now);
             }
         }
     }
--- a/src/main/java/brambletray/platform/proxy/GracefulShutdown.java
+++ b/src/main/java/brambletray/platform/proxy/GracefulShutdown.java
@@ -23,38 +23,40 @@
     /** ms before the end of the grace time: the process has ended by itself then. */
     private static final int EXIT_MARGIN_MS = 300;
     /** ms after the last connection was taken until the process may end; between looks whether it can. */
-    private static final int FIRST_LOOK_MS = 100;
+    private static final int FIRST_CHECK_MS = 100;
 
-    private static final int LOOK_MS = 50;
+    private static final int CHECK_INTERVAL_MS = 50;
 
     private final Machine machine;
-    private final RequestRouter flow;
-    private final FrontEndServer front;
+    private final RequestRouter requestRouter;
+    private final FrontEndServer frontEndServer;
     private final IntConsumer exit;
-    private boolean begun;
+    private boolean started;
     private boolean ended;
 
     /** {@code exit}: ends the process with this code. */
-    public GracefulShutdown(Machine machine, RequestRouter flow, FrontEndServer front, IntConsumer exit) {
+    public GracefulShutdown(
+            Machine machine, RequestRouter requestRouter, FrontEndServer frontEndServer, IntConsumer exit) {
         this.machine = machine;
-        this.flow = flow;
-        this.front = front;
+        this.requestRouter = requestRouter;
+        this.frontEndServer = frontEndServer;
         this.exit = exit;
     }
 
     /** Begins; a second call changes nothing. {@code graceMs}: from the signal to SIGKILL. */
-    public void begin(long graceMs) {
-        if (begun) {
+    public void start(long graceMs) {
+        if (started) {
             return;
         }
-        begun = true;
-        front.drain();
+        started = true;
+        frontEndServer.drain();
         long acceptingMs = graceMs * ACCEPTING_TWELFTHS / 12;
-        after(acceptingMs, front::stopAccepting);
-        after(graceMs - ANSWER_MARGIN_MS, front::giveUp);
-        after(graceMs - EXIT_MARGIN_MS, this::end);
+        after(acceptingMs, frontEndServer::stopAccepting);
+        after(graceMs - ANSWER_MARGIN_MS, frontEndServer::answerNow);
+        after(graceMs - EXIT_MARGIN_MS, this::exitNow);
         machine.loop()
-                .scheduleWithFixedDelay(this::endIfDone, acceptingMs + FIRST_LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+                .scheduleWithFixedDelay(
+                        this::endIfDone, acceptingMs + FIRST_CHECK_MS, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private void after(long ms, Runnable then) {
@@ -62,17 +64,17 @@
     }
 
     private void endIfDone() {
-        if (flow.underWay() == 0 && front.connections() == 0) {
-            end();
+        if (requestRouter.activeRequests() == 0 && frontEndServer.connectionCount() == 0) {
+            exitNow();
         }
     }
 
-    private void end() {
+    private void exitNow() {
         if (ended) {
             return;
         }
         ended = true;
-        LOG.info("ended").with("in-flight", flow.inFlight()).log();
+        LOG.info("ended").with("in-flight", requestRouter.inFlight()).log();
         exit.accept(0);
     }
 }
