--- a/src/main/java/brambletray/platform/proxy/HeaderWriter.java
+++ b/src/main/java/brambletray/platform/proxy/HeaderWriter.java
@@ -17,14 +17,14 @@
  * anew.
  */
 final class HeaderWriter {
-    private static final int ROOM = 512;
+    private static final int INITIAL_BYTES = 512;
     private static final byte[] CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
     private HeaderWriter() {}
 
-    /** {@code remaining}: what the host is told it has left, ms. */
-    static ByteBuf request(ByteBufAllocator memory, ClientRequest clientRequest, String host, long remaining) {
-        ByteBuf out = memory.buffer(ROOM
+    /** {@code remainingMs}: what the host is told it has left, ms. */
+    static ByteBuf request(ByteBufAllocator allocator, ClientRequest clientRequest, String host, long remainingMs) {
+        ByteBuf out = allocator.buffer(INITIAL_BYTES
                 + (clientRequest.body().readableBytes() <= HostConnection.JOINED
                         ? clientRequest.body().readableBytes()
                         : 0));
@@ -34,23 +34,23 @@
         ascii(out, " HTTP/1.1\r\n");
         headers(out, clientRequest.headers(), true);
         header(out, "Brambletray-Target-Instance", host);
-        header(out, "Brambletray-Deadline-Remaining", Long.toString(Math.max(1, remaining)));
-        if (clientRequest.bodied()) {
+        header(out, "Brambletray-Deadline-Remaining", Long.toString(Math.max(1, remainingMs)));
+        if (clientRequest.hasBody()) {
             header(out, "Content-Length", Integer.toString(clientRequest.body().readableBytes()));
         }
         return end(out);
     }
 
-    /** {@code whole}: all of the body is here; else it comes by the host's length, or in chunks. */
-    static ByteBuf answer(ByteBufAllocator memory, HostResponse answer, boolean whole, boolean close) {
-        ByteBuf out = status(memory, answer.status, answer.reason);
-        headers(out, answer.headers, false);
-        if (answer.bare) {
-            if (answer.status != 204 && answer.length >= 0) {
-                header(out, "Content-Length", Long.toString(answer.length));
+    /** {@code complete}: all of the body is here; else it comes by the host's length, or in chunks. */
+    static ByteBuf response(ByteBufAllocator allocator, HostResponse response, boolean complete, boolean close) {
+        ByteBuf out = status(allocator, response.status, response.reason);
+        headers(out, response.headers, false);
+        if (response.withoutBody) {
+            if (response.status != 204 && response.length >= 0) {
+                header(out, "Content-Length", Long.toString(response.length));
             }
-        } else if (whole || answer.length >= 0) {
-            header(out, "Content-Length", Long.toString(whole ? answer.size() : answer.length));
+        } else if (complete || response.length >= 0) {
+            header(out, "Content-Length", Long.toString(complete ? response.size() : response.length));
         } else {
             header(out, "Transfer-Encoding", "chunked");
         }
@@ -61,24 +61,24 @@
     }
 
     /**
-     * An answer of ours, with the fault's code in its body. {@code comeBackMs}: -1 for no {@code Retry-After};
+     * An answer of ours, with the fault's code in its body. {@code retryAfterMs}: -1 for no {@code Retry-After};
      * {@code id}: null for none.
      */
-    static ByteBuf own(
-            ByteBufAllocator memory,
+    static ByteBuf ownResponse(
+            ByteBufAllocator allocator,
             int status,
             String reason,
             String code,
-            int comeBackMs,
+            int retryAfterMs,
             CharSequence id,
-            boolean bare,
+            boolean withoutBody,
             boolean close) {
-        ByteBuf out = status(memory, status, reason);
+        ByteBuf out = status(allocator, status, reason);
         if (id != null) {
             header(out, "Brambletray-Attempt-Id", id);
         }
-        if (comeBackMs >= 0) {
-            header(out, "Retry-After", seconds(comeBackMs));
+        if (retryAfterMs >= 0) {
+            header(out, "Retry-After", secondsOf(retryAfterMs));
         }
         if (close) {
             header(out, "Connection", "close");
@@ -86,7 +86,7 @@
         header(out, "Content-Type", "application/json");
         header(out, "Content-Length", Integer.toString(code.length() + 11));
         end(out);
-        if (!bare) {
+        if (!withoutBody) {
             ascii(out, "{\"code\":\"");
             ascii(out, code);
             ascii(out, "\"}");
@@ -94,8 +94,8 @@
         return out;
     }
 
-    static ByteBuf empty(ByteBufAllocator memory, int status, boolean close) {
-        ByteBuf out = status(memory, status, Rejection.reason(status));
+    static ByteBuf emptyResponse(ByteBufAllocator allocator, int status, boolean close) {
+        ByteBuf out = status(allocator, status, Rejection.reason(status));
         if (close) {
             header(out, "Connection", "close");
         }
@@ -103,18 +103,18 @@
         return end(out);
     }
 
-    static ByteBuf proceed(ByteBufAllocator memory) {
-        return memory.buffer(CONTINUE.length).writeBytes(CONTINUE);
+    static ByteBuf continueResponse(ByteBufAllocator allocator) {
+        return allocator.buffer(CONTINUE.length).writeBytes(CONTINUE);
     }
 
     /** 1250 ms: 1.250. */
-    static String seconds(int ms) {
+    static String secondsOf(int ms) {
         String rest = Integer.toString(1000 + ms % 1000);
         return ms / 1000 + "." + rest.substring(1);
     }
 
-    private static ByteBuf status(ByteBufAllocator memory, int status, String reason) {
-        ByteBuf out = memory.buffer(ROOM);
+    private static ByteBuf status(ByteBufAllocator allocator, int status, String reason) {
+        ByteBuf out = allocator.buffer(INITIAL_BYTES);
         ascii(out, "HTTP/1.1 ");
         ascii(out, Integer.toString(status));
         out.writeByte(' ');
@@ -128,7 +128,7 @@
     }
 
     private static void headers(ByteBuf out, HttpHeaders headers, boolean toHost) {
-        List<String> named = headers.contains(HttpHeaderNames.CONNECTION) ? named(headers) : List.of();
+        List<String> named = headers.contains(HttpHeaderNames.CONNECTION) ? connectionHeaders(headers) : List.of();
         Iterator<Map.Entry<CharSequence, CharSequence>> entries = headers.iteratorCharSequence();
         while (entries.hasNext()) {
             Map.Entry<CharSequence, CharSequence> entry = entries.next();
@@ -142,7 +142,7 @@
     }
 
     /** What Connection names besides its own words. */
-    private static List<String> named(HttpHeaders headers) {
+    private static List<String> connectionHeaders(HttpHeaders headers) {
         List<String> names = new ArrayList<>(2);
         for (String value : headers.getAll(HttpHeaderNames.CONNECTION)) {
             for (int from = 0; from <= value.length(); ) {
--- a/src/main/java/brambletray/platform/proxy/HostCall.java
+++ b/src/main/java/brambletray/platform/proxy/HostCall.java
@@ -11,53 +11,53 @@
     ClientRequest clientRequest();
 
     /** Its id, as the client sent it. */
-    String id();
+    String requestId();
 
     /** {@code instance-id} and address of the host. */
-    String host();
+    String instanceId();
 
     String address();
 
     /** Not to run twice: only on connections that are surely open. */
-    boolean careful();
+    boolean requiresOpenConnection();
 
     /** The host may still refuse connections: try on. */
-    boolean booting();
+    boolean isBooting();
 
     /** Connections to this host at most. */
-    int mostLines();
+    int maxConnections();
 
     /** ms of the steady clock. */
-    long hostEnd();
+    long hostDeadlineMs();
 
-    MemoryBudget hold();
+    MemoryBudget memoryBudget();
 
     /** Whether it has been on this connection before: what is still to come there may bear its id. */
-    boolean met(HostConnection line);
+    boolean wasSentOn(HostConnection connection);
 
     /**
      * False: its time is over, and it is not to go out. Asked right before it does, as timers may be late where the
      * machine stood still.
      */
-    boolean wanted();
+    boolean isStillWanted();
 
     /** A connection is up, and is now at it. */
-    void up(HostConnection line);
+    void onConnected(HostConnection connection);
 
     /** That connection was closed before a byte went out; another is looked for. */
-    void down();
+    void onClosedUnsent();
 
     /** The first byte is out. */
-    void sent();
+    void onSent();
 
-    void unreached();
+    void onUnreachable();
 
-    /** True: it is given on as it comes by {@link #more}; false: throw away what else comes. */
-    boolean flow(HostResponse answer);
+    /** True: it is given on as it comes by {@link #onContent}; false: throw away what else comes. */
+    boolean onStreaming(HostResponse response);
 
     /** Takes the bytes over. False: stop reading until {@link HostConnection#resume}. */
-    boolean more(ByteBuf bytes);
+    boolean onContent(ByteBuf bytes);
 
-    /** {@code answer}: null unless SERVED or FAILED, and where it is {@code withheld}; the errand's from now on. */
-    void ended(AttemptOutcome fate, boolean withheld, HostResponse answer);
+    /** {@code response}: null unless SERVED or FAILED, and where it is {@code withheld}; the errand's from now on. */
+    void onEnded(AttemptOutcome outcome, boolean withheld, HostResponse response);
 }
--- a/src/main/java/brambletray/platform/proxy/HostConnection.java
+++ b/src/main/java/brambletray/platform/proxy/HostConnection.java
@@ -26,26 +26,26 @@
     /** Bytes of a body that travel in one piece with their head. */
     static final int JOINED = 8 * 1024;
 
-    private final HostConnectionPools lines;
+    private final HostConnectionPools pools;
     final HostConnectionPool pool;
     final ResponseDecoder decoder = new ResponseDecoder(this);
     private Channel channel;
     /** What it is at; null while it is idle. */
-    private ResponseReader reading;
+    private ResponseReader responseReader;
 
-    private boolean written;
-    private boolean keep = true;
-    private boolean fresh = true;
+    private boolean requestWritten;
+    private boolean keepAlive = true;
+    private boolean neverUsed = true;
     /** ms of the steady clock; how long it may be idle, ms, by the host's word if {@code told}. */
-    long idleSince;
+    long idleSinceMs;
 
     private int idleMs;
     private boolean told;
 
-    HostConnection(HostConnectionPools lines, HostConnectionPool pool) {
-        this.lines = lines;
+    HostConnection(HostConnectionPools pools, HostConnectionPool pool) {
+        this.pools = pools;
         this.pool = pool;
-        this.idleMs = lines.idleMs;
+        this.idleMs = pools.idleMs;
     }
 
     @Override
@@ -54,35 +54,36 @@
     }
 
     /** A request is out, and its answer is not whole yet: bytes that come may belong to it. */
-    boolean waits() {
-        return reading != null && reading.isSent();
+    boolean isWaiting() {
+        return responseReader != null && responseReader.isSent();
     }
 
-    boolean answered() {
-        return reading != null && reading.complete();
+    boolean isAnswered() {
+        return responseReader != null && responseReader.isComplete();
     }
 
     /** Bytes behind a whole answer: they belong to no request, and take nothing from it. */
-    void surplus() {
-        keep = false;
+    void onSurplus() {
+        keepAlive = false;
     }
 
     /**
      * Bytes that come while nobody can have asked for them: not a byte of what waits has gone out, it can go elsewhere.
      */
-    void unasked() {
-        if (reading != null) {
-            unsent();
+    void onUnsolicited() {
+        if (responseReader != null) {
+            onUnsent();
         } else {
             channel.close();
         }
     }
 
     boolean atHead() {
-        return reading != null && reading.hostCall().clientRequest().head();
+        return responseReader != null
+                && responseReader.hostCall().clientRequest().head();
     }
 
-    boolean open() {
+    boolean isOpen() {
         return channel.isActive();
     }
 
@@ -91,52 +92,58 @@
     }
 
     /** Not used again after this request. */
-    void retire() {
-        keep = false;
-        if (reading == null) {
+    void closeAfterResponse() {
+        keepAlive = false;
+        if (responseReader == null) {
             channel.close();
         }
     }
 
     /** Whether a request may go out on it now; a careful one only where the host surely hasn't closed it. */
-    boolean usable(long now, boolean careful) {
+    boolean isUsable(long now, boolean requiresOpenConnection) {
         return channel.isActive()
-                && now - idleSince < (careful && !told ? Math.min(idleMs, HostConnectionPools.UNTOLD_MS) : idleMs);
+                && now - idleSinceMs
+                        < (requiresOpenConnection && !told
+                                ? Math.min(idleMs, HostConnectionPools.LONGEST_IDLE_MS)
+                                : idleMs);
     }
 
-    boolean stale(long now) {
-        return reading == null && now - idleSince >= idleMs;
+    boolean isStale(long now) {
+        return responseReader == null && now - idleSinceMs >= idleMs;
     }
 
     // ---- Out ------------------------------------------------------------------------------------
-    void begin(HostCall hostCall) {
-        ResponseReader begun = new ResponseReader(hostCall, lines.counters, !fresh);
-        reading = begun;
-        written = false;
-        hostCall.up(this);
+    void send(HostCall hostCall) {
+        ResponseReader begun = new ResponseReader(hostCall, pools.counters, !neverUsed);
+        responseReader = begun;
+        requestWritten = false;
+        hostCall.onConnected(this);
         ByteBuf body = hostCall.clientRequest().body();
         ByteBuf head = HeaderWriter.request(
-                channel.alloc(), hostCall.clientRequest(), hostCall.host(), hostCall.hostEnd() - lines.now());
+                channel.alloc(),
+                hostCall.clientRequest(),
+                hostCall.instanceId(),
+                hostCall.hostDeadlineMs() - pools.now());
         ChannelProgressivePromise promise = channel.newProgressivePromise();
         boolean joined = body.readableBytes() <= JOINED;
-        promise.addListener(new Sent(begun, joined));
+        promise.addListener(new WriteListener(begun, joined));
         if (joined) {
             head.writeBytes(body, body.readerIndex(), body.readableBytes());
             channel.writeAndFlush(head, promise);
         } else {
             channel.write(head, promise);
             channel.writeAndFlush(body.retainedDuplicate())
-                    .addListener(done -> written |= done.isSuccess() && begun == reading);
+                    .addListener(done -> requestWritten |= done.isSuccess() && begun == responseReader);
         }
     }
 
     /** Tells a request of which a byte has gone out, and may run, from one of which none has. */
-    private final class Sent implements ChannelProgressiveFutureListener {
+    private final class WriteListener implements ChannelProgressiveFutureListener {
         private final ResponseReader of;
         private final boolean all;
         private boolean begun;
 
-        Sent(ResponseReader of, boolean all) {
+        WriteListener(ResponseReader of, boolean all) {
             this.of = of;
             this.all = all;
         }
@@ -145,8 +152,8 @@
         public void operationProgressed(ChannelProgressiveFuture future, long progress, long total) {
             if (!begun && progress > 0) {
                 begun = true;
-                of.sent();
-                of.hostCall().sent();
+                of.onSent();
+                of.hostCall().onSent();
             }
         }
 
@@ -154,9 +161,9 @@
         public void operationComplete(ChannelProgressiveFuture done) {
             if (done.isSuccess()) {
                 operationProgressed(done, 1, 1);
-                written |= all && of == reading;
-            } else if (!begun && of == reading) {
-                unsent();
+                requestWritten |= all && of == responseReader;
+            } else if (!begun && of == responseReader) {
+                onUnsent();
             } else {
                 channel.close();
             }
@@ -164,30 +171,30 @@
     }
 
     /** Not a byte went out: it can go elsewhere. */
-    private void unsent() {
-        HostCall hostCall = reading.hostCall();
-        reading = null;
+    private void onUnsent() {
+        HostCall hostCall = responseReader.hostCall();
+        responseReader = null;
         channel.close();
-        if (fresh) {
+        if (neverUsed) {
             // Guards against knocking for ever at a host that takes connections only to reset them.
-            hostCall.unreached();
+            hostCall.onUnreachable();
         } else {
-            lines.stale(hostCall);
+            pools.onStale(hostCall);
         }
     }
 
     /** Ends this errand without a word, if it is at it; only closing the connection tells the host. */
     void cancel(HostCall hostCall) {
-        if (reading != null && reading.hostCall() == hostCall) {
+        if (responseReader != null && responseReader.hostCall() == hostCall) {
             cancel();
         }
     }
 
     private void cancel() {
-        ResponseReader ended = reading;
-        reading = null;
+        ResponseReader ended = responseReader;
+        responseReader = null;
         if (ended != null) {
-            ended.drop();
+            ended.release();
         }
         channel.close();
     }
@@ -196,16 +203,16 @@
     @Override
     public void channelRead(ChannelHandlerContext context, Object part) {
         try {
-            if (reading == null) {
+            if (responseReader == null) {
                 return;
             }
-            if (reading.complete()) {
-                surplus();
+            if (responseReader.isComplete()) {
+                onSurplus();
             } else if (((HttpObject) part).decoderResult().isFailure()) {
-                broken("garbled");
-            } else if (part instanceof HttpResponse head && !reading.head(head)) {
-                broken(ResponseVerdict.traits(head.status().code(), head.headers()));
-            } else if (part instanceof HttpContent content && !reading.content(content)) {
+                onBroken("garbled");
+            } else if (part instanceof HttpResponse head && !responseReader.onHead(head)) {
+                onBroken(ResponseVerdict.traits(head.status().code(), head.headers()));
+            } else if (part instanceof HttpContent content && !responseReader.onContent(content)) {
                 channel.config().setAutoRead(false);
             }
         } finally {
@@ -220,43 +227,43 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        if (reading != null && reading.complete()) {
-            finish(keep && written && reading.lasting());
+        if (responseReader != null && responseReader.isComplete()) {
+            onResponseComplete(keepAlive && requestWritten && responseReader.isReusable());
         }
     }
 
-    private void finish(boolean again) {
-        ResponseReader ended = reading;
-        reading = null;
-        fresh = false;
+    private void onResponseComplete(boolean again) {
+        ResponseReader ended = responseReader;
+        responseReader = null;
+        neverUsed = false;
         if (again) {
-            int seconds = KeepAlive.timeout(ended.keepAlive());
+            int seconds = KeepAlive.timeoutSeconds(ended.keepAlive());
             told = seconds >= 0;
-            idleMs = told ? KeepAlive.within(seconds) : lines.idleMs;
+            idleMs = told ? KeepAlive.usableMs(seconds) : pools.idleMs;
             channel.config().setAutoRead(true);
-            lines.idle(this);
+            pools.onIdle(this);
         } else {
             channel.close();
         }
-        ended.hostCall().ended(ended.verdict().fate(), ended.withheld(), ended.answer());
+        ended.hostCall().onEnded(ended.verdict().outcome(), ended.isWithheld(), ended.response());
     }
 
-    private void broken(String why) {
-        ResponseReader ended = reading;
+    private void onBroken(String why) {
+        ResponseReader ended = responseReader;
         cancel();
         if (ended != null) {
-            lines.broken(ended.hostCall(), why);
-            ended.hostCall().ended(AttemptOutcome.BROKEN, false, null);
+            pools.onBroken(ended.hostCall(), why);
+            ended.hostCall().onEnded(AttemptOutcome.BROKEN, false, null);
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        lines.closed(this);
-        if (reading != null && reading.complete()) {
-            finish(false);
+        pools.onClosed(this);
+        if (responseReader != null && responseReader.isComplete()) {
+            onResponseComplete(false);
         } else {
-            broken(written ? "connection ended" : "connection ended before the request was out");
+            onBroken(requestWritten ? "connection ended" : "connection ended before the request was out");
         }
     }
 
--- a/src/main/java/brambletray/platform/proxy/HostConnectionPool.java
+++ b/src/main/java/brambletray/platform/proxy/HostConnectionPool.java
@@ -11,19 +11,19 @@
 final class HostConnectionPool {
     final String id;
     final InetSocketAddress address;
-    final List<HostConnection> lines = new ArrayList<>(2);
+    final List<HostConnection> connections = new ArrayList<>(2);
     /** Newest last. */
     final ArrayDeque<HostConnection> idle = new ArrayDeque<>(2);
     /** Those that wait for a connection. */
-    final ArrayDeque<HostCall> waiting = new ArrayDeque<>(2);
+    final ArrayDeque<HostCall> waitingCalls = new ArrayDeque<>(2);
     /** Those that only want to know whether it is up. */
-    final List<Consumer<Boolean>> knocks = new ArrayList<>(0);
+    final List<Consumer<Boolean>> probes = new ArrayList<>(0);
 
-    int dialling;
+    int connecting;
     /** It has refused so far: one connection at a time is tried. */
-    boolean unborn;
+    boolean notYetUp;
 
-    boolean gone;
+    boolean instanceGone;
     Future<?> retry;
 
     HostConnectionPool(String id, InetSocketAddress address) {
@@ -31,7 +31,7 @@
         this.address = address;
     }
 
-    boolean empty() {
-        return lines.isEmpty() && waiting.isEmpty() && dialling == 0 && retry == null;
+    boolean isEmpty() {
+        return connections.isEmpty() && waitingCalls.isEmpty() && connecting == 0 && retry == null;
     }
 }
--- a/src/main/java/brambletray/platform/proxy/HostConnectionPools.java
+++ b/src/main/java/brambletray/platform/proxy/HostConnectionPools.java
@@ -17,7 +17,7 @@
 /** Connections to hosts, kept and used again, newest first: new ones have a price and may hold a slot. The loop's. */
 public final class HostConnectionPools {
     /** ms; a connection whose host has not said how long it keeps it is this long good for what must not run twice. */
-    static final int UNTOLD_MS = 500;
+    static final int LONGEST_IDLE_MS = 500;
     /** ms until a connection comes up; between tries at a booting host; between looks for idle ones. */
     private static final int CONNECT_MS = 300;
 
@@ -26,7 +26,7 @@
     /** ms; a host that has answered so lately is there. */
     private static final int FRESH_MS = 1_000;
     /** ms; more may come right behind an answer: a connection that has rested so long is preferred. */
-    private static final int REST_MS = 5;
+    private static final int RETRY_INTERVAL_MS = 5;
 
     final RequestCounters counters;
     private final RateLimitedLog rateLimitedLog = new RateLimitedLog();
@@ -57,60 +57,60 @@
 
     // ---- Requests -------------------------------------------------------------------------------
     void send(HostCall hostCall) {
-        if (!hostCall.wanted()) {
+        if (!hostCall.isStillWanted()) {
             return;
         }
-        HostConnectionPool pool = pool(hostCall.host(), hostCall.address());
-        HostConnection line = pool.waiting.isEmpty() ? take(pool, hostCall) : null;
-        if (line != null) {
-            line.begin(hostCall);
+        HostConnectionPool pool = pool(hostCall.instanceId(), hostCall.address());
+        HostConnection connection = pool.waitingCalls.isEmpty() ? acquire(pool, hostCall) : null;
+        if (connection != null) {
+            connection.send(hostCall);
         } else {
-            if (!pool.idle.isEmpty() && pool.lines.size() + pool.dialling >= hostCall.mostLines()) {
+            if (!pool.idle.isEmpty() && pool.connections.size() + pool.connecting >= hostCall.maxConnections()) {
                 // Guards against waiting for room that only connections not good enough take up.
                 pool.idle.poll().close();
             }
-            pool.waiting.add(hostCall);
-            dial(pool);
+            pool.waitingCalls.add(hostCall);
+            openConnections(pool);
         }
     }
 
     /** A host's bytes were no answer. */
-    void broken(HostCall hostCall, String why) {
+    void onBroken(HostCall hostCall, String why) {
         rateLimitedLog
                 .info(now(), "broken")
-                .with("host", hostCall.host())
-                .with("id", hostCall.id())
+                .with("host", hostCall.instanceId())
+                .with("id", hostCall.requestId())
                 .with("why", why)
                 .log();
     }
 
     /** Takes back one that is waiting for a connection. */
     void withdraw(HostCall hostCall) {
-        HostConnectionPool pool = pools.get(hostCall.host());
+        HostConnectionPool pool = pools.get(hostCall.instanceId());
         if (pool != null) {
-            pool.waiting.remove(hostCall);
+            pool.waitingCalls.remove(hostCall);
             forgetIfEmpty(pool);
         }
     }
 
     /** Not a byte of it went out on a kept connection that turned out closed. */
-    void stale(HostCall hostCall) {
-        counters.stale++;
-        hostCall.down();
+    void onStale(HostCall hostCall) {
+        counters.staleConnections++;
+        hostCall.onClosedUnsent();
         send(hostCall);
     }
 
-    private HostConnection take(HostConnectionPool pool, HostCall hostCall) {
+    private HostConnection acquire(HostConnectionPool pool, HostCall hostCall) {
         long now = now();
         HostConnection newest = null;
-        for (Iterator<HostConnection> lines = pool.idle.descendingIterator(); lines.hasNext(); ) {
-            HostConnection line = lines.next();
-            if (line.usable(now, hostCall.careful()) && !hostCall.met(line)) {
-                if (now - line.idleSince >= REST_MS) {
-                    lines.remove();
-                    return line;
+        for (Iterator<HostConnection> idle = pool.idle.descendingIterator(); idle.hasNext(); ) {
+            HostConnection connection = idle.next();
+            if (connection.isUsable(now, hostCall.requiresOpenConnection()) && !hostCall.wasSentOn(connection)) {
+                if (now - connection.idleSinceMs >= RETRY_INTERVAL_MS) {
+                    idle.remove();
+                    return connection;
                 }
-                newest = newest == null ? line : newest;
+                newest = newest == null ? connection : newest;
             }
         }
         if (newest != null) {
@@ -133,138 +133,141 @@
     /**
      * Tells whether a host takes connections; where one comes up, it is kept for the next request.
      */
-    public void knock(String host, String address, Consumer<Boolean> up) {
+    public void probe(String host, String address, Consumer<Boolean> up) {
         HostConnectionPool pool = pool(host, address);
         HostConnection last = pool.idle.peekLast();
-        if (last != null && last.open() && now() - last.idleSince < FRESH_MS) {
+        if (last != null && last.isOpen() && now() - last.idleSinceMs < FRESH_MS) {
             machine.loop().execute(() -> up.accept(true));
             return;
         }
-        pool.knocks.add(up);
-        if (pool.dialling == 0) {
+        pool.probes.add(up);
+        if (pool.connecting == 0) {
             connect(pool);
         }
     }
 
     /** One for each that waits, within the bound; one at a time where the host has refused so far. */
-    private void dial(HostConnectionPool pool) {
-        int wanted = pool.unborn ? Math.min(1, pool.waiting.size()) : pool.waiting.size();
-        while (pool.dialling < wanted
+    private void openConnections(HostConnectionPool pool) {
+        int wanted = pool.notYetUp ? Math.min(1, pool.waitingCalls.size()) : pool.waitingCalls.size();
+        while (pool.connecting < wanted
                 && pool.retry == null
-                && pool.lines.size() + pool.dialling < pool.waiting.peek().mostLines()) {
+                && pool.connections.size() + pool.connecting
+                        < pool.waitingCalls.peek().maxConnections()) {
             connect(pool);
         }
     }
 
     private void connect(HostConnectionPool pool) {
-        pool.dialling++;
+        pool.connecting++;
         bootstrap.connect(pool.address).addListener((io.netty.channel.ChannelFuture done) -> {
-            pool.dialling--;
+            pool.connecting--;
             if (done.isSuccess()) {
-                up(pool, done.channel());
+                onConnected(pool, done.channel());
             } else {
-                counters.undialled++;
-                down(pool);
+                counters.connectFailures++;
+                onConnectFailed(pool);
             }
             forgetIfEmpty(pool);
         });
     }
 
-    private void up(HostConnectionPool pool, Channel channel) {
-        counters.dialled++;
-        pool.unborn = false;
-        HostConnection line = new HostConnection(this, pool);
-        channel.pipeline().addLast(line.decoder, line);
-        pool.lines.add(line);
-        tell(pool, true);
-        if (pool.gone && pool.waiting.isEmpty()) {
-            line.close();
+    private void onConnected(HostConnectionPool pool, Channel channel) {
+        counters.connectionsOpened++;
+        pool.notYetUp = false;
+        HostConnection connection = new HostConnection(this, pool);
+        channel.pipeline().addLast(connection.decoder, connection);
+        pool.connections.add(connection);
+        notifyProbes(pool, true);
+        if (pool.instanceGone && pool.waitingCalls.isEmpty()) {
+            connection.close();
         } else {
-            idle(line);
+            onIdle(connection);
         }
-        dial(pool);
+        openConnections(pool);
     }
 
-    private void down(HostConnectionPool pool) {
-        tell(pool, false);
+    private void onConnectFailed(HostConnectionPool pool) {
+        notifyProbes(pool, false);
         HostCall refused = null;
         boolean booting = false;
-        for (Iterator<HostCall> errands = pool.waiting.iterator(); errands.hasNext(); ) {
-            HostCall hostCall = errands.next();
-            if (hostCall.booting() && !pool.gone) {
+        for (Iterator<HostCall> calls = pool.waitingCalls.iterator(); calls.hasNext(); ) {
+            HostCall hostCall = calls.next();
+            if (hostCall.isBooting() && !pool.instanceGone) {
                 booting = true;
             } else if (refused == null) {
                 refused = hostCall;
-                errands.remove();
+                calls.remove();
             }
         }
         if (booting && pool.retry == null) {
-            pool.unborn = true;
+            pool.notYetUp = true;
             pool.retry = machine.loop()
                     .schedule(
                             () -> {
                                 pool.retry = null;
-                                dial(pool);
+                                openConnections(pool);
                                 forgetIfEmpty(pool);
                             },
                             BOOTING_MS,
                             TimeUnit.MILLISECONDS);
         }
         if (refused != null) {
-            refused.unreached();
+            refused.onUnreachable();
         }
         if (!booting) {
-            pool.unborn = false;
-            dial(pool);
+            pool.notYetUp = false;
+            openConnections(pool);
         }
     }
 
-    private static void tell(HostConnectionPool pool, boolean up) {
-        if (!pool.knocks.isEmpty()) {
-            List<Consumer<Boolean>> told = List.copyOf(pool.knocks);
-            pool.knocks.clear();
-            told.forEach(knock -> knock.accept(up));
+    private static void notifyProbes(HostConnectionPool pool, boolean up) {
+        if (!pool.probes.isEmpty()) {
+            List<Consumer<Boolean>> told = List.copyOf(pool.probes);
+            pool.probes.clear();
+            told.forEach(probe -> probe.accept(up));
         }
     }
 
     /** A connection is free: for who waits, or for later. */
-    void idle(HostConnection line) {
-        HostCall next = next(line);
+    void onIdle(HostConnection connection) {
+        HostCall next = sendNext(connection);
         if (next != null) {
-            line.begin(next);
+            connection.send(next);
             return;
         }
-        if (!line.pool.waiting.isEmpty()) {
+        if (!connection.pool.waitingCalls.isEmpty()) {
             // All that wait have been here before: room for another.
-            line.close();
+            connection.close();
             return;
         }
-        line.idleSince = now();
-        line.pool.idle.add(line);
+        connection.idleSinceMs = now();
+        connection.pool.idle.add(connection);
         if (!sweeping) {
             sweeping = true;
             machine.loop().schedule(this::sweep, SWEEP_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private HostCall next(HostConnection line) {
-        for (HostCall hostCall : List.copyOf(line.pool.waiting)) {
-            if (!hostCall.met(line) && line.pool.waiting.remove(hostCall) && hostCall.wanted()) {
+    private HostCall sendNext(HostConnection connection) {
+        for (HostCall hostCall : List.copyOf(connection.pool.waitingCalls)) {
+            if (!hostCall.wasSentOn(connection)
+                    && connection.pool.waitingCalls.remove(hostCall)
+                    && hostCall.isStillWanted()) {
                 return hostCall;
             }
         }
         return null;
     }
 
-    void closed(HostConnection line) {
-        line.pool.lines.remove(line);
-        line.pool.idle.remove(line);
-        dial(line.pool);
-        forgetIfEmpty(line.pool);
+    void onClosed(HostConnection connection) {
+        connection.pool.connections.remove(connection);
+        connection.pool.idle.remove(connection);
+        openConnections(connection.pool);
+        forgetIfEmpty(connection.pool);
     }
 
     private void forgetIfEmpty(HostConnectionPool pool) {
-        if (pool.empty()) {
+        if (pool.isEmpty()) {
             pools.remove(pool.id, pool);
         }
     }
@@ -275,9 +278,9 @@
         List<HostConnection> stale = new ArrayList<>();
         boolean more = false;
         for (HostConnectionPool pool : pools.values()) {
-            for (HostConnection line : pool.idle) {
-                if (line.stale(now)) {
-                    stale.add(line);
+            for (HostConnection connection : pool.idle) {
+                if (connection.isStale(now)) {
+                    stale.add(connection);
                 } else {
                     more = true;
                 }
@@ -291,19 +294,19 @@
     }
 
     /** This host is gone, or leaves: what is under way ends, nothing else is kept. */
-    public void gone(String host) {
+    public void onInstanceGone(String host) {
         HostConnectionPool pool = pools.get(host);
         if (pool != null) {
-            pool.gone = true;
-            List.copyOf(pool.lines).forEach(HostConnection::retire);
+            pool.instanceGone = true;
+            List.copyOf(pool.connections).forEach(HostConnection::closeAfterResponse);
         }
     }
 
     /** Connections open now. */
-    public int open() {
+    public int openCount() {
         int open = 0;
         for (HostConnectionPool pool : pools.values()) {
-            open += pool.lines.size();
+            open += pool.connections.size();
         }
         return open;
     }
--- a/src/main/java/brambletray/platform/proxy/HostExchange.java
+++ b/src/main/java/brambletray/platform/proxy/HostExchange.java
@@ -7,54 +7,54 @@
 final class HostExchange implements HostCall {
     private final RequestDriver driver;
     private final Attempt attempt;
-    private final long hostEnd;
+    private final long hostDeadlineMs;
     /** The connection that is at it, and the last that was. */
-    private HostConnection line;
+    private HostConnection connection;
 
-    private HostConnection last;
+    private HostConnection lastConnection;
     /** Whole, and not yet given to the client. */
-    private HostResponse answer;
+    private HostResponse response;
     /** Given on while it comes. */
-    private HostResponse coming;
+    private HostResponse streamingResponse;
 
-    HostExchange(RequestDriver driver, Attempt attempt, long hostEnd) {
+    HostExchange(RequestDriver driver, Attempt attempt, long hostDeadlineMs) {
         this.driver = driver;
         this.attempt = attempt;
-        this.hostEnd = hostEnd;
+        this.hostDeadlineMs = hostDeadlineMs;
     }
 
     /** The whole answer; the caller's from now on. */
-    HostResponse take() {
-        HostResponse taken = answer;
-        answer = null;
+    HostResponse takeResponse() {
+        HostResponse taken = response;
+        response = null;
         return taken;
     }
 
-    HostResponse coming() {
-        return coming;
+    HostResponse streamingResponse() {
+        return streamingResponse;
     }
 
-    void drop() {
-        HostResponse dropped = take();
+    void releaseResponse() {
+        HostResponse dropped = takeResponse();
         if (dropped != null) {
-            dropped.drop();
+            dropped.release();
         }
     }
 
     void resume() {
-        if (line != null) {
-            line.resume();
+        if (connection != null) {
+            connection.resume();
         }
     }
 
-    void cancel(HostConnectionPools lines) {
-        if (line != null) {
-            line.cancel(this);
-            line = null;
+    void cancel(HostConnectionPools pools) {
+        if (connection != null) {
+            connection.cancel(this);
+            connection = null;
         } else {
-            lines.withdraw(this);
+            pools.withdraw(this);
         }
-        drop();
+        releaseResponse();
     }
 
     // ---- Errand ---------------------------------------------------------------------------------
@@ -64,13 +64,13 @@
     }
 
     @Override
-    public String id() {
+    public String requestId() {
         return driver.id();
     }
 
     @Override
-    public String host() {
-        return attempt.grant.host();
+    public String instanceId() {
+        return attempt.grant.instanceId();
     }
 
     @Override
@@ -79,82 +79,82 @@
     }
 
     @Override
-    public boolean careful() {
-        return driver.careful();
+    public boolean requiresOpenConnection() {
+        return driver.requiresOpenConnection();
     }
 
     @Override
-    public boolean booting() {
+    public boolean isBooting() {
         return attempt.grant.booting();
     }
 
     @Override
-    public int mostLines() {
-        return driver.mostLines();
+    public int maxConnections() {
+        return driver.maxConnections();
     }
 
     @Override
-    public long hostEnd() {
-        return hostEnd;
+    public long hostDeadlineMs() {
+        return hostDeadlineMs;
     }
 
     @Override
-    public MemoryBudget hold() {
-        return driver.hold();
+    public MemoryBudget memoryBudget() {
+        return driver.memoryBudget();
     }
 
     @Override
-    public boolean met(HostConnection on) {
-        return driver.met(on);
+    public boolean wasSentOn(HostConnection on) {
+        return driver.wasSentOn(on);
     }
 
-    boolean wasOn(HostConnection on) {
-        return last == on;
+    boolean usedConnection(HostConnection on) {
+        return lastConnection == on;
     }
 
     @Override
-    public boolean wanted() {
-        return driver.wanted(attempt);
+    public boolean isStillWanted() {
+        return driver.isStillWanted(attempt);
     }
 
     @Override
-    public void up(HostConnection on) {
-        line = on;
-        last = on;
-        driver.up(attempt);
+    public void onConnected(HostConnection on) {
+        connection = on;
+        lastConnection = on;
+        driver.onConnected(attempt);
     }
 
     @Override
-    public void down() {
-        line = null;
+    public void onClosedUnsent() {
+        connection = null;
     }
 
     @Override
-    public void sent() {
-        driver.sent(attempt);
+    public void onSent() {
+        driver.onSent(attempt);
     }
 
     @Override
-    public void unreached() {
-        line = null;
-        driver.unreached(attempt);
+    public void onUnreachable() {
+        connection = null;
+        driver.onUnreachable(attempt);
     }
 
     @Override
-    public boolean flow(HostResponse begun) {
-        coming = begun;
-        return driver.flowing(attempt);
+    public boolean onStreaming(HostResponse begun) {
+        streamingResponse = begun;
+        return driver.onStreaming(attempt);
     }
 
     @Override
-    public boolean more(ByteBuf bytes) {
-        return driver.more(bytes);
+    public boolean onContent(ByteBuf bytes) {
+        return driver.onContent(bytes);
     }
 
     @Override
-    public void ended(AttemptOutcome fate, boolean withheld, HostResponse whole) {
-        line = null;
-        answer = coming == null ? whole : null;
-        driver.ended(attempt, fate, withheld);
+    public void onEnded(AttemptOutcome outcome, boolean withheld, HostResponse whole) {
+        connection = null;
+        response = streamingResponse == null ? whole : null;
+        driver.onEnded(attempt, outcome, withheld);
     }
 }
--- a/src/main/java/brambletray/platform/proxy/HostResponse.java
+++ b/src/main/java/brambletray/platform/proxy/HostResponse.java
@@ -13,19 +13,25 @@
     /** What the host said of its length, bytes; -1: in chunks. */
     final long length;
     /** No body follows, whatever the headers say: an answer to HEAD, 204, 304. */
-    final boolean bare;
+    final boolean withoutBody;
 
-    private final MemoryBudget hold;
+    private final MemoryBudget memoryBudget;
     private List<ByteBuf> body = new ArrayList<>(2);
     private long size;
 
-    HostResponse(int status, String reason, HttpHeaders headers, long length, boolean bare, MemoryBudget hold) {
+    HostResponse(
+            int status,
+            String reason,
+            HttpHeaders headers,
+            long length,
+            boolean withoutBody,
+            MemoryBudget memoryBudget) {
         this.status = status;
         this.reason = reason;
         this.headers = headers;
         this.length = length;
-        this.bare = bare;
-        this.hold = hold;
+        this.withoutBody = withoutBody;
+        this.memoryBudget = memoryBudget;
     }
 
     /** Bytes of the body held. */
@@ -34,9 +40,9 @@
     }
 
     /** Takes the bytes over; false, with the bytes left to the caller, where too much is held. */
-    boolean add(ByteBuf bytes, long most) {
+    boolean add(ByteBuf bytes, long maxBytes) {
         int n = bytes.readableBytes();
-        if (size + n > most || !hold.take(n)) {
+        if (size + n > maxBytes || !memoryBudget.tryReserve(n)) {
             return false;
         }
         body.add(bytes);
@@ -45,23 +51,23 @@
     }
 
     /** Hands the bytes over; whoever takes them returns {@link #size} to the hold once they are written. */
-    List<ByteBuf> take() {
+    List<ByteBuf> takeBody() {
         List<ByteBuf> taken = body;
         body = List.of();
         return taken;
     }
 
     /** The bytes taken are gone. */
-    void written() {
-        hold.give(size);
+    void onWritten() {
+        memoryBudget.release(size);
         size = 0;
     }
 
-    void drop() {
-        List<ByteBuf> dropped = take();
+    void release() {
+        List<ByteBuf> dropped = takeBody();
         for (int i = 0; i < dropped.size(); i++) {
             dropped.get(i).release();
         }
-        written();
+        onWritten();
     }
 }
--- a/src/main/java/brambletray/platform/proxy/KeepAlive.java
+++ b/src/main/java/brambletray/platform/proxy/KeepAlive.java
@@ -2,13 +2,13 @@
 
 /** How long a host says that it keeps a connection (PROTOCOL, Hosts: in whole seconds, if there are any). */
 final class KeepAlive {
-    private static final int SECONDS_MOST = 3_600;
+    private static final int MAX_SECONDS = 3_600;
     private static final int MARGIN_MS = 1_000;
 
     private KeepAlive() {}
 
     /** The seconds of {@code timeout=5, max=100}; -1: not told. */
-    static int timeout(String value) {
+    static int timeoutSeconds(String value) {
         int at = value == null ? -1 : value.indexOf("timeout=");
         if (at < 0) {
             return -1;
@@ -26,8 +26,8 @@
      * How long of these seconds a connection may be idle and used again, ms: the last quarter, a second at most, is
      * left to the host.
      */
-    static int within(int seconds) {
-        int ms = Math.min(seconds, SECONDS_MOST) * 1_000;
+    static int usableMs(int seconds) {
+        int ms = Math.min(seconds, MAX_SECONDS) * 1_000;
         return ms - Math.min(MARGIN_MS, ms / 4);
     }
 }
--- a/src/main/java/brambletray/platform/proxy/MemoryBudget.java
+++ b/src/main/java/brambletray/platform/proxy/MemoryBudget.java
@@ -2,28 +2,28 @@
 
 /** Bytes of requests and answers held in memory at one time, all connections together, and their bound. */
 final class MemoryBudget {
-    private final long most;
-    private long held;
+    private final long maxBytes;
+    private long heldBytes;
 
-    /** {@code most}: bytes. */
-    MemoryBudget(long most) {
-        this.most = most;
+    /** {@code maxBytes}: bytes. */
+    MemoryBudget(long maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
     /** False, and nothing taken, where that would be too much. */
-    boolean take(int bytes) {
-        if (held + bytes > most) {
+    boolean tryReserve(int bytes) {
+        if (heldBytes + bytes > maxBytes) {
             return false;
         }
-        held += bytes;
+        heldBytes += bytes;
         return true;
     }
 
-    void give(long bytes) {
-        held -= bytes;
+    void release(long bytes) {
+        heldBytes -= bytes;
     }
 
-    long held() {
-        return held;
+    long heldBytes() {
+        return heldBytes;
     }
 }
--- a/src/main/java/brambletray/platform/proxy/Readiness.java
+++ b/src/main/java/brambletray/platform/proxy/Readiness.java
@@ -21,34 +21,34 @@
  */
 public final class Readiness {
     private static final String PATH = "/brambletray/readiness";
-    private static final int CONNECTIONS_MOST = 32;
-    private static final int HEAD_MOST = 4 * 1024;
+    private static final int MAX_CONNECTIONS = 32;
+    private static final int MAX_HEADER_BYTES = 4 * 1024;
 
     private final Machine machine;
-    private final BooleanSupplier ready;
+    private final BooleanSupplier isReady;
     /** Oldest first. */
-    private final ArrayDeque<Channel> open = new ArrayDeque<>();
+    private final ArrayDeque<Channel> connections = new ArrayDeque<>();
 
-    public Readiness(Machine machine, BooleanSupplier ready) {
+    public Readiness(Machine machine, BooleanSupplier isReady) {
         this.machine = machine;
-        this.ready = ready;
+        this.isReady = isReady;
     }
 
     /** Listens; the future fails where the address can't be had. */
-    public ChannelFuture open(Address at) {
+    public ChannelFuture listen(Address at) {
         return machine.listening(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        if (open.size() >= CONNECTIONS_MOST) {
-                            open.poll().close();
+                        if (connections.size() >= MAX_CONNECTIONS) {
+                            connections.poll().close();
                         }
-                        open.add(channel);
-                        channel.closeFuture().addListener(closed -> open.remove(channel));
+                        connections.add(channel);
+                        channel.closeFuture().addListener(closed -> connections.remove(channel));
                         channel.pipeline()
                                 .addLast(
                                         new HttpRequestDecoder(new HttpDecoderConfig()
-                                                .setMaxHeaderSize(HEAD_MOST)
-                                                .setMaxInitialLineLength(HEAD_MOST)),
+                                                .setMaxHeaderSize(MAX_HEADER_BYTES)
+                                                .setMaxInitialLineLength(MAX_HEADER_BYTES)),
                                         new Probe());
                     }
                 })
@@ -62,9 +62,10 @@
             if (part instanceof HttpRequest request) {
                 int status = bad
                         ? 400
-                        : !ClientRequest.path(request.uri()).equals(PATH) ? 404 : ready.getAsBoolean() ? 200 : 503;
+                        : !ClientRequest.path(request.uri()).equals(PATH) ? 404 : isReady.getAsBoolean() ? 200 : 503;
                 boolean close = bad || !HttpUtil.isKeepAlive(request);
-                ChannelFuture written = context.writeAndFlush(HeaderWriter.empty(context.alloc(), status, close));
+                ChannelFuture written =
+                        context.writeAndFlush(HeaderWriter.emptyResponse(context.alloc(), status, close));
                 if (close) {
                     written.addListener(done -> context.close());
                 }
--- a/src/main/java/brambletray/platform/proxy/RequestActions.java
+++ b/src/main/java/brambletray/platform/proxy/RequestActions.java
@@ -5,39 +5,39 @@
 import brambletray.platform.admission.SlotRequest;
 
 /**
- * What a {@link RequestLifecycle} wants done. The first word to the client ({@link #pass}, {@link #flow}, {@link #own})
+ * What a {@link RequestLifecycle} wants done. The first word to the client ({@link #passResponse}, {@link #startStreaming}, {@link #respond})
  * is the only
  * one.
  */
 interface RequestActions {
     /** For a place; the answer may come at once. */
-    void ask(SlotRequest ask);
+    void requestSlot(SlotRequest request);
 
-    void forget(long askId);
+    void cancelSlotRequest(long requestId);
 
-    /** On a kept connection, or a new one; the host is to stop at {@code hostEnd}, ms of the steady clock. */
-    void send(Attempt attempt, long hostEnd);
+    /** On a kept connection, or a new one; the host is to stop at {@code hostDeadlineMs}, ms of the steady clock. */
+    void sendToInstance(Attempt attempt, long hostDeadlineMs);
 
     /** Closes its connection, or stops waiting for one; nothing more is told of it. */
     void cancel(Attempt attempt);
 
-    void done(SlotGrant grant, AttemptOutcome fate, int tookMs);
+    void releaseSlot(SlotGrant grant, AttemptOutcome outcome, int durationMs);
 
     /** How long this service's answers take, ms. */
-    void took(int ms);
+    void recordResponseTime(int ms);
 
     /** The whole answer of this host is the client's. */
-    void pass(Attempt attempt);
+    void passResponse(Attempt attempt);
 
     /** So is this answer, of which more is still to come. */
-    void flow(Attempt attempt);
+    void startStreaming(Attempt attempt);
 
-    /** The answer that came by {@link #flow} is whole. */
-    void flowed();
+    /** The answer that came by {@link #startStreaming} is whole. */
+    void finishStreaming();
 
     /** The client's connection ends: what it was given of an answer must not look complete. */
-    void cut();
+    void abortClient();
 
-    /** An answer of ours; {@code comeBackMs} for a 503, ms; -1: not known. */
-    void own(int status, int comeBackMs);
+    /** An answer of ours; {@code retryAfterMs} for a 503, ms; -1: not known. */
+    void respond(int status, int retryAfterMs);
 }
--- a/src/main/java/brambletray/platform/proxy/RequestCounters.java
+++ b/src/main/java/brambletray/platform/proxy/RequestCounters.java
@@ -6,7 +6,7 @@
 
 /** What has passed through this edge since it began; plain counts, for a log line every few seconds. The loop's. */
 public final class RequestCounters {
-    private static final AttemptOutcome[] FATES = AttemptOutcome.values();
+    private static final AttemptOutcome[] OUTCOMES = AttemptOutcome.values();
 
     /**
      * Requests read whole; answered by a host; 404; 503 of ours; 502; 504; other 4xx of ours; clients gone before their
@@ -14,69 +14,69 @@
      */
     public long requests;
 
-    public long passed;
+    public long answeredByInstances;
     public long unrouted;
-    public long refused;
+    public long unavailable;
     public long failed;
-    public long late;
-    public long wrong;
-    public long left;
+    public long timedOut;
+    public long clientErrors;
+    public long clientsGone;
     /**
      * Asks; sends to hosts; copies among them; copies that answered first; asks for another host after a failed one;
      * copies refused.
      */
-    public long asks;
+    public long slotRequests;
 
     public long sends;
-    public long copies;
-    public long copiesWon;
-    public long agains;
-    public long copiesRefused;
+    public long hedges;
+    public long hedgesWon;
+    public long retries;
+    public long hedgesRefused;
     /**
      * Connections that came up at hosts; tries that did not; kept ones found closed before a byte was sent; surplus
      * answers skipped; answers given on while they came.
      */
-    public long dialled;
+    public long connectionsOpened;
 
-    public long undialled;
-    public long stale;
-    public long surplus;
-    public long streamed;
+    public long connectFailures;
+    public long staleConnections;
+    public long surplusResponses;
+    public long streamedResponses;
 
-    private final long[] fates = new long[FATES.length];
+    private final long[] outcomes = new long[OUTCOMES.length];
 
-    void fate(AttemptOutcome fate) {
-        fates[fate.ordinal()]++;
+    void countOutcome(AttemptOutcome outcome) {
+        outcomes[outcome.ordinal()]++;
     }
 
     /** How often a request at a host had this end. */
-    public long of(AttemptOutcome fate) {
-        return fates[fate.ordinal()];
+    public long outcomeCount(AttemptOutcome outcome) {
+        return outcomes[outcome.ordinal()];
     }
 
     /** Hands over each counter that is not 0, by its name in the log. */
     public void forEachNonZero(ObjLongConsumer<String> consumer) {
         accept(consumer, "requests", requests);
-        accept(consumer, "passed", passed);
+        accept(consumer, "passed", answeredByInstances);
         accept(consumer, "unrouted", unrouted);
-        accept(consumer, "refused", refused);
+        accept(consumer, "refused", unavailable);
         accept(consumer, "failed", failed);
-        accept(consumer, "late", late);
-        accept(consumer, "wrong", wrong);
-        accept(consumer, "left", left);
-        accept(consumer, "asks", asks);
+        accept(consumer, "late", timedOut);
+        accept(consumer, "wrong", clientErrors);
+        accept(consumer, "left", clientsGone);
+        accept(consumer, "asks", slotRequests);
         accept(consumer, "sends", sends);
-        accept(consumer, "copies", copies);
-        accept(consumer, "copies_won", copiesWon);
-        accept(consumer, "copies_refused", copiesRefused);
-        accept(consumer, "agains", agains);
-        accept(consumer, "dialled", dialled);
-        accept(consumer, "undialled", undialled);
-        accept(consumer, "stale", stale);
-        accept(consumer, "surplus", surplus);
-        accept(consumer, "streamed", streamed);
-        for (AttemptOutcome outcome : FATES) {
-            accept(consumer, outcome.name().toLowerCase(Locale.ROOT), of(outcome));
+        accept(consumer, "copies", hedges);
+        accept(consumer, "copies_won", hedgesWon);
+        accept(consumer, "copies_refused", hedgesRefused);
+        accept(consumer, "agains", retries);
+        accept(consumer, "dialled", connectionsOpened);
+        accept(consumer, "undialled", connectFailures);
+        accept(consumer, "stale", staleConnections);
+        accept(consumer, "surplus", surplusResponses);
+        accept(consumer, "streamed", streamedResponses);
+        for (AttemptOutcome outcome : OUTCOMES) {
+            accept(consumer, outcome.name().toLowerCase(Locale.ROOT), outcomeCount(outcome));
         }
     }
 
--- a/src/main/java/brambletray/platform/proxy/RequestDecoder.java
+++ b/src/main/java/brambletray/platform/proxy/RequestDecoder.java
@@ -20,53 +20,53 @@
  * another (rule UNASKED), and are malformed here.
  */
 final class RequestDecoder extends HttpRequestDecoder {
-    private static final int PIECE_MOST = 64 * 1024;
+    private static final int MAX_CHUNK_BYTES = 64 * 1024;
 
     private final ClientConnection client;
     /** Of what has been looked at: the last byte, and how many bytes beyond the reader's place. */
-    private byte last;
+    private byte lastByte;
 
-    private int seen;
+    private int scannedBytes;
     /** What comes next belongs to a head; nothing more is looked at. */
-    private boolean head = true;
+    private boolean inHead = true;
 
-    private boolean over;
+    private boolean malformedSeen;
 
     RequestDecoder(ClientConnection client, int headerBytes) {
         super(new HttpDecoderConfig()
                 .setMaxHeaderSize(headerBytes)
                 .setMaxInitialLineLength(headerBytes)
-                .setMaxChunkSize(PIECE_MOST)
+                .setMaxChunkSize(MAX_CHUNK_BYTES)
                 .setInitialBufferSize(256));
         this.client = client;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object bytes) throws Exception {
-        client.bytes();
+        client.onBytes();
         super.channelRead(context, bytes);
     }
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) throws Exception {
-        if (over) {
+        if (malformedSeen) {
             in.skipBytes(in.readableBytes());
             return;
         }
         int before = in.readerIndex();
-        if (head && folded(in)) {
-            over = true;
+        if (inHead && hasFoldedHeader(in)) {
+            malformedSeen = true;
             in.skipBytes(in.readableBytes());
             out.add(malformed());
             return;
         }
         super.decode(context, in, out);
-        seen = Math.max(0, seen - (in.readerIndex() - before));
+        scannedBytes = Math.max(0, scannedBytes - (in.readerIndex() - before));
         if (!out.isEmpty()) {
             // What follows is another part: a body, or the next head.
-            seen = 0;
-            last = 0;
-            head = out.get(out.size() - 1) instanceof LastHttpContent;
+            scannedBytes = 0;
+            lastByte = 0;
+            inHead = out.get(out.size() - 1) instanceof LastHttpContent;
         }
     }
 
@@ -79,32 +79,32 @@
     }
 
     /** A line of the head that begins with a blank; looks at each byte once. */
-    private boolean folded(ByteBuf in) {
-        int at = in.readerIndex() + seen;
+    private boolean hasFoldedHeader(ByteBuf in) {
+        int at = in.readerIndex() + scannedBytes;
         int end = in.writerIndex();
         while (at < end) {
-            if (last == '\n') {
+            if (lastByte == '\n') {
                 byte next = in.getByte(at);
                 if (next == ' ' || next == '\t') {
                     return true;
                 }
                 if (next == '\r' || next == '\n') {
                     // The head's end: what follows is no header.
-                    last = 0;
-                    seen = at - in.readerIndex();
+                    lastByte = 0;
+                    scannedBytes = at - in.readerIndex();
                     return false;
                 }
             }
             int newline = in.forEachByte(at, end - at, ByteProcessor.FIND_LF);
             if (newline < 0) {
-                last = in.getByte(end - 1);
+                lastByte = in.getByte(end - 1);
                 at = end;
             } else {
-                last = '\n';
+                lastByte = '\n';
                 at = newline + 1;
             }
         }
-        seen = end - in.readerIndex();
+        scannedBytes = end - in.readerIndex();
         return false;
     }
 
--- a/src/main/java/brambletray/platform/proxy/RequestDriver.java
+++ b/src/main/java/brambletray/platform/proxy/RequestDriver.java
@@ -16,106 +16,108 @@
  * hosts.
  */
 final class RequestDriver implements RequestActions {
-    private final RequestRouter flow;
+    private final RequestRouter router;
     private final ClientRequest clientRequest;
     private final String id;
     private final RequestPlan plan;
-    private final int mostLines;
+    private final int maxConnections;
     private final RequestLifecycle lifecycle;
-    private final HedgeDelay pace;
-    private final List<HostExchange> stops = new ArrayList<>(2);
+    private final HedgeDelay hedgeDelay;
+    private final List<HostExchange> exchanges = new ArrayList<>(2);
     /** Null once it has its answer or is gone. */
     private ClientConnection client;
     /** Where the answer comes from that is given on as it comes. */
-    private HostExchange flowing;
+    private HostExchange streamingExchange;
 
     private Future<?> timer;
-    private long timerAt;
-    private boolean held = true;
-    private boolean over;
+    private long timerAtMs;
+    private boolean bodyReleased = true;
+    private boolean finished;
 
     RequestDriver(
-            RequestRouter flow,
+            RequestRouter router,
             ClientConnection client,
             ClientRequest clientRequest,
             String id,
             RequestPlan plan,
-            int mostLines) {
-        this.flow = flow;
+            int maxConnections) {
+        this.router = router;
         this.client = client;
         this.clientRequest = clientRequest;
         this.id = id;
         this.plan = plan;
-        this.mostLines = mostLines;
-        this.pace = flow.pace(plan.service());
-        this.lifecycle =
-                new RequestLifecycle(plan, this, pace::delayMs, flow::nextAsk, flow.edge(), flow.zone(), flow.now());
+        this.maxConnections = maxConnections;
+        this.hedgeDelay = router.hedgeDelay(plan.service());
+        this.lifecycle = new RequestLifecycle(
+                plan, this, hedgeDelay::delayMs, router::nextRequestId, router.edge(), router.zone(), router.now());
     }
 
-    void begin() {
-        lifecycle.begin(flow.now());
-        settle();
+    void start() {
+        lifecycle.start(router.now());
+        afterEvent();
     }
 
     // ---- From the client ------------------------------------------------------------------------
     /** The client is gone; nobody reads what still comes. */
-    void gone() {
+    void onClientGone() {
         if (client != null) {
-            flow.counters().left++;
-            to();
-            roomAgain();
-            lifecycle.gone(flow.now());
-            settle();
+            router.counters().clientsGone++;
+            clientForResponse();
+            onClientWritable();
+            lifecycle.onClientGone(router.now());
+            afterEvent();
         }
     }
 
     /** The process ends: the client is answered now unless its answer has begun. */
-    void giveUp() {
-        lifecycle.giveUp(flow.now());
-        settle();
+    void answerNow() {
+        lifecycle.answerNow(router.now());
+        afterEvent();
     }
 
     /** The client can take more of an answer. */
-    void roomAgain() {
-        if (flowing != null) {
-            flowing.resume();
+    void onClientWritable() {
+        if (streamingExchange != null) {
+            streamingExchange.resume();
         }
     }
 
     /** The client, for its last word. */
-    private ClientConnection to() {
+    private ClientConnection clientForResponse() {
         ClientConnection to = client;
         client = null;
-        flow.answered();
+        router.onAnswered();
         return to;
     }
 
     // ---- Time -----------------------------------------------------------------------------------
     /** After each event: the next timer, and what is to be let go of. */
-    private void settle() {
-        if (lifecycle.settled()) {
-            letGo();
+    private void afterEvent() {
+        if (lifecycle.isSettled()) {
+            releaseBody();
         }
-        if (lifecycle.over()) {
-            if (!over) {
-                over = true;
-                flow.over();
+        if (lifecycle.isOver()) {
+            if (!finished) {
+                finished = true;
+                router.onFinished();
             }
             stopTimer();
             return;
         }
-        long due = lifecycle.due();
-        if (timer == null || timerAt > due) {
+        long due = lifecycle.nextDueMs();
+        if (timer == null || timerAtMs > due) {
             stopTimer();
-            timerAt = due;
-            timer = flow.machine().loop().schedule(this::tick, Math.max(0, due - flow.now()), TimeUnit.MILLISECONDS);
+            timerAtMs = due;
+            timer = router.machine()
+                    .loop()
+                    .schedule(this::tick, Math.max(0, due - router.now()), TimeUnit.MILLISECONDS);
         }
     }
 
     private void tick() {
         timer = null;
-        lifecycle.tick(flow.now());
-        settle();
+        lifecycle.tick(router.now());
+        afterEvent();
     }
 
     private void stopTimer() {
@@ -125,124 +127,125 @@
         }
     }
 
-    private void letGo() {
-        if (held) {
-            held = false;
+    private void releaseBody() {
+        if (bodyReleased) {
+            bodyReleased = false;
             int bytes = clientRequest.body().readableBytes();
             clientRequest.release();
-            flow.hold().give(bytes);
+            router.memoryBudget().release(bytes);
         }
-        for (int i = 0; i < stops.size(); i++) {
-            stops.get(i).drop();
+        for (int i = 0; i < exchanges.size(); i++) {
+            exchanges.get(i).releaseResponse();
         }
     }
 
     // ---- Hands ----------------------------------------------------------------------------------
     @Override
-    public void ask(SlotRequest ask) {
-        flow.counters().asks++;
-        flow.counters().agains += ask.again() && !ask.copy() ? 1 : 0;
-        flow.broker().ask(ask, new SlotRequester() {
+    public void requestSlot(SlotRequest request) {
+        router.counters().slotRequests++;
+        router.counters().retries += request.retry() && !request.hedge() ? 1 : 0;
+        router.broker().requestSlot(request, new SlotRequester() {
             @Override
-            public void granted(SlotGrant grant) {
-                lifecycle.granted(grant, flow.now());
-                settle();
+            public void onGranted(SlotGrant grant) {
+                lifecycle.onGranted(grant, router.now());
+                afterEvent();
             }
 
             @Override
-            public void refused(int comeBackMs) {
-                flow.counters().copiesRefused += ask.copy() ? 1 : 0;
-                lifecycle.refused(ask.id(), comeBackMs, flow.now());
-                settle();
+            public void onRefused(int retryAfterMs) {
+                router.counters().hedgesRefused += request.hedge() ? 1 : 0;
+                lifecycle.onRefused(request.id(), retryAfterMs, router.now());
+                afterEvent();
             }
         });
     }
 
     @Override
-    public void forget(long askId) {
-        flow.broker().forget(askId);
+    public void cancelSlotRequest(long requestId) {
+        router.broker().cancelRequest(requestId);
     }
 
     @Override
-    public void send(Attempt attempt, long hostEnd) {
-        HostExchange stop = new HostExchange(this, attempt, hostEnd);
-        attempt.tag = stop;
-        stops.add(stop);
-        flow.lines().send(stop);
+    public void sendToInstance(Attempt attempt, long hostDeadlineMs) {
+        HostExchange exchange = new HostExchange(this, attempt, hostDeadlineMs);
+        attempt.tag = exchange;
+        exchanges.add(exchange);
+        router.connectionPools().send(exchange);
     }
 
     @Override
     public void cancel(Attempt attempt) {
-        ((HostExchange) attempt.tag).cancel(flow.lines());
+        ((HostExchange) attempt.tag).cancel(router.connectionPools());
     }
 
     @Override
-    public void done(SlotGrant grant, AttemptOutcome fate, int tookMs) {
-        flow.counters().fate(fate);
-        flow.broker().done(grant, fate, tookMs);
+    public void releaseSlot(SlotGrant grant, AttemptOutcome outcome, int durationMs) {
+        router.counters().countOutcome(outcome);
+        router.broker().releaseSlot(grant, outcome, durationMs);
     }
 
     @Override
-    public void took(int ms) {
-        pace.add(ms);
+    public void recordResponseTime(int ms) {
+        hedgeDelay.add(ms);
     }
 
     @Override
-    public void pass(Attempt attempt) {
-        passed(attempt);
-        to().answer(((HostExchange) attempt.tag).take());
+    public void passResponse(Attempt attempt) {
+        countPassed(attempt);
+        clientForResponse().writeResponse(((HostExchange) attempt.tag).takeResponse());
     }
 
     @Override
-    public void flow(Attempt attempt) {
-        passed(attempt);
-        flowing = (HostExchange) attempt.tag;
-        client.flow(flowing.coming());
+    public void startStreaming(Attempt attempt) {
+        countPassed(attempt);
+        streamingExchange = (HostExchange) attempt.tag;
+        client.startStreaming(streamingExchange.streamingResponse());
     }
 
-    private void passed(Attempt attempt) {
-        flow.counters().passed++;
-        flow.counters().copiesWon += attempt.copy ? 1 : 0;
+    private void countPassed(Attempt attempt) {
+        router.counters().answeredByInstances++;
+        router.counters().hedgesWon += attempt.hedge ? 1 : 0;
     }
 
     @Override
-    public void flowed() {
-        flowing = null;
+    public void finishStreaming() {
+        streamingExchange = null;
         if (client != null) {
-            to().flowed();
+            clientForResponse().finishStreaming();
         }
     }
 
     @Override
-    public void cut() {
-        flowing = null;
+    public void abortClient() {
+        streamingExchange = null;
         if (client != null) {
-            flow.counters().failed++;
-            to().cut();
+            router.counters().failed++;
+            clientForResponse().abort();
         }
     }
 
     @Override
-    public void own(int status, int comeBackMs) {
+    public void respond(int status, int retryAfterMs) {
         boolean refused = status == 503;
-        flow.counters().refused += refused ? 1 : 0;
-        flow.counters().late += status == 504 ? 1 : 0;
-        flow.counters().failed += status == 502 ? 1 : 0;
+        router.counters().unavailable += refused ? 1 : 0;
+        router.counters().timedOut += status == 504 ? 1 : 0;
+        router.counters().failed += status == 502 ? 1 : 0;
         if (!refused) {
-            flow.rateLimitedLog()
-                    .info(flow.now(), "gave-up")
+            router.rateLimitedLog()
+                    .info(router.now(), "gave-up")
                     .with("status", status)
                     .with("id", id)
                     .with("service", plan.service())
-                    .with("hosts", stops.size())
-                    .with("took", flow.now() - clientRequest.at())
+                    .with("hosts", exchanges.size())
+                    .with("took", router.now() - clientRequest.receivedAtMs())
                     .log();
         }
         String code = refused ? "proxy.no-place" : status == 504 ? "proxy.out-of-time" : "proxy.host-failed";
-        to().own(
+        clientForResponse()
+                .writeOwnResponse(
                         status,
                         code,
-                        !refused ? -1 : comeBackMs < 0 ? RequestRouter.COME_BACK_MS : comeBackMs,
+                        !refused ? -1 : retryAfterMs < 0 ? RequestRouter.RETRY_AFTER_MS : retryAfterMs,
                         id,
                         clientRequest.head());
     }
@@ -256,53 +259,53 @@
         return id;
     }
 
-    boolean careful() {
-        return !plan.repeatable();
+    boolean requiresOpenConnection() {
+        return !plan.idempotent();
     }
 
-    int mostLines() {
-        return mostLines;
+    int maxConnections() {
+        return maxConnections;
     }
 
-    MemoryBudget hold() {
-        return flow.hold();
+    MemoryBudget memoryBudget() {
+        return router.memoryBudget();
     }
 
-    void up(Attempt attempt) {
+    void onConnected(Attempt attempt) {
         if (attempt.grant.booting()) {
-            flow.broker().up(attempt.grant);
+            router.broker().onInstanceUp(attempt.grant);
         }
     }
 
-    void sent(Attempt attempt) {
-        flow.counters().sends++;
-        flow.counters().copies += attempt.copy ? 1 : 0;
-        lifecycle.sent(attempt, flow.now());
-        settle();
+    void onSent(Attempt attempt) {
+        router.counters().sends++;
+        router.counters().hedges += attempt.hedge ? 1 : 0;
+        lifecycle.onSent(attempt, router.now());
+        afterEvent();
     }
 
-    void unreached(Attempt attempt) {
-        lifecycle.unreached(attempt, flow.now());
-        settle();
+    void onUnreachable(Attempt attempt) {
+        lifecycle.onUnreachable(attempt, router.now());
+        afterEvent();
     }
 
-    boolean flowing(Attempt attempt) {
-        boolean wanted = lifecycle.flowing(attempt, flow.now());
-        settle();
+    boolean onStreaming(Attempt attempt) {
+        boolean wanted = lifecycle.onStreaming(attempt, router.now());
+        afterEvent();
         return wanted;
     }
 
-    boolean more(ByteBuf bytes) {
+    boolean onContent(ByteBuf bytes) {
         if (client == null) {
             bytes.release();
             return true;
         }
-        return client.more(bytes);
+        return client.writeMore(bytes);
     }
 
-    boolean met(HostConnection line) {
-        for (int i = 0; i < stops.size(); i++) {
-            if (stops.get(i).wasOn(line)) {
+    boolean wasSentOn(HostConnection connection) {
+        for (int i = 0; i < exchanges.size(); i++) {
+            if (exchanges.get(i).usedConnection(connection)) {
                 return true;
             }
         }
@@ -310,16 +313,16 @@
     }
 
     /** Whether its byte may still go out now. */
-    boolean wanted(Attempt attempt) {
-        if (lifecycle.due() <= flow.now()) {
-            lifecycle.tick(flow.now());
-            settle();
+    boolean isStillWanted(Attempt attempt) {
+        if (lifecycle.nextDueMs() <= router.now()) {
+            lifecycle.tick(router.now());
+            afterEvent();
         }
-        return attempt.live;
+        return attempt.active;
     }
 
-    void ended(Attempt attempt, AttemptOutcome fate, boolean withheld) {
-        lifecycle.ended(attempt, fate, withheld, flow.now());
-        settle();
+    void onEnded(Attempt attempt, AttemptOutcome outcome, boolean withheld) {
+        lifecycle.onEnded(attempt, outcome, withheld, router.now());
+        afterEvent();
     }
 }
--- a/src/main/java/brambletray/platform/proxy/RequestLifecycle.java
+++ b/src/main/java/brambletray/platform/proxy/RequestLifecycle.java
@@ -18,162 +18,162 @@
  */
 final class RequestLifecycle {
     /** ms before the end: our own answer has to reach the client; and so much sooner does a host stop. */
-    private static final int ANSWER_MARGIN = 20;
+    private static final int RESPONSE_MARGIN_MS = 20;
 
-    private static final int HOST_MARGIN = 10;
+    private static final int HOST_MARGIN_MS = 10;
     /** ms after the end: a host that has said nothing by then will not. */
-    private static final int LINGER = 150;
+    private static final int LINGER_MS = 150;
     /** ms until a copy that found no place asks again, at least; how often one asks; hosts that may be out of reach. */
-    private static final int COPY_AGAIN = 50;
+    private static final int HEDGE_RETRY_MS = 50;
 
-    private static final int COPY_ASKS = 4;
-    private static final int UNREACHED_MOST = 4;
+    private static final int MAX_HEDGE_REQUESTS = 4;
+    private static final int MAX_UNREACHABLE = 4;
 
     private final RequestPlan plan;
-    private final RequestActions hands;
-    private final IntSupplier delayMs;
-    private final LongSupplier askIds;
+    private final RequestActions actions;
+    private final IntSupplier hedgeDelayMs;
+    private final LongSupplier requestIds;
     private final String edge;
     private final String zone;
     private final Attempts attempts;
-    private final long lastCall;
+    private final long lastSendMs;
     /** The ask that is out; 0 for none. */
-    private long asking;
+    private long pendingRequestId;
 
-    private boolean askingCopy;
-    private int sentHosts;
-    private int unreached;
-    private int copyAsks;
+    private boolean pendingIsHedge;
+    private int sentInstances;
+    private int unreachableCount;
+    private int hedgeRequests;
     /** ms; 0: no copy is due. */
-    private long copyAt;
+    private long hedgeAtMs;
     /** A host has or may have run it, and its answer was not one. */
     private boolean unproven;
 
-    private int comeBackMs = -1;
+    private int retryAfterMs = -1;
     /** A host's own failure: the answer if nothing better comes. */
-    private Attempt held;
+    private Attempt withheldAttempt;
 
-    private Attempt flowing;
-    private boolean settled;
+    private Attempt streamingAttempt;
+    private boolean isSettled;
 
     RequestLifecycle(
             RequestPlan plan,
-            RequestActions hands,
-            IntSupplier delayMs,
-            LongSupplier askIds,
+            RequestActions actions,
+            IntSupplier hedgeDelayMs,
+            LongSupplier requestIds,
             String edge,
             String zone,
             long now) {
         this.plan = plan;
-        this.hands = hands;
-        this.delayMs = delayMs;
-        this.askIds = askIds;
+        this.actions = actions;
+        this.hedgeDelayMs = hedgeDelayMs;
+        this.requestIds = requestIds;
         this.edge = edge;
         this.zone = zone;
-        this.attempts = new Attempts(hands, plan.end());
-        this.lastCall = plan.end() - Math.min(ANSWER_MARGIN, Math.max(0, plan.end() - now) / 8);
+        this.attempts = new Attempts(actions, plan.deadlineMs());
+        this.lastSendMs = plan.deadlineMs() - Math.min(RESPONSE_MARGIN_MS, Math.max(0, plan.deadlineMs() - now) / 8);
     }
 
-    void begin(long now) {
-        if (now >= lastCall) {
+    void start(long now) {
+        if (now >= lastSendMs) {
             conclude(now);
         } else {
-            request(false, now);
+            requestSlot(false, now);
         }
     }
 
     /** The client has its answer, or is gone. */
-    boolean settled() {
-        return settled;
+    boolean isSettled() {
+        return isSettled;
     }
 
     /** Nothing more will happen. */
-    boolean over() {
-        return settled && asking == 0 && attempts.live() == 0;
+    boolean isOver() {
+        return isSettled && pendingRequestId == 0 && attempts.activeCount() == 0;
     }
 
     /** When {@link #tick} is next needed, ms; {@link Long#MAX_VALUE}: never. */
-    long due() {
-        if (settled) {
-            return attempts.live() == 0 ? Long.MAX_VALUE : plan.end() + LINGER;
+    long nextDueMs() {
+        if (isSettled) {
+            return attempts.activeCount() == 0 ? Long.MAX_VALUE : plan.deadlineMs() + LINGER_MS;
         }
-        return copyAt != 0 && asking == 0 ? Math.min(copyAt, lastCall) : lastCall;
+        return hedgeAtMs != 0 && pendingRequestId == 0 ? Math.min(hedgeAtMs, lastSendMs) : lastSendMs;
     }
 
     // ---- Places ---------------------------------------------------------------------------------
-    private void request(boolean copy, long now) {
-        asking = askIds.getAsLong();
-        askingCopy = copy;
-        copyAsks += copy ? 1 : 0;
-        hands.ask(new SlotRequest(
-                asking,
+    private void requestSlot(boolean hedge, long now) {
+        pendingRequestId = requestIds.getAsLong();
+        pendingIsHedge = hedge;
+        hedgeRequests += hedge ? 1 : 0;
+        actions.requestSlot(new SlotRequest(
+                pendingRequestId,
                 edge,
                 zone,
                 plan.service(),
                 plan.priority(),
-                (int) Math.min(Integer.MAX_VALUE, plan.end() - now),
+                (int) Math.min(Integer.MAX_VALUE, plan.deadlineMs() - now),
                 plan.targetMs(),
-                copy,
-                sentHosts > 0,
-                plan.inner(),
-                attempts.hosts()));
+                hedge,
+                sentInstances > 0,
+                plan.nestedCall(),
+                attempts.instances()));
     }
 
-    void granted(SlotGrant grant, long now) {
-        if (grant.askId() != asking) {
+    void onGranted(SlotGrant grant, long now) {
+        if (grant.requestId() != pendingRequestId) {
             // Guards places against leaking: this ask was forgotten while its grant was under way. One that comes twice
             // is in use.
-            if (!attempts.holds(grant.askId())) {
-                hands.forget(grant.askId());
+            if (!attempts.isActive(grant.requestId())) {
+                actions.cancelSlotRequest(grant.requestId());
             }
             return;
         }
-        asking = 0;
-        if (now >= lastCall) {
-            hands.forget(grant.askId());
+        pendingRequestId = 0;
+        if (now >= lastSendMs) {
+            actions.cancelSlotRequest(grant.requestId());
             tick(now);
             return;
         }
-        if (askingCopy && !copyWanted()) {
-            hands.forget(grant.askId());
-            next(now);
+        if (pendingIsHedge && !isHedgeWanted()) {
+            actions.cancelSlotRequest(grant.requestId());
+            nextStep(now);
             return;
         }
-        hands.send(attempts.add(grant, askingCopy, now), plan.end() - HOST_MARGIN);
+        actions.sendToInstance(attempts.add(grant, pendingIsHedge, now), plan.deadlineMs() - HOST_MARGIN_MS);
     }
 
-    void refused(long askId, int comeBackMs, long now) {
-        if (askId != asking) {
+    void onRefused(long requestId, int refusedForMs, long now) {
+        if (requestId != pendingRequestId) {
             return;
         }
-        asking = 0;
-        if (askingCopy && attempts.live() > 0) {
-            copyAt = copyAsks < COPY_ASKS ? now + Math.max(COPY_AGAIN, comeBackMs) : 0;
-        } else if (askingCopy) {
-            next(now);
+        pendingRequestId = 0;
+        if (pendingIsHedge && attempts.activeCount() > 0) {
+            hedgeAtMs = hedgeRequests < MAX_HEDGE_REQUESTS ? now + Math.max(HEDGE_RETRY_MS, refusedForMs) : 0;
+        } else if (pendingIsHedge) {
+            nextStep(now);
         } else {
-            this.comeBackMs = comeBackMs;
+            this.retryAfterMs = refusedForMs;
             conclude(now);
         }
     }
 
     // ---- At hosts -------------------------------------------------------------------------------
     /** The first byte has gone out. */
-    void sent(Attempt attempt, long now) {
-        if (!attempt.live || attempt.sent()) {
+    void onSent(Attempt attempt, long now) {
+        if (!attempt.active || attempt.onSent()) {
             return;
         }
-        attempt.sentAt = now;
-        sentHosts++;
-        copyAt = copyWanted() ? now + Math.max(1, delayMs.getAsInt()) : 0;
+        attempt.sentAtMs = now;
+        sentInstances++;
+        hedgeAtMs = isHedgeWanted() ? now + Math.max(1, hedgeDelayMs.getAsInt()) : 0;
     }
 
     /** No connection came up: it did not run, and did not arrive. */
-    void unreached(Attempt attempt, long now) {
-        if (attempts.end(attempt, AttemptOutcome.UNREACHED, (int) (now - attempt.grantedAt))) {
-            unreached++;
-            copyAt = copyWanted() ? now + COPY_AGAIN : 0;
-            next(now);
+    void onUnreachable(Attempt attempt, long now) {
+        if (attempts.complete(attempt, AttemptOutcome.UNREACHED, (int) (now - attempt.grantedAtMs))) {
+            unreachableCount++;
+            hedgeAtMs = isHedgeWanted() ? now + HEDGE_RETRY_MS : 0;
+            nextStep(now);
         }
     }
 
@@ -182,139 +182,139 @@
      * it must not be passed on, as its status promises that the request did not run (408, 421, 429, 503) without proof
      * of it, or it was too large to be held.
      */
-    void ended(Attempt attempt, AttemptOutcome fate, boolean withheld, long now) {
-        int took = (int) (now - (attempt.sent() ? attempt.sentAt : attempt.grantedAt));
-        if (!attempts.end(attempt, fate, took)) {
+    void onEnded(Attempt attempt, AttemptOutcome outcome, boolean withheld, long now) {
+        int durationMs = (int) (now - (attempt.onSent() ? attempt.sentAtMs : attempt.grantedAtMs));
+        if (!attempts.complete(attempt, outcome, durationMs)) {
             return;
         }
-        if (attempt == flowing) {
-            flowed(fate);
+        if (attempt == streamingAttempt) {
+            onStreamed(outcome);
             return;
         }
-        if (fate == AttemptOutcome.SERVED) {
-            hands.took(took);
-            if (!settled) {
-                settle(attempt, now);
-                hands.pass(attempt);
+        if (outcome == AttemptOutcome.SERVED) {
+            actions.recordResponseTime(durationMs);
+            if (!isSettled) {
+                settleOn(attempt, now);
+                actions.passResponse(attempt);
             }
             return;
         }
-        unproven |= fate == AttemptOutcome.FAILED || fate == AttemptOutcome.BROKEN;
-        if (fate == AttemptOutcome.FAILED && !withheld) {
-            held = attempt;
+        unproven |= outcome == AttemptOutcome.FAILED || outcome == AttemptOutcome.BROKEN;
+        if (outcome == AttemptOutcome.FAILED && !withheld) {
+            withheldAttempt = attempt;
         }
-        next(now);
+        nextStep(now);
     }
 
-    private void flowed(AttemptOutcome fate) {
-        flowing = null;
-        if (fate == AttemptOutcome.SERVED) {
-            hands.flowed();
+    private void onStreamed(AttemptOutcome outcome) {
+        streamingAttempt = null;
+        if (outcome == AttemptOutcome.SERVED) {
+            actions.finishStreaming();
         } else {
-            hands.cut();
+            actions.abortClient();
         }
     }
 
     /** An answer too large to be held back is coming: true if it is the client's. */
-    boolean flowing(Attempt attempt, long now) {
-        if (settled || !attempt.live) {
+    boolean onStreaming(Attempt attempt, long now) {
+        if (isSettled || !attempt.active) {
             return false;
         }
-        settle(attempt, now);
-        flowing = attempt;
-        hands.flow(attempt);
+        settleOn(attempt, now);
+        streamingAttempt = attempt;
+        actions.startStreaming(attempt);
         return true;
     }
 
     /** The first usable answer settles; what else is out is called off. */
-    private void settle(Attempt winner, long now) {
-        close();
-        attempts.callOffOthers(winner, now);
+    private void settleOn(Attempt winner, long now) {
+        cancelPendingRequest();
+        attempts.cancelOthers(winner, now);
     }
 
     /** No more is asked for. */
-    private void close() {
-        settled = true;
-        copyAt = 0;
-        if (asking != 0) {
-            long id = asking;
-            asking = 0;
-            hands.forget(id);
+    private void cancelPendingRequest() {
+        isSettled = true;
+        hedgeAtMs = 0;
+        if (pendingRequestId != 0) {
+            long id = pendingRequestId;
+            pendingRequestId = 0;
+            actions.cancelSlotRequest(id);
         }
     }
 
     // ---- What next ------------------------------------------------------------------------------
     /** After an end that is no answer: wait for what is out, go to another host, or give up. */
-    private void next(long now) {
-        if (settled || asking != 0 || attempts.live() > 0) {
+    private void nextStep(long now) {
+        if (isSettled || pendingRequestId != 0 || attempts.activeCount() > 0) {
             return;
         }
-        copyAt = 0;
-        if (now < lastCall
-                && sentHosts < plan.mostHosts()
-                && (plan.repeatable() || !unproven)
-                && unreached < UNREACHED_MOST) {
-            request(false, now);
+        hedgeAtMs = 0;
+        if (now < lastSendMs
+                && sentInstances < plan.maxInstances()
+                && (plan.idempotent() || !unproven)
+                && unreachableCount < MAX_UNREACHABLE) {
+            requestSlot(false, now);
         } else {
             conclude(now);
         }
     }
 
     private void conclude(long now) {
-        settled = true;
-        copyAt = 0;
-        if (held != null) {
-            hands.pass(held);
+        isSettled = true;
+        hedgeAtMs = 0;
+        if (withheldAttempt != null) {
+            actions.passResponse(withheldAttempt);
         } else if (!unproven) {
-            hands.own(503, comeBackMs);
+            actions.respond(503, retryAfterMs);
         } else {
-            hands.own(now >= lastCall ? 504 : 502, -1);
+            actions.respond(now >= lastSendMs ? 504 : 502, -1);
         }
     }
 
-    private boolean copyWanted() {
-        return !settled && plan.repeatable() && sentHosts < plan.mostHosts() && sentHosts > 0;
+    private boolean isHedgeWanted() {
+        return !isSettled && plan.idempotent() && sentInstances < plan.maxInstances() && sentInstances > 0;
     }
 
     void tick(long now) {
-        if (settled) {
-            if (now >= plan.end() + LINGER) {
+        if (isSettled) {
+            if (now >= plan.deadlineMs() + LINGER_MS) {
                 attempts.giveUp(now);
-                if (flowing != null) {
-                    flowed(AttemptOutcome.SILENT);
+                if (streamingAttempt != null) {
+                    onStreamed(AttemptOutcome.SILENT);
                 }
             }
-        } else if (now >= lastCall) {
-            timeUp(now);
-        } else if (copyAt != 0 && now >= copyAt && asking == 0) {
-            copyAt = 0;
-            if (attempts.live() > 0 && copyWanted()) {
-                request(true, now);
+        } else if (now >= lastSendMs) {
+            onTimeout(now);
+        } else if (hedgeAtMs != 0 && now >= hedgeAtMs && pendingRequestId == 0) {
+            hedgeAtMs = 0;
+            if (attempts.activeCount() > 0 && isHedgeWanted()) {
+                requestSlot(true, now);
             }
         }
     }
 
     /** The client is answered; what is at a host is left to finish there. */
-    private void timeUp(long now) {
-        close();
-        unproven |= attempts.leave(now);
+    private void onTimeout(long now) {
+        cancelPendingRequest();
+        unproven |= attempts.onClientGone(now);
         conclude(now);
     }
 
     /**
      * No time is left, though the request's own is not over: the client is answered now unless its answer has begun.
      */
-    void giveUp(long now) {
-        if (!settled) {
-            timeUp(now);
+    void answerNow(long now) {
+        if (!isSettled) {
+            onTimeout(now);
         }
     }
 
     /** The client has gone: what no host has is dropped, the rest is left to finish (breaking off is priced). */
-    void gone(long now) {
-        if (!settled) {
-            close();
-            attempts.leave(now);
+    void onClientGone(long now) {
+        if (!isSettled) {
+            cancelPendingRequest();
+            attempts.onClientGone(now);
         }
     }
 }
--- a/src/main/java/brambletray/platform/proxy/RequestPlan.java
+++ b/src/main/java/brambletray/platform/proxy/RequestPlan.java
@@ -6,4 +6,10 @@
  * calls.
  */
 record RequestPlan(
-        String service, boolean repeatable, int mostHosts, int priority, int targetMs, boolean inner, long end) {}
+        String service,
+        boolean idempotent,
+        int maxInstances,
+        int priority,
+        int targetMs,
+        boolean nestedCall,
+        long deadlineMs) {}
--- a/src/main/java/brambletray/platform/proxy/RequestReader.java
+++ b/src/main/java/brambletray/platform/proxy/RequestReader.java
@@ -13,80 +13,81 @@
 
 /** The request that is being read on one connection: its head, and its body as far as it has come. */
 final class RequestReader {
-    private final MemoryBudget hold;
+    private final MemoryBudget memoryBudget;
     /** Those in force when the request began. */
     private ClientLimits limits;
 
-    private final List<ByteBuf> parts = new ArrayList<>(1);
+    private final List<ByteBuf> bodyParts = new ArrayList<>(1);
     private HttpRequest head;
-    private long at;
-    private int size;
+    private long receivedAtMs;
+    private int bodyBytes;
 
-    RequestReader(MemoryBudget hold) {
-        this.hold = hold;
+    RequestReader(MemoryBudget memoryBudget) {
+        this.memoryBudget = memoryBudget;
     }
 
     /** Null: go on; else why it is turned away. */
-    Rejection head(HttpRequest request, long now, ClientLimits inForce) {
+    Rejection onHead(HttpRequest request, long now, ClientLimits currentLimits) {
         head = request;
-        limits = inForce;
-        at = now;
+        limits = currentLimits;
+        receivedAtMs = now;
         return Rejection.of(request, limits);
     }
 
     /** When the time of the request that is being read is over, ms of the steady clock. */
-    long end(RequestRouter flow) {
-        return head == null ? Long.MAX_VALUE : flow.end(head.headers(), head.uri(), at);
+    long deadlineMs(RequestRouter router) {
+        return head == null ? Long.MAX_VALUE : router.deadlineMs(head.headers(), head.uri(), receivedAtMs);
     }
 
-    boolean bare() {
+    boolean isHeadRequest() {
         return head != null && head.method().equals(HttpMethod.HEAD);
     }
 
     /** Null: go on; else why it is turned away. */
-    Rejection body(HttpContent content) {
+    Rejection onBody(HttpContent content) {
         int n = content.content().readableBytes();
         if (n == 0) {
             return null;
         }
-        if (size + n > limits.maxBodyBytes()) {
+        if (bodyBytes + n > limits.maxBodyBytes()) {
             return Rejection.TOO_LARGE;
         }
-        if (!hold.take(n)) {
+        if (!memoryBudget.tryReserve(n)) {
             return Rejection.FULL;
         }
-        size += n;
-        parts.add(content.content().retain());
+        bodyBytes += n;
+        bodyParts.add(content.content().retain());
         return null;
     }
 
     /** It is whole: whoever takes it gives its bytes back to the hold. */
-    ClientRequest whole() {
+    ClientRequest takeRequest() {
         HttpHeaders headers = head.headers();
         HttpMethod method = head.method();
-        boolean bodied = size > 0
+        boolean hasBody = bodyBytes > 0
                 || headers.contains(HttpHeaderNames.CONTENT_LENGTH)
                 || headers.contains(HttpHeaderNames.TRANSFER_ENCODING)
                 || method.equals(HttpMethod.POST)
                 || method.equals(HttpMethod.PUT);
         // A copy, lest a small body keep the large buffer that it was read into.
-        ByteBuf body = size == 0 ? Unpooled.EMPTY_BUFFER : Unpooled.buffer(size, size);
-        for (int i = 0; i < parts.size(); i++) {
-            body.writeBytes(parts.get(i));
-            parts.get(i).release();
+        ByteBuf body = bodyBytes == 0 ? Unpooled.EMPTY_BUFFER : Unpooled.buffer(bodyBytes, bodyBytes);
+        for (int i = 0; i < bodyParts.size(); i++) {
+            body.writeBytes(bodyParts.get(i));
+            bodyParts.get(i).release();
         }
-        parts.clear();
-        size = 0;
-        ClientRequest clientRequest = new ClientRequest(method.name(), head.uri(), headers, body, bodied, at);
+        bodyParts.clear();
+        bodyBytes = 0;
+        ClientRequest clientRequest =
+                new ClientRequest(method.name(), head.uri(), headers, body, hasBody, receivedAtMs);
         head = null;
         return clientRequest;
     }
 
-    void drop() {
-        hold.give(size);
-        size = 0;
-        parts.forEach(ByteBuf::release);
-        parts.clear();
+    void release() {
+        memoryBudget.release(bodyBytes);
+        bodyBytes = 0;
+        bodyParts.forEach(ByteBuf::release);
+        bodyParts.clear();
         head = null;
     }
 }
--- a/src/main/java/brambletray/platform/proxy/RequestRouter.java
+++ b/src/main/java/brambletray/platform/proxy/RequestRouter.java
@@ -18,33 +18,33 @@
 /** Finds each request's route and starts its {@link RequestLifecycle}. The loop's. */
 public final class RequestRouter {
     /** ms; told where nobody knows better when to come back. */
-    static final int COME_BACK_MS = 200;
+    static final int RETRY_AFTER_MS = 200;
     /** ms; told while there is no configuration yet. */
-    private static final int NO_CREED_MS = 800;
+    private static final int NO_CONFIGURATION_RETRY_MS = 800;
     /** Requests under way at one time. */
-    private static final int TRIPS_MOST = 8_000;
+    private static final int MAX_REQUESTS = 8_000;
 
     private final Machine machine;
     private final String edge;
     private final String zone;
     private final Supplier<Configuration> configuration;
     private final SlotBroker broker;
-    private final Predicate<String> isHost;
-    private final HostConnectionPools lines;
+    private final Predicate<String> isInstanceIp;
+    private final HostConnectionPools connectionPools;
     private final RequestCounters counters;
-    private final MemoryBudget hold;
+    private final MemoryBudget memoryBudget;
     private final RateLimitedLog rateLimitedLog = new RateLimitedLog();
     private final SplittableRandom shares;
-    private final Map<String, HedgeDelay> paces = new HashMap<>();
-    private long asks;
-    private int waiting;
-    private int trips;
+    private final Map<String, HedgeDelay> hedgeDelays = new HashMap<>();
+    private long lastRequestId;
+    private int waitingClients;
+    private int activeRequests;
     /** The process is about to end: each new request is refused. */
-    private boolean refusing;
+    private boolean rejectingNew;
 
     /**
-     * {@code edge}, {@code zone}: this machine's, for asks; {@code isHost}: whether an IP address is that of a host we
-     * know, whose calls are inner ones; {@code mostBytes}: of requests and answers held at one time; above that new
+     * {@code edge}, {@code zone}: this machine's, for asks; {@code isInstanceIp}: whether an IP address is that of a host we
+     * know, whose calls are inner ones; {@code maxBytes}: of requests and answers held at one time; above that new
      * ones are refused; {@code seed}: for the shares of routes.
      */
     public RequestRouter(
@@ -53,38 +53,38 @@
             String zone,
             Supplier<Configuration> configuration,
             SlotBroker broker,
-            Predicate<String> isHost,
-            HostConnectionPools lines,
+            Predicate<String> isInstanceIp,
+            HostConnectionPools connectionPools,
             RequestCounters counters,
-            long mostBytes,
+            long maxBytes,
             long seed) {
         this.machine = machine;
         this.edge = edge;
         this.zone = zone;
         this.configuration = configuration;
         this.broker = broker;
-        this.isHost = isHost;
-        this.lines = lines;
+        this.isInstanceIp = isInstanceIp;
+        this.connectionPools = connectionPools;
         this.counters = counters;
-        this.hold = new MemoryBudget(mostBytes);
+        this.memoryBudget = new MemoryBudget(maxBytes);
         this.shares = new SplittableRandom(seed);
         // Guards against the ids of the process before, whose asks homes may still know.
-        this.asks = (seed & 0x3fffffffL) << 32;
+        this.lastRequestId = (seed & 0x3fffffffL) << 32;
     }
 
     /** Requests that clients wait for. */
     public int inFlight() {
-        return waiting;
+        return waitingClients;
     }
 
     /** Those, and those whose work at a host goes on though nobody waits. */
-    public int underWay() {
-        return trips;
+    public int activeRequests() {
+        return activeRequests;
     }
 
     /** Bytes of requests and answers held. */
-    public long held() {
-        return hold.held();
+    public long heldBytes() {
+        return memoryBudget.heldBytes();
     }
 
     ClientLimits limits() {
@@ -95,19 +95,19 @@
         return rateLimitedLog;
     }
 
-    MemoryBudget hold() {
-        return hold;
+    MemoryBudget memoryBudget() {
+        return memoryBudget;
     }
 
     /** From now on each new request is refused: nothing is left of the time in which it could be served. */
-    void refuseNew() {
-        refusing = true;
+    void rejectNew() {
+        rejectingNew = true;
     }
 
     /** A request that could not be read. */
-    void turnedAway(int status) {
-        counters.wrong += status == 503 ? 0 : 1;
-        counters.refused += status == 503 ? 1 : 0;
+    void countRejected(int status) {
+        counters.clientErrors += status == 503 ? 0 : 1;
+        counters.unavailable += status == 503 ? 1 : 0;
     }
 
     /** Starts a request on its way, or answers it. */
@@ -117,25 +117,25 @@
         Iterator<String> ids = headers.valueStringIterator(ClientRequest.ID);
         String id = ids.hasNext() ? ids.next() : "";
         if (id.isEmpty() || ids.hasNext()) {
-            counters.wrong++;
-            own(client, clientRequest, 400, "proxy.no-id", -1, null);
+            counters.clientErrors++;
+            respond(client, clientRequest, 400, "proxy.no-id", -1, null);
             return;
         }
         Configuration now = configuration.get();
         if (now == Configuration.NONE) {
-            counters.refused++;
-            own(client, clientRequest, 503, "proxy.no-configuration", NO_CREED_MS, id);
+            counters.unavailable++;
+            respond(client, clientRequest, 503, "proxy.no-configuration", NO_CONFIGURATION_RETRY_MS, id);
             return;
         }
         Route route = now.match(headers.get(HttpHeaderNames.HOST), clientRequest.path());
         if (route == null) {
             counters.unrouted++;
-            own(client, clientRequest, 404, "proxy.no-route", -1, id);
+            respond(client, clientRequest, 404, "proxy.no-route", -1, id);
             return;
         }
-        if (refusing || trips >= TRIPS_MOST) {
-            counters.refused++;
-            own(client, clientRequest, 503, refusing ? "proxy.ending" : "proxy.full", COME_BACK_MS, id);
+        if (rejectingNew || activeRequests >= MAX_REQUESTS) {
+            counters.unavailable++;
+            respond(client, clientRequest, 503, rejectingNew ? "proxy.ending" : "proxy.full", RETRY_AFTER_MS, id);
             return;
         }
         String service = route.selectService(shares.nextDouble());
@@ -146,46 +146,51 @@
                 Math.max(1, route.retryCount()),
                 route.priority(),
                 route.latencyTargetMs(),
-                isHost.test(client.ip()),
-                end(headers, route, clientRequest.at()));
+                isInstanceIp.test(client.clientIp()),
+                deadlineMs(headers, route, clientRequest.receivedAtMs()));
         RequestDriver driver = new RequestDriver(
                 this, client, clientRequest, id, plan, known == null ? 4 : Math.max(4, known.maxConnections() / 4));
-        trips++;
-        waiting++;
-        client.carried(driver);
-        driver.begin();
-    }
-
-    private void own(
-            ClientConnection client, ClientRequest clientRequest, int status, String code, int comeBackMs, String id) {
+        activeRequests++;
+        waitingClients++;
+        client.onDriverStarted(driver);
+        driver.start();
+    }
+
+    private void respond(
+            ClientConnection client,
+            ClientRequest clientRequest,
+            int status,
+            String code,
+            int retryAfterMs,
+            String id) {
         int bytes = clientRequest.body().readableBytes();
-        boolean bare = clientRequest.head();
+        boolean withoutBody = clientRequest.head();
         clientRequest.release();
-        hold.give(bytes);
-        client.own(status, code, comeBackMs, id, bare);
+        memoryBudget.release(bytes);
+        client.writeOwnResponse(status, code, retryAfterMs, id, withoutBody);
     }
 
     /** When the time of a request with this head is over, ms; {@link Long#MAX_VALUE} where it has no route. */
-    long end(HttpHeaders headers, String uri, long at) {
+    long deadlineMs(HttpHeaders headers, String uri, long receivedAtMs) {
         Route route = configuration.get().match(headers.get(HttpHeaderNames.HOST), ClientRequest.path(uri));
-        return route == null ? Long.MAX_VALUE : end(headers, route, at);
+        return route == null ? Long.MAX_VALUE : deadlineMs(headers, route, receivedAtMs);
     }
 
-    private static long end(HttpHeaders headers, Route route, long at) {
-        int untold = route.timeoutMs();
-        return at + Math.min(remaining(headers.get(ClientRequest.REMAINING), untold), untold);
+    private static long deadlineMs(HttpHeaders headers, Route route, long receivedAtMs) {
+        int defaultMs = route.timeoutMs();
+        return receivedAtMs + Math.min(remainingMs(headers.get(ClientRequest.REMAINING), defaultMs), defaultMs);
     }
 
     /** ms; what is not a number counts as untold. */
-    private static long remaining(String told, int untold) {
-        if (told == null || told.isEmpty() || told.length() > 9) {
-            return untold;
+    private static long remainingMs(String stated, int defaultMs) {
+        if (stated == null || stated.isEmpty() || stated.length() > 9) {
+            return defaultMs;
         }
         long ms = 0;
-        for (int i = 0; i < told.length(); i++) {
-            int digit = told.charAt(i) - '0';
+        for (int i = 0; i < stated.length(); i++) {
+            int digit = stated.charAt(i) - '0';
             if (digit < 0 || digit > 9) {
-                return untold;
+                return defaultMs;
             }
             ms = ms * 10 + digit;
         }
@@ -213,37 +218,37 @@
         return broker;
     }
 
-    HostConnectionPools lines() {
-        return lines;
+    HostConnectionPools connectionPools() {
+        return connectionPools;
     }
 
     RequestCounters counters() {
         return counters;
     }
 
-    long nextAsk() {
-        return ++asks;
+    long nextRequestId() {
+        return ++lastRequestId;
     }
 
     /** The delay of copies to this service. Bounded by the services in force. */
-    HedgeDelay pace(String service) {
-        HedgeDelay pace = paces.get(service);
-        if (pace == null) {
+    HedgeDelay hedgeDelay(String service) {
+        HedgeDelay delay = hedgeDelays.get(service);
+        if (delay == null) {
             Map<String, Service> services = configuration.get().services();
-            if (paces.size() > 64 + 2 * services.size()) {
-                paces.keySet().retainAll(services.keySet());
+            if (hedgeDelays.size() > 64 + 2 * services.size()) {
+                hedgeDelays.keySet().retainAll(services.keySet());
             }
-            pace = new HedgeDelay();
-            paces.put(service, pace);
+            delay = new HedgeDelay();
+            hedgeDelays.put(service, delay);
         }
-        return pace;
+        return delay;
     }
 
-    void answered() {
-        waiting--;
+    void onAnswered() {
+        waitingClients--;
     }
 
-    void over() {
-        trips--;
+    void onFinished() {
+        activeRequests--;
     }
 }
--- a/src/main/java/brambletray/platform/proxy/ResponseDecoder.java
+++ b/src/main/java/brambletray/platform/proxy/ResponseDecoder.java
@@ -13,38 +13,38 @@
  * poisoning).
  */
 final class ResponseDecoder extends HttpResponseDecoder {
-    private static final int HEAD_MOST = 16 * 1024;
-    private static final int LINE_MOST = 4 * 1024;
-    private static final int PIECE_MOST = 64 * 1024;
+    private static final int MAX_HEADER_BYTES = 16 * 1024;
+    private static final int MAX_LINE_BYTES = 4 * 1024;
+    private static final int MAX_CHUNK_BYTES = 64 * 1024;
 
-    private final HostConnection line;
+    private final HostConnection connection;
 
-    ResponseDecoder(HostConnection line) {
+    ResponseDecoder(HostConnection connection) {
         super(new HttpDecoderConfig()
-                .setMaxHeaderSize(HEAD_MOST)
-                .setMaxInitialLineLength(LINE_MOST)
-                .setMaxChunkSize(PIECE_MOST)
+                .setMaxHeaderSize(MAX_HEADER_BYTES)
+                .setMaxInitialLineLength(MAX_LINE_BYTES)
+                .setMaxChunkSize(MAX_CHUNK_BYTES)
                 .setInitialBufferSize(256));
-        this.line = line;
+        this.connection = connection;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object bytes) throws Exception {
-        if (line.waits()) {
+        if (connection.isWaiting()) {
             super.channelRead(context, bytes);
         } else {
             // Guards the next request against an answer that is not its own.
             ReferenceCountUtil.release(bytes);
-            line.unasked();
+            connection.onUnsolicited();
         }
     }
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) throws Exception {
-        if (line.answered()) {
+        if (connection.isAnswered()) {
             // Behind a whole answer: whatever it is, down to a blank that the decoder would pass over.
             in.skipBytes(in.readableBytes());
-            line.surplus();
+            connection.onSurplus();
         } else {
             super.decode(context, in, out);
         }
@@ -52,7 +52,7 @@
 
     @Override
     protected boolean isContentAlwaysEmpty(HttpMessage message) {
-        return line.atHead() || super.isContentAlwaysEmpty(message);
+        return connection.atHead() || super.isContentAlwaysEmpty(message);
     }
 
     @Override
--- a/src/main/java/brambletray/platform/proxy/ResponseReader.java
+++ b/src/main/java/brambletray/platform/proxy/ResponseReader.java
@@ -14,23 +14,23 @@
  */
 final class ResponseReader {
     /** Bytes of an answer that are held until it is whole: a cut one never reaches a client, and can be tried again. */
-    static final int HELD = 512 * 1024;
+    static final int MAX_HELD_BYTES = 512 * 1024;
     /** Answers ahead of ours that are skipped: 1xx, or surplus. */
-    private static final int AHEAD_MOST = 8;
+    private static final int MAX_EARLY_BYTES = 8;
 
     private final HostCall hostCall;
     private final RequestCounters counters;
     private final boolean reused;
     private ResponseVerdict verdict;
-    private HostResponse answer;
+    private HostResponse response;
     private boolean sent;
     private boolean skipping;
-    private boolean flowing;
-    private boolean dropping;
+    private boolean streaming;
+    private boolean discarding;
     private boolean withheld;
     private boolean complete;
-    private boolean lasting = true;
-    private int ahead;
+    private boolean reusable = true;
+    private int earlyBytes;
 
     /** {@code reused}: its connection has carried another request before, whose late bytes may still come. */
     ResponseReader(HostCall hostCall, RequestCounters counters, boolean reused) {
@@ -40,7 +40,7 @@
     }
 
     /** The request's first byte is out: from now on an answer may come. */
-    void sent() {
+    void onSent() {
         sent = true;
     }
 
@@ -52,13 +52,13 @@
         return hostCall;
     }
 
-    boolean complete() {
+    boolean isComplete() {
         return complete;
     }
 
     /** Whether its connection may serve another request. */
-    boolean lasting() {
-        return lasting;
+    boolean isReusable() {
+        return reusable;
     }
 
     ResponseVerdict verdict() {
@@ -66,62 +66,63 @@
     }
 
     /** It must not be passed on: its status promises what is not proven, or it was too large to be held. */
-    boolean withheld() {
+    boolean isWithheld() {
         return withheld;
     }
 
     /** The whole answer, where it is one for clients; its bytes are the caller's. */
-    HostResponse answer() {
-        return !withheld && (verdict.fate() == AttemptOutcome.SERVED || verdict.fate() == AttemptOutcome.FAILED)
-                ? answer
+    HostResponse response() {
+        return !withheld && (verdict.outcome() == AttemptOutcome.SERVED || verdict.outcome() == AttemptOutcome.FAILED)
+                ? response
                 : null;
     }
 
     /** What the host says of how long it keeps the connection; null: nothing. */
     String keepAlive() {
-        return answer.headers.get("keep-alive");
+        return response.headers.get("keep-alive");
     }
 
     /** False: this is no answer. */
-    boolean head(HttpResponse head) {
+    boolean onHead(HttpResponse head) {
         int status = head.status().code();
         if (status < 200) {
             skipping = true;
-            return status >= 100 && status != 101 && ++ahead <= AHEAD_MOST;
+            return status >= 100 && status != 101 && ++earlyBytes <= MAX_EARLY_BYTES;
         }
         boolean bare =
                 status == 204 || status == 304 || hostCall.clientRequest().head();
         BodyFraming framing = BodyFraming.of(head, bare);
         verdict = framing == BodyFraming.NONE
                 ? ResponseVerdict.JUNK
-                : ResponseVerdict.of(hostCall.id(), status, head.headers());
-        if (verdict.nameless() && reused && hostCall.careful()) {
+                : ResponseVerdict.of(hostCall.requestId(), status, head.headers());
+        if (verdict.nameless() && reused && hostCall.requiresOpenConnection()) {
             // Guards rule TWICE: a late one of the request before looks the same, and proves nothing of this one.
             verdict = ResponseVerdict.JUNK;
         }
-        lasting &= HttpUtil.isKeepAlive(head)
+        reusable &= HttpUtil.isKeepAlive(head)
                 && !verdict.nameless()
                 && !hostCall.clientRequest().head();
         skipping = verdict == ResponseVerdict.SURPLUS;
         if (skipping) {
-            counters.surplus++;
+            counters.surplusResponses++;
             // Where one came, more may: no other request goes out here. And how long it is can't be told by the rules
             // of an answer to HEAD.
-            lasting = false;
-            return !hostCall.clientRequest().head() && ++ahead <= AHEAD_MOST;
+            reusable = false;
+            return !hostCall.clientRequest().head() && ++earlyBytes <= MAX_EARLY_BYTES;
         }
-        answer = new HostResponse(
-                status, head.status().reasonPhrase(), head.headers(), framing.length(), bare, hostCall.hold());
+        response = new HostResponse(
+                status, head.status().reasonPhrase(), head.headers(), framing.length(), bare, hostCall.memoryBudget());
         withheld = verdict.promise();
-        dropping = withheld || verdict.fate() != AttemptOutcome.SERVED && verdict.fate() != AttemptOutcome.FAILED;
+        discarding =
+                withheld || verdict.outcome() != AttemptOutcome.SERVED && verdict.outcome() != AttemptOutcome.FAILED;
         return verdict != ResponseVerdict.JUNK;
     }
 
     /** False: stop reading until the client has room again. */
-    boolean content(HttpContent content) {
+    boolean onContent(HttpContent content) {
         boolean more = true;
-        if (!skipping && !dropping && content.content().isReadable()) {
-            more = take(content.content().retain());
+        if (!skipping && !discarding && content.content().isReadable()) {
+            more = addBytes(content.content().retain());
         }
         if (content instanceof LastHttpContent) {
             complete = !skipping;
@@ -130,28 +131,28 @@
         return more;
     }
 
-    private boolean take(ByteBuf bytes) {
-        if (!flowing) {
-            if (answer.add(bytes, HELD)) {
+    private boolean addBytes(ByteBuf bytes) {
+        if (!streaming) {
+            if (response.add(bytes, MAX_HELD_BYTES)) {
                 return true;
             }
-            flowing = verdict.fate() == AttemptOutcome.SERVED && hostCall.flow(answer);
-            if (!flowing) {
+            streaming = verdict.outcome() == AttemptOutcome.SERVED && hostCall.onStreaming(response);
+            if (!streaming) {
                 // Nobody waits for it any more, or it is a failure; but to break the host's work off has a price.
-                dropping = true;
+                discarding = true;
                 withheld = true;
                 bytes.release();
-                answer.drop();
+                response.release();
                 return true;
             }
-            counters.streamed++;
+            counters.streamedResponses++;
         }
-        return hostCall.more(bytes);
+        return hostCall.onContent(bytes);
     }
 
-    void drop() {
-        if (answer != null) {
-            answer.drop();
+    void release() {
+        if (response != null) {
+            response.release();
         }
     }
 }
--- a/src/main/java/brambletray/platform/proxy/ResponseVerdict.java
+++ b/src/main/java/brambletray/platform/proxy/ResponseVerdict.java
@@ -12,7 +12,7 @@
  * status promises that the request did not run, without proof. {@code nameless}: it carries no id, so what else comes
  * on its connection can't be told apart.
  */
-record ResponseVerdict(AttemptOutcome fate, boolean promise, boolean nameless) {
+record ResponseVerdict(AttemptOutcome outcome, boolean promise, boolean nameless) {
     static final ResponseVerdict SURPLUS = new ResponseVerdict(null, false, false);
     static final ResponseVerdict JUNK = new ResponseVerdict(AttemptOutcome.BROKEN, false, false);
     private static final ResponseVerdict SERVED = new ResponseVerdict(AttemptOutcome.SERVED, false, false);
@@ -25,7 +25,7 @@
             new ResponseVerdict(AttemptOutcome.WRONG_HOST, false, true);
 
     /** The highest status that HTTP has. */
-    private static final int STATUS_MOST = 599;
+    private static final int MAX_STATUS = 599;
 
     /** For a log line: what an answer that isn't one carries. */
     static String traits(int status, HttpHeaders headers) {
@@ -39,19 +39,19 @@
                         : ", no length");
     }
 
-    /** {@code id}: of the request that the connection is at. */
-    static ResponseVerdict of(String id, int status, HttpHeaders headers) {
+    /** {@code requestId}: of the request that the connection is at. */
+    static ResponseVerdict of(String requestId, int status, HttpHeaders headers) {
         Iterator<? extends CharSequence> ids = headers.valueCharSequenceIterator(ClientRequest.ID);
         boolean nameless = !ids.hasNext();
         if (!nameless) {
-            if (!id.contentEquals(ids.next())) {
+            if (!requestId.contentEquals(ids.next())) {
                 return SURPLUS;
             }
             if (ids.hasNext()) {
                 return JUNK;
             }
         }
-        if (status > STATUS_MOST) {
+        if (status > MAX_STATUS) {
             // Guards clients against a status that is none: of four digits they may read three.
             return JUNK;
         }
--- a/src/main/java/brambletray/platform/proxy/ResponseWriter.java
+++ b/src/main/java/brambletray/platform/proxy/ResponseWriter.java
@@ -14,44 +14,44 @@
     private final Channel channel;
     private boolean chunked;
     /** Of the newest bytes: done once they and all before them are out. */
-    private ChannelFuture newest;
+    private ChannelFuture lastWrite;
 
     ResponseWriter(Channel channel) {
         this.channel = channel;
     }
 
     /** A host's whole answer. */
-    void answer(HostResponse answer, boolean close) {
+    void writeResponse(HostResponse response, boolean close) {
         chunked = false;
-        newest = channel.write(HeaderWriter.answer(channel.alloc(), answer, true, close));
-        body(answer);
+        lastWrite = channel.write(HeaderWriter.response(channel.alloc(), response, true, close));
+        writeBody(response);
     }
 
     /** The head of a host's answer and what has come of its body. */
-    void flow(HostResponse answer, boolean close) {
-        chunked = answer.length < 0;
-        newest = channel.write(HeaderWriter.answer(channel.alloc(), answer, false, close));
-        body(answer);
+    void startStreaming(HostResponse response, boolean close) {
+        chunked = response.length < 0;
+        lastWrite = channel.write(HeaderWriter.response(channel.alloc(), response, false, close));
+        writeBody(response);
     }
 
-    private void body(HostResponse answer) {
+    private void writeBody(HostResponse response) {
         ChannelFuture written = null;
-        List<ByteBuf> body = answer.take();
+        List<ByteBuf> body = response.takeBody();
         for (int i = 0; i < body.size(); i++) {
-            written = piece(body.get(i));
+            written = writePart(body.get(i));
         }
         if (written != null) {
-            written.addListener(done -> answer.written());
+            written.addListener(done -> response.onWritten());
         }
         channel.flush();
     }
 
-    private ChannelFuture piece(ByteBuf bytes) {
-        newest = chunked ? chunk(bytes) : channel.write(bytes);
-        return newest;
+    private ChannelFuture writePart(ByteBuf bytes) {
+        lastWrite = chunked ? writeChunk(bytes) : channel.write(bytes);
+        return lastWrite;
     }
 
-    private ChannelFuture chunk(ByteBuf bytes) {
+    private ChannelFuture writeChunk(ByteBuf bytes) {
         ByteBuf size = channel.alloc().buffer(10);
         size.writeCharSequence(Integer.toHexString(bytes.readableBytes()), StandardCharsets.US_ASCII);
         channel.write(size.writeByte('\r').writeByte('\n'));
@@ -60,44 +60,44 @@
     }
 
     /** False where the client has enough to read for now. */
-    boolean more(ByteBuf bytes) {
-        piece(bytes);
+    boolean writeMore(ByteBuf bytes) {
+        writePart(bytes);
         channel.flush();
         return channel.isWritable();
     }
 
-    void flowed() {
+    void finishStreaming() {
         if (chunked) {
-            newest = channel.writeAndFlush(
+            lastWrite = channel.writeAndFlush(
                     channel.alloc().buffer(LAST_CHUNK.length).writeBytes(LAST_CHUNK));
         }
     }
 
-    void own(int status, String code, int comeBackMs, CharSequence id, boolean bare, boolean close) {
-        newest = channel.writeAndFlush(
-                HeaderWriter.own(channel.alloc(), status, Rejection.reason(status), code, comeBackMs, id, bare, close));
+    void writeOwnResponse(int status, String code, int retryAfterMs, CharSequence id, boolean bare, boolean close) {
+        lastWrite = channel.writeAndFlush(HeaderWriter.ownResponse(
+                channel.alloc(), status, Rejection.reason(status), code, retryAfterMs, id, bare, close));
     }
 
-    void proceed() {
-        channel.writeAndFlush(HeaderWriter.proceed(channel.alloc()));
+    void writeContinue() {
+        channel.writeAndFlush(HeaderWriter.continueResponse(channel.alloc()));
     }
 
     /** Whether bytes wait here because the client does not take them yet. */
     boolean isWriting() {
-        return newest != null && !newest.isDone();
+        return lastWrite != null && !lastWrite.isDone();
     }
 
     /** Runs {@code then} once all that has been written so far is out, or can't go out any more. */
     void whenWritten(Runnable then) {
         if (isWriting()) {
-            newest.addListener(done -> then.run());
+            lastWrite.addListener(done -> then.run());
         }
     }
 
     /**
      * Nothing more will be written; to close at once could reset the connection, and the last answer be lost with it.
      */
-    void last() {
+    void closeAfterFlush() {
         ChannelFuture written = channel.writeAndFlush(io.netty.buffer.Unpooled.EMPTY_BUFFER);
         if (channel instanceof DuplexChannel duplex) {
             written.addListener(done -> duplex.shutdownOutput());
--- a/src/main/java/brambletray/platform/proxy/SlotRequester.java
+++ b/src/main/java/brambletray/platform/proxy/SlotRequester.java
@@ -5,8 +5,8 @@
 /** Whoever has asked for a place. */
 public interface SlotRequester {
     /** The place is the asker's until it is given back. */
-    void granted(SlotGrant grant);
+    void onGranted(SlotGrant grant);
 
-    /** No place; {@code comeBackMs}: when to ask again, ms; -1: not known. */
-    void refused(int comeBackMs);
+    /** No place; {@code retryAfterMs}: when to ask again, ms; -1: not known. */
+    void onRefused(int retryAfterMs);
 }
--- a/src/main/java/brambletray/platform/settings/Bounds.java
+++ b/src/main/java/brambletray/platform/settings/DeploymentBounds.java
@@ -21,7 +21,7 @@
  * @param recoveryS within which service is back after trouble
  * @param limitShedSlack refusals that are free at a limit
  */
-public record Bounds(
+public record DeploymentBounds(
         double seedLagS,
         double reuseHoldS,
         int contactMs,
@@ -39,23 +39,23 @@
         double recoveryS,
         double limitShedSlack) {
 
-    static Bounds from(SettingsFields in) {
-        return new Bounds(
-                in.real("bounds.seed-lag-s", 3),
-                in.real("bounds.reuse-hold-s", 2),
-                in.whole("bounds.contact-ms", 4_000),
-                in.whole("bounds.ack-ms", 5_000),
-                in.real("bounds.sync-s", 4),
-                in.whole("bounds.drain-ms", 3_000),
-                in.real("bounds.grace-s", 6),
-                in.whole("bounds.loss-slack-ms", 200),
-                in.whole("bounds.config-apply-ms", 3_000),
-                in.whole("bounds.revert-slack-ms", 250),
-                in.whole("bounds.stretch-max-ms", 12_000),
-                in.real("bounds.retry-budget-ratio", 0.2),
-                in.real("bounds.retry-window-s", 10),
-                in.real("bounds.retry-budget-slack", 20),
-                in.real("bounds.recovery-s", 12),
-                in.real("bounds.limit-shed-slack", 10));
+    static DeploymentBounds from(SettingsFields in) {
+        return new DeploymentBounds(
+                in.nonNegativeDouble("bounds.seed-lag-s", 3),
+                in.nonNegativeDouble("bounds.reuse-hold-s", 2),
+                in.nonNegativeInt("bounds.contact-ms", 4_000),
+                in.nonNegativeInt("bounds.ack-ms", 5_000),
+                in.nonNegativeDouble("bounds.sync-s", 4),
+                in.nonNegativeInt("bounds.drain-ms", 3_000),
+                in.nonNegativeDouble("bounds.grace-s", 6),
+                in.nonNegativeInt("bounds.loss-slack-ms", 200),
+                in.nonNegativeInt("bounds.config-apply-ms", 3_000),
+                in.nonNegativeInt("bounds.revert-slack-ms", 250),
+                in.nonNegativeInt("bounds.stretch-max-ms", 12_000),
+                in.nonNegativeDouble("bounds.retry-budget-ratio", 0.2),
+                in.nonNegativeDouble("bounds.retry-window-s", 10),
+                in.nonNegativeDouble("bounds.retry-budget-slack", 20),
+                in.nonNegativeDouble("bounds.recovery-s", 12),
+                in.nonNegativeDouble("bounds.limit-shed-slack", 10));
     }
 }
--- a/src/main/java/brambletray/platform/settings/NodeSettings.java
+++ b/src/main/java/brambletray/platform/settings/NodeSettings.java
@@ -17,14 +17,14 @@
  * @param zones each zone's region
  * @param frontEnd where clients arrive; null: nowhere
  * @param readiness where the platform asks; null: nowhere
- * @param control where hosts and operators call; null: nowhere
- * @param innerLow first port for traffic between relays; 0: none is given
- * @param innerHigh last of them
+ * @param controlPlane where hosts and operators call; null: nowhere
+ * @param internalPortLow first port for traffic between relays; 0: none is given
+ * @param internalPortHigh last of them
  * @param seeds control addresses of a few machines
  * @param initialStart the very first start of the whole system
  * @param lossCounted whether this machine's loss counts towards what is borne
  * @param dataDir null: no disk
- * @param beatMs pace of sounds of life between relays
+ * @param heartbeatIntervalMs pace of sounds of life between relays
  * @param machineLosses how many counted machines may be lost at once
  * @param zoneLosses how many zones
  * @param regionLosses how many regions
@@ -42,31 +42,31 @@
         Map<String, String> zones,
         Address frontEnd,
         Address readiness,
-        Address control,
-        int innerLow,
-        int innerHigh,
+        Address controlPlane,
+        int internalPortLow,
+        int internalPortHigh,
         List<Address> seeds,
         boolean initialStart,
         boolean lossCounted,
         ResourceLimits limits,
         Path dataDir,
-        int beatMs,
+        int heartbeatIntervalMs,
         int machineLosses,
         int zoneLosses,
         int regionLosses,
         Set<String> contracts,
-        Bounds bounds,
-        CloudApiSettings platform,
+        DeploymentBounds bounds,
+        CloudApiSettings cloudApi,
         Path file) {
     /** The variable that holds the file's path. */
-    public static final String VARIABLE = "BRAMBLETRAY_NODE_FILE";
+    public static final String FILE_VARIABLE = "BRAMBLETRAY_NODE_FILE";
 
-    private static final String USUAL = "/etc/brambletray/node.conf";
+    private static final String DEFAULT_FILE = "/etc/brambletray/node.conf";
 
     /** From the file that the environment names, or the usual one; {@link SettingsException}. */
     public static NodeSettings fromEnvironment() {
-        String path = System.getenv(VARIABLE);
-        return read(Path.of(path == null || path.isBlank() ? USUAL : path));
+        String path = System.getenv(FILE_VARIABLE);
+        return read(Path.of(path == null || path.isBlank() ? DEFAULT_FILE : path));
     }
 
     /** From this file; {@link SettingsException} with one line where a field is missing or can't be used. */
@@ -77,14 +77,14 @@
     static NodeSettings from(SettingsFields in, Path path) {
         int[] inner = in.ports("internal-port-range");
         return new NodeSettings(
-                in.need("node-name"),
+                in.require("node-name"),
                 in.text("role", ""),
                 in.text("hardware-class", ""),
                 Collections.unmodifiableSet(in.set("served-roles")),
                 in.ip("ip-address"),
-                in.need("zone"),
+                in.require("zone"),
                 in.text("region", ""),
-                Collections.unmodifiableMap(in.below("zones")),
+                Collections.unmodifiableMap(in.valuesBelow("zones")),
                 in.address("bind-addresses.front-end"),
                 in.address("bind-addresses.readiness"),
                 in.address("bind-addresses.control-plane"),
@@ -95,12 +95,12 @@
                 in.flag("loss-counted", false),
                 ResourceLimits.from(in),
                 in.path("data-dir"),
-                in.positive("keepalive-ms", 1_000),
-                in.whole("fault-tolerance.machine-losses", 1),
-                in.whole("fault-tolerance.zones", 0),
-                in.whole("fault-tolerance.region-losses", 0),
+                in.positiveInt("keepalive-ms", 1_000),
+                in.nonNegativeInt("fault-tolerance.machine-losses", 1),
+                in.nonNegativeInt("fault-tolerance.zones", 0),
+                in.nonNegativeInt("fault-tolerance.region-losses", 0),
                 Collections.unmodifiableSet(in.set("active-contracts")),
-                Bounds.from(in),
+                DeploymentBounds.from(in),
                 CloudApiSettings.from(in),
                 path);
     }
@@ -108,7 +108,7 @@
     /**
      * A value that this program can't do without; {@link SettingsException} where the file has none under that field.
      */
-    public <T> T need(String field, T value) {
+    public <T> T require(String field, T value) {
         if (value == null) {
             throw new SettingsException(
                     "settings.missing", file + ": " + field + ": expected in the file, is missing", null);
--- a/src/main/java/brambletray/platform/settings/ResourceLimits.java
+++ b/src/main/java/brambletray/platform/settings/ResourceLimits.java
@@ -13,11 +13,11 @@
 public record ResourceLimits(double cpuShare, double cpuCores, int memoryMb, int maxFds, double linkMbps, int diskMb) {
     static ResourceLimits from(SettingsFields in) {
         return new ResourceLimits(
-                in.real("limits.cpu-share", 1),
-                in.real("limits.cpu-cores", 1),
-                in.whole("limits.memory-mb", 256),
-                in.whole("limits.max-fds", 1_024),
-                in.real("limits.link-mbps", 1_000),
-                in.whole("limits.disk-mb", 0));
+                in.nonNegativeDouble("limits.cpu-share", 1),
+                in.nonNegativeDouble("limits.cpu-cores", 1),
+                in.nonNegativeInt("limits.memory-mb", 256),
+                in.nonNegativeInt("limits.max-fds", 1_024),
+                in.nonNegativeDouble("limits.link-mbps", 1_000),
+                in.nonNegativeInt("limits.disk-mb", 0));
     }
 }
--- a/src/main/java/brambletray/platform/settings/SettingsFields.java
+++ b/src/main/java/brambletray/platform/settings/SettingsFields.java
@@ -15,7 +15,7 @@
 /** The fields of one settings file, by name, each read as what it should be or refused with its line. */
 final class SettingsFields {
     /** Bytes; a file beyond it isn't one of settings. */
-    private static final long LARGEST = 1 << 20;
+    private static final long MAX_FILE_BYTES = 1 << 20;
 
     private final String file;
     private final Map<String, String> values = new LinkedHashMap<>();
@@ -27,10 +27,10 @@
 
     static SettingsFields read(Path path) {
         try {
-            if (Files.size(path) > LARGEST) {
+            if (Files.size(path) > MAX_FILE_BYTES) {
                 throw new SettingsException(
                         "settings.unreadable",
-                        path + ": larger than " + LARGEST + " bytes, expected a settings file",
+                        path + ": larger than " + MAX_FILE_BYTES + " bytes, expected a settings file",
                         null);
             }
             return parse(path.toString(), Files.readString(path, StandardCharsets.UTF_8));
@@ -82,7 +82,7 @@
         values.put(field, value);
     }
 
-    private SettingsException bad(String field, String expected) {
+    private SettingsException invalid(String field, String expected) {
         String value = values.get(field);
         return new SettingsException(
                 "settings.bad-field",
@@ -92,66 +92,66 @@
     }
 
     /** A field that must be there. */
-    String need(String field) {
+    String require(String field) {
         String value = values.get(field);
         if (value == null) {
             throw new SettingsException(
                     "settings.missing", file + ": " + field + ": expected in the file, is missing", null);
         }
         if (value.isEmpty()) {
-            throw bad(field, "a value");
+            throw invalid(field, "a value");
         }
         return value;
     }
 
-    String text(String field, String otherwise) {
+    String text(String field, String defaultValue) {
         String value = values.get(field);
-        return value == null || value.isEmpty() ? otherwise : value;
+        return value == null || value.isEmpty() ? defaultValue : value;
     }
 
     /** A number of at least 0; fractions of it are refused, a trailing {@code .0} is not. */
-    int whole(String field, int otherwise) {
-        double value = real(field, otherwise);
+    int nonNegativeInt(String field, int defaultValue) {
+        double value = nonNegativeDouble(field, defaultValue);
         if (value != Math.rint(value) || value > Integer.MAX_VALUE) {
-            throw bad(field, "a whole number up to " + Integer.MAX_VALUE);
+            throw invalid(field, "a whole number up to " + Integer.MAX_VALUE);
         }
         return (int) value;
     }
 
     /** The same, where 0 makes no sense. */
-    int positive(String field, int otherwise) {
-        int value = whole(field, otherwise);
+    int positiveInt(String field, int defaultValue) {
+        int value = nonNegativeInt(field, defaultValue);
         if (value == 0) {
-            throw bad(field, "a whole number above 0");
+            throw invalid(field, "a whole number above 0");
         }
         return value;
     }
 
     /** A number of at least 0. */
-    double real(String field, double otherwise) {
+    double nonNegativeDouble(String field, double defaultValue) {
         String value = text(field, null);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
         double number;
         try {
             number = Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw bad(field, "a number of at least 0");
+            throw invalid(field, "a number of at least 0");
         }
         if (!(number >= 0) || Double.isInfinite(number)) {
-            throw bad(field, "a number of at least 0");
+            throw invalid(field, "a number of at least 0");
         }
         return number;
     }
 
-    boolean flag(String field, boolean otherwise) {
+    boolean flag(String field, boolean defaultValue) {
         String value = text(field, null);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
         if (!value.equals("true") && !value.equals("false")) {
-            throw bad(field, "true or false");
+            throw invalid(field, "true or false");
         }
         return value.equals("true");
     }
@@ -175,7 +175,7 @@
     Address address(String field) {
         List<Address> all = addresses(field);
         if (all.size() > 1) {
-            throw bad(field, "one address");
+            throw invalid(field, "one address");
         }
         return all.isEmpty() ? null : all.get(0);
     }
@@ -186,7 +186,7 @@
             try {
                 all.add(Address.parse(item));
             } catch (IllegalArgumentException e) {
-                throw bad(field, e.getMessage());
+                throw invalid(field, e.getMessage());
             }
         }
         return List.copyOf(all);
@@ -194,9 +194,9 @@
 
     /** The number of an IPv4 address. */
     String ip(String field) {
-        String value = need(field);
+        String value = require(field);
         if (!Address.dotted(value, value.length())) {
-            throw bad(field, "an address such as 10.1.0.3");
+            throw invalid(field, "an address such as 10.1.0.3");
         }
         return value;
     }
@@ -215,13 +215,13 @@
             ports[0] = 0;
         }
         if (items.size() != 2 || ports[0] < 1 || ports[1] > 65_535 || ports[0] > ports[1]) {
-            throw bad(field, "two ports from 1 to 65535, the lower one first");
+            throw invalid(field, "two ports from 1 to 65535, the lower one first");
         }
         return ports;
     }
 
     /** What stands behind the dot after {@code head}, and its values. */
-    Map<String, String> below(String head) {
+    Map<String, String> valuesBelow(String head) {
         Map<String, String> found = new LinkedHashMap<>();
         String start = head + '.';
         for (Map.Entry<String, String> e : values.entrySet()) {
@@ -239,7 +239,7 @@
         }
         Path path = Path.of(value);
         if (!path.isAbsolute()) {
-            throw bad(field, "a folder's full path");
+            throw invalid(field, "a folder's full path");
         }
         return path;
     }
--- a/src/main/java/brambletray/platform/transport/BulkQueue.java
+++ b/src/main/java/brambletray/platform/transport/BulkQueue.java
@@ -26,9 +26,9 @@
     }
 
     /** Takes the frame over. */
-    void add(ByteBuf frame) {
+    void enqueue(ByteBuf frame) {
         if (frames.isEmpty() && !writing) {
-            Sockets.boundUnsent(channel);
+            Sockets.limitUnsentBytes(channel);
         }
         frames.add(frame);
         bytes += frame.readableBytes();
--- a/src/main/java/brambletray/platform/transport/ComponentCodec.java
+++ b/src/main/java/brambletray/platform/transport/ComponentCodec.java
@@ -17,7 +17,7 @@
     Object read(Kryo kryo, Input in);
 
     /** By the declared type; what it does not know goes with its class, as Kryo has it. */
-    static ComponentCodec of(Type type) {
+    static ComponentCodec forType(Type type) {
         if (type == long.class) {
             return new Longs();
         } else if (type == int.class) {
@@ -27,17 +27,17 @@
         } else if (type == double.class) {
             return new Doubles();
         } else if (type == String.class) {
-            return new Words();
+            return new Text();
         } else if (type == byte[].class) {
-            return new Raw();
+            return new Bytes();
         } else if (type instanceof Class<?> plain && plain.isEnum()) {
             return new Enums(plain.getEnumConstants());
         } else if (type instanceof Class<?> plain && plain.isRecord()) {
-            return new Inner(plain);
+            return new NestedRecord(plain);
         } else if (type instanceof ParameterizedType many && many.getRawType() == List.class) {
-            return new Row(of(many.getActualTypeArguments()[0]));
+            return new Elements(forType(many.getActualTypeArguments()[0]));
         }
-        return new Any();
+        return new RegisteredClass();
     }
 
     /** Whole numbers, short where they are small. */
@@ -93,7 +93,7 @@
     }
 
     /** Text, or null. */
-    final class Words implements ComponentCodec {
+    final class Text implements ComponentCodec {
         @Override
         public void write(Kryo kryo, Output out, Object value) {
             TextSerializer.TEXT.write(kryo, out, (String) value);
@@ -106,7 +106,7 @@
     }
 
     /** Bytes, or null. */
-    final class Raw implements ComponentCodec {
+    final class Bytes implements ComponentCodec {
         private static final ByteArraySerializer BYTES = new ByteArraySerializer();
 
         @Override
@@ -144,10 +144,10 @@
     }
 
     /** A record of this very type, or null. */
-    final class Inner implements ComponentCodec {
+    final class NestedRecord implements ComponentCodec {
         private final Class<?> type;
 
-        Inner(Class<?> type) {
+        NestedRecord(Class<?> type) {
             this.type = type;
         }
 
@@ -166,10 +166,10 @@
     }
 
     /** A list, or null. An element takes a byte at least, which bounds what a length may say. */
-    final class Row implements ComponentCodec {
+    final class Elements implements ComponentCodec {
         private final ComponentCodec element;
 
-        Row(ComponentCodec element) {
+        Elements(ComponentCodec element) {
             this.element = element;
         }
 
@@ -205,7 +205,7 @@
     }
 
     /** Anything registered, with its class; or null. */
-    final class Any implements ComponentCodec {
+    final class RegisteredClass implements ComponentCodec {
         @Override
         public void write(Kryo kryo, Output out, Object value) {
             kryo.writeClassAndObject(out, value);
--- a/src/main/java/brambletray/platform/transport/FrameChannelHandler.java
+++ b/src/main/java/brambletray/platform/transport/FrameChannelHandler.java
@@ -13,38 +13,39 @@
     private static final int GREETING = 0x42544b31;
     private static final int GREETING_BYTES = 16;
     /** ms for the other end to greet. */
-    private static final int GREETING_MS = 2_000;
+    private static final int GREETING_TIMEOUT_MS = 2_000;
 
-    private final FrameCodec speech;
+    private final FrameCodec codec;
     private final LinkHandler handler;
-    private final boolean dialled;
+    private final boolean outbound;
     private Link link;
-    private boolean greeted;
-    private Future<?> late;
+    private boolean greetingReceived;
+    private Future<?> greetingTimeout;
 
-    FrameChannelHandler(FrameCodec speech, LinkHandler handler, boolean dialled) {
-        this.speech = speech;
+    FrameChannelHandler(FrameCodec codec, LinkHandler handler, boolean outbound) {
+        this.codec = codec;
         this.handler = handler;
-        this.dialled = dialled;
+        this.outbound = outbound;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        Sockets.watch(context.channel());
-        link = new Link(context.channel(), speech, dialled);
-        link.raw(context.alloc()
+        Sockets.detectLostPeer(context.channel());
+        link = new Link(context.channel(), codec, outbound);
+        link.sendRaw(context.alloc()
                 .directBuffer(GREETING_BYTES)
                 .writeInt(GREETING)
                 .writeInt(FrameCodec.FORMAT)
-                .writeLong(speech.fingerprint()));
-        late = context.executor().schedule(() -> link.close("no greeting"), GREETING_MS, TimeUnit.MILLISECONDS);
+                .writeLong(codec.fingerprint()));
+        greetingTimeout = context.executor()
+                .schedule(() -> link.close("no greeting"), GREETING_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) {
-        if (!link.open()) {
+        if (!link.isOpen()) {
             in.skipBytes(in.readableBytes());
-        } else if (!greeted) {
+        } else if (!greetingReceived) {
             greeting(in);
         } else {
             frame(in);
@@ -58,22 +59,22 @@
         int word = in.readInt();
         int format = in.readInt();
         long fingerprint = in.readLong();
-        late.cancel(false);
-        if (word != GREETING || format != FrameCodec.FORMAT || fingerprint != speech.fingerprint()) {
+        greetingTimeout.cancel(false);
+        if (word != GREETING || format != FrameCodec.FORMAT || fingerprint != codec.fingerprint()) {
             Link.log()
                     .warn("stranger")
                     .with("link", link)
                     .with("format", format)
                     .with("ours", FrameCodec.FORMAT)
                     .with("fingerprint", Long.toHexString(fingerprint))
-                    .with("our-fingerprint", Long.toHexString(speech.fingerprint()))
+                    .with("our-fingerprint", Long.toHexString(codec.fingerprint()))
                     .with("why", word == GREETING ? "another build, with other frames" : "no process of ours")
                     .log();
             link.close("a stranger");
             return;
         }
-        greeted = true;
-        call(() -> handler.up(link));
+        greetingReceived = true;
+        runHandler(() -> handler.onLinkUp(link));
     }
 
     private void frame(ByteBuf in) {
@@ -81,8 +82,8 @@
             return;
         }
         int length = in.getInt(in.readerIndex());
-        if (length <= 0 || length > FrameCodec.LONGEST) {
-            bad("transport.frame-too-long", "a frame of " + Integer.toUnsignedLong(length) + " bytes");
+        if (length <= 0 || length > FrameCodec.MAX_FRAME_BYTES) {
+            closeWithError("transport.frame-too-long", "a frame of " + Integer.toUnsignedLong(length) + " bytes");
             return;
         }
         if (in.readableBytes() < FrameCodec.LENGTH_BYTES + length) {
@@ -91,25 +92,25 @@
         in.skipBytes(FrameCodec.LENGTH_BYTES);
         Object frame;
         try {
-            frame = speech.read(in, length);
+            frame = codec.read(in, length);
         } catch (TransportException e) {
-            bad(e.code(), e.getMessage());
+            closeWithError(e.code(), e.getMessage());
             return;
         }
-        call(() -> handler.heard(link, frame));
+        runHandler(() -> handler.onFrame(link, frame));
     }
 
-    private void bad(String code, String why) {
+    private void closeWithError(String code, String reason) {
         Link.log()
                 .warn("bad-frame")
                 .with("code", code)
                 .with("link", link)
-                .with("why", why)
+                .with("why", reason)
                 .log();
-        link.close(why);
+        link.close(reason);
     }
 
-    private void call(Runnable step) {
+    private void runHandler(Runnable step) {
         try {
             step.run();
         } catch (RuntimeException e) {
@@ -126,8 +127,8 @@
 
     @Override
     protected void handlerRemoved0(ChannelHandlerContext context) {
-        if (late != null) {
-            late.cancel(false);
+        if (greetingTimeout != null) {
+            greetingTimeout.cancel(false);
         }
     }
 
@@ -137,11 +138,11 @@
         if (link == null) {
             return;
         }
-        late.cancel(false);
-        link.ended("the other end closed it");
-        if (greeted) {
-            greeted = false;
-            call(() -> handler.down(link, link.why()));
+        greetingTimeout.cancel(false);
+        link.onClosed("the other end closed it");
+        if (greetingReceived) {
+            greetingReceived = false;
+            runHandler(() -> handler.onLinkDown(link, link.closeReason()));
         }
     }
 
--- a/src/main/java/brambletray/platform/transport/FrameCodec.java
+++ b/src/main/java/brambletray/platform/transport/FrameCodec.java
@@ -14,21 +14,21 @@
  */
 public final class FrameCodec {
     /** Bytes of the longest frame, without its length. */
-    public static final int LONGEST = 8 << 20;
+    public static final int MAX_FRAME_BYTES = 8 << 20;
     /** The number of this format; raised when frames are laid out another way. */
     static final int FORMAT = 1;
 
     static final int LENGTH_BYTES = 4;
     /** Buffers longer than this are not kept between frames. */
-    private static final int KEPT = 64 << 10;
+    private static final int MAX_RETAINED_BYTES = 64 << 10;
 
-    private static final int FIRST = 1 << 10;
+    private static final int INITIAL_BYTES = 1 << 10;
 
     private final Kryo kryo = new Kryo();
     private final long fingerprint;
-    private Output out = new Output(FIRST, LONGEST);
+    private Output out = new Output(INITIAL_BYTES, MAX_FRAME_BYTES);
     private final Input in = new Input();
-    private byte[] scratch = new byte[FIRST];
+    private byte[] scratch = new byte[INITIAL_BYTES];
 
     /**
      * For frames of these classes, and those that their components name; every process lists the same in the same
@@ -53,14 +53,14 @@
      * Appends a frame; the buffer is unchanged if that fails.
      *
      * @throws TransportException {@code speech.unwritable}, for a class that is not registered or a frame over
-     * {@link #LONGEST}
+     * {@link #MAX_FRAME_BYTES}
      */
     void write(Object frame, ByteBuf to) {
         out.reset();
         try {
             kryo.writeClassAndObject(out, frame);
         } catch (KryoException | IllegalArgumentException e) {
-            out = new Output(FIRST, LONGEST);
+            out = new Output(INITIAL_BYTES, MAX_FRAME_BYTES);
             kryo.reset();
             throw new TransportException(
                     "transport.unwritable",
@@ -70,8 +70,8 @@
         int length = out.position();
         to.ensureWritable(LENGTH_BYTES + length);
         to.writeInt(length).writeBytes(out.getBuffer(), 0, length);
-        if (out.getBuffer().length > KEPT) {
-            out = new Output(FIRST, LONGEST);
+        if (out.getBuffer().length > MAX_RETAINED_BYTES) {
+            out = new Output(INITIAL_BYTES, MAX_FRAME_BYTES);
         }
     }
 
@@ -81,7 +81,7 @@
      * @throws TransportException {@code speech.unreadable}, for bytes that are not one whole frame
      */
     Object read(ByteBuf from, int length) {
-        byte[] bytes = room(length);
+        byte[] bytes = ensureScratch(length);
         from.readBytes(bytes, 0, length);
         in.setBuffer(bytes, 0, length);
         try {
@@ -100,8 +100,8 @@
         }
     }
 
-    private byte[] room(int length) {
-        if (length > KEPT) {
+    private byte[] ensureScratch(int length) {
+        if (length > MAX_RETAINED_BYTES) {
             return new byte[length];
         }
         if (scratch.length < length) {
@@ -111,7 +111,7 @@
     }
 
     /** For tests: the frame as another process would have it. */
-    public Object echo(Object frame) {
+    public Object roundTrip(Object frame) {
         ByteBuf bytes = Unpooled.buffer();
         write(frame, bytes);
         return read(bytes, bytes.readInt());
--- a/src/main/java/brambletray/platform/transport/FrameRegistry.java
+++ b/src/main/java/brambletray/platform/transport/FrameRegistry.java
@@ -18,7 +18,7 @@
     private static final long BASIS = 0xcbf29ce484222325L;
 
     private final Kryo kryo;
-    private final Set<Class<?>> known = new LinkedHashSet<>();
+    private final Set<Class<?>> registered = new LinkedHashSet<>();
     private long hash = BASIS;
 
     FrameRegistry(Kryo kryo) {
@@ -38,7 +38,7 @@
                 new ArrayList<>(List.of(1)).subList(0, 1),
                 Arrays.asList(1, 2),
                 Stream.of(1).toList())) {
-            if (known.add(made.getClass())) {
+            if (registered.add(made.getClass())) {
                 kryo.register(made.getClass(), lists);
             }
         }
@@ -46,7 +46,7 @@
 
     /** Registers a class, after those that its components name; of a sealed type all that it permits. */
     void add(Class<?> type) {
-        if (type.isPrimitive() || type.isArray() || type.getName().startsWith("java.") || !known.add(type)) {
+        if (type.isPrimitive() || type.isArray() || type.getName().startsWith("java.") || !registered.add(type)) {
             return;
         }
         if (type.isRecord()) {
--- a/src/main/java/brambletray/platform/transport/Link.java
+++ b/src/main/java/brambletray/platform/transport/Link.java
@@ -11,28 +11,28 @@
 /** One end of a connection between two processes of ours. For the loop only. */
 public final class Link {
     /** Bytes that may wait for a slow peer; with more than that the link is closed. */
-    public static final int MOST_WAITING = 4 << 20;
+    public static final int MAX_PENDING_BYTES = 4 << 20;
     /** Bytes of bulk frames that may wait; what is said beyond that is dropped, as who lacks it asks for it again. */
-    public static final int MOST_BULK_WAITING = 512 << 10;
+    public static final int MAX_PENDING_BULK_BYTES = 512 << 10;
 
-    private static final int FIRST = 512;
+    private static final int INITIAL_BUFFER_BYTES = 512;
     private static final EventLog LOG = EventLog.of("transport");
 
     private final Channel channel;
-    private final FrameCodec speech;
+    private final FrameCodec codec;
     private final Address peer;
-    private final boolean dialled;
-    private final BulkQueue bulk;
+    private final boolean outbound;
+    private final BulkQueue bulkQueue;
     private Object tag;
-    private ByteBuf turn;
-    private boolean open = true;
-    private String why;
+    private ByteBuf pendingBytes;
+    private boolean isOpen = true;
+    private String closeReason;
 
-    Link(Channel channel, FrameCodec speech, boolean dialled) {
+    Link(Channel channel, FrameCodec codec, boolean outbound) {
         this.channel = channel;
-        this.speech = speech;
-        this.dialled = dialled;
-        this.bulk = new BulkQueue(channel);
+        this.codec = codec;
+        this.outbound = outbound;
+        this.bulkQueue = new BulkQueue(channel);
         SocketAddress remote = channel.remoteAddress();
         this.peer = remote instanceof InetSocketAddress inet
                 ? new Address(inet.getHostString(), inet.getPort())
@@ -42,23 +42,23 @@
     /**
      * Sends a frame, with all others of this turn of the loop, at the turn's end.
      *
-     * @return false if the link is closed, or is closed now as more than {@link #MOST_WAITING} bytes wait in it
+     * @return false if the link is closed, or is closed now as more than {@link #MAX_PENDING_BYTES} bytes wait in it
      * @throws TransportException {@code speech.unwritable}
      */
-    public boolean say(Object frame) {
-        if (!open) {
+    public boolean send(Object frame) {
+        if (!isOpen) {
             return false;
         }
-        if (waiting() > MOST_WAITING) {
-            close("the peer does not read: " + waiting() + " bytes wait");
+        if (pendingByteCount() > MAX_PENDING_BYTES) {
+            close("the peer does not read: " + pendingByteCount() + " bytes wait");
             return false;
         }
-        boolean first = turn == null;
+        boolean first = pendingBytes == null;
         if (first) {
-            turn = channel.alloc().directBuffer(FIRST);
+            pendingBytes = channel.alloc().directBuffer(INITIAL_BUFFER_BYTES);
         }
         try {
-            speech.write(frame, turn);
+            codec.write(frame, pendingBytes);
         } finally {
             if (first) {
                 channel.eventLoop().execute(this::flush);
@@ -68,34 +68,34 @@
     }
 
     /**
-     * Sends a frame that yields to those of {@link #say}: they overtake it, and stand behind one bulk frame of this
+     * Sends a frame that yields to those of {@link #send}: they overtake it, and stand behind one bulk frame of this
      * link at most. Bulk frames
      * keep their order among each other.
      *
-     * @return false if the link is closed, or the frame is dropped as {@link #MOST_BULK_WAITING} bytes wait
+     * @return false if the link is closed, or the frame is dropped as {@link #MAX_PENDING_BULK_BYTES} bytes wait
      * @throws TransportException {@code speech.unwritable}
      */
-    public boolean sayBulk(Object frame) {
-        if (!open || bulk.bytes() > MOST_BULK_WAITING) {
+    public boolean sendBulk(Object frame) {
+        if (!isOpen || bulkQueue.bytes() > MAX_PENDING_BULK_BYTES) {
             return false;
         }
-        ByteBuf bytes = channel.alloc().directBuffer(FIRST);
+        ByteBuf bytes = channel.alloc().directBuffer(INITIAL_BUFFER_BYTES);
         try {
-            speech.write(frame, bytes);
+            codec.write(frame, bytes);
         } catch (TransportException fault) {
             bytes.release();
             throw fault;
         }
-        bulk.add(bytes);
-        channel.eventLoop().execute(bulk::advance);
+        bulkQueue.enqueue(bytes);
+        channel.eventLoop().execute(bulkQueue::advance);
         return true;
     }
 
     /** Bytes that were said and have not left this process. */
-    public long waiting() {
+    public long pendingByteCount() {
         ChannelOutboundBuffer queue = channel.unsafe().outboundBuffer();
         long handed = queue == null ? 0 : queue.totalPendingWriteBytes();
-        return handed + (turn == null ? 0 : turn.readableBytes()) + bulk.bytes();
+        return handed + (pendingBytes == null ? 0 : pendingBytes.readableBytes()) + bulkQueue.bytes();
     }
 
     /** Ends the link once what was said has been handed to the socket. */
@@ -104,19 +104,19 @@
     }
 
     /** The same, and says why in the log and to the handler. */
-    public void close(String why) {
-        if (open) {
-            open = false;
-            this.why = why;
-            bulk.clear();
+    public void close(String reason) {
+        if (isOpen) {
+            isOpen = false;
+            this.closeReason = reason;
+            bulkQueue.clear();
             flush();
             channel.close();
         }
     }
 
     /** Whether frames may still be said. */
-    public boolean open() {
-        return open;
+    public boolean isOpen() {
+        return isOpen;
     }
 
     /** Where the other end is; for a link that was accepted its port is none that can be called. */
@@ -125,8 +125,8 @@
     }
 
     /** Whether we called, rather than were called. */
-    public boolean dialled() {
-        return dialled;
+    public boolean isOutbound() {
+        return outbound;
     }
 
     /** What the owner has put on this link, or null. */
@@ -138,31 +138,31 @@
         this.tag = tag;
     }
 
-    String why() {
-        return why;
+    String closeReason() {
+        return closeReason;
     }
 
     /** The channel is gone. */
-    void ended(String reason) {
-        open = false;
-        if (why == null) {
-            why = reason;
+    void onClosed(String reason) {
+        isOpen = false;
+        if (closeReason == null) {
+            closeReason = reason;
         }
-        bulk.clear();
-        if (turn != null) {
-            turn.release();
-            turn = null;
+        bulkQueue.clear();
+        if (pendingBytes != null) {
+            pendingBytes.release();
+            pendingBytes = null;
         }
     }
 
     /** What is said by the transport before the first frame. */
-    void raw(ByteBuf bytes) {
+    void sendRaw(ByteBuf bytes) {
         channel.writeAndFlush(bytes, channel.voidPromise());
     }
 
     private void flush() {
-        ByteBuf said = turn;
-        turn = null;
+        ByteBuf said = pendingBytes;
+        pendingBytes = null;
         if (said == null) {
             return;
         }
@@ -175,7 +175,7 @@
 
     @Override
     public String toString() {
-        return (dialled ? "to " : "from ") + peer;
+        return (outbound ? "to " : "from ") + peer;
     }
 
     static EventLog log() {
--- a/src/main/java/brambletray/platform/transport/LinkDialer.java
+++ b/src/main/java/brambletray/platform/transport/LinkDialer.java
@@ -13,43 +13,43 @@
  * s and are shortened by up to a quarter, by the seed, so that many do not call in step. For the loop only.
  */
 public final class LinkDialer implements AutoCloseable {
-    static final int FIRST_PAUSE_MS = 50;
-    static final int LONGEST_PAUSE_MS = 1_000;
+    static final int MIN_BACKOFF_MS = 50;
+    static final int MAX_BACKOFF_MS = 1_000;
     /** ms after which a call that hasn't come up is taken for one to a machine that was away when it began. */
-    private static final int HUNG_MS = 50;
+    private static final int CONNECT_HUNG_MS = 50;
     /** ms that a link must have held for the pauses to begin anew. */
-    private static final int SOUND_MS = 1_000;
+    private static final int STABLE_AFTER_MS = 1_000;
 
     private static final long NEVER = Long.MAX_VALUE;
 
     private final Machine machine;
-    private final FrameCodec speech;
-    private final Address to;
+    private final FrameCodec codec;
+    private final Address target;
     private final LinkHandler handler;
     private long seed;
-    private int pauseMs = FIRST_PAUSE_MS;
+    private int backoffMs = MIN_BACKOFF_MS;
     private Link link;
-    private boolean dialling;
-    private ChannelFuture calling;
-    private long calledAt;
-    private boolean hurried;
-    private ScheduledFuture<?> next;
+    private boolean dialing;
+    private ChannelFuture connecting;
+    private long connectStartedAtMs;
+    private boolean hurriedSinceMs;
+    private ScheduledFuture<?> nextAttempt;
     private boolean closed;
-    private long upAt = NEVER;
+    private long upSinceMs = NEVER;
 
     /** Calls from the loop's next turn on; {@code handler} hears of each link that comes of it. */
-    public LinkDialer(Machine machine, FrameCodec speech, Address to, LinkHandler handler, long seed) {
+    public LinkDialer(Machine machine, FrameCodec codec, Address to, LinkHandler handler, long seed) {
         this.machine = machine;
-        this.speech = speech;
-        this.to = to;
+        this.codec = codec;
+        this.target = to;
         this.handler = handler;
         this.seed = seed;
         machine.loop().execute(this::dial);
     }
 
     /** Where it calls. */
-    public Address to() {
-        return to;
+    public Address target() {
+        return target;
     }
 
     /** The link that is up now, or null. */
@@ -58,38 +58,38 @@
     }
 
     /** Whether a link is up. */
-    public boolean up() {
+    public boolean isUp() {
         return link != null;
     }
 
     /** Says a frame if a link is up; false if there is none or it is full. */
-    public boolean say(Object frame) {
-        return link != null && link.say(frame);
+    public boolean send(Object frame) {
+        return link != null && link.send(frame);
     }
 
     /**
-     * Says a frame that yields to all others of the link ({@link Link#sayBulk}); false if there is no link or it is
+     * Says a frame that yields to all others of the link ({@link Link#sendBulk}); false if there is no link or it is
      * full.
      */
-    public boolean sayBulk(Object frame) {
-        return link != null && link.sayBulk(frame);
+    public boolean sendBulk(Object frame) {
+        return link != null && link.sendBulk(frame);
     }
 
     /**
      * Someone says the other end is there: calls now, and the pauses begin anew. A call that began while its machine
      * was away hangs until its packet is sent again, a second later; it is given up for a new one.
      */
-    public void hurry() {
-        pauseMs = FIRST_PAUSE_MS;
-        if (next != null && next.cancel(false)) {
-            next = null;
+    public void dialNow() {
+        backoffMs = MIN_BACKOFF_MS;
+        if (nextAttempt != null && nextAttempt.cancel(false)) {
+            nextAttempt = null;
             dial();
-        } else if (dialling
+        } else if (dialing
                 && link == null
-                && machine.clock().nanos() - calledAt > TimeUnit.MILLISECONDS.toNanos(HUNG_MS)
-                && !calling.isDone()) {
-            hurried = true;
-            calling.channel().close();
+                && machine.clock().nanos() - connectStartedAtMs > TimeUnit.MILLISECONDS.toNanos(CONNECT_HUNG_MS)
+                && !connecting.isDone()) {
+            hurriedSinceMs = true;
+            connecting.channel().close();
         }
     }
 
@@ -97,9 +97,9 @@
     @Override
     public void close() {
         closed = true;
-        if (next != null) {
-            next.cancel(false);
-            next = null;
+        if (nextAttempt != null) {
+            nextAttempt.cancel(false);
+            nextAttempt = null;
         }
         if (link != null) {
             link.close("no longer wanted");
@@ -107,46 +107,47 @@
     }
 
     private void dial() {
-        next = null;
-        if (closed || dialling) {
+        nextAttempt = null;
+        if (closed || dialing) {
             return;
         }
-        dialling = true;
-        upAt = NEVER;
-        calledAt = machine.clock().nanos();
-        ChannelFuture called = machine.dialling(
-                        Sockets.CONNECT_TIMEOUT_MS, new FrameChannelHandler(speech, new Kept(), true))
+        dialing = true;
+        upSinceMs = NEVER;
+        connectStartedAtMs = machine.clock().nanos();
+        ChannelFuture future = machine.dialling(
+                        Sockets.CONNECT_TIMEOUT_MS, new FrameChannelHandler(codec, new LinkTracker(), true))
                 .option(ChannelOption.ALLOCATOR, Sockets.buffers())
-                .connect(new InetSocketAddress(to.host(), to.port()));
-        calling = called;
-        called.addListener(done -> {
+                .connect(new InetSocketAddress(target.host(), target.port()));
+        connecting = future;
+        future.addListener(done -> {
             if (!done.isSuccess()) {
-                machine.loop().execute(this::again);
+                machine.loop().execute(this::scheduleRetry);
                 return;
             }
-            called.channel().closeFuture().addListener(ended -> again());
+            future.channel().closeFuture().addListener(ended -> scheduleRetry());
             if (closed) {
-                called.channel().close();
+                future.channel().close();
             }
         });
     }
 
-    private void again() {
-        dialling = false;
-        if (closed || next != null) {
+    private void scheduleRetry() {
+        dialing = false;
+        if (closed || nextAttempt != null) {
             return;
         }
-        if (hurried) {
-            hurried = false;
+        if (hurriedSinceMs) {
+            hurriedSinceMs = false;
             dial();
             return;
         }
-        if (upAt != NEVER && machine.clock().nanos() - upAt > TimeUnit.MILLISECONDS.toNanos(SOUND_MS)) {
-            pauseMs = FIRST_PAUSE_MS;
+        if (upSinceMs != NEVER
+                && machine.clock().nanos() - upSinceMs > TimeUnit.MILLISECONDS.toNanos(STABLE_AFTER_MS)) {
+            backoffMs = MIN_BACKOFF_MS;
         }
-        int pause = pauseMs - (int) (pauseMs * jitter() / 4);
-        pauseMs = Math.min(LONGEST_PAUSE_MS, pauseMs * 2);
-        next = machine.loop().schedule(this::dial, pause, TimeUnit.MILLISECONDS);
+        int delayMs = backoffMs - (int) (backoffMs * jitter() / 4);
+        backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
+        nextAttempt = machine.loop().schedule(this::dial, delayMs, TimeUnit.MILLISECONDS);
     }
 
     /** 0 to 1, the next of the seed's row (SplitMix64). */
@@ -158,28 +159,28 @@
     }
 
     /** Notes the link, for {@link #link()}, before the owner hears of it. */
-    private final class Kept implements LinkHandler {
+    private final class LinkTracker implements LinkHandler {
         @Override
-        public void up(Link now) {
+        public void onLinkUp(Link now) {
             link = now;
-            upAt = machine.clock().nanos();
+            upSinceMs = machine.clock().nanos();
             if (closed) {
                 now.close("no longer wanted");
             }
-            handler.up(now);
+            handler.onLinkUp(now);
         }
 
         @Override
-        public void heard(Link now, Object frame) {
-            handler.heard(now, frame);
+        public void onFrame(Link now, Object frame) {
+            handler.onFrame(now, frame);
         }
 
         @Override
-        public void down(Link now, String why) {
+        public void onLinkDown(Link now, String reason) {
             if (link == now) {
                 link = null;
             }
-            handler.down(now, why);
+            handler.onLinkDown(now, reason);
         }
     }
 }
--- a/src/main/java/brambletray/platform/transport/LinkListener.java
+++ b/src/main/java/brambletray/platform/transport/LinkListener.java
@@ -16,24 +16,24 @@
  */
 public final class LinkListener implements AutoCloseable {
     /** Links at a time; who comes beyond that is closed at once. */
-    static final int MOST = 1_024;
+    static final int MAX_LINKS = 1_024;
 
-    private static final int AGAIN_MS = 100;
+    private static final int BIND_RETRY_MS = 100;
 
     private final Machine machine;
-    private final FrameCodec speech;
+    private final FrameCodec codec;
     private final Address bind;
     private final LinkHandler handler;
     private final CompletableFuture<Integer> port = new CompletableFuture<>();
     private Channel channel;
-    private int links;
-    private boolean told;
+    private int linkCount;
+    private boolean logged;
     private boolean closed;
 
     /** Listens from now on; may be called from any thread. */
-    public LinkListener(Machine machine, FrameCodec speech, Address bind, LinkHandler handler) {
+    public LinkListener(Machine machine, FrameCodec codec, Address bind, LinkHandler handler) {
         this.machine = machine;
-        this.speech = speech;
+        this.codec = codec;
         this.bind = bind;
         this.handler = handler;
         machine.loop().execute(this::listen);
@@ -76,26 +76,26 @@
                 }
                 return;
             }
-            if (!told) {
-                told = true;
+            if (!logged) {
+                logged = true;
                 Link.log()
                         .warn("not-listening")
                         .with("address", bind)
                         .with("why", done.cause())
-                        .with("again-ms", AGAIN_MS)
+                        .with("again-ms", BIND_RETRY_MS)
                         .log();
             }
-            machine.loop().schedule(this::listen, AGAIN_MS, TimeUnit.MILLISECONDS);
+            machine.loop().schedule(this::listen, BIND_RETRY_MS, TimeUnit.MILLISECONDS);
         });
     }
 
     private void accept(Channel one) {
-        if (links >= MOST) {
+        if (linkCount >= MAX_LINKS) {
             one.close();
             return;
         }
-        links++;
-        one.closeFuture().addListener(done -> links--);
-        one.pipeline().addLast(new FrameChannelHandler(speech, handler, false));
+        linkCount++;
+        one.closeFuture().addListener(done -> linkCount--);
+        one.pipeline().addLast(new FrameChannelHandler(codec, handler, false));
     }
 }
--- a/src/main/java/brambletray/platform/transport/RecordSerializer.java
+++ b/src/main/java/brambletray/platform/transport/RecordSerializer.java
@@ -17,24 +17,24 @@
  */
 final class RecordSerializer<T> extends Serializer<T> {
     private final Method[] getters;
-    private final ComponentCodec[] parts;
-    private final Constructor<T> maker;
+    private final ComponentCodec[] codecs;
+    private final Constructor<T> constructor;
 
     RecordSerializer(Class<T> type) {
         super(false, true);
         RecordComponent[] components = type.getRecordComponents();
         getters = new Method[components.length];
-        parts = new ComponentCodec[components.length];
+        codecs = new ComponentCodec[components.length];
         Class<?>[] types = new Class<?>[components.length];
         for (int i = 0; i < components.length; i++) {
             getters[i] = components[i].getAccessor();
             getters[i].setAccessible(true);
-            parts[i] = ComponentCodec.of(components[i].getGenericType());
+            codecs[i] = ComponentCodec.forType(components[i].getGenericType());
             types[i] = components[i].getType();
         }
         try {
-            maker = type.getDeclaredConstructor(types);
-            maker.setAccessible(true);
+            constructor = type.getDeclaredConstructor(types);
+            constructor.setAccessible(true);
         } catch (NoSuchMethodException e) {
             throw new IllegalArgumentException(e);
         }
@@ -43,8 +43,8 @@
     @Override
     public void write(Kryo kryo, Output out, T record) {
         try {
-            for (int i = 0; i < parts.length; i++) {
-                parts[i].write(kryo, out, getters[i].invoke(record));
+            for (int i = 0; i < codecs.length; i++) {
+                codecs[i].write(kryo, out, getters[i].invoke(record));
             }
         } catch (IllegalAccessException | InvocationTargetException e) {
             throw new KryoException(e);
@@ -53,12 +53,12 @@
 
     @Override
     public T read(Kryo kryo, Input in, Class<? extends T> type) {
-        Object[] values = new Object[parts.length];
+        Object[] values = new Object[codecs.length];
         for (int i = 0; i < values.length; i++) {
-            values[i] = parts[i].read(kryo, in);
+            values[i] = codecs[i].read(kryo, in);
         }
         try {
-            return maker.newInstance(values);
+            return constructor.newInstance(values);
         } catch (ReflectiveOperationException e) {
             throw new KryoException(e);
         }
--- a/src/main/java/brambletray/platform/transport/Sockets.java
+++ b/src/main/java/brambletray/platform/transport/Sockets.java
@@ -24,11 +24,11 @@
     /** ms for a connection to come up. */
     public static final int CONNECT_TIMEOUT_MS = 1_000;
     /** s of silence after which an idle connection is probed, and between two probes. */
-    private static final int PROBE_S = 1;
+    private static final int KEEPALIVE_INTERVAL_S = 1;
 
-    private static final int PROBES = 3;
+    private static final int KEEPALIVE_PROBES = 3;
     /** Bytes of a connection with bulk frames that the kernel may hold unsent: 66 ms of a link of 2 Mbit/s. */
-    private static final long UNSENT_BYTES = 16 << 10;
+    private static final long MAX_UNSENT_BYTES = 16 << 10;
 
     private static final int PAGE = 8_192;
     /** Chunks of 8 kB x 2^5 = 256 kB: machines have little memory. */
@@ -49,7 +49,11 @@
                 .next();
         return epoll
                 ? new Machine(
-                        loop, Clock.system(), EpollSocketChannel::new, EpollServerSocketChannel::new, Sockets::shared)
+                        loop,
+                        Clock.system(),
+                        EpollSocketChannel::new,
+                        EpollServerSocketChannel::new,
+                        Sockets::sharedBuffers)
                 : Machine.real(loop);
     }
 
@@ -61,13 +65,13 @@
     /**
      * Sets what lets a connection notice that its other end is cut off or without power, where the transport knows how.
      */
-    public static void watch(Channel channel) {
+    public static void detectLostPeer(Channel channel) {
         if (channel instanceof EpollSocketChannel) {
             channel.config().setOption(EpollChannelOption.TCP_USER_TIMEOUT, USER_TIMEOUT_MS);
             channel.config().setOption(ChannelOption.SO_KEEPALIVE, true);
-            channel.config().setOption(EpollChannelOption.TCP_KEEPIDLE, PROBE_S);
-            channel.config().setOption(EpollChannelOption.TCP_KEEPINTVL, PROBE_S);
-            channel.config().setOption(EpollChannelOption.TCP_KEEPCNT, PROBES);
+            channel.config().setOption(EpollChannelOption.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S);
+            channel.config().setOption(EpollChannelOption.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S);
+            channel.config().setOption(EpollChannelOption.TCP_KEEPCNT, KEEPALIVE_PROBES);
         }
     }
 
@@ -76,12 +80,12 @@
      * megabytes there. Without
      * effect where the transport has no such option.
      */
-    static void boundUnsent(Channel channel) {
+    static void limitUnsentBytes(Channel channel) {
         if (!(channel instanceof EpollSocketChannel)) {
             return;
         }
         try {
-            channel.config().setOption(EpollChannelOption.TCP_NOTSENT_LOWAT, UNSENT_BYTES);
+            channel.config().setOption(EpollChannelOption.TCP_NOTSENT_LOWAT, MAX_UNSENT_BYTES);
         } catch (ChannelException refused) {
             Link.log()
                     .info("no bound of unsent bytes")
@@ -90,7 +94,7 @@
         }
     }
 
-    private static EpollServerSocketChannel shared() {
+    private static EpollServerSocketChannel sharedBuffers() {
         EpollServerSocketChannel channel = new EpollServerSocketChannel();
         channel.config().setReusePort(true);
         return channel;
--- a/src/test/java/brambletray/platform/admission/AdmissionParametersTest.java
+++ b/src/test/java/brambletray/platform/admission/AdmissionParametersTest.java
@@ -43,24 +43,24 @@
         }
         assertTrue(pace.delayMs() >= 1000 && pace.delayMs() <= 1130, "" + pace.delayMs());
         pace.add(Integer.MAX_VALUE);
-        assertTrue(pace.known() <= 512);
+        assertTrue(pace.sampleCount() <= 512);
     }
 
     /** Against every window of the past, counted one by one. */
     @Test
     void budgetHoldsInEachSlidingWindow() {
         Random random = new Random(5);
-        RetryBudget budget = new RetryBudget(LAWS.again());
+        RetryBudget budget = new RetryBudget(LAWS.retryBudget());
         Deque<Long> requests = new ArrayDeque<>();
         Deque<Long> extra = new ArrayDeque<>();
         int granted = 0;
         for (long now = 0; now < 60_000; now += 1 + random.nextInt(20)) {
             if ((now / 5000) % 2 == 0) {
-                budget.request(now);
+                budget.onRequest(now);
                 requests.add(now);
             }
             boolean copy = random.nextBoolean();
-            if (budget.may(copy, now)) {
+            if (budget.isAllowed(copy, now)) {
                 budget.spend(copy, now);
                 extra.add(now);
                 granted++;
@@ -80,14 +80,14 @@
 
     @Test
     void copiesLeaveHalfOfTheBudget() {
-        RetryBudget budget = new RetryBudget(new AdmissionParameters.Again(0, 20, 10_000, 1));
+        RetryBudget budget = new RetryBudget(new AdmissionParameters.RetryBudgetLimits(0, 20, 10_000, 1));
         int copies = 0;
-        while (budget.may(true, 5)) {
+        while (budget.isAllowed(true, 5)) {
             budget.spend(true, 5);
             copies++;
         }
         int others = 0;
-        while (budget.may(false, 5)) {
+        while (budget.isAllowed(false, 5)) {
             budget.spend(false, 5);
             others++;
         }
@@ -100,68 +100,68 @@
         SlotForecast forecast = new SlotForecast().reset(4, 100, 4, 0);
         assertEquals(25, forecast.waitMs(0));
         assertEquals(250, forecast.waitMs(9));
-        forecast.boot(100);
+        forecast.addBoot(100);
         assertEquals(100, forecast.waitMs(7));
         assertTrue(forecast.waitMs(9) < 150);
         assertEquals(SlotForecast.NEVER, new SlotForecast().reset(0, 100, 4, 0).waitMs(0));
         SlotForecast cold = new SlotForecast().reset(0, 100, 1, 0);
-        cold.boot(900);
+        cold.addBoot(900);
         assertEquals(900, cold.waitMs(0));
         assertEquals(1000, cold.waitMs(1));
     }
 
     @Test
     void hostsAreChosenByZoneAgeAndHealth() {
-        PooledInstances posts = new PooledInstances(LAWS.choice());
+        PooledInstances posts = new PooledInstances(LAWS.selection());
         PooledInstance old = post(posts, "old", "east", 900);
         PooledInstance young = post(posts, "young", "east", 100);
         PooledInstance far = post(posts, "far", "west", 5000);
         assertEquals(old, posts.choose(ask(1, "east"), 4, false, 10_000));
-        old.held = 3;
+        old.heldSlots = 3;
         assertEquals(young, posts.choose(ask(1, "east"), 4, false, 10_000));
         assertEquals(old, posts.choose(ask(1, "east", "young"), 4, false, 10_000));
-        young.held = 4;
-        old.held = 4;
+        young.heldSlots = 4;
+        old.heldSlots = 4;
         assertEquals(far, posts.choose(ask(1, "east"), 4, false, 10_000));
-        old.held = 0;
-        posts.judge(old, AttemptOutcome.BROKEN, 10, 10_000);
+        old.heldSlots = 0;
+        posts.onReleased(old, AttemptOutcome.BROKEN, 10, 10_000);
         assertEquals(old, posts.choose(ask(1, "east"), 4, false, 10_000));
-        posts.judge(old, AttemptOutcome.BROKEN, 10, 10_000);
+        posts.onReleased(old, AttemptOutcome.BROKEN, 10, 10_000);
         assertEquals(far, posts.choose(ask(1, "east"), 4, false, 10_000));
         assertEquals(old, posts.choose(ask(1, "east"), 4, false, 10_201));
-        posts.judge(old, AttemptOutcome.UNREACHED, 10, 10_300);
+        posts.onReleased(old, AttemptOutcome.UNREACHED, 10, 10_300);
         far.state = InstanceInfo.LEAVING;
         assertEquals(null, posts.choose(ask(1, "east"), 4, false, 10_300));
     }
 
     @Test
     void aHostSlowerThanTheOthersComesLast() {
-        PooledInstances posts = new PooledInstances(LAWS.choice());
+        PooledInstances posts = new PooledInstances(LAWS.selection());
         PooledInstance slow = post(posts, "slow", "east", 900);
         PooledInstance one = post(posts, "one", "east", 800);
         PooledInstance two = post(posts, "two", "east", 700);
         for (int i = 0; i < 10; i++) {
-            posts.judge(slow, AttemptOutcome.SERVED, 300, 10_000);
-            posts.judge(one, AttemptOutcome.SERVED, 100, 10_000);
-            posts.judge(two, AttemptOutcome.SERVED, 110, 10_000);
+            posts.onReleased(slow, AttemptOutcome.SERVED, 300, 10_000);
+            posts.onReleased(one, AttemptOutcome.SERVED, 100, 10_000);
+            posts.onReleased(two, AttemptOutcome.SERVED, 110, 10_000);
         }
         assertEquals(one, posts.choose(ask(1, "east"), 4, false, 10_000));
-        one.held = 4;
-        two.held = 4;
+        one.heldSlots = 4;
+        two.heldSlots = 4;
         assertEquals(slow, posts.choose(ask(1, "east"), 4, false, 10_000));
     }
 
     @Test
     void noClassWaitsForEver() {
         RequestQueue line = new RequestQueue(LAWS.queue(), new FairShare());
-        line.join(new SlotRequest(1, "a", "east", "s", 2, 4000, 60_000, false, false, false, List.of()), 0);
+        line.add(new SlotRequest(1, "a", "east", "s", 2, 4000, 60_000, false, false, false, List.of()), 0);
         long id = 2;
         for (long now = 0; now < 20_000; now += 10) {
-            line.join(new SlotRequest(id++, "a", "east", "s", 0, 4000, 60_000, false, false, false, List.of()), now);
-            line.round();
+            line.add(new SlotRequest(id++, "a", "east", "s", 0, 4000, 60_000, false, false, false, List.of()), now);
+            line.startRound();
             RequestQueue.Waiter next = line.next(false, false, 10, now);
             line.remove(next);
-            if (next.ask.id() == 1) {
+            if (next.request.id() == 1) {
                 assertTrue(now >= 3900 && now < 4100, "" + now);
                 return;
             }
@@ -171,37 +171,37 @@
 
     @Test
     void demandRisesWithinHalfASecondAndFallsInSeconds() {
-        SlotDemand demand = new SlotDemand(LAWS.scale());
+        SlotDemand demand = new SlotDemand(LAWS.scaling());
         for (int i = 0; i < 50; i++) {
-            demand.answered(60);
+            demand.onAnswered(60);
         }
         long now = 0;
         for (; now < 10_000; now += 50) {
-            demand.arrived(now);
+            demand.onArrival(now);
         }
-        double calm = demand.places(demand.rate(now), DESK);
+        double calm = demand.slotsFor(demand.rate(now), DESK);
         for (; now < 10_600; now += 17) {
-            demand.arrived(now);
+            demand.onArrival(now);
         }
-        double jumped = demand.places(demand.rate(now), DESK);
+        double jumped = demand.slotsFor(demand.rate(now), DESK);
         assertTrue(calm > 1.2 && calm < 3, "" + calm);
         assertTrue(jumped > 1.3 * calm, calm + " to " + jumped);
-        assertTrue(demand.places(demand.slowRate(now + 2000), DESK) > 0.5 * calm);
-        assertTrue(demand.places(demand.slowRate(now + 20_000), DESK) < 0.3 * calm);
+        assertTrue(demand.slotsFor(demand.slowRate(now + 2000), DESK) > 0.5 * calm);
+        assertTrue(demand.slotsFor(demand.slowRate(now + 20_000), DESK) < 0.3 * calm);
     }
 
     /** Break-even: 0.4 GB-seconds a start. */
     @Test
     void idleHostsAreKeptForTheWorthOfAStart() {
-        KeepAlivePolicy keepAlive = new KeepAlivePolicy(LAWS.keep());
+        KeepAlivePolicy keepAlive = new KeepAlivePolicy(LAWS.keepAlive());
         assertEquals(3200, keepAlive.breakEvenMs(QUICK, 700), 100);
         assertEquals(800, keepAlive.breakEvenMs(new ServiceSpec("s", 512, 100, 4, 1000), 100), 50);
         assertTrue(keepAlive.breakEvenMs(DESK, 1400) > 1900, "a start that makes late is worth more");
-        KeepAlivePolicy frequent = new KeepAlivePolicy(LAWS.keep());
-        KeepAlivePolicy rare = new KeepAlivePolicy(LAWS.keep());
+        KeepAlivePolicy frequent = new KeepAlivePolicy(LAWS.keepAlive());
+        KeepAlivePolicy rare = new KeepAlivePolicy(LAWS.keepAlive());
         for (int i = 0; i < 30; i++) {
-            frequent.arrived(true, i * 2000L);
-            rare.arrived(true, i * 30_000L);
+            frequent.onArrival(true, i * 2000L);
+            rare.onArrival(true, i * 30_000L);
         }
         assertTrue(frequent.spanMs(QUICK, 700) > 2000, "kept through gaps of 2 s: " + frequent.spanMs(QUICK, 700));
         assertTrue(rare.spanMs(QUICK, 700) <= 400, "gaps of 30 s pay for nothing: " + rare.spanMs(QUICK, 700));
@@ -209,40 +209,40 @@
 
     @Test
     void aZoneReturnsToTheRootWhenItsDemandFalls() {
-        ZoneServiceQueue zoneQueue = new ZoneServiceQueue(LAWS.spread());
-        assertTrue(zoneQueue.away(false, 0.01, 0.005, 500, 0));
-        assertTrue(zoneQueue.warming(100));
-        assertFalse(zoneQueue.away(true, 0.01, 0.005, 500, 600));
-        assertFalse(zoneQueue.away(true, 0.001, 0.005, 500, 1000));
-        assertFalse(zoneQueue.away(true, 0.001, 0.005, 500, 4900));
-        assertTrue(zoneQueue.away(true, 0.001, 0.005, 500, 5100));
-        assertTrue(zoneQueue.closed(5200));
-        assertFalse(zoneQueue.warming(5200));
+        ZoneServiceQueue zoneQueue = new ZoneServiceQueue(LAWS.zoneSpread());
+        assertTrue(zoneQueue.shouldRedirect(false, 0.01, 0.005, 500, 0));
+        assertTrue(zoneQueue.isWarming(100));
+        assertFalse(zoneQueue.shouldRedirect(true, 0.01, 0.005, 500, 600));
+        assertFalse(zoneQueue.shouldRedirect(true, 0.001, 0.005, 500, 1000));
+        assertFalse(zoneQueue.shouldRedirect(true, 0.001, 0.005, 500, 4900));
+        assertTrue(zoneQueue.shouldRedirect(true, 0.001, 0.005, 500, 5100));
+        assertTrue(zoneQueue.isClosed(5200));
+        assertFalse(zoneQueue.isWarming(5200));
     }
 
     @Test
     void roomIsKeptOnlyWhereCallsOfHostsWereSeen() {
-        NestedCallReserve room = new NestedCallReserve(LAWS.room());
-        assertEquals(0, room.kept(40, 1000));
-        room.inner(1000);
-        assertEquals(0, room.kept(3, 1001));
-        assertEquals(1, room.kept(4, 1001));
-        assertEquals(5, room.kept(40, 1001));
-        assertEquals(0, room.kept(40, 12_000));
+        NestedCallReserve room = new NestedCallReserve(LAWS.nestedCalls());
+        assertEquals(0, room.reserved(40, 1000));
+        room.onNestedCall(1000);
+        assertEquals(0, room.reserved(3, 1001));
+        assertEquals(1, room.reserved(4, 1001));
+        assertEquals(5, room.reserved(40, 1001));
+        assertEquals(0, room.reserved(40, 12_000));
     }
 
     @Test
     void onceCallsHaveStalledOneOfTwoPlacesIsKept() {
-        NestedCallReserve room = new NestedCallReserve(LAWS.room());
-        room.inner(1000);
-        assertEquals(0, room.leastPlaces(1001));
-        room.stalled(1100);
-        assertEquals(2, room.leastPlaces(1101));
-        assertEquals(1, room.kept(2, 1101));
-        assertEquals(0, room.kept(1, 1101), "the only place is for all");
-        room.inner(10_000);
-        assertEquals(2, room.leastPlaces(15_000), "as long as calls come");
-        assertEquals(0, room.leastPlaces(25_000));
+        NestedCallReserve room = new NestedCallReserve(LAWS.nestedCalls());
+        room.onNestedCall(1000);
+        assertEquals(0, room.minSlots(1001));
+        room.onStalled(1100);
+        assertEquals(2, room.minSlots(1101));
+        assertEquals(1, room.reserved(2, 1101));
+        assertEquals(0, room.reserved(1, 1101), "the only place is for all");
+        room.onNestedCall(10_000);
+        assertEquals(2, room.minSlots(15_000), "as long as calls come");
+        assertEquals(0, room.minSlots(25_000));
     }
 
     private static SlotRequest ranked(long id, int priority, boolean call) {
@@ -253,38 +253,38 @@
     void aKindIsBehindWhileItIsServedLessThanHalfAsOftenAsAll() {
         FairShare shares = new FairShare();
         for (int i = 0; i < 100; i++) {
-            shares.served(ranked(i, 0, false), 10 * i);
+            shares.onServed(ranked(i, 0, false), 10 * i);
         }
         SlotRequest low = ranked(1000, 2, false);
-        assertFalse(shares.of(low).isBehind(), "nothing is known of it");
-        shares.lost(low, 1000);
-        shares.lost(low, 1000);
-        assertTrue(shares.of(low).isBehind());
-        shares.served(low, 1001);
-        assertTrue(shares.of(low).isBehind(), "one of three");
-        shares.served(low, 1002);
-        shares.served(low, 1003);
-        assertFalse(shares.of(low).isBehind(), "three of five");
+        assertFalse(shares.classOf(low).isDisadvantaged(), "nothing is known of it");
+        shares.onLost(low, 1000);
+        shares.onLost(low, 1000);
+        assertTrue(shares.classOf(low).isDisadvantaged());
+        shares.onServed(low, 1001);
+        assertTrue(shares.classOf(low).isDisadvantaged(), "one of three");
+        shares.onServed(low, 1002);
+        shares.onServed(low, 1003);
+        assertFalse(shares.classOf(low).isDisadvantaged(), "three of five");
         for (int i = 0; i < 5; i++) {
-            shares.lost(ranked(1000, 2, true), 1100);
+            shares.onLost(ranked(1000, 2, true), 1100);
         }
-        assertTrue(shares.of(ranked(1, 2, true)).isBehind(), "calls of hosts are a kind of their own");
-        assertFalse(shares.of(low).isBehind());
-        shares.served(ranked(1, 0, false), 80_000);
-        assertFalse(shares.of(ranked(1, 2, true)).isBehind(), "outcomes fade");
+        assertTrue(shares.classOf(ranked(1, 2, true)).isDisadvantaged(), "calls of hosts are a kind of their own");
+        assertFalse(shares.classOf(low).isDisadvantaged());
+        shares.onServed(ranked(1, 0, false), 80_000);
+        assertFalse(shares.classOf(ranked(1, 2, true)).isDisadvantaged(), "outcomes fade");
     }
 
     @Test
     void aFullQueueTakesWhoGoesBeforeTheLast() {
         RequestQueue line = new RequestQueue(LAWS.queue(), new FairShare());
-        while (!line.full()) {
-            line.join(ranked(line.size(), 1, false), line.size());
+        while (!line.isFull()) {
+            line.add(ranked(line.size(), 1, false), line.size());
         }
         assertEquals(null, line.displace(ranked(1000, 2, false), 10, 300));
         assertEquals(
-                LAWS.queue().most() - 1,
-                line.displace(ranked(1001, 1, true), 10, 300).ask.id());
-        assertFalse(line.full());
+                LAWS.queue().maxSize() - 1,
+                line.displace(ranked(1001, 1, true), 10, 300).request.id());
+        assertFalse(line.isFull());
     }
 
     @Test
--- a/src/test/java/brambletray/platform/admission/AdmissionSteps.java
+++ b/src/test/java/brambletray/platform/admission/AdmissionSteps.java
@@ -27,7 +27,7 @@
 
     @Given("a zone pays for a seat of its own from {int} requests a second on")
     public void pays(int perS) {
-        laws = laws.crossing(spec.memoryMb() / 1024.0 / perS);
+        laws = laws.withCrossZonePrice(spec.memoryMb() / 1024.0 / perS);
     }
 
     @Given("a slack of {int} further tries, and none for each request")
@@ -45,7 +45,8 @@
         List<String> names = List.of("east", "west", "north").subList(0, zones);
         town = new SimulatedZones(7, names, 1, laws);
         for (int i = 0; i < services; i++) {
-            town.add(new ServiceSpec("rare" + i, spec.memoryMb(), spec.bootMs(), spec.most(), spec.targetMs()));
+            town.add(new ServiceSpec(
+                    "rare" + i, spec.memoryMb(), spec.bootMs(), spec.maxConcurrency(), spec.targetMs()));
         }
     }
 
