--- a/src/main/java/brambletray/platform/controlplane/ControlPlaneProgram.java
+++ b/src/main/java/brambletray/platform/controlplane/ControlPlaneProgram.java
@@ -20,6 +20,7 @@
 import brambletray.platform.replication.MemberRemovalOutcome;
 import brambletray.platform.replication.ProposalOutcome;
 import brambletray.platform.replication.Replica;
+import brambletray.platform.replication.ReplicaConfig;
 import brambletray.platform.replication.ReplicaStatus;
 import brambletray.platform.replication.ReplicationActions;
 import brambletray.platform.replication.ReplicationEvent;
@@ -115,15 +116,16 @@
                 new LinkIntroduction(nodeSettings.node(), address, true),
                 new LinkEvents());
         replica = new Replica(
-                address,
-                nodeSettings.node(),
-                nodeSettings.zone(),
-                newIncarnation,
-                origin,
+                new ReplicaConfig(
+                        address,
+                        nodeSettings.node(),
+                        nodeSettings.zone(),
+                        newIncarnation,
+                        origin,
+                        seeds(nodeSettings),
+                        nodeSettings.initialStart(),
+                        replicationSettings(nodeSettings)),
                 DurableState.read(stored),
-                seeds(nodeSettings),
-                nodeSettings.initialStart(),
-                replicationSettings(nodeSettings),
                 new ReplicationOutput(),
                 operatorCalls,
                 nowMs());
--- /dev/null
+++ b/src/main/java/brambletray/platform/replication/CommitState.java
@@ -0,0 +1,129 @@
+package brambletray.platform.replication;
+
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/**
+ * The log of this member and how far it is durable, committed and applied. Invariants: {@code snapshotIndex <=
+ * appliedIndex <= commitIndex <= lastIndex}; the commit index never decreases; entries are applied once, in order.
+ */
+final class CommitState {
+    private final StateMachine stateMachine;
+    private final AppliedEntryListener listener;
+    private ReplicatedLog log = ReplicatedLog.empty();
+    private long commitIndex;
+    private long appliedIndex;
+    private long durableIndex;
+    private long viewStartIndex = Long.MAX_VALUE;
+
+    CommitState(StateMachine stateMachine, AppliedEntryListener listener) {
+        this.stateMachine = stateMachine;
+        this.listener = listener;
+    }
+
+    /** Takes over the log that was found on disk; entries after its snapshot are applied once they are committed. */
+    void restore(ReplicatedLog stored) {
+        log = stored;
+        durableIndex = stored.lastIndex();
+        stateMachine.restore(stored.snapshot());
+        appliedIndex = stored.snapshotIndex();
+        commitIndex = stored.snapshotIndex();
+    }
+
+    ReplicatedLog log() {
+        return log;
+    }
+
+    /** Last index that is known to be on enough disks. */
+    long commitIndex() {
+        return commitIndex;
+    }
+
+    /** Last index that the state machine has applied. */
+    long appliedIndex() {
+        return appliedIndex;
+    }
+
+    /** Up to here the log is on this member's disk, as a log of the present view. */
+    long durableIndex() {
+        return durableIndex;
+    }
+
+    /** Last index of the log with which the view began: all that earlier views committed lies up to there. */
+    long viewStartIndex() {
+        return viewStartIndex;
+    }
+
+    /** The log is on disk up to this index. */
+    void advanceDurable(long index) {
+        durableIndex = Math.max(durableIndex, index);
+    }
+
+    /** The active view began with a log that ended here. */
+    void setViewStartIndex(long index) {
+        viewStartIndex = index;
+    }
+
+    /** Whether everything that earlier views committed is known to be committed. */
+    boolean coversEarlierViews() {
+        return commitIndex >= viewStartIndex;
+    }
+
+    /** Whether replacing the log by this one would lose an entry that is known to be committed. */
+    boolean losesCommitted(ReplicatedLog chosen) {
+        if (chosen.lastIndex() < commitIndex) {
+            return true;
+        }
+        boolean comparable = commitIndex >= chosen.snapshotIndex() && commitIndex >= log.snapshotIndex();
+        return comparable && !chosen.viewAt(commitIndex).equals(log.viewAt(commitIndex));
+    }
+
+    /**
+     * Takes the log of a new view; nothing of it counts as durable before it is synced.
+     *
+     * @return the changes of the keys on disk
+     */
+    Map<String, byte[]> replaceLog(ReplicatedLog chosen) {
+        Map<String, byte[]> changes = new LinkedHashMap<>();
+        ReplicatedLog.collectChanges(log, chosen, changes);
+        log = chosen;
+        viewStartIndex = Long.MAX_VALUE;
+        durableIndex = 0;
+        return changes;
+    }
+
+    /** Replaces the state where the snapshot of the log is ahead of it. */
+    void installSnapshotIfAhead() {
+        if (log.snapshotIndex() <= appliedIndex) {
+            return;
+        }
+        stateMachine.restore(log.snapshot());
+        appliedIndex = log.snapshotIndex();
+        commitIndex = Math.max(commitIndex, appliedIndex);
+        listener.onSnapshotInstalled();
+    }
+
+    /**
+     * Everything up to this index is on enough disks: applies it, and takes a snapshot where the log has grown long.
+     *
+     * @return the changes of the keys on disk, empty without a snapshot
+     */
+    Map<String, byte[]> advanceCommit(long index) {
+        commitIndex = Math.max(commitIndex, Math.min(index, log.lastIndex()));
+        while (appliedIndex < commitIndex) {
+            LogEntry entry = log.entryAt(appliedIndex + 1);
+            appliedIndex++;
+            stateMachine.apply(entry.index(), entry.bytes());
+            listener.onApplied(entry);
+        }
+        if (!log.needsSnapshot(appliedIndex)) {
+            return Map.of();
+        }
+        ReplicatedLog before =
+                new ReplicatedLog(log.snapshotIndex(), log.snapshotView(), log.snapshot(), log.entries());
+        log.compact(appliedIndex, stateMachine.snapshot());
+        Map<String, byte[]> changes = new LinkedHashMap<>();
+        ReplicatedLog.collectChanges(before, log, changes);
+        return changes;
+    }
+}
--- a/src/main/java/brambletray/platform/replication/DurableState.java
+++ b/src/main/java/brambletray/platform/replication/DurableState.java
@@ -13,7 +13,7 @@
  * @param promisedBallot highest ballot promised
  * @param view    last view kept, or null
  * @param active whether it was known to be in force
- * @param readLog     the order
+ * @param log     the order
  * @param retiredIncarnations    lives whose disks are proven lost
  * @param knownAddresses   addresses of members met
  */
@@ -23,7 +23,7 @@
         Ballot promisedBallot,
         View view,
         boolean active,
-        ReplicatedLog readLog,
+        ReplicatedLog log,
         List<Long> retiredIncarnations,
         List<String> knownAddresses) {
     /** All keys of this plane begin so. */
@@ -43,6 +43,11 @@
         return new DurableState(0, List.of(), Ballot.NONE, null, false, ReplicatedLog.empty(), List.of(), List.of());
     }
 
+    /** Whether nothing was ever written to the disk. */
+    boolean isEmpty() {
+        return incarnation == 0;
+    }
+
     /**
      * Rebuilds it from all keys that begin with {@link #KEY_PREFIX}. Throws {@link ReplicationException} when they can't be
      * read.
--- a/src/main/java/brambletray/platform/replication/JoinAdmission.java
+++ b/src/main/java/brambletray/platform/replication/JoinAdmission.java
@@ -29,58 +29,61 @@
     private final Map<String, Long> challenges = new HashMap<>();
     private long nonce;
 
-    JoinAdmission(ReplicaState state, Replica members) {
+    JoinAdmission(ReplicaState state, Replica replica) {
         this.state = state;
-        this.replica = members;
-        nonce = state.origin;
+        this.replica = replica;
+        nonce = state.origin();
     }
 
     void onJoinRequest(String from, ReplicationMessage.JoinRequest joinRequest) {
-        Member who = joinRequest.requester();
-        if (state.retiredIncarnations.contains(who.incarnation()) || who.incarnation() == state.self.incarnation()) {
+        Member requester = joinRequest.requester();
+        if (state.retiredIncarnations().contains(requester.incarnation())
+                || requester.incarnation() == state.self().incarnation()) {
             return;
         }
-        if (state.view != null) {
-            challenge(who);
+        if (state.view() != null) {
+            challenge(requester);
         }
-        if (state.view == null || !state.active || replica.isExcluded() || state.view.isFounding()) {
-            if (!state.knownAddresses.isEmpty()) {
-                state.actions.send(from, new ReplicationMessage.KnownMembers(List.copyOf(state.knownAddresses)));
+        if (state.view() == null
+                || !state.isActive()
+                || replica.isExcluded()
+                || state.view().isFounding()) {
+            if (!state.knownAddresses().isEmpty()) {
+                state.actions().send(from, new ReplicationMessage.KnownMembers(List.copyOf(state.knownAddresses())));
             }
             return;
         }
-        if (state.view.contains(who.incarnation())) {
+        if (state.view().contains(requester.incarnation())) {
             return;
         }
-        if (joinRequest.viewBallot().isAbove(state.view.ballot())) {
-            state.highestSeenNumber =
-                    Math.max(state.highestSeenNumber, joinRequest.viewBallot().number());
+        if (joinRequest.viewBallot().isAbove(state.view().ballot())) {
+            state.ballots().observe(joinRequest.viewBallot().number());
         }
         if (!replica.isLeader()) {
-            if (state.view.ballot().proposer() != state.self.incarnation()) {
-                state.actions.send(from, new ReplicationMessage.JoinResponse(state.view, false));
+            if (state.view().ballot().proposer() != state.self().incarnation()) {
+                state.actions().send(from, new ReplicationMessage.JoinResponse(state.view(), false));
             }
             return;
         }
         boolean fit = isCaughtUp(
-                state.log.patchFor(joinRequest.lastIndex(), joinRequest.lastView(), joinRequest.commitIndex()));
-        state.actions.send(from, new ReplicationMessage.JoinResponse(state.view, fit));
+                state.log().patchFor(joinRequest.lastIndex(), joinRequest.lastView(), joinRequest.commitIndex()));
+        state.actions().send(from, new ReplicationMessage.JoinResponse(state.view(), fit));
         if (!fit) {
             if (catchingUp.size() < MAX_NEWCOMERS) {
-                catchingUp.put(who.incarnation(), state.nowMs);
+                catchingUp.put(requester.incarnation(), state.nowMs());
             }
             return;
         }
-        catchingUp.remove(who.incarnation());
-        Penalty penalty = penalties.get(who.address());
-        if (penalty != null && state.nowMs < penalty.untilMs()) {
+        catchingUp.remove(requester.incarnation());
+        Penalty penalty = penalties.get(requester.address());
+        if (penalty != null && state.nowMs() < penalty.untilMs()) {
             return;
         }
-        if (admitted.size() >= MAX_NEWCOMERS && !admitted.containsKey(who.incarnation())) {
+        if (admitted.size() >= MAX_NEWCOMERS && !admitted.containsKey(requester.incarnation())) {
             return;
         }
-        admitted.put(who.incarnation(), joinRequest);
-        requestedAtMs.put(who.incarnation(), state.nowMs);
+        admitted.put(requester.incarnation(), joinRequest);
+        requestedAtMs.put(requester.incarnation(), state.nowMs());
     }
 
     private static boolean isCaughtUp(LogPatch patch) {
@@ -88,21 +91,21 @@
     }
 
     /** Another life at the address of one of ours: asked who it is now, so that an old frame proves nothing. */
-    private void challenge(Member who) {
-        if (!replacesMember(who)) {
+    private void challenge(Member requester) {
+        if (!replacesMember(requester)) {
             return;
         }
         if (challenges.size() > MAX_NEWCOMERS) {
             challenges.clear();
         }
-        challenges.put(who.address(), ++nonce);
-        state.actions.send(who.address(), new ReplicationMessage.IdentityRequest(nonce));
+        challenges.put(requester.address(), ++nonce);
+        state.actions().send(requester.address(), new ReplicationMessage.IdentityRequest(nonce));
     }
 
-    private boolean replacesMember(Member who) {
-        for (ViewMembership membership : state.view.viewsToConsult(false)) {
+    private boolean replacesMember(Member requester) {
+        for (ViewMembership membership : state.view().viewsToConsult(false)) {
             for (Member member : membership.members()) {
-                if (provesDiskLost(who, member)) {
+                if (provesDiskLost(requester, member)) {
                     return true;
                 }
             }
@@ -114,18 +117,18 @@
         return before.address().equals(now.address())
                 && before.incarnation() != now.incarnation()
                 && before.incarnation() != 0
-                && before.incarnation() != state.self.incarnation()
-                && !state.retiredIncarnations.contains(before.incarnation());
+                && before.incarnation() != state.self().incarnation()
+                && !state.retiredIncarnations().contains(before.incarnation());
     }
 
     void onIdentityResponse(ReplicationMessage.IdentityResponse here) {
         Long mine = challenges.get(here.responder().address());
-        if (mine == null || mine != here.nonce() || state.view == null) {
+        if (mine == null || mine != here.nonce() || state.view() == null) {
             return;
         }
         challenges.remove(here.responder().address());
         java.util.Set<Long> lostIncarnations = new java.util.LinkedHashSet<>();
-        for (ViewMembership membership : state.view.viewsToConsult(false)) {
+        for (ViewMembership membership : state.view().viewsToConsult(false)) {
             for (Member member : membership.members()) {
                 if (provesDiskLost(here.responder(), member)) {
                     lostIncarnations.add(member.incarnation());
@@ -133,10 +136,11 @@
             }
         }
         if (state.retire(lostIncarnations)) {
-            state.actions.log(new ReplicationEvent.DiskLost(
-                    here.responder().address(),
-                    Long.toHexString(here.responder().incarnation()),
-                    lostIncarnations));
+            state.actions()
+                    .log(new ReplicationEvent.DiskLost(
+                            here.responder().address(),
+                            Long.toHexString(here.responder().incarnation()),
+                            lostIncarnations));
             replica.onMembersRetired();
         }
     }
@@ -144,12 +148,12 @@
     /** A member has been taken out for trouble: each further time within a while it waits longer to be let in again. */
     void penalise(String address) {
         Penalty old = penalties.get(address);
-        int times = old == null || state.nowMs - old.imposedAtMs() > PENALTY_MEMORY_MS ? 1 : old.count() + 1;
+        int times = old == null || state.nowMs() - old.imposedAtMs() > PENALTY_MEMORY_MS ? 1 : old.count() + 1;
         long wait = times <= 2 ? 0 : Math.min(4000, 250L << Math.min(times - 2, 4));
         if (penalties.size() > 32) {
             penalties.clear();
         }
-        penalties.put(address, new Penalty(times, state.nowMs, state.nowMs + wait));
+        penalties.put(address, new Penalty(times, state.nowMs(), state.nowMs() + wait));
     }
 
     /** Newcomers that wait and were heard of late. */
@@ -158,24 +162,24 @@
             return Map.of();
         }
         admitted.keySet()
-                .removeIf(incarnation -> state.nowMs - requestedAtMs.get(incarnation) > REQUEST_EXPIRY_MS
-                        || state.view.contains(incarnation)
-                        || state.retiredIncarnations.contains(incarnation));
+                .removeIf(incarnation -> state.nowMs() - requestedAtMs.get(incarnation) > REQUEST_EXPIRY_MS
+                        || state.view().contains(incarnation)
+                        || state.retiredIncarnations().contains(incarnation));
         // changes and compactions since the knock: a change of view that can't let it in isn't begun for it
         admitted.values()
-                .removeIf(joinRequest -> !isCaughtUp(state.log.patchFor(
-                        joinRequest.lastIndex(), joinRequest.lastView(), joinRequest.commitIndex())));
+                .removeIf(joinRequest -> !isCaughtUp(state.log()
+                        .patchFor(joinRequest.lastIndex(), joinRequest.lastView(), joinRequest.commitIndex())));
         requestedAtMs.keySet().retainAll(admitted.keySet());
         return new LinkedHashMap<>(admitted);
     }
 
     /** Whether a newcomer is on its way that hasn't got the state yet. */
     boolean hasNewcomersCatchingUp() {
-        catchingUp.values().removeIf(at -> state.nowMs - at > REQUEST_EXPIRY_MS);
+        catchingUp.values().removeIf(at -> state.nowMs() - at > REQUEST_EXPIRY_MS);
         catchingUp
                 .keySet()
-                .removeIf(incarnation ->
-                        state.view.contains(incarnation) || state.retiredIncarnations.contains(incarnation));
+                .removeIf(incarnation -> state.view().contains(incarnation)
+                        || state.retiredIncarnations().contains(incarnation));
         return !catchingUp.isEmpty();
     }
 
--- a/src/main/java/brambletray/platform/replication/JoinRequester.java
+++ b/src/main/java/brambletray/platform/replication/JoinRequester.java
@@ -14,7 +14,8 @@
     private static final int SOURCE_IDLE_TIMEOUT_MS = 1000;
 
     private final ReplicaState state;
-    private final FollowerState follower;
+    private final Replica replica;
+    private final LeaderMonitor leaderMonitor;
     private ReplicatedLog fetchedLog;
     private long fetchedCommitIndex;
     private StateTransferClient transfer;
@@ -24,23 +25,22 @@
     private long requestedAtMs = Long.MIN_VALUE / 2;
     private long transferStartedAtMs = Long.MIN_VALUE / 2;
 
-    JoinRequester(ReplicaState state, FollowerState follower) {
+    JoinRequester(ReplicaState state, Replica replica, LeaderMonitor leaderMonitor) {
         this.state = state;
-        this.follower = follower;
-    }
-
-    boolean isOutsideView() {
-        return state.view == null || follower.isExcluded();
+        this.replica = replica;
+        this.leaderMonitor = leaderMonitor;
     }
 
     /** Who has just started may have been left out meanwhile: a member of the later view says so. */
     private boolean mayHaveBeenExcluded() {
-        return state.view != null && follower.noLeaderSeenYet() && !state.view.isFounding();
+        return state.view() != null
+                && leaderMonitor.noLeaderSeenYet()
+                && !state.view().isFounding();
     }
 
     /** The log that a patch is put on. */
     ReplicatedLog patchBase() {
-        return fetchedLog != null && isOutsideView() ? fetchedLog : state.log;
+        return fetchedLog != null && replica.isOutsideView() ? fetchedLog : state.log();
     }
 
     void onViewAccepted() {
@@ -56,10 +56,10 @@
                 interruptTransfer();
             }
         }
-        if (!(isOutsideView() || mayHaveBeenExcluded())
+        if (!(replica.isOutsideView() || mayHaveBeenExcluded())
                 || state.diskUnhealthy()
-                || state.leaving
-                || state.nowMs - requestedAtMs < RETRY_INTERVAL_MS) {
+                || state.isLeaving()
+                || state.nowMs() - requestedAtMs < RETRY_INTERVAL_MS) {
             return;
         }
         sendJoinRequests(seeds);
@@ -73,29 +73,29 @@
     }
 
     void sendJoinRequests(Iterable<String> seeds) {
-        if (state.leaving) {
+        if (state.isLeaving()) {
             return;
         }
-        requestedAtMs = state.nowMs;
+        requestedAtMs = state.nowMs();
         Set<String> all = new LinkedHashSet<>();
         seeds.forEach(all::add);
-        all.addAll(state.knownAddresses);
-        if (follower.successorView() != null) {
-            follower.successorView().members().forEach(member -> all.add(member.address()));
+        all.addAll(state.knownAddresses());
+        if (replica.successorView() != null) {
+            replica.successorView().members().forEach(member -> all.add(member.address()));
         }
-        all.remove(state.self.address());
+        all.remove(state.self().address());
         ReplicationMessage.JoinRequest joinRequest = joinRequest();
         for (String address : all) {
-            state.actions.send(address, joinRequest);
+            state.actions().send(address, joinRequest);
         }
     }
 
     private ReplicationMessage.JoinRequest joinRequest() {
         ReplicatedLog log = patchBase();
-        long commit = fetchedLog != null ? fetchedCommitIndex : state.commitIndex;
+        long commit = fetchedLog != null ? fetchedCommitIndex : state.commitIndex();
         return new ReplicationMessage.JoinRequest(
-                state.self,
-                state.view == null ? Ballot.NONE : state.view.ballot(),
+                state.self(),
+                state.view() == null ? Ballot.NONE : state.view().ballot(),
                 log.lastIndex(),
                 log.lastView(),
                 Math.min(commit, log.lastIndex()));
@@ -103,10 +103,10 @@
 
     /** The view in force; its leader says whether what is in hand is near enough. */
     void onJoinResponse(String from, ReplicationMessage.JoinResponse response) {
-        if (!isOutsideView()) {
-            follower.successorView(new ReplicationMessage.NotMember(response.view()));
+        if (!replica.isOutsideView()) {
+            replica.onNotMember(response.view());
         }
-        if (!isOutsideView()) {
+        if (!replica.isOutsideView()) {
             return;
         }
         for (Member member : response.view().members()) {
@@ -125,13 +125,13 @@
             return;
         }
         if (!leader.address().equals(from)) {
-            state.actions.send(leader.address(), joinRequest());
+            state.actions().send(leader.address(), joinRequest());
             return;
         }
-        if (state.nowMs - transferStartedAtMs < RETRY_INTERVAL_MS) {
+        if (state.nowMs() - transferStartedAtMs < RETRY_INTERVAL_MS) {
             return;
         }
-        transferStartedAtMs = state.nowMs;
+        transferStartedAtMs = state.nowMs();
         startTransfer(from);
     }
 
@@ -157,8 +157,8 @@
         if (transfer.log() != null) {
             fetchedLog = transfer.log();
             fetchedCommitIndex = transfer.commitIndex();
-            state.actions.log(new ReplicationEvent.TransferCompleted(transfer.source(), fetchedLog.lastIndex()));
-            state.actions.send(transfer.source(), joinRequest());
+            state.actions().log(new ReplicationEvent.TransferCompleted(transfer.source(), fetchedLog.lastIndex()));
+            state.actions().send(transfer.source(), joinRequest());
         }
         transfer = null;
     }
--- a/src/main/java/brambletray/platform/replication/LeaderState.java
+++ b/src/main/java/brambletray/platform/replication/LeaderState.java
@@ -1,23 +1,30 @@
 package brambletray.platform.replication;
 
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.Predicate;
 
-/** The part of the leader of a view in force: gives places, sends entries, counts acknowledgements, beats, suspects. */
+/**
+ * The leader of an active view: assigns indices, sends entries and heartbeats, and commits what all members have on
+ * disk. Invariant: an index is assigned once in a view, as only the proposer of a view leads it and it does so in one
+ * process. It says which members are silent or slow; {@link ViewChangeInitiator} decides what follows.
+ */
 final class LeaderState {
     private static final int MAX_APPEND_BYTES = 256 << 10;
     private static final int MAX_UNCOMMITTED_ENTRIES = 128;
+    /** Bytes waiting for the disk beyond which proposals are rejected. */
+    private static final int MAX_QUEUED_BYTES = 4 << 20;
     /** Bytes on their way to a member, besides the first entry: what more it lacks follows its acknowledgements. */
     private static final int MAX_IN_FLIGHT_BYTES = 1 << 20;
-    /** Silence after which entries are sent again, and how many of their bytes a ms may take besides: 1 Mbit/s. */
+    /** Silence after which entries are sent again. */
     private static final int RESEND_BACKOFF_MS = 200;
-
+    /** Bytes of those entries for which a ms is added: 1 Mbit/s. */
     private static final int RESEND_BYTES_PER_MS = 125;
+
     private static final int HEALTHY_TIMEOUT_MS = 350;
     private static final int SUPERSEDED_TIMEOUT_MS = 300;
     private static final int MIN_VIEW_AGE_MS = 100;
@@ -25,26 +32,7 @@
     private static final int ANNOUNCE_DURATION_MS = 30_000;
     private static final int MAX_RECENT_PROPOSALS = 1024;
 
-    private static final class FollowerProgress {
-        final Member member;
-        long durableIndex;
-        long nextIndex;
-        long lastHeardAtMs;
-        long progressAtMs = -1;
-        long disconnectedAtMs = Long.MIN_VALUE / 2;
-        long supersededSinceMs = -1;
-        long resentAtMs = -1;
-        boolean diskUnhealthy;
-
-        FollowerProgress(Member member, long end, long now) {
-            this.member = member;
-            durableIndex = end;
-            nextIndex = end + 1;
-            lastHeardAtMs = now;
-        }
-    }
-
-    /** A proposal already given a place in this view. */
+    /** A proposal that has an index in this view. */
     private record ProposalId(long origin, long token) {}
 
     private final ReplicaState state;
@@ -57,281 +45,273 @@
     private long announcedCommitIndex;
     private final long activeSinceMs;
 
+    /** Begins to lead the view of the state, which is active. */
     LeaderState(ReplicaState state) {
         this.state = state;
-        this.view = state.view;
-        ownDurableIndex = state.log.lastIndex();
-        activeSinceMs = state.nowMs;
+        this.view = state.view();
+        ownDurableIndex = state.log().lastIndex();
+        activeSinceMs = state.nowMs();
         for (Member member : view.members()) {
-            if (member.incarnation() != state.self.incarnation()) {
-                followers.put(member.incarnation(), new FollowerProgress(member, ownDurableIndex, state.nowMs));
+            if (member.incarnation() != state.self().incarnation()) {
+                followers.put(member.incarnation(), new FollowerProgress(member, ownDurableIndex, state.nowMs()));
             }
         }
-        for (LogEntry entry : state.log.entries()) {
+        for (LogEntry entry : state.log().entries()) {
             recentProposals.add(new ProposalId(entry.origin(), entry.token()));
         }
         maybeAdvanceCommit();
         sendHeartbeats();
     }
 
-    /** Whether more than half of the members have answered of late without having stopped. */
+    /** Whether more than half of the members answered lately and have not stopped for another view change. */
     boolean hasActiveQuorum() {
-        int well = 1;
-        for (FollowerProgress peer : followers.values()) {
-            if (peer.supersededSinceMs < 0 && state.nowMs - peer.lastHeardAtMs <= HEALTHY_TIMEOUT_MS) {
-                well++;
+        int responsive = 1;
+        for (FollowerProgress follower : followers.values()) {
+            if (follower.isResponsive(state.nowMs(), HEALTHY_TIMEOUT_MS)) {
+                responsive++;
             }
         }
-        return 2 * well > view.members().size() && !state.diskUnhealthy();
+        return 2 * responsive > view.members().size() && !state.diskUnhealthy();
     }
 
-    /** Gives a proposal a place, unless it has one; false when too much is open. */
+    /**
+     * Assigns an index to a proposal, unless it has one.
+     *
+     * @return false if this member may not lead now, or too much is in flight; the proposer tries again
+     */
     boolean propose(long origin, long token, byte[] bytes) {
         if (!state.isOperationalIn(view.ballot())) {
             return false;
         }
-        ProposalId given = new ProposalId(origin, token);
-        if (recentProposals.contains(given)) {
+        ProposalId proposal = new ProposalId(origin, token);
+        if (recentProposals.contains(proposal)) {
             return true;
         }
-        // what is under way is to be kept before another leads: nothing more is begun
-        if (state.draining) {
-            return false;
-        }
-        if (state.log.lastIndex() - state.commitIndex >= MAX_UNCOMMITTED_ENTRIES
-                || state.writeAheadQueue.hasOpenBytesAbove(4 << 20)) {
+        // draining: what is in flight is to be committed before another leads, so nothing more is begun
+        if (state.isDraining() || isOverloaded()) {
             return false;
         }
-        recentProposals.add(given);
+        remember(proposal);
+        LogEntry entry = new LogEntry(state.log().lastIndex() + 1, view.ballot(), origin, token, bytes);
+        state.append(entry);
+        state.writeAheadQueue().onSynced(() -> onOwnEntrySynced(entry));
+        followers.values().forEach(this::sendEntries);
+        return true;
+    }
+
+    private boolean isOverloaded() {
+        return state.log().lastIndex() - state.commitIndex() >= MAX_UNCOMMITTED_ENTRIES
+                || state.writeAheadQueue().hasOpenBytesAbove(MAX_QUEUED_BYTES);
+    }
+
+    private void remember(ProposalId proposal) {
+        recentProposals.add(proposal);
         if (recentProposals.size() > MAX_RECENT_PROPOSALS + MAX_UNCOMMITTED_ENTRIES) {
             recentProposals.remove(recentProposals.iterator().next());
         }
-        LogEntry entry = new LogEntry(state.log.lastIndex() + 1, view.ballot(), origin, token, bytes);
-        state.append(entry);
-        state.writeAheadQueue.onSynced(() -> {
-            if (!state.view.ballot().equals(view.ballot())) {
-                return;
-            }
-            ownDurableIndex = Math.max(ownDurableIndex, entry.index());
-            state.durableIndex = Math.max(state.durableIndex, ownDurableIndex);
-            maybeAdvanceCommit();
-        });
-        for (FollowerProgress peer : followers.values()) {
-            sendEntries(peer);
-        }
-        return true;
     }
 
-    private void sendEntries(FollowerProgress peer) {
-        if (peer.nextIndex > state.log.lastIndex() || peer.nextIndex - peer.durableIndex > MAX_UNCOMMITTED_ENTRIES) {
+    private void onOwnEntrySynced(LogEntry entry) {
+        if (!state.view().ballot().equals(view.ballot())) {
             return;
         }
-        long flying = state.log.bytesBetween(peer.durableIndex, peer.nextIndex - 1);
-        if (flying > MAX_IN_FLIGHT_BYTES) {
+        ownDurableIndex = Math.max(ownDurableIndex, entry.index());
+        state.commits().advanceDurable(ownDurableIndex);
+        maybeAdvanceCommit();
+    }
+
+    private void sendEntries(FollowerProgress follower) {
+        long nextIndex = follower.nextIndex();
+        ReplicatedLog log = state.log();
+        boolean nothingToSend = nextIndex > log.lastIndex();
+        boolean windowFull = nextIndex - follower.durableIndex() > MAX_UNCOMMITTED_ENTRIES
+                || log.bytesBetween(follower.durableIndex(), nextIndex - 1) > MAX_IN_FLIGHT_BYTES;
+        if (nothingToSend || windowFull) {
             return;
         }
-        if (peer.nextIndex <= state.log.snapshotIndex()) {
-            // can't be: what is compacted all members have on disk
-            state.actions.log(
-                    new ReplicationEvent.BehindSnapshot(peer.member.name(), peer.nextIndex, state.log.snapshotIndex()));
+        if (nextIndex <= log.snapshotIndex()) {
+            // cannot be: what is compacted is committed, and all members have that on disk
+            state.actions()
+                    .log(new ReplicationEvent.BehindSnapshot(follower.member().name(), nextIndex, log.snapshotIndex()));
             return;
         }
-        List<LogEntry> entries = state.log.entriesAfter(peer.nextIndex - 1, MAX_APPEND_BYTES);
-        state.actions.send(
-                peer.member.address(),
-                new ReplicationMessage.AppendRequest(
-                        view.ballot(),
-                        peer.nextIndex - 1,
-                        state.log.viewAt(peer.nextIndex - 1),
-                        entries,
-                        state.commitIndex));
-        if (peer.progressAtMs < 0) {
-            peer.progressAtMs = state.nowMs;
-        }
-        peer.nextIndex += entries.size();
+        List<LogEntry> entries = log.entriesAfter(nextIndex - 1, MAX_APPEND_BYTES);
+        sendAppend(follower, nextIndex - 1, log.viewAt(nextIndex - 1), entries);
+        follower.onSent(entries.size(), state.nowMs());
     }
 
+    private void sendAppend(
+            FollowerProgress follower, long previousIndex, Ballot previousView, List<LogEntry> entries) {
+        state.actions()
+                .send(
+                        follower.member().address(),
+                        new ReplicationMessage.AppendRequest(
+                                view.ballot(), previousIndex, previousView, entries, state.commitIndex()));
+    }
+
+    /** A follower has all entries up to this index on disk. */
     void onDurable(long incarnation, long index) {
-        FollowerProgress peer = followers.get(incarnation);
-        if (peer == null) {
-            return;
+        FollowerProgress follower = followers.get(incarnation);
+        if (follower != null) {
+            onDurable(follower, index);
         }
-        if (index > peer.durableIndex && index <= state.log.lastIndex()) {
-            peer.durableIndex = index;
-            peer.nextIndex = Math.max(peer.nextIndex, index + 1);
-            peer.progressAtMs = index >= state.log.lastIndex() ? -1 : state.nowMs;
+    }
+
+    private void onDurable(FollowerProgress follower, long index) {
+        if (follower.onDurable(index, state.log().lastIndex(), state.nowMs())) {
             maybeAdvanceCommit();
         }
-        sendEntries(peer);
+        sendEntries(follower);
     }
 
+    /** A follower has answered a heartbeat. */
     void onHeartbeatResponse(ReplicationMessage.HeartbeatResponse response) {
-        FollowerProgress peer = followers.get(response.incarnation());
-        if (peer == null) {
+        FollowerProgress follower = followers.get(response.incarnation());
+        if (follower == null) {
             return;
         }
-        // who was away couldn't acknowledge: its disk is timed from its return
-        if (state.nowMs - peer.lastHeardAtMs > HEALTHY_TIMEOUT_MS && peer.progressAtMs >= 0) {
-            peer.progressAtMs = state.nowMs;
+        boolean superseded = response.promisedBallot().isAbove(view.ballot());
+        follower.onHeartbeatResponse(response.diskUnhealthy(), superseded, state.nowMs(), HEALTHY_TIMEOUT_MS);
+        state.ballots().observe(response.promisedBallot().number());
+        if (!superseded) {
+            onDurable(follower, response.durableIndex());
         }
-        peer.lastHeardAtMs = state.nowMs;
-        peer.diskUnhealthy = response.diskUnhealthy();
-        state.highestSeenNumber =
-                Math.max(state.highestSeenNumber, response.promisedBallot().number());
-        if (!response.promisedBallot().isAbove(view.ballot())) {
-            peer.supersededSinceMs = -1;
-            onDurable(response.incarnation(), response.durableIndex());
-        } else if (peer.supersededSinceMs < 0) {
-            peer.supersededSinceMs = state.nowMs;
-        }
-        // what a broken link took with it goes again at once; and before the member is held to be slow
-        long from = Math.max(peer.progressAtMs, peer.resentAtMs);
-        boolean broken = peer.disconnectedAtMs >= from;
-        long taken =
-                broken ? 0 : state.log.bytesBetween(response.durableIndex(), peer.nextIndex - 1) / RESEND_BYTES_PER_MS;
-        long patience = Math.min(RESEND_BACKOFF_MS + taken, state.settings.ackTimeoutMs() * 3L / 4);
-        if (response.durableIndex() < peer.nextIndex - 1
-                && state.nowMs - from > patience
-                && response.durableIndex() >= state.log.snapshotIndex()) {
-            peer.resentAtMs = state.nowMs;
-            peer.nextIndex = Math.max(response.durableIndex(), state.log.snapshotIndex()) + 1;
-            sendEntries(peer);
+        resendIfStalled(follower, response.durableIndex());
+    }
+
+    /** Sends again what a broken link took with it, and what was not acknowledged for long, before it counts as slow. */
+    private void resendIfStalled(FollowerProgress follower, long durableIndex) {
+        ReplicatedLog log = state.log();
+        long inFlightBytes =
+                follower.mayHaveLostEntries() ? 0 : log.bytesBetween(durableIndex, follower.nextIndex() - 1);
+        long backoffMs = Math.min(
+                RESEND_BACKOFF_MS + inFlightBytes / RESEND_BYTES_PER_MS,
+                state.settings().ackTimeoutMs() * 3L / 4);
+        boolean stalled = durableIndex < follower.nextIndex() - 1
+                && state.nowMs() - follower.stalledSinceMs() > backoffMs
+                && durableIndex >= log.snapshotIndex();
+        if (stalled) {
+            follower.resendFrom(Math.max(durableIndex, log.snapshotIndex()) + 1, state.nowMs());
+            sendEntries(follower);
         }
     }
 
-    /** Kept is what all members have on disk, when one of them is left whichever of those that may be lost are. */
+    /** Committed is what all members have on disk, if one disk is left whichever of those that may be lost are. */
     private void maybeAdvanceCommit() {
-        if (!state.isOperationalIn(view.ballot()) || !state.settings.tolerance().toleratesLossWith(view.members())) {
+        if (!state.isOperationalIn(view.ballot())
+                || !state.settings().tolerance().toleratesLossWith(view.members())) {
             return;
         }
-        long all = ownDurableIndex;
-        for (FollowerProgress peer : followers.values()) {
-            all = Math.min(all, peer.durableIndex);
+        long durableOnAll = ownDurableIndex;
+        for (FollowerProgress follower : followers.values()) {
+            durableOnAll = Math.min(durableOnAll, follower.durableIndex());
         }
-        if (all > state.commitIndex || state.appliedIndex < state.commitIndex) {
-            state.advanceCommit(all);
+        if (durableOnAll > state.commitIndex() || state.appliedIndex() < state.commitIndex()) {
+            state.advanceCommit(durableOnAll);
         }
     }
 
     /**
-     * Whether the view has been in force for a while, so that a planned change of it (a newcomer, a leave) doesn't
-     * follow so close on the last that callers feel both as one pause.
+     * Whether the view has been active for a while, so that a planned view change (a newcomer, a leave) does not follow
+     * so closely on the last that callers feel both as one pause.
      */
     boolean hasBeenActiveForAWhile() {
-        return state.nowMs - activeSinceMs >= MIN_VIEW_AGE_MS;
+        return state.nowMs() - activeSinceMs >= MIN_VIEW_AGE_MS;
     }
 
+    /** The connection to this address was refused or reset. */
     void onDisconnected(String address) {
-        for (FollowerProgress peer : followers.values()) {
-            if (peer.member.address().equals(address)) {
-                peer.disconnectedAtMs = state.nowMs;
+        for (FollowerProgress follower : followers.values()) {
+            if (follower.member().address().equals(address)) {
+                follower.onDisconnected(state.nowMs());
             }
         }
     }
 
-    /** Nobody is suspected until spans have run anew. */
+    /** This process was paused: nobody is suspected before the time-outs have run anew. */
     void resetTimers() {
-        for (FollowerProgress peer : followers.values()) {
-            peer.lastHeardAtMs = state.nowMs;
-            peer.progressAtMs = peer.durableIndex < state.log.lastIndex() ? state.nowMs : -1;
-            peer.disconnectedAtMs = Long.MIN_VALUE / 2;
-            peer.supersededSinceMs = -1;
+        for (FollowerProgress follower : followers.values()) {
+            follower.resetTimers(state.log().lastIndex(), state.nowMs());
         }
     }
 
+    /** To be called every 25 to 50 ms. */
     void tick() {
-        if (state.nowMs - heartbeatSentAtMs >= state.settings.heartbeatIntervalMs()) {
+        if (state.nowMs() - heartbeatSentAtMs >= state.settings().heartbeatIntervalMs()) {
             sendHeartbeats();
         }
     }
 
-    /** Tells the others soon what is kept. */
+    /** Tells the followers at once of a commit index that has advanced. */
     void announceCommit() {
-        if (state.commitIndex <= announcedCommitIndex) {
+        if (state.commitIndex() <= announcedCommitIndex) {
             return;
         }
-        announcedCommitIndex = state.commitIndex;
-        for (FollowerProgress peer : followers.values()) {
-            state.actions.send(
-                    peer.member.address(),
-                    new ReplicationMessage.AppendRequest(
-                            view.ballot(), state.log.lastIndex(), state.log.lastView(), List.of(), state.commitIndex));
+        announcedCommitIndex = state.commitIndex();
+        for (FollowerProgress follower : followers.values()) {
+            sendAppend(follower, state.log().lastIndex(), state.log().lastView(), List.of());
         }
     }
 
     private void sendHeartbeats() {
-        heartbeatSentAtMs = state.nowMs;
-        if (++heartbeatSequence % ANNOUNCE_EVERY_HEARTBEATS == 0) {
+        heartbeatSentAtMs = state.nowMs();
+        heartbeatSequence++;
+        if (heartbeatSequence % ANNOUNCE_EVERY_HEARTBEATS == 0) {
             announceMembership();
         }
-        for (FollowerProgress peer : followers.values()) {
-            state.actions.send(
-                    peer.member.address(),
-                    new ReplicationMessage.HeartbeatRequest(
-                            view.ballot(),
-                            heartbeatSequence,
-                            state.commitIndex,
-                            state.viewStartIndex,
-                            true,
-                            state.diskUnhealthy()));
+        for (FollowerProgress follower : followers.values()) {
+            state.actions()
+                    .send(
+                            follower.member().address(),
+                            new ReplicationMessage.HeartbeatRequest(
+                                    view.ballot(),
+                                    heartbeatSequence,
+                                    state.commitIndex(),
+                                    state.viewStartIndex(),
+                                    true,
+                                    state.diskUnhealthy()));
         }
     }
 
-    /** After a change of view: who has left may be back with another disk and know nobody. */
+    /** After a view change: a machine that was left out may be back with another disk and know nobody. */
     private void announceMembership() {
-        if (state.knownAddresses.isEmpty() || state.nowMs - activeSinceMs > ANNOUNCE_DURATION_MS) {
+        if (state.knownAddresses().isEmpty() || state.nowMs() - activeSinceMs > ANNOUNCE_DURATION_MS) {
             return;
         }
         ReplicationMessage.KnownMembers knownMembers =
-                new ReplicationMessage.KnownMembers(List.copyOf(state.knownAddresses));
-        for (String address : state.knownAddresses) {
+                new ReplicationMessage.KnownMembers(List.copyOf(state.knownAddresses()));
+        for (String address : state.knownAddresses()) {
             if (view.memberAt(address) == null) {
-                state.actions.send(address, knownMembers);
+                state.actions().send(address, knownMembers);
             }
         }
     }
 
-    /** Members not heard for too long, or stopped for too long: not waited for in a change. */
+    /** Incarnations that were not heard for too long: a view change does not wait for them. */
     Set<Long> silentMembers() {
-        Set<Long> silent = new HashSet<>();
-        for (FollowerProgress peer : followers.values()) {
-            long silence = state.nowMs - peer.lastHeardAtMs;
-            boolean hint = peer.disconnectedAtMs >= peer.lastHeardAtMs && silence > HEALTHY_TIMEOUT_MS;
-            if (silence > state.settings.electionTimeoutMs() || hint) {
-                silent.add(peer.member.incarnation());
-            }
-        }
-        return silent;
+        return membersWith(
+                follower -> follower.isSilent(state.nowMs(), state.settings().electionTimeoutMs(), HEALTHY_TIMEOUT_MS));
     }
 
-    /** Members that are there but whose disk is in the way of everything. */
+    /** Incarnations that answer, but whose disk holds up every commit. */
     Set<Long> slowMembers() {
-        Set<Long> slow = new HashSet<>();
-        for (FollowerProgress peer : followers.values()) {
-            boolean there = state.nowMs - peer.lastHeardAtMs <= HEALTHY_TIMEOUT_MS;
-            boolean late = peer.progressAtMs >= 0 && state.nowMs - peer.progressAtMs > state.settings.ackTimeoutMs();
-            if (there && (peer.diskUnhealthy || late)) {
-                slow.add(peer.member.incarnation());
-            }
-        }
-        return slow;
+        return membersWith(follower -> follower.wasHeardWithin(state.nowMs(), HEALTHY_TIMEOUT_MS)
+                && follower.isSlow(state.nowMs(), state.settings().ackTimeoutMs()));
     }
 
-    /** Whether a member has stopped for another's change of which nothing came. */
+    /** Whether a member has stopped for the view change of another, of which nothing came. */
     boolean hasSupersededMember() {
-        for (FollowerProgress peer : followers.values()) {
-            if (peer.supersededSinceMs >= 0 && state.nowMs - peer.supersededSinceMs > SUPERSEDED_TIMEOUT_MS) {
-                return true;
-            }
-        }
-        return false;
+        return !membersWith(follower -> follower.isSupersededFor(state.nowMs(), SUPERSEDED_TIMEOUT_MS))
+                .isEmpty();
     }
 
-    List<Member> others() {
-        List<Member> others = new ArrayList<>();
-        for (FollowerProgress peer : followers.values()) {
-            others.add(peer.member);
+    private Set<Long> membersWith(Predicate<FollowerProgress> condition) {
+        Set<Long> incarnations = new HashSet<>();
+        for (FollowerProgress follower : followers.values()) {
+            if (condition.test(follower)) {
+                incarnations.add(follower.member().incarnation());
+            }
         }
-        return others;
+        return incarnations;
     }
 }
--- a/src/main/java/brambletray/platform/replication/MemberRemovalOrders.java
+++ b/src/main/java/brambletray/platform/replication/MemberRemovalOrders.java
@@ -24,31 +24,32 @@
     private final Map<String, Long> lastHeardAtMs = new HashMap<>();
     private PendingRemoval pending;
 
-    MemberRemovalOrders(ReplicaState state, Replica members) {
+    MemberRemovalOrders(ReplicaState state, Replica replica) {
         this.state = state;
-        this.replica = members;
-        startedAtMs = state.nowMs;
+        this.replica = replica;
+        startedAtMs = state.nowMs();
     }
 
     /** Something has come from the machine at this address. */
     void onMessage(String address) {
-        lastHeardAtMs.put(address, state.nowMs);
+        lastHeardAtMs.put(address, state.nowMs());
     }
 
-    void pending(String address, long incarnation, Consumer<MemberRemovalOutcome> then) {
-        Member who = findMember(address, incarnation);
-        MemberRemovalOutcome refusal = findRejection(who);
+    void request(String address, long incarnation, Consumer<MemberRemovalOutcome> onOutcome) {
+        Member target = findMember(address, incarnation);
+        MemberRemovalOutcome refusal = findRejection(target);
         if (refusal != null) {
-            then.accept(refusal);
+            onOutcome.accept(refusal);
             return;
         }
-        pending = new PendingRemoval(who, state.nowMs, then);
-        state.actions.log(new ReplicationEvent.RemovalRequested(who.name(), address, Long.toHexString(incarnation)));
-        state.actions.send(address, new ReplicationMessage.IdentityRequest(state.origin ^ state.nowMs));
+        pending = new PendingRemoval(target, state.nowMs(), onOutcome);
+        state.actions()
+                .log(new ReplicationEvent.RemovalRequested(target.name(), address, Long.toHexString(incarnation)));
+        state.actions().send(address, new ReplicationMessage.IdentityRequest(state.origin() ^ state.nowMs()));
     }
 
-    private MemberRemovalOutcome findRejection(Member who) {
-        if (who == null) {
+    private MemberRemovalOutcome findRejection(Member target) {
+        if (target == null) {
             return MemberRemovalOutcome.UNKNOWN_MEMBER;
         }
         if (pending != null) {
@@ -57,19 +58,21 @@
         if (replica.status().role() == ReplicaRole.MEMBER) {
             return MemberRemovalOutcome.VIEW_IS_HEALTHY;
         }
-        if (state.nowMs - Math.max(startedAtMs, lastHeardAtMs.getOrDefault(who.address(), startedAtMs))
+        if (state.nowMs() - Math.max(startedAtMs, lastHeardAtMs.getOrDefault(target.address(), startedAtMs))
                 < MIN_SILENCE_MS) {
             return MemberRemovalOutcome.RECENTLY_HEARD;
         }
-        return wouldLoseMajority(who) ? MemberRemovalOutcome.MAJORITY_WOULD_BE_LOST : null;
+        return wouldLoseMajority(target) ? MemberRemovalOutcome.MAJORITY_WOULD_BE_LOST : null;
     }
 
     /** The member of the last view, or of one that it came from; null if there is none, or it is this one. */
     private Member findMember(String address, long incarnation) {
-        if (state.view == null || state.view.isFounding() || incarnation == state.self.incarnation()) {
+        if (state.view() == null
+                || state.view().isFounding()
+                || incarnation == state.self().incarnation()) {
             return null;
         }
-        for (ViewMembership membership : state.view.viewsToConsult(state.active)) {
+        for (ViewMembership membership : state.view().viewsToConsult(state.isActive())) {
             for (Member member : membership.members()) {
                 if (member.incarnation() == incarnation
                         && incarnation != 0
@@ -81,11 +84,11 @@
         return null;
     }
 
-    private boolean wouldLoseMajority(Member who) {
-        for (ViewMembership membership : state.view.viewsToConsult(state.active)) {
+    private boolean wouldLoseMajority(Member target) {
+        for (ViewMembership membership : state.view().viewsToConsult(state.isActive())) {
             long gone = membership.members().stream()
-                    .filter(member -> member.incarnation() == who.incarnation()
-                            || state.retiredIncarnations.contains(member.incarnation()))
+                    .filter(member -> member.incarnation() == target.incarnation()
+                            || state.retiredIncarnations().contains(member.incarnation()))
                     .count();
             if (gone >= membership.members().size() / 2 + 1) {
                 return true;
@@ -98,29 +101,30 @@
         if (pending == null) {
             return;
         }
-        Member who = pending.member();
-        if (lastHeardAtMs.getOrDefault(who.address(), startedAtMs) >= pending.startedAtMs()) {
+        Member target = pending.member();
+        if (lastHeardAtMs.getOrDefault(target.address(), startedAtMs) >= pending.startedAtMs()) {
             complete(MemberRemovalOutcome.RECENTLY_HEARD);
-        } else if (state.nowMs - pending.startedAtMs() >= IDENTITY_TIMEOUT_MS) {
-            remove(who);
+        } else if (state.nowMs() - pending.startedAtMs() >= IDENTITY_TIMEOUT_MS) {
+            remove(target);
         }
     }
 
-    private void remove(Member who) {
-        Consumer<MemberRemovalOutcome> then = pending.onOutcome();
+    private void remove(Member target) {
+        Consumer<MemberRemovalOutcome> onOutcome = pending.onOutcome();
         pending = null;
-        state.retire(java.util.Set.of(who.incarnation()));
-        state.writeAheadQueue.onSynced(() -> {
-            state.actions.log(
-                    new ReplicationEvent.MemberRemoved(who.name(), who.address(), Long.toHexString(who.incarnation())));
-            then.accept(MemberRemovalOutcome.REMOVED);
+        state.retire(java.util.Set.of(target.incarnation()));
+        state.writeAheadQueue().onSynced(() -> {
+            state.actions()
+                    .log(new ReplicationEvent.MemberRemoved(
+                            target.name(), target.address(), Long.toHexString(target.incarnation())));
+            onOutcome.accept(MemberRemovalOutcome.REMOVED);
             replica.onMembersRetired();
         });
     }
 
     private void complete(MemberRemovalOutcome result) {
-        Consumer<MemberRemovalOutcome> then = pending.onOutcome();
+        Consumer<MemberRemovalOutcome> onOutcome = pending.onOutcome();
         pending = null;
-        then.accept(result);
+        onOutcome.accept(result);
     }
 }
--- a/src/main/java/brambletray/platform/replication/MessageDispatcher.java
+++ b/src/main/java/brambletray/platform/replication/MessageDispatcher.java
@@ -2,11 +2,12 @@
 
 import java.util.List;
 
-/** Hands each frame to the part of the member that it is for. */
+/** Hands each message to the part of the member that it is for; messages for a role that it does not have are dropped. */
 final class MessageDispatcher {
     private final ReplicaState state;
     private final Replica replica;
     private final FollowerState follower;
+    private final ViewInstaller viewInstaller;
     private final JoinRequester joinRequester;
     private final JoinAdmission joinAdmission;
     private final ReadIndex readIndex;
@@ -14,73 +15,86 @@
 
     MessageDispatcher(
             ReplicaState state,
-            Replica members,
+            Replica replica,
             FollowerState follower,
+            ViewInstaller viewInstaller,
             JoinRequester joinRequester,
             JoinAdmission joinAdmission,
             ReadIndex readIndex) {
         this.state = state;
-        this.replica = members;
+        this.replica = replica;
         this.follower = follower;
+        this.viewInstaller = viewInstaller;
         this.joinRequester = joinRequester;
         this.joinAdmission = joinAdmission;
         this.readIndex = readIndex;
         stateTransferServer = new StateTransferServer(state, this::logToServe);
     }
 
-    /** The log of a view that is being installed by this member, or its own. */
+    /** The log of a view that this member is installing, or its own. */
     private ReplicatedLog logToServe(Ballot view) {
         if (view.equals(Ballot.NONE)) {
-            return state.view == null ? null : state.log;
+            return state.view() == null ? null : state.log();
         }
         return replica.viewChange() == null ? null : replica.viewChange().logForTransfer(view);
     }
 
     void tick() {
-        follower.tick();
+        viewInstaller.tick();
         stateTransferServer.tick();
     }
 
-    void dispatch(String from, ReplicationMessage frame) {
-        if (frame instanceof ReplicationMessage.HeartbeatRequest heartbeat) {
+    void dispatch(String from, ReplicationMessage message) {
+        boolean handled = dispatchToFollower(from, message)
+                || dispatchToLeader(message)
+                || dispatchToViewChange(from, message)
+                || dispatchToJoin(from, message);
+        if (!handled) {
+            dispatchOther(from, message);
+        }
+    }
+
+    private boolean dispatchToFollower(String from, ReplicationMessage message) {
+        if (message instanceof ReplicationMessage.HeartbeatRequest heartbeat) {
             follower.onHeartbeat(from, heartbeat);
-        } else if (frame instanceof ReplicationMessage.AppendRequest append) {
+        } else if (message instanceof ReplicationMessage.AppendRequest append) {
             follower.onAppend(from, append);
-        } else if (frame instanceof ReplicationMessage.InstallViewRequest install) {
-            follower.onInstallView(from, install, joinRequester.patchBase());
-        } else if (frame instanceof ReplicationMessage.InstallViewOffer offer) {
-            follower.onInstallViewOffer(from, offer, joinRequester.patchBase());
-        } else if (frame instanceof ReplicationMessage.PrepareRequest stop) {
-            follower.onPrepare(from, stop);
-            // who asks takes this address for a member: a knock shows that the disk is another one
-            if (state.view == null) {
+        } else if (message instanceof ReplicationMessage.InstallViewRequest install) {
+            viewInstaller.onInstallView(from, install, joinRequester.patchBase());
+        } else if (message instanceof ReplicationMessage.InstallViewOffer offer) {
+            viewInstaller.onInstallViewOffer(from, offer, joinRequester.patchBase());
+        } else if (message instanceof ReplicationMessage.PrepareRequest prepare) {
+            follower.onPrepare(from, prepare);
+            if (state.view() == null) {
+                // the proposer takes this address for a member: a join request shows that the disk is another one
                 joinRequester.sendJoinRequests(List.of(from));
             }
-        } else if (frame instanceof ReplicationMessage.NotMember left) {
-            follower.successorView(left);
+        } else if (message instanceof ReplicationMessage.NotMember notMember) {
+            follower.onNotMember(notMember.view());
             if (follower.isExcluded()) {
                 replica.maybeRequestJoin();
             }
-        } else if (!dispatchToLeader(frame) && !dispatchToViewChange(from, frame)) {
-            dispatchOther(from, frame);
+        } else {
+            return false;
         }
+        return true;
     }
 
-    private boolean dispatchToLeader(ReplicationMessage frame) {
-        if (frame instanceof ReplicationMessage.AppendResponse ack) {
-            LeaderState leader = replica.leaderOf(ack.viewBallot());
+    private boolean dispatchToLeader(ReplicationMessage message) {
+        if (message instanceof ReplicationMessage.AppendResponse response) {
+            LeaderState leader = replica.leaderOf(response.viewBallot());
             if (leader != null) {
-                leader.onDurable(ack.incarnation(), ack.durableIndex());
+                leader.onDurable(response.incarnation(), response.durableIndex());
             }
-        } else if (frame instanceof ReplicationMessage.HeartbeatResponse response) {
+        } else if (message instanceof ReplicationMessage.HeartbeatResponse response) {
             LeaderState leader = replica.leaderOf(response.viewBallot());
             if (leader != null) {
                 leader.onHeartbeatResponse(response);
             }
-        } else if (frame instanceof ReplicationMessage.ProposeRequest submit) {
-            LeaderState leader = replica.leaderOf(submit.viewBallot());
+        } else if (message instanceof ReplicationMessage.ProposeRequest proposal) {
+            LeaderState leader = replica.leaderOf(proposal.viewBallot());
             if (leader != null) {
-                leader.propose(submit.origin(), submit.token(), submit.bytes());
+                leader.propose(proposal.origin(), proposal.token(), proposal.bytes());
             }
         } else {
             return false;
@@ -88,21 +102,21 @@
         return true;
     }
 
-    private boolean dispatchToViewChange(String from, ReplicationMessage frame) {
+    private boolean dispatchToViewChange(String from, ReplicationMessage message) {
         ViewChange viewChange = replica.viewChange();
-        if (frame instanceof ReplicationMessage.PrepareResponse response) {
+        if (message instanceof ReplicationMessage.PrepareResponse response) {
             if (viewChange != null) {
                 viewChange.onPrepareResponse(response);
             }
-        } else if (frame instanceof ReplicationMessage.BallotRejected rejection) {
+        } else if (message instanceof ReplicationMessage.BallotRejected rejection) {
             if (viewChange != null) {
                 viewChange.onBallotRejected(rejection, from);
             }
-        } else if (frame instanceof ReplicationMessage.InstallViewResponse installed) {
-            if (viewChange != null && viewChange.ballot().equals(installed.viewBallot())) {
-                viewChange.onInstalled(installed.incarnation());
+        } else if (message instanceof ReplicationMessage.InstallViewResponse response) {
+            if (viewChange != null && viewChange.ballot().equals(response.viewBallot())) {
+                viewChange.onInstalled(response.incarnation());
             }
-        } else if (frame instanceof ReplicationMessage.PatchMismatch mismatch) {
+        } else if (message instanceof ReplicationMessage.PatchMismatch mismatch) {
             if (viewChange != null && viewChange.ballot().equals(mismatch.viewBallot())) {
                 viewChange.onPatchMismatch(mismatch.incarnation());
             }
@@ -112,32 +126,44 @@
         return true;
     }
 
-    private void dispatchOther(String from, ReplicationMessage frame) {
-        if (frame instanceof ReplicationMessage.JoinRequest joinRequest) {
-            joinAdmission.onJoinRequest(from, joinRequest);
-        } else if (frame instanceof ReplicationMessage.JoinResponse response) {
+    private boolean dispatchToJoin(String from, ReplicationMessage message) {
+        if (message instanceof ReplicationMessage.JoinRequest request) {
+            joinAdmission.onJoinRequest(from, request);
+        } else if (message instanceof ReplicationMessage.JoinResponse response) {
             joinRequester.onJoinResponse(from, response);
-        } else if (frame instanceof ReplicationMessage.KnownMembers knownMembers) {
+        } else if (message instanceof ReplicationMessage.KnownMembers knownMembers) {
             state.addKnownAddress(from);
             knownMembers.addresses().forEach(state::addKnownAddress);
-        } else if (frame instanceof ReplicationMessage.IdentityRequest who) {
-            state.actions.send(from, new ReplicationMessage.IdentityResponse(who.nonce(), state.self));
-        } else if (frame instanceof ReplicationMessage.IdentityResponse here) {
-            joinAdmission.onIdentityResponse(here);
-        } else if (frame instanceof ReplicationMessage.FetchChunkRequest request) {
+        } else if (message instanceof ReplicationMessage.IdentityRequest request) {
+            state.actions().send(from, new ReplicationMessage.IdentityResponse(request.nonce(), state.self()));
+        } else if (message instanceof ReplicationMessage.IdentityResponse response) {
+            joinAdmission.onIdentityResponse(response);
+        } else {
+            return false;
+        }
+        return true;
+    }
+
+    private void dispatchOther(String from, ReplicationMessage message) {
+        if (message instanceof ReplicationMessage.FetchChunkRequest request) {
             stateTransferServer.onFetchChunk(from, request);
-        } else if (frame instanceof ReplicationMessage.FetchChunkResponse chunk) {
-            joinRequester.onChunk(chunk);
-            follower.onChunk(chunk);
-            if (replica.viewChange() != null) {
-                replica.viewChange().onChunk(chunk);
-            }
-        } else if (frame instanceof ReplicationMessage.LeaveRequest request) {
+        } else if (message instanceof ReplicationMessage.FetchChunkResponse chunk) {
+            onChunk(chunk);
+        } else if (message instanceof ReplicationMessage.LeaveRequest request) {
             replica.onLeaveRequest(from, request);
-        } else if (frame instanceof ReplicationMessage.ReadIndexRequest request) {
+        } else if (message instanceof ReplicationMessage.ReadIndexRequest request) {
             readIndex.onReadIndexRequest(from, request);
-        } else if (frame instanceof ReplicationMessage.ReadIndexResponse response) {
+        } else if (message instanceof ReplicationMessage.ReadIndexResponse response) {
             readIndex.onReadIndexResponse(response);
         }
     }
+
+    /** A chunk names its transfer by number; whoever has begun it takes it. */
+    private void onChunk(ReplicationMessage.FetchChunkResponse chunk) {
+        joinRequester.onChunk(chunk);
+        viewInstaller.onChunk(chunk);
+        if (replica.viewChange() != null) {
+            replica.viewChange().onChunk(chunk);
+        }
+    }
 }
--- a/src/main/java/brambletray/platform/replication/PendingProposals.java
+++ b/src/main/java/brambletray/platform/replication/PendingProposals.java
@@ -33,60 +33,65 @@
     private final Map<Long, Proposal> pending = new LinkedHashMap<>();
     private long pendingBytes;
 
-    PendingProposals(ReplicaState state, Replica members) {
+    PendingProposals(ReplicaState state, Replica replica) {
         this.state = state;
-        this.replica = members;
+        this.replica = replica;
     }
 
     void propose(long token, byte[] bytes) {
         if (pending.size() >= MAX_PENDING || pendingBytes + bytes.length > MAX_PENDING_BYTES) {
-            state.actions.proposalCompleted(token, ProposalOutcome.REJECTED);
+            state.actions().proposalCompleted(token, ProposalOutcome.REJECTED);
             return;
         }
         pendingBytes += bytes.length;
-        pending.put(token, new Proposal(bytes, state.nowMs + state.settings.proposalTimeoutMs()));
+        pending.put(token, new Proposal(bytes, state.nowMs() + state.settings().proposalTimeoutMs()));
         sendPending();
     }
 
     /** Gives what waits to the leader of the view in force. */
     void sendPending() {
-        if (pending.isEmpty() || !state.active || !state.isOperationalIn(state.view.ballot()) || replica.isExcluded()) {
+        if (pending.isEmpty()
+                || !state.isActive()
+                || !state.isOperationalIn(state.view().ballot())
+                || replica.isExcluded()) {
             return;
         }
         for (Map.Entry<Long, Proposal> one : pending.entrySet()) {
             Proposal item = one.getValue();
-            if (item.sentInView != null && !item.sentInView.equals(state.view.ballot())) {
+            if (item.sentInView != null && !item.sentInView.equals(state.view().ballot())) {
                 // that view's leader has stopped: what isn't in the log that this view began with never got a place
                 // that lasts
-                if (state.log.containsProposal(state.origin, one.getKey())) {
+                if (state.log().containsProposal(state.origin(), one.getKey())) {
                     continue;
                 }
                 item.sentInView = null;
             }
-            if (item.sentInView != null && state.nowMs - item.sentAtMs < RETRY_INTERVAL_MS) {
+            if (item.sentInView != null && state.nowMs() - item.sentAtMs < RETRY_INTERVAL_MS) {
                 continue;
             }
             if (replica.isLeader()) {
                 if (item.sentInView == null && replica.proposeLocally(one.getKey(), item.bytes)) {
-                    item.sentInView = state.view.ballot();
+                    item.sentInView = state.view().ballot();
                 }
-            } else if (state.view.leader().incarnation() != state.self.incarnation()) {
-                item.sentInView = state.view.ballot();
-                item.sentAtMs = state.nowMs;
-                state.actions.send(
-                        state.view.leader().address(),
-                        new ReplicationMessage.ProposeRequest(item.sentInView, state.origin, one.getKey(), item.bytes));
+            } else if (state.view().leader().incarnation() != state.self().incarnation()) {
+                item.sentInView = state.view().ballot();
+                item.sentAtMs = state.nowMs();
+                state.actions()
+                        .send(
+                                state.view().leader().address(),
+                                new ReplicationMessage.ProposeRequest(
+                                        item.sentInView, state.origin(), one.getKey(), item.bytes));
             }
         }
     }
 
     void onApplied(LogEntry entry) {
-        Proposal item = entry.origin() == state.origin ? pending.remove(entry.token()) : null;
+        Proposal item = entry.origin() == state.origin() ? pending.remove(entry.token()) : null;
         if (item == null) {
             return;
         }
         pendingBytes -= item.bytes.length;
-        state.actions.proposalCompleted(entry.token(), ProposalOutcome.COMMITTED);
+        state.actions().proposalCompleted(entry.token(), ProposalOutcome.COMMITTED);
     }
 
     /** The state has jumped: whatever had been given to a leader may be in it. */
@@ -99,7 +104,7 @@
             return;
         }
         // who is about to end doesn't come in again: callers are to go on to the others now
-        completeIf(item -> state.nowMs > item.deadlineMs || state.leaving && replica.isExcluded());
+        completeIf(item -> state.nowMs() > item.deadlineMs || state.isLeaving() && replica.isExcluded());
         sendPending();
     }
 
@@ -113,8 +118,9 @@
         for (long token : over) {
             Proposal item = pending.remove(token);
             pendingBytes -= item.bytes.length;
-            state.actions.proposalCompleted(
-                    token, item.sentInView == null ? ProposalOutcome.REJECTED : ProposalOutcome.UNKNOWN);
+            state.actions()
+                    .proposalCompleted(
+                            token, item.sentInView == null ? ProposalOutcome.REJECTED : ProposalOutcome.UNKNOWN);
         }
     }
 }
--- a/src/main/java/brambletray/platform/replication/PlannedLeave.java
+++ b/src/main/java/brambletray/platform/replication/PlannedLeave.java
@@ -20,12 +20,16 @@
     private long drainingSinceMs;
     private String endReason;
 
-    PlannedLeave(ReplicaState state, Replica members) {
+    PlannedLeave(ReplicaState state, Replica replica) {
         this.state = state;
-        this.replica = members;
-        startedAtMs = state.nowMs;
-        state.actions.log(new ReplicationEvent.LeaveStarted(
-                state.viewName(), members.isLeader(), state.commitIndex, state.log.lastIndex()));
+        this.replica = replica;
+        startedAtMs = state.nowMs();
+        state.actions()
+                .log(new ReplicationEvent.LeaveStarted(
+                        state.viewName(),
+                        replica.isLeader(),
+                        state.commitIndex(),
+                        state.log().lastIndex()));
     }
 
     /** Whether the process may end. */
@@ -37,15 +41,15 @@
         if (endReason != null) {
             return;
         }
-        boolean member = state.view != null && !state.view.isFounding() && !replica.isExcluded();
+        boolean member = state.view() != null && !state.view().isFounding() && !replica.isExcluded();
         if (!member) {
-            end(state.view == null || state.view.isFounding() ? "not a member" : "gone on without it");
-        } else if (state.nowMs - startedAtMs >= state.settings.leaveTimeoutMs()) {
+            end(state.view() == null || state.view().isFounding() ? "not a member" : "gone on without it");
+        } else if (state.nowMs() - startedAtMs >= state.settings().leaveTimeoutMs()) {
             end("nobody has gone on without it in time");
-        } else if (state.view.members().size() == 1 && !replica.hasNewcomers()) {
+        } else if (state.view().members().size() == 1 && !replica.hasNewcomers()) {
             end("alone");
         } else if (replica.viewChange() == null
-                && state.nowMs - announcedAtMs >= RETRY_INTERVAL_MS
+                && state.nowMs() - announcedAtMs >= RETRY_INTERVAL_MS
                 && (!replica.isLeader() || isDrained())) {
             announce();
         }
@@ -57,35 +61,38 @@
      */
     private boolean isDrained() {
         boolean settles = !replica.hasBeenLeaderForAWhile() || replica.hasNewcomers();
-        if (settles && 2 * (state.nowMs - startedAtMs) < state.settings.leaveTimeoutMs()) {
+        if (settles && 2 * (state.nowMs() - startedAtMs) < state.settings().leaveTimeoutMs()) {
             return false;
         }
-        if (!state.draining) {
-            drainingSinceMs = state.nowMs;
+        if (!state.isDraining()) {
+            drainingSinceMs = state.nowMs();
         }
-        state.draining = true;
-        return state.commitIndex >= state.log.lastIndex() || state.nowMs - drainingSinceMs >= DRAIN_TIMEOUT_MS;
+        state.setDraining(true);
+        return state.commitIndex() >= state.log().lastIndex() || state.nowMs() - drainingSinceMs >= DRAIN_TIMEOUT_MS;
     }
 
     private void announce() {
-        announcedAtMs = state.nowMs;
-        for (Member member : state.view.members()) {
-            if (member.incarnation() != state.self.incarnation()) {
-                state.actions.send(
-                        member.address(),
-                        new ReplicationMessage.LeaveRequest(state.view.ballot(), state.self.incarnation()));
+        announcedAtMs = state.nowMs();
+        for (Member member : state.view().members()) {
+            if (member.incarnation() != state.self().incarnation()) {
+                state.actions()
+                        .send(
+                                member.address(),
+                                new ReplicationMessage.LeaveRequest(
+                                        state.view().ballot(), state.self().incarnation()));
             }
         }
     }
 
     private void end(String how) {
         endReason = how;
-        View view = replica.successorView() != null ? replica.successorView() : state.view;
-        state.actions.log(new ReplicationEvent.LeaveFinished(
-                how,
-                state.nowMs - startedAtMs,
-                view == null ? "none" : view.ballot().toString(),
-                view == null ? "" : ReplicaState.names(view.members())));
-        state.actions.statusChanged();
+        View view = replica.successorView() != null ? replica.successorView() : state.view();
+        state.actions()
+                .log(new ReplicationEvent.LeaveFinished(
+                        how,
+                        state.nowMs() - startedAtMs,
+                        view == null ? "none" : view.ballot().toString(),
+                        view == null ? "" : ReplicaState.names(view.members())));
+        state.actions().statusChanged();
     }
 }
--- a/src/main/java/brambletray/platform/replication/PrepareResponses.java
+++ b/src/main/java/brambletray/platform/replication/PrepareResponses.java
@@ -55,10 +55,10 @@
      * Whether these of the answers are enough for every one of the views. Who has kept nothing yet is none of the
      * founders, whatever its address.
      */
-    boolean hasQuorum(List<ReplicationMessage.PrepareResponse> some) {
+    boolean hasQuorum(List<ReplicationMessage.PrepareResponse> subset) {
         for (ViewMembership membership : consultedViews) {
             List<Member> answered = new ArrayList<>();
-            for (ReplicationMessage.PrepareResponse response : some) {
+            for (ReplicationMessage.PrepareResponse response : subset) {
                 if (!membership.ballot().equals(Ballot.NONE) || !response.view().equals(View.NONE)) {
                     answered.add(response.responder());
                 }
@@ -121,11 +121,11 @@
             }
         }
         List<Member> all = members(everyone);
-        List<Member> some = members(well);
+        List<Member> subset = members(well);
         boolean rest = well.contains(this.responses.get(0))
                 && hasQuorum(well)
-                && (tolerance.toleratesLossWith(some) || some.size() == all.size());
-        return rest ? some : all;
+                && (tolerance.toleratesLossWith(subset) || subset.size() == all.size());
+        return rest ? subset : all;
     }
 
     private static List<Member> members(List<ReplicationMessage.PrepareResponse> responses) {
@@ -153,13 +153,13 @@
 
     /** The views to be asked besides the next one, each set of members once. */
     List<ViewMembership> viewsToConsult() {
-        List<ViewMembership> some = new ArrayList<>();
+        List<ViewMembership> subset = new ArrayList<>();
         Set<Set<Member>> sets = new HashSet<>();
         for (ViewMembership membership : consultedViews) {
             if (sets.add(new HashSet<>(membership.members()))) {
-                some.add(membership);
+                subset.add(membership);
             }
         }
-        return some;
+        return subset;
     }
 }
--- a/src/main/java/brambletray/platform/replication/ReadIndex.java
+++ b/src/main/java/brambletray/platform/replication/ReadIndex.java
@@ -37,18 +37,18 @@
     private final List<Round> rounds = new ArrayList<>();
     private long lastSequence;
 
-    ReadIndex(ReplicaState state, Replica members) {
+    ReadIndex(ReplicaState state, Replica replica) {
         this.state = state;
-        this.replica = members;
-        lastSequence = state.origin;
+        this.replica = replica;
+        lastSequence = state.origin();
     }
 
     void confirm(long token) {
         if (rounds.size() >= MAX_ROUNDS) {
-            state.actions.readIndexCompleted(token, false);
+            state.actions().readIndexCompleted(token, false);
             return;
         }
-        Round round = new Round(token, state.nowMs + state.settings.proposalTimeoutMs());
+        Round round = new Round(token, state.nowMs() + state.settings().proposalTimeoutMs());
         rounds.add(round);
         advance();
     }
@@ -58,14 +58,15 @@
             return;
         }
         boolean leads = replica.isLeader();
-        state.actions.send(
-                from,
-                new ReplicationMessage.ReadIndexResponse(
-                        request.viewBallot(),
-                        state.self.incarnation(),
-                        request.sequence(),
-                        leads ? state.commitIndex : -1,
-                        leads && state.settled()));
+        state.actions()
+                .send(
+                        from,
+                        new ReplicationMessage.ReadIndexResponse(
+                                request.viewBallot(),
+                                state.self().incarnation(),
+                                request.sequence(),
+                                leads ? state.commitIndex() : -1,
+                                leads && state.isSettled()));
     }
 
     void onReadIndexResponse(ReplicationMessage.ReadIndexResponse response) {
@@ -90,9 +91,9 @@
         if (rounds.isEmpty()) {
             return;
         }
-        boolean may = state.view != null
-                && state.active
-                && state.isOperationalIn(state.view.ballot())
+        boolean may = state.view() != null
+                && state.isActive()
+                && state.isOperationalIn(state.view().ballot())
                 && !replica.isExcluded();
         List<Round> over = new ArrayList<>();
         Iterator<Round> all = rounds.iterator();
@@ -102,7 +103,7 @@
                 sendRequests(round);
             }
             boolean yes = may && isConfirmed(round);
-            if (!yes && state.nowMs <= round.deadlineMs && !(state.leaving && replica.isExcluded())) {
+            if (!yes && state.nowMs() <= round.deadlineMs && !(state.isLeaving() && replica.isExcluded())) {
                 continue;
             }
             all.remove();
@@ -110,37 +111,40 @@
             over.add(round);
         }
         for (Round round : over) {
-            state.actions.readIndexCompleted(round.token, round.requiredIndex > 0);
+            state.actions().readIndexCompleted(round.token, round.requiredIndex > 0);
         }
     }
 
     private void sendRequests(Round round) {
-        if (!state.view.ballot().equals(round.viewBallot)) {
-            round.viewBallot = state.view.ballot();
+        if (!state.view().ballot().equals(round.viewBallot)) {
+            round.viewBallot = state.view().ballot();
             round.sequence = ++lastSequence;
             round.confirmedBy.clear();
             round.requiredIndex = -1;
-            round.sentAtMs = state.nowMs - RETRY_INTERVAL_MS;
+            round.sentAtMs = state.nowMs() - RETRY_INTERVAL_MS;
         }
-        if (state.nowMs - round.sentAtMs < RETRY_INTERVAL_MS) {
+        if (state.nowMs() - round.sentAtMs < RETRY_INTERVAL_MS) {
             return;
         }
-        round.sentAtMs = state.nowMs;
-        for (Member member : state.view.members()) {
-            if (member.incarnation() != state.self.incarnation() && !round.confirmedBy.contains(member.incarnation())) {
-                state.actions.send(
-                        member.address(), new ReplicationMessage.ReadIndexRequest(round.viewBallot, round.sequence));
+        round.sentAtMs = state.nowMs();
+        for (Member member : state.view().members()) {
+            if (member.incarnation() != state.self().incarnation()
+                    && !round.confirmedBy.contains(member.incarnation())) {
+                state.actions()
+                        .send(
+                                member.address(),
+                                new ReplicationMessage.ReadIndexRequest(round.viewBallot, round.sequence));
             }
         }
     }
 
     private boolean isConfirmed(Round round) {
-        if (2 * (round.confirmedBy.size() + 1) <= state.view.members().size()) {
+        if (2 * (round.confirmedBy.size() + 1) <= state.view().members().size()) {
             return false;
         }
         if (replica.isLeader()) {
-            return state.settled();
+            return state.isSettled();
         }
-        return round.requiredIndex >= 0 && state.appliedIndex >= round.requiredIndex;
+        return round.requiredIndex >= 0 && state.appliedIndex() >= round.requiredIndex;
     }
 }
--- a/src/main/java/brambletray/platform/replication/Replica.java
+++ b/src/main/java/brambletray/platform/replication/Replica.java
@@ -1,20 +1,21 @@
 package brambletray.platform.replication;
 
-import java.util.ArrayList;
 import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
 
 /**
- * One member of the core: views, the order of changes, changes of view. Pure: time, frames and syncs come in,
- * {@link ReplicationActions} says what is to be done. One thread only. See the package's page for the rules and why
- * they hold.
+ * One member of the core. Owns its role and every transition: follower, leader ({@link LeaderState}), in a view change
+ * that it has started ({@link ViewChange}), or outside the view ({@link JoinRequester}). At most one of leader and
+ * installing view change is set; a higher promise ends both ({@link #abandonLeadership}).
+ *
+ * <p>Pure: time, messages and completed syncs come in, {@link ReplicationActions} says what is to be done. One thread
+ * only. The package comment says why nothing that was acknowledged is lost.
  */
 public final class Replica {
-    /** All frames, for registration with the codec; the records within them come first. */
+    /** All messages, for registration with the codec; the records within them come first. */
     public static final List<Class<?>> MESSAGES = List.of(
             Ballot.class,
             Member.class,
@@ -48,96 +49,99 @@
             ReplicationMessage.ReadIndexResponse.class);
 
     private final ReplicaState state;
+    private final LeaderMonitor leaderMonitor;
     private final FollowerState follower;
+    private final ViewInstaller viewInstaller;
     private final JoinRequester joinRequester;
     private final JoinAdmission joinAdmission;
     private final PendingProposals pendingProposals;
     private final ReadIndex readIndex;
     private final MemberRemovalOrders memberRemovalOrders;
+    private final ViewChangeInitiator viewChangeInitiator;
     private final MessageDispatcher messageDispatcher;
     private List<String> seeds;
     private boolean incarnationIsDurable;
     private LeaderState leader;
     private ViewChange viewChange;
-    private long lastTickAtMs;
-    /** When each member that is about to end first said so. */
-    private final Map<Long, Long> leavingSinceMs = new LinkedHashMap<>();
-
     private PlannedLeave plannedLeave;
+    private long lastTickAtMs;
 
     /**
-     * @param address      of this machine's control-plane, as the others call it
-     * @param name         node-name
-     * @param zone         that this machine stands in; "" if it isn't known
-     * @param newIncarnation    drawn at random, not 0: taken when {@code durableState} is of an empty disk
-     * @param origin       drawn at random at each start of the process, not 0
-     * @param durableState         what the disk holds
-     * @param seeds        addresses from the settings
-     * @param initialStart whether the settings say that the whole system starts for the first time
-     * @param now          steady clock, ms
+     * Starts a member from its disk; it sends nothing before its incarnation is synced.
+     *
+     * @param stored what the disk holds
+     * @param nowMs  steady clock
      */
     public Replica(
-            String address,
-            String name,
-            String zone,
-            long newIncarnation,
-            long origin,
-            DurableState durableState,
-            List<String> seeds,
-            boolean initialStart,
-            ReplicationSettings settings,
-            ReplicationActions out,
+            ReplicaConfig config,
+            DurableState stored,
+            ReplicationActions actions,
             StateMachine stateMachine,
-            long now) {
-        state = new ReplicaState(settings, out, stateMachine, origin);
-        state.nowMs = now;
-        lastTickAtMs = now;
-        this.seeds = List.copyOf(seeds);
-        boolean empty = durableState.incarnation() == 0;
-        state.self = new Member(address, name, empty ? newIncarnation : durableState.incarnation(), zone);
-        state.load(durableState);
-        List<String> founders = durableState.seeds();
-        if (empty) {
-            state.writeAheadQueue.put(
-                    DurableState.INCARNATION_KEY, ReplicationCodec.write(o -> o.writeLong(newIncarnation)), now);
-            if (initialStart && seeds.contains(address)) {
-                founders = this.seeds;
-                state.writeAheadQueue.put(DurableState.SEEDS_KEY, ReplicationCodec.strings(founders), now);
-            }
-        }
-        if (state.view == null && !founders.isEmpty()) {
-            state.view = View.ofSeeds(founders);
-            state.active = true;
-        }
-        follower = new FollowerState(state, this);
-        joinRequester = new JoinRequester(state, follower);
+            long nowMs) {
+        state = new ReplicaState(config, stored, actions, stateMachine, new ProposalTracker(), nowMs);
+        lastTickAtMs = nowMs;
+        seeds = config.seeds();
+        boolean founder = bootstrap(config, stored);
+        leaderMonitor = new LeaderMonitor(state);
+        follower = new FollowerState(state, this, leaderMonitor);
+        viewInstaller = new ViewInstaller(state, this, leaderMonitor);
+        joinRequester = new JoinRequester(state, this, leaderMonitor);
         joinAdmission = new JoinAdmission(state, this);
         pendingProposals = new PendingProposals(state, this);
         readIndex = new ReadIndex(state, this);
         memberRemovalOrders = new MemberRemovalOrders(state, this);
-        messageDispatcher = new MessageDispatcher(state, this, follower, joinRequester, joinAdmission, readIndex);
-        state.passed = pendingProposals::onApplied;
-        state.jumped = pendingProposals::onSnapshotInstalled;
-        state.writeAheadQueue.onSynced(() -> incarnationIsDurable = true);
-        out.log(new ReplicationEvent.Started(
-                Long.toHexString(state.self.incarnation()),
-                empty,
-                !founders.isEmpty(),
+        viewChangeInitiator = new ViewChangeInitiator(state, this, leaderMonitor, joinAdmission);
+        messageDispatcher =
+                new MessageDispatcher(state, this, follower, viewInstaller, joinRequester, joinAdmission, readIndex);
+        state.writeAheadQueue().onSynced(() -> incarnationIsDurable = true);
+        actions.log(new ReplicationEvent.Started(
+                Long.toHexString(state.self().incarnation()),
+                stored.isEmpty(),
+                founder,
                 state.viewName(),
-                state.log.lastIndex()));
-        state.writeAheadQueue.flush(now);
+                state.log().lastIndex()));
+        state.writeAheadQueue().flush(nowMs);
+    }
+
+    /** Writes the identity of an empty disk, and begins from the list of seeds; whether this member is a founder. */
+    private boolean bootstrap(ReplicaConfig config, DurableState stored) {
+        List<String> founders = stored.seeds();
+        if (stored.isEmpty()) {
+            byte[] incarnation = ReplicationCodec.write(out -> out.writeLong(config.newIncarnation()));
+            state.writeAheadQueue().put(DurableState.INCARNATION_KEY, incarnation, state.nowMs());
+            if (config.initialStart() && seeds.contains(config.address())) {
+                founders = seeds;
+                state.writeAheadQueue().put(DurableState.SEEDS_KEY, ReplicationCodec.strings(founders), state.nowMs());
+            }
+        }
+        if (state.view() == null && !founders.isEmpty()) {
+            state.membership().foundFrom(founders);
+        }
+        return !founders.isEmpty();
+    }
+
+    private final class ProposalTracker implements AppliedEntryListener {
+        @Override
+        public void onApplied(LogEntry entry) {
+            pendingProposals.onApplied(entry);
+        }
+
+        @Override
+        public void onSnapshotInstalled() {
+            pendingProposals.onSnapshotInstalled();
+        }
     }
 
     /** The settings or the seeds have changed (SIGHUP). */
     public void updateSettings(ReplicationSettings settings, List<String> newSeeds) {
-        state.settings = settings;
+        state.updateSettings(settings);
         seeds = List.copyOf(newSeeds);
     }
 
-    /** To be called every 25 to 50 ms; much later calls make this member doubt itself. */
-    public void tick(long now) {
-        advanceTime(now);
-        lastTickAtMs = now;
+    /** To be called every 25 to 50 ms; after a much later call this member suspects itself before others. */
+    public void tick(long nowMs) {
+        advanceTime(nowMs);
+        lastTickAtMs = nowMs;
         if (incarnationIsDurable) {
             if (leader != null) {
                 leader.tick();
@@ -145,24 +149,26 @@
             if (viewChange != null) {
                 viewChange.tick();
             }
-            maybeStartViewChange();
+            viewChangeInitiator.tick();
             maybeRequestJoin();
             messageDispatcher.tick();
             pendingProposals.tick();
             readIndex.advance();
             memberRemovalOrders.tick();
         }
-        leave();
+        flush();
     }
 
-    private void advanceTime(long now) {
-        state.nowMs = Math.max(now, state.nowMs);
-        if (state.nowMs - lastTickAtMs <= state.settings.maxTickDelayMs()) {
+    /** Each entry point begins with this: a process that was paused forgets all suspicion first. */
+    private void advanceTime(long nowMs) {
+        state.advanceTo(nowMs);
+        long sinceTickMs = state.nowMs() - lastTickAtMs;
+        if (sinceTickMs <= state.settings().maxTickDelayMs()) {
             return;
         }
-        state.actions.log(new ReplicationEvent.ProcessPaused(state.nowMs - lastTickAtMs));
-        lastTickAtMs = state.nowMs;
-        follower.resetTimers();
+        state.actions().log(new ReplicationEvent.ProcessPaused(sinceTickMs));
+        lastTickAtMs = state.nowMs();
+        leaderMonitor.resetTimers();
         if (leader != null) {
             leader.resetTimers();
         }
@@ -171,206 +177,105 @@
         }
     }
 
-    private void leave() {
+    /** Each entry point ends with this: sends and writes what it brought about. */
+    private void flush() {
         if (plannedLeave != null && incarnationIsDurable) {
             plannedLeave.tick();
         }
         if (leader != null) {
             leader.announceCommit();
         }
-        state.writeAheadQueue.flush(state.nowMs);
-    }
-
-    /** Begins a change of view where one is due. */
-    private void maybeStartViewChange() {
-        if (viewChange != null
-                && viewChange.isPreparing()
-                && leader == null
-                && follower.leaderIsHealthy()
-                && !state.hasPromisedHigherBallot()) {
-            abandonViewChange("the leader is heard again", 0);
-        }
-        if (viewChange != null || state.view == null || state.diskUnhealthy()) {
-            return;
-        }
-        if (leader == null) {
-            if (!state.leaving && follower.electionTimeoutExpired()) {
-                startTakeover();
-            }
-            return;
-        }
-        Set<Long> silent = leader.silentMembers();
-        Set<Long> slow = leader.slowMembers();
-        if (!silent.isEmpty() || !slow.isEmpty()) {
-            Set<Long> suspected = new LinkedHashSet<>(silent);
-            suspected.addAll(slow);
-            suspected.forEach(incarnation ->
-                    joinAdmission.penalise(state.view.memberOf(incarnation).address()));
-            startViewChange(suspected, slow, (silent.isEmpty() ? "" : "silent ") + (slow.isEmpty() ? "" : "slow"));
-        } else if (leader.hasSupersededMember()) {
-            startViewChange(Set.of(), Set.of(), "a member has stopped");
-        } else if (state.view.members().stream()
-                .anyMatch(member -> state.retiredIncarnations.contains(member.incarnation()))) {
-            startViewChange(Set.of(), Set.of(), "a disk is lost");
-        } else if (leader.hasBeenActiveForAWhile()) {
-            Set<Long> leaves = removableLeavers();
-            if (!joinAdmission.admitted().isEmpty()) {
-                startViewChange(leaves, leaves, "newcomers");
-            } else if (!leaves.isEmpty() && !replacementIsCatchingUp()) {
-                startViewChange(leaves, leaves, "leaves");
-            }
-        }
+        state.writeAheadQueue().flush(state.nowMs());
     }
 
-    /** Begins a change in place of a leader that is silent or about to end. */
-    private void startTakeover() {
-        Member leader = state.view.leader();
-        Set<Long> without = leader == null || leader.incarnation() == state.self.incarnation()
-                ? Set.of()
-                : Set.of(leader.incarnation());
-        boolean released = follower.leaderIsLeaving() && !without.isEmpty();
-        if (released) {
-            // told on before the Stop that follows on the same link: who hasn't heard it would refuse, as the leader is
-            // well
-            for (Member member : state.view.members()) {
-                if (member.incarnation() != state.self.incarnation()) {
-                    state.actions.send(
-                            member.address(),
-                            new ReplicationMessage.LeaveRequest(state.view.ballot(), leader.incarnation()));
-                }
-            }
-        }
-        startViewChange(without, released ? without : Set.of(), released ? "leader leaves" : "leader silent");
-    }
-
-    /** Members that are about to end, if the rest can go on without them and bears the losses; else none. */
-    private Set<Long> removableLeavers() {
-        leavingSinceMs.keySet().removeIf(incarnation -> !state.view.contains(incarnation));
-        if (leavingSinceMs.isEmpty()) {
-            return Set.of();
-        }
-        List<Member> rest = new ArrayList<>(state.view.members());
-        rest.removeIf(member -> leavingSinceMs.containsKey(member.incarnation()));
-        boolean enough = state.settings.tolerance().toleratesLossWith(rest)
-                && Quorum.isReached(state.view.members(), rest, state.retiredIncarnations);
-        return enough ? Set.copyOf(leavingSinceMs.keySet()) : Set.of();
-    }
-
-    /**
-     * Whether who is about to end stays, as the one that takes its place is on its way: for half of what the leaver
-     * has, at most.
-     */
-    private boolean replacementIsCatchingUp() {
-        for (long at : leavingSinceMs.values()) {
-            if (2 * (state.nowMs - at) > state.settings.leaveTimeoutMs()) {
-                return false;
-            }
-        }
-        return joinAdmission.hasNewcomersCatchingUp();
-    }
-
-    /** Whether a newcomer knocks. */
-    boolean hasNewcomers() {
-        return joinAdmission.hasNewcomersCatchingUp()
-                || !joinAdmission.admitted().isEmpty();
-    }
-
-    private void startViewChange(Set<Long> suspected, Set<Long> excluded, String why) {
-        Map<Long, ReplicationMessage.JoinRequest> newcomers =
-                leader != null ? joinAdmission.admitted() : new LinkedHashMap<>();
-        viewChange = new ViewChange(state, this, suspected, excluded, newcomers, why);
-    }
-
-    /** A frame from the member at this control-plane address. */
-    public void receive(String from, Object frame, long now) {
-        advanceTime(now);
+    /** A message has come from the member at this control-plane address; other kinds of objects are ignored. */
+    public void receive(String from, Object frame, long nowMs) {
+        advanceTime(nowMs);
         memberRemovalOrders.onMessage(from);
-        if (incarnationIsDurable && frame instanceof ReplicationMessage known) {
-            messageDispatcher.dispatch(from, known);
+        if (incarnationIsDurable && frame instanceof ReplicationMessage message) {
+            messageDispatcher.dispatch(from, message);
         }
-        leave();
+        flush();
     }
 
     /**
-     * An operator declares that the machine of this member is gone for good, with its disk, and will never answer
-     * again. The order is the operator's
-     * word and no proof: it must not be given on both sides of a partition. {@code then} is told what became of it, now
-     * or within
-     * a few seconds, and may not call back into this object before it returns.
+     * An operator says that the machine of this member is gone for good, with its disk, and will never answer again.
+     * That is the operator's word and no proof: it must not be given on both sides of a partition.
      *
      * @param incarnation as {@link ReplicaStatus#members} has it
+     * @param onOutcome   called now or within a few seconds; may not call back into this object before it returns
      */
-    public void removeMember(String address, long incarnation, long now, Consumer<MemberRemovalOutcome> then) {
-        advanceTime(now);
-        memberRemovalOrders.pending(address, incarnation, then);
-        leave();
+    public void removeMember(String address, long incarnation, long nowMs, Consumer<MemberRemovalOutcome> onOutcome) {
+        advanceTime(nowMs);
+        memberRemovalOrders.request(address, incarnation, onOutcome);
+        flush();
     }
 
     /** The batch of this ticket is on the disk. */
-    public void synced(long ticket, long now) {
-        advanceTime(now);
-        state.writeAheadQueue.synced(ticket);
-        leave();
+    public void synced(long ticket, long nowMs) {
+        advanceTime(nowMs);
+        state.writeAheadQueue().synced(ticket);
+        flush();
     }
 
     /**
-     * The batch of this ticket could not be written; nothing is known of what is on the disk of it. It will be tried
-     * again.
+     * The batch of this ticket could not be written; whether any of it is on the disk is not known. It is tried again.
      */
-    public void syncFailed(long ticket, long now) {
-        advanceTime(now);
-        if (!state.writeAheadQueue.isFailing()) {
-            state.actions.log(new ReplicationEvent.WriteFailed(ticket));
+    public void syncFailed(long ticket, long nowMs) {
+        advanceTime(nowMs);
+        if (!state.writeAheadQueue().isFailing()) {
+            state.actions().log(new ReplicationEvent.WriteFailed(ticket));
         }
-        state.writeAheadQueue.failed(ticket, state.nowMs);
-        leave();
+        state.writeAheadQueue().failed(ticket, state.nowMs());
+        flush();
     }
 
-    /** A connection to this address was refused or reset: a hint that only counts together with silence. */
-    public void onDisconnected(String address, long now) {
-        advanceTime(now);
-        follower.onDisconnected(address);
+    /** A connection to this address was refused or reset: a hint that only counts together with a time-out. */
+    public void onDisconnected(String address, long nowMs) {
+        advanceTime(nowMs);
+        leaderMonitor.onDisconnected(address);
         if (leader != null) {
             leader.onDisconnected(address);
         }
-        leave();
+        flush();
     }
 
     /**
-     * Proposes a change; its outcome comes through {@link ReplicationActions#proposalCompleted}. A token is used once in the life
-     * of a process.
+     * Proposes a change; its outcome comes through {@link ReplicationActions#proposalCompleted}.
+     *
+     * @param token used once by a process
      */
-    public void propose(long token, byte[] bytes, long now) {
-        advanceTime(now);
+    public void propose(long token, byte[] bytes, long nowMs) {
+        advanceTime(nowMs);
         pendingProposals.propose(token, bytes);
-        leave();
+        flush();
     }
 
     /**
-     * Asks whether what has been delivered here is no older than all that was acknowledged until now:
-     * {@link ReplicationActions#readIndexCompleted}.
+     * Asks whether what has been applied here includes everything that was acknowledged until now; the answer comes
+     * through {@link ReplicationActions#readIndexCompleted}.
      */
-    public void requestReadIndex(long token, long now) {
-        advanceTime(now);
+    public void requestReadIndex(long token, long nowMs) {
+        advanceTime(nowMs);
         readIndex.confirm(token);
-        leave();
+        flush();
     }
 
     /**
-     * This process is about to end, as planned (SIGTERM): others lead and go on without it, and it doesn't come in
-     * again. {@link #mayTerminate} says when.
+     * This process is about to end as planned (SIGTERM): another member leads and the view changes without this one,
+     * which does not join again. {@link #mayTerminate} says when the process may end.
      */
-    public void leave(long now) {
-        advanceTime(now);
+    public void leave(long nowMs) {
+        advanceTime(nowMs);
         if (plannedLeave == null) {
-            state.leaving = true;
+            state.startLeaving();
             plannedLeave = new PlannedLeave(state, this);
         }
-        leave();
+        flush();
     }
 
     /**
-     * Whether this process may end: a view without it is in force, or it has waited for as long as it may
+     * Whether this process may end: a view without it is active, or it has waited for as long as it may
      * ({@link ReplicationSettings#leaveTimeoutMs}).
      */
     public boolean mayTerminate() {
@@ -378,81 +283,88 @@
     }
 
     /** Whether this process has been told to end. */
-    boolean leaving() {
-        return state.leaving;
+    boolean isLeaving() {
+        return state.isLeaving();
     }
 
     /** A member is about to end. */
     void onLeaveRequest(String from, ReplicationMessage.LeaveRequest request) {
-        View view = state.view;
+        View view = state.view();
         if (view == null) {
             return;
         }
         if (!view.ballot().equals(request.viewBallot())) {
-            // the view without it is in force, and it hasn't heard of it
-            boolean out = state.active
+            boolean alreadyRemoved = state.isActive()
                     && view.ballot().isAbove(request.viewBallot())
                     && !view.contains(request.incarnation());
-            if (out) {
-                state.actions.send(from, new ReplicationMessage.NotMember(view));
+            if (alreadyRemoved) {
+                state.actions().send(from, new ReplicationMessage.NotMember(view));
             }
             return;
         }
-        if (!view.contains(request.incarnation()) || request.incarnation() == state.self.incarnation()) {
+        if (!view.contains(request.incarnation())
+                || request.incarnation() == state.self().incarnation()) {
             return;
         }
         if (leader != null) {
-            leavingSinceMs.putIfAbsent(request.incarnation(), state.nowMs);
+            viewChangeInitiator.onFollowerLeaving(request.incarnation());
         } else if (request.incarnation() == view.ballot().proposer()) {
-            follower.onLeaderLeaving();
+            leaderMonitor.onLeaderLeaving();
         }
-        maybeStartViewChange();
+        viewChangeInitiator.tick();
     }
 
-    /** What this member knows. */
+    /** What this member knows, for operators and logs. */
     public ReplicaStatus status() {
-        View view = state.view;
+        View view = state.view();
         boolean founding = view != null && view.isFounding();
-        boolean well = leader != null ? leader.hasActiveQuorum() : follower.leaderIsHealthy();
-        ReplicaRole standing = joinRequester.isOutsideView()
-                ? ReplicaRole.JOINING
-                : founding
-                        ? ReplicaRole.FOUNDING
-                        : state.active && state.isOperationalIn(view.ballot()) && well
-                                ? ReplicaRole.MEMBER
-                                : ReplicaRole.SUSPENDED;
-        List<Member> members = view == null || founding ? List.of() : view.members();
         return new ReplicaStatus(
-                standing,
-                state.self,
+                role(),
+                state.self(),
                 view == null ? 0 : view.number(),
-                state.previousViewNumber,
-                members,
+                state.membership().previousViewNumber(),
+                view == null || founding ? List.of() : view.members(),
                 view == null ? null : view.leader(),
                 leader != null,
-                state.active && !founding,
-                state.settled(),
-                state.commitIndex,
-                state.appliedIndex,
+                state.isActive() && !founding,
+                state.isSettled(),
+                state.commitIndex(),
+                state.appliedIndex(),
                 state.diskUnhealthy(),
-                state.lineage);
+                state.membership().lineage());
+    }
+
+    private ReplicaRole role() {
+        View view = state.view();
+        if (isOutsideView()) {
+            return ReplicaRole.JOINING;
+        }
+        if (view.isFounding()) {
+            return ReplicaRole.FOUNDING;
+        }
+        boolean healthy = leader != null ? leader.hasActiveQuorum() : leaderMonitor.leaderIsHealthy();
+        boolean working = state.isActive() && state.isOperationalIn(view.ballot());
+        return working && healthy ? ReplicaRole.MEMBER : ReplicaRole.SUSPENDED;
     }
 
     /**
-     * Zones, or else regions, that may be lost and hold half of the view in force or more; empty where the rest would
-     * go on.
+     * Zones, or else regions, that may be lost and hold half of the active view or more; empty where the rest would go
+     * on.
      */
     public List<String> zonesHoldingHalf() {
-        boolean known = state.view != null && state.active && !state.view.isFounding();
-        return known ? state.settings.tolerance().groupsHoldingHalf(state.view.members()) : List.of();
+        boolean known =
+                state.view() != null && state.isActive() && !state.view().isFounding();
+        return known
+                ? state.settings().tolerance().groupsHoldingHalf(state.view().members())
+                : List.of();
     }
 
     /**
-     * Control-plane address of the leader that the others go on with, once this process is about to end and is out;
-     * else null.
+     * Control-plane address of the leader that the others go on with, once this process is about to end and is not in
+     * their view any more; else null.
      */
     public String successor() {
-        return state.leaving && follower.isExcluded()
+        return state.isLeaving() && isExcluded()
                 ? follower.successorView().leader().address()
                 : null;
     }
@@ -461,115 +373,157 @@
         return leader != null;
     }
 
-    /** Whether this member leads a view that has been in force for a while. */
+    /** The leader's state while this member leads; else null. */
+    LeaderState leader() {
+        return leader;
+    }
+
+    /** The leader's state, if this member leads the view of this ballot and may work in it; else null. */
+    LeaderState leaderOf(Ballot view) {
+        return leader != null && state.isOperationalIn(view) ? leader : null;
+    }
+
+    /** Whether this member leads a view that has been active for a while. */
     boolean hasBeenLeaderForAWhile() {
         return leader != null && leader.hasBeenActiveForAWhile();
     }
 
-    /** The later view without this member, or null. */
-    View successorView() {
-        return follower.successorView();
+    boolean hasActiveQuorum() {
+        return leader != null && leader.hasActiveQuorum() && !state.isLeaving();
     }
 
-    boolean hasActiveQuorum() {
-        return leader != null && leader.hasActiveQuorum() && !state.leaving;
+    /** Whether this member has no view, or a later one is active without it. */
+    boolean isOutsideView() {
+        return state.view() == null || isExcluded();
     }
 
+    /** Whether a later view is known to be active without this member. */
     boolean isExcluded() {
         return follower.isExcluded();
     }
 
+    /** The later view without this member; null if none is known. */
+    View successorView() {
+        return follower.successorView();
+    }
+
     boolean noLeaderSeenYet() {
-        return follower.noLeaderSeenYet();
+        return leaderMonitor.noLeaderSeenYet();
     }
 
     int rank() {
-        return follower.rank();
+        return leaderMonitor.rank();
     }
 
+    /** The view change that this member has started; null if there is none. */
     ViewChange viewChange() {
         return viewChange;
     }
 
-    /** The part that leads, if this member leads the view of this name and may work in it; else null. */
-    LeaderState leaderOf(Ballot view) {
-        return leader != null && state.isOperationalIn(view) ? leader : null;
+    /** Whether a newcomer asks to join. */
+    boolean hasNewcomers() {
+        return joinAdmission.hasNewcomersCatchingUp()
+                || !joinAdmission.admitted().isEmpty();
     }
 
-    /** Knocks, if there is reason to and it is time. */
+    /** Sends join requests if this member is outside the view and they are due. */
     void maybeRequestJoin() {
         joinRequester.tick(seeds);
     }
 
     boolean proposeLocally(long token, byte[] bytes) {
-        return leader.propose(state.origin, token, bytes);
+        return leader.propose(state.origin(), token, bytes);
     }
 
-    /** Highest ballot that stands in the way of lower ones: promised, or counted by our own attempt. */
+    /** The highest ballot that stands against lower ones: promised, or that of this member's own view change. */
     Ballot highestReservedBallot() {
-        return viewChange != null && viewChange.ballot().isAbove(state.promisedBallot)
-                ? viewChange.ballot()
-                : state.promisedBallot;
+        boolean ownIsHigher = viewChange != null && viewChange.ballot().isAbove(state.promisedBallot());
+        return ownIsHigher ? viewChange.ballot() : state.promisedBallot();
+    }
+
+    /** Transition: to preparing a view change; as a leader with the newcomers that are admitted. */
+    void startViewChange(Set<Long> suspected, Set<Long> excluded, String reason) {
+        Map<Long, ReplicationMessage.JoinRequest> newcomers =
+                leader != null ? joinAdmission.admitted() : new LinkedHashMap<>();
+        viewChange = new ViewChange(state, this, new ViewChangePlan(suspected, excluded, newcomers), reason);
+    }
+
+    /** Transition: the view change is given up; the next one not before {@code pauseMs} are over. */
+    void abandonViewChange(String reason, long pauseMs) {
+        state.actions().log(new ReplicationEvent.ViewChangeAbandoned(viewChange.ballot(), reason));
+        viewChange = null;
+        leaderMonitor.postponeElection(pauseMs);
+    }
+
+    /**
+     * Transition: a new view change at once, without waiting for these members; where the rest is enough they are left
+     * out even if they answer, as they would hold it up again.
+     */
+    void restartViewChange(Set<Long> absent, String reason) {
+        viewChange = null;
+        startViewChange(absent, absent, reason);
     }
 
-    /** Another's change goes before ours: neither lead nor change. */
+    /** Transition: the view change of another goes first, so this member neither leads nor changes the view. */
     void abandonLeadership() {
         viewChange = null;
         stopLeading();
     }
 
+    /** Transition: from leader to follower. */
     void stopLeading() {
         if (leader == null) {
             return;
         }
         leader = null;
         joinAdmission.clear();
-        state.actions.statusChanged();
+        state.actions().statusChanged();
     }
 
-    /** Gives the attempt up; the next one not before the pause is over. */
-    void abandonViewChange(String why, long pauseMs) {
-        state.actions.log(new ReplicationEvent.ViewChangeAbandoned(viewChange.ballot(), why));
+    /** Transition: all members have the view that this member has proposed; it leads. */
+    void becomeLeader(List<String> leftOut) {
         viewChange = null;
-        follower.postponeElection(pauseMs);
+        onViewInstalled();
+        state.activateView();
+        state.commits().setViewStartIndex(state.log().lastIndex());
+        state.setDraining(false);
+        joinAdmission.clear();
+        leader = new LeaderState(state);
+        for (String address : leftOut) {
+            state.actions().send(address, new ReplicationMessage.NotMember(state.view()));
+        }
+        state.actions().statusChanged();
+        pendingProposals.sendPending();
     }
 
-    /**
-     * Begins anew at once, without waiting for these; who answers all the same is left out if the rest is enough: it
-     * would hold it up again.
-     */
-    void restartViewChange(Set<Long> absent, String why) {
-        viewChange = null;
-        startViewChange(absent, absent, why);
+    /** A later view is active without this member. */
+    void onNotMember(View later) {
+        follower.onNotMember(later);
     }
 
-    /** A view has been kept here. */
-    void onViewAccepted() {
+    /** A view that another member has proposed is installed here. */
+    void onProposedViewInstalled() {
+        onViewInstalled();
         joinRequester.onViewAccepted();
     }
 
-    /** The view of this member is in force, said by its leader. */
-    void onViewActivated() {
-        pendingProposals.sendPending();
+    private void onViewInstalled() {
+        follower.onViewInstalled();
+        viewInstaller.cancelTransfer();
+        leaderMonitor.onViewInstalled();
     }
 
-    /** All members have kept the view that this member has proposed. */
-    void becomeLeader(List<String> leftOut) {
-        viewChange = null;
-        follower.onViewInstalled();
-        state.activateView();
-        state.viewStartIndex = state.log.lastIndex();
-        state.draining = false;
-        joinAdmission.clear();
-        leader = new LeaderState(state);
-        for (String address : new ArrayList<>(leftOut)) {
-            state.actions.send(address, new ReplicationMessage.NotMember(state.view));
-        }
-        state.actions.statusChanged();
+    /** The view that this member has proposed is accepted here. */
+    void onViewAccepted() {
+        joinRequester.onViewAccepted();
+    }
+
+    /** The view of this member is active, as its leader says. */
+    void onViewActivated() {
         pendingProposals.sendPending();
     }
 
-    /** A disk is proven lost: an attempt under way is made anew with it. */
+    /** A disk is known to be lost: a view change that is preparing starts anew with that. */
     void onMembersRetired() {
         if (viewChange != null && viewChange.isPreparing()) {
             restartViewChange(Set.of(), "a disk is lost");
--- a/src/main/java/brambletray/platform/replication/ReplicaState.java
+++ b/src/main/java/brambletray/platform/replication/ReplicaState.java
@@ -1,272 +1,294 @@
 package brambletray.platform.replication;
 
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 
 /**
- * What one member knows and has promised. In memory it runs ahead of the disk; nothing of it is said before the
- * {@link WriteAheadQueue} has it synced.
+ * The state of one member, by owner: {@link BallotState} what it has promised, {@link MembershipState} the view and the
+ * machines it knows, {@link CommitState} the log and how far it is committed. In memory the state is ahead of the disk;
+ * whatever tells others of it is sent from {@link WriteAheadQueue#onSynced}. One thread only.
  */
 final class ReplicaState {
-    private static final int MAX_RETIRED_INCARNATIONS = 64;
-    private static final int MAX_KNOWN_ADDRESSES = 16;
-    private static final int MAX_LINEAGE = 8;
-
-    ReplicationSettings settings;
-    final ReplicationActions actions;
-    final StateMachine stateMachine;
-    final WriteAheadQueue writeAheadQueue;
-    /** Drawn at each start of the process: the origin of its proposals. */
-    final long origin;
-
-    Member self;
-    /** Last view kept; null for who was never in one; the list of seeds for a founder. */
-    View view;
-
-    boolean active;
-    Ballot promisedBallot = Ballot.NONE;
-    /** Highest number heard of. */
-    long highestSeenNumber;
-
-    ReplicatedLog log = ReplicatedLog.empty();
-    final Set<Long> retiredIncarnations = new LinkedHashSet<>();
-    final Set<String> knownAddresses = new LinkedHashSet<>();
-    long commitIndex;
-    long appliedIndex;
-    /** Number of the view that the present one came from, if known to be in force; else -1. */
-    long previousViewNumber = -1;
-    /** Views that the present one came from, each straight from the one before it, as kept by this process. */
-    List<ViewMembership> lineage = List.of();
-    /** Where the log ended when the view was installed: what earlier views may have acknowledged lies up to there. */
-    long viewStartIndex = Long.MAX_VALUE;
-    /** Up to here the log is on the disk, as a log of the present view. */
-    long durableIndex;
-
-    long nowMs;
-    /** This process is about to end. */
-    boolean leaving;
-    /** It leads and is about to hand over: what is under way is finished, nothing more is begun. */
-    boolean draining;
-    /** Transfers begun in this process. */
-    long transferCount;
-    /** Called when the state above has jumped by a snapshot. */
-    Runnable jumped = () -> {};
-    /** Called for each entry delivered. */
-    java.util.function.Consumer<LogEntry> passed = entry -> {};
-
-    ReplicaState(ReplicationSettings settings, ReplicationActions out, StateMachine stateMachine, long origin) {
-        this.settings = settings;
-        this.actions = out;
+    private ReplicationSettings settings;
+    private final ReplicationActions actions;
+    private final StateMachine stateMachine;
+    private final WriteAheadQueue writeAheadQueue;
+    private final BallotState ballots = new BallotState();
+    private final MembershipState membership;
+    private final CommitState commits;
+    private final long origin;
+    private long nowMs;
+    private boolean leaving;
+    private boolean draining;
+    private long transferCount;
+
+    ReplicaState(
+            ReplicaConfig config,
+            DurableState stored,
+            ReplicationActions actions,
+            StateMachine stateMachine,
+            AppliedEntryListener listener,
+            long nowMs) {
+        this.settings = config.settings();
+        this.actions = actions;
         this.stateMachine = stateMachine;
-        this.origin = origin;
-        this.writeAheadQueue = new WriteAheadQueue(out);
+        this.origin = config.origin();
+        this.nowMs = nowMs;
+        writeAheadQueue = new WriteAheadQueue(actions);
+        membership = new MembershipState(config.self(stored));
+        membership.restore(stored);
+        ballots.restore(stored.promisedBallot());
+        commits = new CommitState(stateMachine, listener);
+        commits.restore(stored.log());
+    }
+
+    ReplicationSettings settings() {
+        return settings;
+    }
+
+    void updateSettings(ReplicationSettings next) {
+        settings = next;
+    }
+
+    ReplicationActions actions() {
+        return actions;
+    }
+
+    StateMachine stateMachine() {
+        return stateMachine;
+    }
+
+    WriteAheadQueue writeAheadQueue() {
+        return writeAheadQueue;
+    }
+
+    BallotState ballots() {
+        return ballots;
+    }
+
+    MembershipState membership() {
+        return membership;
+    }
+
+    CommitState commits() {
+        return commits;
+    }
+
+    /** Drawn at each start of the process: the origin of its proposals. */
+    long origin() {
+        return origin;
+    }
+
+    /** Steady clock, ms. */
+    long nowMs() {
+        return nowMs;
+    }
+
+    void advanceTo(long timeMs) {
+        nowMs = Math.max(timeMs, nowMs);
+    }
+
+    Member self() {
+        return membership.self();
+    }
+
+    View view() {
+        return membership.view();
+    }
+
+    boolean isActive() {
+        return membership.isActive();
+    }
+
+    Set<Long> retiredIncarnations() {
+        return membership.retiredIncarnations();
+    }
+
+    Set<String> knownAddresses() {
+        return membership.knownAddresses();
+    }
+
+    Ballot promisedBallot() {
+        return ballots.promised();
+    }
+
+    ReplicatedLog log() {
+        return commits.log();
+    }
+
+    long commitIndex() {
+        return commits.commitIndex();
+    }
+
+    long appliedIndex() {
+        return commits.appliedIndex();
+    }
+
+    long durableIndex() {
+        return commits.durableIndex();
+    }
+
+    long viewStartIndex() {
+        return commits.viewStartIndex();
+    }
+
+    /** Whether this process is about to end. */
+    boolean isLeaving() {
+        return leaving;
+    }
+
+    void startLeaving() {
+        leaving = true;
+    }
+
+    /** Whether this member leads and is about to hand over: what is in flight is finished, nothing more is begun. */
+    boolean isDraining() {
+        return draining;
+    }
+
+    void setDraining(boolean next) {
+        draining = next;
     }
 
-    void load(DurableState durableState) {
-        view = durableState.view();
-        active = durableState.active();
-        promisedBallot = durableState.promisedBallot();
-        highestSeenNumber = promisedBallot.number();
-        log = durableState.readLog();
-        durableIndex = log.lastIndex();
-        retiredIncarnations.addAll(durableState.retiredIncarnations());
-        knownAddresses.addAll(durableState.knownAddresses());
-        stateMachine.restore(log.snapshot());
-        appliedIndex = log.snapshotIndex();
-        commitIndex = log.snapshotIndex();
+    /** Counts the state transfers that this process has begun. */
+    long nextTransferNumber() {
+        return ++transferCount;
     }
 
     /** Whether a promise forbids to acknowledge anything in the present view. */
     boolean hasPromisedHigherBallot() {
-        return view != null && promisedBallot.isAbove(view.ballot());
+        return view() != null && promisedBallot().isAbove(view().ballot());
     }
 
     /** Whether this is the present view, and no promise forbids to work in it. */
     boolean isOperationalIn(Ballot ballot) {
-        return view != null && view.ballot().equals(ballot) && !hasPromisedHigherBallot() && !view.isFounding();
+        return view() != null && view().ballot().equals(ballot) && !hasPromisedHigherBallot() && !view().isFounding();
     }
 
+    /** Whether writes fail, or the oldest one has been waiting for too long. */
     boolean diskUnhealthy() {
         return writeAheadQueue.isFailing() || writeAheadQueue.oldestWriteAgeMs(nowMs) > settings.syncTimeoutMs();
     }
 
+    /** Promises to acknowledge nothing in views below this ballot; it counts once it is synced. */
     void promise(Ballot ballot) {
-        promisedBallot = ballot;
-        highestSeenNumber = Math.max(highestSeenNumber, ballot.number());
-        writeAheadQueue.put(DurableState.PROMISED_BALLOT_KEY, ReplicationCodec.ballot(ballot), nowMs);
+        ballots.promise(ballot);
+        put(DurableState.PROMISED_BALLOT_KEY, ReplicationCodec.ballot(ballot));
         actions.statusChanged();
     }
 
-    /** Keeps lives whose disks are proven lost; they count only after the sync. Returns whether one is new. */
+    /** Remembers incarnations that are gone for good, which counts once it is synced; whether one of them is new. */
     boolean retire(Iterable<Long> incarnations) {
-        boolean some = false;
-        for (long incarnation : incarnations) {
-            some |= incarnation != self.incarnation() && retiredIncarnations.add(incarnation);
-        }
-        if (!some) {
+        if (!membership.retire(incarnations)) {
             return false;
         }
-        while (retiredIncarnations.size() > MAX_RETIRED_INCARNATIONS) {
-            retiredIncarnations.remove(retiredIncarnations.iterator().next());
-        }
-        writeAheadQueue.put(DurableState.RETIRED_INCARNATIONS_KEY, ReplicationCodec.longs(retiredIncarnations), nowMs);
+        put(DurableState.RETIRED_INCARNATIONS_KEY, ReplicationCodec.longs(membership.retiredIncarnations()));
         return true;
     }
 
     void addKnownAddress(String address) {
-        if (address.equals(self.address()) || knownAddresses.contains(address)) {
-            return;
-        }
-        while (knownAddresses.size() >= MAX_KNOWN_ADDRESSES) {
-            knownAddresses.remove(knownAddresses.iterator().next());
+        if (membership.addKnownAddress(address)) {
+            put(
+                    DurableState.KNOWN_ADDRESSES_KEY,
+                    ReplicationCodec.strings(new ArrayList<>(membership.knownAddresses())));
         }
-        knownAddresses.add(address);
-        writeAheadQueue.put(
-                DurableState.KNOWN_ADDRESSES_KEY, ReplicationCodec.strings(new ArrayList<>(knownAddresses)), nowMs);
     }
 
     /**
-     * Keeps a proposed view with its log. False if that log would lose what is known to be kept: then nothing is
-     * changed.
+     * Takes a proposed view with its log.
+     *
+     * @return false, with nothing changed, if that log lacks an entry that is known to be committed
      */
     boolean acceptView(View next, ReplicatedLog chosen) {
-        boolean both = commitIndex >= chosen.snapshotIndex() && commitIndex >= log.snapshotIndex();
-        boolean broken = chosen.lastIndex() < commitIndex
-                || (both && !chosen.viewAt(commitIndex).equals(log.viewAt(commitIndex)));
-        if (broken) {
-            actions.log(new ReplicationEvent.CommittedEntriesMissing(next.ballot(), chosen.lastIndex(), commitIndex));
+        if (commits.losesCommitted(chosen)) {
+            actions.log(new ReplicationEvent.CommittedEntriesMissing(
+                    next.ballot(), chosen.lastIndex(), commits.commitIndex()));
             return false;
         }
-        Map<String, byte[]> changes = new LinkedHashMap<>();
-        ReplicatedLog.collectChanges(log, chosen, changes);
-        boolean jump = chosen.snapshotIndex() > appliedIndex;
-        log = chosen;
-        lineage = lineageOf(next);
-        view = next;
-        active = false;
-        previousViewNumber = next.predecessors().size() == 1
-                ? next.predecessors().get(0).ballot().number()
-                : -1;
-        viewStartIndex = Long.MAX_VALUE;
-        durableIndex = 0;
-        if (next.ballot().isAbove(promisedBallot)) {
+        Map<String, byte[]> changes = commits.replaceLog(chosen);
+        membership.install(next);
+        if (next.ballot().isAbove(ballots.promised())) {
             promise(next.ballot());
         }
         writeAheadQueue.put(changes, nowMs);
-        writeAheadQueue.put(DurableState.VIEW_KEY, ReplicationCodec.view(view, false), nowMs);
+        put(DurableState.VIEW_KEY, ReplicationCodec.view(next, false));
         for (Member member : next.members()) {
             addKnownAddress(member.address());
         }
-        long end = log.lastIndex();
+        long lastIndex = chosen.lastIndex();
         writeAheadQueue.onSynced(() -> {
-            if (view == next) {
-                durableIndex = Math.max(durableIndex, end);
+            if (view() == next) {
+                commits.advanceDurable(lastIndex);
             }
         });
-        if (jump) {
-            stateMachine.restore(log.snapshot());
-            appliedIndex = log.snapshotIndex();
-            commitIndex = Math.max(commitIndex, appliedIndex);
-            jumped.run();
-        }
+        commits.installSnapshotIfAhead();
         actions.statusChanged();
         return true;
     }
 
-    /**
-     * That of the present view and the one after it, where the next came straight from it; else what the next tells of
-     * itself.
-     */
-    private List<ViewMembership> lineageOf(View next) {
-        if (next.predecessors().size() != 1) {
-            return List.of();
-        }
-        ViewMembership last = next.predecessors().get(0);
-        if (view == null || !view.ballot().equals(last.ballot())) {
-            return List.of(last);
-        }
-        List<ViewMembership> longer = new ArrayList<>(lineage);
-        longer.add(last);
-        return List.copyOf(longer.subList(Math.max(0, longer.size() - MAX_LINEAGE), longer.size()));
-    }
-
-    /** The view is in force: all its members have kept it. */
+    /** All members have the view: it is active. */
     void activateView() {
-        active = true;
-        view = new View(view.ballot(), view.members(), List.of());
-        writeAheadQueue.put(DurableState.VIEW_KEY, ReplicationCodec.view(view, true), nowMs);
+        membership.activate();
+        put(DurableState.VIEW_KEY, ReplicationCodec.view(view(), true));
         actions.log(new ReplicationEvent.ViewActivated(
-                view.ballot(), names(view.members()), view.leader().name(), log.lastIndex()));
+                view().ballot(), names(view().members()), view().leader().name(), log().lastIndex()));
         warnOfZonesHoldingHalf();
         actions.statusChanged();
     }
 
-    /**
-     * Zones that may be lost with half of the view or more: said by each member, once for each view that is in force.
-     */
     private void warnOfZonesHoldingHalf() {
-        List<String> zones = settings.tolerance().groupsHoldingHalf(view.members());
+        List<String> zones = settings.tolerance().groupsHoldingHalf(view().members());
         if (!zones.isEmpty()) {
             actions.log(new ReplicationEvent.ZonesHoldHalf(
-                    view.ballot(),
+                    view().ballot(),
                     String.join(" ", zones),
-                    names(view.members()),
+                    names(view().members()),
                     "if they are lost, the rest waits until they are back"));
         }
     }
 
-    /** Puts an entry at the end; {@code then} runs once it is on the disk. */
+    /** Appends an entry; {@link WriteAheadQueue#onSynced} tells when it is on disk. */
     void append(LogEntry entry) {
-        log.append(entry);
-        writeAheadQueue.put(DurableState.logKey(entry.index()), ReplicationCodec.entry(entry), nowMs);
+        log().append(entry);
+        put(DurableState.logKey(entry.index()), ReplicationCodec.entry(entry));
     }
 
-    /** All up to this place is kept on enough disks: delivers it. */
+    /** Everything up to this index is on enough disks: applies it. */
     void advanceCommit(long index) {
-        commitIndex = Math.max(commitIndex, Math.min(index, log.lastIndex()));
-        while (appliedIndex < commitIndex) {
-            LogEntry entry = log.entryAt(appliedIndex + 1);
-            appliedIndex++;
-            stateMachine.apply(entry.index(), entry.bytes());
-            passed.accept(entry);
-        }
-        if (!log.needsSnapshot(appliedIndex)) {
-            return;
-        }
-        ReplicatedLog before =
-                new ReplicatedLog(log.snapshotIndex(), log.snapshotView(), log.snapshot(), log.entries());
-        log.compact(appliedIndex, stateMachine.snapshot());
-        Map<String, byte[]> changes = new LinkedHashMap<>();
-        ReplicatedLog.collectChanges(before, log, changes);
-        writeAheadQueue.put(changes, nowMs);
+        writeAheadQueue.put(commits.advanceCommit(index), nowMs);
     }
 
-    /** Ballot of the last view, for log lines; "none" before the first. */
-    String viewName() {
-        return view == null ? "none" : view.ballot().toString();
-    }
-
-    boolean settled() {
-        return active && commitIndex >= viewStartIndex;
+    /** Whether the view is active and everything that earlier views committed has been committed in it. */
+    boolean isSettled() {
+        return isActive() && commits.coversEarlierViews();
     }
 
+    /** The state of this member as it answers a prepare request. */
     ReplicationMessage.PrepareResponse prepareResponse(Ballot ballot) {
         return new ReplicationMessage.PrepareResponse(
                 ballot,
-                self,
-                view == null ? View.NONE : view,
-                active,
-                log.lastIndex(),
-                log.lastView(),
-                commitIndex,
+                self(),
+                view() == null ? View.NONE : view(),
+                isActive(),
+                log().lastIndex(),
+                log().lastView(),
+                commitIndex(),
                 diskUnhealthy(),
-                List.copyOf(retiredIncarnations));
+                List.copyOf(retiredIncarnations()));
+    }
+
+    /** Ballot of the last view, for log lines; "none" before the first. */
+    String viewName() {
+        return view() == null ? "none" : view().ballot().toString();
+    }
+
+    private void put(String key, byte[] value) {
+        writeAheadQueue.put(key, value, nowMs);
     }
 
+    /** Names and incarnations of members, for log lines. */
     static String names(List<Member> members) {
         StringBuilder names = new StringBuilder();
         for (Member member : members) {
--- a/src/main/java/brambletray/platform/replication/StateTransferClient.java
+++ b/src/main/java/brambletray/platform/replication/StateTransferClient.java
@@ -49,11 +49,11 @@
         this.source = from;
         this.ownLog = mine;
         this.transferId = nextTransferId();
-        this.progressAtMs = state.nowMs;
+        this.progressAtMs = state.nowMs();
     }
 
     private long nextTransferId() {
-        return state.origin ^ (++state.transferCount << 1);
+        return state.origin() ^ (state.nextTransferNumber() << 1);
     }
 
     String source() {
@@ -67,13 +67,13 @@
 
     /** Asks another giver, or the same one again, for what hasn't come. */
     void resume(String giver, Ballot of) {
-        state.actions.log(
-                new ReplicationEvent.TransferResumed(giver, source, receivedChunks * CHUNK_BYTES, totalBytes));
+        state.actions()
+                .log(new ReplicationEvent.TransferResumed(giver, source, receivedChunks * CHUNK_BYTES, totalBytes));
         source = giver;
         viewBallot = of;
         transferId = nextTransferId();
         failed = false;
-        progressAtMs = state.nowMs;
+        progressAtMs = state.nowMs();
         retryTimeoutMs = RETRY_TIMEOUT_MS;
         requestedChunks = receivedChunks;
         requestChunks();
@@ -90,17 +90,17 @@
 
     /** Milliseconds since something came. */
     long idleMs() {
-        return state.nowMs - progressAtMs;
+        return state.nowMs() - progressAtMs;
     }
 
     /** Asks again for what hasn't come. */
     void tick() {
-        if (state.nowMs - progressAtMs > IDLE_TIMEOUT_MS) {
+        if (state.nowMs() - progressAtMs > IDLE_TIMEOUT_MS) {
             failed = true;
         }
         if (failed
                 || log != null
-                || (requestedChunks > 0 && state.nowMs - Math.max(requestedAtMs, progressAtMs) < retryTimeoutMs)) {
+                || (requestedChunks > 0 && state.nowMs() - Math.max(requestedAtMs, progressAtMs) < retryTimeoutMs)) {
             return;
         }
         retryTimeoutMs = Math.min(2 * retryTimeoutMs, IDLE_TIMEOUT_MS);
@@ -113,17 +113,18 @@
                 ? 1
                 : Math.min(receivedChunks + MAX_CHUNKS_IN_FLIGHT, (totalBytes + CHUNK_BYTES - 1) / CHUNK_BYTES);
         for (; requestedChunks < until; requestedChunks++) {
-            requestedAtMs = state.nowMs;
-            state.actions.send(
-                    source,
-                    new ReplicationMessage.FetchChunkRequest(
-                            transferId,
-                            requestedChunks * CHUNK_BYTES,
-                            viewBallot,
-                            ownLog.lastIndex(),
-                            ownLog.lastView(),
-                            Math.min(state.commitIndex, ownLog.lastIndex()),
-                            descriptor));
+            requestedAtMs = state.nowMs();
+            state.actions()
+                    .send(
+                            source,
+                            new ReplicationMessage.FetchChunkRequest(
+                                    transferId,
+                                    requestedChunks * CHUNK_BYTES,
+                                    viewBallot,
+                                    ownLog.lastIndex(),
+                                    ownLog.lastView(),
+                                    Math.min(state.commitIndex(), ownLog.lastIndex()),
+                                    descriptor));
         }
     }
 
@@ -151,7 +152,7 @@
         totalBytes = chunk.totalBytes();
         chunks.add(chunk.bytes());
         receivedChunks++;
-        progressAtMs = state.nowMs;
+        progressAtMs = state.nowMs();
         retryTimeoutMs = RETRY_TIMEOUT_MS;
         if (receivedChunks * CHUNK_BYTES < totalBytes) {
             if (requestedChunks < receivedChunks) {
@@ -166,8 +167,9 @@
 
     /** The giver has another state: what has come is of no use with it. */
     private void restart() {
-        state.actions.log(new ReplicationEvent.TransferRestarted(
-                source, receivedChunks * CHUNK_BYTES, "the giver packs another cut"));
+        state.actions()
+                .log(new ReplicationEvent.TransferRestarted(
+                        source, receivedChunks * CHUNK_BYTES, "the giver packs another cut"));
         chunks.clear();
         receivedChunks = 0;
         requestedChunks = 0;
@@ -183,7 +185,7 @@
         }
         chunks.clear();
         if (!descriptor.matches(whole)) {
-            state.actions.log(new ReplicationEvent.TransferCorrupt(source, totalBytes));
+            state.actions().log(new ReplicationEvent.TransferCorrupt(source, totalBytes));
             corrupt = true;
             failed = true;
             return;
--- a/src/main/java/brambletray/platform/replication/StateTransferServer.java
+++ b/src/main/java/brambletray/platform/replication/StateTransferServer.java
@@ -60,10 +60,15 @@
                 offset = 0;
             }
             if (cut == null) {
-                state.actions.send(
-                        from,
-                        new ReplicationMessage.FetchChunkResponse(
-                                request.transferId(), request.offset(), -1, new byte[0], TransferDescriptor.NONE));
+                state.actions()
+                        .send(
+                                from,
+                                new ReplicationMessage.FetchChunkResponse(
+                                        request.transferId(),
+                                        request.offset(),
+                                        -1,
+                                        new byte[0],
+                                        TransferDescriptor.NONE));
                 return;
             }
             receiver = new Receiver();
@@ -71,7 +76,7 @@
             receiver.packed = cut;
             receivers.put(from, receiver);
         }
-        receiver.lastUsedAtMs = state.nowMs;
+        receiver.lastUsedAtMs = state.nowMs();
         byte[] bytes = receiver.packed.bytes;
         int size = Math.min(StateTransferClient.CHUNK_BYTES, bytes.length - offset);
         if (size <= 0) {
@@ -79,10 +84,11 @@
         }
         receiver.complete |= offset + size == bytes.length;
         byte[] chunk = java.util.Arrays.copyOfRange(bytes, offset, offset + size);
-        state.actions.send(
-                from,
-                new ReplicationMessage.FetchChunkResponse(
-                        request.transferId(), offset, bytes.length, chunk, receiver.packed.descriptor));
+        state.actions()
+                .send(
+                        from,
+                        new ReplicationMessage.FetchChunkResponse(
+                                request.transferId(), offset, bytes.length, chunk, receiver.packed.descriptor));
     }
 
     /**
@@ -123,7 +129,7 @@
         if (after > log.snapshotIndex()) {
             List<byte[]> changes = new ArrayList<>();
             log.entriesBetween(log.snapshotIndex(), after).forEach(entry -> changes.add(entry.bytes()));
-            snapshot = state.stateMachine.replay(snapshot, changes);
+            snapshot = state.stateMachine().replay(snapshot, changes);
         }
         return new LogPatch(true, after, log.viewAt(after), snapshot, log.entriesBetween(after, name.lastIndex()));
     }
@@ -169,7 +175,7 @@
             cuts.add(other.packed);
         }
         if (cuts.size() < MAX_PACKED) {
-            return PackedPatch.of(request.viewBallot(), patch, state.commitIndex);
+            return PackedPatch.of(request.viewBallot(), patch, state.commitIndex());
         }
         // a whole one does for everybody; what has come since is fetched in another round
         PackedPatch newest = null;
@@ -187,13 +193,17 @@
 
     /** The state as it is now, where that is less than what it was made of: changes replace each other. */
     private LogPatch smallerOf(LogPatch patch) {
-        ReplicatedLog log = state.log;
+        ReplicatedLog log = state.log();
         List<LogEntry> rest = List.copyOf(log.entries()
                 .subList(
-                        (int) (state.appliedIndex - log.snapshotIndex()),
+                        (int) (state.appliedIndex() - log.snapshotIndex()),
                         log.entries().size()));
         LogPatch fresh = new LogPatch(
-                true, state.appliedIndex, log.viewAt(state.appliedIndex), state.stateMachine.snapshot(), rest);
+                true,
+                state.appliedIndex(),
+                log.viewAt(state.appliedIndex()),
+                state.stateMachine().snapshot(),
+                rest);
         return fresh.sizeBytes() < patch.sizeBytes() ? fresh : patch;
     }
 
@@ -203,7 +213,7 @@
         }
         Iterator<Receiver> all = receivers.values().iterator();
         while (all.hasNext()) {
-            if (state.nowMs - all.next().lastUsedAtMs > RECEIVER_IDLE_TIMEOUT_MS) {
+            if (state.nowMs() - all.next().lastUsedAtMs > RECEIVER_IDLE_TIMEOUT_MS) {
                 all.remove();
             }
         }
--- a/src/main/java/brambletray/platform/replication/ViewChange.java
+++ b/src/main/java/brambletray/platform/replication/ViewChange.java
@@ -33,9 +33,7 @@
     private final ReplicaState state;
     private final Replica replica;
     private final Ballot ballot;
-    private final Set<Long> notWaitedFor;
-    private final Set<Long> excluded;
-    private final Map<Long, ReplicationMessage.JoinRequest> newcomers;
+    private final ViewChangePlan plan;
     private final Map<String, Member> contacted = new LinkedHashMap<>();
     private final Map<Long, ReplicationMessage.PrepareResponse> responses = new LinkedHashMap<>();
     private final Set<Long> rejectedBy = new HashSet<>();
@@ -51,26 +49,21 @@
     private PrepareResponses chosen;
     private ReplicatedLog nextLog;
 
-    /** {@code suspected} aren't waited for; {@code excluded} are left out if the rest is enough. */
-    ViewChange(
-            ReplicaState state,
-            Replica members,
-            Set<Long> suspected,
-            Set<Long> excluded,
-            Map<Long, ReplicationMessage.JoinRequest> newcomers,
-            String why) {
+    /** Sends the first prepare requests; {@code reason}: for the log. */
+    ViewChange(ReplicaState state, Replica replica, ViewChangePlan plan, String reason) {
         this.state = state;
-        this.replica = members;
-        this.notWaitedFor = suspected;
-        this.excluded = excluded;
-        this.newcomers = newcomers;
-        this.startedAtMs = state.nowMs;
-        state.highestSeenNumber =
-                Math.max(state.highestSeenNumber, Math.max(state.promisedBallot.number(), state.view.number())) + 1;
-        ballot = new Ballot(state.highestSeenNumber, state.self.incarnation());
-        state.actions.log(new ReplicationEvent.ViewChangeStarted(
-                ballot, state.view.ballot(), why, newcomers.size(), state.log.lastIndex()));
-        contactMembersOf(state.view);
+        this.replica = replica;
+        this.plan = plan;
+        this.startedAtMs = state.nowMs();
+        ballot = state.ballots().next(state.view(), state.self().incarnation());
+        state.actions()
+                .log(new ReplicationEvent.ViewChangeStarted(
+                        ballot,
+                        state.view().ballot(),
+                        reason,
+                        plan.newcomers().size(),
+                        state.log().lastIndex()));
+        contactMembersOf(state.view());
         sendPrepareRequests();
         maybePromise();
     }
@@ -85,9 +78,9 @@
     }
 
     private void contactMembersOf(View view) {
-        for (ViewMembership membership : view.viewsToConsult(view == state.view && state.active)) {
+        for (ViewMembership membership : view.viewsToConsult(view == state.view() && state.isActive())) {
             for (Member member : membership.members()) {
-                if (!member.address().equals(state.self.address())) {
+                if (!member.address().equals(state.self().address())) {
                     contacted.putIfAbsent(member.address(), member);
                 }
             }
@@ -95,14 +88,15 @@
     }
 
     private void sendPrepareRequests() {
-        sentAtMs = state.nowMs;
+        sentAtMs = state.nowMs();
         PrepareResponses now = allResponses();
         for (String address : contacted.keySet()) {
             if (!now.hasAnswerFrom(address)) {
-                state.actions.send(
-                        address,
-                        new ReplicationMessage.PrepareRequest(
-                                ballot, state.self, List.copyOf(state.retiredIncarnations)));
+                state.actions()
+                        .send(
+                                address,
+                                new ReplicationMessage.PrepareRequest(
+                                        ballot, state.self(), List.copyOf(state.retiredIncarnations())));
             }
         }
     }
@@ -111,17 +105,18 @@
         boolean open = phase == Phase.PREPARING || phase == Phase.PROMISING;
         if (!open
                 || !response.ballot().equals(ballot)
-                || response.responder().incarnation() == state.self.incarnation()) {
+                || response.responder().incarnation() == state.self().incarnation()) {
             return;
         }
         if (responses.put(response.responder().incarnation(), response) == null) {
-            state.actions.log(new ReplicationEvent.PrepareAnswered(
-                    ballot,
-                    response.responder().name(),
-                    response.view().ballot(),
-                    response.active(),
-                    response.lastIndex(),
-                    response.diskUnhealthy()));
+            state.actions()
+                    .log(new ReplicationEvent.PrepareAnswered(
+                            ballot,
+                            response.responder().name(),
+                            response.view().ballot(),
+                            response.active(),
+                            response.lastIndex(),
+                            response.diskUnhealthy()));
         }
         int before = contacted.size();
         contactMembersOf(response.view());
@@ -135,21 +130,20 @@
         if (!rejection.ballot().equals(ballot)) {
             return;
         }
-        state.highestSeenNumber =
-                Math.max(state.highestSeenNumber, rejection.promisedBallot().number());
+        state.ballots().observe(rejection.promisedBallot().number());
         if (rejection.promisedBallot().isAbove(ballot)
                 || rejection.promisedBallot().number() >= ballot.number() && !rejection.leaderIsHealthy()) {
             replica.abandonViewChange(
                     "promised " + rejection.promisedBallot(),
-                    (long) (1 + replica.rank()) * state.settings.rankDelayMs());
+                    (long) (1 + replica.rank()) * state.settings().rankDelayMs());
         } else if (rejection.leaderIsHealthy()) {
-            Member who = contacted.get(from);
-            if (who != null) {
-                rejectedBy.add(who.incarnation());
+            Member member = contacted.get(from);
+            if (member != null) {
+                rejectedBy.add(member.incarnation());
             }
             if (phase == Phase.PREPARING
-                    && 2 * rejectedBy.size() >= state.view.members().size()) {
-                replica.abandonViewChange("the leader is well", state.settings.electionTimeoutMs());
+                    && 2 * rejectedBy.size() >= state.view().members().size()) {
+                replica.abandonViewChange("the leader is well", state.settings().electionTimeoutMs());
             }
         }
     }
@@ -170,23 +164,25 @@
             return;
         }
         if (quorumAtMs < 0) {
-            quorumAtMs = state.nowMs;
+            quorumAtMs = state.nowMs();
         }
         if (phase == Phase.PROMISING) {
             return;
         }
         int wait = now.latestView.isFounding()
-                ? state.settings.foundingGraceMs()
-                : replica.noLeaderSeenYet() ? 3 * state.settings.prepareGraceMs() : state.settings.prepareGraceMs();
-        if (state.nowMs - quorumAtMs < wait && isWaitingForResponses(now)) {
+                ? state.settings().foundingGraceMs()
+                : replica.noLeaderSeenYet()
+                        ? 3 * state.settings().prepareGraceMs()
+                        : state.settings().prepareGraceMs();
+        if (state.nowMs() - quorumAtMs < wait && isWaitingForResponses(now)) {
             return;
         }
         phase = Phase.PROMISING;
-        phaseSinceMs = state.nowMs;
+        phaseSinceMs = state.nowMs();
         replica.stopLeading();
         state.promise(ballot);
-        state.writeAheadQueue.onSynced(() -> {
-            if (replica.viewChange() == this && state.promisedBallot.equals(ballot)) {
+        state.writeAheadQueue().onSynced(() -> {
+            if (replica.viewChange() == this && state.promisedBallot().equals(ballot)) {
                 chooseLog();
             }
         });
@@ -195,8 +191,8 @@
     private boolean isWaitingForResponses(PrepareResponses now) {
         for (Member member : contacted.values()) {
             if (!now.hasAnswerFrom(member.address())
-                    && !notWaitedFor.contains(member.incarnation())
-                    && !state.retiredIncarnations.contains(member.incarnation())) {
+                    && !plan.suspected().contains(member.incarnation())
+                    && !state.retiredIncarnations().contains(member.incarnation())) {
                 return true;
             }
         }
@@ -211,13 +207,13 @@
             return;
         }
         ReplicationMessage.PrepareResponse longest = chosen.longestLog();
-        phaseSinceMs = state.nowMs;
-        if (longest.responder().incarnation() == state.self.incarnation()) {
-            install(state.log);
+        phaseSinceMs = state.nowMs();
+        if (longest.responder().incarnation() == state.self().incarnation()) {
+            install(state.log());
             return;
         }
         phase = Phase.FETCHING;
-        transfer = new StateTransferClient(state, longest.responder().address(), state.log, Ballot.NONE);
+        transfer = new StateTransferClient(state, longest.responder().address(), state.log(), Ballot.NONE);
         transfer.tick();
     }
 
@@ -234,13 +230,13 @@
         if (response) {
             install(fetched);
         } else {
-            replica.abandonViewChange("log can't be fetched", state.settings.rankDelayMs());
+            replica.abandonViewChange("log can't be fetched", state.settings().rankDelayMs());
         }
     }
 
     private void install(ReplicatedLog log) {
-        List<Member> in = chosen.nextMembers(excluded, state.settings.tolerance());
-        for (ReplicationMessage.JoinRequest joinRequest : newcomers.values()) {
+        List<Member> in = chosen.nextMembers(plan.excluded(), state.settings().tolerance());
+        for (ReplicationMessage.JoinRequest joinRequest : plan.newcomers().values()) {
             boolean free = in.stream()
                     .noneMatch(member ->
                             member.address().equals(joinRequest.requester().address()));
@@ -250,22 +246,24 @@
             if (free
                     && near
                     && in.size() < ReplicationSettings.MAX_MEMBERS
-                    && !state.retiredIncarnations.contains(
-                            joinRequest.requester().incarnation())) {
+                    && !state.retiredIncarnations()
+                            .contains(joinRequest.requester().incarnation())) {
                 in.add(joinRequest.requester());
             }
         }
         List<ViewMembership> past = chosen.viewsToConsult();
         if (past.size() > MAX_PREDECESSORS) {
-            replica.abandonViewChange("too many unfinished views", state.settings.electionTimeoutMs());
+            replica.abandonViewChange(
+                    "too many unfinished views", state.settings().electionTimeoutMs());
             return;
         }
         phase = Phase.INSTALLING;
         nextLog = log;
         nextView = new View(ballot, List.copyOf(in), List.copyOf(past));
-        phaseSinceMs = state.nowMs;
-        state.actions.log(new ReplicationEvent.ViewProposed(
-                ballot, ReplicaState.names(in), log.lastIndex(), chosen.latestView.ballot()));
+        phaseSinceMs = state.nowMs();
+        state.actions()
+                .log(new ReplicationEvent.ViewProposed(
+                        ballot, ReplicaState.names(in), log.lastIndex(), chosen.latestView.ballot()));
         sendInstallRequests();
         if (nextView.members().size() == 1) {
             acceptLocally();
@@ -277,36 +275,37 @@
      * fails binds nobody to it.
      */
     private void acceptLocally() {
-        if (state.view.ballot().equals(ballot)) {
+        if (state.view().ballot().equals(ballot)) {
             return;
         }
         if (!state.acceptView(nextView, nextLog)) {
-            replica.abandonViewChange("trim behind what is kept", state.settings.electionTimeoutMs());
+            replica.abandonViewChange(
+                    "trim behind what is kept", state.settings().electionTimeoutMs());
             return;
         }
         replica.onViewAccepted();
-        state.writeAheadQueue.onSynced(() -> {
+        state.writeAheadQueue().onSynced(() -> {
             if (replica.viewChange() == this && state.isOperationalIn(ballot)) {
-                onInstalled(state.self.incarnation());
+                onInstalled(state.self().incarnation());
             }
         });
     }
 
     private void sendInstallRequests() {
-        sentAtMs = state.nowMs;
+        sentAtMs = state.nowMs();
         for (Member member : nextView.members()) {
-            if (member.incarnation() == state.self.incarnation() || installedBy.contains(member.incarnation())) {
+            if (member.incarnation() == state.self().incarnation() || installedBy.contains(member.incarnation())) {
                 continue;
             }
             ReplicationMessage.PrepareResponse response = chosen.fromIncarnation(member.incarnation());
-            ReplicationMessage.JoinRequest joinRequest = newcomers.get(member.incarnation());
+            ReplicationMessage.JoinRequest joinRequest = plan.newcomers().get(member.incarnation());
             LogPatch patch = response != null
                     ? nextLog.patchFor(response.lastIndex(), response.lastView(), response.commitIndex())
                     : nextLog.patchFor(joinRequest.lastIndex(), joinRequest.lastView(), joinRequest.commitIndex());
             ReplicationMessage frame = patch.fitsInline()
                     ? new ReplicationMessage.InstallViewRequest(nextView, patch)
                     : new ReplicationMessage.InstallViewOffer(nextView, nextLog.lastIndex(), nextLog.lastView());
-            state.actions.send(member.address(), frame);
+            state.actions().send(member.address(), frame);
         }
     }
 
@@ -315,7 +314,7 @@
         if (phase != Phase.INSTALLING || !ballot.equals(view)) {
             return null;
         }
-        chunkServedAtMs = state.nowMs;
+        chunkServedAtMs = state.nowMs();
         return nextLog;
     }
 
@@ -323,20 +322,21 @@
         if (phase != Phase.INSTALLING || !nextView.contains(incarnation) || !installedBy.add(incarnation)) {
             return;
         }
-        if (installedBy.size() == nextView.members().size() - 1 && !installedBy.contains(state.self.incarnation())) {
+        if (installedBy.size() == nextView.members().size() - 1
+                && !installedBy.contains(state.self().incarnation())) {
             acceptLocally();
         }
         if (installedBy.size() < nextView.members().size()) {
             return;
         }
-        List<String> out = new ArrayList<>();
+        List<String> excludedAddresses = new ArrayList<>();
         for (Member member : contacted.values()) {
             if (nextView.memberAt(member.address()) == null) {
-                out.add(member.address());
+                excludedAddresses.add(member.address());
             }
         }
-        state.actions.log(new ReplicationEvent.ViewInstalled(ballot, state.nowMs - startedAtMs));
-        replica.becomeLeader(out);
+        state.actions().log(new ReplicationEvent.ViewInstalled(ballot, state.nowMs() - startedAtMs));
+        replica.becomeLeader(excludedAddresses);
     }
 
     void onPatchMismatch(long incarnation) {
@@ -349,7 +349,7 @@
     void tick() {
         switch (phase) {
             case PREPARING, PROMISING -> {
-                if (state.nowMs - sentAtMs >= RETRY_INTERVAL_MS) {
+                if (state.nowMs() - sentAtMs >= RETRY_INTERVAL_MS) {
                     sendPrepareRequests();
                 }
                 if (phase == Phase.PREPARING) {
@@ -357,17 +357,18 @@
                 }
             }
             case FETCHING -> {
-                if (transfer.failed() || state.nowMs - phaseSinceMs > FETCH_TIMEOUT_MS) {
-                    replica.abandonViewChange("log isn't fetched in time", state.settings.rankDelayMs());
+                if (transfer.failed() || state.nowMs() - phaseSinceMs > FETCH_TIMEOUT_MS) {
+                    replica.abandonViewChange(
+                            "log isn't fetched in time", state.settings().rankDelayMs());
                 } else {
                     transfer.tick();
                 }
             }
             default -> {
-                if (state.nowMs - phaseSinceMs > state.settings.installTimeoutMs()
-                        && (canDoWithoutAbsent() || state.nowMs - chunkServedAtMs > CHUNK_SERVED_TIMEOUT_MS)) {
+                if (state.nowMs() - phaseSinceMs > state.settings().installTimeoutMs()
+                        && (canDoWithoutAbsent() || state.nowMs() - chunkServedAtMs > CHUNK_SERVED_TIMEOUT_MS)) {
                     replica.restartViewChange(absentMembers(), "not kept by all in time");
-                } else if (state.nowMs - sentAtMs >= 2 * RETRY_INTERVAL_MS) {
+                } else if (state.nowMs() - sentAtMs >= 2 * RETRY_INTERVAL_MS) {
                     sendInstallRequests();
                 }
             }
@@ -377,9 +378,9 @@
     /** Whether the view may do without those that haven't kept it. */
     private boolean canDoWithoutAbsent() {
         Set<Long> absent = absentMembers();
-        Set<Long> out = new HashSet<>(excluded);
-        out.addAll(absent);
-        return chosen.nextMembers(out, state.settings.tolerance()).stream()
+        Set<Long> excludedAddresses = new HashSet<>(plan.excluded());
+        excludedAddresses.addAll(absent);
+        return chosen.nextMembers(excludedAddresses, state.settings().tolerance()).stream()
                 .noneMatch(member -> absent.contains(member.incarnation()));
     }
 
@@ -391,7 +392,7 @@
                 absent.add(member.incarnation());
             }
         }
-        absent.remove(state.self.incarnation());
+        absent.remove(state.self().incarnation());
         return absent;
     }
 }
--- /dev/null
+++ b/src/main/java/brambletray/platform/replication/ViewChangeInitiator.java
@@ -0,0 +1,147 @@
+package brambletray.platform.replication;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * Decides when this member starts a view change: as the leader, to leave out members that are silent or slow, and to
+ * let newcomers in and leavers out; as a follower, to take over from a leader that is silent or leaving.
+ */
+final class ViewChangeInitiator {
+    private final ReplicaState state;
+    private final Replica replica;
+    private final LeaderMonitor leaderMonitor;
+    private final JoinAdmission joinAdmission;
+    /** When each member that is about to end first said so, by incarnation; ms. */
+    private final Map<Long, Long> leavingSinceMs = new LinkedHashMap<>();
+
+    ViewChangeInitiator(ReplicaState state, Replica replica, LeaderMonitor leaderMonitor, JoinAdmission joinAdmission) {
+        this.state = state;
+        this.replica = replica;
+        this.leaderMonitor = leaderMonitor;
+        this.joinAdmission = joinAdmission;
+    }
+
+    /** A follower of this leader is about to end. */
+    void onFollowerLeaving(long incarnation) {
+        leavingSinceMs.putIfAbsent(incarnation, state.nowMs());
+    }
+
+    /** Starts a view change if one is due; drops one that is not needed any more. */
+    void tick() {
+        LeaderState leader = replica.leader();
+        ViewChange current = replica.viewChange();
+        boolean needless = current != null
+                && current.isPreparing()
+                && leader == null
+                && leaderMonitor.leaderIsHealthy()
+                && !state.hasPromisedHigherBallot();
+        if (needless) {
+            replica.abandonViewChange("the leader is heard again", 0);
+        }
+        if (replica.viewChange() != null || state.view() == null || state.diskUnhealthy()) {
+            return;
+        }
+        if (leader != null) {
+            changeAsLeader(leader);
+        } else if (!state.isLeaving() && !replica.isExcluded() && leaderMonitor.electionTimeoutExpired()) {
+            takeOver();
+        }
+    }
+
+    private void changeAsLeader(LeaderState leader) {
+        Set<Long> silent = leader.silentMembers();
+        Set<Long> slow = leader.slowMembers();
+        if (!silent.isEmpty() || !slow.isEmpty()) {
+            leaveOut(silent, slow);
+        } else if (leader.hasSupersededMember()) {
+            replica.startViewChange(Set.of(), Set.of(), "a member has stopped");
+        } else if (hasRetiredMember()) {
+            replica.startViewChange(Set.of(), Set.of(), "a disk is lost");
+        } else if (leader.hasBeenActiveForAWhile()) {
+            changeAsPlanned();
+        }
+    }
+
+    private void leaveOut(Set<Long> silent, Set<Long> slow) {
+        Set<Long> suspected = new LinkedHashSet<>(silent);
+        suspected.addAll(slow);
+        for (long incarnation : suspected) {
+            joinAdmission.penalise(state.view().memberOf(incarnation).address());
+        }
+        String reason = (silent.isEmpty() ? "" : "silent ") + (slow.isEmpty() ? "" : "slow");
+        replica.startViewChange(suspected, slow, reason);
+    }
+
+    private boolean hasRetiredMember() {
+        return state.view().members().stream()
+                .anyMatch(member -> state.retiredIncarnations().contains(member.incarnation()));
+    }
+
+    private void changeAsPlanned() {
+        Set<Long> leavers = removableLeavers();
+        if (!joinAdmission.admitted().isEmpty()) {
+            replica.startViewChange(leavers, leavers, "newcomers");
+        } else if (!leavers.isEmpty() && !replacementIsCatchingUp()) {
+            replica.startViewChange(leavers, leavers, "leaves");
+        }
+    }
+
+    /** Starts a view change in place of a leader that is silent or about to end. */
+    private void takeOver() {
+        Member leader = state.view().leader();
+        boolean ledByOther =
+                leader != null && leader.incarnation() != state.self().incarnation();
+        Set<Long> formerLeader = ledByOther ? Set.of(leader.incarnation()) : Set.of();
+        if (ledByOther && leaderMonitor.leaderIsLeaving()) {
+            forwardLeave(leader);
+            replica.startViewChange(formerLeader, formerLeader, "leader leaves");
+        } else {
+            replica.startViewChange(formerLeader, Set.of(), "leader silent");
+        }
+    }
+
+    /**
+     * Tells the others that the leader is leaving, ahead of the prepare requests on the same links: a member that has
+     * not heard it would reject them, as its leader is healthy.
+     */
+    private void forwardLeave(Member leader) {
+        for (Member member : state.view().members()) {
+            if (member.incarnation() != state.self().incarnation()) {
+                state.actions()
+                        .send(
+                                member.address(),
+                                new ReplicationMessage.LeaveRequest(state.view().ballot(), leader.incarnation()));
+            }
+        }
+    }
+
+    /** Members that are about to end, if the rest is a quorum that tolerates the losses; else none. */
+    private Set<Long> removableLeavers() {
+        leavingSinceMs.keySet().removeIf(incarnation -> !state.view().contains(incarnation));
+        if (leavingSinceMs.isEmpty()) {
+            return Set.of();
+        }
+        List<Member> rest = new ArrayList<>(state.view().members());
+        rest.removeIf(member -> leavingSinceMs.containsKey(member.incarnation()));
+        boolean enough = state.settings().tolerance().toleratesLossWith(rest)
+                && Quorum.isReached(state.view().members(), rest, state.retiredIncarnations());
+        return enough ? Set.copyOf(leavingSinceMs.keySet()) : Set.of();
+    }
+
+    /**
+     * Whether a leaver stays because its replacement is catching up: for half of the time that the leaver has, at most.
+     */
+    private boolean replacementIsCatchingUp() {
+        for (long sinceMs : leavingSinceMs.values()) {
+            if (2 * (state.nowMs() - sinceMs) > state.settings().leaveTimeoutMs()) {
+                return false;
+            }
+        }
+        return joinAdmission.hasNewcomersCatchingUp();
+    }
+}
--- a/src/main/java/brambletray/platform/replication/ViewMembership.java
+++ b/src/main/java/brambletray/platform/replication/ViewMembership.java
@@ -8,4 +8,9 @@
  * @param ballot  name of the view
  * @param members those who have to be asked about what came after it
  */
-public record ViewMembership(Ballot ballot, List<Member> members) {}
+public record ViewMembership(Ballot ballot, List<Member> members) {
+    /** Number of the view. */
+    public long number() {
+        return ballot.number();
+    }
+}
--- a/src/main/java/brambletray/platform/replication/WriteAheadQueue.java
+++ b/src/main/java/brambletray/platform/replication/WriteAheadQueue.java
@@ -25,8 +25,8 @@
     private long openBytes;
     private long inFlightBytes;
 
-    WriteAheadQueue(ReplicationActions out) {
-        this.actions = out;
+    WriteAheadQueue(ReplicationActions actions) {
+        this.actions = actions;
     }
 
     /** Changes to keep with the next batch; a null value removes. */
--- a/src/test/java/brambletray/platform/replication/FaultToleranceTest.java
+++ b/src/test/java/brambletray/platform/replication/FaultToleranceTest.java
@@ -16,16 +16,16 @@
     private static final Map<String, String> REGIONS = Map.of("z0", "r0", "z1", "r0", "z2", "r1", "z3", "r2");
 
     /** Whether one is left whichever so many of the groups are lost. */
-    private static boolean outlasts(List<Member> members, int losses, Function<Member, String> group) {
+    private static boolean outlasts(List<Member> replica, int losses, Function<Member, String> group) {
         Set<String> groups = new HashSet<>();
-        members.forEach(member -> groups.add(group.apply(member)));
+        replica.forEach(member -> groups.add(group.apply(member)));
         List<String> all = List.copyOf(groups);
         for (int lostIncarnations = 0; lostIncarnations < 1 << all.size(); lostIncarnations++) {
             if (Integer.bitCount(lostIncarnations) > losses) {
                 continue;
             }
             int gone = lostIncarnations;
-            if (members.stream().allMatch(member -> (gone >> all.indexOf(group.apply(member)) & 1) == 1)) {
+            if (replica.stream().allMatch(member -> (gone >> all.indexOf(group.apply(member)) & 1) == 1)) {
                 return false;
             }
         }
@@ -41,16 +41,16 @@
         int cases = 0;
         for (int size = 0; size <= 5; size++) {
             for (int placed = 0; placed < 1 << 2 * size; placed++) {
-                List<Member> members = new ArrayList<>();
+                List<Member> replica = new ArrayList<>();
                 for (int i = 0; i < size; i++) {
-                    members.add(new Member("m" + i, "m" + i, i + 1, "z" + (placed >> 2 * i & 3)));
+                    replica.add(new Member("m" + i, "m" + i, i + 1, "z" + (placed >> 2 * i & 3)));
                 }
                 for (int all = 0; all < 64; all++) {
                     FaultTolerance tolerance = new FaultTolerance(all & 3, all >> 2 & 3, all >> 4, REGIONS);
-                    boolean expected = outlasts(members, tolerance.machines(), Member::address)
-                            && outlasts(members, tolerance.zones(), Member::zone)
-                            && outlasts(members, tolerance.regions(), member -> REGIONS.get(member.zone()));
-                    assertEquals(expected, tolerance.toleratesLossWith(members), () -> tolerance + " " + members);
+                    boolean expected = outlasts(replica, tolerance.machines(), Member::address)
+                            && outlasts(replica, tolerance.zones(), Member::zone)
+                            && outlasts(replica, tolerance.regions(), member -> REGIONS.get(member.zone()));
+                    assertEquals(expected, tolerance.toleratesLossWith(replica), () -> tolerance + " " + replica);
                     cases++;
                 }
             }
@@ -59,17 +59,17 @@
     }
 
     /** Whether a majority is left whichever so many of the groups are lost. */
-    private static boolean leavesMajority(List<Member> members, int losses, Function<Member, String> group) {
-        List<String> all = members.stream().map(group).distinct().sorted().toList();
+    private static boolean leavesMajority(List<Member> replica, int losses, Function<Member, String> group) {
+        List<String> all = replica.stream().map(group).distinct().sorted().toList();
         for (int lostIncarnations = 0; lostIncarnations < 1 << all.size(); lostIncarnations++) {
             if (Integer.bitCount(lostIncarnations) > losses) {
                 continue;
             }
             int gone = lostIncarnations;
-            long rest = members.stream()
+            long rest = replica.stream()
                     .filter(member -> (gone >> all.indexOf(group.apply(member)) & 1) == 0)
                     .count();
-            if (2 * rest <= members.size()) {
+            if (2 * rest <= replica.size()) {
                 return false;
             }
         }
@@ -82,16 +82,16 @@
         int warned = 0;
         for (int size = 1; size <= 5; size++) {
             for (int placed = 0; placed < 1 << 2 * size; placed++) {
-                List<Member> members = new ArrayList<>();
+                List<Member> replica = new ArrayList<>();
                 for (int i = 0; i < size; i++) {
-                    members.add(new Member("m" + i, "m" + i, i + 1, "z" + (placed >> 2 * i & 3)));
+                    replica.add(new Member("m" + i, "m" + i, i + 1, "z" + (placed >> 2 * i & 3)));
                 }
                 for (int all = 0; all < 16; all++) {
                     FaultTolerance tolerance = new FaultTolerance(1, all & 3, all >> 2, REGIONS);
-                    boolean sound = leavesMajority(members, tolerance.zones(), Member::zone)
-                            && leavesMajority(members, tolerance.regions(), member -> REGIONS.get(member.zone()));
+                    boolean sound = leavesMajority(replica, tolerance.zones(), Member::zone)
+                            && leavesMajority(replica, tolerance.regions(), member -> REGIONS.get(member.zone()));
                     assertEquals(
-                            sound, tolerance.groupsHoldingHalf(members).isEmpty(), () -> tolerance + " " + members);
+                            sound, tolerance.groupsHoldingHalf(replica).isEmpty(), () -> tolerance + " " + replica);
                     warned += sound ? 0 : 1;
                 }
             }
--- a/src/test/java/brambletray/platform/replication/FramesTest.java
+++ b/src/test/java/brambletray/platform/replication/FramesTest.java
@@ -56,21 +56,21 @@
     @Test
     void aViewOfTheFormBeforeZonesIsRead() throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        DataOutputStream out = new DataOutputStream(bytes);
-        out.writeByte(1);
-        out.writeBoolean(true);
-        out.writeLong(5);
-        out.writeLong(2);
+        DataOutputStream actions = new DataOutputStream(bytes);
+        actions.writeByte(1);
+        actions.writeBoolean(true);
+        actions.writeLong(5);
+        actions.writeLong(2);
         for (int list = 0; list < 2; list++) {
-            out.writeInt(1);
+            actions.writeInt(1);
             if (list == 1) {
-                out.writeLong(4);
-                out.writeLong(3);
-                out.writeInt(1);
+                actions.writeLong(4);
+                actions.writeLong(3);
+                actions.writeInt(1);
             }
-            out.writeUTF("a:1");
-            out.writeUTF("core-a");
-            out.writeLong(2);
+            actions.writeUTF("a:1");
+            actions.writeUTF("core-a");
+            actions.writeLong(2);
         }
         View view = ReplicationCodec.read(bytes.toByteArray(), in -> {
             in.readBoolean();
--- a/src/test/java/brambletray/platform/replication/LeadingTest.java
+++ b/src/test/java/brambletray/platform/replication/LeadingTest.java
@@ -13,21 +13,17 @@
     private static final int HEARTBEAT_MS = 100;
 
     private final RecordingOut out = new RecordingOut();
-    private final ReplicaState desk =
-            new ReplicaState(ReplicationSettings.defaults(1), out, RecordingOut.stateless(), 77);
+    private final ReplicaState state = RecordingOut.state(
+            new DurableState(1, List.of(), Ballot.NONE, VIEW, true, ReplicatedLog.empty(), List.of(), List.of()), out);
 
     private LeaderState leading() {
-        desk.nowMs = 1_000;
-        desk.self = LEADER;
-        desk.view = VIEW;
-        desk.active = true;
-        return new LeaderState(desk);
+        return new LeaderState(state);
     }
 
     /** Heartbeat answers without progress, for so long. */
     private void answersWithoutProgress(LeaderState leader, int ms) {
         for (int passed = 0; passed < ms; passed += HEARTBEAT_MS) {
-            desk.nowMs += HEARTBEAT_MS;
+            state.advanceTo(state.nowMs() + HEARTBEAT_MS);
             leader.onHeartbeatResponse(new ReplicationMessage.HeartbeatResponse(
                     VIEW.ballot(), FOLLOWER.incarnation(), passed, 0, VIEW.ballot(), false));
         }
--- a/src/test/java/brambletray/platform/replication/MemberTest.java
+++ b/src/test/java/brambletray/platform/replication/MemberTest.java
@@ -73,15 +73,8 @@
         DurableState durableState =
                 new DurableState(2, List.of(), VIEW.ballot(), VIEW, true, ReplicatedLog.empty(), List.of(), List.of());
         return new Replica(
-                "b",
-                "b",
-                "",
-                9,
-                77,
+                new ReplicaConfig("b", "b", "", 9, 77, List.of("a", "b", "c"), false, ReplicationSettings.defaults(1)),
                 durableState,
-                List.of("a", "b", "c"),
-                false,
-                ReplicationSettings.defaults(1),
                 out,
                 stateMachine,
                 now);
@@ -185,15 +178,8 @@
         DurableState durableState = new DurableState(
                 2, List.of(), alone.ballot(), alone, true, ReplicatedLog.empty(), List.of(), List.of());
         Replica b = new Replica(
-                "b",
-                "b",
-                "",
-                9,
-                77,
+                new ReplicaConfig("b", "b", "", 9, 77, List.of("b"), false, ReplicationSettings.defaults(0)),
                 durableState,
-                List.of("b"),
-                false,
-                ReplicationSettings.defaults(0),
                 out,
                 stateMachine,
                 now);
--- a/src/test/java/brambletray/platform/replication/QuorumTest.java
+++ b/src/test/java/brambletray/platform/replication/QuorumTest.java
@@ -11,31 +11,31 @@
 
 class QuorumTest {
     private static List<Member> members(int size) {
-        List<Member> members = new ArrayList<>();
+        List<Member> replica = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-            members.add(new Member("m" + i, "m" + i, i + 1));
+            replica.add(new Member("m" + i, "m" + i, i + 1));
         }
-        return members;
+        return replica;
     }
 
-    private static List<Member> some(List<Member> members, int bits) {
+    private static List<Member> some(List<Member> replica, int bits) {
         List<Member> some = new ArrayList<>();
-        for (int i = 0; i < members.size(); i++) {
+        for (int i = 0; i < replica.size(); i++) {
             if ((bits >> i & 1) == 1) {
-                some.add(members.get(i));
+                some.add(replica.get(i));
             }
         }
         return some;
     }
 
-    private static Set<Long> lives(List<Member> members) {
+    private static Set<Long> lives(List<Member> replica) {
         Set<Long> incarnations = new HashSet<>();
-        members.forEach(member -> incarnations.add(member.incarnation()));
+        replica.forEach(member -> incarnations.add(member.incarnation()));
         return incarnations;
     }
 
-    private static boolean enough(List<Member> members, int answered, int dead) {
-        return (answered & dead) == 0 && Quorum.isReached(members, some(members, answered), lives(some(members, dead)));
+    private static boolean enough(List<Member> replica, int answered, int dead) {
+        return (answered & dead) == 0 && Quorum.isReached(replica, some(replica, answered), lives(some(replica, dead)));
     }
 
     /**
@@ -46,12 +46,12 @@
     void anyTwoMeet() {
         int pairs = 0;
         for (int size = 1; size <= 6; size++) {
-            List<Member> members = members(size);
+            List<Member> replica = members(size);
             int all = 1 << size;
             List<int[]> quorums = new ArrayList<>();
             for (int answered = 0; answered < all; answered++) {
                 for (int dead = 0; dead < all; dead++) {
-                    if (enough(members, answered, dead)) {
+                    if (enough(replica, answered, dead)) {
                         quorums.add(new int[] {answered, dead});
                     }
                 }
@@ -62,7 +62,7 @@
                     boolean meet = (one[0] & other[0]) != 0;
                     boolean bothAfter = (one[0] & other[1]) == one[0] && (other[0] & one[1]) == other[0];
                     assertTrue(
-                            meet || bothAfter, members + " " + one[0] + "/" + one[1] + " " + other[0] + "/" + other[1]);
+                            meet || bothAfter, replica + " " + one[0] + "/" + one[1] + " " + other[0] + "/" + other[1]);
                 }
             }
         }
--- a/src/test/java/brambletray/platform/replication/RandomFaults.java
+++ b/src/test/java/brambletray/platform/replication/RandomFaults.java
@@ -91,7 +91,7 @@
         // those that are about to end, as planned, do
         world.until(world.now + 350);
         world.await(
-                () -> live.stream().noneMatch(node -> node.up() && node.members.leaving()),
+                () -> live.stream().noneMatch(node -> node.up() && node.members.isLeaving()),
                 6000,
                 "those that leave have left");
         for (SimNode node : live) {
--- a/src/test/java/brambletray/platform/replication/RecordingOut.java
+++ b/src/test/java/brambletray/platform/replication/RecordingOut.java
@@ -39,6 +39,20 @@
     @Override
     public void log(ReplicationEvent event) {}
 
+    /** The state of machine "a" with incarnation 1, at 1,000 ms, by what its disk holds. */
+    static ReplicaState state(DurableState stored, ReplicationActions actions) {
+        ReplicaConfig config =
+                new ReplicaConfig("a", "a", "", 1, 77, List.of(), false, ReplicationSettings.defaults(1));
+        AppliedEntryListener nobody = new AppliedEntryListener() {
+            @Override
+            public void onApplied(LogEntry entry) {}
+
+            @Override
+            public void onSnapshotInstalled() {}
+        };
+        return new ReplicaState(config, stored, actions, stateless(), nobody, 1_000);
+    }
+
     /** A state machine without a state. */
     static StateMachine stateless() {
         return new StateMachine() {
--- a/src/test/java/brambletray/platform/replication/RuleChecker.java
+++ b/src/test/java/brambletray/platform/replication/RuleChecker.java
@@ -54,8 +54,8 @@
         this.world = world;
     }
 
-    public void fail(String why) {
-        StringBuilder text = new StringBuilder(why).append(" at ").append(world.now);
+    public void fail(String reason) {
+        StringBuilder text = new StringBuilder(reason).append(" at ").append(world.now);
         for (SimNode node : world.nodes.values()) {
             text.append("\n  ").append(node.address).append(node.up() ? " " + node.members.status() : " down");
         }
--- a/src/test/java/brambletray/platform/replication/ServingTest.java
+++ b/src/test/java/brambletray/platform/replication/ServingTest.java
@@ -12,15 +12,14 @@
     private static final int RECEIVERS = 8;
 
     private final RecordingOut out = new RecordingOut();
-    private final ReplicaState desk =
-            new ReplicaState(ReplicationSettings.defaults(1), out, RecordingOut.stateless(), 77);
+    private final ReplicaState state = RecordingOut.state(DurableState.empty(), out);
 
     /** The log of a view that is being installed can be had only as it is: no other cut does in its stead. */
     @Test
     void allThatLackTheSameOfANewViewAreServedFromOneCut() {
         LogEntry entry = new LogEntry(1, INSTALLING, 7, 1, new byte[2 * StateTransferClient.CHUNK_BYTES]);
         ReplicatedLog log = new ReplicatedLog(0, Ballot.NONE, new byte[0], List.of(entry));
-        StateTransferServer serving = new StateTransferServer(desk, view -> log);
+        StateTransferServer serving = new StateTransferServer(state, view -> log);
         for (int i = 0; i < RECEIVERS; i++) {
             serving.onFetchChunk(
                     "learner-" + i,
--- a/src/test/java/brambletray/platform/replication/SimNode.java
+++ b/src/test/java/brambletray/platform/replication/SimNode.java
@@ -58,15 +58,9 @@
         DurableState durableState = DurableState.read(disk.kept);
         members = null;
         members = new Replica(
-                address,
-                address,
-                zone,
-                fresh,
-                world.random.nextLong() | 1,
+                new ReplicaConfig(
+                        address, address, zone, fresh, world.random.nextLong() | 1, seeds, initial, world.settings),
                 durableState,
-                seeds,
-                initial,
-                world.settings,
                 new Ways(boot),
                 new State(),
                 world.now);
--- a/src/test/java/brambletray/platform/replication/SteppedWorld.java
+++ b/src/test/java/brambletray/platform/replication/SteppedWorld.java
@@ -56,15 +56,16 @@
             long fresh = 100 * (number + 1) + boot;
             members = null;
             members = new Replica(
-                    NAMES[number],
-                    NAMES[number],
-                    "",
-                    fresh,
-                    1000 * (number + 1) + boot,
+                    new ReplicaConfig(
+                            NAMES[number],
+                            NAMES[number],
+                            "",
+                            fresh,
+                            1000 * (number + 1) + boot,
+                            SEEDS,
+                            initial,
+                            SETTINGS),
                     DurableState.read(kept),
-                    SEEDS,
-                    initial,
-                    SETTINGS,
                     this,
                     this,
                     board.now);
@@ -229,7 +230,7 @@
             case 1 -> purse.impatience > 0;
             case 2 -> purse.power > 0;
             case 3 -> purse.disks > 0 && intact();
-            case 4 -> seat.members.leaving() ? seat.members.mayTerminate() : purse.leaves > 0;
+            case 4 -> seat.members.isLeaving() ? seat.members.mayTerminate() : purse.leaves > 0;
             default -> false;
         };
     }
