--- a/src/main/java/brambletray/platform/configuration/ChangeHistory.java
+++ b/src/main/java/brambletray/platform/configuration/ChangeHistory.java
@@ -9,9 +9,9 @@
 import java.util.TreeSet;
 
 /**
- * Which entries the last versions of the configuration touched, so that who has one of these is told what has changed
- * since, and no more. Only names are kept: the entries themselves are the current one's. Each member follows along, so
- * that a new holder of the duty can go on. Pure; one thread.
+ * Which entries the last versions of the configuration changed, so that an edge with one of them is sent what has
+ * changed since, and no more. Only names are remembered: the entries themselves are those of the current
+ * configuration. Each member of the core has the history, so that a new coordinator can go on. Pure; one thread.
  */
 public final class ChangeHistory {
     /** Versions that are remembered, and names that these touched together; beyond either the oldest are forgotten. */
@@ -29,7 +29,7 @@
         return current;
     }
 
-    /** This one is in force from here on; what came in between, if anything did, is taken as one step. */
+    /** This configuration applies from here on; what came in between, if anything, counts as one version. */
     public void advanceTo(Configuration next) {
         if (next.revision() <= current.revision()) {
             return;
@@ -51,7 +51,10 @@
                 || versions.stream().anyMatch(version -> version.fromRevision == baseRevision);
     }
 
-    /** From this revision to the current one; null: it isn't remembered, or the whole is no larger. */
+    /**
+     * The delta from this revision to the current one; null if the revision is not remembered, or the full
+     * configuration is no larger.
+     */
     public ConfigurationDelta deltaSince(long baseRevision) {
         Set<ConfigurationDocument.Key> touched = new TreeSet<>(
                 Comparator.comparing(ConfigurationDocument.Key::table).thenComparing(ConfigurationDocument.Key::name));
@@ -73,7 +76,7 @@
         return new ConfigurationDelta(baseRevision, current.revision(), current.digest(), entries);
     }
 
-    /** The whole of the current one, for who has none that is remembered. */
+    /** The full configuration as a delta from nothing, for edges that have no remembered revision. */
     public ConfigurationDelta fullDelta() {
         List<ConfigurationDelta.Entry> entries = new ArrayList<>();
         current.entries()
--- a/src/main/java/brambletray/platform/configuration/ChangeKind.java
+++ b/src/main/java/brambletray/platform/configuration/ChangeKind.java
@@ -2,7 +2,7 @@
 
 /** How a body changes the configuration. */
 public enum ChangeKind {
-    /** The body is the whole of the next one. */
+    /** The body is the complete next configuration. */
     REPLACE,
     /** The body names items to set and to remove. */
     MODIFY
--- a/src/main/java/brambletray/platform/configuration/Configuration.java
+++ b/src/main/java/brambletray/platform/configuration/Configuration.java
@@ -9,8 +9,8 @@
 import java.util.function.Function;
 
 /**
- * A configuration in full: valid, never changed, of one revision (page PROTOCOL, The operator). What isn't understood
- * in it is kept and shown. Safe to be read by any thread.
+ * One revision of the operators' configuration (page PROTOCOL, The operator): valid and immutable. Fields that are
+ * not understood are stored and shown. Thread-safe.
  */
 public final class Configuration {
     /** Revision 0: nothing is routed. The first configuration builds on it. */
@@ -58,9 +58,8 @@
     }
 
     /**
-     * The body of a replacement; {@link ConfigurationException} where it is invalid. Whether its revision is above
-     * another's says
-     * {@link #requireNewerThan}.
+     * Reads the body of a replacement; {@link ConfigurationException} where it is invalid. {@link #requireNewerThan}
+     * compares its revision.
      */
     public static Configuration read(byte[] body) {
         JsonFields in = JsonFields.from("", ConfigurationJson.read(body).content());
@@ -196,11 +195,9 @@
     }
 
     /**
-     * This one with a taken change ({@link ChangeDecision.Proposable#encodedChange}) on top, for those who follow: far smaller than
-     * the
-     * whole. {@link ConfigurationException} {@code creed.stale} where the change builds on another revision: ask for
-     * the whole
-     * then.
+     * Applies a change ({@link ChangeDecision.Proposable#encodedChange}), which is far smaller than the
+     * configuration. {@link ConfigurationException} {@code configuration.stale} where the change builds on another
+     * revision: ask for the full configuration then.
      */
     public Configuration apply(byte[] change) {
         return ConfigurationChange.decode(change).applyTo(this);
@@ -217,11 +214,10 @@
     }
 
     /**
-     * This one with a difference on top, entry by entry; one of base 0 holds a whole configuration and is put on
-     * nothing. {@link ConfigurationException} {@code creed.stale} where it builds on another revision, {@code
-     * creed.not-newer}
-     * where it leads to no later one, {@code creed.digest} where the result isn't what the sender has, and the other
-     * codes where an entry can't be read: ask for the whole then.
+     * Applies a delta, entry by entry; one with base 0 holds a full configuration and is applied to nothing. {@link
+     * ConfigurationException} {@code configuration.stale} where it builds on another revision, {@code
+     * configuration.not-newer} where it leads to no later one, {@code configuration.digest} where the result is not
+     * what the sender has, and the other codes where an entry cannot be read: ask for the full configuration then.
      */
     public Configuration apply(ConfigurationDelta delta) {
         if (delta.baseRevision() != 0 && delta.baseRevision() != revision) {
@@ -340,7 +336,7 @@
         return routeTable.match(host, path);
     }
 
-    /** The whole configuration as it is shown, what isn't understood included; made anew at each call. */
+    /** The configuration as JSON, with fields that are not understood; made anew at each call. */
     public byte[] json() {
         return document.json(revision);
     }
--- a/src/main/java/brambletray/platform/configuration/ConfigurationDelta.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationDelta.java
@@ -11,10 +11,10 @@
 import java.util.List;
 
 /**
- * What leads from one revision of the configuration to a later one: the entries that were set and withdrawn between
+ * The difference from one revision of the configuration to a later one: the entries that were set and removed between
  * them.
  *
- * @param baseRevision the revision that it is put on; 0: on nothing, it holds the whole
+ * @param baseRevision the revision that it is applied to; 0: it holds a full configuration
  * @param digest of the result ({@link Configuration#digest})
  */
 public record ConfigurationDelta(long baseRevision, long revision, long digest, List<Entry> entries) {
@@ -57,7 +57,10 @@
         }
     }
 
-    /** From {@link #toCompressedBytes}; {@link ConfigurationException} {@code creed.bad-packing} or {@code creed.bad-delta}. */
+    /**
+     * From {@link #toCompressedBytes}; {@link ConfigurationException} {@code configuration.bad-packing} or {@code
+     * configuration.bad-delta}.
+     */
     public static ConfigurationDelta fromCompressedBytes(byte[] packed) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(DeltaCompression.unpack(packed)))) {
             byte format = in.readByte();
--- a/src/main/java/brambletray/platform/configuration/ConfigurationDigest.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationDigest.java
@@ -3,10 +3,10 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Digests of configurations that grow by entry: each entry has 64 bits of its own (FNV-1a over table, name and bytes,
- * then spread), and those of all are added up, so that a change costs as much as it changes. They guard against a wrong
- * base, a lost or kept entry, and faults of ours; not against somebody who makes entries collide, as only members of
- * the core write them.
+ * Digests of configurations that are updated entry by entry: each entry has a 64-bit digest (FNV-1a over table, name
+ * and bytes, then mixed), and these are added up, so that an update costs as much as it changes. They guard against a
+ * wrong base, a missing or surplus entry, and faults of this program; not against an attacker that makes entries
+ * collide, as only members of the core write them.
  */
 final class ConfigurationDigest {
     private static final long BASIS = 0xcbf29ce484222325L;
--- a/src/main/java/brambletray/platform/configuration/ConfigurationDocument.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationDocument.java
@@ -11,9 +11,9 @@
 import java.util.Set;
 
 /**
- * A configuration as it was sent, in pieces: lists of named items (tables) item by item, all other fields whole. So
- * named items can be replaced without a loss in the rest, known or not. Never changed once a {@link Configuration}
- * holds it.
+ * A configuration as it was sent, by entry: lists of named items (tables) item by item, all other fields as one entry
+ * each. So named items can be replaced without losing anything else, known or not. Never changed once a {@link
+ * Configuration} holds it.
  */
 final class ConfigurationDocument {
     static final String ROUTES = "routes";
--- a/src/main/java/brambletray/platform/configuration/ConfigurationException.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationException.java
@@ -17,7 +17,7 @@
         this(code, field, reason, null);
     }
 
-    /** Where it is, as in {@code routes[r-1].timeout-ms}; empty: the body as a whole. */
+    /** The field, as in {@code routes[r-1].timeout-ms}; empty for the body. */
     public String field() {
         return field;
     }
--- a/src/main/java/brambletray/platform/configuration/ConfigurationJson.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationJson.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 
 /**
- * Reads a body whole, keeping for each value where it stands: what isn't understood is kept as the bytes it came in, so
- * that a configuration is shown as it was sent, to the last digit.
+ * Parses a body and remembers the position of each value: fields that are not understood are stored as the bytes they
+ * came in, so that a configuration is shown as it was sent, to the last digit.
  */
 final class ConfigurationJson {
     /** Bytes of a body. */
@@ -43,7 +43,7 @@
         reader = LazyParser.JSON.newReader(body);
     }
 
-    /** The whole body as one object; {@link ConfigurationException} where it isn't exactly one. */
+    /** Parses the body as one object; {@link ConfigurationException} where it is not exactly one. */
     static Value read(byte[] body) {
         if (body.length > MAX_BODY_BYTES) {
             throw tooLarge(body.length);
--- a/src/main/java/brambletray/platform/configuration/ConfigurationStateMachine.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationStateMachine.java
@@ -11,15 +11,15 @@
 import java.util.Map;
 
 /**
- * What all members of a core agree on about configurations: the current one, and which changes led to it, so that a
- * change sent again is answered like the first time. Pure: the same changes delivered in the same order lead to the
- * same state, byte for byte. For one thread.
+ * The replicated state of the core: the current configuration, and which changes led to it, so that a change sent
+ * again is answered like the first time. Pure: the same changes applied in the same order lead to the same state,
+ * byte for byte. For one thread.
  */
 public final class ConfigurationStateMachine {
     /**
-     * Taken changes that are remembered, in snapshots too (24 bytes each); an operator sends a change again within
-     * seconds, and a day holds hundreds. What builds on a revision from before them is not refused:
-     * {@link ChangeDecision.HistoryExpired}.
+     * Applied changes that are remembered, in snapshots too (24 bytes each); an operator sends a change again within
+     * seconds, and a day has hundreds. What builds on a revision before them is not rejected but {@link
+     * ChangeDecision.HistoryExpired}.
      */
     static final int MAX_REMEMBERED_CHANGES = 2_000;
 
@@ -35,7 +35,7 @@
     private Configuration configuration = Configuration.NONE;
     private final ArrayDeque<AppliedChange> history = new ArrayDeque<>();
     private final Map<Fingerprint, Long> appliedRevisions = new HashMap<>();
-    /** What the last change that was judged leads to: it mostly comes back as the next to be delivered. */
+    /** Result of the last change that was evaluated, which mostly is the next to be applied. */
     private Fingerprint lastEvaluated;
 
     private Configuration lastResult;
@@ -61,8 +61,8 @@
     }
 
     /**
-     * Whether this very change was taken: for good, whatever came on top of it since. False also where it is no longer
-     * remembered.
+     * Whether this very change was applied, whatever came on top of it since. False also where it is not remembered
+     * any more.
      */
     public boolean wasApplied(ChangeKind kind, long baseRevision, byte[] body) {
         return body.length <= ConfigurationJson.MAX_BODY_BYTES
@@ -71,9 +71,9 @@
     }
 
     /**
-     * What would become of this change as things stand: {@code Fine}, {@code TakenBefore}, {@code Stale},
-     * {@code Forgotten} or {@code Invalid}. Whether it was taken before is asked first: a change that was taken is on
-     * an old base, and where it was the last one its revision isn't above the current one.
+     * Evaluates a change against the current configuration: {@code Proposable}, {@code AlreadyApplied}, {@code
+     * Stale}, {@code HistoryExpired} or {@code Invalid}. Whether it was applied before is checked first: such a
+     * change has an old base, and where it was the last one its revision is not above the current one.
      */
     public ChangeDecision evaluate(ChangeKind kind, long baseRevision, byte[] body) {
         if (body.length > ConfigurationJson.MAX_BODY_BYTES) {
@@ -85,8 +85,8 @@
     }
 
     /**
-     * A change at its place in the order; {@code Taken}, or why it is not: another may have come before it since it was
-     * judged, and then nothing changes here or on any other member.
+     * Applies a committed change: {@code Applied}, or why it is not; another may have been committed since it was
+     * evaluated, and then nothing changes here or on any other member.
      */
     public ChangeDecision apply(byte[] change) {
         ChangeDecision decision = evaluateEncoded(change);
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Whether a change on this base may have been taken so long ago that it isn't remembered. */
+    /** Whether a change on this base may have been applied so long ago that it is not remembered. */
     private boolean mayHaveExpired(long baseRevision) {
         return history.size() >= MAX_REMEMBERED_CHANGES && baseRevision < history.peek().revision;
     }
@@ -143,7 +143,7 @@
         }
     }
 
-    /** All of it: format, the taken changes from the oldest on, the current configuration. */
+    /** The state as bytes: format, the applied changes from the oldest on, the current configuration. */
     public byte[] snapshot() {
         byte[] json = configuration == Configuration.NONE ? new byte[0] : configuration.json();
         ByteBuffer out = ByteBuffer.allocate(1 + 4 + history.size() * (8 + FINGERPRINT_BYTES) + json.length);
@@ -155,9 +155,8 @@
     }
 
     /**
-     * Becomes what that snapshot holds, empty bytes being the state before the first change; {@link
-     * ConfigurationException} where
-     * it can't be read, and then nothing changes.
+     * Replaces the state by a snapshot, empty bytes being the state before the first change; {@link
+     * ConfigurationException} where it cannot be read, and then nothing changes.
      */
     public void restore(byte[] snapshot) {
         if (snapshot.length == 0) {
--- a/src/main/java/brambletray/platform/configuration/DeltaCompression.java
+++ b/src/main/java/brambletray/platform/configuration/DeltaCompression.java
@@ -5,7 +5,7 @@
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
 
-/** Differences of configurations are packed for slow and dear links: a whole one shrinks to about a tenth. */
+/** Deflates deltas for slow and expensive links: a full configuration shrinks to about a tenth. */
 final class DeltaCompression {
     private DeltaCompression() {}
 
--- a/src/main/java/brambletray/platform/configuration/Route.java
+++ b/src/main/java/brambletray/platform/configuration/Route.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * A route: requests of a host whose path begins with the prefix go to hosts of its services.
+ * A route: requests of a host whose path begins with the prefix go to instances of its services.
  *
  * @param host lower case, without port
  * @param prefix begins and ends with a slash
  * @param idempotent whether a request may run more than once
- * @param timeoutMs the longest that the operator wants a request held; above 0
- * @param latencyTargetMs an answer within it earns its full worth
+ * @param timeoutMs the longest that a request may take; above 0
+ * @param latencyTargetMs an answer within it earns its full value
  * @param priority 0 is the highest rank
- * @param retryCount to how many hosts one try may be sent; who sends takes 0 as 1
+ * @param retryCount to how many instances one attempt may be sent; the proxy takes 0 as 1
  * @param shares services with their weights, at least one weight above 0
  */
 public record Route(
--- a/src/main/java/brambletray/platform/configuration/RouteTable.java
+++ b/src/main/java/brambletray/platform/configuration/RouteTable.java
@@ -48,7 +48,7 @@
         return null;
     }
 
-    /** A host's name as routes are kept under it: lower case, without its port. */
+    /** The normalized name of a host: lower case, without its port. */
     static String normalizeHost(CharSequence host) {
         String text = host.toString();
         int colon = text.lastIndexOf(':');
--- a/src/main/java/brambletray/platform/controlplane/CallRouter.java
+++ b/src/main/java/brambletray/platform/controlplane/CallRouter.java
@@ -3,10 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/**
- * One table for all calls from outside: method, then path segment by segment. A segment {@code *} takes any one and is
- * handed on.
- */
+/** Routes calls by method, then path segment by segment. A segment {@code *} matches any one, which is handed on. */
 final class CallRouter<H> {
     private final Map<String, Node<H>> methods = new HashMap<>();
 
--- a/src/main/java/brambletray/platform/controlplane/ControlPlaneProgram.java
+++ b/src/main/java/brambletray/platform/controlplane/ControlPlaneProgram.java
@@ -48,8 +48,8 @@
 import java.util.function.Consumer;
 
 /**
- * The program of the core: puts the planes together, and decides nothing. For the loop only, once {@link #run} has
- * run.
+ * The program of a core machine: connects the packages to sockets and disk, and decides nothing. For the event loop
+ * only, once {@link #run} has started it.
  */
 public final class ControlPlaneProgram {
     private static final EventLog LOG = EventLog.of("controlplane");
@@ -57,9 +57,9 @@
     private static final int TICK_INTERVAL_MS = 50;
     /** ms until a disk that could not be opened is tried again. */
     private static final int DISK_RETRY_MS = 200;
-    /** ms that a process stays at least after it was told to end, so that the others hear that the helm is free. */
+    /** ms that a process stays at least after SIGTERM, so that the others learn that the lease is released. */
     private static final int MIN_SHUTDOWN_MS = 300;
-    /** ms that its last answers are given to go out. */
+    /** ms for its last responses to be sent. */
     private static final int SHUTDOWN_FLUSH_MS = 100;
 
     private static final String COORDINATOR_ROLE = "helm";
@@ -76,19 +76,16 @@
     private final LeaseElection election;
     private final OperatorViews operatorViews;
     private final EdgeGreeter edgeGreeter = new EdgeGreeter(this::welcome);
-    /**
-     * Kept by each member, whether it holds the helm or not: the next holder goes on with differences from what edges
-     * have.
-     */
+    /** At each member, coordinator or not: the next coordinator goes on with deltas from what edges have. */
     private final ChangeHistory changeHistory = new ChangeHistory();
 
     private final ConfigurationPublisher publisher = new ConfigurationPublisher(changeHistory);
     private EdgeCoordinator coordinator;
-    /** Steady ms since when this process is to end, and since when the others go on without it; -1: not so. */
+    /** Steady ms since SIGTERM, and since the others go on without this process; -1: not yet. */
     private long leavingSinceMs = -1;
 
     private long removedSinceMs = -1;
-    /** The term of the helm that is held here, 0 for none. */
+    /** Term of the coordinator's lease that is held here, 0 for none. */
     private long heldTerm;
 
     /**
@@ -100,7 +97,7 @@
      */
     record Environment(Machine machine, Map<String, byte[]> stored, DurableStore store, Runnable exit) {}
 
-    /** On the loop; {@link #start} follows. {@code newIncarnation}, {@code origin}: drawn at random, not 0. */
+    /** On the event loop; {@link #start} follows. {@code newIncarnation}, {@code origin}: drawn at random, not 0. */
     ControlPlaneProgram(NodeSettings nodeSettings, Environment environment, long newIncarnation, long origin) {
         this.nodeSettings = nodeSettings;
         machine = environment.machine();
@@ -154,7 +151,9 @@
         return ReplicationSettings.defaults(tolerance, leaveTimeoutMs(nodeSettings));
     }
 
-    /** How long a process that is told to end stays at most, ms: grace-s less a margin, in which it ends by itself. */
+    /**
+     * How long a process that is about to end stays at most, ms: grace-s less a margin in which it ends by itself.
+     */
     private static int leaveTimeoutMs(NodeSettings nodeSettings) {
         int grace = (int) (nodeSettings.bounds().graceS() * 1_000);
         return Math.max(grace / 2, grace - 1_000);
@@ -167,9 +166,8 @@
     }
 
     /**
-     * Runs until it is told to end. {@code newIncarnation}, {@code origin}: drawn at random. Throws {@link StorageException}
-     * where the
-     * disk cannot be used.
+     * Runs the program until SIGTERM. {@code newIncarnation}, {@code origin}: drawn at random. Throws {@link
+     * StorageException} if the disk cannot be used.
      */
     public static void run(NodeSettings nodeSettings, long newIncarnation, long origin) throws InterruptedException {
         Machine machine = Sockets.machine();
@@ -197,12 +195,12 @@
                 .log();
     }
 
-    /** Ticks from now on; on the loop. */
+    /** Ticks from now on; on the event loop. */
     void start() {
         machine.loop().scheduleWithFixedDelay(this::tick, TICK_INTERVAL_MS, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Listens at the control-plane address; the future fails with what the system says where it cannot. */
+    /** Listens at the control-plane address; the future fails with the system's reason where it cannot. */
     ChannelFuture listen() {
         CallRouter<ControlPlaneServer.CallHandler> table = new CallRouter<>();
         operatorCalls.register(table);
@@ -217,8 +215,8 @@
     }
 
     /**
-     * The disk, for as long as it takes: one that refuses is tried again, one that holds no whole store counts as lost,
-     * and its life with it.
+     * Opens the disk, for as long as it takes: one that refuses is tried again, one without a complete store counts
+     * as lost, and its incarnation with it.
      */
     private static KeyValueStore openStore(Path dir) throws InterruptedException {
         for (; ; ) {
@@ -270,8 +268,8 @@
     }
 
     /**
-     * There is a hub for the term that is held, and for no other; one that was won but may not act yet is taken up at a
-     * later tick.
+     * Makes sure that there is an {@link EdgeCoordinator} for the term that is held, and for no other; one that was
+     * won but may not act yet is started at a later tick.
      */
     private void updateCoordinator() {
         long nowMs = nowMs();
@@ -292,12 +290,12 @@
         }
     }
 
-    /** Where this member stands. */
+    /** The status of this member. */
     ReplicaStatus status() {
         return replica.status();
     }
 
-    /** Whether it holds the helm, and may act by it now. */
+    /** Whether it holds the coordinator's lease, and may act by it now. */
     boolean mayAct() {
         return election.mayAct(nowMs());
     }
@@ -402,7 +400,7 @@
         }
     }
 
-    /** Keeps changes durably; one of the two follows, on the loop. */
+    /** Writes changes durably; one of the two callbacks follows, on the loop. */
     private void commitToStore(Map<String, byte[]> changes, Runnable done, Runnable failed) {
         List<KeyChange> all = new ArrayList<>(changes.size());
         changes.forEach((key, value) -> all.add(new KeyChange(key, value)));
--- a/src/main/java/brambletray/platform/controlplane/ControlPlaneServer.java
+++ b/src/main/java/brambletray/platform/controlplane/ControlPlaneServer.java
@@ -48,7 +48,7 @@
         this.router = router;
     }
 
-    /** Listens; the future fails with what the system says where it cannot. */
+    /** Listens; the future fails with the system's reason where it cannot. */
     ChannelFuture listen(Machine machine, Address at) {
         return machine.listening(new ChannelInitializer<Channel>() {
                     @Override
@@ -137,8 +137,8 @@
         }
 
         /**
-         * The next call of this connection, once the one before it has its answer; none after one that closes it. By
-         * way of the loop, since whoever gives an answer may be in the midst of its own calls.
+         * The next call of this connection, once the one before it has its response; none after one that closes it.
+         * On a later turn of the loop, since the caller may be in the middle of another call.
          */
         private void onResponded(ChannelHandlerContext context, boolean keepAlive) {
             if (!keepAlive) {
--- a/src/main/java/brambletray/platform/controlplane/EdgeCoordinator.java
+++ b/src/main/java/brambletray/platform/controlplane/EdgeCoordinator.java
@@ -39,15 +39,15 @@
 import java.util.function.Supplier;
 
 /**
- * What the holder of the helm does in its term: tells edges of each other, of configurations and of hosts, and starts
- * and stops hosts. It begins knowing nothing, and is told by those who knew first. For the loop only.
+ * The coordinator in its term: announces edges, configurations and instances to the edges, and starts and stops
+ * instances. It begins without any state and gets it from the edges. For the event loop only.
  */
 final class EdgeCoordinator {
     private static final EventLog LOG = EventLog.of("hub");
-    /** ms between pulses. */
+    /** ms between heartbeats to an edge. */
     private static final int HEARTBEAT_INTERVAL_MS = 250;
     /**
-     * ms without the right to act after which edges are let go: a late tick of this process puts its lease in doubt for
+     * ms without authority after which edges are released: a late tick of this process makes its lease uncertain for
      * one round only.
      */
     static final int LEASE_DOUBT_GRACE_MS = 100;
@@ -57,9 +57,11 @@
     private static final class ConnectedEdge {
         private Link link;
         private Peer peer;
-        /** Has been pulsed on this link, and not been let go since: what is said now is said under this term. */
+        /**
+         * A heartbeat was sent on this link, and it was not released since: what is sent now is sent under this term.
+         */
         private boolean heartbeatSent;
-        /** That it serves by, as it says itself. */
+        /** Revision of the configuration that the edge serves by, as it says itself. */
         private long servedRevision;
     }
 
@@ -73,25 +75,25 @@
     private HomeAssignment homeAssignment = new HomeAssignment(Roster.NONE);
     private long heartbeatsSentAtMs;
     private CoordinatorHeartbeat heartbeat;
-    /** Since when the newest configuration is on its way to edges, ms; {@link #NEVER}: all have it. */
+    /** Since when the newest configuration is being rolled out to edges, ms; {@link #NEVER}: all have it. */
     private long rolloutSinceMs = NEVER;
 
     private long authorityLostAtMs = NEVER;
     private final Machine machine;
     private final Authority authority;
 
-    /** What a hub asks before it speaks. */
+    /** What the coordinator checks before it sends anything. */
     interface Authority {
         /** Whether this term may act at this moment. */
         boolean mayAct();
 
         /**
-         * Whether all that was kept before the view in force has been applied here. Until then the configuration that
-         * is known here may be older than one that was acknowledged.
+         * Whether everything that was committed before the active view has been applied here. Until then the
+         * configuration that is known here may be older than one that was acknowledged.
          */
         boolean isSettled();
 
-        /** What this member says to an edge's Hello. */
+        /** This member's answer to an {@link EdgeHello}. */
         EdgeWelcome welcome();
 
         /** The platform has refused a call under this term, as it has seen a higher one. */
@@ -149,7 +151,7 @@
         return provisioner;
     }
 
-    /** For operators: the revision that this edge says it serves by, or -1: it has no link here. */
+    /** For operators: the revision that this edge serves by, or -1 if it has no link here. */
     long servedRevision(String name) {
         ConnectedEdge edge = edges.get(name);
         return edge == null ? -1 : edge.servedRevision;
@@ -160,7 +162,7 @@
         return home == null ? null : home.name();
     }
 
-    /** Another configuration is in force. */
+    /** Another configuration was applied. */
     void onConfigurationChanged(long nowMs) {
         Map<String, InstanceSize> sizes = new HashMap<>();
         Configuration current = configuration.get();
@@ -177,7 +179,7 @@
         }
     }
 
-    /** For who may act, of what may be handed out: edges fetch what they lack. */
+    /** Announces what may be handed out: edges fetch what they lack. Only while this term may act. */
     private void sendHeartbeats(long nowMs) {
         heartbeatsSentAtMs = nowMs;
         heartbeat = new CoordinatorHeartbeat(
@@ -248,7 +250,7 @@
         maybeLogRollout(nowMs);
     }
 
-    /** Tells once when all edges on the line serve by the newest configuration. */
+    /** Logs once when all connected edges serve by the newest configuration. */
     private void maybeLogRollout(long nowMs) {
         long newest = publishableRevision();
         if (rolloutSinceMs != NEVER
@@ -282,12 +284,12 @@
         edge.heartbeatSent |= edge.link.send(heartbeat);
     }
 
-    /** Of the configuration that may be handed out, or 0: none yet. */
+    /** Revision of the configuration that may be handed out, or 0: none yet. */
     private long publishableRevision() {
         return authority.isSettled() ? publisher.revision() : 0;
     }
 
-    /** Edges look elsewhere, until this hub pulses again. */
+    /** Edges look for another coordinator, until this one sends a heartbeat again. */
     private void releaseEdges(String why) {
         int released = 0;
         EdgeWelcome welcome = authority.welcome().withoutCoordinator();
@@ -320,7 +322,7 @@
         }
     }
 
-    /** Says and does nothing with authority while this term may not act. */
+    /** To be called every 50 ms. Sends nothing with authority while this term may not act. */
     void tick(long nowMs) {
         if (!authority.mayAct()) {
             if (authorityLostAtMs == NEVER) {
@@ -341,8 +343,8 @@
     }
 
     /**
-     * The term is over: nothing more is called, nor said but that. The links stay, by which edges are told of the next
-     * helm.
+     * The term is over: nothing more is called or sent but that. The links stay; edges learn of the next coordinator
+     * by them.
      */
     void close() {
         platform.close();
@@ -359,7 +361,8 @@
         @Override
         public void send(String name, Object frame) {
             ConnectedEdge edge = edges.get(name);
-            // Who is not open tells what its seats know when it is again, and is told then what it has missed.
+            // An edge that is released reports what it knows when it is accepted again, and is told then what it has
+            // missed.
             if (edge != null && edge.heartbeatSent) {
                 if (authority.mayAct()) {
                     edge.link.send(frame);
--- a/src/main/java/brambletray/platform/controlplane/EdgeGreeter.java
+++ b/src/main/java/brambletray/platform/controlplane/EdgeGreeter.java
@@ -15,10 +15,10 @@
 import java.util.function.Supplier;
 
 /**
- * The edges that have a link to this member, whether it holds the helm or not: each is told by a Welcome where the helm
- * is, and again when that, or where this member itself stands, has changed. So an edge that waits at a member in touch
- * learns of a new helm at once, and one that waits at a member that is cut off learns that it should go on. For the
- * loop only.
+ * The edges that have a link to this member, coordinator or not: each learns by an {@link EdgeWelcome} where the
+ * coordinator is, and again when that, or the role of this member, has changed. So an edge that waits at a member in
+ * touch learns of a new coordinator at once, and one that waits at a member that is cut off learns that it should go
+ * on. For the event loop only.
  */
 final class EdgeGreeter {
     private static final long NEVER = Long.MIN_VALUE;
@@ -26,7 +26,7 @@
     private static final class ConnectedEdge {
         private final String name;
         private EdgeHello hello;
-        /** The roster part left out, which the Welcome of a later Hello brings up to date. */
+        /** Without the roster, which the welcome to a later hello brings up to date. */
         private EdgeWelcome lastWelcome;
 
         ConnectedEdge(String name) {
@@ -38,15 +38,15 @@
     private final Map<Link, ConnectedEdge> connectedEdges = new LinkedHashMap<>();
     private long noCoordinatorSinceMs = NEVER;
 
-    /** {@code welcome}: what this member says at that moment. */
+    /** {@code welcome}: the present answer to an edge. */
     EdgeGreeter(Supplier<EdgeWelcome> welcome) {
         this.welcome = welcome;
     }
 
     /**
-     * What a member says to edges that stands like this. It names itself as the helm while its hub may act
-     * ({@code coordinatorTerm}, 0: it has none), another only while it is in touch itself: who is cut off may not know that the
-     * other has been succeeded. {@code edgeFacingAddress}: where edges reach a member.
+     * The welcome of a member with this status. It names itself as the coordinator while its {@link EdgeCoordinator}
+     * may act ({@code coordinatorTerm}, 0: it has none), another only while it is in touch itself: a member that is
+     * cut off may not know that the other was succeeded. {@code edgeFacingAddress}: where edges reach a member.
      */
     static EdgeWelcome welcome(
             ReplicaStatus status,
@@ -79,7 +79,7 @@
         connectedEdges.remove(link);
     }
 
-    /** Answers an edge's Hello. */
+    /** Answers an edge's hello. */
     void onHello(Link link, EdgeHello hello) {
         ConnectedEdge edge = connectedEdges.get(link);
         if (edge != null) {
@@ -88,7 +88,7 @@
         }
     }
 
-    /** The helm is held here from now on: its hub hears who is on the line. */
+    /** This member is the coordinator from now on: it takes over the connected edges. */
     void onCoordinatorStarted(EdgeCoordinator coordinator, long nowMs) {
         EdgeWelcome current = welcome.get();
         new LinkedHashMap<>(connectedEdges).forEach((link, edge) -> {
@@ -100,8 +100,8 @@
     }
 
     /**
-     * Every 50 ms or so; steady ms. That there is no helm any more is said once that has lasted for {@link
-     * EdgeCoordinator#LEASE_DOUBT_GRACE_MS}.
+     * To be called every 50 ms; steady ms. That there is no coordinator any more is sent once that has lasted for
+     * {@link EdgeCoordinator#LEASE_DOUBT_GRACE_MS}.
      */
     void tick(long nowMs) {
         if (connectedEdges.isEmpty()) {
--- a/src/main/java/brambletray/platform/controlplane/JsonObjectWriter.java
+++ b/src/main/java/brambletray/platform/controlplane/JsonObjectWriter.java
@@ -78,7 +78,7 @@
         return this;
     }
 
-    /** The whole object. */
+    /** The finished object. */
     byte[] bytes() {
         out.writeByte((byte) '}');
         return out.toByteArray();
--- a/src/main/java/brambletray/platform/controlplane/MemberRemovalCalls.java
+++ b/src/main/java/brambletray/platform/controlplane/MemberRemovalCalls.java
@@ -5,16 +5,15 @@
 import java.util.function.Consumer;
 
 /**
- * Operators' orders about members of the core: {@code POST /brambletray/system/dead/ADDRESS} declares that the machine
- * at this control-plane address is gone
- * for good, with its disk. The body confirms it: the member's life in hex, as {@code views} shows it. The member that
- * is asked decides and answers
- * for itself. For the loop only.
+ * Operators' calls that remove a member of the core: {@code POST /brambletray/system/dead/ADDRESS} says that the
+ * machine at this control-plane address is gone for good, with its disk. The body confirms it: the member's
+ * incarnation in hex, as {@code views} shows it. The member that is called decides and answers for itself. For the
+ * event loop only.
  */
 final class MemberRemovalCalls {
     private static final int HEX_RADIX = 16;
 
-    /** Declares a member dead; the outcome comes on the loop. */
+    /** Removes a member; the outcome comes on the event loop. */
     interface RemovalAction {
         void remove(String address, long incarnation, Consumer<MemberRemovalOutcome> onOutcome);
     }
--- a/src/main/java/brambletray/platform/controlplane/OperatorCalls.java
+++ b/src/main/java/brambletray/platform/controlplane/OperatorCalls.java
@@ -15,44 +15,42 @@
 import java.util.Map;
 
 /**
- * The operators' calls at one member: judged by the configuration as it stands, put into the one order, answered once
- * they are kept. One change is under way at a time, so that the next is judged by what came of it. A member that does
- * not lead sends the caller on by 307.
+ * The operators' calls about the configuration at one member: evaluated against the current configuration,
+ * replicated, and answered once they are committed. One change is in flight at a time, so that the next is evaluated
+ * against its result. A member that does not lead redirects the caller by 307.
  *
- * <p>A refusal is final to an operator (400 and 412 end its call at once), so it is a read and takes a confirming round
- * (read index) like one: a member that has been cut off still believes to lead and judges by an old configuration.
- * Where the configuration moved on in the meantime, the change is judged anew. What was taken before needs no round:
- * what has been delivered here is kept.
+ * <p>A rejection is final to an operator (400 and 412 end its call at once), so it takes a read index like a read: a
+ * member that has been cut off still believes to lead and evaluates against an old configuration. Where the
+ * configuration has changed in the meantime, the change is evaluated again. A change that was applied before needs no
+ * read index: what has been applied here is committed.
  */
 final class OperatorCalls implements StateMachine {
     private static final EventLog LOG = EventLog.of("controlplane");
-    /** Changes that wait for the one under way, or for a leader. */
+    /** Changes that wait for the one in flight, or for a leader. */
     private static final int MAX_QUEUED_CHANGES = 64;
-    /** Bytes of bodies of calls that wait here, beyond which a further one is told to come back: six of the largest. */
+    /** Bytes of bodies of pending calls, beyond which a further one is rejected as busy: six of the largest. */
     private static final long MAX_QUEUED_BYTES = 24 << 20;
     /**
-     * ms that a call may wait before it gets no clear answer; below ack-ms of all deployments, so that a caller asks
-     * again in time.
+     * ms that a call may wait before it gets no clear answer; below ack-ms of all deployments, so that a caller
+     * retries in time.
      */
     private static final int CALL_TIMEOUT_MS = 2_500;
     /**
-     * The same at a member out of touch: callers wait a second and then go to another, which an answer lets them do at
-     * once.
+     * The same at a member out of touch: callers wait a second and then turn to another, which an answer lets them do
+     * at once.
      */
     private static final int DISCONNECTED_CALL_TIMEOUT_MS = 800;
-    /**
-     * ms out of touch after which no call is held: that is longer than a change of view takes, this member is cut off.
-     */
+    /** ms out of touch after which no call is queued: longer than a view change takes, so this member is cut off. */
     private static final int DISCONNECTED_REJECT_MS = 1_500;
 
-    /** What the operators' calls need of the member. */
+    /** What the operators' calls need of the replica. */
     interface ReplicaAccess {
-        /** Where it stands now. */
+        /** Its present status. */
         ReplicaStatus status();
 
         /**
-         * Control-plane address of the leader that the others go on with, once this member has been told to end and is
-         * out; else null.
+         * Control-plane address of the leader that the others go on with, once this member was told to end and is not
+         * in their view any more; else null.
          */
         default String successor() {
             return null;
@@ -60,13 +58,13 @@
 
         void propose(long token, byte[] change);
 
-        /** Whether this member still knows the newest of all: answered by {@link #onReadIndexCompleted}. */
+        /** Asks whether this member still has the newest state: answered by {@link #onReadIndexCompleted}. */
         void requestReadIndex(long token);
     }
 
     private record PendingChange(ControlCall call, ChangeKind kind, long baseRevision, long receivedAtMs) {}
 
-    /** A confirming round and the call that waits for it. */
+    /** A read index in flight and the call that waits for it. */
     private record PendingRead(ControlCall call, long receivedAtMs, Runnable onConfirmed, Runnable onUnconfirmed) {}
 
     private static final byte[] EMPTY_JSON_OBJECT = {'{', '}'};
@@ -79,11 +77,11 @@
     private PendingChange inFlight;
     private long lastToken;
     private long proposalToken;
-    /** Counts states of the charter: what was judged by an earlier one is judged anew. */
+    /** Counts states of the configuration: what was evaluated against an earlier one is evaluated again. */
     private long stateVersion;
     /** Steady ms of the last tick. */
     private long nowMs;
-    /** Since when no leader is heard here; -1: in touch. */
+    /** Since when no leader is heard here, steady ms; -1 while one is. */
     private long disconnectedSinceMs = -1;
 
     /** {@code configurationListener}: called after each new configuration. */
@@ -124,9 +122,9 @@
     }
 
     /**
-     * Whether it may judge: it leads the view in force, hears a majority of it and its disk is well. A member that
-     * begins a change of view, or has promised to one, doesn't; nor does it name the former leader, as two that name
-     * each other would send a caller round in a circle.
+     * Whether it may evaluate changes: it leads the active view, hears a majority of it and its disk is healthy. A
+     * member that starts a view change, or has promised to one, may not; nor does it name the former leader, as two
+     * that name each other would send a caller round in a circle.
      */
     private boolean isHealthyLeader() {
         ReplicaStatus status = replica.status();
@@ -159,7 +157,7 @@
         return nowMs - receivedAtMs > (connected ? CALL_TIMEOUT_MS : DISCONNECTED_CALL_TIMEOUT_MS);
     }
 
-    /** The member leads, leads no longer, or the view has changed: those in line go on. */
+    /** The member leads, leads no longer, or the view has changed: queued calls go on. */
     void onStatusChanged() {
         processQueue();
     }
@@ -197,7 +195,7 @@
 
     private void confirmAndRun(ControlCall call, long receivedAtMs, Runnable onConfirmed) {
         pendingReads.put(++lastToken, new PendingRead(call, receivedAtMs, onConfirmed, () -> {
-            // this member has left meanwhile: another can say
+            // this member has left the view meanwhile: another can answer
             if (replica.successor() == null || !redirect(call)) {
                 rejectUnconfirmed(call);
             }
@@ -213,15 +211,15 @@
     }
 
     /**
-     * What was taken before is acknowledged by any member that has it delivered: that is kept, whoever leads and
-     * whatever came since.
+     * A change that was applied before is acknowledged by any member that has applied it: it is committed, whoever
+     * leads and whatever came since.
      */
     private void onChange(ControlCall call, ChangeKind kind) {
         long baseRevision;
         try {
             baseRevision = ConfigurationStateMachine.parseBaseRevision(call.baseRevision());
         } catch (ConfigurationException error) {
-            // a fault of the call itself, whatever the configuration
+            // an error of the call itself, whatever the configuration
             respond(call, new ChangeDecision.Invalid(error));
             return;
         }
@@ -248,7 +246,10 @@
         return bytes;
     }
 
-    /** Those in line: judged one by one at the leader, sent on elsewhere, held for a while where no leader is heard. */
+    /**
+     * Queued changes: evaluated one by one at the leader, redirected elsewhere, queued for a while where no leader is
+     * heard.
+     */
     private void processQueue() {
         while (!queue.isEmpty() && (isHealthyLeader() ? inFlight == null : otherLeaderAddress() != null)) {
             PendingChange change = queue.poll();
@@ -273,7 +274,9 @@
         }
     }
 
-    /** The round has confirmed what is known here now; what was known when the change was judged may be older. */
+    /**
+     * The read index has confirmed the present state; the state against which the change was evaluated may be older.
+     */
     private void rejectConfirmed(PendingChange change, ChangeDecision decision, long evaluatedVersion) {
         if (evaluatedVersion == stateVersion) {
             respond(change.call, decision);
@@ -284,8 +287,8 @@
     }
 
     /**
-     * What the change came to is read off the charter, not off the last delivery: between the delivery and this call
-     * others may have been delivered, such as the proposal of a former leader that was resubmitted to this one.
+     * Evaluates the change again to learn its outcome: between its commit and this call others may have been applied,
+     * such as a proposal of a former leader that was sent again.
      */
     void onProposalCompleted(long token, ProposalOutcome outcome) {
         if (token != proposalToken || inFlight == null) {
--- a/src/main/java/brambletray/platform/controlplane/OperatorViews.java
+++ b/src/main/java/brambletray/platform/controlplane/OperatorViews.java
@@ -11,13 +11,13 @@
 import java.util.Map;
 
 /**
- * What operators may look at, below {@code /brambletray/system}. Each member answers for itself where it stands
- * ({@code views}) and who it holds to have the duty ({@code roles}); edges and hosts are known at the helm, and
- * callers are sent there by 307. Nothing is changed here. The loop's.
+ * Read-only status for operators, below {@code /brambletray/system}. Each member answers for itself about its role
+ * ({@code views}) and the lease holder ({@code duties}); edges and instances ({@code hosts}) are known at the
+ * coordinator, and callers are redirected there by 307. For the event loop only.
  */
 final class OperatorViews {
     static final String PATH_PREFIX = "/brambletray/system/";
-    /** Hosts in one answer; {@code known} says how many there are. */
+    /** Instances in one response; {@code known} says how many there are. */
     static final int MAX_INSTANCES = 4_096;
 
     private static final String COORDINATOR_ROLE = "helm";
@@ -32,30 +32,30 @@
          */
         List<String> zonesHoldingHalf();
 
-        /** Of the configuration in force here. */
+        /** Revision of the configuration that is applied here. */
         long revision();
 
-        /** Who holds the helm as far as known here, or null. */
+        /** The holder of the coordinator's lease as far as known here, or null. */
         LeaseHolder coordinator();
 
-        /** Null: the helm is not held here. */
+        /** Null if the lease is not held here. */
         CoordinatorView coordinatorView();
 
         /** Steady ms. */
         long nowMs();
     }
 
-    /** What the holder of the helm knows. */
+    /** What the coordinator knows. */
     interface CoordinatorView {
         Roster roster();
 
-        /** The configuration's revision that this edge says it serves by, or -1: it has no link here. */
+        /** Revision of the configuration that this edge serves by, or -1 if it has no link here. */
         long servedRevision(String edge);
 
-        /** At most {@link #MAX_INSTANCES}; {@code service} null: of all. */
+        /** At most {@link #MAX_INSTANCES}; {@code service} null: of all services. */
         List<InstanceInfo> instances(String service);
 
-        /** Hosts of all services. */
+        /** Instances of all services. */
         int instanceCount();
     }
 
--- a/src/main/java/brambletray/platform/controlplane/PeerLinks.java
+++ b/src/main/java/brambletray/platform/controlplane/PeerLinks.java
@@ -14,17 +14,17 @@
 import java.util.Map;
 
 /**
- * Links of one member: to the other members, which are known by their control-plane addresses, and from edges. What a
- * member says goes by the link that it has dialled, what it hears comes by those that were dialled to it. For the loop
- * only.
+ * The links of one member: to the other members, which are known by their control-plane addresses, and from edges.
+ * Messages are sent on links that this member has dialed, and received on those that others have dialed. For the
+ * event loop only.
  */
 final class PeerLinks {
-    /** ms without a word after which a link to a member is given up. */
+    /** ms without a message after which a link to a member is closed. */
     private static final long IDLE_CLOSE_MS = 30_000;
-    /** Members that links are kept to. */
+    /** Members with a link at a time. */
     private static final int MAX_MEMBERS = 32;
 
-    /** Who hears. */
+    /** Takes what comes over the links. */
     interface Receiver {
         /** A member, by its control-plane address. */
         void onMemberMessage(String address, Object frame);
@@ -32,7 +32,7 @@
         /** A member's address refused, or ended, our link. */
         void onMemberDisconnected(String address);
 
-        /** An edge's link is there: what it says comes next. */
+        /** An edge has connected; its messages follow. */
         void onEdgeConnected(String name, Link link);
 
         void onEdgeMessage(String name, Link link, Object frame);
@@ -79,7 +79,7 @@
         }
         memberLink.lastUsedAtMs = nowMs();
         if (frame instanceof ReplicationMessage.FetchChunkResponse) {
-            // pieces of a state transfer never stand in front of heartbeats, entries, acknowledgements and ballots
+            // chunks of a state transfer never delay heartbeats, entries, acknowledgements and ballots
             memberLink.dialer.sendBulk(frame);
         } else {
             memberLink.dialer.send(frame);
@@ -96,7 +96,10 @@
         }
     }
 
-    /** A member has called: what is to be said to it needn't wait for a call that began while it was away. */
+    /**
+     * A member has dialed this one: a message to it need not wait for a connection attempt that began while it was
+     * away.
+     */
     private void hurryDialing(String address) {
         MemberLink memberLink = memberLinks.get(address);
         if (memberLink != null && !memberLink.dialer.isUp()) {
--- a/src/main/java/brambletray/platform/controlplane/ReplicaStatusSource.java
+++ b/src/main/java/brambletray/platform/controlplane/ReplicaStatusSource.java
@@ -10,7 +10,8 @@
 import java.util.function.Supplier;
 
 /**
- * What a running member shows in its {@link OperatorViews}. {@code hub}: gives null while the helm is not held here.
+ * The status of a running member for {@link OperatorViews}. {@code coordinatorHeldHere}: gives null while this member
+ * is not the coordinator.
  */
 record ReplicaStatusSource(
         Supplier<ReplicaStatus> replicaStatus,
--- a/src/main/java/brambletray/platform/distribution/ConfigurationPublisher.java
+++ b/src/main/java/brambletray/platform/distribution/ConfigurationPublisher.java
@@ -8,22 +8,22 @@
 import java.util.Map;
 
 /**
- * The helm's side of how configurations reach edges: it answers each {@link DeltaRequest} with one {@link DeltaChunk},
- * of the
- * difference from what the edge has, or of a whole one where that isn't remembered. It keeps nothing about edges: who
- * asks says where it is, so a transfer goes on at any helm. Packed bodies are shared by all who need the same. Pure;
- * for one thread.
+ * The coordinator's side of the distribution of configurations: it answers each {@link DeltaRequest} with one {@link
+ * DeltaChunk}, of the delta from what the edge has, or of the full configuration where that revision is not
+ * remembered. It has no state for each edge: a request says how far the edge is, so a transfer goes on at any
+ * coordinator. Packed deltas are shared by all edges that need the same. Pure; for one thread.
  */
 public final class ConfigurationPublisher {
     /**
-     * Bodies that are kept, and bytes of them together; the least lately asked for go first, but never the last one.
+     * Packed deltas that are cached, and bytes of them together; the least recently requested go first, but never the
+     * last one.
      */
     static final int MAX_CACHED_DELTAS = 256;
 
     static final int MAX_CACHED_BYTES = 8 << 20;
     /**
-     * A whole one is packed anew when what has changed since is more than this part of it: under many changes, those
-     * who need the whole share one, and take what has changed since on top.
+     * The full configuration is packed again when the delta since is more than this part of it: under many changes,
+     * edges that need the full one share a copy, and take the delta since on top.
      */
     private static final int REPACK_FRACTION = 8;
 
@@ -42,12 +42,12 @@
         this.history = history;
     }
 
-    /** The newest revision, 0: none. */
+    /** The newest revision, 0 for none. */
     public long revision() {
         return history.current().revision();
     }
 
-    /** A part of what the asker lacks, or null: it has the newest. */
+    /** A chunk of what the edge lacks, or null if it has the newest revision. */
     public DeltaChunk nextChunk(DeltaRequest request, long term) {
         PackedDelta delta = request.transferId() == 0 ? null : cachedDeltas.get(request.transferId());
         if (delta == null || delta.revision <= request.revision()) {
@@ -105,7 +105,7 @@
         return cache(fullDelta);
     }
 
-    /** Bytes of packed bodies. */
+    /** Bytes of cached deltas. */
     int cachedBytes() {
         return cachedBytes;
     }
--- a/src/main/java/brambletray/platform/distribution/ConfigurationSubscriber.java
+++ b/src/main/java/brambletray/platform/distribution/ConfigurationSubscriber.java
@@ -5,36 +5,34 @@
 import brambletray.platform.configuration.ConfigurationException;
 
 /**
- * An edge's side of how configurations reach it: it fetches what it lacks, chunk after chunk, at the pace of its link.
- * What has come of a transfer is kept when the helm changes or the link ends, and the transfer goes on from there. It
- * never goes back. Pure; times are ms of a steady clock.
+ * The edge's side of the distribution of configurations: it fetches what it lacks, chunk by chunk, at the pace of its
+ * link. What has come of a transfer stays when the coordinator changes or the link ends, and the transfer goes on
+ * from there. The revision never goes back. Pure; times are ms of a steady clock.
  */
 public final class ConfigurationSubscriber {
-    /**
-     * Chunks that are asked for ahead, so that a link is never idle; more would only stand in front of heartbeats and
-     * requests.
-     */
+    /** Chunks requested ahead, so that a link is never idle; more would only delay heartbeats and requests. */
     static final int MAX_CHUNKS_AHEAD = 2;
     /**
-     * ms without a chunk after which it is asked for again, doubled each time until one comes. A link that ends is
-     * asked anew at once; this is for a helm that kept silent as its lease was in doubt. What is asked twice comes
-     * twice, on a link that may be full already.
+     * ms without a chunk after which it is requested again, doubled each time until one comes. After the end of a
+     * link it is requested at once; this is for a coordinator that stayed silent as its lease was uncertain. What is
+     * requested twice comes twice, on a link that may be full already.
      */
     static final int RETRY_MS = 500;
 
     static final int MAX_RETRY_MS = 4_000;
 
-    /** What comes out. */
+    /** What the subscriber wants done. */
     public interface Actions {
-        /** To the helm; lost where there is none. */
+        /** To the coordinator; lost where there is none. */
         void sendRequest(DeltaRequest request);
 
         /**
-         * Another configuration is in force here; {@code bytes} on the wire, in {@code durationMs} from the first question on.
+         * Another configuration applies here; {@code bytes} on the wire, in {@code durationMs} from the first request
+         * on.
          */
         void onConfiguration(Configuration configuration, int bytes, long durationMs);
 
-        /** What had come doesn't lead to what the helm has. */
+        /** What was fetched does not lead to the coordinator's configuration. */
         void onRejected(ConfigurationException error);
     }
 
@@ -46,7 +44,7 @@
     private long requestedAtMs;
     private int retryMs = RETRY_MS;
     private long startedAtMs;
-    /** What came last was no good: nothing is asked before. */
+    /** The last transfer was rejected: nothing is requested before; ms. */
     private long noRequestBeforeMs = Long.MIN_VALUE;
 
     /** The transfer under way; 0: none has begun. */
@@ -66,7 +64,7 @@
         return configuration;
     }
 
-    /** The helm says which revision is the newest. */
+    /** The coordinator has announced the newest revision. */
     public void onNewestRevision(long next, long nowMs) {
         newestRevision = next;
         if (!requestPending && newestRevision > configuration.revision() && nowMs >= noRequestBeforeMs) {
@@ -75,7 +73,7 @@
         }
     }
 
-    /** A link to a helm is there: what was asked on the one before is lost. */
+    /** A link to a coordinator is up: what was requested on the one before is lost. */
     public void onLinkUp(long nowMs) {
         retryMs = RETRY_MS;
         if (requestPending) {
@@ -83,7 +81,7 @@
         }
     }
 
-    /** To be called now and then. */
+    /** To be called every few hundred ms. */
     public void tick(long nowMs) {
         if (requestPending && nowMs - requestedAtMs >= retryMs) {
             retryMs = Math.min(MAX_RETRY_MS, 2 * retryMs);
@@ -98,7 +96,7 @@
         actions.sendRequest(new DeltaRequest(configuration.revision(), transferId, receivedBytes, needsFull));
     }
 
-    /** Some bytes have come. */
+    /** A chunk has come. */
     public void onChunk(DeltaChunk chunk, long nowMs) {
         if (chunk.revision() <= configuration.revision()
                 || chunk.totalBytes() <= 0
@@ -112,7 +110,7 @@
             if (chunk.offset() != 0) {
                 return;
             }
-            // The helm has that transfer no longer, or begins one.
+            // The coordinator does not have that transfer any more, or starts one.
             transferId = chunk.transferId();
             revision = chunk.revision();
             bytes = new byte[chunk.totalBytes()];
@@ -148,7 +146,8 @@
         try {
             next = configuration.apply(ConfigurationDelta.fromCompressedBytes(all));
         } catch (ConfigurationException error) {
-            // Where even the whole was no good the next question waits, so that it is not fetched in circles.
+            // Where even the full configuration was rejected the next request waits, so that it is not fetched in a
+            // loop.
             noRequestBeforeMs = needsFull ? nowMs + 2 * RETRY_MS : nowMs;
             needsFull = true;
             actions.onRejected(error);
--- a/src/main/java/brambletray/platform/distribution/CoordinatorHeartbeat.java
+++ b/src/main/java/brambletray/platform/distribution/CoordinatorHeartbeat.java
@@ -1,8 +1,9 @@
 package brambletray.platform.distribution;
 
 /**
- * The helm to an edge, several times a second: it still holds its term, and what is newest. Opens the link: what the
- * helm says before its first pulse, or after a Welcome without a helm, has no authority. An edge that has less fetches
- * it: so what is large comes at the pace of its link, and a pulse stands behind two chunks at most.
+ * From the coordinator to an edge, several times a second: it still holds its term, and which configuration and
+ * roster are the newest. Opens the link: what the coordinator sends before its first heartbeat, or after an {@code
+ * EdgeWelcome} without a coordinator, has no authority. An edge that has less fetches it, so large data comes at the
+ * pace of its link, and a heartbeat waits behind two chunks at most.
  */
 public record CoordinatorHeartbeat(long term, long revision, long rosterNumber) {}
--- a/src/main/java/brambletray/platform/distribution/DeltaChunk.java
+++ b/src/main/java/brambletray/platform/distribution/DeltaChunk.java
@@ -1,13 +1,13 @@
 package brambletray.platform.distribution;
 
 /**
- * The helm's answer to a {@link DeltaRequest}: some bytes of a packed {@link
+ * The coordinator's answer to a {@link DeltaRequest}: some bytes of a compressed {@link
  * brambletray.platform.configuration.ConfigurationDelta}.
  *
- * @param revision that it leads to
- * @param transferId which transfer: a digest of all its bytes, so that any helm can go on with it
- * @param totalBytes bytes of all of it
- * @param offset of these
+ * @param revision that the delta leads to
+ * @param transferId a digest of all bytes of the delta, so that any coordinator can go on with it
+ * @param totalBytes bytes of the delta
+ * @param offset of these bytes
  */
 public record DeltaChunk(long term, long revision, long transferId, int totalBytes, int offset, byte[] bytes) {
     /**
--- a/src/main/java/brambletray/platform/distribution/FrameTypes.java
+++ b/src/main/java/brambletray/platform/distribution/FrameTypes.java
@@ -7,7 +7,7 @@
 import brambletray.platform.replication.Replica;
 import java.util.List;
 
-/** All that processes of the system say to one another, in the order in which Kryo registers it. */
+/** All messages between processes of the system, in the order in which Kryo registers them. */
 public final class FrameTypes {
     private static final List<Class<?>> DISTRIBUTION = List.of(
             LinkIntroduction.class,
--- a/src/main/java/brambletray/platform/election/ElectionException.java
+++ b/src/main/java/brambletray/platform/election/ElectionException.java
@@ -2,7 +2,7 @@
 
 import brambletray.platform.errors.PlatformException;
 
-/** The kept state can't be read. */
+/** The stored grant cannot be read ({@code election.form}). */
 public final class ElectionException extends PlatformException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/brambletray/platform/election/ElectionMessage.java
+++ b/src/main/java/brambletray/platform/election/ElectionMessage.java
@@ -2,15 +2,14 @@
 
 import brambletray.platform.replication.Member;
 
-/** What members of the core say to one another about a duty. */
+/** Messages between members of the core about the lease on a role. */
 public sealed interface ElectionMessage {
-    /** Name of the duty. */
+    /** Name of the role. */
     String role();
 
     /**
-     * A candidate asks for its term; with {@code probe} only whether it would be granted. {@code heldIn}: the last view
-     * in which its former process held
-     * the duty, 0 for none.
+     * A candidate asks for its term; with {@code probe} only whether it would be granted. {@code
+     * previouslyHeldInView}: number of the last view in which the process before held the lease, 0 for none.
      */
     record LeaseRequest(
             String role,
@@ -23,8 +22,8 @@
             implements ElectionMessage {}
 
     /**
-     * Granted (kept before it is said), or would be. {@code descends}: this voter knows that no lease of others since
-     * {@code heldIn} is unheard of.
+     * Granted, on disk before it is sent, or (probe) it would be. {@code viewDescends}: this voter knows every lease
+     * of others since {@code previouslyHeldInView}.
      */
     record LeaseGranted(
             String role, boolean probe, long term, long sequence, long voterIncarnation, boolean viewDescends)
@@ -38,10 +37,13 @@
     record RenewRequest(String role, long viewNumber, long term, long sequence, Member holder)
             implements ElectionMessage {}
 
-    /** Renewed. */
+    /** The lease is renewed. */
     record RenewGranted(String role, long term, long sequence, long voterIncarnation) implements ElectionMessage {}
 
-    /** The holder has stopped acting, or a candidate has given up (next is 0 then); the next one may stand at once. */
+    /**
+     * The holder has stopped acting, or a candidate has given up (there is no successor then, 0); the successor may
+     * stand at once.
+     */
     record LeaseReleased(String role, long term, long holderIncarnation, long successorIncarnation)
             implements ElectionMessage {}
 }
--- a/src/main/java/brambletray/platform/election/ElectionView.java
+++ b/src/main/java/brambletray/platform/election/ElectionView.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.Set;
 
-/** What a member knows of the view in force, and since when. */
+/** What a member knows of the active view, and since when. */
 final class ElectionView {
     /**
-     * Whether this member is in it now, in touch with its leader, and has delivered all that earlier views may have
-     * acknowledged.
+     * Whether this member is in it now, in touch with its leader, and has applied everything that earlier views
+     * committed.
      */
     boolean isMember;
     /** Number and members of the last view that it was in. */
@@ -20,16 +20,16 @@
 
     List<Member> members = List.of();
     long activeSinceMs = Long.MIN_VALUE / 2;
-    /** Since when the view before was in force here: ever, for who has seen none. */
+    /** Since when the view before was active here: always, for a member that has seen none. */
     private long previousActiveSinceMs = Long.MIN_VALUE / 2;
 
     private boolean followsDirectly;
     private List<ViewMembership> lineage = List.of();
 
-    /** Takes in how it stands now; true when the view is another one. */
+    /** Takes over the present status; whether the view is another one. */
     boolean update(ReplicaStatus status, long nowMs) {
-        // one alone after a restart has the newest changes on disk, but can't deliver them: it must not act on the
-        // snapshot's state
+        // a member alone after a restart has the newest entries on disk, but cannot apply them: it must not act on
+        // the state of the snapshot
         isMember = status.role() == ReplicaRole.MEMBER && status.active() && status.settled();
         if (!isMember || viewNumber == status.viewNumber()) {
             return false;
@@ -44,10 +44,9 @@
     }
 
     /**
-     * Whether this view came from the one of that number by views each of which has all its members, with their disks,
-     * in this one. Then whoever held
-     * the duty in one of them, or won it in the first one last, was granted it by a member of this view, which
-     * remembers that.
+     * Whether this view came from that one by views each of which has all its members, with their disks, in this one.
+     * Then whoever held the lease in one of them, or won it in the first one last, was granted it by a member of this
+     * view, which remembers that.
      */
     boolean descendsFrom(long number) {
         int first = -1;
@@ -71,7 +70,7 @@
         return true;
     }
 
-    /** Place in the list of the view, the leader's being 0; -1 when not in. */
+    /** Position in the view, the leader's being 0; -1 for no member. */
     int rank(long incarnation) {
         for (int i = 0; i < members.size(); i++) {
             if (members.get(i).incarnation() == incarnation) {
@@ -82,9 +81,9 @@
     }
 
     /**
-     * Whether any lease of an earlier view that still runs is known to a member of this one: it followed at once on one
-     * that had been in force here for as long as a lease is held to run, and some member of this view was asked to
-     * agree in that one.
+     * Whether every lease of an earlier view that still runs is known to a member of this one: it followed directly
+     * on a view that had been active here for as long as a lease runs, and some member of this view was asked to
+     * grant in that one.
      */
     boolean knowsRunningLeases(long nowMs, int vacantMs) {
         return followsDirectly && nowMs - previousActiveSinceMs >= vacantMs;
--- a/src/main/java/brambletray/platform/election/LeaseAttempt.java
+++ b/src/main/java/brambletray/platform/election/LeaseAttempt.java
@@ -7,7 +7,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** One term from the first question to its end, at the candidate: who agreed to what was sent when. */
+/**
+ * One term at the candidate, from the first request to its end: which members have granted or renewed what was sent
+ * when.
+ */
 final class LeaseAttempt {
     private static final int REMEMBERED_MESSAGES = 16;
 
@@ -17,7 +20,7 @@
     private final Map<Long, Long> grantedAtMs = new HashMap<>();
     private final Set<Long> deniedBy = new HashSet<>();
     private long lastSequence;
-    /** A voter knows that this view descends from the one that the duty was held in. */
+    /** A voter knows that this view descends from the one in which the lease was held. */
     boolean viewDescends;
 
     boolean won;
@@ -30,14 +33,14 @@
         this.startedAtMs = nowMs;
     }
 
-    /** Number of the next message, sent now. */
+    /** Sequence number of the next message, which is sent now. */
     long nextSequence(long nowMs) {
         lastSentAtMs = nowMs;
         sentAtMs[(int) (++lastSequence % REMEMBERED_MESSAGES)] = nowMs;
         return lastSequence;
     }
 
-    /** A member agreed to the message of this number. */
+    /** A member has granted the message of this sequence number. */
     void onGranted(long incarnation, long number) {
         if (number <= lastSequence - REMEMBERED_MESSAGES || number > lastSequence) {
             return;
@@ -45,7 +48,7 @@
         grantedAtMs.merge(incarnation, sentAtMs[(int) (number % REMEMBERED_MESSAGES)], Math::max);
     }
 
-    /** A member refused; true when a majority can't be had any more. */
+    /** A member has refused; whether a majority cannot be had any more. */
     boolean onDenied(long incarnation, List<Member> members) {
         deniedBy.add(incarnation);
         int against = 0;
@@ -66,7 +69,9 @@
         return true;
     }
 
-    /** Sending time of the latest message to which a majority of these has agreed; a time long ago when none is. */
+    /**
+     * Sending time of the latest message that a majority of these has granted; a time long ago when there is none.
+     */
     long majorityGrantedAtMs(List<Member> members) {
         long[] times = new long[members.size()];
         int i = 0;
--- a/src/main/java/brambletray/platform/election/LeaseElection.java
+++ b/src/main/java/brambletray/platform/election/LeaseElection.java
@@ -5,23 +5,23 @@
 import java.util.List;
 
 /**
- * One duty, held by at most one member of the view in force, under a term that only grows. Pure; one thread only.
+ * The lease on a singleton role, held by at most one member of the active view, under a term that only grows (lease:
+ * Gray and Cheriton, 1989). Pure; one thread only.
  *
- * <p>Why terms only grow: a term lies in the range of the view that it was asked in, {@code number << 20} and up, and a
- * voter grants it only while that view is its own and in force. Numbers of views in force grow over restarts and lost
- * disks (see the page of the view), so terms of different views are in order. Within one view any two majorities share
- * a member, which keeps the highest granted term on its disk before it says so and refuses lower and equal ones; a
- * member that loses its disk is out of that view. So nothing goes through the one order for it.
+ * <p>Why terms only grow: a term lies in the range of the view that it was requested in, {@code number << 20} and up,
+ * and a voter grants it only while that view is its own and active. Numbers of active views grow over restarts and
+ * lost disks (see the replication package), so terms of different views are in order. Within one view any two
+ * majorities share a member, which has the highest granted term on its disk before it answers and refuses lower and
+ * equal ones; a member that loses its disk is out of that view. So nothing goes through the log for it.
  *
- * <p>Why the old holder has stopped before a new one starts: it acts for {@link LeaseTimings#holderLeaseMs} from the sending of
- * what a
- * majority agreed to; each that agreed refuses others for {@link LeaseTimings#voterLeaseMs} from hearing it. In one view
- * the
- * majorities share a member. After a change of view some member of the new view had agreed in the old one, before it
- * stopped: a candidate waits for the answers of all, or until that long after it saw the view in force.
+ * <p>Why the old holder has stopped before a new one starts: it acts for {@link LeaseTimings#holderLeaseMs} from the
+ * sending of what a majority granted; each member that granted refuses others for {@link LeaseTimings#voterLeaseMs}
+ * from receiving it. In one view the majorities share a member. After a view change some member of the new view had
+ * granted in the old one, before it stopped: a candidate waits for the answers of all, or until that long after it
+ * saw the view active.
  */
 public final class LeaseElection {
-    /** All frames, for registration with the codec; {@link Member} is registered by the view. */
+    /** All messages, for registration with the codec; {@link Member} is registered by the replication package. */
     public static final List<Class<?>> MESSAGES = List.of(
             ElectionMessage.LeaseRequest.class,
             ElectionMessage.LeaseGranted.class,
@@ -29,7 +29,7 @@
             ElectionMessage.RenewRequest.class,
             ElectionMessage.RenewGranted.class,
             ElectionMessage.LeaseReleased.class);
-    /** Terms of one view. */
+    /** Bits of a term below the number of its view. */
     private static final int TERM_BITS_PER_VIEW = 20;
 
     private static final int RETRY_INTERVAL_MS = 150;
@@ -42,13 +42,11 @@
     private final ElectionActions actions;
     private final LeaseVoter voter;
     /**
-     * The last view in which this life held the duty before its process ended, until it has won it again or has agreed
-     * to another's; 0 for none. Its
-     * own lease is over with its process. Whoever won after it was granted by a majority, of that view or of a later
-     * one; a
-     * view that descends from it ({@link ElectionView#descendsFrom}) has a member of each such majority, which refuses
-     * until that lease is over. So once all
-     * of such a view have granted there is nothing to wait for.
+     * Number of the last view in which this incarnation held the lease before its process ended, until it has won it
+     * again or has granted it to another; 0 for none. Its own lease ended with its process. Whoever won after it was
+     * granted by a majority, of that view or of a later one; a view that descends from it ({@link
+     * ElectionView#descendsFrom}) has a member of each such majority, which refuses until that lease is over. So once
+     * all members of such a view have granted there is nothing to wait for.
      */
     private long resumableViewNumber;
 
@@ -63,7 +61,7 @@
     private long releaseResendUntilMs;
     private long nowMs;
 
-    /** {@code stored}: what the disk has under {@link #key}, or null. */
+    /** Starts without the lease; {@code stored}: what the disk has under {@link #key}, or null. */
     public LeaseElection(
             String role, Member self, byte[] stored, LeaseTimings timings, ElectionActions actions, long nowMs) {
         this.role = role;
@@ -76,17 +74,17 @@
         resumableViewNumber = voter.previouslyHeldInView(self.incarnation());
     }
 
-    /** Key under which the grant of a duty is kept. */
+    /** Key under which the grant of a role is stored. */
     public static String key(String role) {
         return LeaseVoter.key(role);
     }
 
-    /** Whether this process wants the duty; a process that is told to end does not. */
+    /** Whether this process stands for the lease; one that is about to end does not. */
     public void setWantsLease(boolean yes) {
         wantsLease = yes;
     }
 
-    /** The view as it stands now; to be called at each change and at each tick. */
+    /** The present status of the replica; to be called at each change and at each tick. */
     public void updateView(ReplicaStatus status, long timeMs) {
         advanceTime(timeMs);
         if (electionView.update(status, nowMs) && attempt != null && !attempt.won) {
@@ -193,9 +191,9 @@
     }
 
     /**
-     * Counts grants. A majority is enough once leases of earlier views have surely ended. Before that all must have
-     * granted, and the view must follow at once on one that was in force here for as long: some member of this view had
-     * then agreed to any lease that still runs, and would have refused.
+     * Counts grants. A majority is enough once leases of earlier views have surely ended. Before that all members
+     * must have granted, and the view must follow directly on one that was active here for as long: some member of
+     * this view had then granted any lease that still runs, and would have refused.
      */
     private void maybeWin() {
         if (attempt == null || attempt.won) {
@@ -225,7 +223,8 @@
     }
 
     /**
-     * All would grant, but nobody knows that this view descends from the one that the duty was held in: the usual wait.
+     * All would grant, but nobody knows that this view descends from the one in which the lease was held: the usual
+     * wait.
      */
     private void abandonResumption() {
         resumableViewNumber = 0;
@@ -267,7 +266,9 @@
         actions.lost(term);
     }
 
-    /** Hands the duty over, if it is held here: stops acting at once and names the next, who stands at once. */
+    /**
+     * Hands the lease over, if it is held here: stops acting at once and names the successor, which stands at once.
+     */
     public void handOver(long timeMs) {
         advanceTime(timeMs);
         wantsLease = false;
@@ -298,7 +299,7 @@
         }
     }
 
-    /** A frame from the member at this address. */
+    /** A message from the member at this address; those about another role are ignored. */
     public void receive(String from, Object frame, long timeMs) {
         advanceTime(timeMs);
         if (frame instanceof ElectionMessage message && message.role().equals(role)) {
@@ -348,7 +349,7 @@
         abandonCandidacy(Math.max(20, Math.min(denied.remainingMs(), RETRY_INTERVAL_MS)));
     }
 
-    /** Stands no more for now; whoever granted needn't hold the duty taken. */
+    /** Gives up for now; those who granted need not wait for the lease to run out. */
     private void abandonCandidacy(int pauseMs) {
         if (!attempt.probe) {
             ElectionMessage.LeaseReleased released =
@@ -437,14 +438,14 @@
         }
     }
 
-    /** The grant of this ticket is kept. */
+    /** The grant of this ticket is on disk. */
     public void synced(long ticket, long timeMs) {
         advanceTime(timeMs);
         voter.synced(ticket);
         flush();
     }
 
-    /** It isn't; it will be tried again. */
+    /** It could not be written; it is tried again. */
     public void syncFailed(long ticket, long timeMs) {
         advanceTime(timeMs);
         voter.syncFailed(ticket, nowMs);
@@ -461,9 +462,9 @@
     }
 
     /**
-     * Something outside the core has seen this term, or refused the one that is held here (fencing). A lower one that
-     * is held here may act again only once a majority has agreed to it anew: who has been succeeded never is agreed to,
-     * and a false word costs one round.
+     * Something outside the core has seen this term, or rejected the one that is held here (fencing token). A lower
+     * one may act again only once a majority has renewed it: a holder that was succeeded is never renewed, and a
+     * false report costs one round.
      */
     public void revalidate(long seenTerm, long timeMs) {
         advanceTime(timeMs);
@@ -475,10 +476,7 @@
         flush();
     }
 
-    /**
-     * Who has the duty as far as known here, or null. Itself only while it may act: that it has agreed to its own lease
-     * is no lease.
-     */
+    /** The holder as far as known here, or null. Itself only while it may act: its own grant alone is no lease. */
     public LeaseHolder holder(long timeMs) {
         if (attempt != null && attempt.won) {
             return mayAct(timeMs) ? new LeaseHolder(attempt.term, self) : null;
--- a/src/main/java/brambletray/platform/election/LeaseHolder.java
+++ b/src/main/java/brambletray/platform/election/LeaseHolder.java
@@ -3,9 +3,9 @@
 import brambletray.platform.replication.Member;
 
 /**
- * Who has a duty.
+ * The holder of a lease.
  *
- * @param term   fence: grows only, over restarts and lost disks
- * @param member that holds it
+ * @param term fencing token: it only grows, over restarts and lost disks
+ * @param member that holds the lease
  */
 public record LeaseHolder(long term, Member member) {}
--- a/src/main/java/brambletray/platform/election/LeaseVoter.java
+++ b/src/main/java/brambletray/platform/election/LeaseVoter.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** The part of a member that grants terms and keeps them, and knows whose lease runs. */
+/** The voter: grants terms, writes each grant to disk before it is answered, and knows whose lease runs. */
 final class LeaseVoter {
     private static final int RETRY_INTERVAL_MS = 250;
     private static final byte CURRENT_FORM = 2;
-    /** The form before, which did not tell in which view the term was held. */
+    /** The form before, which lacks the view in which the term was held; still read. */
     private static final byte PREVIOUS_FORM = 1;
 
     private final String key;
@@ -21,7 +21,7 @@
     private long grantedTo;
     /** Number of the last view in which the holder of that term has renewed it here; 0 where it has not. */
     private long heldInViewNumber;
-    /** What is known of it was read from the disk, and no lease has been agreed to since. */
+    /** What is known of the grant was read from the disk, and no lease has been granted since. */
     private boolean restoredFromDisk;
 
     private LeaseHolder holder;
@@ -52,7 +52,7 @@
         grantedTo = in.getLong();
         heldInViewNumber = form == CURRENT_FORM ? in.getLong() : 0;
         restoredFromDisk = true;
-        // whose lease this member agreed to before it died isn't kept: it is held to run
+        // whose lease this member granted before its process ended is not stored: it is assumed to run
         leaseExpiresAtMs = nowMs + timings.voterLeaseMs();
     }
 
@@ -64,12 +64,12 @@
         return grantedTerm;
     }
 
-    /** Whose lease runs, or null. */
+    /** The holder whose lease runs, or null. */
     LeaseHolder holder(long nowMs) {
         return nowMs < leaseExpiresAtMs ? holder : null;
     }
 
-    /** Milliseconds until it is vacant as far as known here; 0 when it is. */
+    /** Milliseconds until the lease has run out as far as known here; 0 when it has. */
     int remainingMs(long nowMs) {
         return (int) Math.max(0, leaseExpiresAtMs - nowMs);
     }
@@ -78,21 +78,22 @@
         return leaseExpiresAtMs;
     }
 
-    /** Life named by the last holder as the next, 0 when none. */
+    /** Incarnation that the last holder named as its successor, 0 for none. */
     long namedSuccessor() {
         return namedSuccessor;
     }
 
     /**
-     * The last view in which this life held the duty before its process ended, as far as this disk knows; 0 for none.
+     * Number of the last view in which this incarnation held the lease before its process ended, as far as this disk
+     * knows; 0 for none.
      */
     long previouslyHeldInView(long incarnation) {
         return restoredFromDisk && grantedTo == incarnation ? heldInViewNumber : 0;
     }
 
     /**
-     * Whether this term would be granted to this life now. Who asks holds nothing any more: its own lease stands in
-     * nobody's way.
+     * Whether this term would be granted to this incarnation now. A candidate holds no lease any more, so its own
+     * former one does not stand against it.
      */
     boolean wouldGrant(long term, long incarnation, long nowMs) {
         boolean free = nowMs >= leaseExpiresAtMs
@@ -101,14 +102,14 @@
         return free && (term > grantedTerm || (term == grantedTerm && grantedTo == incarnation));
     }
 
-    /** Grants; {@code pendingCallbacks} runs once it is kept. */
+    /** Grants; the callback runs once the grant is on disk. */
     void grant(long term, Member to, long nowMs, Runnable run) {
         recordGrant(term, to.incarnation());
         startLease(new LeaseHolder(term, to), nowMs);
         pendingCallbacks.add(run);
     }
 
-    /** Agrees to a lease unless a higher term was granted. */
+    /** Renews a lease unless a higher term was granted. */
     boolean renew(long view, long term, Member from, long nowMs, Runnable run) {
         if (term < grantedTerm || (term == grantedTerm && grantedTo != from.incarnation())) {
             return false;
@@ -138,7 +139,7 @@
         namedSuccessor = 0;
     }
 
-    /** The holder says that it has stopped. */
+    /** The holder has stopped acting before its lease has run out. */
     boolean release(long term, long incarnation, long next, long nowMs) {
         if (holder == null
                 || holder.term() != term
--- a/src/main/java/brambletray/platform/election/package-info.java
+++ b/src/main/java/brambletray/platform/election/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Leases on a duty, elected among the members of the view in force, under terms that only grow. Pure state machines; one
- * thread.
+ * Leases on singleton roles, elected among the members of the active view, under terms that only grow. Pure state
+ * machines; one thread.
  */
 package brambletray.platform.election;
--- a/src/main/java/brambletray/platform/failuredetection/EdgeHello.java
+++ b/src/main/java/brambletray/platform/failuredetection/EdgeHello.java
@@ -1,8 +1,8 @@
 package brambletray.platform.failuredetection;
 
 /**
- * Edge to core, first on each link, and again when its own state changes or a roster doesn't list it as it is: who it
- * is, the newest roster it has (0, 0: none), the configuration's revision it serves by, and the highest term under
- * which any helm has spoken to this process: a helm of a lower one has been succeeded.
+ * From an edge to the core, first on each link, and again when its own state changes or a roster does not list it as
+ * it is: who it is, the newest roster it has (0, 0: none), the configuration's revision it serves by, and the highest
+ * term of any coordinator that has spoken to this process: a coordinator of a lower term has been succeeded.
  */
 public record EdgeHello(Peer self, long rosterTerm, long rosterNumber, long revision, long term) {}
--- a/src/main/java/brambletray/platform/failuredetection/Heartbeat.java
+++ b/src/main/java/brambletray/platform/failuredetection/Heartbeat.java
@@ -1,4 +1,4 @@
 package brambletray.platform.failuredetection;
 
-/** Edge to its watchers, each interval: I live. */
+/** From an edge to its watchers, each interval. */
 public record Heartbeat(String name, long incarnation, long revision, int state) {}
--- a/src/main/java/brambletray/platform/failuredetection/HeartbeatMonitor.java
+++ b/src/main/java/brambletray/platform/failuredetection/HeartbeatMonitor.java
@@ -5,35 +5,36 @@
 import java.util.Map;
 
 /**
- * What an edge does on the ring: beats to its watchers, and suspects those whose beats it misses. One that slept doubts
- * itself first: it restarts all waits, as the others' beats may lie unread. Pure; times are ms of a steady clock.
+ * An edge's part in failure detection: sends heartbeats to its watchers, and suspects the peers that it watches when
+ * theirs are missing. A process that was paused restarts all time-outs first, as the heartbeats of others may lie
+ * unread. Pure; times are ms of a steady clock.
  */
 public final class HeartbeatMonitor {
-    /** What is to be done. */
+    /** What the monitor wants done. */
     public interface Actions {
-        /** Say this to a watcher. */
+        /** Sends this to a watcher. */
         void sendHeartbeat(Peer watcher, Heartbeat heartbeat);
 
-        /** Say this to the hub. */
+        /** Sends this to the coordinator. */
         void reportSuspicion(SuspicionReport report);
 
         /** Say this to the hub. */
         void withdrawSuspicion(SuspicionWithdrawal withdrawal);
 
-        /** This process did not run for so long; what it believes may be old. */
+        /** This process did not run for so long; what it knows may be old. */
         void onProcessPaused(long durationMs);
     }
 
-    /** Intervals without a beat until a ward is suspected, in halves. */
+    /** Half intervals without a heartbeat until a watched peer is suspected. */
     private static final int TIMEOUT_HALF_INTERVALS = 7;
     /**
-     * Intervals that a ward has beyond that for its first beat: it may learn of us later than we of it, and has to
-     * connect.
+     * Intervals that a watched peer has beyond that for its first heartbeat: it may learn of this process later than
+     * the other way round, and has to connect.
      */
     private static final int FIRST_HEARTBEAT_INTERVALS = 5;
-    /** Intervals between two ticks from which on we have slept. */
+    /** Intervals between two ticks from which on this process counts as paused. */
     private static final int PAUSE_INTERVALS = 3;
-    /** Intervals after which a suspicion is said again, as a new hub does not know it. */
+    /** Intervals after which a suspicion is reported again, as a new coordinator does not know it. */
     private static final int REPORT_INTERVALS = 5;
 
     private static final class WatchedPeer {
@@ -56,7 +57,7 @@
     private long lastTickMs = Long.MIN_VALUE;
     private long nextHeartbeatMs = Long.MIN_VALUE;
 
-    /** {@code intervalMs}: ms between two beats; {@link #tick} is to be called about as often, or more often. */
+    /** {@code intervalMs}: ms between two heartbeats; {@link #tick} is to be called about as often, or more often. */
     public HeartbeatMonitor(Peer self, int intervalMs, Actions actions) {
         this.name = self.name();
         this.intervalMs = intervalMs;
@@ -64,12 +65,12 @@
         this.heartbeat = new Heartbeat(name, self.incarnation(), 0, self.state());
     }
 
-    /** What the next beats say of this process. */
+    /** What the next heartbeats say of this process. */
     public void updateSelf(Peer self, long revision) {
         heartbeat = new Heartbeat(name, self.incarnation(), revision, self.state());
     }
 
-    /** Another roster is in force: who stays keeps its wait, who is new has a longer one. */
+    /** Another roster applies: peers that stay keep their time-out, new ones have a longer one. */
     public void updateRing(WatchRing ring, long nowMs) {
         watchers = ring.watchersOf(name);
         Map<String, WatchedPeer> previous = new HashMap<>(watchedPeers);
@@ -85,7 +86,7 @@
         nextHeartbeatMs = nowMs;
     }
 
-    /** A beat has come. */
+    /** A heartbeat has come. */
     public void onHeartbeat(Heartbeat heartbeat, long nowMs) {
         WatchedPeer watched = watchedPeers.get(heartbeat.name());
         if (watched == null || watched.peer.incarnation() != heartbeat.incarnation()) {
@@ -127,8 +128,9 @@
     }
 
     /**
-     * A hub has welcomed us: the next tick tells it what is suspected. But who misses all its wards, and was out of the
-     * hub's touch as well, doubts itself: it has been cut off rather than they, and waits anew.
+     * A coordinator has accepted this process: the next tick reports to it what is suspected. But a process that
+     * misses all its peers, and was out of touch with the coordinator as well, suspects itself: it was cut off rather
+     * than they, and its time-outs start again.
      */
     public void onCoordinatorConnected() {
         boolean all = watchedPeers.size() > 1;
@@ -144,7 +146,7 @@
         }
     }
 
-    /** Whose beats are missed now. */
+    /** Names of peers whose heartbeats are missing now. */
     public List<String> suspected() {
         return watchedPeers.values().stream()
                 .filter(watched -> watched.suspected)
--- a/src/main/java/brambletray/platform/failuredetection/HomeAssignment.java
+++ b/src/main/java/brambletray/platform/failuredetection/HomeAssignment.java
@@ -8,12 +8,13 @@
 import java.util.TreeMap;
 
 /**
- * Which peer is home of a service, in each zone, by one roster: the one with the highest hash of service and name among
- * those that are in (rendezvous hashing). So a change of the roster moves only services of those who came or went, and
- * every process that has the roster finds the same home. Answers are kept; a new roster begins a new one of these.
+ * Which peer is home of a service, in each zone, by one roster: the one with the highest hash of service and name
+ * among the active peers (rendezvous hashing, Thaler and Ravishankar 1998). So a change of the roster moves only
+ * services of peers that came or went, and every process with the same roster finds the same home. Results are
+ * cached; a new roster has a new assignment.
  */
 public final class HomeAssignment {
-    /** Answers that are kept at most, of each kind; what is asked beyond that is reckoned each time. */
+    /** Results that are cached at most, of each kind; others are computed each time. */
     private static final int MAX_CACHED = 8_192;
 
     private record ZonePeers(String zone, long hash, Peer[] peers, long[] hashes, Map<String, Peer> homeCache) {}
--- a/src/main/java/brambletray/platform/failuredetection/MembershipEntry.java
+++ b/src/main/java/brambletray/platform/failuredetection/MembershipEntry.java
@@ -3,16 +3,16 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** What the hub knows of one peer, in this life. */
+/** What the coordinator knows of one incarnation of a peer. */
 final class MembershipEntry {
     Peer peer;
-    /** Its link to the hub is open. */
+    /** Its link to the coordinator is open. */
     boolean linked;
-    /** When the link closed, or the hub began to list it; ms. */
+    /** When the link closed, or the coordinator began to list it; ms. */
     long sinceMs;
-    /** Never heard by this hub, only told of. */
+    /** Never heard by this coordinator, only listed in a roster of another. */
     boolean onlyReported;
-    /** Until then the watchers' word alone does not put it out; ms. */
+    /** Until then the watchers' reports alone do not remove it; ms. */
     long immuneUntilMs = Long.MIN_VALUE;
 
     final Set<String> suspectedBy = new HashSet<>();
@@ -34,7 +34,7 @@
         return entry;
     }
 
-    /** Whether nothing speaks against it. */
+    /** Whether its link is open and nobody suspects it. */
     boolean isHealthy() {
         return linked && suspectedBy.isEmpty();
     }
--- a/src/main/java/brambletray/platform/failuredetection/MembershipRegistry.java
+++ b/src/main/java/brambletray/platform/failuredetection/MembershipRegistry.java
@@ -7,34 +7,39 @@
 import java.util.TreeMap;
 
 /**
- * The hub's book of who lives among the edges. In comes who says {@link EdgeHello}. Out goes who is suspected by two of
- * the
- * others; or by all its watchers that live where that is one; or by one while its link to the hub is closed; or whose
- * link is closed and who was leaving or has nobody to watch it. A new hub begins with the newest roster that an edge
- * tells it and takes those that it hasn't heard as in for {@link #REPORTED_GRACE_MS}. Pure; times are ms of a steady clock.
+ * The coordinator's registry of the edges. An edge enters by {@link EdgeHello}. It is removed when two others suspect
+ * it; or all its healthy watchers where there is only one; or one while its link to the coordinator is closed; or
+ * when its link is closed and it was leaving or has nobody to watch it. A new coordinator begins with the newest
+ * roster that an edge reports and takes edges that it has not heard as active for {@link #REPORTED_GRACE_MS}. Pure;
+ * times are ms of a steady clock.
  */
 public final class MembershipRegistry {
-    /** What comes out. */
+    /** Takes the rosters. */
     public interface RosterListener {
-        /** To be told to all edges; {@code why} names what came and went. */
+        /** To be announced to all edges; {@code why} names who came and went. */
         void onRoster(Roster roster, String why);
     }
 
-    /** ms for which a new hub takes those as in that another roster lists and that it has not heard itself. */
+    /**
+     * ms for which a new coordinator takes edges as active that another roster lists and that it has not heard
+     * itself.
+     */
     public static final int REPORTED_GRACE_MS = 2_000;
     /**
-     * ms for which a new hub says no roster if nobody has told it one: the first to come may be one that knows none.
+     * ms for which a new coordinator publishes no roster if nobody has reported one: the first edge to come may be
+     * one that knows none.
      */
     public static final int FIRST_ROSTER_WAIT_MS = 300;
-    /** ms between two ticks from which on the hub itself has slept: what was suspected may be old. */
+    /** ms between two ticks from which on the coordinator itself was paused: suspicions may be old. */
     private static final int MAX_TICK_DELAY_MS = 1_000;
     /**
-     * ms for which one that was put out and lives after all is not put out on the watchers' word; doubles each time.
+     * ms for which an edge that was removed and is alive after all is not removed by the watchers' reports; doubles
+     * each time.
      */
     private static final int IMMUNITY_MS = 5_000;
 
     private static final int MAX_IMMUNITY_MS = 60_000;
-    /** Peers, and pardons, beyond this many are not taken in. */
+    /** Peers, and immunities, beyond this many are not taken in. */
     private static final int MAX_MEMBERS = 4_096;
 
     private record Immunity(long incarnation, int durationMs) {}
@@ -61,7 +66,7 @@
     private WatchRing ring = new WatchRing(Roster.NONE);
     private boolean needsEvaluation;
 
-    /** The hub of this term begins. */
+    /** The coordinator of this term begins. */
     public MembershipRegistry(long term, long nowMs, RosterListener listener) {
         this.term = term;
         this.listener = listener;
@@ -71,17 +76,17 @@
         this.roster = new Roster(term, 0, List.of());
     }
 
-    /** What was said last; number 0: nothing yet. */
+    /** The roster that was published last; number 0 for none yet. */
     public Roster roster() {
         return roster;
     }
 
-    /** What this hub's {@link EdgeWelcome} says that it has. */
+    /** The newest roster known here, for this coordinator's {@link EdgeWelcome}. */
     public Roster newest() {
         return roster.number() > 0 ? roster : reportedRoster;
     }
 
-    /** An edge is on the line: new, or with another life or state, or back. */
+    /** An edge has connected: new, with another incarnation or state, or back. */
     public void onHello(EdgeHello hello, long nowMs) {
         if (hello.rosterTerm() < term
                 && Roster.isNewer(hello.rosterTerm(), hello.rosterNumber(), announcedTerm, announcedNumber)) {
@@ -107,7 +112,7 @@
         entry.suspectedBy.clear();
     }
 
-    /** An edge tells the roster that it has, as this hub's {@link EdgeWelcome} lacks it. */
+    /** An edge reports the roster that it has, as this coordinator's {@link EdgeWelcome} lacks it. */
     public void onReportedRoster(Roster other, long nowMs) {
         if (other.term() >= term || !other.isNewerThan(reportedRoster)) {
             return;
@@ -122,7 +127,7 @@
         }
     }
 
-    /** The link of this life of a peer to the hub is closed. */
+    /** The link of this incarnation of a peer to the coordinator is closed. */
     public void onDisconnected(String name, long incarnation, long nowMs) {
         MembershipEntry entry = entries.get(name);
         if (entry != null && entry.peer.incarnation() == incarnation && entry.linked) {
@@ -132,7 +137,7 @@
         }
     }
 
-    /** A watcher misses the beats of a peer. */
+    /** A watcher misses the heartbeats of a peer. */
     public void onSuspicion(SuspicionReport report) {
         MembershipEntry entry = entries.get(report.name());
         MembershipEntry by = entries.get(report.reportedBy());
@@ -150,7 +155,7 @@
         }
     }
 
-    /** Time has passed: decides who is out, and says the roster if it has changed. To be called every 50 to 100 ms. */
+    /** Decides who is removed, and publishes the roster if it has changed. To be called every 50 to 100 ms. */
     public void tick(long nowMs) {
         if (nowMs - lastTickMs > MAX_TICK_DELAY_MS) {
             for (MembershipEntry entry : entries.values()) {
@@ -202,8 +207,8 @@
     }
 
     /**
-     * One that was put out by the watchers' word and lives after all: the path between them may be cut, and it shall
-     * not come and go.
+     * An edge that was removed by the watchers' reports and is alive after all: the path between them may be cut, and
+     * it should not come and go.
      */
     private void grantImmunity(MembershipEntry entry, long nowMs) {
         Immunity out = immunities.get(entry.peer.name());
@@ -213,8 +218,8 @@
     }
 
     /**
-     * Whether so much is known that a roster may be said: what an edge has spoken of was told, or nobody knew one for a
-     * while.
+     * Whether so much is known that a roster may be published: what an edge has announced was reported, or nobody
+     * knew one for a while.
      */
     private boolean mayPublish(long nowMs) {
         if (roster.number() > 0 || nowMs >= graceUntilMs) {
--- a/src/main/java/brambletray/platform/failuredetection/Peer.java
+++ b/src/main/java/brambletray/platform/failuredetection/Peer.java
@@ -1,8 +1,8 @@
 package brambletray.platform.failuredetection;
 
 /**
- * One process among the edges. {@code address}: ip:port where the others reach it; {@code life}: another at each start
- * of the process; {@code state}: {@link #ACTIVE}, or {@link #LEAVING} once it winds up.
+ * One process of the edges. {@code address}: ip:port where the others reach it; {@code incarnation}: another at each
+ * start of the process; {@code state}: {@link #ACTIVE}, or {@link #LEAVING} once it shuts down.
  */
 public record Peer(String name, String zone, String address, long incarnation, int state) {
     public static final int ACTIVE = 0;
@@ -13,7 +13,7 @@
         return state == ACTIVE;
     }
 
-    /** The same, winding up. */
+    /** The same, shutting down. */
     public Peer asLeaving() {
         return new Peer(name, zone, address, incarnation, LEAVING);
     }
--- a/src/main/java/brambletray/platform/failuredetection/RemovalRule.java
+++ b/src/main/java/brambletray/platform/failuredetection/RemovalRule.java
@@ -3,9 +3,9 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The rule by which a peer is out. */
+/** The rule by which a peer is removed from the roster. */
 final class RemovalRule {
-    /** ms without a link after which one that nobody watches is out. */
+    /** ms without a link after which a peer that nobody watches is removed. */
     private static final int UNWATCHED_TIMEOUT_MS = 1_000;
 
     private static final String NOBODY = "";
@@ -15,7 +15,7 @@
     private final long nowMs;
     private final boolean inGracePeriod;
 
-    /** {@code inGracePeriod}: a new hub still waits for those that it hasn't heard. */
+    /** {@code inGracePeriod}: a new coordinator still waits for edges that it has not heard. */
     RemovalRule(Map<String, MembershipEntry> entries, WatchRing ring, long nowMs, boolean inGracePeriod) {
         this.entries = entries;
         this.ring = ring;
@@ -23,7 +23,7 @@
         this.inGracePeriod = inGracePeriod;
     }
 
-    /** Why this peer is out, or null if it isn't. */
+    /** Why this peer is to be removed, or null if it is not. */
     String reasonToRemove(String name) {
         MembershipEntry entry = entries.get(name);
         Set<String> suspectedBy = entry.suspectedBy;
@@ -58,9 +58,9 @@
     }
 
     /**
-     * The only watcher of a peer that lives, {@link #NOBODY} if there is none, or null if there are several. One that
-     * somebody suspects may be dead as well; the accuser's own word is no proof of that, as it may have lost touch with
-     * all of them.
+     * The only healthy watcher of a peer, {@link #NOBODY} if there is none, or null if there are several. One that
+     * somebody suspects may be dead as well; the accuser's own report is no proof of that, as it may have lost touch
+     * with all of them.
      */
     private String onlyHealthyWatcher(String name, String accuser) {
         String only = NOBODY;
--- a/src/main/java/brambletray/platform/failuredetection/Roster.java
+++ b/src/main/java/brambletray/platform/failuredetection/Roster.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Who lives among the edges, as the hub of this term said it for the {@code number}th time; peers by name. */
+/** The edges, as the coordinator of this term has published them for the {@code number}th time; peers by name. */
 public record Roster(long term, long number, List<Peer> peers) {
     /** Older than any. */
     public static final Roster NONE = new Roster(0, 0, List.of());
@@ -28,7 +28,7 @@
         return null;
     }
 
-    /** Whether a process is listed as it is; if not, it should say its {@link EdgeHello} again. */
+    /** Whether a process is listed as it is; if not, it should send its {@link EdgeHello} again. */
     public boolean contains(Peer self) {
         return self.equals(find(self.name()));
     }
--- a/src/main/java/brambletray/platform/failuredetection/SuspicionReport.java
+++ b/src/main/java/brambletray/platform/failuredetection/SuspicionReport.java
@@ -1,4 +1,6 @@
 package brambletray.platform.failuredetection;
 
-/** Edge to hub: {@code by}, a watcher, has missed the beats of this life; said again while it lasts. */
+/**
+ * From an edge to the coordinator: a watcher has missed the heartbeats of this incarnation; repeated while it lasts.
+ */
 public record SuspicionReport(String name, long incarnation, String reportedBy) {}
--- a/src/main/java/brambletray/platform/failuredetection/SuspicionWithdrawal.java
+++ b/src/main/java/brambletray/platform/failuredetection/SuspicionWithdrawal.java
@@ -1,4 +1,4 @@
 package brambletray.platform.failuredetection;
 
-/** Edge to hub: the beats come again, {@code by} takes its suspicion back. */
+/** From an edge to the coordinator: the heartbeats come again, and the watcher withdraws its suspicion. */
 public record SuspicionWithdrawal(String name, long incarnation, String reportedBy) {}
--- a/src/main/java/brambletray/platform/failuredetection/WatchRing.java
+++ b/src/main/java/brambletray/platform/failuredetection/WatchRing.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 
 /**
- * The peers of one roster in a circle, by the hash of their names: each is watched by the next three that are in. If
- * those are all of its own zone, the third is the next one of another zone, so that a zone that falls silent is seen
- * from outside.
+ * The peers of one roster on a ring, by the hash of their names: each is watched by the next three active ones. If
+ * those are all of its own zone, the third is the next one of another zone, so that a zone that falls silent is
+ * noticed from outside.
  */
 public final class WatchRing {
-    /** What edges and hub say to each other about who lives. */
+    /** Messages about membership between edges and coordinator. */
     public static final List<Class<?>> MESSAGES = List.of(
             Peer.class,
             Roster.class,
@@ -22,7 +22,7 @@
             SuspicionReport.class,
             SuspicionWithdrawal.class);
 
-    /** How many watch each one. */
+    /** Watchers of each peer. */
     public static final int WATCHERS = 3;
 
     private final Roster roster;
@@ -51,12 +51,12 @@
         return roster;
     }
 
-    /** Who is to hear the beats of this peer; none if it is not listed, or alone. */
+    /** Peers to which this peer sends heartbeats; none if it is not listed, or alone. */
     public List<Peer> watchersOf(String name) {
         return watchers.getOrDefault(name, List.of());
     }
 
-    /** Whose beats this peer is to hear. */
+    /** Peers whose heartbeats this peer receives. */
     public List<Peer> watchedBy(String name) {
         return watchedPeers.getOrDefault(name, List.of());
     }
--- a/src/main/java/brambletray/platform/replication/Ballot.java
+++ b/src/main/java/brambletray/platform/replication/Ballot.java
@@ -1,14 +1,14 @@
 package brambletray.platform.replication;
 
 /**
- * Number of an attempt to change the view, and the name of the view that it installs. Ordered by number, then by the
- * life of the member that counts it, so no two attempts are equal.
+ * Identifies one view change, and the view that it installs. Ordered by number, then by the incarnation of the
+ * proposer, so no two view changes share a ballot (Paxos: proposal number).
  *
- * @param number grows; the number of the view in status, logs and terms
- * @param proposer    life of the member that makes the attempt and leads the view that comes of it
+ * @param number grows; shown as the number of the view in status, logs and terms
+ * @param proposer incarnation of the member that proposes the view and leads it
  */
 public record Ballot(long number, long proposer) implements Comparable<Ballot> {
-    /** Before every attempt. */
+    /** Below every ballot that a member proposes. */
     public static final Ballot NONE = new Ballot(0, 0);
 
     @Override
@@ -17,7 +17,7 @@
         return by != 0 ? by : Long.compare(proposer, other.proposer);
     }
 
-    /** Whether this attempt is a later one. */
+    /** Whether this ballot is the higher one. */
     public boolean isAbove(Ballot other) {
         return compareTo(other) > 0;
     }
--- a/src/main/java/brambletray/platform/replication/DurableState.java
+++ b/src/main/java/brambletray/platform/replication/DurableState.java
@@ -6,16 +6,16 @@
 import java.util.TreeMap;
 
 /**
- * What a member finds on its disk at the start.
+ * What a member finds on its disk at its start.
  *
- * @param incarnation    drawn when the disk was empty; 0 when it is empty now
- * @param seeds   list that the core is founded from, if this member was one of the first; else empty
+ * @param incarnation drawn at random when the disk was first used; 0 if the disk is empty
+ * @param seeds the founders, if this member is one of them; else empty
  * @param promisedBallot highest ballot promised
- * @param view    last view kept, or null
- * @param active whether it was known to be in force
- * @param log     the order
- * @param retiredIncarnations    lives whose disks are proven lost
- * @param knownAddresses   addresses of members met
+ * @param view last view installed, or null
+ * @param active whether all members were known to have that view on disk
+ * @param log the log
+ * @param retiredIncarnations incarnations whose disks are lost for good
+ * @param knownAddresses control-plane addresses of members that were met
  */
 public record DurableState(
         long incarnation,
@@ -26,7 +26,7 @@
         ReplicatedLog log,
         List<Long> retiredIncarnations,
         List<String> knownAddresses) {
-    /** All keys of this plane begin so. */
+    /** Prefix of all keys of this package. */
     public static final String KEY_PREFIX = "view.";
 
     static final String INCARNATION_KEY = "view.life";
--- a/src/main/java/brambletray/platform/replication/FaultTolerance.java
+++ b/src/main/java/brambletray/platform/replication/FaultTolerance.java
@@ -10,13 +10,13 @@
 import java.util.function.Function;
 
 /**
- * What may be lost at once, with its disks, while all that is kept stays kept ({@code fault-tolerance} of the
+ * What may be lost at once, with its disks, without losing a committed entry ({@code fault-tolerance} of the
  * settings): so many machines, or all machines of so many zones, or of so many regions.
  *
  * @param machines that may be lost
- * @param zones    that may be lost
- * @param regions  that may be lost
- * @param regionOf region of each zone; a zone that isn't named counts as of the region ""
+ * @param zones that may be lost
+ * @param regions that may be lost
+ * @param regionOf region of each zone; a zone that is not listed belongs to the region ""
  */
 public record FaultTolerance(int machines, int zones, int regions, Map<String, String> regionOf) {
     /** Only machines are lost, not zones. */
@@ -25,8 +25,8 @@
     }
 
     /**
-     * Whether a change that is on the disks of all of these outlasts each such loss: whichever machines, zones or
-     * regions go, one of them is left. Members whose zone isn't known count as of one zone.
+     * Whether an entry that is on the disks of all these members survives each such loss: whichever machines, zones
+     * or regions are lost, one of the members is left. Members whose zone is not known count as one zone.
      */
     boolean toleratesLossWith(Collection<Member> members) {
         Set<String> in = new HashSet<>();
@@ -40,8 +40,7 @@
 
     /**
      * Zones, or else regions, that may be lost at once and hold half of these members or more. Their loss leaves no
-     * majority: what is kept stays kept, but
-     * nothing goes on until they are back. Empty where there are none.
+     * majority: nothing committed is lost, but nothing is committed until they are back. Empty where there are none.
      */
     List<String> groupsHoldingHalf(Collection<Member> members) {
         List<String> some = groupsHoldingHalf(members, zones, Member::zone);
--- a/src/main/java/brambletray/platform/replication/FollowerProgress.java
+++ b/src/main/java/brambletray/platform/replication/FollowerProgress.java
@@ -73,7 +73,10 @@
         nextIndex += entries;
     }
 
-    /** Entries up to this index are on its disk; {@code lastIndex}: of the leader's log. Whether that is news. */
+    /**
+     * Entries up to this index are on its disk; {@code lastIndex}: of the leader's log. Whether the index has
+     * advanced.
+     */
     boolean onDurable(long index, long lastIndex, long nowMs) {
         if (index <= durableIndex || index > lastIndex) {
             return false;
@@ -85,7 +88,7 @@
     }
 
     /**
-     * A heartbeat was answered. Who was away could not acknowledge: after a silence its disk is timed from its return.
+     * A heartbeat was answered. A follower that was away could not acknowledge: its disk is timed from its return.
      */
     void onHeartbeatResponse(boolean unhealthy, boolean superseded, long nowMs, int silenceMs) {
         if (!wasHeardWithin(nowMs, silenceMs) && waitingSinceMs != NEVER) {
--- a/src/main/java/brambletray/platform/replication/JoinAdmission.java
+++ b/src/main/java/brambletray/platform/replication/JoinAdmission.java
@@ -6,8 +6,10 @@
 import java.util.Map;
 
 /**
- * Who asks to be let in, at a member of the view: proves lost disks, and gathers newcomers for the leader's next change
- * of view.
+ * Admits newcomers at a member of the view: gathers them for the leader's next view change, and finds out which disks
+ * are lost. A join request from a member's address under another incarnation is answered by a challenge with a fresh
+ * number; the answer proves that the former incarnation is gone, as one process at a time runs at an address and an
+ * old message cannot contain the number.
  */
 final class JoinAdmission {
     private static final int MAX_LAG_ENTRIES = 64;
@@ -15,14 +17,14 @@
     private static final int REQUEST_EXPIRY_MS = 1000;
     private static final int PENALTY_MEMORY_MS = 20_000;
 
-    /** How often a member was taken out lately, and until when it stays out. */
+    /** How often a member was left out lately, and until when it is not admitted again. */
     private record Penalty(int count, long imposedAtMs, long untilMs) {}
 
     private final ReplicaState state;
     private final Replica replica;
     private final Map<Long, ReplicationMessage.JoinRequest> admitted = new LinkedHashMap<>();
     private final Map<Long, Long> requestedAtMs = new HashMap<>();
-    /** When newcomers that haven't got the state yet were heard last. */
+    /** When newcomers that are still fetching the state were heard last, by incarnation; ms. */
     private final Map<Long, Long> catchingUp = new HashMap<>();
 
     private final Map<String, Penalty> penalties = new HashMap<>();
@@ -90,7 +92,10 @@
         return patch.entries().size() <= MAX_LAG_ENTRIES && patch.fitsInline();
     }
 
-    /** Another life at the address of one of ours: asked who it is now, so that an old frame proves nothing. */
+    /**
+     * Another incarnation at the address of a member is asked for its identity, so that an old message proves
+     * nothing.
+     */
     private void challenge(Member requester) {
         if (!replacesMember(requester)) {
             return;
@@ -145,7 +150,10 @@
         }
     }
 
-    /** A member has been taken out for trouble: each further time within a while it waits longer to be let in again. */
+    /**
+     * A member was left out because it was silent or slow: each further time within a while it waits longer before it
+     * is admitted again.
+     */
     void penalise(String address) {
         Penalty old = penalties.get(address);
         int times = old == null || state.nowMs() - old.imposedAtMs() > PENALTY_MEMORY_MS ? 1 : old.count() + 1;
@@ -156,7 +164,7 @@
         penalties.put(address, new Penalty(times, state.nowMs(), state.nowMs() + wait));
     }
 
-    /** Newcomers that wait and were heard of late. */
+    /** Newcomers that can join now and were heard lately, by incarnation. */
     Map<Long, ReplicationMessage.JoinRequest> admitted() {
         if (admitted.isEmpty()) {
             return Map.of();
@@ -165,7 +173,7 @@
                 .removeIf(incarnation -> state.nowMs() - requestedAtMs.get(incarnation) > REQUEST_EXPIRY_MS
                         || state.view().contains(incarnation)
                         || state.retiredIncarnations().contains(incarnation));
-        // changes and compactions since the knock: a change of view that can't let it in isn't begun for it
+        // entries and compactions since the request: no view change starts for a newcomer that it could not admit
         admitted.values()
                 .removeIf(joinRequest -> !isCaughtUp(state.log()
                         .patchFor(joinRequest.lastIndex(), joinRequest.lastView(), joinRequest.commitIndex())));
@@ -173,7 +181,7 @@
         return new LinkedHashMap<>(admitted);
     }
 
-    /** Whether a newcomer is on its way that hasn't got the state yet. */
+    /** Whether a newcomer is fetching the state. */
     boolean hasNewcomersCatchingUp() {
         catchingUp.values().removeIf(at -> state.nowMs() - at > REQUEST_EXPIRY_MS);
         catchingUp
--- a/src/main/java/brambletray/platform/replication/JoinRequester.java
+++ b/src/main/java/brambletray/platform/replication/JoinRequester.java
@@ -4,13 +4,13 @@
 import java.util.Set;
 
 /**
- * The part of a member that isn't in: knocks at all it knows, gets the state from the leader into its hand (memory
- * only: nothing of it counts before a view is installed with it), knocks again. A half-got state leaves nothing behind
- * when the process dies.
+ * A member outside the view: sends join requests to all members it knows, fetches the state from the leader into
+ * memory, and asks again. Nothing of the fetched state counts before a view is installed with it, so a process that
+ * dies on the way leaves nothing behind.
  */
 final class JoinRequester {
     private static final int RETRY_INTERVAL_MS = 250;
-    /** Silence of a giver after which another leader's word ends the transfer. */
+    /** Silence of the source after which the transfer moves to another leader. */
     private static final int SOURCE_IDLE_TIMEOUT_MS = 1000;
 
     private final ReplicaState state;
@@ -19,7 +19,7 @@
     private ReplicatedLog fetchedLog;
     private long fetchedCommitIndex;
     private StateTransferClient transfer;
-    /** One whose giver fell silent or has nothing to give; the next giver goes on with it. */
+    /** A transfer whose source fell silent or has nothing to offer; the next source goes on with it. */
     private StateTransferClient interrupted;
 
     private long requestedAtMs = Long.MIN_VALUE / 2;
@@ -31,14 +31,17 @@
         this.leaderMonitor = leaderMonitor;
     }
 
-    /** Who has just started may have been left out meanwhile: a member of the later view says so. */
+    /**
+     * A process that has just started may have been left out while it was away: a member of the later view will say
+     * so.
+     */
     private boolean mayHaveBeenExcluded() {
         return state.view() != null
                 && leaderMonitor.noLeaderSeenYet()
                 && !state.view().isFounding();
     }
 
-    /** The log that a patch is put on. */
+    /** The log that a patch is applied to. */
     ReplicatedLog patchBase() {
         return fetchedLog != null && replica.isOutsideView() ? fetchedLog : state.log();
     }
@@ -101,7 +104,7 @@
                 Math.min(commit, log.lastIndex()));
     }
 
-    /** The view in force; its leader says whether what is in hand is near enough. */
+    /** The active view; its leader says whether the state that was fetched is recent enough to join with. */
     void onJoinResponse(String from, ReplicationMessage.JoinResponse response) {
         if (!replica.isOutsideView()) {
             replica.onNotMember(response.view());
@@ -113,7 +116,7 @@
             state.addKnownAddress(member.address());
         }
         Member leader = response.view().leader();
-        // the giver may be gone, and another one lead
+        // the source may be gone, and another member lead
         boolean leads = leader != null && leader.address().equals(from);
         if (leads
                 && transfer != null
--- a/src/main/java/brambletray/platform/replication/LogEntry.java
+++ b/src/main/java/brambletray/platform/replication/LogEntry.java
@@ -1,13 +1,13 @@
 package brambletray.platform.replication;
 
 /**
- * One change in the order.
+ * One entry of the log.
  *
- * @param index  place in the order, from 1, without gaps
- * @param view   view whose leader gave the place; two entries with the same place and view are the same, and so is all
- * before them
- * @param origin process that proposed it (drawn at each start)
- * @param token  that process's own number for it
- * @param bytes  opaque here
+ * @param index position, from 1, without gaps
+ * @param view ballot of the view whose leader assigned the index; two entries with the same index and view are the
+ *     same, and so is everything before them
+ * @param origin process that proposed it, drawn at random at each start
+ * @param token the number that the process has given it
+ * @param bytes the change; opaque here
  */
 public record LogEntry(long index, Ballot view, long origin, long token, byte[] bytes) {}
--- a/src/main/java/brambletray/platform/replication/LogPatch.java
+++ b/src/main/java/brambletray/platform/replication/LogPatch.java
@@ -3,30 +3,30 @@
 import java.util.List;
 
 /**
- * What turns one log into another: all behind a place is dropped and these entries are put there; or, whole, all is
- * replaced.
+ * What turns one log into another: everything after an index is replaced by these entries, or the log is replaced
+ * altogether.
  *
- * @param replacesAll     whether the snapshot replaces everything
- * @param previousIndex     place that stays as the last one (the snapshot's when whole)
- * @param previousView view of the entry at that place
- * @param snapshot  state after that place when whole, else empty
- * @param entries   those that follow
+ * @param replacesAll whether the snapshot replaces the log
+ * @param previousIndex last index that stays; that of the snapshot if it replaces the log
+ * @param previousView ballot of the view of the entry at that index
+ * @param snapshot state at that index if it replaces the log, else empty
+ * @param entries those that follow
  */
 public record LogPatch(
         boolean replacesAll, long previousIndex, Ballot previousView, byte[] snapshot, List<LogEntry> entries) {
     /**
-     * Bytes of a patch that may go in one frame with a new view, 0.26 s of a link of 2 Mbit/s:
-     * {@link ReplicationSettings#installTimeoutMs} has to bear it. What is longer is fetched in pieces.
+     * Bytes of a patch that may be sent in one message with a new view: 0.26 s of a link of 2 Mbit/s, which {@link
+     * ReplicationSettings#installTimeoutMs} has to allow for. Longer patches are fetched in chunks.
      */
     static final int MAX_INLINE_BYTES = 64 << 10;
-    /** Bytes that an entry takes besides its own. */
+    /** Bytes of an entry besides those of its change. */
     private static final int ENTRY_OVERHEAD_BYTES = 64;
 
     long lastIndex() {
         return previousIndex + entries.size();
     }
 
-    /** Bytes, nearly. */
+    /** Approximate size in bytes. */
     long sizeBytes() {
         long bytes = snapshot.length;
         for (LogEntry entry : entries) {
--- a/src/main/java/brambletray/platform/replication/Member.java
+++ b/src/main/java/brambletray/platform/replication/Member.java
@@ -1,17 +1,17 @@
 package brambletray.platform.replication;
 
 /**
- * One machine of the core with one disk.
+ * One machine of the core, with one disk.
  *
- * @param address ip:port of its control-plane
- * @param name    node-name, for logs and for who asks
- * @param incarnation    drawn when its disk was found empty; 0 only in the list of seeds that the core is founded from, where
- * it isn't known yet
- * @param zone    where it stands; "" when that isn't known, as in the list of seeds and on disks that were written
- * before zones were kept
+ * @param address ip:port of its control plane
+ * @param name name of the node, for logs and operators
+ * @param incarnation drawn at random when its disk was first used; 0 only in the list of seeds, where it is not known
+ *     yet
+ * @param zone zone of the machine; "" where it is not known, as in the list of seeds and on disks that were written
+ *     before zones were stored
  */
 public record Member(String address, String name, long incarnation, String zone) {
-    /** In a zone that isn't known. */
+    /** A member whose zone is not known. */
     public Member(String address, String name, long incarnation) {
         this(address, name, incarnation, "");
     }
--- a/src/main/java/brambletray/platform/replication/MemberRemovalOrders.java
+++ b/src/main/java/brambletray/platform/replication/MemberRemovalOrders.java
@@ -5,15 +5,14 @@
 import java.util.function.Consumer;
 
 /**
- * Operators' orders that declare a machine dead which is gone for good and whose address never answers again. A
- * declared death counts like a proven one
- * (see {@link Quorum}), so the order is refused while there is any sign that the machine lives, and while the view
- * works without it.
+ * Removal of a machine that is gone for good and whose address never answers again, by an operator's word. A removed
+ * incarnation counts like one whose disk is proven lost (see {@link Quorum}), so the removal is rejected while there
+ * is any sign that the machine is alive, and while the view works without it.
  */
 final class MemberRemovalOrders {
-    /** ms for which the machine must not have been heard, by a process that listened all the while. */
+    /** The machine must not have been heard for so long, by a process that ran all the while. */
     static final int MIN_SILENCE_MS = 10_000;
-    /** ms for an answer to the question that precedes the declaration. */
+    /** How long the machine has to answer the question that precedes the removal. */
     static final int IDENTITY_TIMEOUT_MS = 2_000;
 
     private record PendingRemoval(Member member, long startedAtMs, Consumer<MemberRemovalOutcome> onOutcome) {}
@@ -30,7 +29,7 @@
         startedAtMs = state.nowMs();
     }
 
-    /** Something has come from the machine at this address. */
+    /** A message has come from the machine at this address. */
     void onMessage(String address) {
         lastHeardAtMs.put(address, state.nowMs());
     }
@@ -65,7 +64,7 @@
         return wouldLoseMajority(target) ? MemberRemovalOutcome.MAJORITY_WOULD_BE_LOST : null;
     }
 
-    /** The member of the last view, or of one that it came from; null if there is none, or it is this one. */
+    /** The member of the last view, or of one of its predecessors; null if there is none, or it is this member. */
     private Member findMember(String address, long incarnation) {
         if (state.view() == null
                 || state.view().isFounding()
--- a/src/main/java/brambletray/platform/replication/PendingProposals.java
+++ b/src/main/java/brambletray/platform/replication/PendingProposals.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * Proposals of this process until their outcome is known: given to the leader of each view in turn, so long as they
- * aren't in the order.
+ * Proposals of this process until their outcome is known: each is sent to the leader of each view in turn, as long as
+ * it is not in the log. A proposal is applied at most once, as a leader recognises it by origin and token.
  */
 final class PendingProposals {
     private static final int RETRY_INTERVAL_MS = 300;
@@ -17,7 +17,9 @@
     private static final class Proposal {
         final byte[] bytes;
         final long deadlineMs;
-        /** View whose leader was given it; null when it is certain that no leader can still give it a place. */
+        /**
+         * Ballot of the view whose leader was sent it; null when it is certain that no leader can still append it.
+         */
         Ballot sentInView;
 
         long sentAtMs;
@@ -48,7 +50,7 @@
         sendPending();
     }
 
-    /** Gives what waits to the leader of the view in force. */
+    /** Sends what is pending to the leader of the active view. */
     void sendPending() {
         if (pending.isEmpty()
                 || !state.isActive()
@@ -59,8 +61,8 @@
         for (Map.Entry<Long, Proposal> one : pending.entrySet()) {
             Proposal item = one.getValue();
             if (item.sentInView != null && !item.sentInView.equals(state.view().ballot())) {
-                // that view's leader has stopped: what isn't in the log that this view began with never got a place
-                // that lasts
+                // that view has ended: what is not in the log that this one began with was not appended in it for
+                // good
                 if (state.log().containsProposal(state.origin(), one.getKey())) {
                     continue;
                 }
@@ -94,7 +96,7 @@
         state.actions().proposalCompleted(entry.token(), ProposalOutcome.COMMITTED);
     }
 
-    /** The state has jumped: whatever had been given to a leader may be in it. */
+    /** The state was replaced by a snapshot, which may include whatever had been sent to a leader. */
     void onSnapshotInstalled() {
         completeIf(item -> item.sentInView != null);
     }
@@ -103,7 +105,7 @@
         if (pending.isEmpty()) {
             return;
         }
-        // who is about to end doesn't come in again: callers are to go on to the others now
+        // this process does not join again: callers are to turn to the others now
         completeIf(item -> state.nowMs() > item.deadlineMs || state.isLeaving() && replica.isExcluded());
         sendPending();
     }
--- a/src/main/java/brambletray/platform/replication/PlannedLeave.java
+++ b/src/main/java/brambletray/platform/replication/PlannedLeave.java
@@ -1,16 +1,16 @@
 package brambletray.platform.replication;
 
 /**
- * The part of a member that is about to end as planned: leadership transfer, then a reconfiguration without it. A
- * leader begins nothing more, lets what is under way be kept and newcomers in, and only then says Bye, so that the next
- * in rank leads at once; any other member says it to the leader, which changes the view. It is said again until a view
- * without this member is in force. That view has to bear the losses; while the rest doesn't (two members, no newcomer),
- * this member stays, for as long as it may.
+ * The planned end of a member: leadership transfer, then a view change without it. A leader begins nothing more,
+ * waits until what is in flight is committed and newcomers have joined, and only then says that it leaves, so that
+ * the next in rank takes over at once; any other member says so to the leader, which changes the view. It is repeated
+ * until a view without this member is active. That view has to tolerate the losses; while the rest does not (two
+ * members and no newcomer), this member stays, for as long as it may.
  */
 final class PlannedLeave {
-    /** ms between two Byes: one may be lost, or may come to who can't act on it yet. */
+    /** ms between two leave requests: one may be lost, or reach a member that cannot act on it yet. */
     private static final int RETRY_INTERVAL_MS = 100;
-    /** ms for what is under way to be kept; longer only when a member is in trouble. */
+    /** ms for what is in flight to be committed; it takes longer only when a member is unhealthy. */
     private static final int DRAIN_TIMEOUT_MS = 300;
 
     private final ReplicaState state;
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Whether this leader has nothing to finish first: newcomers that are on their way (for half of what it has, at
-     * most), the last change of view, and then what is under way.
+     * Whether this leader has nothing to finish first: newcomers that are catching up (for half of the time it has,
+     * at most), the last view change, and then what is in flight.
      */
     private boolean isDrained() {
         boolean settles = !replica.hasBeenLeaderForAWhile() || replica.hasNewcomers();
--- a/src/main/java/brambletray/platform/replication/PrepareResponses.java
+++ b/src/main/java/brambletray/platform/replication/PrepareResponses.java
@@ -6,16 +6,19 @@
 import java.util.Set;
 
 /**
- * What was told in one attempt to change the view, this member's own answer first: which view counts, who has to be
- * asked, whether that is enough.
+ * The responses to one view change, this member's own first: which view is the latest, whose members have to be
+ * consulted, and whether a quorum has answered. A value; each further response makes a new one.
  */
 final class PrepareResponses {
     final List<ReplicationMessage.PrepareResponse> responses;
-    /** The view with the highest ballot that anybody has kept. */
+    /** The view with the highest ballot that anybody has on disk. */
     final View latestView;
-    /** The views whose members have to be asked: {@link #latestView}, and back to the last that is known to be in force. */
+    /**
+     * The views whose members have to be consulted: {@link #latestView}, and its predecessors back to the last that
+     * is known to be active.
+     */
     final List<ViewMembership> consultedViews;
-    /** Deaths that all who answered knew of when they did. */
+    /** Incarnations that all members that answered knew to be retired when they answered. */
     final Set<Long> retiredIncarnations;
 
     PrepareResponses(List<ReplicationMessage.PrepareResponse> all) {
@@ -52,8 +55,8 @@
     }
 
     /**
-     * Whether these of the answers are enough for every one of the views. Who has kept nothing yet is none of the
-     * founders, whatever its address.
+     * Whether these responses are a quorum of each of the views. A member without any view is none of the founders,
+     * whatever its address.
      */
     boolean hasQuorum(List<ReplicationMessage.PrepareResponse> subset) {
         for (ViewMembership membership : consultedViews) {
@@ -70,7 +73,7 @@
         return true;
     }
 
-    /** Of those whose last view is the one that counts, the one with the longest log. */
+    /** Among the members whose last view is the latest, the one with the longest log. */
     ReplicationMessage.PrepareResponse longestLog() {
         ReplicationMessage.PrepareResponse longest = null;
         for (ReplicationMessage.PrepareResponse response : responses) {
@@ -82,7 +85,7 @@
         return longest;
     }
 
-    /** Answer of this life, or null. */
+    /** Response of this incarnation, or null. */
     ReplicationMessage.PrepareResponse fromIncarnation(long incarnation) {
         for (ReplicationMessage.PrepareResponse response : responses) {
             if (response.responder().incarnation() == incarnation) {
@@ -102,8 +105,9 @@
     }
 
     /**
-     * Who of them is to be in the next view: members of any of the views, without the ill and the shunned if the rest
-     * is enough. The proposer is always in; it gets the log like a newcomer if it was in none of them.
+     * The members of the next view: members of any of the views, without the unhealthy and the excluded ones if the
+     * rest is enough. The proposer is always among them; it gets the log like a newcomer if it was in none of the
+     * views.
      */
     List<Member> nextMembers(Set<Long> excluded, FaultTolerance tolerance) {
         List<ReplicationMessage.PrepareResponse> everyone = new ArrayList<>();
@@ -151,7 +155,7 @@
         return false;
     }
 
-    /** The views to be asked besides the next one, each set of members once. */
+    /** The predecessors of the next view, each set of members once. */
     List<ViewMembership> viewsToConsult() {
         List<ViewMembership> subset = new ArrayList<>();
         Set<Set<Member>> sets = new HashSet<>();
--- a/src/main/java/brambletray/platform/replication/ProposalOutcome.java
+++ b/src/main/java/brambletray/platform/replication/ProposalOutcome.java
@@ -1,11 +1,11 @@
 package brambletray.platform.replication;
 
-/** What became of a proposal. */
+/** The outcome of a proposal. */
 public enum ProposalOutcome {
-    /** In the order and kept on enough disks; delivered here just before. */
+    /** Committed, and applied here just before. */
     COMMITTED,
-    /** Not in the order, and it never will be. */
+    /** Not in the log, and it never will be. */
     REJECTED,
-    /** May or may not be in the order, now or later. */
+    /** May or may not be in the log, now or later. */
     UNKNOWN
 }
--- a/src/main/java/brambletray/platform/replication/Quorum.java
+++ b/src/main/java/brambletray/platform/replication/Quorum.java
@@ -5,18 +5,18 @@
 import java.util.Set;
 
 /**
- * Who must have answered for a view before a later one may be installed: a majority of its members, or all of its
- * members except such as are proven dead (their disk is lost), if those are fewer than a majority. Any two such sets
- * share a member that still has its disk:
+ * Which members of a view must have answered before a later view may be installed: a majority, or all except those
+ * whose disk is proven lost, if these are fewer than a majority. Any two such sets share a member that still has its
+ * disk:
  * <ul>
  * <li>two majorities share one by their size;
- * <li>a majority and "all but the dead": the dead are fewer than a majority, so some member of the majority is not
- * among them;
- * <li>"all but D" and "all but E": if they shared none, each would lie within the other's dead. Whoever answers has
- * been told of the dead (and keeps it on disk) before it answers, so every answer of the first came after the deaths of
- * all who answered in the second, and the other way round: no order of time does that.
- * </ul>
- * In the founding list lives aren't known, members are counted by address, and nobody is proven dead.
+ * <li>a majority and "all but the retired": the retired are fewer than a majority, so some member of the majority is
+ * not among them;
+ * <li>"all but D" and "all but E": if they shared none, each would lie within the other's retired. A member that
+ * answers has learned of the retired incarnations, and has them on disk, before it answers; so every answer of the
+ * first set came after the retirement of all who answered in the second, and the other way round, which no order of
+ * events allows.
+ * </ul> In the list of seeds incarnations are not known, members are counted by address, and nobody is retired.
  */
 final class Quorum {
     private Quorum() {}
--- a/src/main/java/brambletray/platform/replication/ReadIndex.java
+++ b/src/main/java/brambletray/platform/replication/ReadIndex.java
@@ -7,11 +7,11 @@
 import java.util.Set;
 
 /**
- * Asks all members of the view whether it is still theirs, so that what is read here is no older than anything
- * acknowledged before the question (a read index). A majority is enough, the leader among it, which adds up to where
- * all is kept: before a later view can acknowledge anything, a {@link Quorum} of this one has stopped for it, and a
- * quorum shares a member with every majority; that one doesn't say afterwards that the view is still its own. So one
- * silent member holds up no read and no refusal, as it does commits until it is out.
+ * Confirms that what is applied here includes everything acknowledged before the question (read index; Raft
+ * dissertation, section 6.4). A majority of the view has to answer that the view is still its own, the leader among
+ * it, which adds its commit index. Before a later view can acknowledge anything, a {@link Quorum} of this one has
+ * stopped for it, and a quorum shares a member with every majority; that member does not answer any more. One silent
+ * member holds up no read and no rejection, unlike a commit.
  */
 final class ReadIndex {
     private static final int RETRY_INTERVAL_MS = 200;
--- a/src/main/java/brambletray/platform/replication/ReplicaConfig.java
+++ b/src/main/java/brambletray/platform/replication/ReplicaConfig.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * What a member is told of itself at its start.
+ * What a member is given at its start.
  *
- * @param address        ip:port of this machine's control plane, as the others call it
- * @param name           name of the node
- * @param zone           zone of the machine; "" where it is not known
+ * @param address ip:port of this machine's control plane, as the others call it
+ * @param name name of the node
+ * @param zone zone of the machine; "" where it is not known
  * @param newIncarnation drawn at random, not 0: taken where the disk is empty
- * @param origin         drawn at random at each start of the process, not 0; identifies its proposals
- * @param seeds          control-plane addresses that the settings name
- * @param initialStart   whether the settings say that the whole system starts for the first time
- * @param settings       timeouts and bounds
+ * @param origin drawn at random at each start of the process, not 0; identifies its proposals
+ * @param seeds control-plane addresses from the settings
+ * @param initialStart whether the settings say that the whole system starts for the first time
+ * @param settings timeouts and bounds
  */
 public record ReplicaConfig(
         String address,
--- a/src/main/java/brambletray/platform/replication/ReplicaRole.java
+++ b/src/main/java/brambletray/platform/replication/ReplicaRole.java
@@ -1,13 +1,13 @@
 package brambletray.platform.replication;
 
-/** Where a member stands. */
+/** The role of a member, as status and operators see it. */
 public enum ReplicaRole {
     /** One of the seeds of a core that is not yet founded. */
     FOUNDING,
-    /** In a view that is in force, and in touch with its leader. */
+    /** In an active view, and in touch with its leader. */
     MEMBER,
-    /** Of a view whose leader isn't heard, or that is being changed. */
+    /** In a view whose leader is not heard, or that is being changed. */
     SUSPENDED,
-    /** Not in the view; asks to be let in. */
+    /** Outside the view; asks to join. */
     JOINING
 }
--- a/src/main/java/brambletray/platform/replication/ReplicaState.java
+++ b/src/main/java/brambletray/platform/replication/ReplicaState.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 
 /**
- * The state of one member, by owner: {@link BallotState} what it has promised, {@link MembershipState} the view and the
- * machines it knows, {@link CommitState} the log and how far it is committed. In memory the state is ahead of the disk;
- * whatever tells others of it is sent from {@link WriteAheadQueue#onSynced}. One thread only.
+ * The state of one member, by owner: {@link BallotState} what it has promised, {@link MembershipState} the view and
+ * the machines it knows, {@link CommitState} the log and how far it is committed. In memory the state is ahead of the
+ * disk; messages that reveal it are sent from {@link WriteAheadQueue#onSynced}. One thread only.
  */
 final class ReplicaState {
     private ReplicationSettings settings;
@@ -249,7 +249,7 @@
         }
     }
 
-    /** Appends an entry; {@link WriteAheadQueue#onSynced} tells when it is on disk. */
+    /** Appends an entry; {@link WriteAheadQueue#onSynced} runs a callback once it is on disk. */
     void append(LogEntry entry) {
         log().append(entry);
         put(DurableState.logKey(entry.index()), ReplicationCodec.entry(entry));
--- a/src/main/java/brambletray/platform/replication/ReplicaStatus.java
+++ b/src/main/java/brambletray/platform/replication/ReplicaStatus.java
@@ -5,21 +5,21 @@
 /**
  * What a member knows, for operators and logs.
  *
- * @param role  where it stands
- * @param self        itself
- * @param viewNumber    number of its last view, 0 when none
- * @param previousViewNumber    number of the view that it came from if that was known to be in force (0: the founding), else -1
- * @param members   of that view
- * @param leader    of that view, or null
- * @param isLeader   whether that is this process
- * @param active   whether that view is known to be in force
- * @param settled   whether all that was kept before that view has been delivered here
- * @param commitIndex    last place known to be kept
- * @param appliedIndex last place delivered here
- * @param diskUnhealthy       whether its own disk is in trouble
- * @param lineage   views that its last view came from, each straight from the one before it, as this process has kept
- * them; the last is that of
- *     number {@code before}
+ * @param role its role
+ * @param self itself
+ * @param viewNumber number of its last view, 0 when none
+ * @param previousViewNumber number of the view that it came from if that was known to be active (0: the founding),
+ *     else -1
+ * @param members of that view
+ * @param leader of that view, or null
+ * @param isLeader whether that is this process
+ * @param active whether that view is known to be active
+ * @param settled whether everything that earlier views committed has been applied here
+ * @param commitIndex last index known to be committed
+ * @param appliedIndex last index applied here
+ * @param diskUnhealthy whether writes fail or take too long here
+ * @param lineage views that its last view came from, each directly from the one before it, as this process has seen
+ *     them; the last is that of number {@code previousViewNumber}
  */
 public record ReplicaStatus(
         ReplicaRole role,
@@ -35,7 +35,7 @@
         long appliedIndex,
         boolean diskUnhealthy,
         List<ViewMembership> lineage) {
-    /** Without a lineage. */
+    /** The status of a member without a lineage. */
     public ReplicaStatus(
             ReplicaRole role,
             Member self,
--- a/src/main/java/brambletray/platform/replication/ReplicatedLog.java
+++ b/src/main/java/brambletray/platform/replication/ReplicatedLog.java
@@ -6,17 +6,18 @@
 import java.util.Map;
 
 /**
- * The order as one member has it: a snapshot of the state after some place, and the entries behind it. Two logs that
- * have an entry of the same place and view are the same up to there: within a view one leader gives the places, and all
- * its members begin with one log.
+ * The log of one member: a snapshot of the state at an index, and the entries after it. Two logs that have an entry
+ * with the same index and view are the same up to there: within a view one leader assigns the indices, and all its
+ * members begin with one log (Raft: log matching property).
  */
 final class ReplicatedLog {
-    /** A snapshot is taken after so many delivered entries, or so many bytes in entries. */
+    /** A snapshot is taken after so many applied entries, or so many bytes of entries. */
     static final int MAX_ENTRIES_BEFORE_SNAPSHOT = 256;
 
     static final int MAX_BYTES_BEFORE_SNAPSHOT = 1 << 20;
     /**
-     * Entries before the snapshot that are remembered, in memory only, for who lacks little of them; and their bytes.
+     * Entries before the snapshot that are remembered, in memory only, for members that lack a few of them; and their
+     * bytes.
      */
     private static final int MAX_COMPACTED_ENTRIES = 512;
 
@@ -27,11 +28,11 @@
     private byte[] snapshot;
     private final List<LogEntry> entries;
     private long entryBytes;
-    /** Those that the last compactions took out of {@link #entries}, up to the snapshot's place without gaps. */
+    /** Entries that the last compactions took out of {@link #entries}, up to the snapshot without gaps. */
     private final ArrayDeque<LogEntry> compacted = new ArrayDeque<>();
 
     private long compactedBytes;
-    /** View of the entry before the first of these. */
+    /** Ballot of the view of the entry before the first of {@link #compacted}. */
     private Ballot viewBeforeCompacted = Ballot.NONE;
 
     ReplicatedLog(long base, Ballot baseView, byte[] snapshot, List<LogEntry> entries) {
@@ -48,7 +49,7 @@
         return new ReplicatedLog(0, Ballot.NONE, new byte[0], List.of());
     }
 
-    /** Place of the snapshot. */
+    /** Index of the snapshot. */
     long snapshotIndex() {
         return snapshotIndex;
     }
@@ -65,7 +66,7 @@
         return entries;
     }
 
-    /** Last place. */
+    /** Index of the last entry. */
     long lastIndex() {
         return snapshotIndex + entries.size();
     }
@@ -74,7 +75,7 @@
         return viewAt(lastIndex());
     }
 
-    /** View of the entry at this place; null when the place is behind the snapshot or not there. */
+    /** Ballot of the view of the entry at this index; null if the index is before the snapshot or after the end. */
     Ballot viewAt(long index) {
         if (index == snapshotIndex) {
             return snapshotView;
@@ -84,7 +85,7 @@
                 : entryAt(index).view();
     }
 
-    /** Entry at a place after the snapshot's, up to the end. */
+    /** Entry at an index after the snapshot's, up to the end. */
     LogEntry entryAt(long index) {
         return entries.get((int) (index - snapshotIndex - 1));
     }
@@ -97,7 +98,7 @@
         entryBytes += entry.bytes().length;
     }
 
-    /** Bytes of the entries after one place up to another, of those behind the snapshot. */
+    /** Bytes of the entries after one index up to another, as far as they follow the snapshot. */
     long bytesBetween(long after, long to) {
         long some = 0;
         for (long index = Math.max(after, snapshotIndex) + 1; index <= Math.min(to, lastIndex()); index++) {
@@ -106,12 +107,12 @@
         return some;
     }
 
-    /** Entries after one place up to another; both lie between the snapshot's place and the end. */
+    /** Entries after one index up to another; both lie between the snapshot and the end. */
     List<LogEntry> entriesBetween(long after, long to) {
         return List.copyOf(entries.subList((int) (after - snapshotIndex), (int) (to - snapshotIndex)));
     }
 
-    /** Entries after a place, up to so many bytes but one at least. */
+    /** Entries after an index, up to so many bytes but one at least. */
     List<LogEntry> entriesAfter(long index, int most) {
         List<LogEntry> some = new ArrayList<>();
         int size = 0;
@@ -126,7 +127,7 @@
         return some;
     }
 
-    /** Whether an entry of this proposal is there. */
+    /** Whether the entries contain this proposal. */
     boolean containsProposal(long origin, long token) {
         for (LogEntry entry : entries) {
             if (entry.origin() == origin && entry.token() == token) {
@@ -137,8 +138,8 @@
     }
 
     /**
-     * What a log lacks that ends so, and of which all up to {@code commit} is known to be kept (and so is in every
-     * later log).
+     * What a log lacks that ends with this index and view, and of which everything up to {@code commit} is known to
+     * be committed, and so is in every later log.
      */
     LogPatch patchFor(long end, Ballot endView, long commit) {
         if (endView.equals(viewAt(end))) {
@@ -152,7 +153,9 @@
         return tail != null && tail.sizeBytes() <= whole.sizeBytes() ? tail : whole;
     }
 
-    /** What follows a place before the snapshot; null if it isn't known any more, or the entry there is another. */
+    /**
+     * What follows an index before the snapshot; null if that is not remembered, or the entry there is another one.
+     */
     private LogPatch patchFromCompacted(long end, Ballot endView) {
         long before = snapshotIndex - compacted.size();
         if (end < before || end >= snapshotIndex) {
@@ -203,13 +206,13 @@
         return log;
     }
 
-    /** Whether it is time for a snapshot, when all up to this place has been delivered. */
+    /** Whether it is time for a snapshot, when everything up to this index has been applied. */
     boolean needsSnapshot(long delivered) {
         return delivered - snapshotIndex >= MAX_ENTRIES_BEFORE_SNAPSHOT
                 || (entryBytes > MAX_BYTES_BEFORE_SNAPSHOT && delivered > snapshotIndex);
     }
 
-    /** Replaces all up to this place by the state after it. */
+    /** Replaces everything up to this index by the state at it. */
     void compact(long index, byte[] state) {
         Ballot view = viewAt(index);
         List<LogEntry> gone = entries.subList(0, (int) (index - snapshotIndex));
@@ -232,7 +235,7 @@
         snapshot = state;
     }
 
-    /** Puts into the map what turns the kept form of one log into that of the other. */
+    /** Puts into the map the changes of keys on disk that turn one log into the other. */
     static void collectChanges(ReplicatedLog before, ReplicatedLog now, Map<String, byte[]> changes) {
         if (before.snapshotIndex != now.snapshotIndex || !before.snapshotView.equals(now.snapshotView)) {
             changes.put(DurableState.SNAPSHOT_KEY, ReplicationCodec.snapshot(now));
--- a/src/main/java/brambletray/platform/replication/ReplicationCodec.java
+++ b/src/main/java/brambletray/platform/replication/ReplicationCodec.java
@@ -8,9 +8,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Bytes of what is kept and of what is carried in pieces. Each begins with the version of its form. */
+/**
+ * Binary form of what is stored and of what is transferred in chunks. Each value begins with the version of its form;
+ * older forms are read, only the current one is written.
+ */
 final class ReplicationCodec {
-    /** 1: without the zones of members; still read. */
+    /** Form 1 lacks the zones of members and is still read. */
     private static final int CURRENT_FORM = 2;
 
     private ReplicationCodec() {}
@@ -34,7 +37,7 @@
         return bytes.toByteArray();
     }
 
-    /** What is read, and the form that it was written in. */
+    /** An input, and the form that it was written in. */
     private static final class VersionedInput extends DataInputStream {
         final int form;
 
@@ -103,7 +106,7 @@
         });
     }
 
-    /** The view, after a flag that says whether it is known to be in force. */
+    /** The view, after a flag that says whether it is known to be active. */
     static View view(DataInputStream in) throws IOException {
         Ballot ballot = ballot(in);
         List<Member> members = members(in);
@@ -153,7 +156,7 @@
         });
     }
 
-    /** The patch, after the place up to which all is kept. */
+    /** The patch, after the commit index of the member that has packed it. */
     static LogPatch patch(DataInputStream in) throws IOException {
         boolean whole = in.readBoolean();
         long after = in.readLong();
--- a/src/main/java/brambletray/platform/replication/ReplicationEvent.java
+++ b/src/main/java/brambletray/platform/replication/ReplicationEvent.java
@@ -68,7 +68,7 @@
         }
     }
 
-    /** A member has promised the ballot of this member's view change and told its state. */
+    /** A member has promised the ballot of this member's view change, and answered with its state. */
     record PrepareAnswered(
             Ballot ballot, String responder, Ballot view, boolean active, long lastIndex, boolean diskUnhealthy)
             implements ReplicationEvent {
@@ -186,7 +186,7 @@
         }
     }
 
-    /** This process was told to end and hands over. */
+    /** This process is about to end and hands over. */
     record LeaveStarted(String view, boolean isLeader, long commitIndex, long lastIndex) implements ReplicationEvent {
         @Override
         public String name() {
@@ -246,7 +246,7 @@
         }
     }
 
-    /** An operator says that a machine is gone for good; it is asked once more whether it lives. */
+    /** An operator has requested the removal of a machine; it is asked once more whether it is alive. */
     record RemovalRequested(String member, String address, String incarnation) implements ReplicationEvent {
         @Override
         public String name() {
--- a/src/main/java/brambletray/platform/replication/ReplicationException.java
+++ b/src/main/java/brambletray/platform/replication/ReplicationException.java
@@ -2,7 +2,10 @@
 
 import brambletray.platform.errors.PlatformException;
 
-/** The kept state can't be read, or a rule of this plane has been broken. */
+/**
+ * The stored state cannot be read ({@code replication.form}), or an invariant of the log is violated ({@code
+ * replication.gap}).
+ */
 public final class ReplicationException extends PlatformException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/brambletray/platform/replication/ReplicationMessage.java
+++ b/src/main/java/brambletray/platform/replication/ReplicationMessage.java
@@ -2,9 +2,15 @@
 
 import java.util.List;
 
-/** What members say to one another. */
+/**
+ * Messages between members of the core. {@code viewBallot} is the ballot of the sender's view; a receiver in another
+ * view ignores the message, or answers {@link NotMember}.
+ */
 public sealed interface ReplicationMessage {
-    /** Leader: it is there; what is kept; whether the view is in force; its own trouble with the disk. */
+    /**
+     * From the leader, every {@link ReplicationSettings#heartbeatIntervalMs}: how far it has committed, whether the
+     * view is active, and whether its own disk is in trouble.
+     */
     record HeartbeatRequest(
             Ballot viewBallot,
             long sequence,
@@ -14,7 +20,10 @@
             boolean diskUnhealthy)
             implements ReplicationMessage {}
 
-    /** Answer to a beat: what is on this member's disk. A higher promise says that it has stopped in this view. */
+    /**
+     * Answer to a heartbeat: what is on this member's disk. A higher promised ballot says that it has stopped in this
+     * view.
+     */
     record HeartbeatResponse(
             Ballot viewBallot,
             long incarnation,
@@ -24,19 +33,22 @@
             boolean diskUnhealthy)
             implements ReplicationMessage {}
 
-    /** Leader: entries that follow a place. */
+    /** From the leader: entries that follow an index; without entries it announces the commit index. */
     record AppendRequest(
             Ballot viewBallot, long previousIndex, Ballot previousView, List<LogEntry> entries, long commitIndex)
             implements ReplicationMessage {}
 
-    /** All up to this place is on this member's disk. */
+    /** Answer to entries: everything up to this index is on this member's disk. */
     record AppendResponse(Ballot viewBallot, long incarnation, long durableIndex) implements ReplicationMessage {}
 
-    /** A change of view begins: stop, promise, tell. The lives are proven dead. */
+    /**
+     * A view change begins: promise its ballot, stop in lower ones, and answer with your state. The incarnations are
+     * known to be retired.
+     */
     record PrepareRequest(Ballot ballot, Member proposer, List<Long> retiredIncarnations)
             implements ReplicationMessage {}
 
-    /** Promised; what this member has. */
+    /** The ballot is promised; the state of this member. */
     record PrepareResponse(
             Ballot ballot,
             Member responder,
@@ -49,47 +61,50 @@
             List<Long> retiredIncarnations)
             implements ReplicationMessage {}
 
-    /** Not promised: a higher promise was given, or the leader is well (calm). */
+    /** The ballot is not promised: a higher one was, or the leader is healthy. */
     record BallotRejected(Ballot ballot, Ballot promisedBallot, boolean leaderIsHealthy)
             implements ReplicationMessage {}
 
-    /** The new view and what the receiver's log lacks. */
+    /** A new view, and what the receiver's log lacks. */
     record InstallViewRequest(View view, LogPatch patch) implements ReplicationMessage {}
 
     /**
-     * The same where the receiver lacks more than goes in one frame: it is to fetch the log that ends so, in pieces.
+     * A new view whose log is longer than a message may be: the receiver is to fetch the log with this end in chunks.
      */
     record InstallViewOffer(View view, long lastIndex, Ballot lastView) implements ReplicationMessage {}
 
     /** View and log are on this member's disk. */
     record InstallViewResponse(Ballot viewBallot, long incarnation) implements ReplicationMessage {}
 
-    /** The patch doesn't fit what this member has. */
+    /** The patch does not fit this member's log, or it lacks committed entries. */
     record PatchMismatch(Ballot viewBallot, long incarnation) implements ReplicationMessage {}
 
-    /** A view in force, in which the receiver isn't. */
+    /** An active view of which the receiver is not a member. */
     record NotMember(View view) implements ReplicationMessage {}
 
-    /** Who isn't in asks to be let in; what it has in hand. */
+    /** A machine outside the view asks to join; what it has fetched so far. */
     record JoinRequest(Member requester, Ballot viewBallot, long lastIndex, Ballot lastView, long commitIndex)
             implements ReplicationMessage {}
 
-    /** Answer to a knock: the view in force; whether what is in hand is near enough to be let in. */
+    /**
+     * Answer to a join request: the active view; whether the requester is close enough to the end of the log to be
+     * let in.
+     */
     record JoinResponse(View view, boolean caughtUp) implements ReplicationMessage {}
 
-    /** Answer to a knock by who isn't in itself: members that it has met. */
+    /** Answer to a join request by a member that is outside the view itself: addresses that it knows. */
     record KnownMembers(List<String> addresses) implements ReplicationMessage {}
 
-    /** Which life is at your address now? */
+    /** Asks which incarnation runs at the receiver's address now. */
     record IdentityRequest(long nonce) implements ReplicationMessage {}
 
-    /** This one. */
+    /** This incarnation runs here. */
     record IdentityResponse(long nonce, Member responder) implements ReplicationMessage {}
 
     /**
-     * Asks for a piece of what its log lacks, given what it has. {@code view}: whose log, one that is being installed;
-     * {@link Ballot#NONE}
-     * for the receiver's own. {@code cut}: of what has come already, perhaps from another member.
+     * Asks for a chunk of what its log lacks, given what it has. {@code viewBallot}: of the view that is being
+     * installed and whose log is fetched; {@link Ballot#NONE} for the receiver's own log. {@code transfer}: of what
+     * was fetched already, perhaps from another member.
      */
     record FetchChunkRequest(
             long transferId,
@@ -102,22 +117,22 @@
             implements ReplicationMessage {}
 
     /**
-     * A piece; a total below 0 says that there is nothing to be had here. One of another cut at offset 0 begins the
-     * transfer anew.
+     * A chunk; a total below 0 says that there is nothing to be had here. One of another transfer at offset 0 starts
+     * the transfer anew.
      */
     record FetchChunkResponse(long transferId, int offset, int totalBytes, byte[] bytes, TransferDescriptor transfer)
             implements ReplicationMessage {}
 
-    /** This member is about to end, as planned: go on without it. */
+    /** This member is about to end as planned: go on without it. */
     record LeaveRequest(Ballot viewBallot, long incarnation) implements ReplicationMessage {}
 
-    /** A proposal made at a member that doesn't lead. */
+    /** A proposal that was made at a member that does not lead. */
     record ProposeRequest(Ballot viewBallot, long origin, long token, byte[] bytes) implements ReplicationMessage {}
 
-    /** Is this still your view? */
+    /** Asks whether this is still the receiver's view (read index). */
     record ReadIndexRequest(Ballot viewBallot, long sequence) implements ReplicationMessage {}
 
-    /** It is; what is kept, and (from the leader) whether all of earlier views is. */
+    /** It is; the leader adds its commit index, and whether everything that earlier views committed is committed. */
     record ReadIndexResponse(Ballot viewBallot, long incarnation, long sequence, long commitIndex, boolean settled)
             implements ReplicationMessage {}
 }
--- a/src/main/java/brambletray/platform/replication/StateMachine.java
+++ b/src/main/java/brambletray/platform/replication/StateMachine.java
@@ -2,14 +2,14 @@
 
 import java.util.List;
 
-/** The state above the order; the same at all members after the same place. Called on the loop only. */
+/** The replicated state machine; its state is the same at all members after the same index. Called on one thread. */
 public interface StateMachine {
-    /** The whole state now. */
+    /** The present state. */
     byte[] snapshot();
 
     /**
-     * Replaces the state by one that {@link #snapshot} gave somewhere; empty bytes mean the state before the first
-     * change.
+     * Replaces the state by one that {@link #snapshot} has returned somewhere; empty bytes are the state before the
+     * first change.
      */
     void restore(byte[] snapshot);
 
@@ -19,6 +19,9 @@
      */
     byte[] replay(byte[] snapshot, List<byte[]> changes);
 
-    /** The next change. Once for each place between a restore and the end of the process, in order. Must not throw. */
+    /**
+     * The next change. Called once for each index between a restore and the end of the process, in order. Must not
+     * throw.
+     */
     void apply(long index, byte[] change);
 }
--- a/src/main/java/brambletray/platform/replication/StateTransferClient.java
+++ b/src/main/java/brambletray/platform/replication/StateTransferClient.java
@@ -3,15 +3,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Gets what a log lacks from one other member, in pieces, a few at a time. */
+/**
+ * Fetches what a log lacks from another member, in chunks, a few at a time. A transfer goes on at another source from
+ * the byte that was reached, if that source can pack the same bytes.
+ */
 final class StateTransferClient {
-    /** Bytes of a piece: 66 ms of a link of 2 Mbit/s, which is what a heartbeat said after one may have to wait. */
+    /** Bytes of a chunk: 66 ms of a link of 2 Mbit/s, which a heartbeat sent after one may have to wait. */
     static final int CHUNK_BYTES = 16 << 10;
-    /** Pieces asked for ahead; no more bytes are ever on their way to one receiver. */
+    /** Chunks requested ahead; no more are ever in flight to one receiver. */
     private static final int MAX_CHUNKS_IN_FLIGHT = 4;
     /**
-     * Silence after which all that is missing is asked for again: pieces are lost with their link only, so on a slow
-     * link patience is what keeps the same pieces from being sent again and again. Doubles each time.
+     * Silence after which all missing chunks are requested again: chunks are lost with their link only, so on a slow
+     * link a long time-out keeps the same chunks from being sent repeatedly. Doubles each time.
      */
     private static final int RETRY_TIMEOUT_MS = 500;
 
@@ -23,7 +26,7 @@
     private final ReplicatedLog ownLog;
     private Ballot viewBallot;
     private long transferId;
-    /** Of the bytes of which the pieces are. */
+    /** Identifies the bytes of which these are chunks. */
     private TransferDescriptor descriptor = TransferDescriptor.NONE;
 
     private final List<byte[]> chunks = new ArrayList<>();
@@ -36,7 +39,7 @@
     private ReplicatedLog log;
     private long commitIndex;
     private boolean failed;
-    /** What has come is no log, so nothing of it is of use. */
+    /** What was fetched is not a log, so it is of no use. */
     private boolean corrupt;
 
     /**
@@ -60,12 +63,12 @@
         return source;
     }
 
-    /** Whether a part has come that another giver may go on from. */
+    /** Whether a part has come that another source may go on from. */
     boolean isResumable() {
         return !chunks.isEmpty() && !corrupt;
     }
 
-    /** Asks another giver, or the same one again, for what hasn't come. */
+    /** Requests what is missing from another source, or from the same one again. */
     void resume(String giver, Ballot of) {
         state.actions()
                 .log(new ReplicationEvent.TransferResumed(giver, source, receivedChunks * CHUNK_BYTES, totalBytes));
@@ -83,17 +86,17 @@
         return viewBallot;
     }
 
-    /** The log is that of a later attempt to install it, too. */
+    /** A later view change installs the same log. */
     void continueForView(Ballot later) {
         viewBallot = later;
     }
 
-    /** Milliseconds since something came. */
+    /** Milliseconds since the last chunk. */
     long idleMs() {
         return state.nowMs() - progressAtMs;
     }
 
-    /** Asks again for what hasn't come. */
+    /** Requests again what has not come in time. */
     void tick() {
         if (state.nowMs() - progressAtMs > IDLE_TIMEOUT_MS) {
             failed = true;
@@ -128,7 +131,7 @@
         }
     }
 
-    /** Takes a piece; true when it is over, well or not. */
+    /** Takes a chunk; whether the transfer is over, successful or not. */
     boolean onChunk(ReplicationMessage.FetchChunkResponse chunk) {
         if (chunk.transferId() != transferId || log != null || failed) {
             return false;
@@ -165,7 +168,7 @@
         return true;
     }
 
-    /** The giver has another state: what has come is of no use with it. */
+    /** The source packs another state: the chunks that have come do not belong to it. */
     private void restart() {
         state.actions()
                 .log(new ReplicationEvent.TransferRestarted(
@@ -202,12 +205,12 @@
         return failed;
     }
 
-    /** The log after the pieces; null while they are coming and when they didn't fit. */
+    /** The log that was fetched; null before the end and if the chunks did not fit. */
     ReplicatedLog log() {
         return log;
     }
 
-    /** Up to here the log was known to be kept at the one who gave it. */
+    /** Commit index of the member that has packed the log. */
     long commitIndex() {
         return commitIndex;
     }
--- a/src/main/java/brambletray/platform/replication/StateTransferServer.java
+++ b/src/main/java/brambletray/platform/replication/StateTransferServer.java
@@ -10,12 +10,12 @@
 import java.util.function.Function;
 
 /**
- * Gives others what their logs lack, in pieces of a cut that stays as it is while changes and compactions go on.
- * Receivers that lack the same share a cut, so many newcomers take no more memory than one. A receiver that has been
- * silent for a while, or has all when another needs room, is forgotten.
+ * Serves what the logs of others lack, in chunks of packed bytes that stay the same while entries and compactions go
+ * on. Receivers that lack the same share the packed bytes, so many newcomers take no more memory than one. A receiver
+ * that has been silent for a while, or has everything when another needs room, is forgotten.
  */
 final class StateTransferServer {
-    /** Cuts, of a few megabytes each, and receivers at a time. */
+    /** Packed patches, of a few megabytes each, and receivers at a time. */
     private static final int MAX_PACKED = 4;
 
     private static final int MAX_RECEIVERS = 16;
@@ -92,8 +92,8 @@
     }
 
     /**
-     * The cut of which the receiver has got a part from another member, or from this one before its restart; null if it
-     * isn't to be had here.
+     * The packed bytes of which the receiver has a part from another member, or from this one before its restart;
+     * null if they cannot be packed here.
      */
     private PackedPatch resumePacked(ReplicationMessage.FetchChunkRequest request, ReplicatedLog log) {
         TransferDescriptor name = request.transfer();
@@ -117,8 +117,8 @@
     }
 
     /**
-     * The state at the cut's place, made again from this log, and the entries behind it; null where this log begins
-     * later or ends earlier.
+     * The state at the descriptor's index, computed again from this log, and the entries after it; null if this log
+     * begins later or ends earlier.
      */
     private LogPatch snapshotPatch(TransferDescriptor name, ReplicatedLog log) {
         long after = name.previousIndex();
@@ -177,7 +177,7 @@
         if (cuts.size() < MAX_PACKED) {
             return PackedPatch.of(request.viewBallot(), patch, state.commitIndex());
         }
-        // a whole one does for everybody; what has come since is fetched in another round
+        // a full snapshot serves everybody; what has come since is fetched in another round
         PackedPatch newest = null;
         for (PackedPatch cut : cuts) {
             boolean fits = cut.descriptor.isSnapshot()
@@ -191,7 +191,7 @@
         return newest;
     }
 
-    /** The state as it is now, where that is less than what it was made of: changes replace each other. */
+    /** The present state, if that is smaller than the patch: changes replace each other. */
     private LogPatch smallerOf(LogPatch patch) {
         ReplicatedLog log = state.log();
         List<LogEntry> rest = List.copyOf(log.entries()
--- a/src/main/java/brambletray/platform/replication/View.java
+++ b/src/main/java/brambletray/platform/replication/View.java
@@ -4,18 +4,19 @@
 import java.util.List;
 
 /**
- * A view: who is in, who leads, and which earlier views must have been asked before a later one may be installed.
+ * A view: its members, its leader, and which earlier views must have been consulted before a later one may be
+ * installed.
  *
- * @param ballot  name; its number is the view's number
+ * @param ballot identifies the view; its number is the view's number
  * @param members leader first
- * @param predecessors    the view that this one came from, and further ones back to the last that was known to be in force when
- * this one was proposed
+ * @param predecessors the view that this one came from, and further ones back to the last that was known to be active
+ *     when this one was proposed
  */
 public record View(Ballot ballot, List<Member> members, List<ViewMembership> predecessors) {
-    /** Told by who has kept no view yet. */
+    /** In the answer of a member without a view. */
     static final View NONE = new View(new Ballot(-1, 0), List.of(), List.of());
 
-    /** The views that have to be asked, this one first: only this one when it is known to be in force. */
+    /** The views that have to be consulted, this one first: only this one when it is known to be active. */
     public List<ViewMembership> viewsToConsult(boolean inForce) {
         List<ViewMembership> all = new ArrayList<>();
         all.add(new ViewMembership(ballot, members));
@@ -25,7 +26,7 @@
         return all;
     }
 
-    /** The member that leads. In the founding list nobody does. */
+    /** The member that leads; null in the list of seeds. */
     public Member leader() {
         for (Member member : members) {
             if (member.incarnation() == ballot.proposer()) {
@@ -35,12 +36,12 @@
         return null;
     }
 
-    /** Whether this life is in. */
+    /** Whether this incarnation is a member. */
     public boolean contains(long incarnation) {
         return memberOf(incarnation) != null;
     }
 
-    /** Member of this life, or null. */
+    /** Member of this incarnation, or null. */
     public Member memberOf(long incarnation) {
         for (Member member : members) {
             if (member.incarnation() == incarnation) {
@@ -70,7 +71,7 @@
         return ballot.number();
     }
 
-    /** The list of seeds as a view before the first: lives aren't known. */
+    /** The list of seeds as a view before the first; incarnations are not known. */
     static View ofSeeds(List<String> seeds) {
         List<Member> members = new ArrayList<>();
         for (String seed : seeds) {
--- a/src/main/java/brambletray/platform/replication/ViewChange.java
+++ b/src/main/java/brambletray/platform/replication/ViewChange.java
@@ -8,16 +8,18 @@
 import java.util.Set;
 
 /**
- * One attempt to change the view, at the member that begins it: ask, promise, fetch the longest log, install. It ends
- * with a view in force that this member leads, or is given up for a higher ballot.
+ * One view change, at the member that proposes it. Phases: prepare (ask the members of the last views to promise the
+ * ballot and answer with their state), promise it itself, fetch the longest log, install view and log at all members.
+ * It ends with an active view that this member leads, or is given up for a higher ballot. A view change that is still
+ * preparing leaves no trace; after that this member has promised its own ballot.
  */
 final class ViewChange {
     private static final int RETRY_INTERVAL_MS = 100;
-    /** Fetching goes on while pieces come, but not longer than this: on a link of 2 Mbit/s enough for 7 MB. */
+    /** Fetching goes on while chunks come, but not longer than this: enough for 7 MB on a link of 2 Mbit/s. */
     private static final int FETCH_TIMEOUT_MS = 30_000;
     /**
-     * Silence after which a member that fetches the new view's log isn't waited for: longer than its disk may take for
-     * the last piece.
+     * Silence after which the view change does not wait for a member that fetches the log: longer than its disk may
+     * take for the last chunk.
      */
     private static final int CHUNK_SERVED_TIMEOUT_MS = 2000;
 
@@ -72,7 +74,7 @@
         return ballot;
     }
 
-    /** Whether it may still be dropped without a trace: nothing was promised to itself. */
+    /** Whether it may still be dropped without a trace: the ballot was not promised by this member itself. */
     boolean isPreparing() {
         return phase == Phase.PREPARING;
     }
@@ -148,7 +150,7 @@
         }
     }
 
-    /** All that was told, with what this member would say itself. */
+    /** The responses, with what this member would answer itself. */
     private PrepareResponses allResponses() {
         List<ReplicationMessage.PrepareResponse> all = new ArrayList<>();
         all.add(state.prepareResponse(ballot));
@@ -156,7 +158,7 @@
         return new PrepareResponses(all);
     }
 
-    /** Goes on when enough have answered and the others have been waited for. */
+    /** Promises the ballot once a quorum has answered and the others have been waited for. */
     private void maybePromise() {
         PrepareResponses now = allResponses();
         if (!now.hasQuorum()) {
@@ -199,7 +201,10 @@
         return false;
     }
 
-    /** Promised: what was told until now is final, as all who told have stopped; what is told later doesn't count. */
+    /**
+     * The ballot is promised: the responses until now are final, as all who sent them have stopped; later ones do not
+     * count.
+     */
     private void chooseLog() {
         chosen = allResponses();
         if (!chosen.hasQuorum()) {
@@ -223,7 +228,7 @@
         }
         ReplicatedLog fetched = transfer.log();
         ReplicationMessage.PrepareResponse longest = chosen.longestLog();
-        // who told may have gone on to a higher ballot, and its log with it
+        // the member may have promised a higher ballot since, and have another log with it
         boolean response = fetched != null
                 && fetched.lastIndex() == longest.lastIndex()
                 && fetched.lastView().equals(longest.lastView());
@@ -240,7 +245,8 @@
             boolean free = in.stream()
                     .noneMatch(member ->
                             member.address().equals(joinRequest.requester().address()));
-            // who has fallen behind since it knocked gets the rest outside of the change, and knocks again
+            // a newcomer that has fallen behind since its request fetches the rest outside of the view change, and
+            // asks again
             boolean near = log.patchFor(joinRequest.lastIndex(), joinRequest.lastView(), joinRequest.commitIndex())
                     .fitsInline();
             if (free
@@ -271,8 +277,8 @@
     }
 
     /**
-     * All others have kept it. This member comes last: while it hasn't, the view can't be in force, and an attempt that
-     * fails binds nobody to it.
+     * All others have the view on disk. This member comes last: before that the view cannot be active, and a view
+     * change that fails binds nobody to it.
      */
     private void acceptLocally() {
         if (state.view().ballot().equals(ballot)) {
@@ -309,7 +315,10 @@
         }
     }
 
-    /** The log of the view of this name, which a member fetches in pieces; null if it isn't being installed. */
+    /**
+     * The log of the view that is being installed, for a member that fetches it in chunks; null if that view is not
+     * being installed.
+     */
     ReplicatedLog logForTransfer(Ballot view) {
         if (phase != Phase.INSTALLING || !ballot.equals(view)) {
             return null;
@@ -375,7 +384,7 @@
         }
     }
 
-    /** Whether the view may do without those that haven't kept it. */
+    /** Whether the view may be installed without those that do not have it yet. */
     private boolean canDoWithoutAbsent() {
         Set<Long> absent = absentMembers();
         Set<Long> excludedAddresses = new HashSet<>(plan.excluded());
@@ -384,7 +393,7 @@
                 .noneMatch(member -> absent.contains(member.incarnation()));
     }
 
-    /** Others that haven't kept it; none when it is this member's own disk that is slow. */
+    /** Other members that do not have the view yet; none if it is this member's own disk that is slow. */
     private Set<Long> absentMembers() {
         Set<Long> absent = new HashSet<>();
         for (Member member : nextView.members()) {
--- a/src/main/java/brambletray/platform/replication/ViewChangeInitiator.java
+++ b/src/main/java/brambletray/platform/replication/ViewChangeInitiator.java
@@ -16,7 +16,7 @@
     private final Replica replica;
     private final LeaderMonitor leaderMonitor;
     private final JoinAdmission joinAdmission;
-    /** When each member that is about to end first said so, by incarnation; ms. */
+    /** When each member first said that it is about to end, by incarnation; ms. */
     private final Map<Long, Long> leavingSinceMs = new LinkedHashMap<>();
 
     ViewChangeInitiator(ReplicaState state, Replica replica, LeaderMonitor leaderMonitor, JoinAdmission joinAdmission) {
--- a/src/main/java/brambletray/platform/replication/ViewInstaller.java
+++ b/src/main/java/brambletray/platform/replication/ViewInstaller.java
@@ -28,7 +28,7 @@
             return;
         }
         if (state.isLeaving() && (state.view() == null || replica.isExcluded())) {
-            // admitted by a join request from before this process was told to end: nobody is to wait for it
+            // admitted by a join request from before this process was to end: nobody is to wait for it
             reject(from, next);
             return;
         }
--- a/src/main/java/brambletray/platform/replication/ViewMembership.java
+++ b/src/main/java/brambletray/platform/replication/ViewMembership.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * Members of a view without its history.
+ * The members of a view without its predecessors.
  *
- * @param ballot  name of the view
- * @param members those who have to be asked about what came after it
+ * @param ballot identifies the view
+ * @param members those who have to be consulted about what came after it
  */
 public record ViewMembership(Ballot ballot, List<Member> members) {
     /** Number of the view. */
--- a/src/main/java/brambletray/platform/replication/WriteAheadQueue.java
+++ b/src/main/java/brambletray/platform/replication/WriteAheadQueue.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * Writes on their way to the disk: gathered into one batch while the one before is being synced, kept in order, tried
- * again after a failure. What is to be said once they are synced waits here.
+ * Writes on their way to the disk: gathered into one batch while the one before is being synced, in order, and tried
+ * again after a failure. Callbacks wait here until everything written before them is synced.
  */
 final class WriteAheadQueue {
     private static final int RETRY_INTERVAL_MS = 250;
@@ -29,7 +29,7 @@
         this.actions = actions;
     }
 
-    /** Changes to keep with the next batch; a null value removes. */
+    /** Changes for the next batch; a null value removes the key. */
     void put(String key, byte[] value, long now) {
         if (openSinceMs < 0) {
             openSinceMs = now;
@@ -44,12 +44,12 @@
         changes.forEach((key, value) -> put(key, value, now));
     }
 
-    /** Runs once all that was put so far is synced. */
+    /** Runs the callback once everything that was put so far is synced. */
     void onSynced(Runnable run) {
         openCallbacks.add(run);
     }
 
-    /** Hands over the next batch if none is out. */
+    /** Writes the next batch if none is in flight. */
     void flush(long now) {
         if (inFlightBatch != null || (lastWriteFailed && now < retryAtMs)) {
             return;
@@ -84,7 +84,7 @@
         runs.forEach(Runnable::run);
     }
 
-    /** The batch goes in front of what came after it, and is tried again after a pause. */
+    /** The batch goes in front of what came after it, and is tried again after a while. */
     void failed(long which, long now) {
         if (inFlightBatch == null || which != ticket) {
             return;
@@ -101,12 +101,12 @@
         retryAtMs = now + RETRY_INTERVAL_MS;
     }
 
-    /** Whether the last try failed. */
+    /** Whether the last write failed. */
     boolean isFailing() {
         return lastWriteFailed;
     }
 
-    /** Milliseconds that the oldest write has been waiting; 0 when none is. */
+    /** Milliseconds that the oldest write has been waiting; 0 when there is none. */
     long oldestWriteAgeMs(long now) {
         if (inFlightBatch != null) {
             return now - inFlightSinceMs;
@@ -114,7 +114,7 @@
         return openSinceMs < 0 ? 0 : now - openSinceMs;
     }
 
-    /** Whether more than this many bytes wait for the batch that is out. */
+    /** Whether more than this many bytes wait for the batch in flight. */
     boolean hasOpenBytesAbove(long most) {
         return openBytes > most;
     }
--- a/src/main/java/brambletray/platform/storage/CommitSummary.java
+++ b/src/main/java/brambletray/platform/storage/CommitSummary.java
@@ -4,8 +4,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * What each commit says of the whole store: the format, the number of the commit, and count and sum of all that is in
- * it. A store whose entries do not add up to its seal is torn.
+ * Written with each commit: the format, the number of the commit, and count and checksum of all entries of the store.
+ * A store whose entries do not add up to its summary is torn.
  */
 record CommitSummary(long commitNumber, int entryCount, long entrySum) {
     static final int FORMAT = 1;
@@ -21,7 +21,7 @@
                 .array();
     }
 
-    /** @throws StorageException {@code trove.format} */
+    /** @throws StorageException {@code storage.format} */
     static CommitSummary fromBytes(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         if (bytes.length < Integer.BYTES) {
@@ -37,7 +37,7 @@
                 : null;
     }
 
-    /** The part of an entry in the sum; sums of parts tell any two stores apart that a torn disk could make of one. */
+    /** The checksum of one entry; sums of these tell any two stores apart that a torn disk could make of one. */
     static long entryChecksum(byte[] key, byte[] value) {
         CRC32C sum = new CRC32C();
         sum.update(key);
--- a/src/main/java/brambletray/platform/storage/Directory.java
+++ b/src/main/java/brambletray/platform/storage/Directory.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.List;
 
-/** One folder of a disk, by the few operations that a trove needs. Names have no folders in them. */
+/** One folder of a disk, by the few operations that a store needs. Names have no folders in them. */
 interface Directory {
     /** The file that is written to; it is at most one at a time. */
     interface FileWriter {
--- a/src/main/java/brambletray/platform/storage/KeyValueStore.java
+++ b/src/main/java/brambletray/platform/storage/KeyValueStore.java
@@ -8,12 +8,13 @@
 import java.util.Map;
 
 /**
- * What a process keeps on its disk: keys and values, changed by commits that are wholly there or not at all. What
- * {@link #commit} has returned for is there after any kill or loss of power. One thread commits; any may read.
+ * The durable keys and values of one process, changed by atomic commits. A commit that has returned survives any kill
+ * or loss of power. One thread commits; any may read.
  *
- * <p>The files are of one generation, and grow with each commit. Once they hold much more than what is in force,
- * {@link #compact} writes that into a new generation and removes the old one before any other commit. So where two
- * generations are found, nothing was kept in the newer one alone, and if that is torn the older one is whole.
+ * <p>The files are of one generation, and grow with each commit. Once they are much larger than the live values,
+ * {@link #compact} writes those into a new generation and removes the old one before any other commit. So where two
+ * generations are found, nothing was committed in the newer one alone, and if that one is torn the older one is
+ * complete.
  */
 public final class KeyValueStore implements AutoCloseable, SyncWriter.Disk {
     /** Bytes of a key's UTF-8, and of a value. */
@@ -21,11 +22,11 @@
 
     public static final int MAX_VALUE_BYTES = 8 << 20;
     static final EventLog LOG = EventLog.of("storage");
-    /** Bytes of files that are always allowed, and how many times what is in force. */
+    /** Bytes of files that are always allowed, and how many times the live values. */
     private static final long MIN_COMPACTION_BYTES = 8L << 20;
 
     private static final int MAX_SPACE_AMPLIFICATION = 4;
-    /** Bytes after which a tidying that failed is tried again. */
+    /** Bytes after which a compaction that failed is tried again. */
     private static final long COMPACTION_RETRY_BYTES = 4L << 20;
 
     private final Directory directory;
@@ -48,14 +49,12 @@
     }
 
     /**
-     * Opens what is in this folder, or begins it. The last commit that had not returned when the process or the power
-     * went may be there or not.
+     * Opens the store in this folder, or creates it. The last commit that had not returned when the process or the
+     * power went may be there or not.
      *
-     * @throws StorageException {@code trove.broken}: something is there but no whole store, as if the disk were lost
-     * (the
-     * caller
-     *     may {@link #abandon} it); {@code trove.format}; {@code trove.refused} and {@code trove.full}: the disk is in
-     *     trouble, and a later try may do
+     * @throws StorageException {@code storage.broken}: there is no complete store, as if the disk were lost (the
+     *     caller may {@link #abandon} it); {@code storage.format}; {@code storage.refused} and {@code storage.full}:
+     *     the disk is in trouble, and a later attempt may succeed
      */
     public static KeyValueStore open(Path dir) throws StorageException {
         try {
@@ -118,12 +117,10 @@
     }
 
     /**
-     * Makes these changes, in this order, all or none; durable on return.
+     * Makes these changes, in this order and atomically; durable on return.
      *
-     * @throws StorageException {@code trove.full}, {@code trove.refused}: not made, unless the process ends before the
-     * next
-     * call;
-     *     that one may do. {@code trove.too-long}: nothing was done
+     * @throws StorageException {@code storage.full}, {@code storage.refused}: not made, unless the process ends
+     *     before the next call, which may succeed; {@code storage.too-long}: nothing was done
      */
     @Override
     public void commit(List<KeyChange> changes) throws StorageException {
@@ -152,8 +149,8 @@
     }
 
     /**
-     * If the files hold much more than what is in force: begins a new generation. To be called between commits, where a
-     * pause hurts least; a commit does it itself once there is twice as much.
+     * Begins a new generation if the files are much larger than the live values. To be called between commits, where
+     * a pause hurts least; a commit does it itself once there is twice as much.
      */
     @Override
     public void compact() {
@@ -237,7 +234,7 @@
         }
     }
 
-    /** Bytes that the files may have before a tidying. */
+    /** Bytes that the files may have before a compaction. */
     private long compactionThresholdBytes() {
         return Math.max(
                 nextCompactionBytes, Math.max(minCompactionBytes, MAX_SPACE_AMPLIFICATION * generation.liveBytes()));
--- a/src/main/java/brambletray/platform/storage/LogSegmentFiles.java
+++ b/src/main/java/brambletray/platform/storage/LogSegmentFiles.java
@@ -11,8 +11,9 @@
 import jetbrains.exodus.io.RemoveBlockType;
 
 /**
- * One generation of a store: the files that Xodus' log is written to and read from, named by generation and address. In
- * the place of Xodus' own files, which lock, look at the machine's beans and never sync the folder after a removal.
+ * One generation of a store: the files that Xodus writes its log to and reads it from, named by generation and
+ * address. Replaces Xodus' own files, which lock, query the machine's beans and never sync the folder after a
+ * removal.
  */
 final class LogSegmentFiles extends AbstractDataWriter implements DataReader {
     /** Bytes of a file; all but the newest have just that length. */
@@ -76,7 +77,7 @@
         }
     }
 
-    /** Writes nothing more: whoever still holds it is to be done away with. */
+    /** Writes nothing more: for an environment that is about to be closed. */
     void disable() {
         disabled = true;
     }
