--- a/src/main/java/brambletray/platform/storage/StoreGeneration.java
+++ b/src/main/java/brambletray/platform/storage/StoreGeneration.java
@@ -18,7 +18,7 @@
 import jetbrains.exodus.io.DataReaderWriterProvider;
 import jetbrains.exodus.log.LogConfig;
 
-/** One generation, open: a Xodus store of keys and values, sealed by each commit. */
+/** One generation, open: a Xodus store of keys and values, with a summary written by each commit. */
 final class StoreGeneration {
     private static final String STORE = "trove";
     private static final long CACHE_BYTES = 2L << 20;
@@ -53,7 +53,7 @@
         environment = (EnvironmentImpl) Environments.newInstance(LogConfig.create(segments, segments), config);
     }
 
-    /** An empty one, not yet sealed: until its first commit it doesn't count. */
+    /** An empty one without a summary: until its first commit it does not count. */
     static StoreGeneration create(LogSegmentFiles segments) {
         StoreGeneration generation = new StoreGeneration(segments);
         generation.summary = CommitSummary.EMPTY;
@@ -64,7 +64,7 @@
     }
 
     /**
-     * What is on this tape; null if its entries do not add up to its seal, or it has none.
+     * The generation in these files; null if its entries do not add up to its summary, or it has none.
      *
      * @throws UncheckedIOException if the disk does not read
      */
@@ -141,7 +141,7 @@
         return segments;
     }
 
-    /** Where the last commit that was kept ends. */
+    /** Address at which the last successful commit ends. */
     long durableEnd() {
         return durableEnd;
     }
@@ -227,7 +227,7 @@
         liveBytes += (now == null ? 0 : now.lengthBytes()) - (old == null ? 0 : old.lengthBytes());
     }
 
-    /** Copies all into an empty vault, in one commit. */
+    /** Copies all entries into an empty generation, in one commit. */
     void copyTo(StoreGeneration other) {
         List<KeyChange> all = new ArrayList<>();
         prefix("").forEach(entry -> all.add(new KeyChange(entry.getKey(), entry.getValue())));
--- a/src/main/java/brambletray/platform/storage/StoreOpening.java
+++ b/src/main/java/brambletray/platform/storage/StoreOpening.java
@@ -9,7 +9,9 @@
  * torn.
  */
 final class StoreOpening {
-    /** There once a store has been made here: from then on what can't be read was lost, and not just not begun. */
+    /**
+     * Exists once a store has been created here: from then on what cannot be read was lost, and is not merely new.
+     */
     static final String MARKER_FILE = "trove";
 
     private static final byte[] MARKER_TEXT = "a store of format 1\n".getBytes(StandardCharsets.US_ASCII);
@@ -87,8 +89,9 @@
 
     /**
      * Makes durable what has just been read. After a kill, a commit that had not returned may be read although it was
-     * never synced, and files may stand under names that were not: who opens acts on both, so a loss of power must not
-     * take them back. What lies before {@code from}, the end of the commit before, had returned and is durable already.
+     * never synced, and files may stand under names that were not synced: the process acts on both, so a loss of
+     * power must not take them back. What lies before {@code from}, the end of the commit before, had returned and is
+     * durable already.
      */
     private void syncGeneration(LogSegmentFiles segments, long from) throws IOException {
         for (long file : segments.addresses()) {
--- a/src/main/java/brambletray/platform/storage/StoreRepair.java
+++ b/src/main/java/brambletray/platform/storage/StoreRepair.java
@@ -7,14 +7,14 @@
 import java.util.List;
 
 /**
- * Finds where commits end on a tape, by its bytes alone, and cuts off what lies behind one. Xodus has no sums in its
- * log: it takes any last root that reads like one, even if bytes before it never reached the disk. So a commit that was
- * being synced when the power went can look whole; {@link StoreGeneration} checks what is in it, and has this cut it
- * off.
+ * Finds where commits end in the files of a generation, by their bytes alone, and cuts off what follows one. Xodus
+ * has no checksums in its log: it takes any last root that reads like one, even if bytes before it never reached the
+ * disk. So a commit that was being synced when the power went can look complete; {@link StoreGeneration} checks its
+ * entries, and has this class cut it off.
  *
  * <p>A log is a row of items: a byte of type (its highest bit turned), a number of a structure, a length, and so many
- * bytes; numbers have seven bits a byte, lowest first, the last byte marked. A zero type is padding of one byte. A root
- * (type 1) ends each commit and holds three numbers, the third the sum of the others and 199.
+ * bytes; numbers have seven bits a byte, lowest first, the last byte marked. A zero type is padding of one byte. A
+ * root (type 1) ends each commit and holds three numbers, the third the sum of the others and 199.
  */
 final class StoreRepair {
     private static final int TYPE_FLAG = 0x80;
@@ -125,7 +125,7 @@
         return tree >= 0 && structures >= 0 && sum == tree + structures + ROOT_CHECK_CONSTANT;
     }
 
-    /** The number at this place, or -1 if there is none. */
+    /** The number at the position, or -1 if there is none. */
     private long readNumber(int limit) {
         long number = 0;
         for (int shift = 0; position < limit && shift < Long.SIZE - 1; shift += 7) {
--- a/src/main/java/brambletray/platform/storage/SyncWriter.java
+++ b/src/main/java/brambletray/platform/storage/SyncWriter.java
@@ -9,16 +9,16 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * Writes for the loop, on a thread of its own: all that waits goes into one durable commit, in order; of several
- * changes of one key only the last is written. Who asked hears on the loop, in the order of asking. A failed commit is
- * not tried again.
+ * Group commit: writes for the event loop, on a thread of its own. All pending commits go into one durable commit, in
+ * order; of several changes of one key only the last is written. Callbacks run on the loop, in the order of the
+ * requests. A failed commit is not tried again.
  */
 public final class SyncWriter implements AutoCloseable, DurableStore {
     /** What is written to; {@link KeyValueStore#commit}, or a stand-in. */
     public interface Disk {
         void commit(List<KeyChange> changes) throws StorageException;
 
-        /** Nothing waits for an answer now: time to put things in entry. */
+        /** Nothing is pending now: time to compact. */
         default void compact() {}
     }
 
--- a/src/main/java/brambletray/platform/storage/ValueChunks.java
+++ b/src/main/java/brambletray/platform/storage/ValueChunks.java
@@ -9,11 +9,11 @@
 import jetbrains.exodus.env.Transaction;
 
 /**
- * How keys and values lie in a store: a value that is long is cut into pieces, as none may be longer than a file of the
- * log.
+ * How keys and values are laid out in a store: a long value is cut into chunks, as none may be longer than a file of
+ * the log.
  */
 final class ValueChunks {
-    /** What the keys of values begin with; those of their further pieces begin with another. */
+    /** First byte of the keys of first chunks; further chunks have another. */
     static final byte FIRST_CHUNK_PREFIX = 'k';
 
     private static final byte NEXT_CHUNK_PREFIX = 'p';
@@ -47,7 +47,7 @@
         }
     }
 
-    /** The whole value whose first piece this is; null if a piece is not as it was written. */
+    /** The value whose first chunk this is; null if a chunk is not as it was written. */
     static byte[] readValue(Store store, Transaction transaction, byte[] firstKey, byte[] first) {
         if (first.length < Integer.BYTES) {
             return null;
@@ -76,7 +76,7 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The key of a value's first piece. */
+    /** The key of a value's first chunk. */
     static byte[] firstChunkKey(String key) {
         byte[] utf = utf8(key);
         byte[] firstKey = new byte[utf.length + 1];
