--- a/src/main/java/brambletray/platform/admission/AdmissionActions.java
+++ b/src/main/java/brambletray/platform/admission/AdmissionActions.java
@@ -6,30 +6,29 @@
 import brambletray.platform.provisioning.StopRequest;
 
 /**
- * What seats want done. Called from inside the calls to {@link ServiceQueues}; whoever implements it must not call back
- * into
- * them.
+ * What service queues want done. Called from within the calls to {@link ServiceQueues}; an implementation must not
+ * call back into them.
  */
 public interface AdmissionActions {
-    /** To an edge: a place. */
+    /** To an edge: a slot. */
     void grant(String edge, SlotGrant grant);
 
-    /** To an edge: no place. */
+    /** To an edge: no slot. */
     void refuse(String edge, SlotRefusal refuse);
 
     /** To an edge: ask the home of another zone. */
     void redirect(String edge, SlotRedirect elsewhere);
 
-    /** To the hub: one more host. */
+    /** To the coordinator: one more instance. */
     void requestStart(StartRequest need);
 
-    /** To the hub: stop an empty host. Repeated until it is said to be gone. */
+    /** To the coordinator: stop a drained instance. Repeated until it is reported gone. */
     void requestStop(StopRequest quit);
 
-    /** To the hub: a host has started. */
+    /** To the coordinator: an instance is up. */
     void reportUp(InstanceUp seen);
 
-    /** To the hub: this seat is ours, which hosts has it? */
+    /** To the coordinator: this edge is the home of the service; which instances has it? */
     void claimHome(HomeClaim claim);
 
     /** Try a TCP connection to a host, and report by {@link ServiceQueues#onProbed}. */
--- a/src/main/java/brambletray/platform/admission/AdmissionParameters.java
+++ b/src/main/java/brambletray/platform/admission/AdmissionParameters.java
@@ -1,8 +1,8 @@
 package brambletray.platform.admission;
 
 /**
- * All that the laws of a seat are drawn with; nothing here belongs to a site. Times in ms, memory prices in GB-seconds
- * of a host's memory.
+ * The parameters of admission; nothing here belongs to a site. Times in ms, memory prices in GB-seconds of an
+ * instance's memory.
  */
 public record AdmissionParameters(
         Limit limit,
--- a/src/main/java/brambletray/platform/admission/AttemptOutcome.java
+++ b/src/main/java/brambletray/platform/admission/AttemptOutcome.java
@@ -2,7 +2,7 @@
 
 /** What became of a request at a host. */
 public enum AttemptOutcome {
-    /** A whole answer came. */
+    /** A complete answer came. */
     SERVED,
     /** The host turned it away as full, and has said that it did not run. */
     NOT_RUN,
--- a/src/main/java/brambletray/platform/admission/FairShare.java
+++ b/src/main/java/brambletray/platform/admission/FairShare.java
@@ -21,7 +21,7 @@
     private static final int DECAY_INTERVAL_MS = 100;
     /** Outcomes of a kind that are needed to judge it. */
     private static final double MIN_REQUESTS = 1.5;
-    /** Kinds that are told apart; what comes beyond counts as the last of them. */
+    /** Request classes that are counted separately; further ones count as the last of them. */
     private static final int MAX_KINDS = 32;
 
     /** What is counted together: calls of hosts or requests of clients, of one priority and one target. */
--- a/src/main/java/brambletray/platform/admission/HeldSlots.java
+++ b/src/main/java/brambletray/platform/admission/HeldSlots.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** An edge tells a new home which places it holds at hosts of a service. */
+/** From an edge to a new home: the slots that it holds at instances of a service. */
 public record HeldSlots(String edge, String service, List<SlotGrant> slots) {
     /** The same but for the place of one ask, if it is among them. */
     public HeldSlots without(long askId) {
--- a/src/main/java/brambletray/platform/admission/HeldSlotsRecovery.java
+++ b/src/main/java/brambletray/platform/admission/HeldSlotsRecovery.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * What edges tell a new home that they hold. Kept until the hub has listed the hosts; where it doesn't in time, the
- * hosts that edges hold places at are taken from them: rebuilt from those who told it first.
+ * Rebuilds a new home's slots from what edges report. Reports wait until the coordinator has listed the instances;
+ * where it does not in time, the instances are taken from the reports, the first ones first.
  */
 final class HeldSlotsRecovery {
     private static final int MAX_EARLY_REPORTS = 256;
@@ -33,12 +33,12 @@
         takeover.onReported(held.edge());
     }
 
-    /** A place told early has been given back. */
+    /** A slot that was reported early has been released. */
     void onReleased(String edge, long askId) {
         earlyReports.replaceAll(held -> held.edge().equals(edge) ? held.without(askId) : held);
     }
 
-    /** The hub has listed the hosts. */
+    /** The coordinator has listed the instances. */
     void onListed(long now) {
         takeover.onListed();
         markEarly(now);
--- a/src/main/java/brambletray/platform/admission/InstancePool.java
+++ b/src/main/java/brambletray/platform/admission/InstancePool.java
@@ -7,15 +7,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The hosts of a seat through their lives: booting, up, doubted, leaving, stopped. */
+/** The instances of a service queue through their lifecycle: booting, up, suspected, draining, stopped. */
 final class InstancePool {
     private static final EventLog LOG = EventLog.of("admission");
     private static final int STOP_RETRY_MS = 1000;
     private static final int MAX_STOP_ATTEMPTS = 20;
-    /** A knock that has no answer by then is taken as lost. */
+    /** A probe without an answer by then is lost. */
     private static final int PROBE_TIMEOUT_MS = 1000;
 
-    /** Told which hosts are this seat's. */
+    /** Told which instances are in the pool. */
     interface Listener {
         void onAdded(String host);
 
@@ -49,8 +49,8 @@
     }
 
     /**
-     * A host told by the hub; new ones are taken in. {@code own}: born under this home, so that all its places are
-     * known here.
+     * An instance from the coordinator; new ones are added. {@code own}: started under this home, so that all its
+     * slots are known here.
      */
     void onInstance(InstanceInfo host, boolean own, long now) {
         PooledInstance instance = instances.find(host.id());
@@ -158,7 +158,7 @@
         instance.unreachableCount = 0;
     }
 
-    /** The answer to a knock. */
+    /** The result of a probe. */
     void onProbed(String id, boolean ok, int waiting, long now) {
         PooledInstance instance = instances.find(id);
         if (instance == null) {
@@ -194,7 +194,7 @@
         }
     }
 
-    /** An answer was cut off or never came: a knock tells whether the host is still there. */
+    /** A response was cut off or never came: a probe finds out whether the instance is still there. */
     void suspect(PooledInstance instance, long now) {
         if (instance.isUp() && !instance.suspected) {
             instance.suspected = true;
@@ -203,8 +203,8 @@
     }
 
     /**
-     * A try that found no host, by an edge or by a knock. The second in a row drops it, unless most hosts don't answer:
-     * then it may be us.
+     * An attempt that found no instance, by an edge or by a probe. The second in a row drops it, unless most
+     * instances do not answer: then the fault may be on this side.
      */
     void onUnreachable(PooledInstance instance, long now) {
         instances.onReleased(instance, AttemptOutcome.UNREACHED, 0, now);
--- a/src/main/java/brambletray/platform/admission/InstanceSlots.java
+++ b/src/main/java/brambletray/platform/admission/InstanceSlots.java
@@ -7,10 +7,9 @@
 import java.util.Map;
 
 /**
- * Rule LIMIT at a seat: a host never holds more than {@code max-concurrency} places granted and not given back. A place
- * comes back by {@link SlotRelease}; is kept closed for a span where the host may still be at work; is lost when its
- * edge is
- * gone (closed for at most {@code goneMs}) or {@code lostMs} after the end of its request's time.
+ * Rule LIMIT: an instance never has more than {@code max-concurrency} slots granted and not released. A slot is
+ * released by {@link SlotRelease}; stays closed for a while where the instance may still be at work; and is lost when
+ * its edge is gone (closed for at most {@code edgeGoneGraceMs}) or {@code lostAfterMs} after the end of its request.
  */
 final class InstanceSlots {
     private final AdmissionParameters.Limit limits;
@@ -46,7 +45,7 @@
         return slot;
     }
 
-    /** An edge tells of a place given out before, or taken for lost. */
+    /** An edge reports a slot that was granted before, or counted as lost. */
     void onReported(String edge, long requestId, PooledInstance instance, long remainingMs, long now) {
         Slot known = find(edge, requestId);
         if (known == null) {
--- a/src/main/java/brambletray/platform/admission/KeepAlivePolicy.java
+++ b/src/main/java/brambletray/platform/admission/KeepAlivePolicy.java
@@ -1,10 +1,10 @@
 package brambletray.platform.admission;
 
 /**
- * How long the last host of a seat is kept idle. Each span of the seat without a request is a gap; a host kept through
- * it costs memory, one that ended before it is over costs a start (and what lateness the start brings). The span kept
- * is the one that would have been cheapest over the gaps seen, with a few gaps of every length put in beforehand. Older
- * gaps fade.
+ * How long the last instance of a service is kept idle. Each span without a request is a gap; an instance kept
+ * through it costs memory, one that ended before it is over costs a start (and the lateness that the start brings).
+ * The chosen span is the one that would have been cheapest over the gaps seen, with a few gaps of every length
+ * assumed before.
  */
 final class KeepAlivePolicy {
     private static final int BUCKETS = 18;
--- a/src/main/java/brambletray/platform/admission/NestedCallReserve.java
+++ b/src/main/java/brambletray/platform/admission/NestedCallReserve.java
@@ -1,14 +1,13 @@
 package brambletray.platform.admission;
 
 /**
- * Room for calls of hosts: they need a place while their parent holds one, so a service full of parents would wait for
- * itself. Where such calls
- * were seen lately, one of every {@code of} places is kept for them, from {@code least} places on. A service whose
- * parents were seen to hold all
- * places while their calls waited is kept at two places at least, and one of them for calls.
+ * Slots reserved for calls of instances: they need a slot while their parent holds one, so a service full of parents
+ * would wait for itself. Where such calls were seen lately, one of every {@code oneOf} slots is reserved for them,
+ * from {@code minSlots} on. A service whose parents were seen to hold all slots while their calls waited is given
+ * enough instances for both.
  */
 final class NestedCallReserve {
-    /** Places of which one can be kept: one for a parent, one for its call. */
+    /** Slots of which one can be reserved: one for a parent, one for its call. */
     private static final int MIN_STALL_MS = 2;
 
     private final AdmissionParameters.NestedCalls parameters;
@@ -42,7 +41,7 @@
         return slots / 4;
     }
 
-    /** Places kept of so many. */
+    /** Slots reserved of so many. */
     int reserved(int slots, long now) {
         int least = minSlots(now) > 0 ? MIN_STALL_MS : parameters.minSlots();
         return now - nestedCallAtMs > parameters.rememberMs() || slots < least
--- a/src/main/java/brambletray/platform/admission/PendingStarts.java
+++ b/src/main/java/brambletray/platform/admission/PendingStarts.java
@@ -6,8 +6,9 @@
 import java.util.List;
 
 /**
- * The starts that a seat has asked for and that are not answered yet. A nonce is made once per start and repeated until
- * it is answered, so that whoever carries it out makes one host of it. Bounded by {@code atOnce}.
+ * The starts that a service queue has requested and that are not answered yet. A nonce is made once per start and
+ * repeated until it is answered, so that it makes one instance whoever carries it out. Bounded by {@code
+ * maxConcurrentStarts}.
  */
 final class PendingStarts {
     private static final class PendingNonce {
--- a/src/main/java/brambletray/platform/admission/PooledInstance.java
+++ b/src/main/java/brambletray/platform/admission/PooledInstance.java
@@ -2,7 +2,7 @@
 
 import brambletray.platform.provisioning.InstanceInfo;
 
-/** A host as its seat sees it: its places, and how it has behaved of late. */
+/** An instance as its service queue sees it: its slots, and how it has behaved lately. */
 final class PooledInstance {
     final String id;
     final String address;
@@ -10,19 +10,19 @@
     final String worker;
     final String nonce;
     final long startedAtMs;
-    /** Born under this seat: all its places are known here. */
+    /** Started under this home: all its slots are known here. */
     final boolean startedHere;
 
     int state;
-    /** Places granted and not given back, those kept closed included. */
+    /** Slots granted and not released, those that stay closed included. */
     int heldSlots;
 
     long fullUntilMs;
     long pausedUntilMs;
     int pauseCount;
-    /** UNREACHED or failed knocks in a row, at a host that was up. */
+    /** UNREACHED attempts or failed probes in a row, at an instance that was up. */
     int unreachableCount;
-    /** An answer from it was cut off or never came; a knock will tell. */
+    /** A response from it was cut off or never came; a probe will find out. */
     boolean suspected;
 
     double failureScore;
@@ -59,12 +59,12 @@
         return state == InstanceInfo.LEAVING;
     }
 
-    /** Free places, as far as this seat can know. */
+    /** Free slots, as far as this queue can know. */
     int freeSlots(int maxConcurrency, long now) {
         return maxConcurrency - heldSlots - (fullUntilMs > now ? 1 : 0);
     }
 
-    /** Whether it is suspected of being dead: not to be used at all until a knock is answered or the pause is over. */
+    /** Whether it is suspected of being dead: not used at all until a probe is answered or the pause is over. */
     boolean isSuspect(long now) {
         return unreachableCount > 0 && pausedUntilMs > now;
     }
--- a/src/main/java/brambletray/platform/admission/PooledInstances.java
+++ b/src/main/java/brambletray/platform/admission/PooledInstances.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * The hosts of a seat, oldest first, and the choice among them: one that is well and not on the ask's list of those to
- * avoid; in the asker's zone; not its last place; the oldest, so that superfluous ones run idle. Slow and failing ones
- * come last, suspects not at all.
+ * The instances of a service queue, oldest first, and the choice among them: a healthy one that the request does not
+ * exclude; in the requester's zone; not its last slot; the oldest, so that superfluous ones become idle. Slow and
+ * failing ones come last, suspects not at all.
  */
 final class PooledInstances {
     private final AdmissionParameters.Selection parameters;
@@ -219,7 +219,7 @@
         return next;
     }
 
-    /** Hosts born under another home: who else holds places there has to be told. */
+    /** Instances started under another home: edges have to report who holds slots there. */
     boolean hasInheritedInstances() {
         for (int i = 0; i < instances.size(); i++) {
             if (!instances.get(i).startedHere) {
--- a/src/main/java/brambletray/platform/admission/QueueContext.java
+++ b/src/main/java/brambletray/platform/admission/QueueContext.java
@@ -1,6 +1,6 @@
 package brambletray.platform.admission;
 
-/** What all parts of one seat share. */
+/** What all parts of one service queue share. */
 final class QueueContext {
     final String zone;
     final AdmissionParameters parameters;
--- a/src/main/java/brambletray/platform/admission/QueueTakeover.java
+++ b/src/main/java/brambletray/platform/admission/QueueTakeover.java
@@ -6,9 +6,10 @@
 import java.util.Set;
 
 /**
- * The first moments of a home. The hub is asked for the seat's hosts; asks wait until it answers ({@code hostsMs} at
- * most, then the seat behaves as one without hosts). The edges tell which places they hold; until all have, or
- * {@code heldMs} are over, only hosts born under this home are given out.
+ * The takeover of a service by a new home. The coordinator is asked for the instances; requests wait until it answers
+ * ({@code instanceListWaitMs} at most, then the queue behaves as one without instances). The edges report which slots
+ * they hold; until all have, or {@code heldSlotsWaitMs} are over, only instances started under this home are given
+ * out.
  */
 final class QueueTakeover {
     private final AdmissionParameters.Takeover parameters;
@@ -48,12 +49,12 @@
         return !listed && now - startedAtMs < parameters.instanceListWaitMs();
     }
 
-    /** Not all edges have told what they hold. */
+    /** Not all edges have reported what they hold. */
     boolean isWaitingForReports(long now) {
         return !awaited.isEmpty() && now - startedAtMs < parameters.heldSlotsWaitMs();
     }
 
-    /** ms until the seat can see. */
+    /** ms until list and reports are there. */
     int waitMs(long now) {
         int wait = isWaitingForList(now) ? (int) (startedAtMs + parameters.instanceListWaitMs() - now) : 0;
         return isWaitingForReports(now)
--- a/src/main/java/brambletray/platform/admission/RejectedRequests.java
+++ b/src/main/java/brambletray/platform/admission/RejectedRequests.java
@@ -1,8 +1,8 @@
 package brambletray.platform.admission;
 
 /**
- * Those refused with a time to come back: each is counted as ahead of whoever is refused after it, so that they are
- * told one moment after the other and not one instant. Remembers the last 256 promised returns until they are due.
+ * Requests that were rejected with a time to retry: each counts as ahead of whoever is rejected after it, so that
+ * they are asked to retry one after the other and not all at once. Remembers the last 256 until they are due.
  */
 final class RejectedRequests {
     private static final int MAX_REMEMBERED = 256;
@@ -10,7 +10,7 @@
     private int head;
     private int size;
 
-    /** One has been told to be back in so many ms. */
+    /** A request was rejected with this time to retry. */
     void onRejected(int retryAfterMs, long now) {
         if (size == MAX_REMEMBERED) {
             head = (head + 1) % MAX_REMEMBERED;
--- a/src/main/java/brambletray/platform/admission/RetryBudget.java
+++ b/src/main/java/brambletray/platform/admission/RetryBudget.java
@@ -1,16 +1,9 @@
 package brambletray.platform.admission;
 
 /**
- * Rule BUDGET at a seat: arrivals beyond the first of each request, in any sliding window, stay within ratio x requests
- * + the seat's share of
- * the slack. Requests are counted low (first asks of clients only, whole buckets inside the window), further arrivals
- * high (buckets that touch
- * it). Copies get at most half of what the others leave.
- *
- * <p>A home that takes a service over does not know what the homes before it have spent in the window that is still
- * open. So for the first
- * window its share of the slack is a third: the share of one home is half of the slack, so with three moves in one
- * window the sum is the slack.
+ * Rule BUDGET: attempts beyond the first of each request, in any sliding window, stay within ratio x requests + this
+ * queue's share of the slack. Requests are counted low (first requests of clients only, whole buckets inside the
+ * window), further attempts high (buckets that touch it). Hedges get at most half of what the others leave.
  */
 final class RetryBudget {
     private static final int BUCKETS = 40;
--- a/src/main/java/brambletray/platform/admission/Scaler.java
+++ b/src/main/java/brambletray/platform/admission/Scaler.java
@@ -4,10 +4,9 @@
 import java.util.List;
 
 /**
- * How many hosts a seat has. Up: Little's places with headroom ({@link SlotDemand}), room for calls of hosts, and
- * starts
- * until the last one in line waits a bearable time; counting what boots already. Down: hosts that are empty, no longer
- * wanted, and idle for longer than a start is worth.
+ * How many instances a service has. Up: slots by Little's law with headroom ({@link SlotDemand}), room for calls of
+ * instances, and starts until the last queued request waits a bearable time; counting what boots already. Down:
+ * instances that are empty, no longer needed, and idle for longer than a start is worth.
  */
 final class Scaler {
     final SlotDemand demand;
@@ -131,8 +130,8 @@
     }
 
     /**
-     * Ends hosts that are empty and no longer worth their memory. {@code minInstances}: hosts kept whatever happens; {@code
-     * closing}: none is.
+     * Stops instances that are empty and cost more memory than a start. {@code minInstances}: instances kept in any
+     * case; {@code closing}: none is.
      */
     void stopIdle(int minInstances, boolean closing, long now) {
         List<PooledInstance> all = instances.instances.all();
--- a/src/main/java/brambletray/platform/admission/ServiceQueue.java
+++ b/src/main/java/brambletray/platform/admission/ServiceQueue.java
@@ -10,11 +10,12 @@
 import java.util.Map;
 
 /**
- * One seat: gives out the places at the hosts of one service to edges, and keeps as many hosts as its demand needs.
- * What happens comes in with its time; what is to be done goes out through {@link AdmissionActions}.
+ * The queue of one service in one zone, at its home: grants slots at the instances of the service to edges, and keeps
+ * as many instances as the demand needs. Events come in with their time; what is to be done goes out through {@link
+ * AdmissionActions}.
  */
 final class ServiceQueue {
-    /** ms after a lack of room in which no host is kept, or started, for nobody. */
+    /** ms after a lack of memory in which no instance is kept, or started, without demand. */
     private static final int NO_WARM_INSTANCE_MS = 10_000;
 
     /** Where the heap of {@link ServiceQueues} has it. */
@@ -104,7 +105,8 @@
     }
 
     /**
-     * Hosts kept whatever happens: one at the root where a cold start cannot be hidden, unless others lack its memory.
+     * Instances kept in any case: one in the root zone where a cold start cannot be hidden, unless others lack its
+     * memory.
      */
     private int warmInstances(long now) {
         return !withdrawn && isRootZone() && context.spec.slowToStart() && now >= noWarmInstanceUntilMs ? 1 : 0;
@@ -222,7 +224,7 @@
         return true;
     }
 
-    /** No worker has room: hosts that have been idle for so long end, and none is kept warm for a while. */
+    /** No worker has room: instances that have been idle for so long end, and none is kept warm for a while. */
     void reclaim(int idleMs, long now) {
         noWarmInstanceUntilMs = now + NO_WARM_INSTANCE_MS;
         if (slotAllocator.queue().size() == 0) {
--- a/src/main/java/brambletray/platform/admission/ServiceQueues.java
+++ b/src/main/java/brambletray/platform/admission/ServiceQueues.java
@@ -17,9 +17,9 @@
 import java.util.PriorityQueue;
 
 /**
- * All seats that an edge is home of, in one zone. Pure: {@code now} is in ms of a steady clock and never goes back. One
- * thread. Seats that have nothing to do cost nothing: {@link #tick} touches only those that are due, {@link #nextDueMs}
- * tells when the next one is.
+ * All service queues of which an edge is the home, in one zone. Pure: {@code now} is in ms of a steady clock and
+ * never goes back. One thread. Queues without anything to do cost nothing: {@link #tick} touches only those that are
+ * due, {@link #nextDueMs} returns when the next one is.
  */
 public final class ServiceQueues {
     private static final EventLog LOG = EventLog.of("admission");
@@ -36,7 +36,9 @@
     private final Map<String, ServiceSpec> specs = new HashMap<>();
     private final PriorityQueue<DueQueue> dues = new PriorityQueue<>((a, b) -> Long.compare(a.dueAtMs, b.dueAtMs));
 
-    /** {@code zone}: the seats' zone; {@code prefix}: of nonces, unique to node and life, at most 48 characters. */
+    /**
+     * {@code zone}: of the queues; {@code prefix}: of nonces, unique to node and incarnation, at most 48 characters.
+     */
     public ServiceQueues(String zone, String prefix, AdmissionParameters parameters, AdmissionActions actions) {
         this.zone = zone;
         this.parameters = parameters;
@@ -44,7 +46,7 @@
         this.actions = actions;
     }
 
-    /** A service is there, or has changed. Its seat, where this edge has it, goes by the new figures from now on. */
+    /** A service was added or has changed. Its queue, where this edge has it, uses the new parameters from now on. */
     public void onServiceSpec(ServiceSpec spec, long now) {
         ServiceSpec before = specs.put(spec.service(), spec);
         ServiceQueue queue = queues.get(spec.service());
@@ -55,7 +57,7 @@
         }
     }
 
-    /** A service is no more: its seat ends its hosts as they become empty, and then is given up. */
+    /** A service was removed: its queue stops the instances as they become empty, and then ends. */
     public void withdraw(String service, long now) {
         specs.remove(service);
         ServiceQueue queue = queues.get(service);
@@ -111,7 +113,7 @@
         }
     }
 
-    /** Services whose seat is held. */
+    /** Services of which this edge is the home. */
     public Collection<String> services() {
         return List.copyOf(queues.keySet());
     }
@@ -121,8 +123,9 @@
     }
 
     /**
-     * An edge asks for a place; false where no seat of the service is held here. {@code serveHere}: it is to be served here
-     * although another zone's seat might be better, as that one cannot be reached. */
+     * An edge requests a slot; false if this edge is not the home of the service. {@code serveHere}: to be served
+     * here although another zone's queue might be better, as that one cannot be reached.
+     */
     public boolean onSlotRequest(SlotRequest request, boolean serveHere, long now) {
         ServiceQueue queue = queues.get(request.service());
         if (queue == null) {
@@ -153,7 +156,7 @@
         }
     }
 
-    /** An edge tells what it holds (an empty list tells as well). */
+    /** An edge reports the slots that it holds; an empty list counts as a report. */
     public void onHeldSlots(HeldSlots held, long now) {
         ServiceQueue queue = queues.get(held.service());
         if (queue != null) {
@@ -230,7 +233,7 @@
         }
     }
 
-    /** All hosts that these seats know, for a new hub. */
+    /** All instances that these queues know, for a new coordinator. */
     public KnownInstances knownInstances(long now) {
         List<InstanceInfo> all = new ArrayList<>();
         for (ServiceQueue queue : queues.values()) {
--- a/src/main/java/brambletray/platform/admission/ServiceSpec.java
+++ b/src/main/java/brambletray/platform/admission/ServiceSpec.java
@@ -1,9 +1,9 @@
 package brambletray.platform.admission;
 
 /**
- * What a seat has to know of its service. {@code memoryMb}: of one host; {@code bootMs}: the average time of a start;
- * {@code most}: requests that one host may hold at a time ({@code max-concurrency}); {@code targetMs}: the smallest
- * target of the routes that lead here, 0 where none does.
+ * What a service queue has to know of its service. {@code memoryMb}: of one instance; {@code bootMs}: the average
+ * time of a start; {@code maxConcurrency}: requests that one instance may have at a time; {@code targetMs}: the
+ * smallest latency target of the routes that lead here, 0 where there is none.
  */
 public record ServiceSpec(String service, int memoryMb, int bootMs, int maxConcurrency, int targetMs) {
     public ServiceSpec {
--- a/src/main/java/brambletray/platform/admission/SlotAllocator.java
+++ b/src/main/java/brambletray/platform/admission/SlotAllocator.java
@@ -54,7 +54,7 @@
         retryBudget.onFirstHome();
     }
 
-    /** Those in line and those told to come back. */
+    /** Queued requests and those that were asked to retry. */
     int pressure(long now) {
         return queue.size() + rejectedRequests.pendingCount(now);
     }
@@ -147,7 +147,7 @@
         return instances.instances.choose(request, context.maxConcurrency(), takeover.isWaitingForReports(now), now);
     }
 
-    /** Whether requests of clients hold so few places that those kept for calls would stay theirs. */
+    /** Whether requests of clients hold so few slots that those reserved for calls would remain. */
     private boolean disadvantagedMayUseReserve(int total, int reservedSlots) {
         return slots.clientSlots() < total - reservedSlots;
     }
--- a/src/main/java/brambletray/platform/admission/SlotRedirect.java
+++ b/src/main/java/brambletray/platform/admission/SlotRedirect.java
@@ -1,4 +1,4 @@
 package brambletray.platform.admission;
 
-/** This seat is not open: its service's hosts are given out by the home in {@code zone}. */
+/** From a home to an edge: this zone's queue is closed; the home in {@code zone} grants the slots of the service. */
 public record SlotRedirect(String service, long requestId, String zone) {}
--- a/src/main/java/brambletray/platform/admission/StartNonces.java
+++ b/src/main/java/brambletray/platform/admission/StartNonces.java
@@ -1,8 +1,8 @@
 package brambletray.platform.admission;
 
 /**
- * Nonces of starts, unique by their prefix (node and life, given from outside) and a counter. At most 64 bytes, as the
- * platform wants.
+ * Nonces of starts, unique by their prefix (node and incarnation, given from outside) and a counter. At most 64
+ * bytes, as the platform requires.
  */
 final class StartNonces {
     private final String prefix;
--- a/src/main/java/brambletray/platform/cli/ConfigurationCommands.java
+++ b/src/main/java/brambletray/platform/cli/ConfigurationCommands.java
@@ -38,7 +38,7 @@
         return reply.body();
     }
 
-    /** Delivers a whole one, or a change. */
+    /** Delivers a complete configuration, or a change. */
     static final class Deliver extends RemoteCommand {
         private static final int INVALID = 400;
         private static final int TOO_LARGE = 413;
--- a/src/main/java/brambletray/platform/cli/RemoveMemberCommand.java
+++ b/src/main/java/brambletray/platform/cli/RemoveMemberCommand.java
@@ -8,7 +8,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** Orders one member to declare another's machine dead, with the life as confirmation. */
+/** Asks one member to remove another, whose machine is gone for good, with the incarnation as confirmation. */
 final class RemoveMemberCommand extends RemoteCommand {
     private static final String PATH_PREFIX = "/brambletray/system/dead/";
     private static final int RESPONSE_TIMEOUT_MS = 10_000;
--- a/src/main/java/brambletray/platform/cli/UpCommand.java
+++ b/src/main/java/brambletray/platform/cli/UpCommand.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.kohsuke.args4j.Option;
 
-/** The whole system on this machine, for some seconds. */
+/** Runs the system on this machine for some seconds. */
 final class UpCommand extends Command {
     @Option(name = "--cores", metaVar = "N", usage = "members of the core")
     int cores = 3;
--- a/src/main/java/brambletray/platform/drill/DrillJudge.java
+++ b/src/main/java/brambletray/platform/drill/DrillJudge.java
@@ -12,9 +12,9 @@
 import java.util.TreeMap;
 
 /**
- * Judges by what operators were told and what edges serve by, and by nothing else. What was taken is known at the end:
- * each change names the one
- * it builds on, so the configuration that is read back names all that led to it.
+ * Judges a scenario by what operators were answered and what edges serve by, and by nothing else. What was applied is
+ * known at the end: each change names the one it builds on, so the configuration that is read back names all that led
+ * to it.
  */
 final class DrillJudge {
     /** ms that looks may lie apart. */
--- a/src/main/java/brambletray/platform/drill/EdgeNode.java
+++ b/src/main/java/brambletray/platform/drill/EdgeNode.java
@@ -7,7 +7,7 @@
 import brambletray.runtime.Machine;
 import java.net.InetAddress;
 
-/** One machine of the edge, and its process: the whole program, with nobody calling it. */
+/** One edge machine and its process: the complete program, without any caller. */
 final class EdgeNode {
     private final SimulatedCluster cluster;
     final String name;
--- a/src/main/java/brambletray/platform/edge/CoordinatorCandidates.java
+++ b/src/main/java/brambletray/platform/edge/CoordinatorCandidates.java
@@ -7,9 +7,9 @@
 import java.util.Set;
 
 /**
- * The members of the core that an edge may ask for the helm, and in which order: those of the newest view that it was
- * told of, then those that its settings have named, which may all be stale by then. Each process begins at another
- * place, so that not all ask the same one. Pure.
+ * The members of the core that an edge may ask for the coordinator, and in which order: those of the newest view that
+ * was reported to it, then those that its settings have named, which may all be stale by then. Each process begins at
+ * another position, so that not all ask the same one. Pure.
  */
 final class CoordinatorCandidates {
     /** Addresses of the settings that are remembered. */
@@ -35,7 +35,9 @@
         rebuildOrder();
     }
 
-    /** A member tells the members of a view in force, of this number; of an older one than is known: nothing new. */
+    /**
+     * A member reports the members of an active view, of this number; an older view than the known one is ignored.
+     */
     void onViewMembers(long reportedView, List<Address> reported) {
         if (reportedView > viewNumber && !reported.isEmpty()) {
             viewNumber = reportedView;
--- a/src/main/java/brambletray/platform/edge/CoordinatorClient.java
+++ b/src/main/java/brambletray/platform/edge/CoordinatorClient.java
@@ -27,19 +27,25 @@
  */
 final class CoordinatorClient implements LinkHandler {
     private static final EventLog LOG = EventLog.of("edge");
-    /** ms without a sign of life after which the helm is looked for elsewhere; it pulses four times in that. */
+    /**
+     * ms without a message after which the coordinator is looked for elsewhere; it sends four heartbeats in that
+     * time.
+     */
     private static final int HEARTBEAT_TIMEOUT_MS = 1_000;
-    /** ms between two ticks from which on this process itself has slept, and what the helm said may lie unread. */
+    /**
+     * ms between two ticks from which on this process itself was paused, and messages of the coordinator may lie
+     * unread.
+     */
     private static final int MAX_TICK_DELAY_MS = 500;
     /** ms after which a roster that was asked for is asked for again. */
     private static final int ROSTER_RETRY_MS = 1_000;
 
     private static final long NEVER = Long.MIN_VALUE / 2;
-    /** ms that a member is given to come up and say where the helm is, and the helm to pulse. */
+    /** ms for a member to connect and name the coordinator, and for the coordinator to send a heartbeat. */
     private static final int CONNECT_TIMEOUT_MS = 400;
     /**
-     * ms to stay with a member that is in touch with the others and knows of no helm: it says so as soon as there is
-     * one.
+     * ms to stay with a member that is in touch with the others and knows no coordinator: it reports one as soon as
+     * there is one.
      */
     private static final int WELCOME_TIMEOUT_MS = 1_000;
     /**
@@ -48,8 +54,8 @@
      */
     private static final int RETRY_INTERVAL_MS = 150;
     /**
-     * ms for which a helm that did not pulse, or let us go, is not returned to on others' word, which may be as old as
-     * its lease.
+     * ms for which a coordinator that sent no heartbeat, or released this edge, is not tried again on the word of
+     * others, which may be as old as its lease.
      */
     private static final int AVOID_MS = 600;
 
@@ -62,16 +68,16 @@
 
         void onRoster(Roster roster);
 
-        /** The helm says which configuration is the newest. */
+        /** The coordinator has announced the newest configuration. */
         void onNewestRevision(long revision);
 
         /** A part of it, as was fetched. */
         void onChunk(DeltaChunk chunk);
 
-        /** Everything else that the helm says. */
+        /** Every other message of the coordinator. */
         void onFrame(Object frame);
 
-        /** A helm has been found: of this term; the first word to it is still to be said. */
+        /** A coordinator of this term has been found; nothing was sent to it yet. */
         void onAttached(long term);
     }
 
@@ -119,12 +125,12 @@
         return isAttached;
     }
 
-    /** The highest that any helm has spoken under to this process; 0: none yet. */
+    /** The highest term of any coordinator that has spoken to this process; 0: none yet. */
     long term() {
         return term;
     }
 
-    /** To the helm; lost where there is none. */
+    /** Sends to the coordinator; lost where there is none. */
     boolean send(Object frame) {
         return isAttached && dialer != null && dialer.send(frame);
     }
@@ -208,7 +214,7 @@
             }
         } else if (frame instanceof DeltaChunk chunk) {
             if (hasAuthority(chunk.term(), frame)) {
-                // Said by a helm that may act, as a pulse is.
+                // Sent by a coordinator that may act, like a heartbeat.
                 heartbeatAtMs = now;
                 listener.onChunk(chunk);
             }
--- a/src/main/java/brambletray/platform/edge/EdgeProgram.java
+++ b/src/main/java/brambletray/platform/edge/EdgeProgram.java
@@ -47,8 +47,8 @@
 import java.util.function.IntConsumer;
 
 /**
- * The program of an edge: puts the planes together, and decides nothing. For the loop only, once {@link #run} has
- * run.
+ * The program of an edge machine: connects the packages to sockets, and decides nothing. For the event loop only,
+ * once {@link #run} has started it.
  */
 public final class EdgeProgram {
     private static final EventLog LOG = EventLog.of("edge");
@@ -93,7 +93,7 @@
     private HomeAssignment homeAssignment = new HomeAssignment(Roster.NONE);
     private boolean leaving;
     private long metricsLoggedAtMs;
-    /** When the seats are called next, ms. */
+    /** When the service queues are ticked next, ms. */
     private long admissionDueMs = Long.MAX_VALUE;
 
     /**
@@ -148,7 +148,7 @@
         return members;
     }
 
-    /** Runs until it is told to end; the process's exit code. {@code newIncarnation}: drawn at random. */
+    /** Runs the program until SIGTERM; returns the process's exit code. {@code newIncarnation}: drawn at random. */
     public static void run(NodeSettings nodeSettings, long newIncarnation) {
         Machine machine = Sockets.machine();
         Address frontEnd = nodeSettings.require("bind-addresses.front-end", nodeSettings.frontEnd());
@@ -242,7 +242,7 @@
         }
     }
 
-    /** The seats are called when they have asked to be, and no oftener. */
+    /** The service queues are ticked when they have asked to be, and no more often. */
     private void scheduleAdmission(long at) {
         if (at < admissionDueMs) {
             admissionDueMs = at;
--- a/src/main/java/brambletray/platform/edge/LocalAdmission.java
+++ b/src/main/java/brambletray/platform/edge/LocalAdmission.java
@@ -39,21 +39,22 @@
 import java.util.function.LongSupplier;
 
 /**
- * The seats of which this edge is home, and what they say to whom. What seats want done is done after they have
- * returned, as they must not be called back from within. For the loop only.
+ * The service queues of which this edge is the home, and their messages. What the queues want done is done after they
+ * have returned, as they must not be called back from within. For the event loop only.
  */
 final class LocalAdmission {
-    /** ms between two looks for seats that are another edge's by now. */
+    /** ms between two checks for queues that belong to another edge by now. */
     private static final int SWEEP_INTERVAL_MS = 1_000;
 
     /**
-     * ms for which slots told of a seat that is not held here are remembered: rosters reach edges at different moments.
+     * ms for which reported slots of a service are remembered of which this edge is not the home yet: rosters reach
+     * edges at different moments.
      */
     private static final int EARLY_MS = 2_000;
     /** Of these words, remembered at a time. */
     private static final int MAX_EARLY_REPORTS = 1_024;
 
-    /** What an edge told of the slots it holds, before this edge knew that it is home. */
+    /** What an edge has reported of the slots it holds, before this edge knew that it is the home. */
     private record EarlyReport(HeldSlots held, long reportedAtMs) {}
 
     /** Where its words go. */
@@ -102,7 +103,7 @@
         return clock.getAsLong();
     }
 
-    /** Does what the seats wanted during the call that has just returned. */
+    /** Does what the queues wanted during the call that has just returned. */
     private void runDeferred() {
         if (runningActions) {
             return;
@@ -128,7 +129,7 @@
         runDeferred();
     }
 
-    /** Becomes home of a service, and is told what edges have said of its slots already. */
+    /** Becomes the home of a service, and passes on what edges have reported of its slots already. */
     private void takeOver(String service, String rootZone) {
         queues.takeOver(service, rootZone, otherEdges(), now());
         if (!queues.isHomeOf(service)) {
@@ -150,7 +151,7 @@
         }
     }
 
-    /** A slot told early has been given back, or will not be used. */
+    /** A slot that was reported early has been released, or will not be used. */
     private void dropEarly(String edge, long requestId) {
         earlyReports.replaceAll(one ->
                 one.held.edge().equals(edge) ? new EarlyReport(one.held.without(requestId), one.reportedAtMs) : one);
@@ -200,7 +201,7 @@
         return home != null && home.name().equals(self);
     }
 
-    /** What the hub says. */
+    /** A message of the coordinator. */
     void onCoordinatorFrame(Object frame) {
         long now = now();
         if (frame instanceof InstanceStarted started) {
--- a/src/main/java/brambletray/platform/edge/SimulatedEdge.java
+++ b/src/main/java/brambletray/platform/edge/SimulatedEdge.java
@@ -5,7 +5,7 @@
 import brambletray.runtime.Machine;
 import java.util.function.IntConsumer;
 
-/** The production {@link EdgeProgram}, whole, on a simulated machine. */
+/** The production {@link EdgeProgram} on a simulated machine. */
 public final class SimulatedEdge {
     private final EdgeProgram program;
 
--- a/src/main/java/brambletray/platform/edge/SlotClient.java
+++ b/src/main/java/brambletray/platform/edge/SlotClient.java
@@ -31,11 +31,11 @@
  * taken until its request's time is over.
  */
 final class SlotClient implements SlotBroker {
-    /** Times that one ask is sent on by seats that are not open, before the root is told to serve it. */
+    /** Times that one request is redirected by closed queues, before the root is made to serve it. */
     private static final int MAX_REDIRECTS_BEFORE_STAY = 2;
 
     private static final int MAX_REDIRECTS = 5;
-    /** ms told where no home can be reached. */
+    /** Time to retry in ms where no home can be reached. */
     private static final int RETRY_AFTER_MS = 800;
     /** Asks that wait. */
     private static final int MAX_PENDING = 8_192;
@@ -44,7 +44,7 @@
     interface Transport {
         String self();
 
-        /** An ask for the seat of this edge; {@code serveHere}: not to be sent on again. */
+        /** A request for this edge's own queue; {@code serveHere}: not to be redirected again. */
         void requestHere(SlotRequest request, boolean serveHere);
 
         void releaseHere(SlotRelease release);
@@ -91,7 +91,7 @@
     private final LongSupplier clock;
     private final Map<Long, PendingRequest> pending = new HashMap<>();
     private final Map<Long, HeldSlot> slots = new HashMap<>();
-    /** Services whose seat in a zone other than the root's serves us. */
+    /** Services that another zone's queue than the root's serves for this edge. */
     private final Map<String, String> zoneByService = new HashMap<>();
 
     private HomeAssignment homeAssignment = new HomeAssignment(Roster.NONE);
@@ -223,7 +223,7 @@
         }
     }
 
-    /** A seat is not open: the ask goes on to another zone's, and so do the next ones. */
+    /** A queue is closed: the request goes on to another zone's, and so do the next ones. */
     void onRedirect(String home, SlotRedirect redirect) {
         if (redirect.zone().equals(homeAssignment.rootZone(redirect.service()))) {
             zoneByService.remove(redirect.service());
@@ -242,7 +242,7 @@
         }
     }
 
-    /** Another roster: homes that have changed are asked anew, and told what is held. */
+    /** Another roster applies: requests go to homes that have changed, and held slots are reported to them. */
     void onRoster(HomeAssignment next) {
         homeAssignment = next;
         Map<String, Map<String, List<SlotGrant>>> reported = new HashMap<>();
--- a/src/main/java/brambletray/platform/errors/PlatformException.java
+++ b/src/main/java/brambletray/platform/errors/PlatformException.java
@@ -9,7 +9,7 @@
 
     private final String code;
 
-    /** {@code code}: plane, a dot, and what it is in lower case, as in {@code creed.unknown-service}. */
+    /** {@code code}: package, a dot, and the error in lower case, as in {@code configuration.unknown-service}. */
     protected PlatformException(String code, String message, Throwable cause) {
         super(message, cause);
         this.code = code;
--- a/src/main/java/brambletray/platform/localsystem/LocalRunPlan.java
+++ b/src/main/java/brambletray/platform/localsystem/LocalRunPlan.java
@@ -17,7 +17,7 @@
     public static final int LONGEST = 600;
     public static final int FASTEST = 1_000;
 
-    /** Stands for the process that holds the helm at that moment. */
+    /** Stands for the process that is the coordinator at that moment. */
     static final String COORDINATOR = "helm";
 
     /** {@code at}: seconds after the first request. */
--- a/src/main/java/brambletray/platform/localsystem/MemberStatusPoller.java
+++ b/src/main/java/brambletray/platform/localsystem/MemberStatusPoller.java
@@ -64,7 +64,7 @@
         return seen.values().stream().mapToLong(Seen::view).max().orElse(0);
     }
 
-    /** Who holds the helm by the latest term, or null. */
+    /** The coordinator by the latest term, or null. */
     String coordinator() {
         Seen best = null;
         for (Seen one : seen.values()) {
--- a/src/main/java/brambletray/platform/platformstub/StubInstance.java
+++ b/src/main/java/brambletray/platform/platformstub/StubInstance.java
@@ -1,6 +1,6 @@
 package brambletray.platform.platformstub;
 
-/** One host of the stand-in, with the times of its life, ms. */
+/** One instance of the stub, with the times of its lifecycle, ms. */
 final class StubInstance {
     static final long NEVER = Long.MAX_VALUE;
 
--- a/src/main/java/brambletray/platform/provisioning/CoordinatorTakeover.java
+++ b/src/main/java/brambletray/platform/provisioning/CoordinatorTakeover.java
@@ -9,8 +9,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * A new holder of the duty knows nothing: it waits until all edges have told what they know, or for a time, before it
- * calls a host unknown, or tells a home that it has none.
+ * A new coordinator has no state: it waits until all edges have reported what they know, or for a time, before it
+ * treats an instance as unknown or answers a home that it has none.
  */
 final class CoordinatorTakeover {
     /** ms. */
@@ -54,7 +54,7 @@
         return done;
     }
 
-    /** A whole list has been taken in. */
+    /** A complete list of instances has been processed. */
     void onListed(long now) {
         listed |= isOver(now);
     }
--- a/src/main/java/brambletray/platform/provisioning/HomeClaim.java
+++ b/src/main/java/brambletray/platform/provisioning/HomeClaim.java
@@ -1,4 +1,4 @@
 package brambletray.platform.provisioning;
 
-/** An edge is the home of a seat from now on, and asks for its hosts. */
+/** From an edge to the coordinator: it is the home of a service in a zone from now on, and asks for the instances. */
 public record HomeClaim(String service, String homeZone) {}
--- a/src/main/java/brambletray/platform/provisioning/HomeLookup.java
+++ b/src/main/java/brambletray/platform/provisioning/HomeLookup.java
@@ -1,6 +1,6 @@
 package brambletray.platform.provisioning;
 
-/** Which edge is home of a seat now. */
+/** Finds the edge that is the home of a service in a zone. */
 @FunctionalInterface
 public interface HomeLookup {
     /** The edge's name; null while there is none. */
--- a/src/main/java/brambletray/platform/provisioning/InstanceInfo.java
+++ b/src/main/java/brambletray/platform/provisioning/InstanceInfo.java
@@ -1,9 +1,8 @@
 package brambletray.platform.provisioning;
 
 /**
- * A host of a service as the system knows it. {@code zone}: where its worker stands; {@code seat}: the zone whose home
- * gives out its places; {@code state}: 0 booting, 1 up, 2 leaving; {@code bornAgoMs}: ms since its start call was
- * answered.
+ * An instance as the system knows it. {@code zone}: of its worker; {@code homeZone}: the zone whose home gives out
+ * its slots; {@code state}: 0 booting, 1 up, 2 leaving; {@code ageMs}: ms since its start call was answered.
  */
 public record InstanceInfo(
         String id,
--- a/src/main/java/brambletray/platform/provisioning/InstanceLifecycle.java
+++ b/src/main/java/brambletray/platform/provisioning/InstanceLifecycle.java
@@ -15,7 +15,7 @@
     long upAtMs = -1;
     /** Complete lists in a row that should show it and do not. */
     int missedLists;
-    /** ms; since when its seat is without a home that wants it; -1: it has one. */
+    /** Since when no home claims it, ms; -1: one does. */
     long orphanedSinceMs = -1;
     /** Its stop is being called. */
     boolean stopping;
--- a/src/main/java/brambletray/platform/provisioning/InstanceListReconciler.java
+++ b/src/main/java/brambletray/platform/provisioning/InstanceListReconciler.java
@@ -7,7 +7,10 @@
 import java.util.Set;
 import java.util.function.Function;
 
-/** Compares a whole list of the platform with what is known: who is up, leaving, gone, overdue, or known to nobody. */
+/**
+ * Reconciles a complete list of the platform with the registry: which instances are up, leaving, gone, overdue or
+ * unknown.
+ */
 final class InstanceListReconciler {
     private static final EventLog LOG = EventLog.of("provisioning");
     /** Whole lists in a row that do not show a host until it counts as gone. */
--- a/src/main/java/brambletray/platform/provisioning/InstanceRegistry.java
+++ b/src/main/java/brambletray/platform/provisioning/InstanceRegistry.java
@@ -9,7 +9,8 @@
 import java.util.Map;
 
 /**
- * The hosts that are known, and those that ended lately. Whoever is home of a host's seat is told what becomes of it.
+ * The registry of known instances, and of those that ended lately. The home of an instance is notified of what
+ * becomes of it.
  */
 final class InstanceRegistry {
     private static final EventLog LOG = EventLog.of("provisioning");
@@ -68,7 +69,7 @@
         return onWorker;
     }
 
-    /** Those of a seat that may be given work or still have some. */
+    /** Instances of a home zone that may be given work or still have some. */
     List<InstanceInfo> inHomeZone(String service, String homeZone, long now) {
         List<InstanceInfo> hosts = new ArrayList<>();
         for (InstanceLifecycle instance : ofService(service)) {
@@ -79,7 +80,7 @@
         return hosts;
     }
 
-    /** Adds it; tells nobody. */
+    /** Adds it without a notice to its home. */
     void add(InstanceLifecycle instance) {
         instances.put(instance.id, instance);
         byService
--- a/src/main/java/brambletray/platform/provisioning/InstanceStarts.java
+++ b/src/main/java/brambletray/platform/provisioning/InstanceStarts.java
@@ -95,7 +95,7 @@
                 - (long) URGENCY_MS * Math.min(MAX_URGENCY, start.urgency);
     }
 
-    /** Starts of the same service and seat that are as urgent, and not answered. */
+    /** Pending starts of the same service and home zone with the same urgency. */
     private int equallyUrgentPending(StartRequest request) {
         int n = 0;
         for (PendingStart start : open.values()) {
@@ -150,7 +150,7 @@
         }
     }
 
-    /** The seat has another home: what its former one wanted and has not been called is not wanted any more. */
+    /** The service has another home: what the former one requested and has not been called is dropped. */
     void forget(String service, String homeZone, String home) {
         for (PendingStart start : new ArrayList<>(waiting)) {
             if (start.service.equals(service) && start.homeZone.equals(homeZone) && !start.edge.equals(home)) {
--- a/src/main/java/brambletray/platform/provisioning/InstanceStops.java
+++ b/src/main/java/brambletray/platform/provisioning/InstanceStops.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.function.ToIntFunction;
 
-/** Stops that homes or the yard want: each is called until the platform has said 200 or 404. */
+/** Stops that homes or the provisioner request: each is called until the platform has answered 200 or 404. */
 final class InstanceStops {
     private static final EventLog LOG = EventLog.of("provisioning");
     private static final int MAX_OPEN = 8_192;
--- a/src/main/java/brambletray/platform/provisioning/KnowledgeRecovery.java
+++ b/src/main/java/brambletray/platform/provisioning/KnowledgeRecovery.java
@@ -5,8 +5,9 @@
 import java.util.Set;
 
 /**
- * What edges know is taken in, and put right. Who told of a host first is right about its seat; another seat's home is
- * told that it is gone. An edge that has been without its link is told what it has missed.
+ * Rebuilds the registry from what edges report. The edge that reports an instance first is right about its home zone;
+ * the home of another zone is notified that it is gone. An edge that was disconnected is notified of what it has
+ * missed.
  */
 final class KnowledgeRecovery {
     private static final EventLog LOG = EventLog.of("provisioning");
--- a/src/main/java/brambletray/platform/provisioning/KnownInstances.java
+++ b/src/main/java/brambletray/platform/provisioning/KnownInstances.java
@@ -2,5 +2,5 @@
 
 import java.util.List;
 
-/** What an edge's seats know of hosts, told to a new holder of the helm. */
+/** From an edge to a new coordinator: the instances that its service queues know. */
 public record KnownInstances(List<InstanceInfo> instances) {}
--- a/src/main/java/brambletray/platform/provisioning/MemoryPressure.java
+++ b/src/main/java/brambletray/platform/provisioning/MemoryPressure.java
@@ -4,11 +4,10 @@
 import java.util.Set;
 
 /**
- * What the hub does where no worker has room for a start for which requests wait: it has homes end idle instances,
- * those that have been idle
- * longest first. It does not know which these are, so it names an age that falls from one notice to the next until
- * there is room. Without it,
- * instances that the first services keep idle would keep out the services that a later configuration brings.
+ * What the coordinator does when no worker has room for a start for which requests wait: it has homes stop idle
+ * instances, those that have been idle longest first. It does not know which these are, so it names an age that falls
+ * from one notice to the next until there is room. Without it, instances that the first services keep idle would keep
+ * others from starting.
  */
 final class MemoryPressure {
     /** Age in the first notice, ms. */
--- a/src/main/java/brambletray/platform/provisioning/OrphanDetector.java
+++ b/src/main/java/brambletray/platform/provisioning/OrphanDetector.java
@@ -6,14 +6,14 @@
 import java.util.Set;
 
 /**
- * Hosts that nobody wants, and that cost their memory until somebody stops them: those of a service that is gone from
- * the configuration, and those of a seat whose home has never asked for it, as its former home died or they were found
- * on the list.
+ * Finds instances that nobody uses and that cost memory until they are stopped: those of a service that is gone from
+ * the configuration, and those whose home has never claimed them, as its former home died or they were found on the
+ * list.
  */
 final class OrphanDetector {
     /** ms; hosts of a service that is gone are stopped after that. */
     private static final long REMOVED_SERVICE_GRACE_MS = 10_000;
-    /** ms; hosts of a seat that its home has not claimed are stopped after that. */
+    /** Instances that their home has not claimed are stopped after so many ms. */
     private static final long UNCLAIMED_GRACE_MS = 8_000;
 
     private static final int MAX_CLAIMS = 16_384;
@@ -39,7 +39,7 @@
         removed.keySet().removeAll(names);
     }
 
-    /** This edge acts as home of the seat: it has claimed it, asked for hosts, or told of some. */
+    /** This edge acts as the home: it has claimed the service, requested instances, or reported some. */
     void onClaimed(String service, String homeZone, String edge) {
         if (claims.size() >= MAX_CLAIMS) {
             claims.keySet().removeIf(claim -> !services.contains(claim.service()));
--- a/src/main/java/brambletray/platform/provisioning/PendingStart.java
+++ b/src/main/java/brambletray/platform/provisioning/PendingStart.java
@@ -9,7 +9,7 @@
     final String service;
     final String homeZone;
     final long requestedAtMs;
-    /** Starts of the same service and seat, as urgent, that were wanted before it. */
+    /** Starts of the same service and home zone, with the same urgency, that were requested before it. */
     final int rank;
 
     String edge;
--- a/src/main/java/brambletray/platform/provisioning/Placement.java
+++ b/src/main/java/brambletray/platform/provisioning/Placement.java
@@ -3,9 +3,9 @@
 import java.util.Set;
 
 /**
- * Which worker takes the next host of a service: one in the seat's zone if there is room, else in the nearest zone that
- * has some; there the one where a crash would take the fewest hosts of this service, then the one with the most free
- * memory. Never on a worker that drains or that the last list did not show.
+ * Chooses the worker for the next instance of a service: one in the home zone if there is room, else in the nearest
+ * zone that has some; there the one where a crash would take the fewest instances of this service, then the one with
+ * the most free memory. Never a worker that drains or that the last list did not show.
  */
 final class Placement {
     private final WorkerPool workerPool;
--- a/src/main/java/brambletray/platform/provisioning/PlatformClient.java
+++ b/src/main/java/brambletray/platform/provisioning/PlatformClient.java
@@ -23,7 +23,8 @@
     private static final long PAGE_BACKOFF_MS = 200;
 
     /**
-     * What the platform is told of its caller: {@code holder} is the node's name, {@code fence} the term of its duty.
+     * How this process identifies itself to the platform: {@code holder} is the node's name, {@code fencingToken} the
+     * term of its lease.
      */
     public record CallerIdentity(String holder, long fencingToken) {}
 
--- a/src/main/java/brambletray/platform/provisioning/PlatformHttpClient.java
+++ b/src/main/java/brambletray/platform/provisioning/PlatformHttpClient.java
@@ -29,19 +29,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * HTTP/1.1 calls to one address over a few connections that are kept, one call at a time on each. All of them may be
- * repeated: one that meets a kept connection as it closes is sent again on a new one. On its loop only.
+ * HTTP/1.1 calls to one address over a few keep-alive connections, one call at a time on each. All of them are
+ * idempotent: one that meets a connection as it closes is sent again on a new one. On its event loop only.
  */
 final class PlatformHttpClient {
-    /** What came of a call; called once. {@code status} 0: no whole answer in time. */
+    /** The result of a call; called once. {@code status} 0: no complete response in time. */
     @FunctionalInterface
     interface ResponseCallback {
         void onResponse(int status, byte[] body);
     }
 
     /**
-     * ms for a whole answer: more while none comes in time, for a slow platform is better than none; and for a
-     * connection to come up.
+     * Time-out of a response: longer while none comes in time, as a slow platform is better than none; and of a
+     * connection attempt; ms.
      */
     private static final int MIN_TIMEOUT_MS = 1_500;
 
--- a/src/main/java/brambletray/platform/provisioning/Provisioner.java
+++ b/src/main/java/brambletray/platform/provisioning/Provisioner.java
@@ -7,9 +7,9 @@
 import java.util.Set;
 
 /**
- * The registry of hosts, at the one holder of the duty: starts and stops them as homes ask, tells homes what becomes of
- * them. A state machine: times (ms of a steady clock) and events go in, {@link ProvisioningActions} are told what to
- * do. One thread.
+ * Starts and stops instances as homes request, at the coordinator, and notifies homes of what becomes of them. A
+ * state machine: times (ms of a steady clock) and events go in, {@link ProvisioningActions} carry out the rest. One
+ * thread.
  */
 public final class Provisioner {
     /** The frames of this plane, for the links. */
@@ -48,7 +48,7 @@
     private final KnowledgeRecovery knowledgeRecovery;
     private final long startedAtMs;
     private Map<String, InstanceSize> sizes = Map.of();
-    /** The configuration has been told: until then nothing is started, and no host is of no service. */
+    /** The configuration is known: until then nothing is started, and no instance counts as of an unknown service. */
     private boolean configured;
 
     /** A new holder of the duty, that knows nothing yet. */
@@ -113,7 +113,7 @@
         makeCalls(now);
     }
 
-    /** A home has emptied a host. Only the home of its seat may have it stopped. */
+    /** A home has drained an instance. Only its own home may have it stopped. */
     public void onStopRequest(String edge, StopRequest request, long now) {
         InstanceLifecycle instance = registry.get(request.id());
         if (instance != null) {
@@ -143,9 +143,8 @@
     }
 
     /**
-     * A new home of a seat: is told its hosts, and each that becomes known later by {@link InstanceStarted}. A hub that
-     * has just
-     * begun, and knows none, says so only once it has been told and has seen a list.
+     * A new home is sent its instances, and each that becomes known later by {@link InstanceStarted}. A coordinator
+     * that has just begun, and knows none, answers only once edges have reported and it has seen a list.
      */
     public void onHomeClaim(String edge, HomeClaim claim, long now) {
         orphans.onClaimed(claim.service(), claim.homeZone(), edge);
@@ -164,7 +163,9 @@
         }
     }
 
-    /** What an edge's seats know, as its link comes up: all of it. It is told what it has missed. */
+    /**
+     * The instances that an edge knows, all of them, when its link comes up. It is notified of what it has missed.
+     */
     public void onKnownInstances(String edge, KnownInstances knownInstances, long now) {
         knowledgeRecovery.onKnownInstances(edge, knownInstances, now);
         takeover.onReported(edge);
--- a/src/main/java/brambletray/platform/provisioning/ProvisioningActions.java
+++ b/src/main/java/brambletray/platform/provisioning/ProvisioningActions.java
@@ -1,12 +1,11 @@
 package brambletray.platform.provisioning;
 
 /**
- * What the yard wants done. The answers come back through {@link Provisioner}'s methods, later and never from within
- * these
- * calls.
+ * What the provisioner wants done. The answers come back through {@link Provisioner}'s methods, later and never from
+ * within these calls.
  */
 public interface ProvisioningActions {
-    /** Says a frame to an edge; lost if there is no link. */
+    /** Sends a message to an edge; lost if there is no link. */
     void send(String edge, Object frame);
 
     /** {@code POST /brambletray/begin}; answered by {@link Provisioner#onStartAnswered}. */
@@ -15,9 +14,12 @@
     /** {@code POST /brambletray/stop}; answered by {@link Provisioner#onStopAnswered}. */
     void stopInstance(String id);
 
-    /** The whole list of hosts; answered by {@link Provisioner#onInstanceList}. */
+    /** Requests the complete list of instances; answered by {@link Provisioner#onInstanceList}. */
     void requestInstanceList();
 
-    /** The workers; answered by {@link Provisioner#onWorkerList} or {@link Provisioner#onWorkerListFailed}. */
+    /**
+     * Requests the list of workers; answered by {@link Provisioner#onWorkerList} or {@link
+     * Provisioner#onWorkerListFailed}.
+     */
     void requestWorkerList();
 }
--- a/src/main/java/brambletray/platform/provisioning/ProvisioningException.java
+++ b/src/main/java/brambletray/platform/provisioning/ProvisioningException.java
@@ -2,7 +2,10 @@
 
 import brambletray.platform.errors.PlatformException;
 
-/** A fault of this plane; {@code yard.platform-answer}: the platform's answer is not as the protocol says. */
+/**
+ * An error of this package; {@code provisioning.platform-answer}: the platform's response is not as the protocol
+ * says.
+ */
 public final class ProvisioningException extends PlatformException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/brambletray/platform/provisioning/StartAnswers.java
+++ b/src/main/java/brambletray/platform/provisioning/StartAnswers.java
@@ -2,7 +2,7 @@
 
 import brambletray.platform.logging.EventLog;
 
-/** Tells homes what became of their starts, and the same again while they ask with the same nonce. */
+/** Notifies homes of the outcome of their starts, and again while they ask with the same nonce. */
 final class StartAnswers implements InstanceStarts.Listener {
     private static final EventLog LOG = EventLog.of("provisioning");
     /** Answers that are remembered, and ms for which. */
@@ -48,7 +48,7 @@
         return false;
     }
 
-    /** An edge has told which host its nonce was answered with. */
+    /** An edge has reported which instance its nonce was answered with. */
     void onKnownInstance(InstanceInfo host, long now) {
         started.put(host.nonce(), host.id(), now);
     }
--- a/src/main/java/brambletray/platform/provisioning/StartRefusal.java
+++ b/src/main/java/brambletray/platform/provisioning/StartRefusal.java
@@ -1,4 +1,4 @@
 package brambletray.platform.provisioning;
 
-/** No start now; {@code comeBackMs}: ms until it is worth asking again. */
+/** No start now; {@code retryAfterMs}: when to ask again. */
 public record StartRefusal(String nonce, int retryAfterMs) {}
--- a/src/main/java/brambletray/platform/provisioning/WorkerPool.java
+++ b/src/main/java/brambletray/platform/provisioning/WorkerPool.java
@@ -46,7 +46,7 @@
         return worker == null ? null : workers.get(worker);
     }
 
-    /** A whole list of workers that was asked for at {@code requestedAtMs}. */
+    /** A complete list of workers that was requested at {@code requestedAtMs}. */
     Changes onListed(List<WorkerInfo> listed, long requestedAtMs) {
         List<String> drains = new ArrayList<>(0);
         List<String> downs = new ArrayList<>(0);
--- a/src/main/java/brambletray/platform/proxy/HostConnectionPool.java
+++ b/src/main/java/brambletray/platform/proxy/HostConnectionPool.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** The connections to one host, by its {@code instance-id}: a new life at an old address has its own. */
+/** The connections to one instance, by its {@code instance-id}: a new instance at an old address has its own. */
 final class HostConnectionPool {
     final String id;
     final InetSocketAddress address;
--- a/src/main/java/brambletray/platform/proxy/RequestCounters.java
+++ b/src/main/java/brambletray/platform/proxy/RequestCounters.java
@@ -9,8 +9,8 @@
     private static final AttemptOutcome[] OUTCOMES = AttemptOutcome.values();
 
     /**
-     * Requests read whole; answered by a host; 404; 503 of ours; 502; 504; other 4xx of ours; clients gone before their
-     * answer.
+     * Complete requests read; answered by an instance; 404; 503 of this edge; 502; 504; other 4xx of this edge;
+     * clients gone before their answer.
      */
     public long requests;
 
--- a/src/main/java/brambletray/platform/proxy/RequestDriver.java
+++ b/src/main/java/brambletray/platform/proxy/RequestDriver.java
@@ -11,9 +11,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Carries out what a {@link RequestLifecycle} wants, and tells it what happens: between one client, the broker and the
- * lines to
- * hosts.
+ * Carries out what a {@link RequestLifecycle} wants, and passes events to it: between one client, the slot broker and
+ * the connections to instances.
  */
 final class RequestDriver implements RequestActions {
     private final RequestRouter router;
--- a/src/main/java/brambletray/platform/proxy/RequestRouter.java
+++ b/src/main/java/brambletray/platform/proxy/RequestRouter.java
@@ -17,9 +17,9 @@
 
 /** Finds each request's route and starts its {@link RequestLifecycle}. The loop's. */
 public final class RequestRouter {
-    /** ms; told where nobody knows better when to come back. */
+    /** Time to retry in ms where nobody knows better. */
     static final int RETRY_AFTER_MS = 200;
-    /** ms; told while there is no configuration yet. */
+    /** Time to retry in ms while there is no configuration yet. */
     private static final int NO_CONFIGURATION_RETRY_MS = 800;
     /** Requests under way at one time. */
     private static final int MAX_REQUESTS = 8_000;
--- a/src/main/java/brambletray/platform/transport/BulkQueue.java
+++ b/src/main/java/brambletray/platform/transport/BulkQueue.java
@@ -5,10 +5,9 @@
 import java.util.ArrayDeque;
 
 /**
- * Frames of a link that yield to all its other frames. One at a time is handed to the connection, and the next one only
- * after the socket has
- * taken it whole. A frame of the other kind therefore stands behind one bulk frame in this process at most. For the
- * loop only.
+ * Frames of a link that yield to all its other frames. One at a time is handed to the connection, and the next one
+ * only after the socket has taken it. Another frame therefore waits behind one bulk frame in this process at most.
+ * For the event loop only.
  */
 final class BulkQueue {
     private final Channel channel;
--- a/src/main/java/brambletray/platform/transport/FrameCodec.java
+++ b/src/main/java/brambletray/platform/transport/FrameCodec.java
@@ -19,7 +19,7 @@
     static final int FORMAT = 1;
 
     static final int LENGTH_BYTES = 4;
-    /** Buffers longer than this are not kept between frames. */
+    /** Buffers longer than this are released after a frame. */
     private static final int MAX_RETAINED_BYTES = 64 << 10;
 
     private static final int INITIAL_BYTES = 1 << 10;
@@ -76,9 +76,9 @@
     }
 
     /**
-     * Reads the frame in the next {@code length} bytes, which are taken out of the buffer in any case.
+     * Reads the frame in the next {@code length} bytes, which are consumed in any case.
      *
-     * @throws TransportException {@code speech.unreadable}, for bytes that are not one whole frame
+     * @throws TransportException {@code transport.unreadable}, for bytes that are not exactly one frame
      */
     Object read(ByteBuf from, int length) {
         byte[] bytes = ensureScratch(length);
