--- a/src/main/java/brambletray/Main.java
+++ b/src/main/java/brambletray/Main.java
@@ -1,10 +1,10 @@
 package brambletray;
 
-import brambletray.cli.Verbs;
 import brambletray.platform.cli.ProgramLauncher;
-import brambletray.serve.Node;
-import brambletray.simhost.SimHost;
-import brambletray.standalone.StandaloneRelay;
+import brambletray.relay.cli.Verbs;
+import brambletray.relay.serve.Node;
+import brambletray.relay.simhost.SimHost;
+import brambletray.relay.standalone.StandaloneRelay;
 import java.io.IOException;
 import java.nio.file.Path;
 
--- a/src/main/java/brambletray/runtime/MachineRun.java
+++ b/src/main/java/brambletray/common/runtime/BootId.java
@@ -1,4 +1,4 @@
-package brambletray.runtime;
+package brambletray.common.runtime;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -6,15 +6,15 @@
 import java.util.UUID;
 
 /** Tells one run of the machine's kernel from another: proc(5), {@code /proc/sys/kernel/random/boot_id}. */
-final class MachineRun {
-    private static final Path BOOT = Path.of("/proc/sys/kernel/random/boot_id");
+final class BootId {
+    private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
 
-    private MachineRun() {}
+    private BootId() {}
 
     /** 0 where the system does not tell. */
-    static long number() {
+    static long read() {
         try {
-            UUID boot = UUID.fromString(Files.readString(BOOT).strip());
+            UUID boot = UUID.fromString(Files.readString(BOOT_ID_FILE).strip());
             return boot.getMostSignificantBits() ^ boot.getLeastSignificantBits();
         } catch (IOException | IllegalArgumentException e) {
             return 0;
--- a/src/main/java/brambletray/runtime/Clock.java
+++ b/src/main/java/brambletray/common/runtime/Clock.java
@@ -1,6 +1,6 @@
-package brambletray.runtime;
+package brambletray.common.runtime;
 
-import brambletray.recovery.Moment;
+import brambletray.common.time.BootTimestamp;
 import io.netty.util.concurrent.Ticker;
 import java.util.concurrent.TimeUnit;
 
@@ -27,7 +27,7 @@
 
     /** The machine's own time. */
     public static Clock system() {
-        return new Clock(Ticker.systemTicker(), System.currentTimeMillis() + WALL_STEP, MachineRun.number());
+        return new Clock(Ticker.systemTicker(), System.currentTimeMillis() + WALL_STEP, BootId.read());
     }
 
     /** A clock that goes by this ticker, and shows {@code unixMillis} (Unix time, ms) now. */
@@ -46,9 +46,9 @@
     }
 
     /** Now, on both clocks, for another process to compare with. */
-    public Moment moment() {
+    public BootTimestamp moment() {
         long ticks = ticker.initialNanoTime() + ticker.nanoTime();
-        return new Moment(run, TimeUnit.NANOSECONDS.toMillis(ticks), unixMillis());
+        return new BootTimestamp(run, TimeUnit.NANOSECONDS.toMillis(ticks), unixMillis());
     }
 
     /** Unix times are so many ms more from now on; before anybody has read one. */
--- a/src/main/java/brambletray/runtime/Machine.java
+++ b/src/main/java/brambletray/common/runtime/Machine.java
@@ -1,4 +1,4 @@
-package brambletray.runtime;
+package brambletray.common.runtime;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
--- a/src/main/java/brambletray/runtime/SharedListener.java
+++ b/src/main/java/brambletray/common/runtime/SharedListener.java
@@ -1,4 +1,4 @@
-package brambletray.runtime;
+package brambletray.common.runtime;
 
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
--- a/src/main/java/brambletray/runtime/package-info.java
+++ b/src/main/java/brambletray/common/runtime/package-info.java
@@ -1,2 +1,2 @@
 /** The clock and the process services that a program runs on. */
-package brambletray.runtime;
+package brambletray.common.runtime;
--- a/src/main/java/brambletray/simulation/SimChannel.java
+++ b/src/main/java/brambletray/common/simulation/SimChannel.java
@@ -1,4 +1,4 @@
-package brambletray.simulation;
+package brambletray.common.simulation;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/brambletray/simulation/SimConfig.java
+++ b/src/main/java/brambletray/common/simulation/SimConfig.java
@@ -1,4 +1,4 @@
-package brambletray.simulation;
+package brambletray.common.simulation;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelOption;
--- a/src/main/java/brambletray/simulation/SimLoop.java
+++ b/src/main/java/brambletray/common/simulation/SimLoop.java
@@ -1,4 +1,4 @@
-package brambletray.simulation;
+package brambletray.common.simulation;
 
 import io.netty.channel.IoHandle;
 import io.netty.channel.IoHandler;
--- a/src/main/java/brambletray/simulation/SimNetwork.java
+++ b/src/main/java/brambletray/common/simulation/SimNetwork.java
@@ -1,4 +1,4 @@
-package brambletray.simulation;
+package brambletray.common.simulation;
 
 import io.netty.channel.EventLoop;
 import java.net.ConnectException;
--- a/src/main/java/brambletray/simulation/SimServerChannel.java
+++ b/src/main/java/brambletray/common/simulation/SimServerChannel.java
@@ -1,4 +1,4 @@
-package brambletray.simulation;
+package brambletray.common.simulation;
 
 import io.netty.channel.AbstractServerChannel;
 import io.netty.channel.ChannelConfig;
--- a/src/main/java/brambletray/simulation/Simulation.java
+++ b/src/main/java/brambletray/common/simulation/Simulation.java
@@ -1,7 +1,7 @@
-package brambletray.simulation;
+package brambletray.common.simulation;
 
-import brambletray.runtime.Clock;
-import brambletray.runtime.Machine;
+import brambletray.common.runtime.Clock;
+import brambletray.common.runtime.Machine;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.MockTicker;
 import io.netty.util.concurrent.Ticker;
--- a/src/main/java/brambletray/simulation/package-info.java
+++ b/src/main/java/brambletray/common/simulation/package-info.java
@@ -1,2 +1,2 @@
 /** Machines, network and time simulated on one thread, deterministic for a seed. */
-package brambletray.simulation;
+package brambletray.common.simulation;
--- /dev/null
+++ b/src/main/java/brambletray/common/time/package-info.java
@@ -0,0 +1,2 @@
+/** Instants that can be compared across restarts of a process. Pure. */
+package brambletray.common.time;
--- a/src/main/java/brambletray/yaml/Faults.java
+++ b/src/main/java/brambletray/common/yaml/Faults.java
@@ -1,4 +1,4 @@
-package brambletray.yaml;
+package brambletray.common.yaml;
 
 import java.util.List;
 
--- a/src/main/java/brambletray/yaml/package-info.java
+++ b/src/main/java/brambletray/common/yaml/package-info.java
@@ -1,2 +1,2 @@
 /** YAML files checked as a whole, each fault with its line and column. */
-package brambletray.yaml;
+package brambletray.common.yaml;
--- a/src/main/java/brambletray/platform/admission/EventRate.java
+++ b/src/main/java/brambletray/platform/admission/EventRate.java
@@ -1,8 +1,8 @@
 package brambletray.platform.admission;
 
 /**
- * Events per ms, with a memory that fades by e in {@code decayMs} ms; right from the start, as the part of the memory not
- * yet filled is left out.
+ * Events per ms, with a memory that fades by e in {@code decayMs} ms; right from the start, as the part of the memory
+ * not yet filled is left out.
  */
 final class EventRate {
     private final double decayMs;
--- a/src/main/java/brambletray/platform/admission/RequestQueue.java
+++ b/src/main/java/brambletray/platform/admission/RequestQueue.java
@@ -91,9 +91,9 @@
     }
 
     /**
-     * The one whose turn it is, of those not passed over in this round; null where there is none. {@code onlyNestedCalls}:
-     * requests of clients may not
-     * have what is free, but for kinds that are behind where {@code includeDisadvantaged}.
+     * The one whose turn it is, of those not passed over in this round; null where there is none. {@code
+     * onlyNestedCalls}: requests of clients may not have what is free, but for kinds that are behind where {@code
+     * includeDisadvantaged}.
      */
     Waiter next(boolean onlyNestedCalls, boolean includeDisadvantaged, int workMs, long now) {
         Waiter best = null;
--- a/src/main/java/brambletray/platform/admission/Scaler.java
+++ b/src/main/java/brambletray/platform/admission/Scaler.java
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Starts what is missing. {@code minInstances}: hosts wanted whatever the demand; {@code waiting}: those in line and
-     * promised to be back.
+     * Starts what is missing. {@code minInstances}: hosts wanted whatever the demand; {@code waiting}: those in line
+     * and promised to be back.
      */
     void scale(int minInstances, int waiting, long now) {
         int booting = instances.instances.count(InstanceInfo.BOOTING);
--- a/src/main/java/brambletray/platform/admission/ZoneServiceQueue.java
+++ b/src/main/java/brambletray/platform/admission/ZoneServiceQueue.java
@@ -16,8 +16,8 @@
     }
 
     /**
-     * Whether an ask is sent back to the root. {@code rate}: this seat's requests per ms, slowly; {@code breakEvenRate}: what
-     * pays for hosts.
+     * Whether an ask is sent back to the root. {@code rate}: this seat's requests per ms, slowly; {@code
+     * breakEvenRate}: what pays for hosts.
      */
     boolean shouldRedirect(boolean anyUp, double rate, double breakEvenRate, int bootMs, long now) {
         if (isClosed(now)) {
--- a/src/main/java/brambletray/platform/cli/DrillCommand.java
+++ b/src/main/java/brambletray/platform/cli/DrillCommand.java
@@ -1,11 +1,11 @@
 package brambletray.platform.cli;
 
+import brambletray.common.runtime.Clock;
 import brambletray.platform.drill.DrillPlan;
 import brambletray.platform.drill.DrillReport;
 import brambletray.platform.drill.DrillRunner;
 import brambletray.platform.drill.ScenarioReplay;
 import brambletray.platform.localsystem.JsonValues;
-import brambletray.runtime.Clock;
 import java.io.PrintStream;
 import java.util.Locale;
 import java.util.Map;
--- a/src/main/java/brambletray/platform/cli/ProgramLauncher.java
+++ b/src/main/java/brambletray/platform/cli/ProgramLauncher.java
@@ -1,12 +1,12 @@
 package brambletray.platform.cli;
 
+import brambletray.common.runtime.Clock;
 import brambletray.platform.controlplane.ControlPlaneProgram;
 import brambletray.platform.distribution.ProcessSignals;
 import brambletray.platform.edge.EdgeProgram;
 import brambletray.platform.errors.PlatformException;
 import brambletray.platform.logging.LogOutput;
 import brambletray.platform.settings.NodeSettings;
-import brambletray.runtime.Clock;
 import java.io.PrintStream;
 import java.security.SecureRandom;
 import java.util.Arrays;
--- a/src/main/java/brambletray/platform/configuration/ChangeHistory.java
+++ b/src/main/java/brambletray/platform/configuration/ChangeHistory.java
@@ -25,6 +25,7 @@
     private int nameCount;
     private Configuration current = Configuration.NONE;
 
+    /** The configuration that applies now. */
     public Configuration current() {
         return current;
     }
--- a/src/main/java/brambletray/platform/configuration/Configuration.java
+++ b/src/main/java/brambletray/platform/configuration/Configuration.java
@@ -341,6 +341,7 @@
         return document.json(revision);
     }
 
+    /** Its revision; 0 for {@link #NONE}. */
     public long revision() {
         return revision;
     }
@@ -355,6 +356,7 @@
         return services;
     }
 
+    /** What clients may send. */
     public ClientLimits limits() {
         return limits;
     }
--- a/src/main/java/brambletray/platform/configuration/ConfigurationStateMachine.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationStateMachine.java
@@ -40,6 +40,7 @@
 
     private Configuration lastResult;
 
+    /** The configuration that applies now. */
     public Configuration configuration() {
         return configuration;
     }
--- a/src/main/java/brambletray/platform/controlplane/ControlPlaneProgram.java
+++ b/src/main/java/brambletray/platform/controlplane/ControlPlaneProgram.java
@@ -1,5 +1,6 @@
 package brambletray.platform.controlplane;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.configuration.ChangeHistory;
 import brambletray.platform.configuration.Configuration;
 import brambletray.platform.distribution.ConfigurationPublisher;
@@ -37,7 +38,6 @@
 import brambletray.platform.transport.FrameCodec;
 import brambletray.platform.transport.Link;
 import brambletray.platform.transport.Sockets;
-import brambletray.runtime.Machine;
 import io.netty.channel.ChannelFuture;
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/main/java/brambletray/platform/controlplane/ControlPlaneServer.java
+++ b/src/main/java/brambletray/platform/controlplane/ControlPlaneServer.java
@@ -1,7 +1,7 @@
 package brambletray.platform.controlplane;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.settings.Address;
-import brambletray.runtime.Machine;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -26,9 +26,9 @@
 
 /**
  * The control-plane address: calls of hosts and operators, one table of method and path segments. A body has at most
- * {@link #MAX_BODY_BYTES} bytes (413 beyond), a connection that is silent for {@link #IDLE_TIMEOUT_S} is closed. Calls of one connection
- * are dealt with one after the other, as answers bear no sign of which call they are to; a caller that sends more than
- * {@link #MAX_PIPELINED_CALLS} ahead is cut off.
+ * {@link #MAX_BODY_BYTES} bytes (413 beyond), a connection that is silent for {@link #IDLE_TIMEOUT_S} is closed.
+ * Calls of one connection are dealt with one after the other, as answers bear no sign of which call they are to; a
+ * caller that sends more than {@link #MAX_PIPELINED_CALLS} ahead is cut off.
  */
 final class ControlPlaneServer {
     static final int MAX_BODY_BYTES = 4 << 20;
--- a/src/main/java/brambletray/platform/controlplane/EdgeCoordinator.java
+++ b/src/main/java/brambletray/platform/controlplane/EdgeCoordinator.java
@@ -1,5 +1,6 @@
 package brambletray.platform.controlplane;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.configuration.Configuration;
 import brambletray.platform.configuration.Service;
 import brambletray.platform.distribution.ConfigurationPublisher;
@@ -30,7 +31,6 @@
 import brambletray.platform.provisioning.StopRequest;
 import brambletray.platform.settings.NodeSettings;
 import brambletray.platform.transport.Link;
-import brambletray.runtime.Machine;
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -43,14 +43,14 @@
  * instances. It begins without any state and gets it from the edges. For the event loop only.
  */
 final class EdgeCoordinator {
-    private static final EventLog LOG = EventLog.of("hub");
+    private static final EventLog LOG = EventLog.of("coordinator");
     /** ms between heartbeats to an edge. */
     private static final int HEARTBEAT_INTERVAL_MS = 250;
     /**
      * ms without authority after which edges are released: a late tick of this process makes its lease uncertain for
      * one round only.
      */
-    static final int LEASE_DOUBT_GRACE_MS = 100;
+    static final int LEASE_UNCERTAIN_GRACE_MS = 100;
 
     private static final long NEVER = Long.MIN_VALUE;
 
@@ -327,7 +327,7 @@
         if (!authority.mayAct()) {
             if (authorityLostAtMs == NEVER) {
                 authorityLostAtMs = nowMs;
-            } else if (nowMs - authorityLostAtMs >= LEASE_DOUBT_GRACE_MS) {
+            } else if (nowMs - authorityLostAtMs >= LEASE_UNCERTAIN_GRACE_MS) {
                 releaseEdges("the lease has run out or is in doubt");
             }
             return;
--- a/src/main/java/brambletray/platform/controlplane/EdgeGreeter.java
+++ b/src/main/java/brambletray/platform/controlplane/EdgeGreeter.java
@@ -101,7 +101,7 @@
 
     /**
      * To be called every 50 ms; steady ms. That there is no coordinator any more is sent once that has lasted for
-     * {@link EdgeCoordinator#LEASE_DOUBT_GRACE_MS}.
+     * {@link EdgeCoordinator#LEASE_UNCERTAIN_GRACE_MS}.
      */
     void tick(long nowMs) {
         if (connectedEdges.isEmpty()) {
@@ -114,8 +114,8 @@
         } else if (noCoordinatorSinceMs == NEVER) {
             noCoordinatorSinceMs = nowMs;
         }
-        boolean inGracePeriod =
-                noCoordinatorSinceMs != NEVER && nowMs - noCoordinatorSinceMs < EdgeCoordinator.LEASE_DOUBT_GRACE_MS;
+        boolean inGracePeriod = noCoordinatorSinceMs != NEVER
+                && nowMs - noCoordinatorSinceMs < EdgeCoordinator.LEASE_UNCERTAIN_GRACE_MS;
         connectedEdges.forEach((link, edge) -> {
             if (edge.lastWelcome != null
                     && !edge.lastWelcome.equals(key)
--- a/src/main/java/brambletray/platform/controlplane/PeerLinks.java
+++ b/src/main/java/brambletray/platform/controlplane/PeerLinks.java
@@ -1,5 +1,6 @@
 package brambletray.platform.controlplane;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.distribution.LinkIntroduction;
 import brambletray.platform.replication.ReplicationMessage;
 import brambletray.platform.settings.Address;
@@ -8,7 +9,6 @@
 import brambletray.platform.transport.LinkDialer;
 import brambletray.platform.transport.LinkHandler;
 import brambletray.platform.transport.LinkListener;
-import brambletray.runtime.Machine;
 import java.util.HashMap;
 import java.util.Iterator;
 import java.util.Map;
--- a/src/main/java/brambletray/platform/controlplane/SimulatedControlPlane.java
+++ b/src/main/java/brambletray/platform/controlplane/SimulatedControlPlane.java
@@ -1,9 +1,9 @@
 package brambletray.platform.controlplane;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.replication.ReplicaStatus;
 import brambletray.platform.settings.NodeSettings;
 import brambletray.platform.storage.DurableStore;
-import brambletray.runtime.Machine;
 import java.util.Map;
 
 /** The production {@link ControlPlaneProgram} on a simulated machine. */
@@ -14,6 +14,7 @@
         this.program = program;
     }
 
+    /** Starts the program on this machine, from what its disk holds. */
     public static SimulatedControlPlane start(
             NodeSettings nodeSettings,
             Machine machine,
@@ -32,14 +33,17 @@
         return new SimulatedControlPlane(program);
     }
 
+    /** SIGTERM. */
     public void leave() {
         program.leave();
     }
 
+    /** The status of its replica. */
     public ReplicaStatus status() {
         return program.status();
     }
 
+    /** Whether it is the coordinator, and may act now. */
     public boolean mayAct() {
         return program.mayAct();
     }
--- a/src/main/java/brambletray/platform/distribution/ConfigurationPublisher.java
+++ b/src/main/java/brambletray/platform/distribution/ConfigurationPublisher.java
@@ -38,6 +38,7 @@
     private int cachedBytes;
     private PackedDelta fullDelta;
 
+    /** Publishes the current configuration of this history. */
     public ConfigurationPublisher(ChangeHistory history) {
         this.history = history;
     }
--- a/src/main/java/brambletray/platform/distribution/ConfigurationSubscriber.java
+++ b/src/main/java/brambletray/platform/distribution/ConfigurationSubscriber.java
@@ -56,10 +56,12 @@
     /** Up to which offset chunks have been asked for. */
     private int requestedBytes;
 
+    /** Begins without a configuration. */
     public ConfigurationSubscriber(Actions actions) {
         this.actions = actions;
     }
 
+    /** The configuration that applies now. */
     public Configuration configuration() {
         return configuration;
     }
--- a/src/main/java/brambletray/platform/drill/CoreNode.java
+++ b/src/main/java/brambletray/platform/drill/CoreNode.java
@@ -1,10 +1,10 @@
 package brambletray.platform.drill;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.controlplane.SimulatedControlPlane;
 import brambletray.platform.replication.ReplicaStatus;
 import brambletray.platform.settings.SimulatedSettings;
 import brambletray.platform.storage.SimulatedStore;
-import brambletray.runtime.Machine;
 import java.net.InetAddress;
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/brambletray/platform/drill/EdgeNode.java
+++ b/src/main/java/brambletray/platform/drill/EdgeNode.java
@@ -1,10 +1,10 @@
 package brambletray.platform.drill;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.configuration.Configuration;
 import brambletray.platform.configuration.Route;
 import brambletray.platform.edge.SimulatedEdge;
 import brambletray.platform.settings.SimulatedSettings;
-import brambletray.runtime.Machine;
 import java.net.InetAddress;
 
 /** One edge machine and its process: the complete program, without any caller. */
--- a/src/main/java/brambletray/platform/drill/EmptyPlatform.java
+++ b/src/main/java/brambletray/platform/drill/EmptyPlatform.java
@@ -1,7 +1,7 @@
 package brambletray.platform.drill;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.settings.Address;
-import brambletray.runtime.Machine;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/main/java/brambletray/platform/drill/NetworkFaults.java
+++ b/src/main/java/brambletray/platform/drill/NetworkFaults.java
@@ -1,7 +1,7 @@
 package brambletray.platform.drill;
 
-import brambletray.simulation.SimChannel;
-import brambletray.simulation.SimNetwork;
+import brambletray.common.simulation.SimChannel;
+import brambletray.common.simulation.SimNetwork;
 import java.net.InetAddress;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/brambletray/platform/drill/SimulatedCluster.java
+++ b/src/main/java/brambletray/platform/drill/SimulatedCluster.java
@@ -1,9 +1,9 @@
 package brambletray.platform.drill;
 
+import brambletray.common.runtime.Machine;
+import brambletray.common.simulation.SimNetwork;
+import brambletray.common.simulation.Simulation;
 import brambletray.platform.settings.Address;
-import brambletray.runtime.Machine;
-import brambletray.simulation.SimNetwork;
-import brambletray.simulation.Simulation;
 import java.net.InetAddress;
 import java.net.UnknownHostException;
 import java.util.ArrayList;
--- a/src/main/java/brambletray/platform/drill/SimulatedOperator.java
+++ b/src/main/java/brambletray/platform/drill/SimulatedOperator.java
@@ -1,7 +1,7 @@
 package brambletray.platform.drill;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.settings.Address;
-import brambletray.runtime.Machine;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/brambletray/platform/edge/CoordinatorClient.java
+++ b/src/main/java/brambletray/platform/edge/CoordinatorClient.java
@@ -1,5 +1,6 @@
 package brambletray.platform.edge;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.distribution.CoordinatorHeartbeat;
 import brambletray.platform.distribution.DeltaChunk;
 import brambletray.platform.distribution.LinkIntroduction;
@@ -12,7 +13,6 @@
 import brambletray.platform.transport.Link;
 import brambletray.platform.transport.LinkDialer;
 import brambletray.platform.transport.LinkHandler;
-import brambletray.runtime.Machine;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/brambletray/platform/edge/EdgeLinks.java
+++ b/src/main/java/brambletray/platform/edge/EdgeLinks.java
@@ -1,5 +1,6 @@
 package brambletray.platform.edge;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.distribution.LinkIntroduction;
 import brambletray.platform.failuredetection.Peer;
 import brambletray.platform.failuredetection.Roster;
@@ -9,7 +10,6 @@
 import brambletray.platform.transport.LinkDialer;
 import brambletray.platform.transport.LinkHandler;
 import brambletray.platform.transport.LinkListener;
-import brambletray.runtime.Machine;
 import java.util.HashMap;
 import java.util.Iterator;
 import java.util.Map;
@@ -73,8 +73,8 @@
     }
 
     /**
-     * To a peer of the roster, on a link that is dialled if there is none yet (and then is lost, but {@link Listener#onLinkUp}
-     * tells when to say it again).
+     * To a peer of the roster, on a link that is dialled if there is none yet (and then is lost, but {@link
+     * Listener#onLinkUp} tells when to say it again).
      */
     boolean send(String name, Object frame) {
         DialedLink dialedLink = dialedLink(name);
--- a/src/main/java/brambletray/platform/edge/EdgeProgram.java
+++ b/src/main/java/brambletray/platform/edge/EdgeProgram.java
@@ -1,5 +1,6 @@
 package brambletray.platform.edge;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.admission.AdmissionParameters;
 import brambletray.platform.admission.HeldSlots;
 import brambletray.platform.admission.SlotGrant;
@@ -38,7 +39,6 @@
 import brambletray.platform.settings.SettingsException;
 import brambletray.platform.transport.FrameCodec;
 import brambletray.platform.transport.Sockets;
-import brambletray.runtime.Machine;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -97,7 +97,8 @@
     private long admissionDueMs = Long.MAX_VALUE;
 
     /**
-     * On the loop; {@link #open} follows. {@code newIncarnation}: drawn at random; {@code exit}: ends the process with this code.
+     * On the loop; {@link #open} follows. {@code newIncarnation}: drawn at random; {@code exit}: ends the process
+     * with this code.
      */
     EdgeProgram(NodeSettings nodeSettings, Machine machine, long newIncarnation, IntConsumer exit) {
         this.exit = exit;
--- a/src/main/java/brambletray/platform/edge/SimulatedEdge.java
+++ b/src/main/java/brambletray/platform/edge/SimulatedEdge.java
@@ -1,8 +1,8 @@
 package brambletray.platform.edge;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.configuration.Configuration;
 import brambletray.platform.settings.NodeSettings;
-import brambletray.runtime.Machine;
 import java.util.function.IntConsumer;
 
 /** The production {@link EdgeProgram} on a simulated machine. */
@@ -13,12 +13,14 @@
         this.program = program;
     }
 
+    /** Starts the program on this machine. */
     public static SimulatedEdge start(NodeSettings nodeSettings, Machine machine, long life, IntConsumer exit) {
         EdgeProgram program = new EdgeProgram(nodeSettings, machine, life, exit);
         program.open(nodeSettings.frontEnd(), nodeSettings.readiness());
         return new SimulatedEdge(program);
     }
 
+    /** The configuration that it serves by. */
     public Configuration configuration() {
         return program.configuration();
     }
@@ -33,6 +35,7 @@
         program.leave();
     }
 
+    /** Whether it reports ready. */
     public boolean isReady() {
         return program.isReady();
     }
--- a/src/main/java/brambletray/platform/failuredetection/HomeAssignment.java
+++ b/src/main/java/brambletray/platform/failuredetection/HomeAssignment.java
@@ -23,6 +23,7 @@
     private final Map<String, ZonePeers> zones = new LinkedHashMap<>();
     private final Map<String, String> rootZoneCache = new HashMap<>();
 
+    /** The assignment by this roster. */
     public HomeAssignment(Roster roster) {
         this.roster = roster;
         Map<String, List<Peer>> byZone = new TreeMap<>();
@@ -42,6 +43,7 @@
         });
     }
 
+    /** The roster that it follows. */
     public Roster roster() {
         return roster;
     }
@@ -70,7 +72,8 @@
     }
 
     /**
-     * The home and those that would be home without it, the next best first; {@code maxCount} of them or as many as are in.
+     * The home and those that would be home without it, the next best first; {@code maxCount} of them or as many as
+     * are in.
      */
     public List<Peer> homes(String service, String zone, int maxCount) {
         ZonePeers zonePeers = zones.get(zone);
--- a/src/main/java/brambletray/platform/failuredetection/WatchRing.java
+++ b/src/main/java/brambletray/platform/failuredetection/WatchRing.java
@@ -29,6 +29,7 @@
     private final Map<String, List<Peer>> watchers = new HashMap<>();
     private final Map<String, List<Peer>> watchedPeers = new HashMap<>();
 
+    /** The ring of this roster. */
     public WatchRing(Roster roster) {
         this.roster = roster;
         Peer[] circle = roster.peers().toArray(new Peer[0]);
@@ -47,6 +48,7 @@
         }
     }
 
+    /** The roster that it follows. */
     public Roster roster() {
         return roster;
     }
--- a/src/main/java/brambletray/platform/localsystem/ChildProcess.java
+++ b/src/main/java/brambletray/platform/localsystem/ChildProcess.java
@@ -33,16 +33,16 @@
 
     private final LocalSite site;
     private final LocalSite.Place place;
-    private final Consumer<String> tell;
+    private final Consumer<String> report;
     private Process process;
     private int starts;
     private boolean ending;
 
-    /** {@code tell}: is told in a line what became of it. */
-    ChildProcess(LocalSite site, LocalSite.Place place, Consumer<String> tell) {
+    /** {@code report}: is told in a line what became of it. */
+    ChildProcess(LocalSite site, LocalSite.Place place, Consumer<String> report) {
         this.site = site;
         this.place = place;
-        this.tell = tell;
+        this.report = report;
     }
 
     LocalSite.Place place() {
@@ -92,7 +92,7 @@
 
     private synchronized void ended(Process which) {
         if (!ending) {
-            tell.accept(place.name() + " ended with " + which.exitValue() + ", starts again in " + DELAY + " ms");
+            report.accept(place.name() + " ended with " + which.exitValue() + ", starts again in " + DELAY + " ms");
         }
     }
 
--- a/src/main/java/brambletray/platform/localsystem/ClientConnections.java
+++ b/src/main/java/brambletray/platform/localsystem/ClientConnections.java
@@ -1,6 +1,6 @@
 package brambletray.platform.localsystem;
 
-import brambletray.runtime.Machine;
+import brambletray.common.runtime.Machine;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -34,7 +34,7 @@
     private static final int BODY = 1 << 20;
 
     /** One try: what is sent; {@code fresh}: on a new connection. */
-    record Letter(TrafficRequest visit, String attempt, int remainingMs, boolean fresh) {}
+    record PendingRequest(TrafficRequest visit, String attempt, int remainingMs, boolean fresh) {}
 
     private final Machine machine;
     private final Map<String, ArrayDeque<Wire>> idle = new HashMap<>();
@@ -47,10 +47,10 @@
         return machine.clock().nanos() / 1_000_000;
     }
 
-    void send(String ip, int port, Letter letter) {
-        Wire kept = letter.fresh ? null : kept(ip);
+    void send(String ip, int port, PendingRequest pending) {
+        Wire kept = pending.fresh ? null : kept(ip);
         if (kept != null) {
-            kept.write(letter);
+            kept.write(pending);
             return;
         }
         Wire wire = new Wire(ip);
@@ -63,12 +63,12 @@
                 .connect(new InetSocketAddress(ip, port));
         connecting.addListener(done -> {
             if (!done.isSuccess()) {
-                letter.visit.broke(false, now());
-            } else if (letter.visit.isOver()) {
+                pending.visit.broke(false, now());
+            } else if (pending.visit.isOver()) {
                 connecting.channel().close();
             } else {
                 wire.channel = connecting.channel();
-                wire.write(letter);
+                wire.write(pending);
             }
         });
     }
@@ -87,15 +87,15 @@
     private final class Wire extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final String ip;
         private Channel channel;
-        private Letter letter;
+        private PendingRequest pending;
         private long until;
 
         Wire(String ip) {
             this.ip = ip;
         }
 
-        void write(Letter next) {
-            letter = next;
+        void write(PendingRequest next) {
+            pending = next;
             TrafficRequest visit = next.visit;
             FullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
@@ -113,7 +113,7 @@
             machine.loop()
                     .schedule(
                             () -> {
-                                if (letter == next) {
+                                if (pending == next) {
                                     channel.close();
                                 }
                             },
@@ -123,8 +123,8 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse answer) {
-            Letter of = letter;
-            letter = null;
+            PendingRequest of = pending;
+            pending = null;
             boolean good = !answer.decoderResult().isFailure();
             if (of == null || !good || !HttpUtil.isKeepAlive(answer)) {
                 context.close();
@@ -168,8 +168,8 @@
             if (of != null) {
                 of.remove(this);
             }
-            Letter lost = letter;
-            letter = null;
+            PendingRequest lost = pending;
+            pending = null;
             if (lost != null) {
                 lost.visit.broke(true, now());
             }
--- a/src/main/java/brambletray/platform/localsystem/InstanceFleet.java
+++ b/src/main/java/brambletray/platform/localsystem/InstanceFleet.java
@@ -1,9 +1,9 @@
 package brambletray.platform.localsystem;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.configuration.Service;
 import brambletray.platform.platformstub.PlatformStub;
 import brambletray.platform.settings.Address;
-import brambletray.runtime.Machine;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/brambletray/platform/localsystem/InstanceServer.java
+++ b/src/main/java/brambletray/platform/localsystem/InstanceServer.java
@@ -1,7 +1,7 @@
 package brambletray.platform.localsystem;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.configuration.Service;
-import brambletray.runtime.Machine;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/main/java/brambletray/platform/localsystem/LocalPlatform.java
+++ b/src/main/java/brambletray/platform/localsystem/LocalPlatform.java
@@ -1,5 +1,6 @@
 package brambletray.platform.localsystem;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.configuration.Configuration;
 import brambletray.platform.configuration.Service;
 import brambletray.platform.platformstub.PlatformParameters;
@@ -7,7 +8,6 @@
 import brambletray.platform.platformstub.PlatformStubServer;
 import brambletray.platform.platformstub.ServiceKind;
 import brambletray.platform.settings.Address;
-import brambletray.runtime.Machine;
 import java.net.InetSocketAddress;
 
 /** The platform and its hosts, on the loop of this process. */
--- a/src/main/java/brambletray/platform/localsystem/LocalSystem.java
+++ b/src/main/java/brambletray/platform/localsystem/LocalSystem.java
@@ -1,9 +1,9 @@
 package brambletray.platform.localsystem;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.configuration.Configuration;
 import brambletray.platform.settings.Address;
 import brambletray.platform.transport.Sockets;
-import brambletray.runtime.Machine;
 import java.io.PrintStream;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -49,7 +49,7 @@
         fronts = new FrontEndBalancer(site.edges());
         callers = new TrafficGenerator(machine, site, fronts, configuration.routes(), ledger, counts, SEED);
         glance = new MemberStatusPoller(new OperatorClient(site.controls(), CALL_MS), site.controls());
-        site.places().forEach(place -> children.add(new ChildProcess(site, place, this::tell)));
+        site.places().forEach(place -> children.add(new ChildProcess(site, place, this::print)));
     }
 
     /**
@@ -71,9 +71,9 @@
     }
 
     private int play() {
-        tell(site.cores().size() + " controlplane and " + site.edges().size()
+        print(site.cores().size() + " controlplane and " + site.edges().size()
                 + " edge come up; settings, disks and logs in " + dir);
-        tell("operators call --control "
+        print("operators call --control "
                 + String.join(
                         ",", site.controls().stream().map(Address::toString).toList()));
         town.open(site.platform());
@@ -83,17 +83,17 @@
         OperatorClient.Reply taken =
                 new OperatorClient(site.controls(), START_MS).deliver("replace", 0, SampleConfiguration.body());
         if (taken.status() != 200) {
-            tell("the configuration was answered " + taken.status() + ' ' + JsonValues.reason(taken.body()));
+            print("the configuration was answered " + taken.status() + ' ' + JsonValues.reason(taken.body()));
             return 1;
         }
         while (onLoop(fronts::in) < site.edges().size()) {
             if (now() - began > START_MS) {
-                tell("not all edges are ready after " + START_MS / 1_000 + " s; see the logs in " + dir);
+                print("not all edges are ready after " + START_MS / 1_000 + " s; see the logs in " + dir);
                 return 1;
             }
             until(now() + 50);
         }
-        tell("the configuration is in force at all edges, " + (now() - began) + " ms after the start");
+        print("the configuration is in force at all edges, " + (now() - began) + " ms after the start");
         traffic();
         return summary();
     }
@@ -125,7 +125,7 @@
     }
 
     private void kill(String name) {
-        tell(name == null ? "nobody holds the helm" : name + " is killed");
+        print(name == null ? "nobody holds the helm" : name + " is killed");
         children.stream().filter(child -> child.place().name().equals(name)).forEach(ChildProcess::kill);
     }
 
@@ -147,14 +147,14 @@
         } catch (LocalSystemException fault) {
             shown = fault.getMessage();
         }
-        tell("in all: " + all.requests + " requests, " + all.answered + " answered, " + all.late + " late, "
+        print("in all: " + all.requests + " requests, " + all.answered + " answered, " + all.late + " late, "
                 + all.refused + " refused, "
                 + all.failed + " failed; " + onLoop(town::starts) + " starts of hosts, " + onLoop(town.fair::turnedAway)
                 + " requests beyond their places, " + onLoop(town::refusals) + " calls beyond the rate");
-        tell("the operator is shown " + shown);
+        print("the operator is shown " + shown);
         int wrong = onLoop(ledger::wrong);
         int twice = onLoop(ledger::twice);
-        tell(wrong + " answered wrongly, " + twice + " ran twice that may not"
+        print(wrong + " answered wrongly, " + twice + " ran twice that may not"
                 + (wrong + twice == 0 ? ": all as it must be" : ""));
         onLoop(() -> List.copyOf(ledger.complaints())).forEach(complaint -> out.println("    " + complaint));
         return wrong + twice == 0 ? 0 : 1;
@@ -185,7 +185,7 @@
         }
     }
 
-    private void tell(String line) {
+    private void print(String line) {
         out.println("-- " + line);
     }
 
--- a/src/main/java/brambletray/platform/localsystem/OperatorClient.java
+++ b/src/main/java/brambletray/platform/localsystem/OperatorClient.java
@@ -1,7 +1,7 @@
 package brambletray.platform.localsystem;
 
+import brambletray.common.runtime.Clock;
 import brambletray.platform.settings.Address;
-import brambletray.runtime.Clock;
 import java.io.IOException;
 import java.net.URI;
 import java.net.http.HttpClient;
--- a/src/main/java/brambletray/platform/localsystem/TrafficGenerator.java
+++ b/src/main/java/brambletray/platform/localsystem/TrafficGenerator.java
@@ -1,7 +1,7 @@
 package brambletray.platform.localsystem;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.configuration.Route;
-import brambletray.runtime.Machine;
 import io.netty.util.concurrent.ScheduledFuture;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
@@ -98,7 +98,9 @@
         LocalSite.Place edge = fronts.pick(visit.zone, visit.hash(), turn);
         boolean fresh = turn > 0 || !visit.route.idempotent() || random.nextInt(3) == 0;
         wires.send(
-                edge.ip(), site.ports().frontEnd(), new ClientConnections.Letter(visit, attempt, remainingMs, fresh));
+                edge.ip(),
+                site.ports().frontEnd(),
+                new ClientConnections.PendingRequest(visit, attempt, remainingMs, fresh));
         return attempt;
     }
 
--- a/src/main/java/brambletray/platform/logging/JsonLogHandler.java
+++ b/src/main/java/brambletray/platform/logging/JsonLogHandler.java
@@ -14,7 +14,10 @@
 import java.util.logging.Level;
 import java.util.logging.LogRecord;
 
-/** Prints each record as one JSON object on one line, at most {@value #MAX_LINES_PER_EVENT} of one event in {@value #RATE_WINDOW_MS} ms. */
+/**
+ * Prints each record as one JSON object on one line, at most {@value #MAX_LINES_PER_EVENT} of one event in {@value
+ * #RATE_WINDOW_MS} ms.
+ */
 final class JsonLogHandler extends Handler {
     /**
      * Lines of one event in a span; the rest are counted into one line, which comes with the first line after the span.
--- a/src/main/java/brambletray/platform/platformstub/PlatformStubServer.java
+++ b/src/main/java/brambletray/platform/platformstub/PlatformStubServer.java
@@ -1,10 +1,10 @@
 package brambletray.platform.platformstub;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.provisioning.CallResult;
 import brambletray.platform.provisioning.ListedInstance;
 import brambletray.platform.provisioning.StartResponse;
 import brambletray.platform.provisioning.WorkerInfo;
-import brambletray.runtime.Machine;
 import com.dslplatform.json.DslJson;
 import com.dslplatform.json.JsonReader;
 import com.dslplatform.json.JsonWriter;
--- a/src/main/java/brambletray/platform/provisioning/InstanceListReconciler.java
+++ b/src/main/java/brambletray/platform/provisioning/InstanceListReconciler.java
@@ -43,7 +43,10 @@
         this.listLagMs = lagMs + LIST_MARGIN_MS;
     }
 
-    /** {@code requestedAtMs}: when its first page was asked for; {@code settled}: who is unknown now is known to nobody. */
+    /**
+     * {@code requestedAtMs}: when its first page was asked for; {@code settled}: who is unknown now is known to
+     * nobody.
+     */
     void reconcile(List<ListedInstance> list, long requestedAtMs, boolean complete, boolean settled, long now) {
         Set<String> shown = new HashSet<>(list.size() * 2);
         for (ListedInstance listed : list) {
--- a/src/main/java/brambletray/platform/provisioning/KnowledgeRecovery.java
+++ b/src/main/java/brambletray/platform/provisioning/KnowledgeRecovery.java
@@ -58,7 +58,7 @@
         }
         InstanceLifecycle instance = registry.get(info.id());
         if (instance != null && !instance.homeZone.equals(info.homeZone())) {
-            LOG.warn("told twice")
+            LOG.warn("reported twice")
                     .with("host", instance.id)
                     .with("seat", instance.homeZone)
                     .with("from", edge)
--- a/src/main/java/brambletray/platform/provisioning/PlatformClient.java
+++ b/src/main/java/brambletray/platform/provisioning/PlatformClient.java
@@ -1,7 +1,7 @@
 package brambletray.platform.provisioning;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.logging.EventLog;
-import brambletray.runtime.Machine;
 import java.net.InetSocketAddress;
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/brambletray/platform/provisioning/PlatformHttpClient.java
+++ b/src/main/java/brambletray/platform/provisioning/PlatformHttpClient.java
@@ -1,6 +1,6 @@
 package brambletray.platform.provisioning;
 
-import brambletray.runtime.Machine;
+import brambletray.common.runtime.Machine;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/brambletray/platform/provisioning/WorkerPool.java
+++ b/src/main/java/brambletray/platform/provisioning/WorkerPool.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 
 /**
- * The workers, and the memory free on them: what the platform's list says, which is {@code listLagMs} ms old, less what has
- * been started since, plus what has been stopped since.
+ * The workers, and the memory free on them: what the platform's list says, which is {@code listLagMs} ms old, less
+ * what has been started since, plus what has been stopped since.
  */
 final class WorkerPool {
     /** Lists in a row without a worker until it counts as down. */
--- a/src/main/java/brambletray/platform/proxy/FrontEndServer.java
+++ b/src/main/java/brambletray/platform/proxy/FrontEndServer.java
@@ -1,8 +1,8 @@
 package brambletray.platform.proxy;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.configuration.ClientLimits;
 import brambletray.platform.settings.Address;
-import brambletray.runtime.Machine;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelInitializer;
--- a/src/main/java/brambletray/platform/proxy/GracefulShutdown.java
+++ b/src/main/java/brambletray/platform/proxy/GracefulShutdown.java
@@ -1,7 +1,7 @@
 package brambletray.platform.proxy;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.logging.EventLog;
-import brambletray.runtime.Machine;
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntConsumer;
 
--- a/src/main/java/brambletray/platform/proxy/HostConnection.java
+++ b/src/main/java/brambletray/platform/proxy/HostConnection.java
@@ -36,11 +36,11 @@
     private boolean requestWritten;
     private boolean keepAlive = true;
     private boolean neverUsed = true;
-    /** ms of the steady clock; how long it may be idle, ms, by the host's word if {@code told}. */
+    /** ms of the steady clock; how long it may be idle, ms, by the host's word if {@code idleTimeStated}. */
     long idleSinceMs;
 
     private int idleMs;
-    private boolean told;
+    private boolean idleTimeStated;
 
     HostConnection(HostConnectionPools pools, HostConnectionPool pool) {
         this.pools = pools;
@@ -103,7 +103,7 @@
     boolean isUsable(long now, boolean requiresOpenConnection) {
         return channel.isActive()
                 && now - idleSinceMs
-                        < (requiresOpenConnection && !told
+                        < (requiresOpenConnection && !idleTimeStated
                                 ? Math.min(idleMs, HostConnectionPools.LONGEST_IDLE_MS)
                                 : idleMs);
     }
@@ -238,8 +238,8 @@
         neverUsed = false;
         if (again) {
             int seconds = KeepAlive.timeoutSeconds(ended.keepAlive());
-            told = seconds >= 0;
-            idleMs = told ? KeepAlive.usableMs(seconds) : pools.idleMs;
+            idleTimeStated = seconds >= 0;
+            idleMs = idleTimeStated ? KeepAlive.usableMs(seconds) : pools.idleMs;
             channel.config().setAutoRead(true);
             pools.onIdle(this);
         } else {
--- a/src/main/java/brambletray/platform/proxy/HostConnectionPools.java
+++ b/src/main/java/brambletray/platform/proxy/HostConnectionPools.java
@@ -1,7 +1,7 @@
 package brambletray.platform.proxy;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.settings.Address;
-import brambletray.runtime.Machine;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelInitializer;
--- a/src/main/java/brambletray/platform/proxy/RequestActions.java
+++ b/src/main/java/brambletray/platform/proxy/RequestActions.java
@@ -5,9 +5,8 @@
 import brambletray.platform.admission.SlotRequest;
 
 /**
- * What a {@link RequestLifecycle} wants done. The first word to the client ({@link #passResponse}, {@link #startStreaming}, {@link #respond})
- * is the only
- * one.
+ * What a {@link RequestLifecycle} wants done. The first word to the client ({@link #passResponse}, {@link
+ * #startStreaming}, {@link #respond}) is the only one.
  */
 interface RequestActions {
     /** For a place; the answer may come at once. */
--- a/src/main/java/brambletray/platform/proxy/RequestRouter.java
+++ b/src/main/java/brambletray/platform/proxy/RequestRouter.java
@@ -1,11 +1,11 @@
 package brambletray.platform.proxy;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.admission.HedgeDelay;
 import brambletray.platform.configuration.ClientLimits;
 import brambletray.platform.configuration.Configuration;
 import brambletray.platform.configuration.Route;
 import brambletray.platform.configuration.Service;
-import brambletray.runtime.Machine;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.HashMap;
@@ -43,9 +43,9 @@
     private boolean rejectingNew;
 
     /**
-     * {@code edge}, {@code zone}: this machine's, for asks; {@code isInstanceIp}: whether an IP address is that of a host we
-     * know, whose calls are inner ones; {@code maxBytes}: of requests and answers held at one time; above that new
-     * ones are refused; {@code seed}: for the shares of routes.
+     * {@code edge}, {@code zone}: this machine's, for asks; {@code isInstanceIp}: whether an IP address is that of a
+     * host we know, whose calls are inner ones; {@code maxBytes}: of requests and answers held at one time; above
+     * that new ones are refused; {@code seed}: for the shares of routes.
      */
     public RequestRouter(
             Machine machine,
--- a/src/main/java/brambletray/platform/proxy/SlotBroker.java
+++ b/src/main/java/brambletray/platform/proxy/SlotBroker.java
@@ -4,7 +4,10 @@
 import brambletray.platform.admission.SlotGrant;
 import brambletray.platform.admission.SlotRequest;
 
-/** Where places at hosts come from: the homes of services, wherever they are. May answer from inside {@link #requestSlot}. */
+/**
+ * Where places at hosts come from: the homes of services, wherever they are. May answer from inside {@link
+ * #requestSlot}.
+ */
 public interface SlotBroker {
     /** Asks for a place; the taker hears exactly one word, unless the ask is forgotten first. */
     void requestSlot(SlotRequest request, SlotRequester requester);
--- a/src/main/java/brambletray/platform/replication/DurableState.java
+++ b/src/main/java/brambletray/platform/replication/DurableState.java
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Rebuilds it from all keys that begin with {@link #KEY_PREFIX}. Throws {@link ReplicationException} when they can't be
-     * read.
+     * Rebuilds it from all keys that begin with {@link #KEY_PREFIX}. Throws {@link ReplicationException} when they
+     * can't be read.
      */
     public static DurableState read(Map<String, byte[]> map) {
         if (!map.containsKey(INCARNATION_KEY)) {
--- a/src/main/java/brambletray/platform/replication/LeaderState.java
+++ b/src/main/java/brambletray/platform/replication/LeaderState.java
@@ -179,7 +179,9 @@
         resendIfStalled(follower, response.durableIndex());
     }
 
-    /** Sends again what a broken link took with it, and what was not acknowledged for long, before it counts as slow. */
+    /**
+     * Sends again what a broken link took with it, and what was not acknowledged for long, before it counts as slow.
+     */
     private void resendIfStalled(FollowerProgress follower, long durableIndex) {
         ReplicatedLog log = state.log();
         long inFlightBytes =
--- a/src/main/java/brambletray/platform/replication/MembershipState.java
+++ b/src/main/java/brambletray/platform/replication/MembershipState.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * The view of this member, where it came from, and which other machines it knows. Invariant: the ballot of the view only
- * grows. {@link ReplicaState} writes each change to disk.
+ * The view of this member, where it came from, and which other machines it knows. Invariant: the ballot of the view
+ * only grows. {@link ReplicaState} writes each change to disk.
  */
 final class MembershipState {
     private static final int MAX_RETIRED_INCARNATIONS = 64;
--- a/src/main/java/brambletray/platform/replication/MessageDispatcher.java
+++ b/src/main/java/brambletray/platform/replication/MessageDispatcher.java
@@ -2,7 +2,9 @@
 
 import java.util.List;
 
-/** Hands each message to the part of the member that it is for; messages for a role that it does not have are dropped. */
+/**
+ * Hands each message to the part of the member that it is for; messages for a role that it does not have are dropped.
+ */
 final class MessageDispatcher {
     private final ReplicaState state;
     private final Replica replica;
--- a/src/main/java/brambletray/platform/storage/SimulatedStore.java
+++ b/src/main/java/brambletray/platform/storage/SimulatedStore.java
@@ -1,6 +1,6 @@
 package brambletray.platform.storage;
 
-import brambletray.runtime.Machine;
+import brambletray.common.runtime.Machine;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -23,10 +23,12 @@
         /** Steady ms; a sync that would end before ends then. */
         public long hungUntilMs;
 
+        /** An empty disk; {@code syncMs}: as the field says. */
         public SimulatedDisk(int syncMs) {
             this.syncMs = syncMs;
         }
 
+        /** A copy of what it holds. */
         public Map<String, byte[]> read() {
             return new HashMap<>(contents);
         }
@@ -38,6 +40,7 @@
     private final SyncWriter syncWriter;
     private Runnable batchInProgress;
 
+    /** Writes to this disk in simulated time; {@code random} draws how long a sync takes. */
     public SimulatedStore(SimulatedDisk disk, Machine machine, SplittableRandom random) {
         this.disk = disk;
         this.machine = machine;
@@ -45,6 +48,7 @@
         syncWriter = new SyncWriter(this, machine.loop(), () -> machine.loop().execute(this::startBatch));
     }
 
+    /** The store as a program uses it. */
     public DurableStore store() {
         return syncWriter;
     }
--- a/src/main/java/brambletray/platform/storage/SyncWriter.java
+++ b/src/main/java/brambletray/platform/storage/SyncWriter.java
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Without a thread, for simulated time: {@code onPending} is called whenever something has come to wait, {@link #pollBatch}
-     * takes it.
+     * Without a thread, for simulated time: {@code onPending} is called whenever something has come to wait, {@link
+     * #pollBatch} takes it.
      */
     SyncWriter(Disk disk, Executor loop, Runnable onPending) {
         this.disk = disk;
--- a/src/main/java/brambletray/platform/transport/Sockets.java
+++ b/src/main/java/brambletray/platform/transport/Sockets.java
@@ -1,7 +1,7 @@
 package brambletray.platform.transport;
 
-import brambletray.runtime.Clock;
-import brambletray.runtime.Machine;
+import brambletray.common.runtime.Clock;
+import brambletray.common.runtime.Machine;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.buffer.PooledByteBufAllocator;
 import io.netty.channel.Channel;
--- a/src/main/java/brambletray/admission/QuotaDoor.java
+++ b/src/main/java/brambletray/relay/admission/QuotaDoor.java
@@ -1,16 +1,16 @@
-package brambletray.admission;
-
-import brambletray.core.Door;
-import brambletray.message.Message;
-import brambletray.quota.Member;
-import brambletray.quota.Member.Asked;
-import brambletray.quota.Member.Dimension;
-import brambletray.quota.Quotas;
-import brambletray.quota.Verdict;
-import brambletray.runtime.Clock;
-import brambletray.store.Chain;
-import brambletray.store.Store;
-import brambletray.yaml.Faults;
+package brambletray.relay.admission;
+
+import brambletray.common.runtime.Clock;
+import brambletray.common.yaml.Faults;
+import brambletray.relay.core.Door;
+import brambletray.relay.message.Message;
+import brambletray.relay.quota.Member;
+import brambletray.relay.quota.Member.Asked;
+import brambletray.relay.quota.Member.Dimension;
+import brambletray.relay.quota.Quotas;
+import brambletray.relay.quota.Verdict;
+import brambletray.relay.store.Chain;
+import brambletray.relay.store.Store;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.ByteArrayInputStream;
--- a/src/main/java/brambletray/admission/QuotaFile.java
+++ b/src/main/java/brambletray/relay/admission/QuotaFile.java
@@ -1,12 +1,12 @@
-package brambletray.admission;
+package brambletray.relay.admission;
 
-import brambletray.quota.Member;
-import brambletray.quota.Member.Dimension;
-import brambletray.quota.Member.Limit;
-import brambletray.quota.Member.Match;
-import brambletray.yaml.Faults;
-import brambletray.yaml.Section;
-import brambletray.yaml.YamlFile;
+import brambletray.common.yaml.Faults;
+import brambletray.common.yaml.Section;
+import brambletray.common.yaml.YamlFile;
+import brambletray.relay.quota.Member;
+import brambletray.relay.quota.Member.Dimension;
+import brambletray.relay.quota.Member.Limit;
+import brambletray.relay.quota.Member.Match;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/main/java/brambletray/admission/package-info.java
+++ b/src/main/java/brambletray/relay/admission/package-info.java
@@ -1,2 +1,2 @@
 /** The door of a relay with quotas: their file, what of them lasts, the live view. Off unless configured. */
-package brambletray.admission;
+package brambletray.relay.admission;
--- a/src/main/java/brambletray/check/EmulatorCheck.java
+++ b/src/main/java/brambletray/relay/check/EmulatorCheck.java
@@ -1,9 +1,9 @@
-package brambletray.check;
+package brambletray.relay.check;
 
-import brambletray.emulator.Endpoint;
-import brambletray.runtime.Machine;
-import brambletray.script.Script;
-import brambletray.simulation.Simulation;
+import brambletray.common.runtime.Machine;
+import brambletray.common.simulation.Simulation;
+import brambletray.relay.emulator.Endpoint;
+import brambletray.relay.script.Script;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/src/main/java/brambletray/check/Figures.java
+++ b/src/main/java/brambletray/relay/check/Figures.java
@@ -1,6 +1,6 @@
-package brambletray.check;
+package brambletray.relay.check;
 
-import brambletray.check.Sample.Outcome;
+import brambletray.relay.check.Sample.Outcome;
 import java.util.Arrays;
 import java.util.List;
 
--- a/src/main/java/brambletray/check/Model.java
+++ b/src/main/java/brambletray/relay/check/Model.java
@@ -1,10 +1,10 @@
-package brambletray.check;
+package brambletray.relay.check;
 
-import brambletray.check.Sample.Outcome;
-import brambletray.emulator.Answer;
-import brambletray.emulator.Call;
-import brambletray.emulator.Endpoint;
-import brambletray.emulator.World;
+import brambletray.relay.check.Sample.Outcome;
+import brambletray.relay.emulator.Answer;
+import brambletray.relay.emulator.Call;
+import brambletray.relay.emulator.Endpoint;
+import brambletray.relay.emulator.World;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/brambletray/check/Plan.java
+++ b/src/main/java/brambletray/relay/check/Plan.java
@@ -1,9 +1,9 @@
-package brambletray.check;
+package brambletray.relay.check;
 
-import brambletray.emulator.Endpoint;
-import brambletray.emulator.Ledger;
-import brambletray.emulator.World;
-import brambletray.script.Script;
+import brambletray.relay.emulator.Endpoint;
+import brambletray.relay.emulator.Ledger;
+import brambletray.relay.emulator.World;
+import brambletray.relay.script.Script;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
--- a/src/main/java/brambletray/check/Sample.java
+++ b/src/main/java/brambletray/relay/check/Sample.java
@@ -1,4 +1,4 @@
-package brambletray.check;
+package brambletray.relay.check;
 
 /**
  * One call of a check, as its caller saw it. Times in ns of the world; {@code ended} Long.MAX_VALUE for a
--- a/src/main/java/brambletray/check/WireRun.java
+++ b/src/main/java/brambletray/relay/check/WireRun.java
@@ -1,10 +1,10 @@
-package brambletray.check;
+package brambletray.relay.check;
 
-import brambletray.check.Sample.Outcome;
-import brambletray.emulator.Endpoint;
-import brambletray.emulator.World;
-import brambletray.partners.PartnerFront;
-import brambletray.runtime.Machine;
+import brambletray.common.runtime.Machine;
+import brambletray.relay.check.Sample.Outcome;
+import brambletray.relay.emulator.Endpoint;
+import brambletray.relay.emulator.World;
+import brambletray.relay.partners.PartnerFront;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
--- a/src/main/java/brambletray/check/package-info.java
+++ b/src/main/java/brambletray/relay/check/package-info.java
@@ -1,2 +1,2 @@
 /** What a script announces beside what is measured when it is played. */
-package brambletray.check;
+package brambletray.relay.check;
--- a/src/main/java/brambletray/cli/Demo.java
+++ b/src/main/java/brambletray/relay/cli/Demo.java
@@ -1,11 +1,11 @@
-package brambletray.cli;
+package brambletray.relay.cli;
 
-import brambletray.emulator.Endpoint;
-import brambletray.emulator.Ledger;
-import brambletray.script.Script;
-import brambletray.script.ScriptReader;
-import brambletray.stage.RealStage;
-import brambletray.stage.Score;
+import brambletray.relay.emulator.Endpoint;
+import brambletray.relay.emulator.Ledger;
+import brambletray.relay.script.Script;
+import brambletray.relay.script.ScriptReader;
+import brambletray.relay.stage.RealStage;
+import brambletray.relay.stage.Score;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.net.InetAddress;
--- a/src/main/java/brambletray/cli/InventoryCommand.java
+++ b/src/main/java/brambletray/relay/cli/InventoryCommand.java
@@ -1,10 +1,10 @@
-package brambletray.cli;
+package brambletray.relay.cli;
 
-import brambletray.inventory.Change;
-import brambletray.inventory.Inventory;
-import brambletray.inventory.Reconciler;
-import brambletray.inventory.Revision;
-import brambletray.yaml.Faults;
+import brambletray.common.yaml.Faults;
+import brambletray.relay.inventory.Change;
+import brambletray.relay.inventory.Inventory;
+import brambletray.relay.inventory.Reconciler;
+import brambletray.relay.inventory.Revision;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
--- a/src/main/java/brambletray/cli/OperatorVerbs.java
+++ b/src/main/java/brambletray/relay/cli/OperatorVerbs.java
@@ -1,4 +1,4 @@
-package brambletray.cli;
+package brambletray.relay.cli;
 
 import java.io.IOException;
 import java.net.URI;
--- a/src/main/java/brambletray/cli/Play.java
+++ b/src/main/java/brambletray/relay/cli/Play.java
@@ -1,10 +1,10 @@
-package brambletray.cli;
+package brambletray.relay.cli;
 
-import brambletray.runtime.Clock;
-import brambletray.script.Script;
-import brambletray.script.ScriptReader;
-import brambletray.stage.Score;
-import brambletray.stage.SimStage;
+import brambletray.common.runtime.Clock;
+import brambletray.relay.script.Script;
+import brambletray.relay.script.ScriptReader;
+import brambletray.relay.stage.Score;
+import brambletray.relay.stage.SimStage;
 import java.io.PrintWriter;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/brambletray/cli/QuotaCommand.java
+++ b/src/main/java/brambletray/relay/cli/QuotaCommand.java
@@ -1,8 +1,8 @@
-package brambletray.cli;
+package brambletray.relay.cli;
 
-import brambletray.admission.QuotaFile;
-import brambletray.quota.Member;
-import brambletray.quota.Member.Dimension;
+import brambletray.relay.admission.QuotaFile;
+import brambletray.relay.quota.Member;
+import brambletray.relay.quota.Member.Dimension;
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.util.Map;
--- a/src/main/java/brambletray/cli/Rehearse.java
+++ b/src/main/java/brambletray/relay/cli/Rehearse.java
@@ -1,14 +1,14 @@
-package brambletray.cli;
+package brambletray.relay.cli;
 
-import brambletray.rehearsal.Comparison;
-import brambletray.rehearsal.Hunt;
-import brambletray.rehearsal.Kit;
-import brambletray.rehearsal.Night;
-import brambletray.rehearsal.Reports;
-import brambletray.rehearsal.Story;
-import brambletray.rehearsal.Verdict;
-import brambletray.runtime.Clock;
-import brambletray.wire.Wire;
+import brambletray.common.runtime.Clock;
+import brambletray.relay.rehearsal.Comparison;
+import brambletray.relay.rehearsal.Hunt;
+import brambletray.relay.rehearsal.Kit;
+import brambletray.relay.rehearsal.Night;
+import brambletray.relay.rehearsal.Reports;
+import brambletray.relay.rehearsal.Story;
+import brambletray.relay.rehearsal.Verdict;
+import brambletray.relay.wire.Wire;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
--- a/src/main/java/brambletray/cli/StoreCommand.java
+++ b/src/main/java/brambletray/relay/cli/StoreCommand.java
@@ -1,9 +1,9 @@
-package brambletray.cli;
+package brambletray.relay.cli;
 
-import brambletray.journal.Journal;
-import brambletray.store.Damage;
-import brambletray.store.RealDisk;
-import brambletray.store.StoreTools;
+import brambletray.relay.journal.Journal;
+import brambletray.relay.store.Damage;
+import brambletray.relay.store.RealDisk;
+import brambletray.relay.store.StoreTools;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
--- a/src/main/java/brambletray/cli/Verbs.java
+++ b/src/main/java/brambletray/relay/cli/Verbs.java
@@ -1,7 +1,7 @@
-package brambletray.cli;
+package brambletray.relay.cli;
 
-import brambletray.store.UntrustedStore;
-import brambletray.yaml.Faults;
+import brambletray.common.yaml.Faults;
+import brambletray.relay.store.UntrustedStore;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.io.PrintWriter;
--- a/src/main/java/brambletray/cli/package-info.java
+++ b/src/main/java/brambletray/relay/cli/package-info.java
@@ -1,2 +1,2 @@
 /** The command line of the relay: subcommands, their options and exit codes. */
-package brambletray.cli;
+package brambletray.relay.cli;
--- a/src/main/java/brambletray/console/CallTable.java
+++ b/src/main/java/brambletray/relay/console/CallTable.java
@@ -1,4 +1,4 @@
-package brambletray.console;
+package brambletray.relay.console;
 
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.QueryStringDecoder;
--- a/src/main/java/brambletray/console/Console.java
+++ b/src/main/java/brambletray/relay/console/Console.java
@@ -1,8 +1,8 @@
-package brambletray.console;
+package brambletray.relay.console;
 
-import brambletray.core.Seldom;
-import brambletray.runtime.Clock;
-import brambletray.runtime.Machine;
+import brambletray.common.runtime.Clock;
+import brambletray.common.runtime.Machine;
+import brambletray.relay.core.Seldom;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/main/java/brambletray/console/Operations.java
+++ b/src/main/java/brambletray/relay/console/Operations.java
@@ -1,4 +1,4 @@
-package brambletray.console;
+package brambletray.relay.console;
 
 import java.util.function.Consumer;
 
--- a/src/main/java/brambletray/console/Said.java
+++ b/src/main/java/brambletray/relay/console/Said.java
@@ -1,4 +1,4 @@
-package brambletray.console;
+package brambletray.relay.console;
 
 /**
  * What a call of an operator's is answered: an HTTP status and text, a line or several.
--- a/src/main/java/brambletray/console/Statsd.java
+++ b/src/main/java/brambletray/relay/console/Statsd.java
@@ -1,7 +1,7 @@
-package brambletray.console;
+package brambletray.relay.console;
 
-import brambletray.figures.Figures;
-import brambletray.figures.Figures.End;
+import brambletray.relay.figures.Figures;
+import brambletray.relay.figures.Figures.End;
 
 /** The figures as lines of StatsD: {@code svc.NAME[.CLASS]:VALUE|c} for counts, {@code |g} for gauges. */
 public final class Statsd {
--- a/src/main/java/brambletray/console/package-info.java
+++ b/src/main/java/brambletray/relay/console/package-info.java
@@ -1,2 +1,2 @@
 /** The operators' address: one call a connection, answered ahead of anything that clients can do to it. */
-package brambletray.console;
+package brambletray.relay.console;
--- a/src/main/java/brambletray/control/Connections.java
+++ b/src/main/java/brambletray/relay/control/Connections.java
@@ -1,9 +1,9 @@
-package brambletray.control;
+package brambletray.relay.control;
 
-import static brambletray.control.Turn.*;
+import static brambletray.relay.control.Turn.*;
 
-import brambletray.control.Relay.*;
-import brambletray.control.State.*;
+import brambletray.relay.control.Relay.*;
+import brambletray.relay.control.State.*;
 import java.util.Arrays;
 import java.util.SplittableRandom;
 
--- a/src/main/java/brambletray/control/Copies.java
+++ b/src/main/java/brambletray/relay/control/Copies.java
@@ -1,7 +1,7 @@
-package brambletray.control;
+package brambletray.relay.control;
 
-import brambletray.control.Relay.*;
-import brambletray.control.State.*;
+import brambletray.relay.control.Relay.*;
+import brambletray.relay.control.State.*;
 
 /** Copies (the design's speculative executions): when one goes out and where, after {@link CopyDelay}. */
 record Copies(Settings set, SendGate gate, Turn turn) {
--- a/src/main/java/brambletray/control/KeyOrder.java
+++ b/src/main/java/brambletray/relay/control/KeyOrder.java
@@ -1,7 +1,7 @@
-package brambletray.control;
+package brambletray.relay.control;
 
-import brambletray.control.Relay.*;
-import brambletray.control.State.*;
+import brambletray.relay.control.Relay.*;
+import brambletray.relay.control.State.*;
 
 /** Order of messages that share a key: as they were taken on, one at a time. */
 record KeyOrder(Settings set, Memory memory, Turn turn) {
--- a/src/main/java/brambletray/control/Memory.java
+++ b/src/main/java/brambletray/relay/control/Memory.java
@@ -1,12 +1,12 @@
-package brambletray.control;
+package brambletray.relay.control;
 
-import brambletray.control.State.Bucket;
-import brambletray.control.State.Dest;
-import brambletray.control.State.Entry;
-import brambletray.control.State.Health;
-import brambletray.control.State.Key;
-import brambletray.control.State.Msg;
-import brambletray.control.State.Route;
+import brambletray.relay.control.State.Bucket;
+import brambletray.relay.control.State.Dest;
+import brambletray.relay.control.State.Entry;
+import brambletray.relay.control.State.Health;
+import brambletray.relay.control.State.Key;
+import brambletray.relay.control.State.Msg;
+import brambletray.relay.control.State.Route;
 import java.io.Serializable;
 import java.util.Arrays;
 import java.util.HashMap;
--- a/src/main/java/brambletray/control/Outcomes.java
+++ b/src/main/java/brambletray/relay/control/Outcomes.java
@@ -1,7 +1,7 @@
-package brambletray.control;
+package brambletray.relay.control;
 
-import brambletray.control.Relay.*;
-import brambletray.control.State.*;
+import brambletray.relay.control.Relay.*;
+import brambletray.relay.control.State.*;
 
 /** Learning: what each outcome of a call tells of its destination, lane, route and connections. */
 record Outcomes(
--- a/src/main/java/brambletray/control/State.java
+++ b/src/main/java/brambletray/relay/control/State.java
@@ -1,4 +1,4 @@
-package brambletray.control;
+package brambletray.relay.control;
 
 import java.io.Serializable;
 import java.util.ArrayDeque;
--- a/src/main/java/brambletray/control/Turn.java
+++ b/src/main/java/brambletray/relay/control/Turn.java
@@ -1,11 +1,11 @@
-package brambletray.control;
+package brambletray.relay.control;
 
-import brambletray.control.Relay.Action;
-import brambletray.control.Relay.Log;
-import brambletray.control.Relay.Wake;
-import brambletray.control.State.Duty;
-import brambletray.control.State.Entry;
-import brambletray.control.State.Route;
+import brambletray.relay.control.Relay.Action;
+import brambletray.relay.control.Relay.Log;
+import brambletray.relay.control.Relay.Wake;
+import brambletray.relay.control.State.Duty;
+import brambletray.relay.control.State.Entry;
+import brambletray.relay.control.State.Route;
 import java.io.Serializable;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
--- a/src/main/java/brambletray/control/Window.java
+++ b/src/main/java/brambletray/relay/control/Window.java
@@ -1,7 +1,7 @@
-package brambletray.control;
+package brambletray.relay.control;
 
-import brambletray.control.Relay.*;
-import brambletray.control.State.*;
+import brambletray.relay.control.Relay.*;
+import brambletray.relay.control.State.*;
 
 /** The window of calls in flight to one destination, copies included. */
 record Window(Settings set) {
--- a/src/main/java/brambletray/core/AfarCalls.java
+++ b/src/main/java/brambletray/relay/core/AfarCalls.java
@@ -1,4 +1,4 @@
-package brambletray.core;
+package brambletray.relay.core;
 
 /** Calls that another process has out for messages of this one. */
 public interface AfarCalls {
--- a/src/main/java/brambletray/core/Answer.java
+++ b/src/main/java/brambletray/relay/core/Answer.java
@@ -1,4 +1,4 @@
-package brambletray.core;
+package brambletray.relay.core;
 
 /**
  * How a message handed in was met. A client that could not be told must be reported to
--- a/src/main/java/brambletray/core/Compaction.java
+++ b/src/main/java/brambletray/relay/core/Compaction.java
@@ -1,7 +1,7 @@
-package brambletray.core;
+package brambletray.relay.core;
 
-import brambletray.journal.Journal;
-import brambletray.runtime.Clock;
+import brambletray.common.runtime.Clock;
+import brambletray.relay.journal.Journal;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/brambletray/core/Departures.java
+++ b/src/main/java/brambletray/relay/core/Departures.java
@@ -1,8 +1,8 @@
-package brambletray.core;
+package brambletray.relay.core;
 
-import brambletray.control.Relay;
-import brambletray.journal.Journal;
-import brambletray.runtime.Clock;
+import brambletray.common.runtime.Clock;
+import brambletray.relay.control.Relay;
+import brambletray.relay.journal.Journal;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.IdentityHashMap;
--- a/src/main/java/brambletray/core/Door.java
+++ b/src/main/java/brambletray/relay/core/Door.java
@@ -1,6 +1,6 @@
-package brambletray.core;
+package brambletray.relay.core;
 
-import brambletray.message.Message;
+import brambletray.relay.message.Message;
 import java.util.List;
 
 /**
--- a/src/main/java/brambletray/core/Ends.java
+++ b/src/main/java/brambletray/relay/core/Ends.java
@@ -1,9 +1,9 @@
-package brambletray.core;
+package brambletray.relay.core;
 
-import brambletray.message.Message;
+import brambletray.relay.message.Message;
 
 /**
- * Is told the end of each message that has an {@link brambletray.message.Origin}, or of all, in the batch
+ * Is told the end of each message that has an {@link brambletray.relay.message.Origin}, or of all, in the batch
  * that notes it.
  */
 public interface Ends {
--- a/src/main/java/brambletray/core/Evidence.java
+++ b/src/main/java/brambletray/relay/core/Evidence.java
@@ -1,11 +1,11 @@
-package brambletray.core;
+package brambletray.relay.core;
 
-import brambletray.control.Control;
-import brambletray.control.Relay;
-import brambletray.journal.HostNotes;
-import brambletray.recovery.Known;
-import brambletray.recovery.Recollection;
-import brambletray.runtime.Clock;
+import brambletray.common.runtime.Clock;
+import brambletray.relay.control.Control;
+import brambletray.relay.control.Relay;
+import brambletray.relay.journal.HostNotes;
+import brambletray.relay.recovery.Known;
+import brambletray.relay.recovery.Recollection;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
--- a/src/main/java/brambletray/core/Handoff.java
+++ b/src/main/java/brambletray/relay/core/Handoff.java
@@ -1,7 +1,7 @@
-package brambletray.core;
+package brambletray.relay.core;
 
-import brambletray.control.Memory;
-import brambletray.journal.Journal;
+import brambletray.relay.control.Memory;
+import brambletray.relay.journal.Journal;
 import java.util.List;
 import java.util.Map;
 
--- a/src/main/java/brambletray/core/Held.java
+++ b/src/main/java/brambletray/relay/core/Held.java
@@ -1,8 +1,8 @@
-package brambletray.core;
+package brambletray.relay.core;
 
-import brambletray.journal.Journal;
-import brambletray.message.Body;
-import brambletray.message.Message;
+import brambletray.relay.journal.Journal;
+import brambletray.relay.message.Body;
+import brambletray.relay.message.Message;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/brambletray/core/Host.java
+++ b/src/main/java/brambletray/relay/core/Host.java
@@ -1,4 +1,4 @@
-package brambletray.core;
+package brambletray.relay.core;
 
 import java.net.InetSocketAddress;
 
--- a/src/main/java/brambletray/core/Intake.java
+++ b/src/main/java/brambletray/relay/core/Intake.java
@@ -1,7 +1,7 @@
-package brambletray.core;
+package brambletray.relay.core;
 
-import brambletray.control.Relay;
-import brambletray.message.Message;
+import brambletray.relay.control.Relay;
+import brambletray.relay.message.Message;
 
 /** Where the fronts hand messages in. One thread, that of the loop. */
 public interface Intake {
--- a/src/main/java/brambletray/core/Loop.java
+++ b/src/main/java/brambletray/relay/core/Loop.java
@@ -1,14 +1,14 @@
-package brambletray.core;
-
-import brambletray.control.Control;
-import brambletray.control.Relay;
-import brambletray.figures.Figures;
-import brambletray.figures.Figures.End;
-import brambletray.journal.HostNotes;
-import brambletray.journal.Journal;
-import brambletray.message.Message;
-import brambletray.runtime.Clock;
-import brambletray.runtime.Machine;
+package brambletray.relay.core;
+
+import brambletray.common.runtime.Clock;
+import brambletray.common.runtime.Machine;
+import brambletray.relay.control.Control;
+import brambletray.relay.control.Relay;
+import brambletray.relay.figures.Figures;
+import brambletray.relay.figures.Figures.End;
+import brambletray.relay.journal.HostNotes;
+import brambletray.relay.journal.Journal;
+import brambletray.relay.message.Message;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/brambletray/core/Platform.java
+++ b/src/main/java/brambletray/relay/core/Platform.java
@@ -1,6 +1,6 @@
-package brambletray.core;
+package brambletray.relay.core;
 
-import brambletray.journal.Journal;
+import brambletray.relay.journal.Journal;
 import java.net.InetSocketAddress;
 
 /** What runs the relay: it tells the list of hosts and takes the notices. */
--- a/src/main/java/brambletray/core/Reply.java
+++ b/src/main/java/brambletray/relay/core/Reply.java
@@ -1,6 +1,6 @@
-package brambletray.core;
+package brambletray.relay.core;
 
-import brambletray.control.Relay.Outcome;
+import brambletray.relay.control.Relay.Outcome;
 
 /**
  * What came back of one call, for one message: {@code over} where nothing more is owed for it. Times
--- a/src/main/java/brambletray/core/Seldom.java
+++ b/src/main/java/brambletray/relay/core/Seldom.java
@@ -1,6 +1,6 @@
-package brambletray.core;
+package brambletray.relay.core;
 
-import brambletray.runtime.Clock;
+import brambletray.common.runtime.Clock;
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 
--- a/src/main/java/brambletray/core/Successor.java
+++ b/src/main/java/brambletray/relay/core/Successor.java
@@ -1,4 +1,4 @@
-package brambletray.core;
+package brambletray.relay.core;
 
 /** Whoever goes on in the place of a loop that was handed on. */
 public interface Successor {
--- a/src/main/java/brambletray/core/Trace.java
+++ b/src/main/java/brambletray/relay/core/Trace.java
@@ -1,6 +1,6 @@
-package brambletray.core;
+package brambletray.relay.core;
 
-import brambletray.control.Relay;
+import brambletray.relay.control.Relay;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
--- a/src/main/java/brambletray/emulator/Answer.java
+++ b/src/main/java/brambletray/relay/emulator/Answer.java
@@ -1,4 +1,4 @@
-package brambletray.emulator;
+package brambletray.relay.emulator;
 
 /** What an endpoint does about a call. */
 public sealed interface Answer {
--- a/src/main/java/brambletray/emulator/Endpoint.java
+++ b/src/main/java/brambletray/relay/emulator/Endpoint.java
@@ -1,8 +1,8 @@
-package brambletray.emulator;
+package brambletray.relay.emulator;
 
-import brambletray.emulator.Answer.Reason;
-import brambletray.emulator.PartnerSpec.Abandoned;
-import brambletray.emulator.PartnerSpec.EndpointSpec;
+import brambletray.relay.emulator.Answer.Reason;
+import brambletray.relay.emulator.PartnerSpec.Abandoned;
+import brambletray.relay.emulator.PartnerSpec.EndpointSpec;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/brambletray/emulator/Limit.java
+++ b/src/main/java/brambletray/relay/emulator/Limit.java
@@ -1,4 +1,4 @@
-package brambletray.emulator;
+package brambletray.relay.emulator;
 
 /**
  * How many calls a partner, or one of its routes, lets in; {@code refusedUse}: refused calls use it up too.
--- a/src/main/java/brambletray/emulator/Meter.java
+++ b/src/main/java/brambletray/relay/emulator/Meter.java
@@ -1,4 +1,4 @@
-package brambletray.emulator;
+package brambletray.relay.emulator;
 
 /** What is left of one {@link Limit}; fed with times in ns that never go back. */
 final class Meter {
--- a/src/main/java/brambletray/emulator/Witness.java
+++ b/src/main/java/brambletray/relay/emulator/Witness.java
@@ -1,4 +1,4 @@
-package brambletray.emulator;
+package brambletray.relay.emulator;
 
 /** Sees what happens to messages, as the partners, the agents and the clients see it. */
 @FunctionalInterface
--- a/src/main/java/brambletray/emulator/World.java
+++ b/src/main/java/brambletray/relay/emulator/World.java
@@ -1,4 +1,4 @@
-package brambletray.emulator;
+package brambletray.relay.emulator;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/brambletray/figures/Figures.java
+++ b/src/main/java/brambletray/relay/figures/Figures.java
@@ -1,4 +1,4 @@
-package brambletray.figures;
+package brambletray.relay.figures;
 
 import java.util.List;
 
--- a/src/main/java/brambletray/handover/Duties.java
+++ b/src/main/java/brambletray/relay/handover/Duties.java
@@ -1,11 +1,11 @@
-package brambletray.handover;
-
-import brambletray.console.Operations;
-import brambletray.core.AfarCalls;
-import brambletray.core.Handoff;
-import brambletray.core.Host;
-import brambletray.core.Intake;
-import brambletray.core.Successor;
+package brambletray.relay.handover;
+
+import brambletray.relay.console.Operations;
+import brambletray.relay.core.AfarCalls;
+import brambletray.relay.core.Handoff;
+import brambletray.relay.core.Host;
+import brambletray.relay.core.Intake;
+import brambletray.relay.core.Successor;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 
--- a/src/main/java/brambletray/handover/FarCalls.java
+++ b/src/main/java/brambletray/relay/handover/FarCalls.java
@@ -1,10 +1,10 @@
-package brambletray.handover;
+package brambletray.relay.handover;
 
-import brambletray.control.Relay.Outcome;
-import brambletray.core.AfarCalls;
-import brambletray.core.Calls;
-import brambletray.core.Host;
-import brambletray.core.Reply;
+import brambletray.relay.control.Relay.Outcome;
+import brambletray.relay.core.AfarCalls;
+import brambletray.relay.core.Calls;
+import brambletray.relay.core.Host;
+import brambletray.relay.core.Reply;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/brambletray/handover/Frame.java
+++ b/src/main/java/brambletray/relay/handover/Frame.java
@@ -1,8 +1,8 @@
-package brambletray.handover;
+package brambletray.relay.handover;
 
-import brambletray.core.Handoff;
-import brambletray.core.Reply;
-import brambletray.message.Message;
+import brambletray.relay.core.Handoff;
+import brambletray.relay.core.Reply;
+import brambletray.relay.message.Message;
 import java.util.List;
 import java.util.Map;
 
--- a/src/main/java/brambletray/handover/FrameCodec.java
+++ b/src/main/java/brambletray/relay/handover/FrameCodec.java
@@ -1,10 +1,10 @@
-package brambletray.handover;
+package brambletray.relay.handover;
 
-import brambletray.control.Relay;
-import brambletray.core.Handoff;
-import brambletray.core.Reply;
-import brambletray.message.Body;
-import brambletray.message.Message;
+import brambletray.relay.control.Relay;
+import brambletray.relay.core.Handoff;
+import brambletray.relay.core.Reply;
+import brambletray.relay.message.Body;
+import brambletray.relay.message.Message;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufInputStream;
 import io.netty.buffer.ByteBufOutputStream;
--- a/src/main/java/brambletray/handover/Joining.java
+++ b/src/main/java/brambletray/relay/handover/Joining.java
@@ -1,6 +1,6 @@
-package brambletray.handover;
+package brambletray.relay.handover;
 
-import brambletray.runtime.Machine;
+import brambletray.common.runtime.Machine;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/main/java/brambletray/handover/Link.java
+++ b/src/main/java/brambletray/relay/handover/Link.java
@@ -1,4 +1,4 @@
-package brambletray.handover;
+package brambletray.relay.handover;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/main/java/brambletray/handover/Meeting.java
+++ b/src/main/java/brambletray/relay/handover/Meeting.java
@@ -1,8 +1,8 @@
-package brambletray.handover;
+package brambletray.relay.handover;
 
-import brambletray.store.Disk;
-import brambletray.wire.Addresses;
-import brambletray.wire.Wire;
+import brambletray.relay.store.Disk;
+import brambletray.relay.wire.Addresses;
+import brambletray.relay.wire.Wire;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
--- a/src/main/java/brambletray/handover/MemoryCodec.java
+++ b/src/main/java/brambletray/relay/handover/MemoryCodec.java
@@ -1,7 +1,7 @@
-package brambletray.handover;
+package brambletray.relay.handover;
 
-import brambletray.control.Memory;
-import brambletray.control.Relay;
+import brambletray.relay.control.Memory;
+import brambletray.relay.control.Relay;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -30,7 +30,7 @@
     private static final int ARRAY_MOST = 1 << 20;
     private static final ObjectInputFilter ONLY = ObjectInputFilter.Config.createFilter(
             "maxrefs=" + OBJECTS_MOST + ";maxdepth=" + DEPTH_MOST + ";maxarray=" + ARRAY_MOST
-                    + ";brambletray.control.*;java.util.*;java.lang.Long;java.lang.Number;java.lang.Enum;"
+                    + ";brambletray.relay.control.*;java.util.*;java.lang.Long;java.lang.Number;java.lang.Enum;"
                     + "java.lang.String;java.lang.Object;!*");
 
     private MemoryCodec() {}
--- a/src/main/java/brambletray/handover/Submissions.java
+++ b/src/main/java/brambletray/relay/handover/Submissions.java
@@ -1,8 +1,8 @@
-package brambletray.handover;
+package brambletray.relay.handover;
 
-import brambletray.core.Answer;
-import brambletray.core.Intake;
-import brambletray.message.Message;
+import brambletray.relay.core.Answer;
+import brambletray.relay.core.Intake;
+import brambletray.relay.message.Message;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/brambletray/handover/Succession.java
+++ b/src/main/java/brambletray/relay/handover/Succession.java
@@ -1,17 +1,17 @@
-package brambletray.handover;
-
-import brambletray.console.Said;
-import brambletray.control.Relay;
-import brambletray.core.Answer;
-import brambletray.core.Handoff;
-import brambletray.core.Host;
-import brambletray.core.Intake;
-import brambletray.core.Reply;
-import brambletray.core.Successor;
-import brambletray.message.Message;
-import brambletray.runtime.Clock;
-import brambletray.runtime.Machine;
-import brambletray.store.Disk;
+package brambletray.relay.handover;
+
+import brambletray.common.runtime.Clock;
+import brambletray.common.runtime.Machine;
+import brambletray.relay.console.Said;
+import brambletray.relay.control.Relay;
+import brambletray.relay.core.Answer;
+import brambletray.relay.core.Handoff;
+import brambletray.relay.core.Host;
+import brambletray.relay.core.Intake;
+import brambletray.relay.core.Reply;
+import brambletray.relay.core.Successor;
+import brambletray.relay.message.Message;
+import brambletray.relay.store.Disk;
 import io.netty.channel.Channel;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/brambletray/handover/Tenure.java
+++ b/src/main/java/brambletray/relay/handover/Tenure.java
@@ -1,4 +1,4 @@
-package brambletray.handover;
+package brambletray.relay.handover;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/brambletray/http/clients/Bad.java
+++ b/src/main/java/brambletray/relay/http/clients/Bad.java
@@ -1,4 +1,4 @@
-package brambletray.http.clients;
+package brambletray.relay.http.clients;
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 
--- a/src/main/java/brambletray/http/clients/Server.java
+++ b/src/main/java/brambletray/relay/http/clients/Server.java
@@ -1,12 +1,12 @@
-package brambletray.http.clients;
-
-import brambletray.core.Answer;
-import brambletray.core.Intake;
-import brambletray.core.Seldom;
-import brambletray.message.Message;
-import brambletray.operations.Drain;
-import brambletray.runtime.Clock;
-import brambletray.runtime.Machine;
+package brambletray.relay.http.clients;
+
+import brambletray.common.runtime.Clock;
+import brambletray.common.runtime.Machine;
+import brambletray.relay.core.Answer;
+import brambletray.relay.core.Intake;
+import brambletray.relay.core.Seldom;
+import brambletray.relay.message.Message;
+import brambletray.relay.operations.Drain;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/main/java/brambletray/http/clients/Submission.java
+++ b/src/main/java/brambletray/relay/http/clients/Submission.java
@@ -1,10 +1,10 @@
-package brambletray.http.clients;
+package brambletray.relay.http.clients;
 
-import brambletray.control.Relay;
-import brambletray.core.Intake;
-import brambletray.message.Body;
-import brambletray.message.Message;
-import brambletray.runtime.Clock;
+import brambletray.common.runtime.Clock;
+import brambletray.relay.control.Relay;
+import brambletray.relay.core.Intake;
+import brambletray.relay.message.Body;
+import brambletray.relay.message.Message;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpHeaders;
--- a/src/main/java/brambletray/http/clients/package-info.java
+++ b/src/main/java/brambletray/relay/http/clients/package-info.java
@@ -1,2 +1,2 @@
 /** HTTP/1.1 towards clients: requests, answers, the health check and refusals. */
-package brambletray.http.clients;
+package brambletray.relay.http.clients;
--- a/src/main/java/brambletray/http/hosts/Answers.java
+++ b/src/main/java/brambletray/relay/http/hosts/Answers.java
@@ -1,7 +1,7 @@
-package brambletray.http.hosts;
+package brambletray.relay.http.hosts;
 
-import brambletray.control.Relay.Outcome;
-import brambletray.core.Reply;
+import brambletray.relay.control.Relay.Outcome;
+import brambletray.relay.core.Reply;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpResponse;
 
--- a/src/main/java/brambletray/http/hosts/Batch.java
+++ b/src/main/java/brambletray/relay/http/hosts/Batch.java
@@ -1,8 +1,8 @@
-package brambletray.http.hosts;
+package brambletray.relay.http.hosts;
 
-import brambletray.control.Relay.Outcome;
-import brambletray.core.Reply;
-import brambletray.message.Message;
+import brambletray.relay.control.Relay.Outcome;
+import brambletray.relay.core.Reply;
+import brambletray.relay.message.Message;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
--- a/src/main/java/brambletray/http/hosts/HostPool.java
+++ b/src/main/java/brambletray/relay/http/hosts/HostPool.java
@@ -1,15 +1,15 @@
-package brambletray.http.hosts;
-
-import brambletray.control.Relay.Outcome;
-import brambletray.core.Calls;
-import brambletray.core.Descriptors;
-import brambletray.core.Descriptors.Owner;
-import brambletray.core.Host;
-import brambletray.core.Reply;
-import brambletray.core.Seldom;
-import brambletray.message.Message;
-import brambletray.runtime.Clock;
-import brambletray.runtime.Machine;
+package brambletray.relay.http.hosts;
+
+import brambletray.common.runtime.Clock;
+import brambletray.common.runtime.Machine;
+import brambletray.relay.control.Relay.Outcome;
+import brambletray.relay.core.Calls;
+import brambletray.relay.core.Descriptors;
+import brambletray.relay.core.Descriptors.Owner;
+import brambletray.relay.core.Host;
+import brambletray.relay.core.Reply;
+import brambletray.relay.core.Seldom;
+import brambletray.relay.message.Message;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/brambletray/inventory/Change.java
+++ b/src/main/java/brambletray/relay/inventory/Change.java
@@ -1,4 +1,4 @@
-package brambletray.inventory;
+package brambletray.relay.inventory;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/brambletray/inventory/Destinations.java
+++ b/src/main/java/brambletray/relay/inventory/Destinations.java
@@ -1,4 +1,4 @@
-package brambletray.inventory;
+package brambletray.relay.inventory;
 
 import java.nio.charset.StandardCharsets;
 import java.util.zip.CRC32;
--- a/src/main/java/brambletray/inventory/Entry.java
+++ b/src/main/java/brambletray/relay/inventory/Entry.java
@@ -1,4 +1,4 @@
-package brambletray.inventory;
+package brambletray.relay.inventory;
 
 /**
  * One host of an inventory.
--- a/src/main/java/brambletray/inventory/FolderEvents.java
+++ b/src/main/java/brambletray/relay/inventory/FolderEvents.java
@@ -1,4 +1,4 @@
-package brambletray.inventory;
+package brambletray.relay.inventory;
 
 import java.io.IOException;
 import java.nio.file.ClosedWatchServiceException;
--- a/src/main/java/brambletray/inventory/Follower.java
+++ b/src/main/java/brambletray/relay/inventory/Follower.java
@@ -1,7 +1,7 @@
-package brambletray.inventory;
+package brambletray.relay.inventory;
 
-import brambletray.runtime.Machine;
-import brambletray.yaml.Faults;
+import brambletray.common.runtime.Machine;
+import brambletray.common.yaml.Faults;
 import io.netty.util.concurrent.Future;
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/brambletray/inventory/Inventory.java
+++ b/src/main/java/brambletray/relay/inventory/Inventory.java
@@ -1,6 +1,6 @@
-package brambletray.inventory;
+package brambletray.relay.inventory;
 
-import brambletray.yaml.Faults;
+import brambletray.common.yaml.Faults;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.CharacterCodingException;
--- a/src/main/java/brambletray/inventory/Revision.java
+++ b/src/main/java/brambletray/relay/inventory/Revision.java
@@ -1,4 +1,4 @@
-package brambletray.inventory;
+package brambletray.relay.inventory;
 
 import java.util.Collections;
 import java.util.LinkedHashMap;
--- a/src/main/java/brambletray/inventory/YamlFormat.java
+++ b/src/main/java/brambletray/relay/inventory/YamlFormat.java
@@ -1,8 +1,8 @@
-package brambletray.inventory;
+package brambletray.relay.inventory;
 
-import brambletray.yaml.Faults;
-import brambletray.yaml.Section;
-import brambletray.yaml.YamlFile;
+import brambletray.common.yaml.Faults;
+import brambletray.common.yaml.Section;
+import brambletray.common.yaml.YamlFile;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/src/main/java/brambletray/journal/FolderTime.java
+++ b/src/main/java/brambletray/relay/journal/FolderTime.java
@@ -1,9 +1,9 @@
-package brambletray.journal;
+package brambletray.relay.journal;
 
-import brambletray.recovery.Moment;
-import brambletray.runtime.Clock;
-import brambletray.store.Chain;
-import brambletray.store.Store;
+import brambletray.common.runtime.Clock;
+import brambletray.common.time.BootTimestamp;
+import brambletray.relay.store.Chain;
+import brambletray.relay.store.Store;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -32,8 +32,8 @@
         for (Chain chain : store.chains(SPACE)) {
             try {
                 DataInputStream in = new DataInputStream(new ByteArrayInputStream(store.read(chain, 0)));
-                Moment then = new Moment(in.readLong(), in.readLong(), in.readLong());
-                long step = clock.moment().steppedSince(then);
+                BootTimestamp then = new BootTimestamp(in.readLong(), in.readLong(), in.readLong());
+                long step = clock.moment().stepSinceMs(then);
                 if (step != 0) {
                     LOG.warn(
                             "the wall clock was set {} by {} ms since the folder was made: times of what"
@@ -46,12 +46,12 @@
                 LOG.warn("the folder's time can't be read, it goes by the wall clock: {}", e.toString());
             }
         }
-        Moment now = clock.moment();
+        BootTimestamp now = clock.moment();
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(BYTES);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeLong(now.run());
-            out.writeLong(now.ticks());
-            out.writeLong(now.wall());
+            out.writeLong(now.bootId());
+            out.writeLong(now.steadyMs());
+            out.writeLong(now.wallMs());
         } catch (IOException e) {
             throw new IllegalStateException("memory cannot fail to be written", e);
         }
--- a/src/main/java/brambletray/journal/HostNotes.java
+++ b/src/main/java/brambletray/relay/journal/HostNotes.java
@@ -1,10 +1,10 @@
-package brambletray.journal;
+package brambletray.relay.journal;
 
-import brambletray.recovery.Known;
-import brambletray.recovery.Moment;
-import brambletray.recovery.Recollection;
-import brambletray.store.Chain;
-import brambletray.store.Store;
+import brambletray.common.time.BootTimestamp;
+import brambletray.relay.recovery.Known;
+import brambletray.relay.recovery.Recollection;
+import brambletray.relay.store.Chain;
+import brambletray.relay.store.Store;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -47,7 +47,7 @@
                 }
                 Recollection.Note note = new Recollection.Note(
                         in.readUTF(),
-                        new Moment(in.readLong(), in.readLong(), in.readLong()),
+                        new BootTimestamp(in.readLong(), in.readLong(), in.readLong()),
                         in.readLong(),
                         new Known(in.readLong(), in.readBoolean(), in.readLong(), in.readDouble(), in.readDouble()));
                 chains.put(note.host(), chain);
@@ -71,9 +71,9 @@
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(FORM);
             out.writeUTF(note.host());
-            out.writeLong(note.at().run());
-            out.writeLong(note.at().ticks());
-            out.writeLong(note.at().wall());
+            out.writeLong(note.at().bootId());
+            out.writeLong(note.at().steadyMs());
+            out.writeLong(note.at().wallMs());
             out.writeLong(note.leftAt());
             out.writeLong(note.known().waitFor());
             out.writeBoolean(note.known().failing());
--- a/src/main/java/brambletray/journal/HostsOut.java
+++ b/src/main/java/brambletray/relay/journal/HostsOut.java
@@ -1,7 +1,7 @@
-package brambletray.journal;
+package brambletray.relay.journal;
 
-import brambletray.store.Chain;
-import brambletray.store.Store;
+import brambletray.relay.store.Chain;
+import brambletray.relay.store.Store;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
--- a/src/main/java/brambletray/journal/Journal.java
+++ b/src/main/java/brambletray/relay/journal/Journal.java
@@ -1,14 +1,14 @@
-package brambletray.journal;
-
-import brambletray.message.Body;
-import brambletray.message.Message;
-import brambletray.message.Origin;
-import brambletray.store.Chain;
-import brambletray.store.Damage;
-import brambletray.store.Disk;
-import brambletray.store.RealDisk;
-import brambletray.store.Store;
-import brambletray.store.UncertainWrite;
+package brambletray.relay.journal;
+
+import brambletray.relay.message.Body;
+import brambletray.relay.message.Message;
+import brambletray.relay.message.Origin;
+import brambletray.relay.store.Chain;
+import brambletray.relay.store.Damage;
+import brambletray.relay.store.Disk;
+import brambletray.relay.store.RealDisk;
+import brambletray.relay.store.Store;
+import brambletray.relay.store.UncertainWrite;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
--- a/src/main/java/brambletray/journal/OldJournal.java
+++ b/src/main/java/brambletray/relay/journal/OldJournal.java
@@ -1,7 +1,7 @@
-package brambletray.journal;
+package brambletray.relay.journal;
 
-import brambletray.message.Body;
-import brambletray.message.Message;
+import brambletray.relay.message.Body;
+import brambletray.relay.message.Message;
 import java.io.ByteArrayInputStream;
 import java.io.DataInputStream;
 import java.io.IOException;
--- a/src/main/java/brambletray/journal/package-info.java
+++ b/src/main/java/brambletray/relay/journal/package-info.java
@@ -1,2 +1,2 @@
 /** What a relay owes, written and read through the embedded store. */
-package brambletray.journal;
+package brambletray.relay.journal;
--- a/src/main/java/brambletray/kept/ClassRules.java
+++ b/src/main/java/brambletray/relay/kept/ClassRules.java
@@ -1,4 +1,4 @@
-package brambletray.kept;
+package brambletray.relay.kept;
 
 /**
  * What a message's class allowed when it was kept; later settings do not make it more.
--- a/src/main/java/brambletray/kept/Judge.java
+++ b/src/main/java/brambletray/relay/kept/Judge.java
@@ -1,6 +1,6 @@
-package brambletray.kept;
+package brambletray.relay.kept;
 
-import brambletray.kept.ClassRules.Effect;
+import brambletray.relay.kept.ClassRules.Effect;
 import java.util.List;
 
 /**
--- a/src/main/java/brambletray/kept/KeptMessage.java
+++ b/src/main/java/brambletray/relay/kept/KeptMessage.java
@@ -1,4 +1,4 @@
-package brambletray.kept;
+package brambletray.relay.kept;
 
 import java.util.List;
 
--- a/src/main/java/brambletray/kept/Redrives.java
+++ b/src/main/java/brambletray/relay/kept/Redrives.java
@@ -1,7 +1,7 @@
-package brambletray.kept;
+package brambletray.relay.kept;
 
-import brambletray.kept.Rule.GiveUp;
-import brambletray.kept.Rule.SendAgain;
+import brambletray.relay.kept.Rule.GiveUp;
+import brambletray.relay.kept.Rule.SendAgain;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/brambletray/kept/Send.java
+++ b/src/main/java/brambletray/relay/kept/Send.java
@@ -1,4 +1,4 @@
-package brambletray.kept;
+package brambletray.relay.kept;
 
 /**
  * One send of a message, as far as it is known.
--- a/src/main/java/brambletray/membership/AgentLine.java
+++ b/src/main/java/brambletray/relay/membership/AgentLine.java
@@ -1,6 +1,6 @@
-package brambletray.membership;
+package brambletray.relay.membership;
 
-import brambletray.runtime.Machine;
+import brambletray.common.runtime.Machine;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/main/java/brambletray/membership/Discovery.java
+++ b/src/main/java/brambletray/relay/membership/Discovery.java
@@ -1,10 +1,10 @@
-package brambletray.membership;
+package brambletray.relay.membership;
 
-import brambletray.control.Relay;
-import brambletray.core.Platform;
-import brambletray.journal.Journal;
-import brambletray.runtime.Machine;
-import brambletray.wire.Wire;
+import brambletray.common.runtime.Machine;
+import brambletray.relay.control.Relay;
+import brambletray.relay.core.Platform;
+import brambletray.relay.journal.Journal;
+import brambletray.relay.wire.Wire;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import io.netty.channel.EventLoop;
--- a/src/main/java/brambletray/membership/HostList.java
+++ b/src/main/java/brambletray/relay/membership/HostList.java
@@ -1,10 +1,10 @@
-package brambletray.membership;
+package brambletray.relay.membership;
 
-import brambletray.control.Relay;
-import brambletray.core.Host;
-import brambletray.core.Hosts;
-import brambletray.wire.Addresses;
-import brambletray.wire.Wire;
+import brambletray.relay.control.Relay;
+import brambletray.relay.core.Host;
+import brambletray.relay.core.Hosts;
+import brambletray.relay.wire.Addresses;
+import brambletray.relay.wire.Wire;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Collection;
--- a/src/main/java/brambletray/membership/Watch.java
+++ b/src/main/java/brambletray/relay/membership/Watch.java
@@ -1,7 +1,7 @@
-package brambletray.membership;
+package brambletray.relay.membership;
 
-import brambletray.runtime.Machine;
-import brambletray.wire.Wire;
+import brambletray.common.runtime.Machine;
+import brambletray.relay.wire.Wire;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.util.concurrent.Future;
 import java.net.InetSocketAddress;
--- a/src/main/java/brambletray/membership/package-info.java
+++ b/src/main/java/brambletray/relay/membership/package-info.java
@@ -1,2 +1,2 @@
 /** Which hosts exist: the watch of the platform's agent, notices, and the numbering of names and addresses. */
-package brambletray.membership;
+package brambletray.relay.membership;
--- a/src/main/java/brambletray/message/Message.java
+++ b/src/main/java/brambletray/relay/message/Message.java
@@ -1,4 +1,4 @@
-package brambletray.message;
+package brambletray.relay.message;
 
 import java.util.Objects;
 
--- a/src/main/java/brambletray/message/Origin.java
+++ b/src/main/java/brambletray/relay/message/Origin.java
@@ -1,4 +1,4 @@
-package brambletray.message;
+package brambletray.relay.message;
 
 /**
  * Where the end of a message is to be told besides the platform's notice: a client of a protocol that keeps
--- a/src/main/java/brambletray/message/package-info.java
+++ b/src/main/java/brambletray/relay/message/package-info.java
@@ -1,2 +1,2 @@
 /** A message as its client submitted it. */
-package brambletray.message;
+package brambletray.relay.message;
--- a/src/main/java/brambletray/mqtt/clients/ConnectOptions.java
+++ b/src/main/java/brambletray/relay/mqtt/clients/ConnectOptions.java
@@ -1,4 +1,4 @@
-package brambletray.mqtt.clients;
+package brambletray.relay.mqtt.clients;
 
 import io.netty.handler.codec.mqtt.MqttConnectMessage;
 import io.netty.handler.codec.mqtt.MqttConnectReturnCode;
--- a/src/main/java/brambletray/mqtt/clients/MqttClient.java
+++ b/src/main/java/brambletray/relay/mqtt/clients/MqttClient.java
@@ -1,12 +1,12 @@
-package brambletray.mqtt.clients;
-
-import brambletray.control.Relay;
-import brambletray.core.Answer;
-import brambletray.core.Loop;
-import brambletray.core.Seldom;
-import brambletray.message.Body;
-import brambletray.message.Message;
-import brambletray.message.Origin;
+package brambletray.relay.mqtt.clients;
+
+import brambletray.relay.control.Relay;
+import brambletray.relay.core.Answer;
+import brambletray.relay.core.Loop;
+import brambletray.relay.core.Seldom;
+import brambletray.relay.message.Body;
+import brambletray.relay.message.Message;
+import brambletray.relay.message.Origin;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
--- a/src/main/java/brambletray/mqtt/clients/MqttFront.java
+++ b/src/main/java/brambletray/relay/mqtt/clients/MqttFront.java
@@ -1,11 +1,11 @@
-package brambletray.mqtt.clients;
-
-import brambletray.core.Ends;
-import brambletray.core.Loop;
-import brambletray.core.Seldom;
-import brambletray.runtime.Clock;
-import brambletray.runtime.Machine;
-import brambletray.store.Store;
+package brambletray.relay.mqtt.clients;
+
+import brambletray.common.runtime.Clock;
+import brambletray.common.runtime.Machine;
+import brambletray.relay.core.Ends;
+import brambletray.relay.core.Loop;
+import brambletray.relay.core.Seldom;
+import brambletray.relay.store.Store;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelInitializer;
--- a/src/main/java/brambletray/mqtt/clients/OutboundAnswers.java
+++ b/src/main/java/brambletray/relay/mqtt/clients/OutboundAnswers.java
@@ -1,4 +1,4 @@
-package brambletray.mqtt.clients;
+package brambletray.relay.mqtt.clients;
 
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.mqtt.MqttFixedHeader;
--- a/src/main/java/brambletray/mqtt/clients/Session.java
+++ b/src/main/java/brambletray/relay/mqtt/clients/Session.java
@@ -1,6 +1,6 @@
-package brambletray.mqtt.clients;
+package brambletray.relay.mqtt.clients;
 
-import brambletray.store.Chain;
+import brambletray.relay.store.Chain;
 import io.netty.util.concurrent.Future;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
--- a/src/main/java/brambletray/mqtt/clients/TopicScheme.java
+++ b/src/main/java/brambletray/relay/mqtt/clients/TopicScheme.java
@@ -1,4 +1,4 @@
-package brambletray.mqtt.clients;
+package brambletray.relay.mqtt.clients;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/brambletray/mqtt/clients/Users.java
+++ b/src/main/java/brambletray/relay/mqtt/clients/Users.java
@@ -1,4 +1,4 @@
-package brambletray.mqtt.clients;
+package brambletray.relay.mqtt.clients;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/brambletray/mqtt/clients/package-info.java
+++ b/src/main/java/brambletray/relay/mqtt/clients/package-info.java
@@ -1,2 +1,2 @@
 /** MQTT towards clients: sessions, subscriptions and acknowledgements (docs/mqtt.md). */
-package brambletray.mqtt.clients;
+package brambletray.relay.mqtt.clients;
--- a/src/main/java/brambletray/mqtt/hosts/Dialect.java
+++ b/src/main/java/brambletray/relay/mqtt/hosts/Dialect.java
@@ -1,4 +1,4 @@
-package brambletray.mqtt.hosts;
+package brambletray.relay.mqtt.hosts;
 
 import io.netty.handler.codec.mqtt.MqttVersion;
 import java.util.LinkedHashMap;
--- a/src/main/java/brambletray/mqtt/hosts/MqttCalls.java
+++ b/src/main/java/brambletray/relay/mqtt/hosts/MqttCalls.java
@@ -1,10 +1,10 @@
-package brambletray.mqtt.hosts;
+package brambletray.relay.mqtt.hosts;
 
-import brambletray.core.Calls;
-import brambletray.core.Host;
-import brambletray.core.Reply;
-import brambletray.message.Message;
-import brambletray.runtime.Machine;
+import brambletray.common.runtime.Machine;
+import brambletray.relay.core.Calls;
+import brambletray.relay.core.Host;
+import brambletray.relay.core.Reply;
+import brambletray.relay.message.Message;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/brambletray/mqtt/hosts/MqttOutcomes.java
+++ b/src/main/java/brambletray/relay/mqtt/hosts/MqttOutcomes.java
@@ -1,6 +1,6 @@
-package brambletray.mqtt.hosts;
+package brambletray.relay.mqtt.hosts;
 
-import brambletray.control.Relay.Outcome;
+import brambletray.relay.control.Relay.Outcome;
 
 /**
  * What the reason codes of a partner's MQTT 5 server mean for a call (MQTT 5.0, sections 3.2, 3.4, 3.5,
--- a/src/main/java/brambletray/mqtt/hosts/OutCall.java
+++ b/src/main/java/brambletray/relay/mqtt/hosts/OutCall.java
@@ -1,10 +1,10 @@
-package brambletray.mqtt.hosts;
+package brambletray.relay.mqtt.hosts;
 
-import brambletray.control.Relay.Outcome;
-import brambletray.core.Calls;
-import brambletray.core.Reply;
-import brambletray.message.Message;
-import brambletray.runtime.Clock;
+import brambletray.common.runtime.Clock;
+import brambletray.relay.control.Relay.Outcome;
+import brambletray.relay.core.Calls;
+import brambletray.relay.core.Reply;
+import brambletray.relay.message.Message;
 import io.netty.util.concurrent.Future;
 import java.util.function.Consumer;
 
--- a/src/main/java/brambletray/mqtt/hosts/OutboundSession.java
+++ b/src/main/java/brambletray/relay/mqtt/hosts/OutboundSession.java
@@ -1,4 +1,4 @@
-package brambletray.mqtt.hosts;
+package brambletray.relay.mqtt.hosts;
 
 import java.util.ArrayList;
 import java.util.Collection;
--- a/src/main/java/brambletray/mqtt/hosts/PartnerLine.java
+++ b/src/main/java/brambletray/relay/mqtt/hosts/PartnerLine.java
@@ -1,9 +1,9 @@
-package brambletray.mqtt.hosts;
+package brambletray.relay.mqtt.hosts;
 
-import brambletray.control.Relay.Outcome;
-import brambletray.core.Host;
-import brambletray.runtime.Clock;
-import brambletray.runtime.Machine;
+import brambletray.common.runtime.Clock;
+import brambletray.common.runtime.Machine;
+import brambletray.relay.control.Relay.Outcome;
+import brambletray.relay.core.Host;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/main/java/brambletray/mqtt/hosts/PartnerPackets.java
+++ b/src/main/java/brambletray/relay/mqtt/hosts/PartnerPackets.java
@@ -1,6 +1,6 @@
-package brambletray.mqtt.hosts;
+package brambletray.relay.mqtt.hosts;
 
-import brambletray.message.Message;
+import brambletray.relay.message.Message;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.mqtt.MqttConnAckMessage;
 import io.netty.handler.codec.mqtt.MqttFixedHeader;
--- a/src/main/java/brambletray/mqtt/hosts/package-info.java
+++ b/src/main/java/brambletray/relay/mqtt/hosts/package-info.java
@@ -1,2 +1,2 @@
 /** MQTT towards partners: connections, publications and their answers (docs/mqtt.md). */
-package brambletray.mqtt.hosts;
+package brambletray.relay.mqtt.hosts;
--- a/src/main/java/brambletray/operations/Drain.java
+++ b/src/main/java/brambletray/relay/operations/Drain.java
@@ -1,4 +1,4 @@
-package brambletray.operations;
+package brambletray.relay.operations;
 
 /**
  * Whether clients are welcome: a state machine. Times are passed in, ns of one clock that only moves on.
--- a/src/main/java/brambletray/operations/Exclusions.java
+++ b/src/main/java/brambletray/relay/operations/Exclusions.java
@@ -1,4 +1,4 @@
-package brambletray.operations;
+package brambletray.relay.operations;
 
 import java.util.Collection;
 import java.util.LinkedHashSet;
--- a/src/main/java/brambletray/partners/Agent.java
+++ b/src/main/java/brambletray/relay/partners/Agent.java
@@ -1,8 +1,8 @@
-package brambletray.partners;
+package brambletray.relay.partners;
 
-import brambletray.emulator.Ledger;
-import brambletray.runtime.Machine;
-import brambletray.wire.Wire;
+import brambletray.common.runtime.Machine;
+import brambletray.relay.emulator.Ledger;
+import brambletray.relay.wire.Wire;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/brambletray/partners/Bundle.java
+++ b/src/main/java/brambletray/relay/partners/Bundle.java
@@ -1,6 +1,6 @@
-package brambletray.partners;
+package brambletray.relay.partners;
 
-import brambletray.emulator.Call;
+import brambletray.relay.emulator.Call;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
--- a/src/main/java/brambletray/partners/MqttPartner.java
+++ b/src/main/java/brambletray/relay/partners/MqttPartner.java
@@ -1,9 +1,9 @@
-package brambletray.partners;
+package brambletray.relay.partners;
 
-import brambletray.emulator.Answer;
-import brambletray.partners.PartnerFront.Door;
-import brambletray.partners.PartnerFront.Line;
-import brambletray.partners.PartnerFront.NetCall;
+import brambletray.relay.emulator.Answer;
+import brambletray.relay.partners.PartnerFront.Door;
+import brambletray.relay.partners.PartnerFront.Line;
+import brambletray.relay.partners.PartnerFront.NetCall;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
--- a/src/main/java/brambletray/partners/PartnerFront.java
+++ b/src/main/java/brambletray/relay/partners/PartnerFront.java
@@ -1,11 +1,11 @@
-package brambletray.partners;
-
-import brambletray.emulator.Answer;
-import brambletray.emulator.Call;
-import brambletray.emulator.Endpoint;
-import brambletray.emulator.Step;
-import brambletray.emulator.World;
-import brambletray.runtime.Machine;
+package brambletray.relay.partners;
+
+import brambletray.common.runtime.Machine;
+import brambletray.relay.emulator.Answer;
+import brambletray.relay.emulator.Call;
+import brambletray.relay.emulator.Endpoint;
+import brambletray.relay.emulator.Step;
+import brambletray.relay.emulator.World;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/brambletray/partners/Registry.java
+++ b/src/main/java/brambletray/relay/partners/Registry.java
@@ -1,7 +1,7 @@
-package brambletray.partners;
+package brambletray.relay.partners;
 
-import brambletray.emulator.Endpoint;
-import brambletray.emulator.World;
+import brambletray.relay.emulator.Endpoint;
+import brambletray.relay.emulator.World;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/brambletray/partners/package-info.java
+++ b/src/main/java/brambletray/relay/partners/package-info.java
@@ -1,2 +1,2 @@
 /** Emulated partners and the platform's agent over HTTP and MQTT, on real or simulated sockets. */
-package brambletray.partners;
+package brambletray.relay.partners;
--- a/src/main/java/brambletray/quota/Node.java
+++ b/src/main/java/brambletray/relay/quota/Node.java
@@ -1,7 +1,7 @@
-package brambletray.quota;
+package brambletray.relay.quota;
 
-import brambletray.quota.Member.Dimension;
-import brambletray.quota.Member.Limit;
+import brambletray.relay.quota.Member.Dimension;
+import brambletray.relay.quota.Member.Limit;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.HashMap;
--- a/src/main/java/brambletray/quota/Quotas.java
+++ b/src/main/java/brambletray/relay/quota/Quotas.java
@@ -1,8 +1,8 @@
-package brambletray.quota;
+package brambletray.relay.quota;
 
-import brambletray.quota.Member.Asked;
-import brambletray.quota.Member.Dimension;
-import brambletray.quota.Member.Limit;
+import brambletray.relay.quota.Member.Asked;
+import brambletray.relay.quota.Member.Dimension;
+import brambletray.relay.quota.Member.Limit;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
--- a/src/main/java/brambletray/quota/Verdict.java
+++ b/src/main/java/brambletray/relay/quota/Verdict.java
@@ -1,4 +1,4 @@
-package brambletray.quota;
+package brambletray.relay.quota;
 
 import java.util.List;
 
--- a/src/main/java/brambletray/quota/Window.java
+++ b/src/main/java/brambletray/relay/quota/Window.java
@@ -1,4 +1,4 @@
-package brambletray.quota;
+package brambletray.relay.quota;
 
 /**
  * What was used in a window that slides: the sum of all amounts of the last {@code length} microseconds.
--- a/src/main/java/brambletray/quota/package-info.java
+++ b/src/main/java/brambletray/relay/quota/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Nested quotas with borrowing: who may hand in how much. {@link brambletray.quota.Quotas} decides and is
+ * Nested quotas with borrowing: who may hand in how much. {@link brambletray.relay.quota.Quotas} decides and is
  * free of I/O and of clocks, like the decision module beside it, which goes on deciding where and when to
  * send.
  */
-package brambletray.quota;
+package brambletray.relay.quota;
--- a/src/main/java/brambletray/recovery/Account.java
+++ b/src/main/java/brambletray/relay/recovery/Account.java
@@ -1,4 +1,4 @@
-package brambletray.recovery;
+package brambletray.relay.recovery;
 
 /** What one witness says of a relay that asks. Times are in ms. */
 public sealed interface Account {
--- a/src/main/java/brambletray/recovery/Asking.java
+++ b/src/main/java/brambletray/relay/recovery/Asking.java
@@ -1,4 +1,4 @@
-package brambletray.recovery;
+package brambletray.relay.recovery;
 
 import java.util.Arrays;
 import java.util.List;
--- a/src/main/java/brambletray/recovery/Finding.java
+++ b/src/main/java/brambletray/relay/recovery/Finding.java
@@ -1,4 +1,4 @@
-package brambletray.recovery;
+package brambletray.relay.recovery;
 
 /** What a relay that starts finds about its folder. */
 public sealed interface Finding {
--- a/src/main/java/brambletray/recovery/Known.java
+++ b/src/main/java/brambletray/relay/recovery/Known.java
@@ -1,4 +1,4 @@
-package brambletray.recovery;
+package brambletray.relay.recovery;
 
 /**
  * What a relay knows of one host that its next life would have to learn at the host's cost. Spans in us.
--- a/src/main/java/brambletray/recovery/Recollection.java
+++ b/src/main/java/brambletray/relay/recovery/Recollection.java
@@ -1,5 +1,6 @@
-package brambletray.recovery;
+package brambletray.relay.recovery;
 
+import brambletray.common.time.BootTimestamp;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -32,7 +33,7 @@
      * @param at when it was true
      * @param leftAt version of the list that told that the host leaves or is gone; {@link #IN_USE}: none did
      */
-    public record Note(String host, Moment at, long leftAt, Known known) {}
+    public record Note(String host, BootTimestamp at, long leftAt, Known known) {}
 
     public static final long IN_USE = -1;
 
@@ -46,7 +47,7 @@
     }
 
     /** The note to be made now of a host; null where what is noted will do. */
-    public Note worth(Moment now, String host, long leftAt, Known known) {
+    public Note worth(BootTimestamp now, String host, long leftAt, Known known) {
         Note last = noted.get(host);
         boolean worth = last == null
                 ? (known.ofUse() || leftAt != IN_USE) && noted.size() < MOST
@@ -59,8 +60,8 @@
         return note;
     }
 
-    private static boolean differs(Note last, Moment now, long leftAt, Known known) {
-        long passed = now.since(last.at);
+    private static boolean differs(Note last, BootTimestamp now, long leftAt, Known known) {
+        long passed = now.msSince(last.at);
         long waits = last.known.waitFor() - Math.max(0, passed) * 1_000;
         boolean longer = known.waitFor() >= WAIT_LEAST && known.waitFor() > waits + WAIT_SAME;
         boolean health = known.failing() != last.known.failing()
@@ -72,7 +73,7 @@
                 && (passed > LIMIT_BELIEVED / 2
                         || moved(last.known.limit(), known.limit(), LIMIT_MOVED)
                         || moved(last.known.pace(), known.pace(), PACE_MOVED));
-        return limits && (passed == Moment.UNKNOWN || passed >= EVERY);
+        return limits && (passed == BootTimestamp.UNKNOWN || passed >= EVERY);
     }
 
     private static boolean moved(double from, double to, double part) {
@@ -99,14 +100,14 @@
      *
      * @param cold us that a host takes to warm up
      */
-    public Known believed(String host, Moment now, long cold) {
+    public Known believed(String host, BootTimestamp now, long cold) {
         Note note = noted.get(host);
         if (note == null) {
             return Known.NOTHING;
         }
         Known then = note.known;
-        long passed = now.since(note.at);
-        if (passed == Moment.UNKNOWN) {
+        long passed = now.msSince(note.at);
+        if (passed == BootTimestamp.UNKNOWN) {
             // The machine was started anew: a wait begins again, and what was cold is.
             return new Known(then.waitFor(), then.failing(), Math.min(then.warming(), 0), 0, 0);
         }
--- a/src/main/java/brambletray/recovery/Rest.java
+++ b/src/main/java/brambletray/relay/recovery/Rest.java
@@ -1,4 +1,4 @@
-package brambletray.recovery;
+package brambletray.relay.recovery;
 
 /**
  * How long a relay that has forgotten messages takes on none whose second try could do harm. Times are in ms
--- a/src/main/java/brambletray/recovery/Standing.java
+++ b/src/main/java/brambletray/relay/recovery/Standing.java
@@ -1,4 +1,4 @@
-package brambletray.recovery;
+package brambletray.relay.recovery;
 
 /**
  * How far a folder had come.
--- a/src/main/java/brambletray/recovery/package-info.java
+++ b/src/main/java/brambletray/relay/recovery/package-info.java
@@ -3,4 +3,4 @@
  * and decides, before anything is owned, whether the folder is the newest that there was. It reads no clock
  * and does no I/O; docs/recovery.md has the rules.
  */
-package brambletray.recovery;
+package brambletray.relay.recovery;
--- a/src/main/java/brambletray/rehearsal/Comparison.java
+++ b/src/main/java/brambletray/relay/rehearsal/Comparison.java
@@ -1,6 +1,6 @@
-package brambletray.rehearsal;
+package brambletray.relay.rehearsal;
 
-import brambletray.wire.Wire;
+import brambletray.relay.wire.Wire;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/brambletray/rehearsal/Hunt.java
+++ b/src/main/java/brambletray/relay/rehearsal/Hunt.java
@@ -1,8 +1,8 @@
-package brambletray.rehearsal;
+package brambletray.relay.rehearsal;
 
-import brambletray.rehearsal.Rehearsal.Play;
-import brambletray.serve.Config;
-import brambletray.yaml.Faults;
+import brambletray.common.yaml.Faults;
+import brambletray.relay.rehearsal.Rehearsal.Play;
+import brambletray.relay.serve.Config;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/brambletray/rehearsal/Night.java
+++ b/src/main/java/brambletray/relay/rehearsal/Night.java
@@ -1,9 +1,9 @@
-package brambletray.rehearsal;
+package brambletray.relay.rehearsal;
 
-import brambletray.script.Script;
-import brambletray.script.ScriptReader;
-import brambletray.yaml.Faults;
-import brambletray.yaml.Section;
+import brambletray.common.yaml.Faults;
+import brambletray.common.yaml.Section;
+import brambletray.relay.script.Script;
+import brambletray.relay.script.ScriptReader;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/brambletray/rehearsal/Rehearsal.java
+++ b/src/main/java/brambletray/relay/rehearsal/Rehearsal.java
@@ -1,9 +1,9 @@
-package brambletray.rehearsal;
+package brambletray.relay.rehearsal;
 
-import brambletray.serve.Config;
-import brambletray.stage.Score;
-import brambletray.stage.SimStage;
-import brambletray.store.MemoryDisk;
+import brambletray.relay.serve.Config;
+import brambletray.relay.stage.Score;
+import brambletray.relay.stage.SimStage;
+import brambletray.relay.store.MemoryDisk;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/main/java/brambletray/rehearsal/RelayEvent.java
+++ b/src/main/java/brambletray/relay/rehearsal/RelayEvent.java
@@ -1,4 +1,4 @@
-package brambletray.rehearsal;
+package brambletray.relay.rehearsal;
 
 /**
  * What happens to a relay.
--- a/src/main/java/brambletray/rehearsal/Reports.java
+++ b/src/main/java/brambletray/relay/rehearsal/Reports.java
@@ -1,7 +1,7 @@
-package brambletray.rehearsal;
+package brambletray.relay.rehearsal;
 
-import brambletray.rehearsal.Rehearsal.Play;
-import brambletray.stage.Score;
+import brambletray.relay.rehearsal.Rehearsal.Play;
+import brambletray.relay.stage.Score;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
--- a/src/main/java/brambletray/rehearsal/Story.java
+++ b/src/main/java/brambletray/relay/rehearsal/Story.java
@@ -1,7 +1,7 @@
-package brambletray.rehearsal;
+package brambletray.relay.rehearsal;
 
-import brambletray.emulator.Witness;
-import brambletray.stage.Score;
+import brambletray.relay.emulator.Witness;
+import brambletray.relay.stage.Score;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/src/main/java/brambletray/rehearsal/Verdict.java
+++ b/src/main/java/brambletray/relay/rehearsal/Verdict.java
@@ -1,7 +1,7 @@
-package brambletray.rehearsal;
+package brambletray.relay.rehearsal;
 
-import brambletray.emulator.Ledger;
-import brambletray.rehearsal.Rehearsal.Play;
+import brambletray.relay.emulator.Ledger;
+import brambletray.relay.rehearsal.Rehearsal.Play;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
--- a/src/main/java/brambletray/script/Script.java
+++ b/src/main/java/brambletray/relay/script/Script.java
@@ -1,7 +1,7 @@
-package brambletray.script;
+package brambletray.relay.script;
 
-import brambletray.emulator.PartnerSpec;
-import brambletray.emulator.Step;
+import brambletray.relay.emulator.PartnerSpec;
+import brambletray.relay.emulator.Step;
 import java.util.List;
 
 /**
--- a/src/main/java/brambletray/script/ScriptReader.java
+++ b/src/main/java/brambletray/relay/script/ScriptReader.java
@@ -1,13 +1,13 @@
-package brambletray.script;
+package brambletray.relay.script;
 
-import brambletray.emulator.Endpoint;
-import brambletray.emulator.Law;
-import brambletray.emulator.Limit;
-import brambletray.emulator.PartnerSpec;
-import brambletray.emulator.Step;
-import brambletray.yaml.Faults;
-import brambletray.yaml.Section;
-import brambletray.yaml.YamlFile;
+import brambletray.common.yaml.Faults;
+import brambletray.common.yaml.Section;
+import brambletray.common.yaml.YamlFile;
+import brambletray.relay.emulator.Endpoint;
+import brambletray.relay.emulator.Law;
+import brambletray.relay.emulator.Limit;
+import brambletray.relay.emulator.PartnerSpec;
+import brambletray.relay.emulator.Step;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/brambletray/script/package-info.java
+++ b/src/main/java/brambletray/relay/script/package-info.java
@@ -1,2 +1,2 @@
 /** Incident scripts: YAML read into typed events. */
-package brambletray.script;
+package brambletray.relay.script;
--- a/src/main/java/brambletray/serve/CallsOfBoth.java
+++ b/src/main/java/brambletray/relay/serve/CallsOfBoth.java
@@ -1,10 +1,10 @@
-package brambletray.serve;
+package brambletray.relay.serve;
 
-import brambletray.core.Calls;
-import brambletray.core.Host;
-import brambletray.core.Reply;
-import brambletray.handover.Succession;
-import brambletray.message.Message;
+import brambletray.relay.core.Calls;
+import brambletray.relay.core.Host;
+import brambletray.relay.core.Reply;
+import brambletray.relay.handover.Succession;
+import brambletray.relay.message.Message;
 import java.util.List;
 import java.util.function.Consumer;
 
--- a/src/main/java/brambletray/serve/Config.java
+++ b/src/main/java/brambletray/relay/serve/Config.java
@@ -1,10 +1,10 @@
-package brambletray.serve;
+package brambletray.relay.serve;
 
-import brambletray.control.Relay;
-import brambletray.mqtt.clients.MqttSettings;
-import brambletray.store.Store;
-import brambletray.wire.Addresses;
-import brambletray.wire.Wire;
+import brambletray.relay.control.Relay;
+import brambletray.relay.mqtt.clients.MqttSettings;
+import brambletray.relay.store.Store;
+import brambletray.relay.wire.Addresses;
+import brambletray.relay.wire.Wire;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
--- a/src/main/java/brambletray/serve/Draining.java
+++ b/src/main/java/brambletray/relay/serve/Draining.java
@@ -1,8 +1,8 @@
-package brambletray.serve;
+package brambletray.relay.serve;
 
-import brambletray.console.Said;
-import brambletray.operations.Drain;
-import brambletray.runtime.Machine;
+import brambletray.common.runtime.Machine;
+import brambletray.relay.console.Said;
+import brambletray.relay.operations.Drain;
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
--- a/src/main/java/brambletray/serve/MqttFile.java
+++ b/src/main/java/brambletray/relay/serve/MqttFile.java
@@ -1,7 +1,7 @@
-package brambletray.serve;
+package brambletray.relay.serve;
 
-import brambletray.mqtt.clients.MqttSettings;
-import brambletray.yaml.Faults;
+import brambletray.common.yaml.Faults;
+import brambletray.relay.mqtt.clients.MqttSettings;
 import java.io.IOException;
 import java.nio.file.Path;
 
--- a/src/main/java/brambletray/serve/MqttWays.java
+++ b/src/main/java/brambletray/relay/serve/MqttWays.java
@@ -1,11 +1,11 @@
-package brambletray.serve;
+package brambletray.relay.serve;
 
-import brambletray.control.Relay;
-import brambletray.core.Calls;
-import brambletray.core.CallsByProtocol;
-import brambletray.mqtt.hosts.Dialect;
-import brambletray.mqtt.hosts.MqttCalls;
-import brambletray.runtime.Machine;
+import brambletray.common.runtime.Machine;
+import brambletray.relay.control.Relay;
+import brambletray.relay.core.Calls;
+import brambletray.relay.core.CallsByProtocol;
+import brambletray.relay.mqtt.hosts.Dialect;
+import brambletray.relay.mqtt.hosts.MqttCalls;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
--- a/src/main/java/brambletray/serve/Node.java
+++ b/src/main/java/brambletray/relay/serve/Node.java
@@ -1,9 +1,9 @@
-package brambletray.serve;
+package brambletray.relay.serve;
 
-import brambletray.journal.Journal;
-import brambletray.runtime.Machine;
-import brambletray.store.RealDisk;
-import brambletray.store.UntrustedStore;
+import brambletray.common.runtime.Machine;
+import brambletray.relay.journal.Journal;
+import brambletray.relay.store.RealDisk;
+import brambletray.relay.store.UntrustedStore;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/src/main/java/brambletray/serve/NotToBeOwned.java
+++ b/src/main/java/brambletray/relay/serve/NotToBeOwned.java
@@ -1,4 +1,4 @@
-package brambletray.serve;
+package brambletray.relay.serve;
 
 import java.io.IOException;
 
--- a/src/main/java/brambletray/serve/Operator.java
+++ b/src/main/java/brambletray/relay/serve/Operator.java
@@ -1,14 +1,14 @@
-package brambletray.serve;
+package brambletray.relay.serve;
 
-import brambletray.console.Operations;
-import brambletray.console.Said;
-import brambletray.console.Statsd;
-import brambletray.core.Host;
-import brambletray.core.Hosts;
-import brambletray.core.Loop;
-import brambletray.figures.Figures;
-import brambletray.journal.HostsOut;
-import brambletray.operations.Exclusions;
+import brambletray.relay.console.Operations;
+import brambletray.relay.console.Said;
+import brambletray.relay.console.Statsd;
+import brambletray.relay.core.Host;
+import brambletray.relay.core.Hosts;
+import brambletray.relay.core.Loop;
+import brambletray.relay.figures.Figures;
+import brambletray.relay.journal.HostsOut;
+import brambletray.relay.operations.Exclusions;
 import java.util.function.Consumer;
 
 /** Carries operators' calls out on the relay that owns the store. One thread, that of the loop. */
--- a/src/main/java/brambletray/serve/QuotaWays.java
+++ b/src/main/java/brambletray/relay/serve/QuotaWays.java
@@ -1,11 +1,11 @@
-package brambletray.serve;
+package brambletray.relay.serve;
 
-import brambletray.admission.QuotaDoor;
-import brambletray.admission.QuotaFile;
-import brambletray.control.Relay;
-import brambletray.runtime.Machine;
-import brambletray.store.Store;
-import brambletray.yaml.Faults;
+import brambletray.common.runtime.Machine;
+import brambletray.common.yaml.Faults;
+import brambletray.relay.admission.QuotaDoor;
+import brambletray.relay.admission.QuotaFile;
+import brambletray.relay.control.Relay;
+import brambletray.relay.store.Store;
 import java.io.IOException;
 import java.nio.file.Path;
 
--- a/src/main/java/brambletray/serve/WarmUp.java
+++ b/src/main/java/brambletray/relay/serve/WarmUp.java
@@ -1,9 +1,9 @@
-package brambletray.serve;
+package brambletray.relay.serve;
 
-import brambletray.runtime.Clock;
-import brambletray.store.RealDisk;
-import brambletray.store.Store;
-import brambletray.wire.Wire;
+import brambletray.common.runtime.Clock;
+import brambletray.relay.store.RealDisk;
+import brambletray.relay.store.Store;
+import brambletray.relay.wire.Wire;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/main/java/brambletray/serve/package-info.java
+++ b/src/main/java/brambletray/relay/serve/package-info.java
@@ -1,2 +1,2 @@
 /** One real relay: configuration, warm-up, start, reload and orderly shutdown. */
-package brambletray.serve;
+package brambletray.relay.serve;
--- a/src/main/java/brambletray/siblings/ComingBack.java
+++ b/src/main/java/brambletray/relay/siblings/ComingBack.java
@@ -1,17 +1,17 @@
-package brambletray.siblings;
-
-import brambletray.control.Relay;
-import brambletray.core.Door;
-import brambletray.core.Loop;
-import brambletray.journal.HostNotes;
-import brambletray.journal.Journal;
-import brambletray.message.Message;
-import brambletray.recovery.Finding;
-import brambletray.recovery.Rest;
-import brambletray.recovery.Standing;
-import brambletray.runtime.Machine;
-import brambletray.store.Chain;
-import brambletray.store.Store;
+package brambletray.relay.siblings;
+
+import brambletray.common.runtime.Machine;
+import brambletray.relay.control.Relay;
+import brambletray.relay.core.Door;
+import brambletray.relay.core.Loop;
+import brambletray.relay.journal.HostNotes;
+import brambletray.relay.journal.Journal;
+import brambletray.relay.message.Message;
+import brambletray.relay.recovery.Finding;
+import brambletray.relay.recovery.Rest;
+import brambletray.relay.recovery.Standing;
+import brambletray.relay.store.Chain;
+import brambletray.relay.store.Store;
 import io.netty.channel.ChannelFuture;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
--- a/src/main/java/brambletray/siblings/Note.java
+++ b/src/main/java/brambletray/relay/siblings/Note.java
@@ -1,7 +1,7 @@
-package brambletray.siblings;
+package brambletray.relay.siblings;
 
-import brambletray.recovery.Account;
-import brambletray.recovery.Standing;
+import brambletray.relay.recovery.Account;
+import brambletray.relay.recovery.Standing;
 
 /** One note between relays. */
 sealed interface Note {
--- a/src/main/java/brambletray/siblings/Siblings.java
+++ b/src/main/java/brambletray/relay/siblings/Siblings.java
@@ -1,11 +1,11 @@
-package brambletray.siblings;
-
-import brambletray.recovery.Account;
-import brambletray.recovery.Asking;
-import brambletray.recovery.Finding;
-import brambletray.recovery.Standing;
-import brambletray.runtime.Machine;
-import brambletray.store.Store;
+package brambletray.relay.siblings;
+
+import brambletray.common.runtime.Machine;
+import brambletray.relay.recovery.Account;
+import brambletray.relay.recovery.Asking;
+import brambletray.relay.recovery.Finding;
+import brambletray.relay.recovery.Standing;
+import brambletray.relay.store.Store;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/brambletray/siblings/SiblingsFile.java
+++ b/src/main/java/brambletray/relay/siblings/SiblingsFile.java
@@ -1,10 +1,10 @@
-package brambletray.siblings;
+package brambletray.relay.siblings;
 
-import brambletray.wire.Addresses;
-import brambletray.wire.Wire;
-import brambletray.yaml.Faults;
-import brambletray.yaml.Section;
-import brambletray.yaml.YamlFile;
+import brambletray.common.yaml.Faults;
+import brambletray.common.yaml.Section;
+import brambletray.common.yaml.YamlFile;
+import brambletray.relay.wire.Addresses;
+import brambletray.relay.wire.Wire;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
--- a/src/main/java/brambletray/siblings/Sightings.java
+++ b/src/main/java/brambletray/relay/siblings/Sightings.java
@@ -1,9 +1,9 @@
-package brambletray.siblings;
+package brambletray.relay.siblings;
 
-import brambletray.recovery.Account;
-import brambletray.recovery.Standing;
-import brambletray.store.Chain;
-import brambletray.store.Store;
+import brambletray.relay.recovery.Account;
+import brambletray.relay.recovery.Standing;
+import brambletray.relay.store.Chain;
+import brambletray.relay.store.Store;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
--- a/src/main/java/brambletray/simhost/SimHost.java
+++ b/src/main/java/brambletray/relay/simhost/SimHost.java
@@ -1,8 +1,8 @@
-package brambletray.simhost;
+package brambletray.relay.simhost;
 
-import brambletray.control.Control;
-import brambletray.control.Relay;
-import brambletray.wire.Wire;
+import brambletray.relay.control.Control;
+import brambletray.relay.control.Relay;
+import brambletray.relay.wire.Wire;
 import java.io.BufferedOutputStream;
 import java.io.BufferedReader;
 import java.io.IOException;
--- a/src/main/java/brambletray/simhost/SimWire.java
+++ b/src/main/java/brambletray/relay/simhost/SimWire.java
@@ -1,7 +1,7 @@
-package brambletray.simhost;
+package brambletray.relay.simhost;
 
-import brambletray.control.Relay;
-import brambletray.wire.Wire;
+import brambletray.relay.control.Relay;
+import brambletray.relay.wire.Wire;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
--- a/src/main/java/brambletray/simhost/package-info.java
+++ b/src/main/java/brambletray/relay/simhost/package-info.java
@@ -1,2 +1,2 @@
 /** The adapter that runs the decision module on the simulator's line protocol. */
-package brambletray.simhost;
+package brambletray.relay.simhost;
--- a/src/main/java/brambletray/stage/Clients.java
+++ b/src/main/java/brambletray/relay/stage/Clients.java
@@ -1,6 +1,6 @@
-package brambletray.stage;
+package brambletray.relay.stage;
 
-import brambletray.script.Script;
+import brambletray.relay.script.Script;
 import java.net.InetSocketAddress;
 import java.util.function.LongSupplier;
 
--- a/src/main/java/brambletray/stage/Crowd.java
+++ b/src/main/java/brambletray/relay/stage/Crowd.java
@@ -1,8 +1,8 @@
-package brambletray.stage;
+package brambletray.relay.stage;
 
-import brambletray.emulator.PartnerSpec;
-import brambletray.runtime.Machine;
-import brambletray.script.Script;
+import brambletray.common.runtime.Machine;
+import brambletray.relay.emulator.PartnerSpec;
+import brambletray.relay.script.Script;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/src/main/java/brambletray/stage/MqttClients.java
+++ b/src/main/java/brambletray/relay/stage/MqttClients.java
@@ -1,7 +1,7 @@
-package brambletray.stage;
+package brambletray.relay.stage;
 
-import brambletray.runtime.Machine;
-import brambletray.script.Script;
+import brambletray.common.runtime.Machine;
+import brambletray.relay.script.Script;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
--- a/src/main/java/brambletray/stage/RealStage.java
+++ b/src/main/java/brambletray/relay/stage/RealStage.java
@@ -1,11 +1,11 @@
-package brambletray.stage;
-
-import brambletray.emulator.Endpoint;
-import brambletray.emulator.Step;
-import brambletray.runtime.Machine;
-import brambletray.script.Script;
-import brambletray.serve.Config;
-import brambletray.serve.Node;
+package brambletray.relay.stage;
+
+import brambletray.common.runtime.Machine;
+import brambletray.relay.emulator.Endpoint;
+import brambletray.relay.emulator.Step;
+import brambletray.relay.script.Script;
+import brambletray.relay.serve.Config;
+import brambletray.relay.serve.Node;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
--- a/src/main/java/brambletray/stage/RelayConfig.java
+++ b/src/main/java/brambletray/relay/stage/RelayConfig.java
@@ -1,7 +1,7 @@
-package brambletray.stage;
+package brambletray.relay.stage;
 
-import brambletray.emulator.PartnerSpec;
-import brambletray.script.Script;
+import brambletray.relay.emulator.PartnerSpec;
+import brambletray.relay.script.Script;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
--- a/src/main/java/brambletray/stage/Scene.java
+++ b/src/main/java/brambletray/relay/stage/Scene.java
@@ -1,14 +1,14 @@
-package brambletray.stage;
-
-import brambletray.emulator.Endpoint;
-import brambletray.emulator.Ledger;
-import brambletray.emulator.Step;
-import brambletray.emulator.World;
-import brambletray.partners.Agent;
-import brambletray.partners.PartnerFront;
-import brambletray.partners.Registry;
-import brambletray.runtime.Machine;
-import brambletray.script.Script;
+package brambletray.relay.stage;
+
+import brambletray.common.runtime.Machine;
+import brambletray.relay.emulator.Endpoint;
+import brambletray.relay.emulator.Ledger;
+import brambletray.relay.emulator.Step;
+import brambletray.relay.emulator.World;
+import brambletray.relay.partners.Agent;
+import brambletray.relay.partners.PartnerFront;
+import brambletray.relay.partners.Registry;
+import brambletray.relay.script.Script;
 import io.netty.channel.ChannelFuture;
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/main/java/brambletray/stage/Score.java
+++ b/src/main/java/brambletray/relay/stage/Score.java
@@ -1,7 +1,7 @@
-package brambletray.stage;
+package brambletray.relay.stage;
 
-import brambletray.emulator.Ledger;
-import brambletray.script.Script;
+import brambletray.relay.emulator.Ledger;
+import brambletray.relay.script.Script;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/src/main/java/brambletray/stage/SimStage.java
+++ b/src/main/java/brambletray/relay/stage/SimStage.java
@@ -1,16 +1,16 @@
-package brambletray.stage;
-
-import brambletray.emulator.Endpoint;
-import brambletray.journal.Journal;
-import brambletray.runtime.Machine;
-import brambletray.script.Script;
-import brambletray.serve.Config;
-import brambletray.serve.Instance;
-import brambletray.simulation.SimNetwork;
-import brambletray.simulation.Simulation;
-import brambletray.store.MemoryDisk;
-import brambletray.store.Store;
-import brambletray.wire.Wire;
+package brambletray.relay.stage;
+
+import brambletray.common.runtime.Machine;
+import brambletray.common.simulation.SimNetwork;
+import brambletray.common.simulation.Simulation;
+import brambletray.relay.emulator.Endpoint;
+import brambletray.relay.journal.Journal;
+import brambletray.relay.script.Script;
+import brambletray.relay.serve.Config;
+import brambletray.relay.serve.Instance;
+import brambletray.relay.store.MemoryDisk;
+import brambletray.relay.store.Store;
+import brambletray.relay.wire.Wire;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/src/main/java/brambletray/stage/package-info.java
+++ b/src/main/java/brambletray/relay/stage/package-info.java
@@ -1,2 +1,2 @@
 /** Relays, partners, agents and clients of one script, run and scored in real or simulated time. */
-package brambletray.stage;
+package brambletray.relay.stage;
--- a/src/main/java/brambletray/standalone/AgentSource.java
+++ b/src/main/java/brambletray/relay/standalone/AgentSource.java
@@ -1,11 +1,11 @@
-package brambletray.standalone;
+package brambletray.relay.standalone;
 
-import brambletray.inventory.Entry;
-import brambletray.inventory.Revision;
-import brambletray.membership.Watch;
-import brambletray.runtime.Machine;
-import brambletray.wire.Addresses;
-import brambletray.wire.Wire;
+import brambletray.common.runtime.Machine;
+import brambletray.relay.inventory.Entry;
+import brambletray.relay.inventory.Revision;
+import brambletray.relay.membership.Watch;
+import brambletray.relay.wire.Addresses;
+import brambletray.relay.wire.Wire;
 import java.net.InetSocketAddress;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
--- a/src/main/java/brambletray/standalone/Outcomes.java
+++ b/src/main/java/brambletray/relay/standalone/Outcomes.java
@@ -1,11 +1,11 @@
-package brambletray.standalone;
-
-import brambletray.core.Ends;
-import brambletray.core.Loop;
-import brambletray.message.Message;
-import brambletray.runtime.Clock;
-import brambletray.store.Chain;
-import brambletray.store.Store;
+package brambletray.relay.standalone;
+
+import brambletray.common.runtime.Clock;
+import brambletray.relay.core.Ends;
+import brambletray.relay.core.Loop;
+import brambletray.relay.message.Message;
+import brambletray.relay.store.Chain;
+import brambletray.relay.store.Store;
 import com.fasterxml.jackson.core.io.JsonStringEncoder;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
--- a/src/main/java/brambletray/standalone/Poster.java
+++ b/src/main/java/brambletray/relay/standalone/Poster.java
@@ -1,6 +1,6 @@
-package brambletray.standalone;
+package brambletray.relay.standalone;
 
-import brambletray.runtime.Machine;
+import brambletray.common.runtime.Machine;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
--- a/src/main/java/brambletray/standalone/Standalone.java
+++ b/src/main/java/brambletray/relay/standalone/Standalone.java
@@ -1,14 +1,14 @@
-package brambletray.standalone;
+package brambletray.relay.standalone;
 
-import brambletray.mqtt.clients.MqttSettings;
-import brambletray.serve.Config;
-import brambletray.siblings.SiblingsFile;
-import brambletray.store.Store;
-import brambletray.wire.Addresses;
-import brambletray.wire.Wire;
-import brambletray.yaml.Faults;
-import brambletray.yaml.Section;
-import brambletray.yaml.YamlFile;
+import brambletray.common.yaml.Faults;
+import brambletray.common.yaml.Section;
+import brambletray.common.yaml.YamlFile;
+import brambletray.relay.mqtt.clients.MqttSettings;
+import brambletray.relay.serve.Config;
+import brambletray.relay.siblings.SiblingsFile;
+import brambletray.relay.store.Store;
+import brambletray.relay.wire.Addresses;
+import brambletray.relay.wire.Wire;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
--- a/src/main/java/brambletray/store/Damage.java
+++ b/src/main/java/brambletray/relay/store/Damage.java
@@ -1,4 +1,4 @@
-package brambletray.store;
+package brambletray.relay.store;
 
 /** Something that is not as it was written. {@code at}: offset in the file. */
 public record Damage(String file, long at, Kind kind, String cause) {
--- a/src/main/java/brambletray/store/Manifest.java
+++ b/src/main/java/brambletray/relay/store/Manifest.java
@@ -1,4 +1,4 @@
-package brambletray.store;
+package brambletray.relay.store;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
--- a/src/main/java/brambletray/store/Segment.java
+++ b/src/main/java/brambletray/relay/store/Segment.java
@@ -1,4 +1,4 @@
-package brambletray.store;
+package brambletray.relay.store;
 
 import java.util.LinkedHashSet;
 import java.util.Set;
--- a/src/main/java/brambletray/store/package-info.java
+++ b/src/main/java/brambletray/relay/store/package-info.java
@@ -1,2 +1,2 @@
 /** The embedded store: a segmented log, its manifest, compaction and repair (docs/store.md). */
-package brambletray.store;
+package brambletray.relay.store;
--- a/src/main/java/brambletray/wire/Addresses.java
+++ b/src/main/java/brambletray/relay/wire/Addresses.java
@@ -1,4 +1,4 @@
-package brambletray.wire;
+package brambletray.relay.wire;
 
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/main/java/brambletray/wire/Wire.java
+++ b/src/main/java/brambletray/relay/wire/Wire.java
@@ -1,6 +1,6 @@
-package brambletray.wire;
+package brambletray.relay.wire;
 
-import brambletray.control.Relay;
+import brambletray.relay.control.Relay;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
--- a/src/main/java/brambletray/wire/package-info.java
+++ b/src/main/java/brambletray/relay/wire/package-info.java
@@ -1,2 +1,2 @@
 /** JSON with typed fields, addresses and the relay's settings. */
-package brambletray.wire;
+package brambletray.relay.wire;
--- a/src/test/java/brambletray/simulation/SimNetworkTest.java
+++ b/src/test/java/brambletray/common/simulation/SimNetworkTest.java
@@ -1,8 +1,8 @@
-package brambletray.simulation;
+package brambletray.common.simulation;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.runtime.Machine;
+import brambletray.common.runtime.Machine;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/test/java/brambletray/platform/controlplane/EdgeCoordinatorTest.java
+++ b/src/test/java/brambletray/platform/controlplane/EdgeCoordinatorTest.java
@@ -4,6 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import brambletray.common.runtime.Machine;
+import brambletray.common.simulation.Simulation;
 import brambletray.platform.configuration.ChangeHistory;
 import brambletray.platform.configuration.Configuration;
 import brambletray.platform.configuration.ConfigurationException;
@@ -32,8 +34,6 @@
 import brambletray.platform.transport.Link;
 import brambletray.platform.transport.LinkDialer;
 import brambletray.platform.transport.LinkHandler;
-import brambletray.runtime.Machine;
-import brambletray.simulation.Simulation;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/src/test/java/brambletray/platform/distribution/SignalTurnsTest.java
+++ b/src/test/java/brambletray/platform/distribution/SignalTurnsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brambletray.tray.interleaving.Turns;
+import brambletray.platform.interleaving.Turns;
 import org.junit.jupiter.api.Test;
 
 /** A signal and the start of a process, under every order of their turns. */
--- a/src/test/java/brambletray/platform/drill/IsolatedCoordinatorTest.java
+++ b/src/test/java/brambletray/platform/drill/IsolatedCoordinatorTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.configuration.Configuration;
 import brambletray.platform.distribution.CoordinatorHeartbeat;
 import brambletray.platform.distribution.FrameTypes;
@@ -15,7 +16,6 @@
 import brambletray.platform.transport.Link;
 import brambletray.platform.transport.LinkDialer;
 import brambletray.platform.transport.LinkHandler;
-import brambletray.runtime.Machine;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
--- a/src/test/java/brambletray/platform/edge/CarrySignalsTest.java
+++ b/src/test/java/brambletray/platform/edge/CarrySignalsTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
+import brambletray.common.runtime.Machine;
+import brambletray.common.simulation.Simulation;
 import brambletray.platform.settings.SimulatedSettings;
-import brambletray.runtime.Machine;
-import brambletray.simulation.Simulation;
 import java.net.InetAddress;
 import java.net.UnknownHostException;
 import java.util.ArrayList;
--- a/src/test/java/brambletray/platform/edge/EdgeHelloTest.java
+++ b/src/test/java/brambletray/platform/edge/EdgeHelloTest.java
@@ -3,6 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
+import brambletray.common.runtime.Machine;
+import brambletray.common.simulation.Simulation;
 import brambletray.platform.distribution.CoordinatorHeartbeat;
 import brambletray.platform.distribution.FrameTypes;
 import brambletray.platform.failuredetection.EdgeHello;
@@ -12,8 +14,6 @@
 import brambletray.platform.transport.Link;
 import brambletray.platform.transport.LinkHandler;
 import brambletray.platform.transport.LinkListener;
-import brambletray.runtime.Machine;
-import brambletray.simulation.Simulation;
 import java.net.InetAddress;
 import java.net.UnknownHostException;
 import java.util.ArrayList;
--- a/src/test/java/brambletray/platform/interleaving/Turns.java
+++ b/src/test/java/brambletray/platform/interleaving/Turns.java
@@ -1,4 +1,4 @@
-package brambletray.tray.interleaving;
+package brambletray.platform.interleaving;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/brambletray/platform/localsystem/PlatformDoorTest.java
+++ b/src/test/java/brambletray/platform/localsystem/PlatformDoorTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.platformstub.PlatformParameters;
 import brambletray.platform.platformstub.PlatformStub;
 import brambletray.platform.platformstub.PlatformStubServer;
 import brambletray.platform.platformstub.ServiceKind;
 import brambletray.platform.transport.Sockets;
-import brambletray.runtime.Machine;
 import io.netty.channel.Channel;
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/test/java/brambletray/platform/localsystem/StandInTest.java
+++ b/src/test/java/brambletray/platform/localsystem/StandInTest.java
@@ -3,13 +3,13 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import brambletray.common.runtime.Machine;
+import brambletray.common.simulation.Simulation;
 import brambletray.platform.configuration.Configuration;
 import brambletray.platform.configuration.Service;
 import brambletray.platform.platformstub.PlatformParameters;
 import brambletray.platform.platformstub.PlatformStub;
 import brambletray.platform.platformstub.ServiceKind;
-import brambletray.runtime.Machine;
-import brambletray.simulation.Simulation;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/test/java/brambletray/platform/logging/JsonLogHandlerTurnsTest.java
+++ b/src/test/java/brambletray/platform/logging/JsonLogHandlerTurnsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brambletray.tray.interleaving.Turns;
+import brambletray.platform.interleaving.Turns;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
--- a/src/test/java/brambletray/platform/provisioning/PlatformTest.java
+++ b/src/test/java/brambletray/platform/provisioning/PlatformTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import brambletray.common.runtime.Machine;
+import brambletray.common.simulation.Simulation;
 import brambletray.platform.platformstub.PlatformParameters;
 import brambletray.platform.platformstub.PlatformStub;
 import brambletray.platform.platformstub.PlatformStubServer;
 import brambletray.platform.platformstub.ServiceKind;
-import brambletray.runtime.Machine;
-import brambletray.simulation.Simulation;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
--- a/src/test/java/brambletray/platform/proxy/RandomCourse.java
+++ b/src/test/java/brambletray/platform/proxy/RandomCourse.java
@@ -1,14 +1,14 @@
 package brambletray.platform.proxy;
 
+import brambletray.common.runtime.Machine;
+import brambletray.common.simulation.SimChannel;
+import brambletray.common.simulation.SimNetwork;
+import brambletray.common.simulation.Simulation;
 import brambletray.platform.admission.AttemptOutcome;
 import brambletray.platform.admission.SlotGrant;
 import brambletray.platform.admission.SlotRequest;
 import brambletray.platform.configuration.Configuration;
 import brambletray.platform.settings.Address;
-import brambletray.runtime.Machine;
-import brambletray.simulation.SimChannel;
-import brambletray.simulation.SimNetwork;
-import brambletray.simulation.Simulation;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
--- a/src/test/java/brambletray/platform/proxy/ScriptedClient.java
+++ b/src/test/java/brambletray/platform/proxy/ScriptedClient.java
@@ -1,6 +1,6 @@
 package brambletray.platform.proxy;
 
-import brambletray.runtime.Machine;
+import brambletray.common.runtime.Machine;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/test/java/brambletray/platform/proxy/ScriptedHost.java
+++ b/src/test/java/brambletray/platform/proxy/ScriptedHost.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
-import brambletray.runtime.Machine;
+import brambletray.common.runtime.Machine;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/test/java/brambletray/platform/proxy/ShellTest.java
+++ b/src/test/java/brambletray/platform/proxy/ShellTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import brambletray.common.runtime.Machine;
 import brambletray.platform.admission.AttemptOutcome;
 import brambletray.platform.admission.SlotGrant;
 import brambletray.platform.admission.SlotRequest;
 import brambletray.platform.configuration.Configuration;
 import brambletray.platform.settings.Address;
-import brambletray.runtime.Machine;
 import com.sun.net.httpserver.HttpServer;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/src/test/java/brambletray/platform/proxy/SimulatedProxy.java
+++ b/src/test/java/brambletray/platform/proxy/SimulatedProxy.java
@@ -2,11 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import brambletray.common.runtime.Machine;
+import brambletray.common.simulation.Simulation;
 import brambletray.platform.configuration.ClientLimits;
 import brambletray.platform.configuration.Configuration;
 import brambletray.platform.settings.Address;
-import brambletray.runtime.Machine;
-import brambletray.simulation.Simulation;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
--- a/src/test/java/brambletray/platform/storage/WriterTurnsTest.java
+++ b/src/test/java/brambletray/platform/storage/WriterTurnsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brambletray.tray.interleaving.Turns;
+import brambletray.platform.interleaving.Turns;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/brambletray/platform/transport/LinkTest.java
+++ b/src/test/java/brambletray/platform/transport/LinkTest.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import brambletray.common.runtime.Machine;
+import brambletray.common.simulation.SimNetwork;
+import brambletray.common.simulation.Simulation;
 import brambletray.platform.settings.Address;
-import brambletray.runtime.Machine;
-import brambletray.simulation.SimNetwork;
-import brambletray.simulation.Simulation;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelInboundHandlerAdapter;
--- a/src/test/java/brambletray/admission/QuotaDoorTest.java
+++ b/src/test/java/brambletray/relay/admission/QuotaDoorTest.java
@@ -1,19 +1,19 @@
-package brambletray.admission;
+package brambletray.relay.admission;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.core.Door;
-import brambletray.message.Body;
-import brambletray.message.Message;
-import brambletray.quota.Member;
-import brambletray.runtime.Clock;
-import brambletray.serve.Config;
-import brambletray.serve.Node;
-import brambletray.store.MemoryDisk;
-import brambletray.store.Store;
-import brambletray.stub.HostStub;
-import brambletray.stub.PlatformStub;
-import brambletray.wire.Wire;
+import brambletray.common.runtime.Clock;
+import brambletray.relay.core.Door;
+import brambletray.relay.message.Body;
+import brambletray.relay.message.Message;
+import brambletray.relay.quota.Member;
+import brambletray.relay.serve.Config;
+import brambletray.relay.serve.Node;
+import brambletray.relay.store.MemoryDisk;
+import brambletray.relay.store.Store;
+import brambletray.relay.stub.HostStub;
+import brambletray.relay.stub.PlatformStub;
+import brambletray.relay.wire.Wire;
 import java.net.URI;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
--- a/src/test/java/brambletray/check/EmulatorCheckTest.java
+++ b/src/test/java/brambletray/relay/check/EmulatorCheckTest.java
@@ -1,9 +1,9 @@
-package brambletray.check;
+package brambletray.relay.check;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.script.Script;
-import brambletray.script.ScriptReader;
+import brambletray.relay.script.Script;
+import brambletray.relay.script.ScriptReader;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
--- a/src/test/java/brambletray/cli/OperatorVerbsTest.java
+++ b/src/test/java/brambletray/relay/cli/OperatorVerbsTest.java
@@ -1,12 +1,12 @@
-package brambletray.cli;
+package brambletray.relay.cli;
 
-import static brambletray.stub.PlatformStub.host;
+import static brambletray.relay.stub.PlatformStub.host;
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.serve.Config;
-import brambletray.serve.Node;
-import brambletray.stub.HostStub;
-import brambletray.stub.PlatformStub;
+import brambletray.relay.serve.Config;
+import brambletray.relay.serve.Node;
+import brambletray.relay.stub.HostStub;
+import brambletray.relay.stub.PlatformStub;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
--- a/src/test/java/brambletray/console/CallTableTest.java
+++ b/src/test/java/brambletray/relay/console/CallTableTest.java
@@ -1,4 +1,4 @@
-package brambletray.console;
+package brambletray.relay.console;
 
 import static org.junit.jupiter.api.Assertions.*;
 
--- a/src/test/java/brambletray/control/Bench.java
+++ b/src/test/java/brambletray/relay/control/Bench.java
@@ -1,24 +1,24 @@
-package brambletray.control;
-
-import brambletray.control.Relay.Accepted;
-import brambletray.control.Relay.Action;
-import brambletray.control.Relay.Allowed;
-import brambletray.control.Relay.Due;
-import brambletray.control.Relay.Effect;
-import brambletray.control.Relay.Ended;
-import brambletray.control.Relay.Endpoint;
-import brambletray.control.Relay.Event;
-import brambletray.control.Relay.Kind;
-import brambletray.control.Relay.Listing;
-import brambletray.control.Relay.MessageClass;
-import brambletray.control.Relay.Outcome;
-import brambletray.control.Relay.Prices;
-import brambletray.control.Relay.Rules;
-import brambletray.control.Relay.Send;
-import brambletray.control.Relay.Settings;
-import brambletray.control.Relay.Tenant;
-import brambletray.control.Relay.Wake;
-import brambletray.control.Relay.Weights;
+package brambletray.relay.control;
+
+import brambletray.relay.control.Relay.Accepted;
+import brambletray.relay.control.Relay.Action;
+import brambletray.relay.control.Relay.Allowed;
+import brambletray.relay.control.Relay.Due;
+import brambletray.relay.control.Relay.Effect;
+import brambletray.relay.control.Relay.Ended;
+import brambletray.relay.control.Relay.Endpoint;
+import brambletray.relay.control.Relay.Event;
+import brambletray.relay.control.Relay.Kind;
+import brambletray.relay.control.Relay.Listing;
+import brambletray.relay.control.Relay.MessageClass;
+import brambletray.relay.control.Relay.Outcome;
+import brambletray.relay.control.Relay.Prices;
+import brambletray.relay.control.Relay.Rules;
+import brambletray.relay.control.Relay.Send;
+import brambletray.relay.control.Relay.Settings;
+import brambletray.relay.control.Relay.Tenant;
+import brambletray.relay.control.Relay.Wake;
+import brambletray.relay.control.Relay.Weights;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/test/java/brambletray/control/CopyDelayTest.java
+++ b/src/test/java/brambletray/relay/control/CopyDelayTest.java
@@ -1,4 +1,4 @@
-package brambletray.control;
+package brambletray.relay.control;
 
 import static org.junit.jupiter.api.Assertions.*;
 
--- a/src/test/java/brambletray/control/EmbeddingTest.java
+++ b/src/test/java/brambletray/relay/control/EmbeddingTest.java
@@ -1,17 +1,17 @@
-package brambletray.control;
+package brambletray.relay.control;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.control.Relay.Accepted;
-import brambletray.control.Relay.Action;
-import brambletray.control.Relay.Due;
-import brambletray.control.Relay.Ended;
-import brambletray.control.Relay.Event;
-import brambletray.control.Relay.ListKind;
-import brambletray.control.Relay.Listed;
-import brambletray.control.Relay.Outcome;
-import brambletray.control.Relay.Send;
-import brambletray.control.Relay.Wake;
+import brambletray.relay.control.Relay.Accepted;
+import brambletray.relay.control.Relay.Action;
+import brambletray.relay.control.Relay.Due;
+import brambletray.relay.control.Relay.Ended;
+import brambletray.relay.control.Relay.Event;
+import brambletray.relay.control.Relay.ListKind;
+import brambletray.relay.control.Relay.Listed;
+import brambletray.relay.control.Relay.Outcome;
+import brambletray.relay.control.Relay.Send;
+import brambletray.relay.control.Relay.Wake;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/test/java/brambletray/control/RuleCheckerTest.java
+++ b/src/test/java/brambletray/relay/control/RuleCheckerTest.java
@@ -1,20 +1,20 @@
-package brambletray.control;
+package brambletray.relay.control;
 
-import static brambletray.control.Bench.SECOND;
-import static brambletray.control.Bench.endpoint;
-import static brambletray.control.Bench.settings;
+import static brambletray.relay.control.Bench.SECOND;
+import static brambletray.relay.control.Bench.endpoint;
+import static brambletray.relay.control.Bench.settings;
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.control.Relay.Accepted;
-import brambletray.control.Relay.Ended;
-import brambletray.control.Relay.Endpoint;
-import brambletray.control.Relay.Fail;
-import brambletray.control.Relay.ListKind;
-import brambletray.control.Relay.Listed;
-import brambletray.control.Relay.Listing;
-import brambletray.control.Relay.Outcome;
-import brambletray.control.Relay.Refuse;
-import brambletray.control.Relay.Send;
+import brambletray.relay.control.Relay.Accepted;
+import brambletray.relay.control.Relay.Ended;
+import brambletray.relay.control.Relay.Endpoint;
+import brambletray.relay.control.Relay.Fail;
+import brambletray.relay.control.Relay.ListKind;
+import brambletray.relay.control.Relay.Listed;
+import brambletray.relay.control.Relay.Listing;
+import brambletray.relay.control.Relay.Outcome;
+import brambletray.relay.control.Relay.Refuse;
+import brambletray.relay.control.Relay.Send;
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/brambletray/core/DescriptorsTest.java
+++ b/src/test/java/brambletray/relay/core/DescriptorsTest.java
@@ -1,8 +1,8 @@
-package brambletray.core;
+package brambletray.relay.core;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.core.Descriptors.Owner;
+import brambletray.relay.core.Descriptors.Owner;
 import org.junit.jupiter.api.Test;
 
 class DescriptorsTest {
--- a/src/test/java/brambletray/core/EvidenceTest.java
+++ b/src/test/java/brambletray/relay/core/EvidenceTest.java
@@ -1,15 +1,15 @@
-package brambletray.core;
+package brambletray.relay.core;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.control.Control;
-import brambletray.control.Relay;
-import brambletray.journal.HostNotes;
-import brambletray.membership.HostList;
-import brambletray.runtime.Clock;
-import brambletray.store.MemoryDisk;
-import brambletray.store.Store;
-import brambletray.wire.Wire;
+import brambletray.common.runtime.Clock;
+import brambletray.relay.control.Control;
+import brambletray.relay.control.Relay;
+import brambletray.relay.journal.HostNotes;
+import brambletray.relay.membership.HostList;
+import brambletray.relay.store.MemoryDisk;
+import brambletray.relay.store.Store;
+import brambletray.relay.wire.Wire;
 import io.netty.util.concurrent.Ticker;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/test/java/brambletray/core/LoopAuditTest.java
+++ b/src/test/java/brambletray/relay/core/LoopAuditTest.java
@@ -1,19 +1,19 @@
-package brambletray.core;
+package brambletray.relay.core;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.control.Relay;
-import brambletray.figures.Figures;
-import brambletray.figures.Figures.End;
-import brambletray.journal.Journal;
-import brambletray.membership.HostList;
-import brambletray.message.Body;
-import brambletray.message.Message;
-import brambletray.runtime.Machine;
-import brambletray.simulation.Simulation;
-import brambletray.store.MemoryDisk;
-import brambletray.store.Store;
-import brambletray.wire.Wire;
+import brambletray.common.runtime.Machine;
+import brambletray.common.simulation.Simulation;
+import brambletray.relay.control.Relay;
+import brambletray.relay.figures.Figures;
+import brambletray.relay.figures.Figures.End;
+import brambletray.relay.journal.Journal;
+import brambletray.relay.membership.HostList;
+import brambletray.relay.message.Body;
+import brambletray.relay.message.Message;
+import brambletray.relay.store.MemoryDisk;
+import brambletray.relay.store.Store;
+import brambletray.relay.wire.Wire;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/src/test/java/brambletray/emulator/EndpointTest.java
+++ b/src/test/java/brambletray/relay/emulator/EndpointTest.java
@@ -1,9 +1,9 @@
-package brambletray.emulator;
+package brambletray.relay.emulator;
 
-import static brambletray.emulator.Rig.ms;
-import static brambletray.emulator.Rig.plain;
-import static brambletray.emulator.Rig.step;
-import static brambletray.emulator.Rig.with;
+import static brambletray.relay.emulator.Rig.ms;
+import static brambletray.relay.emulator.Rig.plain;
+import static brambletray.relay.emulator.Rig.step;
+import static brambletray.relay.emulator.Rig.with;
 import static org.junit.jupiter.api.Assertions.*;
 
 import java.util.ArrayList;
--- a/src/test/java/brambletray/fleet/ComingBackTest.java
+++ b/src/test/java/brambletray/relay/fleet/ComingBackTest.java
@@ -1,8 +1,8 @@
-package brambletray.fleet;
+package brambletray.relay.fleet;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.stub.HostStub;
+import brambletray.relay.stub.HostStub;
 import java.io.IOException;
 import java.net.http.HttpResponse;
 import java.nio.file.Files;
--- a/src/test/java/brambletray/fleet/Links.java
+++ b/src/test/java/brambletray/relay/fleet/Links.java
@@ -1,4 +1,4 @@
-package brambletray.fleet;
+package brambletray.relay.fleet;
 
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/test/java/brambletray/handover/TenureTest.java
+++ b/src/test/java/brambletray/relay/handover/TenureTest.java
@@ -1,8 +1,8 @@
-package brambletray.handover;
+package brambletray.relay.handover;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.handover.Tenure.Step;
+import brambletray.relay.handover.Tenure.Step;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashSet;
