--- a/src/test/java/brambletray/http/hosts/HostPoolTest.java
+++ b/src/test/java/brambletray/relay/http/hosts/HostPoolTest.java
@@ -1,17 +1,17 @@
-package brambletray.http.hosts;
+package brambletray.relay.http.hosts;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.control.Relay.Outcome;
-import brambletray.core.Calls;
-import brambletray.core.Descriptors;
-import brambletray.core.Host;
-import brambletray.core.Reply;
-import brambletray.message.Body;
-import brambletray.message.Message;
-import brambletray.runtime.Machine;
-import brambletray.stub.HostStub;
-import brambletray.stub.PlatformStub;
+import brambletray.common.runtime.Machine;
+import brambletray.relay.control.Relay.Outcome;
+import brambletray.relay.core.Calls;
+import brambletray.relay.core.Descriptors;
+import brambletray.relay.core.Host;
+import brambletray.relay.core.Reply;
+import brambletray.relay.message.Body;
+import brambletray.relay.message.Message;
+import brambletray.relay.stub.HostStub;
+import brambletray.relay.stub.PlatformStub;
 import io.netty.channel.ChannelException;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/src/test/java/brambletray/inventory/FollowerTest.java
+++ b/src/test/java/brambletray/relay/inventory/FollowerTest.java
@@ -1,9 +1,9 @@
-package brambletray.inventory;
+package brambletray.relay.inventory;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.runtime.Machine;
-import brambletray.yaml.Faults;
+import brambletray.common.runtime.Machine;
+import brambletray.common.yaml.Faults;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/src/test/java/brambletray/inventory/InventoryBench.java
+++ b/src/test/java/brambletray/relay/inventory/InventoryBench.java
@@ -1,9 +1,9 @@
-package brambletray.inventory;
+package brambletray.relay.inventory;
 
-import brambletray.control.Control;
-import brambletray.control.Relay;
-import brambletray.membership.HostList;
-import brambletray.wire.Wire;
+import brambletray.relay.control.Control;
+import brambletray.relay.control.Relay;
+import brambletray.relay.membership.HostList;
+import brambletray.relay.wire.Wire;
 import java.lang.management.ManagementFactory;
 import java.lang.ref.Reference;
 import java.nio.charset.StandardCharsets;
--- a/src/test/java/brambletray/inventory/InventoryTest.java
+++ b/src/test/java/brambletray/relay/inventory/InventoryTest.java
@@ -1,8 +1,8 @@
-package brambletray.inventory;
+package brambletray.relay.inventory;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.yaml.Faults;
+import brambletray.common.yaml.Faults;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -321,7 +321,7 @@
     /** The schema for editors knows the fields that the parser knows, and the same words for them. */
     @Test
     void theSchemaKnowsTheFields() throws Exception {
-        var schema = brambletray.wire.Wire.decode(Files.readString(Path.of("deploy", "inventory.schema.json")));
+        var schema = brambletray.relay.wire.Wire.decode(Files.readString(Path.of("deploy", "inventory.schema.json")));
         var host = schema.object("$defs").object("host");
         assertEquals(
                 new TreeSet<>(Rows.FIELDS),
--- a/src/test/java/brambletray/journal/JournalTest.java
+++ b/src/test/java/brambletray/relay/journal/JournalTest.java
@@ -1,12 +1,12 @@
-package brambletray.journal;
+package brambletray.relay.journal;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.membership.Discovery;
-import brambletray.message.Body;
-import brambletray.message.Message;
-import brambletray.store.MemoryDisk;
-import brambletray.store.Store;
+import brambletray.relay.membership.Discovery;
+import brambletray.relay.message.Body;
+import brambletray.relay.message.Message;
+import brambletray.relay.store.MemoryDisk;
+import brambletray.relay.store.Store;
 import java.io.ByteArrayOutputStream;
 import java.io.DataOutputStream;
 import java.io.IOException;
--- a/src/test/java/brambletray/kept/KeptTest.java
+++ b/src/test/java/brambletray/relay/kept/KeptTest.java
@@ -1,8 +1,8 @@
-package brambletray.kept;
+package brambletray.relay.kept;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.kept.ClassRules.Effect;
+import brambletray.relay.kept.ClassRules.Effect;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
--- a/src/test/java/brambletray/membership/HostListTest.java
+++ b/src/test/java/brambletray/relay/membership/HostListTest.java
@@ -1,11 +1,11 @@
-package brambletray.membership;
+package brambletray.relay.membership;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.control.Relay;
-import brambletray.core.Host;
-import brambletray.stub.PlatformStub;
-import brambletray.wire.Wire;
+import brambletray.relay.control.Relay;
+import brambletray.relay.core.Host;
+import brambletray.relay.stub.PlatformStub;
+import brambletray.relay.wire.Wire;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/brambletray/mqtt/MqttBench.java
+++ b/src/test/java/brambletray/relay/mqtt/MqttBench.java
@@ -1,6 +1,6 @@
-package brambletray.mqtt;
+package brambletray.relay.mqtt;
 
-import brambletray.stub.PlatformStub;
+import brambletray.relay.stub.PlatformStub;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
--- a/src/test/java/brambletray/mqtt/MqttStatementsTest.java
+++ b/src/test/java/brambletray/relay/mqtt/MqttStatementsTest.java
@@ -1,12 +1,12 @@
-package brambletray.mqtt;
+package brambletray.relay.mqtt;
 
-import static brambletray.stub.PlatformStub.host;
+import static brambletray.relay.stub.PlatformStub.host;
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.serve.Node;
-import brambletray.stub.HostStub;
-import brambletray.stub.MqttStub;
-import brambletray.stub.PlatformStub;
+import brambletray.relay.serve.Node;
+import brambletray.relay.stub.HostStub;
+import brambletray.relay.stub.MqttStub;
+import brambletray.relay.stub.PlatformStub;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.handler.codec.mqtt.MqttConnAckMessage;
--- a/src/test/java/brambletray/mqtt/hosts/OutboundSessionTest.java
+++ b/src/test/java/brambletray/relay/mqtt/hosts/OutboundSessionTest.java
@@ -1,4 +1,4 @@
-package brambletray.mqtt.hosts;
+package brambletray.relay.mqtt.hosts;
 
 import static org.junit.jupiter.api.Assertions.*;
 
--- a/src/test/java/brambletray/operations/DrainTest.java
+++ b/src/test/java/brambletray/relay/operations/DrainTest.java
@@ -1,4 +1,4 @@
-package brambletray.operations;
+package brambletray.relay.operations;
 
 import static org.junit.jupiter.api.Assertions.*;
 
--- a/src/test/java/brambletray/operations/ExclusionsTest.java
+++ b/src/test/java/brambletray/relay/operations/ExclusionsTest.java
@@ -1,9 +1,9 @@
-package brambletray.operations;
+package brambletray.relay.operations;
 
-import static brambletray.operations.Exclusions.Verdict.CHANGED;
-import static brambletray.operations.Exclusions.Verdict.FULL;
-import static brambletray.operations.Exclusions.Verdict.UNCHANGED;
-import static brambletray.operations.Exclusions.Verdict.UNKNOWN;
+import static brambletray.relay.operations.Exclusions.Verdict.CHANGED;
+import static brambletray.relay.operations.Exclusions.Verdict.FULL;
+import static brambletray.relay.operations.Exclusions.Verdict.UNCHANGED;
+import static brambletray.relay.operations.Exclusions.Verdict.UNKNOWN;
 import static org.junit.jupiter.api.Assertions.*;
 
 import java.util.List;
--- a/src/test/java/brambletray/partners/BundleTest.java
+++ b/src/test/java/brambletray/relay/partners/BundleTest.java
@@ -1,8 +1,8 @@
-package brambletray.partners;
+package brambletray.relay.partners;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import brambletray.emulator.Call;
+import brambletray.relay.emulator.Call;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/brambletray/quota/Crowd.java
+++ b/src/test/java/brambletray/relay/quota/Crowd.java
@@ -1,9 +1,9 @@
-package brambletray.quota;
+package brambletray.relay.quota;
 
-import brambletray.admission.QuotaFile;
-import brambletray.quota.Member.Asked;
-import brambletray.quota.Member.Dimension;
-import brambletray.quota.Member.Limit;
+import brambletray.relay.admission.QuotaFile;
+import brambletray.relay.quota.Member.Asked;
+import brambletray.relay.quota.Member.Dimension;
+import brambletray.relay.quota.Member.Limit;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/test/java/brambletray/quota/QuotaBench.java
+++ b/src/test/java/brambletray/relay/quota/QuotaBench.java
@@ -1,9 +1,9 @@
-package brambletray.quota;
+package brambletray.relay.quota;
 
-import brambletray.quota.Member.Asked;
-import brambletray.quota.Member.Dimension;
-import brambletray.quota.Member.Limit;
-import brambletray.quota.Member.Match;
+import brambletray.relay.quota.Member.Asked;
+import brambletray.relay.quota.Member.Dimension;
+import brambletray.relay.quota.Member.Limit;
+import brambletray.relay.quota.Member.Match;
 import java.lang.ref.Reference;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/brambletray/quota/QuotasTest.java
+++ b/src/test/java/brambletray/relay/quota/QuotasTest.java
@@ -1,13 +1,13 @@
-package brambletray.quota;
+package brambletray.relay.quota;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.admission.QuotaFile;
-import brambletray.quota.Crowd.Source;
-import brambletray.quota.Member.Asked;
-import brambletray.quota.Member.Dimension;
-import brambletray.quota.Member.Limit;
-import brambletray.quota.Member.Match;
+import brambletray.relay.admission.QuotaFile;
+import brambletray.relay.quota.Crowd.Source;
+import brambletray.relay.quota.Member.Asked;
+import brambletray.relay.quota.Member.Dimension;
+import brambletray.relay.quota.Member.Limit;
+import brambletray.relay.quota.Member.Match;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.EnumMap;
@@ -433,7 +433,7 @@
             })
     void aFaultyFileIsTold(String both) {
         String[] parts = both.split("\\|");
-        var faults = assertThrows(brambletray.yaml.Faults.class, () -> QuotaFile.parse("q.yaml", parts[0]));
+        var faults = assertThrows(brambletray.common.yaml.Faults.class, () -> QuotaFile.parse("q.yaml", parts[0]));
         assertTrue(
                 faults.getMessage().startsWith("q.yaml:") && faults.getMessage().contains(parts[1]),
                 faults.getMessage());
--- a/src/test/java/brambletray/recovery/AskingTest.java
+++ b/src/test/java/brambletray/relay/recovery/AskingTest.java
@@ -1,4 +1,4 @@
-package brambletray.recovery;
+package brambletray.relay.recovery;
 
 import static org.junit.jupiter.api.Assertions.*;
 
--- a/src/test/java/brambletray/recovery/RecollectionTest.java
+++ b/src/test/java/brambletray/relay/recovery/RecollectionTest.java
@@ -1,15 +1,16 @@
-package brambletray.recovery;
+package brambletray.relay.recovery;
 
 import static org.junit.jupiter.api.Assertions.*;
 
+import brambletray.common.time.BootTimestamp;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
 class RecollectionTest {
     private static final long COLD = 12_000_000;
 
-    private static Moment at(long ticks) {
-        return new Moment(7, ticks, 1_000_000 + ticks);
+    private static BootTimestamp at(long ticks) {
+        return new BootTimestamp(7, ticks, 1_000_000 + ticks);
     }
 
     private static Known waits(long ms) {
@@ -33,7 +34,8 @@
         assertEquals(waits(3_000 - 900), after(note).believed("h", at(1_000), COLD));
         assertEquals(Known.NOTHING, after(note).believed("h", at(3_100), COLD));
         assertEquals(Known.NOTHING, after(note).believed("other", at(200), COLD));
-        assertEquals(waits(3_000), after(note).believed("h", new Moment(8, 50, 9_999_999), COLD), "begins again");
+        assertEquals(
+                waits(3_000), after(note).believed("h", new BootTimestamp(8, 50, 9_999_999), COLD), "begins again");
     }
 
     /** Over any story the belief is never shorter than the wait by more than stated, and never longer. */
@@ -86,7 +88,8 @@
                 new Recollection().worth(at(0), "h", Recollection.IN_USE, new Known(0, false, 2_000_000, 0, 5));
         assertEquals(9_000_000, after(note).believed("h", at(7_000), COLD).warming());
         assertEquals(Known.NOTHING, after(note).believed("h", at(10_000), COLD), "warm by now");
-        assertEquals(0, after(note).believed("h", new Moment(9, 0, 0), COLD).warming(), "from the beginning");
+        assertEquals(
+                0, after(note).believed("h", new BootTimestamp(9, 0, 0), COLD).warming(), "from the beginning");
     }
 
     /** Limits move with each answer: a note a second at most, none without one, and a fresh one in time. */
--- a/src/test/java/brambletray/rehearsal/RehearsalTest.java
+++ b/src/test/java/brambletray/relay/rehearsal/RehearsalTest.java
@@ -1,9 +1,9 @@
-package brambletray.rehearsal;
+package brambletray.relay.rehearsal;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.rehearsal.Rehearsal.Play;
-import brambletray.yaml.Faults;
+import brambletray.common.yaml.Faults;
+import brambletray.relay.rehearsal.Rehearsal.Play;
 import java.io.ByteArrayInputStream;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
--- a/src/test/java/brambletray/script/ScriptReaderTest.java
+++ b/src/test/java/brambletray/relay/script/ScriptReaderTest.java
@@ -1,11 +1,11 @@
-package brambletray.script;
+package brambletray.relay.script;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.emulator.Law;
-import brambletray.emulator.Limit;
-import brambletray.emulator.Step;
-import brambletray.yaml.Faults;
+import brambletray.common.yaml.Faults;
+import brambletray.relay.emulator.Law;
+import brambletray.relay.emulator.Limit;
+import brambletray.relay.emulator.Step;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/brambletray/serve/NodeTest.java
+++ b/src/test/java/brambletray/relay/serve/NodeTest.java
@@ -1,14 +1,14 @@
-package brambletray.serve;
+package brambletray.relay.serve;
 
-import static brambletray.stub.PlatformStub.host;
-import static brambletray.stub.PlatformStub.list;
+import static brambletray.relay.stub.PlatformStub.host;
+import static brambletray.relay.stub.PlatformStub.list;
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.journal.Journal;
-import brambletray.stub.HostStub;
-import brambletray.stub.PlatformStub;
-import brambletray.wire.Addresses;
-import brambletray.wire.Wire;
+import brambletray.relay.journal.Journal;
+import brambletray.relay.stub.HostStub;
+import brambletray.relay.stub.PlatformStub;
+import brambletray.relay.wire.Addresses;
+import brambletray.relay.wire.Wire;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/brambletray/serve/ReloadTest.java
+++ b/src/test/java/brambletray/relay/serve/ReloadTest.java
@@ -1,11 +1,11 @@
-package brambletray.serve;
+package brambletray.relay.serve;
 
-import static brambletray.stub.PlatformStub.host;
-import static brambletray.stub.PlatformStub.list;
+import static brambletray.relay.stub.PlatformStub.host;
+import static brambletray.relay.stub.PlatformStub.list;
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.stub.HostStub;
-import brambletray.stub.PlatformStub;
+import brambletray.relay.stub.HostStub;
+import brambletray.relay.stub.PlatformStub;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
--- a/src/test/java/brambletray/serve/ServerTest.java
+++ b/src/test/java/brambletray/relay/serve/ServerTest.java
@@ -1,10 +1,10 @@
-package brambletray.serve;
+package brambletray.relay.serve;
 
-import static brambletray.stub.PlatformStub.host;
+import static brambletray.relay.stub.PlatformStub.host;
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.stub.HostStub;
-import brambletray.stub.PlatformStub;
+import brambletray.relay.stub.HostStub;
+import brambletray.relay.stub.PlatformStub;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.Socket;
--- a/src/test/java/brambletray/siblings/NoteCodecTest.java
+++ b/src/test/java/brambletray/relay/siblings/NoteCodecTest.java
@@ -1,9 +1,9 @@
-package brambletray.siblings;
+package brambletray.relay.siblings;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.recovery.Account;
-import brambletray.recovery.Standing;
+import brambletray.relay.recovery.Account;
+import brambletray.relay.recovery.Standing;
 import java.io.IOException;
 import java.util.List;
 import java.util.SplittableRandom;
--- a/src/test/java/brambletray/siblings/SiblingsTest.java
+++ b/src/test/java/brambletray/relay/siblings/SiblingsTest.java
@@ -1,14 +1,14 @@
-package brambletray.siblings;
+package brambletray.relay.siblings;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.recovery.Account;
-import brambletray.recovery.Finding;
-import brambletray.recovery.Standing;
-import brambletray.runtime.Machine;
-import brambletray.store.MemoryDisk;
-import brambletray.store.Store;
-import brambletray.yaml.Faults;
+import brambletray.common.runtime.Machine;
+import brambletray.common.yaml.Faults;
+import brambletray.relay.recovery.Account;
+import brambletray.relay.recovery.Finding;
+import brambletray.relay.recovery.Standing;
+import brambletray.relay.store.MemoryDisk;
+import brambletray.relay.store.Store;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.util.concurrent.Future;
--- a/src/test/java/brambletray/siblings/SightingsSimTest.java
+++ b/src/test/java/brambletray/relay/siblings/SightingsSimTest.java
@@ -1,13 +1,13 @@
-package brambletray.siblings;
+package brambletray.relay.siblings;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.recovery.Account;
-import brambletray.recovery.Asking;
-import brambletray.recovery.Finding;
-import brambletray.recovery.Standing;
-import brambletray.store.MemoryDisk;
-import brambletray.store.Store;
+import brambletray.relay.recovery.Account;
+import brambletray.relay.recovery.Asking;
+import brambletray.relay.recovery.Finding;
+import brambletray.relay.recovery.Standing;
+import brambletray.relay.store.MemoryDisk;
+import brambletray.relay.store.Store;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/test/java/brambletray/simhost/SimHostTest.java
+++ b/src/test/java/brambletray/relay/simhost/SimHostTest.java
@@ -1,4 +1,4 @@
-package brambletray.simhost;
+package brambletray.relay.simhost;
 
 import static org.junit.jupiter.api.Assertions.*;
 
@@ -117,7 +117,7 @@
 
     @Test
     void theModuleKeepsItsLimits() throws IOException {
-        Path sources = Path.of("src/main/java/brambletray");
+        Path sources = Path.of("src/main/java/brambletray/relay");
         String deployed = Files.readString(Path.of("deploy/balancer.toml"));
         Matcher policy = Pattern.compile("\\w[\\w/]*/(\\w+\\.java)")
                 .matcher(deployed.substring(
--- a/src/test/java/brambletray/stage/DamagedStoreTest.java
+++ b/src/test/java/brambletray/relay/stage/DamagedStoreTest.java
@@ -1,13 +1,13 @@
-package brambletray.stage;
+package brambletray.relay.stage;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.journal.Journal;
-import brambletray.script.Script;
-import brambletray.script.ScriptReader;
-import brambletray.store.MemoryDisk;
-import brambletray.store.Store;
-import brambletray.store.UntrustedStore;
+import brambletray.relay.journal.Journal;
+import brambletray.relay.script.Script;
+import brambletray.relay.script.ScriptReader;
+import brambletray.relay.store.MemoryDisk;
+import brambletray.relay.store.Store;
+import brambletray.relay.store.UntrustedStore;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Arrays;
--- a/src/test/java/brambletray/stage/HardCasesTest.java
+++ b/src/test/java/brambletray/relay/stage/HardCasesTest.java
@@ -1,11 +1,11 @@
-package brambletray.stage;
+package brambletray.relay.stage;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.emulator.Endpoint;
-import brambletray.emulator.Ledger;
-import brambletray.script.Script;
-import brambletray.script.ScriptReader;
+import brambletray.relay.emulator.Endpoint;
+import brambletray.relay.emulator.Ledger;
+import brambletray.relay.script.Script;
+import brambletray.relay.script.ScriptReader;
 import java.nio.file.Path;
 import java.util.Set;
 import java.util.function.UnaryOperator;
--- a/src/test/java/brambletray/stage/QuotaNightTest.java
+++ b/src/test/java/brambletray/relay/stage/QuotaNightTest.java
@@ -1,8 +1,8 @@
-package brambletray.stage;
+package brambletray.relay.stage;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.script.ScriptReader;
+import brambletray.relay.script.ScriptReader;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/test/java/brambletray/stage/SimStageTest.java
+++ b/src/test/java/brambletray/relay/stage/SimStageTest.java
@@ -1,9 +1,9 @@
-package brambletray.stage;
+package brambletray.relay.stage;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.script.Script;
-import brambletray.script.ScriptReader;
+import brambletray.relay.script.Script;
+import brambletray.relay.script.ScriptReader;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/brambletray/standalone/StandaloneTest.java
+++ b/src/test/java/brambletray/relay/standalone/StandaloneTest.java
@@ -1,10 +1,10 @@
-package brambletray.standalone;
+package brambletray.relay.standalone;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.serve.Node;
-import brambletray.stub.HostStub;
-import brambletray.stub.PlatformStub;
+import brambletray.relay.serve.Node;
+import brambletray.relay.stub.HostStub;
+import brambletray.relay.stub.PlatformStub;
 import com.sun.net.httpserver.HttpServer;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -418,7 +418,7 @@
     void aFaultyConfigurationIsTold(String more, String expected) throws IOException {
         Path config = Files.writeString(
                 folder.resolve("relay.yaml"), "inventory: h.csv\nclasses: [{name: a}]\n" + more + "\n");
-        Exception fault = assertThrows(brambletray.yaml.Faults.class, () -> Standalone.read(config, null));
+        Exception fault = assertThrows(brambletray.common.yaml.Faults.class, () -> Standalone.read(config, null));
         assertTrue(
                 fault.getMessage().contains(expected) && fault.getMessage().contains("relay.yaml:3:"),
                 fault.getMessage());
--- a/src/test/java/brambletray/store/FormerJournal.java
+++ b/src/test/java/brambletray/relay/store/FormerJournal.java
@@ -1,6 +1,6 @@
-package brambletray.store;
+package brambletray.relay.store;
 
-import brambletray.message.Message;
+import brambletray.relay.message.Message;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -319,7 +319,7 @@
                 optional(in),
                 in.readLong(),
                 in.readLong(),
-                brambletray.message.Body.of(in.readNBytes(in.readInt())));
+                brambletray.relay.message.Body.of(in.readNBytes(in.readInt())));
     }
 
     private static byte[] sent(Entry entry, Attempt attempt) throws IOException {
--- a/src/test/java/brambletray/store/FormerTorture.java
+++ b/src/test/java/brambletray/relay/store/FormerTorture.java
@@ -1,7 +1,7 @@
-package brambletray.store;
+package brambletray.relay.store;
 
-import brambletray.message.Body;
-import brambletray.message.Message;
+import brambletray.relay.message.Body;
+import brambletray.relay.message.Message;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/brambletray/store/StoreBench.java
+++ b/src/test/java/brambletray/relay/store/StoreBench.java
@@ -1,8 +1,8 @@
-package brambletray.store;
+package brambletray.relay.store;
 
-import brambletray.journal.Journal;
-import brambletray.message.Body;
-import brambletray.message.Message;
+import brambletray.relay.journal.Journal;
+import brambletray.relay.message.Body;
+import brambletray.relay.message.Message;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
--- a/src/test/java/brambletray/store/StoreTest.java
+++ b/src/test/java/brambletray/relay/store/StoreTest.java
@@ -1,4 +1,4 @@
-package brambletray.store;
+package brambletray.relay.store;
 
 import static org.junit.jupiter.api.Assertions.*;
 
--- a/src/test/java/brambletray/stub/HostStub.java
+++ b/src/test/java/brambletray/relay/stub/HostStub.java
@@ -1,4 +1,4 @@
-package brambletray.stub;
+package brambletray.relay.stub;
 
 import java.io.ByteArrayOutputStream;
 import java.io.EOFException;
--- a/src/test/java/brambletray/stub/MqttHostStub.java
+++ b/src/test/java/brambletray/relay/stub/MqttHostStub.java
@@ -1,4 +1,4 @@
-package brambletray.stub;
+package brambletray.relay.stub;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
--- a/src/test/java/brambletray/stub/MqttStub.java
+++ b/src/test/java/brambletray/relay/stub/MqttStub.java
@@ -1,4 +1,4 @@
-package brambletray.stub;
+package brambletray.relay.stub;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
--- a/src/test/java/brambletray/stub/PlatformStub.java
+++ b/src/test/java/brambletray/relay/stub/PlatformStub.java
@@ -1,7 +1,7 @@
-package brambletray.stub;
+package brambletray.relay.stub;
 
-import brambletray.serve.Config;
-import brambletray.serve.Node;
+import brambletray.relay.serve.Config;
+import brambletray.relay.serve.Node;
 import com.sun.net.httpserver.HttpServer;
 import java.io.IOException;
 import java.io.OutputStream;
