--- a/src/main/java/brambletray/platform/controlplane/ControlPlaneProgram.java
+++ b/src/main/java/brambletray/platform/controlplane/ControlPlaneProgram.java
@@ -16,17 +16,14 @@
 import brambletray.platform.failuredetection.Roster;
 import brambletray.platform.logging.EventLog;
 import brambletray.platform.replication.DurableState;
-import brambletray.platform.replication.FaultTolerance;
 import brambletray.platform.replication.Member;
 import brambletray.platform.replication.MemberRemovalOutcome;
 import brambletray.platform.replication.ProposalOutcome;
 import brambletray.platform.replication.Replica;
-import brambletray.platform.replication.ReplicaConfig;
 import brambletray.platform.replication.ReplicaStatus;
 import brambletray.platform.replication.ReplicationActions;
 import brambletray.platform.replication.ReplicationEvent;
 import brambletray.platform.replication.ReplicationMessage;
-import brambletray.platform.replication.ReplicationSettings;
 import brambletray.platform.settings.Address;
 import brambletray.platform.settings.NodeSettings;
 import brambletray.platform.settings.SettingsException;
@@ -39,9 +36,7 @@
 import brambletray.platform.transport.Link;
 import brambletray.platform.transport.Sockets;
 import io.netty.channel.ChannelFuture;
-import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
@@ -55,8 +50,6 @@
     private static final EventLog LOG = EventLog.of("controlplane");
     /** ms between ticks, each of which costs a wake-up. */
     private static final int TICK_INTERVAL_MS = 50;
-    /** ms until a disk that could not be opened is tried again. */
-    private static final int DISK_RETRY_MS = 200;
     /** ms that a process stays at least after SIGTERM, so that the others learn that the lease is released. */
     private static final int MIN_SHUTDOWN_MS = 300;
     /** ms for its last responses to be sent. */
@@ -113,15 +106,7 @@
                 new LinkIntroduction(nodeSettings.node(), address, true),
                 new LinkEvents());
         replica = new Replica(
-                new ReplicaConfig(
-                        address,
-                        nodeSettings.node(),
-                        nodeSettings.zone(),
-                        newIncarnation,
-                        origin,
-                        seeds(nodeSettings),
-                        nodeSettings.initialStart(),
-                        replicationSettings(nodeSettings)),
+                ReplicaSettings.config(nodeSettings, newIncarnation, origin),
                 DurableState.read(stored),
                 new ReplicationOutput(),
                 operatorCalls,
@@ -142,29 +127,6 @@
                 this::nowMs));
     }
 
-    private static ReplicationSettings replicationSettings(NodeSettings nodeSettings) {
-        FaultTolerance tolerance = new FaultTolerance(
-                nodeSettings.machineLosses(),
-                nodeSettings.zoneLosses(),
-                nodeSettings.regionLosses(),
-                nodeSettings.zones());
-        return ReplicationSettings.defaults(tolerance, leaveTimeoutMs(nodeSettings));
-    }
-
-    /**
-     * How long a process that is about to end stays at most, ms: grace-s less a margin in which it ends by itself.
-     */
-    private static int leaveTimeoutMs(NodeSettings nodeSettings) {
-        int grace = (int) (nodeSettings.bounds().graceS() * 1_000);
-        return Math.max(grace / 2, grace - 1_000);
-    }
-
-    private static List<String> seeds(NodeSettings nodeSettings) {
-        List<String> seeds = new ArrayList<>();
-        nodeSettings.seeds().forEach(seed -> seeds.add(seed.toString()));
-        return seeds;
-    }
-
     /**
      * Runs the program until SIGTERM. {@code newIncarnation}, {@code origin}: drawn at random. Throws {@link
      * StorageException} if the disk cannot be used.
@@ -172,11 +134,8 @@
     public static void run(NodeSettings nodeSettings, long newIncarnation, long origin) throws InterruptedException {
         Machine machine = Sockets.machine();
         Address control = nodeSettings.require("bind-addresses.control-plane", nodeSettings.controlPlane());
-        KeyValueStore keyValueStore = openStore(nodeSettings.require("data-dir", nodeSettings.dataDir()));
-        Map<String, byte[]> stored = new HashMap<>();
-        for (Map.Entry<String, byte[]> one : keyValueStore.prefix("")) {
-            stored.put(one.getKey(), one.getValue());
-        }
+        KeyValueStore keyValueStore = StoreOpener.open(nodeSettings.require("data-dir", nodeSettings.dataDir()));
+        Map<String, byte[]> stored = StoreOpener.readAll(keyValueStore);
         Environment real =
                 new Environment(machine, stored, new SyncWriter(keyValueStore, machine.loop()), () -> System.exit(0));
         ControlPlaneProgram[] program = new ControlPlaneProgram[1];
@@ -191,7 +150,7 @@
         LOG.info("started")
                 .with("node", nodeSettings.node())
                 .with("control", control)
-                .with("kept", stored.size())
+                .with("stored-keys", stored.size())
                 .log();
     }
 
@@ -214,30 +173,6 @@
                 address, incarnation, nowMs(), result -> machine.loop().execute(() -> then.accept(result)));
     }
 
-    /**
-     * Opens the disk, for as long as it takes: one that refuses is tried again, one without a complete store counts
-     * as lost, and its incarnation with it.
-     */
-    private static KeyValueStore openStore(Path dir) throws InterruptedException {
-        for (; ; ) {
-            try {
-                return KeyValueStore.open(dir);
-            } catch (StorageException error) {
-                LOG.warn("disk not opened")
-                        .with("code", error.code())
-                        .with("why", error.getMessage())
-                        .log();
-                if (error.code().equals("storage.broken")) {
-                    KeyValueStore.abandon(dir);
-                } else if (error.code().equals("storage.format")) {
-                    throw error;
-                } else {
-                    TimeUnit.MILLISECONDS.sleep(DISK_RETRY_MS);
-                }
-            }
-        }
-    }
-
     private long nowMs() {
         return machine.clock().nanos() / 1_000_000;
     }
@@ -330,8 +265,8 @@
 
     private void reloadSettings() {
         try {
-            NodeSettings nowMs = nodeSettings.reread();
-            replica.updateSettings(replicationSettings(nowMs), seeds(nowMs));
+            NodeSettings current = nodeSettings.reread();
+            replica.updateSettings(ReplicaSettings.timeouts(current), ReplicaSettings.seeds(current));
             LOG.info("settings read again").log();
         } catch (SettingsException error) {
             LOG.warn("settings not used")
@@ -348,7 +283,7 @@
         }
         leavingSinceMs = nowMs();
         LOG.info("leaving").log();
-        int maxMs = leaveTimeoutMs(nodeSettings);
+        int maxMs = ReplicaSettings.leaveTimeoutMs(nodeSettings);
         machine.loop().schedule(exit, maxMs + Math.min(500, maxMs / 10), TimeUnit.MILLISECONDS);
         election.handOver(leavingSinceMs);
         replica.leave(leavingSinceMs);
--- a/src/main/java/brambletray/platform/election/ElectionView.java
+++ b/src/main/java/brambletray/platform/election/ElectionView.java
@@ -10,21 +10,48 @@
 
 /** What a member knows of the active view, and since when. */
 final class ElectionView {
+    private boolean isMember;
+    private long viewNumber;
+    private List<Member> members = List.of();
+    private long activeSinceMs = Long.MIN_VALUE / 2;
+    /** Since when the view before was active here: always, for a member that has seen none. */
+    private long previousActiveSinceMs = Long.MIN_VALUE / 2;
+
+    private boolean followsDirectly;
+    private List<ViewMembership> lineage = List.of();
+
     /**
      * Whether this member is in it now, in touch with its leader, and has applied everything that earlier views
      * committed.
      */
-    boolean isMember;
-    /** Number and members of the last view that it was in. */
-    long viewNumber;
+    boolean isMember() {
+        return isMember;
+    }
 
-    List<Member> members = List.of();
-    long activeSinceMs = Long.MIN_VALUE / 2;
-    /** Since when the view before was active here: always, for a member that has seen none. */
-    private long previousActiveSinceMs = Long.MIN_VALUE / 2;
+    /** Number of the last view that it was in. */
+    long viewNumber() {
+        return viewNumber;
+    }
 
-    private boolean followsDirectly;
-    private List<ViewMembership> lineage = List.of();
+    /** Members of the last view that it was in. */
+    List<Member> members() {
+        return members;
+    }
+
+    /** Since when that view is active here; ms. */
+    long activeSinceMs() {
+        return activeSinceMs;
+    }
+
+    /** The first member that is not this incarnation; 0 if there is none. */
+    long firstOtherThan(long incarnation) {
+        for (Member member : members) {
+            if (member.incarnation() != incarnation) {
+                return member.incarnation();
+            }
+        }
+        return 0;
+    }
 
     /** Takes over the present status; whether the view is another one. */
     boolean update(ReplicaStatus status, long nowMs) {
--- a/src/main/java/brambletray/platform/election/LeaseAttempt.java
+++ b/src/main/java/brambletray/platform/election/LeaseAttempt.java
@@ -14,18 +14,16 @@
 final class LeaseAttempt {
     private static final int REMEMBERED_MESSAGES = 16;
 
-    final long term;
-    final boolean probe;
+    private final long term;
+    private final boolean probe;
     private final long[] sentAtMs = new long[REMEMBERED_MESSAGES];
     private final Map<Long, Long> grantedAtMs = new HashMap<>();
     private final Set<Long> deniedBy = new HashSet<>();
     private long lastSequence;
-    /** A voter knows that this view descends from the one in which the lease was held. */
-    boolean viewDescends;
-
-    boolean won;
-    long lastSentAtMs = Long.MIN_VALUE / 2;
-    final long startedAtMs;
+    private boolean viewDescends;
+    private boolean won;
+    private long lastSentAtMs = Long.MIN_VALUE / 2;
+    private final long startedAtMs;
 
     LeaseAttempt(long term, boolean probe, long nowMs) {
         this.term = term;
@@ -33,6 +31,43 @@
         this.startedAtMs = nowMs;
     }
 
+    long term() {
+        return term;
+    }
+
+    /** Whether voters are only asked whether they would grant. */
+    boolean isProbe() {
+        return probe;
+    }
+
+    /** Whether the lease was won under this term. */
+    boolean isWon() {
+        return won;
+    }
+
+    void markWon() {
+        won = true;
+    }
+
+    /** Whether a voter knows that this view descends from the one in which the lease was held. */
+    boolean viewDescends() {
+        return viewDescends;
+    }
+
+    void markViewDescends() {
+        viewDescends = true;
+    }
+
+    /** When the first request was prepared; ms. */
+    long startedAtMs() {
+        return startedAtMs;
+    }
+
+    /** When the last message was sent; ms, long ago for none. */
+    long lastSentAtMs() {
+        return lastSentAtMs;
+    }
+
     /** Sequence number of the next message, which is sent now. */
     long nextSequence(long nowMs) {
         lastSentAtMs = nowMs;
--- a/src/main/java/brambletray/platform/election/LeaseElection.java
+++ b/src/main/java/brambletray/platform/election/LeaseElection.java
@@ -87,7 +87,7 @@
     /** The present status of the replica; to be called at each change and at each tick. */
     public void updateView(ReplicaStatus status, long timeMs) {
         advanceTime(timeMs);
-        if (electionView.update(status, nowMs) && attempt != null && !attempt.won) {
+        if (electionView.update(status, nowMs) && attempt != null && !attempt.isWon()) {
             attempt = null;
         }
         flush();
@@ -97,11 +97,11 @@
     public void tick(long timeMs) {
         advanceTime(timeMs);
         lastTickAtMs = nowMs;
-        if (attempt != null && attempt.won) {
+        if (attempt != null && attempt.isWon()) {
             maintainLease();
         } else if (attempt != null) {
             requestLease();
-        } else if (electionView.isMember && wantsLease && release == null) {
+        } else if (electionView.isMember() && wantsLease && release == null) {
             maybeStartCandidacy();
         }
         if (release != null) {
@@ -117,11 +117,19 @@
         }
         lastTickAtMs = nowMs;
         revalidateSinceMs = nowMs;
-        if (attempt != null && !attempt.won) {
+        if (attempt != null && !attempt.isWon()) {
             attempt = null;
         }
     }
 
+    private void sendToOthers(ElectionMessage message) {
+        for (Member member : electionView.members()) {
+            if (member.incarnation() != self.incarnation()) {
+                actions.send(member.address(), message);
+            }
+        }
+    }
+
     private void flush() {
         voter.flush(nowMs);
     }
@@ -148,18 +156,18 @@
             wait += INITIAL_WAIT_MS;
         }
         long since = electionView.knowsRunningLeases(nowMs, timings.voterLeaseMs())
-                ? electionView.activeSinceMs
-                : electionView.activeSinceMs + timings.voterLeaseMs();
+                ? electionView.activeSinceMs()
+                : electionView.activeSinceMs() + timings.voterLeaseMs();
         if (nowMs - Math.max(voter.vacantSinceMs(), since) >= wait) {
             startCandidacy(true);
         }
     }
 
     private void startCandidacy(boolean probe) {
-        long term =
-                Math.max(Math.max(voter.grantedTerm(), highestSeenTerm), electionView.viewNumber << TERM_BITS_PER_VIEW)
-                        + 1;
-        if (term >= (electionView.viewNumber + 1) << TERM_BITS_PER_VIEW) {
+        long term = Math.max(
+                        Math.max(voter.grantedTerm(), highestSeenTerm), electionView.viewNumber() << TERM_BITS_PER_VIEW)
+                + 1;
+        if (term >= (electionView.viewNumber() + 1) << TERM_BITS_PER_VIEW) {
             return;
         }
         attempt = new LeaseAttempt(term, probe, nowMs);
@@ -167,26 +175,22 @@
     }
 
     private void requestLease() {
-        if (!electionView.isMember || nowMs - attempt.startedAtMs > timings.holderLeaseMs()) {
+        if (!electionView.isMember() || nowMs - attempt.startedAtMs() > timings.holderLeaseMs()) {
             abandonCandidacy(RETRY_INTERVAL_MS);
             return;
         }
-        if (nowMs - attempt.lastSentAtMs < RETRY_INTERVAL_MS) {
+        if (nowMs - attempt.lastSentAtMs() < RETRY_INTERVAL_MS) {
             return;
         }
         ElectionMessage.LeaseRequest request = new ElectionMessage.LeaseRequest(
                 role,
-                attempt.probe,
-                electionView.viewNumber,
-                attempt.term,
+                attempt.isProbe(),
+                electionView.viewNumber(),
+                attempt.term(),
                 attempt.nextSequence(nowMs),
                 self,
                 resumableViewNumber);
-        for (Member member : electionView.members) {
-            if (member.incarnation() != self.incarnation()) {
-                actions.send(member.address(), request);
-            }
-        }
+        sendToOthers(request);
         onLeaseRequest(null, request);
     }
 
@@ -196,29 +200,31 @@
      * this view had then granted any lease that still runs, and would have refused.
      */
     private void maybeWin() {
-        if (attempt == null || attempt.won) {
+        if (attempt == null || attempt.isWon()) {
             return;
         }
-        long agreedAt = attempt.majorityGrantedAtMs(electionView.members);
-        if (nowMs - agreedAt >= timings.holderLeaseMs()) {
+        long grantedAtMs = attempt.majorityGrantedAtMs(electionView.members());
+        if (nowMs - grantedAtMs >= timings.holderLeaseMs()) {
             return;
         }
-        boolean all = attempt.isGrantedByAll(electionView.members);
-        boolean quick = electionView.knowsRunningLeases(nowMs, timings.voterLeaseMs()) || attempt.viewDescends;
-        if (!(all && quick) && nowMs - electionView.activeSinceMs < timings.voterLeaseMs()) {
-            if (all && resumableViewNumber != 0) {
+        boolean grantedByAll = attempt.isGrantedByAll(electionView.members());
+        boolean knowsAllLeases =
+                electionView.knowsRunningLeases(nowMs, timings.voterLeaseMs()) || attempt.viewDescends();
+        boolean earlierLeasesMayRun = nowMs - electionView.activeSinceMs() < timings.voterLeaseMs();
+        if (earlierLeasesMayRun && !(grantedByAll && knowsAllLeases)) {
+            if (grantedByAll && resumableViewNumber != 0) {
                 abandonResumption();
             }
             return;
         }
-        if (attempt.probe) {
+        if (attempt.isProbe()) {
             startCandidacy(false);
             return;
         }
-        attempt.won = true;
+        attempt.markWon();
         resumableViewNumber = 0;
-        actions.log(new ElectionEvent.Won(role, attempt.term, electionView.viewNumber));
-        actions.won(attempt.term);
+        actions.log(new ElectionEvent.Won(role, attempt.term(), electionView.viewNumber()));
+        actions.won(attempt.term());
         renewLease();
     }
 
@@ -228,41 +234,37 @@
      */
     private void abandonResumption() {
         resumableViewNumber = 0;
-        if (attempt.probe) {
+        if (attempt.isProbe()) {
             attempt = null;
         }
     }
 
     private void maintainLease() {
-        boolean over = nowMs - attempt.majorityGrantedAtMs(electionView.members) >= timings.voterLeaseMs();
-        if (over || (electionView.isMember && electionView.rank(self.incarnation()) < 0)) {
+        boolean over = nowMs - attempt.majorityGrantedAtMs(electionView.members()) >= timings.voterLeaseMs();
+        if (over || (electionView.isMember() && electionView.rank(self.incarnation()) < 0)) {
             loseLease(over ? "not renewed" : "not in the view");
             return;
         }
-        if (nowMs - attempt.lastSentAtMs >= timings.renewIntervalMs()) {
+        if (nowMs - attempt.lastSentAtMs() >= timings.renewIntervalMs()) {
             renewLease();
         }
     }
 
     private void renewLease() {
-        if (!electionView.isMember) {
+        if (!electionView.isMember()) {
             return;
         }
         ElectionMessage.RenewRequest request = new ElectionMessage.RenewRequest(
-                role, electionView.viewNumber, attempt.term, attempt.nextSequence(nowMs), self);
-        for (Member member : electionView.members) {
-            if (member.incarnation() != self.incarnation()) {
-                actions.send(member.address(), request);
-            }
-        }
+                role, electionView.viewNumber(), attempt.term(), attempt.nextSequence(nowMs), self);
+        sendToOthers(request);
         onRenewRequest(null, request);
     }
 
-    private void loseLease(String why) {
-        long term = attempt.term;
+    private void loseLease(String reason) {
+        long term = attempt.term();
         attempt = null;
         noCandidacyBeforeMs = nowMs + timings.renewIntervalMs();
-        actions.log(new ElectionEvent.Lost(role, term, why));
+        actions.log(new ElectionEvent.Lost(role, term, reason));
         actions.lost(term);
     }
 
@@ -272,14 +274,9 @@
     public void handOver(long timeMs) {
         advanceTime(timeMs);
         wantsLease = false;
-        if (attempt != null && attempt.won) {
-            long next = 0;
-            for (Member member : electionView.members) {
-                if (member.incarnation() != self.incarnation() && next == 0) {
-                    next = member.incarnation();
-                }
-            }
-            release = new ElectionMessage.LeaseReleased(role, attempt.term, self.incarnation(), next);
+        if (attempt != null && attempt.isWon()) {
+            release = new ElectionMessage.LeaseReleased(
+                    role, attempt.term(), self.incarnation(), electionView.firstOtherThan(self.incarnation()));
             releaseResendUntilMs = nowMs + timings.holderLeaseMs();
             loseLease("handed over");
             sendRelease();
@@ -289,11 +286,7 @@
 
     private void sendRelease() {
         voter.release(release.term(), release.holderIncarnation(), release.successorIncarnation(), nowMs);
-        for (Member member : electionView.members) {
-            if (member.incarnation() != self.incarnation()) {
-                actions.send(member.address(), release);
-            }
-        }
+        sendToOthers(release);
         if (nowMs >= releaseResendUntilMs) {
             release = null;
         }
@@ -308,42 +301,55 @@
         flush();
     }
 
-    private void dispatch(String from, ElectionMessage frame) {
-        if (frame instanceof ElectionMessage.LeaseRequest request) {
+    private void dispatch(String from, ElectionMessage message) {
+        if (message instanceof ElectionMessage.LeaseRequest request) {
             onLeaseRequest(from, request);
-        } else if (frame instanceof ElectionMessage.RenewRequest request) {
+        } else if (message instanceof ElectionMessage.RenewRequest request) {
             onRenewRequest(from, request);
-        } else if (frame instanceof ElectionMessage.LeaseGranted granted) {
-            if (attempt != null && attempt.term == granted.term() && attempt.probe == granted.probe()) {
+        } else if (message instanceof ElectionMessage.LeaseGranted granted) {
+            onGranted(granted);
+        } else if (message instanceof ElectionMessage.RenewGranted granted) {
+            if (attempt != null && attempt.isWon() && attempt.term() == granted.term()) {
                 attempt.onGranted(granted.voterIncarnation(), granted.sequence());
-                attempt.viewDescends |= granted.viewDescends() && resumableViewNumber != 0;
-                maybeWin();
             }
-        } else if (frame instanceof ElectionMessage.RenewGranted granted) {
-            if (attempt != null && attempt.won && attempt.term == granted.term()) {
-                attempt.onGranted(granted.voterIncarnation(), granted.sequence());
-            }
-        } else if (frame instanceof ElectionMessage.LeaseDenied denied) {
+        } else if (message instanceof ElectionMessage.LeaseDenied denied) {
             onDenied(denied);
-        } else if (frame instanceof ElectionMessage.LeaseReleased released) {
-            if (voter.release(released.term(), released.holderIncarnation(), released.successorIncarnation(), nowMs)
-                    && released.successorIncarnation() == self.incarnation()) {
-                noCandidacyBeforeMs = nowMs;
-                if (attempt == null && electionView.isMember && wantsLease) {
-                    maybeStartCandidacy();
-                }
-            }
+        } else if (message instanceof ElectionMessage.LeaseReleased released) {
+            onReleased(released);
+        }
+    }
+
+    private void onGranted(ElectionMessage.LeaseGranted granted) {
+        if (attempt == null || attempt.term() != granted.term() || attempt.isProbe() != granted.probe()) {
+            return;
+        }
+        attempt.onGranted(granted.voterIncarnation(), granted.sequence());
+        if (granted.viewDescends() && resumableViewNumber != 0) {
+            attempt.markViewDescends();
+        }
+        maybeWin();
+    }
+
+    private void onReleased(ElectionMessage.LeaseReleased released) {
+        boolean known =
+                voter.release(released.term(), released.holderIncarnation(), released.successorIncarnation(), nowMs);
+        if (!known || released.successorIncarnation() != self.incarnation()) {
+            return;
+        }
+        noCandidacyBeforeMs = nowMs;
+        if (attempt == null && electionView.isMember() && wantsLease) {
+            maybeStartCandidacy();
         }
     }
 
     private void onDenied(ElectionMessage.LeaseDenied denied) {
         highestSeenTerm = Math.max(
                 highestSeenTerm,
-                denied.grantedTerm() >>> TERM_BITS_PER_VIEW <= electionView.viewNumber ? denied.grantedTerm() : 0);
+                denied.grantedTerm() >>> TERM_BITS_PER_VIEW <= electionView.viewNumber() ? denied.grantedTerm() : 0);
         if (attempt == null
-                || attempt.won
-                || attempt.term != denied.term()
-                || !attempt.onDenied(denied.voterIncarnation(), electionView.members)) {
+                || attempt.isWon()
+                || attempt.term() != denied.term()
+                || !attempt.onDenied(denied.voterIncarnation(), electionView.members())) {
             return;
         }
         abandonCandidacy(Math.max(20, Math.min(denied.remainingMs(), RETRY_INTERVAL_MS)));
@@ -351,15 +357,11 @@
 
     /** Gives up for now; those who granted need not wait for the lease to run out. */
     private void abandonCandidacy(int pauseMs) {
-        if (!attempt.probe) {
+        if (!attempt.isProbe()) {
             ElectionMessage.LeaseReleased released =
-                    new ElectionMessage.LeaseReleased(role, attempt.term, self.incarnation(), 0);
-            voter.release(attempt.term, self.incarnation(), 0, nowMs);
-            for (Member member : electionView.members) {
-                if (member.incarnation() != self.incarnation()) {
-                    actions.send(member.address(), released);
-                }
-            }
+                    new ElectionMessage.LeaseReleased(role, attempt.term(), self.incarnation(), 0);
+            voter.release(attempt.term(), self.incarnation(), 0, nowMs);
+            sendToOthers(released);
         }
         attempt = null;
         noCandidacyBeforeMs =
@@ -367,7 +369,7 @@
     }
 
     private void onLeaseRequest(String from, ElectionMessage.LeaseRequest request) {
-        if (!electionView.isMember || request.viewNumber() != electionView.viewNumber) {
+        if (!electionView.isMember() || request.viewNumber() != electionView.viewNumber()) {
             return;
         }
         Member candidate = request.candidate();
@@ -381,14 +383,14 @@
                                 voter.grantedTerm(),
                                 voter.remainingMs(nowMs),
                                 self.incarnation()));
-            } else if (attempt != null && !attempt.won) {
+            } else if (attempt != null && !attempt.isWon()) {
                 abandonCandidacy(RETRY_INTERVAL_MS);
             }
             return;
         }
         boolean better = from != null
                 && attempt != null
-                && attempt.probe
+                && attempt.isProbe()
                 && electionView.rank(candidate.incarnation()) < electionView.rank(self.incarnation());
         if (better) {
             abandonCandidacy(2 * timings.rankDelayMs());
@@ -416,7 +418,7 @@
     }
 
     private void onRenewRequest(String from, ElectionMessage.RenewRequest request) {
-        if (!electionView.isMember || request.viewNumber() != electionView.viewNumber) {
+        if (!electionView.isMember() || request.viewNumber() != electionView.viewNumber()) {
             return;
         }
         ElectionMessage.RenewGranted granted =
@@ -454,11 +456,11 @@
 
     /** Whether this process may act under its term at this moment: to be asked right before each act. */
     public boolean mayAct(long timeMs) {
-        if (attempt == null || !attempt.won || timeMs - lastTickAtMs > timings.maxTickDelayMs()) {
+        if (attempt == null || !attempt.isWon() || timeMs - lastTickAtMs > timings.maxTickDelayMs()) {
             return false;
         }
-        long agreedAt = attempt.majorityGrantedAtMs(electionView.members);
-        return agreedAt >= revalidateSinceMs && timeMs - agreedAt < timings.holderLeaseMs();
+        long grantedAtMs = attempt.majorityGrantedAtMs(electionView.members());
+        return grantedAtMs >= revalidateSinceMs && timeMs - grantedAtMs < timings.holderLeaseMs();
     }
 
     /**
@@ -468,8 +470,8 @@
      */
     public void revalidate(long seenTerm, long timeMs) {
         advanceTime(timeMs);
-        if (attempt != null && attempt.won && seenTerm > attempt.term) {
-            actions.log(new ElectionEvent.Revalidating(role, attempt.term, seenTerm));
+        if (attempt != null && attempt.isWon() && seenTerm > attempt.term()) {
+            actions.log(new ElectionEvent.Revalidating(role, attempt.term(), seenTerm));
             revalidateSinceMs = nowMs;
             renewLease();
         }
@@ -478,8 +480,8 @@
 
     /** The holder as far as known here, or null. Itself only while it may act: its own grant alone is no lease. */
     public LeaseHolder holder(long timeMs) {
-        if (attempt != null && attempt.won) {
-            return mayAct(timeMs) ? new LeaseHolder(attempt.term, self) : null;
+        if (attempt != null && attempt.isWon()) {
+            return mayAct(timeMs) ? new LeaseHolder(attempt.term(), self) : null;
         }
         LeaseHolder other = voter.holder(timeMs);
         return other == null || other.member().incarnation() == self.incarnation() ? null : other;
