--- a/src/main/java/brambletray/platform/configuration/Configuration.java
+++ b/src/main/java/brambletray/platform/configuration/Configuration.java
@@ -96,7 +96,7 @@
 
     /**
      * This one with named items added, replaced ({@code upsert}) and removed ({@code withdraw}); fields of
-     * {@code upsert} that hold no items, as limits, are replaced, those of an object one by one. A name to remove that
+     * {@code upsert} without items, as limits, are replaced, those of an object one by one. A name to remove that
      * isn't there is gone already. {@link ConfigurationException} where the change is invalid, or what would become of
      * it.
      */
--- a/src/main/java/brambletray/platform/configuration/ConfigurationDelta.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationDelta.java
@@ -82,7 +82,7 @@
             }
             return new ConfigurationDelta(baseRevision, revision, digest, entries);
         } catch (IOException e) {
-            throw malformed("a whole difference", e);
+            throw malformed("a complete delta", e);
         }
     }
 
@@ -100,7 +100,7 @@
             return null;
         }
         if (length < 0 || length > in.available()) {
-            throw malformed("a whole entry", null);
+            throw malformed("a complete entry", null);
         }
         return in.readNBytes(length);
     }
--- a/src/main/java/brambletray/platform/configuration/ConfigurationStateMachine.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationStateMachine.java
@@ -181,7 +181,7 @@
             in.get(json);
             current = json.length == 0 ? Configuration.NONE : Configuration.read(json);
         } catch (BufferUnderflowException e) {
-            throw new ConfigurationException("bad-snapshot", "", "expected a whole snapshot, its end is missing", e);
+            throw new ConfigurationException("bad-snapshot", "", "expected a complete snapshot, its end is missing", e);
         }
         reset(current, read);
     }
--- a/src/main/java/brambletray/platform/configuration/DeltaCompression.java
+++ b/src/main/java/brambletray/platform/configuration/DeltaCompression.java
@@ -39,12 +39,13 @@
                 int count = inflater.inflate(part);
                 out.write(part, 0, count);
                 if (count == 0 && !inflater.finished() || out.size() > MAX_UNPACKED_BYTES) {
-                    throw new ConfigurationException("bad-packing", "", "expected a whole configuration, packed");
+                    throw new ConfigurationException(
+                            "bad-packing", "", "expected a complete configuration, compressed");
                 }
             }
             return out.toByteArray();
         } catch (DataFormatException e) {
-            throw new ConfigurationException("bad-packing", "", "expected a whole configuration, packed", e);
+            throw new ConfigurationException("bad-packing", "", "expected a complete configuration, compressed", e);
         } finally {
             inflater.end();
         }
--- a/src/main/java/brambletray/platform/configuration/JsonTextValidator.java
+++ b/src/main/java/brambletray/platform/configuration/JsonTextValidator.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * What must hold of a body's bytes before it is read: the library below takes more than JSON allows, and goes as deep
+ * What must be true of a body's bytes before it is read: the library below takes more than JSON allows, and goes as deep
  * as the body does.
  */
 final class JsonTextValidator {
--- a/src/main/java/brambletray/platform/configuration/Service.java
+++ b/src/main/java/brambletray/platform/configuration/Service.java
@@ -5,7 +5,7 @@
  *
  * @param memoryMb what a host of it occupies on a worker
  * @param bootMs how long a start takes on average
- * @param maxConcurrency requests that a host may hold at once
+ * @param maxConcurrency requests that an instance may have at a time
  * @param maxConnections connections that a host accepts, from all callers together
  * @param healthPath null: there is none
  */
--- a/src/main/java/brambletray/platform/controlplane/EdgeCoordinator.java
+++ b/src/main/java/brambletray/platform/controlplane/EdgeCoordinator.java
@@ -328,7 +328,7 @@
             if (authorityLostAtMs == NEVER) {
                 authorityLostAtMs = nowMs;
             } else if (nowMs - authorityLostAtMs >= LEASE_UNCERTAIN_GRACE_MS) {
-                releaseEdges("the lease has run out or is in doubt");
+                releaseEdges("the lease has run out or is uncertain");
             }
             return;
         }
@@ -361,7 +361,8 @@
         @Override
         public void send(String name, Object frame) {
             ConnectedEdge edge = edges.get(name);
-            // An edge that is released reports what it knows when it is accepted again, and is told then what it has
+            // An edge that is released reports what it knows when it is accepted again, and is notified then of what it
+            // has
             // missed.
             if (edge != null && edge.heartbeatSent) {
                 if (authority.mayAct()) {
--- a/src/main/java/brambletray/platform/controlplane/OperatorCalls.java
+++ b/src/main/java/brambletray/platform/controlplane/OperatorCalls.java
@@ -49,7 +49,7 @@
         ReplicaStatus status();
 
         /**
-         * Control-plane address of the leader that the others go on with, once this member was told to end and is not
+         * Control-plane address of the leader that the others go on with, once this member is about to end and is not
          * in their view any more; else null.
          */
         default String successor() {
--- a/src/main/java/brambletray/platform/controlplane/PeerLinks.java
+++ b/src/main/java/brambletray/platform/controlplane/PeerLinks.java
@@ -154,7 +154,7 @@
                     receiver.onEdgeConnected(introduction.name(), link);
                 }
             } else {
-                link.close("said something before its name");
+                link.close("message before the introduction");
             }
         }
 
--- a/src/main/java/brambletray/platform/election/LeaseVoter.java
+++ b/src/main/java/brambletray/platform/election/LeaseVoter.java
@@ -46,7 +46,7 @@
         byte form = in.get();
         if (form != CURRENT_FORM && form != PREVIOUS_FORM) {
             throw new ElectionException(
-                    "election.form", "kept in form " + stored[0] + ", this program reads form " + CURRENT_FORM);
+                    "election.form", "stored in form " + stored[0] + ", this program reads form " + CURRENT_FORM);
         }
         grantedTerm = in.getLong();
         grantedTo = in.getLong();
--- a/src/main/java/brambletray/platform/failuredetection/HeartbeatMonitor.java
+++ b/src/main/java/brambletray/platform/failuredetection/HeartbeatMonitor.java
@@ -18,7 +18,7 @@
         /** Sends this to the coordinator. */
         void reportSuspicion(SuspicionReport report);
 
-        /** Say this to the hub. */
+        /** Sends this to the coordinator. */
         void withdrawSuspicion(SuspicionWithdrawal withdrawal);
 
         /** This process did not run for so long; what it knows may be old. */
--- a/src/main/java/brambletray/platform/failuredetection/MembershipRegistry.java
+++ b/src/main/java/brambletray/platform/failuredetection/MembershipRegistry.java
@@ -122,7 +122,7 @@
         for (Peer peer : other.peers()) {
             if (!entries.containsKey(peer.name()) && entries.size() < MAX_MEMBERS) {
                 entries.put(peer.name(), MembershipEntry.reported(peer, nowMs));
-                reasons.add(peer.name() + " was told of");
+                reasons.add(peer.name() + " was reported");
             }
         }
     }
--- a/src/main/java/brambletray/platform/failuredetection/RemovalRule.java
+++ b/src/main/java/brambletray/platform/failuredetection/RemovalRule.java
@@ -41,13 +41,13 @@
         }
         String accuser = suspectedBy.iterator().next();
         return accuser.equals(onlyHealthyWatcher(name, accuser))
-                ? "suspected by " + accuser + ", its only watcher that lives"
+                ? "suspected by " + accuser + ", its only healthy watcher"
                 : null;
     }
 
     private String reasonToRemoveUnlinked(String name, MembershipEntry entry) {
         if (entry.onlyReported) {
-            return "not heard by this hub";
+            return "not heard by this coordinator";
         }
         if (!entry.peer.isActive()) {
             return "left";
--- a/src/main/java/brambletray/platform/replication/LeaderMonitor.java
+++ b/src/main/java/brambletray/platform/replication/LeaderMonitor.java
@@ -40,7 +40,7 @@
         return !leaderSeen;
     }
 
-    /** Whether the leader has said that it is about to end. */
+    /** Whether the leader is about to end. */
     boolean leaderIsLeaving() {
         return leavingSinceMs != NOT_LEAVING;
     }
--- a/src/main/java/brambletray/platform/replication/Replica.java
+++ b/src/main/java/brambletray/platform/replication/Replica.java
@@ -282,7 +282,7 @@
         return plannedLeave != null && plannedLeave.isOver();
     }
 
-    /** Whether this process has been told to end. */
+    /** Whether this process is about to end. */
     boolean isLeaving() {
         return state.isLeaving();
     }
@@ -457,7 +457,7 @@
 
     /**
      * Transition: a new view change at once, without waiting for these members; where the rest is enough they are left
-     * out even if they answer, as they would hold it up again.
+     * out even if they answer, as they would delay it again.
      */
     void restartViewChange(Set<Long> absent, String reason) {
         viewChange = null;
--- a/src/main/java/brambletray/platform/replication/ReplicatedLog.java
+++ b/src/main/java/brambletray/platform/replication/ReplicatedLog.java
@@ -148,9 +148,9 @@
         if (commit >= snapshotIndex && commit <= lastIndex()) {
             return patchAfter(commit);
         }
-        LogPatch whole = new LogPatch(true, snapshotIndex, snapshotView, snapshot, List.copyOf(entries));
+        LogPatch fullLog = new LogPatch(true, snapshotIndex, snapshotView, snapshot, List.copyOf(entries));
         LogPatch tail = patchFromCompacted(end, endView);
-        return tail != null && tail.sizeBytes() <= whole.sizeBytes() ? tail : whole;
+        return tail != null && tail.sizeBytes() <= fullLog.sizeBytes() ? tail : fullLog;
     }
 
     /**
--- a/src/main/java/brambletray/platform/replication/ReplicationCodec.java
+++ b/src/main/java/brambletray/platform/replication/ReplicationCodec.java
@@ -52,7 +52,7 @@
             if (in.form < 1 || in.form > CURRENT_FORM) {
                 throw new ReplicationException(
                         "replication.form",
-                        "kept in form " + in.form + ", this program reads forms up to " + CURRENT_FORM);
+                        "stored in form " + in.form + ", this program reads forms up to " + CURRENT_FORM);
             }
             return reading.readFrom(in);
         } catch (IOException e) {
@@ -158,7 +158,7 @@
 
     /** The patch, after the commit index of the member that has packed it. */
     static LogPatch patch(DataInputStream in) throws IOException {
-        boolean whole = in.readBoolean();
+        boolean replacesAll = in.readBoolean();
         long after = in.readLong();
         Ballot afterView = ballot(in);
         byte[] snapshot = bytes(in);
@@ -167,7 +167,7 @@
         for (int i = 0; i < count; i++) {
             entries.add(entry(in));
         }
-        return new LogPatch(whole, after, afterView, snapshot, entries);
+        return new LogPatch(replacesAll, after, afterView, snapshot, entries);
     }
 
     static byte[] strings(List<String> strings) {
--- a/src/main/java/brambletray/platform/replication/StateTransferClient.java
+++ b/src/main/java/brambletray/platform/replication/StateTransferClient.java
@@ -180,20 +180,20 @@
     }
 
     private void assemble() {
-        byte[] whole = new byte[totalBytes];
+        byte[] packed = new byte[totalBytes];
         int at = 0;
         for (byte[] chunk : chunks) {
-            System.arraycopy(chunk, 0, whole, at, chunk.length);
+            System.arraycopy(chunk, 0, packed, at, chunk.length);
             at += chunk.length;
         }
         chunks.clear();
-        if (!descriptor.matches(whole)) {
+        if (!descriptor.matches(packed)) {
             state.actions().log(new ReplicationEvent.TransferCorrupt(source, totalBytes));
             corrupt = true;
             failed = true;
             return;
         }
-        log = ReplicationCodec.read(whole, in -> {
+        log = ReplicationCodec.read(packed, in -> {
             commitIndex = in.readLong();
             return ownLog.patched(ReplicationCodec.patch(in));
         });
--- a/src/main/java/brambletray/platform/replication/ViewChange.java
+++ b/src/main/java/brambletray/platform/replication/ViewChange.java
@@ -286,7 +286,7 @@
         }
         if (!state.acceptView(nextView, nextLog)) {
             replica.abandonViewChange(
-                    "trim behind what is kept", state.settings().electionTimeoutMs());
+                    "the log lacks committed entries", state.settings().electionTimeoutMs());
             return;
         }
         replica.onViewAccepted();
@@ -376,7 +376,7 @@
             default -> {
                 if (state.nowMs() - phaseSinceMs > state.settings().installTimeoutMs()
                         && (canDoWithoutAbsent() || state.nowMs() - chunkServedAtMs > CHUNK_SERVED_TIMEOUT_MS)) {
-                    replica.restartViewChange(absentMembers(), "not kept by all in time");
+                    replica.restartViewChange(absentMembers(), "not installed by all in time");
                 } else if (state.nowMs() - sentAtMs >= 2 * RETRY_INTERVAL_MS) {
                     sendInstallRequests();
                 }
--- a/src/main/java/brambletray/platform/replication/ViewInstaller.java
+++ b/src/main/java/brambletray/platform/replication/ViewInstaller.java
@@ -102,7 +102,8 @@
         if (useless || transfer.idleMs() > TRANSFER_IDLE_TIMEOUT_MS) {
             transfer = null;
         } else if (!state.promisedBallot().isAbove(transfer.viewBallot())) {
-            // after a higher promise the next proposer may offer the same log: what was fetched is kept, nothing asked
+            // after a higher promise the next proposer may offer the same log: what was fetched stays, nothing is
+            // requested
             transfer.tick();
         }
     }
--- a/src/main/java/brambletray/platform/replication/package-info.java
+++ b/src/main/java/brambletray/platform/replication/package-info.java
@@ -37,7 +37,7 @@
  *       and within {@code w} every log is a prefix of the leader's: so it has the entry. By induction so has every view
  *       that descends from {@code w}.
  *   <li><em>Every view proposed above an active view descends from it.</em> Let {@code w} be active and {@code u} be
- *       proposed with a higher ballot, and let this hold for all between. If the latest view of {@code u} is {@code w}
+ *       proposed with a higher ballot, and assume the same for all between. If the latest view of {@code u} is {@code w}
  *       or lies above it, {@code u} descends from {@code w}. Else it lies below; let {@code w} be the lowest active
  *       view
  *       above it. Going down from {@code w} and from the latest view of {@code u}, both proposals have consulted
--- a/src/main/java/brambletray/platform/storage/CommitSummary.java
+++ b/src/main/java/brambletray/platform/storage/CommitSummary.java
@@ -37,7 +37,7 @@
                 : null;
     }
 
-    /** The checksum of one entry; sums of these tell any two stores apart that a torn disk could make of one. */
+    /** The checksum of one entry; sums of these distinguish any two stores that a torn disk could make of one. */
     static long entryChecksum(byte[] key, byte[] value) {
         CRC32C sum = new CRC32C();
         sum.update(key);
--- a/src/main/java/brambletray/platform/storage/StoreOpening.java
+++ b/src/main/java/brambletray/platform/storage/StoreOpening.java
@@ -45,7 +45,7 @@
                     .log();
         }
         throw new StorageException(
-                "storage.broken", "no whole store in " + directory + ", generations " + generations, null);
+                "storage.broken", "no complete store in " + directory + ", generations " + generations, null);
     }
 
     private StoreGeneration createFirstGeneration() throws IOException {
@@ -78,7 +78,7 @@
                             .with("generation", segments.generation())
                             .with("end", ends.get(i))
                             .with("commits", generation.commitCount())
-                            .with("why", i == 0 ? "bytes behind the last commit" : "the last commit was not whole")
+                            .with("why", i == 0 ? "bytes behind the last commit" : "the last commit was torn")
                             .log();
                 }
                 return generation;
