--- a/src/test/java/brambletray/platform/cli/VerbsTest.java
+++ b/src/test/java/brambletray/platform/cli/CommandsTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The command line: exit codes, and one clear line for what can't be used. */
-class VerbsTest {
+class CommandsTest {
     private static final String KEEP = """
         node-name=n1
         ip-address=10.1.0.3
--- a/src/test/java/brambletray/platform/cli/RemoteTest.java
+++ b/src/test/java/brambletray/platform/cli/RemoteCommandTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Verbs that call members, against members that answer as they are told: loopback, ports of the system's choice. */
-class RemoteTest {
+class RemoteCommandTest {
     private static final String CONFIGURATION =
             "{\"revision\":3,\"routes\":[],\"services\":[{\"name\":\"tea\"},{\"name\":\"milk\"}]}";
 
--- a/src/test/java/brambletray/platform/controlplane/MemberOrdersTest.java
+++ b/src/test/java/brambletray/platform/controlplane/MemberRemovalCallsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The call by which a member is declared dead: what it has to name, and each of its answers. */
-class MemberOrdersTest {
+class MemberRemovalCallsTest {
     private static final String PATH = "/brambletray/system/dead/10.0.0.2:90";
 
     private final CallRouter<ControlPlaneServer.CallHandler> table = new CallRouter<>();
@@ -22,7 +22,7 @@
     private Integer status;
     private String body;
 
-    MemberOrdersTest() {
+    MemberRemovalCallsTest() {
         new MemberRemovalCalls((address, life, told) -> {
                     ordered.add(address + " " + Long.toHexString(life));
                     then = told;
--- a/src/test/java/brambletray/platform/controlplane/OrdersModel.java
+++ b/src/test/java/brambletray/platform/controlplane/OperatorCallsModel.java
@@ -18,7 +18,7 @@
  * what they have to any member, follow 307 twice, go elsewhere after a second of silence, lose answers and send again,
  * also long after. The {@link OrdersChecker} hears only what they saw.
  */
-final class OrdersModel {
+final class OperatorCallsModel {
     private static final int STEP_MS = 10;
     private static final int TICK_MS = 50;
     private static final int SILENCE_MS = 1_000;
@@ -213,7 +213,7 @@
     private long known;
     private boolean calm;
 
-    OrdersModel(long seed) {
+    OperatorCallsModel(long seed) {
         random = new Random(seed);
         int count = random.nextInt(4) == 0 ? 5 : 3;
         for (int i = 1; i <= count; i++) {
--- a/src/test/java/brambletray/platform/controlplane/OrdersModelTest.java
+++ b/src/test/java/brambletray/platform/controlplane/OperatorCallsModelTest.java
@@ -8,7 +8,7 @@
  * Random courses of operators and members, each with its own seed. {@code -Dorders.seeds=N} plays more,
  * {@code -Dorders.first=S} begins at that seed, {@code -Dorders.seed=S} plays that one.
  */
-class OrdersModelTest {
+class OperatorCallsModelTest {
     private static final int SEEDS = 150;
     /** Simulated ms of trouble in a course. */
     private static final long COURSE_MS = 30_000;
@@ -21,7 +21,7 @@
         long acknowledged = 0;
         for (long seed = first; seed < first + seeds; seed++) {
             try {
-                acknowledged += new OrdersModel(seed).play(COURSE_MS);
+                acknowledged += new OperatorCallsModel(seed).play(COURSE_MS);
             } catch (AssertionError | RuntimeException e) {
                 throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
             }
--- a/src/test/java/brambletray/platform/controlplane/OrdersChecker.java
+++ b/src/test/java/brambletray/platform/controlplane/OrdersChecker.java
@@ -12,17 +12,17 @@
  * is older than what had been acknowledged when it asked.
  */
 final class OrdersChecker {
-    private final Map<Long, OrdersModel.Written> byBase = new HashMap<>();
-    private final Map<Long, OrdersModel.Written> byRevision = new HashMap<>();
+    private final Map<Long, OperatorCallsModel.Written> byBase = new HashMap<>();
+    private final Map<Long, OperatorCallsModel.Written> byRevision = new HashMap<>();
     private final Map<Long, Integer> marks = new HashMap<>();
-    private final Map<Integer, OrdersModel.Written> written = new HashMap<>();
-    private final Map<OrdersModel.Written, Long> sentAt = new HashMap<>();
-    private final Map<OrdersModel.Written, Integer> refusals = new HashMap<>();
-    private final Map<OrdersModel.Written, Long> refusedAt = new HashMap<>();
+    private final Map<Integer, OperatorCallsModel.Written> written = new HashMap<>();
+    private final Map<OperatorCallsModel.Written, Long> sentAt = new HashMap<>();
+    private final Map<OperatorCallsModel.Written, Integer> refusals = new HashMap<>();
+    private final Map<OperatorCallsModel.Written, Long> refusedAt = new HashMap<>();
     /** When it was first known to an operator that so high a revision is in force. */
     private final Map<Long, Long> knownAt = new HashMap<>();
 
-    private final Set<OrdersModel.Written> confirmed = new HashSet<>();
+    private final Set<OperatorCallsModel.Written> confirmed = new HashSet<>();
 
     private static void must(boolean holds, String why) {
         if (!holds) {
@@ -30,12 +30,12 @@
         }
     }
 
-    void sent(OrdersModel.Written change, long at) {
+    void sent(OperatorCallsModel.Written change, long at) {
         written.put(change.mark(), change);
         sentAt.put(change, at);
     }
 
-    boolean refused(OrdersModel.Written change) {
+    boolean refused(OperatorCallsModel.Written change) {
         return refusals.containsKey(change);
     }
 
@@ -43,7 +43,7 @@
         return confirmed.size();
     }
 
-    void answered(OrdersModel.Written change, int status, long at) {
+    void answered(OperatorCallsModel.Written change, int status, long at) {
         if (status == 200) {
             must(change.valid(), "invalid and acknowledged: " + change);
             must(
@@ -64,7 +64,7 @@
                 "refused with 412 though nobody else had sent a change on that version: " + change);
     }
 
-    private boolean rival(OrdersModel.Written change, long at) {
+    private boolean rival(OperatorCallsModel.Written change, long at) {
         return sentAt.entrySet().stream()
                 .anyMatch(one -> one.getKey() != change
                         && one.getKey().valid()
@@ -74,8 +74,8 @@
     }
 
     /** This change is known to be, or to have been, in force. */
-    private void taken(OrdersModel.Written change, long at) {
-        OrdersModel.Written other = byBase.putIfAbsent(change.base(), change);
+    private void taken(OperatorCallsModel.Written change, long at) {
+        OperatorCallsModel.Written other = byBase.putIfAbsent(change.base(), change);
         must(other == null || other.equals(change), "two on one version: " + other + " and " + change);
         other = byRevision.putIfAbsent(change.revision(), change);
         must(other == null || other.equals(change), "two under one number: " + other + " and " + change);
@@ -93,7 +93,7 @@
         if (revision == 0) {
             return;
         }
-        OrdersModel.Written change = written.get(mark);
+        OperatorCallsModel.Written change = written.get(mark);
         must(change != null && change.revision() == revision, "shown " + revision + " as nobody sent it, mark " + mark);
         must(change.valid(), "invalid and in force: " + change);
         must(!refusals.containsKey(change), "refused with " + refusals.get(change) + " and in force: " + change);
@@ -101,19 +101,19 @@
     }
 
     /** After calm: the last one has to be through, and each one in force builds on one that was, or may have been. */
-    void end(OrdersModel.Written last) {
+    void end(OperatorCallsModel.Written last) {
         must(
                 confirmed.contains(last),
                 "not acknowledged though all was calm: " + last + ", refused: " + refusals.get(last));
         refusedAt.forEach((change, at) -> {
-            OrdersModel.Written other = byBase.get(change.base());
+            OperatorCallsModel.Written other = byBase.get(change.base());
             boolean proper = change.valid() && refusals.get(change) == 412;
             must(
                     !proper || (other == null ? rival(change, at) : sentAt.get(other) < at),
                     "refused with 412 before there was another: " + change);
         });
-        for (OrdersModel.Written change : byBase.values()) {
-            for (OrdersModel.Written other : byBase.values()) {
+        for (OperatorCallsModel.Written change : byBase.values()) {
+            for (OperatorCallsModel.Written other : byBase.values()) {
                 must(
                         other.base() >= change.revision() || change.base() >= other.revision() || other == change,
                         "no line: " + change + " and " + other);
--- a/src/test/java/brambletray/platform/distribution/SignalsTest.java
+++ b/src/test/java/brambletray/platform/distribution/ProcessSignalsTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What a process does at signals, in each order in which they may come. */
-class SignalsTest {
+class ProcessSignalsTest {
     private final List<String> done = new ArrayList<>();
     private final ProcessSignals signals = new ProcessSignals(code -> done.add("exit " + code));
 
--- a/src/test/java/brambletray/platform/distribution/SignalTurnsTest.java
+++ b/src/test/java/brambletray/platform/distribution/ProcessSignalsTurnsTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A signal and the start of a process, under every order of their turns. */
-class SignalTurnsTest {
+class ProcessSignalsTurnsTest {
     @Test
     void settingsThatChangeWhileTheProcessStartsAreReadAgain() {
         int orders = Turns.everyOrder(turns -> {
--- a/src/test/java/brambletray/platform/edge/CarrySignalsTest.java
+++ b/src/test/java/brambletray/platform/edge/EdgeProgramSignalsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What the whole program of an edge makes of signals, in simulated time. */
-class CarrySignalsTest {
+class EdgeProgramSignalsTest {
     private static final String SETTINGS =
             "node-name=edge-1\nrole=carry\nip-address=10.0.0.2\nzone=za\nzones.za=south\n"
                     + "bind-addresses.front-end=10.0.0.2:8241\nbind-addresses.readiness=10.0.0.2:8246\ninternal-port-range=7400,7415\n"
--- a/src/test/java/brambletray/platform/edge/HallTest.java
+++ b/src/test/java/brambletray/platform/edge/LocalAdmissionTest.java
@@ -26,7 +26,7 @@
  * ms. Columns of the timelines: the edge e0 that dies, e1 (this one, home after it), e2 (holds a slot given out by e0),
  * the hub.
  */
-class HallTest {
+class LocalAdmissionTest {
     private static final String ZONE = "z";
     private static final String HOST = "h1";
 
--- a/src/test/java/brambletray/platform/election/ElectionNode.java
+++ b/src/test/java/brambletray/platform/election/ElectionNode.java
@@ -1,28 +1,28 @@
 package brambletray.platform.election;
 
-import brambletray.platform.replication.SimNode;
+import brambletray.platform.replication.SimulatedReplica;
 import java.util.Map;
 
 /** The duty at one process in simulated time. */
-final class ElectionNode implements SimNode.Rider, ElectionActions {
+final class ElectionNode implements SimulatedReplica.Passenger, ElectionActions {
     /** Is told of terms won and of moments at which a holder may act. */
     interface Witness {
-        void won(SimNode node, long term);
+        void won(SimulatedReplica node, long term);
 
-        void act(SimNode node, long term);
+        void act(SimulatedReplica node, long term);
     }
 
-    private final SimNode node;
+    private final SimulatedReplica node;
     private final Witness witness;
     final LeaseElection election;
     long term;
 
-    ElectionNode(SimNode node, Witness witness) {
+    ElectionNode(SimulatedReplica node, Witness witness) {
         this.node = node;
         this.witness = witness;
         election = new LeaseElection(
                 "helm",
-                node.members.status().self(),
+                node.replica.status().self(),
                 node.disk.kept.get(LeaseElection.key("helm")),
                 LeaseTimings.defaults(),
                 this,
@@ -35,7 +35,7 @@
 
     @Override
     public void tick() {
-        election.updateView(node.members.status(), now());
+        election.updateView(node.replica.status(), now());
         election.tick(now());
         act();
     }
@@ -45,14 +45,14 @@
             return;
         }
         if (term == 0) {
-            node.world.oracle.fail(node.address + " may act without a term");
+            node.world.ruleChecker.fail(node.address + " may act without a term");
         }
         witness.act(node, term);
     }
 
     @Override
-    public void heard(String from, Object frame) {
-        election.updateView(node.members.status(), now());
+    public void receive(String from, Object frame) {
+        election.updateView(node.replica.status(), now());
         election.receive(from, frame, now());
         act();
     }
@@ -63,7 +63,7 @@
     }
 
     @Override
-    public void failed(long ticket) {
+    public void syncFailed(long ticket) {
         election.syncFailed(ticket, now());
     }
 
@@ -90,8 +90,8 @@
 
     @Override
     public void log(ElectionEvent event) {
-        if (node.world.talks) {
-            node.world.tales.add(node.world.now + " " + node.address + " " + event);
+        if (node.world.logsEvents) {
+            node.world.events.add(node.world.now + " " + node.address + " " + event);
         }
     }
 }
--- a/src/test/java/brambletray/platform/election/ElectionRandomFaultsTest.java
+++ b/src/test/java/brambletray/platform/election/ElectionRandomFaultsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import brambletray.platform.replication.RandomFaults;
-import brambletray.platform.replication.SimNode;
+import brambletray.platform.replication.SimulatedReplica;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -17,7 +17,7 @@
         private final RandomFaults weather;
         private long won;
         private long acted;
-        private SimNode actor;
+        private SimulatedReplica actor;
         private long actedAt;
         private int terms;
 
@@ -26,19 +26,19 @@
         }
 
         @Override
-        public void won(SimNode node, long term) {
+        public void won(SimulatedReplica node, long term) {
             if (term <= won) {
-                weather.world().oracle.fail(node.address + " won term " + term + " after " + won);
+                weather.world().ruleChecker.fail(node.address + " won term " + term + " after " + won);
             }
             won = term;
             terms++;
         }
 
         @Override
-        public void act(SimNode node, long term) {
+        public void act(SimulatedReplica node, long term) {
             if (term < acted) {
                 weather.world()
-                        .oracle
+                        .ruleChecker
                         .fail(node.address + " acts under " + term + " after " + actor.address + " under " + acted);
             }
             acted = term;
@@ -50,9 +50,9 @@
     private Witness play(long seed, boolean talks) {
         RandomFaults weather = new RandomFaults(seed, talks);
         Witness witness = new Witness(weather);
-        weather.world().riders = node -> new ElectionNode(node, witness);
+        weather.world().passengers = node -> new ElectionNode(node, witness);
         weather.prank = node -> {
-            ElectionNode ride = (ElectionNode) node.rider;
+            ElectionNode ride = (ElectionNode) node.passenger;
             ride.election.handOver(node.world.now);
             ride.election.setWantsLease(true);
         };
@@ -66,7 +66,7 @@
                                 "somebody acts after all is calm");
             }
         } catch (AssertionError | RuntimeException e) {
-            weather.world().tales.forEach(System.out::println);
+            weather.world().events.forEach(System.out::println);
             throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
         }
         return witness;
--- a/src/test/java/brambletray/platform/election/ElectionSteps.java
+++ b/src/test/java/brambletray/platform/election/ElectionSteps.java
@@ -1,7 +1,7 @@
 package brambletray.platform.election;
 
-import brambletray.platform.replication.Core;
-import brambletray.platform.replication.SimNode;
+import brambletray.platform.replication.ReplicationTestCluster;
+import brambletray.platform.replication.SimulatedReplica;
 import brambletray.platform.replication.Timeline;
 import io.cucumber.java.en.Given;
 import io.cucumber.java.en.When;
@@ -16,7 +16,7 @@
  * term than its own.
  */
 public final class ElectionSteps implements Timeline.Words, ElectionNode.Witness {
-    private Core core;
+    private ReplicationTestCluster core;
     private long won;
     private long fence;
     private final Map<String, Long> checked = new HashMap<>();
@@ -24,9 +24,9 @@
 
     @Given("a core of {string} with a holder, at rest")
     public void aCore(String list) {
-        core = new Core(List.of(list.split("[ ,]+")));
-        core.world.talks = Boolean.getBoolean("replication.talks");
-        core.world.riders = node -> new ElectionNode(node, this);
+        core = new ReplicationTestCluster(List.of(list.split("[ ,]+")));
+        core.world.logsEvents = Boolean.getBoolean("replication.talks");
+        core.world.passengers = node -> new ElectionNode(node, this);
         core.found();
         core.world.await(
                 () -> core.world.nodes.values().stream()
@@ -41,17 +41,17 @@
         try {
             new Timeline(core.world, this).play(drawn);
         } catch (AssertionError e) {
-            core.world.tales.forEach(System.out::println);
+            core.world.events.forEach(System.out::println);
             throw e;
         }
     }
 
-    private static ElectionNode ride(SimNode node) {
-        return (ElectionNode) node.rider;
+    private static ElectionNode ride(SimulatedReplica node) {
+        return (ElectionNode) node.passenger;
     }
 
     @Override
-    public boolean act(SimNode node, String word) {
+    public boolean act(SimulatedReplica node, String word) {
         switch (word) {
             case "check" ->
                 checked.put(node.address, ride(node).election.mayAct(core.world.now) ? ride(node).term : -1);
@@ -70,15 +70,15 @@
     }
 
     @Override
-    public Boolean seen(SimNode node, String word) {
+    public Boolean seen(SimulatedReplica node, String word) {
         if (word.startsWith("sees:")) {
             LeaseHolder holder = ride(node).election.holder(core.world.now);
             return word.substring(5)
                     .equals(holder == null ? "none" : holder.member().address());
         }
         return switch (word) {
-            case "H" -> node.up() && ride(node).election.mayAct(core.world.now);
-            case "h" -> !node.up() || !ride(node).election.mayAct(core.world.now);
+            case "H" -> node.isRunning() && ride(node).election.mayAct(core.world.now);
+            case "h" -> !node.isRunning() || !ride(node).election.mayAct(core.world.now);
             case "done" -> acted.get(node.address);
             case "fenced" -> !acted.get(node.address);
             default -> null;
@@ -86,17 +86,17 @@
     }
 
     @Override
-    public void won(SimNode node, long term) {
+    public void won(SimulatedReplica node, long term) {
         if (term <= won) {
-            core.world.oracle.fail(node.address + " won " + term + " after " + won);
+            core.world.ruleChecker.fail(node.address + " won " + term + " after " + won);
         }
         won = term;
     }
 
     @Override
-    public void act(SimNode node, long term) {
+    public void act(SimulatedReplica node, long term) {
         if (term < won) {
-            core.world.oracle.fail(node.address + " may act under " + term + " after " + won + " was won");
+            core.world.ruleChecker.fail(node.address + " may act under " + term + " after " + won + " was won");
         }
     }
 }
--- a/src/test/java/brambletray/platform/provisioning/LateRoutesTest.java
+++ b/src/test/java/brambletray/platform/provisioning/LateConfigurationTest.java
@@ -29,7 +29,7 @@
  * virtual time; the seed is in the
  * test's name.
  */
-class LateRoutesTest {
+class LateConfigurationTest {
     private static final int WORKERS = 4;
     private static final int WORKER_MB = 4_000;
     private static final int INSTANCE_MB = 400;
@@ -103,7 +103,8 @@
         List<DynamicTest> tests = new ArrayList<>();
         for (long seed = 1; seed <= 5; seed++) {
             long one = seed;
-            tests.add(DynamicTest.dynamicTest("seed " + one, () -> new LateRoutesTest().play(one, firstServices)));
+            tests.add(
+                    DynamicTest.dynamicTest("seed " + one, () -> new LateConfigurationTest().play(one, firstServices)));
         }
         return tests;
     }
--- a/src/test/java/brambletray/platform/provisioning/PlatformTest.java
+++ b/src/test/java/brambletray/platform/provisioning/PlatformClientTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The platform's calls, byte by byte, on a simulated network. */
-class PlatformTest {
+class PlatformClientTest {
     private static final long MS = 1_000_000;
 
     private final Simulation simulation = new Simulation(11, 1_900_000_000_000L);
--- a/src/test/java/brambletray/platform/provisioning/YardChaosTest.java
+++ b/src/test/java/brambletray/platform/provisioning/ProvisionerRandomFaultsTest.java
@@ -15,7 +15,7 @@
  * Hubs, platform, workers and hosts fail at random; once it is calm, homes know what runs, each host is known once, and
  * nothing runs in vain.
  */
-class YardChaosTest {
+class ProvisionerRandomFaultsTest {
     private static final int SEEDS = Integer.getInteger("provisioning.seeds", 25);
     private static final long FIRST = Long.getLong("provisioning.first", 1);
     private static final List<String> ZONES = List.of("north", "south", "far");
--- a/src/test/java/brambletray/platform/provisioning/YardTest.java
+++ b/src/test/java/brambletray/platform/provisioning/ProvisionerTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What no drawn timeline shows. */
-class YardTest {
+class ProvisionerTest {
     private final List<String> done = new ArrayList<>();
     private final ProvisioningActions hands = new ProvisioningActions() {
         @Override
--- a/src/test/java/brambletray/platform/provisioning/YardFeaturesTest.java
+++ b/src/test/java/brambletray/platform/provisioning/ProvisioningTimelinesTest.java
@@ -11,4 +11,4 @@
 @SelectPackages("brambletray.platform.provisioning")
 @ConfigurationParameter(key = "cucumber.glue", value = "brambletray.platform.provisioning")
 @ConfigurationParameter(key = "cucumber.publish.quiet", value = "true")
-public class YardFeaturesTest {}
+public class ProvisioningTimelinesTest {}
--- a/src/test/java/brambletray/platform/replication/CatchUpTest.java
+++ b/src/test/java/brambletray/platform/replication/CatchUpTest.java
@@ -40,21 +40,22 @@
     }
 
     private void play(Case one) {
-        Core core = new Core(List.of("a", "b", "c"));
-        SimWorld world = core.world;
+        ReplicationTestCluster core = new ReplicationTestCluster(List.of("a", "b", "c"));
+        SimulatedReplicas world = core.world;
         core.found();
         world.padding = "p".repeat(one.bytes());
         world.ballast = "b".repeat(one.bytes());
-        SimNode away = world.nodes.get("c");
+        SimulatedReplica away = world.nodes.get("c");
         away.kill(true);
         world.until(world.now + 1500);
         for (int i = 0; i < one.changes(); i++) {
-            world.oracle.propose(world.leader());
+            world.ruleChecker.propose(world.leader());
             world.until(world.now + PACE_MS);
         }
         world.until(world.now + 1000);
         assertTrue(
-                world.oracle.acknowledged.size() == one.changes(), "acknowledged " + world.oracle.acknowledged.size());
+                world.ruleChecker.acknowledged.size() == one.changes(),
+                "acknowledged " + world.ruleChecker.acknowledged.size());
         for (String other : List.of("a", "b")) {
             world.rate("c", other, one.rate());
         }
@@ -66,7 +67,7 @@
             assertTrue(world.now - begin < one.mostMs(), one + ": not back");
             world.until(world.now + 10);
             if (one.everyMs() > 0 && world.now >= next && world.leader() != null) {
-                world.oracle.propose(world.leader());
+                world.ruleChecker.propose(world.leader());
                 next += one.everyMs();
             }
         }
@@ -84,15 +85,15 @@
                 bytes >> 10);
     }
 
-    private static boolean back(SimWorld world, SimNode away) {
-        if (away.members.status().role() != ReplicaRole.MEMBER
-                || !away.members.status().active()) {
+    private static boolean back(SimulatedReplicas world, SimulatedReplica away) {
+        if (away.replica.status().role() != ReplicaRole.MEMBER
+                || !away.replica.status().active()) {
             return false;
         }
-        return away.state.containsAll(world.oracle.acknowledged);
+        return away.state.containsAll(world.ruleChecker.acknowledged);
     }
 
-    private static long bytes(SimWorld world) {
+    private static long bytes(SimulatedReplicas world) {
         return world.link("a", "c").bytes + world.link("b", "c").bytes;
     }
 }
--- a/src/test/java/brambletray/platform/replication/DiskPositionsTest.java
+++ b/src/test/java/brambletray/platform/replication/DiskPositionsTest.java
@@ -23,37 +23,37 @@
     private enum Trouble {
         REFUSED(false) {
             @Override
-            void strike(SimWorld world, SimNode node) {
+            void strike(SimulatedReplicas world, SimulatedReplica node) {
                 refuse(world, node);
             }
         },
         KILLED(false) {
             @Override
-            void strike(SimWorld world, SimNode node) {
+            void strike(SimulatedReplicas world, SimulatedReplica node) {
                 end(world, node, false);
             }
         },
         DARK(false) {
             @Override
-            void strike(SimWorld world, SimNode node) {
+            void strike(SimulatedReplicas world, SimulatedReplica node) {
                 end(world, node, true);
             }
         },
         ALL_REFUSED(true) {
             @Override
-            void strike(SimWorld world, SimNode node) {
+            void strike(SimulatedReplicas world, SimulatedReplica node) {
                 refuse(world, node);
             }
         },
         ALL_KILLED(true) {
             @Override
-            void strike(SimWorld world, SimNode node) {
+            void strike(SimulatedReplicas world, SimulatedReplica node) {
                 end(world, node, false);
             }
         },
         ALL_DARK(true) {
             @Override
-            void strike(SimWorld world, SimNode node) {
+            void strike(SimulatedReplicas world, SimulatedReplica node) {
                 end(world, node, true);
             }
         };
@@ -64,28 +64,28 @@
             this.all = all;
         }
 
-        abstract void strike(SimWorld world, SimNode node);
+        abstract void strike(SimulatedReplicas world, SimulatedReplica node);
 
-        void strikeAt(SimWorld world, SimNode node) {
-            for (SimNode one : all ? List.copyOf(world.nodes.values()) : List.of(node)) {
+        void strikeAt(SimulatedReplicas world, SimulatedReplica node) {
+            for (SimulatedReplica one : all ? List.copyOf(world.nodes.values()) : List.of(node)) {
                 strike(world, one);
             }
         }
 
-        private static void refuse(SimWorld world, SimNode node) {
+        private static void refuse(SimulatedReplicas world, SimulatedReplica node) {
             node.disk.full = true;
             world.later(world.now + REFUSED_MS, () -> node.disk.full = false);
         }
 
         /** Ends the process, and starts it again; with {@code power}, what its disk hadn't synced is gone. */
-        private static void end(SimWorld world, SimNode node, boolean power) {
-            if (!node.up()) {
+        private static void end(SimulatedReplicas world, SimulatedReplica node, boolean power) {
+            if (!node.isRunning()) {
                 return;
             }
             node.kill(power);
-            int boot = node.boot;
+            int boot = node.processNumber;
             world.later(world.now + DOWN_MS, () -> {
-                if (node.boot == boot && node.down) {
+                if (node.processNumber == boot && node.down) {
                     node.start();
                 }
             });
@@ -94,8 +94,8 @@
 
     /** Plays the course with a trouble at one position; returns how many positions there were. */
     private static int play(int position, Trouble trouble) {
-        Core core = new Core(List.of("a", "b", "c"));
-        SimWorld world = core.world;
+        ReplicationTestCluster core = new ReplicationTestCluster(List.of("a", "b", "c"));
+        SimulatedReplicas world = core.world;
         int[] seen = new int[1];
         core.found();
         world.atDisk = node -> {
@@ -105,12 +105,12 @@
         };
         world.padding = "p".repeat(CHANGE_BYTES);
         change(world, 6);
-        SimNode empty = world.nodes.get("c");
-        if (empty.up() && world.oracle.intact()) {
+        SimulatedReplica empty = world.nodes.get("c");
+        if (empty.isRunning() && world.ruleChecker.intact()) {
             empty.kill(true);
             empty.wipe();
             world.until(world.now + DOWN_MS);
-            if (!empty.up()) {
+            if (!empty.isRunning()) {
                 empty.start();
             }
         }
@@ -120,44 +120,45 @@
         return seen[0];
     }
 
-    private static void change(SimWorld world, int count) {
+    private static void change(SimulatedReplicas world, int count) {
         for (int i = 0; i < count; i++) {
-            for (SimNode node : List.copyOf(world.nodes.values())) {
-                if (node.up() && node.members.status().isLeader()) {
-                    world.oracle.propose(node);
+            for (SimulatedReplica node : List.copyOf(world.nodes.values())) {
+                if (node.isRunning() && node.replica.status().isLeader()) {
+                    world.ruleChecker.propose(node);
                 }
             }
             world.until(world.now + 60);
         }
     }
 
-    private static void calm(SimWorld world) {
+    private static void calm(SimulatedReplicas world) {
         world.await(() -> settled(world), CALM_MS, "all in one view");
         world.padding = "";
-        int before = world.oracle.acknowledged.size();
+        int before = world.ruleChecker.acknowledged.size();
         world.await(() -> acknowledges(world, before), CALM_MS, "a change after all is calm");
         world.await(() -> alike(world), CALM_MS, "all alike");
-        world.oracle.end(new ArrayList<>(world.nodes.values()));
+        world.ruleChecker.end(new ArrayList<>(world.nodes.values()));
     }
 
     /** Proposes once more, as an operator does whose call had no clear answer. */
-    private static boolean acknowledges(SimWorld world, int before) {
-        boolean done = world.oracle.acknowledged.size() > before;
+    private static boolean acknowledges(SimulatedReplicas world, int before) {
+        boolean done = world.ruleChecker.acknowledged.size() > before;
         if (!done && world.leader() != null) {
-            world.oracle.propose(world.leader());
+            world.ruleChecker.propose(world.leader());
         }
         return done;
     }
 
-    private static boolean settled(SimWorld world) {
-        SimNode leader = world.leader();
+    private static boolean settled(SimulatedReplicas world) {
+        SimulatedReplica leader = world.leader();
         return leader != null
-                && leader.members.status().members().size() == world.nodes.size()
+                && leader.replica.status().members().size() == world.nodes.size()
                 && world.nodes.values().stream()
-                        .allMatch(node -> node.up() && node.members.status().role() == ReplicaRole.MEMBER);
+                        .allMatch(node ->
+                                node.isRunning() && node.replica.status().role() == ReplicaRole.MEMBER);
     }
 
-    private static boolean alike(SimWorld world) {
+    private static boolean alike(SimulatedReplicas world) {
         List<String> first = world.nodes.get("a").state;
         return world.nodes.values().stream().allMatch(node -> node.state.equals(first));
     }
--- a/src/test/java/brambletray/platform/replication/ExplorationTest.java
+++ b/src/test/java/brambletray/platform/replication/ExplorationTest.java
@@ -29,8 +29,8 @@
     private int bound;
     private int depth;
 
-    private SteppedWorld board(SteppedWorld.Purse purse, List<Integer> moves) {
-        SteppedWorld board = new SteppedWorld(purse);
+    private SteppedReplicas board(SteppedReplicas.Purse purse, List<Integer> moves) {
+        SteppedReplicas board = new SteppedReplicas(purse);
         board.found();
         for (int move : moves) {
             board.play(move);
@@ -38,13 +38,13 @@
         return board;
     }
 
-    private void explore(SteppedWorld.Purse purse) {
+    private void explore(SteppedReplicas.Purse purse) {
         seen.clear();
         List<Integer> moves = new ArrayList<>();
         walk(purse, board(purse, moves), moves);
     }
 
-    private void walk(SteppedWorld.Purse purse, SteppedWorld board, List<Integer> moves) {
+    private void walk(SteppedReplicas.Purse purse, SteppedReplicas board, List<Integer> moves) {
         if (states >= bound || !seen.add(board.print())) {
             return;
         }
@@ -57,13 +57,13 @@
         if (board.joined) {
             joins++;
         }
-        SteppedWorld here = board;
+        SteppedReplicas here = board;
         boolean some = false;
-        boolean[] may = new boolean[SteppedWorld.MOVES];
-        for (int move = 0; move < SteppedWorld.MOVES; move++) {
+        boolean[] may = new boolean[SteppedReplicas.MOVES];
+        for (int move = 0; move < SteppedReplicas.MOVES; move++) {
             may[move] = board.may(move);
         }
-        for (int move = 0; move < SteppedWorld.MOVES; move++) {
+        for (int move = 0; move < SteppedReplicas.MOVES; move++) {
             if (!may[move] || states >= bound) {
                 continue;
             }
@@ -97,9 +97,9 @@
             Random random = new Random(seed);
             int newcomers = random.nextInt(2);
             int impatience = 1 + random.nextInt(5);
-            SteppedWorld.Purse purse = new SteppedWorld.Purse(
+            SteppedReplicas.Purse purse = new SteppedReplicas.Purse(
                     impatience, random.nextInt(3), random.nextInt(2), random.nextInt(2), newcomers);
-            SteppedWorld board = new SteppedWorld(purse);
+            SteppedReplicas board = new SteppedReplicas(purse);
             board.found();
             try {
                 steps += stroll(board, random, newcomers > 0);
@@ -122,21 +122,21 @@
                 walks < WALKS || lefts > 100 && joins > 100, "hardly anybody left or came in: " + lefts + ", " + joins);
     }
 
-    private static int stroll(SteppedWorld board, Random random, boolean newcomer) {
-        int[] may = new int[SteppedWorld.MOVES];
+    private static int stroll(SteppedReplicas board, Random random, boolean newcomer) {
+        int[] may = new int[SteppedReplicas.MOVES];
         // a walk may favour some links: the others' frames come late
-        boolean[] slow = new boolean[SteppedWorld.MOVES];
-        for (int i = 0; i < SteppedWorld.SIZE * (SteppedWorld.SIZE + 1); i++) {
+        boolean[] slow = new boolean[SteppedReplicas.MOVES];
+        for (int i = 0; i < SteppedReplicas.SIZE * (SteppedReplicas.SIZE + 1); i++) {
             slow[i] = random.nextInt(4) == 0;
         }
         // else a newcomer hardly ever has the state while the leader that it knocked at still leads
         int calm = newcomer ? random.nextInt(80) : 0;
         if (newcomer) {
-            board.play(SteppedWorld.MOVES - 1);
+            board.play(SteppedReplicas.MOVES - 1);
         }
         for (int step = 0; step < 400; step++) {
             int count = 0;
-            for (int move = 0; move < SteppedWorld.MOVES; move++) {
+            for (int move = 0; move < SteppedReplicas.MOVES; move++) {
                 if (board.may(move) && (!slow[move] || step < calm || random.nextInt(20) == 0)) {
                     may[count++] = move;
                 }
@@ -149,7 +149,7 @@
             }
             int move = may[random.nextInt(count)];
             // mishaps are rarer than frames
-            boolean mishap = move >= SteppedWorld.SIZE * (SteppedWorld.SIZE + 1);
+            boolean mishap = move >= SteppedReplicas.SIZE * (SteppedReplicas.SIZE + 1);
             if (mishap && (step < calm || random.nextInt(6) > 0)) {
                 continue;
             }
@@ -165,7 +165,7 @@
         int disks = Integer.getInteger("replication.disks", 1);
         int impatience = Integer.getInteger("replication.impatience", 2);
         if (one != null) {
-            SteppedWorld board = new SteppedWorld(new SteppedWorld.Purse(
+            SteppedReplicas board = new SteppedReplicas(new SteppedReplicas.Purse(
                     impatience,
                     power,
                     disks,
@@ -179,22 +179,22 @@
             return;
         }
         bound = Integer.getInteger("replication.states", STATES);
-        List<SteppedWorld.Purse> purses = new ArrayList<>();
+        List<SteppedReplicas.Purse> purses = new ArrayList<>();
         for (int i = 1; i <= impatience; i++) {
             for (int p = 0; p <= power; p++) {
                 for (int d = 0; d <= disks; d++) {
-                    purses.add(new SteppedWorld.Purse(i, p, d));
+                    purses.add(new SteppedReplicas.Purse(i, p, d));
                 }
             }
         }
         // with a planned end, and a newcomer at the same time
         for (int i = 1; i <= impatience; i++) {
             for (int n = 0; n <= 1; n++) {
-                purses.add(new SteppedWorld.Purse(i, 0, n * disks, 1, n));
+                purses.add(new SteppedReplicas.Purse(i, 0, n * disks, 1, n));
             }
         }
         int all = 0;
-        for (SteppedWorld.Purse purse : purses) {
+        for (SteppedReplicas.Purse purse : purses) {
             states = 0;
             ends = 0;
             depth = 0;
--- a/src/test/java/brambletray/platform/replication/LeadingTest.java
+++ b/src/test/java/brambletray/platform/replication/LeaderStateTest.java
@@ -6,14 +6,14 @@
 import org.junit.jupiter.api.Test;
 
 /** The leader by itself: when it sends entries again to a member that has not acknowledged them. */
-class LeadingTest {
+class LeaderStateTest {
     private static final Member LEADER = new Member("a", "a", 1);
     private static final Member FOLLOWER = new Member("b", "b", 2);
     private static final View VIEW = new View(new Ballot(5, 1), List.of(LEADER, FOLLOWER), List.of());
     private static final int HEARTBEAT_MS = 100;
 
-    private final RecordingOut out = new RecordingOut();
-    private final ReplicaState state = RecordingOut.state(
+    private final RecordingReplicationActions out = new RecordingReplicationActions();
+    private final ReplicaState state = RecordingReplicationActions.state(
             new DurableState(1, List.of(), Ballot.NONE, VIEW, true, ReplicatedLog.empty(), List.of(), List.of()), out);
 
     private LeaderState leading() {
--- a/src/test/java/brambletray/platform/replication/DeathOrdersTest.java
+++ b/src/test/java/brambletray/platform/replication/MemberRemovalOrdersTest.java
@@ -12,27 +12,27 @@
  * An operator declares a machine dead: what it takes, what goes on after it, and that the machine can do no harm when
  * it is there after all.
  */
-class DeathOrdersTest {
-    private SimWorld world;
+class MemberRemovalOrdersTest {
+    private SimulatedReplicas world;
     private MemberRemovalOutcome result;
 
     private void core(String... names) {
-        Core core = new Core(List.of(names));
+        ReplicationTestCluster core = new ReplicationTestCluster(List.of(names));
         world = core.world;
         core.found();
     }
 
-    private SimNode node(String name) {
+    private SimulatedReplica node(String name) {
         return world.nodes.get(name);
     }
 
     private long life(String name) {
-        return node(name).members.status().self().incarnation();
+        return node(name).replica.status().self().incarnation();
     }
 
     private void order(String at, String address, long incarnation) {
         result = null;
-        node(at).members.removeMember(address, incarnation, world.now, response -> result = response);
+        node(at).replica.removeMember(address, incarnation, world.now, response -> result = response);
     }
 
     private MemberRemovalOutcome declared(String at, String address, long incarnation) {
@@ -42,10 +42,10 @@
     }
 
     private boolean in(String name) {
-        SimNode leader = world.leader();
+        SimulatedReplica leader = world.leader();
         return leader != null
-                && leader.members.status().active()
-                && leader.members.status().members().stream()
+                && leader.replica.status().active()
+                && leader.replica.status().members().stream()
                         .anyMatch(member -> member.name().equals(name));
     }
 
@@ -67,26 +67,26 @@
     void ofTwoTheOtherGoesOnAfterTheOrderAndNotBefore() {
         core("a", "b");
         world.node("c", List.of("a", "b"));
-        long before = world.oracle.propose(node("a"));
-        world.await(() -> world.oracle.acknowledged.contains("c" + before), 1_000, "a change of both");
+        long before = world.ruleChecker.propose(node("a"));
+        world.await(() -> world.ruleChecker.acknowledged.contains("c" + before), 1_000, "a change of both");
         long gone = life("b");
         node("b").kill(true);
         world.until(world.now + 1_000);
         node("c").start();
         world.until(world.now + 20_000);
         assertFalse(in("c"), "let in without the other of two");
-        assertEquals(ReplicaRole.SUSPENDED, node("a").members.status().role());
+        assertEquals(ReplicaRole.SUSPENDED, node("a").replica.status().role());
 
         assertEquals(MemberRemovalOutcome.REMOVED, declared("a", "b", gone));
         world.await(() -> in("c") && !in("b"), 3_000, "the view of a and c");
-        long after = world.oracle.propose(node("a"));
-        world.await(() -> world.oracle.acknowledged.contains("c" + after), 3_000, "a change without b");
+        long after = world.ruleChecker.propose(node("a"));
+        world.await(() -> world.ruleChecker.acknowledged.contains("c" + after), 3_000, "a change without b");
 
         world.until(world.now + 5_000);
         node("b").start();
         for (int i = 0; i < 500; i++) {
             world.until(world.now + 10);
-            assertFalse(node("b").members.status().isLeader());
+            assertFalse(node("b").replica.status().isLeader());
             assertFalse(in("b"), "who was declared dead is let in with its disk");
         }
         node("b").kill(true);
@@ -94,7 +94,7 @@
         node("b").start();
         world.await(() -> in("b"), 6_000, "back with another disk");
         world.until(world.now + 500);
-        world.oracle.end(List.copyOf(world.nodes.values()));
+        world.ruleChecker.end(List.copyOf(world.nodes.values()));
     }
 
     @Test
@@ -172,7 +172,7 @@
         assertEquals(MemberRemovalOutcome.REMOVED, declared("a", "b", first));
         assertEquals(MemberRemovalOutcome.MAJORITY_WOULD_BE_LOST, declared("a", "c", second));
         world.until(world.now + 3_000);
-        assertTrue(node("a").members.status().role() != ReplicaRole.MEMBER);
+        assertTrue(node("a").replica.status().role() != ReplicaRole.MEMBER);
     }
 
     /** A declaration outlasts a kill right after it: it is on the disk before it counts. */
--- a/src/test/java/brambletray/platform/replication/Frames.java
+++ b/src/test/java/brambletray/platform/replication/MessageSizes.java
@@ -5,12 +5,12 @@
 import java.util.List;
 
 /** How long frames are on a link, nearly, and what a link bears. */
-final class Frames {
+final class MessageSizes {
     static final int LONGEST = FrameCodec.MAX_FRAME_BYTES;
     static final long MOST_WAITING = Link.MAX_PENDING_BYTES;
     private static final int SMALL = 64;
 
-    private Frames() {}
+    private MessageSizes() {}
 
     static int bytes(Object frame) {
         if (frame instanceof ReplicationMessage.AppendRequest append) {
--- a/src/test/java/brambletray/platform/replication/LeaveTest.java
+++ b/src/test/java/brambletray/platform/replication/PlannedLeaveTest.java
@@ -14,7 +14,7 @@
  * plays N courses of each kind (200 for the figures of docs/control.md), {@code -Dleave.seed=S} one and tells;
  * {@code -Dleave.measure=true} measures and holds nothing.
  */
-class LeaveTest {
+class PlannedLeaveTest {
     private static final int COURSES = 20;
     /** ms between two calls, in turn at all members that are up. */
     private static final int CALL_MS = 10;
@@ -39,9 +39,9 @@
 
     /** One course: machines, calls all the time, the longest stretches without an answer. */
     private static final class Course {
-        final SimWorld world;
+        final SimulatedReplicas world;
         final Random random;
-        final List<SimNode> live = new ArrayList<>();
+        final List<SimulatedReplica> live = new ArrayList<>();
         int calls;
         long ackedAt;
         long readAt;
@@ -52,15 +52,15 @@
 
         Course(long seed, int machines, boolean talks) {
             random = new Random(seed);
-            world = new SimWorld(seed, ReplicationSettings.defaults(machines / 2));
-            world.talks = talks;
+            world = new SimulatedReplicas(seed, ReplicationSettings.defaults(machines / 2));
+            world.logsEvents = talks;
             List<String> seeds = List.of("a", "b", "c");
             for (int i = 0; i < machines; i++) {
-                SimNode node = world.node(String.valueOf((char) ('a' + i)), seeds);
+                SimulatedReplica node = world.node(String.valueOf((char) ('a' + i)), seeds);
                 node.initial = true;
                 live.add(node);
             }
-            live.forEach(SimNode::start);
+            live.forEach(SimulatedReplica::start);
             world.await(() -> allIn(machines), 8000, "founding");
             live.forEach(node -> node.initial = false);
             play(300);
@@ -68,11 +68,12 @@
         }
 
         boolean allIn(int machines) {
-            SimNode leader = world.leader();
+            SimulatedReplica leader = world.leader();
             return leader != null
-                    && leader.members.status().members().size() == machines
+                    && leader.replica.status().members().size() == machines
                     && live.stream()
-                            .allMatch(node -> node.up() && node.members.status().role() == ReplicaRole.MEMBER);
+                            .allMatch(node ->
+                                    node.isRunning() && node.replica.status().role() == ReplicaRole.MEMBER);
         }
 
         /** Calls for so long. */
@@ -88,23 +89,23 @@
         }
 
         private void call() {
-            SimNode node = live.get(++calls % live.size());
-            if (!node.up()) {
+            SimulatedReplica node = live.get(++calls % live.size());
+            if (!node.isRunning()) {
                 return;
             }
-            world.oracle.propose(node);
-            world.oracle.confirm(node);
+            world.ruleChecker.propose(node);
+            world.ruleChecker.confirm(node);
         }
 
         private void look() {
-            if (world.oracle.acknowledged.size() > acked) {
+            if (world.ruleChecker.acknowledged.size() > acked) {
                 ackedAt = world.now;
             }
-            if (world.oracle.confirmedOk > read) {
+            if (world.ruleChecker.confirmedOk > read) {
                 readAt = world.now;
             }
-            acked = world.oracle.acknowledged.size();
-            read = world.oracle.confirmedOk;
+            acked = world.ruleChecker.acknowledged.size();
+            read = world.ruleChecker.confirmedOk;
             longestAck = Math.max(longestAck, world.now - ackedAt);
             longestRead = Math.max(longestRead, world.now - readAt);
         }
@@ -117,17 +118,17 @@
         }
 
         /** SIGTERM, and the end of the process. */
-        void leave(SimNode node) {
-            node.members.leave(world.now);
-            ends(node, node.boot);
+        void leave(SimulatedReplica node) {
+            node.replica.leave(world.now);
+            ends(node, node.processNumber);
         }
 
-        private void ends(SimNode node, int boot) {
+        private void ends(SimulatedReplica node, int boot) {
             world.later(world.now + 50, () -> {
-                if (node.boot != boot || !node.up()) {
+                if (node.processNumber != boot || !node.isRunning()) {
                     return;
                 }
-                if (node.members.mayTerminate()) {
+                if (node.replica.mayTerminate()) {
                     node.kill(false);
                 } else {
                     ends(node, boot);
@@ -135,8 +136,8 @@
             });
         }
 
-        SimNode victim() {
-            SimNode leader = world.leader();
+        SimulatedReplica victim() {
+            SimulatedReplica leader = world.leader();
             if (random.nextBoolean()) {
                 return leader;
             }
@@ -144,7 +145,7 @@
         }
 
         void newcomer(int in) {
-            SimNode next = world.node("n" + live.size() + world.nodes.size(), List.of("a", "b", "c"));
+            SimulatedReplica next = world.node("n" + live.size() + world.nodes.size(), List.of("a", "b", "c"));
             live.add(next);
             world.later(world.now + in, next::start);
         }
@@ -152,7 +153,7 @@
         /** Stretches of the trouble and of the return: acknowledgement, read, acknowledgement, read. */
         long[] play(Trouble trouble) {
             int machines = live.size();
-            SimNode first = victim();
+            SimulatedReplica first = victim();
             long[] all = new long[4];
             if (trouble == Trouble.REPLACED || trouble == Trouble.REPLACED_THEN_LOSS) {
                 newcomer(0);
@@ -172,7 +173,7 @@
             all[1] = longestRead;
             reset();
             if (trouble == Trouble.REPLACED_THEN_LOSS) {
-                SimNode second = victim();
+                SimulatedReplica second = victim();
                 second.kill(true);
                 second.wipe();
                 live.remove(second);
@@ -180,7 +181,7 @@
                 play(SYNC_MS);
                 world.await(() -> allIn(machines), 1000, "after a second loss");
             } else if (live.contains(first)) {
-                if (first.up()) {
+                if (first.isRunning()) {
                     first.kill(false);
                 }
                 first.start();
@@ -190,7 +191,7 @@
             all[2] = longestAck;
             all[3] = longestRead;
             world.until(world.now + 500);
-            world.oracle.end(live);
+            world.ruleChecker.end(live);
             return all;
         }
     }
@@ -216,11 +217,11 @@
                                     + some[1]);
                         }
                     } catch (AssertionError | RuntimeException e) {
-                        course.world.tales.forEach(System.out::println);
+                        course.world.events.forEach(System.out::println);
                         throw new AssertionError(machines + " " + trouble + " seed " + seed + ": " + e.getMessage(), e);
                     }
                     if (only != null) {
-                        course.world.tales.forEach(System.out::println);
+                        course.world.events.forEach(System.out::println);
                     }
                 }
                 System.out.println("leave: " + machines + " " + trouble + " (50 %, 99 %, worst; ms): ack "
--- a/src/test/java/brambletray/platform/replication/RandomFaults.java
+++ b/src/test/java/brambletray/platform/replication/RandomFaults.java
@@ -6,51 +6,51 @@
 
 /** Random faults and work in a simulated world: one seed, one course. */
 public final class RandomFaults {
-    private final SimWorld world;
+    private final SimulatedReplicas world;
     private final Random random;
-    public final List<SimNode> live = new ArrayList<>();
+    public final List<SimulatedReplica> live = new ArrayList<>();
     private final int machines;
     private int replaced;
     /** What else may happen to a process at times. */
-    public java.util.function.Consumer<SimNode> prank = node -> {};
+    public java.util.function.Consumer<SimulatedReplica> prank = node -> {};
 
     public RandomFaults(long seed, boolean talks) {
         random = new Random(seed);
         machines = random.nextInt(4) == 0 ? 5 : 3;
-        world = new SimWorld(seed, ReplicationSettings.defaults(1));
-        world.talks = talks;
-        world.oracle.harsh = seed % 4 == 0;
+        world = new SimulatedReplicas(seed, ReplicationSettings.defaults(1));
+        world.logsEvents = talks;
+        world.ruleChecker.harsh = seed % 4 == 0;
         // large changes on links that take their time
         if (seed % 5 == 2) {
             world.padding = "p".repeat(24 << 10);
         }
         List<String> seeds = List.of("a", "b", "c");
         for (int i = 0; i < machines; i++) {
-            SimNode node = world.node(String.valueOf((char) ('a' + i)), seeds);
+            SimulatedReplica node = world.node(String.valueOf((char) ('a' + i)), seeds);
             node.initial = true;
             live.add(node);
         }
     }
 
-    public SimWorld world() {
+    public SimulatedReplicas world() {
         return world;
     }
 
     /** Whether nothing more is expected of this course than that no rule is broken. */
     public boolean harsh() {
-        return world.oracle.harsh;
+        return world.ruleChecker.harsh;
     }
 
     /** Plays; returns how many changes were acknowledged. */
     public int play() {
-        for (SimNode node : live) {
+        for (SimulatedReplica node : live) {
             world.later(world.now + random.nextInt(400), node::start);
         }
         world.until(world.now + 500);
         if (random.nextInt(4) > 0) {
             settle(8000);
         }
-        for (SimNode node : live) {
+        for (SimulatedReplica node : live) {
             node.initial = false;
         }
         int rounds = 3 + random.nextInt(10);
@@ -63,7 +63,7 @@
             work(random.nextInt(1500));
             if (random.nextInt(3) == 0) {
                 calm();
-                if (world.oracle.harsh) {
+                if (world.ruleChecker.harsh) {
                     work(2000);
                 } else {
                     settle(9000);
@@ -71,19 +71,19 @@
             }
         }
         calm();
-        if (world.oracle.harsh) {
+        if (world.ruleChecker.harsh) {
             work(5000);
-            return world.oracle.acknowledged.size();
+            return world.ruleChecker.acknowledged.size();
         }
         settle(9000);
-        long token = world.oracle.propose(live.get(0));
-        world.await(() -> world.oracle.acknowledged.contains("c" + token), 2000, "a change after all is calm");
+        long token = world.ruleChecker.propose(live.get(0));
+        world.await(() -> world.ruleChecker.acknowledged.contains("c" + token), 2000, "a change after all is calm");
         settle(3000);
         world.until(world.now + 300);
         settle(3000);
         world.await(this::alike, 4000, "all alike");
-        world.oracle.end(live);
-        return world.oracle.acknowledged.size();
+        world.ruleChecker.end(live);
+        return world.ruleChecker.acknowledged.size();
     }
 
     private void calm() {
@@ -91,11 +91,11 @@
         // those that are about to end, as planned, do
         world.until(world.now + 350);
         world.await(
-                () -> live.stream().noneMatch(node -> node.up() && node.members.isLeaving()),
+                () -> live.stream().noneMatch(node -> node.isRunning() && node.replica.isLeaving()),
                 6000,
                 "those that leave have left");
-        for (SimNode node : live) {
-            if (!node.up()) {
+        for (SimulatedReplica node : live) {
+            if (!node.isRunning()) {
                 node.start();
             }
         }
@@ -106,25 +106,25 @@
     }
 
     private boolean settled() {
-        SimNode leader = world.leader();
+        SimulatedReplica leader = world.leader();
         if (leader == null) {
             return false;
         }
-        for (SimNode node : live) {
-            if (!node.up()) {
+        for (SimulatedReplica node : live) {
+            if (!node.isRunning()) {
                 return false;
             }
-            ReplicaStatus status = node.members.status();
+            ReplicaStatus status = node.replica.status();
             if (status.role() != ReplicaRole.MEMBER
-                    || status.viewNumber() != leader.members.status().viewNumber()) {
+                    || status.viewNumber() != leader.replica.status().viewNumber()) {
                 return false;
             }
         }
-        return leader.members.status().members().size() == live.size();
+        return leader.replica.status().members().size() == live.size();
     }
 
     private boolean alike() {
-        for (SimNode node : live) {
+        for (SimulatedReplica node : live) {
             if (!node.state.equals(live.get(0).state)) {
                 return false;
             }
@@ -136,31 +136,31 @@
         long end = world.now + span;
         while (world.now < end) {
             world.until(Math.min(end, world.now + 1 + random.nextInt(120)));
-            SimNode node = any();
-            if (node.up() && node.frozenUntil <= world.now) {
+            SimulatedReplica node = any();
+            if (node.isRunning() && node.frozenUntil <= world.now) {
                 if (random.nextInt(20) == 0) {
                     prank.accept(node);
                 }
                 if (random.nextInt(4) == 0) {
-                    world.oracle.confirm(node);
+                    world.ruleChecker.confirm(node);
                 } else {
-                    world.oracle.propose(node);
+                    world.ruleChecker.propose(node);
                 }
             }
         }
     }
 
-    private SimNode any() {
+    private SimulatedReplica any() {
         return live.get(random.nextInt(live.size()));
     }
 
     /** A process that has been told to end does so once it may, and is started again. */
-    private void ends(SimNode node, int boot) {
+    private void ends(SimulatedReplica node, int boot) {
         world.later(world.now + 50, () -> {
-            if (node.boot != boot || !node.up()) {
+            if (node.processNumber != boot || !node.isRunning()) {
                 return;
             }
-            if (!node.members.mayTerminate()) {
+            if (!node.replica.mayTerminate()) {
                 ends(node, boot);
                 return;
             }
@@ -169,21 +169,21 @@
         });
     }
 
-    private void restart(SimNode node, int ms) {
-        int boot = node.boot;
+    private void restart(SimulatedReplica node, int ms) {
+        int boot = node.processNumber;
         world.later(world.now + ms, () -> {
-            if (node.boot == boot && node.down && live.contains(node)) {
+            if (node.processNumber == boot && node.down && live.contains(node)) {
                 node.start();
             }
         });
     }
 
     private void fault() {
-        SimNode node = any();
-        SimNode other = any();
+        SimulatedReplica node = any();
+        SimulatedReplica other = any();
         switch (random.nextInt(14)) {
             case 0, 1 -> {
-                if (node.up()) {
+                if (node.isRunning()) {
                     node.kill(random.nextBoolean());
                 }
                 restart(node, 100 + random.nextInt(3000));
@@ -191,7 +191,7 @@
             case 2 -> world.cut(node.address, other.address, true);
             case 3 -> world.one(node.address, other.address, true);
             case 4 -> {
-                for (SimNode one : live) {
+                for (SimulatedReplica one : live) {
                     world.cut(node.address, one.address, true);
                 }
             }
@@ -201,8 +201,8 @@
             case 8 -> node.disk.full = true;
             case 9 -> {
                 boolean power = random.nextBoolean();
-                for (SimNode one : live) {
-                    if (one.up()) {
+                for (SimulatedReplica one : live) {
+                    if (one.isRunning()) {
                         one.kill(power);
                     }
                     restart(one, 100 + random.nextInt(1200));
@@ -213,9 +213,9 @@
             }
             case 10 -> wipe(node);
             case 12 -> {
-                if (node.up()) {
-                    node.members.leave(world.now);
-                    ends(node, node.boot);
+                if (node.isRunning()) {
+                    node.replica.leave(world.now);
+                    ends(node, node.processNumber);
                 }
             }
             case 11 -> {
@@ -232,11 +232,11 @@
         }
     }
 
-    private void wipe(SimNode node) {
-        if (!world.oracle.intact()) {
+    private void wipe(SimulatedReplica node) {
+        if (!world.ruleChecker.intact()) {
             return;
         }
-        if (node.up()) {
+        if (node.isRunning()) {
             node.kill(true);
         }
         node.wipe();
@@ -244,20 +244,20 @@
     }
 
     /** A machine is lost for good, another comes at a new address, before or after. */
-    private void replace(SimNode node) {
-        if (replaced >= 2 || !world.oracle.intact() || !settled()) {
+    private void replace(SimulatedReplica node) {
+        if (replaced >= 2 || !world.ruleChecker.intact() || !settled()) {
             return;
         }
         replaced++;
-        if (node.up()) {
+        if (node.isRunning()) {
             node.kill(true);
         }
         node.wipe();
-        world.oracle.recovering.remove(node.address);
+        world.ruleChecker.recovering.remove(node.address);
         live.remove(node);
-        SimNode next = world.node("r" + replaced, List.of("a", "b", "c"));
+        SimulatedReplica next = world.node("r" + replaced, List.of("a", "b", "c"));
         live.add(next);
-        world.oracle.recovering.add(next.address);
+        world.ruleChecker.recovering.add(next.address);
         restart(next, random.nextInt(2000));
     }
 }
--- a/src/test/java/brambletray/platform/replication/RandomFaultsTest.java
+++ b/src/test/java/brambletray/platform/replication/RandomFaultsTest.java
@@ -24,10 +24,10 @@
             try {
                 acknowledged += weather.play();
             } catch (AssertionError | RuntimeException e) {
-                weather.world().tales.forEach(System.out::println);
+                weather.world().events.forEach(System.out::println);
                 throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
             }
-            views += weather.world().oracle.views();
+            views += weather.world().ruleChecker.views();
             played++;
             if (only != null) {
                 break;
--- a/src/test/java/brambletray/platform/replication/RecordingOut.java
+++ b/src/test/java/brambletray/platform/replication/RecordingReplicationActions.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /** Keeps the frames that one member sends; everything else that it says is dropped. */
-final class RecordingOut implements ReplicationActions {
+final class RecordingReplicationActions implements ReplicationActions {
     /** A frame and the address that it was sent to. */
     record Sent(String address, ReplicationMessage frame) {}
 
--- a/src/test/java/brambletray/platform/replication/MemberTest.java
+++ b/src/test/java/brambletray/platform/replication/ReplicaTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** One member by itself: what it says, and that it says nothing before it is on the disk. */
-class MemberTest {
+class ReplicaTest {
     private static final Member A = new Member("a", "a", 1);
     private static final Member B = new Member("b", "b", 2);
     private static final Member C = new Member("c", "c", 3);
--- a/src/test/java/brambletray/platform/replication/LogTest.java
+++ b/src/test/java/brambletray/platform/replication/ReplicatedLogTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What a log gives to one that lacks some of it, before and after it was compacted. */
-class LogTest {
+class ReplicatedLogTest {
     private static final Ballot FIRST = new Ballot(1, 1);
     private static final Ballot SECOND = new Ballot(2, 2);
     private static final int STATE = 10_000;
--- a/src/test/java/brambletray/platform/replication/FramesTest.java
+++ b/src/test/java/brambletray/platform/replication/ReplicationCodecTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Frames as another process has them, and the kept state as the next process has it. */
-class FramesTest {
+class ReplicationCodecTest {
     @Test
     void everyFrameIsRegisteredAndComesAsItWent() {
         FrameCodec speech = new FrameCodec(List.of(Replica.MESSAGES));
--- a/src/test/java/brambletray/platform/replication/Core.java
+++ b/src/test/java/brambletray/platform/replication/ReplicationTestCluster.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /** A core in simulated time that has been founded and is at rest, without any chance in it: the first machine leads. */
-public final class Core {
-    public final SimWorld world;
+public final class ReplicationTestCluster {
+    public final SimulatedReplicas world;
 
     /** Machines founded together; the first three are the seeds. */
-    public Core(List<String> names) {
+    public ReplicationTestCluster(List<String> names) {
         this(names, FaultTolerance.ofMachines(1));
     }
 
     /** The same; {@code a/z} stands in zone z. */
-    Core(List<String> names, FaultTolerance tolerance) {
-        world = new SimWorld(1, ReplicationSettings.defaults(tolerance, 5000));
+    ReplicationTestCluster(List<String> names, FaultTolerance tolerance) {
+        world = new SimulatedReplicas(1, ReplicationSettings.defaults(tolerance, 5000));
         world.jitter = false;
         List<String> seeds = names.subList(0, Math.min(3, names.size())).stream()
-                .map(Core::address)
+                .map(ReplicationTestCluster::address)
                 .toList();
         for (String name : names) {
             machine(name, seeds).initial = true;
@@ -27,22 +27,22 @@
         return name.replaceAll("/.*", "");
     }
 
-    private SimNode machine(String name, List<String> seeds) {
-        SimNode node = world.node(address(name), seeds);
+    private SimulatedReplica machine(String name, List<String> seeds) {
+        SimulatedReplica node = world.node(address(name), seeds);
         node.zone = name.substring(Math.min(name.length(), address(name).length() + 1));
         return node;
     }
 
     /** Starts and waits until all are in. */
     public void found() {
-        world.nodes.values().forEach(SimNode::start);
+        world.nodes.values().forEach(SimulatedReplica::start);
         world.await(
                 () -> {
-                    SimNode leader = world.leader();
+                    SimulatedReplica leader = world.leader();
                     return leader != null
-                            && leader.members.status().members().size() == world.nodes.size()
+                            && leader.replica.status().members().size() == world.nodes.size()
                             && world.nodes.values().stream()
-                                    .allMatch(node -> node.members.status().role() == ReplicaRole.MEMBER);
+                                    .allMatch(node -> node.replica.status().role() == ReplicaRole.MEMBER);
                 },
                 5000,
                 "founding");
--- a/src/test/java/brambletray/platform/replication/RuleChecker.java
+++ b/src/test/java/brambletray/platform/replication/RuleChecker.java
@@ -22,7 +22,7 @@
     /** A machine counts as lost for so long after its return. */
     private static final int LOST_MS = 4000;
 
-    private final SimWorld world;
+    private final SimulatedReplicas world;
     /** What was delivered anywhere, by place. */
     final TreeMap<Long, String> order = new TreeMap<>();
 
@@ -50,27 +50,27 @@
     int confirmedOk;
     long tokens;
 
-    RuleChecker(SimWorld world) {
+    RuleChecker(SimulatedReplicas world) {
         this.world = world;
     }
 
     public void fail(String reason) {
         StringBuilder text = new StringBuilder(reason).append(" at ").append(world.now);
-        for (SimNode node : world.nodes.values()) {
-            text.append("\n  ").append(node.address).append(node.up() ? " " + node.members.status() : " down");
+        for (SimulatedReplica node : world.nodes.values()) {
+            text.append("\n  ").append(node.address).append(node.isRunning() ? " " + node.replica.status() : " down");
         }
         throw new AssertionError(text.toString());
     }
 
-    void born(SimNode node, long incarnation) {
+    void born(SimulatedReplica node, long incarnation) {
         lifeAt.put(node.address, incarnation);
         lives.add(incarnation);
     }
 
-    void wiped(SimNode node) {
+    void wiped(SimulatedReplica node) {
         recovering.add(node.address);
-        if (world.talks) {
-            world.tales.add(world.now + " " + node.address + " wiped");
+        if (world.logsEvents) {
+            world.events.add(world.now + " " + node.address + " wiped");
         }
         lives.remove(lifeAt.getOrDefault(node.address, 0L));
         lifeAt.put(node.address, 0L);
@@ -98,8 +98,8 @@
         return true;
     }
 
-    void look(SimNode node) {
-        ReplicaStatus status = node.members.status();
+    void look(SimulatedReplica node) {
+        ReplicaStatus status = node.replica.status();
         if (!status.active()) {
             return;
         }
@@ -117,7 +117,7 @@
         }
     }
 
-    void delivered(SimNode node, long index, String text) {
+    void delivered(SimulatedReplica node, long index, String text) {
         String other = order.putIfAbsent(index, text);
         ordered.add(text);
         if (other != null && !other.equals(text)) {
@@ -128,16 +128,16 @@
         }
     }
 
-    long propose(SimNode node) {
+    long propose(SimulatedReplica node) {
         long token = ++tokens;
         String text = "c" + token;
         proposed.put(token, text);
         String whole = world.padding.isEmpty() ? text : text + ' ' + world.padding;
-        node.members.propose(token, whole.getBytes(java.nio.charset.StandardCharsets.UTF_8), world.now);
+        node.replica.propose(token, whole.getBytes(java.nio.charset.StandardCharsets.UTF_8), world.now);
         return token;
     }
 
-    void outcome(SimNode node, long token, ProposalOutcome outcome) {
+    void outcome(SimulatedReplica node, long token, ProposalOutcome outcome) {
         String text = proposed.get(token);
         if (outcome == ProposalOutcome.COMMITTED) {
             if (!ordered.contains(text)) {
@@ -154,37 +154,37 @@
         }
     }
 
-    long confirm(SimNode node) {
+    long confirm(SimulatedReplica node) {
         long token = ++tokens;
         expected.put(token, new HashSet<>(acknowledged));
-        node.members.requestReadIndex(token, world.now);
+        node.replica.requestReadIndex(token, world.now);
         return token;
     }
 
-    void confirmed(SimNode node, long token, boolean yes) {
+    void confirmed(SimulatedReplica node, long token, boolean yes) {
         Set<String> must = expected.remove(token);
         if (!yes) {
             return;
         }
         confirmedOk++;
         for (String text : must) {
-            if (!node.has.contains(text)) {
+            if (!node.applied.contains(text)) {
                 fail(node.address + " reads without " + text + ", acknowledged before");
             }
         }
     }
 
     /** At the end: all members have the same and all that was acknowledged. */
-    void end(List<SimNode> live) {
+    void end(List<SimulatedReplica> live) {
         for (String text : acknowledged) {
-            for (SimNode node : live) {
-                if (!node.has.contains(text)) {
+            for (SimulatedReplica node : live) {
+                if (!node.applied.contains(text)) {
                     fail(node.address + " has lost " + text);
                 }
             }
         }
         List<String> first = new ArrayList<>(live.get(0).state);
-        for (SimNode node : live) {
+        for (SimulatedReplica node : live) {
             if (!node.state.equals(first)) {
                 fail(node.address + " differs from " + live.get(0).address + ": " + node.state + " " + first);
             }
--- a/src/test/java/brambletray/platform/replication/SimNode.java
+++ b/src/test/java/brambletray/platform/replication/SimulatedReplica.java
@@ -6,26 +6,26 @@
 import java.util.Map;
 
 /** One machine of the core in simulated time: a disk that stays, and a process that comes and goes. */
-public final class SimNode {
+public final class SimulatedReplica {
     /** What else the process does besides being a member. */
-    public interface Rider {
+    public interface Passenger {
         void tick();
 
-        void heard(String from, Object frame);
+        void receive(String from, Object frame);
 
         void synced(long ticket);
 
-        void failed(long ticket);
+        void syncFailed(long ticket);
     }
 
-    public final SimWorld world;
+    public final SimulatedReplicas world;
     public final String address;
-    public final SimDisk disk = new SimDisk();
+    public final SimulatedReplicaDisk disk = new SimulatedReplicaDisk();
     List<String> seeds;
-    public Replica members;
-    public Rider rider;
+    public Replica replica;
+    public Passenger passenger;
     /** Counts processes; what was meant for an earlier one is dropped. */
-    int boot;
+    int processNumber;
 
     public boolean initial;
     String zone = "";
@@ -33,45 +33,45 @@
     /** What this process has delivered, by place; places before the first are in the snapshot. */
     public final List<String> state = new ArrayList<>();
     /** The same, to look a change up. */
-    final java.util.Set<String> has = new java.util.HashSet<>();
+    final java.util.Set<String> applied = new java.util.HashSet<>();
 
-    long delivered;
+    long appliedIndex;
     boolean down = true;
     final List<Runnable> deferred = new ArrayList<>();
-    final List<String> tales = new ArrayList<>();
+    final List<String> events = new ArrayList<>();
 
-    SimNode(SimWorld world, String address, List<String> seeds) {
+    SimulatedReplica(SimulatedReplicas world, String address, List<String> seeds) {
         this.world = world;
         this.address = address;
         this.seeds = seeds;
     }
 
     public void start() {
-        boot++;
+        processNumber++;
         down = false;
         frozenUntil = 0;
         deferred.clear();
         state.clear();
-        has.clear();
-        delivered = 0;
+        applied.clear();
+        appliedIndex = 0;
         long fresh = world.random.nextLong() | 1;
         DurableState durableState = DurableState.read(disk.kept);
-        members = null;
-        members = new Replica(
+        replica = null;
+        replica = new Replica(
                 new ReplicaConfig(
                         address, address, zone, fresh, world.random.nextLong() | 1, seeds, initial, world.settings),
                 durableState,
-                new Ways(boot),
+                new Ways(processNumber),
                 new State(),
                 world.now);
-        world.oracle.born(this, members.status().self().incarnation());
-        rider = world.riders == null ? null : world.riders.apply(this);
-        tick(boot);
+        world.ruleChecker.born(this, replica.status().self().incarnation());
+        passenger = world.passengers == null ? null : world.passengers.apply(this);
+        tick(processNumber);
     }
 
     /** Keeps changes of the rider. */
     public void persist(long ticket, Map<String, byte[]> changes) {
-        write(1, boot, ticket, changes);
+        write(1, processNumber, ticket, changes);
     }
 
     private void write(int writer, int process, long ticket, Map<String, byte[]> changes) {
@@ -86,7 +86,7 @@
             return;
         }
         world.atDisk.accept(this);
-        if (process != boot) {
+        if (process != processNumber) {
             return;
         }
         boolean full = disk.full;
@@ -97,31 +97,31 @@
         }
         if (writer == 1) {
             if (full) {
-                rider.failed(ticket);
+                passenger.syncFailed(ticket);
             } else {
-                rider.synced(ticket);
+                passenger.synced(ticket);
             }
         } else {
             if (full) {
-                members.syncFailed(ticket, world.now);
+                replica.syncFailed(ticket, world.now);
             } else {
-                members.synced(ticket, world.now);
+                replica.synced(ticket, world.now);
             }
-            if (members != null) {
-                world.oracle.look(this);
+            if (replica != null) {
+                world.ruleChecker.look(this);
             }
         }
     }
 
     private void tick(int which) {
         world.at(this, which, world.now + 40, () -> {
-            if (members != null) {
-                members.tick(world.now);
-                if (members != null) {
-                    world.oracle.look(this);
+            if (replica != null) {
+                replica.tick(world.now);
+                if (replica != null) {
+                    world.ruleChecker.look(this);
                 }
-                if (rider != null) {
-                    rider.tick();
+                if (passenger != null) {
+                    passenger.tick();
                 }
             }
             tick(which);
@@ -130,10 +130,10 @@
 
     /** The process ends at once. With {@code power}, so does the machine: a batch under way may be lost. */
     void kill(boolean power) {
-        boot++;
+        processNumber++;
         down = true;
-        members = null;
-        rider = null;
+        replica = null;
+        passenger = null;
         if (power && (!world.jitter || world.random.nextBoolean())) {
             disk.dropAll();
         } else {
@@ -142,35 +142,36 @@
     }
 
     void wipe() {
-        world.oracle.wiped(this);
+        world.ruleChecker.wiped(this);
         disk.wipe();
         disk.full = false;
         disk.hungUntil = 0;
     }
 
-    public boolean up() {
+    public boolean isRunning() {
         return !down;
     }
 
     void hear(String from, Object frame) {
-        if (members == null) {
+        if (replica == null) {
             return;
         }
         if (frame instanceof ReplicationMessage) {
-            members.receive(from, frame, world.now);
-            if (members != null) {
-                world.oracle.look(this);
+            replica.receive(from, frame, world.now);
+            if (replica != null) {
+                world.ruleChecker.look(this);
             }
-        } else if (rider != null) {
-            rider.heard(from, frame);
+        } else if (passenger != null) {
+            passenger.receive(from, frame);
         }
-        world.frameDispatcher.accept(this, frame);
+        world.afterMessage.accept(this, frame);
     }
 
     private final class State implements StateMachine {
         @Override
         public byte[] snapshot() {
-            return (delivered + " " + world.ballast + "\n" + String.join("\n", state)).getBytes(StandardCharsets.UTF_8);
+            return (appliedIndex + " " + world.ballast + "\n" + String.join("\n", state))
+                    .getBytes(StandardCharsets.UTF_8);
         }
 
         @Override
@@ -191,32 +192,32 @@
         @Override
         public void restore(byte[] snapshot) {
             state.clear();
-            has.clear();
-            delivered = 0;
+            applied.clear();
+            appliedIndex = 0;
             if (snapshot.length == 0) {
                 return;
             }
             String[] lines = new String(snapshot, StandardCharsets.UTF_8).split("\n");
-            delivered = Long.parseLong(lines[0].split(" ")[0]);
+            appliedIndex = Long.parseLong(lines[0].split(" ")[0]);
             for (int i = 1; i < lines.length; i++) {
                 state.add(lines[i]);
             }
-            has.addAll(state);
+            applied.addAll(state);
         }
 
         @Override
         public void apply(long index, byte[] change) {
-            if (index != delivered + 1) {
-                world.oracle.fail(address + " delivers " + index + " after " + delivered);
+            if (index != appliedIndex + 1) {
+                world.ruleChecker.fail(address + " delivers " + index + " after " + appliedIndex);
             }
-            delivered = index;
+            appliedIndex = index;
             String whole = new String(change, StandardCharsets.UTF_8);
             String text = whole.indexOf(' ') < 0 ? whole : whole.substring(0, whole.indexOf(' '));
-            if (!has.add(text)) {
-                world.oracle.fail(address + " delivers " + text + " twice");
+            if (!applied.add(text)) {
+                world.ruleChecker.fail(address + " delivers " + text + " twice");
             }
             state.add(text);
-            world.oracle.delivered(SimNode.this, index, text);
+            world.ruleChecker.delivered(SimulatedReplica.this, index, text);
         }
     }
 
@@ -229,7 +230,7 @@
 
         @Override
         public void send(String to, ReplicationMessage frame) {
-            world.send(SimNode.this, to, frame);
+            world.send(SimulatedReplica.this, to, frame);
         }
 
         @Override
@@ -239,12 +240,12 @@
 
         @Override
         public void proposalCompleted(long token, ProposalOutcome outcome) {
-            world.oracle.outcome(SimNode.this, token, outcome);
+            world.ruleChecker.outcome(SimulatedReplica.this, token, outcome);
         }
 
         @Override
         public void readIndexCompleted(long token, boolean yes) {
-            world.oracle.confirmed(SimNode.this, token, yes);
+            world.ruleChecker.confirmed(SimulatedReplica.this, token, yes);
         }
 
         @Override
@@ -253,9 +254,9 @@
         @Override
         public void log(ReplicationEvent event) {
             if (event instanceof ReplicationEvent.BehindSnapshot) {
-                world.oracle.fail(address + " can't send what a member lacks: " + event);
+                world.ruleChecker.fail(address + " can't send what a member lacks: " + event);
             }
-            if (!world.talks) {
+            if (!world.logsEvents) {
                 return;
             }
             StringBuilder line = new StringBuilder()
@@ -266,7 +267,7 @@
                     .append(event.name());
             event.writeFields(
                     (name, value) -> line.append(' ').append(name).append('=').append(value));
-            world.tales.add(line.toString());
+            world.events.add(line.toString());
         }
     }
 }
--- a/src/test/java/brambletray/platform/replication/SimDisk.java
+++ b/src/test/java/brambletray/platform/replication/SimulatedReplicaDisk.java
@@ -8,7 +8,7 @@
  * A disk in simulated time: what is synced, and batches under way (one a writer) that a loss of power may take away or
  * leave.
  */
-public final class SimDisk {
+public final class SimulatedReplicaDisk {
     public final Map<String, byte[]> kept = new HashMap<>();
     private final Map<Integer, Map<String, byte[]>> flying = new TreeMap<>();
     int syncMs = 5;
--- a/src/test/java/brambletray/platform/replication/SimWorld.java
+++ b/src/test/java/brambletray/platform/replication/SimulatedReplicas.java
@@ -9,8 +9,8 @@
 import java.util.Random;
 
 /** Machines, links and disks in simulated time. One seed gives one course of events. */
-public final class SimWorld {
-    private record Event(long at, long seq, SimNode node, int boot, Runnable run) {}
+public final class SimulatedReplicas {
+    private record Event(long at, long seq, SimulatedReplica node, int boot, Runnable run) {}
 
     /** One direction of a link. */
     static final class Link {
@@ -30,16 +30,16 @@
 
     public final Random random;
     final ReplicationSettings settings;
-    public final RuleChecker oracle = new RuleChecker(this);
-    public final Map<String, SimNode> nodes = new LinkedHashMap<>();
+    public final RuleChecker ruleChecker = new RuleChecker(this);
+    public final Map<String, SimulatedReplica> nodes = new LinkedHashMap<>();
     private final Map<String, Link> links = new HashMap<>();
     private final PriorityQueue<Event> queue =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.seq, b.seq));
-    public final List<String> tales = new ArrayList<>();
-    public boolean talks;
+    public final List<String> events = new ArrayList<>();
+    public boolean logsEvents;
     public boolean jitter = true;
     /** Makes what rides on a process at its start; null for nothing. */
-    public java.util.function.Function<SimNode, SimNode.Rider> riders;
+    public java.util.function.Function<SimulatedReplica, SimulatedReplica.Passenger> passengers;
     /** Makes snapshots larger, and changes. */
     String ballast = "";
 
@@ -53,22 +53,22 @@
     /** How a frame comes to the other side. */
     java.util.function.UnaryOperator<Object> post = frame -> frame;
     /** Told of each frame once it has been dealt with. */
-    java.util.function.BiConsumer<SimNode, Object> frameDispatcher = (node, frame) -> {};
+    java.util.function.BiConsumer<SimulatedReplica, Object> afterMessage = (node, frame) -> {};
 
     /** Told once a write has begun, and once more when its sync is about to return. */
-    java.util.function.Consumer<SimNode> atDisk = node -> {};
+    java.util.function.Consumer<SimulatedReplica> atDisk = node -> {};
 
     interface Tap {
-        boolean pass(SimNode from, String to, Object frame);
+        boolean pass(SimulatedReplica from, String to, Object frame);
     }
 
-    public SimWorld(long seed, ReplicationSettings settings) {
+    public SimulatedReplicas(long seed, ReplicationSettings settings) {
         random = new Random(seed);
         this.settings = settings;
     }
 
-    public SimNode node(String address, List<String> seeds) {
-        SimNode node = new SimNode(this, address, seeds);
+    public SimulatedReplica node(String address, List<String> seeds) {
+        SimulatedReplica node = new SimulatedReplica(this, address, seeds);
         nodes.put(address, node);
         return node;
     }
@@ -77,7 +77,7 @@
         return links.computeIfAbsent(from + ">" + to, key -> new Link());
     }
 
-    void at(SimNode node, int boot, long when, Runnable run) {
+    void at(SimulatedReplica node, int boot, long when, Runnable run) {
         queue.add(new Event(when, ++seq, node, boot, run));
     }
 
@@ -86,16 +86,16 @@
         at(null, 0, when, run);
     }
 
-    int syncMs(SimDisk disk) {
+    int syncMs(SimulatedReplicaDisk disk) {
         return jitter ? disk.syncMs + random.nextInt(disk.syncMs + 1) / 2 : disk.syncMs;
     }
 
-    public void send(SimNode from, String to, Object frame) {
+    public void send(SimulatedReplica from, String to, Object frame) {
         frames++;
         if (!tap.pass(from, to, frame) || from.down) {
             return;
         }
-        SimNode target = nodes.get(to);
+        SimulatedReplica target = nodes.get(to);
         Link link = link(from.address, to);
         if (link.cut) {
             if (link.held.size() < 64 && random.nextInt(3) == 0) {
@@ -106,9 +106,9 @@
         if (target == null || (link.loss > 0 && random.nextDouble() < link.loss)) {
             return;
         }
-        int size = Frames.bytes(frame);
-        if (size > Frames.LONGEST) {
-            oracle.fail(from.address + " says a frame of " + size + " bytes: "
+        int size = MessageSizes.bytes(frame);
+        if (size > MessageSizes.LONGEST) {
+            ruleChecker.fail(from.address + " says a frame of " + size + " bytes: "
                     + frame.getClass().getSimpleName());
         }
         link.bytes += size;
@@ -118,30 +118,34 @@
         }
         int delay = link.delayMs + (jitter ? random.nextInt(link.delayMs + 1) : 0);
         link.lastAt = Math.max(link.lastAt, now + delay);
-        if (!target.up()) {
-            at(from, from.boot, now + 2L * delay, () -> from.members.onDisconnected(to, now));
+        if (!target.isRunning()) {
+            at(from, from.processNumber, now + 2L * delay, () -> from.replica.onDisconnected(to, now));
             return;
         }
         Object response = post.apply(frame);
-        at(target, target.boot, link.lastAt, () -> target.hear(from.address, response));
+        at(target, target.processNumber, link.lastAt, () -> target.hear(from.address, response));
     }
 
     /** A frame on a link that takes its time: whole frames, one after the other. */
-    private void later(SimNode from, SimNode target, Link link, int size, Object frame) {
-        if ((link.freeAt - now) * link.rate > Frames.MOST_WAITING) {
+    private void later(SimulatedReplica from, SimulatedReplica target, Link link, int size, Object frame) {
+        if ((link.freeAt - now) * link.rate > MessageSizes.MOST_WAITING) {
             link.breaks++;
             link.freeAt = now;
-            from.members.onDisconnected(target.address, now);
+            from.replica.onDisconnected(target.address, now);
             return;
         }
         link.freeAt = Math.max(now, link.freeAt) + (double) size / link.rate;
         int breaks = link.breaks;
         link.lastAt = Math.max(link.lastAt, (long) link.freeAt + link.delayMs);
-        if (!target.up()) {
-            at(from, from.boot, now + 2L * link.delayMs, () -> from.members.onDisconnected(target.address, now));
+        if (!target.isRunning()) {
+            at(
+                    from,
+                    from.processNumber,
+                    now + 2L * link.delayMs,
+                    () -> from.replica.onDisconnected(target.address, now));
             return;
         }
-        at(target, target.boot, link.lastAt, () -> {
+        at(target, target.processNumber, link.lastAt, () -> {
             if (link.breaks == breaks) {
                 target.hear(from.address, frame);
             }
@@ -165,17 +169,17 @@
         if (cut) {
             return;
         }
-        SimNode target = nodes.get(to);
+        SimulatedReplica target = nodes.get(to);
         for (Object frame : link.held) {
-            if (target.up()) {
-                at(target, target.boot, now + link.delayMs, () -> target.hear(from, frame));
+            if (target.isRunning()) {
+                at(target, target.processNumber, now + link.delayMs, () -> target.hear(from, frame));
             }
         }
         link.held.clear();
     }
 
     public void heal() {
-        for (SimNode node : nodes.values()) {
+        for (SimulatedReplica node : nodes.values()) {
             node.frozenUntil = Math.min(node.frozenUntil, now);
             thaw(node);
             node.disk.full = false;
@@ -193,8 +197,8 @@
                     link.freeAt = now;
                     link.lastAt = now;
                     link.rate = 0;
-                    if (nodes.get(a).up()) {
-                        nodes.get(a).members.onDisconnected(b, now);
+                    if (nodes.get(a).isRunning()) {
+                        nodes.get(a).replica.onDisconnected(b, now);
                     }
                 }
                 one(a, b, false);
@@ -217,9 +221,9 @@
             return false;
         }
         now = Math.max(now, event.at);
-        SimNode node = event.node;
+        SimulatedReplica node = event.node;
         if (node != null) {
-            if (node.boot != event.boot || node.down) {
+            if (node.processNumber != event.boot || node.down) {
                 return true;
             }
             if (node.frozenUntil > now) {
@@ -235,7 +239,7 @@
     }
 
     /** What a frozen process has missed comes to it all at once, in order. */
-    private void thaw(SimNode node) {
+    private void thaw(SimulatedReplica node) {
         if (node.frozenUntil > now) {
             later(node.frozenUntil, () -> thaw(node));
             return;
@@ -250,16 +254,16 @@
         long begin = now;
         while (!condition.getAsBoolean()) {
             if (now - begin > span) {
-                oracle.fail("not within " + span + " ms: " + what);
+                ruleChecker.fail("not within " + span + " ms: " + what);
             }
             until(now + 10);
         }
         return now - begin;
     }
 
-    SimNode leader() {
-        for (SimNode node : nodes.values()) {
-            if (node.up() && node.members.status().isLeader()) {
+    SimulatedReplica leader() {
+        for (SimulatedReplica node : nodes.values()) {
+            if (node.isRunning() && node.replica.status().isLeader()) {
                 return node;
             }
         }
--- a/src/test/java/brambletray/platform/replication/ServingTest.java
+++ b/src/test/java/brambletray/platform/replication/StateTransferServerTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.api.Test;
 
 /** What a giver holds for those that fetch from it. */
-class ServingTest {
+class StateTransferServerTest {
     private static final Ballot INSTALLING = new Ballot(6, 1);
     private static final int RECEIVERS = 8;
 
-    private final RecordingOut out = new RecordingOut();
-    private final ReplicaState state = RecordingOut.state(DurableState.empty(), out);
+    private final RecordingReplicationActions out = new RecordingReplicationActions();
+    private final ReplicaState state = RecordingReplicationActions.state(DurableState.empty(), out);
 
     /** The log of a view that is being installed can be had only as it is: no other cut does in its stead. */
     @Test
--- a/src/test/java/brambletray/platform/replication/StateTransferTest.java
+++ b/src/test/java/brambletray/platform/replication/StateTransferTest.java
@@ -15,12 +15,12 @@
 
     private static final int MB = 1 << 20;
 
-    private SimWorld world;
+    private SimulatedReplicas world;
 
-    private SimWorld core(String... names) {
-        Core core = new Core(List.of(names));
+    private SimulatedReplicas core(String... names) {
+        ReplicationTestCluster core = new ReplicationTestCluster(List.of(names));
         world = core.world;
-        world.talks = Boolean.getBoolean("replication.talks");
+        world.logsEvents = Boolean.getBoolean("replication.talks");
         core.found();
         return world;
     }
@@ -28,37 +28,37 @@
     @AfterEach
     void tell() {
         if (Boolean.getBoolean("replication.talks")) {
-            world.tales.forEach(System.out::println);
+            world.events.forEach(System.out::println);
         }
     }
 
-    private static void around(SimWorld world, String name, int rate) {
+    private static void around(SimulatedReplicas world, String name, int rate) {
         for (String other : world.nodes.keySet()) {
             world.rate(name, other, rate);
         }
     }
 
-    private static void changes(SimWorld world, int count, int everyMs) {
+    private static void changes(SimulatedReplicas world, int count, int everyMs) {
         for (int i = 0; i < count; i++) {
             if (world.leader() != null) {
-                world.oracle.propose(world.leader());
+                world.ruleChecker.propose(world.leader());
             }
             world.until(world.now + everyMs);
         }
     }
 
-    private static boolean in(SimWorld world, String name) {
-        SimNode leader = world.leader();
-        if (leader == null || !leader.members.status().active()) {
+    private static boolean in(SimulatedReplicas world, String name) {
+        SimulatedReplica leader = world.leader();
+        if (leader == null || !leader.replica.status().active()) {
             return false;
         }
-        return leader.members.status().members().stream()
+        return leader.replica.status().members().stream()
                 .anyMatch(member -> member.name().equals(name));
     }
 
-    private static void takes(SimWorld world, SimNode at, long span, String what) {
-        long token = world.oracle.propose(at);
-        world.await(() -> world.oracle.acknowledged.contains("c" + token), span, what);
+    private static void takes(SimulatedReplicas world, SimulatedReplica at, long span, String what) {
+        long token = world.ruleChecker.propose(at);
+        world.await(() -> world.ruleChecker.acknowledged.contains("c" + token), span, what);
     }
 
     /**
@@ -71,7 +71,7 @@
         around(world, "c", 10 * SLOW);
         world.padding = "p".repeat(MB);
         for (int i = 0; i < 12; i++) {
-            world.oracle.propose(world.leader());
+            world.ruleChecker.propose(world.leader());
         }
         world.until(world.now + 50);
         world.nodes.get("b").kill(true);
@@ -93,7 +93,7 @@
         around(world, "e", SLOW);
         world.padding = "p".repeat(MB);
         for (int i = 0; i < 4; i++) {
-            world.oracle.propose(world.leader());
+            world.ruleChecker.propose(world.leader());
         }
         world.until(world.now + 100);
         world.padding = "";
@@ -116,7 +116,7 @@
                 && (frame instanceof ReplicationMessage.FetchChunkResponse
                         || frame instanceof ReplicationMessage.AppendRequest));
         for (int i = 0; i < 4; i++) {
-            world.oracle.propose(world.leader());
+            world.ruleChecker.propose(world.leader());
         }
         world.until(world.now + 100);
         world.padding = "";
@@ -162,7 +162,7 @@
         world.nodes.get("a").start();
         world.await(() -> in(world, "a"), 4000, "the giver is back");
         world.until(world.now + 1000);
-        world.oracle.end(List.copyOf(world.nodes.values()));
+        world.ruleChecker.end(List.copyOf(world.nodes.values()));
     }
 
     /**
@@ -180,7 +180,7 @@
      */
     private long learnerWhoseGiverIsLost(int changesMeanwhile) {
         core("a", "b", "c", "d", "e");
-        world.talks = true;
+        world.logsEvents = true;
         world.ballast = "b".repeat(2 * MB);
         world.nodes.get("e").kill(true);
         world.await(() -> !in(world, "e"), 3000, "the view without it");
@@ -202,12 +202,12 @@
         world.nodes.get("a").start();
         world.await(() -> in(world, "a"), 4000, "the first giver is back");
         world.until(world.now + 500);
-        world.oracle.end(List.copyOf(world.nodes.values()));
+        world.ruleChecker.end(List.copyOf(world.nodes.values()));
         return rest;
     }
 
     private boolean logged(String event) {
-        return world.tales.stream().anyMatch(line -> line.contains(" " + event + " "));
+        return world.events.stream().anyMatch(line -> line.contains(" " + event + " "));
     }
 
     @Test
@@ -239,7 +239,7 @@
     @Test
     void bytesThatAreNotThoseOfTheDigestAreNoState() {
         core("a", "b", "c");
-        world.talks = true;
+        world.logsEvents = true;
         world.node("d", List.of("a", "b", "c"));
         world.ballast = "b".repeat(MB);
         changes(world, 3 * ReplicatedLog.MAX_ENTRIES_BEFORE_SNAPSHOT + 10, 12);
@@ -260,7 +260,7 @@
         world.await(() -> in(world, "d"), 5000, "let in");
         assertTrue(logged("replication.transfer-corrupt"));
         world.until(world.now + 500);
-        world.oracle.end(List.copyOf(world.nodes.values()));
+        world.ruleChecker.end(List.copyOf(world.nodes.values()));
     }
 
     /**
@@ -311,10 +311,10 @@
         around(world, "c", 20 * SLOW);
         world.padding = "p".repeat(MB / 4);
         for (int i = 0; i < 40; i++) {
-            world.oracle.propose(world.leader());
+            world.ruleChecker.propose(world.leader());
             world.until(world.now + 10);
         }
-        world.await(() -> world.oracle.acknowledged.size() >= 30, 6000, "10 MB at 40 Mbit/s");
+        world.await(() -> world.ruleChecker.acknowledged.size() >= 30, 6000, "10 MB at 40 Mbit/s");
         assertEquals(0, world.link("a", "c").breaks);
         assertTrue(in(world, "c"));
     }
@@ -351,10 +351,10 @@
         world.node("d", List.of("a", "b", "c"));
         world.padding = "p".repeat(100 << 10);
         changes(world, 5, 20);
-        int before = world.oracle.views();
+        int before = world.ruleChecker.views();
         world.nodes.get("d").start();
         changes(world, 400, 12);
-        assertTrue(world.oracle.views() - before <= 4, "views " + (world.oracle.views() - before));
+        assertTrue(world.ruleChecker.views() - before <= 4, "views " + (world.ruleChecker.views() - before));
         world.await(() -> in(world, "d"), 2000, "let in when it is calm");
     }
 
@@ -386,23 +386,23 @@
             }
             for (int i = 0; i < 400; i++) {
                 world.until(world.now + 10);
-                for (SimNode node : world.nodes.values()) {
-                    ReplicaStatus status = node.members.status();
+                for (SimulatedReplica node : world.nodes.values()) {
+                    ReplicaStatus status = node.replica.status();
                     if (!status.isLeader() || !status.settled()) {
                         continue;
                     }
                     assertTrue(
-                            node.state.containsAll(world.oracle.acknowledged),
+                            node.state.containsAll(world.ruleChecker.acknowledged),
                             node.address + " leads with old state at " + world.now);
                 }
                 if (i % 10 == 0) {
-                    world.nodes.values().forEach(world.oracle::confirm);
+                    world.nodes.values().forEach(world.ruleChecker::confirm);
                 }
             }
-            assertTrue(world.oracle.confirmedOk > 0, "nothing was read");
+            assertTrue(world.ruleChecker.confirmedOk > 0, "nothing was read");
             world.await(() -> in(world, "a") && in(world, "b") && in(world, "c"), 6000, "all are in");
             world.until(world.now + 500);
-            world.oracle.end(List.copyOf(world.nodes.values()));
+            world.ruleChecker.end(List.copyOf(world.nodes.values()));
         }
     }
 
@@ -415,7 +415,7 @@
         for (String full : List.of("a", "b")) {
             core("a", "b", "c");
             world.nodes.get(full).disk.full = true;
-            SimNode other = world.nodes.get("c");
+            SimulatedReplica other = world.nodes.get("c");
             takes(world, other, 3000, "a change while the disk of " + full + " is full");
             world.await(() -> !in(world, full), 3000, full + " left out");
             for (int i = 0; i < 30; i++) {
@@ -431,7 +431,7 @@
             world.nodes.get(full).disk.full = false;
             world.await(() -> in(world, full), 3000, full + " is back");
             world.until(world.now + 500);
-            world.oracle.end(List.copyOf(world.nodes.values()));
+            world.ruleChecker.end(List.copyOf(world.nodes.values()));
         }
     }
 }
--- a/src/test/java/brambletray/platform/replication/SteppedWorld.java
+++ b/src/test/java/brambletray/platform/replication/SteppedReplicas.java
@@ -13,7 +13,7 @@
  * link, the end of a sync, the impatience of a member, a loss of power or of a disk, a planned end, the start of the
  * newcomer. The same moves give the same board.
  */
-final class SteppedWorld {
+final class SteppedReplicas {
     /** Machines: the founders and the newcomer. */
     static final int SIZE = 4;
 
@@ -33,7 +33,7 @@
     }
 
     private static final class Seat implements ReplicationActions, StateMachine {
-        final SteppedWorld board;
+        final SteppedReplicas board;
         final int number;
         Map<String, byte[]> kept = new HashMap<>();
         Map<String, byte[]> flying;
@@ -44,7 +44,7 @@
         final List<String> state = new ArrayList<>();
         long proposedIn;
 
-        Seat(SteppedWorld board, int number) {
+        Seat(SteppedReplicas board, int number) {
             this.board = board;
             this.number = number;
         }
@@ -171,7 +171,7 @@
     boolean joined;
     boolean talks;
 
-    SteppedWorld(Purse purse) {
+    SteppedReplicas(Purse purse) {
         this.purse = purse;
         for (int i = 0; i < SIZE; i++) {
             for (int j = 0; j < SIZE; j++) {
--- a/src/test/java/brambletray/platform/replication/Timeline.java
+++ b/src/test/java/brambletray/platform/replication/Timeline.java
@@ -30,26 +30,26 @@
     /** Further words. */
     public interface Words {
         /** Acts on a word; false if it isn't one. */
-        boolean act(SimNode node, String word);
+        boolean act(SimulatedReplica node, String word);
 
         /** Whether what the word says is seen; null if it isn't a word. */
-        Boolean seen(SimNode node, String word);
+        Boolean seen(SimulatedReplica node, String word);
     }
 
-    private final SimWorld world;
+    private final SimulatedReplicas world;
     private final Map<String, Long> tokens = new HashMap<>();
     private final Words more;
     private final List<Trap> traps = new ArrayList<>();
     private long begin;
     private int confirms;
 
-    private record Trap(SimNode node, String how, char when, String frame) {}
+    private record Trap(SimulatedReplica node, String how, char when, String frame) {}
 
-    public Timeline(SimWorld world, Words more) {
+    public Timeline(SimulatedReplicas world, Words more) {
         this.world = world;
         this.more = more;
         world.tap = this::pass;
-        world.frameDispatcher = this::heard;
+        world.afterMessage = this::heard;
     }
 
     /** Plays the rows; throws AssertionError where something isn't seen. */
@@ -82,7 +82,7 @@
         }
     }
 
-    private void act(SimNode node, String cell) {
+    private void act(SimulatedReplica node, String cell) {
         for (String word : cell.split(",")) {
             if (word.equals(".") || !more.act(node, word)) {
                 act(node, word, ' ');
@@ -90,7 +90,7 @@
         }
     }
 
-    private void act(SimNode node, String word, char none) {
+    private void act(SimulatedReplica node, String word, char none) {
         int at = word.indexOf('@');
         if (at < 0 && word.charAt(0) != '~') {
             at = Math.max(word.indexOf('>'), word.indexOf('<'));
@@ -108,7 +108,7 @@
         } else if (word.equals("-")) {
             world.nodes.keySet().forEach(other -> world.cut(node.address, other, false));
         } else if (word.equals("bye")) {
-            node.members.leave(world.now);
+            node.replica.leave(world.now);
         } else if (word.equals("full")) {
             node.disk.full = true;
         } else if (word.startsWith("hung")) {
@@ -120,10 +120,10 @@
             node.disk.hungUntil = 0;
             node.disk.syncMs = 5;
         } else if (word.startsWith("+")) {
-            tokens.put(word.substring(1), world.oracle.propose(node));
+            tokens.put(word.substring(1), world.ruleChecker.propose(node));
         } else if (word.equals("?")) {
-            confirms = world.oracle.confirmedOk;
-            world.oracle.confirm(node);
+            confirms = world.ruleChecker.confirmedOk;
+            world.ruleChecker.confirm(node);
         }
     }
 
@@ -131,8 +131,8 @@
         return Long.parseLong(word.substring(from));
     }
 
-    private void end(SimNode node, String how) {
-        if (node.up()) {
+    private void end(SimulatedReplica node, String how) {
+        if (node.isRunning()) {
             node.kill(how.equals("XX") || how.equals("W"));
         }
         if (how.equals("W")) {
@@ -140,7 +140,7 @@
         }
     }
 
-    private void cut(SimNode node, String from) {
+    private void cut(SimulatedReplica node, String from) {
         if (from.startsWith(">")) {
             world.one(node.address, from.substring(1), true);
         } else if (!from.isEmpty()) {
@@ -150,7 +150,7 @@
         }
     }
 
-    private boolean pass(SimNode from, String to, Object frame) {
+    private boolean pass(SimulatedReplica from, String to, Object frame) {
         Trap trap = trap(from, '@', frame);
         if (trap != null) {
             traps.remove(trap);
@@ -165,7 +165,7 @@
         return true;
     }
 
-    private void heard(SimNode node, Object frame) {
+    private void heard(SimulatedReplica node, Object frame) {
         Trap trap = trap(node, '<', frame);
         if (trap == null) {
             return;
@@ -174,7 +174,7 @@
         act(node, trap.how, ' ');
     }
 
-    private Trap trap(SimNode node, char when, Object frame) {
+    private Trap trap(SimulatedReplica node, char when, Object frame) {
         for (Trap trap : traps) {
             if (trap.node == node
                     && trap.when == when
@@ -192,7 +192,7 @@
                 return;
             }
             if (world.now >= limit) {
-                world.oracle.fail("not seen: " + missing + " in the row: " + line.trim());
+                world.ruleChecker.fail("not seen: " + missing + " in the row: " + line.trim());
             }
             world.until(world.now + 5);
         }
@@ -209,16 +209,16 @@
         return null;
     }
 
-    private boolean seen(SimNode node, String word) {
+    private boolean seen(SimulatedReplica node, String word) {
         Boolean other = more.seen(node, word);
         if (other != null) {
             return other;
         }
         if (word.startsWith("ok:")) {
-            return world.oracle.acknowledged.contains(text(word.substring(3)));
+            return world.ruleChecker.acknowledged.contains(text(word.substring(3)));
         }
         if (word.startsWith("no:")) {
-            return !world.oracle.acknowledged.contains(text(word.substring(3)));
+            return !world.ruleChecker.acknowledged.contains(text(word.substring(3)));
         }
         if (word.startsWith("=")) {
             return node.state.contains(text(word.substring(1)));
@@ -227,18 +227,18 @@
             return !node.state.contains(text(word.substring(1)));
         }
         if (word.equals("left") || word.equals("stays")) {
-            return node.members.mayTerminate() == word.equals("left");
+            return node.replica.mayTerminate() == word.equals("left");
         }
         if (word.equals("?ok")) {
-            return world.oracle.confirmedOk > confirms;
+            return world.ruleChecker.confirmedOk > confirms;
         }
         if (!word.matches("[LMSKV]\\d?")) {
             return true;
         }
-        if (!node.up()) {
+        if (!node.isRunning()) {
             return false;
         }
-        ReplicaStatus status = node.members.status();
+        ReplicaStatus status = node.replica.status();
         if (word.startsWith("V")) {
             return status.viewNumber() == number(word, 1);
         }
--- a/src/test/java/brambletray/platform/replication/TimelineSteps.java
+++ b/src/test/java/brambletray/platform/replication/TimelineSteps.java
@@ -8,7 +8,7 @@
 
 /** Steps of the drawn timelines. */
 public final class TimelineSteps {
-    private Core core;
+    private ReplicationTestCluster core;
     private Timeline picture;
 
     private static List<String> names(String list) {
@@ -17,26 +17,26 @@
 
     @Given("a core of {string} at rest")
     public void aCore(String list) {
-        found(new Core(names(list)));
+        found(new ReplicationTestCluster(names(list)));
     }
 
     @Given("a core of {string} at rest, of which one zone may be lost")
     public void aCoreInZones(String list) {
-        found(new Core(names(list), new FaultTolerance(1, 1, 0, Map.of())));
+        found(new ReplicationTestCluster(names(list), new FaultTolerance(1, 1, 0, Map.of())));
     }
 
-    private void found(Core made) {
+    private void found(ReplicationTestCluster made) {
         core = made;
-        core.world.talks = Boolean.getBoolean("replication.talks");
+        core.world.logsEvents = Boolean.getBoolean("replication.talks");
         core.found();
         picture = new Timeline(core.world, new Timeline.Words() {
             @Override
-            public boolean act(SimNode node, String word) {
+            public boolean act(SimulatedReplica node, String word) {
                 return false;
             }
 
             @Override
-            public Boolean seen(SimNode node, String word) {
+            public Boolean seen(SimulatedReplica node, String word) {
                 return null;
             }
         });
@@ -49,9 +49,9 @@
 
     @Given("{int} changes before")
     public void changes(int count) {
-        SimNode leader = core.world.leader();
+        SimulatedReplica leader = core.world.leader();
         for (int i = 0; i < count; i++) {
-            core.world.oracle.propose(leader);
+            core.world.ruleChecker.propose(leader);
             core.world.until(core.world.now + 30);
         }
     }
@@ -67,14 +67,15 @@
         try {
             picture.play(drawn);
         } finally {
-            core.world.tales.forEach(System.out::println);
+            core.world.events.forEach(System.out::println);
         }
     }
 
     @Then("all that are up agree and have all that was acknowledged")
     public void agree() {
         core.world.until(core.world.now + 500);
-        core.world.oracle.end(
-                core.world.nodes.values().stream().filter(SimNode::up).toList());
+        core.world.ruleChecker.end(core.world.nodes.values().stream()
+                .filter(SimulatedReplica::isRunning)
+                .toList());
     }
 }
--- a/src/test/java/brambletray/platform/replication/PausesTest.java
+++ b/src/test/java/brambletray/platform/replication/ViewChangePauseTest.java
@@ -15,7 +15,7 @@
  * that seed; the figures are printed, in simulated ms. The trouble begins 1 s into the course and lasts 20 s; pauses
  * count from its beginning to 4 s past its end.
  */
-class PausesTest {
+class ViewChangePauseTest {
     private static final int SEEDS = 2;
     private static final int OPERATORS = 8;
     private static final int SILENCE_MS = 1_000;
@@ -39,40 +39,40 @@
 
     private final class Course {
         private final Random random;
-        private final SimWorld world;
-        private final SimNode[] nodes;
+        private final SimulatedReplicas world;
+        private final SimulatedReplica[] nodes;
         private final long[] token = new long[OPERATORS];
         private final long[] since = new long[OPERATORS];
 
         Course(long seed, int machines) {
             random = new Random(seed);
-            world = new SimWorld(seed, ReplicationSettings.defaults(1));
-            nodes = new SimNode[machines];
+            world = new SimulatedReplicas(seed, ReplicationSettings.defaults(1));
+            nodes = new SimulatedReplica[machines];
             for (int i = 0; i < machines; i++) {
                 nodes[i] = world.node(String.valueOf((char) ('a' + i)), List.of("a", "b", "c"));
                 nodes[i].initial = true;
             }
-            for (SimNode node : nodes) {
+            for (SimulatedReplica node : nodes) {
                 world.later(world.now + random.nextInt(300), node::start);
             }
             world.until(world.now + 400);
             world.await(this::whole, 20_000, "all in one view");
-            for (SimNode node : nodes) {
+            for (SimulatedReplica node : nodes) {
                 node.initial = false;
             }
         }
 
         private boolean whole() {
-            SimNode leader = world.leader();
-            if (leader == null || leader.members.status().members().size() < nodes.length) {
+            SimulatedReplica leader = world.leader();
+            if (leader == null || leader.replica.status().members().size() < nodes.length) {
                 return false;
             }
-            return Arrays.stream(nodes).allMatch(node -> node.members.status().role() == ReplicaRole.MEMBER);
+            return Arrays.stream(nodes).allMatch(node -> node.replica.status().role() == ReplicaRole.MEMBER);
         }
 
         Pauses play(Trouble trouble, boolean leader) {
             span(1_000, new long[2]);
-            SimNode ill = world.leader();
+            SimulatedReplica ill = world.leader();
             while (!leader && ill == world.leader()) {
                 ill = nodes[random.nextInt(nodes.length)];
             }
@@ -84,10 +84,10 @@
             return new Pauses(worst[0], worst[1]);
         }
 
-        private void strike(SimNode ill, Trouble trouble, boolean on) {
+        private void strike(SimulatedReplica ill, Trouble trouble, boolean on) {
             switch (trouble) {
                 case CUT -> {
-                    for (SimNode other : nodes) {
+                    for (SimulatedReplica other : nodes) {
                         if (other != ill) {
                             world.cut(ill.address, other.address, on);
                         }
@@ -119,8 +119,8 @@
         /** Plays on; returns when the last acknowledgement and the last confirmed read came. */
         private long[] span(long ms, long[] worst, long lastAck, long lastRead) {
             long end = world.now + ms;
-            int acks = world.oracle.acknowledged.size();
-            int reads = world.oracle.confirmedOk;
+            int acks = world.ruleChecker.acknowledged.size();
+            int reads = world.ruleChecker.confirmedOk;
             long ackAt = lastAck;
             long readAt = lastRead;
             while (world.now < end) {
@@ -128,21 +128,21 @@
                     order(i);
                 }
                 if (world.now % READ_MS < STEP_MS) {
-                    for (SimNode node : nodes) {
-                        if (node.up() && node.frozenUntil <= world.now) {
-                            world.oracle.confirm(node);
+                    for (SimulatedReplica node : nodes) {
+                        if (node.isRunning() && node.frozenUntil <= world.now) {
+                            world.ruleChecker.confirm(node);
                         }
                     }
                 }
                 world.until(world.now + STEP_MS);
-                if (world.oracle.acknowledged.size() > acks) {
+                if (world.ruleChecker.acknowledged.size() > acks) {
                     ackAt = world.now;
                 }
-                if (world.oracle.confirmedOk > reads) {
+                if (world.ruleChecker.confirmedOk > reads) {
                     readAt = world.now;
                 }
-                acks = world.oracle.acknowledged.size();
-                reads = world.oracle.confirmedOk;
+                acks = world.ruleChecker.acknowledged.size();
+                reads = world.ruleChecker.confirmedOk;
                 worst[0] = Math.max(worst[0], world.now - ackAt);
                 worst[1] = Math.max(worst[1], world.now - readAt);
             }
@@ -150,21 +150,21 @@
         }
 
         private void order(int i) {
-            if (world.oracle.acknowledged.contains("c" + token[i])) {
+            if (world.ruleChecker.acknowledged.contains("c" + token[i])) {
                 token[i] = 0;
                 since[i] = world.now + NEXT_MS;
             } else if (token[i] != 0 && world.now - since[i] > SILENCE_MS) {
                 token[i] = 0;
                 since[i] = world.now;
             }
-            SimNode node = nodes[random.nextInt(nodes.length)];
+            SimulatedReplica node = nodes[random.nextInt(nodes.length)];
             if (token[i] != 0 || world.now < since[i]) {
                 return;
             }
             since[i] = world.now;
             // a caller of a process that is down or asleep hears nothing
-            boolean there = node.up() && node.frozenUntil <= world.now;
-            token[i] = there ? world.oracle.propose(node) : -1;
+            boolean there = node.isRunning() && node.frozenUntil <= world.now;
+            token[i] = there ? world.ruleChecker.propose(node) : -1;
         }
     }
 
--- a/src/test/java/brambletray/platform/replication/ZoneWarningTest.java
+++ b/src/test/java/brambletray/platform/replication/ZoneWarningTest.java
@@ -9,17 +9,17 @@
 
 /** Zones that may be lost with half of the core: what is told of it, what is kept, what waits. */
 class ZoneWarningTest {
-    private SimWorld world;
+    private SimulatedReplicas world;
 
     private void core(String... names) {
-        Core core = new Core(List.of(names), new FaultTolerance(1, 1, 0, Map.of()));
+        ReplicationTestCluster core = new ReplicationTestCluster(List.of(names), new FaultTolerance(1, 1, 0, Map.of()));
         world = core.world;
-        world.talks = true;
+        world.logsEvents = true;
         core.found();
     }
 
     private long warnings(String member) {
-        return world.tales.stream()
+        return world.events.stream()
                 .filter(line -> line.contains(" " + member + " replication.zones-hold-half "))
                 .count();
     }
@@ -41,27 +41,27 @@
         core("a/y", "b/y", "c/z", "d/z");
         for (String name : List.of("a", "b", "c", "d")) {
             assertTrue(warnings(name) >= 1, name + " doesn't warn");
-            assertEquals(List.of("y"), world.nodes.get(name).members.zonesHoldingHalf());
+            assertEquals(List.of("y"), world.nodes.get(name).replica.zonesHoldingHalf());
         }
-        long token = world.oracle.propose(world.leader());
-        world.await(() -> world.oracle.acknowledged.contains("c" + token), 1_000, "a change of all");
+        long token = world.ruleChecker.propose(world.leader());
+        world.await(() -> world.ruleChecker.acknowledged.contains("c" + token), 1_000, "a change of all");
         for (String name : List.of("c", "d")) {
             world.nodes.get(name).kill(true);
         }
         world.until(world.now + 5_000);
         assertEquals(
-                ReplicaRole.SUSPENDED, world.nodes.get("a").members.status().role());
+                ReplicaRole.SUSPENDED, world.nodes.get("a").replica.status().role());
         assertTrue(world.nodes.get("a").state.contains("c" + token));
         for (String name : List.of("c", "d")) {
             world.nodes.get(name).start();
         }
         world.await(
                 () -> world.leader() != null
-                        && world.leader().members.status().members().size() == 4,
+                        && world.leader().replica.status().members().size() == 4,
                 4_000,
                 "all four go on");
         world.until(world.now + 500);
-        world.oracle.end(List.copyOf(world.nodes.values()));
+        world.ruleChecker.end(List.copyOf(world.nodes.values()));
     }
 
     @Test
@@ -69,7 +69,7 @@
         core("a/x", "b/y", "c/z");
         for (String name : List.of("a", "b", "c")) {
             assertEquals(0, warnings(name));
-            assertEquals(List.of(), world.nodes.get(name).members.zonesHoldingHalf());
+            assertEquals(List.of(), world.nodes.get(name).replica.zonesHoldingHalf());
         }
     }
 
@@ -81,7 +81,7 @@
         world.nodes.get("c").kill(true);
         world.await(
                 () -> world.leader() != null
-                        && world.leader().members.status().members().size() == 4,
+                        && world.leader().replica.status().members().size() == 4,
                 3_000,
                 "the view of four");
         world.until(world.now + 500);
--- a/src/test/java/brambletray/platform/storage/RefusedStepsTest.java
+++ b/src/test/java/brambletray/platform/storage/KeyValueStoreFaultsTest.java
@@ -22,7 +22,7 @@
  * what the caller is
  * told, what a kill or a loss of power finds at each later step, and that the store works again once there is room.
  */
-class RefusedStepsTest {
+class KeyValueStoreFaultsTest {
     private static final int SEED = 20_262;
     /** Bytes of files that a store of these tests is allowed, so that it is compacted soon. */
     private static final long SMALL = 64 << 10;
--- a/src/test/java/brambletray/platform/storage/WriterTurnsTest.java
+++ b/src/test/java/brambletray/platform/storage/SyncWriterTurnsTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The loop and the thread that writes, under every order of their turns. */
-class WriterTurnsTest {
+class SyncWriterTurnsTest {
     private static final int NO_FAILURE = -1;
     private static final long NOW_MS = 10;
 
