--- a/src/main/java/brambletray/platform/admission/AdmissionParameters.java
+++ b/src/main/java/brambletray/platform/admission/AdmissionParameters.java
@@ -16,9 +16,9 @@
         Spread zoneSpread) {
 
     /**
-     * {@code lostMs}: a place is lost this long after the end of its request; {@code goneMs}: how long at most a place
-     * of an edge that is gone stays closed; {@code fullMs}: how long a host that turned a request away is counted
-     * fuller by one.
+     * {@code lostMs}: ms after the deadline of its request after which a slot counts as lost; {@code goneMs}: ms for
+     * which the slots of an edge that left the membership stay closed, at most; {@code fullMs}: ms for which an
+     * instance that rejected a request is counted as having one slot less.
      */
     public record Limit(int lostAfterMs, int edgeGoneGraceMs, int fullInstancePauseMs) {}
 
@@ -31,10 +31,11 @@
     public record Selection(double slowFactor, int minPauseMs, int maxPauseMs, double blame, int drainingUseMs) {}
 
     /**
-     * {@code most}: waiting asks of a seat; {@code ageMs}: a rank of priority is worth this much of waiting;
-     * {@code innerMs}: so is a call of a host; {@code lateMs}: so is being in time; {@code safe}: share of the target
-     * that a reckoned wait may use up; {@code marginMs}: added to a time for coming back; {@code third}: share of its
-     * remaining time that a client heeds.
+     * {@code most}: queued requests of one queue; {@code ageMs}: ms of waiting that one step of priority is worth;
+     * {@code innerMs}: ms that a nested call is moved forward; {@code lateMs}: ms that a request which will miss its
+     * target is moved back; {@code safe}: share of the target that an estimated wait may use; {@code marginMs}: ms
+     * added to a {@code Retry-After}; {@code third}: share of its remaining time for which a client obeys {@code
+     * Retry-After}.
      */
     public record Queue(
             int maxSize,
@@ -46,23 +47,25 @@
             double third) {}
 
     /**
-     * Places kept for calls of hosts: one of every {@code of}, from {@code least} places on, as long as such a call was
-     * seen within {@code forMs}. */
+     * Slots reserved for nested calls: one of every {@code of}, from {@code least} slots on, for {@code forMs} after
+     * the last nested call.
+     */
     public record NestedCalls(int oneOf, int minSlots, int rememberMs) {}
 
     /**
-     * Rule BUDGET: {@code ratio} and {@code slack} as stated, {@code windowMs}; {@code share}: the part of the slack
-     * that this seat may use.
+     * The retry budget: {@code ratio} and {@code slack} as the deployment states them, {@code windowMs} the sliding
+     * window; {@code share}: the part of the slack that one queue may use.
      */
     public record RetryBudgetLimits(double ratio, int slack, int windowMs, double hedgeShare) {}
 
     /**
-     * {@code fastMs}, {@code slowMs}: memory of the two rates, the fast one counting less {@code sure} standard errors;
-     * {@code k}: headroom in roots of the load; {@code tail}: ln(1/share of requests that may find the wait too long);
-     * {@code burst}: headroom as a share of the load; {@code atOnce}: starts under way of one seat, with two more for
-     * each host that works; {@code againMs}: an unanswered need is repeated; {@code dropMs}: it is given up;
-     * {@code knockMs}: between knocks at a booting host, at least; else a 25th of the boot while asks wait, an 8th
-     * while none does.
+     * {@code fastMs}, {@code slowMs}: time constants of the two arrival rates, the fast one counting less {@code
+     * sure} standard errors; {@code k}: headroom in square roots of the load; {@code tail}: ln(1/share of requests
+     * that may find the wait too long); {@code burst}: headroom as a share of the load; {@code atOnce}: concurrent
+     * starts of one queue, plus two for each working instance; {@code againMs}: ms after which an unanswered start
+     * request is repeated; {@code dropMs}: ms after which it is abandoned; {@code knockMs}: ms between readiness
+     * probes of a booting instance, at least; otherwise 1/25 of the boot time while requests wait, 1/8 while none
+     * does.
      */
     public record Scaling(
             int fastMemoryMs,
@@ -77,23 +80,23 @@
             int probeIntervalMs) {}
 
     /**
-     * {@code startGbS}: price of a start; {@code lateGbS}: price of a request made late; {@code leastMs}: no idle host
-     * ends sooner; {@code settleMs}: none ends this soon after the seat was taken over; {@code mostMs}: none is kept
-     * idle longer, but for the warm one.
+     * Costs in GB seconds and times in ms. {@code startGbS}: cost of a start; {@code lateGbS}: cost of a late
+     * request; {@code leastMs}: no idle instance is stopped sooner; {@code settleMs}: none is stopped this soon after
+     * a home took the service over; {@code mostMs}: none is kept idle longer, except the warm one.
      */
     public record KeepAlive(double startGbS, double lateRequestGbS, int minIdleMs, int settlingMs, int maxIdleMs) {}
 
     /**
-     * {@code hostsMs}: wait for the hub's list; {@code heldMs}: wait for the edges to tell what they hold;
-     * {@code againMs}: claim repeated; {@code requestMs}: rest of a request's time where an edge tells of its place
-     * (they don't say).
+     * Times of a takeover, ms. {@code hostsMs}: wait for the coordinator's list; {@code heldMs}: wait for the edges
+     * to report the slots that they hold; {@code againMs}: interval at which the claim is repeated; {@code
+     * requestMs}: assumed remaining time of a request whose slot an edge reports, as the report does not carry it.
      */
     public record Takeover(int instanceListWaitMs, int heldSlotsWaitMs, int retryIntervalMs, int requestMs) {}
 
     /**
-     * {@code crossGbS}: price of one request and answer across zones; {@code openMs}: demand must have paid for so long
-     * before a zone's own seat opens; {@code closeShare}, {@code closeMs}: and been below that share of it for so long
-     * before it closes.
+     * {@code crossGbS}: cost in GB seconds of one request and response across zones; {@code openMs}: ms for which
+     * demand must have justified a zone's own queue before it opens; {@code closeShare}, {@code closeMs}: it closes
+     * when demand has been below that share of the threshold for so many ms.
      */
     public record Spread(double crossZoneGbS, int openAfterMs, double closeShare, int closeAfterMs) {}
 
--- a/src/main/java/brambletray/platform/admission/FairShare.java
+++ b/src/main/java/brambletray/platform/admission/FairShare.java
@@ -54,7 +54,7 @@
     private final List<RequestClass> classes = new ArrayList<>(4);
     private long decayedAtMs = Long.MIN_VALUE;
 
-    /** The kind of an ask. */
+    /** The kind of a slot request. */
     RequestClass classOf(SlotRequest request) {
         for (int i = 0; i < classes.size(); i++) {
             if (classes.get(i).includes(request)) {
@@ -69,7 +69,7 @@
         return requestClass;
     }
 
-    /** An ask has been given a slot. */
+    /** A request has been granted a slot. */
     void onServed(SlotRequest request, long now) {
         if (counts(request)) {
             classOf(request).served++;
@@ -77,7 +77,7 @@
         }
     }
 
-    /** An ask has been refused, or its time has run out in the queue. */
+    /** A request has been rejected, or its deadline has passed in the queue. */
     void onLost(SlotRequest request, long now) {
         if (counts(request)) {
             classOf(request).lost++;
--- a/src/main/java/brambletray/platform/admission/HeldSlots.java
+++ b/src/main/java/brambletray/platform/admission/HeldSlots.java
@@ -4,7 +4,7 @@
 
 /** From an edge to a new home: the slots that it holds at instances of a service. */
 public record HeldSlots(String edge, String service, List<SlotGrant> slots) {
-    /** The same but for the place of one ask, if it is among them. */
+    /** The same without the slot of one request, if it is among them. */
     public HeldSlots without(long askId) {
         if (slots.stream().noneMatch(grant -> grant.requestId() == askId)) {
             return this;
--- a/src/main/java/brambletray/platform/admission/InstancePool.java
+++ b/src/main/java/brambletray/platform/admission/InstancePool.java
@@ -73,7 +73,7 @@
         if (instance == null || instance.isDraining()) {
             return false;
         }
-        LOG.info("leaving")
+        LOG.info("instance-draining")
                 .with("service", context.service())
                 .with("host", id)
                 .with("held", instance.heldSlots)
@@ -84,7 +84,7 @@
         return true;
     }
 
-    /** A host that carried load goes away: another is wanted, whether any ask waits yet or not. */
+    /** An instance that carried load leaves: another is wanted, whether any request is queued yet or not. */
     private void onLoadedInstanceLeaving(PooledInstance instance, long now) {
         if (instance.isUp() && (instance.heldSlots > 0 || now - instance.idleSinceMs < 1000)) {
             replaceUntilMs = now + 2L * starts.bootMs(context.spec);
@@ -101,7 +101,7 @@
         if (instance == null) {
             return false;
         }
-        LOG.info("gone")
+        LOG.info("instance-gone")
                 .with("service", context.service())
                 .with("host", id)
                 .with("held", instance.heldSlots)
@@ -122,7 +122,7 @@
 
     /** Given up: not used any more, and stopped lest it cost on. */
     void drop(PooledInstance instance, String why, long now) {
-        LOG.info("dropped")
+        LOG.info("instance-dropped")
                 .with("service", context.service())
                 .with("host", instance.id)
                 .with("why", why)
--- a/src/main/java/brambletray/platform/admission/InstanceSlots.java
+++ b/src/main/java/brambletray/platform/admission/InstanceSlots.java
@@ -28,7 +28,7 @@
         return slots == null ? null : slots.get(requestId);
     }
 
-    /** Takes a place at a host for a request that has {@code remainingMs} left. */
+    /** Takes a slot of an instance for a request that has {@code remainingMs} ms left. */
     Slot take(SlotRequest requestId, PooledInstance instance, long remainingMs, long now) {
         return take(requestId.edge(), requestId.id(), requestId.nestedCall(), instance, remainingMs, now);
     }
@@ -62,8 +62,8 @@
     }
 
     /**
-     * An edge that was taken for gone asks again: it has not had its place, which is still its own. False: it has given
-     * it back.
+     * An edge that counted as gone repeats its request: it never received the slot, which is still reserved for it.
+     * False if the slot has been released.
      */
     boolean reclaimFrom(Slot slot) {
         if (slot.closed && slot.lost) {
@@ -91,7 +91,10 @@
         nextEndMs = Math.min(nextEndMs, slot.endsAtMs);
     }
 
-    /** An edge is gone: its places stay closed for a while, as the hosts may still be at work. */
+    /**
+     * An edge left the membership: its slots stay closed for a while, as the instances may still be working on its
+     * requests.
+     */
     void onEdgeGone(String edge, long now) {
         Map<Long, Slot> slots = byEdge.get(edge);
         if (slots != null) {
@@ -102,7 +105,7 @@
         }
     }
 
-    /** Forgets the places at a host that is no more. */
+    /** Forgets the slots of an instance that no longer exists. */
     void drop(PooledInstance instance) {
         for (Iterator<Map<Long, Slot>> edges = byEdge.values().iterator(); edges.hasNext(); ) {
             Map<Long, Slot> slots = edges.next();
@@ -149,12 +152,12 @@
         return size;
     }
 
-    /** Places held by requests of clients, those whose asks are not known included. */
+    /** Slots held by requests of clients, including those whose slot requests are not known. */
     int clientSlots() {
         return size - nestedCalls;
     }
 
-    /** When a place came back last. */
+    /** Time of the last release, ms. */
     long lastReleasedAtMs() {
         return lastReleasedAtMs;
     }
--- a/src/main/java/brambletray/platform/admission/KeepAlivePolicy.java
+++ b/src/main/java/brambletray/platform/admission/KeepAlivePolicy.java
@@ -1,10 +1,9 @@
 package brambletray.platform.admission;
 
 /**
- * How long the last instance of a service is kept idle. Each span without a request is a gap; an instance kept
- * through it costs memory, one that ended before it is over costs a start (and the lateness that the start brings).
- * The chosen span is the one that would have been cheapest over the gaps seen, with a few gaps of every length
- * assumed before.
+ * How long the last instance of a service is kept idle. Each interval without a request is a gap: keeping an instance
+ * through it costs memory, stopping it earlier costs a start and the lateness that comes with it. The chosen time is
+ * the one that would have been cheapest over the observed gaps, with a few gaps of every length as a prior.
  */
 final class KeepAlivePolicy {
     private static final int BUCKETS = 18;
--- a/src/main/java/brambletray/platform/admission/NestedCallReserve.java
+++ b/src/main/java/brambletray/platform/admission/NestedCallReserve.java
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Calls wait while their parents hold all places. */
+    /** Nested calls are queued while the requests that made them hold all slots. */
     void onStalled(long now) {
         stalledAtMs = now;
     }
--- a/src/main/java/brambletray/platform/admission/PooledInstances.java
+++ b/src/main/java/brambletray/platform/admission/PooledInstances.java
@@ -52,7 +52,7 @@
         return n;
     }
 
-    /** Free places at hosts that are up and not suspect. */
+    /** Free slots of instances that are up and not suspected. */
     int freeSlots(int maxConcurrency, long now) {
         int n = 0;
         for (int i = 0; i < instances.size(); i++) {
@@ -75,7 +75,7 @@
         return n;
     }
 
-    /** The host for an ask, or null. {@code onlyStartedHere}: only hosts whose holders are all known. */
+    /** The instance for a request, or null. {@code onlyStartedHere}: only those whose slot holders are all known. */
     PooledInstance choose(SlotRequest request, int maxConcurrency, boolean onlyStartedHere, long now) {
         double medianMs = medianResponseMs();
         PooledInstance best = null;
--- a/src/main/java/brambletray/platform/admission/RequestQueue.java
+++ b/src/main/java/brambletray/platform/admission/RequestQueue.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * Those who wait for a place. First whose key is smallest: the end of its time, plus {@code ageMs} a rank of priority,
- * less {@code innerMs}
- * for calls of hosts, plus {@code lateMs} once it cannot be in time any more; before all of these, kinds that are
- * behind their fair share
- * ({@link FairShare}). Bounded by {@code most}: beyond it, who would go last makes room for who would go before.
+ * The queue of requests that wait for a slot, a priority queue bounded by {@code most}. The key is the request's
+ * deadline, plus {@code ageMs} for each step of priority, less {@code innerMs} for nested calls, plus {@code lateMs}
+ * once the target will be missed; the smallest is first. Before all of these go request kinds that are below their
+ * fair share ({@link FairShare}). When the queue is full, the request that would be last gives way to one that would
+ * be before it.
  */
 final class RequestQueue {
     static final class Waiter {
@@ -125,7 +125,7 @@
         return waiter.key + late - (waiter.requestClass.isDisadvantaged() ? DISADVANTAGED_BONUS_MS : 0);
     }
 
-    /** How many would go before such an ask. */
+    /** How many queued requests would go before such a request. */
     int countAhead(SlotRequest request, int workMs, long now) {
         long key = key(new Waiter(request, fairShare.classOf(request), now, parameters), workMs, now);
         int n = 0;
@@ -138,7 +138,7 @@
     }
 
     /**
-     * Makes room in a full queue: takes out and returns the one that would go last, if such an ask would go before it;
+     * Makes room in a full queue: removes and returns the last request, if such a request would go before it;
      * else null.
      */
     Waiter displace(SlotRequest request, int workMs, long now) {
--- a/src/main/java/brambletray/platform/admission/RetryBudget.java
+++ b/src/main/java/brambletray/platform/admission/RetryBudget.java
@@ -1,9 +1,10 @@
 package brambletray.platform.admission;
 
 /**
- * Rule BUDGET: attempts beyond the first of each request, in any sliding window, stay within ratio x requests + this
- * queue's share of the slack. Requests are counted low (first requests of clients only, whole buckets inside the
- * window), further attempts high (buckets that touch it). Hedges get at most half of what the others leave.
+ * Limits attempts beyond the first: in any sliding window they stay within ratio x requests + this queue's share of
+ * the slack (rule BUDGET). Requests are undercounted (first requests of clients only, only buckets entirely inside
+ * the window), retries overcounted (every bucket that touches it). Hedged requests get at most half of what the other
+ * retries leave.
  */
 final class RetryBudget {
     private static final int BUCKETS = 40;
@@ -33,7 +34,7 @@
         reducedUntilMs = Long.MIN_VALUE;
     }
 
-    /** A first ask for a client's request. */
+    /** A first slot request for a client's request. */
     void onRequest(long now) {
         roll(now);
         requests[bucketIndex(head)]++;
--- a/src/main/java/brambletray/platform/admission/Scaler.java
+++ b/src/main/java/brambletray/platform/admission/Scaler.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * How many instances a service has. Up: slots by Little's law with headroom ({@link SlotDemand}), room for calls of
- * instances, and starts until the last queued request waits a bearable time; counting what boots already. Down:
- * instances that are empty, no longer needed, and idle for longer than a start is worth.
+ * Decides how many instances a service has. Up: slots by Little's law with headroom ({@link SlotDemand}), a reserve
+ * for nested calls, and starts until the estimated wait of the last queued request is acceptable; booting instances
+ * are counted. Down: instances that are empty, not needed, and idle for longer than a start is worth.
  */
 final class Scaler {
     final SlotDemand demand;
@@ -40,7 +40,7 @@
         return instances.instances.healthyCount(now) * context.maxConcurrency();
     }
 
-    /** What is up and what is under way, less {@code reservedSlots} places. */
+    /** Slots that are up or booting, less {@code reservedSlots}. */
     SlotForecast forecast(int reservedSlots, long now) {
         forecast.reset(
                 Math.max(0, workingSlots(now) - reservedSlots),
@@ -61,7 +61,7 @@
         return forecast;
     }
 
-    /** ms until a place is free for the one after {@code ahead} others. */
+    /** Estimated ms until a slot is free for a request with {@code ahead} others before it. */
     int waitMs(int ahead, RejectedRequests herd, long now) {
         SlotForecast sight = forecast(nestedCallReserve.reserved(workingSlots(now), now), now);
         int wait = sight.waitMs(ahead);
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Starts what is missing. {@code minInstances}: hosts wanted whatever the demand; {@code waiting}: those in line
-     * and promised to be back.
+     * Starts the missing instances. {@code minInstances}: kept whatever the demand; {@code waiting}: requests that
+     * are queued or were told to come back.
      */
     void scale(int minInstances, int waiting, long now) {
         int booting = instances.instances.count(InstanceInfo.BOOTING);
@@ -112,8 +112,8 @@
     }
 
     /**
-     * Starts hosts for calls whose parents hold all places, unless so many boot already: no place would come back by
-     * itself.
+     * Starts instances for nested calls whose callers hold all slots, unless enough are booting: no slot would be
+     * released otherwise.
      */
     void startForStalledCalls(int stalledCalls, int waiting, long now) {
         if (stalledCalls == 0) {
@@ -130,8 +130,8 @@
     }
 
     /**
-     * Stops instances that are empty and cost more memory than a start. {@code minInstances}: instances kept in any
-     * case; {@code closing}: none is.
+     * Stops instances that are empty and cost more memory than a start. {@code minInstances}: kept in any case;
+     * {@code closing}: none is kept.
      */
     void stopIdle(int minInstances, boolean closing, long now) {
         List<PooledInstance> all = instances.instances.all();
--- a/src/main/java/brambletray/platform/admission/ServiceQueue.java
+++ b/src/main/java/brambletray/platform/admission/ServiceQueue.java
@@ -15,7 +15,7 @@
  * AdmissionActions}.
  */
 final class ServiceQueue {
-    /** ms after a lack of memory in which no instance is kept, or started, without demand. */
+    /** ms after a lack of memory for which no instance is kept or started without demand. */
     private static final int NO_WARM_INSTANCE_MS = 10_000;
 
     /** Where the heap of {@link ServiceQueues} has it. */
@@ -88,7 +88,7 @@
         }
     }
 
-    /** The service is no more: hosts end as they become empty, those in line are refused. */
+    /** The service has been removed: instances are stopped as they become empty, queued requests are rejected. */
     void withdraw(long now) {
         withdrawn = true;
         slotAllocator.refuseAll();
@@ -105,8 +105,8 @@
     }
 
     /**
-     * Instances kept in any case: one in the root zone where a cold start cannot be hidden, unless others lack its
-     * memory.
+     * Instances that are kept in any case: one in the root zone if a cold start would miss the target, unless other
+     * services lack its memory.
      */
     private int warmInstances(long now) {
         return !withdrawn && isRootZone() && context.spec.slowToStart() && now >= noWarmInstanceUntilMs ? 1 : 0;
@@ -116,7 +116,7 @@
         return withdrawn || !isRootZone() && zoneQueue.isClosed(now);
     }
 
-    /** An edge asks. The same ask again: the same answer. {@code serveHere}: to be served here whatever the demand. */
+    /** An edge requests a slot. Idempotent. {@code serveHere}: to be served here whatever the demand. */
     void onSlotRequest(SlotRequest request, boolean serveHere, long now) {
         Slot known = slots.find(request.edge(), request.id());
         if (known != null) {
@@ -170,7 +170,7 @@
         }
     }
 
-    /** A place at a host that is not known here (yet) has been given back. */
+    /** A slot of an instance that is not known here (yet) has been released. */
     void onEarlyRelease(String edge, SlotRelease release) {
         heldSlotsRecovery.onReleased(edge, release.requestId());
     }
@@ -224,7 +224,10 @@
         return true;
     }
 
-    /** No worker has room: instances that have been idle for so long end, and none is kept warm for a while. */
+    /**
+     * No worker has free memory: instances that have been idle for so many ms are stopped, and none is kept warm for
+     * a while.
+     */
     void reclaim(int idleMs, long now) {
         noWarmInstanceUntilMs = now + NO_WARM_INSTANCE_MS;
         if (slotAllocator.queue().size() == 0) {
--- a/src/main/java/brambletray/platform/admission/ServiceQueues.java
+++ b/src/main/java/brambletray/platform/admission/ServiceQueues.java
@@ -68,9 +68,9 @@
     }
 
     /**
-     * This edge is home of a service's seat in this zone from now on; {@code rootZone}: where the service's root seat
-     * is; {@code edges}: those that may hold places given out by another home before, empty where there was none. A
-     * seat that is held already only learns the root. Services unknown to {@link #onServiceSpec} are left out.
+     * This edge is the home of a service in this zone from now on. {@code rootZone}: the zone of the service's root
+     * queue; {@code edges}: those that may hold slots granted by a previous home, empty if there was none. A queue
+     * that exists already only learns the root zone. Services unknown to {@link #onServiceSpec} are ignored.
      */
     public void takeOver(String service, String rootZone, Collection<String> edges, long now) {
         ServiceSpec spec = specs.get(service);
@@ -97,14 +97,14 @@
         schedule(queue, now);
     }
 
-    /** Another edge is home now: nothing more is sent; those in line are to be asked anew there by their edges. */
+    /** Another edge is the home now: nothing more is sent; the edges repeat the queued requests there. */
     public void handOver(String service, long now) {
         ServiceQueue queue = queues.remove(service);
         if (queue != null) {
             queue.scheduledAtMs = Long.MIN_VALUE;
             queueOfInstance.values().removeIf(other -> other == queue);
             if (queue.queuedCount() > 0 || queue.heldSlotCount() > 0) {
-                LOG.info("ceded")
+                LOG.info("queue-released")
                         .with("service", service)
                         .with("held", queue.heldSlotCount())
                         .with("waiting", queue.queuedCount())
@@ -136,7 +136,7 @@
         return true;
     }
 
-    /** An edge gives a place back. */
+    /** An edge releases a slot. */
     public void onSlotRelease(String edge, SlotRelease release, long now) {
         ServiceQueue queue = queueOfInstance.get(release.instanceId());
         if (queue != null) {
@@ -147,7 +147,7 @@
         }
     }
 
-    /** An edge no longer waits for an ask's answer, and will not use a grant that is on its way. */
+    /** An edge no longer waits for a slot, and will not use a grant that is on its way. */
     public void onCancel(String edge, SlotRequestCancel cancel, long now) {
         ServiceQueue queue = queues.get(cancel.service());
         if (queue != null) {
@@ -165,7 +165,7 @@
         }
     }
 
-    /** An edge is gone, by the roster: its places are closed for a while, its asks leave the lines. */
+    /** An edge left the roster: its slots are closed for a while, its requests leave the queues. */
     public void onEdgeGone(String edge, long now) {
         for (ServiceQueue queue : queues.values()) {
             queue.onEdgeGone(edge, now);
--- a/src/main/java/brambletray/platform/admission/Slot.java
+++ b/src/main/java/brambletray/platform/admission/Slot.java
@@ -1,6 +1,6 @@
 package brambletray.platform.admission;
 
-/** One place at a host, held by one ask of one edge. */
+/** One slot of an instance, held by one request of one edge. */
 final class Slot {
     final String edge;
     final long requestId;
@@ -10,7 +10,7 @@
     final PooledInstance instance;
     /** The end of the request's time, ms of the steady clock. */
     final long requestEndMs;
-    /** When the place is free again whatever happens. */
+    /** Time at which the slot is free again in any case, ms. */
     long endsAtMs;
     /** Given back, but the host may still be at work. */
     boolean closed;
--- a/src/main/java/brambletray/platform/admission/SlotAllocator.java
+++ b/src/main/java/brambletray/platform/admission/SlotAllocator.java
@@ -1,15 +1,12 @@
 package brambletray.platform.admission;
 
 /**
- * Gives out the places of a seat: at once, by the line, or not. What is said to an ask that finds no place free, P
- * being the reckoned wait:
- * (a) P + work within the safe share of its target: it waits; (b) P within what a client heeds of its remaining time:
- * it is refused at once,
- * with when to come back (served within its target from then on, it earns more than a late answer); (c) P + work within
- * its time: it waits;
- * (d) it is refused at once. Calls of hosts, further tries and kinds that are behind their fair share are not sent away
- * while they can wait:
- * their callers don't come back, or would meet the same again.
+ * Answers slot requests of one queue: grants, queues or rejects. With P the estimated wait, a request that finds no
+ * free slot (a) is queued if P + work is within the safe share of its target; (b) is rejected at once with a {@code
+ * Retry-After} if P is within the time for which a client obeys one (served within its target afterwards it earns
+ * more than a late response); (c) is queued if P + work is within its remaining time; (d) is rejected at once
+ * otherwise. Nested calls, retries and request kinds below their fair share are not rejected while they can be
+ * queued: their callers do not come back, or would find the same state.
  */
 final class SlotAllocator {
     private final QueueContext context;
@@ -59,7 +56,7 @@
         return queue.size() + rejectedRequests.pendingCount(now);
     }
 
-    /** An ask that is to be answered here. */
+    /** A slot request that is to be answered here. */
     void onRequest(SlotRequest request, long now) {
         boolean furtherAttempt = request.retry() || request.hedge();
         countRequest(request, furtherAttempt, now);
@@ -100,7 +97,7 @@
         }
     }
 
-    /** Puts an ask into the queue; false where that is full of those that go before it. */
+    /** Adds a request to the queue; false if the queue is full of requests that go before it. */
     private boolean enqueue(SlotRequest request, long now) {
         if (queue.isFull()) {
             RequestQueue.Waiter displaced = queue.displace(request, scaler.demand.workMs(context.spec), now);
@@ -125,10 +122,10 @@
     }
 
     /**
-     * The host for an ask that may be granted now, or null. Plain requests leave the places kept for calls of hosts,
-     * copies a quarter of all. A
-     * kind that is behind its fair share only has to leave them to calls altogether, whether these use them now or not:
-     * calls may fill the service.
+     * The instance for a request that can be granted now, or null. Plain requests leave the slots reserved for nested
+     * calls free, hedged requests a quarter of all slots. A request kind below its fair share has to leave the
+     * reserve free only as a whole, whether nested calls use it at the moment or not: nested calls may fill the
+     * service.
      */
     private PooledInstance findInstance(SlotRequest request, long now) {
         int total = scaler.workingSlots(now);
@@ -168,7 +165,7 @@
                 instances.instances.hasInheritedInstances() ? takeover.waitMs(now) : 0,
                 scaler.waitMs(queue.countAhead(request, workMs, now), rejectedRequests, now));
         int target = request.targetMs() > 0 ? request.targetMs() : request.remainingMs();
-        // What goes before all others waits for one place only, whatever is reckoned from the rest.
+        // A request that goes before all others waits for a single slot, whatever the estimate says.
         boolean first = request.nestedCall() || fairShare.classOf(request).isDisadvantaged();
         boolean fits = (first ? 0 : wait) + workMs <= request.remainingMs();
         int back = wait + parameters.marginMs();
@@ -184,15 +181,15 @@
     }
 
     /**
-     * Calls of hosts that have waited for longer than a request takes, and no place has come back meanwhile: their
-     * parents may hold all of them.
+     * Nested calls that have waited for longer than a request takes while no slot was released: their callers may
+     * hold all slots.
      */
     int stalledCalls(long now) {
         int workMs = scaler.demand.workMs(context.spec);
         return now - slots.lastReleasedAtMs() < workMs ? 0 : queue.nestedCallsQueuedBefore(now - workMs);
     }
 
-    /** Gives free places to those in line, and refuses those whose time no longer suffices. */
+    /** Grants free slots to queued requests, and rejects those whose remaining time no longer suffices. */
     void serveQueue(long now) {
         if (queue.size() == 0) {
             return;
@@ -236,7 +233,7 @@
         }
     }
 
-    /** A place comes back; false where it is not out any more. */
+    /** A slot is released; false if it was not granted any more. */
     boolean onRelease(String edge, SlotRelease release, long now) {
         Slot slot = slots.find(edge, release.requestId());
         if (slot == null || slot.closed || !slot.instance.id.equals(release.instanceId())) {
--- a/src/main/java/brambletray/platform/admission/SlotDemand.java
+++ b/src/main/java/brambletray/platform/admission/SlotDemand.java
@@ -1,9 +1,10 @@
 package brambletray.platform.admission;
 
 /**
- * How many places a seat's traffic needs. Little: rate x answer time, where the rate goes up fast (the fast rate less
- * {@code sure} standard errors) and down slowly. Headroom: enough that the share e^-tail of requests waits longer than
- * the slack of the target, no more than k roots of the load, and {@code burst} of the load besides.
+ * Estimates how many slots the traffic of one queue needs. Little's law: arrival rate x response time, where the rate
+ * rises quickly (the fast rate less {@code sure} standard errors) and falls slowly. Headroom: enough that a share
+ * e^-tail of the requests waits longer than the slack of the target, at most k square roots of the load, and {@code
+ * burst} of the load besides.
  */
 final class SlotDemand {
     private final AdmissionParameters.Scaling parameters;
@@ -30,7 +31,9 @@
         responseTimes.add(durationMs);
     }
 
-    /** The mean time that a request holds a place, ms; before any is known a quarter of the target, 100 ms at most. */
+    /**
+     * Mean time for which a request holds a slot, ms; a quarter of the target, 100 ms at most, until one is known.
+     */
     int workMs(ServiceSpec spec) {
         if (responseCount > 0) {
             return Math.max(1, (int) Math.ceil(workMs));
--- a/src/main/java/brambletray/platform/admission/SlotForecast.java
+++ b/src/main/java/brambletray/platform/admission/SlotForecast.java
@@ -3,9 +3,9 @@
 import java.util.Arrays;
 
 /**
- * How long until a place is free for the one after {@code ahead} others. Places that are up come free at places /
- * answer time; each start under way brings its places at the rest of its boot. Those told to come back count as ahead
- * of whom they will meet.
+ * Estimates the time until a slot is free for a request with {@code ahead} others before it. Slots that are up are
+ * released at slots / response time; each start under way adds its slots at the end of its boot. Clients that were
+ * told to come back count as ahead of the requests that they will meet.
  */
 final class SlotForecast {
     /** Never, ms. */
@@ -34,7 +34,10 @@
         }
     }
 
-    /** ms until the place for the one after {@code ahead} others; {@link #NEVER} where nothing works or boots. */
+    /**
+     * ms until the slot for the request with {@code ahead} others before it; {@link #NEVER} if nothing works or
+     * boots.
+     */
     int waitMs(int ahead) {
         Arrays.sort(bootEndsMs, 0, starts);
         double need = ahead + 1;
--- a/src/main/java/brambletray/platform/admission/SlotGrant.java
+++ b/src/main/java/brambletray/platform/admission/SlotGrant.java
@@ -1,4 +1,7 @@
 package brambletray.platform.admission;
 
-/** A place at a host: for one request, until it is given back. {@code booting}: it may still refuse connections. */
+/**
+ * From a home to an edge: a slot of an instance for one request, until it is released. {@code booting}: the instance
+ * may still refuse connections.
+ */
 public record SlotGrant(long requestId, String instanceId, String address, boolean booting) {}
--- a/src/main/java/brambletray/platform/admission/SlotRequest.java
+++ b/src/main/java/brambletray/platform/admission/SlotRequest.java
@@ -3,9 +3,10 @@
 import java.util.List;
 
 /**
- * A request for a place at a host of a service. {@code remainingMs} and {@code targetMs}: ms; {@code again}: it has
- * reached a host already and draws on the budget of further tries; {@code inner}: a call made by a host of ours;
- * {@code copy}: the delayed copy, granted only where a place is free now; {@code avoid}: hosts that had it. */
+ * From an edge to a home: requests a slot of a service. {@code remainingMs} and {@code targetMs}: ms; {@code again}:
+ * the request has reached an instance already and draws on the retry budget; {@code inner}: a nested call; {@code
+ * copy}: a hedged request, granted only if a slot is free now; {@code avoid}: instances that had it.
+ */
 public record SlotRequest(
         long id,
         String edge,
--- a/src/main/java/brambletray/platform/admission/SlotRequestCancel.java
+++ b/src/main/java/brambletray/platform/admission/SlotRequestCancel.java
@@ -1,7 +1,7 @@
 package brambletray.platform.admission;
 
 /**
- * An edge no longer waits for the answer to an ask: it leaves the line; a place granted meanwhile is given back, as
- * nothing was sent.
+ * From an edge to a home: the edge no longer waits for a slot. The request leaves the queue; a slot granted meanwhile
+ * is released, as nothing was sent.
  */
 public record SlotRequestCancel(long requestId, String service) {}
--- a/src/main/java/brambletray/platform/admission/ZoneServiceQueue.java
+++ b/src/main/java/brambletray/platform/admission/ZoneServiceQueue.java
@@ -1,9 +1,10 @@
 package brambletray.platform.admission;
 
 /**
- * The seat of a zone other than the root's. It serves while it has hosts that are up; while it has none, asks go back
- * to the root and a first host boots. When its demand has long been too low to pay for hosts of its own, it closes:
- * asks go back to the root, and its hosts end as they become empty.
+ * The queue of a service in a zone other than its root zone. It serves while it has instances that are up; while it
+ * has none, requests go back to the root zone and a first instance boots. When demand has been too low for too long
+ * to justify its own instances it closes: requests go back to the root zone, and its instances are stopped as they
+ * become empty.
  */
 final class ZoneServiceQueue {
     private final AdmissionParameters.Spread parameters;
@@ -16,8 +17,8 @@
     }
 
     /**
-     * Whether an ask is sent back to the root. {@code rate}: this seat's requests per ms, slowly; {@code
-     * breakEvenRate}: what pays for hosts.
+     * Whether a request is sent back to the root zone. {@code rate}: this queue's slowly averaged requests per ms;
+     * {@code breakEvenRate}: the rate that justifies its own instances.
      */
     boolean shouldRedirect(boolean anyUp, double rate, double breakEvenRate, int bootMs, long now) {
         if (isClosed(now)) {
--- a/src/main/java/brambletray/platform/admission/ZoneSpread.java
+++ b/src/main/java/brambletray/platform/admission/ZoneSpread.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 
 /**
- * At the root seat: which zones have a seat of their own. One opens where the zone's demand would pay for hosts of its
- * own (crossing saved beside a host's memory) or fill a whole host, for {@code openMs}. An opening seat is sent one
- * ask, and boots; the root serves the others until the boot must be over. An ask that comes back from a zone tells that
- * its seat is not open (any more).
+ * Decides, in the root zone, which zones have a queue of their own. One opens if for {@code openMs} the zone's demand
+ * justified an instance (saved cross-zone traffic against its memory) or filled one. An opening queue is sent one
+ * request, and boots; the root zone serves the others until the boot must have ended. A request that comes back from
+ * a zone shows that its queue is not open (any more).
  */
 final class ZoneSpread {
     private static final int MAX_REMEMBERED_REDIRECTS = 32;
@@ -36,7 +36,7 @@
         return Math.min(byPrice, (double) spec.maxConcurrency() / Math.max(1, workMs));
     }
 
-    /** Whether an ask from {@code zone} is sent to that zone's seat. */
+    /** Whether a request from {@code zone} is sent to that zone's queue. */
     boolean shouldRedirect(SlotRequest request, ServiceSpec spec, int workMs, int bootMs, long now) {
         Zone zone = zones.computeIfAbsent(request.zone(), z -> new Zone());
         if (!request.hedge() && !request.retry()) {
--- a/src/main/java/brambletray/platform/cli/Command.java
+++ b/src/main/java/brambletray/platform/cli/Command.java
@@ -3,7 +3,7 @@
 import java.io.PrintStream;
 import org.kohsuke.args4j.Option;
 
-/** One verb of the command line; args4j fills in its fields. */
+/** A command of the command line; args4j fills in its fields. */
 abstract class Command {
     /** Exit codes: all well; a verdict that is not; bad input. */
     static final int OK = 0;
@@ -14,7 +14,7 @@
     @Option(name = "--help", aliases = "-h", help = true, usage = "shows this and does nothing else")
     boolean help;
 
-    /** One line: what it does. */
+    /** The command's description, one line. */
     abstract String purpose();
 
     /** Does it; the exit code. {@link UsageException} for input that can't be used. */
--- a/src/main/java/brambletray/platform/cli/Commands.java
+++ b/src/main/java/brambletray/platform/cli/Commands.java
@@ -13,7 +13,7 @@
 import org.kohsuke.args4j.ParserProperties;
 
 /**
- * {@code system VERB ...}: one table of verbs, each read by args4j. Exit codes: 0 all well, 1 a verdict that is not, 2
+ * Parses {@code system COMMAND ...} with args4j and runs the command. Exit codes: 0 success, 1 a negative verdict, 2
  * bad input, with one line on standard error that says what was expected.
  */
 final class Commands {
--- a/src/main/java/brambletray/platform/cli/DrillCommand.java
+++ b/src/main/java/brambletray/platform/cli/DrillCommand.java
@@ -14,7 +14,7 @@
 
 /** Plays drills: the programs in simulated time under drawn faults. */
 final class DrillCommand extends Command {
-    /** Courses after which the count so far is told. */
+    /** Scenarios after which the progress is printed. */
     private static final int PROGRESS_INTERVAL = 100;
 
     private static final double MICROS_PER_SECOND = 1e6;
--- a/src/main/java/brambletray/platform/cli/ProgramLauncher.java
+++ b/src/main/java/brambletray/platform/cli/ProgramLauncher.java
@@ -14,8 +14,8 @@
 import org.jboss.logging.Logger;
 
 /**
- * Starts one of the system's programs with the settings file that the environment names; 2 and one line on standard
- * error where it cannot.
+ * Starts one of the system's programs with the settings file that the environment names; exit code 2 and one line on
+ * standard error if it cannot.
  */
 public final class ProgramLauncher {
     private ProgramLauncher() {}
--- a/src/main/java/brambletray/platform/cli/UsageException.java
+++ b/src/main/java/brambletray/platform/cli/UsageException.java
@@ -2,7 +2,7 @@
 
 import brambletray.platform.errors.PlatformException;
 
-/** Input that can't be used: one line that says what was expected, exit code 2. */
+/** Invalid input: one line that says what was expected, exit code 2. */
 final class UsageException extends PlatformException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/brambletray/platform/configuration/JsonTextValidator.java
+++ b/src/main/java/brambletray/platform/configuration/JsonTextValidator.java
@@ -8,8 +8,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * What must be true of a body's bytes before it is read: the library below takes more than JSON allows, and goes as deep
- * as the body does.
+ * Validates the bytes of a JSON body before it is parsed: the JSON library accepts more than the standard allows, and
+ * recurses as deep as the body is nested.
  */
 final class JsonTextValidator {
     /** Objects and lists inside each other. */
--- a/src/main/java/brambletray/platform/controlplane/ControlPlaneProgram.java
+++ b/src/main/java/brambletray/platform/controlplane/ControlPlaneProgram.java
@@ -195,7 +195,7 @@
                 maybeExit(nowMs);
             }
         } catch (RuntimeException e) {
-            LOG.warn("tick failed")
+            LOG.warn("tick-failed")
                     .with("why", e)
                     .with("at", e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "")
                     .log();
@@ -267,9 +267,9 @@
         try {
             NodeSettings current = nodeSettings.reread();
             replica.updateSettings(ReplicaSettings.timeouts(current), ReplicaSettings.seeds(current));
-            LOG.info("settings read again").log();
+            LOG.info("settings-reloaded").log();
         } catch (SettingsException error) {
-            LOG.warn("settings not used")
+            LOG.warn("settings-rejected")
                     .with("code", error.code())
                     .with("why", error.getMessage())
                     .log();
@@ -282,7 +282,7 @@
             return;
         }
         leavingSinceMs = nowMs();
-        LOG.info("leaving").log();
+        LOG.info("shutdown-started").log();
         int maxMs = ReplicaSettings.leaveTimeoutMs(nodeSettings);
         machine.loop().schedule(exit, maxMs + Math.min(500, maxMs / 10), TimeUnit.MILLISECONDS);
         election.handOver(leavingSinceMs);
@@ -296,7 +296,7 @@
         }
         boolean busy = removedSinceMs < 0 || !operatorCalls.isIdle();
         if (!busy && nowMs - removedSinceMs >= SHUTDOWN_FLUSH_MS && nowMs - leavingSinceMs >= MIN_SHUTDOWN_MS) {
-            LOG.info("left").with("ms", nowMs - leavingSinceMs).log();
+            LOG.info("shutdown-completed").with("ms", nowMs - leavingSinceMs).log();
             exit.run();
         }
     }
--- a/src/main/java/brambletray/platform/controlplane/EdgeCoordinator.java
+++ b/src/main/java/brambletray/platform/controlplane/EdgeCoordinator.java
@@ -133,7 +133,7 @@
                 this::homeOf,
                 nowMs);
         onConfigurationChanged(nowMs);
-        LOG.info("begins")
+        LOG.info("coordinator-started")
                 .with("term", term)
                 .with("revision", configuration.get().revision())
                 .log();
@@ -256,7 +256,7 @@
         if (rolloutSinceMs != NEVER
                 && newest > 0
                 && edges.values().stream().allMatch(edge -> edge.servedRevision >= newest)) {
-            LOG.info("spread")
+            LOG.info("configuration-distributed")
                     .with("term", term)
                     .with("revision", newest)
                     .with("edges", edges.size())
@@ -300,7 +300,7 @@
             }
         }
         if (released > 0) {
-            LOG.info("edges let go")
+            LOG.info("edges-released")
                     .with("term", term)
                     .with("why", why)
                     .with("edges", released)
@@ -350,7 +350,7 @@
         platform.close();
         releaseEdges("the term is over");
         edges.clear();
-        LOG.info("ends").with("term", term).log();
+        LOG.info("coordinator-stopped").with("term", term).log();
     }
 
     private final class ProvisionerOutput implements ProvisioningActions {
--- a/src/main/java/brambletray/platform/controlplane/OperatorCalls.java
+++ b/src/main/java/brambletray/platform/controlplane/OperatorCalls.java
@@ -298,7 +298,7 @@
         inFlight = null;
         ChangeDecision decision = stateMachine.evaluate(change.kind, change.baseRevision, change.call.body());
         boolean applied = decision instanceof ChangeDecision.AlreadyApplied;
-        LOG.info("change")
+        LOG.info("configuration-change")
                 .with("verb", change.kind)
                 .with("base", change.baseRevision)
                 .with("outcome", outcome)
@@ -315,13 +315,13 @@
 
     private static void respond(ControlCall call, ChangeDecision decision) {
         if (decision instanceof ChangeDecision.Invalid invalid) {
-            LOG.info("refused")
+            LOG.info("configuration-rejected")
                     .with("code", invalid.error().code())
                     .with("why", invalid.error().getMessage())
                     .log();
             call.reject(400, invalid.error().code(), invalid.error().getMessage());
         } else if (decision instanceof ChangeDecision.Stale stale) {
-            LOG.info("refused")
+            LOG.info("configuration-rejected")
                     .with("code", "controlplane.stale")
                     .with("base", call.baseRevision())
                     .with("current", stale.currentRevision())
--- a/src/main/java/brambletray/platform/controlplane/StoreOpener.java
+++ b/src/main/java/brambletray/platform/controlplane/StoreOpener.java
@@ -27,7 +27,7 @@
             try {
                 return KeyValueStore.open(dir);
             } catch (StorageException error) {
-                LOG.warn("disk not opened")
+                LOG.warn("disk-open-failed")
                         .with("code", error.code())
                         .with("why", error.getMessage())
                         .log();
--- a/src/main/java/brambletray/platform/drill/CoreNode.java
+++ b/src/main/java/brambletray/platform/drill/CoreNode.java
@@ -138,9 +138,9 @@
     }
 
     /**
-     * Whether the others still count on this process, which has been told to end: it is a member of the newest view
-     * that any running
-     * member knows, that view is in force and has others in it, and its time is not nearly over.
+     * Whether the others still depend on this process, which has been told to stop: it is a member of the newest view
+     * that any running member knows, that view is active and has other members, and its grace period is not nearly
+     * over.
      */
     private boolean endsEarly() {
         if (program == null || cluster.now() - terminatingSinceMs >= ScenarioScript.GRACE - GRACE_MARGIN_MS) {
--- a/src/main/java/brambletray/platform/drill/DrillReport.java
+++ b/src/main/java/brambletray/platform/drill/DrillReport.java
@@ -67,12 +67,12 @@
         return List.copyOf(broken);
     }
 
-    /** Log lines of the programs that tell of a fault of their own, such as a handler that failed. */
+    /** Log lines that report a fault of the program itself, such as a handler that failed. */
     public List<String> programFaults() {
         return List.copyOf(programFaults);
     }
 
-    /** The counts in one line. */
+    /** The counts, in one line. */
     public String summary() {
         return played + " courses with " + plan.members() + " members from seed " + plan.firstSeed() + ": "
                 + acknowledged + " orders acknowledged, " + refused + " refused, " + resent
--- a/src/main/java/brambletray/platform/drill/DrillRunner.java
+++ b/src/main/java/brambletray/platform/drill/DrillRunner.java
@@ -23,7 +23,9 @@
         nextSeed = new AtomicLong(plan.firstSeed());
     }
 
-    /** Returns when all courses have been played; {@code progress} is told after each, by one thread at a time. */
+    /**
+     * Returns when all scenarios have been played; {@code progress} is called after each, by one thread at a time.
+     */
     public static DrillReport run(DrillPlan plan, Consumer<DrillReport> progress) {
         return new DrillRunner(plan, progress).run();
     }
--- a/src/main/java/brambletray/platform/drill/EdgeNode.java
+++ b/src/main/java/brambletray/platform/drill/EdgeNode.java
@@ -18,7 +18,7 @@
     private boolean frozen;
     /** When it last was out of touch by itself or its links. */
     long outOfTouchSinceMs;
-    /** Of this life: the newest revision that was seen in force. */
+    /** The newest revision that was seen active in this incarnation. */
     long newest;
 
     EdgeNode(SimulatedCluster cluster, int number) {
--- a/src/main/java/brambletray/platform/drill/FaultInjector.java
+++ b/src/main/java/brambletray/platform/drill/FaultInjector.java
@@ -41,7 +41,7 @@
         cluster.note(Timeline.OPERATORS, "all troubles end");
     }
 
-    /** Begins a trouble; tells whom it meets. */
+    /** Starts a fault; returns the processes that it affects. */
     String begin(Fault fault) {
         if (over) {
             return fault + " comes after the end";
@@ -94,7 +94,7 @@
         }
     }
 
-    /** Puts on the timeline what no process's own start or end tells. */
+    /** Adds to the timeline what no start or end of a process shows. */
     private void note(Fault fault, CoreNode core, EdgeNode edge) {
         String text = fault.kind() + " " + fault.durationMs();
         switch (fault.kind()) {
--- a/src/main/java/brambletray/platform/drill/LogTap.java
+++ b/src/main/java/brambletray/platform/drill/LogTap.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import java.util.logging.LogRecord;
 
-/** Takes the log lines of all processes of one course; keeps those that tell of a fault in the program. */
+/** Receives the log lines of all processes of one scenario; keeps those that report a fault of the program. */
 final class LogTap implements AutoCloseable {
     private static final int FAULTS_MOST = 20;
 
@@ -25,7 +25,7 @@
         return lines != null;
     }
 
-    /** A line of the course's own. */
+    /** Adds a line of the scenario itself. */
     void note(String text) {
         if (lines != null) {
             lines.accept(cluster.now() + " ---- " + text);
@@ -49,7 +49,7 @@
 
     private static boolean tellsOfFault(LogRecord entry, String message) {
         boolean ours = message.startsWith("\"event\"");
-        return message.contains("tick failed")
+        return message.contains("tick-failed")
                 || message.contains("handler-failed")
                 || message.contains("link-failed")
                 || !ours && entry.getLevel().intValue() >= java.util.logging.Level.WARNING.intValue();
--- a/src/main/java/brambletray/platform/drill/ScenarioReplay.java
+++ b/src/main/java/brambletray/platform/drill/ScenarioReplay.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Plays one course again and draws its timeline: one column for each process, time downwards, faults in place. */
+/** Plays one scenario again and prints its timeline: one column for each process, time downwards, faults in place. */
 public final class ScenarioReplay {
     private final Scenario.Result result;
     private final Timeline timeline;
--- a/src/main/java/brambletray/platform/drill/SimulatedCluster.java
+++ b/src/main/java/brambletray/platform/drill/SimulatedCluster.java
@@ -114,7 +114,7 @@
         director.loop().schedule(() -> run(what), Math.max(0, ms - now()), TimeUnit.MILLISECONDS);
     }
 
-    /** A task that fails would be passed over in silence. */
+    /** A failing task would otherwise go unnoticed. */
     private void run(Runnable what) {
         try {
             what.run();
--- a/src/main/java/brambletray/platform/drill/SimulatedOperator.java
+++ b/src/main/java/brambletray/platform/drill/SimulatedOperator.java
@@ -12,9 +12,9 @@
 import java.util.regex.Pattern;
 
 /**
- * One operator: gives orders, reads, sends again what was unclear, and at times what was clear. As the pages say:
- * follows 307 twice, goes on to
- * another member after a failure, a 5xx, a 408 or 429, or a second of silence, with a pause that grows.
+ * A simulated operator: makes changes, reads, and repeats calls with an unclear result, sometimes also clear ones.
+ * Follows 307 twice, and goes on to another member after a failure, a 5xx, a 408 or 429, or a second of silence, with
+ * exponential backoff.
  */
 final class SimulatedOperator {
     private static final Pattern MARK = Pattern.compile("\"path-prefix\":\"/o(\\d+)/p\\d+/\"");
@@ -33,7 +33,7 @@
 
         byte[] body();
 
-        /** A clear answer; true if the errand is at an end. */
+        /** A clear response; true if the call is finished. */
         boolean answered(int status, byte[] body, long askedAt, String member);
     }
 
@@ -112,7 +112,7 @@
         }
     }
 
-    /** Takes over what others were told. */
+    /** Takes over the results that other operators received. */
     private void heed() {
         OperatorRequest newest = judge.newestAcked();
         if (newest != null && newest.revision > knownRevision) {
@@ -203,7 +203,7 @@
         show(tries, this::rest);
     }
 
-    /** Reads until there is an answer; then the reader is told the order that is in force. */
+    /** Reads until there is a response, and passes on the configuration that is active. */
     void last(IntConsumer then) {
         machine.loop().execute(() -> show(Integer.MAX_VALUE, () -> then.accept(knownOrder)));
     }
--- a/src/main/java/brambletray/platform/edge/CoordinatorCandidates.java
+++ b/src/main/java/brambletray/platform/edge/CoordinatorCandidates.java
@@ -7,9 +7,9 @@
 import java.util.Set;
 
 /**
- * The members of the core that an edge may ask for the coordinator, and in which order: those of the newest view that
- * was reported to it, then those that its settings have named, which may all be stale by then. Each process begins at
- * another position, so that not all ask the same one. Pure.
+ * The members of the control plane that an edge may ask for the coordinator, in order: those of the newest view that it
+ * has received, then those that its settings have named, which may all be outdated by then. Each process starts at
+ * another position, so that not all ask the same member. Does no I/O.
  */
 final class CoordinatorCandidates {
     /** Addresses of the settings that are remembered. */
@@ -27,7 +27,7 @@
         this.startOffset = startOffset;
     }
 
-    /** The settings name these now; those that they named before are kept behind them. */
+    /** Sets the members that the settings name now; those named before are kept after them. */
     void onSeeds(List<Address> named) {
         Set<Address> all = new LinkedHashSet<>(named);
         all.addAll(seeds);
--- a/src/main/java/brambletray/platform/edge/CoordinatorClient.java
+++ b/src/main/java/brambletray/platform/edge/CoordinatorClient.java
@@ -17,13 +17,13 @@
 import java.util.List;
 
 /**
- * An edge's link to the holder of the helm. Any member of the core says who that is, and says it again as soon as that
- * changes; a holder that stops pulsing, or says that its lease has run out, is left for the next member that answers.
- * For the loop only.
+ * An edge's connection to the coordinator. Any member of the control plane answers with the coordinator's address and
+ * repeats it as soon as it changes; a coordinator that sends no heartbeat, or says that its lease has expired, is
+ * left for the next member that answers. To be used on the loop only.
  *
- * <p>Terms fence it: the highest one seen in this life is remembered across links and told in each Hello. A helm of a
- * lower term is not attached to and a hint to one is not followed; what a helm says counts only on a link on which it
- * has pulsed, and only under the term of that pulse.
+ * <p>Terms fence it: the highest term seen by this process is kept across connections and sent in each {@code Hello}.
+ * An edge does not attach to a coordinator of a lower term and does not follow a redirect to one; a coordinator's
+ * messages count only on a connection on which it has sent a heartbeat, and only under the term of that heartbeat.
  */
 final class CoordinatorClient implements LinkHandler {
     private static final EventLog LOG = EventLog.of("edge");
@@ -152,8 +152,8 @@
         isAttached = false;
         avoided = new Avoided(dialer.target(), term, now + AVOID_MS);
         candidates.restart();
-        LOG.info("adrift")
-                .with("helm", dialer.target())
+        LOG.info("coordinator-lost")
+                .with("coordinator", dialer.target())
                 .with("term", term)
                 .with("why", reason)
                 .log();
@@ -227,10 +227,10 @@
     private boolean hasAuthority(long frameTerm, Object frame) {
         boolean authoritative = isAttached && frameTerm == term;
         if (!authoritative) {
-            LOG.info("not taken")
+            LOG.info("frame-rejected")
                     .with("frame", frame.getClass().getSimpleName())
                     .with("from", dialer.target())
-                    .with("its term", frameTerm)
+                    .with("frame-term", frameTerm)
                     .with("term", term)
                     .with("attached", isAttached)
                     .log();
@@ -252,7 +252,7 @@
             return;
         }
         if (isAttached) {
-            onCoordinatorLost(named ? "it names another helm" : "its lease has run out", now);
+            onCoordinatorLost(named ? "it names another coordinator" : "its lease has expired", now);
         }
         if (here) {
             waitFor(CONNECT_TIMEOUT_MS, now);
@@ -269,10 +269,10 @@
 
     private void onHeartbeat(CoordinatorHeartbeat heartbeat, long now) {
         if (heartbeat.term() < term) {
-            LOG.info("not taken")
-                    .with("frame", "Pulse")
+            LOG.info("frame-rejected")
+                    .with("frame", "CoordinatorHeartbeat")
                     .with("from", dialer.target())
-                    .with("its term", heartbeat.term())
+                    .with("frame-term", heartbeat.term())
                     .with("term", term)
                     .with("attached", isAttached)
                     .log();
@@ -283,8 +283,8 @@
         term = heartbeat.term();
         isAttached = true;
         if (fresh) {
-            LOG.info("attached")
-                    .with("helm", dialer.target())
+            LOG.info("coordinator-attached")
+                    .with("coordinator", dialer.target())
                     .with("term", term)
                     .log();
             rosterRequestedAtMs = NEVER;
--- a/src/main/java/brambletray/platform/edge/EdgeLinks.java
+++ b/src/main/java/brambletray/platform/edge/EdgeLinks.java
@@ -73,8 +73,8 @@
     }
 
     /**
-     * To a peer of the roster, on a link that is dialled if there is none yet (and then is lost, but {@link
-     * Listener#onLinkUp} tells when to say it again).
+     * Sends to a peer of the roster; dials a connection if there is none yet (the message is then lost, and {@link
+     * Listener#onLinkUp} tells when to repeat it).
      */
     boolean send(String name, Object frame) {
         DialedLink dialedLink = dialedLink(name);
--- a/src/main/java/brambletray/platform/edge/EdgeProgram.java
+++ b/src/main/java/brambletray/platform/edge/EdgeProgram.java
@@ -191,7 +191,7 @@
 
     private void onListening(String what, Address at, Throwable cause) {
         if (cause != null) {
-            LOG.warn("cannot listen")
+            LOG.warn("listen-failed")
                     .with("field", "bind-addresses." + what)
                     .with("address", at)
                     .with("why", cause)
@@ -229,21 +229,21 @@
                 LogEventBuilder line = LOG.info("figures")
                         .with("waiting", slotClient.pendingCount())
                         .with("held", slotClient.heldCount())
-                        .with("seats", localAdmission.queueCount())
+                        .with("queues", localAdmission.queueCount())
                         .with("revision", configuration.revision())
                         .with("connections", frontEndServer.connectionCount());
                 counters.forEachNonZero(line::with);
                 line.log();
             }
         } catch (RuntimeException e) {
-            LOG.warn("tick failed")
+            LOG.warn("tick-failed")
                     .with("why", e)
                     .with("at", e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "")
                     .log();
         }
     }
 
-    /** The service queues are ticked when they have asked to be, and no more often. */
+    /** The service queues are ticked at the times that they request, and no more often. */
     private void scheduleAdmission(long at) {
         if (at < admissionDueMs) {
             admissionDueMs = at;
@@ -261,9 +261,9 @@
     void reloadSettings() {
         try {
             coordinatorClient.onMembers(coreMembers(nodeSettings.reread()));
-            LOG.info("settings read again").log();
+            LOG.info("settings-reloaded").log();
         } catch (SettingsException error) {
-            LOG.warn("settings not used")
+            LOG.warn("settings-rejected")
                     .with("code", error.code())
                     .with("why", error.getMessage())
                     .log();
@@ -277,7 +277,7 @@
         }
         leaving = true;
         long grace = (long) (nodeSettings.bounds().graceS() * 1_000);
-        LOG.info("leaving")
+        LOG.info("shutdown-started")
                 .with("grace-ms", grace)
                 .with("in-flight", requestRouter.inFlight())
                 .log();
@@ -312,7 +312,7 @@
 
         @Override
         public void onRejected(ConfigurationException error) {
-            LOG.warn("configuration not taken")
+            LOG.warn("configuration-rejected")
                     .with("revision", configuration.revision())
                     .with("code", error.code())
                     .with("why", error.getMessage())
@@ -440,7 +440,7 @@
 
         @Override
         public void onProcessPaused(long ms) {
-            LOG.info("slept").with("ms", ms).log();
+            LOG.info("process-paused").with("ms", ms).log();
         }
     }
 
--- a/src/main/java/brambletray/platform/edge/SlotClient.java
+++ b/src/main/java/brambletray/platform/edge/SlotClient.java
@@ -22,13 +22,13 @@
 import java.util.function.LongSupplier;
 
 /**
- * Where an edge's requests get their places: the home of the service, which is this edge or another. Asks that a home
- * has not answered when it goes are asked anew at the next one; places held there are told to it. For the loop only.
+ * Requests slots for an edge's requests at the home of the service, which is this edge or another. Requests that a
+ * home has not answered when it leaves are repeated at the next home, and the slots held there are reported to it. To
+ * be used on the loop only.
  *
- * <p>An ask is idempotent: the same one again, on a new link, gets the same place. A grant counts once, and only from
- * the home that is asked now (fencing): any other is given back at once as {@link AttemptOutcome#UNUSED}, lest its
- * place stay
- * taken until its request's time is over.
+ * <p>Slot requests are idempotent: the same one on a new connection gets the same slot. A grant counts once, and only
+ * from the current home (fencing); any other is released at once as {@link AttemptOutcome#UNUSED}, as its slot would
+ * otherwise stay taken until the deadline of its request.
  */
 final class SlotClient implements SlotBroker {
     /** Times that one request is redirected by closed queues, before the root is made to serve it. */
@@ -192,7 +192,7 @@
         }
         sendRelease(home, new SlotRelease(grant.requestId(), grant.instanceId(), AttemptOutcome.UNUSED, 0));
         if (ours) {
-            // The home knows one place an ask: it has taken this one for ours, and is to know that which is.
+            // The home knows one slot for each request: it counts this one as ours and has to learn which one is.
             reportHeld(home, heldAt(home, slot.service));
         }
     }
@@ -287,7 +287,7 @@
     void onHomeReconnected(String home) {
         for (PendingRequest pendingRequest : new ArrayList<>(pending.values())) {
             if (home.equals(pendingRequest.home)) {
-                // Not forgotten first: the grant may be on its way, and its place must not be free while we use it.
+                // Not removed first: the grant may be on its way, and its slot must not be free while it is in use.
                 transport.send(home, pendingRequest.request);
             }
         }
@@ -314,7 +314,7 @@
         return clock.getAsLong();
     }
 
-    /** What else is to be known of places. */
+    /** Further fields of the slot counters. */
     interface InstanceTracking {
         /** A host's address, which its own calls come from. */
         void onInstanceAddress(String address);
--- a/src/main/java/brambletray/platform/localsystem/ChildProcess.java
+++ b/src/main/java/brambletray/platform/localsystem/ChildProcess.java
@@ -38,7 +38,7 @@
     private int starts;
     private boolean ending;
 
-    /** {@code report}: is told in a line what became of it. */
+    /** {@code report}: receives a line about the process's end. */
     ChildProcess(LocalSite site, LocalSite.Place place, Consumer<String> report) {
         this.site = site;
         this.place = place;
--- a/src/main/java/brambletray/platform/localsystem/ClientConnections.java
+++ b/src/main/java/brambletray/platform/localsystem/ClientConnections.java
@@ -22,7 +22,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Connections of clients to edges: kept for a few requests one after another, or opened for one. For the loop only. */
+/** Client connections to edges, kept for a few requests or opened for one. To be used on the loop only. */
 final class ClientConnections {
     /** ms for a new connection to come up; for which an idle one is kept where the edge says nothing. */
     private static final int CONNECT_MS = 1_000;
--- a/src/main/java/brambletray/platform/localsystem/ExecutionLedger.java
+++ b/src/main/java/brambletray/platform/localsystem/ExecutionLedger.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 
 /**
- * What hosts ran and what clients were told, request by request, and what of it must not be (pages RULES: TWICE,
- * REFUSED, UNASKED, MIXED). Pure.
+ * Records which requests instances ran and what clients were answered, and finds contradictions (rules TWICE,
+ * REFUSED, UNASKED, MIXED). Does no I/O.
  */
 final class ExecutionLedger {
     /** Tries that are remembered; beyond them nothing further is judged. */
     static final int MOST = 500_000;
-    /** Complaints that are kept in words. */
+    /** Violations that are kept as text. */
     private static final int WORDS = 20;
 
     private static final class Request {
@@ -74,7 +74,7 @@
         one.ran = true;
     }
 
-    /** A client was told by this status that the try has not run and never will. */
+    /** A client was answered with this status, which promises that the attempt has not run and never will. */
     void promised(String attempt, int status) {
         Try one = tries.get(attempt);
         if (one != null) {
--- a/src/main/java/brambletray/platform/localsystem/InstanceFleet.java
+++ b/src/main/java/brambletray/platform/localsystem/InstanceFleet.java
@@ -88,7 +88,7 @@
         return booths.size();
     }
 
-    /** Requests that hosts turned away for want of a place. */
+    /** Requests that instances rejected for lack of a slot. */
     int turnedAway() {
         int sum = turnedAway;
         for (InstanceServer booth : booths.values()) {
--- a/src/main/java/brambletray/platform/localsystem/InstanceServer.java
+++ b/src/main/java/brambletray/platform/localsystem/InstanceServer.java
@@ -97,7 +97,7 @@
         return working;
     }
 
-    /** Requests beyond its places, so far. */
+    /** Requests beyond its slots so far. */
     int turnedAway() {
         return turnedAway;
     }
--- a/src/main/java/brambletray/platform/localsystem/LocalRunPlan.java
+++ b/src/main/java/brambletray/platform/localsystem/LocalRunPlan.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * What {@link LocalSystem} is to play.
+ * The parameters of a {@link LocalSystem} run.
  *
- * @param cores members of the core, 1 to {@link LocalSite#CORES}
+ * @param cores members of the control plane, 1 to {@link LocalSite#CORES}
  * @param edges 1 to {@link LocalSite#EDGES}
  * @param seconds of traffic, 1 to {@link #LONGEST}
  * @param rate requests a second, 1 to {@link #FASTEST}
- * @param kills which processes are ended when
+ * @param kills which processes are killed when
  * @param dir where settings, disks and logs are kept; null: in a folder that is removed at the end
  */
 public record LocalRunPlan(int cores, int edges, int seconds, int rate, List<Kill> kills, Path dir) {
--- a/src/main/java/brambletray/platform/localsystem/LocalSystem.java
+++ b/src/main/java/brambletray/platform/localsystem/LocalSystem.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Puts the whole system up on this machine, sends it a trickle of requests and shows second by second what becomes of
- * them. Bounded in time; its processes are ended by their handles.
+ * Starts the whole system on this machine, sends it requests at a low rate and prints the results second by second.
+ * Limited in time; its processes are ended by their handles.
  */
 public final class LocalSystem {
     /** ms for the processes to come up and take the configuration; for the last requests to end. */
--- a/src/main/java/brambletray/platform/localsystem/OperatorCallRetries.java
+++ b/src/main/java/brambletray/platform/localsystem/OperatorCallRetries.java
@@ -1,9 +1,9 @@
 package brambletray.platform.localsystem;
 
 /**
- * How a call of an operator goes from relay to relay (page PROTOCOL, The operator): 307 is followed twice; after a
- * failure, a 5xx, a 408 or 429, or silence the next relay is asked after a pause that grows; 400, 409, 412, 413 and 422
- * end it at once, any other 4xx the third time. Pure.
+ * The retry rules of an operator's call: 307 is followed twice; after a failure, a 5xx, a 408 or 429, or silence the
+ * next relay is called with exponential backoff; 400, 409, 412, 413 and 422 end the call, any other 4xx the third
+ * time. Does no I/O.
  */
 final class OperatorCallRetries {
     /** ms. */
--- a/src/main/java/brambletray/platform/localsystem/RequestCounts.java
+++ b/src/main/java/brambletray/platform/localsystem/RequestCounts.java
@@ -32,7 +32,7 @@
         return "    s  requests  answered  late  refused  failed  hosts  view  helm";
     }
 
-    /** {@code view} 0: not known; {@code helm} null: vacant, or not known. */
+    /** {@code view} 0: not known; {@code helm}: the coordinator, null if there is none or it is not known. */
     String line(int second, int hosts, long view, String coordinator) {
         StringBuilder line = new StringBuilder();
         long[] values = {second, requests, answered, late, refused, failed, hosts, view};
--- a/src/main/java/brambletray/platform/localsystem/ResponseSeal.java
+++ b/src/main/java/brambletray/platform/localsystem/ResponseSeal.java
@@ -3,9 +3,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The stand-in's {@code Brambletray-Response-Seal}: the host's id, a dot, and a hash of what was asked, as the host got
- * it, and of what was answered. So a client sees whether its request arrived unchanged and whether the answer is its
- * own and whole.
+ * The stand-in's {@code Brambletray-Response-Seal}: the host's id, a dot, and a hash of the request as the host
+ * received it and of the response. A client can check that its request arrived unchanged and that the response is its
+ * own and complete.
  */
 final class ResponseSeal {
     private static final long OFFSET = 0xcbf29ce484222325L;
--- a/src/main/java/brambletray/platform/localsystem/TrafficRequest.java
+++ b/src/main/java/brambletray/platform/localsystem/TrafficRequest.java
@@ -3,9 +3,9 @@
 import brambletray.platform.configuration.Route;
 
 /**
- * One request of a client, with its tries (page PROTOCOL, Answers): repeatable ones are sent again after any failure,
- * others only after a promise or where no connection came up; Retry-After is kept to for up to a third of the time
- * left. Pure; times are steady ms.
+ * One request of a client with its attempts: repeatable ones are retried after any failure, others only after a
+ * promise that they did not run or if no connection was made; {@code Retry-After} is obeyed for up to a third of the
+ * remaining time. Does no I/O; times are steady ms.
  */
 final class TrafficRequest {
     /** Tries of one request. */
@@ -100,7 +100,7 @@
         return attempt;
     }
 
-    /** A whole answer has come. {@code echo}: the id that it carries; {@code retryAfterMs} -1: none. */
+    /** A complete response has arrived. {@code echo}: the id that it carries; {@code retryAfterMs} -1: none. */
     void answered(int status, String echo, String seal, byte[] answer, int retryAfterMs, long now) {
         if (over) {
             return;
--- a/src/main/java/brambletray/platform/platformstub/CallRateLimiter.java
+++ b/src/main/java/brambletray/platform/platformstub/CallRateLimiter.java
@@ -1,6 +1,6 @@
 package brambletray.platform.platformstub;
 
-/** So many calls a second, a quarter of a second's worth at once. */
+/** Limits calls a second, with bursts of a quarter of a second's worth. */
 final class CallRateLimiter {
     private final double callsPerMs;
     private final double maxTokens;
--- a/src/main/java/brambletray/platform/platformstub/PlatformStub.java
+++ b/src/main/java/brambletray/platform/platformstub/PlatformStub.java
@@ -14,8 +14,8 @@
 import java.util.function.IntFunction;
 
 /**
- * The platform as its protocol describes it. Every method takes the time, ms, which never goes back; whoever wants a
- * network with delays, lost answers or silence puts it in between.
+ * A model of the platform as its protocol describes it. Every method takes the time, ms, which never goes back;
+ * network delays, lost responses and silence are added by the caller.
  */
 public final class PlatformStub {
     /** ms after which a host that has ended is forgotten. */
--- a/src/main/java/brambletray/platform/provisioning/InstanceListReconciler.java
+++ b/src/main/java/brambletray/platform/provisioning/InstanceListReconciler.java
@@ -99,7 +99,7 @@
             if (registry.msSinceEnd(listed.id(), now) < REMEMBER_END_MS + listLagMs || listed.draining()) {
                 return;
             }
-            LOG.warn("still there")
+            LOG.warn("instance-still-listed")
                     .with("host", listed.id())
                     .with("ended as", end.reason())
                     .log();
@@ -110,7 +110,7 @@
             }
         }
         if (sizes.apply(listed.service()) == null) {
-            LOG.info("orphan stopped")
+            LOG.info("orphan-stopped")
                     .with("host", listed.id())
                     .with("service", listed.service())
                     .with("why", "no such service")
@@ -118,10 +118,10 @@
             stops.request(listed.id(), "of no service", now);
             return;
         }
-        LOG.info("orphan adopted")
+        LOG.info("orphan-adopted")
                 .with("host", listed.id())
                 .with("service", listed.service())
-                .with("seat", listed.zone())
+                .with("home-zone", listed.zone())
                 .log();
         InstanceLifecycle instance = new InstanceLifecycle(
                         listed.id(), listed.service(), listed.address(), listed.id(), now)
--- a/src/main/java/brambletray/platform/provisioning/InstanceRegistry.java
+++ b/src/main/java/brambletray/platform/provisioning/InstanceRegistry.java
@@ -117,7 +117,7 @@
             return;
         }
         instance.state = InstanceInfo.LEAVING;
-        LOG.info("leaving")
+        LOG.info("instance-draining")
                 .with("host", instance.id)
                 .with("service", instance.service)
                 .with("why", reason)
@@ -140,7 +140,7 @@
         workerPool.instances(instance.worker, instance.service, -1);
         recordEnd(instance.id, reason, stopConfirmed, now);
         if (!stopConfirmed) {
-            LOG.info("gone")
+            LOG.info("instance-gone")
                     .with("host", instance.id)
                     .with("service", instance.service)
                     .with("worker", instance.worker)
--- a/src/main/java/brambletray/platform/provisioning/InstanceStarts.java
+++ b/src/main/java/brambletray/platform/provisioning/InstanceStarts.java
@@ -228,7 +228,7 @@
 
     /** 409: the nonce has not been used, so it is free for another worker. */
     private void onWorkerRejected(PendingStart start, long now) {
-        LOG.debug("refused")
+        LOG.debug("worker-rejected-start")
                 .with("service", start.service)
                 .with("worker", start.worker)
                 .with("nonce", start.nonce)
--- a/src/main/java/brambletray/platform/provisioning/InstanceStops.java
+++ b/src/main/java/brambletray/platform/provisioning/InstanceStops.java
@@ -105,7 +105,7 @@
         switch (result) {
             case OK, NO_SUCH -> complete(stop, result, now);
             case MALFORMED, REJECTED -> {
-                LOG.warn("stop not understood")
+                LOG.warn("stop-response-invalid")
                         .with("host", id)
                         .with("result", result)
                         .log();
--- a/src/main/java/brambletray/platform/provisioning/KnowledgeRecovery.java
+++ b/src/main/java/brambletray/platform/provisioning/KnowledgeRecovery.java
@@ -58,11 +58,11 @@
         }
         InstanceLifecycle instance = registry.get(info.id());
         if (instance != null && !instance.homeZone.equals(info.homeZone())) {
-            LOG.warn("reported twice")
+            LOG.warn("instance-reported-twice")
                     .with("host", instance.id)
-                    .with("seat", instance.homeZone)
+                    .with("home-zone", instance.homeZone)
                     .with("from", edge)
-                    .with("its seat", info.homeZone())
+                    .with("reported-zone", info.homeZone())
                     .log();
             actions.send(edge, new InstanceGone(info.id(), info.service()));
             return;
--- a/src/main/java/brambletray/platform/provisioning/OrphanDetector.java
+++ b/src/main/java/brambletray/platform/provisioning/OrphanDetector.java
@@ -67,7 +67,7 @@
             } else if (instance.orphanedSinceMs < 0) {
                 instance.orphanedSinceMs = now;
             } else if (now - instance.orphanedSinceMs >= UNCLAIMED_GRACE_MS) {
-                stops.request(instance.id, "no home has claimed its seat", now);
+                stops.request(instance.id, "no home has claimed it", now);
             }
         }
     }
--- a/src/main/java/brambletray/platform/provisioning/PlatformClient.java
+++ b/src/main/java/brambletray/platform/provisioning/PlatformClient.java
@@ -11,9 +11,9 @@
 import java.util.function.Consumer;
 
 /**
- * The platform's interface: starts, stops and lists, over HTTP ({@code cloud-api.address}). Says who it is and under
- * which fence with each start and stop; never asks for more pages a second than the platform accepts. Every call is
- * answered once. On its loop only.
+ * Client of the platform's HTTP interface ({@code cloud-api.address}): starts, stops and lists instances. Each start
+ * and stop carries the caller's name and fencing token; pages of the list are requested no faster than the platform
+ * accepts. Every call is answered exactly once. To be used on its loop only.
  */
 public final class PlatformClient {
     private static final EventLog LOG = EventLog.of("provisioning");
@@ -138,7 +138,7 @@
         try {
             return json.parseStarted(body);
         } catch (ProvisioningException e) {
-            LOG.warn("answer not understood")
+            LOG.warn("response-invalid")
                     .with("call", "begin")
                     .with("code", e.code())
                     .with("why", e.getMessage())
@@ -151,7 +151,7 @@
         try {
             return status == 200 ? json.parseWorkers(body) : null;
         } catch (ProvisioningException e) {
-            LOG.warn("answer not understood")
+            LOG.warn("response-invalid")
                     .with("call", "workers")
                     .with("code", e.code())
                     .with("why", e.getMessage())
@@ -164,7 +164,7 @@
         try {
             return status == 200 ? json.parseInstances(body) : null;
         } catch (ProvisioningException e) {
-            LOG.warn("answer not understood")
+            LOG.warn("response-invalid")
                     .with("call", "list")
                     .with("code", e.code())
                     .with("why", e.getMessage())
--- a/src/main/java/brambletray/platform/provisioning/Provisioner.java
+++ b/src/main/java/brambletray/platform/provisioning/Provisioner.java
@@ -119,7 +119,7 @@
         if (instance != null) {
             String home = homes.edgeFor(instance.service, instance.homeZone);
             if (home != null && !home.equals(edge)) {
-                LOG.debug("quit ignored")
+                LOG.debug("stop-request-ignored")
                         .with("host", instance.id)
                         .with("from", edge)
                         .with("home", home)
@@ -201,7 +201,7 @@
         }
         for (String worker : changes.draining()) {
             List<InstanceLifecycle> onWorker = registry.onWorker(worker);
-            LOG.info("worker drains")
+            LOG.info("worker-draining")
                     .with("worker", worker)
                     .with("hosts", onWorker.size())
                     .log();
@@ -209,7 +209,7 @@
         }
         for (String worker : changes.down()) {
             List<InstanceLifecycle> onWorker = registry.onWorker(worker);
-            LOG.info("worker down")
+            LOG.info("worker-down")
                     .with("worker", worker)
                     .with("hosts", onWorker.size())
                     .log();
--- a/src/main/java/brambletray/platform/provisioning/StartAnswers.java
+++ b/src/main/java/brambletray/platform/provisioning/StartAnswers.java
@@ -61,7 +61,7 @@
             return;
         }
         if (instance != null && !instance.homeZone.equals(start.homeZone)) {
-            onRejected(start, 0, "host " + instance.id + " belongs to the seat " + instance.homeZone, now);
+            onRejected(start, 0, "host " + instance.id + " belongs to the home zone " + instance.homeZone, now);
             return;
         }
         if (instance == null) {
@@ -91,11 +91,11 @@
     public void onRejected(PendingStart start, int comeBackMs, String reason, long now) {
         skippedLogLines++;
         if (now - loggedAtMs >= MIN_LOG_INTERVAL_MS) {
-            LOG.info("no start")
+            LOG.info("start-rejected")
                     .with("service", start.service)
-                    .with("seat", start.homeZone)
+                    .with("home-zone", start.homeZone)
                     .with("why", reason)
-                    .with("come back", comeBackMs)
+                    .with("retry-after-ms", comeBackMs)
                     .with("as many", skippedLogLines)
                     .log();
             loggedAtMs = now;
--- a/src/main/java/brambletray/platform/proxy/Attempt.java
+++ b/src/main/java/brambletray/platform/proxy/Attempt.java
@@ -2,7 +2,7 @@
 
 import brambletray.platform.admission.SlotGrant;
 
-/** One request at one host, from the grant of its place to the place's return. */
+/** One attempt of a request at one host, from the grant of its slot to its release. */
 final class Attempt {
     final SlotGrant grant;
     final boolean hedge;
--- a/src/main/java/brambletray/platform/proxy/Attempts.java
+++ b/src/main/java/brambletray/platform/proxy/Attempts.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The hosts that one request has been sent to, and the places it holds there: each is given back exactly once. */
+/** The attempts of one request and the slots that they hold; each slot is released exactly once. */
 final class Attempts {
     private final RequestActions actions;
     private final long deadlineMs;
@@ -31,7 +31,7 @@
         return activeCount;
     }
 
-    /** Whether the place of this ask is in use. */
+    /** Whether the slot of this request id is in use. */
     boolean isActive(long requestId) {
         for (int i = 0; i < all.size(); i++) {
             if (all.get(i).active && all.get(i).grant.requestId() == requestId) {
@@ -46,7 +46,7 @@
         return List.copyOf(instances);
     }
 
-    /** The place goes back with its fate; false where it is back already. */
+    /** Releases the slot with the attempt's outcome; false if it has been released already. */
     boolean complete(Attempt attempt, AttemptOutcome outcome, int durationMs) {
         if (!attempt.active) {
             return false;
@@ -57,7 +57,7 @@
         return true;
     }
 
-    /** Closes its connection; a place at which nothing was sent has not been used. */
+    /** Closes its connection; a slot for which nothing was sent is released as unused. */
     void cancel(Attempt attempt, AttemptOutcome outcome, long now) {
         actions.cancel(attempt);
         if (attempt.onSent()) {
--- a/src/main/java/brambletray/platform/proxy/BodyFraming.java
+++ b/src/main/java/brambletray/platform/proxy/BodyFraming.java
@@ -8,13 +8,15 @@
 import java.util.Iterator;
 
 /**
- * How the end of a host's answer is told (RFC 9112, 6.3). {@code length}: bytes; -1: in chunks, or no body follows and
- * none was said.
+ * How the end of a response is found (RFC 9112, 6.3). {@code length}: bytes; -1: chunked, or no body follows and no
+ * length was stated.
  *
- * <p>The decoder has refused two lengths, and a length with chunks, already.
+ * <p>The decoder has already rejected two lengths, and a length together with chunks.
  */
 record BodyFraming(long length) {
-    /** Its end can't be told from a connection that broke off, or can be read in two ways: no answer (rule MIXED). */
+    /**
+     * Its end cannot be told from a broken connection, or can be read in two ways: not a valid response (rule MIXED).
+     */
     static final BodyFraming NONE = new BodyFraming(Long.MIN_VALUE);
 
     private static final BodyFraming CHUNKS = new BodyFraming(-1);
--- a/src/main/java/brambletray/platform/proxy/ClientConnection.java
+++ b/src/main/java/brambletray/platform/proxy/ClientConnection.java
@@ -23,7 +23,7 @@
 final class ClientConnection extends ChannelInboundHandlerAdapter {
     /** ms; after the last answer: what still comes is thrown away, lest a reset takes the answer with it. */
     private static final int LINGER_MS = 1_000;
-    /** ms; a client that has not taken its whole answer by then is given up. */
+    /** ms after which a client that has not read its whole response is disconnected. */
     private static final int MAX_WRITE_MS = 15_000;
 
     private enum State {
@@ -187,7 +187,7 @@
         return front.isDraining() && pipelined.isEmpty();
     }
 
-    /** A host's whole answer. */
+    /** Writes a complete response of a host. */
     void writeResponse(HostResponse response) {
         closeAfterResponse |= isLast();
         writer.writeResponse(response, closeAfterResponse);
@@ -205,7 +205,7 @@
         return writer.writeMore(bytes);
     }
 
-    /** The answer that came by {@link #writeMore} is whole. */
+    /** The response written by {@link #writeMore} is complete. */
     void finishStreaming() {
         writer.finishStreaming();
         onResponded();
@@ -271,7 +271,7 @@
     }
 
     // ---- Ends -----------------------------------------------------------------------------------
-    /** What time asks for. */
+    /** Handles what has become due. */
     void checkTimeouts(long now) {
         long spent = now - stateSinceMs;
         switch (state) {
@@ -283,7 +283,7 @@
         }
     }
 
-    /** A client knows the limits of when its last request began, or newer ones: the longer time is kept. */
+    /** A client acts on the settings of its last request or newer ones: the longer time is kept. */
     private int idleMs() {
         return Math.max(limits.idleTimeoutMs(), front.requestRouter().limits().idleTimeoutMs());
     }
--- a/src/main/java/brambletray/platform/proxy/ClientRequest.java
+++ b/src/main/java/brambletray/platform/proxy/ClientRequest.java
@@ -4,8 +4,8 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * A request as a client sent it, read whole. {@code at}: when its head was here, ms of the steady clock;
- * {@code bodied}: a body was announced, if only an empty one.
+ * A complete request of a client. {@code at}: arrival of its head, ms of the steady clock; {@code bodied}: a body was
+ * announced, even if empty.
  */
 record ClientRequest(String method, String uri, HttpHeaders headers, ByteBuf body, boolean hasBody, long receivedAtMs) {
     static final String ID = "brambletray-attempt-id";
--- a/src/main/java/brambletray/platform/proxy/GracefulShutdown.java
+++ b/src/main/java/brambletray/platform/proxy/GracefulShutdown.java
@@ -6,13 +6,12 @@
 import java.util.function.IntConsumer;
 
 /**
- * Ends an edge's service of requests within the grace time that a process has after SIGTERM.
+ * Stops an edge within the grace period after SIGTERM.
  *
- * <p>New connections are taken until clients have been sent elsewhere. What has been read is served on. The process
- * ends once no request is
- * under way and no client is connected. Shortly before the grace time is over, each request that still waits is
- * answered by the edge, so that
- * no client that sent a whole request is left without an answer. For the loop only.
+ * <p>New connections are accepted until clients have been sent to other edges; requests already read are served. The
+ * process ends once no request is in flight and no client is connected. Shortly before the grace period ends, the
+ * edge itself answers each request that still waits, so that no client that sent a complete request is left without a
+ * response. To be used on the loop only.
  */
 public final class GracefulShutdown {
     private static final EventLog LOG = EventLog.of("proxy");
@@ -74,7 +73,9 @@
             return;
         }
         ended = true;
-        LOG.info("ended").with("in-flight", requestRouter.inFlight()).log();
+        LOG.info("shutdown-completed")
+                .with("in-flight", requestRouter.inFlight())
+                .log();
         exit.accept(0);
     }
 }
--- a/src/main/java/brambletray/platform/proxy/HeaderWriter.java
+++ b/src/main/java/brambletray/platform/proxy/HeaderWriter.java
@@ -22,7 +22,7 @@
 
     private HeaderWriter() {}
 
-    /** {@code remainingMs}: what the host is told it has left, ms. */
+    /** {@code remainingMs}: the remaining time that is sent to the host, ms. */
     static ByteBuf request(ByteBufAllocator allocator, ClientRequest clientRequest, String host, long remainingMs) {
         ByteBuf out = allocator.buffer(INITIAL_BYTES
                 + (clientRequest.body().readableBytes() <= HostConnection.JOINED
--- a/src/main/java/brambletray/platform/proxy/HostCall.java
+++ b/src/main/java/brambletray/platform/proxy/HostCall.java
@@ -4,8 +4,8 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * A request on its way to one host: what a connection needs to know of it, and whom it tells. Told in this order, each
- * at most once.
+ * A request on its way to one host, as its connection sees it, with the callbacks for its progress: in this order,
+ * each at most once.
  */
 interface HostCall {
     ClientRequest clientRequest();
@@ -58,6 +58,8 @@
     /** Takes the bytes over. False: stop reading until {@link HostConnection#resume}. */
     boolean onContent(ByteBuf bytes);
 
-    /** {@code response}: null unless SERVED or FAILED, and where it is {@code withheld}; the errand's from now on. */
+    /**
+     * {@code response}: null unless SERVED or FAILED, and null if {@code withheld}; owned by the callee from now on.
+     */
     void onEnded(AttemptOutcome outcome, boolean withheld, HostResponse response);
 }
--- a/src/main/java/brambletray/platform/proxy/HostConnection.java
+++ b/src/main/java/brambletray/platform/proxy/HostConnection.java
@@ -14,13 +14,13 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * One connection to a host, one request at a time. An answer counts when it is whole and echoes the request's id;
- * surplus answers are skipped whole; anything else ends the connection, and what it was at is {@link
- * AttemptOutcome#BROKEN}.
+ * One connection to a host, with one request at a time. A response counts when it is complete and carries the
+ * request's id; surplus responses are skipped; anything else closes the connection, and the request on it ends as
+ * {@link AttemptOutcome#BROKEN}.
  *
- * <p>It serves another request only when nothing is owed on it in either direction: the request was written to its last
- * byte, its answer was whole, alone and named, nothing came behind it, and neither side has said that it closes.
- * Whatever else ends a request ends its connection.
+ * <p>The connection is reused only if nothing is pending in either direction: the request was written to its last
+ * byte, its response was complete, the only one and identified, no bytes followed it, and neither side announced that
+ * it closes. Any other end of a request closes its connection.
  */
 final class HostConnection extends ChannelInboundHandlerAdapter {
     /** Bytes of a body that travel in one piece with their head. */
@@ -53,7 +53,7 @@
         channel = context.channel();
     }
 
-    /** A request is out, and its answer is not whole yet: bytes that come may belong to it. */
+    /** A request was sent and its response is incomplete: arriving bytes may belong to it. */
     boolean isWaiting() {
         return responseReader != null && responseReader.isSent();
     }
@@ -62,7 +62,7 @@
         return responseReader != null && responseReader.isComplete();
     }
 
-    /** Bytes behind a whole answer: they belong to no request, and take nothing from it. */
+    /** Bytes after a complete response: they belong to no request and do not affect it. */
     void onSurplus() {
         keepAlive = false;
     }
@@ -183,7 +183,7 @@
         }
     }
 
-    /** Ends this errand without a word, if it is at it; only closing the connection tells the host. */
+    /** Abandons this call without a callback, if it is the current one; only the closed connection tells the host. */
     void cancel(HostCall hostCall) {
         if (responseReader != null && responseReader.hostCall() == hostCall) {
             cancel();
--- a/src/main/java/brambletray/platform/proxy/HostConnectionPools.java
+++ b/src/main/java/brambletray/platform/proxy/HostConnectionPools.java
@@ -14,7 +14,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Connections to hosts, kept and used again, newest first: new ones have a price and may hold a slot. The loop's. */
+/**
+ * The connection pools of all hosts; the most recently used connection is reused first, as new ones cost time and may
+ * take a slot. To be used on the loop only.
+ */
 public final class HostConnectionPools {
     /** ms; a connection whose host has not said how long it keeps it is this long good for what must not run twice. */
     static final int LONGEST_IDLE_MS = 500;
@@ -38,7 +41,7 @@
     private final Map<String, HostConnectionPool> pools = new HashMap<>();
     private boolean sweeping;
 
-    /** {@code idleMs}: how long idle connections are kept whose host has not said, ms. */
+    /** {@code idleMs}: ms for which idle connections are kept if the host does not state a time. */
     public HostConnectionPools(Machine machine, int idleMs, RequestCounters counters) {
         this.machine = machine;
         this.idleMs = idleMs;
@@ -46,7 +49,7 @@
         this.bootstrap = machine.dialling(CONNECT_MS, new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
-                // Its line comes with its pool, once it is up.
+                // The log line is written with its pool, once the host is up.
             }
         });
     }
@@ -93,7 +96,7 @@
         }
     }
 
-    /** Not a byte of it went out on a kept connection that turned out closed. */
+    /** Nothing was sent on a pooled connection that turned out to be closed. */
     void onStale(HostCall hostCall) {
         counters.staleConnections++;
         hostCall.onClosedUnsent();
@@ -130,9 +133,7 @@
     }
 
     // ---- Connections ----------------------------------------------------------------------------
-    /**
-     * Tells whether a host takes connections; where one comes up, it is kept for the next request.
-     */
+    /** Probes whether a host accepts connections; a connection that succeeds is kept for the next request. */
     public void probe(String host, String address, Consumer<Boolean> up) {
         HostConnectionPool pool = pool(host, address);
         HostConnection last = pool.idle.peekLast();
@@ -293,7 +294,7 @@
         }
     }
 
-    /** This host is gone, or leaves: what is under way ends, nothing else is kept. */
+    /** This host is gone, or leaves: requests in flight are finished, no connection is kept. */
     public void onInstanceGone(String host) {
         HostConnectionPool pool = pools.get(host);
         if (pool != null) {
--- a/src/main/java/brambletray/platform/proxy/HostExchange.java
+++ b/src/main/java/brambletray/platform/proxy/HostExchange.java
@@ -23,7 +23,7 @@
         this.hostDeadlineMs = hostDeadlineMs;
     }
 
-    /** The whole answer; the caller's from now on. */
+    /** The complete response; owned by the caller from now on. */
     HostResponse takeResponse() {
         HostResponse taken = response;
         response = null;
--- a/src/main/java/brambletray/platform/proxy/KeepAlive.java
+++ b/src/main/java/brambletray/platform/proxy/KeepAlive.java
@@ -1,13 +1,13 @@
 package brambletray.platform.proxy;
 
-/** How long a host says that it keeps a connection (PROTOCOL, Hosts: in whole seconds, if there are any). */
+/** Parses the time for which a host keeps an idle connection open, in whole seconds if stated. */
 final class KeepAlive {
     private static final int MAX_SECONDS = 3_600;
     private static final int MARGIN_MS = 1_000;
 
     private KeepAlive() {}
 
-    /** The seconds of {@code timeout=5, max=100}; -1: not told. */
+    /** The seconds of {@code timeout=5, max=100}; -1: not stated. */
     static int timeoutSeconds(String value) {
         int at = value == null ? -1 : value.indexOf("timeout=");
         if (at < 0) {
--- a/src/main/java/brambletray/platform/proxy/RateLimitedLog.java
+++ b/src/main/java/brambletray/platform/proxy/RateLimitedLog.java
@@ -12,7 +12,9 @@
     private long second;
     private int linesThisSecond;
 
-    /** Begins a line, which is dropped where this second has had its lines; {@code nowMs}: of the steady clock. */
+    /**
+     * Begins a log line, which is dropped if this second's limit is reached; {@code nowMs}: ms of the steady clock.
+     */
     LogEventBuilder info(long nowMs, String event) {
         if (nowMs / MS_PER_SECOND != second) {
             second = nowMs / MS_PER_SECOND;
--- a/src/main/java/brambletray/platform/proxy/RequestActions.java
+++ b/src/main/java/brambletray/platform/proxy/RequestActions.java
@@ -9,15 +9,18 @@
  * #startStreaming}, {@link #respond}) is the only one.
  */
 interface RequestActions {
-    /** For a place; the answer may come at once. */
+    /** Requests a slot; the callback may come before this returns. */
     void requestSlot(SlotRequest request);
 
     void cancelSlotRequest(long requestId);
 
-    /** On a kept connection, or a new one; the host is to stop at {@code hostDeadlineMs}, ms of the steady clock. */
+    /**
+     * Sends on a pooled connection, or a new one; {@code hostDeadlineMs}: when the host is to stop, ms of the steady
+     * clock.
+     */
     void sendToInstance(Attempt attempt, long hostDeadlineMs);
 
-    /** Closes its connection, or stops waiting for one; nothing more is told of it. */
+    /** Closes its connection, or stops waiting for one; no callback follows. */
     void cancel(Attempt attempt);
 
     void releaseSlot(SlotGrant grant, AttemptOutcome outcome, int durationMs);
@@ -25,13 +28,13 @@
     /** How long this service's answers take, ms. */
     void recordResponseTime(int ms);
 
-    /** The whole answer of this host is the client's. */
+    /** Sends this host's complete response to the client. */
     void passResponse(Attempt attempt);
 
     /** So is this answer, of which more is still to come. */
     void startStreaming(Attempt attempt);
 
-    /** The answer that came by {@link #startStreaming} is whole. */
+    /** The response begun by {@link #startStreaming} is complete. */
     void finishStreaming();
 
     /** The client's connection ends: what it was given of an answer must not look complete. */
--- a/src/main/java/brambletray/platform/proxy/RequestCounters.java
+++ b/src/main/java/brambletray/platform/proxy/RequestCounters.java
@@ -4,7 +4,9 @@
 import java.util.Locale;
 import java.util.function.ObjLongConsumer;
 
-/** What has passed through this edge since it began; plain counts, for a log line every few seconds. The loop's. */
+/**
+ * Counts of the requests of this edge since its start, for a log line every few seconds. To be used on the loop only.
+ */
 public final class RequestCounters {
     private static final AttemptOutcome[] OUTCOMES = AttemptOutcome.values();
 
@@ -22,7 +24,7 @@
     public long clientErrors;
     public long clientsGone;
     /**
-     * Asks; sends to hosts; copies among them; copies that answered first; asks for another host after a failed one;
+     * Slot requests; requests sent to hosts; hedged ones among them; hedged ones that answered first; retries;
      * copies refused.
      */
     public long slotRequests;
@@ -33,8 +35,8 @@
     public long retries;
     public long hedgesRefused;
     /**
-     * Connections that came up at hosts; tries that did not; kept ones found closed before a byte was sent; surplus
-     * answers skipped; answers given on while they came.
+     * Connections opened to hosts; failed connection attempts; pooled ones found closed before a byte was sent;
+     * surplus responses skipped; responses streamed.
      */
     public long connectionsOpened;
 
--- a/src/main/java/brambletray/platform/proxy/RequestDecoder.java
+++ b/src/main/java/brambletray/platform/proxy/RequestDecoder.java
@@ -16,14 +16,14 @@
 import java.util.List;
 
 /**
- * Reads requests strictly: two lengths, and a header that goes on in the next line, are how one request hides in
- * another (rule UNASKED), and are malformed here.
+ * Decodes requests strictly: two lengths, or a header continued on the next line, allow request smuggling (rule
+ * UNASKED) and are rejected as malformed.
  */
 final class RequestDecoder extends HttpRequestDecoder {
     private static final int MAX_CHUNK_BYTES = 64 * 1024;
 
     private final ClientConnection client;
-    /** Of what has been looked at: the last byte, and how many bytes beyond the reader's place. */
+    /** Of the bytes inspected so far: the last one, and how many are beyond the reader index. */
     private byte lastByte;
 
     private int scannedBytes;
@@ -78,7 +78,7 @@
         return request;
     }
 
-    /** A line of the head that begins with a blank; looks at each byte once. */
+    /** Whether a header line begins with white space; inspects each byte once. */
     private boolean hasFoldedHeader(ByteBuf in) {
         int at = in.readerIndex() + scannedBytes;
         int end = in.writerIndex();
--- a/src/main/java/brambletray/platform/proxy/RequestLifecycle.java
+++ b/src/main/java/brambletray/platform/proxy/RequestLifecycle.java
@@ -7,23 +7,25 @@
 import java.util.function.LongSupplier;
 
 /**
- * One request's life, from when it was read to its one answer and to the end of its work at hosts. Pure: events come in
- * with their time, what is to be done goes out through {@link RequestActions}.
+ * The state machine of one request, from its arrival to its single response and the end of its attempts. Does no I/O:
+ * events come in with their time, actions go out through {@link RequestActions}.
  *
- * <p>What may be sent where: a repeatable request to at most {@code mostHosts} hosts; any other to the next one only
- * after proof that it did not run (rule TWICE). The design on the ordinary path: when no answer has come after the
- * service's delay, a copy goes to another host if a place is free there now; the first answer settles, the others are
- * cancelled. A request that has been given up is answered at once: 503 if it provably never ran (rule REFUSED), 504 at
- * the end of its time, 502 else.
+ * <p>A repeatable request may be sent to at most {@code mostHosts} hosts; any other to the next host only with proof
+ * that it did not run (rule TWICE). When no response has come after the service's hedging delay, a hedged request
+ * goes to another host if a slot is free; the first response is used and the others are cancelled. A request that is
+ * abandoned is answered at once: 503 if it provably did not run (rule REFUSED), 504 at its deadline, 502 otherwise.
  */
 final class RequestLifecycle {
     /** ms before the end: our own answer has to reach the client; and so much sooner does a host stop. */
     private static final int RESPONSE_MARGIN_MS = 20;
 
     private static final int HOST_MARGIN_MS = 10;
-    /** ms after the end: a host that has said nothing by then will not. */
+    /** ms after the deadline within which a host must have answered. */
     private static final int LINGER_MS = 150;
-    /** ms until a copy that found no place asks again, at least; how often one asks; hosts that may be out of reach. */
+    /**
+     * ms until a hedged request that found no slot asks again, at least; how often it asks; hosts that may be
+     * unreachable.
+     */
     private static final int HEDGE_RETRY_MS = 50;
 
     private static final int MAX_HEDGE_REQUESTS = 4;
@@ -37,7 +39,7 @@
     private final String zone;
     private final Attempts attempts;
     private final long lastSendMs;
-    /** The ask that is out; 0 for none. */
+    /** Id of the slot request in flight; 0 for none. */
     private long pendingRequestId;
 
     private boolean pendingIsHedge;
@@ -121,7 +123,7 @@
 
     void onGranted(SlotGrant grant, long now) {
         if (grant.requestId() != pendingRequestId) {
-            // Guards places against leaking: this ask was forgotten while its grant was under way. One that comes twice
+            // Prevents a slot leak: this request was cancelled while its grant was under way. A grant that comes twice
             // is in use.
             if (!attempts.isActive(grant.requestId())) {
                 actions.cancelSlotRequest(grant.requestId());
@@ -178,9 +180,9 @@
     }
 
     /**
-     * A host's whole answer, or what stands for one: SERVED, NOT_RUN, WRONG_HOST, FAILED or BROKEN. {@code withheld}:
-     * it must not be passed on, as its status promises that the request did not run (408, 421, 429, 503) without proof
-     * of it, or it was too large to be held.
+     * The outcome of an attempt: SERVED, NOT_RUN, WRONG_HOST, FAILED or BROKEN. {@code withheld}: the response must
+     * not be passed on, as its status promises that the request did not run (408, 421, 429, 503) without proof, or as
+     * it was too large to be buffered.
      */
     void onEnded(Attempt attempt, AttemptOutcome outcome, boolean withheld, long now) {
         int durationMs = (int) (now - (attempt.onSent() ? attempt.sentAtMs : attempt.grantedAtMs));
--- a/src/main/java/brambletray/platform/proxy/RequestReader.java
+++ b/src/main/java/brambletray/platform/proxy/RequestReader.java
@@ -60,7 +60,7 @@
         return null;
     }
 
-    /** It is whole: whoever takes it gives its bytes back to the hold. */
+    /** The request is complete: the caller returns its bytes to the memory limit. */
     ClientRequest takeRequest() {
         HttpHeaders headers = head.headers();
         HttpMethod method = head.method();
--- a/src/main/java/brambletray/platform/proxy/RequestRouter.java
+++ b/src/main/java/brambletray/platform/proxy/RequestRouter.java
@@ -43,9 +43,9 @@
     private boolean rejectingNew;
 
     /**
-     * {@code edge}, {@code zone}: this machine's, for asks; {@code isInstanceIp}: whether an IP address is that of a
-     * host we know, whose calls are inner ones; {@code maxBytes}: of requests and answers held at one time; above
-     * that new ones are refused; {@code seed}: for the shares of routes.
+     * {@code edge}, {@code zone}: this machine's, for slot requests; {@code isInstanceIp}: whether an IP address is that
+     * of a known host, whose calls are nested ones; {@code maxBytes}: of requests and responses buffered at one time,
+     * above which new requests are rejected; {@code seed}: for the weighted routes.
      */
     public RequestRouter(
             Machine machine,
@@ -68,7 +68,7 @@
         this.counters = counters;
         this.memoryBudget = new MemoryBudget(maxBytes);
         this.shares = new SplittableRandom(seed);
-        // Guards against the ids of the process before, whose asks homes may still know.
+        // Avoids the ids of the previous process, whose slot requests homes may still know.
         this.lastRequestId = (seed & 0x3fffffffL) << 32;
     }
 
--- a/src/main/java/brambletray/platform/proxy/ResponseDecoder.java
+++ b/src/main/java/brambletray/platform/proxy/ResponseDecoder.java
@@ -42,7 +42,7 @@
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) throws Exception {
         if (connection.isAnswered()) {
-            // Behind a whole answer: whatever it is, down to a blank that the decoder would pass over.
+            // After a complete response: any byte, even white space that the decoder would skip.
             in.skipBytes(in.readableBytes());
             connection.onSurplus();
         } else {
--- a/src/main/java/brambletray/platform/proxy/ResponseReader.java
+++ b/src/main/java/brambletray/platform/proxy/ResponseReader.java
@@ -8,12 +8,15 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * How far the answer to one request has come on one connection: what is skipped, held back until it is whole, or given
- * on as it comes. Only a success is given on as it comes: what else is too large to be held is read to its end and
- * counts as a failure without an answer.
+ * Follows the response to one request on one connection: skipped, buffered until complete, or streamed. Only a
+ * success is streamed; any other response that is too large to be buffered is read to its end and counts as a failure
+ * without a response.
  */
 final class ResponseReader {
-    /** Bytes of an answer that are held until it is whole: a cut one never reaches a client, and can be tried again. */
+    /**
+     * Bytes of a response that are buffered until it is complete: a truncated one never reaches a client and can be
+     * retried.
+     */
     static final int MAX_HELD_BYTES = 512 * 1024;
     /** Answers ahead of ours that are skipped: 1xx, or surplus. */
     private static final int MAX_EARLY_BYTES = 8;
@@ -70,7 +73,7 @@
         return withheld;
     }
 
-    /** The whole answer, where it is one for clients; its bytes are the caller's. */
+    /** The complete response if it may be passed to a client; its bytes are the caller's. */
     HostResponse response() {
         return !withheld && (verdict.outcome() == AttemptOutcome.SERVED || verdict.outcome() == AttemptOutcome.FAILED)
                 ? response
--- a/src/main/java/brambletray/platform/proxy/ResponseVerdict.java
+++ b/src/main/java/brambletray/platform/proxy/ResponseVerdict.java
@@ -6,11 +6,11 @@
 import java.util.Iterator;
 
 /**
- * What the head of a host's answer says, once the whole answer is here (PROTOCOL, Hosts; rules MIXED, TWICE, REFUSED).
+ * What the head of a response means once the response is complete (rules MIXED, TWICE, REFUSED).
  *
- * <p>{@code fate}: null for a surplus answer, which belongs to another request and is skipped. {@code promise}: the
- * status promises that the request did not run, without proof. {@code nameless}: it carries no id, so what else comes
- * on its connection can't be told apart.
+ * <p>{@code fate}: null for a surplus response, which belongs to another request and is skipped. {@code promise}: the
+ * status promises that the request did not run, without proof. {@code nameless}: it carries no request id, so further
+ * responses on its connection cannot be told apart.
  */
 record ResponseVerdict(AttemptOutcome outcome, boolean promise, boolean nameless) {
     static final ResponseVerdict SURPLUS = new ResponseVerdict(null, false, false);
@@ -27,7 +27,7 @@
     /** The highest status that HTTP has. */
     private static final int MAX_STATUS = 599;
 
-    /** For a log line: what an answer that isn't one carries. */
+    /** For a log line: the id that an invalid response carries. */
     static String traits(int status, HttpHeaders headers) {
         return "status " + status + (headers.contains(ClientRequest.ID) ? "" : ", no id")
                 + (headers.contains(ClientRequest.SEAL) ? "" : ", no seal")
--- a/src/main/java/brambletray/platform/proxy/ResponseWriter.java
+++ b/src/main/java/brambletray/platform/proxy/ResponseWriter.java
@@ -20,7 +20,7 @@
         this.channel = channel;
     }
 
-    /** A host's whole answer. */
+    /** Writes a complete response of a host. */
     void writeResponse(HostResponse response, boolean close) {
         chunked = false;
         lastWrite = channel.write(HeaderWriter.response(channel.alloc(), response, true, close));
--- a/src/main/java/brambletray/platform/proxy/SlotRequester.java
+++ b/src/main/java/brambletray/platform/proxy/SlotRequester.java
@@ -2,11 +2,11 @@
 
 import brambletray.platform.admission.SlotGrant;
 
-/** Whoever has asked for a place. */
+/** Receives the result of a slot request. */
 public interface SlotRequester {
-    /** The place is the asker's until it is given back. */
+    /** The slot is granted until it is released. */
     void onGranted(SlotGrant grant);
 
-    /** No place; {@code retryAfterMs}: when to ask again, ms; -1: not known. */
+    /** The slot is refused; {@code retryAfterMs}: ms after which to ask again; -1: not known. */
     void onRefused(int retryAfterMs);
 }
--- a/src/main/java/brambletray/platform/replication/package-info.java
+++ b/src/main/java/brambletray/platform/replication/package-info.java
@@ -30,22 +30,19 @@
  * <h2>Why no committed entry is lost</h2>
  *
  * <ol>
- *   <li><em>Nothing more is committed in a view once a quorum of it has promised a higher ballot</em>: all its members
- *       would have to acknowledge, and one that has promised does not.
+ *   <li><em>Nothing more is committed in a view once a quorum of it has promised a higher ballot</em>: all its
+ *       members would have to acknowledge, and one that has promised does not.
  *   <li><em>Every later view has it.</em> An entry committed in view {@code w} is on the disk of all members of
  *       {@code w}. A view proposed with {@code w} as its latest view takes the longest log among members of {@code w},
- *       and within {@code w} every log is a prefix of the leader's: so it has the entry. By induction so has every view
- *       that descends from {@code w}.
- *   <li><em>Every view proposed above an active view descends from it.</em> Let {@code w} be active and {@code u} be
- *       proposed with a higher ballot, and assume the same for all between. If the latest view of {@code u} is {@code w}
- *       or lies above it, {@code u} descends from {@code w}. Else it lies below; let {@code w} be the lowest active
- *       view
- *       above it. Going down from {@code w} and from the latest view of {@code u}, both proposals have consulted
- *       quorums
- *       of every view back to one that was known to be active; by the choice of {@code w} the two chains share an
- *       active
- *       view, {@code s}. Any two quorums of {@code s} share a member that still has its disk (see
- *       {@link brambletray.platform.replication.Quorum}). That member answered for {@code w} and, {@code w} being
+ *       and within {@code w} every log is a prefix of the leader's: so it has the entry. By induction so has every
+ *       view that descends from {@code w}.
+ *   <li><em>Every view proposed above an active view descends from it.</em> Let {@code w} be active and {@code u}
+ *       be proposed with a higher ballot, and assume the same for all between. If the latest view of {@code u} is
+ *       {@code w} or lies above it, {@code u} descends from {@code w}. Else it lies below; let {@code w} be the lowest
+ *       active view above it. Going down from {@code w} and from the latest view of {@code u}, both proposals have
+ *       consulted quorums of every view back to one that was known to be active; by the choice of {@code w} the two
+ *       chains share an active view, {@code s}. Any two quorums of {@code s} share a member that still has its disk
+ *       (see {@link brambletray.platform.replication.Quorum}). That member answered for {@code w} and, {@code w} being
  *       active, has it on disk; it can only have written it before it promised the higher ballot of {@code u}; so it
  *       reported {@code w} or a higher view to the proposer of {@code u}, whose latest view is not below {@code w}.
  *       Contradiction.
--- a/src/main/java/brambletray/platform/settings/DeploymentBounds.java
+++ b/src/main/java/brambletray/platform/settings/DeploymentBounds.java
@@ -1,25 +1,25 @@
 package brambletray.platform.settings;
 
 /**
- * The figures of the rules, {@code bounds.*} in the settings; names end in their unit: S seconds, Ms milliseconds, none
- * a count or a share.
+ * The bounds that the deployment states, {@code bounds.*} in the settings; names end in their unit: S seconds, Ms
+ * milliseconds, none a count or a share.
  *
  * @param seedLagS how far lists of seeds lag behind
- * @param reuseHoldS how long the address of a host that ended isn't given to another
- * @param contactMs how long a process must have been untroubled to count as in touch
- * @param ackMs within which an order of the operator, or a leaving host, is answered
- * @param syncS how long a machine counts as lost after its return
- * @param drainMs how long a host that leaves serves on
+ * @param reuseHoldS for how long the address of a stopped host is not reused
+ * @param contactMs for how long a process must have been undisturbed to count as in contact
+ * @param ackMs within which an operator's call, or a leaving host, is answered
+ * @param syncS for how long a machine counts as lost after its return
+ * @param drainMs for how long a leaving host serves on
  * @param graceS from SIGTERM to SIGKILL
- * @param lossSlackMs what may be lost around a loss
- * @param configApplyMs within which a configuration is in force everywhere
+ * @param lossSlackMs what may be lost around a machine loss
+ * @param configApplyMs within which a configuration is active everywhere
  * @param revertSlackMs within which a process may still show an older version
- * @param stretchMaxMs the longest stretch of trouble that widens a bound
- * @param retryBudgetRatio sends beyond the first, as a share of requests
+ * @param stretchMaxMs the longest fault that widens a bound
+ * @param retryBudgetRatio attempts beyond the first, as a share of requests
  * @param retryWindowS the window in which they are counted
  * @param retryBudgetSlack what is free in each window
- * @param recoveryS within which service is back after trouble
- * @param limitShedSlack refusals that are free at a limit
+ * @param recoveryS within which service is restored after a fault
+ * @param limitShedSlack rejections that are free at a limit
  */
 public record DeploymentBounds(
         double seedLagS,
--- a/src/main/java/brambletray/platform/settings/NodeSettings.java
+++ b/src/main/java/brambletray/platform/settings/NodeSettings.java
@@ -69,7 +69,7 @@
         return read(Path.of(path == null || path.isBlank() ? DEFAULT_FILE : path));
     }
 
-    /** From this file; {@link SettingsException} with one line where a field is missing or can't be used. */
+    /** Reads this file. @throws SettingsException with one line if a field is missing or invalid */
     public static NodeSettings read(Path path) {
         return from(SettingsFields.read(path), path);
     }
--- a/src/main/java/brambletray/platform/settings/SettingsException.java
+++ b/src/main/java/brambletray/platform/settings/SettingsException.java
@@ -3,7 +3,7 @@
 import brambletray.platform.errors.PlatformException;
 
 /**
- * The settings file can't be used: one line with file, line, field and what was expected. Programs print it and end
+ * The settings file cannot be used: one line with file, line, field and what was expected. Programs print it and exit
  * with {@link #EXIT_CODE}.
  */
 public final class SettingsException extends PlatformException {
--- a/src/main/java/brambletray/platform/settings/SettingsFields.java
+++ b/src/main/java/brambletray/platform/settings/SettingsFields.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The fields of one settings file, by name, each read as what it should be or refused with its line. */
+/** The fields of one settings file by name, each parsed to its type or rejected with its line number. */
 final class SettingsFields {
     /** Bytes; a file beyond it isn't one of settings. */
     private static final long MAX_FILE_BYTES = 1 << 20;
--- a/src/main/java/brambletray/platform/storage/KeyValueStore.java
+++ b/src/main/java/brambletray/platform/storage/KeyValueStore.java
@@ -166,7 +166,7 @@
             generation.copyTo(compacted);
             directory.sync();
         } catch (IOException | RuntimeException e) {
-            LOG.warn("not-tidied")
+            LOG.warn("cleanup-failed")
                     .with("bytes", usedBytes)
                     .with("live", generation.liveBytes())
                     .with("why", e)
@@ -185,7 +185,7 @@
         before.close();
         obsoleteSegments = before.segments();
         tryRemoveObsolete();
-        LOG.debug("tidied")
+        LOG.debug("cleanup-completed")
                 .with("generation", next.generation())
                 .with("bytes", usedBytes)
                 .with("live", compacted.liveBytes())
@@ -227,7 +227,7 @@
             }
             generation = recovered;
             lastCommitFailed = false;
-            LOG.info("healed")
+            LOG.info("tail-repaired")
                     .with("generation", segment.generation())
                     .with("commits", recovered.commitCount())
                     .log();
@@ -244,7 +244,7 @@
         try {
             removeObsolete();
         } catch (IOException e) {
-            LOG.warn("not-removed")
+            LOG.warn("removal-failed")
                     .with("generation", obsoleteSegments.generation())
                     .with("why", e)
                     .log();
--- a/src/main/java/brambletray/platform/storage/StoreGeneration.java
+++ b/src/main/java/brambletray/platform/storage/StoreGeneration.java
@@ -241,7 +241,7 @@
         try {
             environment.close();
         } catch (RuntimeException e) {
-            KeyValueStore.LOG.debug("closed-badly").with("why", e).log();
+            KeyValueStore.LOG.debug("close-failed").with("why", e).log();
         }
     }
 
--- a/src/main/java/brambletray/platform/storage/SyncWriter.java
+++ b/src/main/java/brambletray/platform/storage/SyncWriter.java
@@ -142,7 +142,7 @@
         try {
             disk.compact();
         } catch (RuntimeException e) {
-            LOG.warn("not-tidied").with("why", e).log();
+            LOG.warn("cleanup-failed").with("why", e).log();
         }
     }
 
@@ -191,7 +191,7 @@
                 }
             });
         } catch (RuntimeException e) {
-            LOG.debug("loop-is-gone").with("why", e).log();
+            LOG.debug("event-loop-closed").with("why", e).log();
         }
     }
 }
--- a/src/main/java/brambletray/platform/transport/Link.java
+++ b/src/main/java/brambletray/platform/transport/Link.java
@@ -12,7 +12,9 @@
 public final class Link {
     /** Bytes that may wait for a slow peer; with more than that the link is closed. */
     public static final int MAX_PENDING_BYTES = 4 << 20;
-    /** Bytes of bulk frames that may wait; what is said beyond that is dropped, as who lacks it asks for it again. */
+    /**
+     * Bytes of bulk frames that may be queued; frames beyond that are dropped, as the receiver requests them again.
+     */
     public static final int MAX_PENDING_BULK_BYTES = 512 << 10;
 
     private static final int INITIAL_BUFFER_BYTES = 512;
--- a/src/test/java/brambletray/platform/controlplane/SignalledProcessTest.java
+++ b/src/test/java/brambletray/platform/controlplane/SignalledProcessTest.java
@@ -104,10 +104,10 @@
     private void hangUpsThenTerminations() throws IOException, InterruptedException {
         awaitLine("\"event\":\"started\"");
         signal("HUP");
-        awaitLine("\"event\":\"settings read again\"");
+        awaitLine("\"event\":\"settings-reloaded\"");
         Files.writeString(dir.resolve("node.conf"), "zone=\n");
         signal("HUP");
-        awaitLine("\"event\":\"settings not used\"");
+        awaitLine("\"event\":\"settings-rejected\"");
         assertTrue(process.isAlive());
         signal("TERM");
         signal("TERM");
@@ -130,9 +130,9 @@
     @Test
     void aProcessThatWaitsForItsDiskBearsAHangUpAndEndsWithZero() throws IOException, InterruptedException {
         start("controlplane", Files.writeString(dir.resolve("no-folder"), "x"));
-        awaitLine("\"event\":\"disk not opened\"");
+        awaitLine("\"event\":\"disk-open-failed\"");
         signal("HUP");
-        awaitLine("\"event\":\"disk not opened\"");
+        awaitLine("\"event\":\"disk-open-failed\"");
         signal("TERM");
         assertEquals(0, exitCode());
     }
