--- a/src/main/java/brambletray/platform/controlplane/OperatorCalls.java
+++ b/src/main/java/brambletray/platform/controlplane/OperatorCalls.java
@@ -315,13 +315,13 @@
 
     private static void respond(ControlCall call, ChangeDecision decision) {
         if (decision instanceof ChangeDecision.Invalid invalid) {
-            LOG.info("configuration-rejected")
+            LOG.info("configuration-change-rejected")
                     .with("code", invalid.error().code())
                     .with("why", invalid.error().getMessage())
                     .log();
             call.reject(400, invalid.error().code(), invalid.error().getMessage());
         } else if (decision instanceof ChangeDecision.Stale stale) {
-            LOG.info("configuration-rejected")
+            LOG.info("configuration-change-rejected")
                     .with("code", "controlplane.stale")
                     .with("base", call.baseRevision())
                     .with("current", stale.currentRevision())
--- a/src/main/java/brambletray/platform/drill/DrillJudge.java
+++ b/src/main/java/brambletray/platform/drill/DrillJudge.java
@@ -87,7 +87,7 @@
         return entry == null ? 0 : entry.getValue().revision;
     }
 
-    // ---- Orders ---------------------------------------------------------------------------------
+    // ---- Changes --------------------------------------------------------------------------------
     /** Answered with 200. */
     void acked(OperatorRequest request) {
         if (request.ackedAt >= 0) {
@@ -216,7 +216,7 @@
         }
     }
 
-    // ---- The end --------------------------------------------------------------------------------
+    // ---- After the last fault --------------------------------------------------------------------
     /** The last reading, after all have returned. */
     void end(int last) {
         Map<Integer, Integer> place = new HashMap<>();
--- a/src/main/java/brambletray/platform/edge/EdgeProgram.java
+++ b/src/main/java/brambletray/platform/edge/EdgeProgram.java
@@ -288,7 +288,7 @@
                 self, roster.term(), roster.number(), configuration.revision(), coordinatorClient.term()));
     }
 
-    // ---- News -----------------------------------------------------------------------------------
+    // ---- Callbacks ------------------------------------------------------------------------------
     private final class SubscriberActions implements ConfigurationSubscriber.Actions {
         @Override
         public void sendRequest(DeltaRequest request) {
@@ -312,7 +312,7 @@
 
         @Override
         public void onRejected(ConfigurationException error) {
-            LOG.warn("configuration-rejected")
+            LOG.warn("configuration-delta-rejected")
                     .with("revision", configuration.revision())
                     .with("code", error.code())
                     .with("why", error.getMessage())
@@ -320,7 +320,7 @@
         }
     }
 
-    private void onConfiguration(Roster next) {
+    private void onRoster(Roster next) {
         if (!next.isNewerThan(roster)) {
             return;
         }
@@ -363,7 +363,7 @@
 
         @Override
         public void onRoster(Roster next) {
-            onConfiguration(next);
+            onRoster(next);
         }
 
         @Override
--- a/src/main/java/brambletray/platform/proxy/ClientConnection.java
+++ b/src/main/java/brambletray/platform/proxy/ClientConnection.java
@@ -66,7 +66,7 @@
         this.stateSinceMs = front.now();
     }
 
-    // ---- In -------------------------------------------------------------------------------------
+    // ---- Reading --------------------------------------------------------------------------------
     @Override
     public void handlerAdded(ChannelHandlerContext context) {
         channel = context.channel();
@@ -172,7 +172,7 @@
         driver = by;
     }
 
-    // ---- Out ------------------------------------------------------------------------------------
+    // ---- Writing --------------------------------------------------------------------------------
     String clientIp() {
         if (clientIp == null) {
             clientIp = channel.remoteAddress() instanceof InetSocketAddress peer
--- a/src/main/java/brambletray/platform/proxy/HostConnection.java
+++ b/src/main/java/brambletray/platform/proxy/HostConnection.java
@@ -112,7 +112,7 @@
         return responseReader == null && now - idleSinceMs >= idleMs;
     }
 
-    // ---- Out ------------------------------------------------------------------------------------
+    // ---- Writing --------------------------------------------------------------------------------
     void send(HostCall hostCall) {
         ResponseReader begun = new ResponseReader(hostCall, pools.counters, !neverUsed);
         responseReader = begun;
@@ -199,7 +199,7 @@
         channel.close();
     }
 
-    // ---- In -------------------------------------------------------------------------------------
+    // ---- Reading --------------------------------------------------------------------------------
     @Override
     public void channelRead(ChannelHandlerContext context, Object part) {
         try {
--- a/src/main/java/brambletray/platform/proxy/HostExchange.java
+++ b/src/main/java/brambletray/platform/proxy/HostExchange.java
@@ -57,7 +57,7 @@
         releaseResponse();
     }
 
-    // ---- Errand ---------------------------------------------------------------------------------
+    // ---- HostCall -------------------------------------------------------------------------------
     @Override
     public ClientRequest clientRequest() {
         return driver.clientRequest();
--- a/src/main/java/brambletray/platform/proxy/RequestDriver.java
+++ b/src/main/java/brambletray/platform/proxy/RequestDriver.java
@@ -138,7 +138,7 @@
         }
     }
 
-    // ---- Hands ----------------------------------------------------------------------------------
+    // ---- RequestActions -------------------------------------------------------------------------
     @Override
     public void requestSlot(SlotRequest request) {
         router.counters().slotRequests++;
@@ -249,7 +249,7 @@
                         clientRequest.head());
     }
 
-    // ---- From its stops -------------------------------------------------------------------------
+    // ---- From hosts -----------------------------------------------------------------------------
     ClientRequest clientRequest() {
         return clientRequest;
     }
--- a/src/main/java/brambletray/platform/proxy/RequestLifecycle.java
+++ b/src/main/java/brambletray/platform/proxy/RequestLifecycle.java
@@ -102,7 +102,7 @@
         return hedgeAtMs != 0 && pendingRequestId == 0 ? Math.min(hedgeAtMs, lastSendMs) : lastSendMs;
     }
 
-    // ---- Places ---------------------------------------------------------------------------------
+    // ---- Slots ----------------------------------------------------------------------------------
     private void requestSlot(boolean hedge, long now) {
         pendingRequestId = requestIds.getAsLong();
         pendingIsHedge = hedge;
--- a/src/main/java/brambletray/platform/proxy/RequestRouter.java
+++ b/src/main/java/brambletray/platform/proxy/RequestRouter.java
@@ -197,7 +197,7 @@
         return ms;
     }
 
-    // ---- For carriages --------------------------------------------------------------------------
+    // ---- For RequestDriver ----------------------------------------------------------------------
     Machine machine() {
         return machine;
     }
--- a/src/test/java/brambletray/platform/replication/PlannedLeaveTest.java
+++ b/src/test/java/brambletray/platform/replication/PlannedLeaveTest.java
@@ -11,7 +11,7 @@
 /**
  * How long nothing is acknowledged, and no read is confirmed, when a member leaves as planned, comes back, is replaced,
  * and when another is lost for good after that: seeded courses, the longest stretch of each. {@code -Dleave.seeds=N}
- * plays N courses of each kind (200 for the figures of docs/control.md), {@code -Dleave.seed=S} one and tells;
+ * plays N courses of each kind (200 for the figures of docs/control/leaving.md), {@code -Dleave.seed=S} one and tells;
  * {@code -Dleave.measure=true} measures and holds nothing.
  */
 class PlannedLeaveTest {
