--- a/src/main/java/brambletray/platform/edge/EdgeProgram.java
+++ b/src/main/java/brambletray/platform/edge/EdgeProgram.java
@@ -185,7 +185,7 @@
         LOG.info("started")
                 .with("node", self.name())
                 .with("zone", self.zone())
-                .with("life", Long.toHexString(self.incarnation()))
+                .with("incarnation", Long.toHexString(self.incarnation()))
                 .log();
     }
 
--- a/src/main/java/brambletray/platform/provisioning/StartAnswers.java
+++ b/src/main/java/brambletray/platform/provisioning/StartAnswers.java
@@ -96,7 +96,7 @@
                     .with("home-zone", start.homeZone)
                     .with("why", reason)
                     .with("retry-after-ms", comeBackMs)
-                    .with("as many", skippedLogLines)
+                    .with("skipped", skippedLogLines)
                     .log();
             loggedAtMs = now;
             skippedLogLines = 0;
