--- a/src/main/java/brambletray/platform/edge/EdgeProgram.java
+++ b/src/main/java/brambletray/platform/edge/EdgeProgram.java
@@ -320,7 +320,7 @@
         }
     }
 
-    private void onRoster(Roster next) {
+    private void applyRoster(Roster next) {
         if (!next.isNewerThan(roster)) {
             return;
         }
@@ -363,7 +363,7 @@
 
         @Override
         public void onRoster(Roster next) {
-            onRoster(next);
+            applyRoster(next);
         }
 
         @Override
