--- a/src/main/java/brambletray/platform/proxy/RequestRouter.java
+++ b/src/main/java/brambletray/platform/proxy/RequestRouter.java
@@ -43,9 +43,9 @@
     private boolean rejectingNew;
 
     /**
-     * {@code edge}, {@code zone}: this machine's, for slot requests; {@code isInstanceIp}: whether an IP address is that
-     * of a known host, whose calls are nested ones; {@code maxBytes}: of requests and responses buffered at one time,
-     * above which new requests are rejected; {@code seed}: for the weighted routes.
+     * {@code edge}, {@code zone}: this machine's, for slot requests; {@code isInstanceIp}: whether an IP address is
+     * that of a known host, whose calls are nested ones; {@code maxBytes}: of requests and responses buffered at one
+     * time, above which new requests are rejected; {@code seed}: for the weighted routes.
      */
     public RequestRouter(
             Machine machine,
--- a/src/test/java/brambletray/platform/admission/BudgetMoveTest.java
+++ b/src/test/java/brambletray/platform/admission/RetryBudgetMoveTest.java
@@ -19,7 +19,7 @@
  * three times in one window.
  * Virtual time; the seed is in the test's name.
  */
-class BudgetMoveTest {
+class RetryBudgetMoveTest {
     private static final double RATIO = 0.2;
     private static final int SLACK = 56;
     private static final int WINDOW_MS = 10_000;
@@ -39,7 +39,7 @@
         List<DynamicTest> tests = new ArrayList<>();
         for (long seed = 1; seed <= 20; seed++) {
             long one = seed;
-            tests.add(DynamicTest.dynamicTest("seed " + one, () -> new BudgetMoveTest().play(one)));
+            tests.add(DynamicTest.dynamicTest("seed " + one, () -> new RetryBudgetMoveTest().play(one)));
         }
         return tests;
     }
--- a/src/test/java/brambletray/platform/admission/SimulatedZones.java
+++ b/src/test/java/brambletray/platform/admission/SimulatedZones.java
@@ -20,7 +20,7 @@
 import java.util.function.Consumer;
 
 /**
- * Zones, each with one edge that is home of the zone's seats; a platform that starts hosts; clients that come by
+ * Zones, each with one edge that is home of the zone's queues; a platform that starts hosts; clients that come by
  * chance. Simulated time, one seed. Counts what the clients and the operator would.
  */
 final class SimulatedZones {
@@ -165,7 +165,7 @@
         }
     }
 
-    private void seats(String zone, Consumer<ServiceQueues> what) {
+    private void queues(String zone, Consumer<ServiceQueues> what) {
         what.accept(homes.get(zone));
         wake(zone);
     }
@@ -218,7 +218,7 @@
                     tried > 0,
                     parent != null,
                     List.of());
-            link(zone, to, () -> seats(to, seats -> seats.onSlotRequest(ask, false, (long) now)));
+            link(zone, to, () -> queues(to, queues -> queues.onSlotRequest(ask, false, (long) now)));
         }
 
         void granted(SlotGrant grant) {
@@ -267,7 +267,7 @@
         void finish(SlotGrant grant, AttemptOutcome fate, double sent, boolean served) {
             SlotRelease done = new SlotRelease(grant.requestId(), grant.instanceId(), fate, (int) (now - sent));
             String to = asked;
-            link(zone, to, () -> seats(to, seats -> seats.onSlotRelease(zone, done, (long) now)));
+            link(zone, to, () -> queues(to, queues -> queues.onSlotRelease(zone, done, (long) now)));
             if (served) {
                 end(true);
             } else if (fate != AttemptOutcome.FAILED && now + 50 < end && tried < 3) {
@@ -374,7 +374,7 @@
         return all;
     }
 
-    /** What a zone's seats want done. */
+    /** What a zone's queues want done. */
     private final class Shell implements AdmissionActions {
         final String zone;
 
@@ -413,17 +413,18 @@
                 if (!byNonce.containsKey(need.nonce()) && full(need.service())) {
                     at(
                             now + 4,
-                            () -> seats(
+                            () -> queues(
                                     zone,
-                                    seats -> seats.onStartRefused(new StartRefusal(need.nonce(), 500), (long) now)));
+                                    queues -> queues.onStartRefused(new StartRefusal(need.nonce(), 500), (long) now)));
                     return;
                 }
                 InstanceInfo host = begin(need, zone);
                 at(
                         now + 4,
-                        () -> seats(
+                        () -> queues(
                                 zone,
-                                seats -> seats.onInstanceStarted(new InstanceStarted(need.nonce(), host), (long) now)));
+                                queues ->
+                                        queues.onInstanceStarted(new InstanceStarted(need.nonce(), host), (long) now)));
             });
         }
 
@@ -434,9 +435,9 @@
                 if (machine != null) {
                     end(machine);
                 }
-                seats(
+                queues(
                         zone,
-                        seats -> seats.onInstanceGone(
+                        queues -> queues.onInstanceGone(
                                 new brambletray.platform.provisioning.InstanceGone(quit.id(), quit.service()),
                                 (long) now));
             });
@@ -449,9 +450,9 @@
         public void claimHome(HomeClaim claim) {
             at(
                     now + 3,
-                    () -> seats(
+                    () -> queues(
                             zone,
-                            seats -> seats.onInstanceList(
+                            queues -> queues.onInstanceList(
                                     new InstanceList(claim.service(), claim.homeZone(), new ArrayList<>()),
                                     (long) now)));
         }
@@ -461,7 +462,7 @@
             Machine machine = machines.get(hostId);
             at(now + 0.5, () -> {
                 boolean ok = machine != null && machine.up && !machine.dead;
-                seats(zone, seats -> seats.onProbed(hostId, ok, (long) now));
+                queues(zone, queues -> queues.onProbed(hostId, ok, (long) now));
             });
         }
     }
--- a/src/test/java/brambletray/platform/admission/Timeline.java
+++ b/src/test/java/brambletray/platform/admission/Timeline.java
@@ -38,7 +38,7 @@
     private final Set<String> answering = new HashSet<>();
     private final List<String> needs = new ArrayList<>();
     private final String zone;
-    private final List<Knock> knocks = new ArrayList<>();
+    private final List<Knock> joinRequests = new ArrayList<>();
     private String home;
     private List<String> names;
     private long now;
@@ -116,9 +116,9 @@
     private void runUntil(long until) {
         for (long due = nextDue(); due <= until; due = nextDue()) {
             now = Math.max(now, due);
-            if (!knocks.isEmpty() && knocks.get(0).at <= now) {
-                Knock knock = knocks.remove(0);
-                homes.get(home).onProbed(knock.host, answering.contains(knock.host), now);
+            if (!joinRequests.isEmpty() && joinRequests.get(0).at <= now) {
+                Knock joinRequest = joinRequests.remove(0);
+                homes.get(home).onProbed(joinRequest.host, answering.contains(joinRequest.host), now);
             } else {
                 homes.get(home).tick(now);
             }
@@ -128,13 +128,13 @@
 
     private long nextDue() {
         long due = homes.get(home).nextDueMs();
-        return knocks.isEmpty() ? due : Math.min(due, knocks.get(0).at);
+        return joinRequests.isEmpty() ? due : Math.min(due, joinRequests.get(0).at);
     }
 
     private void act(String name, String[] word) {
-        ServiceQueues seats = homes.get(home);
+        ServiceQueues queues = homes.get(home);
         switch (name) {
-            case "hub" -> hub(seats, word);
+            case "hub" -> coordinator(queues, word);
             case "hosts" -> {
                 if (word[1].equals("answers")) {
                     answering.add(word[0]);
@@ -148,13 +148,13 @@
                     take(edges);
                     said.get(home).clear();
                 } else {
-                    edge(seats, name, word);
+                    edge(queues, name, word);
                 }
             }
         }
     }
 
-    private void hub(ServiceQueues seats, String[] word) {
+    private void coordinator(ServiceQueues queues, String[] word) {
         switch (word[0]) {
             case "hosts" -> {
                 List<InstanceInfo> hosts = new ArrayList<>();
@@ -162,15 +162,15 @@
                     hosts.add(host(
                             word[i], word[i + 1].equals("up") ? InstanceInfo.UP : InstanceInfo.BOOTING, "n" + word[i]));
                 }
-                seats.onInstanceList(new InstanceList(SERVICE, "east", hosts), now);
+                queues.onInstanceList(new InstanceList(SERVICE, "east", hosts), now);
             }
             case "born" -> {
                 String nonce = needs.remove(0);
-                seats.onInstanceStarted(new InstanceStarted(nonce, host(word[1], InstanceInfo.BOOTING, nonce)), now);
+                queues.onInstanceStarted(new InstanceStarted(nonce, host(word[1], InstanceInfo.BOOTING, nonce)), now);
             }
-            case "noroom" -> seats.onStartRefused(new StartRefusal(needs.remove(0), Integer.parseInt(word[1])), now);
-            case "leaving" -> seats.onInstanceDraining(new InstanceDraining(word[1], SERVICE), now);
-            case "gone" -> seats.onInstanceGone(new InstanceGone(word[1], SERVICE), now);
+            case "noroom" -> queues.onStartRefused(new StartRefusal(needs.remove(0), Integer.parseInt(word[1])), now);
+            case "leaving" -> queues.onInstanceDraining(new InstanceDraining(word[1], SERVICE), now);
+            case "gone" -> queues.onInstanceGone(new InstanceGone(word[1], SERVICE), now);
             default -> throw new IllegalArgumentException(word[0]);
         }
     }
@@ -180,11 +180,11 @@
                 id, SERVICE, "at-" + id, "east", "east", "w", nonce, state, state == InstanceInfo.UP ? 60_000 : 0);
     }
 
-    private void edge(ServiceQueues seats, String edge, String[] word) {
+    private void edge(ServiceQueues queues, String edge, String[] word) {
         switch (word[0]) {
-            case "ask" -> seats.onSlotRequest(asked(edge, word), false, now);
+            case "ask" -> queues.onSlotRequest(asked(edge, word), false, now);
             case "done" ->
-                seats.onSlotRelease(
+                queues.onSlotRelease(
                         edge,
                         new SlotRelease(
                                 Long.parseLong(word[1]),
@@ -192,15 +192,15 @@
                                 AttemptOutcome.valueOf(word[2].toUpperCase(Locale.ROOT)),
                                 Integer.parseInt(word[3])),
                         now);
-            case "forget" -> seats.onCancel(edge, new SlotRequestCancel(Long.parseLong(word[1]), SERVICE), now);
+            case "forget" -> queues.onCancel(edge, new SlotRequestCancel(Long.parseLong(word[1]), SERVICE), now);
             case "held" -> {
                 List<SlotGrant> held = new ArrayList<>();
                 for (int i = 1; i + 1 < word.length; i += 2) {
                     held.add(new SlotGrant(Long.parseLong(word[i]), word[i + 1], "at-" + word[i + 1], false));
                 }
-                seats.onHeldSlots(new HeldSlots(edge, SERVICE, held), now);
+                queues.onHeldSlots(new HeldSlots(edge, SERVICE, held), now);
             }
-            case "X" -> seats.onEdgeGone(edge, now);
+            case "X" -> queues.onEdgeGone(edge, now);
             case "z", "~" -> {}
             default -> throw new IllegalArgumentException(word[0]);
         }
@@ -287,7 +287,7 @@
 
         @Override
         public void probe(String service, String hostId, String address) {
-            knocks.add(new Knock(now + 1, hostId));
+            joinRequests.add(new Knock(now + 1, hostId));
         }
     }
 }
--- a/src/test/java/brambletray/platform/configuration/ConfigurationDeltaTest.java
+++ b/src/test/java/brambletray/platform/configuration/ConfigurationDeltaTest.java
@@ -265,17 +265,17 @@
     void randomCoursesEndAlike() {
         for (int seed = 0; seed < 60; seed++) {
             Random random = new Random(seed);
-            ChangeHistory course = new ChangeHistory();
+            ChangeHistory scenario = new ChangeHistory();
             Configuration configuration = Sample.configuration(Sample.two(1));
-            course.advanceTo(configuration);
+            scenario.advanceTo(configuration);
             List<Configuration> edges = new ArrayList<>(List.of(configuration, configuration, Configuration.NONE));
             for (int step = 0; step < 40; step++) {
                 configuration = change(configuration, random);
-                course.advanceTo(random.nextInt(5) == 0 ? Configuration.read(configuration.json()) : configuration);
+                scenario.advanceTo(random.nextInt(5) == 0 ? Configuration.read(configuration.json()) : configuration);
                 int which = random.nextInt(edges.size());
                 Configuration edge = edges.get(which);
-                ConfigurationDelta delta = course.deltaSince(edge.revision());
-                Configuration next = travelled(edge, delta == null ? course.fullDelta() : delta);
+                ConfigurationDelta delta = scenario.deltaSince(edge.revision());
+                Configuration next = travelled(edge, delta == null ? scenario.fullDelta() : delta);
                 assertSame(configuration, next);
                 assertEquals(content(configuration), content(Configuration.read(next.json())), "seed " + seed);
                 edges.set(which, next);
--- a/src/test/java/brambletray/platform/controlplane/EdgeCoordinatorTest.java
+++ b/src/test/java/brambletray/platform/controlplane/EdgeCoordinatorTest.java
@@ -50,8 +50,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What the helm says to edges, and when it holds its tongue: hub, greeter and links of one member, on a simulated
- * network.
+ * What the coordinator says to edges, and when it holds its tongue: hub, greeter and links of one member, on a
+ * simulated network.
  */
 class EdgeCoordinatorTest {
     private static final int PORT = 7_400;
--- a/src/test/java/brambletray/platform/controlplane/EdgeGreeterTest.java
+++ b/src/test/java/brambletray/platform/controlplane/EdgeGreeterTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Whom a member names to edges as the helm. */
+/** Whom a member names to edges as the coordinator. */
 class EdgeGreeterTest {
     private static final Member ME = new Member("a", "core-a", 1);
     private static final Member OTHER = new Member("b", "core-b", 2);
--- a/src/test/java/brambletray/platform/controlplane/MemberRemovalCallsTest.java
+++ b/src/test/java/brambletray/platform/controlplane/MemberRemovalCallsTest.java
@@ -23,9 +23,9 @@
     private String body;
 
     MemberRemovalCallsTest() {
-        new MemberRemovalCalls((address, life, told) -> {
+        new MemberRemovalCalls((address, life, notified) -> {
                     ordered.add(address + " " + Long.toHexString(life));
-                    then = told;
+                    then = notified;
                 })
                 .register(table);
     }
--- a/src/test/java/brambletray/platform/controlplane/OrdersChecker.java
+++ b/src/test/java/brambletray/platform/controlplane/OperatorCallsChecker.java
@@ -6,12 +6,12 @@
 import java.util.Set;
 
 /**
- * Judges a course by what its operators saw on their calls, as the pages put it: of all changes on one version one
+ * Judges a scenario by what its operators saw on their calls, as the pages put it: of all changes on one version one
  * prevails, a number means one configuration, what was taken is acknowledged again or left unclear, what was refused or
- * invalid is never in force, no proper order is refused but for another version that is in place, and nobody reads what
+ * invalid is never active, no proper order is refused but for another version that is in place, and nobody reads what
  * is older than what had been acknowledged when it asked.
  */
-final class OrdersChecker {
+final class OperatorCallsChecker {
     private final Map<Long, OperatorCallsModel.Written> byBase = new HashMap<>();
     private final Map<Long, OperatorCallsModel.Written> byRevision = new HashMap<>();
     private final Map<Long, Integer> marks = new HashMap<>();
@@ -19,7 +19,7 @@
     private final Map<OperatorCallsModel.Written, Long> sentAt = new HashMap<>();
     private final Map<OperatorCallsModel.Written, Integer> refusals = new HashMap<>();
     private final Map<OperatorCallsModel.Written, Long> refusedAt = new HashMap<>();
-    /** When it was first known to an operator that so high a revision is in force. */
+    /** When it was first known to an operator that so high a revision is active. */
     private final Map<Long, Long> knownAt = new HashMap<>();
 
     private final Set<OperatorCallsModel.Written> confirmed = new HashSet<>();
@@ -73,7 +73,7 @@
                         && !refusals.containsKey(one.getKey()));
     }
 
-    /** This change is known to be, or to have been, in force. */
+    /** This change is known to be, or to have been, active. */
     private void taken(OperatorCallsModel.Written change, long at) {
         OperatorCallsModel.Written other = byBase.putIfAbsent(change.base(), change);
         must(other == null || other.equals(change), "two on one version: " + other + " and " + change);
@@ -100,7 +100,7 @@
         taken(change, at);
     }
 
-    /** After calm: the last one has to be through, and each one in force builds on one that was, or may have been. */
+    /** After calm: the last one has to be through, and each one active builds on one that was, or may have been. */
     void end(OperatorCallsModel.Written last) {
         must(
                 confirmed.contains(last),
--- a/src/test/java/brambletray/platform/controlplane/OperatorCallsModel.java
+++ b/src/test/java/brambletray/platform/controlplane/OperatorCallsModel.java
@@ -14,9 +14,9 @@
  * A core of several members, each with production {@link OperatorCalls}, on one order of changes that keeps what the
  * package {@code view} promises and no more: a proposal comes into the order once, twice, late, after its caller was
  * told that it is unclear, or never; outcomes come after further deliveries; a member that is cut off believes to lead
- * for a while; members restart from an old snapshot, or jump ahead by one. One seed gives one course. Operators send
+ * for a while; members restart from an old snapshot, or jump ahead by one. One seed gives one scenario. Operators send
  * what they have to any member, follow 307 twice, go elsewhere after a second of silence, lose answers and send again,
- * also long after. The {@link OrdersChecker} hears only what they saw.
+ * also long after. The {@link OperatorCallsChecker} hears only what they saw.
  */
 final class OperatorCallsModel {
     private static final int STEP_MS = 10;
@@ -196,7 +196,7 @@
     }
 
     private final Random random;
-    private final OrdersChecker checker = new OrdersChecker();
+    private final OperatorCallsChecker checker = new OperatorCallsChecker();
     private final List<Machine> machines = new ArrayList<>();
     private final List<byte[]> order = new ArrayList<>();
     private final List<Pending> pending = new ArrayList<>();
@@ -206,7 +206,7 @@
     private final List<Written> sent = new ArrayList<>();
     private long now = 1_000;
     private int view = 1;
-    /** Of the view in force; null while it is changed. */
+    /** Of the active view; null while it is changed. */
     private Machine leader;
 
     private long electAt;
@@ -259,7 +259,7 @@
         arrivals.clear();
         come.forEach(Runnable::run);
         if (!calm) {
-            trouble();
+            fault();
         }
         elect();
         proposals();
@@ -275,7 +275,7 @@
         operators();
     }
 
-    private void trouble() {
+    private void fault() {
         Machine one = machines.get(random.nextInt(machines.size()));
         long away = machines.stream().filter(machine -> machine.cut).count();
         switch (random.nextInt(400)) {
--- a/src/test/java/brambletray/platform/controlplane/OperatorCallsModelTest.java
+++ b/src/test/java/brambletray/platform/controlplane/OperatorCallsModelTest.java
@@ -5,12 +5,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random courses of operators and members, each with its own seed. {@code -Dorders.seeds=N} plays more,
+ * Random scenarios of operators and members, each with its own seed. {@code -Dorders.seeds=N} plays more,
  * {@code -Dorders.first=S} begins at that seed, {@code -Dorders.seed=S} plays that one.
  */
 class OperatorCallsModelTest {
     private static final int SEEDS = 150;
-    /** Simulated ms of trouble in a course. */
+    /** Simulated ms of fault in a scenario. */
     private static final long COURSE_MS = 30_000;
 
     @Test
--- a/src/test/java/brambletray/platform/controlplane/OperatorCallsTest.java
+++ b/src/test/java/brambletray/platform/controlplane/OperatorCallsTest.java
@@ -302,7 +302,7 @@
     }
 
     /**
-     * A member that is cut off says so before its caller gives up on it; one amid a change of view keeps the call until
+     * A member that is cut off says so before its caller gives up on it; one amid a view change keeps the call until
      * it is over.
      */
     @Test
--- a/src/test/java/brambletray/platform/controlplane/PeerLinksTest.java
+++ b/src/test/java/brambletray/platform/controlplane/PeerLinksTest.java
@@ -59,7 +59,7 @@
                         heard.add(TimeUnit.NANOSECONDS.toMillis(simulation.now()) + " " + ip + " hears " + from));
     }
 
-    private PeerLinks member(String ip, BiConsumer<String, Object> told) {
+    private PeerLinks member(String ip, BiConsumer<String, Object> notified) {
         Machine machine = simulation.machine(ip(ip));
         PeerLinks[] made = new PeerLinks[1];
         machine.loop()
@@ -71,7 +71,7 @@
                         new PeerLinks.Receiver() {
                             @Override
                             public void onMemberMessage(String address, Object frame) {
-                                told.accept(address, frame);
+                                notified.accept(address, frame);
                             }
 
                             @Override
@@ -130,12 +130,12 @@
      * A state transfer of a second's bytes on a link of 2 Mbit/s, and a heartbeat every 100 ms.
      *
      * <pre>
-     *   ms    giver                        link (250 bytes a ms)          receiver
-     *   0     64 pieces of 4 kB are said   piece 1, 2, 3 ...
-     *   100   heartbeat 1                  overtakes all pieces but one   hears it by 200
+     *   ms    source                        link (250 bytes a ms)          receiver
+     *   0     64 chunks of 4 kB are said   piece 1, 2, 3 ...
+     *   100   heartbeat 1                  overtakes all chunks but one   hears it by 200
      *   ...
      *   1000  heartbeat 10                                                hears it by 1100
-     *         the pieces come in order
+     *         the chunks come in order
      * </pre>
      */
     @Test
--- a/src/test/java/brambletray/platform/distribution/SimulatedEdges.java
+++ b/src/test/java/brambletray/platform/distribution/SimulatedEdges.java
@@ -14,7 +14,7 @@
 
 /**
  * A helm and edges in virtual time, each edge on a link of so many bytes a ms to it: what is sent on a link waits for
- * all that was sent on it before. Pulses go as the helm's do.
+ * all that was sent on it before. Pulses go as the coordinator's do.
  */
 final class SimulatedEdges {
     static final int PULSE = 250;
@@ -158,7 +158,7 @@
         edges.forEach(this::pulse);
     }
 
-    /** Another member holds the helm: it has followed along, and has packed nothing yet. */
+    /** Another member is the coordinator: it has followed along, and has packed nothing yet. */
     void newHelm(ChangeHistory known) {
         term++;
         coordinator = new ConfigurationPublisher(known);
--- a/src/test/java/brambletray/platform/drill/DrillTest.java
+++ b/src/test/java/brambletray/platform/drill/DrillTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The control side under drawn troubles: the production programs in simulated time. The verb {@code system drill} plays
+ * The control side under drawn faults: the production programs in simulated time. The verb {@code system drill} plays
  * more, or one again.
  */
 class DrillTest {
@@ -31,7 +31,7 @@
         assertEquals(SEEDS, report.played());
     }
 
-    /** Whatever broke a rule once stays among the courses. */
+    /** Whatever broke a rule once stays among the scenarios. */
     @Test
     void whatBrokeOnceHolds() throws IOException {
         List<String> broken = new ArrayList<>();
@@ -48,7 +48,7 @@
         assertEquals(List.of(), broken);
     }
 
-    /** One seed is one course, whatever was played before it or is played beside it, drawn or not. */
+    /** One seed is one scenario, whatever was played before it or is played beside it, drawn or not. */
     @Test
     void aSeedIsACourse() throws Exception {
         ScenarioScript script = ScenarioScript.draw(7, 3);
--- a/src/test/java/brambletray/platform/drill/IsolatedCoordinatorTest.java
+++ b/src/test/java/brambletray/platform/drill/IsolatedCoordinatorTest.java
@@ -23,14 +23,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Point 1 of the users' letter, brought about with the production programs in simulated time: the holder of the helm,
- * which leads as well, is cut off from the rest of the core for 20 s, operators and edges still reach it, and one edge
- * reaches nobody else.
+ * Point 1 of the users' letter, brought about with the production programs in simulated time: the coordinator, which
+ * leads as well, is cut off from the rest of the control plane for 20 s, operators and edges still reach it, and one
+ * edge reaches nobody else.
  */
 class IsolatedCoordinatorTest {
     private static final int SEEDS = Integer.getInteger("isolated.seeds", 6);
     private static final int CUT = 20_000;
-    /** ms: a lease, a late tick and what is on its way; within that the old helm may still act. */
+    /** ms: a lease, a late tick and what is on its way; within that the old coordinator may still act. */
     private static final int LEASE = 1_000;
 
     private SimulatedCluster world;
--- a/src/test/java/brambletray/platform/edge/CoordinatorCandidatesTest.java
+++ b/src/test/java/brambletray/platform/edge/CoordinatorCandidatesTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Whom an edge asks for the helm, in which order. */
+/** Whom an edge asks for the coordinator, in which order. */
 class CoordinatorCandidatesTest {
     private static List<Address> all(String names) {
         List<Address> all = new ArrayList<>();
--- a/src/test/java/brambletray/platform/edge/CoordinatorClientTest.java
+++ b/src/test/java/brambletray/platform/edge/CoordinatorClientTest.java
@@ -33,8 +33,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How an edge finds the helm and keeps to it, against members of the core that say what the test has them say, on a
- * simulated network.
+ * How an edge finds the coordinator and keeps to it, against members of the control plane that say what the test has
+ * them say, on a simulated network.
  */
 class CoordinatorClientTest {
     private static final int PORT = 7_400;
@@ -107,7 +107,7 @@
                         TimeUnit.MILLISECONDS);
     }
 
-    /** A member of the core that welcomes edges as it is told, and pulses while it holds the helm. */
+    /** A member of the control plane that welcomes edges as it is told, and pulses while it is the coordinator. */
     private final class Core implements LinkHandler {
         private final String name;
         private final List<Link> links = new ArrayList<>();
@@ -133,7 +133,7 @@
                             TimeUnit.MILLISECONDS);
         }
 
-        /** Names this one as the helm from now on, and says so to who waits here. */
+        /** Names this one as the coordinator from now on, and says so to who waits here. */
         Core names(String coordinator, long under) {
             return welcomes(new EdgeWelcome(
                     coordinator.isEmpty() ? "" : at(coordinator),
@@ -169,7 +169,7 @@
             return this;
         }
 
-        /** Holds the helm from now on. */
+        /** Holds the coordinator from now on. */
         Core coordinator(long under) {
             term = under;
             return names(name, under);
@@ -340,7 +340,7 @@
         core("c").names("b", 9);
         start("a", "c", "b");
         untilAttached(9, 300);
-        // b is gone; a was the helm before, wakes, and knows of nothing.
+        // b is gone; a was the coordinator before, wakes, and knows of nothing.
         core("b").vanish();
         core("a").coordinator(8);
         core("c").names("", 0);
@@ -429,8 +429,8 @@
     }
 
     /**
-     * The worst way from an isolated helm to the real one: five members, of which two are away, one silent and one cut
-     * off with the edge's own helm still pulsing until its lease is over; seeds that are all stale by then.
+     * The worst way from an isolated coordinator to the real one: five members, of which two are away, one silent and
+     * one cut off with the edge's own helm still pulsing until its lease is over; seeds that are all stale by then.
      */
     @Test
     void theWorstWayIsShorterThanAConfigurationMayTake() {
@@ -443,7 +443,7 @@
         assertTrue(worst < 3_000, worst + " ms");
     }
 
-    /** ms from the cut to the new helm's first word. */
+    /** ms from the cut to the new coordinator's first word. */
     private long worstWay(String... order) {
         String[] view = {"a", order[0], order[1], order[2], order[3]};
         core("a").coordinator(9).view(5, view);
--- a/src/test/java/brambletray/platform/edge/EdgeHelloTest.java
+++ b/src/test/java/brambletray/platform/edge/EdgeHelloTest.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** What the whole program of an edge says of itself, on each link to a member of the core. */
+/** What the whole program of an edge says of itself, on each link to a member of the control plane. */
 class EdgeHelloTest {
     private static final String SETTINGS =
             "node-name=edge-1\nrole=carry\nip-address=10.0.0.2\nzone=za\nzones.za=south\n"
--- a/src/test/java/brambletray/platform/edge/LocalAdmissionTest.java
+++ b/src/test/java/brambletray/platform/edge/LocalAdmissionTest.java
@@ -24,7 +24,7 @@
  * Rule LIMIT where a service's home moves to this edge: rosters, slots that are held, and slots given back reach it in
  * any order. Times are virtual,
  * ms. Columns of the timelines: the edge e0 that dies, e1 (this one, home after it), e2 (holds a slot given out by e0),
- * the hub.
+ * the coordinator.
  */
 class LocalAdmissionTest {
     private static final String ZONE = "z";
--- a/src/test/java/brambletray/platform/edge/SlotClientTest.java
+++ b/src/test/java/brambletray/platform/edge/SlotClientTest.java
@@ -224,7 +224,7 @@
     private static final int HOSTS = 3;
     private static final int MOST = 2;
 
-    /** One course: this edge's steward and a home's seats, over links that break while words are on their way. */
+    /** One scenario: this edge's steward and a home's queues, over links that break while words are on their way. */
     private static final class Walk implements SlotClient.Transport, SlotClient.InstanceTracking, AdmissionActions {
         private record Event(long at, long order, Runnable what) {}
 
@@ -232,7 +232,7 @@
                 new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
         private final SplittableRandom random;
         private final SlotClient slotClient = new SlotClient(this, this, () -> this.now);
-        private final ServiceQueues seats =
+        private final ServiceQueues queues =
                 new ServiceQueues("z", "n", AdmissionParameters.of(0.2, 100, 10_000, 1), this);
         private final Map<String, Integer> inUse = new HashMap<>();
         private final Set<Long> granted = new HashSet<>();
@@ -247,8 +247,8 @@
         Walk(long seed) {
             random = new SplittableRandom(seed);
             slotClient.onRoster(homes(1, HOME));
-            seats.onServiceSpec(new ServiceSpec(SERVICE, 512, 700, MOST, 60_000), now);
-            seats.takeOver(SERVICE, "z", List.of(), now);
+            queues.onServiceSpec(new ServiceSpec(SERVICE, 512, 700, MOST, 60_000), now);
+            queues.takeOver(SERVICE, "z", List.of(), now);
         }
 
         private void at(long when, Runnable what) {
@@ -296,13 +296,13 @@
 
         private void hears(Object frame) {
             if (frame instanceof SlotRequest ask) {
-                seats.onSlotRequest(ask, true, now);
+                queues.onSlotRequest(ask, true, now);
             } else if (frame instanceof SlotRelease done) {
-                seats.onSlotRelease(EDGE, done, now);
+                queues.onSlotRelease(EDGE, done, now);
             } else if (frame instanceof SlotRequestCancel forget) {
-                seats.onCancel(EDGE, forget, now);
+                queues.onCancel(EDGE, forget, now);
             } else if (frame instanceof HeldSlots held) {
-                seats.onHeldSlots(held, now);
+                queues.onHeldSlots(held, now);
             }
         }
 
@@ -362,12 +362,12 @@
                 hosts.add(new InstanceInfo(
                         "h" + i, SERVICE, "10.0.1." + i + ":80", "z", "z", "w", "n", InstanceInfo.UP, 5_000));
             }
-            at(now + 3, () -> seats.onInstanceList(new InstanceList(SERVICE, "z", hosts), now));
+            at(now + 3, () -> queues.onInstanceList(new InstanceList(SERVICE, "z", hosts), now));
         }
 
         @Override
         public void probe(String service, String hostId, String address) {
-            at(now + 1, () -> seats.onProbed(hostId, true, now));
+            at(now + 1, () -> queues.onProbed(hostId, true, now));
         }
 
         void asks(int holdMs) {
@@ -405,7 +405,7 @@
                 while (!events.isEmpty() && events.peek().at <= now) {
                     events.poll().what.run();
                 }
-                seats.tick(now);
+                queues.tick(now);
             }
         }
 
--- a/src/test/java/brambletray/platform/election/ElectionNode.java
+++ b/src/test/java/brambletray/platform/election/ElectionNode.java
@@ -3,7 +3,7 @@
 import brambletray.platform.replication.SimulatedReplica;
 import java.util.Map;
 
-/** The duty at one process in simulated time. */
+/** The role at one process in simulated time. */
 final class ElectionNode implements SimulatedReplica.Passenger, ElectionActions {
     /** Is told of terms won and of moments at which a holder may act. */
     interface Witness {
--- a/src/test/java/brambletray/platform/election/ElectionRandomFaultsTest.java
+++ b/src/test/java/brambletray/platform/election/ElectionRandomFaultsTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The duty in the same weather as the views: terms only grow, and nobody acts under a term after another has acted
+ * The role in the same weather as the views: terms only grow, and nobody acts under a term after another has acted
  * under a higher one.
  */
 class ElectionRandomFaultsTest {
--- a/src/test/java/brambletray/platform/election/ElectionSteps.java
+++ b/src/test/java/brambletray/platform/election/ElectionSteps.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 
 /**
- * Steps of the drawn timelines of the duty. Further words: H may act; h may not; check: asks whether it may act, and
+ * Steps of the drawn timelines of the role. Further words: H may act; h may not; check: asks whether it may act, and
  * remembers the term; act: acts under that term; done, fenced: what the platform said, which refuses terms below the
  * highest it has seen; yield: hands over; sees:b takes b for the holder; doubt: hears that somebody has seen a higher
  * term than its own.
--- a/src/test/java/brambletray/platform/election/ElectionTimelinesTest.java
+++ b/src/test/java/brambletray/platform/election/ElectionTimelinesTest.java
@@ -5,7 +5,7 @@
 import org.junit.platform.suite.api.SelectPackages;
 import org.junit.platform.suite.api.Suite;
 
-/** The drawn timelines of the duty. */
+/** The drawn timelines of the role. */
 @Suite
 @IncludeEngines("cucumber")
 @SelectPackages("brambletray.platform.election")
--- a/src/test/java/brambletray/platform/election/ResumptionTest.java
+++ b/src/test/java/brambletray/platform/election/ResumptionTest.java
@@ -17,11 +17,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All processes were killed; A held the duty in view 5 and wants it back. Whether it has to wait for a lease that may
+ * All processes were killed; A held the role in view 5 and wants it back. Whether it has to wait for a lease that may
  * run depends on the views since.
  *
  * <pre>
- *   view 5   A B C     A holds the duty
+ *   view 5   A B C     A holds the role
  *   (all killed)
  *   view 6   A B       or B C
  *   view 7   A B C     A has the grants of all: at once, or after 1.2 s
@@ -38,7 +38,7 @@
     private static final ViewMembership FIVE = roll(5, A, B, C);
 
     private final Map<Member, LeaseElection> vows = new HashMap<>();
-    private final Map<Member, ReplicaStatus> seats = new HashMap<>();
+    private final Map<Member, ReplicaStatus> queues = new HashMap<>();
     private final List<Runnable> mail = new ArrayList<>();
     private long now = 10_000;
 
@@ -46,7 +46,7 @@
         return new ViewMembership(new Ballot(number, members[0].incarnation()), List.of(members));
     }
 
-    /** What the disk has of a term that was granted to this life and renewed in view 5. */
+    /** What the disk has of a term that was granted to this incarnation and renewed in view 5. */
     private static byte[] kept(Member holder) {
         return ByteBuffer.allocate(25)
                 .put((byte) 2)
@@ -95,7 +95,7 @@
         long before =
                 lineage.length == 0 ? -1 : lineage[lineage.length - 1].ballot().number();
         List<Member> members = view.members();
-        seats.put(
+        queues.put(
                 self,
                 new ReplicaStatus(
                         ReplicaRole.MEMBER,
@@ -111,14 +111,14 @@
                         0,
                         false,
                         List.of(lineage)));
-        vows.get(self).updateView(seats.get(self), now);
+        vows.get(self).updateView(queues.get(self), now);
     }
 
     private void run(long ms) {
         for (long until = now + ms; now < until; now += TICK_MS) {
             vows.forEach((self, election) -> {
-                if (seats.containsKey(self)) {
-                    election.updateView(seats.get(self), now);
+                if (queues.containsKey(self)) {
+                    election.updateView(queues.get(self), now);
                 }
                 election.tick(now);
             });
--- a/src/test/java/brambletray/platform/failuredetection/FailureDetectionSteps.java
+++ b/src/test/java/brambletray/platform/failuredetection/FailureDetectionSteps.java
@@ -16,36 +16,36 @@
  * {@code z} sleeps, {@code L} is leaving, {@code .} is not there; a {@code |} after one of the last kinds is a start.
  */
 public class FailureDetectionSteps {
-    private final SimulatedEdges village = new SimulatedEdges();
+    private final SimulatedEdges cluster = new SimulatedEdges();
 
     @Given("edges {word} to {word}, by zones")
     public void edges(String first, String last) {
         for (char zone = first.charAt(0); zone <= last.charAt(0); zone++) {
             for (char place = first.charAt(1); place <= last.charAt(1); place++) {
-                village.add("" + zone + place);
+                cluster.add("" + zone + place);
             }
         }
     }
 
     @Given("no path between {word} and {word}")
     public void noPath(String one, String other) {
-        village.cutBetween(one, other);
+        cluster.cutBetween(one, other);
     }
 
     @Given("no path between {word} and its first watcher")
     public void noPathToWatcher(String one) {
         List<Peer> all = new ArrayList<>();
-        village.names().forEach(name -> all.add(new Peer(name, name.substring(0, 1), name + ":7400", 0, Peer.ACTIVE)));
-        village.cutBetween(
+        cluster.names().forEach(name -> all.add(new Peer(name, name.substring(0, 1), name + ":7400", 0, Peer.ACTIVE)));
+        cluster.cutBetween(
                 one, new WatchRing(Roster.of(1, 1, all)).watchersOf(one).get(0).name());
     }
 
     @Given("no path between zones {word} and {word}")
     public void noPathBetweenZones(String one, String other) {
-        for (String a : village.names()) {
-            for (String b : village.names()) {
+        for (String a : cluster.names()) {
+            for (String b : cluster.names()) {
                 if (a.startsWith(one) && b.startsWith(other)) {
-                    village.cutBetween(a, b);
+                    cluster.cutBetween(a, b);
                 }
             }
         }
@@ -57,12 +57,12 @@
         List<String> rows = picture.lines().filter(row -> !row.isBlank()).toList();
         List<String> names = List.of(rows.get(0).trim().split("\\s+"));
         List<String> all = new ArrayList<>();
-        village.names().forEach(all::add);
+        cluster.names().forEach(all::add);
         for (String row : rows.subList(1, rows.size())) {
             int colon = row.indexOf(':');
             String[] cells = (colon < 0 ? row : row.substring(0, colon)).trim().split("\\s+");
-            int said = village.hub().said.size();
-            village.until(Long.parseLong(cells[0]));
+            int said = cluster.coordinator().said.size();
+            cluster.until(Long.parseLong(cells[0]));
             if (colon >= 0) {
                 for (String fact : row.substring(colon + 1).split(";")) {
                     check(fact.trim(), all, said, row);
@@ -71,7 +71,7 @@
             for (int i = 1; i < cells.length; i++) {
                 String name = names.get(i);
                 for (String one : name.equals("rest") ? rest(all, names) : List.of(name)) {
-                    village.sign(one, cells[i].charAt(0));
+                    cluster.sign(one, cells[i].charAt(0));
                 }
             }
         }
@@ -82,15 +82,15 @@
     }
 
     private void check(String fact, List<String> all, int said, String row) {
-        String where = row + "\n" + String.join("\n", village.hub().said);
+        String where = row + "\n" + String.join("\n", cluster.coordinator().said);
         String[] words = fact.split(" ");
         List<String> named = Arrays.asList(words).subList(1, words.length);
         TreeSet<String> in = new TreeSet<>();
         TreeSet<String> leaving = new TreeSet<>();
-        village.hub().roster().peers().forEach(peer -> (peer.isActive() ? in : leaving).add(peer.name()));
+        cluster.coordinator().roster().peers().forEach(peer -> (peer.isActive() ? in : leaving).add(peer.name()));
         switch (words[0]) {
-            case "calm" -> assertEquals(said, village.hub().said.size(), where);
-            case "silent" -> assertEquals(0, village.hub().roster().number(), where);
+            case "calm" -> assertEquals(said, cluster.coordinator().said.size(), where);
+            case "silent" -> assertEquals(0, cluster.coordinator().roster().number(), where);
             case "in" ->
                 assertEquals(named.equals(List.of("all")) ? new TreeSet<>(all) : new TreeSet<>(named), in, where);
             case "out" -> {
@@ -100,11 +100,11 @@
                 assertEquals(new TreeSet<>(named), others, where);
             }
             case "leaving" -> assertEquals(new TreeSet<>(named), leaving, where);
-            case "slept" -> assertEquals(1, village.edge(words[1]).sleeps, where);
-            case "quiet" -> assertEquals(new TreeSet<>(), village.edge(words[1]).told, where);
+            case "slept" -> assertEquals(1, cluster.edge(words[1]).sleeps, where);
+            case "quiet" -> assertEquals(new TreeSet<>(), cluster.edge(words[1]).notified, where);
             case "accuser" -> {
                 TreeSet<String> accusers = new TreeSet<>(all);
-                accusers.removeIf(name -> !village.edge(name).told.contains(words[1]));
+                accusers.removeIf(name -> !cluster.edge(name).notified.contains(words[1]));
                 assertEquals(1, accusers.size(), where);
             }
             default -> throw new IllegalArgumentException(fact);
@@ -113,16 +113,16 @@
 
     @Then("all that run have the same roster")
     public void same() {
-        for (String name : village.names()) {
-            if (village.edge(name).runs()) {
-                assertEquals(village.hub().roster(), village.edge(name).roster(), name);
+        for (String name : cluster.names()) {
+            if (cluster.edge(name).runs()) {
+                assertEquals(cluster.coordinator().roster(), cluster.edge(name).roster(), name);
             }
         }
     }
 
     @Then("no more than {int} rosters were said")
     public void most(int most) {
-        List<String> said = village.hub().said;
+        List<String> said = cluster.coordinator().said;
         assertTrue(said.size() <= most, String.join("\n", said));
     }
 }
--- a/src/test/java/brambletray/platform/failuredetection/HeartbeatMonitorTest.java
+++ b/src/test/java/brambletray/platform/failuredetection/HeartbeatMonitorTest.java
@@ -11,7 +11,7 @@
     private static final int INTERVAL = 200;
     private static final int FEW = 4;
 
-    private final List<String> told = new ArrayList<>();
+    private final List<String> notified = new ArrayList<>();
     private final List<String> beats = new ArrayList<>();
     private final Peer self = peer(0);
     private final HeartbeatMonitor watch = new HeartbeatMonitor(self, INTERVAL, this);
@@ -38,17 +38,17 @@
 
     @Override
     public void reportSuspicion(SuspicionReport suspect) {
-        told.add("suspect " + suspect.name());
+        notified.add("suspect " + suspect.name());
     }
 
     @Override
     public void withdrawSuspicion(SuspicionWithdrawal trust) {
-        told.add("trust " + trust.name());
+        notified.add("trust " + trust.name());
     }
 
     @Override
     public void onProcessPaused(long ms) {
-        told.add("slept");
+        notified.add("slept");
     }
 
     private void run(long ms, int... beating) {
@@ -69,22 +69,22 @@
                 List.of("edge-1", "edge-2", "edge-3"),
                 beats.subList(0, 3).stream().sorted().toList());
         assertEquals(3 * 2_000 / INTERVAL, beats.size());
-        assertEquals(List.of(), told);
+        assertEquals(List.of(), notified);
     }
 
     @Test
     void oneThatFallsSilentIsSuspectedAfterThreeAndAHalfIntervalsAndAgainEachSecond() {
         run(2_000, 1, 2, 3);
         run(450, 1, 2);
-        assertEquals(List.of(), told);
+        assertEquals(List.of(), notified);
         run(100, 1, 2);
-        assertEquals(List.of("suspect edge-3"), told);
+        assertEquals(List.of("suspect edge-3"), notified);
         run(1_000, 1, 2);
-        assertEquals(List.of("suspect edge-3", "suspect edge-3"), told);
+        assertEquals(List.of("suspect edge-3", "suspect edge-3"), notified);
         run(50, 1, 2, 3);
         run(2_000, 1, 2, 3);
-        assertEquals("trust edge-3", told.get(2));
-        assertEquals(3, told.size());
+        assertEquals("trust edge-3", notified.get(2));
+        assertEquals(3, notified.size());
     }
 
     @Test
@@ -94,30 +94,30 @@
             watch.onHeartbeat(new Heartbeat("edge-3", 6, 0, 0), now);
             run(50, 1, 2);
         }
-        assertEquals("suspect edge-3", told.get(0));
+        assertEquals("suspect edge-3", notified.get(0));
     }
 
     @Test
     void aNewHubIsToldAtOnce() {
         run(2_000, 1, 2, 3);
         run(800, 1, 2);
-        told.clear();
+        notified.clear();
         watch.onCoordinatorConnected();
         run(50, 1, 2);
-        assertEquals(List.of("suspect edge-3"), told);
+        assertEquals(List.of("suspect edge-3"), notified);
     }
 
     @Test
     void whoMissesAllDoubtsItselfOnceTheHubIsBack() {
         run(2_000, 1, 2, 3);
         run(800);
-        assertEquals(3, told.size());
-        told.clear();
+        assertEquals(3, notified.size());
+        notified.clear();
         watch.onCoordinatorConnected();
         run(600);
-        assertEquals(List.of(), told);
+        assertEquals(List.of(), notified);
         run(200);
-        assertEquals(3, told.size());
+        assertEquals(3, notified.size());
     }
 
     @Test
@@ -125,17 +125,17 @@
         run(2_000, 1, 2, 3);
         now += 5_000;
         run(600);
-        assertEquals(List.of("slept"), told);
+        assertEquals(List.of("slept"), notified);
         run(200);
-        assertTrue(told.contains("suspect edge-1"));
+        assertTrue(notified.contains("suspect edge-1"));
     }
 
     @Test
     void aNewWardHasTimeToFindItsWatchers() {
         run(1_600);
-        assertEquals(List.of(), told);
+        assertEquals(List.of(), notified);
         run(200);
-        assertEquals(3, told.size());
+        assertEquals(3, notified.size());
         watch.updateRing(ring, now);
         run(50, 1, 2, 3);
         assertEquals(List.of(), watch.suspected());
--- a/src/test/java/brambletray/platform/failuredetection/SimulatedEdges.java
+++ b/src/test/java/brambletray/platform/failuredetection/SimulatedEdges.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * Edges and a hub in simulated time, each a turn every 50 ms. What is said takes 3 ms; behind a cut it waits, or is
- * lost once the link gives up.
+ * Edges and a coordinator in simulated time, each a turn every 50 ms. What is said takes 3 ms; behind a cut it waits,
+ * or is lost once the link gives up.
  */
 final class SimulatedEdges {
     static final String HUB = "hub";
@@ -24,7 +24,7 @@
 
     private record Link(String one, String other) {}
 
-    private final TimelineColumn.Hub hub = new TimelineColumn.Hub(this);
+    private final TimelineColumn.Hub coordinator = new TimelineColumn.Hub(this);
     private final Map<String, TimelineColumn.Edge> edges = new LinkedHashMap<>();
     private final Map<Link, List<TimelineColumn.Mail>> held = new HashMap<>();
     private final Set<Set<String>> cuts = new HashSet<>();
@@ -38,8 +38,8 @@
         edges.put(edge, new TimelineColumn.Edge(this, edge));
     }
 
-    TimelineColumn.Hub hub() {
-        return hub;
+    TimelineColumn.Hub coordinator() {
+        return coordinator;
     }
 
     TimelineColumn.Edge edge(String name) {
@@ -60,7 +60,7 @@
 
     /** The pictures's sign for one process, from now on. */
     void sign(String name, char sign) {
-        TimelineColumn lane = name.equals(HUB) ? hub : edges.get(name);
+        TimelineColumn lane = name.equals(HUB) ? coordinator : edges.get(name);
         char before = lane.sign;
         if (before == sign) {
             return;
@@ -81,7 +81,7 @@
         silentSince.remove(lane.name);
         if (lane instanceof TimelineColumn.Hub) {
             if (anew) {
-                hub.start(++term, now);
+                coordinator.start(++term, now);
                 parted.addAll(edges.keySet());
                 edges.values().forEach(this::call);
             }
@@ -97,7 +97,7 @@
     }
 
     private void call(TimelineColumn.Edge edge) {
-        if (edge.runs() && !edge.cut() && (hub.runs() || hub.sign == 'z')) {
+        if (edge.runs() && !edge.cut() && (coordinator.runs() || coordinator.sign == 'z')) {
             parted.remove(edge.name);
             edge.hello();
         }
@@ -113,7 +113,7 @@
     }
 
     private void part(TimelineColumn.Edge edge) {
-        hub.inbox.add(new TimelineColumn.Mail(now, edge.name, new TimelineColumn.Parted(edge.life())));
+        coordinator.inbox.add(new TimelineColumn.Mail(now, edge.name, new TimelineColumn.Parted(edge.life())));
     }
 
     private void release(String name) {
@@ -128,7 +128,7 @@
     }
 
     private TimelineColumn lane(String name) {
-        return name.equals(HUB) ? hub : edges.get(name);
+        return name.equals(HUB) ? coordinator : edges.get(name);
     }
 
     void send(String from, String to, Object frame) {
@@ -159,8 +159,8 @@
         for (; now < BEGIN + ms; now++) {
             giveUp();
             int place = 0;
-            if (hub.runs() && now % TURN == 0) {
-                hub.turn(now);
+            if (coordinator.runs() && now % TURN == 0) {
+                coordinator.turn(now);
             }
             for (TimelineColumn.Edge edge : edges.values()) {
                 place += 7;
--- a/src/test/java/brambletray/platform/failuredetection/TimelineColumn.java
+++ b/src/test/java/brambletray/platform/failuredetection/TimelineColumn.java
@@ -7,14 +7,14 @@
 import java.util.TreeSet;
 
 /**
- * One process of a drawn timeline: an edge, with its watch, or what the hub's machine runs. Its inbox stands for its
- * sockets.
+ * One process of a drawn timeline: an edge, with its watch, or what the coordinator's machine runs. Its inbox stands
+ * for its sockets.
  */
 abstract class TimelineColumn {
     /** A frame on its way; {@code at}: when it arrives. */
     record Mail(long at, String from, Object frame) {}
 
-    /** The link of this life of an edge to the hub is closed. */
+    /** The link of this incarnation of an edge to the coordinator is closed. */
     record Parted(long life) {}
 
     final String name;
@@ -49,19 +49,19 @@
 
     /** An edge. */
     static final class Edge extends TimelineColumn implements HeartbeatMonitor.Actions {
-        private final SimulatedEdges village;
+        private final SimulatedEdges cluster;
         private final String zone;
         private Peer self;
         private HeartbeatMonitor watch;
         private Roster roster = Roster.NONE;
         /** Whose suspicion it has told since it began. */
-        final TreeSet<String> told = new TreeSet<>();
+        final TreeSet<String> notified = new TreeSet<>();
 
         int sleeps;
 
-        Edge(SimulatedEdges village, String name) {
+        Edge(SimulatedEdges cluster, String name) {
             super(name);
-            this.village = village;
+            this.cluster = cluster;
             this.zone = name.substring(0, 1);
         }
 
@@ -72,9 +72,9 @@
             roster = Roster.NONE;
         }
 
-        /** The link to the hub is up, or its own state is another. */
+        /** The link to the coordinator is up, or its own state is another. */
         void hello() {
-            village.send(name, SimulatedEdges.HUB, new EdgeHello(self, roster.term(), roster.number(), 0, 0));
+            cluster.send(name, SimulatedEdges.HUB, new EdgeHello(self, roster.term(), roster.number(), 0, 0));
         }
 
         void leave() {
@@ -97,7 +97,7 @@
                 watch.onHeartbeat(beat, now);
             } else if (frame instanceof EdgeWelcome welcome) {
                 if (welcome.isMissing(roster)) {
-                    village.send(name, SimulatedEdges.HUB, roster);
+                    cluster.send(name, SimulatedEdges.HUB, roster);
                 }
                 watch.onCoordinatorConnected();
             } else if (frame instanceof Roster newer && newer.isNewerThan(roster)) {
@@ -116,18 +116,18 @@
 
         @Override
         public void sendHeartbeat(Peer watcher, Heartbeat beat) {
-            village.send(name, watcher.name(), beat);
+            cluster.send(name, watcher.name(), beat);
         }
 
         @Override
         public void reportSuspicion(SuspicionReport suspect) {
-            told.add(suspect.name());
-            village.send(name, SimulatedEdges.HUB, suspect);
+            notified.add(suspect.name());
+            cluster.send(name, SimulatedEdges.HUB, suspect);
         }
 
         @Override
         public void withdrawSuspicion(SuspicionWithdrawal trust) {
-            village.send(name, SimulatedEdges.HUB, trust);
+            cluster.send(name, SimulatedEdges.HUB, trust);
         }
 
         @Override
@@ -138,25 +138,25 @@
 
     /** The hub. */
     static final class Hub extends TimelineColumn {
-        private final SimulatedEdges village;
+        private final SimulatedEdges cluster;
         private MembershipRegistry membership;
         final List<String> said = new ArrayList<>();
 
-        Hub(SimulatedEdges village) {
+        Hub(SimulatedEdges cluster) {
             super(SimulatedEdges.HUB);
-            this.village = village;
+            this.cluster = cluster;
         }
 
         void start(long term, long now) {
             inbox.clear();
             membership = new MembershipRegistry(term, now, (roster, why) -> {
                 said.add(now() + " " + roster.term() + "." + roster.number() + " " + why);
-                village.tellAll(roster);
+                cluster.tellAll(roster);
             });
         }
 
         private long now() {
-            return village.now();
+            return cluster.now();
         }
 
         Roster roster() {
@@ -168,13 +168,13 @@
             if (frame instanceof EdgeHello hello) {
                 membership.onHello(hello, now);
                 Roster newest = membership.newest();
-                village.send(
+                cluster.send(
                         name,
                         from,
                         new EdgeWelcome(
                                 name, membership.roster().term(), true, 1, List.of(), newest.term(), newest.number()));
                 if (membership.roster().number() > 0) {
-                    village.send(name, from, membership.roster());
+                    cluster.send(name, from, membership.roster());
                 }
             } else if (frame instanceof Parted parted) {
                 membership.onDisconnected(from, parted.life(), now);
--- a/src/test/java/brambletray/platform/interleaving/Turns.java
+++ b/src/test/java/brambletray/platform/interleaving/Turns.java
@@ -14,7 +14,7 @@
  * is taken, where a
  * condition is awaited, and where {@link #point} is called. Who goes on at each point is chosen; {@link #everyOrder}
  * plays all choices.
- * Nothing sleeps, and a choice always leads to the same course.
+ * Nothing sleeps, and a choice always leads to the same scenario.
  */
 public final class Turns {
     /** s after which a thread that reaches no point is taken for hung. */
@@ -46,17 +46,16 @@
     }
 
     /**
-     * Plays a course under every order of its threads' turns: {@code course} sets it up, calls {@link #run} and checks
-     * what came of it.
-     * Returns the number of orders; fails with the choices of the first order that fails.
+     * Plays a scenario under every order of its threads' turns: {@code course} sets it up, calls {@link #run} and
+     * checks what came of it. Returns the number of orders; fails with the choices of the first order that fails.
      */
-    public static int everyOrder(Consumer<Turns> course) {
+    public static int everyOrder(Consumer<Turns> scenario) {
         List<Integer> plan = List.of();
         int orders = 0;
         while (plan != null) {
             Turns turns = new Turns(plan);
             try {
-                course.accept(turns);
+                scenario.accept(turns);
             } catch (AssertionError | RuntimeException e) {
                 throw new AssertionError("turns " + turns.chosen + ": " + e.getMessage(), e);
             }
--- a/src/test/java/brambletray/platform/localsystem/JudgingTest.java
+++ b/src/test/java/brambletray/platform/localsystem/StandInDecisionsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The parts of the stand-in that decide: clients' tries, what must not be, where clients are sent. */
-class JudgingTest {
+class StandInDecisionsTest {
     private static final Configuration CREED = SampleConfiguration.configuration();
     private static final byte[] NONE = new byte[0];
 
--- a/src/test/java/brambletray/platform/provisioning/Edge.java
+++ b/src/test/java/brambletray/platform/provisioning/Edge.java
@@ -9,7 +9,7 @@
 
 /**
  * An edge in a scene: asks with the same nonce until it is answered, quits until it is told, says what it knows to each
- * new hub.
+ * new coordinator.
  */
 class Edge {
     private static final long LINK = 2;
@@ -22,14 +22,14 @@
     final Set<String> leaving = new HashSet<>();
     final Set<String> gone = new HashSet<>();
     private final Map<String, StopRequest> quits = new LinkedHashMap<>();
-    private final Scene scene;
+    private final SimulatedProvisioning scene;
     boolean dead;
     boolean asleep;
     boolean deaf;
     int empties;
     private final List<Runnable> slept = new ArrayList<>();
 
-    Edge(Scene scene, String name) {
+    Edge(SimulatedProvisioning scene, String name) {
         this.scene = scene;
         this.name = name;
         scene.wires.every(AGAIN, this::again);
@@ -50,8 +50,8 @@
             slept.add(() -> say(frame));
         } else if (!dead) {
             scene.wires.in(LINK, () -> {
-                if (scene.hub != null) {
-                    scene.hub.heard(name, frame);
+                if (scene.coordinator != null) {
+                    scene.coordinator.heard(name, frame);
                 }
             });
         }
@@ -76,8 +76,8 @@
         }
     }
 
-    /** There is a new hub. */
-    void hub() {
+    /** There is a new coordinator. */
+    void coordinator() {
         say(new KnownInstances(new ArrayList<>(hosts.values())));
     }
 
--- a/src/test/java/brambletray/platform/provisioning/LateConfigurationTest.java
+++ b/src/test/java/brambletray/platform/provisioning/LateConfigurationTest.java
@@ -24,10 +24,8 @@
 
 /**
  * Rule CONFIG, routes added later: services that come by a later configuration are served as well as the first ones,
- * right after they come and in
- * the calm that follows, also where instances of the first ones fill the workers. A home, the hub and the platform in
- * virtual time; the seed is in the
- * test's name.
+ * right after they come and in the calm that follows, also where instances of the first ones fill the workers. A
+ * home, the coordinator and the platform in virtual time; the seed is in the test's name.
  */
 class LateConfigurationTest {
     private static final int WORKERS = 4;
@@ -63,7 +61,7 @@
         }
     }
 
-    private final Scene scene = new Scene(26, 26);
+    private final SimulatedProvisioning scene = new SimulatedProvisioning(26, 26);
     private final Count first = new Count();
     private final Count justAdded = new Count();
     private final Count calm = new Count();
@@ -87,7 +85,7 @@
      */
     @Test
     void aStartForOneRequestIsNotOvertakenForEverByThoseForMany() {
-        Scene slow = new Scene(5, 5);
+        SimulatedProvisioning slow = new SimulatedProvisioning(5, 5);
         slow.worker("w-0", "north", "upper", 1_000_000);
         slow.service("first", 100, BOOT_MS);
         slow.service("later", 100, BOOT_MS);
@@ -134,7 +132,7 @@
 
     private void add(String service, int everyMs) {
         scene.service(service, INSTANCE_MB, BOOT_MS);
-        scene.hub.provisioner.onConfigurationChanged(scene.configuration, scene.wires.now());
+        scene.coordinator.provisioner.onConfigurationChanged(scene.configuration, scene.wires.now());
         home.add(new ServiceSpec(service, INSTANCE_MB, BOOT_MS, 1, TARGET_MS));
         arrive(service, everyMs);
     }
@@ -187,31 +185,31 @@
         }
     }
 
-    /** An edge that is home of all seats, as the program wires it up. */
+    /** An edge that is home of all queues, as the program wires it up. */
     private final class SeatEdge extends Edge implements AdmissionActions {
         private final Map<Long, Request> asked = new HashMap<>();
-        private final ServiceQueues seats =
+        private final ServiceQueues queues =
                 new ServiceQueues("north", "n", AdmissionParameters.of(0.2, 50, 10_000, 1), this);
 
         SeatEdge() {
             super(scene, "north");
             scene.wires.every(5, () -> {
-                if (seats.nextDueMs() <= scene.wires.now()) {
-                    seats.tick(scene.wires.now());
+                if (queues.nextDueMs() <= scene.wires.now()) {
+                    queues.tick(scene.wires.now());
                 }
             });
         }
 
         void add(ServiceSpec spec) {
-            seats.onServiceSpec(spec, scene.wires.now());
-            seats.takeOver(spec.service(), "north", List.of(), scene.wires.now());
+            queues.onServiceSpec(spec, scene.wires.now());
+            queues.takeOver(spec.service(), "north", List.of(), scene.wires.now());
         }
 
         void ask(Request request) {
             asked.put(++ids, request);
             SlotRequest ask = new SlotRequest(
                     ids, name, "north", request.service, 1, request.left(), TARGET_MS, false, false, false, List.of());
-            seats.onSlotRequest(ask, false, scene.wires.now());
+            queues.onSlotRequest(ask, false, scene.wires.now());
         }
 
         private void later(long ms, Runnable what) {
@@ -222,17 +220,17 @@
         void heard(Object frame) {
             long now = scene.wires.now();
             if (frame instanceof InstanceStarted born) {
-                seats.onInstanceStarted(born, now);
+                queues.onInstanceStarted(born, now);
             } else if (frame instanceof InstanceList hosts) {
-                seats.onInstanceList(hosts, now);
+                queues.onInstanceList(hosts, now);
             } else if (frame instanceof StartRefusal noRoom) {
-                seats.onStartRefused(noRoom, now);
+                queues.onStartRefused(noRoom, now);
             } else if (frame instanceof InstanceDraining leave) {
-                seats.onInstanceDraining(leave, now);
+                queues.onInstanceDraining(leave, now);
             } else if (frame instanceof InstanceGone gone) {
-                seats.onInstanceGone(gone, now);
+                queues.onInstanceGone(gone, now);
             } else if (frame instanceof ReclaimIdleInstances reclaim) {
-                seats.reclaim(reclaim, now);
+                queues.reclaim(reclaim, now);
             }
         }
 
@@ -242,7 +240,7 @@
             SlotRelease done = new SlotRelease(grant.requestId(), grant.instanceId(), AttemptOutcome.SERVED, WORK_MS);
             later(WORK_MS, () -> {
                 request.served();
-                seats.onSlotRelease(name, done, scene.wires.now());
+                queues.onSlotRelease(name, done, scene.wires.now());
             });
         }
 
@@ -279,7 +277,7 @@
 
         @Override
         public void probe(String service, String host, String address) {
-            later(1, () -> seats.onProbed(host, scene.cloud.stand.up(host, scene.wires.now()), scene.wires.now()));
+            later(1, () -> queues.onProbed(host, scene.cloud.stand.up(host, scene.wires.now()), scene.wires.now()));
         }
     }
 }
--- a/src/test/java/brambletray/platform/provisioning/ProvisionerRandomFaultsTest.java
+++ b/src/test/java/brambletray/platform/provisioning/ProvisionerRandomFaultsTest.java
@@ -29,7 +29,7 @@
 
     private static void run(long seed) {
         Random random = new Random(seed);
-        Scene scene = new Scene(40, 40);
+        SimulatedProvisioning scene = new SimulatedProvisioning(40, 40);
         for (int i = 0; i < 6; i++) {
             scene.worker("w-" + i, ZONES.get(i % 3), i % 3 == 2 ? "lower" : "upper", 2_000);
         }
@@ -73,10 +73,10 @@
         calm(scene, seed);
     }
 
-    private static void calm(Scene scene, long seed) {
+    private static void calm(SimulatedProvisioning scene, long seed) {
         scene.cloud.mood = FlakyPlatform.Mood.ANSWERS;
         scene.edges.values().forEach(Edge::wake);
-        if (scene.hub == null) {
+        if (scene.coordinator == null) {
             scene.hubWins();
         }
         scene.wires.runTo(scene.wires.now() + 30_000);
@@ -89,18 +89,18 @@
         running.addAll(scene.cloud.stand.occupying("cup", scene.wires.now()));
         assertEquals(new TreeSet<>(running), new TreeSet<>(known), "seed " + seed);
         assertEquals(known.size(), new TreeSet<>(known).size(), "seed " + seed + ": known twice");
-        assertEquals(known.size(), scene.hub.provisioner.instanceCount(), "seed " + seed);
+        assertEquals(known.size(), scene.coordinator.provisioner.instanceCount(), "seed " + seed);
     }
 
-    private static void turnHub(Scene scene) {
-        if (scene.hub == null) {
+    private static void turnHub(SimulatedProvisioning scene) {
+        if (scene.coordinator == null) {
             scene.hubWins();
         } else {
             scene.hubDies();
         }
     }
 
-    private static void crashOne(Scene scene, Random random) {
+    private static void crashOne(SimulatedProvisioning scene, Random random) {
         List<String> there = scene.cloud.stand.occupying("tea", scene.wires.now());
         if (!there.isEmpty()) {
             scene.cloud.stand.crashHost(there.get(random.nextInt(there.size())), scene.wires.now());
--- a/src/test/java/brambletray/platform/provisioning/ProvisionerTest.java
+++ b/src/test/java/brambletray/platform/provisioning/ProvisionerTest.java
@@ -34,10 +34,10 @@
         public void requestWorkerList() {}
     };
     private final Provisioner provisioner =
-            new Provisioner(new PlatformTerms(Map.of(), 800, 20, 50), hands, (service, seat) -> "edge-" + seat, 0);
+            new Provisioner(new PlatformTerms(Map.of(), 800, 20, 50), hands, (service, queue) -> "edge-" + queue, 0);
 
-    private static InstanceInfo host(String id, String seat) {
-        return new InstanceInfo(id, "tea", "10.0.0.1:80", "north", seat, "w-1", "n-" + id, InstanceInfo.UP, 100);
+    private static InstanceInfo host(String id, String queue) {
+        return new InstanceInfo(id, "tea", "10.0.0.1:80", "north", queue, "w-1", "n-" + id, InstanceInfo.UP, 100);
     }
 
     @Test
--- a/src/test/java/brambletray/platform/provisioning/ProvisioningSteps.java
+++ b/src/test/java/brambletray/platform/provisioning/ProvisioningSteps.java
@@ -5,16 +5,16 @@
 
 /** The sentences of the yard's features. */
 public final class ProvisioningSteps {
-    private Scene scene;
+    private SimulatedProvisioning scene;
 
     @Given("a platform that accepts {int} starts and stops a second")
     public void platform(int rate) {
-        scene = new Scene(rate, rate);
+        scene = new SimulatedProvisioning(rate, rate);
     }
 
     @Given("a platform that accepts {int} starts and stops a second and says {int}")
     public void platform(int rate, int said) {
-        scene = new Scene(rate, said);
+        scene = new SimulatedProvisioning(rate, said);
     }
 
     @Given("workers {} of {int} MB in zone {word} of region {word}")
--- a/src/test/java/brambletray/platform/provisioning/Hub.java
+++ b/src/test/java/brambletray/platform/provisioning/SimulatedCoordinator.java
@@ -2,17 +2,18 @@
 
 import java.util.Map;
 
-/** One holder of the duty in a scene. */
-final class Hub implements ProvisioningActions {
+/** One holder of the role in a scene. */
+final class SimulatedCoordinator implements ProvisioningActions {
     private static final long LINK = 2;
     private static final long TICK = 50;
 
     final Provisioner provisioner;
-    private final Scene scene;
+    private final SimulatedProvisioning scene;
     private final long term;
     boolean dead;
 
-    Hub(Scene scene, PlatformTerms terms, long term, Map<String, InstanceSize> configuration) {
+    SimulatedCoordinator(
+            SimulatedProvisioning scene, PlatformTerms terms, long term, Map<String, InstanceSize> configuration) {
         this.scene = scene;
         this.term = term;
         this.provisioner = new Provisioner(terms, this, scene::home, scene.wires.now());
--- a/src/test/java/brambletray/platform/provisioning/Scene.java
+++ b/src/test/java/brambletray/platform/provisioning/SimulatedProvisioning.java
@@ -9,10 +9,10 @@
 import java.util.TreeSet;
 
 /**
- * A platform, edges and one hub after the other, in virtual time. The edge named like a zone is home of all seats of
- * it, until it is moved.
+ * A platform, edges and one coordinator after the other, in virtual time. The edge named like a zone is home of all
+ * queues of it, until it is moved.
  */
-final class Scene {
+final class SimulatedProvisioning {
     static final int LAG = 800;
     static final int PAGE = 15;
 
@@ -24,10 +24,10 @@
     private final Map<String, String> zones = new LinkedHashMap<>();
     private final double dutyRate;
     private long term;
-    Hub hub;
+    SimulatedCoordinator coordinator;
 
     /** {@code dutyRate}: what the platform accepts; {@code thought}: what we were told it accepts. */
-    Scene(double dutyRate, double thought) {
+    SimulatedProvisioning(double dutyRate, double thought) {
         this.dutyRate = thought;
         this.cloud = new FlakyPlatform(wires, new PlatformParameters(LAG, 26, dutyRate, PAGE, 3_000, 2_000, 2_500), 7);
     }
@@ -46,56 +46,57 @@
         return edges.computeIfAbsent(name, fresh -> new Edge(this, fresh));
     }
 
-    String home(String service, String seat) {
-        Edge home = edge(moved.getOrDefault(seat, seat));
+    String home(String service, String queue) {
+        Edge home = edge(moved.getOrDefault(queue, queue));
         return home.dead ? null : home.name;
     }
 
-    /** The seat has another home. */
-    void move(String service, String seat, String edge) {
-        inherit(seat, edge);
-        edge(edge).say(new HomeClaim(service, seat));
+    /** The queue has another home. */
+    void move(String service, String queue, String edge) {
+        inherit(queue, edge);
+        edge(edge).say(new HomeClaim(service, queue));
     }
 
-    /** The seat has another home that doesn't know yet that it is wanted. */
-    void inherit(String seat, String edge) {
-        edge(moved.getOrDefault(seat, seat)).needs.clear();
-        moved.put(seat, edge);
+    /** The queue has another home that doesn't know yet that it is wanted. */
+    void inherit(String queue, String edge) {
+        edge(moved.getOrDefault(queue, queue)).needs.clear();
+        moved.put(queue, edge);
     }
 
     void hubWins() {
-        hub = new Hub(this, new PlatformTerms(zones, LAG, 26, dutyRate), ++term, configuration);
+        coordinator =
+                new SimulatedCoordinator(this, new PlatformTerms(zones, LAG, 26, dutyRate), ++term, configuration);
         Set<String> living = new TreeSet<>();
         edges.values().forEach(edge -> {
             if (!edge.dead) {
                 living.add(edge.name);
-                edge.hub();
+                edge.coordinator();
             }
         });
-        hub.provisioner.expectReportsFrom(living);
+        coordinator.provisioner.expectReportsFrom(living);
     }
 
     void hubDies() {
-        hub.dead = true;
-        hub = null;
+        coordinator.dead = true;
+        coordinator = null;
     }
 
     void edgeDies(String name) {
         edge(name).dead = true;
         wires.in(200, () -> {
-            if (hub != null) {
-                hub.provisioner.onEdgeGone(name, wires.now());
+            if (coordinator != null) {
+                coordinator.provisioner.onEdgeGone(name, wires.now());
             }
         });
     }
 
     void add(String service) {
         configuration.put(service, new InstanceSize(400, 500));
-        hub.provisioner.onConfigurationChanged(configuration, wires.now());
+        coordinator.provisioner.onConfigurationChanged(configuration, wires.now());
     }
 
     void drop(String service) {
         configuration.remove(service);
-        hub.provisioner.onConfigurationChanged(configuration, wires.now());
+        coordinator.provisioner.onConfigurationChanged(configuration, wires.now());
     }
 }
--- a/src/test/java/brambletray/platform/provisioning/TimelinePlayer.java
+++ b/src/test/java/brambletray/platform/provisioning/TimelinePlayer.java
@@ -15,10 +15,10 @@
  * check is made at the moment of its line.
  */
 final class TimelinePlayer {
-    private final Scene scene;
+    private final SimulatedProvisioning scene;
     private String service = "tea";
 
-    TimelinePlayer(Scene scene) {
+    TimelinePlayer(SimulatedProvisioning scene) {
         this.scene = scene;
     }
 
@@ -43,19 +43,20 @@
 
     private void act(String column, List<String> words, String line) {
         switch (column) {
-            case "hub" -> hub(words, line);
+            case "hub" -> coordinator(words, line);
             case "platform" -> platform(words, line);
             default -> edge(scene.edge(column), words, line);
         }
     }
 
-    private void hub(List<String> words, String line) {
+    private void coordinator(List<String> words, String line) {
         switch (words.get(0)) {
             case "wins" -> scene.hubWins();
             case "X" -> scene.hubDies();
             case "drops" -> scene.drop(words.get(1));
             case "adds" -> scene.add(words.get(1));
-            case "knows" -> assertEquals(Integer.parseInt(words.get(1)), scene.hub.provisioner.instanceCount(), line);
+            case "knows" ->
+                assertEquals(Integer.parseInt(words.get(1)), scene.coordinator.provisioner.instanceCount(), line);
             default -> throw new IllegalArgumentException(line);
         }
     }
@@ -135,7 +136,7 @@
             case "got" -> rest.forEach(nonce -> assertNotNull(edge.host(nonce), line));
             case "deaf" -> edge.deaf = true;
             case "hears" -> edge.deaf = false;
-            case "tells" -> edge.hub();
+            case "tells" -> edge.coordinator();
             case "empties" -> assertEquals(Integer.parseInt(words.get(1)), edge.empties, line);
             case "z" -> edge.asleep = true;
             case "." -> edge.wake();
--- a/src/test/java/brambletray/platform/proxy/CourseJudge.java
+++ b/src/test/java/brambletray/platform/proxy/ExchangeChecker.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Judges a course by what its clients and hosts saw, as RULES does: nothing of the relay's own state is asked. */
-final class CourseJudge {
+/** Judges a scenario by what its clients and hosts saw, as RULES does: nothing of the relay's own state is asked. */
+final class ExchangeChecker {
     /** One try of a client. {@code sent}: what a host must be handed: method, path and body. */
     static final class Try {
         final String id;
--- a/src/test/java/brambletray/platform/proxy/WireTest.java
+++ b/src/test/java/brambletray/platform/proxy/ForwardingTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What passes from a client's connection to a host's, byte by byte. */
-class WireTest {
+class ForwardingTest {
     private static final String HEAD = "GET /r/x HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: r1\r\n";
     private final SimulatedProxy street = new SimulatedProxy();
     private ScriptedClient client;
--- a/src/test/java/brambletray/platform/proxy/Mutant.java
+++ b/src/test/java/brambletray/platform/proxy/Mutant.java
@@ -98,7 +98,7 @@
         boolean done = compiler.getTask(
                         null,
                         files,
-                        told -> errors.append(told).append('\n'),
+                        notified -> errors.append(notified).append('\n'),
                         List.of("-proc:none", "-classpath", System.getProperty("java.class.path")),
                         null,
                         units)
@@ -162,13 +162,13 @@
         found.invoke(on);
     }
 
-    /** What {@link RandomCourse#hunt} finds in it, or null. */
-    String hunt(String rules, long from, int courses, int steps) {
+    /** What {@link RandomExchanges#hunt} finds in it, or null. */
+    String hunt(String rules, long from, int scenarios, int steps) {
         try {
-            Method hunt = loadClass(RandomCourse.class.getName())
+            Method hunt = loadClass(RandomExchanges.class.getName())
                     .getDeclaredMethod("hunt", String.class, long.class, int.class, int.class);
             hunt.setAccessible(true);
-            return (String) hunt.invoke(null, rules, from, courses, steps);
+            return (String) hunt.invoke(null, rules, from, scenarios, steps);
         } catch (ClassNotFoundException | NoSuchMethodException | IllegalAccessException e) {
             throw new IllegalStateException(e);
         } catch (InvocationTargetException e) {
--- a/src/test/java/brambletray/platform/proxy/PlantedFaultsTest.java
+++ b/src/test/java/brambletray/platform/proxy/PlantedFaultsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Each fault that {@link ExchangeCoursesTest} is there to find, planted, and found by the rule that it breaks. */
+/** Each fault that {@link RandomExchangesTest} is there to find, planted, and found by the rule that it breaks. */
 class PlantedFaultsTest {
     private static final int COURSES = Integer.getInteger("brambletray.planted", 4_000);
     private static final int STEPS = 40;
@@ -234,12 +234,12 @@
 
     @BeforeAll
     static void hush() {
-        ExchangeCoursesTest.hush();
+        RandomExchangesTest.hush();
     }
 
     @AfterAll
     static void unhush() {
-        ExchangeCoursesTest.unhush();
+        RandomExchangesTest.unhush();
     }
 
     @ParameterizedTest(name = "{0}")
--- a/src/test/java/brambletray/platform/proxy/CourseClient.java
+++ b/src/test/java/brambletray/platform/proxy/RandomClient.java
@@ -16,19 +16,18 @@
 import java.util.SplittableRandom;
 
 /**
- * A client of a {@link RandomCourse}: keeps a connection, sends ahead at times, hangs up at times, and reads what comes
- * to
- * the letter.
+ * A client of a {@link RandomExchanges}: keeps a connection, sends ahead at times, hangs up at times, and reads what
+ * comes to the letter.
  */
-final class CourseClient {
+final class RandomClient {
     private final Machine machine;
     private final InetSocketAddress front;
-    private final CourseJudge ruling;
+    private final ExchangeChecker ruling;
     private final SplittableRandom random;
     private final List<Channel> asleep = new ArrayList<>();
     private Connection connection;
 
-    CourseClient(Machine machine, InetSocketAddress front, CourseJudge ruling, SplittableRandom random) {
+    RandomClient(Machine machine, InetSocketAddress front, ExchangeChecker ruling, SplittableRandom random) {
         this.machine = machine;
         this.front = front;
         this.ruling = ruling;
@@ -37,7 +36,7 @@
 
     /** One connection, with the tries that wait on it, oldest first. */
     private final class Connection extends ChannelInboundHandlerAdapter {
-        final ArrayDeque<CourseJudge.Try> waiting = new ArrayDeque<>();
+        final ArrayDeque<ExchangeChecker.Try> waiting = new ArrayDeque<>();
         final StringBuilder in = new StringBuilder();
         /** So many bytes must be here before the next answer can be whole. */
         int least;
@@ -90,7 +89,7 @@
                 in.delete(0, end + 4);
                 return true;
             }
-            CourseJudge.Try of = waiting.peek();
+            ExchangeChecker.Try of = waiting.peek();
             boolean bare = status == 204 || status == 304 || of != null && of.method.equals("HEAD");
             String length = ScriptedHost.header(head, "content-length");
             boolean chunked = ScriptedHost.header(head, "transfer-encoding").equals("chunked");
@@ -156,7 +155,7 @@
     }
 
     /** Sends it, on the connection at hand or on a new one; {@code ahead}: also while others wait there. */
-    void send(CourseJudge.Try one, String headers, boolean ahead) {
+    void send(ExchangeChecker.Try one, String headers, boolean ahead) {
         boolean close = random.nextInt(12) == 0;
         String head = one.method + " " + one.uri + " HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: " + one.id
                 + "\r\n" + headers + (close ? "Connection: close\r\n" : "");
--- a/src/test/java/brambletray/platform/proxy/RandomCourse.java
+++ b/src/test/java/brambletray/platform/proxy/RandomExchanges.java
@@ -22,11 +22,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One random course of an edge's front: the production classes from the client's socket to the host's on a simulated
- * network and clock, between clients, a broker and hosts that do at random what the pages allow and what trouble does.
- * The same seed gives the same course.
+ * One random scenario of an edge's front: the production classes from the client's socket to the host's on a simulated
+ * network and clock, between clients, a broker and hosts that do at random what the pages allow and what fault does.
+ * The same seed gives the same scenario.
  */
-final class RandomCourse implements SlotBroker {
+final class RandomExchanges implements SlotBroker {
     private static final Address FRONT = new Address("10.0.0.1", 8241);
     private static final int HOSTS_MOST = 3;
     /** The {@code retry-count} of a route goes from 0 to this. */
@@ -40,9 +40,9 @@
     private final RequestRouter flow;
     private final HostConnectionPools lines;
     private final RequestCounters counters = new RequestCounters();
-    private final CourseJudge ruling = new CourseJudge();
-    private final List<CourseClient> clients = new ArrayList<>();
-    private final List<TroubledHost> hosts = new ArrayList<>();
+    private final ExchangeChecker ruling = new ExchangeChecker();
+    private final List<RandomClient> clients = new ArrayList<>();
+    private final List<RandomHost> hosts = new ArrayList<>();
     private final ArrayDeque<Waiting> asks = new ArrayDeque<>();
     /** Places out, by ask. */
     private final Map<Long, Integer> held = new HashMap<>();
@@ -52,7 +52,7 @@
     private final int twice;
     private int ids;
 
-    RandomCourse(long seed, int steps) {
+    RandomExchanges(long seed, int steps) {
         this.steps = steps;
         random = new SplittableRandom(seed);
         simulation = new Simulation(seed, 1_900_000_000_000L);
@@ -74,21 +74,21 @@
         flow = new RequestRouter(
                 edge, "edge-1", "zone-1", () -> configuration, this, ip -> false, lines, counters, memory, seed);
         new FrontEndServer(edge, flow, 100).listen(FRONT);
-        int trouble = 10 + random.nextInt(70);
+        int fault = 10 + random.nextInt(70);
         int count = 2 + random.nextInt(HOSTS_MOST - 1);
         for (int i = 0; i < count; i++) {
             String ip = "10.0.1." + (i + 1);
-            hosts.add(new TroubledHost(
+            hosts.add(new RandomHost(
                     "h" + i,
                     machine(ip),
                     new InetSocketAddress(ip, 8080),
                     ruling,
                     random.split(),
-                    trouble,
+                    fault,
                     small ? 2 : 6));
         }
         for (int i = 0; i < 2; i++) {
-            clients.add(new CourseClient(
+            clients.add(new RandomClient(
                     machine("10.0.2." + (i + 1)),
                     new InetSocketAddress(FRONT.host(), FRONT.port()),
                     ruling,
@@ -161,7 +161,7 @@
         String had = one.ask().excludedInstances().isEmpty() || random.nextBoolean()
                 ? null
                 : one.ask().excludedInstances().get(0);
-        TroubledHost host = had == null ? pick(hosts) : hosts.get(had.charAt(1) - '0');
+        RandomHost host = had == null ? pick(hosts) : hosts.get(had.charAt(1) - '0');
         // The home knows one place an ask, however often it says so.
         held.put(one.ask().id(), 1);
         one.taker()
@@ -213,7 +213,7 @@
         } else if (dice < 66) {
             pick(clients).hangUp(random.nextBoolean());
         } else if (dice < 70) {
-            CourseClient client = pick(clients);
+            RandomClient client = pick(clients);
             if (random.nextInt(3) == 0) {
                 client.sleeps();
             } else {
@@ -277,8 +277,8 @@
         String method = !body.isEmpty() ? "POST" : random.nextInt(8) == 0 ? "HEAD" : "GET";
         int count = random.nextInt(RETRY_COUNT_MOST + 1);
         String uri = (repeatable ? "/r" : "/n") + count + "/p" + ids + "?q=" + ids;
-        CourseJudge.Try one =
-                ruling.asked(new CourseJudge.Try("t" + ids++, method, uri, body, repeatable, Math.max(1, count)));
+        ExchangeChecker.Try one =
+                ruling.asked(new ExchangeChecker.Try("t" + ids++, method, uri, body, repeatable, Math.max(1, count)));
         int left = random.nextInt(4) == 0 ? 1 + random.nextInt(120) : 200 + random.nextInt(2_500);
         pick(clients).send(one, "Brambletray-Deadline-Remaining: " + left + "\r\n", random.nextInt(10) == 0);
     }
@@ -313,8 +313,8 @@
     /** Trouble ends, and clients read. */
     private void calm() {
         heal();
-        hosts.forEach(TroubledHost::rise);
-        clients.forEach(CourseClient::wakes);
+        hosts.forEach(RandomHost::rise);
+        clients.forEach(RandomClient::wakes);
     }
 
     private void atRest() {
@@ -337,7 +337,7 @@
         simulation.runUntil(simulation.now() + TimeUnit.MILLISECONDS.toNanos(ms));
     }
 
-    CourseJudge ruling() {
+    ExchangeChecker ruling() {
         return ruling;
     }
 
@@ -346,14 +346,14 @@
     }
 
     /**
-     * Plays so many courses from this seed on; what the first one broke that broke one of these rules (a regular
+     * Plays so many scenarios from this seed on; what the first one broke that broke one of these rules (a regular
      * expression), or null.
      */
-    static String hunt(String rules, long from, int courses, int steps) {
-        for (long seed = from; seed < from + courses; seed++) {
+    static String hunt(String rules, long from, int scenarios, int steps) {
+        for (long seed = from; seed < from + scenarios; seed++) {
             List<String> broken;
             try {
-                broken = new RandomCourse(seed, steps).play();
+                broken = new RandomExchanges(seed, steps).play();
             } catch (RuntimeException | AssertionError e) {
                 StackTraceElement[] at = e.getStackTrace();
                 broken = List.of("FAULT: " + e + (at.length > 0 ? " at " + at[0] : ""));
@@ -367,7 +367,7 @@
         return null;
     }
 
-    /** By hand: seeds from, courses, steps; prints every bad one. */
+    /** By hand: seeds from, scenarios, steps; prints every bad one. */
     public static void main(String[] args) {
         java.util.logging.LogManager.getLogManager().reset();
         long from = Long.parseLong(args[0]);
@@ -378,24 +378,24 @@
         int promises = 0;
         RequestCounters all = new RequestCounters();
         for (long seed = from; seed < from + Long.parseLong(args[1]); seed++) {
-            RandomCourse course = new RandomCourse(seed, Integer.parseInt(args[2]));
+            RandomExchanges scenario = new RandomExchanges(seed, Integer.parseInt(args[2]));
             List<String> broken;
             try {
-                broken = course.play();
+                broken = scenario.play();
             } catch (RuntimeException | AssertionError e) {
                 broken = List.of("FAULT " + e);
                 if (args.length > 3) {
                     e.printStackTrace();
                 }
             }
-            tries += course.ruling.tries();
-            successes += course.ruling.successes;
-            promises += course.ruling.promises;
-            all.surplusResponses += course.counters.surplusResponses;
-            all.streamedResponses += course.counters.streamedResponses;
-            all.staleConnections += course.counters.staleConnections;
-            all.hedges += course.counters.hedges;
-            all.hedgesWon += course.counters.hedgesWon;
+            tries += scenario.ruling.tries();
+            successes += scenario.ruling.successes;
+            promises += scenario.ruling.promises;
+            all.surplusResponses += scenario.counters.surplusResponses;
+            all.streamedResponses += scenario.counters.streamedResponses;
+            all.staleConnections += scenario.counters.staleConnections;
+            all.hedges += scenario.counters.hedges;
+            all.hedgesWon += scenario.counters.hedgesWon;
             if (!broken.isEmpty()) {
                 bad++;
                 System.out.println("seed " + seed + ": " + broken);
--- a/src/test/java/brambletray/platform/proxy/ExchangeCoursesTest.java
+++ b/src/test/java/brambletray/platform/proxy/RandomExchangesTest.java
@@ -19,7 +19,7 @@
  * -Dbrambletray.seed=N}
  * begins elsewhere.
  */
-class ExchangeCoursesTest {
+class RandomExchangesTest {
     private static final int COURSES = Integer.getInteger("brambletray.courses", 2_000);
     private static final int STEPS = 40;
     private static final int PARTS = 4;
@@ -27,10 +27,10 @@
 
     @Test
     void noRuleIsBrokenWhateverHappens() {
-        // A course is one thread's from its making to its end.
+        // A scenario is one thread's from its making to its end.
         List<String> broken = IntStream.range(0, PARTS)
                 .parallel()
-                .mapToObj(i -> RandomCourse.hunt(".*", SEED + (long) i * COURSES / PARTS, COURSES / PARTS, STEPS))
+                .mapToObj(i -> RandomExchanges.hunt(".*", SEED + (long) i * COURSES / PARTS, COURSES / PARTS, STEPS))
                 .filter(Objects::nonNull)
                 .toList();
         assertEquals(List.of(), broken);
@@ -61,14 +61,14 @@
         int sealedFailures = 0;
         int ranAgain = 0;
         for (long seed = 1; seed <= 150; seed++) {
-            RandomCourse course = new RandomCourse(seed, STEPS);
-            assertEquals(List.of(), course.play(), "seed " + seed);
-            tries += course.ruling().tries();
-            successes += course.ruling().successes;
-            promises += course.ruling().promises;
-            sealedFailures += course.ruling().sealedFailures;
-            ranAgain += course.ruling().ranAgain;
-            RequestCounters of = course.counters();
+            RandomExchanges scenario = new RandomExchanges(seed, STEPS);
+            assertEquals(List.of(), scenario.play(), "seed " + seed);
+            tries += scenario.ruling().tries();
+            successes += scenario.ruling().successes;
+            promises += scenario.ruling().promises;
+            sealedFailures += scenario.ruling().sealedFailures;
+            ranAgain += scenario.ruling().ranAgain;
+            RequestCounters of = scenario.counters();
             all.surplusResponses += of.surplusResponses;
             all.streamedResponses += of.streamedResponses;
             all.hedgesWon += of.hedgesWon;
@@ -76,7 +76,7 @@
             all.timedOut += of.timedOut;
         }
         String seen =
-                tries + " tries, " + successes + " successes, " + promises + " promises " + RandomCourse.shown(all);
+                tries + " tries, " + successes + " successes, " + promises + " promises " + RandomExchanges.shown(all);
         assertTrue(
                 sealedFailures > 20 && ranAgain > 20,
                 sealedFailures + " sealed failures, " + ranAgain + " at another host again; " + seen);
--- a/src/test/java/brambletray/platform/proxy/TroubledHost.java
+++ b/src/test/java/brambletray/platform/proxy/RandomHost.java
@@ -18,11 +18,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A host of a {@link RandomCourse}, drawn byte by byte: it answers, fails, sheds, dies, answers early, cuts off,
+ * A host of a {@link RandomExchanges}, drawn byte by byte: it answers, fails, sheds, dies, answers early, cuts off,
  * spoils, and
- * adds (PROTOCOL, Hosts), and tells the {@link CourseJudge} what it runs.
+ * adds (PROTOCOL, Hosts), and tells the {@link ExchangeChecker} what it runs.
  */
-final class TroubledHost {
+final class RandomHost {
     /** ms; what was sent is read at the other end by then, unless that stands still. */
     private static final int SURELY_THERE = 60;
 
@@ -32,9 +32,9 @@
     final String name;
     private final Machine machine;
     private final InetSocketAddress address;
-    private final CourseJudge ruling;
+    private final ExchangeChecker ruling;
     private final SplittableRandom random;
-    private final int trouble;
+    private final int fault;
     private final int large;
     private final Set<Channel> open = new LinkedHashSet<>();
     private Channel listener;
@@ -44,20 +44,20 @@
     private long unseeingUntil;
 
     /** {@code trouble}: percent of answers that are not plain; {@code large}: of so many bodies one is. */
-    TroubledHost(
+    RandomHost(
             String name,
             Machine machine,
             InetSocketAddress address,
-            CourseJudge ruling,
+            ExchangeChecker ruling,
             SplittableRandom random,
-            int trouble,
+            int fault,
             int large) {
         this.name = name;
         this.machine = machine;
         this.address = address;
         this.ruling = ruling;
         this.random = random;
-        this.trouble = trouble;
+        this.fault = fault;
         this.large = large;
         rise();
     }
@@ -82,7 +82,7 @@
             listener = null;
         }
         if (hard) {
-            Set.copyOf(open).forEach(TroubledHost::reset);
+            Set.copyOf(open).forEach(RandomHost::reset);
         }
     }
 
@@ -117,7 +117,7 @@
         private final Channel channel;
         private final StringBuilder in = new StringBuilder();
         /** What is at work here, unanswered. */
-        private CourseJudge.Try at;
+        private ExchangeChecker.Try at;
         /** Bytes that are still to come of a request that was answered early. */
         private int rest;
         /** In the midst of an answer. */
@@ -134,7 +134,7 @@
         @Override
         public void channelActive(ChannelHandlerContext context) {
             open.add(channel);
-            if (random.nextInt(200) < trouble / 20) {
+            if (random.nextInt(200) < fault / 20) {
                 // Speaks before it is spoken to; but a refusal says there that what follows does not run.
                 String bytes = surplus("none", "");
                 send(bytes.contains("Brambletray-Attempt-Id") || !bytes.startsWith("HTTP") ? bytes : "surplus")
@@ -171,7 +171,7 @@
             String head = in.substring(0, end);
             int length = Integer.parseInt("0" + ScriptedHost.header(head, "content-length"));
             boolean whole = in.length() >= end + 4 + length;
-            if (whole || random.nextInt(200) < trouble) {
+            if (whole || random.nextInt(200) < fault) {
                 String body = whole ? in.substring(end + 4, end + 4 + length) : null;
                 rest = Math.max(0, end + 4 + length - in.length());
                 in.delete(0, end + 4 + length);
@@ -194,7 +194,7 @@
 
         private void work(String head, String body) {
             String[] line = head.substring(0, head.indexOf("\r\n")).split(" ");
-            CourseJudge.Try one = ruling.arrived(
+            ExchangeChecker.Try one = ruling.arrived(
                     ScriptedHost.header(head, "brambletray-attempt-id"),
                     line[0],
                     line[1],
@@ -280,8 +280,8 @@
     }
 
     // ---- What it says ---------------------------------------------------------------------------
-    private Answer draw(CourseJudge.Try one, boolean early) {
-        if (random.nextInt(100) >= trouble) {
+    private Answer draw(ExchangeChecker.Try one, boolean early) {
+        if (random.nextInt(100) >= fault) {
             return new Answer(good(one, false), true, Then.STAYS, "");
         }
         return switch (random.nextInt(12)) {
@@ -299,7 +299,7 @@
         };
     }
 
-    private String body(CourseJudge.Try one) {
+    private String body(ExchangeChecker.Try one) {
         int pad = random.nextInt(large) == 0 ? 3_000 + random.nextInt(9_000) : random.nextInt(3) == 0 ? 400 : 0;
         return name + ":" + one.id + ":" + one.arrivals + "/" + ".".repeat(pad);
     }
@@ -330,7 +330,7 @@
     }
 
     /** A whole, sealed answer. */
-    private String good(CourseJudge.Try one, boolean closing) {
+    private String good(ExchangeChecker.Try one, boolean closing) {
         String headers = SEAL
                 + (closing
                         ? "Connection: close\r\n"
@@ -362,7 +362,7 @@
                         : sized("200 OK", one.id, headers, body));
     }
 
-    private Answer failed(CourseJudge.Try one) {
+    private Answer failed(ExchangeChecker.Try one) {
         String status = switch (random.nextInt(6)) {
             case 0 -> "504 Gateway Timeout";
             case 1 -> "503 Service Unavailable";
@@ -379,7 +379,7 @@
         return new Answer(sized(status, one.id, sealed ? SEAL : "", body), true, Then.STAYS, "");
     }
 
-    private Answer shed(CourseJudge.Try one) {
+    private Answer shed(ExchangeChecker.Try one) {
         String id = random.nextBoolean() ? one.id : null;
         String surplus = switch (random.nextInt(6)) {
             case 0, 1 -> notRun(one.id);
@@ -400,7 +400,7 @@
                         "");
     }
 
-    private Answer cut(CourseJudge.Try one) {
+    private Answer cut(ExchangeChecker.Try one) {
         String whole = good(one, false);
         int size = 1 + random.nextInt(Math.max(1, whole.length() - 1));
         return new Answer(
@@ -411,7 +411,7 @@
     }
 
     /** Bytes that are no answer, or not a success; none of their bodies may reach a client as one. */
-    private Answer spoilt(CourseJudge.Try one) {
+    private Answer spoilt(ExchangeChecker.Try one) {
         int kind = random.nextInt(18);
         String body = "spoilt" + kind + ":" + body(one);
         String id = one.id;
--- a/src/test/java/brambletray/platform/proxy/ShellTest.java
+++ b/src/test/java/brambletray/platform/proxy/RealSocketsTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The same classes on real sockets of this machine. */
-class ShellTest {
+class RealSocketsTest {
     private static final String CREED =
             "{'revision':1,'routes':[{'name':'r','host':'h.example','path-prefix':'/r/','route-type':'idempotent',"
                     + "'timeout-ms':4000,'target-ms':400,'priority':1,'service':'s','retry-count':2}],'services':[{'name':'s','health-path':null,"
@@ -37,13 +37,13 @@
     private final Machine machine = Machine.real(group.next());
     private final CompletableFuture<AttemptOutcome> fate = new CompletableFuture<>();
     private HttpServer host;
-    private String told = "";
+    private String notified = "";
 
     @BeforeEach
     void open() throws IOException {
         host = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 8);
         host.createContext("/", exchange -> {
-            told = exchange.getRequestMethod() + " " + exchange.getRequestURI() + " "
+            notified = exchange.getRequestMethod() + " " + exchange.getRequestURI() + " "
                     + exchange.getRequestHeaders().getFirst("Brambletray-Target-Instance") + " "
                     + new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.US_ASCII);
             exchange.getResponseHeaders()
@@ -129,7 +129,7 @@
                 answer.contains("\r\nBrambletray-Response-Seal: s\r\n")
                         || answer.toLowerCase().contains("brambletray-response-seal: s"),
                 answer);
-        assertEquals("POST /r/x?q=1 i-1 abc", told);
+        assertEquals("POST /r/x?q=1 i-1 abc", notified);
         assertEquals(AttemptOutcome.SERVED, fate.get(5, TimeUnit.SECONDS));
     }
 
--- a/src/test/java/brambletray/platform/replication/CatchUpTest.java
+++ b/src/test/java/brambletray/platform/replication/CatchUpTest.java
@@ -16,7 +16,7 @@
     private static final int FULL = 125_000;
     private static final int SLOW = 250;
     private static final int PACE_MS = 20;
-    /** Bytes besides the state itself: what is remembered of each change, frames of the change of view, knocks. */
+    /** Bytes besides the state itself: what is remembered of each change, frames of the view change, knocks. */
     private static final int SOME = 48 << 10;
 
     private record Case(int changes, int bytes, int rate, int everyMs, long mostMs) {}
--- a/src/test/java/brambletray/platform/replication/DiskPositionsTest.java
+++ b/src/test/java/brambletray/platform/replication/DiskPositionsTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * One course of a core: founded, changed, compacted, a member that lost its disk let in again, changed on. At each
+ * One scenario of a core: founded, changed, compacted, a member that lost its disk let in again, changed on. At each
  * position of each
- * member's disk (a write has begun; its sync is about to return) one trouble: the disk refuses, the process is killed,
+ * member's disk (a write has begun; its sync is about to return) one fault: the disk refuses, the process is killed,
  * the power goes, for
  * this member or for all at once. Nothing acknowledged is lost, and once all is calm changes are acknowledged again.
  */
@@ -92,15 +92,15 @@
         }
     }
 
-    /** Plays the course with a trouble at one position; returns how many positions there were. */
-    private static int play(int position, Trouble trouble) {
+    /** Plays the scenario with a fault at one position; returns how many positions there were. */
+    private static int play(int position, Trouble fault) {
         ReplicationTestCluster core = new ReplicationTestCluster(List.of("a", "b", "c"));
         SimulatedReplicas world = core.world;
         int[] seen = new int[1];
         core.found();
         world.atDisk = node -> {
             if (seen[0]++ == position) {
-                trouble.strikeAt(world, node);
+                fault.strikeAt(world, node);
             }
         };
         world.padding = "p".repeat(CHANGE_BYTES);
@@ -167,13 +167,13 @@
     void noTroubleAtAnyPositionOfADiskLosesWhatWasAcknowledged() {
         int plays = 0;
         int positions = 0;
-        for (Trouble trouble : Trouble.values()) {
+        for (Trouble fault : Trouble.values()) {
             int last = 0;
             for (int position = 0; position <= last; position++) {
                 try {
-                    last = Math.max(last, play(position, trouble) - 1);
+                    last = Math.max(last, play(position, fault) - 1);
                 } catch (AssertionError | RuntimeException e) {
-                    throw new AssertionError(trouble + " at position " + position + ": " + e.getMessage(), e);
+                    throw new AssertionError(fault + " at position " + position + ": " + e.getMessage(), e);
                 }
                 plays++;
                 if (last > 2_000) {
--- a/src/test/java/brambletray/platform/replication/ExplorationTest.java
+++ b/src/test/java/brambletray/platform/replication/ExplorationTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every order in which the frames and syncs of changes of view can come about, with a purse of impatience, losses of
+ * Every order in which the frames and syncs of view changes can come about, with a purse of impatience, losses of
  * power and of disks, planned ends and newcomers, up to a bound of states. {@code -Dview.states=N},
- * {@code -Dview.walks=N} go further; {@code -Dview.moves=1,2,3} plays one course and tells.
+ * {@code -Dview.walks=N} go further; {@code -Dview.moves=1,2,3} plays one scenario and tells.
  */
 class ExplorationTest {
     private static final int STATES = 10_000;
@@ -22,7 +22,7 @@
     private int states;
     private int ends;
     private int most;
-    /** States, or walks, in which a process has left, and in which the newcomer was in a view in force. */
+    /** States, or walks, in which a process has left, and in which the newcomer was in an active view. */
     private int lefts;
 
     private int joins;
--- a/src/test/java/brambletray/platform/replication/PlannedLeaveTest.java
+++ b/src/test/java/brambletray/platform/replication/PlannedLeaveTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How long nothing is acknowledged, and no read is confirmed, when a member leaves as planned, comes back, is replaced,
- * and when another is lost for good after that: seeded courses, the longest stretch of each. {@code -Dleave.seeds=N}
- * plays N courses of each kind (200 for the figures of docs/control/leaving.md), {@code -Dleave.seed=S} one and tells;
- * {@code -Dleave.measure=true} measures and holds nothing.
+ * How long nothing is acknowledged, and no read is confirmed, when a member leaves as planned, comes back, is
+ * replaced, and when another is lost for good after that: seeded scenarios, the longest stretch of each. {@code
+ * -Dleave.seeds=N} plays N scenarios of each kind (200 for the figures of docs/control/leaving.md), {@code
+ * -Dleave.seed=S} one and tells; {@code -Dleave.measure=true} measures and holds nothing.
  */
 class PlannedLeaveTest {
     private static final int COURSES = 20;
@@ -37,7 +37,7 @@
         REPLACED_THEN_LOSS
     }
 
-    /** One course: machines, calls all the time, the longest stretches without an answer. */
+    /** One scenario: machines, calls all the time, the longest stretches without an answer. */
     private static final class Course {
         final SimulatedReplicas world;
         final Random random;
@@ -150,19 +150,19 @@
             world.later(world.now + in, next::start);
         }
 
-        /** Stretches of the trouble and of the return: acknowledgement, read, acknowledgement, read. */
-        long[] play(Trouble trouble) {
+        /** Stretches of the fault and of the return: acknowledgement, read, acknowledgement, read. */
+        long[] play(Trouble fault) {
             int machines = live.size();
             SimulatedReplica first = victim();
             long[] all = new long[4];
-            if (trouble == Trouble.REPLACED || trouble == Trouble.REPLACED_THEN_LOSS) {
+            if (fault == Trouble.REPLACED || fault == Trouble.REPLACED_THEN_LOSS) {
                 newcomer(0);
                 play(random.nextInt(AWAY_MS));
                 leave(first);
                 play(SYNC_MS);
                 live.remove(first);
                 world.await(() -> allIn(machines), 1, "the replacement is in after sync-s");
-            } else if (trouble == Trouble.LEAVES) {
+            } else if (fault == Trouble.LEAVES) {
                 leave(first);
                 play(AWAY_MS);
             } else {
@@ -172,7 +172,7 @@
             all[0] = longestAck;
             all[1] = longestRead;
             reset();
-            if (trouble == Trouble.REPLACED_THEN_LOSS) {
+            if (fault == Trouble.REPLACED_THEN_LOSS) {
                 SimulatedReplica second = victim();
                 second.kill(true);
                 second.wipe();
@@ -198,33 +198,33 @@
 
     @Test
     void aPlannedLeavePausesForLessThanATenthOfASecond() {
-        int courses = Integer.getInteger("leave.seeds", COURSES);
+        int scenarios = Integer.getInteger("leave.seeds", COURSES);
         List<String> broken = new ArrayList<>();
         Long only = Long.getLong("leave.seed");
         for (int machines = 3; machines <= 5; machines += 2) {
-            for (Trouble trouble : Trouble.values()) {
+            for (Trouble fault : Trouble.values()) {
                 List<List<Long>> stretches =
                         List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
-                for (long seed = only == null ? 1 : only; seed <= (only == null ? courses : only); seed++) {
-                    Course course = new Course(seed, machines, only != null);
+                for (long seed = only == null ? 1 : only; seed <= (only == null ? scenarios : only); seed++) {
+                    Course scenario = new Course(seed, machines, only != null);
                     try {
-                        long[] some = course.play(trouble);
+                        long[] some = scenario.play(fault);
                         for (int i = 0; i < some.length; i++) {
                             stretches.get(i).add(some[i]);
                         }
-                        if (trouble != Trouble.KILLED && Math.max(some[0], some[1]) >= PLANNED_MS) {
-                            broken.add(machines + " " + trouble + " seed " + seed + ": ack " + some[0] + ", read "
+                        if (fault != Trouble.KILLED && Math.max(some[0], some[1]) >= PLANNED_MS) {
+                            broken.add(machines + " " + fault + " seed " + seed + ": ack " + some[0] + ", read "
                                     + some[1]);
                         }
                     } catch (AssertionError | RuntimeException e) {
-                        course.world.events.forEach(System.out::println);
-                        throw new AssertionError(machines + " " + trouble + " seed " + seed + ": " + e.getMessage(), e);
+                        scenario.world.events.forEach(System.out::println);
+                        throw new AssertionError(machines + " " + fault + " seed " + seed + ": " + e.getMessage(), e);
                     }
                     if (only != null) {
-                        course.world.events.forEach(System.out::println);
+                        scenario.world.events.forEach(System.out::println);
                     }
                 }
-                System.out.println("leave: " + machines + " " + trouble + " (50 %, 99 %, worst; ms): ack "
+                System.out.println("leave: " + machines + " " + fault + " (50 %, 99 %, worst; ms): ack "
                         + figures(stretches.get(0))
                         + ", read " + figures(stretches.get(1)) + "; after it: ack " + figures(stretches.get(2))
                         + ", read "
--- a/src/test/java/brambletray/platform/replication/RandomFaults.java
+++ b/src/test/java/brambletray/platform/replication/RandomFaults.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Random;
 
-/** Random faults and work in a simulated world: one seed, one course. */
+/** Random faults and work in a simulated world: one seed, one scenario. */
 public final class RandomFaults {
     private final SimulatedReplicas world;
     private final Random random;
@@ -36,7 +36,7 @@
         return world;
     }
 
-    /** Whether nothing more is expected of this course than that no rule is broken. */
+    /** Whether nothing more is expected of this scenario than that no rule is broken. */
     public boolean harsh() {
         return world.ruleChecker.harsh;
     }
--- a/src/test/java/brambletray/platform/replication/RandomFaultsTest.java
+++ b/src/test/java/brambletray/platform/replication/RandomFaultsTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Hundreds of random courses of faults, each with its own seed. {@code -Dview.seeds=N} plays more,
+ * Hundreds of random scenarios of faults, each with its own seed. {@code -Dview.seeds=N} plays more,
  * {@code -Dview.seed=S} plays one and tells.
  */
 class RandomFaultsTest {
--- a/src/test/java/brambletray/platform/replication/ReplicaTest.java
+++ b/src/test/java/brambletray/platform/replication/ReplicaTest.java
@@ -68,7 +68,7 @@
         }
     };
 
-    /** Member b of a view in force that a leads. */
+    /** Member b of an active view that a leads. */
     private Replica follower() {
         DurableState durableState =
                 new DurableState(2, List.of(), VIEW.ballot(), VIEW, true, ReplicatedLog.empty(), List.of(), List.of());
@@ -199,7 +199,7 @@
     }
 
     /**
-     * An entry whose sync ends after the promise: the change of view counts it by what is told, not by an
+     * An entry whose sync ends after the promise: the view change counts it by what is told, not by an
      * acknowledgement.
      */
     @Test
@@ -215,7 +215,7 @@
         assertNull(last(ReplicationMessage.ReadIndexResponse.class));
     }
 
-    /** The giver's log may have changed since it was offered: only the one that was offered is kept with the view. */
+    /** The source's log may have changed since it was offered: only the one that was offered is kept with the view. */
     @Test
     void keepsNoOtherLogThanTheOneThatWasOffered() {
         View next = new View(new Ballot(6, 1), List.of(A, B, C), List.of());
--- a/src/test/java/brambletray/platform/replication/RuleChecker.java
+++ b/src/test/java/brambletray/platform/replication/RuleChecker.java
@@ -14,7 +14,7 @@
  */
 public final class RuleChecker {
     /**
-     * A second machine isn't lost so soon after the view without the first came in force that only its leader knows of
+     * A second machine isn't lost so soon after the view without the first came active that only its leader knows of
      * it.
      */
     private static final int SPREAD_MS = 300;
--- a/src/test/java/brambletray/platform/replication/SimulatedReplica.java
+++ b/src/test/java/brambletray/platform/replication/SimulatedReplica.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** One machine of the core in simulated time: a disk that stays, and a process that comes and goes. */
+/** One machine of the control plane in simulated time: a disk that stays, and a process that comes and goes. */
 public final class SimulatedReplica {
     /** What else the process does besides being a member. */
     public interface Passenger {
--- a/src/test/java/brambletray/platform/replication/SimulatedReplicas.java
+++ b/src/test/java/brambletray/platform/replication/SimulatedReplicas.java
@@ -8,7 +8,7 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 
-/** Machines, links and disks in simulated time. One seed gives one course of events. */
+/** Machines, links and disks in simulated time. One seed gives one scenario of events. */
 public final class SimulatedReplicas {
     private record Event(long at, long seq, SimulatedReplica node, int boot, Runnable run) {}
 
--- a/src/test/java/brambletray/platform/replication/StateTransferServerTest.java
+++ b/src/test/java/brambletray/platform/replication/StateTransferServerTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a giver holds for those that fetch from it. */
+/** What a source holds for those that fetch from it. */
 class StateTransferServerTest {
     private static final Ballot INSTALLING = new Ballot(6, 1);
     private static final int RECEIVERS = 8;
--- a/src/test/java/brambletray/platform/replication/StateTransferTest.java
+++ b/src/test/java/brambletray/platform/replication/StateTransferTest.java
@@ -132,7 +132,7 @@
     }
 
     /**
-     * A member is away for hundreds of changes of 256 kB, comes back on a slow link while more are made; its giver is
+     * A member is away for hundreds of changes of 256 kB, comes back on a slow link while more are made; its source is
      * lost midway.
      */
     @Test
@@ -166,13 +166,13 @@
     }
 
     /**
-     * A learner has more than half of a state of 2 MB when its giver is lost.
+     * A learner has more than half of a state of 2 MB when its source is lost.
      *
      * <pre>
-     *   a (giver)      b (next leader)               e (learner, 2 Mbit/s)
+     *   a (source)      b (next leader)               e (learner, 2 Mbit/s)
      *   piece ...                                    pulls from a
      *   piece 64                                     has more than half
-     *   lost           view without a in force       (cut off)
+     *   lost           view without an active       (cut off)
      *                  changes                       (cut off)
      *                                                knocks; goes on at b where a stopped
      *                  the rest                      let in
@@ -218,7 +218,7 @@
         assertTrue(rest < MB, "bytes of the second giver " + rest);
     }
 
-    /** The second giver has a later state by then, and makes the first one's again. */
+    /** The second source has a later state by then, and makes the first one's again. */
     @Test
     void aLearnerGoesOnAtTheNextGiverThoughTheStateHasMovedOn() {
         long rest = learnerWhoseGiverIsLost(20);
@@ -227,7 +227,7 @@
         assertTrue(rest < MB, "bytes of the second giver " + rest);
     }
 
-    /** The second giver has compacted what it would need for that: the learner begins anew, and says so. */
+    /** The second source has compacted what it would need for that: the learner begins anew, and says so. */
     @Test
     void aLearnerBeginsAnewWhereTheNextGiverCannotMakeTheSameState() {
         long rest = learnerWhoseGiverIsLost(2 * ReplicatedLog.MAX_ENTRIES_BEFORE_SNAPSHOT);
@@ -342,7 +342,7 @@
     }
 
     /**
-     * Large changes come faster than a newcomer can be let in: no change of view is begun that couldn't let it in, as
+     * Large changes come faster than a newcomer can be let in: no view change is begun that couldn't let it in, as
      * each is a pause.
      */
     @Test
@@ -407,8 +407,8 @@
     }
 
     /**
-     * A member whose disk is full says that it is ill and is left out, also over a restart, and comes back once there
-     * is room.
+     * A member whose disk is full says that it is unhealthy and is left out, also over a restart, and comes back once
+     * there is room.
      */
     @Test
     void aMemberWithAFullDiskIsLeftOutAndComesBackWithRoom() {
--- a/src/test/java/brambletray/platform/replication/SteppedReplicas.java
+++ b/src/test/java/brambletray/platform/replication/SteppedReplicas.java
@@ -157,7 +157,7 @@
         }
     }
 
-    private final Seat[] seats = new Seat[SIZE];
+    private final Seat[] queues = new Seat[SIZE];
     private final List<ArrayDeque<ReplicationMessage>> links = new ArrayList<>();
     private final TreeMap<Long, String> order = new TreeMap<>();
     private final TreeMap<Long, View> views = new TreeMap<>();
@@ -177,21 +177,21 @@
             for (int j = 0; j < SIZE; j++) {
                 links.add(new ArrayDeque<>());
             }
-            seats[i] = new Seat(this, i);
+            queues[i] = new Seat(this, i);
         }
         for (int i = 0; i < FOUNDERS; i++) {
-            seats[i].start(true);
+            queues[i].start(true);
         }
     }
 
-    /** Founds the core: the first member leads, nothing is under way. */
+    /** Founds the control plane: the first member leads, nothing is under way. */
     void found() {
         drain();
         now += STEP_MS;
-        seats[0].members.tick(now);
+        queues[0].members.tick(now);
         drain();
-        // told to the others that the view is in force by their leader's next beat
-        if (!seats[0].members.status().isLeader()) {
+        // told to the others that the view is active by their leader's next beat
+        if (!queues[0].members.status().isLeader()) {
             throw new AssertionError("not founded");
         }
     }
@@ -220,17 +220,17 @@
         if (move < SIZE * SIZE) {
             return !links.get(move).isEmpty();
         }
-        Seat seat = seats[move % SIZE];
+        Seat queue = queues[move % SIZE];
         int kind = (move - SIZE * SIZE) / SIZE;
-        if (seat.members == null) {
-            return kind == 5 && purse.newcomers > 0 && seat.number >= FOUNDERS && seat.boot == 0;
+        if (queue.members == null) {
+            return kind == 5 && purse.newcomers > 0 && queue.number >= FOUNDERS && queue.boot == 0;
         }
         return switch (kind) {
-            case 0 -> seat.flying != null;
+            case 0 -> queue.flying != null;
             case 1 -> purse.impatience > 0;
             case 2 -> purse.power > 0;
             case 3 -> purse.disks > 0 && intact();
-            case 4 -> seat.members.isLeaving() ? seat.members.mayTerminate() : purse.leaves > 0;
+            case 4 -> queue.members.isLeaving() ? queue.members.mayTerminate() : purse.leaves > 0;
             default -> false;
         };
     }
@@ -247,17 +247,17 @@
     void play(int move) {
         if (move < SIZE * SIZE) {
             ReplicationMessage frame = links.get(move).poll();
-            if (seats[move % SIZE].members == null) {
+            if (queues[move % SIZE].members == null) {
                 return;
             }
             if (talks) {
                 System.out.println(NAMES[move / SIZE] + ">" + NAMES[move % SIZE] + " " + frame);
             }
-            seats[move % SIZE].members.receive(NAMES[move / SIZE], frame, now);
-            look(seats[move % SIZE]);
+            queues[move % SIZE].members.receive(NAMES[move / SIZE], frame, now);
+            look(queues[move % SIZE]);
             return;
         }
-        Seat seat = seats[move % SIZE];
+        Seat queue = queues[move % SIZE];
         int kind = (move - SIZE * SIZE) / SIZE;
         if (talks) {
             System.out.println(NAMES[move % SIZE] + " "
@@ -265,25 +265,25 @@
                             .get(kind));
         }
         if (kind == 0) {
-            seat.sync();
+            queue.sync();
         } else if (kind == 1) {
             purse = new Purse(purse.impatience - 1, purse.power, purse.disks, purse.leaves, purse.newcomers);
             now += STEP_MS;
-            seat.members.tick(now);
+            queue.members.tick(now);
         } else if (kind == 4) {
-            if (seat.members.mayTerminate()) {
-                end(seat);
+            if (queue.members.mayTerminate()) {
+                end(queue);
                 return;
             }
             purse = new Purse(purse.impatience, purse.power, purse.disks, purse.leaves - 1, purse.newcomers);
             now += STEP_MS;
-            seat.members.leave(now);
+            queue.members.leave(now);
         } else if (kind == 5) {
             purse = new Purse(purse.impatience, purse.power, purse.disks, purse.leaves, purse.newcomers - 1);
             now += STEP_MS;
-            seat.start(false);
-            seat.sync();
-            seat.members.tick(now);
+            queue.start(false);
+            queue.sync();
+            queue.members.tick(now);
         } else {
             boolean disk = kind == 3;
             purse = new Purse(
@@ -293,42 +293,42 @@
                     purse.leaves,
                     purse.newcomers);
             if (disk) {
-                lost.add(seat.life);
-                seat.kept = new HashMap<>();
+                lost.add(queue.life);
+                queue.kept = new HashMap<>();
             }
-            cut(seat);
-            seat.start(false);
+            cut(queue);
+            queue.start(false);
         }
-        look(seat);
+        look(queue);
     }
 
-    private void cut(Seat seat) {
+    private void cut(Seat queue) {
         for (int i = 0; i < SIZE; i++) {
-            links.get(SIZE * i + seat.number).clear();
-            links.get(SIZE * seat.number + i).clear();
+            links.get(SIZE * i + queue.number).clear();
+            links.get(SIZE * queue.number + i).clear();
         }
     }
 
     /** The process has left: the others have to be able to go on without it, on more disks than may be lost. */
-    private void end(Seat seat) {
+    private void end(Seat queue) {
         View latest = views.lastEntry().getValue();
         boolean alone = latest.members().size() == 1;
-        if (latest.contains(seat.life) && !alone) {
-            throw new AssertionError(NAMES[seat.number] + " has left, and is in " + latest);
+        if (latest.contains(queue.life) && !alone) {
+            throw new AssertionError(NAMES[queue.number] + " has left, and is in " + latest);
         }
-        boolean one = !latest.contains(seat.life) && alone && lost.isEmpty();
+        boolean one = !latest.contains(queue.life) && alone && lost.isEmpty();
         if (one) {
-            throw new AssertionError(NAMES[seat.number] + " has left one disk: " + latest);
+            throw new AssertionError(NAMES[queue.number] + " has left one disk: " + latest);
         }
         left++;
-        cut(seat);
-        seat.flying = null;
-        seat.members = null;
+        cut(queue);
+        queue.flying = null;
+        queue.members = null;
     }
 
     /** Holds the rules, and has each new leader propose something. */
-    private void look(Seat seat) {
-        ReplicaStatus status = seat.members.status();
+    private void look(Seat queue) {
+        ReplicaStatus status = queue.members.status();
         if (!status.active()) {
             return;
         }
@@ -339,21 +339,21 @@
         if (other != null && !other.equals(mine)) {
             throw new AssertionError("two views of number " + status.viewNumber() + ": " + other + ", " + mine);
         }
-        if (status.isLeader() && seat.proposedIn < status.viewNumber()) {
-            seat.proposedIn = status.viewNumber();
-            seat.members.propose(
+        if (status.isLeader() && queue.proposedIn < status.viewNumber()) {
+            queue.proposedIn = status.viewNumber();
+            queue.members.propose(
                     status.viewNumber(), ("v" + status.viewNumber()).getBytes(StandardCharsets.UTF_8), now);
         }
     }
 
     Fingerprint.Print print() {
         List<Object> all = new ArrayList<>();
-        for (Seat seat : seats) {
-            all.add(seat.members);
-            all.add(new TreeMap<>(seat.kept));
-            all.add(seat.flying == null ? null : new TreeMap<>(seat.flying));
-            all.add(seat.state);
-            all.add(seat.proposedIn);
+        for (Seat queue : queues) {
+            all.add(queue.members);
+            all.add(new TreeMap<>(queue.kept));
+            all.add(queue.flying == null ? null : new TreeMap<>(queue.flying));
+            all.add(queue.state);
+            all.add(queue.proposedIn);
         }
         all.addAll(links);
         all.add(order);
--- a/src/test/java/brambletray/platform/replication/ViewChangePauseTest.java
+++ b/src/test/java/brambletray/platform/replication/ViewChangePauseTest.java
@@ -9,11 +9,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The longest pauses of a core amid trouble, as its callers meet them: eight operators, each with one order under way
+ * The longest pauses of a core amid fault, as its callers meet them: eight operators, each with one order under way
  * (sent again elsewhere after a second of silence, and 100 ms after each answer the next), and a reader that asks
- * everywhere every 25 ms. {@code -Dpauses.seeds=N} plays more courses of each kind, {@code -Dpauses.first=S} begins at
- * that seed; the figures are printed, in simulated ms. The trouble begins 1 s into the course and lasts 20 s; pauses
- * count from its beginning to 4 s past its end.
+ * everywhere every 25 ms. {@code -Dpauses.seeds=N} plays more scenarios of each kind, {@code -Dpauses.first=S} begins
+ * at that seed; the figures are printed, in simulated ms. The fault begins 1 s into the scenario and lasts 20 s;
+ * pauses count from its beginning to 4 s past its end.
  */
 class ViewChangePauseTest {
     private static final int SEEDS = 2;
@@ -34,7 +34,7 @@
         SLOW_DISK
     }
 
-    /** Longest pauses of one course, ms: without an acknowledgement, without a confirmed read. */
+    /** Longest pauses of one scenario, ms: without an acknowledgement, without a confirmed read. */
     private record Pauses(long acks, long reads) {}
 
     private final class Course {
@@ -70,22 +70,22 @@
             return Arrays.stream(nodes).allMatch(node -> node.replica.status().role() == ReplicaRole.MEMBER);
         }
 
-        Pauses play(Trouble trouble, boolean leader) {
+        Pauses play(Trouble fault, boolean leader) {
             span(1_000, new long[2]);
             SimulatedReplica ill = world.leader();
             while (!leader && ill == world.leader()) {
                 ill = nodes[random.nextInt(nodes.length)];
             }
-            strike(ill, trouble, true);
+            strike(ill, fault, true);
             long[] worst = new long[2];
             long[] last = span(TROUBLE_MS, worst, world.now, world.now);
-            strike(ill, trouble, false);
+            strike(ill, fault, false);
             span(AFTER_MS, worst, last[0], last[1]);
             return new Pauses(worst[0], worst[1]);
         }
 
-        private void strike(SimulatedReplica ill, Trouble trouble, boolean on) {
-            switch (trouble) {
+        private void strike(SimulatedReplica ill, Trouble fault, boolean on) {
+            switch (fault) {
                 case CUT -> {
                     for (SimulatedReplica other : nodes) {
                         if (other != ill) {
@@ -179,23 +179,23 @@
         long first = Long.getLong("pauses.first", 1);
         List<String> broken = new ArrayList<>();
         for (int machines : new int[] {3, 5}) {
-            for (Trouble trouble : Trouble.values()) {
+            for (Trouble fault : Trouble.values()) {
                 for (boolean leader : new boolean[] {true, false}) {
                     long[] acks = new long[seeds];
                     long[] reads = new long[seeds];
                     for (int i = 0; i < seeds; i++) {
-                        Pauses pauses = new Course(first + i, machines).play(trouble, leader);
+                        Pauses pauses = new Course(first + i, machines).play(fault, leader);
                         acks[i] = pauses.acks;
                         reads[i] = pauses.reads;
                         if (pauses.acks >= ACK_MS) {
-                            broken.add(machines + " members, " + trouble + ", leader " + leader + ", seed "
-                                    + (first + i) + ": " + pauses);
+                            broken.add(machines + " members, " + fault + ", leader " + leader + ", seed " + (first + i)
+                                    + ": " + pauses);
                         }
                     }
                     Arrays.sort(acks);
                     Arrays.sort(reads);
                     System.out.println("pauses: " + machines + " members, " + (leader ? "leader " : "follower ")
-                            + trouble + ", " + seeds + " courses: acknowledgements " + spread(acks) + "; reads "
+                            + fault + ", " + seeds + " courses: acknowledgements " + spread(acks) + "; reads "
                             + spread(reads));
                 }
             }
--- a/src/test/java/brambletray/platform/replication/ZoneWarningTest.java
+++ b/src/test/java/brambletray/platform/replication/ZoneWarningTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Zones that may be lost with half of the core: what is told of it, what is kept, what waits. */
+/** Zones that may be lost with half of the control plane: what is told of it, what is kept, what waits. */
 class ZoneWarningTest {
     private SimulatedReplicas world;
 
@@ -27,7 +27,7 @@
     /**
      * <pre>
      *   ms     a/y         b/y         c/z          d/z
-     *   0      view of four in force; each warns that one zone holds half
+     *   0      view of four active; each warns that one zone holds half
      *   100    change kept by all
      *   200                            lost         lost
      *   5200   waits       waits
--- a/src/test/java/brambletray/platform/storage/KeyValueStoreFaultsTest.java
+++ b/src/test/java/brambletray/platform/storage/KeyValueStoreFaultsTest.java
@@ -53,7 +53,7 @@
     }
 
     private final Random random = new Random(SEED);
-    private final Set<String> told = new TreeSet<>();
+    private final Set<String> notified = new TreeSet<>();
     private int losses;
 
     @BeforeAll
@@ -89,7 +89,7 @@
             return KeyValueStore.open(disk, SMALL);
         } catch (StorageException fault) {
             assertTrue(TROUBLE.contains(fault.code()), where + ": " + fault.code());
-            told.add(fault.code());
+            notified.add(fault.code());
             return null;
         }
     }
@@ -177,8 +177,8 @@
         SimulatedDirectory garbage = torn(disk);
         steps += everyStepOfOpening(garbage::afterKill, kept, "torn");
         System.out.println(
-                "refused while it opens: " + steps + " steps, " + losses + " openings afterwards, told " + told);
-        assertEquals(TROUBLE, told);
+                "refused while it opens: " + steps + " steps, " + losses + " openings afterwards, told " + notified);
+        assertEquals(TROUBLE, notified);
     }
 
     /** Bytes behind the last commit: opening has to cut them off. */
@@ -203,10 +203,10 @@
                 generation = commitRefused(refusal, ++steps);
             }
             System.out.println("refused while it commits, " + refusal + ": " + steps + " steps, " + losses
-                    + " openings afterwards, generations " + generations + ", told " + told);
+                    + " openings afterwards, generations " + generations + ", told " + notified);
             assertTrue(generations > 1, "never compacted");
         }
-        assertEquals(TROUBLE, told);
+        assertEquals(TROUBLE, notified);
     }
 
     /** Returns the generation of the store afterwards; 0 if there is no such step. */
@@ -258,7 +258,7 @@
             return true;
         } catch (StorageException fault) {
             assertTrue(TROUBLE.contains(fault.code()), where + ": " + fault.code());
-            told.add(fault.code());
+            notified.add(fault.code());
             return false;
         }
     }
--- a/src/test/java/brambletray/platform/storage/SyncWriterTurnsTest.java
+++ b/src/test/java/brambletray/platform/storage/SyncWriterTurnsTest.java
@@ -27,7 +27,7 @@
         Logger.getLogger("trove").setLevel(Level.OFF);
     }
 
-    /** One course: the disk, the loop's tasks, and what the loop has heard. */
+    /** One scenario: the disk, the loop's tasks, and what the loop has heard. */
     private static final class Course {
         private final Turns turns;
         private final Queue<Runnable> loop = new ArrayDeque<>();
@@ -94,17 +94,17 @@
     @Test
     void everyCommitIsAnsweredOnceInOrderAndOnlyOnceItIsDurable() {
         int orders = Turns.everyOrder(turns -> {
-            Course course = new Course(turns, NO_FAILURE);
+            Course scenario = new Course(turns, NO_FAILURE);
             turns.thread("loop", () -> {
-                course.commit("a", 1);
-                course.commit("a", 2);
-                course.turnOfLoop();
-                course.commit("b", 3);
-                course.writer.close();
+                scenario.commit("a", 1);
+                scenario.commit("a", 2);
+                scenario.turnOfLoop();
+                scenario.commit("b", 3);
+                scenario.writer.close();
             });
-            course.end();
-            assertEquals(List.of("a1 done", "a2 done", "b3 done"), course.heard);
-            assertEquals(Map.of("a", 2, "b", 3), course.disk);
+            scenario.end();
+            assertEquals(List.of("a1 done", "a2 done", "b3 done"), scenario.heard);
+            assertEquals(Map.of("a", 2, "b", 3), scenario.disk);
         });
         System.out.println("writer: " + orders + " orders of turns");
         assertTrue(orders > 20, "few orders: " + orders);
@@ -116,21 +116,21 @@
         for (int failing = 0; failing < 2; failing++) {
             int refused = failing;
             orders += Turns.everyOrder(turns -> {
-                Course course = new Course(turns, refused);
+                Course scenario = new Course(turns, refused);
                 turns.thread("loop", () -> {
-                    course.commit("a", 1);
-                    course.commit("b", 2);
-                    course.writer.close();
+                    scenario.commit("a", 1);
+                    scenario.commit("b", 2);
+                    scenario.writer.close();
                 });
-                course.end();
-                assertEquals(2, course.heard.size(), course.heard::toString);
-                assertEquals("a1", course.heard.get(0).substring(0, 2));
-                assertEquals("b2", course.heard.get(1).substring(0, 2));
-                boolean wasRefused = course.writes > refused;
+                scenario.end();
+                assertEquals(2, scenario.heard.size(), scenario.heard::toString);
+                assertEquals("a1", scenario.heard.get(0).substring(0, 2));
+                assertEquals("b2", scenario.heard.get(1).substring(0, 2));
+                boolean wasRefused = scenario.writes > refused;
                 assertEquals(
                         wasRefused,
-                        course.heard.stream().anyMatch(one -> one.endsWith("storage.full")),
-                        course.heard::toString);
+                        scenario.heard.stream().anyMatch(one -> one.endsWith("storage.full")),
+                        scenario.heard::toString);
             });
         }
         System.out.println("writer on a full disk: " + orders + " orders of turns");
@@ -140,17 +140,17 @@
     @Test
     void whatTheLoopReadsOfTheQueueIsNeverOfTwoMoments() {
         int orders = Turns.everyOrder(turns -> {
-            Course course = new Course(turns, NO_FAILURE);
+            Course scenario = new Course(turns, NO_FAILURE);
             turns.thread("loop", () -> {
-                course.commit("a", 1);
-                int pending = course.writer.pending();
-                long wait = course.writer.oldestWaitMs(NOW_MS + 5);
+                scenario.commit("a", 1);
+                int pending = scenario.writer.pending();
+                long wait = scenario.writer.oldestWaitMs(NOW_MS + 5);
                 assertTrue(pending == 0 || pending == 1, "pending " + pending);
                 assertTrue(wait == 0 || wait == 5, "waits " + wait);
                 assertTrue(pending > 0 || wait == 0, "nothing is pending, and yet it waits " + wait);
-                course.writer.close();
+                scenario.writer.close();
             });
-            course.end();
+            scenario.end();
         });
         assertTrue(orders > 10, "few orders: " + orders);
     }
--- a/src/test/java/brambletray/platform/transport/LinkTest.java
+++ b/src/test/java/brambletray/platform/transport/LinkTest.java
@@ -22,7 +22,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Links in simulated time, over a network that cuts what is sent into pieces. */
+/** Links in simulated time, over a network that cuts what is sent into chunks. */
 class LinkTest {
     private static final long SEED = 99;
     private static final int PORT = 7_400;
