--- a/src/main/java/brambletray/relay/control/AnswerTimes.java
+++ b/src/main/java/brambletray/relay/control/AnswerTimes.java
@@ -1,24 +1,40 @@
 package brambletray.relay.control;
 
-import static brambletray.relay.control.Turn.*;
+import static brambletray.relay.control.Turn.SECOND;
 
-import brambletray.relay.control.Relay.*;
-import brambletray.relay.control.State.*;
+import brambletray.relay.control.Relay.Effect;
+import brambletray.relay.control.Relay.Settings;
+import brambletray.relay.control.State.Attempt;
+import brambletray.relay.control.State.Dest;
+import brambletray.relay.control.State.Msg;
+import brambletray.relay.control.State.Route;
 
 /** What answers tell of times, and the time-outs that follow from it. */
 record AnswerTimes(Settings set, Memory memory) {
     /** A destination is slow when its latest answers take this multiple of the usual. */
     private static final double SLOW = 2.5;
-    /** Weights of a new answer in the latest and the usual time. */
-    private static final double LATEST = 0.3, USUAL = 0.03;
-    /** us; time-out: a multiple of the copy delay, its bounds, and one until answers are known. */
+    /** Weight of a new answer in the latest answer time. */
+    private static final double LATEST = 0.3;
+    /** Weight of a new answer in the usual answer time. */
+    private static final double USUAL = 0.03;
+    /** Time-out of a call as a multiple of the copy delay. */
     private static final double PATIENCE = 4.5;
-
-    private static final long PATIENCE_LEAST = 3 * SECOND / 2, PATIENCE_MOST = 6 * SECOND, PATIENCE_FIRST = 3 * SECOND;
-    /** The least (us) and the multiple where calls are lost, and this share of the slots is in use. */
-    private static final double LOST_LEAST = SECOND / 2, LOST_PATIENCE = 2, SLOTS_SCARCE = 0.9;
-    /** Share of timed-out messages answered in the usual time at their next call: those calls were lost. */
-    private static final double LOST_SHARE = 0.5, LOST_WEIGHT = 0.3;
+    /** us; shortest time-out. */
+    private static final long PATIENCE_LEAST = 3 * SECOND / 2;
+    /** us; longest time-out. */
+    private static final long PATIENCE_MOST = 6 * SECOND;
+    /** us; time-out until answers are known. */
+    private static final long PATIENCE_FIRST = 3 * SECOND;
+    /** us; shortest time-out while calls are lost and slots are scarce. */
+    private static final double LOST_LEAST = SECOND / 2;
+    /** Time-out as a multiple of the copy delay while calls are lost and slots are scarce. */
+    private static final double LOST_PATIENCE = 2;
+    /** Share of the slots in use from which on slots are scarce. */
+    private static final double SLOTS_SCARCE = 0.9;
+    /** Share of timed-out messages answered in the usual time at their next call above which calls count as lost. */
+    private static final double LOST_SHARE = 0.5;
+    /** Weight of a new message in that share. */
+    private static final double LOST_WEIGHT = 0.3;
     /** Longer time-outs at each of a message that timed out before: it may just take that long. */
     private static final double PATIENCE_AGAIN = 2;
     /** Longer time-outs where one loses the message. */
--- a/src/main/java/brambletray/relay/control/Backoff.java
+++ b/src/main/java/brambletray/relay/control/Backoff.java
@@ -1,24 +1,45 @@
 package brambletray.relay.control;
 
-import static brambletray.relay.control.Turn.*;
+import static brambletray.relay.control.Turn.MS;
+import static brambletray.relay.control.Turn.SECOND;
 
-import brambletray.relay.control.Relay.*;
-import brambletray.relay.control.State.*;
+import brambletray.relay.control.Relay.Settings;
+import brambletray.relay.control.State.Attempt;
+import brambletray.relay.control.State.Dest;
+import brambletray.relay.control.State.Lane;
+import brambletray.relay.control.State.Route;
 import java.util.SplittableRandom;
 
 /** Refusals: told waits, and back-off by own usual gaps, so that a fleet's tries fit together. */
 record Backoff(Settings set, Memory memory, SplittableRandom random, Turn turn, Pace pace) {
     /** Calls a second: no rate. */
     static final double RATE_LEAST = 1e-6;
-    /** First back-off after a refusal or failed connect, in us and own gaps; growth up to the longest. */
-    private static final double BACKOFF_GROW = 3, BACKOFF_GAPS = 0.5, BACKOFF_GAPS_BUSY = 2, BACKOFF_MOST_GAPS = 10;
-
-    private static final long BACKOFF = 500 * MS, BACKOFF_LEAST = 150 * MS, BACKOFF_MID = 2 * SECOND;
+    /** Factor from one back-off to the next. */
+    private static final double BACKOFF_GROW = 3;
+    /** First back-off after a refusal or a failed connect, in usual gaps between own calls. */
+    private static final double BACKOFF_GAPS = 0.5;
+    /** Shortest back-off in usual gaps between own calls, where that is less than {@link #BACKOFF_LEAST}. */
+    private static final double BACKOFF_GAPS_BUSY = 2;
+    /** Longest back-off, in usual gaps between own calls. */
+    private static final double BACKOFF_MOST_GAPS = 10;
+    /** us; upper bound of the first back-off. */
+    private static final long BACKOFF = 500 * MS;
+    /** us; upper bound of the shortest back-off. */
+    private static final long BACKOFF_LEAST = 150 * MS;
+    /** us; upper bound of a first back-off by the even part of a relay, and lower bound of the longest one. */
+    private static final long BACKOFF_MID = 2 * SECOND;
+    /** us; longest back-off. */
     static final long BACKOFF_MOST = 8 * SECOND;
-    /** Share of calls after a refusal that get in (by kind): least counted, weight of a new one, usual. */
-    private static final double EASE_LEAST = 0.03, EASE_WEIGHT = 0.1, EASE_USUAL = 0.3;
-    /** Shut rather than full: a told wait (us) past any limit span, or so many back-offs in a row. */
-    private static final long SHUT_TOLD = 5 * SECOND / 2, SHUT_RUN = 5;
+    /** Least share of calls after a refusal that counts as being let in. */
+    private static final double EASE_LEAST = 0.03;
+    /** Weight of a new call in that share. */
+    private static final double EASE_WEIGHT = 0.1;
+    /** Share at which back-offs are not lengthened. */
+    private static final double EASE_USUAL = 0.3;
+    /** us; a host that states a longer wait than this is shut rather than full, as no limit spans so long. */
+    private static final long SHUT_TOLD = 5 * SECOND / 2;
+    /** Back-offs in a row after which a host counts as shut rather than full. */
+    private static final long SHUT_RUN = 5;
 
     /** A call was refused for want of room. True if the place seems shut rather than full. */
     boolean refused(Attempt a, long told) {
--- a/src/main/java/brambletray/relay/control/Connections.java
+++ b/src/main/java/brambletray/relay/control/Connections.java
@@ -1,9 +1,14 @@
 package brambletray.relay.control;
 
-import static brambletray.relay.control.Turn.*;
+import static brambletray.relay.control.Turn.MS;
+import static brambletray.relay.control.Turn.SECOND;
 
-import brambletray.relay.control.Relay.*;
-import brambletray.relay.control.State.*;
+import brambletray.relay.control.Relay.Close;
+import brambletray.relay.control.Relay.Ended;
+import brambletray.relay.control.Relay.Settings;
+import brambletray.relay.control.State.Attempt;
+import brambletray.relay.control.State.Health;
+import brambletray.relay.control.State.Route;
 import java.util.Arrays;
 import java.util.SplittableRandom;
 
@@ -11,14 +16,22 @@
 record Connections(Settings set, Memory memory, SplittableRandom random, Turn turn) {
     /** A connection stays open where this many uses are expected while connections of its kind are held. */
     private static final double KEEP_USES = 0.5;
-    /** The span for which they are held: its cut at a failed connect, its growth at an answer. */
-    private static final double HOLD_CUT = 0.5, HOLD_GROW = 1.02;
+    /** Factor of the span for which connections are held, at a failed connect. */
+    private static final double HOLD_CUT = 0.5;
+    /** Factor of that span, at an answer. */
+    private static final double HOLD_GROW = 1.02;
     /** Relays up to which they are held as long as hosts keep them; with more, for less at first. */
     private static final double HOLD_RELAYS = 14;
-    /** us; first and longest pause where a host has no place for a connection; its growth. */
-    private static final double PLACE_PAUSE = 200 * MS, PLACE_MOST = 2 * SECOND, PLACE_GROW = 2;
-    /** us; least idle time for which a connection may be taken for dropped; trust per idle time proven. */
-    private static final double TRUST_LEAST = 250 * MS, TRUST_PROVEN = 1.25;
+    /** us; first pause where a host accepts no further connection. */
+    private static final double PLACE_PAUSE = 200 * MS;
+    /** us; longest such pause. */
+    private static final double PLACE_MOST = 2 * SECOND;
+    /** Factor from one such pause to the next. */
+    private static final double PLACE_GROW = 2;
+    /** us; shortest idle time after which a connection may count as dropped. */
+    private static final double TRUST_LEAST = 250 * MS;
+    /** A connection is trusted for this multiple of the idle time that one has survived. */
+    private static final double TRUST_PROVEN = 1.25;
 
     /** Nothing is known yet. */
     void start() {
--- a/src/main/java/brambletray/relay/control/Copies.java
+++ b/src/main/java/brambletray/relay/control/Copies.java
@@ -1,14 +1,23 @@
 package brambletray.relay.control;
 
-import brambletray.relay.control.Relay.*;
-import brambletray.relay.control.State.*;
+import brambletray.relay.control.Relay.Effect;
+import brambletray.relay.control.Relay.Settings;
+import brambletray.relay.control.State.Attempt;
+import brambletray.relay.control.State.Dest;
+import brambletray.relay.control.State.Health;
+import brambletray.relay.control.State.Msg;
+import brambletray.relay.control.State.Route;
 
 /** Copies (the design's speculative executions): when one goes out and where, after {@link CopyDelay}. */
 record Copies(Settings set, SendGate gate, Turn turn) {
     /** Extra executions of one message; the source's example uses one. */
     private static final int EXTRAS = 1;
-    /** Calls a limit must have left for a copy; copies earned by a send, and saved: no pile-up. */
-    private static final double COPY_ROOM = 2, COPY_SHARE = 0.05, COPY_SAVED = 2;
+    /** Calls that a limit must have left for a copy. */
+    private static final double COPY_ROOM = 2;
+    /** Copies earned by each call that is sent, so that copies cannot pile up. */
+    private static final double COPY_SHARE = 0.05;
+    /** Earned copies that are saved at most. */
+    private static final double COPY_SAVED = 2;
 
     /** A message went out that is no copy. */
     void earned(Dest d) {
--- a/src/main/java/brambletray/relay/control/CopyDelay.java
+++ b/src/main/java/brambletray/relay/control/CopyDelay.java
@@ -13,8 +13,10 @@
     public static final long FIRST_DELAY = 200_000;
     /** Share of recent answers below the copy delay; the design asks for about nine in ten. */
     private static final double DELAY_RANK = 0.95;
-    /** Answers remembered for the delay (a tail, yet it follows), and how many make it known. */
-    private static final int ANSWERS = 48, KNOWN = 8;
+    /** Answers remembered for the delay: enough for a tail, few enough to follow changes. */
+    private static final int ANSWERS = 48;
+    /** Answers from which on the delay is known. */
+    private static final int KNOWN = 8;
 
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/brambletray/relay/control/Dispatch.java
+++ b/src/main/java/brambletray/relay/control/Dispatch.java
@@ -1,10 +1,18 @@
 package brambletray.relay.control;
 
-import static brambletray.relay.control.Turn.*;
+import static brambletray.relay.control.Turn.MS;
+import static brambletray.relay.control.Turn.SECOND;
 
-import brambletray.relay.control.Relay.*;
-import brambletray.relay.control.State.*;
-import java.util.*;
+import brambletray.relay.control.Relay.Settings;
+import brambletray.relay.control.State.Band;
+import brambletray.relay.control.State.Dest;
+import brambletray.relay.control.State.Duty;
+import brambletray.relay.control.State.Msg;
+import brambletray.relay.control.State.Route;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.Comparator;
+import java.util.List;
 
 /** Dispatch: which waiting message goes next, and by which route. */
 record Dispatch(Settings set, Memory memory, Turn turn, SendGate gate, Copies copies) {
--- a/src/main/java/brambletray/relay/control/Endpoints.java
+++ b/src/main/java/brambletray/relay/control/Endpoints.java
@@ -1,10 +1,22 @@
 package brambletray.relay.control;
 
-import static brambletray.relay.control.Turn.*;
+import static brambletray.relay.control.Turn.SECOND;
 
-import brambletray.relay.control.Relay.*;
-import brambletray.relay.control.State.*;
-import java.util.*;
+import brambletray.relay.control.Relay.Endpoint;
+import brambletray.relay.control.Relay.Excluded;
+import brambletray.relay.control.Relay.Known;
+import brambletray.relay.control.Relay.ListKind;
+import brambletray.relay.control.Relay.Listed;
+import brambletray.relay.control.Relay.Listing;
+import brambletray.relay.control.Relay.Settings;
+import brambletray.relay.control.State.Dest;
+import brambletray.relay.control.State.Duty;
+import brambletray.relay.control.State.Health;
+import brambletray.relay.control.State.Lane;
+import brambletray.relay.control.State.Route;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
 
 /** The list of endpoints, what operators take out of it, and what earlier modules knew of them. */
 record Endpoints(Settings set, Memory memory, Turn turn, Pace pace, Backoff backoff, Outages outages) {
--- a/src/main/java/brambletray/relay/control/KeyOrder.java
+++ b/src/main/java/brambletray/relay/control/KeyOrder.java
@@ -1,7 +1,9 @@
 package brambletray.relay.control;
 
-import brambletray.relay.control.Relay.*;
-import brambletray.relay.control.State.*;
+import brambletray.relay.control.Relay.Settings;
+import brambletray.relay.control.State.Duty;
+import brambletray.relay.control.State.Key;
+import brambletray.relay.control.State.Msg;
 
 /** Order of messages that share a key: as they were taken on, one at a time. */
 record KeyOrder(Settings set, Memory memory, Turn turn) {
--- a/src/main/java/brambletray/relay/control/Messages.java
+++ b/src/main/java/brambletray/relay/control/Messages.java
@@ -1,15 +1,31 @@
 package brambletray.relay.control;
 
-import static brambletray.relay.control.Turn.*;
-
-import brambletray.relay.control.Relay.*;
-import brambletray.relay.control.State.*;
+import static brambletray.relay.control.Turn.SECOND;
+
+import brambletray.relay.control.Relay.Accepted;
+import brambletray.relay.control.Relay.Cancel;
+import brambletray.relay.control.Relay.Earlier;
+import brambletray.relay.control.Relay.Effect;
+import brambletray.relay.control.Relay.Ended;
+import brambletray.relay.control.Relay.Fail;
+import brambletray.relay.control.Relay.Outcome;
+import brambletray.relay.control.Relay.Refuse;
+import brambletray.relay.control.Relay.Settings;
+import brambletray.relay.control.State.Attempt;
+import brambletray.relay.control.State.Band;
+import brambletray.relay.control.State.Dest;
+import brambletray.relay.control.State.Duty;
+import brambletray.relay.control.State.Key;
+import brambletray.relay.control.State.Msg;
+import brambletray.relay.control.State.Route;
 
 /** The life of a message: taken on, queued, attempted, and ended by exactly one final answer. */
 record Messages(
         Settings set, Memory memory, Turn turn, Endpoints endpoints, KeyOrder order, SendGate gate, Outcomes outcomes) {
     /** us; span over which a relay measures its own usual rate to a destination. */
-    private static final long RATE_SPAN = 15 * SECOND, RATE_AGE = 3 * SECOND;
+    private static final long RATE_SPAN = 15 * SECOND;
+    /** us; shortest time since the start by which that measurement divides. */
+    private static final long RATE_AGE = 3 * SECOND;
     /** s; a tenant inside its share may run ahead of it by this much. */
     private static final double SHARE_BURST = 2;
 
--- a/src/main/java/brambletray/relay/control/Outages.java
+++ b/src/main/java/brambletray/relay/control/Outages.java
@@ -1,9 +1,17 @@
 package brambletray.relay.control;
 
-import static brambletray.relay.control.Turn.*;
+import static brambletray.relay.control.Turn.MS;
+import static brambletray.relay.control.Turn.NEVER;
+import static brambletray.relay.control.Turn.SECOND;
 
-import brambletray.relay.control.Relay.*;
-import brambletray.relay.control.State.*;
+import brambletray.relay.control.Relay.Ended;
+import brambletray.relay.control.Relay.Outcome;
+import brambletray.relay.control.Relay.Rules;
+import brambletray.relay.control.Relay.Settings;
+import brambletray.relay.control.Relay.Weights;
+import brambletray.relay.control.State.Attempt;
+import brambletray.relay.control.State.Health;
+import brambletray.relay.control.State.Route;
 import java.util.SplittableRandom;
 
 /**
@@ -11,18 +19,22 @@
  * a ramp within the budget of what a cold route bears.
  */
 record Outages(Settings set, SplittableRandom random, Turn turn, Pace pace, Backoff backoff, Connections connections) {
-    /** Failures in a row, or a share of recent calls, that mean an outage; a new outcome's weight. */
+    /** Failures in a row that mean an outage. */
     private static final int OUTAGE_RUN = 3;
-
-    private static final double OUTAGE_SHARE = 0.6, OUTCOME_WEIGHT = 0.2;
+    /** Share of failed recent calls that means an outage. */
+    private static final double OUTAGE_SHARE = 0.6;
+    /** Weight of a new outcome in that share. */
+    private static final double OUTCOME_WEIGHT = 0.2;
     /** New connections in a row that broke with no answer between, from which on the host is held to fail. */
     private static final int BROKEN_RUN = 4;
     /** us; a route that answered within this is not yet taken for failing. */
     private static final long SILENT = 700 * MS;
     /** us; a sibling of a failing route that answered a call sent this long before is not suspected. */
     private static final long SUSPECT = 500 * MS;
-    /** us; least gap between trials of a route; a suspicion cleared within this leaves no ramp. */
-    private static final long TRIAL_GAP = 400 * MS, SUSPICION = 2 * SECOND;
+    /** us; shortest time between trials of a route. */
+    private static final long TRIAL_GAP = 400 * MS;
+    /** us; a suspicion that is cleared within this time is followed by no ramp. */
+    private static final long SUSPICION = 2 * SECOND;
     /** Part of the return budget used: leaves room for chance and for calls already under way. */
     private static final double BUDGET_USED = 0.95;
     /** Part used of an even share of a told limit: what a destination can do is over its limit by some. */
--- a/src/main/java/brambletray/relay/control/Outcomes.java
+++ b/src/main/java/brambletray/relay/control/Outcomes.java
@@ -1,7 +1,10 @@
 package brambletray.relay.control;
 
-import brambletray.relay.control.Relay.*;
-import brambletray.relay.control.State.*;
+import brambletray.relay.control.Relay.Ended;
+import brambletray.relay.control.Relay.Outcome;
+import brambletray.relay.control.State.Attempt;
+import brambletray.relay.control.State.Health;
+import brambletray.relay.control.State.Route;
 
 /** Learning: what each outcome of a call tells of its destination, lane, route and connections. */
 record Outcomes(
--- a/src/main/java/brambletray/relay/control/Pace.java
+++ b/src/main/java/brambletray/relay/control/Pace.java
@@ -1,23 +1,37 @@
 package brambletray.relay.control;
 
-import static brambletray.relay.control.Turn.*;
+import static brambletray.relay.control.Turn.SECOND;
 
-import brambletray.relay.control.Relay.*;
-import brambletray.relay.control.State.*;
+import brambletray.relay.control.Relay.Settings;
+import brambletray.relay.control.Relay.Weights;
+import brambletray.relay.control.State.Lane;
+import brambletray.relay.control.State.Route;
 import java.util.SplittableRandom;
 
 /** Paces of lanes, and the limits that hosts tell in lists and in answers. */
 record Pace(Settings set, Memory memory, SplittableRandom random, Turn turn) {
-    /** Pace: most over the listed rate, cut at a refusal, least and first of an even split among relays. */
-    private static final double PACE_MOST = 1.4, PACE_CUT = 0.75, PACE_LEAST = 0.5, PACE_START = 2;
-    /** Growth of the pace at an answer, in even parts: up to an even part, and past it. */
-    private static final double PACE_GROW = 0.15, PACE_PROBE = 0.03;
-    /** Calls a second: pace where no rate is listed (none); slowest pace (less would be a ban). */
-    private static final double UNPACED = 1e6, PACE_SLOWEST = 0.25;
+    /** Highest pace, as a multiple of the listed rate. */
+    private static final double PACE_MOST = 1.4;
+    /** Factor of the pace at a refusal. */
+    private static final double PACE_CUT = 0.75;
+    /** Lowest pace, as a multiple of a relay's even part of the rate. */
+    private static final double PACE_LEAST = 0.5;
+    /** First pace, as a multiple of a relay's even part of the rate. */
+    private static final double PACE_START = 2;
+    /** Growth of the pace at an answer, in even parts, up to an even part. */
+    private static final double PACE_GROW = 0.15;
+    /** The same past an even part. */
+    private static final double PACE_PROBE = 0.03;
+    /** Calls a second; pace where no rate is listed, in effect none. */
+    private static final double UNPACED = 1e6;
+    /** Calls a second; slowest pace, as less would be a ban. */
+    private static final double PACE_SLOWEST = 0.25;
     /** s; a lane may send this much of its pace at once. */
     private static final double PACE_BURST = 0.7;
-    /** Share of the limit left below which the pace gives way, and the pace's steps. */
-    private static final double LEFT_LOW = 0.15, LEFT_CUT = 0.9;
+    /** Share of the limit that is left below which the pace is cut. */
+    private static final double LEFT_LOW = 0.15;
+    /** Factor of the pace at each such cut. */
+    private static final double LEFT_CUT = 0.9;
 
     /** Calls a second that a lane takes from all relays together, as listed or told in answers. */
     static double rate(Lane lane) {
--- a/src/main/java/brambletray/relay/control/SendGate.java
+++ b/src/main/java/brambletray/relay/control/SendGate.java
@@ -1,9 +1,17 @@
 package brambletray.relay.control;
 
-import static brambletray.relay.control.Turn.*;
+import static brambletray.relay.control.Turn.MS;
+import static brambletray.relay.control.Turn.NEVER;
+import static brambletray.relay.control.Turn.SECOND;
 
-import brambletray.relay.control.Relay.*;
-import brambletray.relay.control.State.*;
+import brambletray.relay.control.Relay.Effect;
+import brambletray.relay.control.Relay.Send;
+import brambletray.relay.control.Relay.Settings;
+import brambletray.relay.control.State.Attempt;
+import brambletray.relay.control.State.Call;
+import brambletray.relay.control.State.Duty;
+import brambletray.relay.control.State.Msg;
+import brambletray.relay.control.State.Route;
 import java.util.SplittableRandom;
 
 /** The one gate of every send: what may go where and when, and at what cost; and the slots in use. */
@@ -16,8 +24,12 @@
         Window window,
         Connections connections,
         Outages outages) {
-    /** us; endpoint choice: price of opening a connection, of one point of fee, of each failure in a row. */
-    private static final long COST_CONNECT = 400 * MS, COST_POINT = 50 * MS, COST_FAILURE = 2 * SECOND;
+    /** us; cost of opening a connection, in the choice of an endpoint. */
+    private static final long COST_CONNECT = 400 * MS;
+    /** us; cost of one point of fee. */
+    private static final long COST_POINT = 50 * MS;
+    /** us; cost of each failure in a row. */
+    private static final long COST_FAILURE = 2 * SECOND;
 
     double cost(Msg m, Route r) {
         double latency = r.latency > 0 ? r.latency : Math.max(r.dest.latest, CopyDelay.FIRST_DELAY);
--- a/src/main/java/brambletray/relay/control/Window.java
+++ b/src/main/java/brambletray/relay/control/Window.java
@@ -1,12 +1,14 @@
 package brambletray.relay.control;
 
-import brambletray.relay.control.Relay.*;
-import brambletray.relay.control.State.*;
+import brambletray.relay.control.Relay.Settings;
+import brambletray.relay.control.State.Dest;
 
 /** The window of calls in flight to one destination, copies included. */
 record Window(Settings set) {
-    /** Share of the slots that one destination's window may reach; and while it fails or is slow. */
-    private static final double WINDOW_SHARE = 0.75, WINDOW_POOR = 0.3;
+    /** Share of the slots that one destination's window may reach. */
+    private static final double WINDOW_SHARE = 0.75;
+    /** The same while the destination fails or is slow. */
+    private static final double WINDOW_POOR = 0.3;
 
     /** Calls that a destination may have out: its window, under a cap lower while failing or slow. */
     int room(Dest d) {
