--- a/src/main/java/brambletray/Main.java
+++ b/src/main/java/brambletray/Main.java
@@ -9,16 +9,18 @@
 import java.nio.file.Path;
 
 /**
- * Entry point. {@code serve} and {@code simhost} are looked at here, so that they start with no class of the
- * command line loaded; everything else is up to {@link Verbs}.
+ * Entry point. The programs are started from here, so that they load no class of the command line; everything else is
+ * up to {@link Verbs}.
  */
 public final class Main {
     private Main() {}
 
+    /** Runs {@link #run} and exits with its code. */
     public static void main(String[] args) throws IOException {
         System.exit(run(args));
     }
 
+    /** Runs a program or a command; returns the exit code. */
     public static int run(String[] args) throws IOException {
         if (args.length == 1 && (args[0].equals("edge") || args[0].equals("controlplane"))) {
             return ProgramLauncher.run(args[0]);
--- a/src/main/java/brambletray/common/simulation/Simulation.java
+++ b/src/main/java/brambletray/common/simulation/Simulation.java
@@ -41,14 +41,17 @@
         network = new SimNetwork(this, new SplittableRandom(seed));
     }
 
+    /** The seed of all that is drawn in this simulation. */
     public long seed() {
         return seed;
     }
 
+    /** The network that all simulated machines share. */
     public SimNetwork network() {
         return network;
     }
 
+    /** The simulated clock. */
     public Clock clock() {
         return clock;
     }
--- a/src/main/java/brambletray/common/yaml/Faults.java
+++ b/src/main/java/brambletray/common/yaml/Faults.java
@@ -13,6 +13,7 @@
         this.lines = lines;
     }
 
+    /** One line for each fault. */
     public List<String> lines() {
         return lines;
     }
--- a/src/main/java/brambletray/common/yaml/Section.java
+++ b/src/main/java/brambletray/common/yaml/Section.java
@@ -58,6 +58,7 @@
         return path.isEmpty() ? field : path + "." + field;
     }
 
+    /** Whether there is such a field. */
     public boolean has(String field) {
         return values.containsKey(field);
     }
@@ -93,11 +94,13 @@
         return scalar.getValue();
     }
 
+    /** A text that must be there; empty, and a fault noted, where it is not. */
     public String text(String field) {
         String value = scalar(field, "a text", true);
         return value == null ? "" : value;
     }
 
+    /** A text, or {@code absent} where there is no such field. */
     public String text(String field, String absent) {
         String value = scalar(field, "a text", false);
         return value == null ? absent : value;
@@ -114,10 +117,15 @@
         return value == null ? absent == null ? words[0] : absent : value;
     }
 
+    /**
+     * A number that must be there, from {@code least} to {@code most}; {@code least}, and a fault noted, where it is
+     * not.
+     */
     public double number(String field, double least, double most) {
         return number(field, least, least, most, true);
     }
 
+    /** A number from {@code least} to {@code most}, or {@code absent} where there is no such field. */
     public double number(String field, double absent, double least, double most) {
         return number(field, absent, least, most, false);
     }
@@ -140,11 +148,13 @@
         return absent;
     }
 
+    /** A whole number from {@code least} to {@code most}, or {@code absent} where there is no such field. */
     public int whole(String field, int absent, int least, int most) {
         double value = number(field, absent, least, most, false);
         return whole(field, value, absent);
     }
 
+    /** A whole number that must be there, from {@code least} to {@code most}. */
     public int whole(String field, int least, int most) {
         return whole(field, number(field, least, least, most, true), least);
     }
@@ -157,6 +167,7 @@
         return (int) value;
     }
 
+    /** True or false, or {@code absent} where there is no such field. */
     public boolean flag(String field, boolean absent) {
         String value = scalar(field, "true or false", false);
         if (value == null) {
--- a/src/main/java/brambletray/platform/admission/AdmissionException.java
+++ b/src/main/java/brambletray/platform/admission/AdmissionException.java
@@ -6,6 +6,7 @@
 public final class AdmissionException extends PlatformException {
     private static final long serialVersionUID = 1L;
 
+    /** Creates it with a code that begins with {@code admission.}; {@code cause} may be null. */
     public AdmissionException(String code, String message, Throwable cause) {
         super(code, message, cause);
     }
--- a/src/main/java/brambletray/platform/admission/ServiceQueues.java
+++ b/src/main/java/brambletray/platform/admission/ServiceQueues.java
@@ -118,6 +118,7 @@
         return List.copyOf(queues.keySet());
     }
 
+    /** Whether this edge is the home of the service. */
     public boolean isHomeOf(String service) {
         return queues.containsKey(service);
     }
@@ -173,6 +174,7 @@
         }
     }
 
+    /** The coordinator's list of a service's instances, which a home has claimed. */
     public void onInstanceList(InstanceList list, long now) {
         ServiceQueue queue = zone.equals(list.homeZone()) ? queues.get(list.service()) : null;
         if (queue != null) {
@@ -181,6 +183,7 @@
         }
     }
 
+    /** The coordinator has started an instance that a home had requested. */
     public void onInstanceStarted(InstanceStarted started, long now) {
         ServiceQueue queue = zone.equals(started.instance().homeZone())
                 ? queues.get(started.instance().service())
@@ -191,6 +194,7 @@
         }
     }
 
+    /** The coordinator has refused a start. */
     public void onStartRefused(StartRefusal answer, long now) {
         for (ServiceQueue queue : queues.values()) {
             if (queue.onStartRefused(answer, now)) {
@@ -208,6 +212,7 @@
         }
     }
 
+    /** An instance takes no further requests. */
     public void onInstanceDraining(InstanceDraining draining, long now) {
         ServiceQueue queue = queues.get(draining.service());
         if (queue != null) {
@@ -216,6 +221,7 @@
         }
     }
 
+    /** An instance no longer exists. */
     public void onInstanceGone(InstanceGone gone, long now) {
         ServiceQueue queue = queues.get(gone.service());
         if (queue != null) {
--- a/src/main/java/brambletray/platform/admission/ServiceSpec.java
+++ b/src/main/java/brambletray/platform/admission/ServiceSpec.java
@@ -6,6 +6,7 @@
  * smallest latency target of the routes that lead here, 0 where there is none.
  */
 public record ServiceSpec(String service, int memoryMb, int bootMs, int maxConcurrency, int targetMs) {
+    /** Rejects impossible values with {@link AdmissionException} {@code admission.spec}. */
     public ServiceSpec {
         if (maxConcurrency < 1 || memoryMb < 1 || bootMs < 0) {
             throw new AdmissionException(
--- a/src/main/java/brambletray/platform/errors/PlatformException.java
+++ b/src/main/java/brambletray/platform/errors/PlatformException.java
@@ -15,6 +15,7 @@
         this.code = code;
     }
 
+    /** The code: package and fault, as in {@code storage.full}. */
     public final String code() {
         return code;
     }
--- a/src/main/java/brambletray/platform/localsystem/JsonValues.java
+++ b/src/main/java/brambletray/platform/localsystem/JsonValues.java
@@ -30,11 +30,13 @@
         return object.get(field) instanceof List<?> list ? (List<Map<String, Object>>) list : List.of();
     }
 
+    /** The field as text; "-" where there is no such field. */
     public static String text(Map<String, Object> object, String field) {
         Object value = object.get(field);
         return value == null ? "-" : value.toString();
     }
 
+    /** The field as a number; 0 where there is no such field. */
     public static long number(Map<String, Object> object, String field) {
         return object.get(field) instanceof Number number ? number.longValue() : 0;
     }
--- a/src/main/java/brambletray/platform/platformstub/PlatformStub.java
+++ b/src/main/java/brambletray/platform/platformstub/PlatformStub.java
@@ -56,6 +56,7 @@
         this.startsAndStops = new CallRateLimiter(parameters.startsAndStopsPerS(), now);
     }
 
+    /** Adds a worker of {@code memoryMb} MB. */
     public void worker(String name, String zone, int memoryMb, long now) {
         workers.put(name, new StubWorker(name, zone, memoryMb, now));
     }
--- a/src/main/java/brambletray/platform/platformstub/PlatformStubServer.java
+++ b/src/main/java/brambletray/platform/platformstub/PlatformStubServer.java
@@ -47,6 +47,7 @@
     private final JsonWriter out = json.newWriter();
     private Channel listener;
 
+    /** Serves {@code stub} on the loop of {@code machine}. */
     public PlatformStubServer(Machine machine, PlatformStub stub) {
         this.machine = machine;
         this.stub = stub;
@@ -66,6 +67,7 @@
         return bound;
     }
 
+    /** Closes the listening socket and all connections. */
     public void close() {
         listener.close();
     }
--- a/src/main/java/brambletray/platform/provisioning/PlatformClient.java
+++ b/src/main/java/brambletray/platform/provisioning/PlatformClient.java
@@ -31,6 +31,7 @@
     /** A list that came, or not: {@code complete} only with its last page. */
     @FunctionalInterface
     public interface ListCallback {
+        /** The platform's list, or what has come of it where it is not {@code complete}. */
         void onList(List<ListedInstance> hosts, boolean complete);
     }
 
--- a/src/main/java/brambletray/platform/provisioning/ProvisioningException.java
+++ b/src/main/java/brambletray/platform/provisioning/ProvisioningException.java
@@ -9,6 +9,7 @@
 public final class ProvisioningException extends PlatformException {
     private static final long serialVersionUID = 1L;
 
+    /** Creates it with a code that begins with {@code provisioning.}; {@code cause} may be null. */
     public ProvisioningException(String code, String message, Throwable cause) {
         super(code, message, cause);
     }
--- a/src/main/java/brambletray/platform/proxy/Readiness.java
+++ b/src/main/java/brambletray/platform/proxy/Readiness.java
@@ -29,6 +29,7 @@
     /** Oldest first. */
     private final ArrayDeque<Channel> connections = new ArrayDeque<>();
 
+    /** Answers 200 while {@code isReady}, 503 otherwise. */
     public Readiness(Machine machine, BooleanSupplier isReady) {
         this.machine = machine;
         this.isReady = isReady;
--- a/src/main/java/brambletray/platform/settings/SimulatedSettings.java
+++ b/src/main/java/brambletray/platform/settings/SimulatedSettings.java
@@ -6,6 +6,7 @@
 public final class SimulatedSettings {
     private SimulatedSettings() {}
 
+    /** Settings from the text of a settings file. */
     public static NodeSettings of(String text) {
         return NodeSettings.from(SettingsFields.parse("node.conf", text), Path.of("node.conf"));
     }
--- a/src/main/java/brambletray/platform/storage/SyncWriter.java
+++ b/src/main/java/brambletray/platform/storage/SyncWriter.java
@@ -16,6 +16,7 @@
 public final class SyncWriter implements AutoCloseable, DurableStore {
     /** What is written to; {@link KeyValueStore#commit}, or a stand-in. */
     public interface Disk {
+        /** Writes and syncs the changes; they are durable when it returns. */
         void commit(List<KeyChange> changes) throws StorageException;
 
         /** Nothing is pending now: time to compact. */
--- a/src/main/java/brambletray/platform/transport/Link.java
+++ b/src/main/java/brambletray/platform/transport/Link.java
@@ -136,6 +136,7 @@
         return tag;
     }
 
+    /** Puts an object of the owner on this link. */
     public void tag(Object tag) {
         this.tag = tag;
     }
--- a/src/main/java/brambletray/relay/wire/Wire.java
+++ b/src/main/java/brambletray/relay/wire/Wire.java
@@ -23,6 +23,7 @@
     public static final class Malformed extends IOException {
         private static final long serialVersionUID = 1L;
 
+        /** Creates it with what is wrong with the line. */
         public Malformed(String fault) {
             super(fault);
         }
@@ -38,6 +39,7 @@
             return value;
         }
 
+        /** A string that must be there. */
         public String text(String name) throws Malformed {
             if (need(name) instanceof String s) {
                 return s;
@@ -45,10 +47,12 @@
             throw new Malformed("field '" + name + "' is not a string");
         }
 
+        /** A string, or {@code absent} where there is no such field. */
         public String text(String name, String absent) throws Malformed {
             return values.get(name) == null ? absent : text(name);
         }
 
+        /** A number that must be there. */
         public double number(String name) throws Malformed {
             if (need(name) instanceof Number n) {
                 return n.doubleValue();
@@ -56,10 +60,12 @@
             throw new Malformed("field '" + name + "' is not a number");
         }
 
+        /** A number, or {@code absent} where there is no such field. */
         public double number(String name, double absent) throws Malformed {
             return values.get(name) == null ? absent : number(name);
         }
 
+        /** A whole number that must be there. */
         public long whole(String name) throws Malformed {
             if (need(name) instanceof Number n && n.doubleValue() == Math.rint(n.doubleValue())) {
                 return n.longValue();
@@ -67,18 +73,22 @@
             throw new Malformed("field '" + name + "' is not a whole number");
         }
 
+        /** A whole number, or {@code absent} where there is no such field. */
         public long whole(String name, long absent) throws Malformed {
             return values.get(name) == null ? absent : whole(name);
         }
 
+        /** A time that must be there, converted from ms to us. */
         public long time(String name) throws Malformed {
             return Math.round(number(name) * 1000.0);
         }
 
+        /** A time converted from ms to us; {@code absentMillis} where there is no such field. */
         public long time(String name, double absentMillis) throws Malformed {
             return Math.round(number(name, absentMillis) * 1000.0);
         }
 
+        /** True or false; false where there is no such field. */
         public boolean flag(String name) throws Malformed {
             Object value = values.get(name);
             if (value == null || value instanceof Boolean) {
@@ -87,11 +97,13 @@
             throw new Malformed("field '" + name + "' is not true or false");
         }
 
+        /** An object; an empty one where there is no such field. */
         public Fields object(String name) throws Malformed {
             Object value = values.get(name);
             return value == null ? new Fields(Map.of()) : asFields(value, name);
         }
 
+        /** A list of objects; empty where there is no such field. */
         public List<Fields> objects(String name) throws Malformed {
             List<Fields> all = new ArrayList<>();
             for (Object value : list(name)) {
@@ -100,6 +112,7 @@
             return all;
         }
 
+        /** A list; empty where there is no such field. */
         public List<?> list(String name) throws Malformed {
             Object value = values.get(name);
             if (value == null || value instanceof List) {
@@ -171,6 +184,7 @@
         }
     }
 
+    /** The settings of the decision module from the wire's first message. */
     public static Relay.Settings settings(Fields s) throws Malformed {
         Fields info = s.object("family-info");
         Fields allowed = s.object("allowed");
