--- a/src/main/java/brambletray/relay/control/CopyDelay.java
+++ b/src/main/java/brambletray/relay/control/CopyDelay.java
@@ -26,6 +26,7 @@
 
     private int count;
 
+    /** An answer has come this many us after its call was sent. */
     public void add(long time) {
         ring[count++ % ring.length] = time;
         sorted = null;
@@ -41,6 +42,7 @@
         return count >= 2 * KNOWN;
     }
 
+    /** us after which a call with no answer is run once more; {@link #FIRST_DELAY} until enough answers came. */
     public long delay() {
         if (!known()) {
             return FIRST_DELAY;
