--- a/src/main/java/brambletray/common/simulation/SimNetwork.java
+++ b/src/main/java/brambletray/common/simulation/SimNetwork.java
@@ -144,8 +144,8 @@
      * Told of each new connection (the client's end, the server's end) before any byte has passed: the
      * place to arm {@link SimChannel#cutAfter}.
      */
-    public void whenConnected(BiConsumer<SimChannel, SimChannel> told) {
-        whenConnected = told;
+    public void whenConnected(BiConsumer<SimChannel, SimChannel> listener) {
+        whenConnected = listener;
     }
 
     /**
@@ -166,8 +166,8 @@
     }
 
     /** Told after each piece of data that a machine has put on the way. */
-    public void whenSent(Consumer<InetAddress> told) {
-        whenSent = told;
+    public void whenSent(Consumer<InetAddress> listener) {
+        whenSent = listener;
     }
 
     void sent(InetAddress machine) {
--- a/src/main/java/brambletray/common/yaml/YamlFile.java
+++ b/src/main/java/brambletray/common/yaml/YamlFile.java
@@ -113,12 +113,12 @@
     /** Throws all faults found so far, in the order of the file. */
     public void check() throws Faults {
         if (!faults.isEmpty()) {
-            TreeSet<String> told = new TreeSet<>();
+            TreeSet<String> reported = new TreeSet<>();
             List<String> lines = new ArrayList<>();
             faults.sort(Comparator.comparingInt(Fault::line).thenComparingInt(Fault::column));
             for (Fault f : faults) {
                 String line = name + ":" + f.line() + ":" + f.column() + ": " + f.text();
-                if (told.add(line) && lines.size() < FAULTS_MOST) {
+                if (reported.add(line) && lines.size() < FAULTS_MOST) {
                     lines.add(line);
                 }
             }
--- a/src/main/java/brambletray/platform/admission/KeepAlivePolicy.java
+++ b/src/main/java/brambletray/platform/admission/KeepAlivePolicy.java
@@ -65,14 +65,14 @@
         for (int i = 0; i <= BUCKETS; i++) {
             more += gapWeights[i] + prior;
         }
-        double kept = 0;
+        double idleCost = 0;
         double best = more * even;
         int span = parameters.minIdleMs();
         for (int i = 0; i < BUCKETS; i++) {
             double here = gapWeights[i] + prior;
-            kept += here * (i == 0 ? BUCKET_ENDS_MS[0] / 2.0 : (BUCKET_ENDS_MS[i] + BUCKET_ENDS_MS[i - 1]) / 2.0);
+            idleCost += here * (i == 0 ? BUCKET_ENDS_MS[0] / 2.0 : (BUCKET_ENDS_MS[i] + BUCKET_ENDS_MS[i - 1]) / 2.0);
             more -= here;
-            double cost = kept + more * ((double) BUCKET_ENDS_MS[i] + even);
+            double cost = idleCost + more * ((double) BUCKET_ENDS_MS[i] + even);
             if (cost < best) {
                 best = cost;
                 span = BUCKET_ENDS_MS[i];
--- a/src/main/java/brambletray/platform/drill/HttpCall.java
+++ b/src/main/java/brambletray/platform/drill/HttpCall.java
@@ -94,9 +94,9 @@
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpResponse answer) {
         byte[] body = ByteBufUtil.getBytes(answer.content());
-        boolean whole = answer.decoderResult().isSuccess();
+        boolean complete = answer.decoderResult().isSuccess();
         context.close();
-        end(whole ? answer.status().code() : 0, answer.headers().get("Location"), body);
+        end(complete ? answer.status().code() : 0, answer.headers().get("Location"), body);
     }
 
     @Override
--- a/src/main/java/brambletray/platform/drill/OperatorRequest.java
+++ b/src/main/java/brambletray/platform/drill/OperatorRequest.java
@@ -16,7 +16,7 @@
 
     final long base;
     final long revision;
-    final boolean whole;
+    final boolean replacesAll;
     final byte[] body;
     /** Course ms; -1: not yet. */
     long sentAt = -1;
@@ -27,13 +27,13 @@
     /** When the try that was refused had been sent. */
     long refusedTryAt;
 
-    private OperatorRequest(int id, Kind kind, int parent, long base, long revision, boolean whole, String text) {
+    private OperatorRequest(int id, Kind kind, int parent, long base, long revision, boolean replacesAll, String text) {
         this.id = id;
         this.kind = kind;
         this.parent = parent;
         this.base = base;
         this.revision = revision;
-        this.whole = whole;
+        this.replacesAll = replacesAll;
         this.body = text.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
     }
 
@@ -47,9 +47,9 @@
             "'services':[{'name':'a','health-path':null,'max-connections':72,'memory-mb':512,'boot-ms':750,'max-concurrency':4}]";
 
     /** {@code ballast}: bytes of further routes, about. */
-    static OperatorRequest valid(int id, int parent, long base, long revision, boolean whole, int ballast) {
+    static OperatorRequest valid(int id, int parent, long base, long revision, boolean replacesAll, int ballast) {
         String mark = route("mark", "/o" + id + "/p" + parent + "/", "a", 2_500);
-        if (!whole) {
+        if (!replacesAll) {
             return new OperatorRequest(
                     id,
                     Kind.VALID,
@@ -97,12 +97,12 @@
     }
 
     String path() {
-        return "/brambletray/configuration/" + (whole ? "replace" : "modify");
+        return "/brambletray/configuration/" + (replacesAll ? "replace" : "modify");
     }
 
     @Override
     public String toString() {
-        return "o" + id + "(" + kind + (whole ? " replace " : " modify ") + revision + " on " + base + " by o" + parent
-                + ")";
+        return "o" + id + "(" + kind + (replacesAll ? " replace " : " modify ") + revision + " on " + base + " by o"
+                + parent + ")";
     }
 }
--- a/src/main/java/brambletray/platform/drill/SimulatedOperator.java
+++ b/src/main/java/brambletray/platform/drill/SimulatedOperator.java
@@ -138,9 +138,9 @@
     }
 
     private void order(int parent, long base, long revision) {
-        boolean whole = parent == 0 || random.nextInt(3) > 0;
-        int ballast = whole && others.ballast > 0 ? random.nextInt(others.ballast) : 0;
-        OperatorRequest request = OperatorRequest.valid(judge.next(), parent, base, revision, whole, ballast);
+        boolean replacesAll = parent == 0 || random.nextInt(3) > 0;
+        int ballast = replacesAll && others.ballast > 0 ? random.nextInt(others.ballast) : 0;
+        OperatorRequest request = OperatorRequest.valid(judge.next(), parent, base, revision, replacesAll, ballast);
         judge.made(request);
         send(request, Integer.MAX_VALUE);
     }
--- a/src/main/java/brambletray/platform/drill/SimulatedOperators.java
+++ b/src/main/java/brambletray/platform/drill/SimulatedOperators.java
@@ -68,15 +68,15 @@
         }
     }
 
-    void whenAcknowledged(Consumer<String> told) {
-        whenAcknowledged = told;
+    void whenAcknowledged(Consumer<String> listener) {
+        whenAcknowledged = listener;
     }
 
     void acknowledged(String member) {
-        Consumer<String> told = whenAcknowledged;
+        Consumer<String> listener = whenAcknowledged;
         whenAcknowledged = null;
-        if (told != null) {
-            told.accept(member);
+        if (listener != null) {
+            listener.accept(member);
         }
     }
 }
--- a/src/main/java/brambletray/platform/localsystem/ChildProcess.java
+++ b/src/main/java/brambletray/platform/localsystem/ChildProcess.java
@@ -32,26 +32,26 @@
             "java.base/sun.nio.ch=ALL-UNNAMED");
 
     private final LocalSite site;
-    private final LocalSite.Place place;
+    private final LocalSite.ProcessSpec spec;
     private final Consumer<String> report;
     private Process process;
     private int starts;
     private boolean ending;
 
     /** {@code report}: receives a line about the process's end. */
-    ChildProcess(LocalSite site, LocalSite.Place place, Consumer<String> report) {
+    ChildProcess(LocalSite site, LocalSite.ProcessSpec spec, Consumer<String> report) {
         this.site = site;
-        this.place = place;
+        this.spec = spec;
         this.report = report;
     }
 
-    LocalSite.Place place() {
-        return place;
+    LocalSite.ProcessSpec spec() {
+        return spec;
     }
 
     /** What the process says. */
     Path log() {
-        return site.folder(place).resolve("log");
+        return site.folder(spec).resolve("log");
     }
 
     synchronized void start() {
@@ -59,11 +59,11 @@
             return;
         }
         try {
-            Path folder = Files.createDirectories(site.folder(place));
-            if (place.core()) {
+            Path folder = Files.createDirectories(site.folder(spec));
+            if (spec.core()) {
                 Files.createDirectories(folder.resolve("disk"));
             }
-            Path settings = Files.writeString(folder.resolve("node.conf"), site.settings(place, starts == 0));
+            Path settings = Files.writeString(folder.resolve("node.conf"), site.settings(spec, starts == 0));
             ProcessBuilder builder = new ProcessBuilder(command())
                     .redirectErrorStream(true)
                     .redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile()));
@@ -78,7 +78,7 @@
                     .thenRun(() -> ended(mine))
                     .thenRunAsync(this::start, CompletableFuture.delayedExecutor(DELAY, TimeUnit.MILLISECONDS));
         } catch (IOException e) {
-            throw new LocalSystemException("no-process", place.name() + " cannot be started: " + e.getMessage(), e);
+            throw new LocalSystemException("no-process", spec.name() + " cannot be started: " + e.getMessage(), e);
         }
     }
 
@@ -86,13 +86,13 @@
         List<String> command = new ArrayList<>();
         command.add(System.getProperty("java.home") + File.separator + "bin" + File.separator + "java");
         command.addAll(MACHINE);
-        command.addAll(List.of("-cp", System.getProperty("java.class.path"), "brambletray.Main", place.program()));
+        command.addAll(List.of("-cp", System.getProperty("java.class.path"), "brambletray.Main", spec.program()));
         return command;
     }
 
     private synchronized void ended(Process which) {
         if (!ending) {
-            report.accept(place.name() + " ended with " + which.exitValue() + ", starts again in " + DELAY + " ms");
+            report.accept(spec.name() + " ended with " + which.exitValue() + ", starts again in " + DELAY + " ms");
         }
     }
 
--- a/src/main/java/brambletray/platform/localsystem/ClientConnections.java
+++ b/src/main/java/brambletray/platform/localsystem/ClientConnections.java
@@ -27,7 +27,7 @@
     /** ms for a new connection to come up; for which an idle one is kept where the edge says nothing. */
     private static final int CONNECT_MS = 1_000;
 
-    private static final int KEPT_MS = 3_000;
+    private static final int MAX_IDLE_MS = 3_000;
     /** Idle connections to one edge. */
     private static final int IDLE = 8;
 
@@ -48,9 +48,9 @@
     }
 
     void send(String ip, int port, PendingRequest pending) {
-        Wire kept = pending.fresh ? null : kept(ip);
-        if (kept != null) {
-            kept.write(pending);
+        Wire idleConnection = pending.fresh ? null : idleConnection(ip);
+        if (idleConnection != null) {
+            idleConnection.write(pending);
             return;
         }
         Wire wire = new Wire(ip);
@@ -73,7 +73,7 @@
         });
     }
 
-    private Wire kept(String ip) {
+    private Wire idleConnection(String ip) {
         ArrayDeque<Wire> of = idle.get(ip);
         for (Wire wire = of == null ? null : of.pollLast(); wire != null; wire = of.pollLast()) {
             if (wire.channel.isActive() && now() < wire.until) {
@@ -149,11 +149,11 @@
         }
 
         private void keep(FullHttpResponse answer) {
-            String told = answer.headers().get("Keep-Alive");
-            int at = told == null ? -1 : told.indexOf("timeout=");
+            String keepAlive = answer.headers().get("Keep-Alive");
+            int at = keepAlive == null ? -1 : keepAlive.indexOf("timeout=");
             int ms = at < 0
-                    ? KEPT_MS
-                    : Math.min(KEPT_MS, millis(told.substring(at + 8).split("[,; ]")[0]) - 200);
+                    ? MAX_IDLE_MS
+                    : Math.min(MAX_IDLE_MS, millis(keepAlive.substring(at + 8).split("[,; ]")[0]) - 200);
             until = now() + ms;
             ArrayDeque<Wire> of = idle.computeIfAbsent(ip, none -> new ArrayDeque<>());
             of.addLast(this);
--- a/src/main/java/brambletray/platform/localsystem/FrontEndBalancer.java
+++ b/src/main/java/brambletray/platform/localsystem/FrontEndBalancer.java
@@ -13,10 +13,10 @@
 final class FrontEndBalancer {
     private static final int MISSES = 2;
 
-    private final List<LocalSite.Place> edges;
+    private final List<LocalSite.ProcessSpec> edges;
     private final Map<String, Integer> misses = new HashMap<>();
 
-    FrontEndBalancer(List<LocalSite.Place> edges) {
+    FrontEndBalancer(List<LocalSite.ProcessSpec> edges) {
         this.edges = edges;
         edges.forEach(edge -> misses.put(edge.name(), MISSES));
     }
@@ -31,21 +31,21 @@
         return (int) edges.stream().filter(this::in).count();
     }
 
-    private boolean in(LocalSite.Place edge) {
+    private boolean in(LocalSite.ProcessSpec edge) {
         return misses.get(edge.name()) < MISSES;
     }
 
     /** For a client of this zone, by a hash of it; {@code turn}: 0 for its first try, other edges for further ones. */
-    LocalSite.Place pick(String zone, int hash, int turn) {
-        List<LocalSite.Place> of = of(zone);
+    LocalSite.ProcessSpec pick(String zone, int hash, int turn) {
+        List<LocalSite.ProcessSpec> of = of(zone);
         return of.get(Math.floorMod(hash + turn, of.size()));
     }
 
-    private List<LocalSite.Place> of(String zone) {
-        List<LocalSite.Place> own = new ArrayList<>();
-        List<LocalSite.Place> ownIn = new ArrayList<>();
-        List<LocalSite.Place> allIn = new ArrayList<>();
-        for (LocalSite.Place edge : edges) {
+    private List<LocalSite.ProcessSpec> of(String zone) {
+        List<LocalSite.ProcessSpec> own = new ArrayList<>();
+        List<LocalSite.ProcessSpec> ownIn = new ArrayList<>();
+        List<LocalSite.ProcessSpec> allIn = new ArrayList<>();
+        for (LocalSite.ProcessSpec edge : edges) {
             boolean here = edge.zone().equals(zone);
             if (here) {
                 own.add(edge);
--- a/src/main/java/brambletray/platform/localsystem/LocalSite.java
+++ b/src/main/java/brambletray/platform/localsystem/LocalSite.java
@@ -9,7 +9,7 @@
  * Which machines the stand-in has and what their processes are told: addresses from 127.0.0.2 on, the same ports on
  * each, as the system asks for (page DEPLOY, What a process is told).
  */
-record LocalSite(List<Place> places, Ports ports, Path dir) {
+record LocalSite(List<ProcessSpec> specs, Ports ports, Path dir) {
     /** The most of each: a view has up to nine members. */
     static final int CORES = 9;
 
@@ -28,7 +28,7 @@
     static final int GRACE_S = 2;
 
     /** One machine and the program that runs on it; its name is the process's name. */
-    record Place(String name, String program, String ip, String zone) {
+    record ProcessSpec(String name, String program, String ip, String zone) {
         boolean core() {
             return program.equals("controlplane");
         }
@@ -38,29 +38,29 @@
     record Ports(int frontEnd, int readiness, int control, int inner, int platform, int hosts) {}
 
     static LocalSite of(int cores, int edges, Ports ports, Path dir) {
-        List<Place> places = new ArrayList<>();
+        List<ProcessSpec> specs = new ArrayList<>();
         for (int i = 0; i < cores + edges; i++) {
             boolean core = i < cores;
             int turn = core ? i : i - cores;
             String program = core ? "controlplane" : "edge";
-            places.add(new Place(
+            specs.add(new ProcessSpec(
                     program + '-' + (turn + 1), program, "127.0.0." + (i + 2), ZONES.get(turn % ZONES.size())));
         }
-        return new LocalSite(List.copyOf(places), ports, dir);
+        return new LocalSite(List.copyOf(specs), ports, dir);
     }
 
-    List<Place> cores() {
-        return places.stream().filter(Place::core).toList();
+    List<ProcessSpec> cores() {
+        return specs.stream().filter(ProcessSpec::core).toList();
     }
 
-    List<Place> edges() {
-        return places.stream().filter(place -> !place.core()).toList();
+    List<ProcessSpec> edges() {
+        return specs.stream().filter(spec -> !spec.core()).toList();
     }
 
     /** Null: no process of that name. */
-    Place find(String name) {
-        return places.stream()
-                .filter(place -> place.name().equals(name))
+    ProcessSpec find(String name) {
+        return specs.stream()
+                .filter(spec -> spec.name().equals(name))
                 .findFirst()
                 .orElse(null);
     }
@@ -81,29 +81,29 @@
     }
 
     /** Where a process keeps what is its own. */
-    Path folder(Place place) {
-        return dir.resolve(place.name());
+    Path folder(ProcessSpec spec) {
+        return dir.resolve(spec.name());
     }
 
     /** The settings file; {@code initial}: the very first start of all. */
-    String settings(Place place, boolean initial) {
+    String settings(ProcessSpec spec, boolean initial) {
         List<String> lines = new ArrayList<>(List.of(
-                "node-name=" + place.name(),
-                "role=" + place.program(),
-                "hardware-class=" + (place.core() ? "core" : "edge"),
-                "served-roles=" + (place.core() ? "control" : "edge"),
-                "ip-address=" + place.ip(),
-                "zone=" + place.zone(),
+                "node-name=" + spec.name(),
+                "role=" + spec.program(),
+                "hardware-class=" + (spec.core() ? "core" : "edge"),
+                "served-roles=" + (spec.core() ? "control" : "edge"),
+                "ip-address=" + spec.ip(),
+                "zone=" + spec.zone(),
                 "region=here"));
         for (String zone : ZONES) {
             lines.add("zones." + zone + "=here");
         }
-        if (place.core()) {
-            lines.add("bind-addresses.control-plane=" + place.ip() + ':' + ports.control());
-            lines.add("data-dir=" + folder(place).resolve("disk").toAbsolutePath());
+        if (spec.core()) {
+            lines.add("bind-addresses.control-plane=" + spec.ip() + ':' + ports.control());
+            lines.add("data-dir=" + folder(spec).resolve("disk").toAbsolutePath());
         } else {
-            lines.add("bind-addresses.front-end=" + place.ip() + ':' + ports.frontEnd());
-            lines.add("bind-addresses.readiness=" + place.ip() + ':' + ports.readiness());
+            lines.add("bind-addresses.front-end=" + spec.ip() + ':' + ports.frontEnd());
+            lines.add("bind-addresses.readiness=" + spec.ip() + ':' + ports.readiness());
         }
         List<Address> controls = controls();
         lines.add("internal-port-range=" + ports.inner() + ',' + ports.inner());
@@ -114,7 +114,7 @@
                                 .map(Address::toString)
                                 .toList()));
         lines.add("initial-start=" + initial);
-        lines.add("loss-counted=" + place.core());
+        lines.add("loss-counted=" + spec.core());
         lines.add("fault-tolerance.machine-losses=" + (controls.size() - 1) / 2);
         lines.add("active-contracts=base,drain,config,cost,retry,recover,functions");
         lines.add("bounds.drain-ms=" + DRAIN_MS);
--- a/src/main/java/brambletray/platform/localsystem/LocalSystem.java
+++ b/src/main/java/brambletray/platform/localsystem/LocalSystem.java
@@ -49,7 +49,7 @@
         fronts = new FrontEndBalancer(site.edges());
         callers = new TrafficGenerator(machine, site, fronts, configuration.routes(), ledger, counts, SEED);
         glance = new MemberStatusPoller(new OperatorClient(site.controls(), CALL_MS), site.controls());
-        site.places().forEach(place -> children.add(new ChildProcess(site, place, this::print)));
+        site.specs().forEach(spec -> children.add(new ChildProcess(site, spec, this::print)));
     }
 
     /**
@@ -126,7 +126,7 @@
 
     private void kill(String name) {
         print(name == null ? "nobody holds the helm" : name + " is killed");
-        children.stream().filter(child -> child.place().name().equals(name)).forEach(ChildProcess::kill);
+        children.stream().filter(child -> child.spec().name().equals(name)).forEach(ChildProcess::kill);
     }
 
     private String line(int second) {
@@ -161,7 +161,7 @@
     }
 
     private void probe() {
-        for (LocalSite.Place edge : site.edges()) {
+        for (LocalSite.ProcessSpec edge : site.edges()) {
             glance.ready(
                     new Address(edge.ip(), site.ports().readiness()),
                     ready -> machine.loop().execute(() -> fronts.heard(edge.name(), ready)));
--- a/src/main/java/brambletray/platform/localsystem/TrafficGenerator.java
+++ b/src/main/java/brambletray/platform/localsystem/TrafficGenerator.java
@@ -95,7 +95,7 @@
     public String send(TrafficRequest visit, int turn, int remainingMs) {
         String attempt = Long.toHexString(random.nextLong() | Long.MIN_VALUE);
         visit.names(attempt, visit.attempt());
-        LocalSite.Place edge = fronts.pick(visit.zone, visit.hash(), turn);
+        LocalSite.ProcessSpec edge = fronts.pick(visit.zone, visit.hash(), turn);
         boolean fresh = turn > 0 || !visit.route.idempotent() || random.nextInt(3) == 0;
         wires.send(
                 edge.ip(),
--- a/src/main/java/brambletray/platform/provisioning/HomeLookup.java
+++ b/src/main/java/brambletray/platform/provisioning/HomeLookup.java
@@ -4,5 +4,5 @@
 @FunctionalInterface
 public interface HomeLookup {
     /** The edge's name; null while there is none. */
-    String edgeFor(String service, String seat);
+    String edgeFor(String service, String zone);
 }
--- a/src/main/java/brambletray/platform/provisioning/ListPolling.java
+++ b/src/main/java/brambletray/platform/provisioning/ListPolling.java
@@ -49,9 +49,9 @@
         }
 
         /** It has come; returns when it had been asked for. */
-        long onCompleted(long now, boolean whole) {
+        long onCompleted(long now, boolean complete) {
             inFlight = false;
-            if (whole) {
+            if (complete) {
                 failures = 0;
             } else {
                 nextRequestMs = now + Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS << Math.min(failures, 4));
--- a/src/main/java/brambletray/platform/proxy/HostConnectionPools.java
+++ b/src/main/java/brambletray/platform/proxy/HostConnectionPools.java
@@ -223,9 +223,9 @@
 
     private static void notifyProbes(HostConnectionPool pool, boolean up) {
         if (!pool.probes.isEmpty()) {
-            List<Consumer<Boolean>> told = List.copyOf(pool.probes);
+            List<Consumer<Boolean>> waitingProbes = List.copyOf(pool.probes);
             pool.probes.clear();
-            told.forEach(probe -> probe.accept(up));
+            waitingProbes.forEach(probe -> probe.accept(up));
         }
     }
 
--- a/src/main/java/brambletray/platform/proxy/HostExchange.java
+++ b/src/main/java/brambletray/platform/proxy/HostExchange.java
@@ -152,9 +152,9 @@
     }
 
     @Override
-    public void onEnded(AttemptOutcome outcome, boolean withheld, HostResponse whole) {
+    public void onEnded(AttemptOutcome outcome, boolean withheld, HostResponse complete) {
         connection = null;
-        response = streamingResponse == null ? whole : null;
+        response = streamingResponse == null ? complete : null;
         driver.onEnded(attempt, outcome, withheld);
     }
 }
--- a/src/test/java/brambletray/platform/admission/SimulatedZonesTest.java
+++ b/src/test/java/brambletray/platform/admission/SimulatedZonesTest.java
@@ -14,7 +14,7 @@
 class SimulatedZonesTest {
     /** 700 services whose hosts have ended again: nothing is due any more, whatever the time. */
     @Test
-    void idleSeatsCostNothing() {
+    void idleQueuesCostNothing() {
         SimulatedZones town = new SimulatedZones(3, List.of("east"), 1, AdmissionParameters.of(0.2, 52, 10_000, 1));
         for (int i = 0; i < 700; i++) {
             town.add(new ServiceSpec("rare" + i, 128, 500, 1, 1500));
--- a/src/test/java/brambletray/platform/cli/RemoteCommandTest.java
+++ b/src/test/java/brambletray/platform/cli/RemoteCommandTest.java
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void whatTheHelmKnowsIsAskedThere() {
+    void whatTheCoordinatorKnowsIsAskedThere() {
         on("one system/hosts/tea", 307, at(two));
         on(
                 "two system/hosts/tea",
--- a/src/test/java/brambletray/platform/controlplane/EdgeCoordinatorTest.java
+++ b/src/test/java/brambletray/platform/controlplane/EdgeCoordinatorTest.java
@@ -271,7 +271,7 @@
     }
 
     @Test
-    void aHelmThatMayNotActSaysThatItIsNoneAndNothingElse() {
+    void aCoordinatorThatMayNotActSaysThatItIsNoneAndNothingElse() {
         acts = false;
         inTouch = false;
         come();
@@ -364,7 +364,7 @@
     }
 
     @Test
-    void whatTheYardSaysWhileTheLeaseIsInDoubtIsNotSaidAndTheEdgeIsLetGoAtOnce() {
+    void whatTheProvisionerSaysWhileTheLeaseIsInDoubtIsNotSaidAndTheEdgeIsLetGoAtOnce() {
         come();
         run(1_000);
         heard.clear();
@@ -412,7 +412,7 @@
     }
 
     @Test
-    void whoAsksWhileTheHelmMayNotActIsNotAnswered() {
+    void whoAsksWhileTheCoordinatorMayNotActIsNotAnswered() {
         come();
         run(1_000);
         heard.clear();
@@ -463,7 +463,7 @@
     }
 
     @Test
-    void whenTheTermEndsEdgesAreLetGoOnTheirLinksAndLearnOfTheNextHelmThere() {
+    void whenTheTermEndsEdgesAreLetGoOnTheirLinksAndLearnOfTheNextCoordinatorThere() {
         come();
         run(1_000);
         heard.clear();
@@ -496,7 +496,7 @@
     }
 
     @Test
-    void edgesThatWaitAtAMemberAreHeardByItsHubAsSoonAsItHasOne() {
+    void edgesThatWaitAtAMemberAreHeardByItsCoordinatorAsSoonAsItHasOne() {
         EdgeCoordinator later = hub;
         hub = new EdgeCoordinator(
                 core,
--- a/src/test/java/brambletray/platform/controlplane/EdgeGreeterTest.java
+++ b/src/test/java/brambletray/platform/controlplane/EdgeGreeterTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void itselfIsNamedWhileItsHubIsOfThatTermEvenDuringAChangeOfView() {
+    void itselfIsNamedWhileItsCoordinatorIsOfThatTermEvenDuringAChangeOfView() {
         assertEquals(
                 "a",
                 welcome(ReplicaRole.MEMBER, true, new LeaseHolder(70, ME), 70).coordinatorAddress());
--- a/src/test/java/brambletray/platform/controlplane/OperatorViewsTest.java
+++ b/src/test/java/brambletray/platform/controlplane/OperatorViewsTest.java
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void theHelmIsKnownSinceItsTermWasSeen() {
+    void theCoordinatorIsKnownSinceItsTermWasSeen() {
         get("/brambletray/system/duties");
         assertTrue(
                 body.contains(
@@ -154,7 +154,7 @@
     }
 
     @Test
-    void whatOnlyTheHelmKnowsIsAskedThere() {
+    void whatOnlyTheCoordinatorKnowsIsAskedThere() {
         get("/brambletray/system/hosts/tea");
         assertEquals(503, status);
         assertTrue(body.contains("controlplane.no-helm"), body);
@@ -168,7 +168,7 @@
     }
 
     @Test
-    void theHelmShowsEdgesAndHosts() {
+    void theCoordinatorShowsEdgesAndHosts() {
         here = true;
         get("/brambletray/system/edges");
         assertEquals(
--- a/src/test/java/brambletray/platform/distribution/ConfigurationDistributionTest.java
+++ b/src/test/java/brambletray/platform/distribution/ConfigurationDistributionTest.java
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void aNewHelmGoesOnWithTheTransfer() {
+    void aNewCoordinatorGoesOnWithTheTransfer() {
         SimulatedEdges town = new SimulatedEdges(3, SLOW);
         Configuration configuration = SimulatedEdges.dense(1, 400_000);
         ChangeHistory other = new ChangeHistory();
@@ -119,7 +119,7 @@
         town.become(configuration);
         town.run(800);
         long before = town.edges.get(0).bytes;
-        town.newHelm(other);
+        town.newCoordinator(other);
         town.run(3_000);
         assertTrue(town.all(1));
         int size = packed(configuration);
@@ -178,7 +178,7 @@
     }
 
     @Test
-    void aTransferThatTheHelmDoesNotKnowBeginsAnew() {
+    void aTransferThatTheCoordinatorDoesNotKnowBeginsAnew() {
         ChangeHistory history = new ChangeHistory();
         ConfigurationPublisher publisher = new ConfigurationPublisher(history);
         history.advanceTo(SimulatedEdges.dense(1, 40_000));
@@ -241,7 +241,7 @@
         Configuration next = SimulatedEdges.moved(configuration, "r3", 400_000);
         ChangeHistory fresh = new ChangeHistory();
         fresh.advanceTo(next);
-        town.newHelm(fresh);
+        town.newCoordinator(fresh);
         town.run(1_000);
         assertTrue(town.all(2));
         assertEquals(2, town.edges.get(0).wholes);
@@ -259,7 +259,7 @@
         other.advanceTo(strange);
         Configuration next = SimulatedEdges.moved(strange, "r3", 400_000);
         other.advanceTo(next);
-        town.newHelm(other);
+        town.newCoordinator(other);
         town.run(1_000);
         assertEquals(List.of("configuration.digest"), edge.faults);
         assertTrue(town.all(2));
@@ -302,7 +302,7 @@
         town.run(500);
         town.become(SimulatedEdges.moved(configuration, "r1", 500_000));
         town.run(500);
-        town.newHelm(late);
+        town.newCoordinator(late);
         town.run(3_000);
         assertEquals(List.of(1L, 2L), town.edges.get(0).revisions);
         assertNull(town.coordinator.nextChunk(new DeltaRequest(2, 0, 0, false), 2));
--- a/src/test/java/brambletray/platform/distribution/SimulatedEdges.java
+++ b/src/test/java/brambletray/platform/distribution/SimulatedEdges.java
@@ -159,7 +159,7 @@
     }
 
     /** Another member is the coordinator: it has followed along, and has packed nothing yet. */
-    void newHelm(ChangeHistory known) {
+    void newCoordinator(ChangeHistory known) {
         term++;
         coordinator = new ConfigurationPublisher(known);
         for (Edge edge : edges) {
--- a/src/test/java/brambletray/platform/drill/IsolatedCoordinatorTest.java
+++ b/src/test/java/brambletray/platform/drill/IsolatedCoordinatorTest.java
@@ -55,7 +55,7 @@
         HttpCall.make(
                 caller,
                 Address.parse(to.control()),
-                "/brambletray/configuration/" + (request.whole ? "replace" : "modify"),
+                "/brambletray/configuration/" + (request.replacesAll ? "replace" : "modify"),
                 request.base,
                 request.body,
                 reply);
@@ -215,7 +215,7 @@
      * agrees anew.
      */
     @Test
-    void anIsolatedHelmThatHearsOfAHigherTermIsSilentThoughItsLeaseRuns() {
+    void anIsolatedCoordinatorThatHearsOfAHigherTermIsSilentThoughItsLeaseRuns() {
         assertEquals(List.of(CoordinatorHeartbeat.class), saidTo(0), "who knows of no higher term is told at once");
         assertEquals(List.of(), saidTo(Long.MAX_VALUE));
     }
@@ -263,7 +263,7 @@
     }
 
     @Test
-    void anIsolatedHelmHandsOutNothingAnswersNothingAndEdgesFollowTheNextOneInTime() {
+    void anIsolatedCoordinatorHandsOutNothingAnswersNothingAndEdgesFollowTheNextOneInTime() {
         List<String> wrong = new ArrayList<>();
         long[] acked = new long[2 * SEEDS];
         long[] spread = new long[2 * SEEDS];
--- a/src/test/java/brambletray/platform/edge/CoordinatorClientTest.java
+++ b/src/test/java/brambletray/platform/edge/CoordinatorClientTest.java
@@ -262,7 +262,7 @@
     }
 
     @Test
-    void chunksOfItsTermAreASignOfLifeOfAHelmAndOthersAreNot() {
+    void chunksOfItsTermAreASignOfLifeOfACoordinatorAndOthersAreNot() {
         core("a").coordinator(9);
         start("a");
         untilAttached(9, 300);
@@ -334,7 +334,7 @@
     }
 
     @Test
-    void anOldHelmIsNotTakenForTheHelmOnAnotherLink() {
+    void anOldCoordinatorIsNotTakenForTheCoordinatorOnAnotherLink() {
         core("b").coordinator(9).view(2, "a", "b", "c");
         core("a").names("b", 9);
         core("c").names("b", 9);
@@ -359,7 +359,7 @@
     }
 
     @Test
-    void aHintToAHelmOfALowerTermIsNotFollowed() {
+    void aHintToACoordinatorOfALowerTermIsNotFollowed() {
         core("b").coordinator(9);
         core("a").names("b", 9);
         start("a");
@@ -388,7 +388,7 @@
     }
 
     @Test
-    void aWaitingEdgeIsToldOfTheNextHelmAndFollowsWithinMilliseconds() {
+    void aWaitingEdgeIsToldOfTheNextCoordinatorAndFollowsWithinMilliseconds() {
         core("a");
         core("b").coordinator(9);
         start("a");
@@ -399,7 +399,7 @@
     }
 
     @Test
-    void itDoesNotReturnToAHelmThatHasLetItGoOnTheWordOfOneWhoDoesNotKnowYet() {
+    void itDoesNotReturnToACoordinatorThatHasLetItGoOnTheWordOfOneWhoDoesNotKnowYet() {
         core("a").coordinator(9).view(2, "a", "b", "c");
         core("b").names("a", 9);
         core("c").names("a", 9);
--- a/src/test/java/brambletray/platform/edge/LocalAdmissionTest.java
+++ b/src/test/java/brambletray/platform/edge/LocalAdmissionTest.java
@@ -140,7 +140,7 @@
      * </pre>
      */
     @Test
-    void aSlotGivenBackBeforeTheHubHasListedTheHostsIsFree() {
+    void aSlotGivenBackBeforeTheCoordinatorHasListedTheHostsIsFree() {
         begin();
         localAdmission.onRoster(after, List.of("e0"));
         localAdmission.onSlotRequest(ask(8), false);
--- a/src/test/java/brambletray/platform/election/ResumptionTest.java
+++ b/src/test/java/brambletray/platform/election/ResumptionTest.java
@@ -37,8 +37,8 @@
 
     private static final ViewMembership FIVE = roll(5, A, B, C);
 
-    private final Map<Member, LeaseElection> vows = new HashMap<>();
-    private final Map<Member, ReplicaStatus> queues = new HashMap<>();
+    private final Map<Member, LeaseElection> elections = new HashMap<>();
+    private final Map<Member, ReplicaStatus> statuses = new HashMap<>();
     private final List<Runnable> mail = new ArrayList<>();
     private long now = 10_000;
 
@@ -66,7 +66,7 @@
                 new ElectionActions() {
                     @Override
                     public void send(String address, ElectionMessage frame) {
-                        mail.add(() -> vows.forEach((to, election) -> {
+                        mail.add(() -> elections.forEach((to, election) -> {
                             if (to.address().equals(address)) {
                                 election.receive(self.address(), frame, now);
                             }
@@ -88,14 +88,14 @@
                     public void log(ElectionEvent event) {}
                 },
                 now);
-        vows.put(self, made[0]);
+        elections.put(self, made[0]);
     }
 
     private void view(Member self, ViewMembership view, ViewMembership... lineage) {
         long before =
                 lineage.length == 0 ? -1 : lineage[lineage.length - 1].ballot().number();
         List<Member> members = view.members();
-        queues.put(
+        statuses.put(
                 self,
                 new ReplicaStatus(
                         ReplicaRole.MEMBER,
@@ -111,14 +111,14 @@
                         0,
                         false,
                         List.of(lineage)));
-        vows.get(self).updateView(queues.get(self), now);
+        elections.get(self).updateView(statuses.get(self), now);
     }
 
     private void run(long ms) {
         for (long until = now + ms; now < until; now += TICK_MS) {
-            vows.forEach((self, election) -> {
-                if (queues.containsKey(self)) {
-                    election.updateView(queues.get(self), now);
+            elections.forEach((self, election) -> {
+                if (statuses.containsKey(self)) {
+                    election.updateView(statuses.get(self), now);
                 }
                 election.tick(now);
             });
@@ -129,7 +129,7 @@
     }
 
     private boolean holds(Member self) {
-        return vows.get(self).mayAct(now);
+        return elections.get(self).mayAct(now);
     }
 
     private void startAll() {
--- a/src/test/java/brambletray/platform/failuredetection/HeartbeatMonitorTest.java
+++ b/src/test/java/brambletray/platform/failuredetection/HeartbeatMonitorTest.java
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void aNewHubIsToldAtOnce() {
+    void aNewCoordinatorIsToldAtOnce() {
         run(2_000, 1, 2, 3);
         run(800, 1, 2);
         notified.clear();
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void whoMissesAllDoubtsItselfOnceTheHubIsBack() {
+    void whoMissesAllDoubtsItselfOnceTheCoordinatorIsBack() {
         run(2_000, 1, 2, 3);
         run(800);
         assertEquals(3, notified.size());
--- a/src/test/java/brambletray/platform/localsystem/StandInDecisionsTest.java
+++ b/src/test/java/brambletray/platform/localsystem/StandInDecisionsTest.java
@@ -139,7 +139,7 @@
         LocalSite site = LocalSite.of(1, 6, new LocalSite.Ports(1, 2, 3, 4, 5, 6), Path.of("x"));
         FrontEndBalancer fronts = new FrontEndBalancer(site.edges());
         assertEquals(0, fronts.in());
-        for (LocalSite.Place edge : site.edges()) {
+        for (LocalSite.ProcessSpec edge : site.edges()) {
             fronts.heard(edge.name(), true);
         }
         assertEquals("edge-1 edge-3 edge-5 edge-1", picks(fronts, "east", 4));
--- a/src/test/java/brambletray/platform/provisioning/LateConfigurationTest.java
+++ b/src/test/java/brambletray/platform/provisioning/LateConfigurationTest.java
@@ -66,7 +66,7 @@
     private final Count justAdded = new Count();
     private final Count calm = new Count();
     private Random random;
-    private SeatEdge home;
+    private HomeEdge home;
     private long ids;
 
     @TestFactory
@@ -112,7 +112,7 @@
         for (int i = 0; i < WORKERS; i++) {
             scene.worker("w-" + i, "north", "upper", WORKER_MB);
         }
-        home = new SeatEdge();
+        home = new HomeEdge();
         scene.edges.put("north", home);
         scene.hubWins();
         for (int i = 0; i < firstServices; i++) {
@@ -186,12 +186,12 @@
     }
 
     /** An edge that is home of all queues, as the program wires it up. */
-    private final class SeatEdge extends Edge implements AdmissionActions {
+    private final class HomeEdge extends Edge implements AdmissionActions {
         private final Map<Long, Request> asked = new HashMap<>();
         private final ServiceQueues queues =
                 new ServiceQueues("north", "n", AdmissionParameters.of(0.2, 50, 10_000, 1), this);
 
-        SeatEdge() {
+        HomeEdge() {
             super(scene, "north");
             scene.wires.every(5, () -> {
                 if (queues.nextDueMs() <= scene.wires.now()) {
--- a/src/test/java/brambletray/platform/provisioning/ProvisionerRandomFaultsTest.java
+++ b/src/test/java/brambletray/platform/provisioning/ProvisionerRandomFaultsTest.java
@@ -43,7 +43,7 @@
             scene.wires.runTo(scene.wires.now() + random.nextInt(200));
             Edge edge = scene.edge(ZONES.get(random.nextInt(3)));
             switch (random.nextInt(40)) {
-                case 0, 1 -> turnHub(scene);
+                case 0, 1 -> turnCoordinator(scene);
                 case 2 -> scene.cloud.mood = FlakyPlatform.Mood.MUTE;
                 case 3 -> scene.cloud.mood = FlakyPlatform.Mood.AWAY;
                 case 4, 5, 6 -> scene.cloud.mood = FlakyPlatform.Mood.ANSWERS;
@@ -92,7 +92,7 @@
         assertEquals(known.size(), scene.coordinator.provisioner.instanceCount(), "seed " + seed);
     }
 
-    private static void turnHub(SimulatedProvisioning scene) {
+    private static void turnCoordinator(SimulatedProvisioning scene) {
         if (scene.coordinator == null) {
             scene.hubWins();
         } else {
--- a/src/test/java/brambletray/platform/provisioning/ProvisionerTest.java
+++ b/src/test/java/brambletray/platform/provisioning/ProvisionerTest.java
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void whoToldFirstIsRightAboutTheSeat() {
+    void theFirstReportOfAnInstanceDecidesItsHomeZone() {
         provisioner.onConfigurationChanged(Map.of("tea", new InstanceSize(100, 500)), 0);
         provisioner.onKnownInstances("edge-north", new KnownInstances(List.of(host("i-1", "north"))), 10);
         provisioner.onKnownInstances("edge-south", new KnownInstances(List.of(host("i-1", "south"))), 20);
--- a/src/test/java/brambletray/platform/provisioning/SimulatedProvisioning.java
+++ b/src/test/java/brambletray/platform/provisioning/SimulatedProvisioning.java
@@ -46,21 +46,21 @@
         return edges.computeIfAbsent(name, fresh -> new Edge(this, fresh));
     }
 
-    String home(String service, String queue) {
-        Edge home = edge(moved.getOrDefault(queue, queue));
+    String home(String service, String zone) {
+        Edge home = edge(moved.getOrDefault(zone, zone));
         return home.dead ? null : home.name;
     }
 
-    /** The queue has another home. */
-    void move(String service, String queue, String edge) {
-        inherit(queue, edge);
-        edge(edge).say(new HomeClaim(service, queue));
+    /** The zone has another home. */
+    void move(String service, String zone, String edge) {
+        inherit(zone, edge);
+        edge(edge).say(new HomeClaim(service, zone));
     }
 
-    /** The queue has another home that doesn't know yet that it is wanted. */
-    void inherit(String queue, String edge) {
-        edge(moved.getOrDefault(queue, queue)).needs.clear();
-        moved.put(queue, edge);
+    /** The zone has another home that doesn't know yet that it is wanted. */
+    void inherit(String zone, String edge) {
+        edge(moved.getOrDefault(zone, zone)).needs.clear();
+        moved.put(zone, edge);
     }
 
     void hubWins() {
--- a/src/test/java/brambletray/platform/replication/SteppedReplicas.java
+++ b/src/test/java/brambletray/platform/replication/SteppedReplicas.java
@@ -32,7 +32,7 @@
         }
     }
 
-    private static final class Seat implements ReplicationActions, StateMachine {
+    private static final class SteppedReplica implements ReplicationActions, StateMachine {
         final SteppedReplicas board;
         final int number;
         Map<String, byte[]> kept = new HashMap<>();
@@ -44,7 +44,7 @@
         final List<String> state = new ArrayList<>();
         long proposedIn;
 
-        Seat(SteppedReplicas board, int number) {
+        SteppedReplica(SteppedReplicas board, int number) {
             this.board = board;
             this.number = number;
         }
@@ -157,7 +157,7 @@
         }
     }
 
-    private final Seat[] queues = new Seat[SIZE];
+    private final SteppedReplica[] replicas = new SteppedReplica[SIZE];
     private final List<ArrayDeque<ReplicationMessage>> links = new ArrayList<>();
     private final TreeMap<Long, String> order = new TreeMap<>();
     private final TreeMap<Long, View> views = new TreeMap<>();
@@ -177,10 +177,10 @@
             for (int j = 0; j < SIZE; j++) {
                 links.add(new ArrayDeque<>());
             }
-            queues[i] = new Seat(this, i);
+            replicas[i] = new SteppedReplica(this, i);
         }
         for (int i = 0; i < FOUNDERS; i++) {
-            queues[i].start(true);
+            replicas[i].start(true);
         }
     }
 
@@ -188,10 +188,10 @@
     void found() {
         drain();
         now += STEP_MS;
-        queues[0].members.tick(now);
+        replicas[0].members.tick(now);
         drain();
         // told to the others that the view is active by their leader's next beat
-        if (!queues[0].members.status().isLeader()) {
+        if (!replicas[0].members.status().isLeader()) {
             throw new AssertionError("not founded");
         }
     }
@@ -220,17 +220,17 @@
         if (move < SIZE * SIZE) {
             return !links.get(move).isEmpty();
         }
-        Seat queue = queues[move % SIZE];
+        SteppedReplica replica = replicas[move % SIZE];
         int kind = (move - SIZE * SIZE) / SIZE;
-        if (queue.members == null) {
-            return kind == 5 && purse.newcomers > 0 && queue.number >= FOUNDERS && queue.boot == 0;
+        if (replica.members == null) {
+            return kind == 5 && purse.newcomers > 0 && replica.number >= FOUNDERS && replica.boot == 0;
         }
         return switch (kind) {
-            case 0 -> queue.flying != null;
+            case 0 -> replica.flying != null;
             case 1 -> purse.impatience > 0;
             case 2 -> purse.power > 0;
             case 3 -> purse.disks > 0 && intact();
-            case 4 -> queue.members.isLeaving() ? queue.members.mayTerminate() : purse.leaves > 0;
+            case 4 -> replica.members.isLeaving() ? replica.members.mayTerminate() : purse.leaves > 0;
             default -> false;
         };
     }
@@ -247,17 +247,17 @@
     void play(int move) {
         if (move < SIZE * SIZE) {
             ReplicationMessage frame = links.get(move).poll();
-            if (queues[move % SIZE].members == null) {
+            if (replicas[move % SIZE].members == null) {
                 return;
             }
             if (talks) {
                 System.out.println(NAMES[move / SIZE] + ">" + NAMES[move % SIZE] + " " + frame);
             }
-            queues[move % SIZE].members.receive(NAMES[move / SIZE], frame, now);
-            look(queues[move % SIZE]);
+            replicas[move % SIZE].members.receive(NAMES[move / SIZE], frame, now);
+            look(replicas[move % SIZE]);
             return;
         }
-        Seat queue = queues[move % SIZE];
+        SteppedReplica replica = replicas[move % SIZE];
         int kind = (move - SIZE * SIZE) / SIZE;
         if (talks) {
             System.out.println(NAMES[move % SIZE] + " "
@@ -265,25 +265,25 @@
                             .get(kind));
         }
         if (kind == 0) {
-            queue.sync();
+            replica.sync();
         } else if (kind == 1) {
             purse = new Purse(purse.impatience - 1, purse.power, purse.disks, purse.leaves, purse.newcomers);
             now += STEP_MS;
-            queue.members.tick(now);
+            replica.members.tick(now);
         } else if (kind == 4) {
-            if (queue.members.mayTerminate()) {
-                end(queue);
+            if (replica.members.mayTerminate()) {
+                end(replica);
                 return;
             }
             purse = new Purse(purse.impatience, purse.power, purse.disks, purse.leaves - 1, purse.newcomers);
             now += STEP_MS;
-            queue.members.leave(now);
+            replica.members.leave(now);
         } else if (kind == 5) {
             purse = new Purse(purse.impatience, purse.power, purse.disks, purse.leaves, purse.newcomers - 1);
             now += STEP_MS;
-            queue.start(false);
-            queue.sync();
-            queue.members.tick(now);
+            replica.start(false);
+            replica.sync();
+            replica.members.tick(now);
         } else {
             boolean disk = kind == 3;
             purse = new Purse(
@@ -293,42 +293,42 @@
                     purse.leaves,
                     purse.newcomers);
             if (disk) {
-                lost.add(queue.life);
-                queue.kept = new HashMap<>();
+                lost.add(replica.life);
+                replica.kept = new HashMap<>();
             }
-            cut(queue);
-            queue.start(false);
+            cut(replica);
+            replica.start(false);
         }
-        look(queue);
+        look(replica);
     }
 
-    private void cut(Seat queue) {
+    private void cut(SteppedReplica replica) {
         for (int i = 0; i < SIZE; i++) {
-            links.get(SIZE * i + queue.number).clear();
-            links.get(SIZE * queue.number + i).clear();
+            links.get(SIZE * i + replica.number).clear();
+            links.get(SIZE * replica.number + i).clear();
         }
     }
 
     /** The process has left: the others have to be able to go on without it, on more disks than may be lost. */
-    private void end(Seat queue) {
+    private void end(SteppedReplica replica) {
         View latest = views.lastEntry().getValue();
         boolean alone = latest.members().size() == 1;
-        if (latest.contains(queue.life) && !alone) {
-            throw new AssertionError(NAMES[queue.number] + " has left, and is in " + latest);
+        if (latest.contains(replica.life) && !alone) {
+            throw new AssertionError(NAMES[replica.number] + " has left, and is in " + latest);
         }
-        boolean one = !latest.contains(queue.life) && alone && lost.isEmpty();
+        boolean one = !latest.contains(replica.life) && alone && lost.isEmpty();
         if (one) {
-            throw new AssertionError(NAMES[queue.number] + " has left one disk: " + latest);
+            throw new AssertionError(NAMES[replica.number] + " has left one disk: " + latest);
         }
         left++;
-        cut(queue);
-        queue.flying = null;
-        queue.members = null;
+        cut(replica);
+        replica.flying = null;
+        replica.members = null;
     }
 
     /** Holds the rules, and has each new leader propose something. */
-    private void look(Seat queue) {
-        ReplicaStatus status = queue.members.status();
+    private void look(SteppedReplica replica) {
+        ReplicaStatus status = replica.members.status();
         if (!status.active()) {
             return;
         }
@@ -339,21 +339,21 @@
         if (other != null && !other.equals(mine)) {
             throw new AssertionError("two views of number " + status.viewNumber() + ": " + other + ", " + mine);
         }
-        if (status.isLeader() && queue.proposedIn < status.viewNumber()) {
-            queue.proposedIn = status.viewNumber();
-            queue.members.propose(
+        if (status.isLeader() && replica.proposedIn < status.viewNumber()) {
+            replica.proposedIn = status.viewNumber();
+            replica.members.propose(
                     status.viewNumber(), ("v" + status.viewNumber()).getBytes(StandardCharsets.UTF_8), now);
         }
     }
 
     Fingerprint.Print print() {
         List<Object> all = new ArrayList<>();
-        for (Seat queue : queues) {
-            all.add(queue.members);
-            all.add(new TreeMap<>(queue.kept));
-            all.add(queue.flying == null ? null : new TreeMap<>(queue.flying));
-            all.add(queue.state);
-            all.add(queue.proposedIn);
+        for (SteppedReplica replica : replicas) {
+            all.add(replica.members);
+            all.add(new TreeMap<>(replica.kept));
+            all.add(replica.flying == null ? null : new TreeMap<>(replica.flying));
+            all.add(replica.state);
+            all.add(replica.proposedIn);
         }
         all.addAll(links);
         all.add(order);
