--- a/src/main/java/brambletray/platform/controlplane/ControlPlaneProgram.java
+++ b/src/main/java/brambletray/platform/controlplane/ControlPlaneProgram.java
@@ -1,22 +1,18 @@
 package brambletray.platform.controlplane;
 
 import brambletray.common.runtime.Machine;
-import brambletray.platform.configuration.ChangeHistory;
 import brambletray.platform.configuration.Configuration;
-import brambletray.platform.distribution.ConfigurationPublisher;
 import brambletray.platform.distribution.FrameTypes;
 import brambletray.platform.distribution.LinkIntroduction;
 import brambletray.platform.distribution.ProcessSignals;
+import brambletray.platform.distribution.SettingsReload;
 import brambletray.platform.election.ElectionEvent;
 import brambletray.platform.election.ElectionMessage;
 import brambletray.platform.election.LeaseElection;
+import brambletray.platform.election.LeaseHolder;
 import brambletray.platform.election.LeaseTimings;
-import brambletray.platform.failuredetection.EdgeHello;
-import brambletray.platform.failuredetection.EdgeWelcome;
-import brambletray.platform.failuredetection.Roster;
 import brambletray.platform.logging.EventLog;
 import brambletray.platform.replication.DurableState;
-import brambletray.platform.replication.Member;
 import brambletray.platform.replication.MemberRemovalOutcome;
 import brambletray.platform.replication.ProposalOutcome;
 import brambletray.platform.replication.Replica;
@@ -26,7 +22,6 @@
 import brambletray.platform.replication.ReplicationMessage;
 import brambletray.platform.settings.Address;
 import brambletray.platform.settings.NodeSettings;
-import brambletray.platform.settings.SettingsException;
 import brambletray.platform.storage.DurableStore;
 import brambletray.platform.storage.KeyChange;
 import brambletray.platform.storage.KeyValueStore;
@@ -68,18 +63,11 @@
     private final PeerLinks peerLinks;
     private final LeaseElection election;
     private final OperatorViews operatorViews;
-    private final EdgeGreeter edgeGreeter = new EdgeGreeter(this::welcome);
-    /** At each member, coordinator or not: the next coordinator goes on with deltas from what edges have. */
-    private final ChangeHistory changeHistory = new ChangeHistory();
-
-    private final ConfigurationPublisher publisher = new ConfigurationPublisher(changeHistory);
-    private EdgeCoordinator coordinator;
+    private final CoordinatorSupervisor coordinatorSupervisor;
     /** Steady ms since SIGTERM, and since the others go on without this process; -1: not yet. */
     private long leavingSinceMs = -1;
 
     private long removedSinceMs = -1;
-    /** Term of the coordinator's lease that is held here, 0 for none. */
-    private long heldTerm;
 
     /**
      * What a process of the core runs on. Real, or simulated with the same contract.
@@ -98,6 +86,7 @@
         exit = environment.exit();
         Map<String, byte[]> stored = environment.stored();
         address = nodeSettings.controlPlane().toString();
+        coordinatorSupervisor = new CoordinatorSupervisor(machine, nodeSettings, new MemberAccess());
         operatorCalls = new OperatorCalls(new ReplicaAccess(), this::onConfigurationChanged);
         peerLinks = new PeerLinks(
                 machine,
@@ -123,7 +112,7 @@
                 replica::zonesHoldingHalf,
                 () -> operatorCalls.stateMachine().configuration(),
                 () -> election.holder(nowMs()),
-                () -> coordinator != null && mayAct() ? coordinator : null,
+                coordinatorSupervisor::actingCoordinator,
                 this::nowMs));
     }
 
@@ -186,42 +175,12 @@
             election.updateView(replica.status(), nowMs);
             election.tick(nowMs);
             operatorViews.tick();
-            updateCoordinator();
-            if (coordinator != null) {
-                coordinator.tick(nowMs);
-            }
-            edgeGreeter.tick(nowMs);
+            coordinatorSupervisor.tick(nowMs);
             if (leavingSinceMs >= 0) {
                 maybeExit(nowMs);
             }
         } catch (RuntimeException e) {
-            LOG.warn("tick-failed")
-                    .with("why", e)
-                    .with("at", e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "")
-                    .log();
-        }
-    }
-
-    /**
-     * Makes sure that there is an {@link EdgeCoordinator} for the term that is held, and for no other; one that was
-     * won but may not act yet is started at a later tick.
-     */
-    private void updateCoordinator() {
-        long nowMs = nowMs();
-        if (coordinator != null && coordinator.term() != heldTerm) {
-            coordinator.close();
-            coordinator = null;
-        }
-        if (coordinator == null && heldTerm != 0 && election.mayAct(nowMs)) {
-            coordinator = new EdgeCoordinator(
-                    machine,
-                    nodeSettings,
-                    heldTerm,
-                    () -> operatorCalls.stateMachine().configuration(),
-                    publisher,
-                    new CoordinatorAuthority(),
-                    nowMs);
-            edgeGreeter.onCoordinatorStarted(coordinator, nowMs);
+            LOG.warn("tick-failed").withFailure(e).log();
         }
     }
 
@@ -235,45 +194,21 @@
         return election.mayAct(nowMs());
     }
 
-    /** Where edges reach a member of the core. */
-    private String edgeFacingAddress(Member member) {
-        return new Address(Address.parse(member.address()).host(), nodeSettings.internalPortLow()).toString();
-    }
-
-    private EdgeWelcome welcome() {
-        long coordinatorTerm = coordinator == null ? 0 : coordinator.term();
-        return EdgeGreeter.welcome(
-                replica.status(),
-                election.holder(nowMs()),
-                coordinatorTerm,
-                coordinator == null ? Roster.NONE : coordinator.newestRoster(),
-                this::edgeFacingAddress);
-    }
-
     private void onConfigurationChanged() {
         Configuration configuration = operatorCalls.stateMachine().configuration();
-        changeHistory.advanceTo(configuration);
         LOG.info("configuration")
                 .with("revision", configuration.revision())
                 .with("routes", configuration.routes().size())
                 .with("services", configuration.services().size())
                 .log();
-        if (coordinator != null) {
-            coordinator.onConfigurationChanged(nowMs());
-        }
+        coordinatorSupervisor.onConfigurationChanged(configuration);
     }
 
     private void reloadSettings() {
-        try {
-            NodeSettings current = nodeSettings.reread();
-            replica.updateSettings(ReplicaSettings.timeouts(current), ReplicaSettings.seeds(current));
-            LOG.info("settings-reloaded").log();
-        } catch (SettingsException error) {
-            LOG.warn("settings-rejected")
-                    .with("code", error.code())
-                    .with("why", error.getMessage())
-                    .log();
-        }
+        SettingsReload.run(
+                nodeSettings,
+                current -> replica.updateSettings(ReplicaSettings.timeouts(current), ReplicaSettings.seeds(current)),
+                LOG);
     }
 
     /** SIGTERM; a second one changes nothing. */
@@ -368,14 +303,12 @@
 
         @Override
         public void won(long term) {
-            heldTerm = term;
-            machine.loop().execute(ControlPlaneProgram.this::updateCoordinator);
+            coordinatorSupervisor.onLeaseWon(term);
         }
 
         @Override
         public void lost(long term) {
-            heldTerm = 0;
-            machine.loop().execute(ControlPlaneProgram.this::updateCoordinator);
+            coordinatorSupervisor.onLeaseLost();
         }
 
         @Override
@@ -416,25 +349,35 @@
         }
     }
 
-    private final class CoordinatorAuthority implements EdgeCoordinator.Authority {
+    private final class MemberAccess implements CoordinatorSupervisor.MemberAccess {
         @Override
-        public boolean mayAct() {
-            return ControlPlaneProgram.this.mayAct();
+        public ReplicaStatus status() {
+            return replica.status();
+        }
+
+        @Override
+        public Configuration configuration() {
+            return operatorCalls.stateMachine().configuration();
+        }
+
+        @Override
+        public LeaseHolder leaseHolder() {
+            return election.holder(ControlPlaneProgram.this.nowMs());
         }
 
         @Override
-        public boolean isSettled() {
-            return replica.status().settled();
+        public boolean mayAct() {
+            return ControlPlaneProgram.this.mayAct();
         }
 
         @Override
-        public EdgeWelcome welcome() {
-            return ControlPlaneProgram.this.welcome();
+        public void revalidate(long term) {
+            election.revalidate(term, ControlPlaneProgram.this.nowMs());
         }
 
         @Override
-        public void onFenced(long term) {
-            election.revalidate(term + 1, nowMs());
+        public long nowMs() {
+            return ControlPlaneProgram.this.nowMs();
         }
     }
 
@@ -455,26 +398,17 @@
 
         @Override
         public void onEdgeConnected(String name, Link link) {
-            edgeGreeter.onConnected(name, link);
+            coordinatorSupervisor.onEdgeConnected(name, link);
         }
 
         @Override
         public void onEdgeMessage(String name, Link link, Object frame) {
-            if (frame instanceof EdgeHello hello) {
-                election.revalidate(hello.term(), nowMs());
-                edgeGreeter.onHello(link, hello);
-            }
-            if (coordinator != null) {
-                coordinator.receive(name, link, frame, nowMs());
-            }
+            coordinatorSupervisor.onEdgeMessage(name, link, frame);
         }
 
         @Override
         public void onEdgeDisconnected(String name, Link link) {
-            edgeGreeter.onDisconnected(link);
-            if (coordinator != null) {
-                coordinator.onDisconnected(name, link, nowMs());
-            }
+            coordinatorSupervisor.onEdgeDisconnected(name, link);
         }
     }
 }
--- a/src/main/java/brambletray/platform/edge/EdgeProgram.java
+++ b/src/main/java/brambletray/platform/edge/EdgeProgram.java
@@ -17,6 +17,7 @@
 import brambletray.platform.distribution.FrameTypes;
 import brambletray.platform.distribution.LinkIntroduction;
 import brambletray.platform.distribution.ProcessSignals;
+import brambletray.platform.distribution.SettingsReload;
 import brambletray.platform.failuredetection.EdgeHello;
 import brambletray.platform.failuredetection.Heartbeat;
 import brambletray.platform.failuredetection.HeartbeatMonitor;
@@ -36,13 +37,10 @@
 import brambletray.platform.proxy.RequestRouter;
 import brambletray.platform.settings.Address;
 import brambletray.platform.settings.NodeSettings;
-import brambletray.platform.settings.SettingsException;
 import brambletray.platform.transport.FrameCodec;
 import brambletray.platform.transport.Sockets;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntConsumer;
 
@@ -58,8 +56,6 @@
     private static final int METRICS_INTERVAL_MS = 5_000;
 
     private static final int HEARTBEAT_INTERVAL_MS = 200;
-    /** Addresses of hosts that are remembered, to know their calls by. */
-    private static final int MAX_REMEMBERED_INSTANCE_IPS = 4_096;
     /** Connections of clients; the rest of the descriptors is for hosts, relays and files. */
     private static final int MAX_CLIENTS = 2_000;
 
@@ -79,22 +75,14 @@
     private final CoordinatorClient coordinatorClient;
     private final ConfigurationSubscriber subscriber = new ConfigurationSubscriber(new SubscriberActions());
     private final HeartbeatMonitor heartbeatMonitor;
-    private final Map<String, Boolean> instanceIps = new LinkedHashMap<>(64, 0.75f, true) {
-        private static final long serialVersionUID = 1L;
-
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > MAX_REMEMBERED_INSTANCE_IPS;
-        }
-    };
+    private final InstanceAddresses instanceAddresses = new InstanceAddresses();
+    private final AdmissionTimer admissionTimer;
     private Peer self;
     private Configuration configuration = Configuration.NONE;
     private Roster roster = Roster.NONE;
     private HomeAssignment homeAssignment = new HomeAssignment(Roster.NONE);
     private boolean leaving;
     private long metricsLoggedAtMs;
-    /** When the service queues are ticked next, ms. */
-    private long admissionDueMs = Long.MAX_VALUE;
 
     /**
      * On the loop; {@link #open} follows. {@code newIncarnation}: drawn at random; {@code exit}: ends the process
@@ -108,12 +96,9 @@
         self = new Peer(nodeSettings.node(), nodeSettings.zone(), inner.toString(), newIncarnation, Peer.ACTIVE);
         introduction = new LinkIntroduction(self.name(), self.address(), false);
         connectionPools = new HostConnectionPools(machine, 4_000, counters);
-        AdmissionParameters parameters = AdmissionParameters.of(
-                nodeSettings.bounds().retryBudgetRatio(),
-                (int) nodeSettings.bounds().retryBudgetSlack(),
-                (int) (nodeSettings.bounds().retryWindowS() * 1_000),
-                Math.max(1, nodeSettings.zones().size()));
+        AdmissionParameters parameters = admissionParameters(nodeSettings);
         String nonces = self.name() + "-" + Long.toHexString(newIncarnation & 0xffffffffL);
+        admissionTimer = new AdmissionTimer(machine, this::tickAdmission);
         localAdmission =
                 new LocalAdmission(self.name(), self.zone(), nonces, parameters, new AdmissionTransport(), this::now);
         slotClient = new SlotClient(new SlotClientTransport(), new InstanceTracking(), this::now);
@@ -123,7 +108,7 @@
                 self.zone(),
                 () -> configuration,
                 slotClient,
-                instanceIps::containsKey,
+                instanceAddresses::contains,
                 connectionPools,
                 counters,
                 Math.min(48L << 20, (long) nodeSettings.limits().memoryMb() << 17),
@@ -141,6 +126,14 @@
         heartbeatMonitor = new HeartbeatMonitor(self, HEARTBEAT_INTERVAL_MS, new MonitorActions());
     }
 
+    private static AdmissionParameters admissionParameters(NodeSettings nodeSettings) {
+        return AdmissionParameters.of(
+                nodeSettings.bounds().retryBudgetRatio(),
+                (int) nodeSettings.bounds().retryBudgetSlack(),
+                (int) (nodeSettings.bounds().retryWindowS() * 1_000),
+                Math.max(1, nodeSettings.zones().size()));
+    }
+
     private static List<Address> coreMembers(NodeSettings nodeSettings) {
         List<Address> members = new ArrayList<>();
         for (Address seed : nodeSettings.seeds()) {
@@ -219,11 +212,7 @@
             coordinatorClient.tick(now);
             subscriber.tick(now);
             heartbeatMonitor.tick(now);
-            if (admissionDueMs == Long.MAX_VALUE || now - admissionDueMs > 200) {
-                // Guards against a call that failed, and said no next time.
-                admissionDueMs = Long.MAX_VALUE;
-                scheduleAdmission(now);
-            }
+            admissionTimer.recover(now);
             if (now - metricsLoggedAtMs > METRICS_INTERVAL_MS) {
                 metricsLoggedAtMs = now;
                 LogEventBuilder line = LOG.info("figures")
@@ -236,38 +225,16 @@
                 line.log();
             }
         } catch (RuntimeException e) {
-            LOG.warn("tick-failed")
-                    .with("why", e)
-                    .with("at", e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "")
-                    .log();
+            LOG.warn("tick-failed").withFailure(e).log();
         }
     }
 
-    /** The service queues are ticked at the times that they request, and no more often. */
-    private void scheduleAdmission(long at) {
-        if (at < admissionDueMs) {
-            admissionDueMs = at;
-            machine.loop().schedule(() -> scheduleAdmissionCall(at), Math.max(1, at - now()), TimeUnit.MILLISECONDS);
-        }
-    }
-
-    private void scheduleAdmissionCall(long at) {
-        if (at == admissionDueMs) {
-            admissionDueMs = Long.MAX_VALUE;
-            localAdmission.tick();
-        }
+    private void tickAdmission() {
+        localAdmission.tick();
     }
 
     void reloadSettings() {
-        try {
-            coordinatorClient.onMembers(coreMembers(nodeSettings.reread()));
-            LOG.info("settings-reloaded").log();
-        } catch (SettingsException error) {
-            LOG.warn("settings-rejected")
-                    .with("code", error.code())
-                    .with("why", error.getMessage())
-                    .log();
-        }
+        SettingsReload.run(nodeSettings, current -> coordinatorClient.onMembers(coreMembers(current)), LOG);
     }
 
     /** Says so first, serves on until clients have been sent elsewhere, then ends with nothing under way. */
@@ -284,8 +251,11 @@
         shutdown.start(grace);
         self = self.asLeaving();
         heartbeatMonitor.updateSelf(self, configuration.revision());
-        coordinatorClient.send(new EdgeHello(
-                self, roster.term(), roster.number(), configuration.revision(), coordinatorClient.term()));
+        coordinatorClient.send(hello());
+    }
+
+    private EdgeHello hello() {
+        return new EdgeHello(self, roster.term(), roster.number(), configuration.revision(), coordinatorClient.term());
     }
 
     // ---- Callbacks ------------------------------------------------------------------------------
@@ -344,16 +314,14 @@
                 .with("gone", gone)
                 .log();
         if (!next.contains(self)) {
-            coordinatorClient.send(new EdgeHello(
-                    self, roster.term(), roster.number(), configuration.revision(), coordinatorClient.term()));
+            coordinatorClient.send(hello());
         }
     }
 
     private final class CoordinatorListener implements CoordinatorClient.Listener {
         @Override
         public Object helloFrame() {
-            return new EdgeHello(
-                    self, roster.term(), roster.number(), configuration.revision(), coordinatorClient.term());
+            return hello();
         }
 
         @Override
@@ -447,7 +415,7 @@
     private final class InstanceTracking implements SlotClient.InstanceTracking {
         @Override
         public void onInstanceAddress(String address) {
-            instanceIps.put(address.substring(0, address.lastIndexOf(':')), Boolean.TRUE);
+            instanceAddresses.add(address);
         }
 
         @Override
@@ -523,7 +491,7 @@
 
         @Override
         public void scheduleTick(long at) {
-            scheduleAdmission(at);
+            admissionTimer.schedule(at);
         }
 
         @Override
--- a/src/main/java/brambletray/platform/logging/LogEventBuilder.java
+++ b/src/main/java/brambletray/platform/logging/LogEventBuilder.java
@@ -37,6 +37,12 @@
         return this;
     }
 
+    /** Adds what failed as {@code why}, and where as {@code at}. */
+    public LogEventBuilder withFailure(Throwable failure) {
+        StackTraceElement[] trace = failure.getStackTrace();
+        return with("why", failure).with("at", trace.length > 0 ? trace[0] : "");
+    }
+
     /** Writes the line. */
     public void log() {
         if (line != null) {
