--- a/src/main/java/brambletray/platform/distribution/FrameTypes.java
+++ b/src/main/java/brambletray/platform/distribution/FrameTypes.java
@@ -1,10 +1,10 @@
 package brambletray.platform.distribution;
 
 import brambletray.platform.admission.AdmissionMessages;
-import brambletray.platform.election.LeaseElection;
+import brambletray.platform.election.ElectionMessage;
 import brambletray.platform.failuredetection.WatchRing;
 import brambletray.platform.provisioning.Provisioner;
-import brambletray.platform.replication.Replica;
+import brambletray.platform.replication.ReplicationMessage;
 import java.util.List;
 
 /** All messages between processes of the system, in the order in which Kryo registers them. */
@@ -21,8 +21,8 @@
             WatchRing.MESSAGES,
             AdmissionMessages.ALL,
             Provisioner.MESSAGES,
-            Replica.MESSAGES,
-            LeaseElection.MESSAGES);
+            ReplicationMessage.TYPES,
+            ElectionMessage.TYPES);
 
     private FrameTypes() {}
 }
--- a/src/main/java/brambletray/platform/election/ElectionMessage.java
+++ b/src/main/java/brambletray/platform/election/ElectionMessage.java
@@ -1,9 +1,19 @@
 package brambletray.platform.election;
 
 import brambletray.platform.replication.Member;
+import java.util.List;
 
 /** Messages between members of the core about the lease on a role. */
 public sealed interface ElectionMessage {
+    /** All messages, for registration with the codec; {@link Member} is registered by the replication package. */
+    List<Class<?>> TYPES = List.of(
+            LeaseRequest.class,
+            LeaseGranted.class,
+            LeaseDenied.class,
+            RenewRequest.class,
+            RenewGranted.class,
+            LeaseReleased.class);
+
     /** Name of the role. */
     String role();
 
--- a/src/main/java/brambletray/platform/election/LeaseElection.java
+++ b/src/main/java/brambletray/platform/election/LeaseElection.java
@@ -2,7 +2,6 @@
 
 import brambletray.platform.replication.Member;
 import brambletray.platform.replication.ReplicaStatus;
-import java.util.List;
 
 /**
  * The lease on a singleton role, held by at most one member of the active view, under a term that only grows (lease:
@@ -21,14 +20,6 @@
  * saw the view active.
  */
 public final class LeaseElection {
-    /** All messages, for registration with the codec; {@link Member} is registered by the replication package. */
-    public static final List<Class<?>> MESSAGES = List.of(
-            ElectionMessage.LeaseRequest.class,
-            ElectionMessage.LeaseGranted.class,
-            ElectionMessage.LeaseDenied.class,
-            ElectionMessage.RenewRequest.class,
-            ElectionMessage.RenewGranted.class,
-            ElectionMessage.LeaseReleased.class);
     /** Bits of a term below the number of its view. */
     private static final int TERM_BITS_PER_VIEW = 20;
 
--- a/src/main/java/brambletray/platform/replication/FollowerState.java
+++ b/src/main/java/brambletray/platform/replication/FollowerState.java
@@ -9,31 +9,15 @@
     private static final int MAX_QUEUED_BYTES = 8 << 20;
 
     private final ReplicaState state;
-    private final Replica replica;
+    private final RoleState roles;
     private final LeaderMonitor leaderMonitor;
-    private View successorView;
 
-    FollowerState(ReplicaState state, Replica replica, LeaderMonitor leaderMonitor) {
+    FollowerState(ReplicaState state, RoleState roles, LeaderMonitor leaderMonitor) {
         this.state = state;
-        this.replica = replica;
+        this.roles = roles;
         this.leaderMonitor = leaderMonitor;
     }
 
-    /** Whether a later view is known to be active without this member. */
-    boolean isExcluded() {
-        return successorView != null;
-    }
-
-    /** The later view without this member; null if none is known. */
-    View successorView() {
-        return successorView;
-    }
-
-    /** A new view is installed here. */
-    void onViewInstalled() {
-        successorView = null;
-    }
-
     void onHeartbeat(String from, ReplicationMessage.HeartbeatRequest heartbeat) {
         View view = state.view();
         if (view == null || !view.ballot().equals(heartbeat.viewBallot())) {
@@ -42,7 +26,7 @@
             }
             return;
         }
-        if (replica.isLeader()) {
+        if (roles.isLeader()) {
             return;
         }
         if (!state.hasPromisedHigherBallot()) {
@@ -69,7 +53,7 @@
         state.commits().setViewStartIndex(heartbeat.viewStartIndex());
         if (heartbeat.active() && !state.isActive()) {
             state.activateView();
-            replica.onViewActivated();
+            roles.onViewActivated();
         }
         state.advanceCommit(heartbeat.commitIndex());
     }
@@ -81,7 +65,7 @@
     }
 
     void onAppend(String from, ReplicationMessage.AppendRequest request) {
-        if (!state.isOperationalIn(request.viewBallot()) || replica.isLeader()) {
+        if (!state.isOperationalIn(request.viewBallot()) || roles.isLeader()) {
             return;
         }
         leaderMonitor.onLeaderHeard();
@@ -146,7 +130,7 @@
         }
         state.ballots().observe(request.ballot().number());
         state.retire(request.retiredIncarnations());
-        Ballot reserved = replica.highestReservedBallot();
+        Ballot reserved = roles.highestReservedBallot();
         if (reserved.isAbove(request.ballot()) || request.ballot().number() <= view.number()) {
             reject(from, request, reserved, false);
             return;
@@ -173,11 +157,11 @@
         if (state.hasPromisedHigherBallot() || fromLeader) {
             return false;
         }
-        return replica.isLeader() ? replica.hasActiveQuorum() : leaderMonitor.leaderIsHealthy();
+        return roles.isLeader() ? roles.hasActiveQuorum() : leaderMonitor.leaderIsHealthy();
     }
 
     private void promise(ReplicationMessage.PrepareRequest request, View view) {
-        replica.abandonLeadership();
+        roles.abandonLeadership();
         state.promise(request.ballot());
         int graceMs = view.isFounding() ? state.settings().foundingGraceMs() : 0;
         leaderMonitor.postponeElection(graceMs + state.settings().electionTimeoutMs() + leaderMonitor.rankDelayMs());
@@ -193,25 +177,4 @@
             String from, ReplicationMessage.PrepareRequest request, Ballot reserved, boolean leaderIsHealthy) {
         state.actions().send(from, new ReplicationMessage.BallotRejected(request.ballot(), reserved, leaderIsHealthy));
     }
-
-    /** A later view is active without this member. */
-    void onNotMember(View later) {
-        View view = state.view();
-        boolean excludes = view != null
-                && later.ballot().isAbove(view.ballot())
-                && !later.contains(state.self().incarnation());
-        boolean known = successorView != null && !later.ballot().isAbove(successorView.ballot());
-        if (!excludes || known) {
-            return;
-        }
-        successorView = later;
-        for (Member member : later.members()) {
-            state.addKnownAddress(member.address());
-        }
-        replica.abandonLeadership();
-        state.actions()
-                .log(new ReplicationEvent.ExcludedFromView(
-                        view.ballot(), later.ballot(), ReplicaState.names(later.members())));
-        state.actions().statusChanged();
-    }
 }
--- a/src/main/java/brambletray/platform/replication/JoinAdmission.java
+++ b/src/main/java/brambletray/platform/replication/JoinAdmission.java
@@ -21,7 +21,7 @@
     private record Penalty(int count, long imposedAtMs, long untilMs) {}
 
     private final ReplicaState state;
-    private final Replica replica;
+    private final RoleState roles;
     private final Map<Long, ReplicationMessage.JoinRequest> admitted = new LinkedHashMap<>();
     private final Map<Long, Long> requestedAtMs = new HashMap<>();
     /** When newcomers that are still fetching the state were heard last, by incarnation; ms. */
@@ -31,9 +31,9 @@
     private final Map<String, Long> challenges = new HashMap<>();
     private long nonce;
 
-    JoinAdmission(ReplicaState state, Replica replica) {
+    JoinAdmission(ReplicaState state, RoleState roles) {
         this.state = state;
-        this.replica = replica;
+        this.roles = roles;
         nonce = state.origin();
     }
 
@@ -48,7 +48,7 @@
         }
         if (state.view() == null
                 || !state.isActive()
-                || replica.isExcluded()
+                || roles.isExcluded()
                 || state.view().isFounding()) {
             if (!state.knownAddresses().isEmpty()) {
                 state.actions().send(from, new ReplicationMessage.KnownMembers(List.copyOf(state.knownAddresses())));
@@ -61,7 +61,7 @@
         if (joinRequest.viewBallot().isAbove(state.view().ballot())) {
             state.ballots().observe(joinRequest.viewBallot().number());
         }
-        if (!replica.isLeader()) {
+        if (!roles.isLeader()) {
             if (state.view().ballot().proposer() != state.self().incarnation()) {
                 state.actions().send(from, new ReplicationMessage.JoinResponse(state.view(), false));
             }
@@ -146,7 +146,7 @@
                             here.responder().address(),
                             Long.toHexString(here.responder().incarnation()),
                             lostIncarnations));
-            replica.onMembersRetired();
+            roles.onMembersRetired();
         }
     }
 
@@ -181,6 +181,11 @@
         return new LinkedHashMap<>(admitted);
     }
 
+    /** Whether a newcomer asks to join. */
+    boolean hasNewcomers() {
+        return hasNewcomersCatchingUp() || !admitted().isEmpty();
+    }
+
     /** Whether a newcomer is fetching the state. */
     boolean hasNewcomersCatchingUp() {
         catchingUp.values().removeIf(at -> state.nowMs() - at > REQUEST_EXPIRY_MS);
--- a/src/main/java/brambletray/platform/replication/JoinRequester.java
+++ b/src/main/java/brambletray/platform/replication/JoinRequester.java
@@ -1,6 +1,7 @@
 package brambletray.platform.replication;
 
 import java.util.LinkedHashSet;
+import java.util.List;
 import java.util.Set;
 
 /**
@@ -14,8 +15,9 @@
     private static final int SOURCE_IDLE_TIMEOUT_MS = 1000;
 
     private final ReplicaState state;
-    private final Replica replica;
+    private final RoleState roles;
     private final LeaderMonitor leaderMonitor;
+    private List<String> seeds;
     private ReplicatedLog fetchedLog;
     private long fetchedCommitIndex;
     private StateTransferClient transfer;
@@ -25,10 +27,16 @@
     private long requestedAtMs = Long.MIN_VALUE / 2;
     private long transferStartedAtMs = Long.MIN_VALUE / 2;
 
-    JoinRequester(ReplicaState state, Replica replica, LeaderMonitor leaderMonitor) {
+    JoinRequester(ReplicaState state, RoleState roles, LeaderMonitor leaderMonitor, List<String> seeds) {
         this.state = state;
-        this.replica = replica;
+        this.roles = roles;
         this.leaderMonitor = leaderMonitor;
+        this.seeds = seeds;
+    }
+
+    /** Other addresses to ask first, from the settings. */
+    void updateSeeds(List<String> newSeeds) {
+        seeds = newSeeds;
     }
 
     /**
@@ -43,7 +51,7 @@
 
     /** The log that a patch is applied to. */
     ReplicatedLog patchBase() {
-        return fetchedLog != null && replica.isOutsideView() ? fetchedLog : state.log();
+        return fetchedLog != null && roles.isOutsideView() ? fetchedLog : state.log();
     }
 
     void onViewAccepted() {
@@ -52,14 +60,15 @@
         interrupted = null;
     }
 
-    void tick(Iterable<String> seeds) {
+    /** Continues a transfer, and sends join requests if this member is outside the view and they are due. */
+    void tick() {
         if (transfer != null) {
             transfer.tick();
             if (transfer.failed()) {
                 interruptTransfer();
             }
         }
-        if (!(replica.isOutsideView() || mayHaveBeenExcluded())
+        if (!(roles.isOutsideView() || mayHaveBeenExcluded())
                 || state.diskUnhealthy()
                 || state.isLeaving()
                 || state.nowMs() - requestedAtMs < RETRY_INTERVAL_MS) {
@@ -75,16 +84,17 @@
         transfer = null;
     }
 
-    void sendJoinRequests(Iterable<String> seeds) {
+    /** Asks at these addresses, and wherever else a member of the view may be. */
+    void sendJoinRequests(List<String> addresses) {
         if (state.isLeaving()) {
             return;
         }
         requestedAtMs = state.nowMs();
         Set<String> all = new LinkedHashSet<>();
-        seeds.forEach(all::add);
+        all.addAll(addresses);
         all.addAll(state.knownAddresses());
-        if (replica.successorView() != null) {
-            replica.successorView().members().forEach(member -> all.add(member.address()));
+        if (roles.successorView() != null) {
+            roles.successorView().members().forEach(member -> all.add(member.address()));
         }
         all.remove(state.self().address());
         ReplicationMessage.JoinRequest joinRequest = joinRequest();
@@ -106,10 +116,10 @@
 
     /** The active view; its leader says whether the state that was fetched is recent enough to join with. */
     void onJoinResponse(String from, ReplicationMessage.JoinResponse response) {
-        if (!replica.isOutsideView()) {
-            replica.onNotMember(response.view());
+        if (!roles.isOutsideView()) {
+            roles.onNotMember(response.view());
         }
-        if (!replica.isOutsideView()) {
+        if (!roles.isOutsideView()) {
             return;
         }
         for (Member member : response.view().members()) {
--- a/src/main/java/brambletray/platform/replication/MemberRemovalOrders.java
+++ b/src/main/java/brambletray/platform/replication/MemberRemovalOrders.java
@@ -18,14 +18,14 @@
     private record PendingRemoval(Member member, long startedAtMs, Consumer<MemberRemovalOutcome> onOutcome) {}
 
     private final ReplicaState state;
-    private final Replica replica;
+    private final RoleState roles;
     private final long startedAtMs;
     private final Map<String, Long> lastHeardAtMs = new HashMap<>();
     private PendingRemoval pending;
 
-    MemberRemovalOrders(ReplicaState state, Replica replica) {
+    MemberRemovalOrders(ReplicaState state, RoleState roles) {
         this.state = state;
-        this.replica = replica;
+        this.roles = roles;
         startedAtMs = state.nowMs();
     }
 
@@ -54,7 +54,7 @@
         if (pending != null) {
             return MemberRemovalOutcome.ANOTHER_PENDING;
         }
-        if (replica.status().role() == ReplicaRole.MEMBER) {
+        if (roles.role() == ReplicaRole.MEMBER) {
             return MemberRemovalOutcome.VIEW_IS_HEALTHY;
         }
         if (state.nowMs() - Math.max(startedAtMs, lastHeardAtMs.getOrDefault(target.address(), startedAtMs))
@@ -117,7 +117,7 @@
                     .log(new ReplicationEvent.MemberRemoved(
                             target.name(), target.address(), Long.toHexString(target.incarnation())));
             onOutcome.accept(MemberRemovalOutcome.REMOVED);
-            replica.onMembersRetired();
+            roles.onMembersRetired();
         });
     }
 
--- a/src/main/java/brambletray/platform/replication/MessageDispatcher.java
+++ b/src/main/java/brambletray/platform/replication/MessageDispatcher.java
@@ -7,29 +7,14 @@
  */
 final class MessageDispatcher {
     private final ReplicaState state;
-    private final Replica replica;
-    private final FollowerState follower;
-    private final ViewInstaller viewInstaller;
-    private final JoinRequester joinRequester;
-    private final JoinAdmission joinAdmission;
-    private final ReadIndex readIndex;
+    private final RoleState roles;
+    private final MessageHandlers handlers;
     private final StateTransferServer stateTransferServer;
 
-    MessageDispatcher(
-            ReplicaState state,
-            Replica replica,
-            FollowerState follower,
-            ViewInstaller viewInstaller,
-            JoinRequester joinRequester,
-            JoinAdmission joinAdmission,
-            ReadIndex readIndex) {
+    MessageDispatcher(ReplicaState state, RoleState roles, MessageHandlers handlers) {
         this.state = state;
-        this.replica = replica;
-        this.follower = follower;
-        this.viewInstaller = viewInstaller;
-        this.joinRequester = joinRequester;
-        this.joinAdmission = joinAdmission;
-        this.readIndex = readIndex;
+        this.roles = roles;
+        this.handlers = handlers;
         stateTransferServer = new StateTransferServer(state, this::logToServe);
     }
 
@@ -38,11 +23,11 @@
         if (view.equals(Ballot.NONE)) {
             return state.view() == null ? null : state.log();
         }
-        return replica.viewChange() == null ? null : replica.viewChange().logForTransfer(view);
+        return roles.viewChange() == null ? null : roles.viewChange().logForTransfer(view);
     }
 
     void tick() {
-        viewInstaller.tick();
+        handlers.viewInstaller().tick();
         stateTransferServer.tick();
     }
 
@@ -58,23 +43,25 @@
 
     private boolean dispatchToFollower(String from, ReplicationMessage message) {
         if (message instanceof ReplicationMessage.HeartbeatRequest heartbeat) {
-            follower.onHeartbeat(from, heartbeat);
+            handlers.follower().onHeartbeat(from, heartbeat);
         } else if (message instanceof ReplicationMessage.AppendRequest append) {
-            follower.onAppend(from, append);
+            handlers.follower().onAppend(from, append);
         } else if (message instanceof ReplicationMessage.InstallViewRequest install) {
-            viewInstaller.onInstallView(from, install, joinRequester.patchBase());
+            handlers.viewInstaller()
+                    .onInstallView(from, install, handlers.joinRequester().patchBase());
         } else if (message instanceof ReplicationMessage.InstallViewOffer offer) {
-            viewInstaller.onInstallViewOffer(from, offer, joinRequester.patchBase());
+            handlers.viewInstaller()
+                    .onInstallViewOffer(from, offer, handlers.joinRequester().patchBase());
         } else if (message instanceof ReplicationMessage.PrepareRequest prepare) {
-            follower.onPrepare(from, prepare);
+            handlers.follower().onPrepare(from, prepare);
             if (state.view() == null) {
                 // the proposer takes this address for a member: a join request shows that the disk is another one
-                joinRequester.sendJoinRequests(List.of(from));
+                handlers.joinRequester().sendJoinRequests(List.of(from));
             }
         } else if (message instanceof ReplicationMessage.NotMember notMember) {
-            follower.onNotMember(notMember.view());
-            if (follower.isExcluded()) {
-                replica.maybeRequestJoin();
+            roles.onNotMember(notMember.view());
+            if (roles.isExcluded()) {
+                handlers.joinRequester().tick();
             }
         } else {
             return false;
@@ -84,17 +71,17 @@
 
     private boolean dispatchToLeader(ReplicationMessage message) {
         if (message instanceof ReplicationMessage.AppendResponse response) {
-            LeaderState leader = replica.leaderOf(response.viewBallot());
+            LeaderState leader = roles.leaderOf(response.viewBallot());
             if (leader != null) {
                 leader.onDurable(response.incarnation(), response.durableIndex());
             }
         } else if (message instanceof ReplicationMessage.HeartbeatResponse response) {
-            LeaderState leader = replica.leaderOf(response.viewBallot());
+            LeaderState leader = roles.leaderOf(response.viewBallot());
             if (leader != null) {
                 leader.onHeartbeatResponse(response);
             }
         } else if (message instanceof ReplicationMessage.ProposeRequest proposal) {
-            LeaderState leader = replica.leaderOf(proposal.viewBallot());
+            LeaderState leader = roles.leaderOf(proposal.viewBallot());
             if (leader != null) {
                 leader.propose(proposal.origin(), proposal.token(), proposal.bytes());
             }
@@ -105,7 +92,7 @@
     }
 
     private boolean dispatchToViewChange(String from, ReplicationMessage message) {
-        ViewChange viewChange = replica.viewChange();
+        ViewChange viewChange = roles.viewChange();
         if (message instanceof ReplicationMessage.PrepareResponse response) {
             if (viewChange != null) {
                 viewChange.onPrepareResponse(response);
@@ -130,16 +117,16 @@
 
     private boolean dispatchToJoin(String from, ReplicationMessage message) {
         if (message instanceof ReplicationMessage.JoinRequest request) {
-            joinAdmission.onJoinRequest(from, request);
+            handlers.joinAdmission().onJoinRequest(from, request);
         } else if (message instanceof ReplicationMessage.JoinResponse response) {
-            joinRequester.onJoinResponse(from, response);
+            handlers.joinRequester().onJoinResponse(from, response);
         } else if (message instanceof ReplicationMessage.KnownMembers knownMembers) {
             state.addKnownAddress(from);
             knownMembers.addresses().forEach(state::addKnownAddress);
         } else if (message instanceof ReplicationMessage.IdentityRequest request) {
             state.actions().send(from, new ReplicationMessage.IdentityResponse(request.nonce(), state.self()));
         } else if (message instanceof ReplicationMessage.IdentityResponse response) {
-            joinAdmission.onIdentityResponse(response);
+            handlers.joinAdmission().onIdentityResponse(response);
         } else {
             return false;
         }
@@ -152,20 +139,20 @@
         } else if (message instanceof ReplicationMessage.FetchChunkResponse chunk) {
             onChunk(chunk);
         } else if (message instanceof ReplicationMessage.LeaveRequest request) {
-            replica.onLeaveRequest(from, request);
+            handlers.leaveRequests().onLeaveRequest(from, request);
         } else if (message instanceof ReplicationMessage.ReadIndexRequest request) {
-            readIndex.onReadIndexRequest(from, request);
+            handlers.readIndex().onReadIndexRequest(from, request);
         } else if (message instanceof ReplicationMessage.ReadIndexResponse response) {
-            readIndex.onReadIndexResponse(response);
+            handlers.readIndex().onReadIndexResponse(response);
         }
     }
 
     /** A chunk names its transfer by number; whoever has begun it takes it. */
     private void onChunk(ReplicationMessage.FetchChunkResponse chunk) {
-        joinRequester.onChunk(chunk);
-        viewInstaller.onChunk(chunk);
-        if (replica.viewChange() != null) {
-            replica.viewChange().onChunk(chunk);
+        handlers.joinRequester().onChunk(chunk);
+        handlers.viewInstaller().onChunk(chunk);
+        if (roles.viewChange() != null) {
+            roles.viewChange().onChunk(chunk);
         }
     }
 }
--- a/src/main/java/brambletray/platform/replication/PendingProposals.java
+++ b/src/main/java/brambletray/platform/replication/PendingProposals.java
@@ -31,13 +31,13 @@
     }
 
     private final ReplicaState state;
-    private final Replica replica;
+    private final RoleState roles;
     private final Map<Long, Proposal> pending = new LinkedHashMap<>();
     private long pendingBytes;
 
-    PendingProposals(ReplicaState state, Replica replica) {
+    PendingProposals(ReplicaState state, RoleState roles) {
         this.state = state;
-        this.replica = replica;
+        this.roles = roles;
     }
 
     void propose(long token, byte[] bytes) {
@@ -55,7 +55,7 @@
         if (pending.isEmpty()
                 || !state.isActive()
                 || !state.isOperationalIn(state.view().ballot())
-                || replica.isExcluded()) {
+                || roles.isExcluded()) {
             return;
         }
         for (Map.Entry<Long, Proposal> one : pending.entrySet()) {
@@ -71,8 +71,8 @@
             if (item.sentInView != null && state.nowMs() - item.sentAtMs < RETRY_INTERVAL_MS) {
                 continue;
             }
-            if (replica.isLeader()) {
-                if (item.sentInView == null && replica.proposeLocally(one.getKey(), item.bytes)) {
+            if (roles.isLeader()) {
+                if (item.sentInView == null && roles.leader().propose(state.origin(), one.getKey(), item.bytes)) {
                     item.sentInView = state.view().ballot();
                 }
             } else if (state.view().leader().incarnation() != state.self().incarnation()) {
@@ -106,7 +106,7 @@
             return;
         }
         // this process does not join again: callers are to turn to the others now
-        completeIf(item -> state.nowMs() > item.deadlineMs || state.isLeaving() && replica.isExcluded());
+        completeIf(item -> state.nowMs() > item.deadlineMs || state.isLeaving() && roles.isExcluded());
         sendPending();
     }
 
--- a/src/main/java/brambletray/platform/replication/PlannedLeave.java
+++ b/src/main/java/brambletray/platform/replication/PlannedLeave.java
@@ -14,20 +14,22 @@
     private static final int DRAIN_TIMEOUT_MS = 300;
 
     private final ReplicaState state;
-    private final Replica replica;
+    private final RoleState roles;
+    private final JoinAdmission joinAdmission;
     private final long startedAtMs;
     private long announcedAtMs = Long.MIN_VALUE / 2;
     private long drainingSinceMs;
     private String endReason;
 
-    PlannedLeave(ReplicaState state, Replica replica) {
+    PlannedLeave(ReplicaState state, RoleState roles, JoinAdmission joinAdmission) {
         this.state = state;
-        this.replica = replica;
+        this.roles = roles;
+        this.joinAdmission = joinAdmission;
         startedAtMs = state.nowMs();
         state.actions()
                 .log(new ReplicationEvent.LeaveStarted(
                         state.viewName(),
-                        replica.isLeader(),
+                        roles.isLeader(),
                         state.commitIndex(),
                         state.log().lastIndex()));
     }
@@ -41,16 +43,16 @@
         if (endReason != null) {
             return;
         }
-        boolean member = state.view() != null && !state.view().isFounding() && !replica.isExcluded();
+        boolean member = state.view() != null && !state.view().isFounding() && !roles.isExcluded();
         if (!member) {
             end(state.view() == null || state.view().isFounding() ? "not a member" : "gone on without it");
         } else if (state.nowMs() - startedAtMs >= state.settings().leaveTimeoutMs()) {
             end("nobody has gone on without it in time");
-        } else if (state.view().members().size() == 1 && !replica.hasNewcomers()) {
+        } else if (state.view().members().size() == 1 && !joinAdmission.hasNewcomers()) {
             end("alone");
-        } else if (replica.viewChange() == null
+        } else if (roles.viewChange() == null
                 && state.nowMs() - announcedAtMs >= RETRY_INTERVAL_MS
-                && (!replica.isLeader() || isDrained())) {
+                && (!roles.isLeader() || isDrained())) {
             announce();
         }
     }
@@ -60,7 +62,7 @@
      * at most), the last view change, and then what is in flight.
      */
     private boolean isDrained() {
-        boolean settles = !replica.hasBeenLeaderForAWhile() || replica.hasNewcomers();
+        boolean settles = !roles.hasBeenLeaderForAWhile() || joinAdmission.hasNewcomers();
         if (settles && 2 * (state.nowMs() - startedAtMs) < state.settings().leaveTimeoutMs()) {
             return false;
         }
@@ -86,7 +88,7 @@
 
     private void end(String how) {
         endReason = how;
-        View view = replica.successorView() != null ? replica.successorView() : state.view();
+        View view = roles.successorView() != null ? roles.successorView() : state.view();
         state.actions()
                 .log(new ReplicationEvent.LeaveFinished(
                         how,
--- a/src/main/java/brambletray/platform/replication/ReadIndex.java
+++ b/src/main/java/brambletray/platform/replication/ReadIndex.java
@@ -33,13 +33,13 @@
     }
 
     private final ReplicaState state;
-    private final Replica replica;
+    private final RoleState roles;
     private final List<Round> rounds = new ArrayList<>();
     private long lastSequence;
 
-    ReadIndex(ReplicaState state, Replica replica) {
+    ReadIndex(ReplicaState state, RoleState roles) {
         this.state = state;
-        this.replica = replica;
+        this.roles = roles;
         lastSequence = state.origin();
     }
 
@@ -57,7 +57,7 @@
         if (!state.isOperationalIn(request.viewBallot())) {
             return;
         }
-        boolean leads = replica.isLeader();
+        boolean leads = roles.isLeader();
         state.actions()
                 .send(
                         from,
@@ -94,7 +94,7 @@
         boolean may = state.view() != null
                 && state.isActive()
                 && state.isOperationalIn(state.view().ballot())
-                && !replica.isExcluded();
+                && !roles.isExcluded();
         List<Round> over = new ArrayList<>();
         Iterator<Round> all = rounds.iterator();
         while (all.hasNext()) {
@@ -103,7 +103,7 @@
                 sendRequests(round);
             }
             boolean yes = may && isConfirmed(round);
-            if (!yes && state.nowMs() <= round.deadlineMs && !(state.isLeaving() && replica.isExcluded())) {
+            if (!yes && state.nowMs() <= round.deadlineMs && !(state.isLeaving() && roles.isExcluded())) {
                 continue;
             }
             all.remove();
@@ -142,7 +142,7 @@
         if (2 * (round.confirmedBy.size() + 1) <= state.view().members().size()) {
             return false;
         }
-        if (replica.isLeader()) {
+        if (roles.isLeader()) {
             return state.isSettled();
         }
         return round.requiredIndex >= 0 && state.appliedIndex() >= round.requiredIndex;
--- a/src/main/java/brambletray/platform/replication/Replica.java
+++ b/src/main/java/brambletray/platform/replication/Replica.java
@@ -1,56 +1,20 @@
 package brambletray.platform.replication;
 
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.function.Consumer;
 
 /**
- * One member of the core. Owns its role and every transition: follower, leader ({@link LeaderState}), in a view change
- * that it has started ({@link ViewChange}), or outside the view ({@link JoinRequester}). At most one of leader and
- * installing view change is set; a higher promise ends both ({@link #abandonLeadership}).
+ * One member of the core: the entry points of the replication protocol. {@link RoleState} owns its role, {@link
+ * ReplicaState} what it knows and has on disk; {@link MessageDispatcher} knows which part a message is for.
  *
  * <p>Pure: time, messages and completed syncs come in, {@link ReplicationActions} says what is to be done. One thread
  * only. The package comment says why nothing that was acknowledged is lost.
  */
 public final class Replica {
-    /** All messages, for registration with the codec; the records within them come first. */
-    public static final List<Class<?>> MESSAGES = List.of(
-            Ballot.class,
-            Member.class,
-            ViewMembership.class,
-            View.class,
-            LogEntry.class,
-            LogPatch.class,
-            TransferDescriptor.class,
-            ReplicationMessage.HeartbeatRequest.class,
-            ReplicationMessage.HeartbeatResponse.class,
-            ReplicationMessage.AppendRequest.class,
-            ReplicationMessage.AppendResponse.class,
-            ReplicationMessage.PrepareRequest.class,
-            ReplicationMessage.PrepareResponse.class,
-            ReplicationMessage.BallotRejected.class,
-            ReplicationMessage.InstallViewRequest.class,
-            ReplicationMessage.InstallViewOffer.class,
-            ReplicationMessage.InstallViewResponse.class,
-            ReplicationMessage.PatchMismatch.class,
-            ReplicationMessage.NotMember.class,
-            ReplicationMessage.JoinRequest.class,
-            ReplicationMessage.JoinResponse.class,
-            ReplicationMessage.KnownMembers.class,
-            ReplicationMessage.IdentityRequest.class,
-            ReplicationMessage.IdentityResponse.class,
-            ReplicationMessage.FetchChunkRequest.class,
-            ReplicationMessage.FetchChunkResponse.class,
-            ReplicationMessage.LeaveRequest.class,
-            ReplicationMessage.ProposeRequest.class,
-            ReplicationMessage.ReadIndexRequest.class,
-            ReplicationMessage.ReadIndexResponse.class);
-
     private final ReplicaState state;
     private final LeaderMonitor leaderMonitor;
-    private final FollowerState follower;
+    private final RoleState roles;
     private final ViewInstaller viewInstaller;
     private final JoinRequester joinRequester;
     private final JoinAdmission joinAdmission;
@@ -59,10 +23,7 @@
     private final MemberRemovalOrders memberRemovalOrders;
     private final ViewChangeInitiator viewChangeInitiator;
     private final MessageDispatcher messageDispatcher;
-    private List<String> seeds;
     private boolean incarnationIsDurable;
-    private LeaderState leader;
-    private ViewChange viewChange;
     private PlannedLeave plannedLeave;
     private long lastTickAtMs;
 
@@ -80,19 +41,26 @@
             long nowMs) {
         state = new ReplicaState(config, stored, actions, stateMachine, new ProposalTracker(), nowMs);
         lastTickAtMs = nowMs;
-        seeds = config.seeds();
         boolean founder = bootstrap(config, stored);
         leaderMonitor = new LeaderMonitor(state);
-        follower = new FollowerState(state, this, leaderMonitor);
-        viewInstaller = new ViewInstaller(state, this, leaderMonitor);
-        joinRequester = new JoinRequester(state, this, leaderMonitor);
-        joinAdmission = new JoinAdmission(state, this);
-        pendingProposals = new PendingProposals(state, this);
-        readIndex = new ReadIndex(state, this);
-        memberRemovalOrders = new MemberRemovalOrders(state, this);
-        viewChangeInitiator = new ViewChangeInitiator(state, this, leaderMonitor, joinAdmission);
-        messageDispatcher =
-                new MessageDispatcher(state, this, follower, viewInstaller, joinRequester, joinAdmission, readIndex);
+        roles = new RoleState(state, leaderMonitor, new RoleListener());
+        viewInstaller = new ViewInstaller(state, roles, leaderMonitor);
+        joinRequester = new JoinRequester(state, roles, leaderMonitor, config.seeds());
+        joinAdmission = new JoinAdmission(state, roles);
+        pendingProposals = new PendingProposals(state, roles);
+        readIndex = new ReadIndex(state, roles);
+        memberRemovalOrders = new MemberRemovalOrders(state, roles);
+        viewChangeInitiator = new ViewChangeInitiator(state, roles, leaderMonitor, joinAdmission);
+        messageDispatcher = new MessageDispatcher(
+                state,
+                roles,
+                new MessageHandlers(
+                        new FollowerState(state, roles, leaderMonitor),
+                        viewInstaller,
+                        joinRequester,
+                        joinAdmission,
+                        readIndex,
+                        new LeaveRequests(state, roles, leaderMonitor, viewChangeInitiator)));
         state.writeAheadQueue().onSynced(() -> incarnationIsDurable = true);
         actions.log(new ReplicationEvent.Started(
                 Long.toHexString(state.self().incarnation()),
@@ -109,8 +77,8 @@
         if (stored.isEmpty()) {
             byte[] incarnation = ReplicationCodec.write(out -> out.writeLong(config.newIncarnation()));
             state.writeAheadQueue().put(DurableState.INCARNATION_KEY, incarnation, state.nowMs());
-            if (config.initialStart() && seeds.contains(config.address())) {
-                founders = seeds;
+            if (config.initialStart() && config.seeds().contains(config.address())) {
+                founders = config.seeds();
                 state.writeAheadQueue().put(DurableState.SEEDS_KEY, ReplicationCodec.strings(founders), state.nowMs());
             }
         }
@@ -132,10 +100,37 @@
         }
     }
 
+    private final class RoleListener implements RoleState.Listener {
+        @Override
+        public Map<Long, ReplicationMessage.JoinRequest> admittedNewcomers() {
+            return joinAdmission.admitted();
+        }
+
+        @Override
+        public void onLeadershipChanged() {
+            joinAdmission.clear();
+        }
+
+        @Override
+        public void onViewAccepted() {
+            joinRequester.onViewAccepted();
+        }
+
+        @Override
+        public void onViewInstalled() {
+            viewInstaller.cancelTransfer();
+        }
+
+        @Override
+        public void onViewActivated() {
+            pendingProposals.sendPending();
+        }
+    }
+
     /** The settings or the seeds have changed (SIGHUP). */
     public void updateSettings(ReplicationSettings settings, List<String> newSeeds) {
         state.updateSettings(settings);
-        seeds = List.copyOf(newSeeds);
+        joinRequester.updateSeeds(List.copyOf(newSeeds));
     }
 
     /** To be called every 25 to 50 ms; after a much later call this member suspects itself before others. */
@@ -143,14 +138,14 @@
         advanceTime(nowMs);
         lastTickAtMs = nowMs;
         if (incarnationIsDurable) {
-            if (leader != null) {
-                leader.tick();
+            if (roles.isLeader()) {
+                roles.leader().tick();
             }
-            if (viewChange != null) {
-                viewChange.tick();
+            if (roles.viewChange() != null) {
+                roles.viewChange().tick();
             }
             viewChangeInitiator.tick();
-            maybeRequestJoin();
+            joinRequester.tick();
             messageDispatcher.tick();
             pendingProposals.tick();
             readIndex.advance();
@@ -169,12 +164,10 @@
         state.actions().log(new ReplicationEvent.ProcessPaused(sinceTickMs));
         lastTickAtMs = state.nowMs();
         leaderMonitor.resetTimers();
-        if (leader != null) {
-            leader.resetTimers();
-        }
-        if (viewChange != null && viewChange.isPreparing()) {
-            viewChange = null;
+        if (roles.isLeader()) {
+            roles.leader().resetTimers();
         }
+        roles.dropPreparingViewChange();
     }
 
     /** Each entry point ends with this: sends and writes what it brought about. */
@@ -182,8 +175,8 @@
         if (plannedLeave != null && incarnationIsDurable) {
             plannedLeave.tick();
         }
-        if (leader != null) {
-            leader.announceCommit();
+        if (roles.isLeader()) {
+            roles.leader().announceCommit();
         }
         state.writeAheadQueue().flush(state.nowMs());
     }
@@ -234,8 +227,8 @@
     public void onDisconnected(String address, long nowMs) {
         advanceTime(nowMs);
         leaderMonitor.onDisconnected(address);
-        if (leader != null) {
-            leader.onDisconnected(address);
+        if (roles.isLeader()) {
+            roles.leader().onDisconnected(address);
         }
         flush();
     }
@@ -269,7 +262,7 @@
         advanceTime(nowMs);
         if (plannedLeave == null) {
             state.startLeaving();
-            plannedLeave = new PlannedLeave(state, this);
+            plannedLeave = new PlannedLeave(state, roles, joinAdmission);
         }
         flush();
     }
@@ -287,45 +280,18 @@
         return state.isLeaving();
     }
 
-    /** A member is about to end. */
-    void onLeaveRequest(String from, ReplicationMessage.LeaveRequest request) {
-        View view = state.view();
-        if (view == null) {
-            return;
-        }
-        if (!view.ballot().equals(request.viewBallot())) {
-            boolean alreadyRemoved = state.isActive()
-                    && view.ballot().isAbove(request.viewBallot())
-                    && !view.contains(request.incarnation());
-            if (alreadyRemoved) {
-                state.actions().send(from, new ReplicationMessage.NotMember(view));
-            }
-            return;
-        }
-        if (!view.contains(request.incarnation())
-                || request.incarnation() == state.self().incarnation()) {
-            return;
-        }
-        if (leader != null) {
-            viewChangeInitiator.onFollowerLeaving(request.incarnation());
-        } else if (request.incarnation() == view.ballot().proposer()) {
-            leaderMonitor.onLeaderLeaving();
-        }
-        viewChangeInitiator.tick();
-    }
-
     /** What this member knows, for operators and logs. */
     public ReplicaStatus status() {
         View view = state.view();
         boolean founding = view != null && view.isFounding();
         return new ReplicaStatus(
-                role(),
+                roles.role(),
                 state.self(),
                 view == null ? 0 : view.number(),
                 state.membership().previousViewNumber(),
                 view == null || founding ? List.of() : view.members(),
                 view == null ? null : view.leader(),
-                leader != null,
+                roles.isLeader(),
                 state.isActive() && !founding,
                 state.isSettled(),
                 state.commitIndex(),
@@ -334,19 +300,6 @@
                 state.membership().lineage());
     }
 
-    private ReplicaRole role() {
-        View view = state.view();
-        if (isOutsideView()) {
-            return ReplicaRole.JOINING;
-        }
-        if (view.isFounding()) {
-            return ReplicaRole.FOUNDING;
-        }
-        boolean healthy = leader != null ? leader.hasActiveQuorum() : leaderMonitor.leaderIsHealthy();
-        boolean working = state.isActive() && state.isOperationalIn(view.ballot());
-        return working && healthy ? ReplicaRole.MEMBER : ReplicaRole.SUSPENDED;
-    }
-
     /**
      * Zones, or else regions, that may be lost and hold half of the active view or more; empty where the rest would go
      * on.
@@ -364,169 +317,8 @@
      * their view any more; else null.
      */
     public String successor() {
-        return state.isLeaving() && isExcluded()
-                ? follower.successorView().leader().address()
+        return state.isLeaving() && roles.isExcluded()
+                ? roles.successorView().leader().address()
                 : null;
     }
-
-    boolean isLeader() {
-        return leader != null;
-    }
-
-    /** The leader's state while this member leads; else null. */
-    LeaderState leader() {
-        return leader;
-    }
-
-    /** The leader's state, if this member leads the view of this ballot and may work in it; else null. */
-    LeaderState leaderOf(Ballot view) {
-        return leader != null && state.isOperationalIn(view) ? leader : null;
-    }
-
-    /** Whether this member leads a view that has been active for a while. */
-    boolean hasBeenLeaderForAWhile() {
-        return leader != null && leader.hasBeenActiveForAWhile();
-    }
-
-    boolean hasActiveQuorum() {
-        return leader != null && leader.hasActiveQuorum() && !state.isLeaving();
-    }
-
-    /** Whether this member has no view, or a later one is active without it. */
-    boolean isOutsideView() {
-        return state.view() == null || isExcluded();
-    }
-
-    /** Whether a later view is known to be active without this member. */
-    boolean isExcluded() {
-        return follower.isExcluded();
-    }
-
-    /** The later view without this member; null if none is known. */
-    View successorView() {
-        return follower.successorView();
-    }
-
-    boolean noLeaderSeenYet() {
-        return leaderMonitor.noLeaderSeenYet();
-    }
-
-    int rank() {
-        return leaderMonitor.rank();
-    }
-
-    /** The view change that this member has started; null if there is none. */
-    ViewChange viewChange() {
-        return viewChange;
-    }
-
-    /** Whether a newcomer asks to join. */
-    boolean hasNewcomers() {
-        return joinAdmission.hasNewcomersCatchingUp()
-                || !joinAdmission.admitted().isEmpty();
-    }
-
-    /** Sends join requests if this member is outside the view and they are due. */
-    void maybeRequestJoin() {
-        joinRequester.tick(seeds);
-    }
-
-    boolean proposeLocally(long token, byte[] bytes) {
-        return leader.propose(state.origin(), token, bytes);
-    }
-
-    /** The highest ballot that stands against lower ones: promised, or that of this member's own view change. */
-    Ballot highestReservedBallot() {
-        boolean ownIsHigher = viewChange != null && viewChange.ballot().isAbove(state.promisedBallot());
-        return ownIsHigher ? viewChange.ballot() : state.promisedBallot();
-    }
-
-    /** Transition: to preparing a view change; as a leader with the newcomers that are admitted. */
-    void startViewChange(Set<Long> suspected, Set<Long> excluded, String reason) {
-        Map<Long, ReplicationMessage.JoinRequest> newcomers =
-                leader != null ? joinAdmission.admitted() : new LinkedHashMap<>();
-        viewChange = new ViewChange(state, this, new ViewChangePlan(suspected, excluded, newcomers), reason);
-    }
-
-    /** Transition: the view change is given up; the next one not before {@code pauseMs} are over. */
-    void abandonViewChange(String reason, long pauseMs) {
-        state.actions().log(new ReplicationEvent.ViewChangeAbandoned(viewChange.ballot(), reason));
-        viewChange = null;
-        leaderMonitor.postponeElection(pauseMs);
-    }
-
-    /**
-     * Transition: a new view change at once, without waiting for these members; where the rest is enough they are left
-     * out even if they answer, as they would delay it again.
-     */
-    void restartViewChange(Set<Long> absent, String reason) {
-        viewChange = null;
-        startViewChange(absent, absent, reason);
-    }
-
-    /** Transition: the view change of another goes first, so this member neither leads nor changes the view. */
-    void abandonLeadership() {
-        viewChange = null;
-        stopLeading();
-    }
-
-    /** Transition: from leader to follower. */
-    void stopLeading() {
-        if (leader == null) {
-            return;
-        }
-        leader = null;
-        joinAdmission.clear();
-        state.actions().statusChanged();
-    }
-
-    /** Transition: all members have the view that this member has proposed; it leads. */
-    void becomeLeader(List<String> leftOut) {
-        viewChange = null;
-        onViewInstalled();
-        state.activateView();
-        state.commits().setViewStartIndex(state.log().lastIndex());
-        state.setDraining(false);
-        joinAdmission.clear();
-        leader = new LeaderState(state);
-        for (String address : leftOut) {
-            state.actions().send(address, new ReplicationMessage.NotMember(state.view()));
-        }
-        state.actions().statusChanged();
-        pendingProposals.sendPending();
-    }
-
-    /** A later view is active without this member. */
-    void onNotMember(View later) {
-        follower.onNotMember(later);
-    }
-
-    /** A view that another member has proposed is installed here. */
-    void onProposedViewInstalled() {
-        onViewInstalled();
-        joinRequester.onViewAccepted();
-    }
-
-    private void onViewInstalled() {
-        follower.onViewInstalled();
-        viewInstaller.cancelTransfer();
-        leaderMonitor.onViewInstalled();
-    }
-
-    /** The view that this member has proposed is accepted here. */
-    void onViewAccepted() {
-        joinRequester.onViewAccepted();
-    }
-
-    /** The view of this member is active, as its leader says. */
-    void onViewActivated() {
-        pendingProposals.sendPending();
-    }
-
-    /** A disk is known to be lost: a view change that is preparing starts anew with that. */
-    void onMembersRetired() {
-        if (viewChange != null && viewChange.isPreparing()) {
-            restartViewChange(Set.of(), "a disk is lost");
-        }
-    }
 }
--- a/src/main/java/brambletray/platform/replication/ReplicationMessage.java
+++ b/src/main/java/brambletray/platform/replication/ReplicationMessage.java
@@ -7,6 +7,39 @@
  * view ignores the message, or answers {@link NotMember}.
  */
 public sealed interface ReplicationMessage {
+    /** All messages, for registration with the codec; the records within them come first. */
+    List<Class<?>> TYPES = List.of(
+            Ballot.class,
+            Member.class,
+            ViewMembership.class,
+            View.class,
+            LogEntry.class,
+            LogPatch.class,
+            TransferDescriptor.class,
+            HeartbeatRequest.class,
+            HeartbeatResponse.class,
+            AppendRequest.class,
+            AppendResponse.class,
+            PrepareRequest.class,
+            PrepareResponse.class,
+            BallotRejected.class,
+            InstallViewRequest.class,
+            InstallViewOffer.class,
+            InstallViewResponse.class,
+            PatchMismatch.class,
+            NotMember.class,
+            JoinRequest.class,
+            JoinResponse.class,
+            KnownMembers.class,
+            IdentityRequest.class,
+            IdentityResponse.class,
+            FetchChunkRequest.class,
+            FetchChunkResponse.class,
+            LeaveRequest.class,
+            ProposeRequest.class,
+            ReadIndexRequest.class,
+            ReadIndexResponse.class);
+
     /**
      * From the leader, every {@link ReplicationSettings#heartbeatIntervalMs}: how far it has committed, whether the
      * view is active, and whether its own disk is in trouble.
--- a/src/main/java/brambletray/platform/replication/ViewChange.java
+++ b/src/main/java/brambletray/platform/replication/ViewChange.java
@@ -2,9 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 
 /**
@@ -14,16 +12,12 @@
  * preparing leaves no trace; after that this member has promised its own ballot.
  */
 final class ViewChange {
-    private static final int RETRY_INTERVAL_MS = 100;
     /** Fetching goes on while chunks come, but not longer than this: enough for 7 MB on a link of 2 Mbit/s. */
     private static final int FETCH_TIMEOUT_MS = 30_000;
-    /**
-     * Silence after which the view change does not wait for a member that fetches the log: longer than its disk may
-     * take for the last chunk.
-     */
-    private static final int CHUNK_SERVED_TIMEOUT_MS = 2000;
 
     private static final int MAX_PREDECESSORS = 64;
+    /** A member that has not heard any leader since its start waits so many times longer for the others. */
+    private static final int STARTUP_GRACE_FACTOR = 3;
 
     private enum Phase {
         PREPARING,
@@ -33,28 +27,26 @@
     }
 
     private final ReplicaState state;
-    private final Replica replica;
+    private final RoleState roles;
+    private final LeaderMonitor leaderMonitor;
     private final Ballot ballot;
     private final ViewChangePlan plan;
-    private final Map<String, Member> contacted = new LinkedHashMap<>();
-    private final Map<Long, ReplicationMessage.PrepareResponse> responses = new LinkedHashMap<>();
+    private final PrepareRound prepareRound;
     private final Set<Long> rejectedBy = new HashSet<>();
-    private final Set<Long> installedBy = new HashSet<>();
     private final long startedAtMs;
     private Phase phase = Phase.PREPARING;
     private long quorumAtMs = -1;
-    private long sentAtMs;
     private long phaseSinceMs;
-    private long chunkServedAtMs = Long.MIN_VALUE / 2;
     private StateTransferClient transfer;
-    private View nextView;
     private PrepareResponses chosen;
-    private ReplicatedLog nextLog;
+    /** Set in the phase {@link Phase#INSTALLING} only. */
+    private ViewInstallation installation;
 
     /** Sends the first prepare requests; {@code reason}: for the log. */
-    ViewChange(ReplicaState state, Replica replica, ViewChangePlan plan, String reason) {
+    ViewChange(ReplicaState state, RoleState roles, LeaderMonitor leaderMonitor, ViewChangePlan plan, String reason) {
         this.state = state;
-        this.replica = replica;
+        this.roles = roles;
+        this.leaderMonitor = leaderMonitor;
         this.plan = plan;
         this.startedAtMs = state.nowMs();
         ballot = state.ballots().next(state.view(), state.self().incarnation());
@@ -65,8 +57,9 @@
                         reason,
                         plan.newcomers().size(),
                         state.log().lastIndex()));
-        contactMembersOf(state.view());
-        sendPrepareRequests();
+        prepareRound = new PrepareRound(state, ballot);
+        prepareRound.contactMembersOf(state.view());
+        prepareRound.sendRequests();
         maybePromise();
     }
 
@@ -74,35 +67,15 @@
         return ballot;
     }
 
+    ViewChangePlan plan() {
+        return plan;
+    }
+
     /** Whether it may still be dropped without a trace: the ballot was not promised by this member itself. */
     boolean isPreparing() {
         return phase == Phase.PREPARING;
     }
 
-    private void contactMembersOf(View view) {
-        for (ViewMembership membership : view.viewsToConsult(view == state.view() && state.isActive())) {
-            for (Member member : membership.members()) {
-                if (!member.address().equals(state.self().address())) {
-                    contacted.putIfAbsent(member.address(), member);
-                }
-            }
-        }
-    }
-
-    private void sendPrepareRequests() {
-        sentAtMs = state.nowMs();
-        PrepareResponses now = allResponses();
-        for (String address : contacted.keySet()) {
-            if (!now.hasAnswerFrom(address)) {
-                state.actions()
-                        .send(
-                                address,
-                                new ReplicationMessage.PrepareRequest(
-                                        ballot, state.self(), List.copyOf(state.retiredIncarnations())));
-            }
-        }
-    }
-
     void onPrepareResponse(ReplicationMessage.PrepareResponse response) {
         boolean open = phase == Phase.PREPARING || phase == Phase.PROMISING;
         if (!open
@@ -110,21 +83,7 @@
                 || response.responder().incarnation() == state.self().incarnation()) {
             return;
         }
-        if (responses.put(response.responder().incarnation(), response) == null) {
-            state.actions()
-                    .log(new ReplicationEvent.PrepareAnswered(
-                            ballot,
-                            response.responder().name(),
-                            response.view().ballot(),
-                            response.active(),
-                            response.lastIndex(),
-                            response.diskUnhealthy()));
-        }
-        int before = contacted.size();
-        contactMembersOf(response.view());
-        if (state.retire(response.retiredIncarnations()) || contacted.size() > before) {
-            sendPrepareRequests();
-        }
+        prepareRound.onResponse(response);
         maybePromise();
     }
 
@@ -135,33 +94,26 @@
         state.ballots().observe(rejection.promisedBallot().number());
         if (rejection.promisedBallot().isAbove(ballot)
                 || rejection.promisedBallot().number() >= ballot.number() && !rejection.leaderIsHealthy()) {
-            replica.abandonViewChange(
+            roles.abandonViewChange(
                     "promised " + rejection.promisedBallot(),
-                    (long) (1 + replica.rank()) * state.settings().rankDelayMs());
+                    (long) (1 + leaderMonitor.rank()) * state.settings().rankDelayMs());
         } else if (rejection.leaderIsHealthy()) {
-            Member member = contacted.get(from);
+            Member member = prepareRound.contactedAt(from);
             if (member != null) {
                 rejectedBy.add(member.incarnation());
             }
             if (phase == Phase.PREPARING
                     && 2 * rejectedBy.size() >= state.view().members().size()) {
-                replica.abandonViewChange("the leader is well", state.settings().electionTimeoutMs());
+                roles.abandonViewChange(
+                        "the leader is healthy", state.settings().electionTimeoutMs());
             }
         }
     }
 
-    /** The responses, with what this member would answer itself. */
-    private PrepareResponses allResponses() {
-        List<ReplicationMessage.PrepareResponse> all = new ArrayList<>();
-        all.add(state.prepareResponse(ballot));
-        all.addAll(responses.values());
-        return new PrepareResponses(all);
-    }
-
     /** Promises the ballot once a quorum has answered and the others have been waited for. */
     private void maybePromise() {
-        PrepareResponses now = allResponses();
-        if (!now.hasQuorum()) {
+        PrepareResponses answered = prepareRound.responses();
+        if (!answered.hasQuorum()) {
             quorumAtMs = -1;
             return;
         }
@@ -171,34 +123,27 @@
         if (phase == Phase.PROMISING) {
             return;
         }
-        int wait = now.latestView.isFounding()
-                ? state.settings().foundingGraceMs()
-                : replica.noLeaderSeenYet()
-                        ? 3 * state.settings().prepareGraceMs()
-                        : state.settings().prepareGraceMs();
-        if (state.nowMs() - quorumAtMs < wait && isWaitingForResponses(now)) {
+        if (state.nowMs() - quorumAtMs < graceMs(answered) && prepareRound.isWaitingFor(answered, plan.suspected())) {
             return;
         }
         phase = Phase.PROMISING;
         phaseSinceMs = state.nowMs();
-        replica.stopLeading();
+        roles.stopLeading();
         state.promise(ballot);
         state.writeAheadQueue().onSynced(() -> {
-            if (replica.viewChange() == this && state.promisedBallot().equals(ballot)) {
+            if (roles.viewChange() == this && state.promisedBallot().equals(ballot)) {
                 chooseLog();
             }
         });
     }
 
-    private boolean isWaitingForResponses(PrepareResponses now) {
-        for (Member member : contacted.values()) {
-            if (!now.hasAnswerFrom(member.address())
-                    && !plan.suspected().contains(member.incarnation())
-                    && !state.retiredIncarnations().contains(member.incarnation())) {
-                return true;
-            }
+    /** ms that members beyond the quorum have to answer; longer where many may be starting at the same time. */
+    private int graceMs(PrepareResponses answered) {
+        if (answered.latestView.isFounding()) {
+            return state.settings().foundingGraceMs();
         }
-        return false;
+        int graceMs = state.settings().prepareGraceMs();
+        return leaderMonitor.noLeaderSeenYet() ? STARTUP_GRACE_FACTOR * graceMs : graceMs;
     }
 
     /**
@@ -206,7 +151,7 @@
      * count.
      */
     private void chooseLog() {
-        chosen = allResponses();
+        chosen = prepareRound.responses();
         if (!chosen.hasQuorum()) {
             phase = Phase.PREPARING;
             return;
@@ -229,90 +174,55 @@
         ReplicatedLog fetched = transfer.log();
         ReplicationMessage.PrepareResponse longest = chosen.longestLog();
         // the member may have promised a higher ballot since, and have another log with it
-        boolean response = fetched != null
+        boolean asAnswered = fetched != null
                 && fetched.lastIndex() == longest.lastIndex()
                 && fetched.lastView().equals(longest.lastView());
-        if (response) {
+        if (asAnswered) {
             install(fetched);
         } else {
-            replica.abandonViewChange("log can't be fetched", state.settings().rankDelayMs());
+            roles.abandonViewChange("log can't be fetched", state.settings().rankDelayMs());
         }
     }
 
     private void install(ReplicatedLog log) {
-        List<Member> in = chosen.nextMembers(plan.excluded(), state.settings().tolerance());
-        for (ReplicationMessage.JoinRequest joinRequest : plan.newcomers().values()) {
-            boolean free = in.stream()
-                    .noneMatch(member ->
-                            member.address().equals(joinRequest.requester().address()));
-            // a newcomer that has fallen behind since its request fetches the rest outside of the view change, and
-            // asks again
-            boolean near = log.patchFor(joinRequest.lastIndex(), joinRequest.lastView(), joinRequest.commitIndex())
-                    .fitsInline();
-            if (free
-                    && near
-                    && in.size() < ReplicationSettings.MAX_MEMBERS
-                    && !state.retiredIncarnations()
-                            .contains(joinRequest.requester().incarnation())) {
-                in.add(joinRequest.requester());
-            }
-        }
         List<ViewMembership> past = chosen.viewsToConsult();
+        List<Member> members = nextMembers(log);
         if (past.size() > MAX_PREDECESSORS) {
-            replica.abandonViewChange(
+            roles.abandonViewChange(
                     "too many unfinished views", state.settings().electionTimeoutMs());
             return;
         }
         phase = Phase.INSTALLING;
-        nextLog = log;
-        nextView = new View(ballot, List.copyOf(in), List.copyOf(past));
-        phaseSinceMs = state.nowMs();
+        View nextView = new View(ballot, List.copyOf(members), List.copyOf(past));
         state.actions()
                 .log(new ReplicationEvent.ViewProposed(
-                        ballot, ReplicaState.names(in), log.lastIndex(), chosen.latestView.ballot()));
-        sendInstallRequests();
-        if (nextView.members().size() == 1) {
-            acceptLocally();
-        }
+                        ballot, ReplicaState.names(members), log.lastIndex(), chosen.latestView.ballot()));
+        installation = new ViewInstallation(state, roles, this, chosen, nextView, log);
+        installation.start();
     }
 
-    /**
-     * All others have the view on disk. This member comes last: before that the view cannot be active, and a view
-     * change that fails binds nobody to it.
-     */
-    private void acceptLocally() {
-        if (state.view().ballot().equals(ballot)) {
-            return;
-        }
-        if (!state.acceptView(nextView, nextLog)) {
-            replica.abandonViewChange(
-                    "the log lacks committed entries", state.settings().electionTimeoutMs());
-            return;
-        }
-        replica.onViewAccepted();
-        state.writeAheadQueue().onSynced(() -> {
-            if (replica.viewChange() == this && state.isOperationalIn(ballot)) {
-                onInstalled(state.self().incarnation());
+    /** Those of the last views that answered and are not excluded, and the newcomers that can join now. */
+    private List<Member> nextMembers(ReplicatedLog log) {
+        List<Member> members =
+                chosen.nextMembers(plan.excluded(), state.settings().tolerance());
+        for (ReplicationMessage.JoinRequest joinRequest : plan.newcomers().values()) {
+            if (members.size() < ReplicationSettings.MAX_MEMBERS && mayJoin(joinRequest, members, log)) {
+                members.add(joinRequest.requester());
             }
-        });
+        }
+        return members;
     }
 
-    private void sendInstallRequests() {
-        sentAtMs = state.nowMs();
-        for (Member member : nextView.members()) {
-            if (member.incarnation() == state.self().incarnation() || installedBy.contains(member.incarnation())) {
-                continue;
-            }
-            ReplicationMessage.PrepareResponse response = chosen.fromIncarnation(member.incarnation());
-            ReplicationMessage.JoinRequest joinRequest = plan.newcomers().get(member.incarnation());
-            LogPatch patch = response != null
-                    ? nextLog.patchFor(response.lastIndex(), response.lastView(), response.commitIndex())
-                    : nextLog.patchFor(joinRequest.lastIndex(), joinRequest.lastView(), joinRequest.commitIndex());
-            ReplicationMessage frame = patch.fitsInline()
-                    ? new ReplicationMessage.InstallViewRequest(nextView, patch)
-                    : new ReplicationMessage.InstallViewOffer(nextView, nextLog.lastIndex(), nextLog.lastView());
-            state.actions().send(member.address(), frame);
-        }
+    /**
+     * A newcomer that has fallen behind since its request fetches the rest outside of the view change, and asks again.
+     */
+    private boolean mayJoin(ReplicationMessage.JoinRequest joinRequest, List<Member> members, ReplicatedLog log) {
+        Member newcomer = joinRequest.requester();
+        boolean addressIsFree =
+                members.stream().noneMatch(member -> member.address().equals(newcomer.address()));
+        boolean caughtUp = log.patchFor(joinRequest.lastIndex(), joinRequest.lastView(), joinRequest.commitIndex())
+                .fitsInline();
+        return addressIsFree && caughtUp && !state.retiredIncarnations().contains(newcomer.incarnation());
     }
 
     /**
@@ -320,88 +230,50 @@
      * being installed.
      */
     ReplicatedLog logForTransfer(Ballot view) {
-        if (phase != Phase.INSTALLING || !ballot.equals(view)) {
-            return null;
-        }
-        chunkServedAtMs = state.nowMs();
-        return nextLog;
+        return installation == null ? null : installation.logForTransfer(view);
     }
 
     void onInstalled(long incarnation) {
-        if (phase != Phase.INSTALLING || !nextView.contains(incarnation) || !installedBy.add(incarnation)) {
-            return;
-        }
-        if (installedBy.size() == nextView.members().size() - 1
-                && !installedBy.contains(state.self().incarnation())) {
-            acceptLocally();
+        if (installation != null) {
+            installation.onInstalled(incarnation);
         }
-        if (installedBy.size() < nextView.members().size()) {
-            return;
+    }
+
+    void onPatchMismatch(long incarnation) {
+        if (installation != null) {
+            installation.onPatchMismatch(incarnation);
         }
+    }
+
+    /** All members have the view: this one leads it. */
+    void onInstalledByAll() {
         List<String> excludedAddresses = new ArrayList<>();
-        for (Member member : contacted.values()) {
-            if (nextView.memberAt(member.address()) == null) {
+        for (Member member : prepareRound.contacted()) {
+            if (installation.nextView().memberAt(member.address()) == null) {
                 excludedAddresses.add(member.address());
             }
         }
         state.actions().log(new ReplicationEvent.ViewInstalled(ballot, state.nowMs() - startedAtMs));
-        replica.becomeLeader(excludedAddresses);
-    }
-
-    void onPatchMismatch(long incarnation) {
-        if (phase == Phase.INSTALLING && nextView.contains(incarnation)) {
-            replica.restartViewChange(
-                    Set.of(incarnation), "patch of " + Long.toHexString(incarnation) + " doesn't fit");
-        }
+        roles.becomeLeader(excludedAddresses);
     }
 
     void tick() {
         switch (phase) {
             case PREPARING, PROMISING -> {
-                if (state.nowMs() - sentAtMs >= RETRY_INTERVAL_MS) {
-                    sendPrepareRequests();
-                }
+                prepareRound.tick();
                 if (phase == Phase.PREPARING) {
                     maybePromise();
                 }
             }
             case FETCHING -> {
                 if (transfer.failed() || state.nowMs() - phaseSinceMs > FETCH_TIMEOUT_MS) {
-                    replica.abandonViewChange(
+                    roles.abandonViewChange(
                             "log isn't fetched in time", state.settings().rankDelayMs());
                 } else {
                     transfer.tick();
                 }
             }
-            default -> {
-                if (state.nowMs() - phaseSinceMs > state.settings().installTimeoutMs()
-                        && (canDoWithoutAbsent() || state.nowMs() - chunkServedAtMs > CHUNK_SERVED_TIMEOUT_MS)) {
-                    replica.restartViewChange(absentMembers(), "not installed by all in time");
-                } else if (state.nowMs() - sentAtMs >= 2 * RETRY_INTERVAL_MS) {
-                    sendInstallRequests();
-                }
-            }
-        }
-    }
-
-    /** Whether the view may be installed without those that do not have it yet. */
-    private boolean canDoWithoutAbsent() {
-        Set<Long> absent = absentMembers();
-        Set<Long> excludedAddresses = new HashSet<>(plan.excluded());
-        excludedAddresses.addAll(absent);
-        return chosen.nextMembers(excludedAddresses, state.settings().tolerance()).stream()
-                .noneMatch(member -> absent.contains(member.incarnation()));
-    }
-
-    /** Other members that do not have the view yet; none if it is this member's own disk that is slow. */
-    private Set<Long> absentMembers() {
-        Set<Long> absent = new HashSet<>();
-        for (Member member : nextView.members()) {
-            if (!installedBy.contains(member.incarnation())) {
-                absent.add(member.incarnation());
-            }
+            default -> installation.tick();
         }
-        absent.remove(state.self().incarnation());
-        return absent;
     }
 }
--- a/src/main/java/brambletray/platform/replication/ViewChangeInitiator.java
+++ b/src/main/java/brambletray/platform/replication/ViewChangeInitiator.java
@@ -13,15 +13,15 @@
  */
 final class ViewChangeInitiator {
     private final ReplicaState state;
-    private final Replica replica;
+    private final RoleState roles;
     private final LeaderMonitor leaderMonitor;
     private final JoinAdmission joinAdmission;
     /** When each member first said that it is about to end, by incarnation; ms. */
     private final Map<Long, Long> leavingSinceMs = new LinkedHashMap<>();
 
-    ViewChangeInitiator(ReplicaState state, Replica replica, LeaderMonitor leaderMonitor, JoinAdmission joinAdmission) {
+    ViewChangeInitiator(ReplicaState state, RoleState roles, LeaderMonitor leaderMonitor, JoinAdmission joinAdmission) {
         this.state = state;
-        this.replica = replica;
+        this.roles = roles;
         this.leaderMonitor = leaderMonitor;
         this.joinAdmission = joinAdmission;
     }
@@ -33,22 +33,22 @@
 
     /** Starts a view change if one is due; drops one that is not needed any more. */
     void tick() {
-        LeaderState leader = replica.leader();
-        ViewChange current = replica.viewChange();
+        LeaderState leader = roles.leader();
+        ViewChange current = roles.viewChange();
         boolean needless = current != null
                 && current.isPreparing()
                 && leader == null
                 && leaderMonitor.leaderIsHealthy()
                 && !state.hasPromisedHigherBallot();
         if (needless) {
-            replica.abandonViewChange("the leader is heard again", 0);
+            roles.abandonViewChange("the leader is heard again", 0);
         }
-        if (replica.viewChange() != null || state.view() == null || state.diskUnhealthy()) {
+        if (roles.viewChange() != null || state.view() == null || state.diskUnhealthy()) {
             return;
         }
         if (leader != null) {
             changeAsLeader(leader);
-        } else if (!state.isLeaving() && !replica.isExcluded() && leaderMonitor.electionTimeoutExpired()) {
+        } else if (!state.isLeaving() && !roles.isExcluded() && leaderMonitor.electionTimeoutExpired()) {
             takeOver();
         }
     }
@@ -59,9 +59,9 @@
         if (!silent.isEmpty() || !slow.isEmpty()) {
             leaveOut(silent, slow);
         } else if (leader.hasSupersededMember()) {
-            replica.startViewChange(Set.of(), Set.of(), "a member has stopped");
+            roles.startViewChange(Set.of(), Set.of(), "a member has stopped");
         } else if (hasRetiredMember()) {
-            replica.startViewChange(Set.of(), Set.of(), "a disk is lost");
+            roles.startViewChange(Set.of(), Set.of(), "a disk is lost");
         } else if (leader.hasBeenActiveForAWhile()) {
             changeAsPlanned();
         }
@@ -74,7 +74,7 @@
             joinAdmission.penalise(state.view().memberOf(incarnation).address());
         }
         String reason = (silent.isEmpty() ? "" : "silent ") + (slow.isEmpty() ? "" : "slow");
-        replica.startViewChange(suspected, slow, reason);
+        roles.startViewChange(suspected, slow, reason);
     }
 
     private boolean hasRetiredMember() {
@@ -85,9 +85,9 @@
     private void changeAsPlanned() {
         Set<Long> leavers = removableLeavers();
         if (!joinAdmission.admitted().isEmpty()) {
-            replica.startViewChange(leavers, leavers, "newcomers");
+            roles.startViewChange(leavers, leavers, "newcomers");
         } else if (!leavers.isEmpty() && !replacementIsCatchingUp()) {
-            replica.startViewChange(leavers, leavers, "leaves");
+            roles.startViewChange(leavers, leavers, "leaves");
         }
     }
 
@@ -99,9 +99,9 @@
         Set<Long> formerLeader = ledByOther ? Set.of(leader.incarnation()) : Set.of();
         if (ledByOther && leaderMonitor.leaderIsLeaving()) {
             forwardLeave(leader);
-            replica.startViewChange(formerLeader, formerLeader, "leader leaves");
+            roles.startViewChange(formerLeader, formerLeader, "leader leaves");
         } else {
-            replica.startViewChange(formerLeader, Set.of(), "leader silent");
+            roles.startViewChange(formerLeader, Set.of(), "leader silent");
         }
     }
 
--- a/src/main/java/brambletray/platform/replication/ViewInstaller.java
+++ b/src/main/java/brambletray/platform/replication/ViewInstaller.java
@@ -10,14 +10,14 @@
     private static final int TRANSFER_IDLE_TIMEOUT_MS = 10_000;
 
     private final ReplicaState state;
-    private final Replica replica;
+    private final RoleState roles;
     private final LeaderMonitor leaderMonitor;
     private StateTransferClient transfer;
     private ReplicationMessage.InstallViewOffer pendingOffer;
 
-    ViewInstaller(ReplicaState state, Replica replica, LeaderMonitor leaderMonitor) {
+    ViewInstaller(ReplicaState state, RoleState roles, LeaderMonitor leaderMonitor) {
         this.state = state;
-        this.replica = replica;
+        this.roles = roles;
         this.leaderMonitor = leaderMonitor;
     }
 
@@ -27,7 +27,7 @@
         if (!next.contains(state.self().incarnation())) {
             return;
         }
-        if (state.isLeaving() && (state.view() == null || replica.isExcluded())) {
+        if (state.isLeaving() && (state.view() == null || roles.isExcluded())) {
             // admitted by a join request from before this process was to end: nobody is to wait for it
             reject(from, next);
             return;
@@ -122,8 +122,7 @@
             reject(from, next);
             return;
         }
-        replica.abandonLeadership();
-        replica.onProposedViewInstalled();
+        roles.becomeFollower();
         respondOnceSynced(from, next);
     }
 
--- a/src/test/java/brambletray/platform/replication/ReplicationCodecTest.java
+++ b/src/test/java/brambletray/platform/replication/ReplicationCodecTest.java
@@ -19,7 +19,7 @@
 class ReplicationCodecTest {
     @Test
     void everyFrameIsRegisteredAndComesAsItWent() {
-        FrameCodec speech = new FrameCodec(List.of(Replica.MESSAGES));
+        FrameCodec speech = new FrameCodec(List.of(ReplicationMessage.TYPES));
         Set<Class<?>> seen = new HashSet<>();
         for (long seed = 1; seed <= 60; seed++) {
             RandomFaults weather = new RandomFaults(seed, false);
@@ -35,7 +35,7 @@
         Set<Class<?>> never = new HashSet<>(List.of(ReplicationMessage.class.getPermittedSubclasses()));
         never.removeAll(seen);
         assertEquals(Set.of(), never, "frames never sent");
-        assertTrue(Replica.MESSAGES.containsAll(List.of(ReplicationMessage.class.getPermittedSubclasses())));
+        assertTrue(ReplicationMessage.TYPES.containsAll(List.of(ReplicationMessage.class.getPermittedSubclasses())));
     }
 
     @Test
