--- /dev/null
+++ b/src/main/java/brambletray/platform/election/LeaseCandidate.java
@@ -0,0 +1,247 @@
+package brambletray.platform.election;
+
+import brambletray.platform.replication.Member;
+import java.util.function.Consumer;
+
+/**
+ * The candidate's side: when this member stands for the lease, and when it has won. Members stand in the order of
+ * their rank in the view, each a bit later than the one before it. A candidate first probes whether voters would grant,
+ * and requests the lease only then: a probe changes nothing at them.
+ */
+final class LeaseCandidate {
+    /** Bits of a term below the number of its view. */
+    private static final int TERM_BITS_PER_VIEW = 20;
+
+    private static final int RETRY_INTERVAL_MS = 150;
+    private static final int MIN_RETRY_MS = 20;
+    private static final int NAMED_SUCCESSOR_WAIT_MS = 600;
+    private static final int INITIAL_WAIT_MS = 300;
+
+    private final ElectionState state;
+    private final HeldLease heldLease;
+    private final Consumer<ElectionMessage> deliverToSelf;
+    /**
+     * Number of the last view in which this incarnation held the lease before its process ended, until it has won it
+     * again or has granted it to another; 0 for none. Its own lease ended with its process. Whoever won after it was
+     * granted by a majority, of that view or of a later one; a view that descends from it ({@link
+     * ElectionView#descendsFrom}) has a member of each such majority, which refuses until that lease is over. So once
+     * all members of such a view have granted there is nothing to wait for.
+     */
+    private long resumableViewNumber;
+
+    private boolean wantsLease = true;
+    private long highestSeenTerm;
+
+    LeaseCandidate(ElectionState state, HeldLease heldLease, Consumer<ElectionMessage> deliverToSelf) {
+        this.state = state;
+        this.heldLease = heldLease;
+        this.deliverToSelf = deliverToSelf;
+        resumableViewNumber = state.voter().previouslyHeldInView(state.self().incarnation());
+    }
+
+    /** Whether this process stands for the lease; one that is about to end does not. */
+    void setWantsLease(boolean yes) {
+        wantsLease = yes;
+    }
+
+    boolean wantsLease() {
+        return wantsLease;
+    }
+
+    /** Another member was granted the lease: the one from before the restart cannot be resumed any more. */
+    void endResumption() {
+        resumableViewNumber = 0;
+    }
+
+    /** Stands for the lease if it is free and this member's turn. */
+    void maybeStart() {
+        if (!state.mayStartCandidacy()) {
+            return;
+        }
+        if (resumableViewNumber != 0) {
+            start(true);
+            return;
+        }
+        int rank = state.view().rank(state.self().incarnation());
+        if (state.voter().remainingMs(state.nowMs()) > 0 || rank < 0) {
+            return;
+        }
+        ElectionView view = state.view();
+        int voterLeaseMs = state.timings().voterLeaseMs();
+        long freeSinceMs = view.knowsRunningLeases(state.nowMs(), voterLeaseMs)
+                ? view.activeSinceMs()
+                : view.activeSinceMs() + voterLeaseMs;
+        if (state.nowMs() - Math.max(state.voter().vacantSinceMs(), freeSinceMs) >= waitMs(rank)) {
+            start(true);
+        }
+    }
+
+    /** ms that a member of this rank leaves to those before it, and to the successor that the last holder named. */
+    private long waitMs(int rank) {
+        long rankWaitMs = (long) rank * state.timings().rankDelayMs();
+        long successor = state.voter().namedSuccessor();
+        if (successor != 0) {
+            return successor == state.self().incarnation() ? 0 : NAMED_SUCCESSOR_WAIT_MS + rankWaitMs;
+        }
+        boolean firstLease = state.voter().grantedTerm() == 0;
+        return firstLease && rank > 0 ? INITIAL_WAIT_MS + rankWaitMs : rankWaitMs;
+    }
+
+    private void start(boolean probe) {
+        long viewNumber = state.view().viewNumber();
+        long seenTerm = Math.max(state.voter().grantedTerm(), highestSeenTerm);
+        long term = Math.max(seenTerm, viewNumber << TERM_BITS_PER_VIEW) + 1;
+        if (term >= (viewNumber + 1) << TERM_BITS_PER_VIEW) {
+            return;
+        }
+        state.startAttempt(new LeaseAttempt(term, probe, state.nowMs()));
+        request();
+    }
+
+    /** Sends the request of the present candidacy, again where it is due; gives it up after a while. */
+    void request() {
+        LeaseAttempt attempt = state.attempt();
+        boolean tooLate =
+                state.nowMs() - attempt.startedAtMs() > state.timings().holderLeaseMs();
+        if (!state.view().isMember() || tooLate) {
+            abandon(RETRY_INTERVAL_MS);
+            return;
+        }
+        if (state.nowMs() - attempt.lastSentAtMs() < RETRY_INTERVAL_MS) {
+            return;
+        }
+        ElectionMessage.LeaseRequest request = new ElectionMessage.LeaseRequest(
+                state.role(),
+                attempt.isProbe(),
+                state.view().viewNumber(),
+                attempt.term(),
+                attempt.nextSequence(state.nowMs()),
+                state.self(),
+                resumableViewNumber);
+        state.sendToOthers(request);
+        deliverToSelf.accept(request);
+    }
+
+    void onGranted(ElectionMessage.LeaseGranted granted) {
+        LeaseAttempt attempt = state.attempt();
+        if (attempt == null || attempt.term() != granted.term() || attempt.isProbe() != granted.probe()) {
+            return;
+        }
+        attempt.onGranted(granted.voterIncarnation(), granted.sequence());
+        if (granted.viewDescends() && resumableViewNumber != 0) {
+            attempt.markViewDescends();
+        }
+        maybeWin();
+    }
+
+    /**
+     * Counts grants. A majority is enough once leases of earlier views have surely ended. Before that all members
+     * must have granted, and the view must follow directly on one that was active here for as long: some member of
+     * this view had then granted any lease that still runs, and would have refused.
+     */
+    private void maybeWin() {
+        if (!state.isCandidate()) {
+            return;
+        }
+        LeaseAttempt attempt = state.attempt();
+        ElectionView view = state.view();
+        long grantedAtMs = attempt.majorityGrantedAtMs(view.members());
+        if (state.nowMs() - grantedAtMs >= state.timings().holderLeaseMs()) {
+            return;
+        }
+        int voterLeaseMs = state.timings().voterLeaseMs();
+        boolean grantedByAll = attempt.isGrantedByAll(view.members());
+        boolean knowsAllLeases = view.knowsRunningLeases(state.nowMs(), voterLeaseMs) || attempt.viewDescends();
+        boolean earlierLeasesMayRun = state.nowMs() - view.activeSinceMs() < voterLeaseMs;
+        if (earlierLeasesMayRun && !(grantedByAll && knowsAllLeases)) {
+            if (grantedByAll && resumableViewNumber != 0) {
+                abandonResumption();
+            }
+        } else if (attempt.isProbe()) {
+            start(false);
+        } else {
+            win(attempt);
+        }
+    }
+
+    private void win(LeaseAttempt attempt) {
+        attempt.markWon();
+        resumableViewNumber = 0;
+        state.actions()
+                .log(new ElectionEvent.Won(
+                        state.role(), attempt.term(), state.view().viewNumber()));
+        state.actions().won(attempt.term());
+        heldLease.renew();
+    }
+
+    /**
+     * All would grant, but nobody knows that this view descends from the one in which the lease was held: the usual
+     * wait.
+     */
+    private void abandonResumption() {
+        resumableViewNumber = 0;
+        if (state.attempt().isProbe()) {
+            state.endAttempt();
+        }
+    }
+
+    void onDenied(ElectionMessage.LeaseDenied denied) {
+        if (denied.grantedTerm() >>> TERM_BITS_PER_VIEW <= state.view().viewNumber()) {
+            highestSeenTerm = Math.max(highestSeenTerm, denied.grantedTerm());
+        }
+        if (!state.isCandidate() || state.attempt().term() != denied.term()) {
+            return;
+        }
+        boolean majorityIsOut =
+                state.attempt().onDenied(denied.voterIncarnation(), state.view().members());
+        if (majorityIsOut) {
+            abandon(Math.max(MIN_RETRY_MS, Math.min(denied.remainingMs(), RETRY_INTERVAL_MS)));
+        }
+    }
+
+    /** The voter of this member itself refuses. */
+    void onDeniedBySelf() {
+        if (state.isCandidate()) {
+            abandon(RETRY_INTERVAL_MS);
+        }
+    }
+
+    /** Another member stands: one of a better rank goes first while this one only probes. */
+    void onOtherCandidate(Member other) {
+        ElectionView view = state.view();
+        boolean yields = state.attempt() != null
+                && state.attempt().isProbe()
+                && view.rank(other.incarnation()) < view.rank(state.self().incarnation());
+        if (yields) {
+            abandon(2 * state.timings().rankDelayMs());
+        }
+    }
+
+    /** Gives up for now; those who granted need not wait for the lease to run out. */
+    private void abandon(int pauseMs) {
+        LeaseAttempt attempt = state.attempt();
+        long incarnation = state.self().incarnation();
+        if (!attempt.isProbe()) {
+            state.voter().release(attempt.term(), incarnation, 0, state.nowMs());
+            state.sendToOthers(new ElectionMessage.LeaseReleased(state.role(), attempt.term(), incarnation, 0));
+        }
+        state.endAttempt();
+        long rankWaitMs = (long) Math.max(0, state.view().rank(incarnation))
+                * state.timings().rankDelayMs()
+                / 2;
+        state.setNoCandidacyBefore(state.nowMs() + pauseMs + rankWaitMs);
+    }
+
+    /** The holder has released its lease and named this member as its successor, if the voter knows that lease. */
+    void onReleased(ElectionMessage.LeaseReleased released) {
+        boolean known = state.voter()
+                .release(released.term(), released.holderIncarnation(), released.successorIncarnation(), state.nowMs());
+        if (!known || released.successorIncarnation() != state.self().incarnation()) {
+            return;
+        }
+        state.setNoCandidacyBefore(state.nowMs());
+        if (state.attempt() == null && state.view().isMember() && wantsLease) {
+            maybeStart();
+        }
+    }
+}
