--- a/src/main/java/brambletray/platform/controlplane/EdgeCoordinator.java
+++ b/src/main/java/brambletray/platform/controlplane/EdgeCoordinator.java
@@ -3,6 +3,7 @@
 import brambletray.common.runtime.Machine;
 import brambletray.platform.configuration.Configuration;
 import brambletray.platform.configuration.Service;
+import brambletray.platform.controlplane.ConnectedEdges.ConnectedEdge;
 import brambletray.platform.distribution.ConfigurationPublisher;
 import brambletray.platform.distribution.CoordinatorHeartbeat;
 import brambletray.platform.distribution.DeltaChunk;
@@ -17,7 +18,6 @@
 import brambletray.platform.failuredetection.SuspicionReport;
 import brambletray.platform.failuredetection.SuspicionWithdrawal;
 import brambletray.platform.logging.EventLog;
-import brambletray.platform.provisioning.CallResult;
 import brambletray.platform.provisioning.HomeClaim;
 import brambletray.platform.provisioning.InstanceSize;
 import brambletray.platform.provisioning.InstanceUp;
@@ -27,8 +27,8 @@
 import brambletray.platform.provisioning.Provisioner;
 import brambletray.platform.provisioning.ProvisioningActions;
 import brambletray.platform.provisioning.StartRequest;
-import brambletray.platform.provisioning.StartResponse;
 import brambletray.platform.provisioning.StopRequest;
+import brambletray.platform.settings.CloudApiSettings;
 import brambletray.platform.settings.NodeSettings;
 import brambletray.platform.transport.Link;
 import java.net.InetSocketAddress;
@@ -54,24 +54,16 @@
 
     private static final long NEVER = Long.MIN_VALUE;
 
-    private static final class ConnectedEdge {
-        private Link link;
-        private Peer peer;
-        /**
-         * A heartbeat was sent on this link, and it was not released since: what is sent now is sent under this term.
-         */
-        private boolean heartbeatSent;
-        /** Revision of the configuration that the edge serves by, as it says itself. */
-        private long servedRevision;
-    }
-
+    private final Machine machine;
+    private final Authority authority;
     private final long term;
     private final Supplier<Configuration> configuration;
     private final ConfigurationPublisher publisher;
-    private final Map<String, ConnectedEdge> edges = new HashMap<>();
+    private final ConnectedEdges edges;
     private final MembershipRegistry membership;
     private final Provisioner provisioner;
     private final PlatformClient platform;
+    private final FencedPlatformClient fencedPlatform;
     private HomeAssignment homeAssignment = new HomeAssignment(Roster.NONE);
     private long heartbeatsSentAtMs;
     private CoordinatorHeartbeat heartbeat;
@@ -79,8 +71,6 @@
     private long rolloutSinceMs = NEVER;
 
     private long authorityLostAtMs = NEVER;
-    private final Machine machine;
-    private final Authority authority;
 
     /** What the coordinator checks before it sends anything. */
     interface Authority {
@@ -113,25 +103,14 @@
         this.term = term;
         this.configuration = configuration;
         this.publisher = publisher;
+        edges = new ConnectedEdges(term, authority);
         heartbeat = new CoordinatorHeartbeat(term, 0, 0);
         membership = new MembershipRegistry(term, nowMs, this::onRoster);
-        brambletray.platform.settings.CloudApiSettings cloudApi =
-                nodeSettings.require("cloud-api.address", nodeSettings.cloudApi());
-        platform = new PlatformClient(
-                machine,
-                new InetSocketAddress(
-                        cloudApi.address().host(), cloudApi.address().port()),
-                new PlatformClient.CallerIdentity(nodeSettings.node(), term),
-                cloudApi.ratePerS());
-        provisioner = new Provisioner(
-                new PlatformTerms(
-                        nodeSettings.zones(),
-                        cloudApi.listLagMs(),
-                        cloudApi.ratePerS(),
-                        cloudApi.coordinatorRatePerS()),
-                new ProvisionerOutput(),
-                this::homeOf,
-                nowMs);
+        CloudApiSettings cloudApi = nodeSettings.require("cloud-api.address", nodeSettings.cloudApi());
+        platform = platformClient(nodeSettings, cloudApi);
+        fencedPlatform = new FencedPlatformClient(machine, platform, term, authority);
+        provisioner =
+                new Provisioner(platformTerms(nodeSettings, cloudApi), new ProvisionerOutput(), this::homeOf, nowMs);
         onConfigurationChanged(nowMs);
         LOG.info("coordinator-started")
                 .with("term", term)
@@ -139,6 +118,20 @@
                 .log();
     }
 
+    private PlatformClient platformClient(NodeSettings nodeSettings, CloudApiSettings cloudApi) {
+        return new PlatformClient(
+                machine,
+                new InetSocketAddress(
+                        cloudApi.address().host(), cloudApi.address().port()),
+                new PlatformClient.CallerIdentity(nodeSettings.node(), term),
+                cloudApi.ratePerS());
+    }
+
+    private static PlatformTerms platformTerms(NodeSettings nodeSettings, CloudApiSettings cloudApi) {
+        return new PlatformTerms(
+                nodeSettings.zones(), cloudApi.listLagMs(), cloudApi.ratePerS(), cloudApi.coordinatorRatePerS());
+    }
+
     long term() {
         return term;
     }
@@ -153,8 +146,7 @@
 
     /** For operators: the revision that this edge serves by, or -1 if it has no link here. */
     long servedRevision(String name) {
-        ConnectedEdge edge = edges.get(name);
-        return edge == null ? -1 : edge.servedRevision;
+        return edges.servedRevision(name);
     }
 
     private String homeOf(String service, String zone) {
@@ -184,7 +176,7 @@
         heartbeatsSentAtMs = nowMs;
         heartbeat = new CoordinatorHeartbeat(
                 term, publishableRevision(), membership.roster().number());
-        edges.values().forEach(this::sendHeartbeat);
+        edges.sendHeartbeats(heartbeat);
     }
 
     private void onRoster(Roster roster, String why) {
@@ -209,8 +201,8 @@
             onHello(name, link, hello, nowMs);
             return;
         }
-        ConnectedEdge edge = edges.get(name);
-        if (edge == null || edge.link != link) {
+        ConnectedEdge edge = edges.find(name, link);
+        if (edge == null) {
             return;
         }
         if (frame instanceof StartRequest startRequest) {
@@ -231,20 +223,23 @@
             membership.onReportedRoster(roster, nowMs);
         } else if (frame instanceof DeltaRequest request) {
             onDeltaRequest(edge, request, nowMs);
-        } else if (frame instanceof RosterRequest
-                && edge.heartbeatSent
-                && authority.mayAct()
-                && membership.roster().number() > 0) {
-            edge.link.send(membership.roster());
+        } else if (frame instanceof RosterRequest) {
+            onRosterRequest(edge);
+        }
+    }
+
+    private void onRosterRequest(ConnectedEdge edge) {
+        if (edge.isFollowing() && authority.mayAct() && membership.roster().number() > 0) {
+            edge.send(membership.roster());
         }
     }
 
     private void onDeltaRequest(ConnectedEdge edge, DeltaRequest request, long nowMs) {
-        edge.servedRevision = request.revision();
-        if (edge.heartbeatSent && authority.mayAct() && publishableRevision() > 0) {
+        edge.setServedRevision(request.revision());
+        if (edge.isFollowing() && authority.mayAct() && publishableRevision() > 0) {
             DeltaChunk chunk = publisher.nextChunk(request, term);
             if (chunk != null) {
-                edge.link.send(chunk);
+                edge.send(chunk);
             }
         }
         maybeLogRollout(nowMs);
@@ -253,9 +248,7 @@
     /** Logs once when all connected edges serve by the newest configuration. */
     private void maybeLogRollout(long nowMs) {
         long newest = publishableRevision();
-        if (rolloutSinceMs != NEVER
-                && newest > 0
-                && edges.values().stream().allMatch(edge -> edge.servedRevision >= newest)) {
+        if (rolloutSinceMs != NEVER && newest > 0 && edges.allServe(newest)) {
             LOG.info("configuration-distributed")
                     .with("term", term)
                     .with("revision", newest)
@@ -267,57 +260,24 @@
     }
 
     private void onHello(String name, Link link, EdgeHello hello, long nowMs) {
-        ConnectedEdge edge = edges.computeIfAbsent(name, none -> new ConnectedEdge());
-        edge.heartbeatSent &= edge.link == link;
-        edge.link = link;
-        edge.peer = hello.self();
-        edge.servedRevision = hello.revision();
+        ConnectedEdge edge = edges.onHello(name, link, hello);
         membership.onHello(hello, nowMs);
         if (authority.mayAct()) {
             heartbeat = new CoordinatorHeartbeat(
                     term, publishableRevision(), membership.roster().number());
-            sendHeartbeat(edge);
+            edge.sendHeartbeat(heartbeat);
         }
     }
 
-    private void sendHeartbeat(ConnectedEdge edge) {
-        edge.heartbeatSent |= edge.link.send(heartbeat);
-    }
-
     /** Revision of the configuration that may be handed out, or 0: none yet. */
     private long publishableRevision() {
         return authority.isSettled() ? publisher.revision() : 0;
     }
 
-    /** Edges look for another coordinator, until this one sends a heartbeat again. */
-    private void releaseEdges(String why) {
-        int released = 0;
-        EdgeWelcome welcome = authority.welcome().withoutCoordinator();
-        for (ConnectedEdge edge : edges.values()) {
-            if (edge.heartbeatSent) {
-                released++;
-                releaseEdge(edge, welcome);
-            }
-        }
-        if (released > 0) {
-            LOG.info("edges-released")
-                    .with("term", term)
-                    .with("why", why)
-                    .with("edges", released)
-                    .log();
-        }
-    }
-
-    private void releaseEdge(ConnectedEdge edge, EdgeWelcome welcome) {
-        edge.heartbeatSent = false;
-        edge.link.send(welcome);
-    }
-
     void onDisconnected(String name, Link link, long nowMs) {
-        ConnectedEdge edge = edges.get(name);
-        if (edge != null && edge.link == link) {
-            edges.remove(name);
-            membership.onDisconnected(name, edge.peer.incarnation(), nowMs);
+        Peer peer = edges.onDisconnected(name, link);
+        if (peer != null) {
+            membership.onDisconnected(name, peer.incarnation(), nowMs);
             provisioner.onEdgeGone(name, nowMs);
         }
     }
@@ -328,7 +288,7 @@
             if (authorityLostAtMs == NEVER) {
                 authorityLostAtMs = nowMs;
             } else if (nowMs - authorityLostAtMs >= LEASE_UNCERTAIN_GRACE_MS) {
-                releaseEdges("the lease has run out or is uncertain");
+                edges.releaseAll("the lease has run out or is uncertain");
             }
             return;
         }
@@ -348,7 +308,7 @@
      */
     void close() {
         platform.close();
-        releaseEdges("the term is over");
+        edges.releaseAll("the term is over");
         edges.clear();
         LOG.info("coordinator-stopped").with("term", term).log();
     }
@@ -360,48 +320,18 @@
 
         @Override
         public void send(String name, Object frame) {
-            ConnectedEdge edge = edges.get(name);
-            // An edge that is released reports what it knows when it is accepted again, and is notified then of what it
-            // has
-            // missed.
-            if (edge != null && edge.heartbeatSent) {
-                if (authority.mayAct()) {
-                    edge.link.send(frame);
-                } else {
-                    releaseEdge(edge, authority.welcome().withoutCoordinator());
-                }
-            }
+            edges.sendWithAuthority(name, frame);
         }
 
         @Override
         public void startInstance(String service, String worker, String nonce) {
-            if (!authority.mayAct()) {
-                machine.loop()
-                        .execute(() -> provisioner.onStartAnswered(nonce, StartResponse.of(CallResult.UNKNOWN), now()));
-                return;
-            }
-            platform.begin(service, worker, nonce, response -> {
-                fenced(response.result());
-                provisioner.onStartAnswered(nonce, response, now());
-            });
+            fencedPlatform.start(
+                    service, worker, nonce, response -> provisioner.onStartAnswered(nonce, response, now()));
         }
 
         @Override
         public void stopInstance(String id) {
-            if (!authority.mayAct()) {
-                machine.loop().execute(() -> provisioner.onStopAnswered(id, CallResult.UNKNOWN, now()));
-                return;
-            }
-            platform.stop(id, result -> {
-                fenced(result);
-                provisioner.onStopAnswered(id, result, now());
-            });
-        }
-
-        private void fenced(CallResult result) {
-            if (result == CallResult.FENCED) {
-                authority.onFenced(term);
-            }
+            fencedPlatform.stop(id, result -> provisioner.onStopAnswered(id, result, now()));
         }
 
         @Override
--- a/src/main/java/brambletray/platform/controlplane/OperatorCalls.java
+++ b/src/main/java/brambletray/platform/controlplane/OperatorCalls.java
@@ -6,13 +6,10 @@
 import brambletray.platform.configuration.ConfigurationStateMachine;
 import brambletray.platform.logging.EventLog;
 import brambletray.platform.replication.ProposalOutcome;
-import brambletray.platform.replication.ReplicaRole;
 import brambletray.platform.replication.ReplicaStatus;
 import brambletray.platform.replication.StateMachine;
 import java.util.ArrayDeque;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 
 /**
  * The operators' calls about the configuration at one member: evaluated against the current configuration,
@@ -40,9 +37,6 @@
      * at once.
      */
     private static final int DISCONNECTED_CALL_TIMEOUT_MS = 800;
-    /** ms out of touch after which no call is queued: longer than a view change takes, so this member is cut off. */
-    private static final int DISCONNECTED_REJECT_MS = 1_500;
-
     /** What the operators' calls need of the replica. */
     interface ReplicaAccess {
         /** Its present status. */
@@ -64,30 +58,26 @@
 
     private record PendingChange(ControlCall call, ChangeKind kind, long baseRevision, long receivedAtMs) {}
 
-    /** A read index in flight and the call that waits for it. */
-    private record PendingRead(ControlCall call, long receivedAtMs, Runnable onConfirmed, Runnable onUnconfirmed) {}
-
-    private static final byte[] EMPTY_JSON_OBJECT = {'{', '}'};
-
     private final ReplicaAccess replica;
     private final Runnable configurationListener;
     private final ConfigurationStateMachine stateMachine = new ConfigurationStateMachine();
     private final ArrayDeque<PendingChange> queue = new ArrayDeque<>();
-    private final Map<Long, PendingRead> pendingReads = new HashMap<>();
+    private final LeaderContact leaderContact;
+    private final PendingReads pendingReads;
     private PendingChange inFlight;
-    private long lastToken;
+    /** Of the change in flight, or of the last one. */
     private long proposalToken;
     /** Counts states of the configuration: what was evaluated against an earlier one is evaluated again. */
     private long stateVersion;
     /** Steady ms of the last tick. */
     private long nowMs;
-    /** Since when no leader is heard here, steady ms; -1 while one is. */
-    private long disconnectedSinceMs = -1;
 
     /** {@code configurationListener}: called after each new configuration. */
     OperatorCalls(ReplicaAccess replica, Runnable configurationListener) {
         this.replica = replica;
         this.configurationListener = configurationListener;
+        leaderContact = new LeaderContact(replica);
+        pendingReads = new PendingReads(replica, leaderContact);
     }
 
     ConfigurationStateMachine stateMachine() {
@@ -109,50 +99,27 @@
     /** Steady ms. Ends calls that have waited too long. */
     void tick(long timeMs) {
         nowMs = timeMs;
-        boolean connected = isConnected();
-        disconnectedSinceMs = connected ? -1 : disconnectedSinceMs < 0 ? nowMs : disconnectedSinceMs;
+        leaderContact.tick(nowMs);
+        boolean connected = leaderContact.isConnected();
         processQueue();
-        queue.removeIf(change -> isExpired(change.receivedAtMs, connected) && rejectBusy(change.call));
-        pendingReads.values().stream()
-                .filter(read -> isExpired(read.receivedAtMs, connected))
-                .forEach(read -> rejectUnconfirmed(read.call));
+        queue.removeIf(change -> {
+            boolean expired = isExpired(change.receivedAtMs, connected);
+            if (expired) {
+                ChangeResponses.rejectBusy(change.call);
+            }
+            return expired;
+        });
+        pendingReads.rejectIf(receivedAtMs -> isExpired(receivedAtMs, connected));
         if (inFlight != null && isExpired(inFlight.receivedAtMs, connected)) {
             inFlight.call.reject(503, "controlplane.unclear", "not known to be kept yet; send it again");
         }
     }
 
-    /**
-     * Whether it may evaluate changes: it leads the active view, hears a majority of it and its disk is healthy. A
-     * member that starts a view change, or has promised to one, may not; nor does it name the former leader, as two
-     * that name each other would send a caller round in a circle.
-     */
-    private boolean isHealthyLeader() {
-        ReplicaStatus status = replica.status();
-        return status.isLeader() && status.role() == ReplicaRole.MEMBER;
-    }
-
     /** Whether no call waits for its answer: the process may end. */
     boolean isIdle() {
         return inFlight == null && queue.isEmpty() && pendingReads.isEmpty();
     }
 
-    /** Control-plane address of the leader, if it is another and heard; else null. */
-    private String otherLeaderAddress() {
-        String successor = replica.successor();
-        if (successor != null) {
-            return successor;
-        }
-        ReplicaStatus status = replica.status();
-        boolean heard = !status.isLeader() && status.role() == ReplicaRole.MEMBER && status.leader() != null;
-        return heard && !status.leader().address().equals(status.self().address())
-                ? status.leader().address()
-                : null;
-    }
-
-    private boolean isConnected() {
-        return isHealthyLeader() || otherLeaderAddress() != null;
-    }
-
     private boolean isExpired(long receivedAtMs, boolean connected) {
         return nowMs - receivedAtMs > (connected ? CALL_TIMEOUT_MS : DISCONNECTED_CALL_TIMEOUT_MS);
     }
@@ -162,52 +129,17 @@
         processQueue();
     }
 
-    private boolean redirect(ControlCall call) {
-        if (isHealthyLeader()) {
-            return false;
-        }
-        String leader = otherLeaderAddress();
-        if (leader == null) {
-            call.reject(503, "controlplane.no-leader", "the members of the core are not in touch");
-        } else {
-            call.responder().respond(307, null, Map.of("Location", "http://" + leader + call.path()));
-        }
-        return true;
-    }
-
-    private static boolean rejectBusy(ControlCall call) {
-        call.reject(503, "controlplane.busy", "other changes are under way, or no leader is known");
-        return true;
-    }
-
-    private static void rejectUnconfirmed(ControlCall call) {
-        call.reject(503, "controlplane.unsure", "not sure to know the newest");
-    }
-
     private void show(ControlCall call) {
-        if (!redirect(call)) {
-            confirmAndRun(
+        if (!leaderContact.redirect(call)) {
+            pendingReads.confirm(
                     call,
                     nowMs,
                     () -> call.respond(200, stateMachine.configuration().json()));
         }
     }
 
-    private void confirmAndRun(ControlCall call, long receivedAtMs, Runnable onConfirmed) {
-        pendingReads.put(++lastToken, new PendingRead(call, receivedAtMs, onConfirmed, () -> {
-            // this member has left the view meanwhile: another can answer
-            if (replica.successor() == null || !redirect(call)) {
-                rejectUnconfirmed(call);
-            }
-        }));
-        replica.requestReadIndex(lastToken);
-    }
-
     void onReadIndexCompleted(long token, boolean confirmed) {
-        PendingRead read = pendingReads.remove(token);
-        if (read != null) {
-            (confirmed ? read.onConfirmed : read.onUnconfirmed).run();
-        }
+        pendingReads.onReadIndexCompleted(token, confirmed);
     }
 
     /**
@@ -220,15 +152,15 @@
             baseRevision = ConfigurationStateMachine.parseBaseRevision(call.baseRevision());
         } catch (ConfigurationException error) {
             // an error of the call itself, whatever the configuration
-            respond(call, new ChangeDecision.Invalid(error));
+            ChangeResponses.respond(call, new ChangeDecision.Invalid(error));
             return;
         }
         if (stateMachine.wasApplied(kind, baseRevision, call.body())) {
-            call.respond(200, EMPTY_JSON_OBJECT);
+            ChangeResponses.acknowledge(call);
         } else if (queue.size() >= MAX_QUEUED_CHANGES || queuedBytes() + call.body().length > MAX_QUEUED_BYTES) {
-            rejectBusy(call);
-        } else if (!isConnected() && disconnectedSinceMs >= 0 && nowMs - disconnectedSinceMs > DISCONNECTED_REJECT_MS) {
-            redirect(call);
+            ChangeResponses.rejectBusy(call);
+        } else if (leaderContact.isCutOff(nowMs)) {
+            leaderContact.redirect(call);
         } else {
             queue.add(new PendingChange(call, kind, baseRevision, nowMs));
             processQueue();
@@ -236,13 +168,10 @@
     }
 
     private long queuedBytes() {
-        long bytes = inFlight == null ? 0 : inFlight.call.body().length;
+        long bytes = pendingReads.bodyBytes() + (inFlight == null ? 0 : inFlight.call.body().length);
         for (PendingChange change : queue) {
             bytes += change.call.body().length;
         }
-        for (PendingRead read : pendingReads.values()) {
-            bytes += read.call.body().length;
-        }
         return bytes;
     }
 
@@ -251,26 +180,30 @@
      * heard.
      */
     private void processQueue() {
-        while (!queue.isEmpty() && (isHealthyLeader() ? inFlight == null : otherLeaderAddress() != null)) {
+        while (!queue.isEmpty() && mayProcessNext()) {
             PendingChange change = queue.poll();
-            if (!redirect(change.call)) {
+            if (!leaderContact.redirect(change.call)) {
                 evaluate(change);
             }
         }
     }
 
+    private boolean mayProcessNext() {
+        return leaderContact.isHealthyLeader() ? inFlight == null : leaderContact.otherLeaderAddress() != null;
+    }
+
     private void evaluate(PendingChange change) {
         ChangeDecision decision = stateMachine.evaluate(change.kind, change.baseRevision, change.call.body());
         if (decision instanceof ChangeDecision.Proposable proposable) {
             inFlight = change;
-            proposalToken = ++lastToken;
-            replica.propose(proposalToken, proposable.encodedChange());
+            replica.propose(++proposalToken, proposable.encodedChange());
         } else if (decision instanceof ChangeDecision.AlreadyApplied
                 || decision instanceof ChangeDecision.HistoryExpired) {
-            respond(change.call, decision);
+            ChangeResponses.respond(change.call, decision);
         } else {
             long evaluatedVersion = stateVersion;
-            confirmAndRun(change.call, change.receivedAtMs, () -> rejectConfirmed(change, decision, evaluatedVersion));
+            pendingReads.confirm(
+                    change.call, change.receivedAtMs, () -> rejectConfirmed(change, decision, evaluatedVersion));
         }
     }
 
@@ -279,7 +212,7 @@
      */
     private void rejectConfirmed(PendingChange change, ChangeDecision decision, long evaluatedVersion) {
         if (evaluatedVersion == stateVersion) {
-            respond(change.call, decision);
+            ChangeResponses.respond(change.call, decision);
         } else {
             queue.addFirst(change);
             processQueue();
@@ -306,38 +239,13 @@
                 .with("revision", stateMachine.configuration().revision())
                 .log();
         if (applied || outcome == ProposalOutcome.COMMITTED && decision instanceof ChangeDecision.Stale) {
-            respond(change.call, decision);
-        } else if (outcome != ProposalOutcome.REJECTED || replica.successor() == null || !redirect(change.call)) {
+            ChangeResponses.respond(change.call, decision);
+        } else if (outcome != ProposalOutcome.REJECTED || !leaderContact.redirectToSuccessor(change.call)) {
             change.call.reject(503, "controlplane.unclear", "not known to be kept; send it again");
         }
         processQueue();
     }
 
-    private static void respond(ControlCall call, ChangeDecision decision) {
-        if (decision instanceof ChangeDecision.Invalid invalid) {
-            LOG.info("configuration-change-rejected")
-                    .with("code", invalid.error().code())
-                    .with("why", invalid.error().getMessage())
-                    .log();
-            call.reject(400, invalid.error().code(), invalid.error().getMessage());
-        } else if (decision instanceof ChangeDecision.Stale stale) {
-            LOG.info("configuration-change-rejected")
-                    .with("code", "controlplane.stale")
-                    .with("base", call.baseRevision())
-                    .with("current", stale.currentRevision())
-                    .log();
-            call.reject(412, "controlplane.stale", "the current revision is " + stale.currentRevision());
-        } else if (decision instanceof ChangeDecision.HistoryExpired expired) {
-            call.reject(
-                    503,
-                    "controlplane.forgotten",
-                    "what was taken before revision " + expired.oldestRevision()
-                            + " isn't remembered; look at the configuration");
-        } else {
-            call.respond(200, EMPTY_JSON_OBJECT);
-        }
-    }
-
     @Override
     public byte[] snapshot() {
         return stateMachine.snapshot();
