--- a/src/main/java/brambletray/platform/controlplane/ControlPlaneProgram.java
+++ b/src/main/java/brambletray/platform/controlplane/ControlPlaneProgram.java
@@ -6,6 +6,7 @@
 import brambletray.platform.distribution.LinkIntroduction;
 import brambletray.platform.distribution.ProcessSignals;
 import brambletray.platform.distribution.SettingsReload;
+import brambletray.platform.election.ElectionActions;
 import brambletray.platform.election.ElectionEvent;
 import brambletray.platform.election.ElectionMessage;
 import brambletray.platform.election.LeaseElection;
@@ -23,7 +24,6 @@
 import brambletray.platform.settings.Address;
 import brambletray.platform.settings.NodeSettings;
 import brambletray.platform.storage.DurableStore;
-import brambletray.platform.storage.KeyChange;
 import brambletray.platform.storage.KeyValueStore;
 import brambletray.platform.storage.StorageException;
 import brambletray.platform.storage.SyncWriter;
@@ -31,8 +31,6 @@
 import brambletray.platform.transport.Link;
 import brambletray.platform.transport.Sockets;
 import io.netty.channel.ChannelFuture;
-import java.util.ArrayList;
-import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
@@ -45,10 +43,6 @@
     private static final EventLog LOG = EventLog.of("controlplane");
     /** ms between ticks, each of which costs a wake-up. */
     private static final int TICK_INTERVAL_MS = 50;
-    /** ms that a process stays at least after SIGTERM, so that the others learn that the lease is released. */
-    private static final int MIN_SHUTDOWN_MS = 300;
-    /** ms for its last responses to be sent. */
-    private static final int SHUTDOWN_FLUSH_MS = 100;
 
     private static final String COORDINATOR_ROLE = "helm";
 
@@ -56,18 +50,14 @@
     private final Machine machine;
     private final FrameCodec codec = new FrameCodec(FrameTypes.ALL);
     private final String address;
-    private final DurableStore store;
-    private final Runnable exit;
+    private final StoreCommits storeCommits;
     private final OperatorCalls operatorCalls;
     private final Replica replica;
     private final PeerLinks peerLinks;
     private final LeaseElection election;
     private final OperatorViews operatorViews;
     private final CoordinatorSupervisor coordinatorSupervisor;
-    /** Steady ms since SIGTERM, and since the others go on without this process; -1: not yet. */
-    private long leavingSinceMs = -1;
-
-    private long removedSinceMs = -1;
+    private final MemberShutdown shutdown;
 
     /**
      * What a process of the core runs on. Real, or simulated with the same contract.
@@ -82,8 +72,7 @@
     ControlPlaneProgram(NodeSettings nodeSettings, Environment environment, long newIncarnation, long origin) {
         this.nodeSettings = nodeSettings;
         machine = environment.machine();
-        store = environment.store();
-        exit = environment.exit();
+        storeCommits = new StoreCommits(machine, environment.store());
         Map<String, byte[]> stored = environment.stored();
         address = nodeSettings.controlPlane().toString();
         coordinatorSupervisor = new CoordinatorSupervisor(machine, nodeSettings, new MemberAccess());
@@ -100,6 +89,7 @@
                 new ReplicationOutput(),
                 operatorCalls,
                 nowMs());
+        shutdown = new MemberShutdown(machine, replica::mayTerminate, operatorCalls::isIdle, environment.exit());
         election = new LeaseElection(
                 COORDINATOR_ROLE,
                 replica.status().self(),
@@ -176,9 +166,7 @@
             election.tick(nowMs);
             operatorViews.tick();
             coordinatorSupervisor.tick(nowMs);
-            if (leavingSinceMs >= 0) {
-                maybeExit(nowMs);
-            }
+            shutdown.tick(nowMs);
         } catch (RuntimeException e) {
             LOG.warn("tick-failed").withFailure(e).log();
         }
@@ -213,27 +201,13 @@
 
     /** SIGTERM; a second one changes nothing. */
     void leave() {
-        if (leavingSinceMs >= 0) {
+        if (shutdown.isStarted()) {
             return;
         }
-        leavingSinceMs = nowMs();
-        LOG.info("shutdown-started").log();
-        int maxMs = ReplicaSettings.leaveTimeoutMs(nodeSettings);
-        machine.loop().schedule(exit, maxMs + Math.min(500, maxMs / 10), TimeUnit.MILLISECONDS);
-        election.handOver(leavingSinceMs);
-        replica.leave(leavingSinceMs);
-    }
-
-    /** Ends the process once the others go on without it and the calls under way have their answers. */
-    private void maybeExit(long nowMs) {
-        if (removedSinceMs < 0 && replica.mayTerminate()) {
-            removedSinceMs = nowMs;
-        }
-        boolean busy = removedSinceMs < 0 || !operatorCalls.isIdle();
-        if (!busy && nowMs - removedSinceMs >= SHUTDOWN_FLUSH_MS && nowMs - leavingSinceMs >= MIN_SHUTDOWN_MS) {
-            LOG.info("shutdown-completed").with("ms", nowMs - leavingSinceMs).log();
-            exit.run();
-        }
+        long nowMs = nowMs();
+        shutdown.start(nowMs, ReplicaSettings.leaveTimeoutMs(nodeSettings));
+        election.handOver(nowMs);
+        replica.leave(nowMs);
     }
 
     private final class SignalListener implements ProcessSignals.Program {
@@ -270,27 +244,7 @@
         }
     }
 
-    /** Writes changes durably; one of the two callbacks follows, on the loop. */
-    private void commitToStore(Map<String, byte[]> changes, Runnable done, Runnable failed) {
-        List<KeyChange> all = new ArrayList<>(changes.size());
-        changes.forEach((key, value) -> all.add(new KeyChange(key, value)));
-        boolean accepted = store.commit(all, nowMs(), new DurableStore.CommitCallback() {
-            @Override
-            public void onCommitted() {
-                done.run();
-            }
-
-            @Override
-            public void onFailed(StorageException error) {
-                failed.run();
-            }
-        });
-        if (!accepted) {
-            machine.loop().execute(failed);
-        }
-    }
-
-    private final class ElectionOutput implements brambletray.platform.election.ElectionActions {
+    private final class ElectionOutput implements ElectionActions {
         @Override
         public void send(String to, ElectionMessage frame) {
             peerLinks.send(to, frame);
@@ -298,7 +252,8 @@
 
         @Override
         public void persist(long ticket, Map<String, byte[]> changes) {
-            commitToStore(changes, () -> election.synced(ticket, nowMs()), () -> election.syncFailed(ticket, nowMs()));
+            storeCommits.commit(
+                    changes, () -> election.synced(ticket, nowMs()), () -> election.syncFailed(ticket, nowMs()));
         }
 
         @Override
@@ -325,7 +280,8 @@
 
         @Override
         public void persist(long ticket, Map<String, byte[]> changes) {
-            commitToStore(changes, () -> replica.synced(ticket, nowMs()), () -> replica.syncFailed(ticket, nowMs()));
+            storeCommits.commit(
+                    changes, () -> replica.synced(ticket, nowMs()), () -> replica.syncFailed(ticket, nowMs()));
         }
 
         @Override
