--- a/src/main/java/brambletray/platform/controlplane/LeaderContact.java
+++ b/src/main/java/brambletray/platform/controlplane/LeaderContact.java
@@ -8,7 +8,7 @@
  * Whether this member may evaluate changes itself, and whom it redirects callers to otherwise. For the event loop only.
  */
 final class LeaderContact {
-    /** ms without a leader after which no call is queued: longer than a view change takes, so this member is cut off. */
+    /** ms without a leader after which no call is queued: longer than a view change, so this member is cut off. */
     private static final int DISCONNECTED_REJECT_MS = 1_500;
 
     private static final long CONNECTED = -1;
--- a/src/main/java/brambletray/relay/control/AnswerTimes.java
+++ b/src/main/java/brambletray/relay/control/AnswerTimes.java
@@ -5,71 +5,80 @@
 import brambletray.relay.control.Relay.Effect;
 import brambletray.relay.control.Relay.Settings;
 import brambletray.relay.control.State.Attempt;
-import brambletray.relay.control.State.Dest;
-import brambletray.relay.control.State.Msg;
-import brambletray.relay.control.State.Route;
+import brambletray.relay.control.State.Destination;
+import brambletray.relay.control.State.EndpointState;
+import brambletray.relay.control.State.Message;
 
 /** What answers tell of times, and the time-outs that follow from it. */
-record AnswerTimes(Settings set, Memory memory) {
+record AnswerTimes(Settings settings, Memory memory) {
     /** A destination is slow when its latest answers take this multiple of the usual. */
-    private static final double SLOW = 2.5;
+    private static final double SLOW_FACTOR = 2.5;
     /** Weight of a new answer in the latest answer time. */
-    private static final double LATEST = 0.3;
+    private static final double RECENT_WEIGHT = 0.3;
     /** Weight of a new answer in the usual answer time. */
-    private static final double USUAL = 0.03;
-    /** Time-out of a call as a multiple of the copy delay. */
-    private static final double PATIENCE = 4.5;
+    private static final double USUAL_WEIGHT = 0.03;
+    /** Time-out of a call as a multiple of the hedge delay. */
+    private static final double TIMEOUT_FACTOR = 4.5;
     /** us; shortest time-out. */
-    private static final long PATIENCE_LEAST = 3 * SECOND / 2;
+    private static final long MIN_TIMEOUT_US = 3 * SECOND / 2;
     /** us; longest time-out. */
-    private static final long PATIENCE_MOST = 6 * SECOND;
+    private static final long MAX_TIMEOUT_US = 6 * SECOND;
     /** us; time-out until answers are known. */
-    private static final long PATIENCE_FIRST = 3 * SECOND;
+    private static final long INITIAL_TIMEOUT_US = 3 * SECOND;
     /** us; shortest time-out while calls are lost and slots are scarce. */
-    private static final double LOST_LEAST = SECOND / 2;
-    /** Time-out as a multiple of the copy delay while calls are lost and slots are scarce. */
-    private static final double LOST_PATIENCE = 2;
+    private static final double MIN_SCARCE_TIMEOUT_US = SECOND / 2;
+    /** Time-out as a multiple of the hedge delay while calls are lost and slots are scarce. */
+    private static final double SCARCE_TIMEOUT_FACTOR = 2;
     /** Share of the slots in use from which on slots are scarce. */
-    private static final double SLOTS_SCARCE = 0.9;
+    private static final double SCARCE_SLOTS_SHARE = 0.9;
     /** Share of timed-out messages answered in the usual time at their next call above which calls count as lost. */
-    private static final double LOST_SHARE = 0.5;
+    private static final double LOST_CALLS_SHARE = 0.5;
     /** Weight of a new message in that share. */
-    private static final double LOST_WEIGHT = 0.3;
+    private static final double LOST_CALLS_WEIGHT = 0.3;
     /** Longer time-outs at each of a message that timed out before: it may just take that long. */
-    private static final double PATIENCE_AGAIN = 2;
+    private static final double REPEAT_TIMEOUT_FACTOR = 2;
     /** Longer time-outs where one loses the message. */
-    private static final double PATIENCE_UNSAFE = 3;
+    private static final double UNSAFE_TIMEOUT_FACTOR = 3;
 
-    static boolean slow(Dest d) {
-        return d.usual > 0 && d.latest > SLOW * d.usual;
+    static boolean isSlow(Destination destination) {
+        return destination.usualLatency > 0 && destination.recentLatency > SLOW_FACTOR * destination.usualLatency;
     }
 
-    void answered(Attempt a, long latency) {
-        Route r = a.route;
-        Dest d = r.dest;
-        if (a.msg.timeouts == 1) {
-            memory.lost += LOST_WEIGHT * ((latency <= d.copyDelay.delay() ? 1 : 0) - memory.lost);
+    void onAnswered(Attempt attempt, long latency) {
+        EndpointState endpoint = attempt.endpoint;
+        Destination destination = endpoint.destination;
+        if (attempt.message.timeouts == 1) {
+            memory.lostShare +=
+                    LOST_CALLS_WEIGHT * ((latency <= destination.hedgeDelay.delayUs() ? 1 : 0) - memory.lostShare);
         }
-        d.copyDelay.add(latency);
-        r.latency = r.latency == 0 ? latency : r.latency + LATEST * (latency - r.latency);
-        d.latest = d.latest == 0 ? latency : d.latest + LATEST * (latency - d.latest);
-        double sample = d.usual == 0 ? latency : Math.min(latency, SLOW * d.usual);
-        double weight = d.copyDelay.settled() ? USUAL : LATEST;
-        d.usual = d.usual == 0 ? latency : d.usual + weight * (sample - d.usual);
+        destination.hedgeDelay.add(latency);
+        endpoint.latency =
+                endpoint.latency == 0 ? latency : endpoint.latency + RECENT_WEIGHT * (latency - endpoint.latency);
+        destination.recentLatency = destination.recentLatency == 0
+                ? latency
+                : destination.recentLatency + RECENT_WEIGHT * (latency - destination.recentLatency);
+        double sample =
+                destination.usualLatency == 0 ? latency : Math.min(latency, SLOW_FACTOR * destination.usualLatency);
+        double weight = destination.hedgeDelay.isSettled() ? USUAL_WEIGHT : RECENT_WEIGHT;
+        destination.usualLatency = destination.usualLatency == 0
+                ? latency
+                : destination.usualLatency + weight * (sample - destination.usualLatency);
     }
 
     /** The time-out of a message's next call. */
-    long patience(Msg m, long now) {
-        CopyDelay copies = m.dest.copyDelay;
+    long timeoutFor(Message message, long now) {
+        HedgeDelay copies = message.destination.hedgeDelay;
         // Guards the slots against calls that are never answered: while they are scarce, none waits for long.
         // It hurts where destinations turn slow after that; a message that timed out gets longer there.
-        boolean brief = memory.lost >= LOST_SHARE
-                && memory.slotsUsed >= SLOTS_SCARCE * set.allowed().slots();
+        boolean brief = memory.lostShare >= LOST_CALLS_SHARE
+                && memory.slotsUsed >= SCARCE_SLOTS_SHARE * settings.allowed().slots();
         double base = brief
-                ? Math.max(LOST_LEAST, LOST_PATIENCE * copies.delay())
-                : Math.max(PATIENCE_LEAST, PATIENCE * copies.delay());
-        base = copies.known() ? Math.min(PATIENCE_MOST, base) : PATIENCE_FIRST;
-        base *= m.cls.effect() == Effect.UNSAFE ? PATIENCE_UNSAFE : Math.pow(PATIENCE_AGAIN, m.timeouts);
-        return Math.min(m.deadline - now, (long) base);
+                ? Math.max(MIN_SCARCE_TIMEOUT_US, SCARCE_TIMEOUT_FACTOR * copies.delayUs())
+                : Math.max(MIN_TIMEOUT_US, TIMEOUT_FACTOR * copies.delayUs());
+        base = copies.isKnown() ? Math.min(MAX_TIMEOUT_US, base) : INITIAL_TIMEOUT_US;
+        base *= message.messageClass.effect() == Effect.UNSAFE
+                ? UNSAFE_TIMEOUT_FACTOR
+                : Math.pow(REPEAT_TIMEOUT_FACTOR, message.timeouts);
+        return Math.min(message.deadline - now, (long) base);
     }
 }
--- a/src/main/java/brambletray/relay/control/Control.java
+++ b/src/main/java/brambletray/relay/control/Control.java
@@ -13,11 +13,11 @@
 import brambletray.relay.control.Relay.Settings;
 import brambletray.relay.control.Relay.Withdrawn;
 import brambletray.relay.control.State.Attempt;
-import brambletray.relay.control.State.Dest;
-import brambletray.relay.control.State.Entry;
-import brambletray.relay.control.State.Key;
-import brambletray.relay.control.State.Msg;
-import brambletray.relay.control.State.Route;
+import brambletray.relay.control.State.Destination;
+import brambletray.relay.control.State.EndpointState;
+import brambletray.relay.control.State.Message;
+import brambletray.relay.control.State.OrderingKey;
+import brambletray.relay.control.State.Timer;
 import java.util.List;
 import java.util.Objects;
 import java.util.SplittableRandom;
@@ -35,7 +35,7 @@
     private final Turn turn;
     private final Connections connections;
     private final Endpoints endpoints;
-    private final Copies copies;
+    private final Hedging hedging;
     private final Dispatch dispatch;
     private final Messages messages;
 
@@ -53,32 +53,32 @@
      * is out still. The connections are not handed on.
      */
     public Control(long seed, Settings settings, Memory left) {
-        Settings set = Objects.requireNonNull(settings, "settings");
+        Objects.requireNonNull(settings, "settings");
         SplittableRandom random = new SplittableRandom(seed);
         memory = left;
         turn = new Turn(memory);
-        AnswerTimes times = new AnswerTimes(set, memory);
-        Window window = new Window(set);
-        Pace pace = new Pace(set, memory, random, turn);
-        Backoff backoff = new Backoff(set, memory, random, turn, pace);
-        connections = new Connections(set, memory, random, turn);
-        Outages outages = new Outages(set, random, turn, pace, backoff, connections);
-        endpoints = new Endpoints(set, memory, turn, pace, backoff, outages);
-        SendGate gate = new SendGate(set, memory, random, turn, times, window, connections, outages);
-        copies = new Copies(set, gate, turn);
-        dispatch = new Dispatch(set, memory, turn, gate, copies);
+        AnswerTimes times = new AnswerTimes(settings, memory);
+        ConcurrencyWindow window = new ConcurrencyWindow(settings);
+        Pace pace = new Pace(settings, memory, random, turn);
+        Backoff backoff = new Backoff(settings, memory, random, turn, pace);
+        connections = new Connections(settings, memory, random, turn);
+        Outages outages = new Outages(settings, random, turn, pace, backoff, connections);
+        endpoints = new Endpoints(settings, memory, turn, pace, backoff, outages);
+        SendGate gate = new SendGate(settings, memory, random, turn, times, window, connections, outages);
+        hedging = new Hedging(settings, gate, turn);
+        dispatch = new Dispatch(settings, memory, turn, gate, hedging);
         messages = new Messages(
-                set,
+                settings,
                 memory,
                 turn,
                 endpoints,
-                new KeyOrder(set, memory, turn),
+                new KeyOrder(settings, memory, turn),
                 gate,
                 new Outcomes(times, window, pace, backoff, connections, outages));
-        memory.routes.values().forEach(r -> r.idle.clear());
+        memory.endpoints.values().forEach(endpoint -> endpoint.idleConnections.clear());
     }
 
-    /** What it remembers, between turns; it must not be told anything more. */
+    /** What it remembers, between turns; it must get no more events from then on. */
     public Memory memory() {
         return memory;
     }
@@ -88,44 +88,44 @@
         Objects.requireNonNull(events, "events");
         turn.begin(time);
         for (Event event : events) {
-            take(Objects.requireNonNull(event, "event"));
+            dispatchEvent(Objects.requireNonNull(event, "event"));
         }
-        for (Entry due = turn.nextDue(); due != null; due = turn.nextDue()) {
-            doDuty(due);
+        for (Timer due = turn.nextDue(); due != null; due = turn.nextDue()) {
+            runTimer(due);
         }
         dispatch.run();
-        turn.freed.forEach(connections::release);
+        turn.freed.forEach(connections::releaseIfUnused);
         turn.freed.clear();
         return turn.end();
     }
 
-    private void take(Event event) {
-        if (event instanceof Accepted e) {
-            messages.accept(e);
-        } else if (event instanceof Ended e) {
-            messages.attemptEnded(e);
-        } else if (event instanceof Listed e) {
-            endpoints.listed(e);
-        } else if (event instanceof Withdrawn e && memory.messages.containsKey(e.id())) {
-            messages.close(memory.messages.get(e.id()));
-        } else if (event instanceof Recalled e && memory.messages.containsKey(e.id())) {
-            messages.recalled(memory.messages.get(e.id()));
-        } else if (event instanceof Excluded e) {
-            endpoints.excluded(e);
-        } else if (event instanceof Remembered e && memory.routes.containsKey(e.endpoint())) {
-            endpoints.remembered(memory.routes.get(e.endpoint()), e.known());
+    private void dispatchEvent(Event event) {
+        if (event instanceof Accepted accepted) {
+            messages.accept(accepted);
+        } else if (event instanceof Ended ended) {
+            messages.onAttemptEnded(ended);
+        } else if (event instanceof Listed listed) {
+            endpoints.onListed(listed);
+        } else if (event instanceof Withdrawn withdrawn && memory.messages.containsKey(withdrawn.id())) {
+            messages.close(memory.messages.get(withdrawn.id()));
+        } else if (event instanceof Recalled recalled && memory.messages.containsKey(recalled.id())) {
+            messages.onRecalled(memory.messages.get(recalled.id()));
+        } else if (event instanceof Excluded exclusion) {
+            endpoints.onExcluded(exclusion);
+        } else if (event instanceof Remembered remembered && memory.endpoints.containsKey(remembered.endpoint())) {
+            endpoints.restore(memory.endpoints.get(remembered.endpoint()), remembered.known());
         } else if (event instanceof Due) {
-            turn.woke();
+            turn.onTimer();
         }
     }
 
-    private void doDuty(Entry entry) {
-        switch (entry.duty()) {
-            case DEADLINE -> messages.giveUp((Msg) entry.of());
-            case COPY -> copies.consider((Attempt) entry.of());
-            case LOOK -> memory.active.add((Dest) entry.of());
-            case FORGET -> endpoints.forget((Route) entry.of());
-            case KEY -> messages.advance((Key) entry.of());
+    private void runTimer(Timer entry) {
+        switch (entry.kind()) {
+            case DEADLINE -> messages.giveUp((Message) entry.subject());
+            case HEDGE -> hedging.maybeHedge((Attempt) entry.subject());
+            case DISPATCH -> memory.dispatchable.add((Destination) entry.subject());
+            case FORGET_ENDPOINT -> endpoints.forget((EndpointState) entry.subject());
+            case RELEASE_KEY -> messages.advance((OrderingKey) entry.subject());
         }
     }
 
@@ -134,7 +134,7 @@
         return memory.known(endpoint);
     }
 
-    /** Listed endpoints that get no ordinary traffic now: out by hand, or held to fail. */
+    /** Listed endpoints that get no ordinary traffic now: taken out by an operator, or unhealthy. */
     public int avoided() {
         return memory.avoided();
     }
--- a/src/main/java/brambletray/relay/control/Dispatch.java
+++ b/src/main/java/brambletray/relay/control/Dispatch.java
@@ -4,39 +4,39 @@
 import static brambletray.relay.control.Turn.SECOND;
 
 import brambletray.relay.control.Relay.Settings;
-import brambletray.relay.control.State.Band;
-import brambletray.relay.control.State.Dest;
-import brambletray.relay.control.State.Duty;
-import brambletray.relay.control.State.Msg;
-import brambletray.relay.control.State.Route;
+import brambletray.relay.control.State.Destination;
+import brambletray.relay.control.State.EndpointState;
+import brambletray.relay.control.State.Message;
+import brambletray.relay.control.State.TimerKind;
+import brambletray.relay.control.State.WaitingQueue;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
 import java.util.List;
 
-/** Dispatch: which waiting message goes next, and by which route. */
-record Dispatch(Settings set, Memory memory, Turn turn, SendGate gate, Copies copies) {
-    /** Priority: weight of the worth lost by another second of waiting against the worth itself. */
-    private static final double URGENCY = 2;
-    /** us; a waiting message is looked at again at least this often while its lane is limited. */
-    private static final long RECHECK = 500 * MS;
+/** Dispatch: which waiting message goes next, and by which endpoint. */
+record Dispatch(Settings settings, Memory memory, Turn turn, SendGate gate, Hedging hedging) {
+    /** Priority: weight of the value lost by another second of waiting against the value itself. */
+    private static final double URGENCY_WEIGHT = 2;
+    /** us; a waiting message is considered again at least this often while its limit scope is exhausted. */
+    private static final long RECHECK_INTERVAL_US = 500 * MS;
 
-    private record Pick(Msg msg, Route route, double priority) {}
+    private record Pick(Message message, EndpointState endpoint, double priority) {}
 
-    private double priority(Msg m) {
-        long when = turn.now + (long) m.dest.latest;
-        double soon = m.worth(when);
-        return soon + URGENCY * (soon - m.worth(when + SECOND));
+    private double priority(Message message) {
+        long when = turn.now + (long) message.destination.recentLatency;
+        double soon = message.valueAt(when);
+        return soon + URGENCY_WEIGHT * (soon - message.valueAt(when + SECOND));
     }
 
-    /** Sends what may go, best first. What cannot go is looked at again in time, or when something ends. */
+    /** Sends what may go, best first. What cannot go is considered again in time, or when a call ends. */
     void run() {
-        int slots = set.allowed().slots();
+        int slots = settings.allowed().slots();
         List<Pick> picks = new ArrayList<>();
-        for (var it = memory.active.iterator(); it.hasNext() && memory.slotsUsed < slots; ) {
-            Pick p = pick(it.next());
-            if (p != null) {
-                picks.add(p);
+        for (var it = memory.dispatchable.iterator(); it.hasNext() && memory.slotsUsed < slots; ) {
+            Pick pick = pick(it.next());
+            if (pick != null) {
+                picks.add(pick);
             } else {
                 it.remove();
             }
@@ -44,56 +44,59 @@
         while (!picks.isEmpty()) {
             Pick best = Collections.max(picks, Comparator.comparingDouble(Pick::priority));
             picks.remove(best);
-            if (gate.gate(best.msg, best.route, false) <= turn.now) {
-                gate.send(best.msg, best.route);
-                copies.earned(best.msg.dest);
+            if (gate.opensAt(best.message, best.endpoint, false) <= turn.now) {
+                gate.send(best.message, best.endpoint);
+                hedging.onSent(best.message.destination);
             }
-            Pick next = memory.slotsUsed < slots || gate.joins(best.route) ? pick(best.msg.dest) : null;
+            Pick next =
+                    memory.slotsUsed < slots || gate.joinsBatch(best.endpoint) ? pick(best.message.destination) : null;
             if (next != null) {
                 picks.add(next);
             }
         }
     }
 
-    /** The best message of a destination that can go now, with its route; else arranges another look. */
-    private Pick pick(Dest d) {
+    /** The best message of a destination that can go now, with its endpoint; else a timer is scheduled for it. */
+    private Pick pick(Destination destination) {
         Pick best = null;
-        long look = turn.now + RECHECK;
-        for (Band band : d.bands) {
-            Msg m = d.waiting > 0 ? head(band) : null;
-            double priority = m == null ? 0 : priority(m);
-            if (m == null || best != null && best.priority >= priority) {
+        long look = turn.now + RECHECK_INTERVAL_US;
+        for (WaitingQueue band : destination.queues) {
+            Message message = destination.queuedMessages > 0 ? nextOf(band) : null;
+            double priority = message == null ? 0 : priority(message);
+            if (message == null || best != null && best.priority >= priority) {
                 continue;
             }
-            Route choice = null;
+            EndpointState choice = null;
             double least = Double.MAX_VALUE;
-            for (Route r : d.routes.values()) {
-                long when = gate.gate(m, r, false);
-                double cost = when <= turn.now ? gate.cost(m, r) : least;
+            for (EndpointState endpoint : destination.endpoints.values()) {
+                long when = gate.opensAt(message, endpoint, false);
+                double cost = when <= turn.now ? gate.cost(message, endpoint) : least;
                 look = when <= turn.now ? look : Math.min(look, when);
                 if (cost < least) {
                     least = cost;
-                    choice = r;
+                    choice = endpoint;
                 }
             }
             if (choice != null) {
-                best = new Pick(m, choice, priority);
+                best = new Pick(message, choice, priority);
             }
         }
-        if (best == null && d.waiting > 0 && (d.lookAt <= turn.now || look < d.lookAt)) {
-            d.lookAt = look;
-            turn.at(look, Duty.LOOK, d);
+        if (best == null
+                && destination.queuedMessages > 0
+                && (destination.dispatchAt <= turn.now || look < destination.dispatchAt)) {
+            destination.dispatchAt = look;
+            turn.schedule(look, TimerKind.DISPATCH, destination);
         }
         return best;
     }
 
-    /** Of those that can make their aim the earliest aim goes first; past it the newest, worth most. */
-    private Msg head(Band band) {
-        for (Msg m = band.firstFresh(); m != null; m = band.firstFresh()) {
-            if (turn.now + (long) m.dest.latest <= m.aim) {
-                return m;
+    /** The earliest latency target that can still be met; if there is none the newest, whose value is highest. */
+    private Message nextOf(WaitingQueue band) {
+        for (Message message = band.firstOnTime(); message != null; message = band.firstOnTime()) {
+            if (turn.now + (long) message.destination.recentLatency <= message.targetTime) {
+                return message;
             }
-            band.late.addLast(band.fresh.pollFirst());
+            band.late.addLast(band.onTime.pollFirst());
         }
         return band.lastLate();
     }
--- a/src/main/java/brambletray/relay/control/Endpoints.java
+++ b/src/main/java/brambletray/relay/control/Endpoints.java
@@ -9,114 +9,125 @@
 import brambletray.relay.control.Relay.Listed;
 import brambletray.relay.control.Relay.Listing;
 import brambletray.relay.control.Relay.Settings;
-import brambletray.relay.control.State.Dest;
-import brambletray.relay.control.State.Duty;
+import brambletray.relay.control.State.Destination;
+import brambletray.relay.control.State.EndpointState;
 import brambletray.relay.control.State.Health;
-import brambletray.relay.control.State.Lane;
-import brambletray.relay.control.State.Route;
+import brambletray.relay.control.State.LimitScope;
+import brambletray.relay.control.State.TimerKind;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
 
 /** The list of endpoints, what operators take out of it, and what earlier modules knew of them. */
-record Endpoints(Settings set, Memory memory, Turn turn, Pace pace, Backoff backoff, Outages outages) {
-    /** us; an endpoint off the list is forgotten after this: past any wait or warm-up. */
-    private static final long FORGET = 60 * SECOND;
+record Endpoints(Settings settings, Memory memory, Turn turn, Pace pace, Backoff backoff, Outages outages) {
+    /** us; an endpoint off the list is forgotten after this: later than any retry-after time or slow start. */
+    private static final long FORGET_AFTER_US = 60 * SECOND;
 
-    Dest dest(long id) {
-        return memory.dests.computeIfAbsent(id, k -> new Dest(set.classes().size() * 3));
+    Destination destination(long id) {
+        return memory.destinations.computeIfAbsent(
+                id, k -> new Destination(settings.classes().size() * Messages.QUEUES_PER_CLASS));
     }
 
-    void listed(Listed e) {
-        Map<Long, Route> routes = memory.routes;
+    void onListed(Listed listed) {
+        Map<Long, EndpointState> routes = memory.endpoints;
         Set<Long> named = new HashSet<>();
-        for (Endpoint p : e.endpoints()) {
-            named.add(p.id());
-            Route r = routes.get(p.id());
-            if (r != null && p.listing() != Listing.GONE && r.dest != dest(p.destination())) {
+        for (Endpoint listedEndpoint : listed.endpoints()) {
+            named.add(listedEndpoint.id());
+            EndpointState endpoint = routes.get(listedEndpoint.id());
+            if (endpoint != null
+                    && listedEndpoint.listing() != Listing.GONE
+                    && endpoint.destination != destination(listedEndpoint.destination())) {
                 // Guards destinations against a number that stands for another host by now.
-                remove(r);
-                r = null;
+                remove(endpoint);
+                endpoint = null;
             }
-            if (p.listing() != Listing.GONE) {
-                r = r == null ? add(p) : r;
-                r.dest.routes.put(r.id, r);
-                r.ready = p.listing() == Listing.READY;
-                pace.listed(r.lane, p.weight());
-                memory.active.add(r.dest);
-            } else if (r != null) {
-                remove(r);
+            if (listedEndpoint.listing() != Listing.GONE) {
+                endpoint = endpoint == null ? add(listedEndpoint) : endpoint;
+                endpoint.destination.endpoints.put(endpoint.id, endpoint);
+                endpoint.ready = listedEndpoint.listing() == Listing.READY;
+                pace.onListed(endpoint.limitScope, listedEndpoint.weight());
+                memory.dispatchable.add(endpoint.destination);
+            } else if (endpoint != null) {
+                remove(endpoint);
             }
         }
-        if (e.kind() == ListKind.WHOLE) {
-            routes.values().stream().filter(r -> !named.contains(r.id)).forEach(this::remove);
+        if (listed.kind() == ListKind.FULL) {
+            routes.values().stream()
+                    .filter(endpoint -> !named.contains(endpoint.id))
+                    .forEach(this::remove);
         }
     }
 
-    private Route add(Endpoint p) {
-        Route r = new Route(p.id(), p.zone(), p.kind());
-        r.out = memory.excluded.contains(r.id);
-        r.dest = dest(p.destination());
-        r.dest.kind = p.kind();
-        boolean apart = set.kinds().get(p.kind()).apart();
-        r.lane = apart || r.dest.shared == null ? new Lane() : r.dest.shared;
-        r.dest.shared = apart ? r.dest.shared : r.lane;
-        if (r.lane.pace == 0) {
-            pace.start(r.lane, p.weight());
+    private EndpointState add(Endpoint listedEndpoint) {
+        EndpointState endpoint = new EndpointState(listedEndpoint.id(), listedEndpoint.zone(), listedEndpoint.kind());
+        endpoint.disabledByOperator = memory.excluded.contains(endpoint.id);
+        endpoint.destination = destination(listedEndpoint.destination());
+        endpoint.destination.kind = listedEndpoint.kind();
+        boolean apart = settings.kinds().get(listedEndpoint.kind()).apart();
+        endpoint.limitScope = apart || endpoint.destination.sharedLimitScope == null
+                ? new LimitScope()
+                : endpoint.destination.sharedLimitScope;
+        endpoint.destination.sharedLimitScope = apart ? endpoint.destination.sharedLimitScope : endpoint.limitScope;
+        if (endpoint.limitScope.pace == 0) {
+            pace.startLimitScope(endpoint.limitScope, listedEndpoint.weight());
         }
         // A new endpoint is cold, and the messages held for a failing destination would all go there at once.
-        if (!r.dest.routes.isEmpty() && !r.dest.sound()) {
-            outages.begin(r, true);
-            r.lastSent = turn.now;
+        if (!endpoint.destination.endpoints.isEmpty() && !endpoint.destination.hasHealthyEndpoint()) {
+            outages.markUnhealthy(endpoint, true);
+            endpoint.lastSentAt = turn.now;
         }
-        memory.routes.put(r.id, r);
-        return r;
+        memory.endpoints.put(endpoint.id, endpoint);
+        return endpoint;
     }
 
-    /** What comes back into use has been restarted, or was failing: trials first, then the return budget. */
-    void excluded(Excluded e) {
+    /** What comes back into use has been restarted, or was failing: probes first, then the return budget. */
+    void onExcluded(Excluded exclusion) {
         Set<Long> excluded = memory.excluded;
-        boolean changed = e.out() ? excluded.add(e.endpoint()) : excluded.remove(e.endpoint());
-        Route r = memory.routes.get(e.endpoint());
-        if (changed && r != null) {
-            r.out = e.out();
-            if (!r.out) {
-                outages.begin(r, true);
+        boolean changed = exclusion.out() ? excluded.add(exclusion.endpoint()) : excluded.remove(exclusion.endpoint());
+        EndpointState endpoint = memory.endpoints.get(exclusion.endpoint());
+        if (changed && endpoint != null) {
+            endpoint.disabledByOperator = exclusion.out();
+            if (!endpoint.disabledByOperator) {
+                outages.markUnhealthy(endpoint, true);
             }
-            memory.active.add(r.dest);
+            memory.dispatchable.add(endpoint.destination);
         }
     }
 
-    /** Guards hosts against relays that were killed: a wait goes on, what fails or is cold still does. */
-    void remembered(Route r, Known known) {
-        if (known.waitFor() > 0) {
-            backoff.remembered(r.lane, known.waitFor());
+    /**
+     * Guards hosts against relays that were killed: a retry-after time goes on, and so does an outage or a slow start.
+     */
+    void restore(EndpointState endpoint, Known known) {
+        if (known.retryAfter() > 0) {
+            backoff.restore(endpoint.limitScope, known.retryAfter());
         }
         if (known.limit() > 0) {
-            pace.remembered(r, known.limit(), known.pace());
+            pace.restore(endpoint, known.limit(), known.pace());
         }
-        if (known.failing() || known.warming() >= 0) {
-            outages.begin(r, true);
-            r.lastSent = turn.now;
+        if (known.isUnhealthy() || known.slowStartAge() >= 0) {
+            outages.markUnhealthy(endpoint, true);
+            endpoint.lastSentAt = turn.now;
         }
-        if (known.warming() >= 0) {
-            r.health = Health.RETURNING;
-            r.returnAt = turn.now - known.warming();
+        if (known.slowStartAge() >= 0) {
+            endpoint.health = Health.SLOW_START;
+            endpoint.slowStartAt = turn.now - known.slowStartAge();
         }
     }
 
-    /** Takes a route off; what is known of it is kept a while: waits and health outlast a gap. */
-    private void remove(Route r) {
-        r.ready = false;
-        if (r.dest.routes.remove(r.id) != null) {
-            r.goneAt = turn.now;
-            turn.at(turn.now + FORGET, Duty.FORGET, r);
+    /** Takes an endpoint off the list; its state is kept for a while, as waits and health outlast a gap. */
+    private void remove(EndpointState endpoint) {
+        endpoint.ready = false;
+        if (endpoint.destination.endpoints.remove(endpoint.id) != null) {
+            endpoint.removedAt = turn.now;
+            turn.schedule(turn.now + FORGET_AFTER_US, TimerKind.FORGET_ENDPOINT, endpoint);
         }
     }
 
-    void forget(Route r) {
-        if (r.goneAt + FORGET <= turn.now && r.inflight == 0 && !r.dest.routes.containsKey(r.id)) {
-            memory.routes.remove(r.id, r);
+    void forget(EndpointState endpoint) {
+        if (endpoint.removedAt + FORGET_AFTER_US <= turn.now
+                && endpoint.inflight == 0
+                && !endpoint.destination.endpoints.containsKey(endpoint.id)) {
+            memory.endpoints.remove(endpoint.id, endpoint);
         }
     }
 }
--- a/src/main/java/brambletray/relay/control/Memory.java
+++ b/src/main/java/brambletray/relay/control/Memory.java
@@ -1,12 +1,12 @@
 package brambletray.relay.control;
 
-import brambletray.relay.control.State.Bucket;
-import brambletray.relay.control.State.Dest;
-import brambletray.relay.control.State.Entry;
+import brambletray.relay.control.State.Destination;
+import brambletray.relay.control.State.EndpointState;
 import brambletray.relay.control.State.Health;
-import brambletray.relay.control.State.Key;
-import brambletray.relay.control.State.Msg;
-import brambletray.relay.control.State.Route;
+import brambletray.relay.control.State.Message;
+import brambletray.relay.control.State.OrderingKey;
+import brambletray.relay.control.State.Timer;
+import brambletray.relay.control.State.TokenBucket;
 import java.io.Serializable;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -24,48 +24,51 @@
  */
 public final class Memory implements Serializable {
     /** Of the form in which it is handed on. */
-    public static final long VERSION = 4;
+    public static final long VERSION = 5;
 
     private static final long serialVersionUID = VERSION;
 
-    final Map<String, Msg> messages = new HashMap<>();
-    final Map<String, Key> keys = new HashMap<>();
-    final Map<Long, Dest> dests = new TreeMap<>();
-    final Map<Long, Route> routes = new TreeMap<>();
-    /** Endpoints taken out by hand, listed or not. */
+    final Map<String, Message> messages = new HashMap<>();
+    final Map<String, OrderingKey> keys = new HashMap<>();
+    final Map<Long, Destination> destinations = new TreeMap<>();
+    final Map<Long, EndpointState> endpoints = new TreeMap<>();
+    /** Endpoints that operators have taken out, listed or not. */
     final Set<Long> excluded = new HashSet<>();
 
-    final Set<Dest> active = new LinkedHashSet<>();
-    final PriorityQueue<Entry> agenda = new PriorityQueue<>();
-    final Bucket[] shares;
-    /** us, by kind: how long idle connections are held (endpoints may take few), and trusted to be alive. */
-    final double[] holds;
+    final Set<Destination> dispatchable = new LinkedHashSet<>();
+    final PriorityQueue<Timer> timers = new PriorityQueue<>();
+    final TokenBucket[] tenantBuckets;
+    /** us, by kind: how long idle connections are held, as endpoints may accept few. */
+    final double[] holdTimes;
 
-    final double[] trusts;
-    /** By kind: the share of calls after a refusal that get in. */
-    final double[] eases;
-    /** By kind: whether some endpoint has told its limit in an answer, so that all that read a call do. */
-    final boolean[] tells;
-    /** us of the module's clock, at its last turn and its first, and counts. */
+    /** us, by kind: how long idle connections are trusted to be alive. */
+    final double[] trustTimes;
+    /** By kind: the share of calls after a refusal that are admitted. */
+    final double[] admissionShares;
+    /** By kind: whether some endpoint has reported its limit in an answer, so that all that read a call do. */
+    final boolean[] reportsLimits;
+    /** us of the module's clock at its last turn. */
     long now;
 
-    long beganAt;
-    long seq;
-    long turns;
+    /** us of the module's clock at its first turn. */
+    long startedAt;
+
+    long nextSequence;
+    long turnCount;
 
     int slotsUsed;
-    int open;
-    int logged;
-    double lost;
+    int openMessages;
+    int loggedLines;
+    double lostShare;
 
     Memory(int tenants, int kinds) {
-        shares = new Bucket[tenants];
-        Arrays.setAll(shares, i -> new Bucket());
-        holds = new double[kinds];
-        trusts = new double[kinds];
-        eases = new double[kinds];
-        Arrays.fill(eases, 1);
-        tells = new boolean[kinds];
+        tenantBuckets = new TokenBucket[tenants];
+        Arrays.setAll(tenantBuckets, i -> new TokenBucket());
+        holdTimes = new double[kinds];
+        trustTimes = new double[kinds];
+        admissionShares = new double[kinds];
+        Arrays.fill(admissionShares, 1);
+        reportsLimits = new boolean[kinds];
     }
 
     /** us of the clock of the module whose it was, at its last turn. */
@@ -74,31 +77,33 @@
     }
 
     /** The messages that are not over, each with the number of its attempts so far. */
-    public Map<String, Integer> open() {
+    public Map<String, Integer> openMessages() {
         Map<String, Integer> open = new HashMap<>();
-        messages.values().stream().filter(m -> !m.ended).forEach(m -> open.put(m.id, m.attempts.size()));
+        messages.values().stream()
+                .filter(message -> !message.isEnded)
+                .forEach(message -> open.put(message.id, message.attempts.size()));
         return open;
     }
 
     /** What another module would have to learn again of an endpoint; null where it is not held. */
-    Relay.Known known(long endpoint) {
-        Route r = routes.get(endpoint);
-        return r == null
+    Relay.Known known(long id) {
+        EndpointState endpoint = endpoints.get(id);
+        return endpoint == null
                 ? null
                 : new Relay.Known(
-                        Math.max(0, r.lane.waitUntil - now),
-                        r.health == Health.OUT && r.confirmed,
-                        r.health == Health.RETURNING ? now - r.returnAt : -1,
-                        r.lane.told ? r.lane.weight : 0,
-                        r.lane.pace);
+                        Math.max(0, endpoint.limitScope.waitUntil - now),
+                        endpoint.health == Health.UNHEALTHY && endpoint.outageConfirmed,
+                        endpoint.health == Health.SLOW_START ? now - endpoint.slowStartAt : -1,
+                        endpoint.limitScope.limitReported ? endpoint.limitScope.rate : 0,
+                        endpoint.limitScope.pace);
     }
 
-    /** Listed endpoints that are out by hand or held to fail. */
+    /** Listed endpoints that are taken out by an operator, or unhealthy. */
     int avoided() {
         int avoided = 0;
-        for (Dest d : dests.values()) {
-            for (Route r : d.routes.values()) {
-                avoided += r.out || r.health == Health.OUT ? 1 : 0;
+        for (Destination destination : destinations.values()) {
+            for (EndpointState endpoint : destination.endpoints.values()) {
+                avoided += endpoint.disabledByOperator || endpoint.health == Health.UNHEALTHY ? 1 : 0;
             }
         }
         return avoided;
@@ -107,7 +112,7 @@
     /** The endpoints that are on the list; of others it may know more than the list of hosts does. */
     public Set<Long> endpoints() {
         Set<Long> listed = new HashSet<>();
-        dests.values().forEach(d -> listed.addAll(d.routes.keySet()));
+        destinations.values().forEach(destination -> listed.addAll(destination.endpoints.keySet()));
         return listed;
     }
 }
--- a/src/main/java/brambletray/relay/control/Messages.java
+++ b/src/main/java/brambletray/relay/control/Messages.java
@@ -12,214 +12,237 @@
 import brambletray.relay.control.Relay.Refuse;
 import brambletray.relay.control.Relay.Settings;
 import brambletray.relay.control.State.Attempt;
-import brambletray.relay.control.State.Band;
-import brambletray.relay.control.State.Dest;
-import brambletray.relay.control.State.Duty;
-import brambletray.relay.control.State.Key;
-import brambletray.relay.control.State.Msg;
-import brambletray.relay.control.State.Route;
+import brambletray.relay.control.State.Destination;
+import brambletray.relay.control.State.EndpointState;
+import brambletray.relay.control.State.Message;
+import brambletray.relay.control.State.OrderingKey;
+import brambletray.relay.control.State.TimerKind;
+import brambletray.relay.control.State.WaitingQueue;
 
 /** The life of a message: taken on, queued, attempted, and ended by exactly one final answer. */
 record Messages(
-        Settings set, Memory memory, Turn turn, Endpoints endpoints, KeyOrder order, SendGate gate, Outcomes outcomes) {
+        Settings settings,
+        Memory memory,
+        Turn turn,
+        Endpoints endpoints,
+        KeyOrder keyOrder,
+        SendGate gate,
+        Outcomes outcomes) {
     /** us; span over which a relay measures its own usual rate to a destination. */
-    private static final long RATE_SPAN = 15 * SECOND;
+    private static final long RATE_WINDOW_US = 15 * SECOND;
     /** us; shortest time since the start by which that measurement divides. */
-    private static final long RATE_AGE = 3 * SECOND;
+    private static final long MIN_RATE_AGE_US = 3 * SECOND;
     /** s; a tenant inside its share may run ahead of it by this much. */
-    private static final double SHARE_BURST = 2;
+    private static final double SHARE_BURST_S = 2;
+    /** Waiting queues of each message class: of tenants inside their share, of others, of keyed repeats. */
+    static final int QUEUES_PER_CLASS = 3;
 
-    void accept(Accepted e) {
-        if (memory.messages.containsKey(e.id())) {
+    private static final int OVER_SHARE_QUEUE = 1;
+    private static final int REPEAT_QUEUE = 2;
+
+    void accept(Accepted accepted) {
+        if (memory.messages.containsKey(accepted.id())) {
             return;
         }
-        Dest d = endpoints.dest(e.destination());
-        d.mark(turn.now, RATE_SPAN, Math.max(RATE_AGE, turn.now - memory.beganAt));
-        Msg m = new Msg(e, set.classes().get(e.messageClass()), d, memory.seq++);
-        m.halving = set.halvingLate();
-        m.aim = aim(m);
-        boolean inShare = inShare(e.tenant());
-        m.band = e.messageClass() * 3 + (inShare ? 0 : 1);
-        m.full = m.cls.worth() * (inShare ? 1 : set.overShareWorth());
-        memory.messages.put(m.id, m);
-        memory.open++;
-        turn.at(m.deadline, Duty.DEADLINE, m);
-        if (m.cls.inOrder() && e.key() != null) {
-            order.join(m, e.key());
+        Destination destination = endpoints.destination(accepted.destination());
+        destination.countArrival(turn.now, RATE_WINDOW_US, Math.max(MIN_RATE_AGE_US, turn.now - memory.startedAt));
+        Message message = new Message(
+                accepted, settings.classes().get(accepted.messageClass()), destination, memory.nextSequence++);
+        message.halfLifeDecay = settings.halfLifeDecay();
+        message.targetTime = latencyTargetTime(message);
+        boolean inShare = inShare(accepted.tenant());
+        message.queueIndex = accepted.messageClass() * QUEUES_PER_CLASS + (inShare ? 0 : OVER_SHARE_QUEUE);
+        message.fullValue = message.messageClass.value() * (inShare ? 1 : settings.overShareValue());
+        memory.messages.put(message.id, message);
+        memory.openMessages++;
+        turn.schedule(message.deadline, TimerKind.DEADLINE, message);
+        if (message.messageClass.inOrder() && accepted.key() != null) {
+            keyOrder.enqueue(message, accepted.key());
         }
-        for (Earlier before : e.earlier()) {
-            m.attempts.add(recovered(m, before));
+        for (Earlier before : accepted.earlier()) {
+            message.attempts.add(recoveredAttempt(message, before));
         }
-        if (!m.attempts.isEmpty()
-                && (m.attempts.size() >= set.allowed().attempts()
-                        || m.cls.effect() == Effect.UNSAFE && m.mayHaveRun())) {
-            giveUp(m);
-        } else if (m.first()) {
-            enqueue(m);
+        if (!message.attempts.isEmpty()
+                && (message.attempts.size() >= settings.allowed().attempts()
+                        || message.messageClass.effect() == Effect.UNSAFE && message.mayHaveRun())) {
+            giveUp(message);
+        } else if (message.isHeadOfKey()) {
+            enqueue(message);
         }
-        if (memory.open >= set.allowed().open()) {
-            shed();
+        if (memory.openMessages >= settings.allowed().openMessages()) {
+            shedLoad();
         }
     }
 
     /**
-     * Until when a message has its full worth. Less than the class's time left mostly means that it was
-     * handed in before; less than even its aim, that its client never had more to give. Guards short messages
-     * against waiting behind all others as if late. It hurts where clients come again for the last time.
+     * Until when a message has its full value. Less than the class's time left mostly means that it was handed in
+     * before; less than even its latency target, that its client never had more to give. Guards short messages against
+     * waiting behind all others as if late. It hurts where clients come again for the last time.
      */
-    private long aim(Msg m) {
-        boolean brief = m.deadline - turn.now <= m.cls.aim();
-        return brief ? m.deadline : m.deadline - m.cls.life() + m.cls.aim();
+    private long latencyTargetTime(Message message) {
+        boolean brief = message.deadline - turn.now <= message.messageClass.latencyTarget();
+        return brief
+                ? message.deadline
+                : message.deadline - message.messageClass.lifetime() + message.messageClass.latencyTarget();
     }
 
     /** An attempt made before a restart; one that was out then may have run. */
-    private Attempt recovered(Msg m, Earlier before) {
-        Attempt a = new Attempt(m, new Route(0, before.zone(), 0), before.sent());
-        a.done = true;
-        a.maybeRan = before.mayHaveRun();
-        if (a.maybeRan) {
-            order.rest(m);
+    private Attempt recoveredAttempt(Message message, Earlier before) {
+        Attempt attempt = new Attempt(message, new EndpointState(0, before.zone(), 0), before.sent());
+        attempt.isDone = true;
+        attempt.mayHaveRun = before.mayHaveRun();
+        if (attempt.mayHaveRun) {
+            keyOrder.keepQuiet(message);
         }
-        return a;
+        return attempt;
     }
 
     private boolean inShare(int tenant) {
-        if (tenant >= memory.shares.length) {
+        if (tenant >= memory.tenantBuckets.length) {
             return true;
         }
-        double rate = set.tenants().get(tenant).quota() / set.relays();
-        memory.shares[tenant].fill(rate, rate * SHARE_BURST, turn.now);
-        return memory.shares[tenant].take();
+        double rate = settings.tenants().get(tenant).quota() / settings.relays();
+        memory.tenantBuckets[tenant].fill(rate, rate * SHARE_BURST_S, turn.now);
+        return memory.tenantBuckets[tenant].take();
     }
 
-    private void enqueue(Msg m) {
-        if (m.cls.effect() == Effect.KEYED && m.mayHaveRun()) {
-            m.band = m.band / 3 * 3 + 2;
+    private void enqueue(Message message) {
+        if (message.messageClass.effect() == Effect.KEYED && message.mayHaveRun()) {
+            message.queueIndex = message.queueIndex / QUEUES_PER_CLASS * QUEUES_PER_CLASS + REPEAT_QUEUE;
         }
-        m.queued = true;
-        m.dest.waiting++;
-        memory.active.add(m.dest);
-        m.dest.bands[m.band].fresh.add(m);
+        message.isQueued = true;
+        message.destination.queuedMessages++;
+        memory.dispatchable.add(message.destination);
+        message.destination.queues[message.queueIndex].onTime.add(message);
     }
 
-    private boolean mayRefuse(Msg m) {
-        return m.cls.effect() == Effect.SAFE || !m.mayHaveRun() || m.cls.effect() == Effect.KEYED && !m.cls.zoneGroup();
+    private boolean mayRefuse(Message message) {
+        return message.messageClass.effect() == Effect.SAFE
+                || !message.mayHaveRun()
+                || message.messageClass.effect() == Effect.KEYED && !message.messageClass.zoneGroup();
     }
 
     /** Ends a message for want of a better answer: handed back where the rules allow it, else failed. */
-    void giveUp(Msg m) {
-        if (m.ended) {
+    void giveUp(Message message) {
+        if (message.isEnded) {
             return;
         }
-        boolean back = mayRefuse(m) && turn.now < m.deadline;
-        turn.add(back ? new Refuse(m.id, comeBack(m.dest)) : new Fail(m.id));
-        close(m);
+        boolean back = mayRefuse(message) && turn.now < message.deadline;
+        turn.addAction(back ? new Refuse(message.id, retryAfter(message.destination)) : new Fail(message.id));
+        close(message);
     }
 
-    /** When to hand a refused message in again: once a route is open and those that wait have gone. */
-    private long comeBack(Dest d) {
-        long longest = set.allowed().longestAdvice();
-        long opens = d.routes.values().stream()
-                .filter(r -> !r.out)
-                .mapToLong(Route::closedUntil)
+    /** When to hand a refused message in again: once a endpoint is open and those that wait have gone. */
+    private long retryAfter(Destination destination) {
+        long longest = settings.allowed().longestAdvice();
+        long opens = destination.endpoints.values().stream()
+                .filter(endpoint -> !endpoint.disabledByOperator)
+                .mapToLong(EndpointState::closedUntil)
                 .min()
-                .orElse(d.routes.isEmpty() ? turn.now : turn.now + longest);
-        return Math.min(longest, Math.max(opens - turn.now, (long) queue(d)));
+                .orElse(destination.endpoints.isEmpty() ? turn.now : turn.now + longest);
+        return Math.min(longest, Math.max(opens - turn.now, (long) queueTime(destination)));
     }
 
     /** us; how long those that wait for a destination will take. */
-    private double queue(Dest d) {
-        return d.waiting / d.window * Math.max(d.latest, CopyDelay.FIRST_DELAY);
-    }
-
-    /** The message is over: nothing more goes out for it, and copies still out are called off. */
-    void close(Msg m) {
-        memory.open -= m.ended ? 0 : 1;
-        m.ended = true;
-        m.dest.waiting -= m.queued ? 1 : 0;
-        m.queued = false;
-        for (int i = 0; i < m.attempts.size(); i++) {
-            Attempt a = m.attempts.get(i);
-            if (!a.done && !a.cancelled && set.allowed().cancel()) {
-                a.cancelled = true;
-                turn.add(new Cancel(m.id, i));
+    private double queueTime(Destination destination) {
+        return destination.queuedMessages
+                / destination.window
+                * Math.max(destination.recentLatency, HedgeDelay.INITIAL_DELAY_US);
+    }
+
+    /** The message is over: nothing more goes out for it, and hedges still out are called off. */
+    void close(Message message) {
+        memory.openMessages -= message.isEnded ? 0 : 1;
+        message.isEnded = true;
+        message.destination.queuedMessages -= message.isQueued ? 1 : 0;
+        message.isQueued = false;
+        for (int i = 0; i < message.attempts.size(); i++) {
+            Attempt attempt = message.attempts.get(i);
+            if (!attempt.isDone && !attempt.isCancelled && settings.allowed().cancel()) {
+                attempt.isCancelled = true;
+                turn.addAction(new Cancel(message.id, i));
             }
         }
-        settle(m);
+        forgetIfEnded(message);
     }
 
     /** Forgets an ended message once its last attempt is known, and lets the next of its key go. */
-    private void settle(Msg m) {
-        if (!m.ended || m.open > 0) {
+    private void forgetIfEnded(Message message) {
+        if (!message.isEnded || message.openAttempts > 0) {
             return;
         }
-        memory.messages.remove(m.id);
-        if (m.key != null) {
-            advance(m.key);
+        memory.messages.remove(message.id);
+        if (message.key != null) {
+            advance(message.key);
         }
     }
 
-    void advance(Key key) {
-        Msg next = order.advance(key);
+    void advance(OrderingKey key) {
+        Message next = keyOrder.advance(key);
         if (next != null) {
             enqueue(next);
         }
     }
 
-    void attemptEnded(Ended e) {
-        Msg m = memory.messages.get(e.id());
-        if (m == null || e.attempt() < 0 || e.attempt() >= m.attempts.size() || m.attempts.get(e.attempt()).done) {
+    void onAttemptEnded(Ended ended) {
+        Message message = memory.messages.get(ended.id());
+        if (message == null
+                || ended.attempt() < 0
+                || ended.attempt() >= message.attempts.size()
+                || message.attempts.get(ended.attempt()).isDone) {
             return;
         }
-        Attempt a = m.attempts.get(e.attempt());
-        a.done = true;
-        a.maybeRan = !e.outcome().neverRan();
-        gate.free(a);
-        outcomes.observe(a, e);
-        if (e.outcome() == Outcome.TIMEOUT || e.outcome() == Outcome.RESET || e.outcome() == Outcome.CANCELLED) {
-            order.rest(m);
-        }
-        if (!m.ended && (e.over() || e.outcome() == Outcome.OK)) {
-            close(m);
-        } else if (!m.ended && m.open == 0) {
-            afterFailure(m);
+        Attempt attempt = message.attempts.get(ended.attempt());
+        attempt.isDone = true;
+        attempt.mayHaveRun = !ended.outcome().neverRan();
+        gate.release(attempt);
+        outcomes.observe(attempt, ended);
+        if (ended.outcome() == Outcome.TIMEOUT
+                || ended.outcome() == Outcome.RESET
+                || ended.outcome() == Outcome.CANCELLED) {
+            keyOrder.keepQuiet(message);
+        }
+        if (!message.isEnded && (ended.over() || ended.outcome() == Outcome.OK)) {
+            close(message);
+        } else if (!message.isEnded && message.openAttempts == 0) {
+            afterFailure(message);
         } else {
-            settle(m);
+            forgetIfEnded(message);
         }
     }
 
     /** No attempt is out and none has delivered: wait for another, or end. */
-    private void afterFailure(Msg m) {
-        boolean spent = m.attempts.size() >= set.allowed().attempts() || turn.now >= m.deadline;
-        if (spent || m.cls.effect() == Effect.UNSAFE && m.mayHaveRun()) {
-            giveUp(m);
+    private void afterFailure(Message message) {
+        boolean spent = message.attempts.size() >= settings.allowed().attempts() || turn.now >= message.deadline;
+        if (spent || message.messageClass.effect() == Effect.UNSAFE && message.mayHaveRun()) {
+            giveUp(message);
         } else {
-            enqueue(m);
+            enqueue(message);
         }
     }
 
     /** Handed back only if it has not been sent: its client may come again with it. */
-    void recalled(Msg m) {
-        if (m.queued && m.attempts.isEmpty()) {
-            giveUp(m);
+    void onRecalled(Message message) {
+        if (message.isQueued && message.attempts.isEmpty()) {
+            giveUp(message);
         }
     }
 
     /** The hold is full: give back the waiting message that has least left to gain. */
-    private void shed() {
-        Msg worst = null;
+    private void shedLoad() {
+        Message worst = null;
         double least = Double.MAX_VALUE;
-        for (Dest d : memory.dests.values()) {
-            if (d.waiting == 0) {
+        for (Destination destination : memory.destinations.values()) {
+            if (destination.queuedMessages == 0) {
                 continue;
             }
-            long gone = turn.now + (long) queue(d);
-            for (Band band : d.bands) {
-                Msg m = band.firstLate() != null ? band.firstLate() : band.lastFresh();
-                double left = m != null && mayRefuse(m) ? m.worth(gone) : least;
+            long gone = turn.now + (long) queueTime(destination);
+            for (WaitingQueue band : destination.queues) {
+                Message message = band.firstLate() != null ? band.firstLate() : band.lastOnTime();
+                double left = message != null && mayRefuse(message) ? message.valueAt(gone) : least;
                 if (left < least) {
                     least = left;
-                    worst = m;
+                    worst = message;
                 }
             }
         }
--- a/src/main/java/brambletray/relay/control/Outages.java
+++ b/src/main/java/brambletray/relay/control/Outages.java
@@ -10,91 +10,94 @@
 import brambletray.relay.control.Relay.Settings;
 import brambletray.relay.control.Relay.Weights;
 import brambletray.relay.control.State.Attempt;
+import brambletray.relay.control.State.EndpointState;
 import brambletray.relay.control.State.Health;
-import brambletray.relay.control.State.Route;
 import java.util.SplittableRandom;
 
 /**
- * Outages and returns: what counts as a failure, when failures are an outage, and the way back: trials, then
- * a ramp within the budget of what a cold route bears.
+ * Outages and returns: what counts as a failure, when failures are an outage, and the way back: probes, then
+ * a slow start within the budget of what a cold endpoint bears.
  */
-record Outages(Settings set, SplittableRandom random, Turn turn, Pace pace, Backoff backoff, Connections connections) {
+record Outages(
+        Settings settings, SplittableRandom random, Turn turn, Pace pace, Backoff backoff, Connections connections) {
     /** Failures in a row that mean an outage. */
-    private static final int OUTAGE_RUN = 3;
+    private static final int OUTAGE_FAILURES = 3;
     /** Share of failed recent calls that means an outage. */
-    private static final double OUTAGE_SHARE = 0.6;
+    private static final double OUTAGE_FAILURE_SHARE = 0.6;
     /** Weight of a new outcome in that share. */
     private static final double OUTCOME_WEIGHT = 0.2;
     /** New connections in a row that broke with no answer between, from which on the host is held to fail. */
-    private static final int BROKEN_RUN = 4;
-    /** us; a route that answered within this is not yet taken for failing. */
-    private static final long SILENT = 700 * MS;
-    /** us; a sibling of a failing route that answered a call sent this long before is not suspected. */
-    private static final long SUSPECT = 500 * MS;
-    /** us; shortest time between trials of a route. */
-    private static final long TRIAL_GAP = 400 * MS;
-    /** us; a suspicion that is cleared within this time is followed by no ramp. */
-    private static final long SUSPICION = 2 * SECOND;
+    private static final int OUTAGE_RESETS = 4;
+    /** us; a endpoint that answered within this is not yet taken for failing. */
+    private static final long SILENCE_US = 700 * MS;
+    /** us; a peer of a failing endpoint that answered a call sent this long before is not suspected. */
+    private static final long SUSPICION_WINDOW_US = 500 * MS;
+    /** us; shortest time between probes of a endpoint. */
+    private static final long PROBE_INTERVAL_US = 400 * MS;
+    /** us; a suspicion that is cleared within this time is followed by no slow start. */
+    private static final long MAX_SUSPICION_US = 2 * SECOND;
     /** Part of the return budget used: leaves room for chance and for calls already under way. */
-    private static final double BUDGET_USED = 0.95;
-    /** Part used of an even share of a told limit: what a destination can do is over its limit by some. */
-    private static final double TOLD_USED = 0.8;
+    private static final double BUDGET_SHARE = 0.95;
+    /** Part used of an even share of a reported limit: what a destination can do is over its limit by some. */
+    private static final double REPORTED_LIMIT_SHARE = 0.8;
     /** A rough weight may be this much over the truth. */
-    private static final double ROUGH_OVER = 1.5;
+    private static final double ROUGH_WEIGHT_FACTOR = 1.5;
 
-    void answered(Attempt a) {
-        Route r = a.route;
-        r.lastOk = turn.now;
-        r.lastOkSent = Math.max(r.lastOkSent, a.sent);
-        r.failing *= 1 - OUTCOME_WEIGHT;
-        // A quiet route sees one failure of an outage: a suspicion not cleared at once ends in a ramp too.
-        r.confirmed |= r.health == Health.OUT && a.sent - r.outSince > SUSPICION;
-        if (r.health != Health.OUT || a.sent >= r.outSince) {
-            r.failRun = 0;
-        }
-        if (r.health == Health.OUT && a.sent >= r.outSince) {
-            r.health = r.confirmed ? Health.RETURNING : Health.GOOD;
-            r.returnAt = turn.now;
-            if (r.confirmed) {
-                turn.log(r, "answers again, held to the return budget");
+    void onAnswered(Attempt attempt) {
+        EndpointState endpoint = attempt.endpoint;
+        endpoint.lastSuccessAt = turn.now;
+        endpoint.lastSuccessSentAt = Math.max(endpoint.lastSuccessSentAt, attempt.sentAt);
+        endpoint.failureShare *= 1 - OUTCOME_WEIGHT;
+        // A quiet endpoint sees one failure of an outage: a suspicion not cleared at once ends in a slow start too.
+        endpoint.outageConfirmed |=
+                endpoint.health == Health.UNHEALTHY && attempt.sentAt - endpoint.unhealthySince > MAX_SUSPICION_US;
+        if (endpoint.health != Health.UNHEALTHY || attempt.sentAt >= endpoint.unhealthySince) {
+            endpoint.consecutiveFailures = 0;
+        }
+        if (endpoint.health == Health.UNHEALTHY && attempt.sentAt >= endpoint.unhealthySince) {
+            endpoint.health = endpoint.outageConfirmed ? Health.SLOW_START : Health.HEALTHY;
+            endpoint.slowStartAt = turn.now;
+            if (endpoint.outageConfirmed) {
+                turn.log(endpoint, "answers again, held to the return budget");
             }
         }
     }
 
     /**
-     * Guards routes, and the windows of their destinations, against calls that are lost and messages that
+     * Guards endpoints, and the windows of their destinations, against calls that are lost and messages that
      * take long wherever they go: where the host has answered a call sent later, or the message timed out
      * before, a time-out says nothing of the host. It covers calls stuck behind others too. It hurts where a
-     * host drops some calls and answers the rest: those cost their patience and no outage is seen.
+     * host drops some calls and answers the rest: those cost their time-out and no outage is seen.
      */
-    void timedOut(Attempt a, boolean news) {
-        boolean notTheHost = a.msg.timeouts++ > 0 || a.sent < a.route.lastOkSent;
-        if (news) {
-            connections.doubt(a);
+    void onTimeout(Attempt attempt, boolean firstOfCall) {
+        boolean notTheHost = attempt.message.timeouts++ > 0 || attempt.sentAt < attempt.endpoint.lastSuccessSentAt;
+        if (firstOfCall) {
+            connections.distrustIdle(attempt);
         }
-        if (news && !notTheHost) {
-            Window.halve(a.route.dest);
-            failed(a);
+        if (firstOfCall && !notTheHost) {
+            ConcurrencyWindow.halve(attempt.endpoint.destination);
+            onFailure(attempt);
         }
     }
 
     /**
-     * Guards routes against being taken for failing, and then held to the return budget as long as a cold
+     * Guards endpoints against being taken for failing, and then held to the return budget as long as a cold
      * one, because connections break. A kept one that is reset (dropped by what lies between, closed as the
      * call went out, lost with a process that is up again) says nothing of the host; new ones do once some in
      * a row broke. A host that is down refuses new connections, which counts at once. It hurts where a host
      * dies of each call that it reads: that costs a few calls more.
      */
-    void broken(Attempt a, Ended e) {
-        Route r = a.route;
-        boolean reused = e.reused();
-        if (e.outcome() == Outcome.RESET) {
-            connections.doubt(a);
-        }
-        r.broken += !reused && a.sent >= r.lastOkSent ? 1 : 0;
-        if (!reused && r.broken >= BROKEN_RUN) {
-            failed(a);
-            r.backoffUntil = turn.now + backoff.span(r.dest, r.failRun, 0);
+    void onReset(Attempt attempt, Ended ended) {
+        EndpointState endpoint = attempt.endpoint;
+        boolean reused = ended.reused();
+        if (ended.outcome() == Outcome.RESET) {
+            connections.distrustIdle(attempt);
+        }
+        endpoint.consecutiveResets += !reused && attempt.sentAt >= endpoint.lastSuccessSentAt ? 1 : 0;
+        if (!reused && endpoint.consecutiveResets >= OUTAGE_RESETS) {
+            onFailure(attempt);
+            endpoint.backoffUntil =
+                    turn.now + backoff.backoffSpan(endpoint.destination, endpoint.consecutiveFailures, 0);
         }
     }
 
@@ -102,108 +105,113 @@
      * A host that is down refuses connects at once, at no cost: it is tried again soon, within the return
      * budget. Guards against learning of a return only after back-offs that grew while it was down.
      */
-    void connectFailed(Attempt a, long latency) {
-        Route r = a.route;
-        connections.cutHold(r);
-        failed(a);
-        long pause = backoff.span(r.dest, r.failRun, 0);
-        if (r.health == Health.OUT && latency < TRIAL_GAP) {
-            pause = Math.min(pause, (long) (TRIAL_GAP * (0.5 + random.nextDouble())));
-        }
-        r.backoffUntil = turn.now + pause;
+    void onConnectFailed(Attempt attempt, long latency) {
+        EndpointState endpoint = attempt.endpoint;
+        connections.shortenHoldTime(endpoint);
+        onFailure(attempt);
+        long pause = backoff.backoffSpan(endpoint.destination, endpoint.consecutiveFailures, 0);
+        if (endpoint.health == Health.UNHEALTHY && latency < PROBE_INTERVAL_US) {
+            pause = Math.min(pause, (long) (PROBE_INTERVAL_US * (0.5 + random.nextDouble())));
+        }
+        endpoint.backoffUntil = turn.now + pause;
     }
 
     /** A failed call counts only while no call sent after it has been answered, or once failures prevail. */
-    void failed(Attempt a) {
-        Route r = a.route;
-        r.failing += OUTCOME_WEIGHT * (1 - r.failing);
-        boolean prevails = r.failing >= OUTAGE_SHARE;
-        if (a.sent >= r.lastOkSent) {
-            r.failRun++;
-        }
-        // A busy route that fails part of its calls answers the others: no outage while answers are recent.
-        boolean silent = turn.now - r.lastOk >= SILENT;
-        boolean trial = r.health == Health.OUT && a.sent >= r.outSince;
-        if (prevails || trial || silent && r.failRun >= OUTAGE_RUN) {
-            begin(r, true);
-        } else if (r.failRun > 0 && silent && r.health != Health.RETURNING) {
-            begin(r, false);
+    void onFailure(Attempt attempt) {
+        EndpointState endpoint = attempt.endpoint;
+        endpoint.failureShare += OUTCOME_WEIGHT * (1 - endpoint.failureShare);
+        boolean prevails = endpoint.failureShare >= OUTAGE_FAILURE_SHARE;
+        if (attempt.sentAt >= endpoint.lastSuccessSentAt) {
+            endpoint.consecutiveFailures++;
+        }
+        // A busy endpoint that fails part of its calls answers the others: no outage while answers are recent.
+        boolean silent = turn.now - endpoint.lastSuccessAt >= SILENCE_US;
+        boolean trial = endpoint.health == Health.UNHEALTHY && attempt.sentAt >= endpoint.unhealthySince;
+        if (prevails || trial || silent && endpoint.consecutiveFailures >= OUTAGE_FAILURES) {
+            markUnhealthy(endpoint, true);
+        } else if (endpoint.consecutiveFailures > 0 && silent && endpoint.health != Health.SLOW_START) {
+            markUnhealthy(endpoint, false);
         }
     }
 
-    /** Trials only. One failure is a suspicion, which one answer clears; an outage ends in a ramp. */
-    void begin(Route r, boolean confirmed) {
-        if (r.health != Health.OUT) {
-            r.confirmed = false;
-            r.outSince = turn.now;
-            r.spacing = 2 * random.nextDouble();
-        }
-        r.health = Health.OUT;
-        if (confirmed && !r.confirmed) {
-            r.confirmed = true;
-            connections.takeCutsBack(r);
-            turn.log(r, "fails or refuses, trials only");
-            // Routes of a destination mostly fail together: those not heard from must answer a trial.
-            for (Route other : r.dest.routes.values()) {
-                boolean silent = other.lastOkSent < r.outSince - SUSPECT;
-                if (other.lane == r.lane && other.health == Health.GOOD && silent) {
-                    begin(other, false);
+    /** Probes only. One failure is a suspicion, which one answer clears; an outage ends in a slow start. */
+    void markUnhealthy(EndpointState endpoint, boolean confirmed) {
+        if (endpoint.health != Health.UNHEALTHY) {
+            endpoint.outageConfirmed = false;
+            endpoint.unhealthySince = turn.now;
+            endpoint.spacing = 2 * random.nextDouble();
+        }
+        endpoint.health = Health.UNHEALTHY;
+        if (confirmed && !endpoint.outageConfirmed) {
+            endpoint.outageConfirmed = true;
+            connections.restoreHoldTime(endpoint);
+            turn.log(endpoint, "fails or refuses, trials only");
+            // Endpoints of a destination mostly fail together: those not heard from must answer a probe.
+            for (EndpointState other : endpoint.destination.endpoints.values()) {
+                boolean silent = other.lastSuccessSentAt < endpoint.unhealthySince - SUSPICION_WINDOW_US;
+                if (other.limitScope == endpoint.limitScope && other.health == Health.HEALTHY && silent) {
+                    markUnhealthy(other, false);
                 }
             }
         }
     }
 
-    /** When the route may take another message: waits, back-off, pace; after failures, trials or ramp. */
-    long opens(Route r, boolean joins) {
-        long when = r.closedUntil();
-        if (r.health == Health.RETURNING && turn.now - r.returnAt >= set.rules().cold()) {
-            r.health = Health.GOOD;
-            r.failing = 0;
-            turn.log(r, "warm again");
-        }
-        if (r.health == Health.OUT) {
-            if (r.trials > 0) {
+    /** When the endpoint may take another message: waits, back-off, pace; after failures, probes or slow start. */
+    long opensAt(EndpointState endpoint, boolean joins) {
+        long when = endpoint.closedUntil();
+        if (endpoint.health == Health.SLOW_START
+                && turn.now - endpoint.slowStartAt >= settings.rules().cold()) {
+            endpoint.health = Health.HEALTHY;
+            endpoint.failureShare = 0;
+            turn.log(endpoint, "warm again");
+        }
+        if (endpoint.health == Health.UNHEALTHY) {
+            if (endpoint.probesInFlight > 0) {
                 return NEVER;
             }
-            when = Math.max(when, r.outSince + TRIAL_GAP);
+            when = Math.max(when, endpoint.unhealthySince + PROBE_INTERVAL_US);
         }
-        if (r.health != Health.GOOD && r.confirmed && !joins) {
-            when = Math.max(when, budgetAt(r));
+        if (endpoint.health != Health.HEALTHY && endpoint.outageConfirmed && !joins) {
+            when = Math.max(when, budgetOpensAt(endpoint));
         }
-        long token = pace.tokenAt(r.lane);
+        long token = pace.nextTokenAt(endpoint.limitScope);
         return joins ? when : Math.max(when, token);
     }
 
     /**
-     * The earliest time for another call within this relay's part of what a cold route bears: an even one of
-     * a rate that answers told. Of a listed rate it is the mean of an even one and of what this relay usually
+     * The earliest time for another call within this relay's part of what a cold endpoint bears: an even one of
+     * a rate that answers reported. Of a listed rate it is the mean of an even one and of what this relay usually
      * sends: hundreds that each scale their own fit together.
      */
-    private long budgetAt(Route r) {
-        Rules rules = set.rules();
+    private long budgetOpensAt(EndpointState endpoint) {
+        Rules rules = settings.rules();
         double warm = rules.coldFrom();
-        if (r.health == Health.RETURNING) {
-            double age = Math.max(0, turn.now - r.returnAt - rules.tipAfter() / 2);
+        if (endpoint.health == Health.SLOW_START) {
+            double age = Math.max(0, turn.now - endpoint.slowStartAt - rules.tipAfter() / 2);
             warm += (1 - warm) * Math.min(1, age / Math.max(1, rules.cold()));
         }
-        int routes = Math.max(1, r.dest.routes.size());
-        double usual = r.dest.usualRate / routes;
-        // A lane of one route has a rate of its own; only one that the routes share is split among them.
-        double even = Pace.rate(r.lane) / set.relays() / (r.dest.shared == r.lane ? routes : 1);
-        double listed = even / (set.weights() == Weights.ROUGH ? ROUGH_OVER : 1);
-        // Guards places of which no rate is known against a part of any size: what is usual there must do.
-        double part = r.lane.told ? TOLD_USED * even : r.lane.rated ? (listed + usual) / 2 : usual;
-        double rate = Math.max(Backoff.RATE_LEAST, BUDGET_USED * rules.fallMultiple() * warm * part);
-        return Math.max(r.lane.waitUntil, r.lastSent) + (long) (r.spacing * SECOND / rate);
+        int routes = Math.max(1, endpoint.destination.endpoints.size());
+        double usual = endpoint.destination.usualRate / routes;
+        // A limit scope of one endpoint has a rate of its own; only one that the endpoints share is split among them.
+        double even = Pace.rate(endpoint.limitScope)
+                / settings.relays()
+                / (endpoint.destination.sharedLimitScope == endpoint.limitScope ? routes : 1);
+        double listed = even / (settings.weights() == Weights.ROUGH ? ROUGH_WEIGHT_FACTOR : 1);
+        // Guards hosts of which no rate is known against a share of any size: what is usual there must do.
+        double part = endpoint.limitScope.limitReported
+                ? REPORTED_LIMIT_SHARE * even
+                : endpoint.limitScope.hasRate ? (listed + usual) / 2 : usual;
+        double rate = Math.max(Backoff.MIN_RATE_PER_S, BUDGET_SHARE * rules.fallMultiple() * warm * part);
+        return Math.max(endpoint.limitScope.waitUntil, endpoint.lastSentAt) + (long) (endpoint.spacing * SECOND / rate);
     }
 
-    /** A call goes out: in an outage it is a trial. */
-    void sent(Route r, Attempt a) {
-        r.lastSent = turn.now;
-        r.spacing = 0.5 + random.nextDouble();
-        if (r.health == Health.OUT) {
-            r.trials++;
-            a.trial = true;
+    /** A call goes out: in an outage it is a probe. */
+    void onSent(EndpointState endpoint, Attempt attempt) {
+        endpoint.lastSentAt = turn.now;
+        endpoint.spacing = 0.5 + random.nextDouble();
+        if (endpoint.health == Health.UNHEALTHY) {
+            endpoint.probesInFlight++;
+            attempt.isProbe = true;
         }
     }
 }
--- a/src/main/java/brambletray/relay/control/Outcomes.java
+++ b/src/main/java/brambletray/relay/control/Outcomes.java
@@ -3,57 +3,62 @@
 import brambletray.relay.control.Relay.Ended;
 import brambletray.relay.control.Relay.Outcome;
 import brambletray.relay.control.State.Attempt;
+import brambletray.relay.control.State.EndpointState;
 import brambletray.relay.control.State.Health;
-import brambletray.relay.control.State.Route;
 
-/** Learning: what each outcome of a call tells of its destination, lane, route and connections. */
+/** Learning: what each outcome of a call tells of its destination, limit scope, endpoint and connections. */
 record Outcomes(
-        AnswerTimes times, Window window, Pace pace, Backoff backoff, Connections connections, Outages outages) {
+        AnswerTimes times,
+        ConcurrencyWindow window,
+        Pace pace,
+        Backoff backoff,
+        Connections connections,
+        Outages outages) {
     /** Learns from how an attempt ended. */
-    void observe(Attempt a, Ended e) {
-        Route r = a.route;
-        Outcome outcome = e.outcome();
+    void observe(Attempt attempt, Ended ended) {
+        EndpointState endpoint = attempt.endpoint;
+        Outcome outcome = ended.outcome();
         // Messages of one call mostly fare alike: what tells of its host is counted once.
-        boolean news = a.call.told.add(outcome);
-        boolean noPlace = outcome == Outcome.FULL && connections.noPlace(a, e);
-        if (a.again && (outcome == Outcome.OK || outcome == Outcome.FULL && !noPlace)) {
-            backoff.learn(a, outcome == Outcome.OK);
+        boolean firstOfCall = attempt.call.outcomes.add(outcome);
+        boolean outOfCapacity = outcome == Outcome.FULL && connections.isOutOfCapacity(attempt, ended);
+        if (attempt.followsRefusal && (outcome == Outcome.OK || outcome == Outcome.FULL && !outOfCapacity)) {
+            backoff.learnAdmission(attempt, outcome == Outcome.OK);
         }
         if (outcome == Outcome.OK) {
-            times.answered(a, e.latency());
-            connections.answered(a);
-            window.grow(r.dest);
-            backoff.answered(r);
-            pace.answered(r.lane);
-            outages.answered(a);
+            times.onAnswered(attempt, ended.latency());
+            connections.onAnswered(attempt);
+            window.grow(endpoint.destination);
+            backoff.onAnswered(endpoint);
+            pace.onAnswered(endpoint.limitScope);
+            outages.onAnswered(attempt);
         } else if (outcome == Outcome.TIMEOUT) {
-            outages.timedOut(a, news);
-        } else if (noPlace && news) {
-            connections.turnedAway(a);
-        } else if (news) {
-            failed(a, e);
+            outages.onTimeout(attempt, firstOfCall);
+        } else if (outOfCapacity && firstOfCall) {
+            connections.onOutOfCapacity(attempt);
+        } else if (firstOfCall) {
+            onFailed(attempt, ended);
         }
-        backoff.waits(r.lane, e.waitFor());
+        backoff.onRetryAfter(endpoint.limitScope, ended.retryAfter());
         if (outcome == Outcome.OK || outcome == Outcome.FULL || outcome == Outcome.ERROR) {
-            r.broken = 0;
+            endpoint.consecutiveResets = 0;
         }
-        if (e.limit() > 0) {
-            pace.told(r, e.limit(), e.left());
+        if (ended.limit() > 0) {
+            pace.onLimitReported(endpoint, ended.limit(), ended.remaining());
         }
     }
 
-    private void failed(Attempt a, Ended e) {
-        Route r = a.route;
-        switch (e.outcome()) {
+    private void onFailed(Attempt attempt, Ended ended) {
+        EndpointState endpoint = attempt.endpoint;
+        switch (ended.outcome()) {
             case FULL -> {
-                Window.halve(r.dest);
-                if (backoff.refused(a, e.waitFor()) || r.health == Health.OUT) {
-                    outages.begin(r, true);
+                ConcurrencyWindow.halve(endpoint.destination);
+                if (backoff.onRefused(attempt, ended.retryAfter()) || endpoint.health == Health.UNHEALTHY) {
+                    outages.markUnhealthy(endpoint, true);
                 }
             }
-            case CONNECT_FAILED -> outages.connectFailed(a, e.latency());
-            case CONNECT_RESET, RESET -> outages.broken(a, e);
-            case ERROR -> outages.failed(a);
+            case CONNECT_FAILED -> outages.onConnectFailed(attempt, ended.latency());
+            case CONNECT_RESET, RESET -> outages.onReset(attempt, ended);
+            case ERROR -> outages.onFailure(attempt);
             default -> {}
         }
     }
--- a/src/main/java/brambletray/relay/control/Relay.java
+++ b/src/main/java/brambletray/relay/control/Relay.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * The interface of {@link Control}: its settings, the events it is told and the actions it asks for.
+ * The interface of {@link Control}: its settings, the events that it takes and the actions that it asks for.
  * Times are points of one monotonic clock and spans of it, in whole microseconds. Ids are the caller's own.
  * This file decides nothing.
  */
@@ -51,7 +51,7 @@
     /** How a list of endpoints relates to the one held: changes only, or all there is. */
     public enum ListKind {
         CHANGES,
-        WHOLE
+        FULL
     }
 
     /** One address of a destination; the weight is the listed rate in calls a second, or 1. */
@@ -60,20 +60,20 @@
     /** A class of message. {@code zoneGroup}: repeats are dropped only by endpoints of one zone. */
     public record MessageClass(
             String name,
-            long aim,
-            long life,
-            double worth,
-            double lateWorth,
+            long latencyTarget,
+            long lifetime,
+            double value,
+            double lateValue,
             Effect effect,
             boolean zoneGroup,
-            long window,
+            long dedupWindow,
             boolean inOrder)
             implements Serializable {}
 
     /** A tenant and its rate of messages, over all relays, that counts in full. */
     public record Tenant(String name, double quota) {}
 
-    /** A kind of destination: whether its endpoints are routes apart; messages in one call at most. */
+    /** A kind of destination: whether each of its endpoints has limits of its own; messages in one call at most. */
     public record Kind(boolean apart, int bundle) {}
 
     /** Listed weights: none, exact, or up to half too high or too low. */
@@ -86,9 +86,9 @@
     /** What the site lets a relay do. */
     public record Allowed(
             int slots,
-            int open,
+            int openMessages,
             int attempts,
-            boolean copies,
+            boolean hedging,
             boolean cancel,
             int streams,
             long connectTimeout,
@@ -105,16 +105,16 @@
             long keyRest,
             long answerSlack) {}
 
-    /** Points taken off: per refused call, new connection, crossing; a fee for each zone's routes. */
+    /** Points taken off: per refused call, new connection, crossing; a fee for each zone's endpoints. */
     public record Prices(double refusal, double handshake, double crossZone, double waste, List<Double> zoneFee) {}
 
-    /** All that a relay is told at its start. */
+    /** All settings of a relay. */
     public record Settings(
             int rank,
             int relays,
             int zone,
-            boolean halvingLate,
-            double overShareWorth,
+            boolean halfLifeDecay,
+            double overShareValue,
             Weights weights,
             List<MessageClass> classes,
             List<Tenant> tenants,
@@ -142,7 +142,7 @@
     }
 
     /**
-     * An attempt ended. {@code waitFor}: told wait or 0. {@code left}, {@code limit}: -1 if untold.
+     * An attempt ended. {@code retryAfter}: us, or 0. {@code remaining}, {@code limit}: -1 if not reported.
      * {@code reused}: it is known to have gone out on a connection that had carried a call before.
      */
     public record Ended(
@@ -151,9 +151,9 @@
             long endpoint,
             Outcome outcome,
             boolean over,
-            long waitFor,
+            long retryAfter,
             long latency,
-            double left,
+            double remaining,
             double limit,
             boolean reused)
             implements Event {
@@ -163,11 +163,11 @@
                 long endpoint,
                 Outcome outcome,
                 boolean over,
-                long waitFor,
+                long retryAfter,
                 long latency,
-                double left,
+                double remaining,
                 double limit) {
-            this(id, attempt, endpoint, outcome, over, waitFor, latency, left, limit, false);
+            this(id, attempt, endpoint, outcome, over, retryAfter, latency, remaining, limit, false);
         }
     }
 
@@ -181,11 +181,11 @@
     public record Excluded(long endpoint, boolean out) implements Event {}
 
     /**
-     * What a module knows of an endpoint. {@code waitFor}: left of a told wait, or 0; {@code failing}: trials
-     * only; {@code warming}: since it came back, or -1; {@code limit}: as told, or 0; {@code pace}: its
-     * lane's.
+     * What a module knows of an endpoint. {@code retryAfter}: us that are left of it, or 0; {@code isUnhealthy}: only
+     * probes are sent; {@code slowStartAge}: us since it recovered, or -1; {@code limit}: as reported, or 0;
+     * {@code pace}: of its limit scope.
      */
-    public record Known(long waitFor, boolean failing, long warming, double limit, double pace) {}
+    public record Known(long retryAfter, boolean isUnhealthy, long slowStartAge, double limit, double pace) {}
 
     /** An earlier module knew this of a listed endpoint, and it is still believed. */
     public record Remembered(long endpoint, Known known) implements Event {}
@@ -193,7 +193,7 @@
     /** The message was withdrawn; nothing is owed any more. */
     public record Withdrawn(String id) implements Event {}
 
-    /** The room of this message is wanted by somebody with a right to it: handed back if it still waits. */
+    /** The capacity that this message takes is due to another: it is handed back if it has not been sent. */
     public record Recalled(String id) implements Event {}
 
     /** A timer asked for with {@link Wake} is due. */
--- a/src/main/java/brambletray/relay/control/SendGate.java
+++ b/src/main/java/brambletray/relay/control/SendGate.java
@@ -9,117 +9,125 @@
 import brambletray.relay.control.Relay.Settings;
 import brambletray.relay.control.State.Attempt;
 import brambletray.relay.control.State.Call;
-import brambletray.relay.control.State.Duty;
-import brambletray.relay.control.State.Msg;
-import brambletray.relay.control.State.Route;
+import brambletray.relay.control.State.EndpointState;
+import brambletray.relay.control.State.Message;
+import brambletray.relay.control.State.TimerKind;
 import java.util.SplittableRandom;
 
 /** The one gate of every send: what may go where and when, and at what cost; and the slots in use. */
 record SendGate(
-        Settings set,
+        Settings settings,
         Memory memory,
         SplittableRandom random,
         Turn turn,
         AnswerTimes times,
-        Window window,
+        ConcurrencyWindow window,
         Connections connections,
         Outages outages) {
     /** us; cost of opening a connection, in the choice of an endpoint. */
-    private static final long COST_CONNECT = 400 * MS;
+    private static final long CONNECT_COST_US = 400 * MS;
     /** us; cost of one point of fee. */
-    private static final long COST_POINT = 50 * MS;
+    private static final long POINT_COST_US = 50 * MS;
     /** us; cost of each failure in a row. */
-    private static final long COST_FAILURE = 2 * SECOND;
+    private static final long FAILURE_COST_US = 2 * SECOND;
 
-    double cost(Msg m, Route r) {
-        double latency = r.latency > 0 ? r.latency : Math.max(r.dest.latest, CopyDelay.FIRST_DELAY);
-        double points = r.zone == set.zone() ? 0 : set.prices().crossZone();
-        if (set.kinds().get(r.kind).apart() && r.zone < set.prices().zoneFee().size()) {
-            points += set.prices().zoneFee().get(r.zone);
+    double cost(Message message, EndpointState endpoint) {
+        double latency = endpoint.latency > 0
+                ? endpoint.latency
+                : Math.max(endpoint.destination.recentLatency, HedgeDelay.INITIAL_DELAY_US);
+        double points = endpoint.zone == settings.zone() ? 0 : settings.prices().crossZone();
+        if (settings.kinds().get(endpoint.kind).apart()
+                && endpoint.zone < settings.prices().zoneFee().size()) {
+            points += settings.prices().zoneFee().get(endpoint.zone);
         }
-        int streams = Math.max(1, set.allowed().streams());
-        boolean warm = r.warm(turn.now - set.allowed().keepAlive()) || r.inflight % streams != 0;
-        return latency * (1 + r.inflight) * (1 + 0.1 * random.nextDouble())
-                + (warm ? 0 : COST_CONNECT)
-                + points * 100 * COST_POINT
-                + (double) (r.failRun + r.overdue + m.tries(r)) * COST_FAILURE;
+        int streams = Math.max(1, settings.allowed().streams());
+        boolean warm = endpoint.hasWarmConnection(turn.now - settings.allowed().keepAlive())
+                || endpoint.inflight % streams != 0;
+        return latency * (1 + endpoint.inflight) * (1 + 0.1 * random.nextDouble())
+                + (warm ? 0 : CONNECT_COST_US)
+                + points * 100 * POINT_COST_US
+                + (double) (endpoint.consecutiveFailures + endpoint.overdue + message.attemptsAt(endpoint))
+                        * FAILURE_COST_US;
     }
 
-    /** True when the next message there goes with the call that this turn has made already. */
-    boolean joins(Route r) {
-        return r.bundleTurn == memory.turns
-                && r.bundle.size < set.kinds().get(r.kind).bundle();
+    /** True when the next message there joins the batch that this turn has begun. */
+    boolean joinsBatch(EndpointState endpoint) {
+        return endpoint.batchTurn == memory.turnCount
+                && endpoint.batch.size < settings.kinds().get(endpoint.kind).bundle();
     }
 
-    /** The one gate of every send: when this message may go to this route; now or earlier means it may. */
-    long gate(Msg m, Route r, boolean copy) {
-        if (!r.ready
-                || r.out
-                || m.ended
-                || m.dest != r.dest
-                || m.attempts.size() >= set.allowed().attempts()
-                || m.deadline <= turn.now
-                || !effectAllows(m, r, copy)
-                || !m.first()
-                || KeyOrder.rests(m, turn.now)) {
+    /** The one gate of every send: when this message may go to this endpoint; now or earlier means it may. */
+    long opensAt(Message message, EndpointState endpoint, boolean isHedge) {
+        if (!endpoint.ready
+                || endpoint.disabledByOperator
+                || message.isEnded
+                || message.destination != endpoint.destination
+                || message.attempts.size() >= settings.allowed().attempts()
+                || message.deadline <= turn.now
+                || !effectAllows(message, endpoint, isHedge)
+                || !message.isHeadOfKey()
+                || KeyOrder.isQuiet(message, turn.now)) {
             return NEVER;
         }
-        boolean joins = joins(r);
-        boolean full = memory.slotsUsed >= set.allowed().slots() || r.dest.calls >= window.room(r.dest);
-        if (!joins && (full || r.inflight >= r.places)) {
+        boolean joins = joinsBatch(endpoint);
+        boolean full = memory.slotsUsed >= settings.allowed().slots()
+                || endpoint.destination.callsInFlight >= window.capacity(endpoint.destination);
+        if (!joins && (full || endpoint.inflight >= endpoint.connectionCapacity)) {
             return NEVER;
         }
-        return outages.opens(r, joins);
+        return outages.opensAt(endpoint, joins);
     }
 
     /** The rule on effects: where an earlier attempt may have run, only what the class allows. */
-    private boolean effectAllows(Msg m, Route r, boolean copy) {
-        if (copy ? !set.allowed().copies() || m.cls.effect() == Effect.UNSAFE : m.open > 0) {
+    private boolean effectAllows(Message message, EndpointState endpoint, boolean isHedge) {
+        if (isHedge
+                ? !settings.allowed().hedging() || message.messageClass.effect() == Effect.UNSAFE
+                : message.openAttempts > 0) {
             return false;
         }
-        if (m.cls.effect() == Effect.SAFE) {
+        if (message.messageClass.effect() == Effect.SAFE) {
             return true;
         }
-        for (Attempt a : m.attempts) {
-            if (a.maybeRan
-                    && (m.cls.effect() == Effect.UNSAFE
-                            || turn.now >= a.sent + m.cls.window()
-                            || m.cls.zoneGroup() && a.route.zone != r.zone)) {
+        for (Attempt attempt : message.attempts) {
+            if (attempt.mayHaveRun
+                    && (message.messageClass.effect() == Effect.UNSAFE
+                            || turn.now >= attempt.sentAt + message.messageClass.dedupWindow()
+                            || message.messageClass.zoneGroup() && attempt.endpoint.zone != endpoint.zone)) {
                 return false;
             }
         }
         return true;
     }
 
-    void send(Msg m, Route r) {
-        Attempt a = new Attempt(m, r, turn.now);
-        a.again = r.dest.refusals > 0;
-        if (!joins(r)) {
-            r.bundle = new Call();
-            r.bundleTurn = memory.turns;
+    void send(Message message, EndpointState endpoint) {
+        Attempt attempt = new Attempt(message, endpoint, turn.now);
+        attempt.followsRefusal = endpoint.destination.refusals > 0;
+        if (!joinsBatch(endpoint)) {
+            endpoint.batch = new Call();
+            endpoint.batchTurn = memory.turnCount;
             memory.slotsUsed++;
-            r.dest.calls++;
-            r.lane.bucket.tokens--;
-            a.idle = connections.take(r);
+            endpoint.destination.callsInFlight++;
+            endpoint.limitScope.bucket.tokens--;
+            attempt.idleTime = connections.takeIdle(endpoint);
         }
-        a.enter(r.bundle);
-        outages.sent(r, a);
-        if (m.queued) {
-            m.queued = false;
-            m.dest.waiting--;
-            m.dest.bands[m.band].remove(m);
+        attempt.start(endpoint.batch);
+        outages.onSent(endpoint, attempt);
+        if (message.isQueued) {
+            message.isQueued = false;
+            message.destination.queuedMessages--;
+            message.destination.queues[message.queueIndex].remove(message);
         }
-        turn.add(new Send(m.id, r.id, times.patience(m, turn.now)));
-        turn.at(turn.now + m.dest.copyDelay.delay(), Duty.COPY, a);
+        turn.addAction(new Send(message.id, endpoint.id, times.timeoutFor(message, turn.now)));
+        turn.schedule(turn.now + message.destination.hedgeDelay.delayUs(), TimerKind.HEDGE, attempt);
     }
 
     /** An attempt has ended: its slot and its connection are free once all of its call have. */
-    void free(Attempt a) {
-        if (a.leave()) {
+    void release(Attempt attempt) {
+        if (attempt.finish()) {
             memory.slotsUsed--;
-            a.route.idle.addLast(turn.now);
-            turn.freed.add(a.route);
+            attempt.endpoint.idleConnections.addLast(turn.now);
+            turn.freed.add(attempt.endpoint);
         }
-        memory.active.add(a.route.dest);
+        memory.dispatchable.add(attempt.endpoint.destination);
     }
 }
--- a/src/main/java/brambletray/relay/control/State.java
+++ b/src/main/java/brambletray/relay/control/State.java
@@ -15,241 +15,249 @@
 final class State {
     private State() {}
 
-    /** Standing of a route: answering, failing (trials only), or back and held to the return budget. */
+    /** Health of an endpoint: answering, failing (only probes are sent), or recovered and held to the return budget. */
     enum Health {
-        GOOD,
-        OUT,
-        RETURNING
+        HEALTHY,
+        UNHEALTHY,
+        SLOW_START
     }
 
-    /** What an entry of the agenda is for. */
-    enum Duty {
+    /** What a timer is for. */
+    enum TimerKind {
         DEADLINE,
-        COPY,
-        LOOK,
-        KEY,
-        FORGET
+        HEDGE,
+        DISPATCH,
+        RELEASE_KEY,
+        FORGET_ENDPOINT
     }
 
     /** Something due at a time; entries of one time keep their order. */
-    record Entry(long at, long seq, Duty duty, Serializable of) implements Comparable<Entry>, Serializable {
+    record Timer(long dueAt, long sequence, TimerKind kind, Serializable subject)
+            implements Comparable<Timer>, Serializable {
         @Override
-        public int compareTo(Entry other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(seq, other.seq);
+        public int compareTo(Timer other) {
+            return dueAt != other.dueAt ? Long.compare(dueAt, other.dueAt) : Long.compare(sequence, other.sequence);
         }
 
         /** True when nothing is left to do at its time. */
-        boolean stale() {
-            return of instanceof Attempt a && a.done || duty == Duty.DEADLINE && ((Msg) of).ended;
+        boolean isStale() {
+            return subject instanceof Attempt attempt && attempt.isDone
+                    || kind == TimerKind.DEADLINE && ((Message) subject).isEnded;
         }
     }
 
-    /** One message: waiting in a band, parked behind its key, in flight, or ended. */
-    static final class Msg implements Serializable {
+    /** One message: waiting in a queue, held back behind its key, in flight, or ended. */
+    static final class Message implements Serializable {
         private static final long serialVersionUID = Memory.VERSION;
         String id;
-        Relay.MessageClass cls;
-        Dest dest;
-        Key key;
-        /** {@code number}: by order of arrival. */
+        Relay.MessageClass messageClass;
+        Destination destination;
+        OrderingKey key;
         long deadline;
-
-        long aim;
-        long number;
-
-        int band;
-        int extras;
-        int open;
+        /** Until when it has its full value. */
+        long targetTime;
+        /** By order of arrival. */
+        long sequence;
+
+        int queueIndex;
+        int hedges;
+        int openAttempts;
         int timeouts;
-        boolean queued;
-        boolean ended;
-        boolean halving;
-        double full;
+        boolean isQueued;
+        boolean isEnded;
+        boolean halfLifeDecay;
+        double fullValue;
         final List<Attempt> attempts = new ArrayList<>(2);
 
-        Msg(Relay.Accepted e, Relay.MessageClass cls, Dest dest, long number) {
-            id = e.id();
-            deadline = e.deadline();
-            this.cls = cls;
-            this.dest = dest;
-            this.number = number;
+        Message(Relay.Accepted accepted, Relay.MessageClass messageClass, Destination destination, long sequence) {
+            id = accepted.id();
+            deadline = accepted.deadline();
+            this.messageClass = messageClass;
+            this.destination = destination;
+            this.sequence = sequence;
         }
 
         /** True when no other message of its key goes before it. */
-        boolean first() {
-            return key == null || key.line.peekFirst() == this;
+        boolean isHeadOfKey() {
+            return key == null || key.queue.peekFirst() == this;
         }
 
         /** True when some attempt is out or may have taken effect. */
         boolean mayHaveRun() {
-            for (Attempt a : attempts) {
-                if (a.maybeRan) {
+            for (Attempt attempt : attempts) {
+                if (attempt.mayHaveRun) {
                     return true;
                 }
             }
             return false;
         }
 
-        /** Worth of delivering at a time, as the settings of its class and the tenant's share have it. */
-        double worth(long when) {
-            if (when <= aim) {
-                return full;
+        /** Value of delivering at a time, as the settings of its class and the tenant's share have it. */
+        double valueAt(long when) {
+            if (when <= targetTime) {
+                return fullValue;
             }
             if (when > deadline) {
                 return 0;
             }
-            if (halving) {
-                return full * Math.max(cls.lateWorth(), Math.pow(0.5, (double) (when - aim) / cls.aim()));
+            if (halfLifeDecay) {
+                return fullValue
+                        * Math.max(
+                                messageClass.lateValue(),
+                                Math.pow(0.5, (double) (when - targetTime) / messageClass.latencyTarget()));
             }
-            double part = (double) (when - aim) / Math.max(1, deadline - aim);
-            return full * (1 - part * (1 - cls.lateWorth()));
+            double part = (double) (when - targetTime) / Math.max(1, deadline - targetTime);
+            return fullValue * (1 - part * (1 - messageClass.lateValue()));
         }
 
-        int tries(Route route) {
+        int attemptsAt(EndpointState endpoint) {
             int n = 0;
-            for (Attempt a : attempts) {
-                n += a.route == route ? 1 : 0;
+            for (Attempt attempt : attempts) {
+                n += attempt.endpoint == endpoint ? 1 : 0;
             }
             return n;
         }
     }
 
-    /** One send of a message. {@code maybeRan} holds until its outcome proves otherwise. */
+    /** One send of a message. {@code mayHaveRun} holds until its outcome proves otherwise. */
     static final class Attempt implements Serializable {
         private static final long serialVersionUID = Memory.VERSION;
-        Msg msg;
-        Route route;
+        Message message;
+        EndpointState endpoint;
         Call call;
-        /** {@code idle}: how long its connection had been idle; -1 for a new one. */
-        long sent;
-
-        long idle = -1;
-
-        boolean done;
-        boolean cancelled;
-        boolean trial;
-        boolean again;
-        boolean overdue;
-        boolean maybeRan = true;
-
-        Attempt(Msg msg, Route route, long sent) {
-            this.msg = msg;
-            this.route = route;
-            this.sent = sent;
+        long sentAt;
+        /** us for which its connection had been idle; -1 for a new one. */
+        long idleTime = -1;
+
+        boolean isDone;
+        boolean isCancelled;
+        boolean isProbe;
+        boolean followsRefusal;
+        boolean isOverdue;
+        boolean mayHaveRun = true;
+
+        Attempt(Message message, EndpointState endpoint, long sent) {
+            this.message = message;
+            this.endpoint = endpoint;
+            this.sentAt = sent;
         }
 
         /** Counts one that goes out, with this call. */
-        void enter(Call with) {
+        void start(Call with) {
             call = with;
-            call.open++;
+            call.openAttempts++;
             call.size++;
-            route.inflight++;
-            msg.attempts.add(this);
-            msg.open++;
+            endpoint.inflight++;
+            message.attempts.add(this);
+            message.openAttempts++;
         }
 
         /** Takes one that has ended out of the counts; true if that was the last of its call. */
-        boolean leave() {
-            Dest dest = route.dest;
-            msg.open--;
-            route.inflight--;
-            route.trials -= trial ? 1 : 0;
-            route.overdue -= overdue ? 1 : 0;
-            dest.overdue -= overdue ? 1 : 0;
-            boolean last = --call.open == 0;
-            dest.calls -= last ? 1 : 0;
+        boolean finish() {
+            Destination destination = endpoint.destination;
+            message.openAttempts--;
+            endpoint.inflight--;
+            endpoint.probesInFlight -= isProbe ? 1 : 0;
+            endpoint.overdue -= isOverdue ? 1 : 0;
+            destination.overdueAttempts -= isOverdue ? 1 : 0;
+            boolean last = --call.openAttempts == 0;
+            destination.callsInFlight -= last ? 1 : 0;
             return last;
         }
     }
 
-    /** What holds one slot: one message, or a bundle. */
+    /** What takes one slot: one message, or a batch. */
     static final class Call implements Serializable {
         private static final long serialVersionUID = Memory.VERSION;
-        int open;
+        int openAttempts;
         int size;
         /** How its messages ended so far. */
-        final EnumSet<Relay.Outcome> told = EnumSet.noneOf(Relay.Outcome.class);
+        final EnumSet<Relay.Outcome> outcomes = EnumSet.noneOf(Relay.Outcome.class);
     }
 
     /** Messages that share a key, in the order in which they were taken. */
-    static final class Key implements Serializable {
+    static final class OrderingKey implements Serializable {
         private static final long serialVersionUID = Memory.VERSION;
         String name;
-        long restUntil;
-        final ArrayDeque<Msg> line = new ArrayDeque<>();
+        long quietUntil;
+        final ArrayDeque<Message> queue = new ArrayDeque<>();
 
         /** The first that is not over and out of the way; null if there is none. */
-        Msg head() {
-            while (!line.isEmpty() && line.peekFirst().ended && line.peekFirst().open == 0) {
-                line.pollFirst();
+        Message head() {
+            while (!queue.isEmpty() && queue.peekFirst().isEnded && queue.peekFirst().openAttempts == 0) {
+                queue.pollFirst();
             }
-            return line.peekFirst();
+            return queue.peekFirst();
         }
     }
 
     /** Orders of messages; an enum, so that it outlasts the process that sorted by it. */
-    enum Order implements Comparator<Msg> {
-        BY_AIM;
+    enum MessageOrder implements Comparator<Message> {
+        BY_LATENCY_TARGET;
 
         @Override
-        public int compare(Msg one, Msg other) {
-            return one.aim != other.aim ? Long.compare(one.aim, other.aim) : Long.compare(one.number, other.number);
+        public int compare(Message one, Message other) {
+            return one.targetTime != other.targetTime
+                    ? Long.compare(one.targetTime, other.targetTime)
+                    : Long.compare(one.sequence, other.sequence);
         }
     }
 
-    /** Waiting messages of one sort: inside their aim, and past it; ones no longer queued are skipped. */
-    static final class Band implements Serializable {
+    /**
+     * Waiting messages of one priority: within their latency target, and past it; ones no longer queued are skipped.
+     */
+    static final class WaitingQueue implements Serializable {
         private static final long serialVersionUID = Memory.VERSION;
-        /** By aim: in order of arrival where all have the same time. */
-        final TreeSet<Msg> fresh = new TreeSet<>(Order.BY_AIM);
+        /** By latency target: in order of arrival where all have the same time. */
+        final TreeSet<Message> onTime = new TreeSet<>(MessageOrder.BY_LATENCY_TARGET);
 
-        final ArrayDeque<Msg> late = new ArrayDeque<>();
+        final ArrayDeque<Message> late = new ArrayDeque<>();
 
-        Msg firstFresh() {
-            while (!fresh.isEmpty() && !fresh.first().queued) {
-                fresh.pollFirst();
+        Message firstOnTime() {
+            while (!onTime.isEmpty() && !onTime.first().isQueued) {
+                onTime.pollFirst();
             }
-            return fresh.isEmpty() ? null : fresh.first();
+            return onTime.isEmpty() ? null : onTime.first();
         }
 
-        Msg lastFresh() {
-            while (!fresh.isEmpty() && !fresh.last().queued) {
-                fresh.pollLast();
+        Message lastOnTime() {
+            while (!onTime.isEmpty() && !onTime.last().isQueued) {
+                onTime.pollLast();
             }
-            return fresh.isEmpty() ? null : fresh.last();
+            return onTime.isEmpty() ? null : onTime.last();
         }
 
-        Msg firstLate() {
-            while (!late.isEmpty() && !late.peekFirst().queued) {
+        Message firstLate() {
+            while (!late.isEmpty() && !late.peekFirst().isQueued) {
                 late.pollFirst();
             }
             return late.peekFirst();
         }
 
-        Msg lastLate() {
-            while (!late.isEmpty() && !late.peekLast().queued) {
+        Message lastLate() {
+            while (!late.isEmpty() && !late.peekLast().isQueued) {
                 late.pollLast();
             }
             return late.peekLast();
         }
 
-        /** Takes out a message that stands among the fresh or at the tail of the late. */
-        void remove(Msg m) {
-            if (!fresh.remove(m) && late.peekLast() == m) {
+        /** Removes a message that is on time, or the last of the late ones. */
+        void remove(Message message) {
+            if (!onTime.remove(message) && late.peekLast() == message) {
                 late.pollLast();
             }
         }
     }
 
     /** A token bucket, full at its first use. */
-    static final class Bucket implements Serializable {
+    static final class TokenBucket implements Serializable {
         private static final long serialVersionUID = Memory.VERSION;
         double tokens = Double.MAX_VALUE;
-        private long filled;
+        private long filledAt;
 
         void fill(double perSecond, double most, long now) {
-            tokens = Math.min(most, tokens + perSecond * (now - filled) / 1e6);
-            filled = now;
+            tokens = Math.min(most, tokens + perSecond * (now - filledAt) / 1e6);
+            filledAt = now;
         }
 
         boolean take() {
@@ -259,16 +267,16 @@
         }
     }
 
-    /** What a limit and a wait belong to: a destination, or one route where routes are apart. */
-    static final class Lane implements Serializable {
+    /** What a rate limit and a retry-after time belong to: a destination, or one endpoint where each has its own. */
+    static final class LimitScope implements Serializable {
         private static final long serialVersionUID = Memory.VERSION;
-        final Bucket bucket = new Bucket();
-        /** {@code rated}: the weight is a rate that was listed or told, in calls a second. */
-        boolean rated;
-
-        boolean told;
+        final TokenBucket bucket = new TokenBucket();
+        /** Whether {@code rate} was listed or reported. */
+        boolean hasRate;
+        /** Whether an answer has reported it. */
+        boolean limitReported;
 
-        double weight;
+        double rate;
         double pace;
         long waitUntil;
         long backoffUntil;
@@ -277,106 +285,109 @@
         int refusals;
     }
 
-    /** One endpoint: its standing, health and connections. */
-    static final class Route implements Serializable {
+    /** One endpoint: its place on the list, health and connections. */
+    static final class EndpointState implements Serializable {
         private static final long serialVersionUID = Memory.VERSION;
         long id;
         int zone;
         int kind;
-        Dest dest;
-        Lane lane;
-        /** {@code out}: taken out by hand. */
+        Destination destination;
+        LimitScope limitScope;
+        /** Listed as taking ordinary traffic. */
         boolean ready;
 
-        boolean confirmed;
-        boolean out;
+        boolean outageConfirmed;
+        boolean disabledByOperator;
 
-        Health health = Health.GOOD;
-        /** {@code broken}: new connections in a row that broke, with no answer between. */
+        Health health = Health.HEALTHY;
         int inflight;
+        int consecutiveFailures;
+        /** New connections in a row that broke, with no answer between. */
+        int consecutiveResets;
 
-        int failRun;
-        int broken;
-        int trials;
+        int probesInFlight;
         int overdue;
-        /** Times in a row that it had no place for a connection, and how many calls may be out there. */
-        int crowded;
-
-        int places = Integer.MAX_VALUE;
-        /** us; when it last had none, or when {@code places} last grew. */
-        long crowdedAt = -1;
-        /** {@code heldBefore}: us; how long its kind's connections were held before its connects failed. */
+        /** Times in a row that it has accepted no further connection. */
+        int consecutiveCapacityRefusals;
+        /** Calls of this relay that it has connections for, as far as known. */
+        int connectionCapacity = Integer.MAX_VALUE;
+        /** us; when {@code connectionCapacity} last changed. */
+        long capacityChangedAt = -1;
+        /** us; smoothed. */
         double latency;
-
-        double failing;
-        double heldBefore;
+        /** Share of recent calls that failed. */
+        double failureShare;
+        /** us; how long its kind's connections were held before its connects failed. */
+        double holdTimeBeforeCuts;
 
         long backoffUntil;
-        long lastOk;
-        long lastOkSent = -1;
-        long outSince;
-        long returnAt;
-        long lastSent;
+        long lastSuccessAt;
+        long lastSuccessSentAt = -1;
+        long unhealthySince;
+        long slowStartAt;
+        long lastSentAt;
         double spacing;
-        final ArrayDeque<Long> idle = new ArrayDeque<>();
-        Call bundle;
-        long bundleTurn = -1;
-        long goneAt;
+        final ArrayDeque<Long> idleConnections = new ArrayDeque<>();
+        Call batch;
+        long batchTurn = -1;
+        long removedAt;
 
-        Route(long id, int zone, int kind) {
+        EndpointState(long id, int zone, int kind) {
             this.id = id;
             this.zone = zone;
             this.kind = kind;
         }
 
-        /** When its told wait and its back-offs are over. */
+        /** When its retry-after time and its back-offs are over. */
         long closedUntil() {
-            return Math.max(Math.max(backoffUntil, dest.backoffUntil), Math.max(lane.waitUntil, lane.backoffUntil));
+            return Math.max(
+                    Math.max(backoffUntil, destination.backoffUntil),
+                    Math.max(limitScope.waitUntil, limitScope.backoffUntil));
         }
 
-        /** True when a connection idle since no earlier than that is left. */
-        boolean warm(long since) {
-            while (!idle.isEmpty() && idle.peekFirst() <= since) {
-                idle.pollFirst();
+        /** True when there is a connection that became idle after this time. */
+        boolean hasWarmConnection(long since) {
+            while (!idleConnections.isEmpty() && idleConnections.peekFirst() <= since) {
+                idleConnections.pollFirst();
             }
-            return !idle.isEmpty();
+            return !idleConnections.isEmpty();
         }
     }
 
-    /** One destination: its routes, waiting messages, window and answers. */
-    static final class Dest implements Serializable {
+    /** One destination: its endpoints, waiting messages, window and answers. */
+    static final class Destination implements Serializable {
         private static final long serialVersionUID = Memory.VERSION;
-        final Map<Long, Route> routes = new TreeMap<>();
-        final Band[] bands;
-        final CopyDelay copyDelay = new CopyDelay();
-        Lane shared;
-        private double marks;
-        private long markedAt;
+        final Map<Long, EndpointState> endpoints = new TreeMap<>();
+        final WaitingQueue[] queues;
+        final HedgeDelay hedgeDelay = new HedgeDelay();
+        LimitScope sharedLimitScope;
+        private double arrivals;
+        private long arrivalsAt;
         /** Messages a second that come in for it, when the last one came. */
         double usualRate;
 
         double window = 1;
-        double copies = 1;
-        double latest;
-        double usual;
+        double hedgeBudget = 1;
+        double recentLatency;
+        double usualLatency;
         int kind = -1;
-        int calls;
-        int waiting;
-        int overdue;
+        int callsInFlight;
+        int queuedMessages;
+        int overdueAttempts;
         int refusals;
-        long lookAt;
+        long dispatchAt;
         long refusedAt;
         long backoffUntil;
 
-        Dest(int bands) {
-            this.bands = new Band[bands];
-            Arrays.setAll(this.bands, i -> new Band());
+        Destination(int bands) {
+            this.queues = new WaitingQueue[bands];
+            Arrays.setAll(this.queues, i -> new WaitingQueue());
         }
 
-        /** True when one of its routes answers. */
-        boolean sound() {
-            for (Route r : routes.values()) {
-                if (r.health == Health.GOOD) {
+        /** True when one of its endpoints answers. */
+        boolean hasHealthyEndpoint() {
+            for (EndpointState endpoint : endpoints.values()) {
+                if (endpoint.health == Health.HEALTHY) {
                     return true;
                 }
             }
@@ -384,10 +395,10 @@
         }
 
         /** Counts a message into the rate over an exponential span; {@code age}: counted how long. */
-        void mark(long now, long span, long age) {
-            marks = marks * Math.exp((double) (markedAt - now) / span) + 1;
-            markedAt = now;
-            usualRate = marks * 1e6 / (span * -Math.expm1(-(double) age / span));
+        void countArrival(long now, long span, long age) {
+            arrivals = arrivals * Math.exp((double) (arrivalsAt - now) / span) + 1;
+            arrivalsAt = now;
+            usualRate = arrivals * 1e6 / (span * -Math.expm1(-(double) age / span));
         }
     }
 }
--- a/src/main/java/brambletray/relay/control/Turn.java
+++ b/src/main/java/brambletray/relay/control/Turn.java
@@ -3,9 +3,9 @@
 import brambletray.relay.control.Relay.Action;
 import brambletray.relay.control.Relay.Log;
 import brambletray.relay.control.Relay.Wake;
-import brambletray.relay.control.State.Duty;
-import brambletray.relay.control.State.Entry;
-import brambletray.relay.control.State.Route;
+import brambletray.relay.control.State.EndpointState;
+import brambletray.relay.control.State.Timer;
+import brambletray.relay.control.State.TimerKind;
 import java.io.Serializable;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -13,15 +13,15 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 
-/** One turn: its time, the actions that it asks for, and the timers (agenda). It decides nothing. */
+/** One turn: its time, the actions that it asks for, and the timers. It decides nothing. */
 final class Turn {
     static final long MS = 1_000L;
     static final long SECOND = 1_000_000L;
     static final long NEVER = Long.MAX_VALUE;
     /** Log lines at most: operators keep only the first few hundred. */
-    private static final int LOG_LINES = 100;
-    /** Routes whose calls ended in this turn. */
-    final Set<Route> freed = new LinkedHashSet<>();
+    private static final int MAX_LOG_LINES = 100;
+    /** Endpoints whose calls ended in this turn. */
+    final Set<EndpointState> freed = new LinkedHashSet<>();
 
     private final Memory memory;
     private List<Action> out = new ArrayList<>();
@@ -34,48 +34,48 @@
     }
 
     void begin(long time) {
-        if (memory.turns > 0 && time < now) {
+        if (memory.turnCount > 0 && time < now) {
             throw new IllegalArgumentException("clock went back from " + now + " to " + time);
         }
         now = time;
         memory.now = time;
-        memory.beganAt = memory.turns++ == 0 ? now : memory.beganAt;
+        memory.startedAt = memory.turnCount++ == 0 ? now : memory.startedAt;
         out = new ArrayList<>();
     }
 
-    void add(Action action) {
+    void addAction(Action action) {
         out.add(action);
     }
 
-    void log(Route r, String what) {
-        if (memory.logged++ < LOG_LINES) {
-            out.add(new Log("endpoint " + r.id + ": " + what));
+    void log(EndpointState endpoint, String what) {
+        if (memory.loggedLines++ < MAX_LOG_LINES) {
+            out.add(new Log("endpoint " + endpoint.id + ": " + what));
         }
     }
 
-    /** Keeps a duty for its time; those of one time keep their order. */
-    void at(long when, Duty duty, Serializable of) {
-        memory.agenda.add(new Entry(when, memory.seq++, duty, of));
+    /** Schedules a timer; those of one time keep their order. */
+    void schedule(long when, TimerKind duty, Serializable of) {
+        memory.timers.add(new Timer(when, memory.nextSequence++, duty, of));
     }
 
-    /** Takes the next duty whose time has come off the agenda; null if there is none. */
-    Entry nextDue() {
-        return !memory.agenda.isEmpty() && memory.agenda.peek().at() <= now ? memory.agenda.poll() : null;
+    /** Takes the next timer that is due; null if there is none. */
+    Timer nextDue() {
+        return !memory.timers.isEmpty() && memory.timers.peek().dueAt() <= now ? memory.timers.poll() : null;
     }
 
-    /** A timer rang. */
-    void woke() {
+    /** The caller's timer has fired. */
+    void onTimer() {
         wakeAt = wakeAt <= now ? NEVER : wakeAt;
     }
 
-    /** Asks to be woken for the next duty that is not stale, and ends with what the turn asked for. */
+    /** Asks for a call at the next timer that is not stale, and returns what the turn asked for. */
     List<Action> end() {
-        PriorityQueue<Entry> agenda = memory.agenda;
-        while (!agenda.isEmpty() && agenda.peek().stale()) {
+        PriorityQueue<Timer> agenda = memory.timers;
+        while (!agenda.isEmpty() && agenda.peek().isStale()) {
             agenda.poll();
         }
-        if (!agenda.isEmpty() && agenda.peek().at() < wakeAt) {
-            wakeAt = agenda.peek().at();
+        if (!agenda.isEmpty() && agenda.peek().dueAt() < wakeAt) {
+            wakeAt = agenda.peek().dueAt();
             out.add(new Wake(Math.max(1, wakeAt - now)));
         }
         return out;
--- a/src/main/java/brambletray/relay/core/Departures.java
+++ b/src/main/java/brambletray/relay/core/Departures.java
@@ -128,7 +128,7 @@
         if (parts.isEmpty()) {
             return;
         }
-        List<Calls.Call> calls = pool.bundle(p.host(), settings.allowed().copies() ? parts : alike(parts));
+        List<Calls.Call> calls = pool.bundle(p.host(), settings.allowed().hedging() ? parts : alike(parts));
         for (int i = 0; i < calls.size(); i++) {
             Prepared q = together.get(i);
             q.held().calls.set(q.attempt(), calls.get(i));
--- a/src/main/java/brambletray/relay/core/Evidence.java
+++ b/src/main/java/brambletray/relay/core/Evidence.java
@@ -126,7 +126,7 @@
     /** The module has decided on these: waits that they told are noted before anything of it goes out. */
     void decided(List<Relay.Event> events) {
         for (Relay.Event event : events) {
-            if (event instanceof Relay.Ended e && e.waitFor() > 0 && hosts.host(e.endpoint()) != null) {
+            if (event instanceof Relay.Ended e && e.retryAfter() > 0 && hosts.host(e.endpoint()) != null) {
                 note(hosts.host(e.endpoint()));
             }
         }
@@ -146,7 +146,7 @@
         Relay.Known known = control.known(host.number);
         Known here = known == null
                 ? Known.NOTHING
-                : new Known(known.waitFor(), known.failing(), known.warming(), known.limit(), known.pace());
+                : new Known(known.retryAfter(), known.isUnhealthy(), known.slowStartAge(), known.limit(), known.pace());
         Recollection.Note note = recollection.worth(
                 clock.moment(), host.name, leaving.getOrDefault(host.name, Recollection.IN_USE), here);
         if (note == null) {
--- a/src/main/java/brambletray/relay/core/Handoff.java
+++ b/src/main/java/brambletray/relay/core/Handoff.java
@@ -31,7 +31,7 @@
      * module has to {@link Loop#start} with what the journal tells.
      */
     public boolean fits(Journal journal, Hosts hosts) {
-        Map<String, Integer> open = memory.open();
+        Map<String, Integer> open = memory.openMessages();
         for (Journal.Entry entry : journal.owed()) {
             if (entry.end == null && !Integer.valueOf(entry.attempts.size()).equals(open.remove(entry.message.id()))) {
                 return false;
--- a/src/main/java/brambletray/relay/core/Loop.java
+++ b/src/main/java/brambletray/relay/core/Loop.java
@@ -243,7 +243,7 @@
             }
             return;
         }
-        if (known != null || open >= settings.allowed().open()) {
+        if (known != null || open >= settings.allowed().openMessages()) {
             figures.turnedAway(classes.get(message.messageClass()), End.REFUSED);
             answer.refused(COME_BACK);
             return;
@@ -608,7 +608,7 @@
         held.values().stream().filter(h -> !h.over).forEach(h -> here.add(h.message.id()));
         Set<String> owed = new TreeSet<>();
         journal.owed().stream().filter(e -> e.end == null).forEach(e -> owed.add(e.message.id()));
-        Set<String> decided = new TreeSet<>(control.memory().open().keySet());
+        Set<String> decided = new TreeSet<>(control.memory().openMessages().keySet());
         // A message that waits at the door is held and written down, and the module has not heard of it.
         decided.addAll(waiting);
         if (here.equals(owed) && here.equals(decided) && here.size() == open) {
--- a/src/main/java/brambletray/relay/core/Trace.java
+++ b/src/main/java/brambletray/relay/core/Trace.java
@@ -51,9 +51,9 @@
                         e.id(),
                         e.endpoint(),
                         e.outcome(),
-                        e.waitFor(),
+                        e.retryAfter(),
                         e.latency(),
-                        e.left(),
+                        e.remaining(),
                         e.limit(),
                         e.reused());
             } else if (event instanceof Relay.Listed e) {
--- a/src/main/java/brambletray/relay/membership/HostList.java
+++ b/src/main/java/brambletray/relay/membership/HostList.java
@@ -119,7 +119,7 @@
             });
         }
         version = next;
-        return new Relay.Listed(whole ? Relay.ListKind.WHOLE : Relay.ListKind.CHANGES, endpoints);
+        return new Relay.Listed(whole ? Relay.ListKind.FULL : Relay.ListKind.CHANGES, endpoints);
     }
 
     /** One entry; null, and a line in the log, for one that cannot be used. The others still count. */
@@ -181,7 +181,7 @@
     /** The list as it is held, for a module that has not been told of it. */
     public Relay.Listed whole() {
         return new Relay.Listed(
-                Relay.ListKind.WHOLE,
+                Relay.ListKind.FULL,
                 byNumber.values().stream()
                         .filter(h -> !h.gone)
                         .map(h -> new Relay.Endpoint(
--- a/src/main/java/brambletray/relay/serve/Config.java
+++ b/src/main/java/brambletray/relay/serve/Config.java
@@ -190,21 +190,21 @@
         List<Relay.MessageClass> classes = s.classes().stream()
                 .map(c -> new Relay.MessageClass(
                         c.name(),
-                        c.aim(),
-                        c.life(),
-                        c.worth(),
-                        c.lateWorth(),
+                        c.latencyTarget(),
+                        c.lifetime(),
+                        c.value(),
+                        c.lateValue(),
                         c.effect(),
                         c.zoneGroup(),
-                        Math.max(0, c.window() - s.allowed().connectTimeout() - WINDOW_MARGIN),
+                        Math.max(0, c.dedupWindow() - s.allowed().connectTimeout() - WINDOW_MARGIN),
                         c.inOrder()))
                 .toList();
         return new Relay.Settings(
                 s.rank(),
                 s.relays(),
                 s.zone(),
-                s.halvingLate(),
-                s.overShareWorth(),
+                s.halfLifeDecay(),
+                s.overShareValue(),
                 s.weights(),
                 classes,
                 s.tenants(),
--- a/src/main/java/brambletray/relay/siblings/ComingBack.java
+++ b/src/main/java/brambletray/relay/siblings/ComingBack.java
@@ -166,7 +166,7 @@
     private long longest() {
         return settings.classes().stream()
                         .filter(c -> c.effect() != Relay.Effect.SAFE)
-                        .mapToLong(Relay.MessageClass::life)
+                        .mapToLong(Relay.MessageClass::lifetime)
                         .max()
                         .orElse(0)
                 / 1_000;
--- a/src/main/java/brambletray/relay/simhost/SimHost.java
+++ b/src/main/java/brambletray/relay/simhost/SimHost.java
@@ -117,7 +117,7 @@
         }
         Relay.ListKind kind = switch (mode) {
             case "delta" -> Relay.ListKind.CHANGES;
-            case "full", "cached" -> Relay.ListKind.WHOLE;
+            case "full", "cached" -> Relay.ListKind.FULL;
             default -> throw new Wire.Malformed("unknown mode '" + mode + "'");
         };
         events.add(new Relay.Listed(kind, items));
--- a/src/test/java/brambletray/relay/control/Bench.java
+++ b/src/test/java/brambletray/relay/control/Bench.java
@@ -120,7 +120,7 @@
 
     Accepted message(int cls, long destination, String key) {
         return new Accepted(
-                "m" + next++, cls, 0, key, now + set.classes().get(cls).life(), destination);
+                "m" + next++, cls, 0, key, now + set.classes().get(cls).lifetime(), destination);
     }
 
     static Ended ended(Send send, int attempt, Outcome outcome) {
--- a/src/test/java/brambletray/relay/control/ControlTest.java
+++ b/src/test/java/brambletray/relay/control/ControlTest.java
@@ -43,7 +43,7 @@
 class ControlTest {
     private static Bench bench(int kind, int slots, boolean copies) {
         Bench b = new Bench(settings(slots, copies, 2));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, kind, 1, 50), endpoint(12, 1, kind, 1, 50))));
+        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, kind, 1, 50), endpoint(12, 1, kind, 1, 50))));
         return b;
     }
 
@@ -91,7 +91,7 @@
     @Test
     void anEndpointPutBackIsTakenForCold() {
         Bench b = new Bench(settings(8, false, 2));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 20))));
+        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 20))));
         b.turn(new Excluded(11, true));
         assertTrue(
                 sends(b.turn(b.message(1, 1), b.message(1, 1), b.message(1, 1))).isEmpty());
@@ -117,7 +117,7 @@
     @Test
     void aMessageHandedBackWhileAllRoutesAreOutIsToComeLate() {
         Bench b = new Bench(settings(8, false, 2, 8, 2));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 4))));
+        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 4))));
         b.turn(new Excluded(11, true));
         b.turn(b.message(1, 1));
         Refuse refuse = b.turn(b.message(1, 1)).stream()
@@ -303,7 +303,7 @@
         Bench b = bench(0, 8, true);
         b.turn(new Listed(ListKind.CHANGES, List.of(new Endpoint(11, 0, 0, 1, Listing.DRAINING, 50))));
         assertEquals(12, sends(b.turn(b.message(0, 1))).get(0).endpoint());
-        b.turn(new Listed(ListKind.WHOLE, List.of()));
+        b.turn(new Listed(ListKind.FULL, List.of()));
         assertTrue(sends(b.turn(b.message(1, 1))).isEmpty());
         List<Action> end = b.pass(17 * SECOND);
         assertEquals(2, count(end, Fail.class) + count(end, Refuse.class), "both end in time with nowhere to go");
@@ -326,8 +326,8 @@
                 s.rank(),
                 s.relays(),
                 s.zone(),
-                s.halvingLate(),
-                s.overShareWorth(),
+                s.halfLifeDecay(),
+                s.overShareValue(),
                 Weights.NONE,
                 s.classes(),
                 s.tenants(),
@@ -344,7 +344,7 @@
     @Test
     void aLimitToldInAnswersPacesWhatNoListRates() {
         Bench b = new Bench(unrated(2));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 0, 1, 1))));
+        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 0, 1, 1))));
         int sent = 0;
         int refused = 0;
         double left = 5;
@@ -372,7 +372,7 @@
     @Test
     void aReturningRouteWithoutARateIsHeldToWhatIsUsual() {
         Bench b = new Bench(unrated(2));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 1))));
+        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 1))));
         b.warmUp(30, 1);
         List<Send> out = new ArrayList<>();
         for (long down = b.now + 6 * SECOND; b.now < down; ) {
@@ -404,7 +404,7 @@
         List<Integer> rooms = new ArrayList<>();
         for (int size : new int[] {1, 5}) {
             Bench b = new Bench(settings(64, false, 2));
-            b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 2, 1, 50))));
+            b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 2, 1, 50))));
             b.warmUp(60, 1);
             List<Event> messages = new ArrayList<>();
             for (int i = 0; i < size; i++) {
@@ -439,7 +439,7 @@
     @Test
     void attemptsAreLimited() {
         Bench b = new Bench(settings(8, true, 2, 2, 200));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 0, 1, 50))));
+        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 0, 1, 50))));
         Accepted m = b.message(1, 1);
         Send s = sends(b.turn(m)).get(0);
         List<Send> again = new ArrayList<>(sends(b.turn(ended(s, 0, Outcome.FULL))));
@@ -451,7 +451,7 @@
     @Test
     void aRefusalTellsWhenToComeBack() {
         Bench b = new Bench(settings(8, true, 2, 1, 200));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
+        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 50))));
         Send s = sends(b.turn(b.message(1, 1))).get(0);
         for (Action a : b.turn(ended(s, 0, Outcome.FULL, 700 * MS))) {
             if (a instanceof Refuse refusal) {
@@ -509,7 +509,7 @@
         for (int d = 1; d <= 9; d++) {
             items.add(endpoint(10 + d, 0, 1, d, 50));
         }
-        b.turn(new Listed(ListKind.WHOLE, items));
+        b.turn(new Listed(ListKind.FULL, items));
         for (int d = 1; d <= 9; d++) {
             b.warmUp(12, d);
         }
@@ -528,7 +528,7 @@
     @Test
     void aBusyPlaceIsAskedAgainAfterAFewOfItsGaps() {
         Bench b = new Bench(settings(40, false, 2));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 200))));
+        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 200))));
         long held = 0;
         for (int refusal = 0; refusal < 8; refusal++) {
             for (int i = 0; i < 120; i++) {
@@ -584,7 +584,7 @@
     @Test
     void aReturningRouteGetsNoMoreThanTheShareOfWhatItBears() {
         Bench b = new Bench(settings(40, true, 2, 8, 400));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 20))));
+        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 20))));
         b.warmUp(30, 1);
         List<Send> out = new ArrayList<>();
         long end = b.now + 30 * SECOND;
@@ -616,7 +616,7 @@
     void aLateAnswerToASuspicionEndsInARampAndAQuickOneClearsIt() {
         for (long gap : new long[] {500 * MS, 5 * SECOND}) {
             Bench b = new Bench(settings(8, true, 2));
-            b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 20))));
+            b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 20))));
             b.warmUp(20, 1);
             b.pass(2 * SECOND);
             Send one = sends(b.turn(b.message(2, 1))).get(0);
@@ -633,7 +633,7 @@
     @Test
     void idleConnectionsAreClosedWhereConnectsFailAndFewUsesAreExpected() {
         Bench b = new Bench(settings(8, true, 300));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 600))));
+        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 600))));
         b.warmUp(20, 1);
         long closed = 0;
         for (int i = 0; i < 6; i++) {
@@ -658,7 +658,7 @@
     private static Bench relays(int many) {
         Bench b = new Bench(settings(64, false, many));
         b.turn(new Listed(
-                ListKind.WHOLE,
+                ListKind.FULL,
                 List.of(endpoint(11, 0, 1, 1, 600), endpoint(12, 0, 1, 1, 600), endpoint(21, 0, 1, 2, 600))));
         for (int i = 0; i < 8; i++) {
             Send s = firstSend(b, b.message(1, 1 + i % 2));
@@ -707,7 +707,7 @@
     void oneOfManyRelaysKeepsAConnectionForLessUntilItHasProvedItsUse() {
         for (int relays : new int[] {2, 14, 95}) {
             Bench b = new Bench(settings(64, false, relays));
-            b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 600))));
+            b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 600))));
             long closed = 0;
             for (int i = 0; i < 3; i++) {
                 closed += count(b.turn(reported(firstSend(b, b.message(1, 1)), Outcome.OK)), Close.class);
@@ -752,7 +752,7 @@
     @Test
     void connectionsAreHeldAsBeforeOnceAnOutageExplainsTheConnectsThatFailed() {
         Bench b = new Bench(settings(8, true, 14));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 600))));
+        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 600))));
         b.warmUp(20, 1);
         b.pass(2 * SECOND);
         for (int i = 0; i < 6; i++) {
@@ -776,7 +776,7 @@
     /** Sends to two routes of 600 a second each in two seconds after both came back from an outage. */
     private static long sentInRamp(int kind) {
         Bench b = new Bench(settings(100, false, 14, 100, 1000));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, kind, 1, 600), endpoint(12, 0, kind, 1, 600))));
+        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, kind, 1, 600), endpoint(12, 0, kind, 1, 600))));
         b.warmUp(20, 1);
         b.pass(SECOND);
         Set<Long> back = new HashSet<>();
@@ -808,7 +808,7 @@
     @Test
     void aLongIdleConnectionIsDoubtedAfterAFailureOnOneAndTrustComesBack() {
         Bench b = new Bench(settings(8, true, 300));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 20))));
+        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 20))));
         b.warmUp(20, 1);
         b.pass(4 * SECOND);
         Send lost = sends(b.turn(b.message(2, 1))).get(0);
@@ -846,7 +846,7 @@
     @Test
     void refusalsByEveryRouteInARowHoldBackAllOfThem() {
         Bench b = new Bench(settings(8, false, 300));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50), endpoint(12, 0, 1, 1, 50))));
+        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 50), endpoint(12, 0, 1, 1, 50))));
         List<Send> asked = new ArrayList<>();
         List<Send> sent = new ArrayList<>(sends(b.turn(b.message(2, 1), b.message(2, 1), b.message(2, 1))));
         for (int step = 0; step < 800; step++) {
@@ -866,7 +866,7 @@
     @Test
     void anEndpointNewToAFailingDestinationStartsOnTrials() {
         Bench b = new Bench(settings(8, false, 2));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
+        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 50))));
         b.warmUp(20, 1);
         for (int i = 0; i < 3; i++) {
             b.pass(3 * SECOND);
@@ -891,7 +891,7 @@
         List<Long> backs = new ArrayList<>();
         for (int relay = 0; relay < 200; relay++) {
             Bench b = new Bench(settings(2, false, 200), relay);
-            b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 0, 1, 50))));
+            b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 0, 1, 50))));
             b.warmUp(2, 1);
             b.pass(10 * SECOND);
             Send s = sends(b.turn(b.message(1, 1))).get(0);
--- a/src/test/java/brambletray/relay/control/EmbeddingTest.java
+++ b/src/test/java/brambletray/relay/control/EmbeddingTest.java
@@ -64,7 +64,7 @@
     @Test
     void aRelayDeliversWhatItTakes() {
         Host host = new Host();
-        host.tell(new Listed(ListKind.WHOLE, List.of(Bench.endpoint(1, 0, 0, 9, 50), Bench.endpoint(2, 1, 0, 9, 50))));
+        host.tell(new Listed(ListKind.FULL, List.of(Bench.endpoint(1, 0, 0, 9, 50), Bench.endpoint(2, 1, 0, 9, 50))));
         List<String> taken = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             taken.add("bill-" + i);
--- a/src/test/java/brambletray/relay/control/CopyDelayTest.java
+++ b/src/test/java/brambletray/relay/control/HedgeDelayTest.java
@@ -6,23 +6,23 @@
 import org.junit.jupiter.api.Test;
 
 /** The delay of copies, by itself: how another program would use it. */
-class CopyDelayTest {
+class HedgeDelayTest {
     @Test
     void isTheDesignsFigureUntilEightAnswersAreKnown() {
-        CopyDelay delay = new CopyDelay();
+        HedgeDelay delay = new HedgeDelay();
         for (int i = 0; i < 7; i++) {
-            assertEquals(200_000, delay.delay());
+            assertEquals(200_000, delay.delayUs());
             delay.add(30_000);
-            assertFalse(delay.known());
+            assertFalse(delay.isKnown());
         }
         delay.add(30_000);
-        assertTrue(delay.known());
-        assertEquals(30_000, delay.delay());
+        assertTrue(delay.isKnown());
+        assertEquals(30_000, delay.delayUs());
     }
 
     @Test
     void sitsAboveAboutNineInTenOfTheRecentAnswers() {
-        CopyDelay delay = new CopyDelay();
+        HedgeDelay delay = new HedgeDelay();
         Random random = new Random(1);
         long[] last = new long[48];
         for (int i = 0; i < 1_000; i++) {
@@ -30,7 +30,7 @@
             delay.add(time);
             last[i % 48] = time;
             if (i >= 48) {
-                long now = delay.delay();
+                long now = delay.delayUs();
                 long below = java.util.Arrays.stream(last).filter(t -> t <= now).count();
                 assertTrue(below >= 46 && below <= 48, i + ": " + below + " of 48 are no longer");
             }
@@ -39,17 +39,17 @@
 
     @Test
     void followsAChangeWithinItsMemory() {
-        CopyDelay delay = new CopyDelay();
+        HedgeDelay delay = new HedgeDelay();
         for (int i = 0; i < 100; i++) {
             delay.add(20_000);
         }
         for (int i = 0; i < 3; i++) {
             delay.add(90_000);
         }
-        assertEquals(90_000, delay.delay(), "a tail shows at once");
+        assertEquals(90_000, delay.delayUs(), "a tail shows at once");
         for (int i = 0; i < 48; i++) {
             delay.add(20_000);
         }
-        assertEquals(20_000, delay.delay(), "and is forgotten");
+        assertEquals(20_000, delay.delayUs(), "and is forgotten");
     }
 }
--- a/src/test/java/brambletray/relay/control/RandomStreamTest.java
+++ b/src/test/java/brambletray/relay/control/RandomStreamTest.java
@@ -155,7 +155,7 @@
                 items.add(new Endpoint(100 + i, i % 2, dest - 1, dest, listing, 4 + dest));
             }
         }
-        Listed event = new Listed(whole ? ListKind.WHOLE : ListKind.CHANGES, items);
+        Listed event = new Listed(whole ? ListKind.FULL : ListKind.CHANGES, items);
         if (b.control != null && whole) {
             b.turn(event);
         }
--- a/src/test/java/brambletray/relay/control/RuleChecker.java
+++ b/src/test/java/brambletray/relay/control/RuleChecker.java
@@ -82,47 +82,48 @@
     }
 
     void event(long now, Event event) {
-        if (event instanceof Accepted e) {
+        if (event instanceof Accepted accepted) {
             Seen s = new Seen();
-            s.taken = e;
-            s.cls = set.classes().get(e.messageClass());
-            messages.put(e.id(), s);
-            if (s.cls.inOrder() && e.key() != null) {
-                keys.computeIfAbsent(e.key(), k -> new ArrayList<>()).add(s);
+            s.taken = accepted;
+            s.cls = set.classes().get(accepted.messageClass());
+            messages.put(accepted.id(), s);
+            if (s.cls.inOrder() && accepted.key() != null) {
+                keys.computeIfAbsent(accepted.key(), k -> new ArrayList<>()).add(s);
             }
-        } else if (event instanceof Ended e) {
-            Seen s = messages.get(e.id());
-            s.ends.put(e.attempt(), e.outcome());
-            if (e.outcome() == Outcome.OK || e.over()) {
+        } else if (event instanceof Ended ended) {
+            Seen s = messages.get(ended.id());
+            s.ends.put(ended.attempt(), ended.outcome());
+            if (ended.outcome() == Outcome.OK || ended.over()) {
                 end(s, now);
             }
-            if (e.waitFor() > 0) {
-                waits.merge(lane(endpoints.get(e.endpoint())), now + e.waitFor(), Math::max);
+            if (ended.retryAfter() > 0) {
+                waits.merge(lane(endpoints.get(ended.endpoint())), now + ended.retryAfter(), Math::max);
             }
-            boolean rests =
-                    e.outcome() == Outcome.TIMEOUT || e.outcome() == Outcome.RESET || e.outcome() == Outcome.CANCELLED;
+            boolean rests = ended.outcome() == Outcome.TIMEOUT
+                    || ended.outcome() == Outcome.RESET
+                    || ended.outcome() == Outcome.CANCELLED;
             if (s.taken.key() != null && s.cls.inOrder() && rests) {
                 keyRest.put(s.taken.key(), now + set.rules().keyRest());
             }
-        } else if (event instanceof Excluded e) {
-            if (e.out()) {
-                excluded.add(e.endpoint());
+        } else if (event instanceof Excluded exclusion) {
+            if (exclusion.out()) {
+                excluded.add(exclusion.endpoint());
             } else {
-                excluded.remove(e.endpoint());
+                excluded.remove(exclusion.endpoint());
             }
-        } else if (event instanceof Withdrawn e) {
-            end(messages.get(e.id()), now);
-        } else if (event instanceof Listed e) {
-            for (Endpoint p : e.endpoints()) {
-                endpoints.put(p.id(), p);
-                if (p.listing() == Listing.READY) {
-                    drained.remove(p.id());
+        } else if (event instanceof Withdrawn withdrawn) {
+            end(messages.get(withdrawn.id()), now);
+        } else if (event instanceof Listed listed) {
+            for (Endpoint listedEndpoint : listed.endpoints()) {
+                endpoints.put(listedEndpoint.id(), listedEndpoint);
+                if (listedEndpoint.listing() == Listing.READY) {
+                    drained.remove(listedEndpoint.id());
                 } else {
-                    drained.putIfAbsent(p.id(), now);
+                    drained.putIfAbsent(listedEndpoint.id(), now);
                 }
             }
-            if (e.kind() == ListKind.WHOLE) {
-                List<Long> named = e.endpoints().stream().map(Endpoint::id).toList();
+            if (listed.kind() == ListKind.FULL) {
+                List<Long> named = listed.endpoints().stream().map(Endpoint::id).toList();
                 endpoints.keySet().stream()
                         .filter(id -> !named.contains(id))
                         .forEach(id -> drained.putIfAbsent(id, now));
@@ -169,7 +170,7 @@
         require(told == null || now <= told + set.rules().drainGrace(), "3: sent to a drained endpoint");
         require(!excluded.contains(a.endpoint()), "3: sent to an endpoint that was taken out");
         require(now >= waits.getOrDefault(lane(to), 0L), "5: sent inside a wait");
-        require(set.allowed().copies() || !s.open(), "2: two attempts out together");
+        require(set.allowed().hedging() || !s.open(), "2: two attempts out together");
         effects(now, s, to);
         order(now, s);
         budget(now, to);
@@ -183,7 +184,7 @@
                 continue;
             }
             require(s.cls.effect() == Effect.KEYED, "2: an unsafe message sent again");
-            require(now < s.sentAt.get(i) + s.cls.window(), "2: sent again outside the window");
+            require(now < s.sentAt.get(i) + s.cls.dedupWindow(), "2: sent again outside the window");
             Endpoint before = endpoints.get(s.sends.get(i).endpoint());
             require(!s.cls.zoneGroup() || before.zone() == to.zone(), "2: sent again outside the group");
         }
--- a/src/test/java/brambletray/relay/control/RuleCheckerTest.java
+++ b/src/test/java/brambletray/relay/control/RuleCheckerTest.java
@@ -26,7 +26,7 @@
 
     @BeforeEach
     void list() {
-        c.event(T, new Listed(ListKind.WHOLE, List.of(endpoint(1, 0, 0, 1, 2), endpoint(2, 1, 0, 1, 2))));
+        c.event(T, new Listed(ListKind.FULL, List.of(endpoint(1, 0, 0, 1, 2), endpoint(2, 1, 0, 1, 2))));
     }
 
     private void take(String id, int cls, String key) {
--- a/src/test/java/brambletray/relay/core/EvidenceTest.java
+++ b/src/test/java/brambletray/relay/core/EvidenceTest.java
@@ -186,8 +186,9 @@
             life.evidence.look();
             life.listed(life.update(2, false, "a ready"));
             assertTrue(
-                    life.control.known(life.number("b")).failing(), "its sibling was shut, and it was not heard from");
-            assertTrue(life.control.known(life.number("b")).waitFor() > 40 * SECOND);
+                    life.control.known(life.number("b")).isUnhealthy(),
+                    "its sibling was shut, and it was not heard from");
+            assertTrue(life.control.known(life.number("b")).retryAfter() > 40 * SECOND);
         }
     }
 
@@ -197,12 +198,12 @@
         try (Life life = new Life()) {
             life.start(life.update(1, true, "a ready"));
             life.pass(SECOND);
-            for (int i = 0; i < 20 && !life.control.known(life.number("a")).failing(); i++) {
+            for (int i = 0; i < 20 && !life.control.known(life.number("a")).isUnhealthy(); i++) {
                 List<Relay.Send> sends = new ArrayList<>(life.message());
                 sends.addAll(life.pass(SECOND));
                 sends.forEach(s -> life.ended(s, Relay.Outcome.CONNECT_FAILED, 0, 0));
             }
-            assertTrue(life.control.known(life.number("a")).failing());
+            assertTrue(life.control.known(life.number("a")).isUnhealthy());
             assertTrue(life.evidence.look());
         }
         try (Life life = new Life()) {
@@ -214,14 +215,14 @@
             trial.addAll(life.pass(2 * SECOND));
             assertEquals(1, trial.size(), "a trial");
             life.ended(trial.get(0), Relay.Outcome.OK, 0, 0);
-            assertTrue(life.control.known(life.number("a")).warming() >= 0);
+            assertTrue(life.control.known(life.number("a")).slowStartAge() >= 0);
             life.pass(SECOND);
             assertTrue(life.evidence.look());
         }
         time.micros += 2 * SECOND;
         try (Life life = new Life()) {
             life.start(life.update(1, true, "a ready"));
-            long warming = life.control.known(life.number("a")).warming();
+            long warming = life.control.known(life.number("a")).slowStartAge();
             assertTrue(warming >= 3 * SECOND && warming < 4 * SECOND, "goes on warming up: " + warming);
             for (int i = 0; i < 20; i++) {
                 life.message();
--- a/src/test/java/brambletray/relay/handover/CodecTest.java
+++ b/src/test/java/brambletray/relay/handover/CodecTest.java
@@ -157,7 +157,7 @@
                 0,
                 List.of(
                         new Listed(
-                                ListKind.WHOLE,
+                                ListKind.FULL,
                                 List.of(
                                         new Endpoint(1, 0, 0, 1, Listing.READY, 50),
                                         new Endpoint(2, 0, 0, 2, Listing.READY, 50),
@@ -203,7 +203,7 @@
     @Test
     void whatIsNotWholeOrNotOfThisVersionIsRefused() throws IOException {
         byte[] good = MemoryCodec.encode(busy().memory());
-        assertEquals(30 - 1, MemoryCodec.decode(good).open().size());
+        assertEquals(30 - 1, MemoryCodec.decode(good).openMessages().size());
         Random random = new Random(3);
         for (int round = 0; round < 300; round++) {
             byte[] spoilt = good.clone();
