--- a/src/main/java/brambletray/Main.java
+++ b/src/main/java/brambletray/Main.java
@@ -2,7 +2,7 @@
 
 import brambletray.platform.cli.ProgramLauncher;
 import brambletray.relay.cli.Verbs;
-import brambletray.relay.serve.Node;
+import brambletray.relay.serve.RelayProcess;
 import brambletray.relay.simhost.SimHost;
 import brambletray.relay.standalone.StandaloneRelay;
 import java.io.IOException;
@@ -32,7 +32,7 @@
             return SimHost.serve(System.in, System.out, System.err);
         }
         if (args.length == 1 && args[0].equals("serve")) {
-            return Node.serve(System.getenv());
+            return RelayProcess.serve(System.getenv());
         }
         if (args.length >= 3 && args[0].equals("serve") && args[1].equals("--config")) {
             boolean other = args.length == 5 && args[3].equals("--inventory");
--- a/src/main/java/brambletray/relay/admission/QuotaDoor.java
+++ b/src/main/java/brambletray/relay/admission/QuotaDoor.java
@@ -2,7 +2,7 @@
 
 import brambletray.common.runtime.Clock;
 import brambletray.common.yaml.Faults;
-import brambletray.relay.core.Door;
+import brambletray.relay.core.AdmissionGate;
 import brambletray.relay.message.Message;
 import brambletray.relay.quota.Member;
 import brambletray.relay.quota.Member.Asked;
@@ -32,7 +32,7 @@
  * process. The use of long windows is staged there before the turn that answers the message, so that it goes
  * in one batch with it.
  */
-public final class QuotaDoor implements Door {
+public final class QuotaDoor implements AdmissionGate {
     private static final Logger LOG = LoggerFactory.getLogger(QuotaDoor.class);
     private static final JsonFactory JSON = new JsonFactory();
     /** Name space in the store. */
@@ -85,7 +85,7 @@
         for (String path : quotas.noteDue()) {
             note(path);
         }
-        return Door.IN;
+        return AdmissionGate.IN;
     }
 
     @Override
--- a/src/main/java/brambletray/relay/console/CallTable.java
+++ b/src/main/java/brambletray/relay/console/CallTable.java
@@ -13,7 +13,7 @@
 
     /** Carries a call out; {@code id}: the host that it names, null where it names none. */
     interface Work {
-        void run(Operations operations, String id, Consumer<Said> then);
+        void run(Operations operations, String id, Consumer<CommandResponse> then);
     }
 
     /** One call: its path is as given, or that and a host's name behind it. */
@@ -30,28 +30,28 @@
     private CallTable() {}
 
     /** Finds and carries out a call; what is no call is told so: 404, 405 or 400. */
-    static void run(HttpMethod method, String uri, Operations operations, Consumer<Said> then) {
+    static void run(HttpMethod method, String uri, Operations operations, Consumer<CommandResponse> then) {
         String path = uri.split("\\?", 2)[0];
         for (Call call : CALLS) {
             if (call.names ? !path.startsWith(call.path) : !path.equals(call.path)) {
                 continue;
             }
             if (!call.method.equals(method)) {
-                then.accept(new Said(405, "expected " + call.method + " " + call.path));
+                then.accept(new CommandResponse(405, "expected " + call.method + " " + call.path));
                 return;
             }
             String id = null;
             if (call.names) {
                 id = name(path.substring(call.path.length()));
                 if (id == null) {
-                    then.accept(new Said(400, "expected a host's name behind " + call.path));
+                    then.accept(new CommandResponse(400, "expected a host's name behind " + call.path));
                     return;
                 }
             }
             call.work.run(operations, id, then);
             return;
         }
-        then.accept(new Said(404, "no such call"));
+        then.accept(new CommandResponse(404, "no such call"));
     }
 
     /** A name as it stands in a path; null for one that cannot be. */
--- a/src/main/java/brambletray/relay/console/Said.java
+++ b/src/main/java/brambletray/relay/console/CommandResponse.java
@@ -3,10 +3,10 @@
 /**
  * What a call of an operator's is answered: an HTTP status and text, a line or several.
  */
-public record Said(int status, String text) {
+public record CommandResponse(int status, String text) {
     /** It is so, or done. */
-    public static Said yes(String text) {
-        return new Said(200, text);
+    public static CommandResponse yes(String text) {
+        return new CommandResponse(200, text);
     }
 
     /** True for a yes. */
--- a/src/main/java/brambletray/relay/console/Console.java
+++ b/src/main/java/brambletray/relay/console/Console.java
@@ -2,7 +2,7 @@
 
 import brambletray.common.runtime.Clock;
 import brambletray.common.runtime.Machine;
-import brambletray.relay.core.Seldom;
+import brambletray.relay.core.RateLimitedLog;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -73,7 +73,7 @@
     private final Clock clock;
     private final Operations operations;
     private final Upgrade upgrade;
-    private final Seldom complaints;
+    private final RateLimitedLog complaints;
     /** In the order in which they connected. */
     private final ArrayDeque<Caller> callers = new ArrayDeque<>();
 
@@ -87,7 +87,7 @@
         this.machine = machine;
         this.clock = machine.clock();
         this.operations = operations;
-        this.complaints = new Seldom(LOG, clock);
+        this.complaints = new RateLimitedLog(LOG, clock);
         machine.loop().scheduleWithFixedDelay(this::sweep, SWEEP, SWEEP, TimeUnit.MILLISECONDS);
     }
 
@@ -165,13 +165,13 @@
                 return;
             }
             if (part.decoderResult().isFailure()) {
-                answer(new Said(400, "malformed request"));
+                answer(new CommandResponse(400, "malformed request"));
                 return;
             }
             if (part instanceof HttpRequest request) {
                 head = request;
                 if (HttpUtil.getContentLength(request, 0L) > BODY_MOST) {
-                    answer(new Said(413, "no call has a body of over " + BODY_MOST + " bytes"));
+                    answer(new CommandResponse(413, "no call has a body of over " + BODY_MOST + " bytes"));
                     return;
                 }
             }
@@ -190,7 +190,7 @@
         private void handOver(ChannelHandlerContext context) {
             String secret = head.headers().get(HttpHeaderNames.AUTHORIZATION, "");
             if (!secret.startsWith(BEARER) || !upgrade.allows(secret.substring(BEARER.length()))) {
-                answer(new Said(403, "not a process of this relay"));
+                answer(new CommandResponse(403, "not a process of this relay"));
                 return;
             }
             callers.remove(this);
@@ -207,7 +207,7 @@
             upgrade.upgraded(channel);
         }
 
-        private void answer(Said said) {
+        private void answer(CommandResponse said) {
             if (answered) {
                 return;
             }
@@ -229,7 +229,7 @@
                 if (answered) {
                     channel.close();
                 } else {
-                    answer(new Said(calling ? 503 : 408, "not in time"));
+                    answer(new CommandResponse(calling ? 503 : 408, "not in time"));
                 }
             }
         }
--- a/src/main/java/brambletray/relay/console/Operations.java
+++ b/src/main/java/brambletray/relay/console/Operations.java
@@ -5,14 +5,14 @@
 /** What operators may ask of a relay. Each method tells its answer exactly once, at once or within 1 s. */
 public interface Operations {
     /** Whether this process is ready to serve. */
-    void ready(Consumer<Said> then);
+    void ready(Consumer<CommandResponse> then);
 
     /** The figures, in the form of StatsD: a line each. */
-    void figures(Consumer<Said> then);
+    void figures(Consumer<CommandResponse> then);
 
     /** Takes a host out by its name, or puts it back. */
-    void exclude(String host, boolean out, Consumer<Said> then);
+    void exclude(String host, boolean out, Consumer<CommandResponse> then);
 
     /** Sends clients away ({@code true}), or ends that. */
-    void drain(boolean away, Consumer<Said> then);
+    void drain(boolean away, Consumer<CommandResponse> then);
 }
--- a/src/main/java/brambletray/relay/console/Statsd.java
+++ b/src/main/java/brambletray/relay/console/Statsd.java
@@ -1,14 +1,14 @@
 package brambletray.relay.console;
 
-import brambletray.relay.figures.Figures;
-import brambletray.relay.figures.Figures.End;
+import brambletray.relay.metrics.MessageMetrics;
+import brambletray.relay.metrics.MessageMetrics.End;
 
 /** The figures as lines of StatsD: {@code svc.NAME[.CLASS]:VALUE|c} for counts, {@code |g} for gauges. */
 public final class Statsd {
     private Statsd() {}
 
     /** {@code known}, {@code excluded}: hosts in the list, and those of them that get no ordinary traffic. */
-    public static String lines(Figures figures, int known, int excluded) {
+    public static String lines(MessageMetrics figures, int known, int excluded) {
         StringBuilder lines = new StringBuilder();
         for (int c = 0; c < figures.classes().size(); c++) {
             String name = figures.classes().get(c);
--- a/src/main/java/brambletray/relay/core/Door.java
+++ b/src/main/java/brambletray/relay/core/AdmissionGate.java
@@ -7,7 +7,7 @@
  * Who may hand in how much, asked before the module is told of a message: what a client turned away there
  * hands in again does no harm. One thread, that of the loop.
  */
-public interface Door {
+public interface AdmissionGate {
     /** What the door says. */
     sealed interface Entry permits In, Later, Turned {}
 
@@ -31,7 +31,7 @@
     Entry IN = new In();
 
     /** Everybody, anything. */
-    Door OPEN = message -> IN;
+    AdmissionGate OPEN = message -> IN;
 
     /** A message is handed in. */
     Entry ask(Message message);
--- a/src/main/java/brambletray/relay/core/Reply.java
+++ b/src/main/java/brambletray/relay/core/CallReply.java
@@ -7,23 +7,23 @@
  * in microseconds, {@code left} and {@code limit} -1 if untold.
  * {@code reused}: the call went out on a connection that had carried one before.
  */
-public record Reply(
+public record CallReply(
         Outcome outcome, boolean over, long waitFor, long latency, double left, double limit, boolean reused) {
     /** A message that has been delivered is over: no caller has to say so, and none can say otherwise. */
-    public Reply {
+    public CallReply {
         over = over || outcome == Outcome.OK;
     }
 
-    public Reply(Outcome outcome, boolean over, long waitFor, long latency, double left, double limit) {
+    public CallReply(Outcome outcome, boolean over, long waitFor, long latency, double left, double limit) {
         this(outcome, over, waitFor, latency, left, limit, false);
     }
 
     /** The same answer with another outcome: that of one message among those of its call. */
-    public Reply as(Outcome other, boolean isOver) {
-        return new Reply(other, isOver, waitFor, latency, left, limit, reused);
+    public CallReply as(Outcome other, boolean isOver) {
+        return new CallReply(other, isOver, waitFor, latency, left, limit, reused);
     }
 
-    public Reply onKeptConnection() {
-        return new Reply(outcome, over, waitFor, latency, left, limit, true);
+    public CallReply onKeptConnection() {
+        return new CallReply(outcome, over, waitFor, latency, left, limit, true);
     }
 }
--- a/src/main/java/brambletray/relay/core/Departures.java
+++ b/src/main/java/brambletray/relay/core/CallSender.java
@@ -17,32 +17,32 @@
  * Makes the sends of a turn: each is noted in the turn's batch first, and goes out only when that has been
  * written. One thread, that of the loop.
  */
-final class Departures {
-    private static final Logger LOG = LoggerFactory.getLogger(Departures.class);
+final class CallSender {
+    private static final Logger LOG = LoggerFactory.getLogger(CallSender.class);
 
     /** Is told the reply of each send, exactly once. */
     interface WhenEnded {
-        void ended(Held held, int attempt, Host host, Reply reply);
+        void ended(PendingMessage held, int attempt, Host host, CallReply reply);
     }
 
     private final Clock clock;
     private final Relay.Settings settings;
-    private final Hosts hosts;
-    private final Calls pool;
+    private final HostDirectory hosts;
+    private final HostTransport pool;
     private final Journal journal;
-    private final Function<String, Held> held;
+    private final Function<String, PendingMessage> held;
     private final Consumer<String> whenSent;
     private final WhenEnded whenEnded;
     /** Sends of the turn under way, noted and not yet made. */
     private final Map<Relay.Send, Prepared> prepared = new IdentityHashMap<>();
 
-    Departures(
+    CallSender(
             Clock clock,
             Relay.Settings settings,
-            Hosts hosts,
-            Calls pool,
+            HostDirectory hosts,
+            HostTransport pool,
             Journal journal,
-            Function<String, Held> held,
+            Function<String, PendingMessage> held,
             Consumer<String> whenSent,
             WhenEnded whenEnded) {
         this.clock = clock;
@@ -61,10 +61,10 @@
     }
 
     /** A send that is noted in this turn's batch; {@code note} null where it is not to go out. */
-    private record Prepared(Held held, int attempt, Host host, Journal.Attempt note) {}
+    private record Prepared(PendingMessage held, int attempt, Host host, Journal.Attempt note) {}
 
     void prepare(Relay.Send a) {
-        Held h = held.apply(a.id());
+        PendingMessage h = held.apply(a.id());
         Host host = hosts.host(a.endpoint());
         if (h == null || host == null) {
             return;
@@ -107,7 +107,7 @@
             return;
         }
         List<Prepared> together = new ArrayList<>();
-        List<Calls.Part> parts = new ArrayList<>();
+        List<HostTransport.Part> parts = new ArrayList<>();
         int taken = 0;
         for (Relay.Action other : turn) {
             if (taken < most
@@ -118,7 +118,7 @@
                 taken++;
                 if (goesOut(q)) {
                     together.add(q);
-                    parts.add(new Calls.Part(
+                    parts.add(new HostTransport.Part(
                             q.held().message,
                             b.timeout(),
                             reply -> whenEnded.ended(q.held(), q.attempt(), q.host(), reply)));
@@ -128,7 +128,8 @@
         if (parts.isEmpty()) {
             return;
         }
-        List<Calls.Call> calls = pool.bundle(p.host(), settings.allowed().hedging() ? parts : alike(parts));
+        List<HostTransport.Call> calls =
+                pool.bundle(p.host(), settings.allowed().hedging() ? parts : alike(parts));
         for (int i = 0; i < calls.size(); i++) {
             Prepared q = together.get(i);
             q.held().calls.set(q.attempt(), calls.get(i));
@@ -139,20 +140,21 @@
      * Guards installations without second copies: a message given up while its call goes on for others would
      * be a copy when sent again, so all of a call are waited for as long.
      */
-    private static List<Calls.Part> alike(List<Calls.Part> parts) {
-        long longest = parts.stream().mapToLong(Calls.Part::patience).max().orElse(0);
+    private static List<HostTransport.Part> alike(List<HostTransport.Part> parts) {
+        long longest =
+                parts.stream().mapToLong(HostTransport.Part::patience).max().orElse(0);
         return parts.stream()
-                .map(p -> new Calls.Part(p.message(), longest, p.whenEnded()))
+                .map(p -> new HostTransport.Part(p.message(), longest, p.whenEnded()))
                 .toList();
     }
 
     /** Ends at once a send that is not to go out: a note whose batch failed says so, it has not run. */
     private boolean goesOut(Prepared p) {
-        Held h = p.held();
+        PendingMessage h = p.held();
         if (!h.over && p.note() != null && p.note().mayHaveRun && p.host().ready && !p.host().out) {
             return true;
         }
-        whenEnded.ended(h, p.attempt(), p.host(), new Reply(Relay.Outcome.NOT_SENT, h.over, 0, 0, -1, -1));
+        whenEnded.ended(h, p.attempt(), p.host(), new CallReply(Relay.Outcome.NOT_SENT, h.over, 0, 0, -1, -1));
         return false;
     }
 }
--- a/src/main/java/brambletray/relay/core/Ends.java
+++ b/src/main/java/brambletray/relay/core/CompletionListener.java
@@ -6,7 +6,7 @@
  * Is told the end of each message that has an {@link brambletray.relay.message.Origin}, or of all, in the batch
  * that notes it.
  */
-public interface Ends {
+public interface CompletionListener {
     /** How a message ended. */
     enum End {
         DELIVERED,
@@ -29,5 +29,5 @@
     default void committed() {}
 
     /** For relays whose clients all ask by HTTP. */
-    Ends NOBODY = (message, end, retryAfter) -> {};
+    CompletionListener NOBODY = (message, end, retryAfter) -> {};
 }
--- a/src/main/java/brambletray/relay/core/Descriptors.java
+++ b/src/main/java/brambletray/relay/core/DescriptorBudget.java
@@ -7,7 +7,7 @@
  * own files, the store, the notices and the operators' address have theirs before any client or host gets
  * one. One thread; no I/O.
  */
-public final class Descriptors {
+public final class DescriptorBudget {
     /** Who holds descriptors. Those with a number have that share, as far as half of all suffices. */
     public enum Owner {
         /** Libraries, listeners, the event loop, standard streams. */
@@ -34,7 +34,7 @@
     private final int[] held = new int[Owner.values().length];
 
     /** {@code all}: descriptors that the process may have open. */
-    public Descriptors(int all) {
+    public DescriptorBudget(int all) {
         int wanted = Arrays.stream(Owner.values()).mapToInt(o -> o.wanted).sum();
         int left = all;
         for (Owner owner : Owner.values()) {
--- a/src/main/java/brambletray/relay/core/Trace.java
+++ b/src/main/java/brambletray/relay/core/DispatchTrace.java
@@ -9,11 +9,11 @@
  * What the module was told and asked for, a short line each, for {@code bench/fleet-trace}. Off unless the
  * logger {@code brambletray.trace} logs at debug; then it costs a line for each event and send.
  */
-final class Trace {
+final class DispatchTrace {
     private static final Logger LOG = LoggerFactory.getLogger("brambletray.trace");
     static final boolean ON = LOG.isDebugEnabled();
 
-    private Trace() {}
+    private DispatchTrace() {}
 
     /** The settings that bind a fleet; once, at the start. */
     static void settings(long unix, Relay.Settings s) {
--- a/src/main/java/brambletray/relay/core/Loop.java
+++ b/src/main/java/brambletray/relay/core/EventDispatcher.java
@@ -4,11 +4,11 @@
 import brambletray.common.runtime.Machine;
 import brambletray.relay.control.Control;
 import brambletray.relay.control.Relay;
-import brambletray.relay.figures.Figures;
-import brambletray.relay.figures.Figures.End;
-import brambletray.relay.journal.HostNotes;
+import brambletray.relay.journal.HostKnowledgeJournal;
 import brambletray.relay.journal.Journal;
 import brambletray.relay.message.Message;
+import brambletray.relay.metrics.MessageMetrics;
+import brambletray.relay.metrics.MessageMetrics.End;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -28,8 +28,8 @@
  * Drives the module: what happens on the sockets becomes events, what the module asks for is carried out in
  * order. It decides nothing. All of it runs on one event loop.
  */
-public final class Loop implements Intake {
-    private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
+public final class EventDispatcher implements MessageReceiver {
+    private static final Logger LOG = LoggerFactory.getLogger(EventDispatcher.class);
     /** us; told to a client that is turned away before the module has seen its message. */
     private static final long COME_BACK = 1_000_000;
     /** ms that a message must have left when it leaves the door, to be delivered or ended by a notice. */
@@ -41,7 +41,7 @@
 
     private final EventLoop loop;
     private final Clock clock;
-    private final Seldom complaints;
+    private final RateLimitedLog complaints;
     private final Relay.Settings settings;
     private final Control control;
     /** us; from the clock to the module's. */
@@ -49,52 +49,52 @@
     /** Who gets the replies of calls that were out when this loop was handed on; null before. */
     private Successor successor;
 
-    private final Hosts hosts;
-    private final Calls pool;
+    private final HostDirectory hosts;
+    private final HostTransport pool;
     private final Journal journal;
     private Platform platform;
     private final Map<String, Integer> classes = new HashMap<>();
-    private final Map<String, Held> held = new HashMap<>();
+    private final Map<String, PendingMessage> held = new HashMap<>();
     private List<Relay.Event> events = new ArrayList<>();
     /** Messages taken on that the door has not let in. */
     private final Set<String> waiting = new HashSet<>();
 
-    private final Map<String, Answer> unanswered = new LinkedHashMap<>();
+    private final Map<String, SubmissionResult> unanswered = new LinkedHashMap<>();
     private boolean turnDue;
     private boolean stopped;
     private int open;
-    private Ends ends = Ends.NOBODY;
-    private Door door = Door.OPEN;
+    private CompletionListener ends = CompletionListener.NOBODY;
+    private AdmissionGate door = AdmissionGate.OPEN;
     private boolean commitDue;
     /** The last batch failed: only what clients wait for is committed before {@link #commitAgain}. */
     private boolean rests;
 
-    private final Departures departures;
-    private final Figures figures;
-    private final Compaction compaction;
-    private final Evidence evidence;
+    private final CallSender departures;
+    private final MessageMetrics figures;
+    private final JournalCompaction compaction;
+    private final HostKnowledgeRecorder evidence;
 
-    public Loop(
+    public EventDispatcher(
             Machine machine,
             long seed,
             Relay.Settings settings,
-            Hosts hosts,
-            Calls pool,
+            HostDirectory hosts,
+            HostTransport pool,
             Journal journal,
-            Figures figures) {
+            MessageMetrics figures) {
         this(machine, settings, hosts, pool, journal, figures, new Control(seed, settings), 0);
     }
 
     /** One whose module goes on where another process's ended: {@link #resume}, not {@link #start}. */
-    public Loop(
+    public EventDispatcher(
             Machine machine,
             long seed,
             Relay.Settings settings,
-            Hosts hosts,
-            Calls pool,
+            HostDirectory hosts,
+            HostTransport pool,
             Journal journal,
-            Figures figures,
-            Handoff from) {
+            MessageMetrics figures,
+            HandoverState from) {
         this(
                 machine,
                 settings,
@@ -106,18 +106,18 @@
                 from.timeAt(machine.clock().unixMillis()) - machine.clock().micros());
     }
 
-    private Loop(
+    private EventDispatcher(
             Machine machine,
             Relay.Settings settings,
-            Hosts hosts,
-            Calls pool,
+            HostDirectory hosts,
+            HostTransport pool,
             Journal journal,
-            Figures figures,
+            MessageMetrics figures,
             Control control,
             long shift) {
         this.loop = machine.loop();
         this.clock = machine.clock();
-        this.complaints = new Seldom(LOG, clock);
+        this.complaints = new RateLimitedLog(LOG, clock);
         this.settings = settings;
         this.control = control;
         this.shift = shift;
@@ -126,13 +126,13 @@
         this.journal = journal;
         this.figures = figures;
         this.departures =
-                new Departures(clock, settings, hosts, pool, journal, held::get, id -> door.sent(id), this::ended);
-        this.compaction = new Compaction(loop, clock, journal, () -> stopped);
-        this.evidence = new Evidence(
+                new CallSender(clock, settings, hosts, pool, journal, held::get, id -> door.sent(id), this::ended);
+        this.compaction = new JournalCompaction(loop, clock, journal, () -> stopped);
+        this.evidence = new HostKnowledgeRecorder(
                 clock,
                 control,
                 hosts,
-                new HostNotes(journal.store()),
+                new HostKnowledgeJournal(journal.store()),
                 settings.rules().cold());
         loop.scheduleWithFixedDelay(this::tidy, TIDY, TIDY, TimeUnit.SECONDS);
         for (int i = 0; i < settings.classes().size(); i++) {
@@ -146,8 +146,8 @@
      */
     public void start(Platform platform, Relay.Listed known) {
         this.platform = platform;
-        if (Trace.ON) {
-            Trace.settings(clock.unixMillis(), settings);
+        if (DispatchTrace.ON) {
+            DispatchTrace.settings(clock.unixMillis(), settings);
         }
         if (known != null) {
             tell(evidence.careful(known));
@@ -169,7 +169,7 @@
 
     /** The deadline passes into the module's clock; earlier attempts keep their distance from now. */
     private void recover(Journal.Entry entry) {
-        Held h = new Held(entry.message, entry);
+        PendingMessage h = new PendingMessage(entry.message, entry);
         held.put(h.message.id(), h);
         open++;
         figures.taken(classes.get(h.message.messageClass()));
@@ -232,8 +232,8 @@
 
     // ---- Clients --------------------------------------------------------------------------------
     @Override
-    public void accept(Message message, Answer answer) {
-        Held known = held.get(message.id());
+    public void accept(Message message, SubmissionResult answer) {
+        PendingMessage known = held.get(message.id());
         if (known != null && !known.over) {
             // A client sends a request once more when its connection closed as it wrote: it is held already.
             if (known.message.sameAs(message)) {
@@ -248,20 +248,20 @@
             answer.refused(COME_BACK);
             return;
         }
-        Door.Entry entry = door.ask(message);
-        if (entry instanceof Door.Turned turned) {
+        AdmissionGate.Entry entry = door.ask(message);
+        if (entry instanceof AdmissionGate.Turned turned) {
             turned.recall().forEach(id -> tell(new Relay.Recalled(id)));
             figures.turnedAway(classes.get(message.messageClass()), End.REFUSED);
             answer.refused(turned.after());
             return;
         }
-        Held h = new Held(message, null);
+        PendingMessage h = new PendingMessage(message, null);
         held.put(message.id(), h);
         open++;
         figures.taken(classes.get(message.messageClass()));
         unanswered.put(message.id(), answer);
         // The turn comes when the loop has read what else is there: one batch, and one sync, for all of it.
-        if (entry instanceof Door.Later later) {
+        if (entry instanceof AdmissionGate.Later later) {
             waiting.add(message.id());
             tell(new Relay.Due());
             loop.schedule(() -> again(h), later.after(), TimeUnit.MICROSECONDS);
@@ -271,12 +271,12 @@
     }
 
     /** A message that was taken on and waits at the door: in, or on, or back while there is time for that. */
-    private void again(Held h) {
+    private void again(PendingMessage h) {
         if (h.over || stopped) {
             return;
         }
-        Door.Entry entry = door.again(h.message);
-        if (!(entry instanceof Door.Later later)) {
+        AdmissionGate.Entry entry = door.again(h.message);
+        if (!(entry instanceof AdmissionGate.Later later)) {
             waiting.remove(h.message.id());
             tell(accepted(h.message, List.of()));
         } else if (clock.unixMillis() + later.after() / 1_000 + DOOR_LEAST >= h.message.deadline()) {
@@ -294,7 +294,7 @@
     }
 
     private void withdrawn(String id) {
-        Held h = held.get(id);
+        PendingMessage h = held.get(id);
         if (h != null && !h.over) {
             complaints.warn("message " + id + " withdrawn, its client left before the answer");
             over(h, End.WITHDRAWN);
@@ -330,8 +330,8 @@
         events = new ArrayList<>();
         try {
             List<Relay.Action> actions = control.turn(micros(), told);
-            if (Trace.ON) {
-                Trace.turn(clock.unixMillis(), micros(), told, actions);
+            if (DispatchTrace.ON) {
+                DispatchTrace.turn(clock.unixMillis(), micros(), told, actions);
             }
             evidence.decided(told);
             answer(actions);
@@ -375,7 +375,7 @@
             }
         }
         for (String id : List.copyOf(unanswered.keySet())) {
-            Held h = held.get(id);
+            PendingMessage h = held.get(id);
             try {
                 h.entry = journal.take(h.message, clock.unixMillis());
             } catch (IOException e) {
@@ -394,13 +394,13 @@
         }
         commit();
         for (String id : List.copyOf(unanswered.keySet())) {
-            Held h = held.get(id);
+            PendingMessage h = held.get(id);
             if (h.entry.held()) {
                 h.message = h.entry.message;
                 unanswered.remove(id).taken();
             } else if (h.entry.uncertain()) {
                 // It may be found after a restart: its client must not be told that another try does no harm.
-                Answer answer = unanswered.remove(id);
+                SubmissionResult answer = unanswered.remove(id);
                 answer.notNoted();
                 over(h, End.FAILED);
                 tell(new Relay.Withdrawn(id));
@@ -453,7 +453,7 @@
         }
     }
 
-    private void refuse(String id, Answer answer) {
+    private void refuse(String id, SubmissionResult answer) {
         unanswered.remove(id);
         over(held.get(id), End.REFUSED);
         tell(new Relay.Withdrawn(id));
@@ -468,8 +468,8 @@
         } else if (action instanceof Relay.Fail a) {
             end(a.id(), new Journal.End(false, 0));
         } else if (action instanceof Relay.Cancel a) {
-            Held h = held.get(a.id());
-            Calls.Call call = h == null ? null : h.calls.get(a.attempt());
+            PendingMessage h = held.get(a.id());
+            HostTransport.Call call = h == null ? null : h.calls.get(a.attempt());
             if (call != null) {
                 call.cancel();
             }
@@ -486,7 +486,7 @@
     }
 
     // ---- Calls ----------------------------------------------------------------------------------
-    private void ended(Held h, int attempt, Host host, Reply reply) {
+    private void ended(PendingMessage h, int attempt, Host host, CallReply reply) {
         if (successor != null) {
             h.done(attempt);
             successor.ended(h.message.id(), attempt, host.name, reply);
@@ -507,7 +507,12 @@
         if (!h.over) {
             if (reply.over()) {
                 over(h, reply.outcome() == Relay.Outcome.OK ? End.SERVED : End.FAILED);
-                tellOrigin(h.message, reply.outcome() == Relay.Outcome.OK ? Ends.End.DELIVERED : Ends.End.GIVEN_UP, 0);
+                tellOrigin(
+                        h.message,
+                        reply.outcome() == Relay.Outcome.OK
+                                ? CompletionListener.End.DELIVERED
+                                : CompletionListener.End.GIVEN_UP,
+                        0);
                 close(h.entry);
             } else if (reply.outcome().neverRan()) {
                 notRun(h, attempt);
@@ -527,7 +532,7 @@
         forget(h);
     }
 
-    private void notRun(Held h, int attempt) {
+    private void notRun(PendingMessage h, int attempt) {
         try {
             journal.notRun(h.entry, attempt);
         } catch (IOException e) {
@@ -539,7 +544,7 @@
 
     // ---- Ends -----------------------------------------------------------------------------------
     private void end(String id, Journal.End end) {
-        Held h = held.get(id);
+        PendingMessage h = held.get(id);
         if (h != null && !h.over) {
             over(h, end.handedBack() ? End.REFUSED : End.FAILED);
             end(h.entry, end);
@@ -552,12 +557,15 @@
         } catch (IOException e) {
             LOG.error("store cannot be written, end of message {} is told all the same", entry.message.id(), e);
         }
-        tellOrigin(entry.message, end.handedBack() ? Ends.End.HANDED_BACK : Ends.End.GIVEN_UP, end.retryAfter());
+        tellOrigin(
+                entry.message,
+                end.handedBack() ? CompletionListener.End.HANDED_BACK : CompletionListener.End.GIVEN_UP,
+                end.retryAfter());
         platform.notice(entry);
     }
 
     /** In the batch that notes the end: told exactly once, whatever happens in between. */
-    private void tellOrigin(Message message, Ends.End end, long retryAfter) {
+    private void tellOrigin(Message message, CompletionListener.End end, long retryAfter) {
         if (message.origin() != null || ends.ofAll()) {
             ends.ended(message, end, retryAfter);
             commitSoon();
@@ -565,12 +573,12 @@
     }
 
     /** Sets who is asked whether a message may be handed in; before {@link #start}. */
-    public void door(Door asked) {
+    public void door(AdmissionGate asked) {
         door = asked;
     }
 
     /** Sets who is told the ends of messages that have an origin; before {@link #start}. */
-    public void ends(Ends told) {
+    public void ends(CompletionListener told) {
         ends = told;
     }
 
@@ -579,7 +587,7 @@
         commitSoon();
     }
 
-    private void over(Held h, End end) {
+    private void over(PendingMessage h, End end) {
         h.over = true;
         waiting.remove(h.message.id());
         open--;
@@ -590,7 +598,7 @@
     }
 
     /** The module may still name a message until the last of its calls has ended. */
-    private void forget(Held h) {
+    private void forget(PendingMessage h) {
         if (h.over && h.out() == 0) {
             held.remove(h.message.id(), h);
         }
@@ -628,8 +636,8 @@
 
     /** A notice has been acknowledged: nothing more is owed. */
     public void noticed(Journal.Entry entry) {
-        if (Trace.ON) {
-            Trace.noticed(clock.unixMillis(), entry.message.id());
+        if (DispatchTrace.ON) {
+            DispatchTrace.noticed(clock.unixMillis(), entry.message.id());
         }
         close(entry);
     }
@@ -672,26 +680,26 @@
      * Ends this loop between turns, for another process to go on with what it held: all that has been told is
      * decided and written, then nothing more. The replies of calls that are out go to the successor.
      */
-    public Handoff handOn(Successor to) {
+    public HandoverState handOn(Successor to) {
         turn();
         commit();
         stopped = true;
         successor = to;
         platform.letGo();
-        List<Handoff.Out> outs = new ArrayList<>();
-        for (Held h : held.values()) {
+        List<HandoverState.Out> outs = new ArrayList<>();
+        for (PendingMessage h : held.values()) {
             if (!h.over) {
                 figures.ended(classes.get(h.message.messageClass()), End.HANDED_ON);
             }
             for (int i = 0; i < h.calls.size(); i++) {
                 if (h.isOut(i)) {
-                    outs.add(new Handoff.Out(h.message.id(), i, h.host(i), h.over));
+                    outs.add(new HandoverState.Out(h.message.id(), i, h.host(i), h.over));
                 }
             }
         }
         Map<String, Long> numbers = new HashMap<>();
         hosts.hosts().forEach(host -> numbers.put(host.name, host.number));
-        return new Handoff(control.memory(), micros(), clock.unixMillis(), numbers, outs);
+        return new HandoverState(control.memory(), micros(), clock.unixMillis(), numbers, outs);
     }
 
     /** Takes back the calls to a host, or to all (null), that were handed on and of which no byte is out. */
@@ -703,7 +711,7 @@
 
     /** Cancels a call that was out when this loop was handed on; its reply comes as any other. */
     public void cancelOut(String id, int attempt) {
-        Held h = held.get(id);
+        PendingMessage h = held.get(id);
         if (successor != null && h != null && attempt < h.calls.size() && h.calls.get(attempt) != null) {
             h.calls.get(attempt).cancel();
         }
@@ -711,7 +719,7 @@
 
     /** Cancels all that was out when this loop was handed on: nobody waits for its replies any more. */
     public void cancelAllOut() {
-        for (Held h : List.copyOf(held.values())) {
+        for (PendingMessage h : List.copyOf(held.values())) {
             for (int i = 0; i < h.calls.size(); i++) {
                 cancelOut(h.message.id(), i);
             }
@@ -720,11 +728,11 @@
 
     /** Calls that were out when this loop was handed on, and still are. */
     public int stillOut() {
-        return held.values().stream().mapToInt(Held::out).sum();
+        return held.values().stream().mapToInt(PendingMessage::out).sum();
     }
 
     /** In the place of {@link #start}: goes on with what was handed on; {@code whole}: the list as it is. */
-    public void resume(Platform on, Relay.Listed whole, Handoff from, AfarCalls afar) {
+    public void resume(Platform on, Relay.Listed whole, HandoverState from, RemoteCalls afar) {
         platform = on;
         evidence.handedOn();
         for (Journal.Entry entry : journal.owed()) {
@@ -732,15 +740,15 @@
                 platform.notice(entry);
                 continue;
             }
-            Held h = new Held(entry.message, entry);
+            PendingMessage h = new PendingMessage(entry.message, entry);
             entry.attempts.forEach(a -> h.calls.add(null));
             held.put(h.message.id(), h);
             open++;
             figures.taken(classes.get(h.message.messageClass()));
             door.recovered(h.message);
         }
-        for (Handoff.Out out : from.outs()) {
-            Held h = held.computeIfAbsent(out.id(), id -> Held.over(id));
+        for (HandoverState.Out out : from.outs()) {
+            PendingMessage h = held.computeIfAbsent(out.id(), id -> PendingMessage.over(id));
             while (h.calls.size() <= out.attempt()) {
                 h.calls.add(null);
             }
--- a/src/main/java/brambletray/relay/core/Handoff.java
+++ b/src/main/java/brambletray/relay/core/HandoverState.java
@@ -14,7 +14,7 @@
  * @param numbers by which the module knows hosts, by their names
  * @param outs calls that are out and stay with the process that made them
  */
-public record Handoff(Memory memory, long time, long unix, Map<String, Long> numbers, List<Out> outs) {
+public record HandoverState(Memory memory, long time, long unix, Map<String, Long> numbers, List<Out> outs) {
     /** us; a step of the wall clock between two processes moves the module's clock by no more than this. */
     private static final long STEP_MOST = 10_000_000;
 
@@ -30,7 +30,7 @@
      * Whether this fits what the journal holds and the numbers that hosts have here. Where it does not, the
      * module has to {@link Loop#start} with what the journal tells.
      */
-    public boolean fits(Journal journal, Hosts hosts) {
+    public boolean fits(Journal journal, HostDirectory hosts) {
         Map<String, Integer> open = memory.openMessages();
         for (Journal.Entry entry : journal.owed()) {
             if (entry.end == null && !Integer.valueOf(entry.attempts.size()).equals(open.remove(entry.message.id()))) {
--- a/src/main/java/brambletray/relay/core/Hosts.java
+++ b/src/main/java/brambletray/relay/core/HostDirectory.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 
 /** The hosts that the loop may be asked to send to, as membership keeps them. */
-public interface Hosts {
+public interface HostDirectory {
     /** The host that the module knows by this number; null for one that is not known or forgotten. */
     Host host(long number);
 
--- a/src/main/java/brambletray/relay/core/Evidence.java
+++ b/src/main/java/brambletray/relay/core/HostKnowledgeRecorder.java
@@ -3,9 +3,9 @@
 import brambletray.common.runtime.Clock;
 import brambletray.relay.control.Control;
 import brambletray.relay.control.Relay;
-import brambletray.relay.journal.HostNotes;
-import brambletray.relay.recovery.Known;
-import brambletray.relay.recovery.Recollection;
+import brambletray.relay.journal.HostKnowledgeJournal;
+import brambletray.relay.recovery.HostKnowledge;
+import brambletray.relay.recovery.HostStateCache;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -18,15 +18,15 @@
  * Brings what the module knows of hosts over the end of the process: told waits in the batch of the turn that
  * heard them, the rest when it is looked at. One thread, that of the loop.
  */
-final class Evidence {
+final class HostKnowledgeRecorder {
     /** Hosts that are gone of which that is still known. */
     private static final int GONE_MOST = 64;
 
     private final Clock clock;
     private final Control control;
-    private final Hosts hosts;
-    private final HostNotes notes;
-    private final Recollection recollection = new Recollection();
+    private final HostDirectory hosts;
+    private final HostKnowledgeJournal notes;
+    private final HostStateCache recollection = new HostStateCache();
     private final long cold;
     /** Hosts of earlier lives that no list has named yet; of those known, what is believed is told once. */
     private final Set<String> untold = new HashSet<>();
@@ -40,16 +40,16 @@
     private final List<String> staged = new ArrayList<>();
 
     /** {@code cold}: us that a host takes to warm up. */
-    Evidence(Clock clock, Control control, Hosts hosts, HostNotes notes, long cold) {
+    HostKnowledgeRecorder(Clock clock, Control control, HostDirectory hosts, HostKnowledgeJournal notes, long cold) {
         this.clock = clock;
         this.control = control;
         this.hosts = hosts;
         this.notes = notes;
         this.cold = cold;
-        for (Recollection.Note note : notes.found()) {
+        for (HostStateCache.Note note : notes.found()) {
             recollection.found(note);
             untold.add(note.host());
-            if (note.leftAt() != Recollection.IN_USE) {
+            if (note.leftAt() != HostStateCache.IN_USE) {
                 leaving.put(note.host(), note.leftAt());
                 gone.add(note.host());
             }
@@ -111,8 +111,8 @@
         List<Relay.Event> told = new ArrayList<>();
         for (Host host : untold.isEmpty() ? List.<Host>of() : hosts.hosts()) {
             if (!host.gone && untold.remove(host.name)) {
-                Known known = recollection.believed(host.name, clock.moment(), cold);
-                if (!known.equals(Known.NOTHING)) {
+                HostKnowledge known = recollection.believed(host.name, clock.moment(), cold);
+                if (!known.equals(HostKnowledge.NOTHING)) {
                     told.add(new Relay.Remembered(
                             host.number,
                             new Relay.Known(
@@ -144,11 +144,12 @@
             return;
         }
         Relay.Known known = control.known(host.number);
-        Known here = known == null
-                ? Known.NOTHING
-                : new Known(known.retryAfter(), known.isUnhealthy(), known.slowStartAge(), known.limit(), known.pace());
-        Recollection.Note note = recollection.worth(
-                clock.moment(), host.name, leaving.getOrDefault(host.name, Recollection.IN_USE), here);
+        HostKnowledge here = known == null
+                ? HostKnowledge.NOTHING
+                : new HostKnowledge(
+                        known.retryAfter(), known.isUnhealthy(), known.slowStartAge(), known.limit(), known.pace());
+        HostStateCache.Note note = recollection.worth(
+                clock.moment(), host.name, leaving.getOrDefault(host.name, HostStateCache.IN_USE), here);
         if (note == null) {
             return;
         }
--- a/src/main/java/brambletray/relay/core/Calls.java
+++ b/src/main/java/brambletray/relay/core/HostTransport.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 
 /** A way out: carries calls to hosts over one protocol. One thread, that of the loop. */
-public interface Calls {
+public interface HostTransport {
     /** A call that is out. */
     interface Call {
         /** Stops waiting; its reply comes at once, as cancelled, unless it has come. */
@@ -13,7 +13,7 @@
     }
 
     /** One message of a call: how long its reply is awaited (us), and who gets that, exactly once. */
-    record Part(Message message, long patience, Consumer<Reply> whenEnded) {}
+    record Part(Message message, long patience, Consumer<CallReply> whenEnded) {}
 
     /**
      * Begins one call that carries several messages, no more than the host's kind takes; each has a reply of
@@ -27,7 +27,7 @@
     }
 
     /** Begins a call, which ends within {@code patience} microseconds; its reply comes exactly once. */
-    Call call(Host host, Message message, long patience, Consumer<Reply> whenEnded);
+    Call call(Host host, Message message, long patience, Consumer<CallReply> whenEnded);
 
     /** Takes back the calls to a host of which no byte has gone out: each ends as not sent. */
     void takeBack(Host host);
--- a/src/main/java/brambletray/relay/core/Compaction.java
+++ b/src/main/java/brambletray/relay/core/JournalCompaction.java
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory;
 
 /** The journal's compaction, in slices between the turns of the loop. */
-final class Compaction {
-    private static final Logger LOG = LoggerFactory.getLogger(Compaction.class);
+final class JournalCompaction {
+    private static final Logger LOG = LoggerFactory.getLogger(JournalCompaction.class);
     /** How long one slice may take, ns; the gap to the next, us. */
     private static final long SLICE = 500_000;
 
@@ -23,7 +23,7 @@
     private final BooleanSupplier stopped;
     private boolean due;
 
-    Compaction(EventLoop loop, Clock clock, Journal journal, BooleanSupplier stopped) {
+    JournalCompaction(EventLoop loop, Clock clock, Journal journal, BooleanSupplier stopped) {
         this.loop = loop;
         this.clock = clock;
         this.journal = journal;
--- a/src/main/java/brambletray/relay/core/Intake.java
+++ b/src/main/java/brambletray/relay/core/MessageReceiver.java
@@ -4,9 +4,9 @@
 import brambletray.relay.message.Message;
 
 /** Where the fronts hand messages in. One thread, that of the loop. */
-public interface Intake {
+public interface MessageReceiver {
     /** A message is handed in; the answer is told exactly once, at once or within a bound of its own. */
-    void accept(Message message, Answer answer);
+    void accept(Message message, SubmissionResult answer);
 
     /**
      * The client did not hear that its message was taken on: it hands it in anew, this one counts for
--- a/src/main/java/brambletray/relay/core/Held.java
+++ b/src/main/java/brambletray/relay/core/PendingMessage.java
@@ -7,10 +7,10 @@
 import java.util.List;
 
 /** A message that the module holds, or that has calls out. */
-final class Held {
+final class PendingMessage {
     Message message;
     /** By number of attempt; null where none was made, or it was made before a restart. */
-    final List<Calls.Call> calls = new ArrayList<>();
+    final List<HostTransport.Call> calls = new ArrayList<>();
 
     Journal.Entry entry;
     boolean over;
@@ -19,14 +19,14 @@
 
     private int out;
 
-    Held(Message message, Journal.Entry entry) {
+    PendingMessage(Message message, Journal.Entry entry) {
         this.message = message;
         this.entry = entry;
     }
 
     /** One that has had its end, of which only the id is known; calls for it are still out. */
-    static Held over(String id) {
-        Held h = new Held(new Message(id, "", 0, null, null, 0, 0, Body.of(new byte[0])), null);
+    static PendingMessage over(String id) {
+        PendingMessage h = new PendingMessage(new Message(id, "", 0, null, null, 0, 0, Body.of(new byte[0])), null);
         h.over = true;
         return h;
     }
--- a/src/main/java/brambletray/relay/core/CallsByProtocol.java
+++ b/src/main/java/brambletray/relay/core/ProtocolHostTransport.java
@@ -6,20 +6,20 @@
 import java.util.function.Consumer;
 
 /** Sends each host its calls by the protocol that its list entry names. */
-public final class CallsByProtocol implements Calls {
-    private final Map<String, Calls> ways;
+public final class ProtocolHostTransport implements HostTransport {
+    private final Map<String, HostTransport> ways;
 
     /** {@code ways}: for each protocol the way out; hosts of any other are left out by membership. */
-    public CallsByProtocol(Map<String, Calls> ways) {
+    public ProtocolHostTransport(Map<String, HostTransport> ways) {
         this.ways = Map.copyOf(ways);
     }
 
-    private Calls way(Host host) {
+    private HostTransport way(Host host) {
         return ways.get(host.protocol);
     }
 
     @Override
-    public Call call(Host host, Message message, long patience, Consumer<Reply> whenEnded) {
+    public Call call(Host host, Message message, long patience, Consumer<CallReply> whenEnded) {
         return way(host).call(host, message, patience, whenEnded);
     }
 
--- a/src/main/java/brambletray/relay/core/Seldom.java
+++ b/src/main/java/brambletray/relay/core/RateLimitedLog.java
@@ -8,7 +8,7 @@
  * Log lines about what strangers do, a few a second at most: they may do it at full speed. What is left out
  * is counted. One thread.
  */
-public final class Seldom {
+public final class RateLimitedLog {
     private static final int A_SECOND = 5;
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
     private final Logger log;
@@ -17,7 +17,7 @@
     private int written;
     private long leftOut;
 
-    public Seldom(Logger log, Clock clock) {
+    public RateLimitedLog(Logger log, Clock clock) {
         this.log = log;
         this.clock = clock;
         this.since = clock.nanos();
--- a/src/main/java/brambletray/relay/core/Answer.java
+++ b/src/main/java/brambletray/relay/core/SubmissionResult.java
@@ -4,7 +4,7 @@
  * How a message handed in was met. A client that could not be told must be reported to
  * {@link Intake#withdraw}.
  */
-public interface Answer {
+public interface SubmissionResult {
     /**
      * It has been noted in the batch that is about to be committed: what must go with it is staged now.
      */
--- a/src/main/java/brambletray/relay/kept/ClassRules.java
+++ b/src/main/java/brambletray/relay/deadletter/ClassRules.java
@@ -1,4 +1,4 @@
-package brambletray.relay.kept;
+package brambletray.relay.deadletter;
 
 /**
  * What a message's class allowed when it was kept; later settings do not make it more.
--- a/src/main/java/brambletray/relay/kept/Judge.java
+++ b/src/main/java/brambletray/relay/deadletter/Judge.java
@@ -1,6 +1,6 @@
-package brambletray.relay.kept;
+package brambletray.relay.deadletter;
 
-import brambletray.relay.kept.ClassRules.Effect;
+import brambletray.relay.deadletter.ClassRules.Effect;
 import java.util.List;
 
 /**
--- a/src/main/java/brambletray/relay/kept/KeptMessage.java
+++ b/src/main/java/brambletray/relay/deadletter/KeptMessage.java
@@ -1,4 +1,4 @@
-package brambletray.relay.kept;
+package brambletray.relay.deadletter;
 
 import java.util.List;
 
--- a/src/main/java/brambletray/relay/kept/Redrives.java
+++ b/src/main/java/brambletray/relay/deadletter/Redrives.java
@@ -1,7 +1,7 @@
-package brambletray.relay.kept;
+package brambletray.relay.deadletter;
 
-import brambletray.relay.kept.Rule.GiveUp;
-import brambletray.relay.kept.Rule.SendAgain;
+import brambletray.relay.deadletter.Rule.GiveUp;
+import brambletray.relay.deadletter.Rule.SendAgain;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/brambletray/relay/kept/Send.java
+++ b/src/main/java/brambletray/relay/deadletter/Send.java
@@ -1,4 +1,4 @@
-package brambletray.relay.kept;
+package brambletray.relay.deadletter;
 
 /**
  * One send of a message, as far as it is known.
--- a/src/main/java/brambletray/relay/kept/Stage.java
+++ b/src/main/java/brambletray/relay/deadletter/Stage.java
@@ -1,4 +1,4 @@
-package brambletray.relay.kept;
+package brambletray.relay.deadletter;
 
 /**
  * Where a kept message stands. Each stage has only the steps that lead out of it, so that others cannot be
--- a/src/main/java/brambletray/relay/handover/FarCalls.java
+++ b/src/main/java/brambletray/relay/handover/ForwardedCalls.java
@@ -1,10 +1,10 @@
 package brambletray.relay.handover;
 
 import brambletray.relay.control.Relay.Outcome;
-import brambletray.relay.core.AfarCalls;
-import brambletray.relay.core.Calls;
+import brambletray.relay.core.CallReply;
 import brambletray.relay.core.Host;
-import brambletray.relay.core.Reply;
+import brambletray.relay.core.HostTransport;
+import brambletray.relay.core.RemoteCalls;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -12,33 +12,33 @@
 import java.util.function.Function;
 
 /** The calls that stayed with the process that handed on. Each ends once: as told, or reset with the link. */
-final class FarCalls implements AfarCalls {
+final class ForwardedCalls implements RemoteCalls {
     private record Key(String id, int attempt) {}
 
     private final Function<String, Host> hosts;
-    private final Consumer<Frame> tell;
+    private final Consumer<HandoverFrame> tell;
     private final Map<Key, WhenEnded> out = new HashMap<>();
     /** A host for replies that name none: those of calls lost with the link. */
     private final Map<Key, Host> to = new HashMap<>();
 
-    FarCalls(Function<String, Host> hosts, Consumer<Frame> tell) {
+    ForwardedCalls(Function<String, Host> hosts, Consumer<HandoverFrame> tell) {
         this.hosts = hosts;
         this.tell = tell;
     }
 
     @Override
-    public Calls.Call out(String id, int attempt, Host host, WhenEnded whenEnded) {
+    public HostTransport.Call out(String id, int attempt, Host host, WhenEnded whenEnded) {
         Key key = new Key(id, attempt);
         out.put(key, whenEnded);
         to.put(key, host);
         return () -> {
             if (out.containsKey(key)) {
-                tell.accept(new Frame.Cancel(id, attempt));
+                tell.accept(new HandoverFrame.Cancel(id, attempt));
             }
         };
     }
 
-    void ended(Frame.Ended told) {
+    void ended(HandoverFrame.Ended told) {
         Key key = new Key(told.id(), told.attempt());
         WhenEnded whenEnded = out.remove(key);
         to.remove(key);
@@ -50,7 +50,7 @@
     /** The process that had them is gone, and its connections with it: they may have run. */
     void lost() {
         for (Key key : List.copyOf(out.keySet())) {
-            out.remove(key).ended(to.remove(key), new Reply(Outcome.RESET, false, 0, 0, -1, -1, true));
+            out.remove(key).ended(to.remove(key), new CallReply(Outcome.RESET, false, 0, 0, -1, -1, true));
         }
     }
 
--- a/src/main/java/brambletray/relay/handover/Submissions.java
+++ b/src/main/java/brambletray/relay/handover/ForwardedSubmissions.java
@@ -1,7 +1,7 @@
 package brambletray.relay.handover;
 
-import brambletray.relay.core.Answer;
-import brambletray.relay.core.Intake;
+import brambletray.relay.core.MessageReceiver;
+import brambletray.relay.core.SubmissionResult;
 import brambletray.relay.message.Message;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -13,37 +13,37 @@
  * answer is lost with its owner is handed in again to whoever owns then: it is found in the journal if it was
  * taken, and was not sent before its answer was out if it is not there.
  */
-final class Submissions {
+final class ForwardedSubmissions {
     /** That wait at once; more are turned away. */
     static final int MOST = 2_000;
     /** us; when those come again. */
     private static final long COME_BACK = 1_000_000;
 
-    private record Waiting(Message message, Answer answer) {}
+    private record Waiting(Message message, SubmissionResult answer) {}
 
     private final Map<Long, Waiting> waiting = new LinkedHashMap<>();
     private long last;
 
     /** Takes one in; the frame that asks the owner, null where it was turned away. */
-    Frame.Submit submit(Message message, Answer answer) {
+    HandoverFrame.Submit submit(Message message, SubmissionResult answer) {
         if (waiting.size() >= MOST) {
             answer.refused(COME_BACK);
             return null;
         }
         waiting.put(++last, new Waiting(message, answer));
-        return new Frame.Submit(last, message);
+        return new HandoverFrame.Submit(last, message);
     }
 
     /** All that wait, as frames, in the order in which they came: for an owner that has not had them. */
-    List<Frame.Submit> all() {
-        List<Frame.Submit> all = new ArrayList<>();
-        waiting.forEach((number, w) -> all.add(new Frame.Submit(number, w.message())));
+    List<HandoverFrame.Submit> all() {
+        List<HandoverFrame.Submit> all = new ArrayList<>();
+        waiting.forEach((number, w) -> all.add(new HandoverFrame.Submit(number, w.message())));
         return all;
     }
 
     /** The owner has answered; {@code own}: who takes what it sent back, null while nobody here owns. */
-    void answered(Frame.Answered told, Intake own) {
-        Waiting w = told.met() == Frame.Met.BOUNCED && own == null ? null : waiting.remove(told.number());
+    void answered(HandoverFrame.Answered told, MessageReceiver own) {
+        Waiting w = told.met() == HandoverFrame.Met.BOUNCED && own == null ? null : waiting.remove(told.number());
         if (w == null) {
             return;
         }
@@ -58,7 +58,7 @@
     }
 
     /** This process owns now, and the one that was asked is gone: all that wait are handed in here. */
-    void handIn(Intake own) {
+    void handIn(MessageReceiver own) {
         List<Waiting> all = List.copyOf(waiting.values());
         waiting.clear();
         all.forEach(w -> own.accept(w.message(), w.answer()));
--- a/src/main/java/brambletray/relay/handover/Duties.java
+++ b/src/main/java/brambletray/relay/handover/HandoverActions.java
@@ -1,30 +1,30 @@
 package brambletray.relay.handover;
 
 import brambletray.relay.console.Operations;
-import brambletray.relay.core.AfarCalls;
-import brambletray.relay.core.Handoff;
+import brambletray.relay.core.HandoverState;
 import brambletray.relay.core.Host;
-import brambletray.relay.core.Intake;
+import brambletray.relay.core.MessageReceiver;
+import brambletray.relay.core.RemoteCalls;
 import brambletray.relay.core.Successor;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 
 /** What a process brings to the hand-over: its relay's parts. All of it on the loop. */
-public interface Duties {
+public interface HandoverActions {
     /** Opens the store. False where another process has the folder; throws where it cannot be used. */
     boolean open() throws IOException;
 
     /** Takes up the store that was opened: with care where nothing was handed on (null, null). */
-    void takeUp(Handoff from, AfarCalls afar);
+    void takeUp(HandoverState from, RemoteCalls afar);
 
     /** True where what was handed on fits the store that was opened. */
-    boolean fits(Handoff from);
+    boolean fits(HandoverState from);
 
     /** Listens for clients; calls back when they can connect, or with what is wrong. */
     void listen(Runnable whenListening);
 
     /** Ends its loop and closes the store. */
-    Handoff handOn(Successor to);
+    HandoverState handOn(Successor to);
 
     /** Serves out what is open, after {@link #handOn}; ends the process when nothing is. */
     void serveOut();
@@ -36,7 +36,7 @@
     void end(String fault);
 
     /** Where messages are handed in, and operators' calls carried out, while this process owns. */
-    Intake intake();
+    MessageReceiver intake();
 
     Operations operations();
 
--- a/src/main/java/brambletray/relay/handover/Joining.java
+++ b/src/main/java/brambletray/relay/handover/HandoverConnector.java
@@ -23,7 +23,7 @@
  * Connects to the owner at its operators' address and asks for an upgrade of the connection (RFC 9110, 7.8):
  * behind the answer 101 both sides speak frames.
  */
-final class Joining extends SimpleChannelInboundHandler<HttpObject> {
+final class HandoverConnector extends SimpleChannelInboundHandler<HttpObject> {
     /** The path, and the protocol's name. */
     static final String PATH = "/handover";
 
@@ -33,19 +33,19 @@
 
     private static final int ANSWER = 1_000;
 
-    private final Meeting meeting;
+    private final OwnerAddressFile meeting;
     private final Consumer<Channel> then;
     private boolean over;
     private boolean upgraded;
 
-    private Joining(Meeting meeting, Consumer<Channel> then) {
+    private HandoverConnector(OwnerAddressFile meeting, Consumer<Channel> then) {
         this.meeting = meeting;
         this.then = then;
     }
 
     /** {@code then}: gets the connection, or null, once. */
-    static void connect(Machine machine, Meeting meeting, Consumer<Channel> then) {
-        Joining joining = new Joining(meeting, then);
+    static void connect(Machine machine, OwnerAddressFile meeting, Consumer<Channel> then) {
+        HandoverConnector joining = new HandoverConnector(meeting, then);
         machine.dialling(CONNECT, new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
--- a/src/main/java/brambletray/relay/handover/FrameCodec.java
+++ b/src/main/java/brambletray/relay/handover/HandoverFrameCodec.java
@@ -1,8 +1,8 @@
 package brambletray.relay.handover;
 
 import brambletray.relay.control.Relay;
-import brambletray.relay.core.Handoff;
-import brambletray.relay.core.Reply;
+import brambletray.relay.core.CallReply;
+import brambletray.relay.core.HandoverState;
 import brambletray.relay.message.Body;
 import brambletray.relay.message.Message;
 import io.netty.buffer.ByteBuf;
@@ -25,7 +25,7 @@
  * {@link DataOutput} writes them; what may be missing has a byte ahead that says so. A frame that is too
  * long, of no known sort, or shorter or longer than its fields ends the connection.
  */
-final class FrameCodec extends ByteToMessageCodec<Frame> {
+final class HandoverFrameCodec extends ByteToMessageCodec<HandoverFrame> {
     /** Of the form; two processes of another one do not understand each other. */
     static final int VERSION = 1;
     /** Bytes of a frame; of the state, and of the others. */
@@ -50,7 +50,7 @@
     private static final int TAKE_BACK = 16;
 
     @Override
-    protected void encode(ChannelHandlerContext context, Frame frame, ByteBuf out) throws IOException {
+    protected void encode(ChannelHandlerContext context, HandoverFrame frame, ByteBuf out) throws IOException {
         int start = out.writerIndex();
         out.writeInt(0);
         try (ByteBufOutputStream stream = new ByteBufOutputStream(out)) {
@@ -81,88 +81,89 @@
         }
     }
 
-    private static void write(Frame frame, DataOutput out) throws IOException {
-        if (frame instanceof Frame.Hello f) {
+    private static void write(HandoverFrame frame, DataOutput out) throws IOException {
+        if (frame instanceof HandoverFrame.Hello f) {
             out.writeByte(HELLO);
             out.writeInt(f.version());
             out.writeUTF(f.settings());
-        } else if (frame instanceof Frame.Welcome f) {
+        } else if (frame instanceof HandoverFrame.Welcome f) {
             out.writeByte(WELCOME);
             out.writeBoolean(f.drained());
             out.writeInt(f.avoided());
-        } else if (frame instanceof Frame.TurnedAway f) {
+        } else if (frame instanceof HandoverFrame.TurnedAway f) {
             out.writeByte(TURNED_AWAY);
             out.writeUTF(f.why());
-        } else if (frame instanceof Frame.Submit f) {
+        } else if (frame instanceof HandoverFrame.Submit f) {
             out.writeByte(SUBMIT);
             out.writeLong(f.number());
             write(f.message(), out);
-        } else if (frame instanceof Frame.Answered f) {
+        } else if (frame instanceof HandoverFrame.Answered f) {
             out.writeByte(ANSWERED);
             out.writeLong(f.number());
             out.writeByte(f.met().ordinal());
             out.writeLong(f.retryAfter());
-        } else if (frame instanceof Frame.Withdraw f) {
+        } else if (frame instanceof HandoverFrame.Withdraw f) {
             out.writeByte(WITHDRAW);
             out.writeUTF(f.id());
-        } else if (frame instanceof Frame.Exclude f) {
+        } else if (frame instanceof HandoverFrame.Exclude f) {
             out.writeByte(EXCLUDE);
             out.writeLong(f.number());
             out.writeUTF(f.host());
             out.writeBoolean(f.out());
-        } else if (frame instanceof Frame.Told f) {
+        } else if (frame instanceof HandoverFrame.Told f) {
             out.writeByte(TOLD);
             out.writeLong(f.number());
             out.writeInt(f.status());
             out.writeUTF(f.text());
-        } else if (frame instanceof Frame.Drained f) {
+        } else if (frame instanceof HandoverFrame.Drained f) {
             out.writeByte(DRAINED);
             out.writeBoolean(f.away());
-        } else if (frame instanceof Frame.State f) {
+        } else if (frame instanceof HandoverFrame.State f) {
             out.writeByte(STATE);
             write(f, out);
-        } else if (frame instanceof Frame.Owner f) {
+        } else if (frame instanceof HandoverFrame.Owner f) {
             out.writeByte(OWNER);
             out.writeBoolean(f.careful());
-        } else if (frame instanceof Frame.Declined) {
+        } else if (frame instanceof HandoverFrame.Declined) {
             out.writeByte(DECLINED);
-        } else if (frame instanceof Frame.Kept) {
+        } else if (frame instanceof HandoverFrame.Kept) {
             out.writeByte(KEPT);
-        } else if (frame instanceof Frame.Ended f) {
+        } else if (frame instanceof HandoverFrame.Ended f) {
             out.writeByte(ENDED);
             out.writeUTF(f.id());
             out.writeInt(f.attempt());
             out.writeUTF(f.host());
             write(f.reply(), out);
-        } else if (frame instanceof Frame.Cancel f) {
+        } else if (frame instanceof HandoverFrame.Cancel f) {
             out.writeByte(CANCEL);
             out.writeUTF(f.id());
             out.writeInt(f.attempt());
-        } else if (frame instanceof Frame.TakeBack f) {
+        } else if (frame instanceof HandoverFrame.TakeBack f) {
             out.writeByte(TAKE_BACK);
             out.writeUTF(f.host());
         }
     }
 
-    private static Frame read(DataInput in, ByteBuf rest) throws IOException {
+    private static HandoverFrame read(DataInput in, ByteBuf rest) throws IOException {
         int sort = in.readByte();
         return switch (sort) {
-            case HELLO -> new Frame.Hello(in.readInt(), in.readUTF());
-            case WELCOME -> new Frame.Welcome(in.readBoolean(), in.readInt());
-            case TURNED_AWAY -> new Frame.TurnedAway(in.readUTF());
-            case SUBMIT -> new Frame.Submit(in.readLong(), message(in, rest));
-            case ANSWERED -> new Frame.Answered(in.readLong(), of(Frame.Met.values(), in), in.readLong());
-            case WITHDRAW -> new Frame.Withdraw(in.readUTF());
-            case EXCLUDE -> new Frame.Exclude(in.readLong(), in.readUTF(), in.readBoolean());
-            case TOLD -> new Frame.Told(in.readLong(), in.readInt(), in.readUTF());
-            case DRAINED -> new Frame.Drained(in.readBoolean());
+            case HELLO -> new HandoverFrame.Hello(in.readInt(), in.readUTF());
+            case WELCOME -> new HandoverFrame.Welcome(in.readBoolean(), in.readInt());
+            case TURNED_AWAY -> new HandoverFrame.TurnedAway(in.readUTF());
+            case SUBMIT -> new HandoverFrame.Submit(in.readLong(), message(in, rest));
+            case ANSWERED ->
+                new HandoverFrame.Answered(in.readLong(), of(HandoverFrame.Met.values(), in), in.readLong());
+            case WITHDRAW -> new HandoverFrame.Withdraw(in.readUTF());
+            case EXCLUDE -> new HandoverFrame.Exclude(in.readLong(), in.readUTF(), in.readBoolean());
+            case TOLD -> new HandoverFrame.Told(in.readLong(), in.readInt(), in.readUTF());
+            case DRAINED -> new HandoverFrame.Drained(in.readBoolean());
             case STATE -> state(in, rest);
-            case OWNER -> new Frame.Owner(in.readBoolean());
-            case DECLINED -> new Frame.Declined();
-            case KEPT -> new Frame.Kept();
-            case ENDED -> new Frame.Ended(in.readUTF(), in.readInt(), in.readUTF(), reply(in));
-            case CANCEL -> new Frame.Cancel(in.readUTF(), in.readInt());
-            case TAKE_BACK -> new Frame.TakeBack(in.readUTF());
+            case OWNER -> new HandoverFrame.Owner(in.readBoolean());
+            case DECLINED -> new HandoverFrame.Declined();
+            case KEPT -> new HandoverFrame.Kept();
+            case ENDED -> new HandoverFrame.Ended(in.readUTF(), in.readInt(), in.readUTF(), reply(in));
+            case CANCEL -> new HandoverFrame.Cancel(in.readUTF(), in.readInt());
+            case TAKE_BACK -> new HandoverFrame.TakeBack(in.readUTF());
             default -> throw new CorruptedFrameException("a frame of the unknown sort " + sort);
         };
     }
@@ -224,7 +225,7 @@
         return bytes;
     }
 
-    private static void write(Frame.State f, DataOutput out) throws IOException {
+    private static void write(HandoverFrame.State f, DataOutput out) throws IOException {
         out.writeLong(f.time());
         out.writeLong(f.unix());
         out.writeInt(f.numbers().size());
@@ -233,7 +234,7 @@
             out.writeLong(e.getValue());
         }
         out.writeInt(f.outs().size());
-        for (Handoff.Out o : f.outs()) {
+        for (HandoverState.Out o : f.outs()) {
             out.writeUTF(o.id());
             out.writeInt(o.attempt());
             out.writeUTF(o.host());
@@ -242,18 +243,18 @@
         bytes(out, f.memory());
     }
 
-    private static Frame.State state(DataInput in, ByteBuf rest) throws IOException {
+    private static HandoverFrame.State state(DataInput in, ByteBuf rest) throws IOException {
         long time = in.readLong();
         long unix = in.readLong();
         Map<String, Long> numbers = new HashMap<>();
         for (int left = count(in); left > 0; left--) {
             numbers.put(in.readUTF(), in.readLong());
         }
-        List<Handoff.Out> outs = new ArrayList<>();
+        List<HandoverState.Out> outs = new ArrayList<>();
         for (int left = count(in); left > 0; left--) {
-            outs.add(new Handoff.Out(in.readUTF(), in.readInt(), in.readUTF(), in.readBoolean()));
+            outs.add(new HandoverState.Out(in.readUTF(), in.readInt(), in.readUTF(), in.readBoolean()));
         }
-        return new Frame.State(time, unix, numbers, outs, bytes(in, rest));
+        return new HandoverFrame.State(time, unix, numbers, outs, bytes(in, rest));
     }
 
     private static int count(DataInput in) throws IOException {
@@ -264,7 +265,7 @@
         return count;
     }
 
-    private static void write(Reply r, DataOutput out) throws IOException {
+    private static void write(CallReply r, DataOutput out) throws IOException {
         out.writeByte(r.outcome().ordinal());
         out.writeBoolean(r.over());
         out.writeLong(r.waitFor());
@@ -274,8 +275,8 @@
         out.writeBoolean(r.reused());
     }
 
-    private static Reply reply(DataInput in) throws IOException {
-        return new Reply(
+    private static CallReply reply(DataInput in) throws IOException {
+        return new CallReply(
                 of(Relay.Outcome.values(), in),
                 in.readBoolean(),
                 in.readLong(),
--- a/src/main/java/brambletray/relay/handover/Link.java
+++ b/src/main/java/brambletray/relay/handover/HandoverLink.java
@@ -9,25 +9,25 @@
 import org.slf4j.LoggerFactory;
 
 /** The connection between two processes of one relay: frames either way, and its end, told once. */
-final class Link extends SimpleChannelInboundHandler<Frame> {
-    private static final Logger LOG = LoggerFactory.getLogger(Link.class);
+final class HandoverLink extends SimpleChannelInboundHandler<HandoverFrame> {
+    private static final Logger LOG = LoggerFactory.getLogger(HandoverLink.class);
     /** Bytes not yet written beyond which the other process is taken for dead: it does not read. */
     private static final int UNSENT_MOST = 16 << 20;
 
     private final Channel channel;
-    private final Consumer<Frame> whenTold;
+    private final Consumer<HandoverFrame> whenTold;
     private final Runnable whenLost;
     private boolean lost;
 
     /** Frames of a connection from now on; its other handlers have done their part. */
-    Link(Channel channel, Consumer<Frame> whenTold, Runnable whenLost) {
+    HandoverLink(Channel channel, Consumer<HandoverFrame> whenTold, Runnable whenLost) {
         this.channel = channel;
         this.whenTold = whenTold;
         this.whenLost = whenLost;
-        channel.pipeline().addLast(new FrameCodec(), this);
+        channel.pipeline().addLast(new HandoverFrameCodec(), this);
     }
 
-    void send(Frame frame) {
+    void send(HandoverFrame frame) {
         if (lost) {
             return;
         }
@@ -47,7 +47,7 @@
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext context, Frame frame) {
+    protected void channelRead0(ChannelHandlerContext context, HandoverFrame frame) {
         whenTold.accept(frame);
     }
 
--- a/src/main/java/brambletray/relay/handover/Meeting.java
+++ b/src/main/java/brambletray/relay/handover/OwnerAddressFile.java
@@ -15,7 +15,7 @@
  * Where the owner of a folder can be met, in the file {@link #NAME} of the folder: its operators' address,
  * and a secret that only those who may read the folder know.
  */
-record Meeting(InetSocketAddress address, String secret) {
+record OwnerAddressFile(InetSocketAddress address, String secret) {
     static final String NAME = "HANDOVER";
     static final String FRESH = "HANDOVER.new";
     private static final int MOST = 4_096;
@@ -40,7 +40,7 @@
     }
 
     /** Null where there is none that can be read. */
-    static Meeting read(Disk disk) {
+    static OwnerAddressFile read(Disk disk) {
         try {
             if (!disk.exists(NAME)) {
                 return null;
@@ -48,7 +48,7 @@
             Disk.File file = disk.open(NAME, false);
             try {
                 Wire.Fields all = Wire.decode(new String(file.read(0, MOST), StandardCharsets.UTF_8));
-                return new Meeting(Addresses.parse(all.text("console")), all.text("secret"));
+                return new OwnerAddressFile(Addresses.parse(all.text("console")), all.text("secret"));
             } finally {
                 file.close();
             }
--- a/src/main/java/brambletray/relay/handover/Tenure.java
+++ b/src/main/java/brambletray/relay/handover/OwnershipLease.java
@@ -10,7 +10,7 @@
  * <p>The lock of the folder is the one judge: who holds it owns, and no step here takes ownership but by
  * getting it. All else is about when to let it go and when to try for it.
  */
-public final class Tenure {
+public final class OwnershipLease {
     /** ns; how long a new process looks for the owner, or waits for its lock. */
     public static final long SEEK_MOST = 5_500_000_000L;
     /** ns; how long it asks again where it is turned away. */
@@ -90,7 +90,7 @@
     private boolean leaving;
 
     /** A process that begins. */
-    public Tenure(long now) {
+    public OwnershipLease(long now) {
         phase = new Seeking(now);
     }
 
--- a/src/main/java/brambletray/relay/handover/Succession.java
+++ b/src/main/java/brambletray/relay/handover/ProcessHandover.java
@@ -2,13 +2,12 @@
 
 import brambletray.common.runtime.Clock;
 import brambletray.common.runtime.Machine;
-import brambletray.relay.console.Said;
+import brambletray.relay.console.CommandResponse;
 import brambletray.relay.control.Relay;
-import brambletray.relay.core.Answer;
-import brambletray.relay.core.Handoff;
+import brambletray.relay.core.CallReply;
+import brambletray.relay.core.HandoverState;
 import brambletray.relay.core.Host;
-import brambletray.relay.core.Intake;
-import brambletray.relay.core.Reply;
+import brambletray.relay.core.SubmissionResult;
 import brambletray.relay.core.Successor;
 import brambletray.relay.message.Message;
 import brambletray.relay.store.Disk;
@@ -31,8 +30,8 @@
  * Carries out what {@link Tenure} asks of one process, over the link to the other: serves clients through
  * the owner while this one does not own, hands on, takes over, takes back. One thread, that of the loop.
  */
-public final class Succession {
-    private static final Logger LOG = LoggerFactory.getLogger(Succession.class);
+public final class ProcessHandover {
+    private static final Logger LOG = LoggerFactory.getLogger(ProcessHandover.class);
     /** ms; between ticks while ownership is open. */
     private static final long TICK = 20;
     /** Bytes of the module's memory beyond which nothing of it is handed on. */
@@ -40,23 +39,23 @@
 
     private final Machine machine;
     private final Clock clock;
-    private final Duties duties;
+    private final HandoverActions duties;
     private final Disk disk;
     private final String settings;
-    private final Tenure tenure;
-    private final Submissions submissions = new Submissions();
+    private final OwnershipLease tenure;
+    private final ForwardedSubmissions submissions = new ForwardedSubmissions();
     /** Operators' calls that wait for the owner's answer. */
-    private final Map<Long, Consumer<Said>> asked = new HashMap<>();
+    private final Map<Long, Consumer<CommandResponse>> asked = new HashMap<>();
 
-    private final FarCalls far;
+    private final ForwardedCalls far;
     /** To the process that this one follows, and to the one that follows this; null where there is none. */
-    private Link before;
+    private HandoverLink before;
 
-    private Link after;
+    private HandoverLink after;
     /** Messages that came from the other process while it is open who owns. */
-    private final List<Frame.Submit> deferred = new ArrayList<>();
+    private final List<HandoverFrame.Submit> deferred = new ArrayList<>();
 
-    private Handoff state;
+    private HandoverState state;
     private String secret;
     private long lastAsked;
     /** The one that follows has the same settings: the module's memory means the same there. */
@@ -66,14 +65,14 @@
     private boolean ticking;
     private boolean stopped;
 
-    public Succession(Machine machine, Duties duties, Disk disk, Relay.Settings settings) {
+    public ProcessHandover(Machine machine, HandoverActions duties, Disk disk, Relay.Settings settings) {
         this.machine = machine;
         this.clock = machine.clock();
         this.duties = duties;
         this.disk = disk;
         this.settings = MemoryCodec.digest(settings);
-        this.tenure = new Tenure(clock.nanos());
-        this.far = new FarCalls(duties::host, this::tellBefore);
+        this.tenure = new OwnershipLease(clock.nanos());
+        this.far = new ForwardedCalls(duties::host, this::tellBefore);
     }
 
     /** Looks for the folder's lock, or for its owner. */
@@ -99,7 +98,7 @@
     /** The abrupt end: nothing more is said, and nothing heard. */
     public void stop() {
         stopped = true;
-        for (Link link : new Link[] {before, after}) {
+        for (HandoverLink link : new HandoverLink[] {before, after}) {
             if (link != null) {
                 link.close();
             }
@@ -107,29 +106,29 @@
     }
 
     // ---- Steps ----------------------------------------------------------------------------------
-    private void act(List<Tenure.Step> steps) {
+    private void act(List<OwnershipLease.Step> steps) {
         if (stopped) {
             return;
         }
-        for (Tenure.Step step : steps) {
+        for (OwnershipLease.Step step : steps) {
             switch (step) {
                 case OPEN -> open();
                 case JOIN -> join();
                 case SERVE -> duties.listen(() -> {});
                 case OWN -> own(null);
                 case RESUME -> own(state != null && duties.fits(state) ? state : null);
-                case CONFIRM -> tellBefore(new Frame.Owner(state == null));
+                case CONFIRM -> tellBefore(new HandoverFrame.Owner(state == null));
                 case DECLINE -> {
                     state = null;
                     deferred.clear();
-                    tellBefore(new Frame.Declined());
+                    tellBefore(new HandoverFrame.Declined());
                 }
-                case WELCOME -> after.send(new Frame.Welcome(duties.drained(), duties.avoided()));
+                case WELCOME -> after.send(new HandoverFrame.Welcome(duties.drained(), duties.avoided()));
                 case TURN_AWAY -> {}
                 case HAND_ON -> handOn();
-                case KEEP -> tellAfter(new Frame.Kept());
+                case KEEP -> tellAfter(new HandoverFrame.Kept());
                 case LEAVE -> duties.leave();
-                case END -> duties.end(tenure.phase() instanceof Tenure.Over over ? over.fault() : null);
+                case END -> duties.end(tenure.phase() instanceof OwnershipLease.Over over ? over.fault() : null);
             }
         }
         if (tenure.restless() && !ticking) {
@@ -154,7 +153,7 @@
         }
     }
 
-    private void own(Handoff from) {
+    private void own(HandoverState from) {
         if (from == null && state != null) {
             LOG.warn("what was handed on does not fit what is here: the relay starts with care");
         }
@@ -163,7 +162,7 @@
         meet();
         LOG.info("this process owns the folder{}", from == null ? "" : ", as it was handed on");
         // What came while it was open who owns; then what waited here.
-        List<Frame.Submit> came = List.copyOf(deferred);
+        List<HandoverFrame.Submit> came = List.copyOf(deferred);
         deferred.clear();
         came.forEach(f -> submitted(f, before));
         submissions.handIn(duties.intake());
@@ -175,9 +174,9 @@
         new SecureRandom().nextBytes(random);
         secret = HexFormat.of().formatHex(random);
         try {
-            new Meeting(duties.console(), secret).write(disk);
+            new OwnerAddressFile(duties.console(), secret).write(disk);
         } catch (IOException e) {
-            LOG.error("no process can take this one's place: {} cannot be written", Meeting.NAME, e);
+            LOG.error("no process can take this one's place: {} cannot be written", OwnerAddressFile.NAME, e);
         }
     }
 
@@ -192,31 +191,31 @@
 
     /** A process that knows the secret has connected; what it says is read from now on. */
     public void accept(Channel channel) {
-        Link[] link = new Link[1];
-        link[0] = new Link(channel, frame -> told(frame, link[0]), () -> lost(link[0]));
+        HandoverLink[] link = new HandoverLink[1];
+        link[0] = new HandoverLink(channel, frame -> told(frame, link[0]), () -> lost(link[0]));
     }
 
-    private void greeted(Frame.Hello hello, Link link) {
-        if (hello.version() != FrameCodec.VERSION) {
-            link.send(new Frame.TurnedAway(
-                    "the process that runs hands over to version " + FrameCodec.VERSION + " only"));
+    private void greeted(HandoverFrame.Hello hello, HandoverLink link) {
+        if (hello.version() != HandoverFrameCodec.VERSION) {
+            link.send(new HandoverFrame.TurnedAway(
+                    "the process that runs hands over to version " + HandoverFrameCodec.VERSION + " only"));
             return;
         }
-        if (!tenure.asked().contains(Tenure.Step.WELCOME)) {
-            link.send(new Frame.TurnedAway("another process is about to take over already"));
+        if (!tenure.asked().contains(OwnershipLease.Step.WELCOME)) {
+            link.send(new HandoverFrame.TurnedAway("another process is about to take over already"));
             return;
         }
         after = link;
         sameSettings = hello.settings().equals(settings);
         LOG.info("another process serves through this one");
-        act(List.of(Tenure.Step.WELCOME));
+        act(List.of(OwnershipLease.Step.WELCOME));
     }
 
     private void handOn() {
-        Handoff handoff = duties.handOn(new Successor() {
+        HandoverState handoff = duties.handOn(new Successor() {
             @Override
-            public void ended(String id, int attempt, String host, Reply reply) {
-                tellAfter(new Frame.Ended(id, attempt, host, reply));
+            public void ended(String id, int attempt, String host, CallReply reply) {
+                tellAfter(new HandoverFrame.Ended(id, attempt, host, reply));
             }
         });
         byte[] memory = {};
@@ -232,19 +231,19 @@
                     sameSettings ? "too many" : "other settings");
             memory = new byte[0];
         }
-        tellAfter(new Frame.State(handoff.time(), handoff.unix(), handoff.numbers(), handoff.outs(), memory));
+        tellAfter(new HandoverFrame.State(handoff.time(), handoff.unix(), handoff.numbers(), handoff.outs(), memory));
         duties.takeBackOut(null);
         duties.serveOut();
     }
 
     // ---- The process before ----------------------------------------------------------------------
     private void join() {
-        Meeting meeting = Meeting.read(disk);
+        OwnerAddressFile meeting = OwnerAddressFile.read(disk);
         if (joining || before != null || meeting == null) {
             return;
         }
         joining = true;
-        Joining.connect(machine, meeting, channel -> {
+        HandoverConnector.connect(machine, meeting, channel -> {
             joining = false;
             if (channel == null) {
                 return;
@@ -253,37 +252,37 @@
                 channel.close();
                 return;
             }
-            Link[] link = new Link[1];
-            link[0] = new Link(channel, frame -> told(frame, link[0]), () -> lost(link[0]));
+            HandoverLink[] link = new HandoverLink[1];
+            link[0] = new HandoverLink(channel, frame -> told(frame, link[0]), () -> lost(link[0]));
             before = link[0];
-            before.send(new Frame.Hello(FrameCodec.VERSION, settings));
+            before.send(new HandoverFrame.Hello(HandoverFrameCodec.VERSION, settings));
         });
     }
 
-    private void tellBefore(Frame frame) {
+    private void tellBefore(HandoverFrame frame) {
         if (before != null) {
             before.send(frame);
         }
     }
 
-    private void tellAfter(Frame frame) {
+    private void tellAfter(HandoverFrame frame) {
         if (after != null) {
             after.send(frame);
         }
     }
 
     /** Whoever owns, seen from here. */
-    private Link owner() {
+    private HandoverLink owner() {
         return tenure.owns()
                 ? null
-                : tenure.phase() instanceof Tenure.Yielding
-                                || tenure.phase() instanceof Tenure.Yielded
-                                || tenure.phase() instanceof Tenure.Retaking
+                : tenure.phase() instanceof OwnershipLease.Yielding
+                                || tenure.phase() instanceof OwnershipLease.Yielded
+                                || tenure.phase() instanceof OwnershipLease.Retaking
                         ? after
                         : before;
     }
 
-    private void lost(Link link) {
+    private void lost(HandoverLink link) {
         boolean follower = link == after;
         if (link == before) {
             before = null;
@@ -293,7 +292,7 @@
         } else {
             return;
         }
-        asked.values().forEach(then -> then.accept(new Said(503, "the owner is gone: ask again")));
+        asked.values().forEach(then -> then.accept(new CommandResponse(503, "the owner is gone: ask again")));
         asked.clear();
         if (follower || !tenure.owns()) {
             act(tenure.lost(clock.nanos()));
@@ -301,70 +300,70 @@
     }
 
     // ---- What is told ----------------------------------------------------------------------------
-    private void told(Frame frame, Link link) {
-        if (frame instanceof Frame.Hello f) {
+    private void told(HandoverFrame frame, HandoverLink link) {
+        if (frame instanceof HandoverFrame.Hello f) {
             greeted(f, link);
-        } else if (frame instanceof Frame.Welcome f) {
+        } else if (frame instanceof HandoverFrame.Welcome f) {
             duties.drained(f.drained());
             duties.avoided(f.avoided());
             act(tenure.joined());
             submissions.all().forEach(link::send);
-        } else if (frame instanceof Frame.TurnedAway f) {
+        } else if (frame instanceof HandoverFrame.TurnedAway f) {
             // Closed first: a try that follows needs a connection of its own.
             link.close();
             act(tenure.turnedAway(f.why(), clock.nanos()));
-        } else if (frame instanceof Frame.Submit f) {
+        } else if (frame instanceof HandoverFrame.Submit f) {
             submitted(f, link);
-        } else if (frame instanceof Frame.Answered f) {
+        } else if (frame instanceof HandoverFrame.Answered f) {
             submissions.answered(f, tenure.owns() ? duties.intake() : null);
-        } else if (frame instanceof Frame.Withdraw f) {
+        } else if (frame instanceof HandoverFrame.Withdraw f) {
             withdraw(f.id());
-        } else if (frame instanceof Frame.Exclude f) {
+        } else if (frame instanceof HandoverFrame.Exclude f) {
             if (tenure.owns()) {
                 duties.operations()
                         .exclude(
                                 f.host(),
                                 f.out(),
-                                said -> link.send(new Frame.Told(f.number(), said.status(), said.text())));
+                                said -> link.send(new HandoverFrame.Told(f.number(), said.status(), said.text())));
             } else {
-                link.send(new Frame.Told(f.number(), 503, "this process does not own: ask again"));
+                link.send(new HandoverFrame.Told(f.number(), 503, "this process does not own: ask again"));
             }
-        } else if (frame instanceof Frame.Told f) {
-            Consumer<Said> then = asked.remove(f.number());
+        } else if (frame instanceof HandoverFrame.Told f) {
+            Consumer<CommandResponse> then = asked.remove(f.number());
             if (then != null) {
-                then.accept(new Said(f.status(), f.text()));
+                then.accept(new CommandResponse(f.status(), f.text()));
             }
-        } else if (frame instanceof Frame.Drained f) {
+        } else if (frame instanceof HandoverFrame.Drained f) {
             duties.drained(f.away());
-        } else if (frame instanceof Frame.State f) {
+        } else if (frame instanceof HandoverFrame.State f) {
             received(f);
-        } else if (frame instanceof Frame.Owner f) {
+        } else if (frame instanceof HandoverFrame.Owner f) {
             if (f.careful()) {
                 // Nobody waits for what is out here: their hosts learn of it by the close.
                 duties.cancelAllOut();
             }
             act(tenure.confirmed());
-        } else if (frame instanceof Frame.Declined) {
+        } else if (frame instanceof HandoverFrame.Declined) {
             act(tenure.declined());
-        } else if (frame instanceof Frame.Kept) {
+        } else if (frame instanceof HandoverFrame.Kept) {
             state = null;
             deferred.clear();
             act(tenure.kept());
             submissions.all().forEach(link::send);
-        } else if (frame instanceof Frame.Ended f) {
+        } else if (frame instanceof HandoverFrame.Ended f) {
             far.ended(f);
-        } else if (frame instanceof Frame.Cancel f) {
+        } else if (frame instanceof HandoverFrame.Cancel f) {
             duties.cancelOut(f.id(), f.attempt());
-        } else if (frame instanceof Frame.TakeBack f) {
+        } else if (frame instanceof HandoverFrame.TakeBack f) {
             duties.takeBackOut(f.host());
         }
     }
 
-    private void received(Frame.State f) {
+    private void received(HandoverFrame.State f) {
         state = null;
         if (f.memory().length > 0) {
             try {
-                state = new Handoff(MemoryCodec.decode(f.memory()), f.time(), f.unix(), f.numbers(), f.outs());
+                state = new HandoverState(MemoryCodec.decode(f.memory()), f.time(), f.unix(), f.numbers(), f.outs());
             } catch (IOException e) {
                 LOG.warn("what was handed on is of no use, the relay starts with care: {}", e.getMessage());
             }
@@ -372,55 +371,55 @@
         act(tenure.received(clock.nanos()));
     }
 
-    private void submitted(Frame.Submit f, Link link) {
+    private void submitted(HandoverFrame.Submit f, HandoverLink link) {
         if (tenure.owns()) {
-            duties.intake().accept(f.message(), new Answer() {
+            duties.intake().accept(f.message(), new SubmissionResult() {
                 @Override
                 public void taken() {
-                    answer(Frame.Met.TAKEN, 0);
+                    answer(HandoverFrame.Met.TAKEN, 0);
                 }
 
                 @Override
                 public void held() {
-                    answer(Frame.Met.HELD, 0);
+                    answer(HandoverFrame.Met.HELD, 0);
                 }
 
                 @Override
                 public void conflict() {
-                    answer(Frame.Met.CONFLICT, 0);
+                    answer(HandoverFrame.Met.CONFLICT, 0);
                 }
 
                 @Override
                 public void refused(long retryAfter) {
-                    answer(Frame.Met.REFUSED, retryAfter);
+                    answer(HandoverFrame.Met.REFUSED, retryAfter);
                 }
 
                 @Override
                 public void failed() {
-                    answer(Frame.Met.FAILED, 0);
+                    answer(HandoverFrame.Met.FAILED, 0);
                 }
 
-                private void answer(Frame.Met met, long retryAfter) {
+                private void answer(HandoverFrame.Met met, long retryAfter) {
                     if (link != null) {
-                        link.send(new Frame.Answered(f.number(), met, retryAfter));
+                        link.send(new HandoverFrame.Answered(f.number(), met, retryAfter));
                     }
                 }
             });
-        } else if (link == before && deferred.size() < Submissions.MOST) {
+        } else if (link == before && deferred.size() < ForwardedSubmissions.MOST) {
             deferred.add(f);
         } else {
-            link.send(new Frame.Answered(f.number(), Frame.Met.BOUNCED, 0));
+            link.send(new HandoverFrame.Answered(f.number(), HandoverFrame.Met.BOUNCED, 0));
         }
     }
 
     // ---- What clients and operators ask here while another owns -----------------------------------
     /** A message was handed in here; whoever owns takes it. */
-    public void accept(Message message, Answer answer) {
+    public void accept(Message message, SubmissionResult answer) {
         if (tenure.owns()) {
             duties.intake().accept(message, answer);
             return;
         }
-        Frame.Submit frame = submissions.submit(message, answer);
+        HandoverFrame.Submit frame = submissions.submit(message, answer);
         if (frame != null && owner() != null) {
             owner().send(frame);
         }
@@ -431,32 +430,32 @@
         if (tenure.owns()) {
             duties.intake().withdraw(id);
         } else if (owner() != null) {
-            owner().send(new Frame.Withdraw(id));
+            owner().send(new HandoverFrame.Withdraw(id));
         }
     }
 
     /** An operator's call about a host. */
-    public void exclude(String host, boolean out, Consumer<Said> then) {
+    public void exclude(String host, boolean out, Consumer<CommandResponse> then) {
         if (tenure.owns()) {
             duties.operations().exclude(host, out, then);
         } else if (owner() == null) {
-            then.accept(new Said(503, "no process owns just now: ask again"));
+            then.accept(new CommandResponse(503, "no process owns just now: ask again"));
         } else {
             asked.put(++lastAsked, then);
-            owner().send(new Frame.Exclude(lastAsked, host, out));
+            owner().send(new HandoverFrame.Exclude(lastAsked, host, out));
         }
     }
 
     /** Operators drain this relay, or end that, by a call here. */
     public void drained(boolean away) {
-        tellBefore(new Frame.Drained(away));
-        tellAfter(new Frame.Drained(away));
+        tellBefore(new HandoverFrame.Drained(away));
+        tellAfter(new HandoverFrame.Drained(away));
     }
 
     /** Calls to a host of which no byte is out are to be taken back, also those that stayed elsewhere. */
     public void takeBack(Host host) {
         if (far.any()) {
-            tellBefore(new Frame.TakeBack(host.name));
+            tellBefore(new HandoverFrame.TakeBack(host.name));
         }
     }
 }
--- a/src/main/java/brambletray/relay/http/clients/Server.java
+++ b/src/main/java/brambletray/relay/http/clients/Server.java
@@ -2,9 +2,9 @@
 
 import brambletray.common.runtime.Clock;
 import brambletray.common.runtime.Machine;
-import brambletray.relay.core.Answer;
-import brambletray.relay.core.Intake;
-import brambletray.relay.core.Seldom;
+import brambletray.relay.core.MessageReceiver;
+import brambletray.relay.core.RateLimitedLog;
+import brambletray.relay.core.SubmissionResult;
 import brambletray.relay.message.Message;
 import brambletray.relay.operations.Drain;
 import io.netty.buffer.ByteBuf;
@@ -73,11 +73,11 @@
 
     private static final String MESSAGES = "/v1/messages/";
 
-    private final Intake intake;
+    private final MessageReceiver intake;
     private final Submission submission;
     private final Clock clock;
     private final int mostClients;
-    private final Seldom complaints;
+    private final RateLimitedLog complaints;
     private final Set<Client> clients = new LinkedHashSet<>();
     private final Drain drain;
     /** How a message ended, as JSON, by its id; null for one that is not known. Null itself: not served. */
@@ -89,12 +89,12 @@
      * {@code mostClients}: connections at once; the rest of the descriptors is for hosts and files. In a
      * {@code drain} each answer closes its connection.
      */
-    public Server(Intake intake, Machine machine, int mostClients, Drain drain) {
+    public Server(MessageReceiver intake, Machine machine, int mostClients, Drain drain) {
         this.drain = drain;
         this.intake = intake;
         this.clock = machine.clock();
         this.submission = new Submission(intake, clock);
-        this.complaints = new Seldom(LOG, clock);
+        this.complaints = new RateLimitedLog(LOG, clock);
         this.mostClients = mostClients;
         machine.loop().scheduleWithFixedDelay(this::sweep, SWEEP, SWEEP, TimeUnit.MILLISECONDS);
     }
@@ -410,7 +410,7 @@
     }
 
     /** The answer to one client. */
-    private final class ToClient implements Answer {
+    private final class ToClient implements SubmissionResult {
         private final Client client;
         private final String id;
         private final boolean keep;
--- a/src/main/java/brambletray/relay/http/clients/Submission.java
+++ b/src/main/java/brambletray/relay/http/clients/Submission.java
@@ -2,7 +2,7 @@
 
 import brambletray.common.runtime.Clock;
 import brambletray.relay.control.Relay;
-import brambletray.relay.core.Intake;
+import brambletray.relay.core.MessageReceiver;
 import brambletray.relay.message.Body;
 import brambletray.relay.message.Message;
 import io.netty.buffer.ByteBufUtil;
@@ -12,7 +12,7 @@
 import java.util.Locale;
 
 /** Reads the message that a request hands in, by the protocol's section on clients and relays. */
-record Submission(Intake intake, Clock clock) {
+record Submission(MessageReceiver intake, Clock clock) {
     private static final int ID_MOST = 128;
     private static final int KEY_MOST = 256;
     /** ms; a longer time for a message is taken for a mistake. */
--- a/src/main/java/brambletray/relay/http/hosts/Answers.java
+++ b/src/main/java/brambletray/relay/http/hosts/Answers.java
@@ -1,7 +1,7 @@
 package brambletray.relay.http.hosts;
 
 import brambletray.relay.control.Relay.Outcome;
-import brambletray.relay.core.Reply;
+import brambletray.relay.core.CallReply;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpResponse;
 
@@ -15,7 +15,7 @@
 
     private Answers() {}
 
-    static Reply reply(HttpResponse answer, long latency) {
+    static CallReply reply(HttpResponse answer, long latency) {
         long wait = 0;
         boolean over = false;
         Outcome outcome;
@@ -36,7 +36,8 @@
             default -> outcome = Outcome.ERROR;
         }
         String load = answer.headers().get("X-Server-Load");
-        return new Reply(outcome, over, wait, latency, field(load, "x0", SHARE_MOST), field(load, "x1", LIMIT_MOST));
+        return new CallReply(
+                outcome, over, wait, latency, field(load, "x0", SHARE_MOST), field(load, "x1", LIMIT_MOST));
     }
 
     /**
@@ -44,11 +45,11 @@
      * of a 200, whose wait binds like a refusal's. 400 and 413 tell that the call was not to be read, and
      * that none of it has run.
      */
-    static Reply batchReply(HttpResponse answer, long latency) {
-        Reply reply = reply(answer, latency);
+    static CallReply batchReply(HttpResponse answer, long latency) {
+        CallReply reply = reply(answer, latency);
         return switch (answer.status().code()) {
             case 200 ->
-                new Reply(
+                new CallReply(
                         Outcome.OK,
                         false,
                         micros(answer.headers().get(HttpHeaderNames.RETRY_AFTER)),
--- a/src/main/java/brambletray/relay/http/hosts/Batch.java
+++ b/src/main/java/brambletray/relay/http/hosts/Batch.java
@@ -1,7 +1,7 @@
 package brambletray.relay.http.hosts;
 
 import brambletray.relay.control.Relay.Outcome;
-import brambletray.relay.core.Reply;
+import brambletray.relay.core.CallReply;
 import brambletray.relay.message.Message;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -57,8 +57,8 @@
      * What an answer of 200 says of each message by its id. One that is not named, named with an unknown
      * state or in an answer that cannot be read may have run: callers take those for failed.
      */
-    static Map<String, Reply> replies(Reply whole, byte[] answer) {
-        Map<String, Reply> replies = new HashMap<>();
+    static Map<String, CallReply> replies(CallReply whole, byte[] answer) {
+        Map<String, CallReply> replies = new HashMap<>();
         try (JsonParser in = JSON.createParser(answer)) {
             if (in.nextToken() != JsonToken.START_ARRAY) {
                 return Map.of();
@@ -77,7 +77,7 @@
                         in.skipChildren();
                     }
                 }
-                Reply reply = reply(state, whole);
+                CallReply reply = reply(state, whole);
                 // Guards against an answer that says two things of one message: it may have run.
                 if (id != null && replies.put(id, reply) != null) {
                     replies.put(id, reply("fault", whole));
@@ -90,7 +90,7 @@
         }
     }
 
-    private static Reply reply(String state, Reply whole) {
+    private static CallReply reply(String state, CallReply whole) {
         return switch (state == null ? "" : state) {
             case "accepted" -> whole.as(Outcome.OK, true);
             case "deferred" -> whole.as(Outcome.FULL, false);
--- a/src/main/java/brambletray/relay/http/hosts/HostPool.java
+++ b/src/main/java/brambletray/relay/http/hosts/HostPool.java
@@ -3,12 +3,12 @@
 import brambletray.common.runtime.Clock;
 import brambletray.common.runtime.Machine;
 import brambletray.relay.control.Relay.Outcome;
-import brambletray.relay.core.Calls;
-import brambletray.relay.core.Descriptors;
-import brambletray.relay.core.Descriptors.Owner;
+import brambletray.relay.core.CallReply;
+import brambletray.relay.core.DescriptorBudget;
+import brambletray.relay.core.DescriptorBudget.Owner;
 import brambletray.relay.core.Host;
-import brambletray.relay.core.Reply;
-import brambletray.relay.core.Seldom;
+import brambletray.relay.core.HostTransport;
+import brambletray.relay.core.RateLimitedLog;
 import brambletray.relay.message.Message;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
@@ -57,7 +57,7 @@
 import org.slf4j.LoggerFactory;
 
 /** Connections to hosts: carries out one call at a time on each, and tells what came back. One thread. */
-public final class HostPool implements Calls {
+public final class HostPool implements HostTransport {
     private static final Logger LOG = LoggerFactory.getLogger(HostPool.class);
     /** ms; a connection is not used again, and is closed, so long before the host may close it. */
     private static final long IDLE_MARGIN = 1_000;
@@ -74,15 +74,15 @@
     private static final long REST = TimeUnit.MILLISECONDS.toNanos(5);
 
     /** One message of a call, from when it was asked for until its reply. */
-    private final class Part implements Calls.Call {
+    private final class Part implements HostTransport.Call {
         private final Call call;
         private final Message message;
-        private final Consumer<Reply> whenEnded;
+        private final Consumer<CallReply> whenEnded;
         private final long patience;
         private final Future<?> timer;
         private boolean ended;
 
-        private Part(Call call, Calls.Part asked) {
+        private Part(Call call, HostTransport.Part asked) {
             this.call = call;
             this.message = asked.message();
             this.patience = asked.patience();
@@ -110,7 +110,7 @@
             }
         }
 
-        private void end(Reply reply) {
+        private void end(CallReply reply) {
             if (!ended) {
                 ended = true;
                 timer.cancel(false);
@@ -131,7 +131,7 @@
         private boolean written;
         private boolean reused;
 
-        private Call(Host host, List<Calls.Part> asked) {
+        private Call(Host host, List<HostTransport.Part> asked) {
             this.host = host;
             asked.forEach(part -> parts.add(new Part(this, part)));
         }
@@ -153,24 +153,24 @@
             end(reply(outcome));
         }
 
-        private void end(Reply reply) {
+        private void end(CallReply reply) {
             parts.forEach(part -> part.end(reply));
         }
 
         /** The answer has been read to its end; a 200 to several messages speaks of each of them. */
-        private void end(Reply reply, byte[] body) {
+        private void end(CallReply reply, byte[] body) {
             if (!bundled() || reply.outcome() != Outcome.OK) {
                 end(reply);
                 return;
             }
-            Map<String, Reply> replies = Batch.replies(reply, body);
+            Map<String, CallReply> replies = Batch.replies(reply, body);
             for (Part part : parts) {
                 part.end(replies.getOrDefault(part.message.id(), reply.as(Outcome.ERROR, false)));
             }
         }
 
-        private Reply reply(Outcome outcome) {
-            return new Reply(outcome, false, 0, latency(), -1, -1);
+        private CallReply reply(Outcome outcome) {
+            return new CallReply(outcome, false, 0, latency(), -1, -1);
         }
 
         private long latency() {
@@ -195,15 +195,19 @@
     private final long idleLimit;
     private final IntConsumer whenWritten;
     private final Map<Host, Pool> pools = new LinkedHashMap<>();
-    private final Descriptors descriptors;
-    private final Seldom complaints;
+    private final DescriptorBudget descriptors;
+    private final RateLimitedLog complaints;
 
     /** {@code whenWritten}: told how many messages a call carries, once its last byte has been written. */
     public HostPool(
-            Machine machine, long connectTimeout, long keepAlive, IntConsumer whenWritten, Descriptors descriptors) {
+            Machine machine,
+            long connectTimeout,
+            long keepAlive,
+            IntConsumer whenWritten,
+            DescriptorBudget descriptors) {
         this.whenWritten = whenWritten;
         this.descriptors = descriptors;
-        this.complaints = new Seldom(LOG, machine.clock());
+        this.complaints = new RateLimitedLog(LOG, machine.clock());
         this.loop = machine.loop();
         this.clock = machine.clock();
         long millis = keepAlive / 1_000;
@@ -224,14 +228,14 @@
     }
 
     @Override
-    public Calls.Call call(Host host, Message message, long patience, Consumer<Reply> whenEnded) {
-        return begin(host, List.of(new Calls.Part(message, patience, whenEnded)))
+    public HostTransport.Call call(Host host, Message message, long patience, Consumer<CallReply> whenEnded) {
+        return begin(host, List.of(new HostTransport.Part(message, patience, whenEnded)))
                 .get(0);
     }
 
     @Override
-    public List<Calls.Call> bundle(Host host, List<Calls.Part> asked) {
-        List<Calls.Call> calls = new ArrayList<>();
+    public List<HostTransport.Call> bundle(Host host, List<HostTransport.Part> asked) {
+        List<HostTransport.Call> calls = new ArrayList<>();
         int from = 0;
         int bytes = 0;
         for (int i = 0; i < asked.size(); i++) {
@@ -248,7 +252,7 @@
         return calls;
     }
 
-    private List<Part> begin(Host host, List<Calls.Part> asked) {
+    private List<Part> begin(Host host, List<HostTransport.Part> asked) {
         Call call = new Call(host, asked);
         // Those that end before the call goes out are taken off it.
         List<Part> begun = List.copyOf(call.parts);
@@ -419,7 +423,7 @@
         /** The answer's head, once it is here; what it means; bytes of its body; answers ahead of it. */
         private HttpResponse head;
 
-        private Reply reply;
+        private CallReply reply;
         private int body;
         private int ahead;
         /** The answer's body, where it names messages; at most {@link #BODY_MOST}. */
--- a/src/main/java/brambletray/relay/journal/HostsOut.java
+++ b/src/main/java/brambletray/relay/journal/ExcludedHostsJournal.java
@@ -12,7 +12,7 @@
  * The hosts that operators have taken out, as they last: name space {@link #SPACE}, one chain a host, whose
  * value is its name in UTF-8. What is noted is staged, and lasts from the store's next commit on.
  */
-public final class HostsOut {
+public final class ExcludedHostsJournal {
     /** Name space of the store that is theirs. */
     public static final byte SPACE = 7;
 
@@ -21,7 +21,7 @@
     private long last;
 
     /** Reads those that are out. */
-    public HostsOut(Store store) throws IOException {
+    public ExcludedHostsJournal(Store store) throws IOException {
         this.store = store;
         for (Chain chain : store.chains(SPACE)) {
             last = Math.max(last, chain.key());
--- a/src/main/java/brambletray/relay/journal/HostNotes.java
+++ b/src/main/java/brambletray/relay/journal/HostKnowledgeJournal.java
@@ -1,8 +1,8 @@
 package brambletray.relay.journal;
 
 import brambletray.common.time.BootTimestamp;
-import brambletray.relay.recovery.Known;
-import brambletray.relay.recovery.Recollection;
+import brambletray.relay.recovery.HostKnowledge;
+import brambletray.relay.recovery.HostStateCache;
 import brambletray.relay.store.Chain;
 import brambletray.relay.store.Store;
 import java.io.ByteArrayInputStream;
@@ -23,20 +23,20 @@
  * is known of it. What is put is staged, and lasts from the store's next commit on. All of it is for care:
  * what can't be read, or finds no room, is left out.
  */
-public final class HostNotes {
+public final class HostKnowledgeJournal {
     /** Name space of the store that is theirs. */
     public static final byte SPACE = 10;
 
-    private static final Logger LOG = LoggerFactory.getLogger(HostNotes.class);
+    private static final Logger LOG = LoggerFactory.getLogger(HostKnowledgeJournal.class);
     private static final byte FORM = 1;
 
     private final Store store;
     private final Map<String, Chain> chains = new HashMap<>();
-    private final List<Recollection.Note> found = new ArrayList<>();
+    private final List<HostStateCache.Note> found = new ArrayList<>();
     private long last;
 
     /** Reads those of earlier lives. */
-    public HostNotes(Store store) {
+    public HostKnowledgeJournal(Store store) {
         this.store = store;
         for (Chain chain : store.chains(SPACE)) {
             last = Math.max(last, chain.key());
@@ -45,11 +45,12 @@
                 if (in.readByte() != FORM) {
                     throw new IOException("a note of another form");
                 }
-                Recollection.Note note = new Recollection.Note(
+                HostStateCache.Note note = new HostStateCache.Note(
                         in.readUTF(),
                         new BootTimestamp(in.readLong(), in.readLong(), in.readLong()),
                         in.readLong(),
-                        new Known(in.readLong(), in.readBoolean(), in.readLong(), in.readDouble(), in.readDouble()));
+                        new HostKnowledge(
+                                in.readLong(), in.readBoolean(), in.readLong(), in.readDouble(), in.readDouble()));
                 chains.put(note.host(), chain);
                 found.add(note);
             } catch (IOException | RuntimeException e) {
@@ -61,12 +62,12 @@
     }
 
     /** Those of earlier lives. */
-    public List<Recollection.Note> found() {
+    public List<HostStateCache.Note> found() {
         return List.copyOf(found);
     }
 
     /** False where there is no room for it. */
-    public boolean put(Recollection.Note note) {
+    public boolean put(HostStateCache.Note note) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(FORM);
--- a/src/main/java/brambletray/relay/journal/Journal.java
+++ b/src/main/java/brambletray/relay/journal/Journal.java
@@ -133,10 +133,10 @@
 
     private static Store open(Disk disk, long limit, Store.Promise promise) throws IOException {
         Store.Options options = new Store.Options(limit, promise, CACHE);
-        if (disk.exists(OldJournal.FILE)) {
+        if (disk.exists(LegacyJournalReader.FILE)) {
             return Moving.over(disk, options);
         }
-        disk.delete(OldJournal.FRESH);
+        disk.delete(LegacyJournalReader.FRESH);
         return Store.open(disk, options);
     }
 
@@ -515,18 +515,18 @@
          * that was cut off, and is made again.
          */
         static Store over(Disk disk, Store.Options options) throws IOException {
-            Disk.File file = disk.open(OldJournal.FILE, false);
-            Collection<OldJournal.Owed> owed = OldJournal.read(file.read(0, (int) file.size()));
+            Disk.File file = disk.open(LegacyJournalReader.FILE, false);
+            Collection<LegacyJournalReader.Owed> owed = LegacyJournalReader.read(file.read(0, (int) file.size()));
             file.close();
-            disk.delete(OldJournal.FRESH);
+            disk.delete(LegacyJournalReader.FRESH);
             Store.discard(disk);
             Store store = Store.open(disk, options);
             Journal journal = new Journal(store, 0);
-            for (OldJournal.Owed o : owed) {
+            for (LegacyJournalReader.Owed o : owed) {
                 journal.move(o);
             }
             journal.commit();
-            disk.delete(OldJournal.FILE);
+            disk.delete(LegacyJournalReader.FILE);
             if (options.promise() == Store.Promise.MACHINE) {
                 disk.syncNames();
             }
@@ -535,7 +535,7 @@
         }
     }
 
-    private void move(OldJournal.Owed o) throws IOException {
+    private void move(LegacyJournalReader.Owed o) throws IOException {
         // When it was taken is not in the old file: its time cannot have begun before this.
         Entry entry = take(o.message(), 0);
         if (entry == null) {
--- a/src/main/java/brambletray/relay/journal/FolderTime.java
+++ b/src/main/java/brambletray/relay/journal/JournalClock.java
@@ -18,14 +18,14 @@
  * clock was stepped, the next life's clock goes on by the scale of the last; after a start of the machine it
  * goes by the wall clock. One record (name space {@link #SPACE}: run, ticks, wall; 8 each) a life.
  */
-public final class FolderTime {
+public final class JournalClock {
     /** Name space of the store that is theirs. */
     public static final byte SPACE = 11;
 
-    private static final Logger LOG = LoggerFactory.getLogger(FolderTime.class);
+    private static final Logger LOG = LoggerFactory.getLogger(JournalClock.class);
     private static final int BYTES = 24;
 
-    private FolderTime() {}
+    private JournalClock() {}
 
     /** Before anything of the folder is believed. What it notes is staged, and goes with the first batch. */
     public static void goOn(Store store, Clock clock) {
--- a/src/main/java/brambletray/relay/journal/OldJournal.java
+++ b/src/main/java/brambletray/relay/journal/LegacyJournalReader.java
@@ -20,10 +20,10 @@
  * CRC-32 of its content (4) and the content: a sort (1), the message's number (8) and fields; all big-
  * endian. A tail that does not check is cut off.
  */
-final class OldJournal {
+final class LegacyJournalReader {
     static final String FILE = "journal";
     static final String FRESH = "journal.new";
-    private static final Logger LOG = LoggerFactory.getLogger(OldJournal.class);
+    private static final Logger LOG = LoggerFactory.getLogger(LegacyJournalReader.class);
     private static final int HEAD = 8;
     private static final int RECORD_MOST = 1 << 20;
     private static final byte TAKEN = 1;
@@ -35,7 +35,7 @@
     /** A message that something is owed for, as it stood in the file. */
     record Owed(Message message, List<Journal.Attempt> attempts, Journal.End[] end) {}
 
-    private OldJournal() {}
+    private LegacyJournalReader() {}
 
     /** What is owed, in the order in which it was taken on. */
     static Collection<Owed> read(byte[] all) {
--- a/src/main/java/brambletray/relay/membership/HostList.java
+++ b/src/main/java/brambletray/relay/membership/HostList.java
@@ -2,7 +2,7 @@
 
 import brambletray.relay.control.Relay;
 import brambletray.relay.core.Host;
-import brambletray.relay.core.Hosts;
+import brambletray.relay.core.HostDirectory;
 import brambletray.relay.wire.Addresses;
 import brambletray.relay.wire.Wire;
 import java.nio.charset.StandardCharsets;
@@ -19,7 +19,7 @@
 import org.slf4j.LoggerFactory;
 
 /** The hosts that discovery has named: number, address and standing of each. */
-public final class HostList implements Hosts {
+public final class HostList implements HostDirectory {
     private static final Logger LOG = LoggerFactory.getLogger(HostList.class);
 
     private static final int FORMER_MOST = 10_000;
--- a/src/main/java/brambletray/relay/figures/Figures.java
+++ b/src/main/java/brambletray/relay/metrics/MessageMetrics.java
@@ -1,4 +1,4 @@
-package brambletray.relay.figures;
+package brambletray.relay.metrics;
 
 import java.util.List;
 
@@ -9,7 +9,7 @@
  * <p>Plain fields: a metrics library's counters are made for many threads, and cost a look-up and a fence
  * at each count that one loop has no need of (docs/oncall.md).
  */
-public final class Figures {
+public final class MessageMetrics {
     /** How a message ended. */
     public enum End {
         /** Delivered. */
@@ -31,7 +31,7 @@
     private long written;
 
     /** {@code classes}: their names, in the order of their numbers. */
-    public Figures(List<String> classes) {
+    public MessageMetrics(List<String> classes) {
         this.classes = List.copyOf(classes);
         this.taken = new long[classes.size()];
         this.ended = new long[classes.size()][End.values().length];
--- a/src/main/java/brambletray/relay/mqtt/clients/MqttClient.java
+++ b/src/main/java/brambletray/relay/mqtt/clients/MqttClient.java
@@ -1,9 +1,9 @@
 package brambletray.relay.mqtt.clients;
 
 import brambletray.relay.control.Relay;
-import brambletray.relay.core.Answer;
-import brambletray.relay.core.Loop;
-import brambletray.relay.core.Seldom;
+import brambletray.relay.core.EventDispatcher;
+import brambletray.relay.core.RateLimitedLog;
+import brambletray.relay.core.SubmissionResult;
 import brambletray.relay.message.Body;
 import brambletray.relay.message.Message;
 import brambletray.relay.message.Origin;
@@ -99,8 +99,8 @@
     private final MqttFront front;
     private final MqttSettings settings;
     private final Sessions sessions;
-    private final Loop loop;
-    private final Seldom complaints;
+    private final EventDispatcher loop;
+    private final RateLimitedLog complaints;
     private Channel channel;
     private Session session;
     private ConnectOptions options;
@@ -122,7 +122,12 @@
     /** What the client wants published when its connection ends without a DISCONNECT. */
     private record Will(String topic, byte[] payload, MqttProperties properties, MqttQoS qos) {}
 
-    MqttClient(MqttFront front, MqttSettings settings, Sessions sessions, Loop loop, Seldom complaints) {
+    MqttClient(
+            MqttFront front,
+            MqttSettings settings,
+            Sessions sessions,
+            EventDispatcher loop,
+            RateLimitedLog complaints) {
         this.front = front;
         this.settings = settings;
         this.sessions = sessions;
@@ -504,7 +509,7 @@
     }
 
     /** How a publish was met; the client may have left meanwhile. */
-    private final class ToPublisher implements Answer {
+    private final class ToPublisher implements SubmissionResult {
         private final MqttQoS qos;
         private final int packet;
         private final String id;
--- a/src/main/java/brambletray/relay/mqtt/clients/MqttFront.java
+++ b/src/main/java/brambletray/relay/mqtt/clients/MqttFront.java
@@ -2,9 +2,9 @@
 
 import brambletray.common.runtime.Clock;
 import brambletray.common.runtime.Machine;
-import brambletray.relay.core.Ends;
-import brambletray.relay.core.Loop;
-import brambletray.relay.core.Seldom;
+import brambletray.relay.core.CompletionListener;
+import brambletray.relay.core.EventDispatcher;
+import brambletray.relay.core.RateLimitedLog;
 import brambletray.relay.store.Store;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -26,26 +26,26 @@
 
     private final Machine machine;
     private final MqttSettings settings;
-    private final Loop loop;
+    private final EventDispatcher loop;
     private final Sessions sessions;
-    private final Seldom complaints;
+    private final RateLimitedLog complaints;
     private final Set<MqttClient> clients = new LinkedHashSet<>();
     private long assigned;
     private long refusedUnacknowledged;
     private boolean leaving;
 
     /** Takes up the sessions that the store holds; the loop is to tell {@link #ends} from then on. */
-    public MqttFront(Machine machine, MqttSettings settings, Loop loop, Store store) {
+    public MqttFront(Machine machine, MqttSettings settings, EventDispatcher loop, Store store) {
         this.machine = machine;
         this.settings = settings;
         this.loop = loop;
-        this.complaints = new Seldom(LOG, machine.clock());
+        this.complaints = new RateLimitedLog(LOG, machine.clock());
         this.sessions = new Sessions(store, loop, machine.clock(), settings);
         machine.loop().scheduleWithFixedDelay(sessions::sweep, SWEEP, SWEEP, TimeUnit.SECONDS);
     }
 
     /** Tells clients the ends of their messages. */
-    public Ends ends() {
+    public CompletionListener ends() {
         return sessions;
     }
 
--- a/src/main/java/brambletray/relay/mqtt/clients/Sessions.java
+++ b/src/main/java/brambletray/relay/mqtt/clients/Sessions.java
@@ -1,8 +1,8 @@
 package brambletray.relay.mqtt.clients;
 
 import brambletray.common.runtime.Clock;
-import brambletray.relay.core.Ends;
-import brambletray.relay.core.Loop;
+import brambletray.relay.core.CompletionListener;
+import brambletray.relay.core.EventDispatcher;
 import brambletray.relay.message.Message;
 import brambletray.relay.store.Chain;
 import brambletray.relay.store.Store;
@@ -27,7 +27,7 @@
  * changes is staged and goes with the batch of the pass, so that a message's end and the answer that tells
  * it are noted together.
  */
-final class Sessions implements Ends {
+final class Sessions implements CompletionListener {
     private static final Logger LOG = LoggerFactory.getLogger(Sessions.class);
     static final byte SESSIONS = 2;
     static final byte TAKEN = 3;
@@ -45,7 +45,7 @@
     private static final int REMEMBERED_MOST = 100_000;
 
     private final Store store;
-    private final Loop loop;
+    private final EventDispatcher loop;
     private final Clock clock;
     private final MqttSettings settings;
     private final Map<String, Session> sessions = new HashMap<>();
@@ -61,7 +61,7 @@
 
     private record Taken(Chain chain, long until) {}
 
-    Sessions(Store store, Loop loop, Clock clock, MqttSettings settings) {
+    Sessions(Store store, EventDispatcher loop, Clock clock, MqttSettings settings) {
         this.store = store;
         this.loop = loop;
         this.clock = clock;
--- a/src/main/java/brambletray/relay/mqtt/hosts/MqttCalls.java
+++ b/src/main/java/brambletray/relay/mqtt/hosts/MqttCalls.java
@@ -1,9 +1,9 @@
 package brambletray.relay.mqtt.hosts;
 
 import brambletray.common.runtime.Machine;
-import brambletray.relay.core.Calls;
+import brambletray.relay.core.CallReply;
 import brambletray.relay.core.Host;
-import brambletray.relay.core.Reply;
+import brambletray.relay.core.HostTransport;
 import brambletray.relay.message.Message;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -20,7 +20,7 @@
  * the module decides what becomes of it within its class. By QoS 2 the session is kept over a break, and what
  * was out is cleared up by it; see {@link PartnerLine}.
  */
-public final class MqttCalls implements Calls {
+public final class MqttCalls implements HostTransport {
     private final Machine machine;
     private final PartnerPackets packets;
     private final Dialect dialect;
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public Call call(Host host, Message message, long patience, Consumer<Reply> whenEnded) {
+    public Call call(Host host, Message message, long patience, Consumer<CallReply> whenEnded) {
         PartnerLine line = line(host);
         OutCall call = new OutCall(line, message, machine.clock(), patience, whenEnded);
         call.timer = machine.loop().schedule(call::giveUp, patience, TimeUnit.MICROSECONDS);
--- a/src/main/java/brambletray/relay/mqtt/hosts/OutCall.java
+++ b/src/main/java/brambletray/relay/mqtt/hosts/OutCall.java
@@ -2,18 +2,18 @@
 
 import brambletray.common.runtime.Clock;
 import brambletray.relay.control.Relay.Outcome;
-import brambletray.relay.core.Calls;
-import brambletray.relay.core.Reply;
+import brambletray.relay.core.CallReply;
+import brambletray.relay.core.HostTransport;
 import brambletray.relay.message.Message;
 import io.netty.util.concurrent.Future;
 import java.util.function.Consumer;
 
 /** One call, from when it was asked for until its reply. */
-final class OutCall implements Calls.Call {
+final class OutCall implements HostTransport.Call {
     final PartnerLine line;
     final Message message;
     private final Clock clock;
-    private final Consumer<Reply> whenEnded;
+    private final Consumer<CallReply> whenEnded;
     private final long began;
     private final long until;
     Future<?> timer;
@@ -27,7 +27,7 @@
     private boolean ended;
 
     /** {@code patience}: us. */
-    OutCall(PartnerLine line, Message message, Clock clock, long patience, Consumer<Reply> whenEnded) {
+    OutCall(PartnerLine line, Message message, Clock clock, long patience, Consumer<CallReply> whenEnded) {
         this.line = line;
         this.message = message;
         this.clock = clock;
@@ -73,8 +73,8 @@
             ended = true;
             timer.cancel(false);
             line.forget(this);
-            whenEnded.accept(
-                    new Reply(outcome, outcome == Outcome.OK, wait, (clock.nanos() - began) / 1_000, -1, -1, reused));
+            whenEnded.accept(new CallReply(
+                    outcome, outcome == Outcome.OK, wait, (clock.nanos() - began) / 1_000, -1, -1, reused));
         }
     }
 }
--- a/src/main/java/brambletray/relay/siblings/Siblings.java
+++ b/src/main/java/brambletray/relay/peers/PeerLink.java
@@ -1,10 +1,10 @@
-package brambletray.relay.siblings;
+package brambletray.relay.peers;
 
 import brambletray.common.runtime.Machine;
-import brambletray.relay.recovery.Account;
-import brambletray.relay.recovery.Asking;
-import brambletray.relay.recovery.Finding;
-import brambletray.relay.recovery.Standing;
+import brambletray.relay.recovery.FolderFinding;
+import brambletray.relay.recovery.GenerationInquiry;
+import brambletray.relay.recovery.StoreFreshness;
+import brambletray.relay.recovery.WitnessReport;
 import brambletray.relay.store.Store;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
@@ -32,33 +32,33 @@
  * and answers those that ask. On the machine's event loop. Nothing that it hears is needed to go on: a lost
  * note makes a relay that starts ask again, and more careful at worst.
  */
-final class Siblings {
-    private static final Logger LOG = LoggerFactory.getLogger(Siblings.class);
+final class PeerLink {
+    private static final Logger LOG = LoggerFactory.getLogger(PeerLink.class);
     /** ms between two questions; and between two complaints about notes that are of no use. */
     private static final long ASK_EVERY = 100;
 
     private static final long COMPLAIN_EVERY = 10_000;
 
     private final Machine machine;
-    private final SiblingsFile file;
-    private final NoteCodec codec;
-    private final Sightings sightings;
+    private final PeersFile file;
+    private final PeerMessageCodec codec;
+    private final PeerObservations sightings;
     private final List<String> names;
     private final long nonce = new SecureRandom().nextLong();
     private Channel channel;
-    private Asking asking;
-    private Promise<Finding> answer;
+    private GenerationInquiry asking;
+    private Promise<FolderFinding> answer;
     private Future<?> asks;
     private long beats;
     private long complainedAt = Long.MIN_VALUE;
 
     /** {@code store}: read now; written to from {@link #live} on, on the loop. */
-    Siblings(Machine machine, SiblingsFile file, Store store) {
+    PeerLink(Machine machine, PeersFile file, Store store) {
         this.machine = machine;
         this.file = file;
-        this.codec = new NoteCodec(file.cluster(), file.key());
+        this.codec = new PeerMessageCodec(file.cluster(), file.key());
         this.names = new ArrayList<>(file.others().keySet());
-        this.sightings = new Sightings(store, names, now());
+        this.sightings = new PeerObservations(store, names, now());
     }
 
     private long now() {
@@ -87,11 +87,11 @@
     }
 
     /** Asks them all what they know of this relay; called from any thread, once it listens. */
-    Future<Finding> ask(Standing own, long longest) {
+    Future<FolderFinding> ask(StoreFreshness own, long longest) {
         answer = machine.loop().newPromise();
         machine.loop().execute(() -> {
-            Asking.Terms terms = new Asking.Terms(file.askMs(), file.beatMs(), longest);
-            asking = new Asking(own, names.size(), terms, now());
+            GenerationInquiry.Terms terms = new GenerationInquiry.Terms(file.askMs(), file.beatMs(), longest);
+            asking = new GenerationInquiry(own, names.size(), terms, now());
             asks = machine.loop().scheduleAtFixedRate(this::askAgain, 0, ASK_EVERY, TimeUnit.MILLISECONDS);
         });
         return answer;
@@ -100,11 +100,11 @@
     private void askAgain() {
         found(asking.due(now()));
         if (!answer.isDone()) {
-            names.forEach(name -> send(name, new Note.Ask(file.name(), nonce)));
+            names.forEach(name -> send(name, new PeerMessage.Ask(file.name(), nonce)));
         }
     }
 
-    private void found(Finding finding) {
+    private void found(FolderFinding finding) {
         if (finding != null && answer.trySuccess(finding)) {
             asks.cancel(false);
         }
@@ -116,12 +116,12 @@
     }
 
     /** From now on it tells how far it has come, and keeps what it hears. On the loop. */
-    void live(Supplier<Standing> standing, Store store, Runnable staged) {
+    void live(Supplier<StoreFreshness> standing, Store store, Runnable staged) {
         sightings.keep(store, staged);
         machine.loop()
                 .scheduleAtFixedRate(
                         () -> {
-                            Note beat = new Note.Beat(file.name(), standing.get(), ++beats);
+                            PeerMessage beat = new PeerMessage.Beat(file.name(), standing.get(), ++beats);
                             names.forEach(name -> send(name, beat));
                         },
                         0,
@@ -129,14 +129,14 @@
                         TimeUnit.MILLISECONDS);
     }
 
-    private void send(String name, Note note) {
+    private void send(String name, PeerMessage note) {
         // Failures are not looked at: whoever matters is asked, or told, again.
         channel.writeAndFlush(new DatagramPacket(
                 Unpooled.wrappedBuffer(codec.bytes(note)), file.others().get(name)));
     }
 
     private void heard(byte[] bytes) {
-        Note note;
+        PeerMessage note;
         try {
             note = codec.read(bytes);
         } catch (IOException e) {
@@ -146,12 +146,12 @@
         int who = names.indexOf(note.from());
         if (who < 0) {
             complain("a note of relay '" + note.from() + "', which is no sibling in the file");
-        } else if (note instanceof Note.Beat beat) {
+        } else if (note instanceof PeerMessage.Beat beat) {
             sightings.heard(beat.from(), beat.standing(), beat.beats(), now());
-        } else if (note instanceof Note.Ask ask) {
-            Account account = sightings.of(ask.from(), now());
-            send(ask.from(), new Note.Tell(file.name(), ask.nonce(), account));
-        } else if (note instanceof Note.Tell tell && tell.nonce() == nonce && asking != null) {
+        } else if (note instanceof PeerMessage.Ask ask) {
+            WitnessReport account = sightings.of(ask.from(), now());
+            send(ask.from(), new PeerMessage.Tell(file.name(), ask.nonce(), account));
+        } else if (note instanceof PeerMessage.Tell tell && tell.nonce() == nonce && asking != null) {
             found(asking.told(now(), who, tell.account()));
         }
     }
--- a/src/main/java/brambletray/relay/siblings/NoteCodec.java
+++ b/src/main/java/brambletray/relay/peers/PeerMessageCodec.java
@@ -1,7 +1,7 @@
-package brambletray.relay.siblings;
+package brambletray.relay.peers;
 
-import brambletray.relay.recovery.Account;
-import brambletray.relay.recovery.Standing;
+import brambletray.relay.recovery.StoreFreshness;
+import brambletray.relay.recovery.WitnessReport;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -17,7 +17,7 @@
  * Notes as bytes: form, cluster, sender, sort and what belongs to it, then the first 16 bytes of HMAC-SHA256
  * (RFC 2104, FIPS 198-1) over all before. Not for several threads.
  */
-final class NoteCodec {
+final class PeerMessageCodec {
     /** Bytes of a note at most. */
     static final int MOST = 256;
     /** Characters of a name at most. */
@@ -33,7 +33,7 @@
     private final String cluster;
     private final Mac mac;
 
-    NoteCodec(String cluster, byte[] key) {
+    PeerMessageCodec(String cluster, byte[] key) {
         this.cluster = cluster;
         try {
             mac = Mac.getInstance("HmacSHA256");
@@ -43,26 +43,26 @@
         }
     }
 
-    byte[] bytes(Note note) {
+    byte[] bytes(PeerMessage note) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(MOST);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(FORM);
             out.writeUTF(cluster);
             out.writeUTF(note.from());
-            if (note instanceof Note.Beat beat) {
+            if (note instanceof PeerMessage.Beat beat) {
                 out.writeByte(BEAT);
                 write(out, beat.standing());
                 out.writeLong(beat.beats());
-            } else if (note instanceof Note.Ask ask) {
+            } else if (note instanceof PeerMessage.Ask ask) {
                 out.writeByte(ASK);
                 out.writeLong(ask.nonce());
-            } else if (note instanceof Note.Tell tell) {
-                boolean seen = tell.account() instanceof Account.Seen;
+            } else if (note instanceof PeerMessage.Tell tell) {
+                boolean seen = tell.account() instanceof WitnessReport.Seen;
                 out.writeByte(seen ? SEEN : NEVER);
                 out.writeLong(tell.nonce());
-                if (tell.account() instanceof Account.Never account) {
+                if (tell.account() instanceof WitnessReport.Never account) {
                     out.writeLong(account.memory());
-                } else if (tell.account() instanceof Account.Seen account) {
+                } else if (tell.account() instanceof WitnessReport.Seen account) {
                     write(out, account.last());
                     out.writeLong(account.age());
                     out.writeLong(account.beats());
@@ -76,14 +76,14 @@
         return bytes.toByteArray();
     }
 
-    private static void write(DataOutputStream out, Standing standing) throws IOException {
+    private static void write(DataOutputStream out, StoreFreshness standing) throws IOException {
         out.writeLong(standing.store());
         out.writeLong(standing.life());
         out.writeLong(standing.at());
     }
 
     /** Reads one; throws with the cause for one that is not of this cluster, or that has been changed. */
-    Note read(byte[] bytes) throws IOException {
+    PeerMessage read(byte[] bytes) throws IOException {
         if (bytes.length <= HASH || bytes.length > MOST) {
             throw new IOException("a note of " + bytes.length + " bytes");
         }
@@ -102,12 +102,13 @@
         }
         String from = in.readUTF();
         byte sort = in.readByte();
-        Note note = switch (sort) {
-            case BEAT -> new Note.Beat(from, standing(in), in.readLong());
-            case ASK -> new Note.Ask(from, in.readLong());
+        PeerMessage note = switch (sort) {
+            case BEAT -> new PeerMessage.Beat(from, standing(in), in.readLong());
+            case ASK -> new PeerMessage.Ask(from, in.readLong());
             case SEEN ->
-                new Note.Tell(from, in.readLong(), new Account.Seen(standing(in), in.readLong(), in.readLong()));
-            case NEVER -> new Note.Tell(from, in.readLong(), new Account.Never(in.readLong()));
+                new PeerMessage.Tell(
+                        from, in.readLong(), new WitnessReport.Seen(standing(in), in.readLong(), in.readLong()));
+            case NEVER -> new PeerMessage.Tell(from, in.readLong(), new WitnessReport.Never(in.readLong()));
             default -> throw new IOException("a note of sort " + sort);
         };
         if (in.available() > 0) {
@@ -116,7 +117,7 @@
         return note;
     }
 
-    private static Standing standing(DataInputStream in) throws IOException {
-        return new Standing(in.readLong(), in.readLong(), in.readLong());
+    private static StoreFreshness standing(DataInputStream in) throws IOException {
+        return new StoreFreshness(in.readLong(), in.readLong(), in.readLong());
     }
 }
--- a/src/main/java/brambletray/relay/siblings/Sightings.java
+++ b/src/main/java/brambletray/relay/peers/PeerObservations.java
@@ -1,7 +1,7 @@
-package brambletray.relay.siblings;
+package brambletray.relay.peers;
 
-import brambletray.relay.recovery.Account;
-import brambletray.relay.recovery.Standing;
+import brambletray.relay.recovery.StoreFreshness;
+import brambletray.relay.recovery.WitnessReport;
 import brambletray.relay.store.Chain;
 import brambletray.relay.store.Store;
 import java.io.ByteArrayInputStream;
@@ -22,23 +22,23 @@
  * has, kept in the store (name space {@link #SPACE}), so that a fleet that comes back all at once remembers.
  * A new life is noted at once, progress once in {@link #NOTE_EVERY} ms. One thread.
  */
-final class Sightings {
+final class PeerObservations {
     static final byte SPACE = 9;
     /** ms between two records of one sibling's progress. */
     static final long NOTE_EVERY = 1_000;
 
-    private static final Logger LOG = LoggerFactory.getLogger(Sightings.class);
+    private static final Logger LOG = LoggerFactory.getLogger(PeerObservations.class);
 
     private static final class Sighting {
         final long key;
-        Standing last;
+        StoreFreshness last;
         /** Of the life that {@code last} tells of; -1: known from the store only. */
         long beats = -1;
         /** ms; when it was heard, or when this relay began. */
         long at;
 
         long notedAt;
-        Standing noted;
+        StoreFreshness noted;
 
         Sighting(long key, long now) {
             this.key = key;
@@ -53,7 +53,7 @@
     private Runnable staged;
 
     /** Reads what is known. {@code now}: ms of the clock that all calls use. */
-    Sightings(Store store, List<String> names, long now) {
+    PeerObservations(Store store, List<String> names, long now) {
         this.names = List.copyOf(names);
         this.began = now;
         for (Chain chain : store.chains(SPACE)) {
@@ -61,7 +61,7 @@
                 DataInputStream in = new DataInputStream(new ByteArrayInputStream(store.read(chain, 0)));
                 String name = in.readUTF();
                 Sighting s = new Sighting(key(name), now);
-                s.last = new Standing(in.readLong(), in.readLong(), in.readLong());
+                s.last = new StoreFreshness(in.readLong(), in.readLong(), in.readLong());
                 s.noted = s.last;
                 if (names.contains(name)) {
                     all.put(name, s);
@@ -83,7 +83,7 @@
         staged = whenStaged;
     }
 
-    void heard(String name, Standing standing, long beats, long now) {
+    void heard(String name, StoreFreshness standing, long beats, long now) {
         if (!names.contains(name) || !standing.sensible()) {
             return;
         }
@@ -121,8 +121,8 @@
         staged.run();
     }
 
-    Account of(String name, long now) {
+    WitnessReport of(String name, long now) {
         Sighting s = all.get(name);
-        return s == null ? new Account.Never(now - began) : new Account.Seen(s.last, now - s.at, s.beats);
+        return s == null ? new WitnessReport.Never(now - began) : new WitnessReport.Seen(s.last, now - s.at, s.beats);
     }
 }
--- a/src/main/java/brambletray/relay/siblings/ComingBack.java
+++ b/src/main/java/brambletray/relay/peers/PeerRecovery.java
@@ -1,15 +1,15 @@
-package brambletray.relay.siblings;
+package brambletray.relay.peers;
 
 import brambletray.common.runtime.Machine;
 import brambletray.relay.control.Relay;
-import brambletray.relay.core.Door;
-import brambletray.relay.core.Loop;
-import brambletray.relay.journal.HostNotes;
+import brambletray.relay.core.AdmissionGate;
+import brambletray.relay.core.EventDispatcher;
+import brambletray.relay.journal.HostKnowledgeJournal;
 import brambletray.relay.journal.Journal;
 import brambletray.relay.message.Message;
-import brambletray.relay.recovery.Finding;
-import brambletray.relay.recovery.Rest;
-import brambletray.relay.recovery.Standing;
+import brambletray.relay.recovery.FolderFinding;
+import brambletray.relay.recovery.QuietPeriod;
+import brambletray.relay.recovery.StoreFreshness;
 import brambletray.relay.store.Chain;
 import brambletray.relay.store.Store;
 import io.netty.channel.ChannelFuture;
@@ -30,7 +30,7 @@
  * {@link #SPACE}: name, number, {@link Stage}) before anything is owned; what a life that is killed had begun
  * and not ended is done again by the next.
  */
-public final class ComingBack {
+public final class PeerRecovery {
     static final byte SPACE = 8;
 
     /** How far coming back has come; by number, as it is noted. */
@@ -42,16 +42,16 @@
         RESTING
     }
 
-    private static final Logger LOG = LoggerFactory.getLogger(ComingBack.class);
+    private static final Logger LOG = LoggerFactory.getLogger(PeerRecovery.class);
 
     private final Machine machine;
-    private final SiblingsFile file;
+    private final PeersFile file;
     private final Relay.Settings settings;
-    private Siblings siblings;
-    private Rest rest = Rest.NONE;
+    private PeerLink siblings;
+    private QuietPeriod rest = QuietPeriod.NONE;
     private long life;
 
-    public ComingBack(Machine machine, SiblingsFile file, Relay.Settings settings) {
+    public PeerRecovery(Machine machine, PeersFile file, Relay.Settings settings) {
         this.machine = machine;
         this.file = file;
         this.settings = settings;
@@ -63,7 +63,7 @@
      */
     public String before(Journal journal) throws IOException {
         Store store = journal.store();
-        Standing own = null;
+        StoreFreshness own = null;
         Stage former = Stage.SETTLED;
         for (Chain chain : store.chains(SPACE)) {
             DataInputStream in = new DataInputStream(new ByteArrayInputStream(store.read(chain, 0)));
@@ -72,14 +72,14 @@
                 return "the folder is relay '" + owner + "'s, and this is relay '" + file.name()
                         + "': give each its own folder (docs/recovery.md)";
             }
-            own = new Standing(store.number(), in.readLong(), store.last());
+            own = new StoreFreshness(store.number(), in.readLong(), store.last());
             former = Stage.values()[in.readByte()];
         }
         if (own == null && store.last() > 0) {
             // From before it had siblings.
-            own = new Standing(store.number(), 0, store.last());
+            own = new StoreFreshness(store.number(), 0, store.last());
         }
-        siblings = new Siblings(machine, file, store);
+        siblings = new PeerLink(machine, file, store);
         try {
             ChannelFuture bound = siblings.listen().await();
             if (!bound.isSuccess()) {
@@ -87,21 +87,21 @@
                         + bound.cause().getMessage();
             }
             LOG.info("siblings on {}", siblings.address());
-            Finding found = siblings.ask(own, longest()).get();
-            if (found instanceof Finding.Twin twin) {
+            FolderFinding found = siblings.ask(own, longest()).get();
+            if (found instanceof FolderFinding.Twin twin) {
                 siblings.close();
                 return "another process lives as relay '" + file.name() + "', in life "
                         + twin.seen().life() + ": end it first, or give this one a name of its own (docs/recovery.md)";
             }
             tell(found);
-            if (Rest.doubts(found, file.trusting()) || former == Stage.DOUBTING) {
+            if (QuietPeriod.doubts(found, file.trusting()) || former == Stage.DOUBTING) {
                 // Each batch of doubts brings the folder on: killed amid them, it might pass for the newest.
                 note(store, own.life(), Stage.DOUBTING);
                 store.commit();
                 LOG.warn("{} messages that the folder says are owed count as perhaps sent", journal.doubt());
-                HostNotes.discard(store);
+                HostKnowledgeJournal.discard(store);
             }
-            rest = Rest.after(found, file.trusting(), now()).orAgain(former != Stage.SETTLED, now(), longest());
+            rest = QuietPeriod.after(found, file.trusting(), now()).orAgain(former != Stage.SETTLED, now(), longest());
             if (former != Stage.SETTLED) {
                 LOG.warn(
                         "the life before was killed while it came back: unsafe and keyed messages are turned"
@@ -109,7 +109,7 @@
                         rest.until() - now());
             }
             life = siblings.nextLife();
-            note(store, life, rest == Rest.NONE ? Stage.SETTLED : Stage.RESTING);
+            note(store, life, rest == QuietPeriod.NONE ? Stage.SETTLED : Stage.RESTING);
             store.commit();
             LOG.info("relay {} begins life {}", file.name(), life);
             return null;
@@ -132,25 +132,25 @@
         store.put(SPACE, 0, bytes.toByteArray());
     }
 
-    private static void tell(Finding found) {
-        if (found instanceof Finding.First) {
+    private static void tell(FolderFinding found) {
+        if (found instanceof FolderFinding.First) {
             LOG.info("folder: new, and no sibling has heard of this relay");
-        } else if (found instanceof Finding.Continues) {
+        } else if (found instanceof FolderFinding.Continues) {
             LOG.info("folder: the newest that siblings know of");
-        } else if (found instanceof Finding.Lost lost) {
+        } else if (found instanceof FolderFinding.Lost lost) {
             LOG.error(
                     "folder: LOST; it is empty, and siblings saw life {}: unsafe and keyed messages are"
                             + " turned away for {} ms",
                     lost.seen().life(),
                     lost.rest());
-        } else if (found instanceof Finding.RolledBack back) {
+        } else if (found instanceof FolderFinding.RolledBack back) {
             LOG.error(
                     "folder: ROLLED BACK; siblings saw life {} up to {}: unsafe and keyed messages are"
                             + " turned away for {} ms; hosts taken out by hand since are in use again: look",
                     back.seen().life(),
                     back.seen().at(),
                     back.rest());
-        } else if (found instanceof Finding.Unconfirmed unknown) {
+        } else if (found instanceof FolderFinding.Unconfirmed unknown) {
             LOG.warn(
                     "folder: {}, and too few siblings answered to tell whether it is the newest ({} ms)",
                     unknown.empty() ? "empty" : "there",
@@ -173,9 +173,9 @@
     }
 
     /** The relay owns its folder and decides: siblings are told from now on. On the loop. */
-    public void live(Store store, Loop loop) {
-        siblings.live(() -> new Standing(store.number(), life, store.last()), store, loop::staged);
-        if (rest != Rest.NONE) {
+    public void live(Store store, EventDispatcher loop) {
+        siblings.live(() -> new StoreFreshness(store.number(), life, store.last()), store, loop::staged);
+        if (rest != QuietPeriod.NONE) {
             machine.loop()
                     .schedule(
                             () -> {
@@ -190,10 +190,10 @@
     }
 
     /** Who lets messages in while what was forgotten may still be under way. */
-    public Door door(Door inner, Loop loop) {
-        return rest == Rest.NONE
+    public AdmissionGate door(AdmissionGate inner, EventDispatcher loop) {
+        return rest == QuietPeriod.NONE
                 ? inner
-                : new Door() {
+                : new AdmissionGate() {
                     @Override
                     public Entry ask(Message message) {
                         Relay.MessageClass asked = loop.messageClass(message.messageClass());
--- a/src/main/java/brambletray/relay/siblings/SiblingsFile.java
+++ b/src/main/java/brambletray/relay/peers/PeersFile.java
@@ -1,4 +1,4 @@
-package brambletray.relay.siblings;
+package brambletray.relay.peers;
 
 import brambletray.common.yaml.Faults;
 import brambletray.common.yaml.Section;
@@ -24,7 +24,7 @@
  * @param askMs how long one that starts asks at most
  * @param trusting whether a folder that nobody confirms is believed
  */
-public record SiblingsFile(
+public record PeersFile(
         String cluster,
         String name,
         InetSocketAddress listen,
@@ -38,7 +38,7 @@
     private static final int OTHERS_MOST = 300;
 
     /** Reads and checks it whole, and the file of the key beside it. */
-    public static SiblingsFile read(Path path) throws Faults, IOException {
+    public static PeersFile read(Path path) throws Faults, IOException {
         YamlFile.Content content = YamlFile.read(path);
         Section root = content.root();
         String cluster = name(root, "cluster");
@@ -69,13 +69,13 @@
                             + key.length);
         }
         content.file().check();
-        return new SiblingsFile(cluster, name, listen, others, key, beat, ask, trusting);
+        return new PeersFile(cluster, name, listen, others, key, beat, ask, trusting);
     }
 
     private static String name(Section s, String field) {
         String name = s.text(field);
-        if (!name.matches("[A-Za-z0-9._-]{1," + NoteCodec.NAME_MOST + "}")) {
-            s.fault(field, "expected letters, digits, '.', '_' and '-', up to " + NoteCodec.NAME_MOST);
+        if (!name.matches("[A-Za-z0-9._-]{1," + PeerMessageCodec.NAME_MOST + "}")) {
+            s.fault(field, "expected letters, digits, '.', '_' and '-', up to " + PeerMessageCodec.NAME_MOST);
         }
         return name;
     }
--- a/src/main/java/brambletray/relay/recovery/Asking.java
+++ b/src/main/java/brambletray/relay/recovery/GenerationInquiry.java
@@ -12,7 +12,7 @@
  * <p>What it can't know: a witness that was cut off from the relay before the end has an older account, and
  * if only such witnesses answer, a folder of the time between is taken for the newest.
  */
-public final class Asking {
+public final class GenerationInquiry {
     /** Beats that have to be heard after the question before another process counts as alive. */
     static final int TWIN_BEATS = 2;
     /** Beats without a word after which a life counts as over. */
@@ -23,58 +23,58 @@
      *  @param longest ms; longest time limit of messages whose second try could do harm */
     public record Terms(long patience, long beat, long longest) {}
 
-    private final Standing own;
+    private final StoreFreshness own;
     private final Terms terms;
     private final long began;
-    private final Account[] accounts;
+    private final WitnessReport[] accounts;
     /** By witness: beats when it first answered, and the life that they are of. */
-    private final Account.Seen[] firsts;
+    private final WitnessReport.Seen[] firsts;
 
-    private Finding found;
+    private FolderFinding found;
 
     /** {@code own}: null for an empty folder; {@code now}: ms of a clock that only moves on. */
-    public Asking(Standing own, int witnesses, Terms terms, long now) {
+    public GenerationInquiry(StoreFreshness own, int witnesses, Terms terms, long now) {
         this.own = own;
         this.terms = terms;
         this.began = now;
-        this.accounts = new Account[witnesses];
-        this.firsts = new Account.Seen[witnesses];
+        this.accounts = new WitnessReport[witnesses];
+        this.firsts = new WitnessReport.Seen[witnesses];
     }
 
     /** A witness has answered; null while the question is open. */
-    public Finding told(long now, int witness, Account account) {
-        if (account instanceof Account.Seen seen && !seen.last().sensible()) {
+    public FolderFinding told(long now, int witness, WitnessReport account) {
+        if (account instanceof WitnessReport.Seen seen && !seen.last().sensible()) {
             return due(now);
         }
         if (found == null) {
             accounts[witness] = further(accounts[witness], account);
-            if (account instanceof Account.Seen seen) {
+            if (account instanceof WitnessReport.Seen seen) {
                 alive(witness, seen);
             }
         }
         return due(now);
     }
 
-    private static Account further(Account former, Account told) {
-        boolean keep = former instanceof Account.Seen f
-                && !(told instanceof Account.Seen t
+    private static WitnessReport further(WitnessReport former, WitnessReport told) {
+        boolean keep = former instanceof WitnessReport.Seen f
+                && !(told instanceof WitnessReport.Seen t
                         && (f.last().behind(t.last()) || f.last().equals(t.last())));
         return keep ? former : told;
     }
 
-    private void alive(int witness, Account.Seen seen) {
-        Account.Seen first = firsts[witness];
+    private void alive(int witness, WitnessReport.Seen seen) {
+        WitnessReport.Seen first = firsts[witness];
         if (first == null
                 || first.last().life() != seen.last().life()
                 || first.last().store() != seen.last().store()) {
             firsts[witness] = seen;
         } else if (seen.beats() >= first.beats() + TWIN_BEATS) {
-            found = new Finding.Twin(seen.last());
+            found = new FolderFinding.Twin(seen.last());
         }
     }
 
     /** Time has passed; null while the question is open. */
-    public Finding due(long now) {
+    public FolderFinding due(long now) {
         boolean over = now - began >= terms.patience();
         if (found == null && (over || complete())) {
             found = conclude();
@@ -82,18 +82,18 @@
         return found;
     }
 
-    private List<Account.Seen> sightings() {
+    private List<WitnessReport.Seen> sightings() {
         return Arrays.stream(accounts)
-                .filter(Account.Seen.class::isInstance)
-                .map(Account.Seen.class::cast)
+                .filter(WitnessReport.Seen.class::isInstance)
+                .map(WitnessReport.Seen.class::cast)
                 .toList();
     }
 
     /** ms for which all witnesses can say that it did not live: what is lost with all folders is not seen. */
     private long memory() {
         long least = Long.MAX_VALUE;
-        for (Account account : accounts) {
-            least = Math.min(least, account instanceof Account.Never never ? never.memory() : 0);
+        for (WitnessReport account : accounts) {
+            least = Math.min(least, account instanceof WitnessReport.Never never ? never.memory() : 0);
         }
         return least;
     }
@@ -107,33 +107,33 @@
                 && sightings().stream().allMatch(s -> s.age() >= QUIET_BEATS * terms.beat());
     }
 
-    private Finding conclude() {
-        List<Account.Seen> seen = sightings();
-        Standing last = null;
+    private FolderFinding conclude() {
+        List<WitnessReport.Seen> seen = sightings();
+        StoreFreshness last = null;
         long age = terms.longest();
-        for (Account.Seen s : seen) {
+        for (WitnessReport.Seen s : seen) {
             last = last == null || last.behind(s.last()) ? s.last() : last;
             age = Math.min(age, s.age());
         }
         long rest = Math.max(0, terms.longest() - age);
         if (own == null && last != null) {
-            return new Finding.Lost(last, rest);
+            return new FolderFinding.Lost(last, rest);
         } else if (last != null && own.behind(last)) {
-            return new Finding.RolledBack(last, rest);
+            return new FolderFinding.RolledBack(last, rest);
         } else if (own == null) {
             long unknown = terms.longest() - memory();
-            return unknown <= 0 ? new Finding.First() : new Finding.Unconfirmed(true, unknown);
+            return unknown <= 0 ? new FolderFinding.First() : new FolderFinding.Unconfirmed(true, unknown);
         }
         // Of this relay and its witnesses a majority has to know of no later folder.
         return 2 * (answers() + 1) > accounts.length + 1
-                ? new Finding.Continues()
-                : new Finding.Unconfirmed(false, terms.longest());
+                ? new FolderFinding.Continues()
+                : new FolderFinding.Unconfirmed(false, terms.longest());
     }
 
     /** The number of the life that begins now: above all that was lived or seen. */
     public long nextLife() {
         long most = own == null ? 0 : own.life();
-        for (Account.Seen s : sightings()) {
+        for (WitnessReport.Seen s : sightings()) {
             most = Math.max(most, s.last().life());
         }
         return most + 1;
--- a/src/main/java/brambletray/relay/recovery/Known.java
+++ b/src/main/java/brambletray/relay/recovery/HostKnowledge.java
@@ -9,12 +9,12 @@
  * @param limit calls a second that its answers told, for all relays; 0: none
  * @param pace calls a second that this relay sends there at most; 0: not known
  */
-public record Known(long waitFor, boolean failing, long warming, double limit, double pace) {
+public record HostKnowledge(long waitFor, boolean failing, long warming, double limit, double pace) {
     public static final long WARM = -1;
-    public static final Known NOTHING = new Known(0, false, WARM, 0, 0);
+    public static final HostKnowledge NOTHING = new HostKnowledge(0, false, WARM, 0, 0);
 
     /** Whether another life has any use of it. */
     boolean ofUse() {
-        return waitFor >= Recollection.WAIT_LEAST || failing || warming != WARM || limit > 0;
+        return waitFor >= HostStateCache.WAIT_LEAST || failing || warming != WARM || limit > 0;
     }
 }
--- a/src/main/java/brambletray/relay/recovery/Recollection.java
+++ b/src/main/java/brambletray/relay/recovery/HostStateCache.java
@@ -9,7 +9,7 @@
  * told what the module knows; it reads no clock. A wait and a drain bind until they are known to be over; of
  * the rest it holds that old knowledge is worse than none, for it is learned anew within seconds.
  */
-public final class Recollection {
+public final class HostStateCache {
     /** us; a shorter wait is over before another life can send. */
     static final long WAIT_LEAST = 300_000;
     /** us; a wait that ends later than noted by no more than this is the same one. */
@@ -33,7 +33,7 @@
      * @param at when it was true
      * @param leftAt version of the list that told that the host leaves or is gone; {@link #IN_USE}: none did
      */
-    public record Note(String host, BootTimestamp at, long leftAt, Known known) {}
+    public record Note(String host, BootTimestamp at, long leftAt, HostKnowledge known) {}
 
     public static final long IN_USE = -1;
 
@@ -47,7 +47,7 @@
     }
 
     /** The note to be made now of a host; null where what is noted will do. */
-    public Note worth(BootTimestamp now, String host, long leftAt, Known known) {
+    public Note worth(BootTimestamp now, String host, long leftAt, HostKnowledge known) {
         Note last = noted.get(host);
         boolean worth = last == null
                 ? (known.ofUse() || leftAt != IN_USE) && noted.size() < MOST
@@ -60,12 +60,12 @@
         return note;
     }
 
-    private static boolean differs(Note last, BootTimestamp now, long leftAt, Known known) {
+    private static boolean differs(Note last, BootTimestamp now, long leftAt, HostKnowledge known) {
         long passed = now.msSince(last.at);
         long waits = last.known.waitFor() - Math.max(0, passed) * 1_000;
         boolean longer = known.waitFor() >= WAIT_LEAST && known.waitFor() > waits + WAIT_SAME;
         boolean health = known.failing() != last.known.failing()
-                || (known.warming() == Known.WARM) != (last.known.warming() == Known.WARM);
+                || (known.warming() == HostKnowledge.WARM) != (last.known.warming() == HostKnowledge.WARM);
         if (longer || health || leftAt != last.leftAt) {
             return true;
         }
@@ -100,24 +100,24 @@
      *
      * @param cold us that a host takes to warm up
      */
-    public Known believed(String host, BootTimestamp now, long cold) {
+    public HostKnowledge believed(String host, BootTimestamp now, long cold) {
         Note note = noted.get(host);
         if (note == null) {
-            return Known.NOTHING;
+            return HostKnowledge.NOTHING;
         }
-        Known then = note.known;
+        HostKnowledge then = note.known;
         long passed = now.msSince(note.at);
         if (passed == BootTimestamp.UNKNOWN) {
             // The machine was started anew: a wait begins again, and what was cold is.
-            return new Known(then.waitFor(), then.failing(), Math.min(then.warming(), 0), 0, 0);
+            return new HostKnowledge(then.waitFor(), then.failing(), Math.min(then.warming(), 0), 0, 0);
         }
-        long warming = then.warming() == Known.WARM ? Known.WARM : then.warming() + passed * 1_000;
+        long warming = then.warming() == HostKnowledge.WARM ? HostKnowledge.WARM : then.warming() + passed * 1_000;
         boolean limits = then.limit() > 0 && passed <= LIMIT_BELIEVED;
         boolean failing = then.failing() && passed <= HEALTH_BELIEVED;
-        return new Known(
+        return new HostKnowledge(
                 Math.max(0, then.waitFor() - passed * 1_000),
                 failing,
-                warming < cold ? warming : Known.WARM,
+                warming < cold ? warming : HostKnowledge.WARM,
                 limits ? then.limit() : 0,
                 limits ? then.pace() : 0);
     }
--- a/src/main/java/brambletray/relay/recovery/Standing.java
+++ b/src/main/java/brambletray/relay/recovery/StoreFreshness.java
@@ -7,12 +7,12 @@
  * @param life which life of the relay wrote to it last; grows by one or more with each start
  * @param at number of the last batch that was committed; grows with each
  */
-public record Standing(long store, long life, long at) {
+public record StoreFreshness(long store, long life, long at) {
     /** Lives beyond this are nobody's: guards the count against a note that would use it up. */
     public static final long LIFE_MOST = 1L << 48;
 
     /** True where what was seen came later than this folder, or beside it. */
-    public boolean behind(Standing seen) {
+    public boolean behind(StoreFreshness seen) {
         if (seen.store != store) {
             return seen.life >= life;
         }
--- a/src/main/java/brambletray/relay/recovery/Account.java
+++ b/src/main/java/brambletray/relay/recovery/WitnessReport.java
@@ -1,7 +1,7 @@
 package brambletray.relay.recovery;
 
 /** What one witness says of a relay that asks. Times are in ms. */
-public sealed interface Account {
+public sealed interface WitnessReport {
     /**
      * It has heard of it.
      *
@@ -9,12 +9,12 @@
      * @param age how long ago it last heard, at least
      * @param beats how often it has heard in that life; as told by the relay, so that copies don't count
      */
-    record Seen(Standing last, long age, long beats) implements Account {}
+    record Seen(StoreFreshness last, long age, long beats) implements WitnessReport {}
 
     /**
      * It has not heard of it, and knows of nothing from before it began itself.
      *
      * @param memory how long ago that was
      */
-    record Never(long memory) implements Account {}
+    record Never(long memory) implements WitnessReport {}
 }
--- a/src/main/java/brambletray/relay/serve/Config.java
+++ b/src/main/java/brambletray/relay/serve/Config.java
@@ -104,7 +104,7 @@
                     all.object("known"),
                     all.values().get("mqtt") == null
                             ? null
-                            : MqttFile.read(Path.of(file).resolveSibling(all.text("mqtt"))),
+                            : MqttSettingsLoader.read(Path.of(file).resolveSibling(all.text("mqtt"))),
                     all.values().get("quotas") == null
                             ? null
                             : checked(Path.of(file).resolveSibling(all.text("quotas"))));
@@ -139,7 +139,7 @@
     /** A file of quotas that can be used; null for none. */
     private static Path checked(Path quotas) throws Unusable {
         if (quotas != null) {
-            QuotaWays.check(quotas);
+            QuotaAdmission.check(quotas);
         }
         return quotas;
     }
--- a/src/main/java/brambletray/relay/serve/CallsOfBoth.java
+++ b/src/main/java/brambletray/relay/serve/FailoverCalls.java
@@ -1,17 +1,17 @@
 package brambletray.relay.serve;
 
-import brambletray.relay.core.Calls;
+import brambletray.relay.core.CallReply;
 import brambletray.relay.core.Host;
-import brambletray.relay.core.Reply;
-import brambletray.relay.handover.Succession;
+import brambletray.relay.core.HostTransport;
+import brambletray.relay.handover.ProcessHandover;
 import brambletray.relay.message.Message;
 import java.util.List;
 import java.util.function.Consumer;
 
 /** The way out of a process that may follow another: what is taken back here is taken back there too. */
-record CallsOfBoth(Calls own, Succession succession) implements Calls {
+record FailoverCalls(HostTransport own, ProcessHandover succession) implements HostTransport {
     @Override
-    public Call call(Host host, Message message, long patience, Consumer<Reply> whenEnded) {
+    public Call call(Host host, Message message, long patience, Consumer<CallReply> whenEnded) {
         return own.call(host, message, patience, whenEnded);
     }
 
--- a/src/main/java/brambletray/relay/serve/Draining.java
+++ b/src/main/java/brambletray/relay/serve/GracefulShutdown.java
@@ -1,15 +1,15 @@
 package brambletray.relay.serve;
 
 import brambletray.common.runtime.Machine;
-import brambletray.relay.console.Said;
+import brambletray.relay.console.CommandResponse;
 import brambletray.relay.operations.Drain;
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Carries the drain's phases out on the fronts. One thread, that of the loop. */
-final class Draining {
-    private static final Logger LOG = LoggerFactory.getLogger(Draining.class);
+final class GracefulShutdown {
+    private static final Logger LOG = LoggerFactory.getLogger(GracefulShutdown.class);
 
     /** What a drain does to the ways in. */
     interface Fronts {
@@ -24,23 +24,23 @@
     private final Drain drain;
     private final Fronts fronts;
 
-    Draining(Machine machine, Drain drain, Fronts fronts) {
+    GracefulShutdown(Machine machine, Drain drain, Fronts fronts) {
         this.machine = machine;
         this.drain = drain;
         this.fronts = fronts;
     }
 
-    Said standby() {
+    CommandResponse standby() {
         boolean begins = drain.welcome();
         if (!drain.standby(machine.clock().nanos())) {
-            return new Said(503, "the process ends");
+            return new CommandResponse(503, "the process ends");
         }
         if (begins) {
             LOG.info("clients are sent away");
             fronts.drained(true);
             machine.loop().schedule(this::look, Drain.AWAY_AFTER, TimeUnit.NANOSECONDS);
         }
-        return Said.yes("clients are sent away");
+        return CommandResponse.yes("clients are sent away");
     }
 
     private void look() {
@@ -49,16 +49,16 @@
         }
     }
 
-    Said active() {
+    CommandResponse active() {
         boolean ends = drain.drained();
         if (!drain.active()) {
-            return new Said(503, "the process ends");
+            return new CommandResponse(503, "the process ends");
         }
         if (ends) {
             LOG.info("clients are welcome again");
             fronts.drained(false);
         }
-        return Said.yes("clients are welcome");
+        return CommandResponse.yes("clients are welcome");
     }
 
     String told() {
--- a/src/main/java/brambletray/relay/serve/MqttFile.java
+++ b/src/main/java/brambletray/relay/serve/MqttSettingsLoader.java
@@ -6,8 +6,8 @@
 import java.nio.file.Path;
 
 /** Apart from {@link Config}, so that a relay that speaks no MQTT loads nothing of it. */
-final class MqttFile {
-    private MqttFile() {}
+final class MqttSettingsLoader {
+    private MqttSettingsLoader() {}
 
     static MqttSettings read(Path file) throws Config.Unusable, IOException {
         try {
--- a/src/main/java/brambletray/relay/serve/MqttWays.java
+++ b/src/main/java/brambletray/relay/serve/MqttTransports.java
@@ -2,8 +2,8 @@
 
 import brambletray.common.runtime.Machine;
 import brambletray.relay.control.Relay;
-import brambletray.relay.core.Calls;
-import brambletray.relay.core.CallsByProtocol;
+import brambletray.relay.core.HostTransport;
+import brambletray.relay.core.ProtocolHostTransport;
 import brambletray.relay.mqtt.hosts.Dialect;
 import brambletray.relay.mqtt.hosts.MqttCalls;
 import java.util.HashMap;
@@ -13,8 +13,8 @@
 import java.util.function.IntConsumer;
 
 /** The ways out of a relay that speaks MQTT too. Apart, so that no class of MQTT is loaded without it. */
-final class MqttWays {
-    private MqttWays() {}
+final class MqttTransports {
+    private MqttTransports() {}
 
     /** What the list may name as a host's protocol. */
     static Set<String> protocols() {
@@ -23,8 +23,8 @@
         return protocols;
     }
 
-    static Calls beside(Calls http, Machine machine, Relay.Settings settings, IntConsumer whenWritten) {
-        Map<String, Calls> ways = new HashMap<>();
+    static HostTransport beside(HostTransport http, Machine machine, Relay.Settings settings, IntConsumer whenWritten) {
+        Map<String, HostTransport> ways = new HashMap<>();
         ways.put("http", http);
         Dialect.ALL.forEach((protocol, dialect) -> ways.put(
                 protocol,
@@ -34,6 +34,6 @@
                         "relay-" + settings.rank(),
                         settings.allowed().connectTimeout(),
                         whenWritten)));
-        return new CallsByProtocol(ways);
+        return new ProtocolHostTransport(ways);
     }
 }
--- a/src/main/java/brambletray/relay/serve/QuotaWays.java
+++ b/src/main/java/brambletray/relay/serve/QuotaAdmission.java
@@ -10,8 +10,8 @@
 import java.nio.file.Path;
 
 /** The door of a relay with quotas. Apart, so that no class of them is loaded without. */
-final class QuotaWays {
-    private QuotaWays() {}
+final class QuotaAdmission {
+    private QuotaAdmission() {}
 
     static void check(Path file) throws Config.Unusable {
         try {
--- a/src/main/java/brambletray/relay/serve/Instance.java
+++ b/src/main/java/brambletray/relay/serve/RelayInstance.java
@@ -2,34 +2,34 @@
 
 import brambletray.common.runtime.Machine;
 import brambletray.relay.admission.QuotaDoor;
+import brambletray.relay.console.CommandResponse;
 import brambletray.relay.console.Console;
 import brambletray.relay.console.Operations;
-import brambletray.relay.console.Said;
 import brambletray.relay.console.Statsd;
 import brambletray.relay.control.Relay;
-import brambletray.relay.core.AfarCalls;
-import brambletray.relay.core.Answer;
-import brambletray.relay.core.Calls;
-import brambletray.relay.core.Descriptors;
-import brambletray.relay.core.Door;
-import brambletray.relay.core.Ends;
-import brambletray.relay.core.Handoff;
+import brambletray.relay.core.AdmissionGate;
+import brambletray.relay.core.CompletionListener;
+import brambletray.relay.core.DescriptorBudget;
+import brambletray.relay.core.EventDispatcher;
+import brambletray.relay.core.HandoverState;
 import brambletray.relay.core.Host;
-import brambletray.relay.core.Intake;
-import brambletray.relay.core.Loop;
+import brambletray.relay.core.HostTransport;
+import brambletray.relay.core.MessageReceiver;
 import brambletray.relay.core.Platform;
+import brambletray.relay.core.RemoteCalls;
+import brambletray.relay.core.SubmissionResult;
 import brambletray.relay.core.Successor;
-import brambletray.relay.figures.Figures;
-import brambletray.relay.handover.Duties;
-import brambletray.relay.handover.Succession;
+import brambletray.relay.handover.HandoverActions;
+import brambletray.relay.handover.ProcessHandover;
 import brambletray.relay.http.clients.Server;
 import brambletray.relay.http.hosts.HostPool;
-import brambletray.relay.journal.FolderTime;
-import brambletray.relay.journal.HostsOut;
+import brambletray.relay.journal.ExcludedHostsJournal;
 import brambletray.relay.journal.Journal;
+import brambletray.relay.journal.JournalClock;
 import brambletray.relay.membership.Discovery;
 import brambletray.relay.membership.HostList;
 import brambletray.relay.message.Message;
+import brambletray.relay.metrics.MessageMetrics;
 import brambletray.relay.mqtt.clients.MqttFront;
 import brambletray.relay.operations.Drain;
 import brambletray.relay.store.Disk;
@@ -53,8 +53,8 @@
  * One relay on one machine: its parts put together, its orderly and its abrupt end. It has no thread of its
  * own; all of it runs on the machine's event loop, and all methods are called there.
  */
-public final class Instance {
-    private static final Logger LOG = LoggerFactory.getLogger(Instance.class);
+public final class RelayInstance {
+    private static final Logger LOG = LoggerFactory.getLogger(RelayInstance.class);
     /**
      * ms from SIGTERM: clients are served on for the first, all is over by the second (SIGKILL may come at
      * 3.7 s).
@@ -76,15 +76,15 @@
     private final Disk disk;
     private final Surroundings surroundings;
     private final HostList hosts;
-    private final Figures figures;
-    private final Calls pool;
+    private final MessageMetrics figures;
+    private final HostTransport pool;
     private final Drain drain = new Drain();
-    private final Draining draining;
+    private final GracefulShutdown draining;
     private final Server server;
     /** Of the platform's agent, where that is what this relay runs under and may hand over to another. */
     private final Discovery discovery;
 
-    private final Succession succession;
+    private final ProcessHandover succession;
     private final Promise<Void> serving;
     private final Relay.Listed known;
     private ChannelFuture bound;
@@ -95,8 +95,8 @@
     /** While this process owns the folder; after it was handed on, the loop of what is still out. */
     private Journal journal;
 
-    private Loop loop;
-    private Operator operator;
+    private EventDispatcher loop;
+    private OperatorActions operator;
     private int avoidedByOwner;
     private Runnable whenLeft = () -> {};
     private Consumer<String> whenOver = fault -> {};
@@ -104,10 +104,10 @@
 
     /** What a relay runs under: where its list of hosts comes from, and where the ends of messages go. */
     public interface Surroundings {
-        Platform platform(Machine machine, HostList hosts, Loop loop, Store store);
+        Platform platform(Machine machine, HostList hosts, EventDispatcher loop, Store store);
 
         /** Who is told the ends of messages; {@code mqtt}: who tells clients by MQTT, null without them. */
-        default Ends ends(Machine machine, Loop loop, Store store, Ends mqtt) {
+        default CompletionListener ends(Machine machine, EventDispatcher loop, Store store, CompletionListener mqtt) {
             return mqtt;
         }
 
@@ -115,7 +115,7 @@
         default void beforeOwning(Machine machine, Journal journal) throws IOException {}
 
         /** Who lets messages in; {@code inner}: who would without these surroundings. */
-        default Door door(Door inner) {
+        default AdmissionGate door(AdmissionGate inner) {
             return inner;
         }
 
@@ -129,7 +129,7 @@
     }
 
     /** Takes up what the journal holds, and begins to listen. The instance closes the journal at its end. */
-    public Instance(Machine machine, Config config, Journal journal) throws Wire.Malformed {
+    public RelayInstance(Machine machine, Config config, Journal journal) throws Wire.Malformed {
         this(
                 machine,
                 config,
@@ -138,7 +138,8 @@
     }
 
     /** The same, without the platform's agent. */
-    public Instance(Machine machine, Config config, Journal journal, Surroundings surroundings) throws Wire.Malformed {
+    public RelayInstance(Machine machine, Config config, Journal journal, Surroundings surroundings)
+            throws Wire.Malformed {
         this(machine, config, null, surroundings, true);
         this.journal = journal;
         takeUp(null, null);
@@ -152,7 +153,7 @@
      * One that may follow another process on its folder, and be followed by one: {@link #handsOver} says
      * for which configurations. It serves once {@link #serving} is done.
      */
-    public Instance(Machine machine, Config config, Disk disk) throws Wire.Malformed {
+    public RelayInstance(Machine machine, Config config, Disk disk) throws Wire.Malformed {
         this(machine, config, disk, null, false);
         consoleBound = new Console(machine, new AnyOperator(), new Console.Upgrade() {
                     @Override
@@ -181,7 +182,7 @@
         });
     }
 
-    private Instance(Machine machine, Config config, Disk disk, Surroundings surroundings, boolean alone)
+    private RelayInstance(Machine machine, Config config, Disk disk, Surroundings surroundings, boolean alone)
             throws Wire.Malformed {
         this.machine = machine;
         this.config = config;
@@ -189,25 +190,27 @@
         this.surroundings = surroundings;
         this.serving = machine.loop().newPromise();
         hosts = new HostList(
-                config.zones(), config.kinds(), config.mqtt() != null ? MqttWays.protocols() : Set.of("http"));
-        figures = new Figures(config.settings().classes().stream()
+                config.zones(), config.kinds(), config.mqtt() != null ? MqttTransports.protocols() : Set.of("http"));
+        figures = new MessageMetrics(config.settings().classes().stream()
                 .map(Relay.MessageClass::name)
                 .toList());
-        Descriptors descriptors = new Descriptors(config.sockets());
+        DescriptorBudget descriptors = new DescriptorBudget(config.sockets());
         HostPool http = new HostPool(
                 machine,
                 config.settings().allowed().connectTimeout(),
                 config.settings().allowed().keepAlive(),
                 figures::written,
                 descriptors);
-        Calls ways = config.mqtt() != null ? MqttWays.beside(http, machine, config.settings(), figures::written) : http;
-        draining = new Draining(machine, drain, new Fronts());
-        succession = alone ? null : new Succession(machine, new Parts(), disk, config.settings());
-        pool = alone ? ways : new CallsOfBoth(ways, succession);
+        HostTransport ways = config.mqtt() != null
+                ? MqttTransports.beside(http, machine, config.settings(), figures::written)
+                : http;
+        draining = new GracefulShutdown(machine, drain, new Fronts());
+        succession = alone ? null : new ProcessHandover(machine, new Parts(), disk, config.settings());
+        pool = alone ? ways : new FailoverCalls(ways, succession);
         server = new Server(
                 alone ? new OwnIntake() : new AnyIntake(),
                 machine,
-                descriptors.share(Descriptors.Owner.CLIENTS),
+                descriptors.share(DescriptorBudget.Owner.CLIENTS),
                 drain);
         if (config.known().values().isEmpty()) {
             known = null;
@@ -224,30 +227,31 @@
 
     // ---- The part that owns -----------------------------------------------------------------------
     /** Takes up the journal; {@code from}: null where nothing was handed on. */
-    private void takeUp(Handoff from, AfarCalls afar) {
-        FolderTime.goOn(journal.store(), machine.clock());
+    private void takeUp(HandoverState from, RemoteCalls afar) {
+        JournalClock.goOn(journal.store(), machine.clock());
         loop = from == null
-                ? new Loop(machine, config.seed(), config.settings(), hosts, pool, journal, figures)
-                : new Loop(machine, config.seed(), config.settings(), hosts, pool, journal, figures, from);
+                ? new EventDispatcher(machine, config.seed(), config.settings(), hosts, pool, journal, figures)
+                : new EventDispatcher(machine, config.seed(), config.settings(), hosts, pool, journal, figures, from);
         Platform platform =
                 discovery != null ? discovery : surroundings.platform(machine, hosts, loop, journal.store());
         if (mqtt == null && config.mqtt() != null) {
             mqtt = new MqttFront(machine, config.mqtt(), loop, journal.store());
         }
         if (config.quotas() != null) {
-            door = QuotaWays.door(machine, config.quotas(), config.settings(), journal.store());
+            door = QuotaAdmission.door(machine, config.quotas(), config.settings(), journal.store());
             loop.door(door);
             server.view("/v1/quotas", door::view);
         }
         if (surroundings != null) {
-            loop.door(surroundings.door(door == null ? Door.OPEN : door));
-            Ends ends = surroundings.ends(machine, loop, journal.store(), mqtt == null ? null : mqtt.ends());
+            loop.door(surroundings.door(door == null ? AdmissionGate.OPEN : door));
+            CompletionListener ends =
+                    surroundings.ends(machine, loop, journal.store(), mqtt == null ? null : mqtt.ends());
             if (ends != null) {
                 loop.ends(ends);
             }
             server.answers(surroundings.answers());
         }
-        operator = new Operator(loop, hosts, figures, hostsOut(journal), draining);
+        operator = new OperatorActions(loop, hosts, figures, hostsOut(journal), draining);
         if (from != null) {
             loop.resume(platform, hosts.whole(), from, afar);
         } else {
@@ -255,9 +259,9 @@
         }
     }
 
-    private static HostsOut hostsOut(Journal journal) {
+    private static ExcludedHostsJournal hostsOut(Journal journal) {
         try {
-            return new HostsOut(journal.store());
+            return new ExcludedHostsJournal(journal.store());
         } catch (IOException e) {
             throw new UncheckedIOException("hosts out of use cannot be read", e);
         }
@@ -448,7 +452,7 @@
 
     // ---- Parts as others see them -----------------------------------------------------------------
     /** What a drain does to clients' ways in. */
-    private final class Fronts implements Draining.Fronts {
+    private final class Fronts implements GracefulShutdown.Fronts {
         @Override
         public void drained(boolean away) {
             if (mqtt != null && away) {
@@ -468,7 +472,7 @@
     }
 
     /** What clients may name, by the settings and the list; the loop knows the same. */
-    private abstract class ByList implements Intake {
+    private abstract class ByList implements MessageReceiver {
         @Override
         public boolean knows(String messageClass, long destination) {
             return messageClass(messageClass) != null && hosts.knows(destination);
@@ -500,7 +504,7 @@
     /** Of a process that owns from its start to its end. */
     private final class OwnIntake extends ByList {
         @Override
-        public void accept(Message message, Answer answer) {
+        public void accept(Message message, SubmissionResult answer) {
             loop.accept(message, answer);
         }
 
@@ -513,7 +517,7 @@
     /** Of one that may not own: whoever does takes the message. */
     private final class AnyIntake extends ByList {
         @Override
-        public void accept(Message message, Answer answer) {
+        public void accept(Message message, SubmissionResult answer) {
             succession.accept(message, answer);
         }
 
@@ -526,33 +530,33 @@
     /** Operators' calls to a process that may not own. */
     private final class AnyOperator implements Operations {
         @Override
-        public void ready(Consumer<Said> then) {
+        public void ready(Consumer<CommandResponse> then) {
             boolean ready = serving.isSuccess() && succession.serves();
-            then.accept(ready ? Said.yes(draining.told()) : new Said(503, "not ready"));
+            then.accept(ready ? CommandResponse.yes(draining.told()) : new CommandResponse(503, "not ready"));
         }
 
         @Override
-        public void figures(Consumer<Said> then) {
+        public void figures(Consumer<CommandResponse> then) {
             if (owns() && operator != null) {
                 operator.figures(then);
             } else {
-                then.accept(Said.yes(Statsd.lines(figures, hosts.listed(), avoidedByOwner)));
+                then.accept(CommandResponse.yes(Statsd.lines(figures, hosts.listed(), avoidedByOwner)));
             }
         }
 
         @Override
-        public void exclude(String host, boolean out, Consumer<Said> then) {
+        public void exclude(String host, boolean out, Consumer<CommandResponse> then) {
             succession.exclude(host, out, then);
         }
 
         @Override
-        public void drain(boolean away, Consumer<Said> then) {
+        public void drain(boolean away, Consumer<CommandResponse> then) {
             then.accept(away ? draining.standby() : draining.active());
         }
     }
 
     /** What the hand-over needs of this relay. */
-    private final class Parts implements Duties {
+    private final class Parts implements HandoverActions {
         private boolean watching;
 
         @Override
@@ -570,13 +574,13 @@
         }
 
         @Override
-        public void takeUp(Handoff from, AfarCalls afar) {
-            Instance.this.takeUp(from, afar);
+        public void takeUp(HandoverState from, RemoteCalls afar) {
+            RelayInstance.this.takeUp(from, afar);
             watching = true;
         }
 
         @Override
-        public boolean fits(Handoff from) {
+        public boolean fits(HandoverState from) {
             return from.fits(journal, hosts);
         }
 
@@ -586,12 +590,12 @@
                 watching = true;
                 discovery.watch();
             }
-            Instance.this.listen(whenListening);
+            RelayInstance.this.listen(whenListening);
         }
 
         @Override
-        public Handoff handOn(Successor to) {
-            Handoff handoff = loop.handOn(to);
+        public HandoverState handOn(Successor to) {
+            HandoverState handoff = loop.handOn(to);
             hosts.hosts().forEach(pool::closeIdle);
             Journal closing = journal;
             journal = null;
@@ -605,7 +609,7 @@
 
         @Override
         public void serveOut() {
-            Instance.this.serveOut();
+            RelayInstance.this.serveOut();
         }
 
         @Override
@@ -636,7 +640,7 @@
         }
 
         @Override
-        public Intake intake() {
+        public MessageReceiver intake() {
             return loop;
         }
 
--- a/src/main/java/brambletray/relay/serve/Node.java
+++ b/src/main/java/brambletray/relay/serve/RelayProcess.java
@@ -20,29 +20,30 @@
 import sun.misc.SignalHandler;
 
 /** One relay as a process of its own, or in a thread of its own: its thread, its signals, its end. */
-public final class Node implements AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(Node.class);
+public final class RelayProcess implements AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(RelayProcess.class);
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop thread = group.next();
     private final CountDownLatch left = new CountDownLatch(1);
-    private final Instance instance;
-    private final Instance.Surroundings surroundings;
+    private final RelayInstance instance;
+    private final RelayInstance.Surroundings surroundings;
     private final InetSocketAddress address;
     /** Why this process ended by itself; null where it was told to. */
     private volatile String fault;
 
     /** Takes up what the journal holds, and serves. */
-    public Node(Config config) throws IOException, InterruptedException, ExecutionException {
+    public RelayProcess(Config config) throws IOException, InterruptedException, ExecutionException {
         this(config, null);
     }
 
     /** {@code surroundings}: null for the platform's agent. */
-    public Node(Config config, Instance.Surroundings surroundings)
+    public RelayProcess(Config config, RelayInstance.Surroundings surroundings)
             throws IOException, InterruptedException, ExecutionException {
         this.surroundings = surroundings;
-        if (surroundings == null && Instance.handsOver(config)) {
-            instance = thread.submit(() -> new Instance(Machine.real(thread), config, new RealDisk(config.state())))
+        if (surroundings == null && RelayInstance.handsOver(config)) {
+            instance = thread.submit(
+                            () -> new RelayInstance(Machine.real(thread), config, new RealDisk(config.state())))
                     .get();
             thread.execute(() -> instance.whenOver(why -> {
                 fault = why;
@@ -70,8 +71,8 @@
                 }
             }
             instance = thread.submit(() -> surroundings == null
-                            ? new Instance(Machine.real(thread), config, journal)
-                            : new Instance(Machine.real(thread), config, journal, surroundings))
+                            ? new RelayInstance(Machine.real(thread), config, journal)
+                            : new RelayInstance(Machine.real(thread), config, journal, surroundings))
                     .get();
             instance.bound().get();
         }
@@ -105,13 +106,14 @@
     }
 
     /** The same, for a relay without the platform's agent, or with one that is configured otherwise. */
-    public static int serve(Source source, Instance.Surroundings surroundings, Consumer<Node> whenServing) {
+    public static int serve(
+            Source source, RelayInstance.Surroundings surroundings, Consumer<RelayProcess> whenServing) {
         try {
             Config config = source.config();
             if (surroundings == null) {
                 WarmUp.run(config);
             }
-            Node node = new Node(config, surroundings);
+            RelayProcess node = new RelayProcess(config, surroundings);
             if (surroundings != null) {
                 // Without a handler SIGHUP ends the process.
                 Signal.handle(new Signal("HUP"), hangup -> node.hangup());
@@ -131,7 +133,7 @@
                             ? "the store in EDGE_STATE can't be trusted: " + e.getMessage()
                                     + "; 'java -jar brambletray.jar store verify DIR' says more, 'store salvage DIR NEW'"
                                     + " saves what can be read"
-                            : e instanceof NotToBeOwned
+                            : e instanceof StoreLockedException
                                     ? e.getMessage()
                                     : "cannot open the store in EDGE_STATE: " + e.getMessage());
         } catch (ExecutionException e) {
@@ -146,7 +148,7 @@
     /** SIGHUP: the configuration has been replaced. One that comes before the relay serves is not lost. */
     private static final class Hangups implements SignalHandler {
         private final Map<String, String> env;
-        private Node node;
+        private RelayProcess node;
         private boolean early;
 
         Hangups(Map<String, String> env) {
@@ -161,7 +163,7 @@
             }
         }
 
-        private synchronized void serves(Node ready) {
+        private synchronized void serves(RelayProcess ready) {
             node = ready;
             if (early) {
                 node.reload(env);
--- a/src/main/java/brambletray/relay/serve/WarmUp.java
+++ b/src/main/java/brambletray/relay/serve/WarmUp.java
@@ -56,7 +56,7 @@
     static void run(Config config) throws InterruptedException {
         boolean again = Files.exists(config.state().resolve("MANIFEST"))
                 || Files.exists(config.state().resolve("journal"));
-        boolean beside = again && Instance.handsOver(config) && Store.inUse(new RealDisk(config.state()));
+        boolean beside = again && RelayInstance.handsOver(config) && Store.inUse(new RealDisk(config.state()));
         if (again && !beside) {
             return;
         }
@@ -79,10 +79,11 @@
             InetSocketAddress console = config.console() == null
                     ? null
                     : new InetSocketAddress(config.console().getAddress(), 0);
-            try (Node relay = new Node(scene(config, folder, free, console, standIn))) {
+            try (RelayProcess relay = new RelayProcess(scene(config, folder, free, console, standIn))) {
                 play(config, relay.address(), beside ? TIME_BESIDE : TIME_MOST);
                 if (beside) {
-                    try (Node next = new Node(scene(config, folder, relay.address(), console, standIn))) {
+                    try (RelayProcess next =
+                            new RelayProcess(scene(config, folder, relay.address(), console, standIn))) {
                         relay.leave();
                     }
                 }
