--- a/src/main/java/brambletray/relay/stage/RealStage.java
+++ b/src/main/java/brambletray/relay/stage/RealStage.java
@@ -5,7 +5,7 @@
 import brambletray.relay.emulator.Step;
 import brambletray.relay.script.Script;
 import brambletray.relay.serve.Config;
-import brambletray.relay.serve.Node;
+import brambletray.relay.serve.RelayProcess;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -37,7 +37,7 @@
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final Scene scene;
-    private final List<Node> relays = new ArrayList<>();
+    private final List<RelayProcess> relays = new ArrayList<>();
 
     /**
      * {@code folder}: for the relays' configurations and journals; {@code agent}: where the agent listens.
@@ -91,7 +91,7 @@
             Path state = Files.createDirectories(folder.resolve("relay-" + i));
             Path file = configure(i, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             Map<String, String> env = Map.of("EDGE_CONFIG", file.toString(), "EDGE_STATE", state.toString());
-            relays.add(new Node(Config.read(env)));
+            relays.add(new RelayProcess(Config.read(env)));
         }
     }
 
@@ -105,7 +105,8 @@
 
     /** Lets the script begin, with clients if there are relays. */
     public void begin() throws InterruptedException, ExecutionException {
-        List<InetSocketAddress> addresses = relays.stream().map(Node::address).toList();
+        List<InetSocketAddress> addresses =
+                relays.stream().map(RelayProcess::address).toList();
         List<InetSocketAddress> mqtt = relays.stream()
                 .map(r -> RelayConfig.speaksMqtt(script) ? r.mqttAddress() : null)
                 .toList();
@@ -161,7 +162,7 @@
 
     @Override
     public void close() {
-        relays.forEach(Node::close);
+        relays.forEach(RelayProcess::close);
         loop.submit(scene::close).awaitUninterruptibly();
         group.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
--- a/src/main/java/brambletray/relay/stage/SimStage.java
+++ b/src/main/java/brambletray/relay/stage/SimStage.java
@@ -7,7 +7,7 @@
 import brambletray.relay.journal.Journal;
 import brambletray.relay.script.Script;
 import brambletray.relay.serve.Config;
-import brambletray.relay.serve.Instance;
+import brambletray.relay.serve.RelayInstance;
 import brambletray.relay.store.MemoryDisk;
 import brambletray.relay.store.Store;
 import brambletray.relay.wire.Wire;
@@ -55,12 +55,12 @@
     private final Scene scene;
     private final List<Machine> machines = new ArrayList<>();
     private final List<MemoryDisk> disks = new ArrayList<>();
-    private final List<Instance> instances = new ArrayList<>();
+    private final List<RelayInstance> instances = new ArrayList<>();
     private final Map<Integer, Long> killedAt = new HashMap<>();
     private final Set<Integer> running = new HashSet<>();
     private final Set<Integer> doomed = new TreeSet<>();
     private final List<InetSocketAddress> addresses = new ArrayList<>();
-    private final IntFunction<Instance.Surroundings> surroundings;
+    private final IntFunction<RelayInstance.Surroundings> surroundings;
     private Store.Promise promise = Store.Promise.PROCESS;
     private int agentPort = PORT;
     private int mostConnections;
@@ -88,7 +88,7 @@
             long seed,
             Path folder,
             UnaryOperator<String> told,
-            IntFunction<Instance.Surroundings> surroundings)
+            IntFunction<RelayInstance.Surroundings> surroundings)
             throws IOException, Config.Unusable {
         this.told = told;
         this.surroundings = surroundings;
@@ -199,8 +199,8 @@
                 instances.set(
                         relay,
                         surroundings == null
-                                ? new Instance(machine, config, journal)
-                                : new Instance(machine, config, journal, surroundings.apply(relay)));
+                                ? new RelayInstance(machine, config, journal)
+                                : new RelayInstance(machine, config, journal, surroundings.apply(relay)));
             } catch (Wire.Malformed e) {
                 throw new IllegalStateException("the scene's own list cannot be read", e);
             }
@@ -358,7 +358,7 @@
     }
 
     /** The relays, by number; for tests that look inside. */
-    public Instance instance(int relay) {
+    public RelayInstance instance(int relay) {
         return instances.get(relay);
     }
 
@@ -369,7 +369,7 @@
 
     @Override
     public void close() {
-        for (Instance instance : instances) {
+        for (RelayInstance instance : instances) {
             instance.stop();
         }
         scene.close();
--- a/src/main/java/brambletray/relay/standalone/InventoryPlatform.java
+++ b/src/main/java/brambletray/relay/standalone/InventoryPlatform.java
@@ -2,7 +2,7 @@
 
 import brambletray.common.runtime.Machine;
 import brambletray.common.yaml.Faults;
-import brambletray.relay.core.Loop;
+import brambletray.relay.core.EventDispatcher;
 import brambletray.relay.core.Platform;
 import brambletray.relay.inventory.Entry;
 import brambletray.relay.inventory.Follower;
@@ -47,7 +47,7 @@
 
     private final Standalone settings;
     private final HostList hosts;
-    private final Loop loop;
+    private final EventDispatcher loop;
     private final Store store;
     private final Executor onLoop;
     private final Executor reader;
@@ -59,7 +59,8 @@
     private final AgentSource agent;
     private long version;
 
-    InventoryPlatform(Machine machine, Standalone settings, HostList hosts, Loop loop, Store store, Executor reader) {
+    InventoryPlatform(
+            Machine machine, Standalone settings, HostList hosts, EventDispatcher loop, Store store, Executor reader) {
         this.settings = settings;
         this.hosts = hosts;
         this.loop = loop;
--- a/src/main/java/brambletray/relay/standalone/Outcomes.java
+++ b/src/main/java/brambletray/relay/standalone/Outcomes.java
@@ -1,8 +1,8 @@
 package brambletray.relay.standalone;
 
 import brambletray.common.runtime.Clock;
-import brambletray.relay.core.Ends;
-import brambletray.relay.core.Loop;
+import brambletray.relay.core.CompletionListener;
+import brambletray.relay.core.EventDispatcher;
 import brambletray.relay.message.Message;
 import brambletray.relay.store.Chain;
 import brambletray.relay.store.Store;
@@ -25,7 +25,7 @@
  * The final answer of every message, noted in the batch that notes its end, kept for a stated time and in a
  * stated number, and told by id. What a URL is to be told of is kept until it was. One thread.
  */
-final class Outcomes implements Ends {
+final class Outcomes implements CompletionListener {
     private static final Logger LOG = LoggerFactory.getLogger(Outcomes.class);
     /** Name space in the store. */
     private static final byte ANSWERS = 4;
@@ -48,9 +48,9 @@
     private record Kept(Outcome outcome, Chain chain) {}
 
     private final Store store;
-    private final Loop loop;
+    private final EventDispatcher loop;
     private final Clock clock;
-    private final Ends beside;
+    private final CompletionListener beside;
     private final long keepMs;
     private final int most;
     private final Map<String, Kept> kept = new LinkedHashMap<>();
@@ -64,7 +64,14 @@
     private boolean full;
 
     /** {@code beside}: who is told the ends of messages with an origin; null for nobody. */
-    Outcomes(Store store, Loop loop, Clock clock, Ends beside, long keepMs, int most, boolean tells) {
+    Outcomes(
+            Store store,
+            EventDispatcher loop,
+            Clock clock,
+            CompletionListener beside,
+            long keepMs,
+            int most,
+            boolean tells) {
         this.store = store;
         this.loop = loop;
         this.clock = clock;
--- a/src/main/java/brambletray/relay/standalone/Standalone.java
+++ b/src/main/java/brambletray/relay/standalone/Standalone.java
@@ -4,8 +4,8 @@
 import brambletray.common.yaml.Section;
 import brambletray.common.yaml.YamlFile;
 import brambletray.relay.mqtt.clients.MqttSettings;
+import brambletray.relay.peers.PeersFile;
 import brambletray.relay.serve.Config;
-import brambletray.relay.siblings.SiblingsFile;
 import brambletray.relay.store.Store;
 import brambletray.relay.wire.Addresses;
 import brambletray.relay.wire.Wire;
@@ -45,7 +45,7 @@
         int answersMost,
         InetSocketAddress postTo,
         String postPath,
-        SiblingsFile siblings) {
+        PeersFile siblings) {
     private static final JsonFactory JSON = new JsonFactory();
     private static final double TENANT_RATE = 1e9;
     private static final int SEED_MOST = Integer.MAX_VALUE;
@@ -80,8 +80,7 @@
             mqtt = MqttSettings.read(path.resolveSibling(root.text("mqtt")));
         }
         Path quotas = root.has("quotas") ? path.resolveSibling(root.text("quotas")) : null;
-        SiblingsFile siblings =
-                root.has("siblings") ? SiblingsFile.read(path.resolveSibling(root.text("siblings"))) : null;
+        PeersFile siblings = root.has("siblings") ? PeersFile.read(path.resolveSibling(root.text("siblings"))) : null;
         List<String> tenants = root.texts("tenants", false);
         List<String> zones = names(root, "zones");
         List<String> kinds = names(root, "kinds");
--- a/src/main/java/brambletray/relay/standalone/StandaloneRelay.java
+++ b/src/main/java/brambletray/relay/standalone/StandaloneRelay.java
@@ -2,17 +2,17 @@
 
 import brambletray.common.runtime.Machine;
 import brambletray.common.yaml.Faults;
-import brambletray.relay.core.Door;
-import brambletray.relay.core.Ends;
-import brambletray.relay.core.Loop;
+import brambletray.relay.core.AdmissionGate;
+import brambletray.relay.core.CompletionListener;
+import brambletray.relay.core.EventDispatcher;
 import brambletray.relay.core.Platform;
 import brambletray.relay.journal.Journal;
 import brambletray.relay.membership.HostList;
+import brambletray.relay.peers.PeerRecovery;
 import brambletray.relay.serve.Config;
-import brambletray.relay.serve.Instance;
-import brambletray.relay.serve.Node;
-import brambletray.relay.serve.NotToBeOwned;
-import brambletray.relay.siblings.ComingBack;
+import brambletray.relay.serve.RelayInstance;
+import brambletray.relay.serve.RelayProcess;
+import brambletray.relay.serve.StoreLockedException;
 import brambletray.relay.store.Store;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -21,14 +21,14 @@
 import java.util.function.Function;
 
 /** {@code serve --config FILE}: a relay with an inventory and no platform. */
-public final class StandaloneRelay implements Instance.Surroundings {
+public final class StandaloneRelay implements RelayInstance.Surroundings {
     private final Standalone settings;
     private final Executor reader;
     private Outcomes outcomes;
-    private Loop loop;
+    private EventDispatcher loop;
     private InventoryPlatform inventories;
     /** Null for a relay without siblings. */
-    private ComingBack comingBack;
+    private PeerRecovery comingBack;
 
     private StandaloneRelay(Standalone settings, Executor reader) {
         this.settings = settings;
@@ -45,7 +45,7 @@
     }
 
     /** What such a relay runs under, for one that is started otherwise; {@code reader}: reads the files. */
-    public static Instance.Surroundings surroundings(Path file, Executor reader) throws Exception {
+    public static RelayInstance.Surroundings surroundings(Path file, Executor reader) throws Exception {
         return new StandaloneRelay(Standalone.read(file, null), reader);
     }
 
@@ -56,7 +56,7 @@
     public static int serve(Path file, Path inventory) {
         try {
             StandaloneRelay relay = new StandaloneRelay(Standalone.read(file, inventory), thread());
-            return Node.serve(() -> relay.settings.config(), relay, node -> {});
+            return RelayProcess.serve(() -> relay.settings.config(), relay, node -> {});
         } catch (Faults | Config.Unusable e) {
             System.err.println(e.getMessage());
         } catch (IOException e) {
@@ -66,30 +66,30 @@
     }
 
     /** A relay of the calling process, for those that embed it; it serves when this returns. */
-    public static Node start(Path file) throws Exception {
+    public static RelayProcess start(Path file) throws Exception {
         StandaloneRelay relay = new StandaloneRelay(Standalone.read(file, null), thread());
-        return new Node(relay.settings.config(), relay);
+        return new RelayProcess(relay.settings.config(), relay);
     }
 
     @Override
     public void beforeOwning(Machine machine, Journal journal) throws IOException {
         if (settings.siblings() != null) {
-            comingBack = new ComingBack(
+            comingBack = new PeerRecovery(
                     machine, settings.siblings(), settings.config().settings());
             String refusal = comingBack.before(journal);
             if (refusal != null) {
-                throw new NotToBeOwned(refusal);
+                throw new StoreLockedException(refusal);
             }
         }
     }
 
     @Override
-    public Door door(Door inner) {
+    public AdmissionGate door(AdmissionGate inner) {
         return comingBack == null ? inner : comingBack.door(inner, loop);
     }
 
     @Override
-    public Platform platform(Machine machine, HostList hosts, Loop relay, Store store) {
+    public Platform platform(Machine machine, HostList hosts, EventDispatcher relay, Store store) {
         this.loop = relay;
         inventories = new InventoryPlatform(machine, settings, hosts, relay, store, reader);
         if (comingBack != null) {
@@ -105,7 +105,7 @@
     }
 
     @Override
-    public Ends ends(Machine machine, Loop relay, Store store, Ends mqtt) {
+    public CompletionListener ends(Machine machine, EventDispatcher relay, Store store, CompletionListener mqtt) {
         outcomes = new Outcomes(
                 store,
                 relay,
--- a/src/test/java/brambletray/ArchitectureTest.java
+++ b/src/test/java/brambletray/ArchitectureTest.java
@@ -26,8 +26,8 @@
             "brambletray.relay.control",
             "brambletray.relay.recovery",
             "brambletray.relay.quota",
-            "brambletray.relay.kept",
-            "brambletray.relay.figures",
+            "brambletray.relay.deadletter",
+            "brambletray.relay.metrics",
             "brambletray.relay.operations",
             "brambletray.relay.message",
             "brambletray.common.runtime",
@@ -43,7 +43,7 @@
             "brambletray.relay.membership",
             "brambletray.relay.handover",
             "brambletray.relay.inventory",
-            "brambletray.relay.siblings",
+            "brambletray.relay.peers",
             "brambletray.relay.serve",
             "brambletray.relay.standalone",
             "brambletray.relay.simhost",
@@ -241,9 +241,9 @@
     void keptMessagesStandAlone() {
         noClasses()
                 .that()
-                .resideInAPackage("brambletray.relay.kept")
+                .resideInAPackage("brambletray.relay.deadletter")
                 .should()
-                .dependOnClassesThat(not(resideInAPackage("brambletray.relay.kept"))
+                .dependOnClassesThat(not(resideInAPackage("brambletray.relay.deadletter"))
                         .and(not(resideInAnyPackage(
                                 "java.lang",
                                 "java.util",
@@ -257,7 +257,7 @@
     /** What operators ask for, and what is counted, as pure state. */
     @Test
     void operationsAndFiguresStandAlone() {
-        for (String alone : List.of("brambletray.relay.operations", "brambletray.relay.figures")) {
+        for (String alone : List.of("brambletray.relay.operations", "brambletray.relay.metrics")) {
             noClasses()
                     .that()
                     .resideInAPackage(alone)
--- a/src/test/java/brambletray/relay/admission/QuotaDoorTest.java
+++ b/src/test/java/brambletray/relay/admission/QuotaDoorTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.*;
 
 import brambletray.common.runtime.Clock;
-import brambletray.relay.core.Door;
+import brambletray.relay.core.AdmissionGate;
 import brambletray.relay.message.Body;
 import brambletray.relay.message.Message;
 import brambletray.relay.quota.Member;
 import brambletray.relay.serve.Config;
-import brambletray.relay.serve.Node;
+import brambletray.relay.serve.RelayProcess;
 import brambletray.relay.store.MemoryDisk;
 import brambletray.relay.store.Store;
 import brambletray.relay.stub.HostStub;
@@ -51,7 +51,7 @@
                     "name: all\nlimits: [{messages: 2, in_s: 600}]\nmembers:\n"
                             + "  - {name: pay, match: {class: pay}, limits: [{messages: 1, in_s: 60}]}\n");
             platform.more = "\"quotas\":\"quotas.yaml\",";
-            try (Node relay = platform.relay(PlatformStub.host("a", host.port(), 7, "ready"));
+            try (RelayProcess relay = platform.relay(PlatformStub.host("a", host.port(), 7, "ready"));
                     var client = new PlatformStub.Client(relay)) {
                 assertTrue(client.post("m1", "pay", 7, 16_000).get(0).contains("202"));
                 host.call().answer(HostStub.OK);
@@ -97,7 +97,7 @@
                             + "  - {name: bill, match: {class: bill}, share: {held: 2}}\n  - {name: pay, match: {class: pay}, share: {held: 2}}\n");
             platform.more = "\"quotas\":\"quotas.yaml\",";
             platform.openCap = 50;
-            try (Node relay = platform.relay(PlatformStub.host("a", host.port(), 7, "ready"));
+            try (RelayProcess relay = platform.relay(PlatformStub.host("a", host.port(), 7, "ready"));
                     var client = new PlatformStub.Client(relay)) {
                 for (int i = 0; i < 4; i++) {
                     assertTrue(client.post("b" + i, "bill", 7, 16_000).get(0).contains("202"));
@@ -127,9 +127,9 @@
             int taken = 0;
             for (int life = 0; life < 3; life++) {
                 Store store = Store.open(disk, new Store.Options(3_000_000, Store.Promise.PROCESS, 1 << 16));
-                Door door = new QuotaDoor(Clock.system(), store, tree, List.of(), 0, 1);
+                AdmissionGate door = new QuotaDoor(Clock.system(), store, tree, List.of(), 0, 1);
                 int own = 0;
-                while ((life == 2 || own < killedAfter) && door.ask(message(taken)) == Door.IN) {
+                while ((life == 2 || own < killedAfter) && door.ask(message(taken)) == AdmissionGate.IN) {
                     taken++;
                     own++;
                     store.commit();
--- a/src/test/java/brambletray/relay/cli/OperatorVerbsTest.java
+++ b/src/test/java/brambletray/relay/cli/OperatorVerbsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.*;
 
 import brambletray.relay.serve.Config;
-import brambletray.relay.serve.Node;
+import brambletray.relay.serve.RelayProcess;
 import brambletray.relay.stub.HostStub;
 import brambletray.relay.stub.PlatformStub;
 import java.io.ByteArrayOutputStream;
@@ -34,8 +34,8 @@
         try (PlatformStub platform = new PlatformStub(folder);
                 HostStub host = new HostStub()) {
             platform.more = "\"console\":\"127.0.0.1:0\",";
-            try (Node relay =
-                    new Node(Config.read(platform.configure(platform, host("s-1", host.port(), 7, "ready"))))) {
+            try (RelayProcess relay =
+                    new RelayProcess(Config.read(platform.configure(platform, host("s-1", host.port(), 7, "ready"))))) {
                 String at = "127.0.0.1:" + relay.consoleAddress().getPort();
                 assertEquals("ready", run(0, "status", "--console", at));
                 assertTrue(run(0, "status", "--metrics", "--console", at).contains("svc.hosts_known:1|g"));
--- a/src/test/java/brambletray/relay/console/CallTableTest.java
+++ b/src/test/java/brambletray/relay/console/CallTableTest.java
@@ -15,28 +15,28 @@
     private final List<String> done = new ArrayList<>();
     private final Operations operations = new Operations() {
         @Override
-        public void ready(Consumer<Said> then) {
+        public void ready(Consumer<CommandResponse> then) {
             did("ready", then);
         }
 
         @Override
-        public void figures(Consumer<Said> then) {
+        public void figures(Consumer<CommandResponse> then) {
             did("figures", then);
         }
 
         @Override
-        public void exclude(String host, boolean out, Consumer<Said> then) {
+        public void exclude(String host, boolean out, Consumer<CommandResponse> then) {
             did((out ? "out " : "in ") + host, then);
         }
 
         @Override
-        public void drain(boolean away, Consumer<Said> then) {
+        public void drain(boolean away, Consumer<CommandResponse> then) {
             did(away ? "away" : "back", then);
         }
 
-        private void did(String what, Consumer<Said> then) {
+        private void did(String what, Consumer<CommandResponse> then) {
             done.add(what);
-            then.accept(Said.yes(what));
+            then.accept(CommandResponse.yes(what));
         }
     };
 
--- a/src/test/java/brambletray/relay/core/DescriptorsTest.java
+++ b/src/test/java/brambletray/relay/core/DescriptorBudgetTest.java
@@ -2,14 +2,14 @@
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.relay.core.Descriptors.Owner;
+import brambletray.relay.core.DescriptorBudget.Owner;
 import org.junit.jupiter.api.Test;
 
-class DescriptorsTest {
+class DescriptorBudgetTest {
     @Test
     void sharesAddUpToAllAndNoneIsWithout() {
         for (int all = 64; all <= 2_000; all++) {
-            Descriptors d = new Descriptors(all);
+            DescriptorBudget d = new DescriptorBudget(all);
             int sum = 0;
             for (Owner owner : Owner.values()) {
                 assertTrue(d.share(owner) > 0, all + ": " + owner);
@@ -23,14 +23,14 @@
     /** rb38060: 384 descriptors, 382 of them with clients and hosts, and none for the store's next file. */
     @Test
     void clientsAndHostsLeaveTheOthersTheirs() {
-        Descriptors d = new Descriptors(384);
+        DescriptorBudget d = new DescriptorBudget(384);
         assertEquals(153, d.share(Owner.CLIENTS));
         assertEquals(384 - 153 - 32 - 24 - 4 - 25, d.share(Owner.HOSTS));
     }
 
     @Test
     void nobodyTakesMoreThanItsShareNorGivesWhatItHasNot() {
-        Descriptors d = new Descriptors(100);
+        DescriptorBudget d = new DescriptorBudget(100);
         for (int i = 0; i < d.share(Owner.HOSTS); i++) {
             assertTrue(d.take(Owner.HOSTS));
         }
--- a/src/test/java/brambletray/relay/core/LoopAuditTest.java
+++ b/src/test/java/brambletray/relay/core/EventDispatcherAuditTest.java
@@ -5,12 +5,12 @@
 import brambletray.common.runtime.Machine;
 import brambletray.common.simulation.Simulation;
 import brambletray.relay.control.Relay;
-import brambletray.relay.figures.Figures;
-import brambletray.relay.figures.Figures.End;
 import brambletray.relay.journal.Journal;
 import brambletray.relay.membership.HostList;
 import brambletray.relay.message.Body;
 import brambletray.relay.message.Message;
+import brambletray.relay.metrics.MessageMetrics;
+import brambletray.relay.metrics.MessageMetrics.End;
 import brambletray.relay.store.MemoryDisk;
 import brambletray.relay.store.Store;
 import brambletray.relay.wire.Wire;
@@ -24,19 +24,19 @@
 import org.junit.jupiter.api.Test;
 
 /** Loop, module and journal hold the same messages, whatever ends one; and where they do not, that is seen. */
-class LoopAuditTest {
+class EventDispatcherAuditTest {
     private static final long S = 1_000_000;
     private static final String LIST =
             "{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"s\",\"dial\":\"10.0.0.9:1\",\"site\":\"a\","
                     + "\"class\":\"m\",\"block\":7,\"health\":\"ready\",\"share\":50}]}";
 
-    private final List<Consumer<Reply>> out = new ArrayList<>();
+    private final List<Consumer<CallReply>> out = new ArrayList<>();
     private final Simulation simulation = new Simulation(1, 1_900_000_000_000L);
-    private final Figures figures = new Figures(List.of("bill", "pay"));
+    private final MessageMetrics figures = new MessageMetrics(List.of("bill", "pay"));
     private final MemoryDisk disk = new MemoryDisk();
     private Machine machine;
     private Journal journal;
-    private Loop loop;
+    private EventDispatcher loop;
 
     @BeforeEach
     void begin() throws Exception {
@@ -58,9 +58,9 @@
                 new Relay.Rules(250_000, 2, 3 * S, 0.2, 12 * S, 0, 20_000),
                 new Relay.Prices(0, 0, 0, 0, List.of()));
         journal = Journal.open(disk, 3_000_000, Store.Promise.PROCESS, 12);
-        Calls calls = new Calls() {
+        HostTransport calls = new HostTransport() {
             @Override
-            public Call call(Host host, Message message, long patience, Consumer<Reply> whenEnded) {
+            public Call call(Host host, Message message, long patience, Consumer<CallReply> whenEnded) {
                 out.add(whenEnded);
                 return () -> {};
             }
@@ -93,7 +93,7 @@
             @Override
             public void move(InetSocketAddress agent) {}
         };
-        loop = new Loop(machine, 1, settings, hosts, calls, journal, figures);
+        loop = new EventDispatcher(machine, 1, settings, hosts, calls, journal, figures);
         machine.loop().execute(() -> {
             try {
                 loop.start(platform, hosts.update(Wire.decode(LIST)));
@@ -121,7 +121,7 @@
                                 7,
                                 machine.clock().unixMillis() + millis,
                                 Body.of(new byte[10])),
-                        new Answer() {
+                        new SubmissionResult() {
                             @Override
                             public void taken() {
                                 met[0] = "taken";
@@ -152,8 +152,8 @@
     }
 
     private void reply(Relay.Outcome outcome, boolean over) {
-        Consumer<Reply> next = out.remove(0);
-        machine.loop().execute(() -> next.accept(new Reply(outcome, over, 0, 1_000, -1, -1)));
+        Consumer<CallReply> next = out.remove(0);
+        machine.loop().execute(() -> next.accept(new CallReply(outcome, over, 0, 1_000, -1, -1)));
         pass(0);
     }
 
@@ -181,7 +181,7 @@
                 throw new IOException("Too many open files");
             }
         });
-        loop.ends(new Ends() {
+        loop.ends(new CompletionListener() {
             @Override
             public void ended(Message message, End end, long retryAfter) {
                 journal.store().put((byte) 99, 1, new byte[] {1});
--- a/src/test/java/brambletray/relay/core/EvidenceTest.java
+++ b/src/test/java/brambletray/relay/core/HostKnowledgeRecorderTest.java
@@ -5,7 +5,7 @@
 import brambletray.common.runtime.Clock;
 import brambletray.relay.control.Control;
 import brambletray.relay.control.Relay;
-import brambletray.relay.journal.HostNotes;
+import brambletray.relay.journal.HostKnowledgeJournal;
 import brambletray.relay.membership.HostList;
 import brambletray.relay.store.MemoryDisk;
 import brambletray.relay.store.Store;
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Lives of one relay on one store, its module told what the last one knew. */
-class EvidenceTest {
+class HostKnowledgeRecorderTest {
     private static final long MS = 1_000;
     private static final long SECOND = 1_000_000;
 
@@ -65,13 +65,14 @@
         final Store store;
         final HostList hosts = new HostList(List.of("z"), List.of("k"));
         final Control control = new Control(3, SETTINGS);
-        final Evidence evidence;
+        final HostKnowledgeRecorder evidence;
         final Map<String, Integer> attempts = new HashMap<>();
         int sent;
 
         Life() throws Exception {
             store = Store.open(disk, new Store.Options(1_000_000, Store.Promise.PROCESS, 1_000));
-            evidence = new Evidence(Clock.of(time, 0), control, hosts, new HostNotes(store), 12 * SECOND);
+            evidence = new HostKnowledgeRecorder(
+                    Clock.of(time, 0), control, hosts, new HostKnowledgeJournal(store), 12 * SECOND);
         }
 
         Relay.Listed update(long seq, boolean whole, String... hostsAndHealth) throws Wire.Malformed {
@@ -304,8 +305,8 @@
         }
         try (Life life = new Life()) {
             assertTrue(
-                    life.store.chains(HostNotes.SPACE).size() <= 70,
-                    "" + life.store.chains(HostNotes.SPACE).size());
+                    life.store.chains(HostKnowledgeJournal.SPACE).size() <= 70,
+                    "" + life.store.chains(HostKnowledgeJournal.SPACE).size());
         }
     }
 }
--- a/src/test/java/brambletray/relay/kept/KeptTest.java
+++ b/src/test/java/brambletray/relay/deadletter/DeadLetterTest.java
@@ -1,15 +1,15 @@
-package brambletray.relay.kept;
+package brambletray.relay.deadletter;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.relay.kept.ClassRules.Effect;
+import brambletray.relay.deadletter.ClassRules.Effect;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
 /** What may be sent again, when, and how many: by the table of cases that docs/kept.md names. */
-class KeptTest {
+class DeadLetterTest {
     private static final long NOW = 1_790_000_000_000L;
     private static final long WINDOW = 15_000;
     private static final Send RAN = new Send(NOW - 5_000, 0, true);
--- a/src/test/java/brambletray/relay/handover/CodecTest.java
+++ b/src/test/java/brambletray/relay/handover/HandoverCodecTest.java
@@ -26,8 +26,8 @@
 import brambletray.relay.control.Relay.Settings;
 import brambletray.relay.control.Relay.Tenant;
 import brambletray.relay.control.Relay.Weights;
-import brambletray.relay.core.Handoff;
-import brambletray.relay.core.Reply;
+import brambletray.relay.core.CallReply;
+import brambletray.relay.core.HandoverState;
 import brambletray.relay.message.Body;
 import brambletray.relay.message.Message;
 import io.netty.buffer.ByteBuf;
@@ -46,7 +46,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What two processes tell one another, over any cut of the stream; and what is refused. */
-class CodecTest {
+class HandoverCodecTest {
     private static final long S = 1_000_000;
 
     private static final Settings SETTINGS = new Settings(
@@ -65,25 +65,25 @@
             new Rules(250_000, 2.5, 3 * S, 0.15, 10 * S, 50_000, 20_000),
             new Prices(0.05, 0.06, 0, 0.05, List.of()));
 
-    private static final List<Frame> FRAMES = List.of(
-            new Frame.Hello(1, "digest"),
-            new Frame.Welcome(true, 3),
-            new Frame.TurnedAway("no"),
-            new Frame.Answered(5, Frame.Met.REFUSED, 1_000),
-            new Frame.Withdraw("id"),
-            new Frame.Exclude(9, "s-1", true),
-            new Frame.Told(9, 404, "none"),
-            new Frame.Drained(true),
-            new Frame.Owner(false),
-            new Frame.Declined(),
-            new Frame.Kept(),
-            new Frame.Ended("a", 2, "s-1", new Reply(Outcome.FULL, false, 5, 6, 0.5, 20, true)),
-            new Frame.Cancel("a", 1),
-            new Frame.TakeBack("s-1"));
+    private static final List<HandoverFrame> FRAMES = List.of(
+            new HandoverFrame.Hello(1, "digest"),
+            new HandoverFrame.Welcome(true, 3),
+            new HandoverFrame.TurnedAway("no"),
+            new HandoverFrame.Answered(5, HandoverFrame.Met.REFUSED, 1_000),
+            new HandoverFrame.Withdraw("id"),
+            new HandoverFrame.Exclude(9, "s-1", true),
+            new HandoverFrame.Told(9, 404, "none"),
+            new HandoverFrame.Drained(true),
+            new HandoverFrame.Owner(false),
+            new HandoverFrame.Declined(),
+            new HandoverFrame.Kept(),
+            new HandoverFrame.Ended("a", 2, "s-1", new CallReply(Outcome.FULL, false, 5, 6, 0.5, 20, true)),
+            new HandoverFrame.Cancel("a", 1),
+            new HandoverFrame.TakeBack("s-1"));
 
-    private static ByteBuf bytes(Frame... frames) {
-        EmbeddedChannel out = new EmbeddedChannel(new FrameCodec());
-        for (Frame frame : frames) {
+    private static ByteBuf bytes(HandoverFrame... frames) {
+        EmbeddedChannel out = new EmbeddedChannel(new HandoverFrameCodec());
+        for (HandoverFrame frame : frames) {
             out.writeOutbound(frame);
         }
         ByteBuf all = Unpooled.buffer();
@@ -95,12 +95,12 @@
 
     @Test
     void framesArriveWholeHoweverTheStreamIsCut() {
-        ByteBuf all = bytes(FRAMES.toArray(Frame[]::new));
-        EmbeddedChannel in = new EmbeddedChannel(new FrameCodec());
+        ByteBuf all = bytes(FRAMES.toArray(HandoverFrame[]::new));
+        EmbeddedChannel in = new EmbeddedChannel(new HandoverFrameCodec());
         while (all.isReadable()) {
             in.writeInbound(all.readBytes(1));
         }
-        for (Frame frame : FRAMES) {
+        for (HandoverFrame frame : FRAMES) {
             assertEquals(frame, in.readInbound());
         }
         assertNull(in.readInbound());
@@ -109,16 +109,17 @@
     @Test
     void aMessageAndTheStateArriveAsTheyWere() throws IOException {
         Message m = new Message("a", "bill", 2, null, "key", 7, 123, Body.of(new byte[] {0, 1, -1}));
-        Frame.State state = new Frame.State(
-                5, 6, Map.of("s-1", 4_000_000_000L), List.of(new Handoff.Out("a", 0, "s-1", true)), new byte[] {1, 2, 3
+        HandoverFrame.State state = new HandoverFrame.State(
+                5, 6, Map.of("s-1", 4_000_000_000L), List.of(new HandoverState.Out("a", 0, "s-1", true)), new byte[] {
+                    1, 2, 3
                 });
-        EmbeddedChannel in = new EmbeddedChannel(new FrameCodec());
-        in.writeInbound(bytes(new Frame.Submit(4, m), state));
-        Frame.Submit submit = in.readInbound();
+        EmbeddedChannel in = new EmbeddedChannel(new HandoverFrameCodec());
+        in.writeInbound(bytes(new HandoverFrame.Submit(4, m), state));
+        HandoverFrame.Submit submit = in.readInbound();
         assertTrue(submit.message().sameAs(m));
         assertEquals(123, submit.message().deadline());
         assertNull(submit.message().routeKey());
-        Frame.State read = in.readInbound();
+        HandoverFrame.State read = in.readInbound();
         assertEquals(state.numbers(), read.numbers());
         assertEquals(state.outs(), read.outs());
         assertArrayEquals(state.memory(), read.memory());
@@ -128,11 +129,11 @@
     @Test
     void spoiltFramesEndTheConnection() {
         Random random = new Random(7);
-        for (Frame frame : FRAMES) {
+        for (HandoverFrame frame : FRAMES) {
             for (int round = 0; round < 200; round++) {
                 ByteBuf spoilt = bytes(frame);
                 spoilt.setByte(random.nextInt(spoilt.readableBytes()), random.nextInt(256));
-                EmbeddedChannel in = new EmbeddedChannel(new FrameCodec());
+                EmbeddedChannel in = new EmbeddedChannel(new HandoverFrameCodec());
                 try {
                     in.writeInbound(spoilt);
                 } catch (Exception e) {
@@ -141,9 +142,9 @@
                 assertTrue(in.inboundMessages().size() <= 1);
             }
         }
-        EmbeddedChannel in = new EmbeddedChannel(new FrameCodec());
+        EmbeddedChannel in = new EmbeddedChannel(new HandoverFrameCodec());
         assertThrows(Exception.class, () -> in.writeInbound(Unpooled.buffer().writeInt(Integer.MAX_VALUE)));
-        EmbeddedChannel longer = new EmbeddedChannel(new FrameCodec());
+        EmbeddedChannel longer = new EmbeddedChannel(new HandoverFrameCodec());
         assertThrows(
                 Exception.class,
                 () -> longer.writeInbound(
--- a/src/test/java/brambletray/relay/handover/TenureTest.java
+++ b/src/test/java/brambletray/relay/handover/OwnershipLeaseTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.relay.handover.Tenure.Step;
+import brambletray.relay.handover.OwnershipLease.Step;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -17,7 +17,7 @@
  * Two processes and the folder's lock, in every order of what may happen up to a bound: frames arrive one by
  * one, time passes, either is told to end, dies, or loses the link.
  */
-class TenureTest {
+class OwnershipLeaseTest {
     private static final int DEPTH = 15;
 
     /** What may be wrong: each has to be seen by the search. */
@@ -40,7 +40,7 @@
 
     /** One process: its machine, whether it lives, holds the lock, and what it has said that is on the way. */
     private static final class Process {
-        Tenure tenure;
+        OwnershipLease tenure;
         boolean alive;
         boolean lock;
         boolean told;
@@ -60,7 +60,7 @@
         }
 
         void start(int i) {
-            p[i].tenure = new Tenure(now);
+            p[i].tenure = new OwnershipLease(now);
             p[i].alive = true;
             act(i, p[i].tenure.begin());
         }
@@ -73,8 +73,10 @@
                     case OPEN -> {
                         if (other.lock && fault != Fault.OWNS_WITHOUT_LOCK) {
                             act(i, me.tenure.locked());
-                        } else if (!(fault == Fault.NEVER_TAKES_BACK && me.tenure.phase() instanceof Tenure.Retaking
-                                || fault == Fault.NEVER_FOLLOWS && me.tenure.phase() instanceof Tenure.Bereft)) {
+                        } else if (!(fault == Fault.NEVER_TAKES_BACK
+                                        && me.tenure.phase() instanceof OwnershipLease.Retaking
+                                || fault == Fault.NEVER_FOLLOWS
+                                        && me.tenure.phase() instanceof OwnershipLease.Bereft)) {
                             me.lock = true;
                             act(i, me.tenure.opened());
                         }
@@ -107,7 +109,7 @@
         }
 
         void hear(int i) {
-            Tenure t = p[i].tenure;
+            OwnershipLease t = p[i].tenure;
             act(
                     i,
                     switch (p[i].inbox.poll()) {
@@ -208,8 +210,12 @@
                             + q.lock
                             + q.told
                             + q.inbox
-                            + (q.tenure.phase() instanceof Tenure.Yielding y ? (now - y.since()) / 300_000_000L : "")
-                            + (q.tenure.phase() instanceof Tenure.Receiving y ? (now - y.since()) / 300_000_000L : "");
+                            + (q.tenure.phase() instanceof OwnershipLease.Yielding y
+                                    ? (now - y.since()) / 300_000_000L
+                                    : "")
+                            + (q.tenure.phase() instanceof OwnershipLease.Receiving y
+                                    ? (now - y.since()) / 300_000_000L
+                                    : "");
         }
     }
 
@@ -261,23 +267,23 @@
         boolean waits = false;
         for (int i = 0; i < 2; i++) {
             Process q = w.p[i];
-            waits |= q.alive && q.tenure.phase() instanceof Tenure.Yielding;
+            waits |= q.alive && q.tenure.phase() instanceof OwnershipLease.Yielding;
         }
         boolean someoneLives = w.p[0].alive || w.p[1].alive;
         // One that has handed on only serves out; one that lives and owns nothing must be beside an owner.
-        boolean servesOut = !w.p[0].alive || w.p[0].tenure.phase() instanceof Tenure.Yielded;
+        boolean servesOut = !w.p[0].alive || w.p[0].tenure.phase() instanceof OwnershipLease.Yielded;
         boolean follows = !w.p[1].alive;
         return waits || someoneLives && !w.owns(0) && !w.owns(1) && !(servesOut && follows);
     }
 
     @Test
     void thereAreNeverTwoOwners() {
-        assertNull(search(Fault.NONE, TenureTest::twoOwners));
+        assertNull(search(Fault.NONE, OwnershipLeaseTest::twoOwners));
     }
 
     @Test
     void whileOneLivesOneOwnsInTheEnd() {
-        assertNull(search(Fault.NONE, TenureTest::nobodyOwnsInTheEnd));
+        assertNull(search(Fault.NONE, OwnershipLeaseTest::nobodyOwnsInTheEnd));
     }
 
     @ParameterizedTest
@@ -288,18 +294,18 @@
 
     @Test
     void aNewProcessLooksForTheOwnerForABoundedTime() {
-        Tenure tenure = new Tenure(0);
+        OwnershipLease tenure = new OwnershipLease(0);
         assertEquals(List.of(Step.OPEN), tenure.begin());
         assertEquals(List.of(Step.JOIN), tenure.locked());
-        assertEquals(List.of(Step.OPEN), tenure.tick(Tenure.SEEK_MOST - 1));
-        assertEquals(List.of(Step.END), tenure.tick(Tenure.SEEK_MOST));
-        assertNotNull(((Tenure.Over) tenure.phase()).fault());
+        assertEquals(List.of(Step.OPEN), tenure.tick(OwnershipLease.SEEK_MOST - 1));
+        assertEquals(List.of(Step.END), tenure.tick(OwnershipLease.SEEK_MOST));
+        assertNotNull(((OwnershipLease.Over) tenure.phase()).fault());
         assertFalse(tenure.serves());
     }
 
     @Test
     void aThirdIsTurnedAwayWhileTwoRun() {
-        Tenure tenure = new Tenure(0);
+        OwnershipLease tenure = new OwnershipLease(0);
         tenure.begin();
         tenure.opened();
         assertEquals(List.of(Step.WELCOME), tenure.asked());
--- a/src/test/java/brambletray/relay/http/hosts/BundleTest.java
+++ b/src/test/java/brambletray/relay/http/hosts/BundleTest.java
@@ -4,10 +4,10 @@
 
 import brambletray.common.runtime.Machine;
 import brambletray.relay.control.Relay.Outcome;
-import brambletray.relay.core.Calls;
-import brambletray.relay.core.Descriptors;
+import brambletray.relay.core.CallReply;
+import brambletray.relay.core.DescriptorBudget;
 import brambletray.relay.core.Host;
-import brambletray.relay.core.Reply;
+import brambletray.relay.core.HostTransport;
 import brambletray.relay.message.Body;
 import brambletray.relay.message.Message;
 import brambletray.relay.stub.HostStub;
@@ -35,26 +35,26 @@
     private static final long LONG = 60_000_000;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final HostPool pool =
-            new HostPool(Machine.real(group.next()), LONG, 15_000_000, n -> {}, new Descriptors(1_000));
+            new HostPool(Machine.real(group.next()), LONG, 15_000_000, n -> {}, new DescriptorBudget(1_000));
     private final Host listed = new Host(1, "s-1");
-    private final BlockingQueue<Map.Entry<String, Reply>> replies = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Map.Entry<String, CallReply>> replies = new LinkedBlockingQueue<>();
 
     @AfterEach
     void end() {
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
-    private Calls.Part part(String id, long patience, int bytes) {
+    private HostTransport.Part part(String id, long patience, int bytes) {
         Message m = new Message(id, "bill", 0, null, "key-" + id, 7, 0, Body.of(new byte[bytes]));
-        return new Calls.Part(m, patience, reply -> replies.add(Map.entry(id, reply)));
+        return new HostTransport.Part(m, patience, reply -> replies.add(Map.entry(id, reply)));
     }
 
-    private List<Calls.Call> bundle(HostStub host, Calls.Part... parts) throws Exception {
+    private List<HostTransport.Call> bundle(HostStub host, HostTransport.Part... parts) throws Exception {
         listed.dial = new InetSocketAddress(PlatformStub.LOOPBACK, host.port());
         return group.next().submit(() -> pool.bundle(listed, List.of(parts))).get();
     }
 
-    private List<Calls.Call> three(HostStub host) throws Exception {
+    private List<HostTransport.Call> three(HostStub host) throws Exception {
         return bundle(host, part("a", LONG, 3), part("b", LONG, 0), part("c", LONG, 10));
     }
 
@@ -121,7 +121,7 @@
             three(host);
             host.call().answer(answer(status, head == null ? "" : head + "\r\n", ""));
             for (int i = 0; i < 3; i++) {
-                Reply reply = replies.take().getValue();
+                CallReply reply = replies.take().getValue();
                 assertEquals(outcome, reply.outcome());
                 assertEquals(wait, reply.waitFor());
                 assertFalse(reply.over());
@@ -198,16 +198,16 @@
     @Test
     void messagesAreGivenUpOneByOne() throws Exception {
         try (HostStub host = new HostStub()) {
-            List<Calls.Call> calls = bundle(host, part("a", LONG, 1), part("b", LONG, 1), part("c", LONG, 1));
+            List<HostTransport.Call> calls = bundle(host, part("a", LONG, 1), part("b", LONG, 1), part("c", LONG, 1));
             HostStub.Call call = host.call();
             group.next().submit(() -> calls.get(1).cancel()).get();
             assertEquals(Map.of("b", Outcome.CANCELLED), outcomes(1));
             assertTrue(host.open(call));
             call.answer(answer(200, "", states("accepted", "accepted", "fault")));
             assertEquals(Map.of("a", Outcome.OK, "c", Outcome.ERROR), outcomes(2));
-            List<Calls.Call> more = bundle(host, part("d", LONG, 1), part("e", LONG, 1));
+            List<HostTransport.Call> more = bundle(host, part("d", LONG, 1), part("e", LONG, 1));
             HostStub.Call last = host.call();
-            group.next().submit(() -> more.forEach(Calls.Call::cancel)).get();
+            group.next().submit(() -> more.forEach(HostTransport.Call::cancel)).get();
             assertEquals(2, outcomes(2).size());
             assertTrue(host.ended(last));
         }
--- a/src/test/java/brambletray/relay/http/hosts/HostPoolTest.java
+++ b/src/test/java/brambletray/relay/http/hosts/HostPoolTest.java
@@ -4,10 +4,10 @@
 
 import brambletray.common.runtime.Machine;
 import brambletray.relay.control.Relay.Outcome;
-import brambletray.relay.core.Calls;
-import brambletray.relay.core.Descriptors;
+import brambletray.relay.core.CallReply;
+import brambletray.relay.core.DescriptorBudget;
 import brambletray.relay.core.Host;
-import brambletray.relay.core.Reply;
+import brambletray.relay.core.HostTransport;
 import brambletray.relay.message.Body;
 import brambletray.relay.message.Message;
 import brambletray.relay.stub.HostStub;
@@ -36,7 +36,7 @@
     private static final long LONG = 60_000_000;
     private static final long KEEP_ALIVE = 15_000_000;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final BlockingQueue<Reply> replies = new LinkedBlockingQueue<>();
+    private final BlockingQueue<CallReply> replies = new LinkedBlockingQueue<>();
     private final Host listed = new Host(1, "s-1");
 
     @AfterEach
@@ -45,10 +45,10 @@
     }
 
     private HostPool pool(long keepAlive) {
-        return new HostPool(Machine.real(group.next()), LONG, keepAlive, n -> {}, new Descriptors(1_000));
+        return new HostPool(Machine.real(group.next()), LONG, keepAlive, n -> {}, new DescriptorBudget(1_000));
     }
 
-    private Calls.Call call(HostPool pool, int port, long patience, int bytes) throws Exception {
+    private HostTransport.Call call(HostPool pool, int port, long patience, int bytes) throws Exception {
         listed.dial = new InetSocketAddress(PlatformStub.LOOPBACK, port);
         Message message = new Message("a", "bill", 0, null, null, 7, 0, Body.of(new byte[bytes]));
         return group.next()
@@ -56,7 +56,7 @@
                 .get();
     }
 
-    private Reply reply() throws InterruptedException {
+    private CallReply reply() throws InterruptedException {
         return replies.poll(PlatformStub.PATIENCE_S, TimeUnit.SECONDS);
     }
 
@@ -79,7 +79,7 @@
             host.call()
                     .answer("HTTP/1.1 " + status + " x\r\nX-Server-Load: x0=0.4,x1=25\r\n"
                             + (header == null ? "" : header + "\r\n") + "Content-Length: 0\r\n\r\n");
-            Reply reply = reply();
+            CallReply reply = reply();
             assertEquals(outcome, reply.outcome());
             assertEquals(over, reply.over());
             assertEquals(wait, reply.waitFor());
@@ -107,7 +107,7 @@
             HostStub.Call call = host.call();
             String[] piece = pieces.split("\\|");
             call.answer(piece[0]);
-            Reply reply = reply();
+            CallReply reply = reply();
             assertEquals(Outcome.OK, reply.outcome());
             assertTrue(reply.over(), "delivered, and still owed");
             if (piece[1].equals("!")) {
@@ -121,9 +121,9 @@
     /** rb38060: idle connections to hosts held what the store needed. The one that was idle for longest goes. */
     @Test
     void aCallTakesTheDescriptorOfTheLongestIdleConnectionAndNoneOfAnothersShare() throws Exception {
-        Descriptors descriptors = new Descriptors(64);
+        DescriptorBudget descriptors = new DescriptorBudget(64);
         HostPool pool = new HostPool(Machine.real(group.next()), LONG, KEEP_ALIVE, n -> {}, descriptors);
-        int share = descriptors.share(Descriptors.Owner.HOSTS);
+        int share = descriptors.share(DescriptorBudget.Owner.HOSTS);
         List<HostStub> hosts = new ArrayList<>();
         try {
             HostStub.Call first = null;
@@ -144,7 +144,7 @@
             hosts.add(new HostStub());
             call(pool, new Host(2 * share, "beyond"), hosts.get(2 * share));
             assertEquals(Outcome.CONNECT_FAILED, reply().outcome(), "all are in use");
-            assertEquals(share, descriptors.held(Descriptors.Owner.HOSTS));
+            assertEquals(share, descriptors.held(DescriptorBudget.Owner.HOSTS));
         } finally {
             for (HostStub host : hosts) {
                 host.close();
@@ -155,7 +155,7 @@
     /** Out of descriptors, the system gives no socket: that is no connection, and must not count as one for good. */
     @Test
     void aSocketThatTheSystemRefusesIsNotHeld() throws Exception {
-        Descriptors descriptors = new Descriptors(64);
+        DescriptorBudget descriptors = new DescriptorBudget(64);
         Machine real = Machine.real(group.next());
         boolean[] refuses = {true};
         HostPool pool = new HostPool(
@@ -175,10 +175,10 @@
                 n -> {},
                 descriptors);
         try (HostStub host = new HostStub()) {
-            for (int i = 0; i <= descriptors.share(Descriptors.Owner.HOSTS); i++) {
+            for (int i = 0; i <= descriptors.share(DescriptorBudget.Owner.HOSTS); i++) {
                 call(pool, listed, host);
                 assertEquals(Outcome.CONNECT_FAILED, reply().outcome());
-                assertEquals(0, descriptors.held(Descriptors.Owner.HOSTS));
+                assertEquals(0, descriptors.held(DescriptorBudget.Owner.HOSTS));
             }
             group.next().submit(() -> refuses[0] = false).get();
             call(pool, listed, host);
@@ -237,12 +237,12 @@
             assertFalse(reply().reused());
             call(pool, host.port(), LONG, 10);
             host.call().reset();
-            Reply kept = reply();
+            CallReply kept = reply();
             assertEquals(Outcome.RESET, kept.outcome());
             assertTrue(kept.reused());
             call(pool, host.port(), LONG, 10);
             host.call().reset();
-            Reply fresh = reply();
+            CallReply fresh = reply();
             assertEquals(Outcome.RESET, fresh.outcome());
             assertFalse(fresh.reused());
         }
@@ -255,7 +255,7 @@
             call(pool, host.port(), 200_000, 10);
             HostStub.Call late = host.call();
             assertEquals(Outcome.TIMEOUT, reply().outcome());
-            Calls.Call call = call(pool, host.port(), LONG, 10);
+            HostTransport.Call call = call(pool, host.port(), LONG, 10);
             HostStub.Call second = host.call();
             assertNotSame(late.socket(), second.socket());
             group.next().submit(call::cancel).get();
@@ -353,7 +353,7 @@
             call(pool, host.port(), LONG, 10);
             HostStub.Call call = host.call();
             call.answer(answer.replace("|", "\r\n"));
-            Reply reply = reply();
+            CallReply reply = reply();
             assertEquals(outcome, reply.outcome());
             assertEquals(0, reply.waitFor());
             if (!answer.contains("Endless")) {
@@ -407,7 +407,7 @@
         try (HostStub host = new HostStub()) {
             call(pool(KEEP_ALIVE), host.port(), LONG, 10);
             host.call().answer("HTTP/1.1 200 OK\r\nX-Server-Load: " + load + "\r\nContent-Length: 0\r\n\r\n");
-            Reply reply = reply();
+            CallReply reply = reply();
             assertEquals(Outcome.OK, reply.outcome());
             assertEquals(-1, reply.left());
             assertEquals(-1, reply.limit());
--- a/src/test/java/brambletray/relay/mqtt/MqttClientsTest.java
+++ b/src/test/java/brambletray/relay/mqtt/MqttClientsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.*;
 
 import brambletray.relay.mqtt.clients.Users;
-import brambletray.relay.serve.Node;
+import brambletray.relay.serve.RelayProcess;
 import brambletray.relay.stub.HostStub;
 import brambletray.relay.stub.MqttStub;
 import brambletray.relay.stub.PlatformStub;
@@ -58,7 +58,7 @@
         platform.close();
     }
 
-    private Node relay() throws Exception {
+    private RelayProcess relay() throws Exception {
         Files.writeString(
                 folder.resolve("mqtt.yaml"),
                 "listen: 127.0.0.1:0\ntopic: bills/{class}/{destination}/{id}\n" + "limits: " + limits + "\n" + more);
@@ -67,11 +67,11 @@
         return platform.relay(host("s-1", host.port(), 7, "ready"));
     }
 
-    private static MqttStub stub(Node relay, MqttVersion version) throws InterruptedException {
+    private static MqttStub stub(RelayProcess relay, MqttVersion version) throws InterruptedException {
         return new MqttStub(relay.mqttAddress(), version);
     }
 
-    private static MqttStub connected(Node relay, MqttVersion version, String id) throws InterruptedException {
+    private static MqttStub connected(RelayProcess relay, MqttVersion version, String id) throws InterruptedException {
         MqttStub client = stub(relay, version).connect(id, false, 600);
         MqttConnAckMessage ack = (MqttConnAckMessage) client.expect(MqttMessageType.CONNACK);
         assertEquals(
@@ -95,7 +95,7 @@
             value = MqttVersion.class,
             names = {"MQTT_3_1_1", "MQTT_5"})
     void aPublishIsDeliveredAndAnsweredOnce(MqttVersion version) throws Exception {
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 MqttStub client = connected(relay, version, "meter")) {
             client.subscribe("answers/meter");
             client.publish("bills/bill/7/a", 1, 1, false, NONE, "line of a");
@@ -112,7 +112,7 @@
 
     @Test
     void theResponseTopicAndCorrelationDataOfMqtt5AreHeeded() throws Exception {
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 MqttStub client = connected(relay, MqttVersion.MQTT_5, "meter")) {
             client.subscribe("mine/#");
             client.publish(
@@ -143,7 +143,7 @@
             value = MqttVersion.class,
             names = {"MQTT_3_1_1", "MQTT_5"})
     void aQos2PublishIsTakenOnceAcrossARestart(MqttVersion version) throws Exception {
-        try (Node relay = relay()) {
+        try (RelayProcess relay = relay()) {
             MqttStub client = connected(relay, version, "meter");
             client.publish("bills/bill/7/a", 5, 2, false, NONE, "x");
             client.expect(MqttMessageType.PUBREC);
@@ -154,7 +154,7 @@
             again.expect(MqttMessageType.PUBREC);
             again.reset();
         }
-        try (Node relay = relay()) {
+        try (RelayProcess relay = relay()) {
             MqttStub client = connected(relay, version, "meter");
             client.publish("bills/bill/7/a", 5, 2, true, NONE, "x");
             client.expect(MqttMessageType.PUBREC);
@@ -173,7 +173,7 @@
     /** Guards households: sent again after a reconnect, or under another client id, it is the message that it was. */
     @Test
     void aQos1PublishSentAgainIsNoSecondMessage() throws Exception {
-        try (Node relay = relay()) {
+        try (RelayProcess relay = relay()) {
             MqttStub client = connected(relay, MqttVersion.MQTT_3_1_1, "meter");
             client.publish("bills/pay/7/a", 1, 1, false, NONE, "x");
             client.expect(MqttMessageType.PUBACK);
@@ -189,7 +189,7 @@
             assertEquals(0, reason(other.expect(MqttMessageType.PUBACK)));
             other.close();
         }
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 MqttStub client = connected(relay, MqttVersion.MQTT_5, "meter")) {
             client.publish("bills/pay/7/a", 1, 1, true, NONE, "x");
             client.expect(MqttMessageType.PUBACK);
@@ -203,11 +203,11 @@
     @Test
     void aSessionOutlastsTheRelayWhileItsClientIsConnected() throws Exception {
         MqttStub client;
-        try (Node relay = relay()) {
+        try (RelayProcess relay = relay()) {
             client = connected(relay, MqttVersion.MQTT_5, "meter");
             client.subscribe("answers/meter");
         }
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 MqttStub again = stub(relay, MqttVersion.MQTT_5).connect("meter", false, 600)) {
             assertTrue(((MqttConnAckMessage) again.expect(MqttMessageType.CONNACK))
                     .variableHeader()
@@ -219,7 +219,7 @@
     /** The client is gone when its answer is there: the session keeps it, also over a restart. */
     @Test
     void anAnswerWaitsForItsClient() throws Exception {
-        try (Node relay = relay()) {
+        try (RelayProcess relay = relay()) {
             MqttStub client = connected(relay, MqttVersion.MQTT_5, "meter");
             client.subscribe("answers/meter");
             client.publish("bills/bill/7/a", 1, 1, false, NONE, "x");
@@ -232,7 +232,7 @@
             }
         }
         for (int i = 0; i < 2; i++) {
-            try (Node relay = relay();
+            try (RelayProcess relay = relay();
                     MqttStub client = stub(relay, MqttVersion.MQTT_5).connect("meter", false, 600)) {
                 MqttConnAckMessage ack = (MqttConnAckMessage) client.expect(MqttMessageType.CONNACK);
                 assertTrue(ack.variableHeader().isSessionPresent());
@@ -253,7 +253,7 @@
     /** A message that is given up is told to its client and to the platform. */
     @Test
     void aMessageThatIsGivenUpIsToldBothWays() throws Exception {
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 MqttStub client = connected(relay, MqttVersion.MQTT_5, "meter")) {
             client.subscribe("answers/meter");
             client.publish("bills/bill/7/a", 1, 1, false, MqttStub.properties(null, null, "time", "400"), "x");
@@ -267,7 +267,7 @@
     /** A second connection with the same id takes over; the elder is told, and the answer goes to the second. */
     @Test
     void aSecondConnectionTakesOver() throws Exception {
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 MqttStub first = connected(relay, MqttVersion.MQTT_5, "meter")) {
             first.subscribe("answers/meter");
             first.publish("bills/bill/7/a", 1, 1, false, NONE, "x");
@@ -286,7 +286,7 @@
     /** What is not taken on: MQTT 5 is told why and when to come back, 3.1.1 is never told a success. */
     @Test
     void refusalsClaimNoSuccess() throws Exception {
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 MqttStub five = connected(relay, MqttVersion.MQTT_5, "five")) {
             String[] bad = {"other/bill/7/a", "bills/bill/7", "bills/wobble/7/a", "bills/bill/8/a", "bills/bill/x/a"};
             for (int i = 0; i < bad.length; i++) {
@@ -322,7 +322,7 @@
                 folder.resolve("users.txt"),
                 "# who may\n" + Users.line("solar", "secret", new byte[] {1, 2, 3, 4}, 1_000, "bills/bill/#") + "\n");
         more = "users: users.txt\n";
-        try (Node relay = relay()) {
+        try (RelayProcess relay = relay()) {
             for (String password : new String[] {"wrong", "secret"}) {
                 try (MqttStub client = stub(relay, MqttVersion.MQTT_5)) {
                     client.channel.writeAndFlush(MqttMessageBuilders.connect()
@@ -353,7 +353,7 @@
     @Test
     void protocolErrorsEndTheConnection() throws Exception {
         limits = "{receive_maximum: 2, packet_bytes: 1000}";
-        try (Node relay = relay()) {
+        try (RelayProcess relay = relay()) {
             int[][] cases = {{0x82}, {0x94}, {0x82}, {0x95}, {0x81}, {0x93}};
             for (int i = 0; i < cases.length; i++) {
                 try (MqttStub client = connected(relay, MqttVersion.MQTT_5, "c" + i)) {
@@ -391,7 +391,7 @@
     @ValueSource(longs = {1, 2, 3})
     void noiseTakesNothing(long seed) throws Exception {
         Random random = new Random(seed);
-        try (Node relay = relay()) {
+        try (RelayProcess relay = relay()) {
             for (int i = 0; i < 150; i++) {
                 try (MqttStub client = stub(relay, MqttVersion.MQTT_5)) {
                     if (random.nextBoolean()) {
@@ -441,7 +441,7 @@
             value = MqttVersion.class,
             names = {"MQTT_3_1_1", "MQTT_5"})
     void packetsMayComeInPiecesOrTogether(MqttVersion version) throws Exception {
-        try (Node relay = relay()) {
+        try (RelayProcess relay = relay()) {
             byte[] all = bytes(
                     MqttMessageBuilders.connect()
                             .clientId("meter")
@@ -481,7 +481,7 @@
     @Test
     void aCrowdIsBounded() throws Exception {
         limits = "{connections: 20}";
-        try (Node relay = relay()) {
+        try (RelayProcess relay = relay()) {
             java.util.List<MqttStub> crowd = new java.util.ArrayList<>();
             for (int i = 0; i < 60; i++) {
                 crowd.add(stub(relay, MqttVersion.MQTT_5));
@@ -498,7 +498,7 @@
     /** Real client libraries as peers. */
     @Test
     void pahoForMqtt5GetsItsAnswers() throws Exception {
-        try (Node relay = relay()) {
+        try (RelayProcess relay = relay()) {
             var client = new org.eclipse.paho.mqttv5.client.MqttClient(
                     uri(relay), "paho5", new org.eclipse.paho.mqttv5.client.persist.MemoryPersistence());
             var options = new org.eclipse.paho.mqttv5.client.MqttConnectionOptions();
@@ -529,7 +529,7 @@
 
     @Test
     void pahoForMqtt311GetsItsAnswers() throws Exception {
-        try (Node relay = relay()) {
+        try (RelayProcess relay = relay()) {
             var client = new org.eclipse.paho.client.mqttv3.MqttClient(
                     uri(relay), "paho3", new org.eclipse.paho.client.mqttv3.persist.MemoryPersistence());
             var options = new org.eclipse.paho.client.mqttv3.MqttConnectOptions();
@@ -549,7 +549,7 @@
         }
     }
 
-    private static String uri(Node relay) {
+    private static String uri(RelayProcess relay) {
         return "tcp://127.0.0.1:" + relay.mqttAddress().getPort();
     }
 }
--- a/src/test/java/brambletray/relay/mqtt/MqttHostsTest.java
+++ b/src/test/java/brambletray/relay/mqtt/MqttHostsTest.java
@@ -3,7 +3,7 @@
 import static brambletray.relay.stub.PlatformStub.host;
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.relay.serve.Node;
+import brambletray.relay.serve.RelayProcess;
 import brambletray.relay.stub.HostStub;
 import brambletray.relay.stub.MqttHostStub;
 import brambletray.relay.stub.PlatformStub;
@@ -53,7 +53,7 @@
                 .replace("\"health\"", "\"protocol\":\"" + protocol + "\",\"health\"");
     }
 
-    private static void idle(Node relay) throws Exception {
+    private static void idle(RelayProcess relay) throws Exception {
         while (!relay.idle()) {
             Thread.onSpinWait();
         }
@@ -62,7 +62,7 @@
     @Test
     void aCallIsOnePublishAndItsAcknowledgementTheOutcome() throws Exception {
         try (MqttHostStub partner = new MqttHostStub(10);
-                Node relay = platform.relay(mqtt("s-1", partner));
+                RelayProcess relay = platform.relay(mqtt("s-1", partner));
                 var client = new PlatformStub.Client(relay)) {
             for (String id : new String[] {"a", "b"}) {
                 assertEquals(TAKEN, client.post(id, "bill", 7, 16_000).get(0));
@@ -83,7 +83,7 @@
     @ValueSource(strings = {"pay", "bill"})
     void aBreakBeforeTheAcknowledgementMayHaveRun(String messageClass) throws Exception {
         try (MqttHostStub partner = new MqttHostStub(10);
-                Node relay = platform.relay(mqtt("s-1", partner));
+                RelayProcess relay = platform.relay(mqtt("s-1", partner));
                 var client = new PlatformStub.Client(relay)) {
             assertEquals(TAKEN, client.post("a", messageClass, 7, 16_000).get(0));
             partner.publish().reset();
@@ -103,7 +103,7 @@
     @Test
     void aServerThatShutsDownAmidACall() throws Exception {
         try (MqttHostStub partner = new MqttHostStub(10);
-                Node relay = platform.relay(mqtt("s-1", partner));
+                RelayProcess relay = platform.relay(mqtt("s-1", partner));
                 var client = new PlatformStub.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "bill", 7, 16_000).get(0));
             MqttHostStub.Publish first = partner.publish();
@@ -120,7 +120,7 @@
     @Test
     void aToldWaitByReasonCodeIsHeeded() throws Exception {
         try (MqttHostStub partner = new MqttHostStub(10);
-                Node relay = platform.relay(mqtt("s-1", partner));
+                RelayProcess relay = platform.relay(mqtt("s-1", partner));
                 var client = new PlatformStub.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "pay", 7, 16_000).get(0));
             long refused = System.nanoTime();
@@ -139,7 +139,7 @@
     @Test
     void aReceiveMaximumOfOneIsKept() throws Exception {
         try (MqttHostStub partner = new MqttHostStub(1);
-                Node relay = platform.relay(mqtt("s-1", partner));
+                RelayProcess relay = platform.relay(mqtt("s-1", partner));
                 var client = new PlatformStub.Client(relay)) {
             for (int i = 0; i < 6; i++) {
                 assertEquals(TAKEN, client.post("m" + i, "bill", 7, 16_000).get(0));
@@ -160,7 +160,7 @@
     @Test
     void byQosTwoThePubrecIsTheOutcome() throws Exception {
         try (MqttHostStub partner = new MqttHostStub(1);
-                Node relay = platform.relay(mqtt("s-1", partner, "mqtt-qos2"));
+                RelayProcess relay = platform.relay(mqtt("s-1", partner, "mqtt-qos2"));
                 var client = new PlatformStub.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "pay", 7, 16_000).get(0));
             assertTrue(partner.connect().anew(), "an unknown session was taken up");
@@ -188,7 +188,7 @@
     @ValueSource(strings = {"mqtt-qos2", "mqtt-3.1.1-qos2"})
     void aKeptSessionClearsUpWhatWasOut(String protocol) throws Exception {
         try (MqttHostStub partner = new MqttHostStub(10);
-                Node relay = platform.relay(mqtt("s-1", partner, protocol));
+                RelayProcess relay = platform.relay(mqtt("s-1", partner, protocol));
                 var client = new PlatformStub.Client(relay)) {
             partner.sessionPresent = true;
             assertEquals(TAKEN, client.post("a", "pay", 7, 16_000).get(0));
@@ -210,7 +210,7 @@
     @ValueSource(strings = {"mqtt-qos2", "mqtt-3.1.1-qos2"})
     void aLostSessionLeavesItUnknown(String protocol) throws Exception {
         try (MqttHostStub partner = new MqttHostStub(10);
-                Node relay = platform.relay(mqtt("s-1", partner, protocol));
+                RelayProcess relay = platform.relay(mqtt("s-1", partner, protocol));
                 var client = new PlatformStub.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "pay", 7, 16_000).get(0));
             partner.publish().reset();
@@ -223,7 +223,7 @@
     @Test
     void aBreakBetweenPubrecAndPubcomp() throws Exception {
         try (MqttHostStub partner = new MqttHostStub(10);
-                Node relay = platform.relay(mqtt("s-1", partner, "mqtt-qos2"));
+                RelayProcess relay = platform.relay(mqtt("s-1", partner, "mqtt-qos2"));
                 var client = new PlatformStub.Client(relay)) {
             partner.sessionPresent = true;
             assertEquals(TAKEN, client.post("a", "pay", 7, 16_000).get(0));
@@ -249,13 +249,13 @@
     void aRelayKilledBeforePubrecBeginsAnew() throws Exception {
         try (MqttHostStub partner = new MqttHostStub(10)) {
             partner.sessionPresent = true;
-            try (Node relay = platform.relay(mqtt("s-1", partner, "mqtt-qos2"));
+            try (RelayProcess relay = platform.relay(mqtt("s-1", partner, "mqtt-qos2"));
                     var client = new PlatformStub.Client(relay)) {
                 assertEquals(TAKEN, client.post("a", "pay", 7, 16_000).get(0));
                 assertNotNull(partner.publish());
                 assertTrue(partner.connect().anew());
             }
-            try (Node relay = platform.relay(mqtt("s-1", partner, "mqtt-qos2"));
+            try (RelayProcess relay = platform.relay(mqtt("s-1", partner, "mqtt-qos2"));
                     var client = new PlatformStub.Client(relay)) {
                 assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.notice());
                 assertEquals(TAKEN, client.post("b", "pay", 7, 16_000).get(0));
@@ -273,7 +273,7 @@
     void aRelayKilledAfterPubrecSendsNothingAgain() throws Exception {
         try (MqttHostStub partner = new MqttHostStub(10)) {
             partner.sessionPresent = true;
-            try (Node relay = platform.relay(mqtt("s-1", partner, "mqtt-qos2"));
+            try (RelayProcess relay = platform.relay(mqtt("s-1", partner, "mqtt-qos2"));
                     var client = new PlatformStub.Client(relay)) {
                 assertEquals(TAKEN, client.post("a", "pay", 7, 16_000).get(0));
                 assertTrue(partner.connect().anew());
@@ -282,7 +282,7 @@
                 assertEquals(a.packet(), partner.release());
                 idle(relay);
             }
-            try (Node relay = platform.relay(mqtt("s-1", partner, "mqtt-qos2"));
+            try (RelayProcess relay = platform.relay(mqtt("s-1", partner, "mqtt-qos2"));
                     var client = new PlatformStub.Client(relay)) {
                 assertEquals(TAKEN, client.post("b", "pay", 7, 16_000).get(0));
                 assertTrue(partner.connect().anew());
@@ -300,7 +300,7 @@
     @Test
     void aPartnerByThreeOneOne() throws Exception {
         try (MqttHostStub partner = new MqttHostStub(10);
-                Node relay = platform.relay(mqtt("s-1", partner, "mqtt-3.1.1"));
+                RelayProcess relay = platform.relay(mqtt("s-1", partner, "mqtt-3.1.1"));
                 var client = new PlatformStub.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "bill", 7, 16_000).get(0));
             MqttHostStub.Publish p = partner.publish();
@@ -316,7 +316,7 @@
     @ValueSource(ints = {0x8B, 0x9C, 0x9D, 0x89})
     void aDisconnectIsARefusalWithAWait(int reason) throws Exception {
         try (MqttHostStub partner = new MqttHostStub(10);
-                Node relay = platform.relay(mqtt("s-1", partner));
+                RelayProcess relay = platform.relay(mqtt("s-1", partner));
                 var client = new PlatformStub.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "pay", 7, 16_000).get(0));
             MqttHostStub.Publish a = partner.publish();
@@ -339,7 +339,7 @@
     void oneDestinationByHttpAndMqtt() throws Exception {
         try (MqttHostStub partner = new MqttHostStub(10);
                 HostStub http = new HostStub();
-                Node relay = platform.relay(mqtt("s-1", partner), host("s-2", http.port(), 7, "ready"));
+                RelayProcess relay = platform.relay(mqtt("s-1", partner), host("s-2", http.port(), 7, "ready"));
                 var client = new PlatformStub.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "bill", 7, 16_000).get(0));
             assertEquals(TAKEN, client.post("b", "bill", 7, 16_000).get(0));
--- a/src/test/java/brambletray/relay/mqtt/MqttStatementsTest.java
+++ b/src/test/java/brambletray/relay/mqtt/MqttStatementsTest.java
@@ -3,7 +3,7 @@
 import static brambletray.relay.stub.PlatformStub.host;
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.relay.serve.Node;
+import brambletray.relay.serve.RelayProcess;
 import brambletray.relay.stub.HostStub;
 import brambletray.relay.stub.MqttStub;
 import brambletray.relay.stub.PlatformStub;
@@ -57,18 +57,19 @@
         platform.close();
     }
 
-    private Node relay() throws Exception {
+    private RelayProcess relay() throws Exception {
         Files.writeString(folder.resolve("mqtt.yaml"), "listen: 127.0.0.1:0\n");
         platform.more = "\"mqtt\":\"mqtt.yaml\",";
         platform.openCap = 50;
         return platform.relay(host("s-1", host.port(), 7, "ready"));
     }
 
-    private static MqttStub stub(Node relay) throws InterruptedException {
+    private static MqttStub stub(RelayProcess relay) throws InterruptedException {
         return new MqttStub(relay.mqttAddress(), MqttVersion.MQTT_5);
     }
 
-    private static MqttStub connected(Node relay, String id, MqttProperties properties) throws InterruptedException {
+    private static MqttStub connected(RelayProcess relay, String id, MqttProperties properties)
+            throws InterruptedException {
         MqttStub client = stub(relay).connect(id, false, properties, null, 0, false);
         assertEquals(0, code(client));
         return client;
@@ -104,7 +105,7 @@
     /** 4.4.0-1, 3.3.1-1: what a client did not acknowledge comes again with DUP and its packet id. */
     @Test
     void anAnswerThatWasNotAcknowledgedComesAgainWithDup() throws Exception {
-        try (Node relay = relay()) {
+        try (RelayProcess relay = relay()) {
             int packet;
             try (MqttStub client = connected(relay, "meter", lasting())) {
                 client.subscribe("answers/meter");
@@ -134,7 +135,7 @@
     /** 3.8.4-8: no answer goes out at a higher QoS than the subscription was granted. */
     @Test
     void aSubscriptionOfQos0GetsQos0() throws Exception {
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 MqttStub client = connected(relay, "meter", NONE)) {
             client.subscribe("answers/meter", MqttQoS.AT_MOST_ONCE);
             client.publish("bills/bill/7/a", 1, 1, false, NONE, "x");
@@ -149,7 +150,7 @@
     @Test
     void anAnswerLargerThanTheClientTakesIsNotSent() throws Exception {
         MqttProperties small = told(MqttPropertyType.MAXIMUM_PACKET_SIZE, 100, MqttPropertyType.RECEIVE_MAXIMUM, 5);
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 MqttStub client = connected(relay, "m", small)) {
             client.subscribe("answers/m");
             String longId = "a".repeat(60);
@@ -167,7 +168,7 @@
     @Test
     void theClientsReceiveMaximumIsKept() throws Exception {
         MqttProperties one = told(MqttPropertyType.RECEIVE_MAXIMUM, 1, MqttPropertyType.SESSION_EXPIRY_INTERVAL, 60);
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 MqttStub client = connected(relay, "m", one)) {
             client.subscribe("answers/m");
             for (String id : new String[] {"a", "b"}) {
@@ -204,7 +205,7 @@
         platform.openCap = 1;
         MqttProperties asked =
                 told(MqttPropertyType.REQUEST_PROBLEM_INFORMATION, wanted, MqttPropertyType.RECEIVE_MAXIMUM, 5);
-        try (Node relay = platform.relay(host("s-1", host.port(), 7, "ready"));
+        try (RelayProcess relay = platform.relay(host("s-1", host.port(), 7, "ready"));
                 MqttStub client = connected(relay, "m", asked)) {
             boolean refused = false;
             for (int i = 1; i <= 20 && !refused; i++) {
@@ -228,7 +229,7 @@
     @CsvSource({"retained,0x9A", "shared,0x9E", "identifier,0xA1", "no filter,0x82", "auth,0x82", "null in a topic,0x81"
     })
     void whatIsNotThereIsTurnedAway(String what, String reason) throws Exception {
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 MqttStub client = connected(relay, "m", NONE)) {
             switch (what) {
                 // Raw, for the packets are wrong on purpose.
@@ -275,7 +276,7 @@
     @ParameterizedTest
     @CsvSource({"method,0x8C", "will,0x9A", "receive,0x82", "packet,0x82"})
     void aConnectThatCannotBeServedIsRefused(String what, String reason) throws Exception {
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 MqttStub client = stub(relay)) {
             MqttProperties properties = new MqttProperties();
             switch (what) {
@@ -296,7 +297,7 @@
     /** 1.5.4-2: a null character in a string closes the connection. */
     @Test
     void anIdWithANullCharacterIsNoMqtt() throws Exception {
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 MqttStub client = stub(relay)) {
             client.connect("a\0b", true, NONE, null, 0, false);
             assertTrue(client.closed());
@@ -307,7 +308,7 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aDelayedWillWaitsForItsClient(boolean back) throws Exception {
-        try (Node relay = relay()) {
+        try (RelayProcess relay = relay()) {
             try (MqttStub client = stub(relay).connect("m", false, lasting(), "bills/bill/7/w", 1, false)) {
                 assertEquals(0, code(client));
                 client.reset();
@@ -332,7 +333,7 @@
     /** A client that reads nothing: what waits for it is bounded, then it is closed, and others are served on. */
     @Test
     void aClientThatDoesNotReadIsClosed() throws Exception {
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 MqttStub slow = new MqttStub(relay.mqttAddress(), MqttVersion.MQTT_5, 2_048);
                 MqttStub other = connected(relay, "other", NONE)) {
             slow.connect("slow", true, NONE, null, 0, false);
--- a/src/test/java/brambletray/relay/siblings/SiblingsTest.java
+++ b/src/test/java/brambletray/relay/peers/PeerLinkTest.java
@@ -1,12 +1,12 @@
-package brambletray.relay.siblings;
+package brambletray.relay.peers;
 
 import static org.junit.jupiter.api.Assertions.*;
 
 import brambletray.common.runtime.Machine;
 import brambletray.common.yaml.Faults;
-import brambletray.relay.recovery.Account;
-import brambletray.relay.recovery.Finding;
-import brambletray.relay.recovery.Standing;
+import brambletray.relay.recovery.FolderFinding;
+import brambletray.relay.recovery.StoreFreshness;
+import brambletray.relay.recovery.WitnessReport;
 import brambletray.relay.store.MemoryDisk;
 import brambletray.relay.store.Store;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -28,13 +28,13 @@
 
 /** The link against a witness whose answers the test gives; and its file. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
-class SiblingsTest {
+class PeerLinkTest {
     private static final byte[] KEY = "0123456789abcdef".getBytes();
 
     @TempDir
     Path folder;
 
-    private static Note receive(DatagramSocket witness, NoteCodec codec) throws IOException {
+    private static PeerMessage receive(DatagramSocket witness, PeerMessageCodec codec) throws IOException {
         DatagramPacket packet = new DatagramPacket(new byte[512], 512);
         witness.receive(packet);
         return codec.read(Arrays.copyOf(packet.getData(), packet.getLength()));
@@ -46,8 +46,8 @@
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (DatagramSocket witness = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             witness.setSoTimeout(30_000);
-            NoteCodec codec = new NoteCodec("c", KEY);
-            SiblingsFile file = new SiblingsFile(
+            PeerMessageCodec codec = new PeerMessageCodec("c", KEY);
+            PeersFile file = new PeersFile(
                     "c",
                     "me",
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
@@ -57,31 +57,31 @@
                     30_000,
                     false);
             Store store = Store.open(new MemoryDisk(), new Store.Options(1_000_000, Store.Promise.PROCESS, 1_000));
-            Siblings siblings = new Siblings(Machine.real(group.next()), file, store);
+            PeerLink siblings = new PeerLink(Machine.real(group.next()), file, store);
             siblings.listen().sync();
-            Standing own = new Standing(1, 2, 3);
-            Standing later = new Standing(1, 9, 3);
-            Future<Finding> found = siblings.ask(own, 1_000);
-            Note.Ask ask = (Note.Ask) receive(witness, codec);
-            for (Note note : new Note[] {
-                new Note.Tell("w", ask.nonce() + 1, new Account.Seen(later, 9_000, 1)),
-                new Note.Tell("stranger", ask.nonce(), new Account.Seen(later, 9_000, 1)),
-                new Note.Tell("w", ask.nonce(), new Account.Seen(own, 9_000, 1))
+            StoreFreshness own = new StoreFreshness(1, 2, 3);
+            StoreFreshness later = new StoreFreshness(1, 9, 3);
+            Future<FolderFinding> found = siblings.ask(own, 1_000);
+            PeerMessage.Ask ask = (PeerMessage.Ask) receive(witness, codec);
+            for (PeerMessage note : new PeerMessage[] {
+                new PeerMessage.Tell("w", ask.nonce() + 1, new WitnessReport.Seen(later, 9_000, 1)),
+                new PeerMessage.Tell("stranger", ask.nonce(), new WitnessReport.Seen(later, 9_000, 1)),
+                new PeerMessage.Tell("w", ask.nonce(), new WitnessReport.Seen(own, 9_000, 1))
             }) {
                 byte[] bytes = codec.bytes(note);
                 witness.send(new DatagramPacket(bytes, bytes.length, siblings.address()));
             }
-            assertEquals(new Finding.Continues(), found.get());
+            assertEquals(new FolderFinding.Continues(), found.get());
             // And it answers, of whom it has heard nothing.
-            byte[] asked = codec.bytes(new Note.Ask("w", 77));
+            byte[] asked = codec.bytes(new PeerMessage.Ask("w", 77));
             witness.send(new DatagramPacket(asked, asked.length, siblings.address()));
-            Note told = receive(witness, codec);
-            while (told instanceof Note.Ask) {
+            PeerMessage told = receive(witness, codec);
+            while (told instanceof PeerMessage.Ask) {
                 told = receive(witness, codec);
             }
-            Note.Tell tell = assertInstanceOf(Note.Tell.class, told);
+            PeerMessage.Tell tell = assertInstanceOf(PeerMessage.Tell.class, told);
             assertEquals(77, tell.nonce());
-            assertInstanceOf(Account.Never.class, tell.account());
+            assertInstanceOf(WitnessReport.Never.class, tell.account());
             siblings.close();
         } finally {
             group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
@@ -92,7 +92,7 @@
         Files.write(folder.resolve("key"), KEY);
         Files.write(folder.resolve("short"), new byte[3]);
         Path file = Files.writeString(folder.resolve("s.yaml"), text);
-        return assertThrows(Faults.class, () -> SiblingsFile.read(file)).getMessage();
+        return assertThrows(Faults.class, () -> PeersFile.read(file)).getMessage();
     }
 
     @Test
--- a/src/test/java/brambletray/relay/siblings/NoteCodecTest.java
+++ b/src/test/java/brambletray/relay/peers/PeerMessageCodecTest.java
@@ -1,39 +1,39 @@
-package brambletray.relay.siblings;
+package brambletray.relay.peers;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.relay.recovery.Account;
-import brambletray.relay.recovery.Standing;
+import brambletray.relay.recovery.StoreFreshness;
+import brambletray.relay.recovery.WitnessReport;
 import java.io.IOException;
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class NoteCodecTest {
+class PeerMessageCodecTest {
     private static final byte[] KEY = "0123456789abcdef".getBytes();
-    private static final List<Note> NOTES = List.of(
-            new Note.Beat("r-1", new Standing(-7, 3, 9), 12),
-            new Note.Ask("r-2", -5),
-            new Note.Tell("r-3", 5, new Account.Seen(new Standing(1, 2, 3), 4, 5)),
-            new Note.Tell("r-3", 5, new Account.Never(77)));
-    private final NoteCodec codec = new NoteCodec("north", KEY);
+    private static final List<PeerMessage> NOTES = List.of(
+            new PeerMessage.Beat("r-1", new StoreFreshness(-7, 3, 9), 12),
+            new PeerMessage.Ask("r-2", -5),
+            new PeerMessage.Tell("r-3", 5, new WitnessReport.Seen(new StoreFreshness(1, 2, 3), 4, 5)),
+            new PeerMessage.Tell("r-3", 5, new WitnessReport.Never(77)));
+    private final PeerMessageCodec codec = new PeerMessageCodec("north", KEY);
 
     @Test
     void eachSortComesBackAsItWas() throws IOException {
-        for (Note note : NOTES) {
+        for (PeerMessage note : NOTES) {
             byte[] bytes = codec.bytes(note);
-            assertTrue(bytes.length <= NoteCodec.MOST);
+            assertTrue(bytes.length <= PeerMessageCodec.MOST);
             assertEquals(note, codec.read(bytes));
         }
-        String longest = "x".repeat(NoteCodec.NAME_MOST);
-        Note note = new Note.Tell(longest, 5, new Account.Seen(new Standing(1, 2, 3), 4, 5));
-        assertTrue(new NoteCodec(longest, KEY).bytes(note).length <= NoteCodec.MOST);
+        String longest = "x".repeat(PeerMessageCodec.NAME_MOST);
+        PeerMessage note = new PeerMessage.Tell(longest, 5, new WitnessReport.Seen(new StoreFreshness(1, 2, 3), 4, 5));
+        assertTrue(new PeerMessageCodec(longest, KEY).bytes(note).length <= PeerMessageCodec.MOST);
     }
 
     /** Every bit counts, and so does every byte that is missing. */
     @Test
     void aNoteThatWasChangedIsLeftOut() {
-        for (Note note : NOTES) {
+        for (PeerMessage note : NOTES) {
             byte[] bytes = codec.bytes(note);
             for (int bit = 0; bit < 8 * bytes.length; bit++) {
                 byte[] changed = bytes.clone();
@@ -55,11 +55,11 @@
 
     @Test
     void anotherClusterOrAnotherKeyIsNamed() {
-        byte[] bytes = new NoteCodec("south", KEY).bytes(NOTES.get(0));
+        byte[] bytes = new PeerMessageCodec("south", KEY).bytes(NOTES.get(0));
         assertEquals(
                 "a note of cluster 'south', this is 'north'",
                 assertThrows(IOException.class, () -> codec.read(bytes)).getMessage());
-        byte[] forged = new NoteCodec("north", "fedcba9876543210".getBytes()).bytes(NOTES.get(0));
+        byte[] forged = new PeerMessageCodec("north", "fedcba9876543210".getBytes()).bytes(NOTES.get(0));
         assertEquals(
                 "a note whose keyed hash does not fit",
                 assertThrows(IOException.class, () -> codec.read(forged)).getMessage());
--- a/src/test/java/brambletray/relay/siblings/SightingsSimTest.java
+++ b/src/test/java/brambletray/relay/peers/PeerObservationsTest.java
@@ -1,11 +1,11 @@
-package brambletray.relay.siblings;
+package brambletray.relay.peers;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.relay.recovery.Account;
-import brambletray.relay.recovery.Asking;
-import brambletray.relay.recovery.Finding;
-import brambletray.relay.recovery.Standing;
+import brambletray.relay.recovery.FolderFinding;
+import brambletray.relay.recovery.GenerationInquiry;
+import brambletray.relay.recovery.StoreFreshness;
+import brambletray.relay.recovery.WitnessReport;
 import brambletray.relay.store.MemoryDisk;
 import brambletray.relay.store.Store;
 import java.io.IOException;
@@ -24,7 +24,7 @@
  * an older copy or on none; witnesses are killed with what they have noted, lose their folder, are stopped;
  * notes are lost, late, doubled and out of order. All times in ms.
  */
-class SightingsSimTest {
+class PeerObservationsTest {
     private static final int SEEDS = 3_000;
     private static final long BEAT = 250;
     private static final long LONGEST = 16_000;
@@ -36,12 +36,12 @@
     private static final class Witness {
         MemoryDisk disk = new MemoryDisk();
         Store store;
-        Sightings sightings;
+        PeerObservations sightings;
         boolean up;
         boolean stopped;
         boolean cut;
         /** What it was handed, as told by nobody but this test. */
-        Standing handed;
+        StoreFreshness handed;
 
         final List<Runnable> waiting = new ArrayList<>();
     }
@@ -54,8 +54,8 @@
     private long order;
     private int loss;
 
-    private static SightingsSimTest of(int seed) {
-        SightingsSimTest sim = new SightingsSimTest();
+    private static PeerObservationsTest of(int seed) {
+        PeerObservationsTest sim = new PeerObservationsTest();
         sim.random = new SplittableRandom(seed);
         return sim;
     }
@@ -79,7 +79,7 @@
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
-        w.sightings = new Sightings(w.store, List.of("other", "r"), now);
+        w.sightings = new PeerObservations(w.store, List.of("other", "r"), now);
         Store mine = w.store;
         w.sightings.keep(mine, () -> {
             try {
@@ -113,10 +113,10 @@
         }
     }
 
-    private void live(Standing from, long commits, long span) {
+    private void live(StoreFreshness from, long commits, long span) {
         long beats = 0;
         for (long t = 0; t <= span; t += BEAT) {
-            Standing standing = new Standing(from.store(), from.life(), from.at() + commits * t / span);
+            StoreFreshness standing = new StoreFreshness(from.store(), from.life(), from.at() + commits * t / span);
             long beat = ++beats;
             at(now + t, () -> {
                 for (Witness w : witnesses) {
@@ -130,14 +130,15 @@
     }
 
     private final class Question {
-        final Asking asking;
-        Finding found;
+        final GenerationInquiry asking;
+        FolderFinding found;
         long ended;
         /** Furthest account that got through. */
-        Standing told;
+        StoreFreshness told;
 
-        Question(Standing own) {
-            asking = new Asking(own, witnesses.size(), new Asking.Terms(PATIENCE, BEAT, LONGEST), now);
+        Question(StoreFreshness own) {
+            asking = new GenerationInquiry(
+                    own, witnesses.size(), new GenerationInquiry.Terms(PATIENCE, BEAT, LONGEST), now);
             long began = now;
             for (long t = 0; t <= PATIENCE; t += 100) {
                 at(began + t, () -> {
@@ -146,9 +147,9 @@
                         int who = i;
                         Witness w = witnesses.get(i);
                         carry(w, () -> {
-                            Account account = w.sightings.of("r", now);
+                            WitnessReport account = w.sightings.of("r", now);
                             carry(w, () -> {
-                                if (found == null && account instanceof Account.Seen s) {
+                                if (found == null && account instanceof WitnessReport.Seen s) {
                                     told = told == null || told.behind(s.last()) ? s.last() : told;
                                 }
                                 found(asking.told(now, who, account));
@@ -159,7 +160,7 @@
             }
         }
 
-        private void found(Finding finding) {
+        private void found(FolderFinding finding) {
             if (found == null && finding != null) {
                 found = finding;
                 ended = now;
@@ -182,16 +183,16 @@
             up(witnesses.get(i));
         }
         now = 100_000;
-        List<Standing> folder = new ArrayList<>();
+        List<StoreFreshness> folder = new ArrayList<>();
         int lives = 1 + random.nextInt(3);
         long at = 0;
         for (int life = 1; life <= lives; life++) {
             long commits = 1 + random.nextInt(200);
-            Standing from = new Standing(42, life, at + 1);
+            StoreFreshness from = new StoreFreshness(42, life, at + 1);
             folder.add(from);
             live(from, commits, 1_000 + random.nextInt(3_000));
             at += 1 + commits;
-            folder.add(new Standing(42, life, at));
+            folder.add(new StoreFreshness(42, life, at));
             runUntil(now + 4_500 + random.nextInt(2_000));
             for (Witness w : witnesses) {
                 switch (random.nextInt(12)) {
@@ -226,22 +227,23 @@
         }
         Folder kind = Folder.values()[random.nextInt(3)];
         stories.merge(kind, 1, Integer::sum);
-        Standing newest = folder.get(folder.size() - 1);
-        Standing own = kind == Folder.EMPTY
+        StoreFreshness newest = folder.get(folder.size() - 1);
+        StoreFreshness own = kind == Folder.EMPTY
                 ? null
                 : kind == Folder.KEPT ? newest : folder.get(random.nextInt(folder.size() - 1));
         boolean stale = own == null || own.behind(newest);
         Question q = new Question(own);
         runUntil(now + PATIENCE + 1);
         assertNotNull(q.found, "within its patience");
-        boolean trusts = q.found instanceof Finding.First || q.found instanceof Finding.Continues;
+        boolean trusts = q.found instanceof FolderFinding.First || q.found instanceof FolderFinding.Continues;
         if (trusts && q.told != null) {
             assertFalse(own == null || own.behind(q.told), "believed, though told of " + q.told + ": " + q.found);
         }
-        assertFalse(q.found instanceof Finding.First, "it has lived");
-        assertFalse(q.found instanceof Finding.Twin, "late notes of a life that is over");
+        assertFalse(q.found instanceof FolderFinding.First, "it has lived");
+        assertFalse(q.found instanceof FolderFinding.Twin, "late notes of a life that is over");
         if (!stale) {
-            assertFalse(q.found instanceof Finding.RolledBack || q.found instanceof Finding.Lost, "" + q.found);
+            assertFalse(
+                    q.found instanceof FolderFinding.RolledBack || q.found instanceof FolderFinding.Lost, "" + q.found);
         }
         if (q.told != null && q.asking.nextLife() <= q.told.life()) {
             fail("life " + q.asking.nextLife() + " after " + q.told);
@@ -275,18 +277,19 @@
     @Test
     void whatWasHeardOutlastsTheWitness() {
         for (int seed = 0; seed < 200; seed++) {
-            SightingsSimTest sim = of(seed);
+            PeerObservationsTest sim = of(seed);
             Witness w = new Witness();
             sim.witnesses.add(w);
             sim.up(w);
-            sim.live(new Standing(42, 5, 0), 4_000, 4_000);
+            sim.live(new StoreFreshness(42, 5, 0), 4_000, 4_000);
             sim.runUntil(200 + sim.random.nextInt(6_000));
             long reached = Math.min(4_000, sim.now);
             sim.kill(w, false);
             sim.up(w);
-            Account.Seen seen = assertInstanceOf(Account.Seen.class, w.sightings.of("r", sim.now + 70));
+            WitnessReport.Seen seen = assertInstanceOf(WitnessReport.Seen.class, w.sightings.of("r", sim.now + 70));
             assertEquals(5, seen.last().life());
-            assertTrue(seen.last().at() >= reached - Sightings.NOTE_EVERY - 2 * BEAT - 400, reached + ": " + seen);
+            assertTrue(
+                    seen.last().at() >= reached - PeerObservations.NOTE_EVERY - 2 * BEAT - 400, reached + ": " + seen);
             assertEquals(70, seen.age(), "no longer ago than this life of the witness");
         }
     }
--- a/src/test/java/brambletray/relay/serve/ConsoleTest.java
+++ b/src/test/java/brambletray/relay/serve/ConsoleTest.java
@@ -48,18 +48,18 @@
         platform.close();
     }
 
-    private Node relay() throws Exception {
+    private RelayProcess relay() throws Exception {
         return platform.relay(host("s-1", one.port(), 7, "ready"), host("s-2", other.port(), 7, "ready"));
     }
 
-    private static Socket connect(Node relay) throws IOException {
+    private static Socket connect(RelayProcess relay) throws IOException {
         Socket socket = new Socket(PlatformStub.LOOPBACK, relay.consoleAddress().getPort());
         socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PlatformStub.PATIENCE_S));
         return socket;
     }
 
     /** The whole answer to a call: what comes until the relay closes. */
-    static String call(Node relay, String line) throws IOException {
+    static String call(RelayProcess relay, String line) throws IOException {
         try (Socket socket = connect(relay)) {
             socket.getOutputStream()
                     .write((line + " HTTP/1.1\r\nHost: operators\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
@@ -71,7 +71,7 @@
         assertTrue(answer.startsWith("HTTP/1.1 " + status + " "), answer);
     }
 
-    private static Map<String, Long> figures(Node relay) throws IOException {
+    private static Map<String, Long> figures(RelayProcess relay) throws IOException {
         Map<String, Long> figures = new HashMap<>();
         call(relay, "GET /status/metrics")
                 .lines()
@@ -82,7 +82,7 @@
         return figures;
     }
 
-    private static void awaitIdle(Node relay) throws Exception {
+    private static void awaitIdle(RelayProcess relay) throws Exception {
         while (!relay.idle()) {
             Thread.onSpinWait();
         }
@@ -91,7 +91,7 @@
     /** Guards the sum: whatever becomes of a message, it is counted once, and what was never taken on too. */
     @Test
     void figuresAddUpOverEachWayInWhichAMessageEnds() throws Exception {
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 var client = new PlatformStub.Client(relay)) {
             assertEquals(TAKEN, client.post("delivered", "bill", 7, 16_000).get(0));
             HostStub.Call call = nextCall();
@@ -135,7 +135,7 @@
     /** Guards the rule on drains: a host taken out gets nothing new, over a list that names it, and a restart. */
     @Test
     void aHostTakenOutStaysOutUntilItIsPutBack() throws Exception {
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 var client = new PlatformStub.Client(relay)) {
             assertSays(404, call(relay, "POST /maintenance/enter/s-9"));
             assertSays(200, call(relay, "POST /maintenance/enter/s-1"));
@@ -152,7 +152,7 @@
             awaitIdle(relay);
             assertTrue(one.quiet());
         }
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 var client = new PlatformStub.Client(relay)) {
             assertEquals(1, figures(relay).get("hosts_excluded"));
             for (int i = 0; i < 3; i++) {
@@ -172,7 +172,7 @@
 
     @Test
     void aDrainedRelaySendsItsClientsAwayAndComesBack() throws Exception {
-        try (Node relay = relay()) {
+        try (RelayProcess relay = relay()) {
             try (var idle = new PlatformStub.Client(relay);
                     var client = new PlatformStub.Client(relay)) {
                 assertEquals(
@@ -211,7 +211,7 @@
     @Test
     void silentCallersKeepNobodyOut() throws Exception {
         List<Socket> silent = new ArrayList<>();
-        try (Node relay = relay()) {
+        try (RelayProcess relay = relay()) {
             for (int i = 0; i < 100; i++) {
                 Socket socket = connect(relay);
                 silent.add(socket);
@@ -237,7 +237,7 @@
 
     @Test
     void whatIsNoCallIsToldSoAndTouchesNothing() throws Exception {
-        try (Node relay = relay()) {
+        try (RelayProcess relay = relay()) {
             assertSays(405, call(relay, "GET /standby"));
             assertSays(404, call(relay, "GET /bill"));
             assertSays(400, call(relay, "POST /maintenance/enter/" + "x".repeat(10_000)));
--- a/src/test/java/brambletray/relay/serve/HandoverTest.java
+++ b/src/test/java/brambletray/relay/serve/HandoverTest.java
@@ -48,37 +48,37 @@
         return platform.configure(platform, host("s-1", host.port(), 7, "ready"));
     }
 
-    private Node first() throws Exception {
-        return new Node(Config.read(configured()));
+    private RelayProcess first() throws Exception {
+        return new RelayProcess(Config.read(configured()));
     }
 
     /** A process that is to take the place of another. */
-    private Node second(Node first) throws Exception {
+    private RelayProcess second(RelayProcess first) throws Exception {
         Map<String, String> env = new HashMap<>(configured());
         env.put("EDGE_LISTEN", "127.0.0.1:" + first.address().getPort());
-        return new Node(Config.read(env));
+        return new RelayProcess(Config.read(env));
     }
 
-    private static Thread leaving(Node node) {
+    private static Thread leaving(RelayProcess node) {
         Thread thread = new Thread(node::leave);
         thread.start();
         return thread;
     }
 
-    private static void awaitIdle(Node relay) throws Exception {
+    private static void awaitIdle(RelayProcess relay) throws Exception {
         while (!relay.idle()) {
             Thread.onSpinWait();
         }
     }
 
-    private static void awaitOwner(Node relay) throws Exception {
+    private static void awaitOwner(RelayProcess relay) throws Exception {
         while (!relay.owns()) {
             Thread.onSpinWait();
         }
     }
 
     /** A client of one process among two that share an address: the system deals connections out. */
-    private static PlatformStub.Client clientOf(Node node) throws Exception {
+    private static PlatformStub.Client clientOf(RelayProcess node) throws Exception {
         while (true) {
             int before = node.clients();
             PlatformStub.Client client = new PlatformStub.Client(node);
@@ -93,12 +93,12 @@
     /** What is out stays with the process that sent it, and ends where the message has gone. */
     @Test
     void aMessageThatIsOutIsHandedOnAndNotSentTwice() throws Exception {
-        try (Node one = first();
+        try (RelayProcess one = first();
                 var client = new PlatformStub.Client(one)) {
             assertEquals(TAKEN, client.post("a", "bill", 7, 16_000).get(0));
             HostStub.Call out = host.call();
             assertEquals(TAKEN, client.post("unsafe", "pay", 7, 16_000).get(0));
-            try (Node two = second(one)) {
+            try (RelayProcess two = second(one)) {
                 assertFalse(two.owns());
                 Thread end = leaving(one);
                 awaitOwner(two);
@@ -117,8 +117,8 @@
     /** Both serve: what is handed in at the one that does not own goes through the other, either way round. */
     @Test
     void clientsOfBothAreServedThroughTheOneThatOwns() throws Exception {
-        try (Node one = first();
-                Node two = second(one)) {
+        try (RelayProcess one = first();
+                RelayProcess two = second(one)) {
             try (var there = clientOf(two);
                     var here = clientOf(one)) {
                 assertEquals(TAKEN, there.post("a", "bill", 7, 16_000).get(0));
@@ -146,7 +146,7 @@
     void bansAndWaitsOutlastTheProcess() throws Exception {
         try (HostStub other = new HostStub()) {
             String[] hosts = {host("s-1", host.port(), 7, "ready"), host("s-2", other.port(), 8, "ready")};
-            Node one = new Node(Config.read(platform.configure(platform, hosts)));
+            RelayProcess one = new RelayProcess(Config.read(platform.configure(platform, hosts)));
             try (var client = new PlatformStub.Client(one)) {
                 assertEquals(TAKEN, client.post("told", "bill", 7, 16_000).get(0));
                 host.call().answer("HTTP/1.1 429 x\r\nRetry-After: 2.2\r\nContent-Length: 0\r\n\r\n");
@@ -155,7 +155,7 @@
                 assertEquals(TAKEN, client.post("banned", "bill", 8, 16_000).get(0));
                 Map<String, String> env = new HashMap<>(platform.configure(platform, hosts));
                 env.put("EDGE_LISTEN", "127.0.0.1:" + one.address().getPort());
-                Node two = new Node(Config.read(env));
+                RelayProcess two = new RelayProcess(Config.read(env));
                 // A call to the one that does not own is carried out by the one that does.
                 assertTrue(ConsoleTest.call(two, "POST /maintenance/enter/s-9").startsWith("HTTP/1.1 404"));
                 Thread end = leaving(one);
@@ -179,11 +179,11 @@
     /** The new process is gone before it was asked to take over: nothing has been. */
     @Test
     void whereTheNewProcessDiesTheOldOneServesOn() throws Exception {
-        try (Node one = first();
+        try (RelayProcess one = first();
                 var client = new PlatformStub.Client(one)) {
             assertEquals(TAKEN, client.post("a", "bill", 7, 16_000).get(0));
             HostStub.Call out = host.call();
-            Node two = second(one);
+            RelayProcess two = second(one);
             two.close();
             assertTrue(one.owns());
             out.answer(HostStub.OK);
@@ -191,7 +191,7 @@
             host.call().answer(HostStub.OK);
             awaitIdle(one);
             // And there is a place for another one.
-            Node three = second(one);
+            RelayProcess three = second(one);
             three.close();
         }
     }
@@ -199,8 +199,8 @@
     /** The old one is killed with no word: the one beside it takes up what the journal holds, once. */
     @Test
     void whereTheOldProcessDiesTheNewOneTakesUpItsJournal() throws Exception {
-        Node one = first();
-        try (Node two = second(one)) {
+        RelayProcess one = first();
+        try (RelayProcess two = second(one)) {
             try (var client = clientOf(one)) {
                 assertEquals(TAKEN, client.post("out", "pay", 7, 16_000).get(0));
                 host.call();
@@ -221,15 +221,15 @@
 
     @Test
     void twiceInARowAndNoThirdWhileTwoRun() throws Exception {
-        Node one = first();
-        Node two = second(one);
+        RelayProcess one = first();
+        RelayProcess two = second(one);
         ExecutionException fault = assertThrows(ExecutionException.class, () -> second(one));
         assertTrue(
                 fault.getCause().getMessage().contains("already"),
                 fault.getCause().getMessage());
         leaving(one).join();
         awaitOwner(two);
-        Node three = second(two);
+        RelayProcess three = second(two);
         leaving(two).join();
         awaitOwner(three);
         try (var client = new PlatformStub.Client(three)) {
@@ -243,12 +243,12 @@
     /** Other settings: the module's memory means nothing there, and the new one starts with care. */
     @Test
     void underOtherSettingsTheNewProcessStartsWithCare() throws Exception {
-        Node one = first();
+        RelayProcess one = first();
         try (var client = new PlatformStub.Client(one)) {
             assertEquals(TAKEN, client.post("a", "bill", 7, 16_000).get(0));
             host.call();
             platform.slots = 3;
-            try (Node two = second(one)) {
+            try (RelayProcess two = second(one)) {
                 Thread end = leaving(one);
                 awaitOwner(two);
                 // Keyed, inside its window: sent again by the one that owns.
@@ -264,9 +264,9 @@
     /** A drain is the relay's, whichever process was told. */
     @Test
     void aDrainOutlastsTheProcess() throws Exception {
-        Node one = first();
+        RelayProcess one = first();
         assertTrue(ConsoleTest.call(one, "POST /standby").startsWith("HTTP/1.1 200"));
-        try (Node two = second(one)) {
+        try (RelayProcess two = second(one)) {
             assertTrue(ConsoleTest.call(two, "GET /status").startsWith("HTTP/1.1 200"));
             leaving(one).join();
             awaitOwner(two);
@@ -289,8 +289,8 @@
     /** Discovery is followed by both: a host that drains while they change places gets nothing new. */
     @Test
     void whatTheListTellsWhileTwoRunBindsTheOneThatFollows() throws Exception {
-        Node one = first();
-        try (Node two = second(one)) {
+        RelayProcess one = first();
+        try (RelayProcess two = second(one)) {
             platform.watch();
             platform.watch();
             for (int i = 0; i < 2; i++) {
--- a/src/test/java/brambletray/relay/serve/NodeTest.java
+++ b/src/test/java/brambletray/relay/serve/RelayProcessTest.java
@@ -24,7 +24,7 @@
 
 /** The whole relay over loopback sockets: one test for each way in which it could go wrong. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
-class NodeTest {
+class RelayProcessTest {
     private static final String TAKEN = "HTTP/1.1 202 Accepted";
 
     @TempDir
@@ -45,11 +45,11 @@
         platform.close();
     }
 
-    private Node relay() throws Exception {
+    private RelayProcess relay() throws Exception {
         return platform.relay(host("s-1", host.port(), 7, "ready"));
     }
 
-    private void awaitClosedJournal(Node relay) throws Exception {
+    private void awaitClosedJournal(RelayProcess relay) throws Exception {
         while (!relay.idle()) {
             Thread.sleep(5);
         }
@@ -57,7 +57,7 @@
 
     @Test
     void aMessageGoesOnUnchangedOverAKeptConnection() throws Exception {
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 var client = new PlatformStub.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "bill", 7, 16_000).get(0));
             HostStub.Call first = host.call();
@@ -76,7 +76,7 @@
 
     @Test
     void healthIsToldAndBadRequestsAreTurnedAwayAndNotWrittenDown() throws Exception {
-        try (Node relay = relay()) {
+        try (RelayProcess relay = relay()) {
             long before = Files.size(platform.journal());
             List<String> good = PlatformStub.Client.headers("x", "bill", 7, 900);
             try (var client = new PlatformStub.Client(relay)) {
@@ -117,7 +117,7 @@
      */
     @Test
     void connectionsThatBreakAreNotHeldAgainstTheirHost() throws Exception {
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 var client = new PlatformStub.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "bill", 7, 16_000).get(0));
             host.call().answer(HostStub.OK);
@@ -150,7 +150,7 @@
      */
     @Test
     void aMessageThatTimesOutIsNotHeldAgainstItsHost() throws Exception {
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 var client = new PlatformStub.Client(relay)) {
             for (String id : List.of("a", "b")) {
                 assertEquals(TAKEN, client.post(id, "bill", 7, 16_000).get(0));
@@ -179,7 +179,7 @@
     void aMessageWithLittleTimeGoesBeforeThoseThatCanWait() throws Exception {
         // Of two that go out at once, on connections of their own, either may come first.
         platform.slots = 1;
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 var client = new PlatformStub.Client(relay)) {
             assertEquals(TAKEN, client.post("first", "bill", 7, 16_000).get(0));
             HostStub.Call first = host.call();
@@ -200,7 +200,7 @@
         platform.bundle = 3;
         platform.slots = 1;
         platform.openCap = 10;
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 var client = new PlatformStub.Client(relay)) {
             assertEquals(TAKEN, client.post("first", "bill", 7, 16_000).get(0));
             HostStub.Call first = host.call();
@@ -232,7 +232,7 @@
     @Test
     void callsHaveLessTimeWhileSlotsAreScarceAndCallsAreLost() throws Exception {
         platform.slots = 1;
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 var client = new PlatformStub.Client(relay)) {
             long least = Long.MAX_VALUE;
             // The first eight make the usual time known; of the others each first call is lost.
@@ -252,7 +252,8 @@
     void aMessageThatTheJournalCannotTakeCostsNoSlot() throws Exception {
         platform.openCap = 100;
         String body = "x".repeat(64 * 1024);
-        try (Node relay = platform.relay(host("s-1", host.port(), 7, "ready"), host("s-2", host.port(), 8, "ready"));
+        try (RelayProcess relay =
+                        platform.relay(host("s-1", host.port(), 7, "ready"), host("s-2", host.port(), 8, "ready"));
                 var client = new PlatformStub.Client(relay)) {
             int held = 0;
             while (client.post("/bill", PlatformStub.Client.headers("a" + held, "bill", 7, 16_000), body)
@@ -285,7 +286,7 @@
     /** Guards the cap on messages held: the client is told to come back, not left waiting. */
     @Test
     void aboveTheOpenCapAMessageIsRefusedWithATimeToComeBack() throws Exception {
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 var client = new PlatformStub.Client(relay)) {
             // The module gives back one that it may when the cap is reached, so unsafe ones that are out hold it.
             int taken = 0;
@@ -304,7 +305,7 @@
     void aMessageThatIsGivenUpEndsByANoticeThatIsRepeatedUntilItIsAcknowledged() throws Exception {
         platform.noticeStatuses.add(500);
         platform.noticeStatuses.add(503);
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 var client = new PlatformStub.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "bill", 7, 300).get(0));
             assertNotNull(host.call());
@@ -323,12 +324,12 @@
     @Test
     void aKeyedMessageThatWasOutIsSentAgainAfterARestart() throws Exception {
         HostStub.Call before;
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 var client = new PlatformStub.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "bill", 7, 16_000).get(0));
             before = host.call();
         }
-        try (Node relay = relay()) {
+        try (RelayProcess relay = relay()) {
             HostStub.Call after = host.call();
             assertEquals("a", after.header("X-Request-ID"));
             assertEquals("key-a", after.header("Idempotency-Key"));
@@ -342,12 +343,12 @@
     /** Guards against double effects: an unsafe call that was out at the kill may have run. */
     @Test
     void anUnsafeMessageThatWasOutIsGivenUpAfterARestart() throws Exception {
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 var client = new PlatformStub.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "pay", 7, 16_000).get(0));
             assertNotNull(host.call());
         }
-        try (Node relay = relay()) {
+        try (RelayProcess relay = relay()) {
             assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.notice());
             awaitClosedJournal(relay);
             assertTrue(host.quiet());
@@ -358,7 +359,7 @@
     @Test
     void anUnsafeMessageThatNeverRanIsSentAfterARestart() throws Exception {
         long told;
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 var client = new PlatformStub.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "pay", 7, 60_000).get(0));
             long before = Files.size(platform.journal());
@@ -368,7 +369,7 @@
                 Thread.sleep(5);
             }
         }
-        try (Node relay = relay()) {
+        try (RelayProcess relay = relay()) {
             assertEquals("a", host.call().header("X-Request-ID"));
             assertTrue(System.nanoTime() - told >= 5_500_000_000L, "the wait binds the next life");
         }
@@ -376,13 +377,13 @@
 
     @Test
     void aMessageWhoseTimePassedWhileTheRelayWasDownStillGetsItsNotice() throws Exception {
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 var client = new PlatformStub.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "bill", 7, 400).get(0));
             assertNotNull(host.call());
         }
         Thread.sleep(400);
-        try (Node relay = relay()) {
+        try (RelayProcess relay = relay()) {
             assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.notice());
         }
     }
@@ -391,7 +392,7 @@
     @Test
     void aDrainingHostGetsNothingNewAndItsReplacementDoes() throws Exception {
         try (HostStub other = new HostStub();
-                Node relay = relay();
+                RelayProcess relay = relay();
                 var client = new PlatformStub.Client(relay)) {
             platform.changes.add(
                     list(2, false, host("s-1", host.port(), 7, "draining"), host("s-2", other.port(), 7, "ready")));
@@ -413,7 +414,7 @@
     @Test
     void theWatchGoesOnAfterAListThatCannotBeRead() throws Exception {
         try (HostStub other = new HostStub();
-                Node relay = relay();
+                RelayProcess relay = relay();
                 var client = new PlatformStub.Client(relay)) {
             platform.changes.add("{\"seq\":2,\"whole\":true,\"hosts\":[{}]}");
             platform.changes.add("nonsense");
@@ -430,7 +431,7 @@
     /** Guards the orderly end: clients are answered and turned away, and what is out is finished first. */
     @Test
     void atTheOrderlyEndClientsAreServedAndCallsFinished() throws Exception {
-        Node relay = relay();
+        RelayProcess relay = relay();
         try (var client = new PlatformStub.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "bill", 7, 16_000).get(0));
             Thread end = new Thread(relay::leave);
@@ -463,6 +464,6 @@
                 () -> Config.read(Map.of("EDGE_CONFIG", file.toString(), "EDGE_STATE", folder.toString())));
         assertEquals(1, fault.getMessage().lines().count());
         assertThrows(Wire.Malformed.class, () -> Addresses.parse("localhost:80"));
-        assertEquals(2, Node.serve(Map.of()));
+        assertEquals(2, RelayProcess.serve(Map.of()));
     }
 }
--- a/src/test/java/brambletray/relay/serve/ReloadTest.java
+++ b/src/test/java/brambletray/relay/serve/ReloadTest.java
@@ -44,7 +44,7 @@
     @Test
     void theWatchGoesToTheNewAddressAtOnceAndAsksForTheWholeList() throws Exception {
         try (HostStub host = new HostStub();
-                Node relay = old.relay();
+                RelayProcess relay = old.relay();
                 var client = new PlatformStub.Client(relay)) {
             assertEquals("/v1/servers?after=1&wait_ms=20000", old.watch());
             relay.reload(old.configure(next));
@@ -66,7 +66,7 @@
             old.noticeStatuses.add(503);
         }
         try (HostStub host = new HostStub();
-                Node relay = old.relay(host("s-1", host.port(), 7, "ready"));
+                RelayProcess relay = old.relay(host("s-1", host.port(), 7, "ready"));
                 var client = new PlatformStub.Client(relay)) {
             client.post("a", "bill", 7, 300);
             assertNotNull(old.notice());
@@ -78,7 +78,7 @@
     /** Guards the relay against a file that cannot be used: what it had goes on. */
     @Test
     void anUnusableFileChangesNothing() throws Exception {
-        try (Node relay = old.relay()) {
+        try (RelayProcess relay = old.relay()) {
             assertNotNull(old.watch());
             Map<String, String> env = old.configure(next);
             String good = Files.readString(Path.of(env.get("EDGE_CONFIG")));
--- a/src/test/java/brambletray/relay/serve/ServerTest.java
+++ b/src/test/java/brambletray/relay/serve/ServerTest.java
@@ -48,7 +48,7 @@
         platform.close();
     }
 
-    private Node relay() throws Exception {
+    private RelayProcess relay() throws Exception {
         return platform.relay(host("s-1", host.port(), 7, "ready"));
     }
 
@@ -65,7 +65,7 @@
                 "Content-Length: 99999999999999999999"
             })
     void aRequestWhoseLengthIsInDoubtIsTurnedAwayAndNothingBehindItServed(String length) throws Exception {
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 var client = new PlatformStub.Client(relay)) {
             String hidden = GOOD + "Content-Length: 0\r\n\r\n";
             List<String> answer = client.raw(GOOD + length + "\r\n\r\n", ("0\r\n\r\n" + hidden).getBytes());
@@ -79,7 +79,7 @@
     /** Guards against a stranger who takes back what another client handed in, by its id and a broken connection. */
     @Test
     void onlyTheRequestThatTookAMessageOnCanWithdrawIt() throws Exception {
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 var client = new PlatformStub.Client(relay)) {
             assertEquals(
                     "HTTP/1.1 202 Accepted", client.post("a", "bill", 7, 16_000).get(0));
@@ -113,7 +113,7 @@
                 "POST /bill HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"
             })
     void aConnectionWithoutAWholeRequestIsEndedAlsoIfMoreOfItTricklesIn(String start) throws Exception {
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 Socket socket =
                         new Socket(PlatformStub.LOOPBACK, relay.address().getPort())) {
             socket.getOutputStream().write(start.getBytes());
@@ -138,13 +138,13 @@
     /** Guards the answer: a body too large is neither read to its end nor does its rest reset the answer away. */
     @Test
     void aHugeBodyIsAnsweredAtOnceAndTheConnectionEnded() throws Exception {
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 var client = new PlatformStub.Client(relay)) {
             List<String> answer = client.raw(GOOD + "Content-Length: 60000000\r\n\r\n", new byte[100_000]);
             assertTrue(answer.get(0).startsWith("HTTP/1.1 413"), answer.get(0));
             assertTrue(client.closed());
         }
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 var client = new PlatformStub.Client(relay)) {
             byte[] chunk = ("10000\r\n" + "x".repeat(65_536) + "\r\n").getBytes();
             assertTrue(client.raw(
@@ -159,7 +159,7 @@
     /** Clients send one request at a time: of a heap of them none is taken on, and memory does not grow with it. */
     @Test
     void manyRequestsAtOnceAreTurnedAway() throws Exception {
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 var client = new PlatformStub.Client(relay)) {
             String one = GOOD + "Content-Length: 0\r\n\r\n";
             assertTrue(client.raw(one.repeat(300), NONE).get(0).startsWith("HTTP/1.1 400"));
@@ -172,7 +172,7 @@
     @Test
     void aSilentCrowdDoesNotShutClientsOut() throws Exception {
         List<Socket> crowd = new ArrayList<>();
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 var client = new PlatformStub.Client(relay)) {
             assertEquals(
                     "HTTP/1.1 202 Accepted", client.post("a", "bill", 7, 16_000).get(0));
@@ -198,7 +198,7 @@
     /** A request may be read as late as its client waits for an answer (400 ms); its notice must still be in time. */
     @Test
     void theNoticeComesBeforeTheTimeIsUp() throws Exception {
-        try (Node relay = platform.relay(host("s-1", host.port(), 7, "draining"));
+        try (RelayProcess relay = platform.relay(host("s-1", host.port(), 7, "draining"));
                 var client = new PlatformStub.Client(relay)) {
             long sent = System.nanoTime();
             assertEquals(
@@ -211,7 +211,7 @@
     /** Guards the module's slots (8 here): each client that resets as it is answered would hold one for good. */
     @Test
     void clientsThatResetDoNotUseUpTheSlots() throws Exception {
-        try (Node relay = relay();
+        try (RelayProcess relay = relay();
                 var client = new PlatformStub.Client(relay)) {
             for (int i = 0; i < 40; i++) {
                 new PlatformStub.Client(relay)
--- a/src/test/java/brambletray/relay/stage/InventoryNightTest.java
+++ b/src/test/java/brambletray/relay/stage/InventoryNightTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.*;
 
 import brambletray.common.runtime.Machine;
-import brambletray.relay.core.Ends;
-import brambletray.relay.core.Loop;
+import brambletray.relay.core.CompletionListener;
+import brambletray.relay.core.EventDispatcher;
 import brambletray.relay.core.Platform;
 import brambletray.relay.emulator.Endpoint;
 import brambletray.relay.emulator.Ledger;
@@ -15,7 +15,7 @@
 import brambletray.relay.membership.HostList;
 import brambletray.relay.script.Script;
 import brambletray.relay.script.ScriptReader;
-import brambletray.relay.serve.Instance;
+import brambletray.relay.serve.RelayInstance;
 import brambletray.relay.standalone.StandaloneRelay;
 import brambletray.relay.store.Store;
 import java.net.InetSocketAddress;
@@ -158,9 +158,9 @@
     }
 
     /** The relay's own surroundings; what the platform would be told goes to the clients. */
-    private record Told(Instance.Surroundings inner, SimStage[] stage) implements Instance.Surroundings {
+    private record Told(RelayInstance.Surroundings inner, SimStage[] stage) implements RelayInstance.Surroundings {
         @Override
-        public Platform platform(Machine machine, HostList hosts, Loop loop, Store store) {
+        public Platform platform(Machine machine, HostList hosts, EventDispatcher loop, Store store) {
             Platform platform = inner.platform(machine, hosts, loop, store);
             return new Platform() {
                 @Override
@@ -188,7 +188,7 @@
         }
 
         @Override
-        public Ends ends(Machine machine, Loop loop, Store store, Ends mqtt) {
+        public CompletionListener ends(Machine machine, EventDispatcher loop, Store store, CompletionListener mqtt) {
             return inner.ends(machine, loop, store, mqtt);
         }
 
--- a/src/test/java/brambletray/relay/standalone/StandaloneTest.java
+++ b/src/test/java/brambletray/relay/standalone/StandaloneTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import brambletray.relay.serve.Node;
+import brambletray.relay.serve.RelayProcess;
 import brambletray.relay.stub.HostStub;
 import brambletray.relay.stub.PlatformStub;
 import com.sun.net.httpserver.HttpServer;
@@ -63,7 +63,7 @@
         return name + ",127.0.0.1," + host.port() + "," + destination + ",50\n";
     }
 
-    private String get(Node relay, String id) throws Exception {
+    private String get(RelayProcess relay, String id) throws Exception {
         HttpResponse<String> answer = http.send(
                 HttpRequest.newBuilder(
                                 URI.create("http://127.0.0.1:" + relay.address().getPort() + "/v1/messages/" + id))
@@ -72,7 +72,7 @@
         return answer.statusCode() == 200 ? answer.body() : "" + answer.statusCode();
     }
 
-    private int post(Node relay, String id, String messageClass, int destination) throws Exception {
+    private int post(RelayProcess relay, String id, String messageClass, int destination) throws Exception {
         return http.send(
                         HttpRequest.newBuilder(URI.create(
                                         "http://127.0.0.1:" + relay.address().getPort() + "/" + messageClass))
@@ -100,7 +100,7 @@
         try (HostStub host = new HostStub()) {
             hosts(row("a", host, 7));
             Path config = config("");
-            try (Node relay = StandaloneRelay.start(config)) {
+            try (RelayProcess relay = StandaloneRelay.start(config)) {
                 assertEquals("404", get(relay, "m1"));
                 assertEquals(202, post(relay, "m1", "bill", 7));
                 HostStub.Call call = host.call();
@@ -109,13 +109,13 @@
                 await(() -> idle(relay));
                 assertEquals("{\"message\":\"m1\",\"outcome\":\"delivered\"}", get(relay, "m1"));
             }
-            try (Node relay = StandaloneRelay.start(config)) {
+            try (RelayProcess relay = StandaloneRelay.start(config)) {
                 assertEquals("{\"message\":\"m1\",\"outcome\":\"delivered\"}", get(relay, "m1"));
             }
         }
     }
 
-    private static boolean idle(Node relay) {
+    private static boolean idle(RelayProcess relay) {
         try {
             return relay.idle();
         } catch (Exception e) {
@@ -138,7 +138,7 @@
         url.start();
         try (HostStub host = new HostStub()) {
             hosts(row("a", host, 7));
-            try (Node relay = StandaloneRelay.start(
+            try (RelayProcess relay = StandaloneRelay.start(
                     config("answers: {post_to: '127.0.0.1:" + url.getAddress().getPort() + "', post_path: /told}\n"))) {
                 assertEquals(202, post(relay, "m1", "pay", 7));
                 host.call().reset();
@@ -163,7 +163,7 @@
                 HostStub second = new HostStub();
                 HostStub third = new HostStub()) {
             hosts(row("a", first, 7));
-            try (Node relay = StandaloneRelay.start(config(""))) {
+            try (RelayProcess relay = StandaloneRelay.start(config(""))) {
                 // A destination may have one call out at first, and one more after each success.
                 assertEquals(202, post(relay, "m0", "bill", 7));
                 first.call().answer(HostStub.OK);
@@ -188,7 +188,7 @@
         }
     }
 
-    private boolean postOk(Node relay, String id, int destination) {
+    private boolean postOk(RelayProcess relay, String id, int destination) {
         try {
             return post(relay, id, "bill", destination) == 202;
         } catch (Exception e) {
@@ -202,7 +202,7 @@
         try (HostStub first = new HostStub();
                 HostStub second = new HostStub()) {
             hosts(row("a", first, 7));
-            try (Node relay = StandaloneRelay.start(config(""))) {
+            try (RelayProcess relay = StandaloneRelay.start(config(""))) {
                 assertEquals(202, post(relay, "m1", "pay", 7));
                 HostStub.Call out = first.call();
                 hosts(row("b", second, 8));
@@ -223,13 +223,13 @@
         try (HostStub host = new HostStub()) {
             hosts(row("a", host, 7));
             Path config = config("");
-            try (Node relay = StandaloneRelay.start(config)) {
+            try (RelayProcess relay = StandaloneRelay.start(config)) {
                 Files.writeString(folder.resolve("hosts.csv"), bad);
                 assertEquals(202, post(relay, "m1", "bill", 7));
                 host.call().answer(HostStub.OK);
                 await(() -> idle(relay));
             }
-            try (Node relay = StandaloneRelay.start(config)) {
+            try (RelayProcess relay = StandaloneRelay.start(config)) {
                 assertEquals(202, post(relay, "m2", "bill", 7));
                 assertEquals("m2", host.call().header("X-Request-ID"));
             }
@@ -244,7 +244,7 @@
         try (HostStub first = new HostStub();
                 HostStub second = new HostStub()) {
             hosts(row("a", first, 7) + row("b", second, 8));
-            try (Node relay = StandaloneRelay.start(config(""))) {
+            try (RelayProcess relay = StandaloneRelay.start(config(""))) {
                 assertEquals(202, post(relay, "m0", "bill", 7));
                 HostStub.Call out = first.call();
                 assertEquals(202, post(relay, "m1", "bill", 7));
@@ -271,7 +271,7 @@
         try (HostStub first = new HostStub();
                 HostStub second = new HostStub()) {
             hosts(row("a", first, 7));
-            try (Node relay = StandaloneRelay.start(config(""))) {
+            try (RelayProcess relay = StandaloneRelay.start(config(""))) {
                 Files.delete(folder.resolve("hosts.csv"));
                 assertEquals(202, post(relay, "m1", "bill", 7));
                 first.call().answer(HostStub.OK);
@@ -296,7 +296,7 @@
             Files.writeString(
                     config,
                     Files.readString(config).replace("inventory: hosts.csv", "inventory: [hosts.csv, more.yaml]"));
-            try (Node relay = StandaloneRelay.start(config)) {
+            try (RelayProcess relay = StandaloneRelay.start(config)) {
                 assertEquals(202, post(relay, "m1", "bill", 7));
                 first.call().answer(HostStub.OK);
                 await(() -> idle(relay));
@@ -315,7 +315,7 @@
             }
             // Its other file is of no use at the next start: what that told last still drains it.
             Files.writeString(more, "- {");
-            try (Node relay = StandaloneRelay.start(config)) {
+            try (RelayProcess relay = StandaloneRelay.start(config)) {
                 assertEquals(202, post(relay, "m5", "bill", 7));
                 assertEquals(202, post(relay, "m6", "bill", 8));
                 assertEquals("m6", second.call().header("X-Request-ID"));
@@ -324,7 +324,7 @@
         }
     }
 
-    private String state(Node relay, String id) {
+    private String state(RelayProcess relay, String id) {
         try {
             return get(relay, id);
         } catch (Exception e) {
@@ -348,7 +348,7 @@
                         true,
                         PlatformStub.host("b", second.port(), 8, "ready"),
                         PlatformStub.host("a", third.port(), 9, "ready")));
-                try (Node relay = StandaloneRelay.start(config)) {
+                try (RelayProcess relay = StandaloneRelay.start(config)) {
                     await(() -> postOk(relay, "m1", 8));
                     assertEquals("m1", second.call().header("X-Request-ID"));
                     assertEquals(202, post(relay, "m2", "bill", 7));
@@ -356,7 +356,7 @@
                     assertEquals(404, post(relay, "m3", "bill", 9), "the file tells where a is");
                 }
             }
-            try (Node relay = StandaloneRelay.start(config)) {
+            try (RelayProcess relay = StandaloneRelay.start(config)) {
                 assertEquals(202, post(relay, "m4", "bill", 8));
                 await(() -> "m4".equals(next(second)));
             }
@@ -379,7 +379,7 @@
             hosts(row("a", first, 7));
             Path config = config("");
             Files.writeString(config, Files.readString(config).replace("poll_ms: 10", "poll_ms: 60000, events: false"));
-            try (Node relay = StandaloneRelay.start(config)) {
+            try (RelayProcess relay = StandaloneRelay.start(config)) {
                 Path file = folder.resolve("hosts.csv");
                 String whole = HEAD + row("a", first, 7) + row("b", second, 8);
                 for (int cut = HEAD.length(); cut < whole.length() - 4; cut += 3) {
@@ -434,7 +434,7 @@
         Files.writeString(
                 folder.resolve("standalone.yaml"),
                 Files.readString(folder.resolve("standalone.yaml")).replace("127.0.0.1:8080", "127.0.0.1:0"));
-        try (Node relay = StandaloneRelay.start(folder.resolve("standalone.yaml"))) {
+        try (RelayProcess relay = StandaloneRelay.start(folder.resolve("standalone.yaml"))) {
             assertEquals(404, post(relay, "m1", "bill-post", 5));
             assertEquals(202, post(relay, "m1", "bill-post", 1));
         }
--- a/src/test/java/brambletray/relay/stub/PlatformStub.java
+++ b/src/test/java/brambletray/relay/stub/PlatformStub.java
@@ -1,7 +1,7 @@
 package brambletray.relay.stub;
 
 import brambletray.relay.serve.Config;
-import brambletray.relay.serve.Node;
+import brambletray.relay.serve.RelayProcess;
 import com.sun.net.httpserver.HttpServer;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -82,8 +82,8 @@
     }
 
     /** Starts a relay that knows these hosts; classes: bill (keyed), pay (unsafe). */
-    public Node relay(String... hosts) throws Exception {
-        return new Node(Config.read(configure(this, hosts)));
+    public RelayProcess relay(String... hosts) throws Exception {
+        return new RelayProcess(Config.read(configure(this, hosts)));
     }
 
     /** Writes the configuration, with discovery at one platform's agent, and returns the environment. */
@@ -134,7 +134,7 @@
     public static final class Client implements AutoCloseable {
         private final Socket socket;
 
-        public Client(Node relay) throws IOException {
+        public Client(RelayProcess relay) throws IOException {
             socket = new Socket(LOOPBACK, relay.address().getPort());
             socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
         }
