--- a/src/main/java/brambletray/relay/admission/QuotaDoor.java
+++ b/src/main/java/brambletray/relay/admission/QuotaDoor.java
@@ -67,39 +67,39 @@
     }
 
     @Override
-    public Entry ask(Message message) {
+    public Decision admit(Message message) {
         return entry(quotas.ask(clock.micros(), asked(message)));
     }
 
     @Override
-    public Entry again(Message message) {
+    public Decision retry(Message message) {
         return entry(quotas.again(clock.micros(), message.id()));
     }
 
-    private Entry entry(Verdict verdict) {
+    private Decision entry(Verdict verdict) {
         if (verdict instanceof Verdict.Refused refused) {
-            return new Turned(refused.after() > AFTER_MOST ? 0 : refused.after(), refused.recall());
+            return new Rejected(refused.after() > AFTER_MOST ? 0 : refused.after(), refused.recall());
         } else if (verdict instanceof Verdict.Waits waits) {
-            return new Later(waits.after());
+            return new Deferred(waits.after());
         }
         for (String path : quotas.noteDue()) {
             note(path);
         }
-        return AdmissionGate.IN;
+        return AdmissionGate.ADMITTED;
     }
 
     @Override
-    public void recovered(Message message) {
+    public void onRecovered(Message message) {
         quotas.recovered(asked(message));
     }
 
     @Override
-    public void sent(String id) {
+    public void onSent(String id) {
         quotas.sent(id);
     }
 
     @Override
-    public void ended(String id) {
+    public void onEnded(String id) {
         quotas.ended(id);
     }
 
--- a/src/main/java/brambletray/relay/core/AdmissionGate.java
+++ b/src/main/java/brambletray/relay/core/AdmissionGate.java
@@ -4,49 +4,49 @@
 import java.util.List;
 
 /**
- * Who may hand in how much, asked before the module is told of a message: what a client turned away there
- * hands in again does no harm. One thread, that of the loop.
+ * Who may submit how much, asked before the module is told of a message: what a client rejected there
+ * submits again does no harm. One thread, that of the event loop.
  */
 public interface AdmissionGate {
-    /** What the door says. */
-    sealed interface Entry permits In, Later, Turned {}
+    /** What the admission gate says. */
+    sealed interface Decision permits Admitted, Deferred, Rejected {}
 
-    /** It is let in, and counts until {@link #ended}. */
-    record In() implements Entry {}
+    /** It is admitted, and counts until {@link #onEnded}. */
+    record Admitted() implements Decision {}
 
     /**
-     * It is taken on, counts as held until {@link #ended}, and the module is told of it only once
-     * {@link #again}, asked {@code after} us, lets it in.
+     * It is taken on, counts as held until {@link #onEnded}, and the module is told of it only once
+     * {@link #retry}, asked {@code retryAfter} us later, admits it.
      */
-    record Later(long after) implements Entry {}
+    record Deferred(long retryAfter) implements Decision {}
 
     /**
-     * Turned away.
+     * Rejected.
      *
-     * @param after us to come again after; 0 for no advice
-     * @param recall ids of messages that are to be handed back if they still wait
+     * @param retryAfter us after which to submit it again; 0 for no advice
+     * @param recalledIds ids of messages that are to be handed back if they still wait
      */
-    record Turned(long after, List<String> recall) implements Entry {}
+    record Rejected(long retryAfter, List<String> recalledIds) implements Decision {}
 
-    Entry IN = new In();
+    Decision ADMITTED = new Admitted();
 
     /** Everybody, anything. */
-    AdmissionGate OPEN = message -> IN;
+    AdmissionGate ALWAYS_OPEN = message -> ADMITTED;
 
-    /** A message is handed in. */
-    Entry ask(Message message);
+    /** A message is submitted. */
+    Decision admit(Message message);
 
-    /** A message that was to wait asks again: it is let in or waits on. */
-    default Entry again(Message message) {
-        return IN;
+    /** A message that was to wait asks again: it is admitted or waits on. */
+    default Decision retry(Message message) {
+        return ADMITTED;
     }
 
-    /** A message that was let in before a restart is held again. */
-    default void recovered(Message message) {}
+    /** A message that was admitted before a restart is held again. */
+    default void onRecovered(Message message) {}
 
     /** A call with it goes out. */
-    default void sent(String id) {}
+    default void onSent(String id) {}
 
     /** It is held no longer, or was not taken on after all. */
-    default void ended(String id) {}
+    default void onEnded(String id) {}
 }
--- a/src/main/java/brambletray/relay/core/CallSender.java
+++ b/src/main/java/brambletray/relay/core/CallSender.java
@@ -15,94 +15,95 @@
 
 /**
  * Makes the sends of a turn: each is noted in the turn's batch first, and goes out only when that has been
- * written. One thread, that of the loop.
+ * written. One thread, that of the event loop.
  */
 final class CallSender {
     private static final Logger LOG = LoggerFactory.getLogger(CallSender.class);
 
-    /** Is told the reply of each send, exactly once. */
-    interface WhenEnded {
-        void ended(PendingMessage held, int attempt, Host host, CallReply reply);
+    /** Is notified of the reply of each send, exactly once. */
+    interface ReplyListener {
+        void onReply(PendingMessage pending, int attempt, Host host, CallReply reply);
     }
 
     private final Clock clock;
     private final Relay.Settings settings;
     private final HostDirectory hosts;
-    private final HostTransport pool;
+    private final HostTransport transport;
     private final Journal journal;
-    private final Function<String, PendingMessage> held;
-    private final Consumer<String> whenSent;
-    private final WhenEnded whenEnded;
+    private final Function<String, PendingMessage> pendingMessages;
+    private final Consumer<String> onSent;
+    private final ReplyListener replyListener;
     /** Sends of the turn under way, noted and not yet made. */
-    private final Map<Relay.Send, Prepared> prepared = new IdentityHashMap<>();
+    private final Map<Relay.Send, Prepared> preparedSends = new IdentityHashMap<>();
 
     CallSender(
             Clock clock,
             Relay.Settings settings,
             HostDirectory hosts,
-            HostTransport pool,
+            HostTransport transport,
             Journal journal,
             Function<String, PendingMessage> held,
             Consumer<String> whenSent,
-            WhenEnded whenEnded) {
+            ReplyListener whenEnded) {
         this.clock = clock;
         this.settings = settings;
         this.hosts = hosts;
-        this.pool = pool;
+        this.transport = transport;
         this.journal = journal;
-        this.held = held;
-        this.whenSent = whenSent;
-        this.whenEnded = whenEnded;
+        this.pendingMessages = held;
+        this.onSent = whenSent;
+        this.replyListener = whenEnded;
     }
 
     /** The turn is over. */
     void clear() {
-        prepared.clear();
+        preparedSends.clear();
     }
 
-    /** A send that is noted in this turn's batch; {@code note} null where it is not to go out. */
-    private record Prepared(PendingMessage held, int attempt, Host host, Journal.Attempt note) {}
+    /** A send that is noted in this turn's batch; {@code record} null where it is not to go out. */
+    private record Prepared(PendingMessage pending, int attempt, Host host, Journal.Attempt record) {}
 
-    void prepare(Relay.Send a) {
-        PendingMessage h = held.apply(a.id());
-        Host host = hosts.host(a.endpoint());
-        if (h == null || host == null) {
+    void prepare(Relay.Send send) {
+        PendingMessage pending = pendingMessages.apply(send.id());
+        Host host = hosts.host(send.endpoint());
+        if (pending == null || host == null) {
             return;
         }
-        int attempt = h.calls.size();
-        h.calls.add(null);
-        h.begun(attempt, host.name);
-        whenSent.accept(a.id());
+        int attempt = pending.calls.size();
+        pending.calls.add(null);
+        pending.onCallStarted(attempt, host.name);
+        onSent.accept(send.id());
         Journal.Attempt note = null;
         try {
-            if (!h.over && h.entry != null) {
-                note = journal.sent(h.entry, clock.unixMillis(), host.zone);
+            if (!pending.isCompleted && pending.entry != null) {
+                note = journal.sent(pending.entry, clock.unixMillis(), host.zone);
             }
         } catch (IOException e) {
-            LOG.error("store cannot be written, message {} not sent", a.id(), e);
+            LOG.error("store cannot be written, message {} not sent", send.id(), e);
         }
-        prepared.put(a, new Prepared(h, attempt, host, note));
+        preparedSends.put(send, new Prepared(pending, attempt, host, note));
     }
 
     /** Makes a send, in one call with those to the same endpoint in this turn, as many as its kind takes. */
-    void send(Relay.Send a, List<Relay.Action> turn) {
-        Prepared p = prepared.get(a);
-        if (p == null) {
+    void send(Relay.Send send, List<Relay.Action> turn) {
+        Prepared prepared = preparedSends.get(send);
+        if (prepared == null) {
             return;
         }
-        int most = settings.kinds().get(p.host().kind).bundle();
+        int most = settings.kinds().get(prepared.host().kind).bundle();
         if (most == 1) {
-            prepared.remove(a);
-            if (goesOut(p)) {
-                p.held()
+            preparedSends.remove(send);
+            if (maySend(prepared)) {
+                prepared.pending()
                         .calls
                         .set(
-                                p.attempt(),
-                                pool.call(
-                                        p.host(),
-                                        p.held().message,
-                                        a.timeout(),
-                                        reply -> whenEnded.ended(p.held(), p.attempt(), p.host(), reply)));
+                                prepared.attempt(),
+                                transport.call(
+                                        prepared.host(),
+                                        prepared.pending().message,
+                                        send.timeout(),
+                                        reply -> replyListener.onReply(
+                                                prepared.pending(), prepared.attempt(), prepared.host(), reply)));
             }
             return;
         }
@@ -111,17 +112,18 @@
         int taken = 0;
         for (Relay.Action other : turn) {
             if (taken < most
-                    && other instanceof Relay.Send b
-                    && b.endpoint() == a.endpoint()
-                    && prepared.containsKey(b)) {
-                Prepared q = prepared.remove(b);
+                    && other instanceof Relay.Send candidateSend
+                    && candidateSend.endpoint() == send.endpoint()
+                    && preparedSends.containsKey(candidateSend)) {
+                Prepared candidate = preparedSends.remove(candidateSend);
                 taken++;
-                if (goesOut(q)) {
-                    together.add(q);
+                if (maySend(candidate)) {
+                    together.add(candidate);
                     parts.add(new HostTransport.Part(
-                            q.held().message,
-                            b.timeout(),
-                            reply -> whenEnded.ended(q.held(), q.attempt(), q.host(), reply)));
+                            candidate.pending().message,
+                            candidateSend.timeout(),
+                            reply -> replyListener.onReply(
+                                    candidate.pending(), candidate.attempt(), candidate.host(), reply)));
                 }
             }
         }
@@ -129,10 +131,10 @@
             return;
         }
         List<HostTransport.Call> calls =
-                pool.bundle(p.host(), settings.allowed().hedging() ? parts : alike(parts));
+                transport.callBatch(prepared.host(), settings.allowed().hedging() ? parts : withLongestTimeout(parts));
         for (int i = 0; i < calls.size(); i++) {
-            Prepared q = together.get(i);
-            q.held().calls.set(q.attempt(), calls.get(i));
+            Prepared candidate = together.get(i);
+            candidate.pending().calls.set(candidate.attempt(), calls.get(i));
         }
     }
 
@@ -140,21 +142,29 @@
      * Guards installations without second copies: a message given up while its call goes on for others would
      * be a copy when sent again, so all of a call are waited for as long.
      */
-    private static List<HostTransport.Part> alike(List<HostTransport.Part> parts) {
+    private static List<HostTransport.Part> withLongestTimeout(List<HostTransport.Part> parts) {
         long longest =
-                parts.stream().mapToLong(HostTransport.Part::patience).max().orElse(0);
+                parts.stream().mapToLong(HostTransport.Part::timeoutUs).max().orElse(0);
         return parts.stream()
-                .map(p -> new HostTransport.Part(p.message(), longest, p.whenEnded()))
+                .map(part -> new HostTransport.Part(part.message(), longest, part.onReply()))
                 .toList();
     }
 
     /** Ends at once a send that is not to go out: a note whose batch failed says so, it has not run. */
-    private boolean goesOut(Prepared p) {
-        PendingMessage h = p.held();
-        if (!h.over && p.note() != null && p.note().mayHaveRun && p.host().ready && !p.host().out) {
+    private boolean maySend(Prepared prepared) {
+        PendingMessage pending = prepared.pending();
+        if (!pending.isCompleted
+                && prepared.record() != null
+                && prepared.record().mayHaveRun
+                && prepared.host().ready
+                && !prepared.host().excluded) {
             return true;
         }
-        whenEnded.ended(h, p.attempt(), p.host(), new CallReply(Relay.Outcome.NOT_SENT, h.over, 0, 0, -1, -1));
+        replyListener.onReply(
+                pending,
+                prepared.attempt(),
+                prepared.host(),
+                new CallReply(Relay.Outcome.NOT_SENT, pending.isCompleted, 0, 0, -1, -1));
         return false;
     }
 }
--- a/src/main/java/brambletray/relay/core/CompletionListener.java
+++ b/src/main/java/brambletray/relay/core/CompletionListener.java
@@ -3,7 +3,7 @@
 import brambletray.relay.message.Message;
 
 /**
- * Is told the end of each message that has an {@link brambletray.relay.message.Origin}, or of all, in the batch
+ * Is notified of the end of each message that has an {@link brambletray.relay.message.Origin}, or of all, in the batch
  * that notes it.
  */
 public interface CompletionListener {
@@ -15,19 +15,19 @@
     }
 
     /** Exactly once for each message; {@code retryAfter}: us, 0 for no advice. */
-    void ended(Message message, End end, long retryAfter);
+    void onCompleted(Message message, End end, long retryAfter);
 
     /** True where the ends of all messages are wanted, also of those that have no origin. */
-    default boolean ofAll() {
+    default boolean wantsAll() {
         return false;
     }
 
     /** The batch of this pass failed: what was staged beside the journal's notes has to be staged again. */
-    default void batchFailed() {}
+    default void onBatchFailed() {}
 
     /** The batch of this pass is over, well or not. */
-    default void committed() {}
+    default void onCommitted() {}
 
     /** For relays whose clients all ask by HTTP. */
-    CompletionListener NOBODY = (message, end, retryAfter) -> {};
+    CompletionListener NONE = (message, end, retryAfter) -> {};
 }
--- a/src/main/java/brambletray/relay/core/DescriptorBudget.java
+++ b/src/main/java/brambletray/relay/core/DescriptorBudget.java
@@ -16,7 +16,7 @@
         STORE(24),
         /** The agent's watch and the notices to it. */
         NOTICES(4),
-        /** The operators' address: its callers and one in the door. */
+        /** The operators' address: its callers and one in the admission gate. */
         CONSOLE(25),
         /** Two fifths of all. */
         CLIENTS(0),
@@ -31,11 +31,12 @@
     }
 
     private final int[] shares = new int[Owner.values().length];
-    private final int[] held = new int[Owner.values().length];
+    private final int[] inUse = new int[Owner.values().length];
 
     /** {@code all}: descriptors that the process may have open. */
     public DescriptorBudget(int all) {
-        int wanted = Arrays.stream(Owner.values()).mapToInt(o -> o.wanted).sum();
+        int wanted =
+                Arrays.stream(Owner.values()).mapToInt(owner -> owner.wanted).sum();
         int left = all;
         for (Owner owner : Owner.values()) {
             int share = wanted <= all / 2 ? owner.wanted : owner.wanted * (all / 2) / wanted;
@@ -51,28 +52,28 @@
     }
 
     /** How many it has. */
-    public int held(Owner owner) {
-        return held[owner.ordinal()];
+    public int inUse(Owner owner) {
+        return inUse[owner.ordinal()];
     }
 
     /** One more, if its share has one left. */
-    public boolean take(Owner owner) {
-        boolean left = held(owner) < share(owner);
-        held[owner.ordinal()] += left ? 1 : 0;
+    public boolean acquire(Owner owner) {
+        boolean left = inUse(owner) < share(owner);
+        inUse[owner.ordinal()] += left ? 1 : 0;
         return left;
     }
 
     /** One that was taken is closed. */
-    public void give(Owner owner) {
-        if (held(owner) == 0) {
+    public void release(Owner owner) {
+        if (inUse(owner) == 0) {
             throw new IllegalStateException(owner + " gives back what it has not taken");
         }
-        held[owner.ordinal()]--;
+        inUse[owner.ordinal()]--;
     }
 
     @Override
     public String toString() {
-        return "hosts hold " + held(Owner.HOSTS) + " of " + share(Owner.HOSTS) + ", clients may have "
+        return "hosts hold " + inUse(Owner.HOSTS) + " of " + share(Owner.HOSTS) + ", clients may have "
                 + share(Owner.CLIENTS);
     }
 }
--- a/src/main/java/brambletray/relay/core/EventDispatcher.java
+++ b/src/main/java/brambletray/relay/core/EventDispatcher.java
@@ -30,59 +30,59 @@
  */
 public final class EventDispatcher implements MessageReceiver {
     private static final Logger LOG = LoggerFactory.getLogger(EventDispatcher.class);
-    /** us; told to a client that is turned away before the module has seen its message. */
-    private static final long COME_BACK = 1_000_000;
-    /** ms that a message must have left when it leaves the door, to be delivered or ended by a notice. */
-    private static final long DOOR_LEAST = 300;
+    /** us; retry-after time of a client that is rejected before the module has seen its message. */
+    private static final long RETRY_AFTER_US = 1_000_000;
+    /** ms that a message must have left when it leaves the admission gate, to be delivered or ended by a notice. */
+    private static final long MIN_TIME_AT_GATE_MS = 300;
 
-    private static final long AFTER_FAULT = 100_000;
-    /** s; between looks at hosts: what can be forgotten, and what is worth a note. */
-    private static final long TIDY = 1;
+    private static final long FAULT_BACKOFF_US = 100_000;
+    /** s; between looks at hosts: what can be forgotten, and what is worth recording. */
+    private static final long TIDY_INTERVAL_S = 1;
 
     private final EventLoop loop;
     private final Clock clock;
-    private final RateLimitedLog complaints;
+    private final RateLimitedLog rateLimitedLog;
     private final Relay.Settings settings;
     private final Control control;
     /** us; from the clock to the module's. */
-    private final long shift;
+    private final long clockOffset;
     /** Who gets the replies of calls that were out when this loop was handed on; null before. */
     private Successor successor;
 
     private final HostDirectory hosts;
-    private final HostTransport pool;
+    private final HostTransport transport;
     private final Journal journal;
     private Platform platform;
     private final Map<String, Integer> classes = new HashMap<>();
-    private final Map<String, PendingMessage> held = new HashMap<>();
+    private final Map<String, PendingMessage> pendingMessages = new HashMap<>();
     private List<Relay.Event> events = new ArrayList<>();
-    /** Messages taken on that the door has not let in. */
-    private final Set<String> waiting = new HashSet<>();
+    /** Messages taken on that the admission gate has not let in. */
+    private final Set<String> waitingAtGate = new HashSet<>();
 
     private final Map<String, SubmissionResult> unanswered = new LinkedHashMap<>();
     private boolean turnDue;
     private boolean stopped;
-    private int open;
-    private CompletionListener ends = CompletionListener.NOBODY;
-    private AdmissionGate door = AdmissionGate.OPEN;
+    private int openMessages;
+    private CompletionListener completionListener = CompletionListener.NONE;
+    private AdmissionGate admissionGate = AdmissionGate.ALWAYS_OPEN;
     private boolean commitDue;
     /** The last batch failed: only what clients wait for is committed before {@link #commitAgain}. */
-    private boolean rests;
+    private boolean commitRetryPending;
 
-    private final CallSender departures;
-    private final MessageMetrics figures;
+    private final CallSender callSender;
+    private final MessageMetrics metrics;
     private final JournalCompaction compaction;
-    private final HostKnowledgeRecorder evidence;
+    private final HostKnowledgeRecorder hostKnowledge;
 
     public EventDispatcher(
             Machine machine,
             long seed,
             Relay.Settings settings,
             HostDirectory hosts,
-            HostTransport pool,
+            HostTransport transport,
             Journal journal,
-            MessageMetrics figures) {
-        this(machine, settings, hosts, pool, journal, figures, new Control(seed, settings), 0);
+            MessageMetrics metrics) {
+        this(machine, settings, hosts, transport, journal, metrics, new Control(seed, settings), 0);
     }
 
     /** One whose module goes on where another process's ended: {@link #resume}, not {@link #start}. */
@@ -91,17 +91,17 @@
             long seed,
             Relay.Settings settings,
             HostDirectory hosts,
-            HostTransport pool,
+            HostTransport transport,
             Journal journal,
-            MessageMetrics figures,
+            MessageMetrics metrics,
             HandoverState from) {
         this(
                 machine,
                 settings,
                 hosts,
-                pool,
+                transport,
                 journal,
-                figures,
+                metrics,
                 new Control(seed, settings, from.memory()),
                 from.timeAt(machine.clock().unixMillis()) - machine.clock().micros());
     }
@@ -110,39 +110,46 @@
             Machine machine,
             Relay.Settings settings,
             HostDirectory hosts,
-            HostTransport pool,
+            HostTransport transport,
             Journal journal,
-            MessageMetrics figures,
+            MessageMetrics metrics,
             Control control,
             long shift) {
         this.loop = machine.loop();
         this.clock = machine.clock();
-        this.complaints = new RateLimitedLog(LOG, clock);
+        this.rateLimitedLog = new RateLimitedLog(LOG, clock);
         this.settings = settings;
         this.control = control;
-        this.shift = shift;
+        this.clockOffset = shift;
         this.hosts = hosts;
-        this.pool = pool;
+        this.transport = transport;
         this.journal = journal;
-        this.figures = figures;
-        this.departures =
-                new CallSender(clock, settings, hosts, pool, journal, held::get, id -> door.sent(id), this::ended);
+        this.metrics = metrics;
+        this.callSender = new CallSender(
+                clock,
+                settings,
+                hosts,
+                transport,
+                journal,
+                pendingMessages::get,
+                id -> admissionGate.onSent(id),
+                this::onCallEnded);
         this.compaction = new JournalCompaction(loop, clock, journal, () -> stopped);
-        this.evidence = new HostKnowledgeRecorder(
+        this.hostKnowledge = new HostKnowledgeRecorder(
                 clock,
                 control,
                 hosts,
                 new HostKnowledgeJournal(journal.store()),
                 settings.rules().cold());
-        loop.scheduleWithFixedDelay(this::tidy, TIDY, TIDY, TimeUnit.SECONDS);
+        loop.scheduleWithFixedDelay(this::tidy, TIDY_INTERVAL_S, TIDY_INTERVAL_S, TimeUnit.SECONDS);
         for (int i = 0; i < settings.classes().size(); i++) {
             classes.put(settings.classes().get(i).name(), i);
         }
     }
 
     /**
-     * Tells the module the list as last had (null: none) and what the journal holds, then begins to watch the
-     * platform, which is to call {@link #listed} and {@link #noticed}.
+     * Reports to the module the list as last had (null: none) and what the journal holds, then begins to watch the
+     * platform, which is to call {@link #onListed} and {@link #onNoticeAcknowledged}.
      */
     public void start(Platform platform, Relay.Listed known) {
         this.platform = platform;
@@ -150,15 +157,15 @@
             DispatchTrace.settings(clock.unixMillis(), settings);
         }
         if (known != null) {
-            tell(evidence.careful(known));
-            evidence.believed().forEach(this::tell);
+            addEvent(hostKnowledge.withoutLeavers(known));
+            hostKnowledge.believedEvents().forEach(this::addEvent);
         }
         for (Journal.Entry entry : journal.owed()) {
             if (entry.end != null) {
-                platform.notice(entry);
+                platform.postNotice(entry);
             } else if (!classes.containsKey(entry.message.messageClass())) {
                 LOG.warn("message {} given up: its class {} is gone", entry.message.id(), entry.message.messageClass());
-                end(entry, new Journal.End(false, 0));
+                endMessage(entry, new Journal.End(false, 0));
             } else {
                 recover(entry);
             }
@@ -169,30 +176,30 @@
 
     /** The deadline passes into the module's clock; earlier attempts keep their distance from now. */
     private void recover(Journal.Entry entry) {
-        PendingMessage h = new PendingMessage(entry.message, entry);
-        held.put(h.message.id(), h);
-        open++;
-        figures.taken(classes.get(h.message.messageClass()));
+        PendingMessage pending = new PendingMessage(entry.message, entry);
+        pendingMessages.put(pending.message.id(), pending);
+        openMessages++;
+        metrics.taken(classes.get(pending.message.messageClass()));
         List<Relay.Earlier> earlier = new ArrayList<>();
-        for (Journal.Attempt a : entry.attempts) {
-            h.calls.add(null);
-            earlier.add(new Relay.Earlier(moduleTime(a.sent), a.zone, a.mayHaveRun));
+        for (Journal.Attempt attempt : entry.attempts) {
+            pending.calls.add(null);
+            earlier.add(new Relay.Earlier(moduleTime(attempt.sent), attempt.zone, attempt.mayHaveRun));
         }
-        door.recovered(h.message);
+        admissionGate.onRecovered(pending.message);
         if (!earlier.isEmpty()) {
-            door.sent(h.message.id());
+            admissionGate.onSent(pending.message.id());
         }
-        tell(accepted(h.message, earlier));
+        addEvent(accepted(pending.message, earlier));
     }
 
-    private Relay.Accepted accepted(Message m, List<Relay.Earlier> earlier) {
+    private Relay.Accepted accepted(Message message, List<Relay.Earlier> earlier) {
         return new Relay.Accepted(
-                m.id(),
-                classes.get(m.messageClass()),
-                m.tenant(),
-                m.routeKey(),
-                moduleTime(m.deadline()),
-                m.destination(),
+                message.id(),
+                classes.get(message.messageClass()),
+                message.tenant(),
+                message.routeKey(),
+                moduleTime(message.deadline()),
+                message.destination(),
                 earlier);
     }
 
@@ -217,8 +224,8 @@
     }
 
     /** Discovery has moved. */
-    public void discoveryAt(InetSocketAddress agent) {
-        platform.move(agent);
+    public void onDiscoveryMoved(InetSocketAddress agent) {
+        platform.onAgentMoved(agent);
     }
 
     /** The process ends: nothing more is decided or written down, calls still out count as may have run. */
@@ -226,63 +233,64 @@
         stopped = true;
     }
 
-    public boolean idle() {
-        return open == 0 && !platform.noticesLeft();
+    public boolean isIdle() {
+        return openMessages == 0 && !platform.hasUnacknowledgedNotices();
     }
 
     // ---- Clients --------------------------------------------------------------------------------
     @Override
     public void accept(Message message, SubmissionResult answer) {
-        PendingMessage known = held.get(message.id());
-        if (known != null && !known.over) {
+        PendingMessage known = pendingMessages.get(message.id());
+        if (known != null && !known.isCompleted) {
             // A client sends a request once more when its connection closed as it wrote: it is held already.
             if (known.message.sameAs(message)) {
-                answer.held();
+                answer.duplicate();
             } else {
                 answer.conflict();
             }
             return;
         }
-        if (known != null || open >= settings.allowed().openMessages()) {
-            figures.turnedAway(classes.get(message.messageClass()), End.REFUSED);
-            answer.refused(COME_BACK);
+        if (known != null || openMessages >= settings.allowed().openMessages()) {
+            metrics.turnedAway(classes.get(message.messageClass()), End.REFUSED);
+            answer.refused(RETRY_AFTER_US);
             return;
         }
-        AdmissionGate.Entry entry = door.ask(message);
-        if (entry instanceof AdmissionGate.Turned turned) {
-            turned.recall().forEach(id -> tell(new Relay.Recalled(id)));
-            figures.turnedAway(classes.get(message.messageClass()), End.REFUSED);
-            answer.refused(turned.after());
+        AdmissionGate.Decision entry = admissionGate.admit(message);
+        if (entry instanceof AdmissionGate.Rejected turned) {
+            turned.recalledIds().forEach(id -> addEvent(new Relay.Recalled(id)));
+            metrics.turnedAway(classes.get(message.messageClass()), End.REFUSED);
+            answer.refused(turned.retryAfter());
             return;
         }
-        PendingMessage h = new PendingMessage(message, null);
-        held.put(message.id(), h);
-        open++;
-        figures.taken(classes.get(message.messageClass()));
+        PendingMessage pending = new PendingMessage(message, null);
+        pendingMessages.put(message.id(), pending);
+        openMessages++;
+        metrics.taken(classes.get(message.messageClass()));
         unanswered.put(message.id(), answer);
-        // The turn comes when the loop has read what else is there: one batch, and one sync, for all of it.
-        if (entry instanceof AdmissionGate.Later later) {
-            waiting.add(message.id());
-            tell(new Relay.Due());
-            loop.schedule(() -> again(h), later.after(), TimeUnit.MICROSECONDS);
+        // The turn comes when the event loop has read what else is there: one batch, and one sync, for all of it.
+        if (entry instanceof AdmissionGate.Deferred later) {
+            waitingAtGate.add(message.id());
+            addEvent(new Relay.Due());
+            loop.schedule(() -> retryAdmission(pending), later.retryAfter(), TimeUnit.MICROSECONDS);
         } else {
-            tell(accepted(message, List.of()));
+            addEvent(accepted(message, List.of()));
         }
     }
 
-    /** A message that was taken on and waits at the door: in, or on, or back while there is time for that. */
-    private void again(PendingMessage h) {
-        if (h.over || stopped) {
+    /** A message that was taken on and waits at the admission gate: in, or on, or back while there is time for that. */
+    private void retryAdmission(PendingMessage pending) {
+        if (pending.isCompleted || stopped) {
             return;
         }
-        AdmissionGate.Entry entry = door.again(h.message);
-        if (!(entry instanceof AdmissionGate.Later later)) {
-            waiting.remove(h.message.id());
-            tell(accepted(h.message, List.of()));
-        } else if (clock.unixMillis() + later.after() / 1_000 + DOOR_LEAST >= h.message.deadline()) {
-            end(h.message.id(), new Journal.End(true, later.after()));
+        AdmissionGate.Decision entry = admissionGate.retry(pending.message);
+        if (!(entry instanceof AdmissionGate.Deferred later)) {
+            waitingAtGate.remove(pending.message.id());
+            addEvent(accepted(pending.message, List.of()));
+        } else if (clock.unixMillis() + later.retryAfter() / 1_000 + MIN_TIME_AT_GATE_MS
+                >= pending.message.deadline()) {
+            endMessage(pending.message.id(), new Journal.End(true, later.retryAfter()));
         } else {
-            loop.schedule(() -> again(h), later.after(), TimeUnit.MICROSECONDS);
+            loop.schedule(() -> retryAdmission(pending), later.retryAfter(), TimeUnit.MICROSECONDS);
         }
     }
 
@@ -290,21 +298,21 @@
     public void withdraw(String id) {
         // Guards the module's slots: inside the turn that takes a message on, its first send would be left
         // out, and the module would wait for that send's end for good.
-        loop.execute(() -> withdrawn(id));
+        loop.execute(() -> onWithdrawn(id));
     }
 
-    private void withdrawn(String id) {
-        PendingMessage h = held.get(id);
-        if (h != null && !h.over) {
-            complaints.warn("message " + id + " withdrawn, its client left before the answer");
-            over(h, End.WITHDRAWN);
-            close(h.entry);
-            tell(new Relay.Withdrawn(id));
+    private void onWithdrawn(String id) {
+        PendingMessage pending = pendingMessages.get(id);
+        if (pending != null && !pending.isCompleted) {
+            rateLimitedLog.warn("message " + id + " withdrawn, its client left before the answer");
+            complete(pending, End.WITHDRAWN);
+            closeEntry(pending.entry);
+            addEvent(new Relay.Withdrawn(id));
         }
     }
 
     // ---- Turns ----------------------------------------------------------------------------------
-    private void tell(Relay.Event event) {
+    private void addEvent(Relay.Event event) {
         events.add(event);
         if (!turnDue && !stopped) {
             turnDue = true;
@@ -313,7 +321,7 @@
     }
 
     private long micros() {
-        return clock.micros() + shift;
+        return clock.micros() + clockOffset;
     }
 
     /** Unix time in ms to the module's clock, which may then be below 0. */
@@ -326,35 +334,35 @@
         if (events.isEmpty() || stopped) {
             return;
         }
-        List<Relay.Event> told = events;
+        List<Relay.Event> taken = events;
         events = new ArrayList<>();
         try {
-            List<Relay.Action> actions = control.turn(micros(), told);
+            List<Relay.Action> actions = control.turn(micros(), taken);
             if (DispatchTrace.ON) {
-                DispatchTrace.turn(clock.unixMillis(), micros(), told, actions);
+                DispatchTrace.turn(clock.unixMillis(), micros(), taken, actions);
             }
-            evidence.decided(told);
-            answer(actions);
+            hostKnowledge.onDecided(taken);
+            answerClients(actions);
             for (Relay.Action action : actions) {
                 try {
-                    carryOut(action, actions);
+                    execute(action, actions);
                 } catch (RuntimeException e) {
                     LOG.error("could not carry out {}", action, e);
                 }
             }
         } catch (RuntimeException e) {
-            LOG.error("turn failed on {}", told, e);
+            LOG.error("turn failed on {}", taken, e);
             // Guards against standing still: the module's timer may have been lost with the turn.
-            loop.schedule(() -> tell(new Relay.Due()), AFTER_FAULT, TimeUnit.MICROSECONDS);
+            loop.schedule(() -> addEvent(new Relay.Due()), FAULT_BACKOFF_US, TimeUnit.MICROSECONDS);
         } finally {
-            // Guards clients against silence if the turn failed: nothing was written down for these.
+            // Guards clients against getting no answer if the turn failed: nothing was written down for these.
             for (String id : List.copyOf(unanswered.keySet())) {
                 refuse(id, unanswered.get(id));
             }
-            departures.clear();
+            callSender.clear();
         }
         // Before anything that waits for it: notices are posted by a task of their own.
-        if (!rests) {
+        if (!commitRetryPending) {
             commit();
         }
     }
@@ -364,49 +372,49 @@
      * itself; the others are written down, in one batch with the turn's sends, then answered, and only
      * after that is anything sent.
      */
-    private void answer(List<Relay.Action> actions) {
+    private void answerClients(List<Relay.Action> actions) {
         for (Relay.Action action : unanswered.isEmpty() ? List.<Relay.Action>of() : actions) {
-            if (action instanceof Relay.Refuse a && unanswered.containsKey(a.id())) {
-                over(held.get(a.id()), End.REFUSED);
-                unanswered.remove(a.id()).refused(a.retryAfter());
-            } else if (action instanceof Relay.Fail a && unanswered.containsKey(a.id())) {
-                over(held.get(a.id()), End.FAILED);
-                unanswered.remove(a.id()).failed();
+            if (action instanceof Relay.Refuse refuse && unanswered.containsKey(refuse.id())) {
+                complete(pendingMessages.get(refuse.id()), End.REFUSED);
+                unanswered.remove(refuse.id()).refused(refuse.retryAfter());
+            } else if (action instanceof Relay.Fail fail && unanswered.containsKey(fail.id())) {
+                complete(pendingMessages.get(fail.id()), End.FAILED);
+                unanswered.remove(fail.id()).failed();
             }
         }
         for (String id : List.copyOf(unanswered.keySet())) {
-            PendingMessage h = held.get(id);
+            PendingMessage pending = pendingMessages.get(id);
             try {
-                h.entry = journal.take(h.message, clock.unixMillis());
+                pending.entry = journal.take(pending.message, clock.unixMillis());
             } catch (IOException e) {
                 LOG.error("store cannot be written, message {} refused", id, e);
             }
-            if (h.entry == null) {
+            if (pending.entry == null) {
                 refuse(id, unanswered.get(id));
             } else {
-                unanswered.get(id).noted();
+                unanswered.get(id).onStaged();
             }
         }
         for (Relay.Action action : actions) {
-            if (action instanceof Relay.Send a) {
-                departures.prepare(a);
+            if (action instanceof Relay.Send send) {
+                callSender.prepare(send);
             }
         }
         commit();
         for (String id : List.copyOf(unanswered.keySet())) {
-            PendingMessage h = held.get(id);
-            if (h.entry.held()) {
-                h.message = h.entry.message;
-                unanswered.remove(id).taken();
-            } else if (h.entry.uncertain()) {
+            PendingMessage pending = pendingMessages.get(id);
+            if (pending.entry.held()) {
+                pending.message = pending.entry.message;
+                unanswered.remove(id).accepted();
+            } else if (pending.entry.uncertain()) {
                 // It may be found after a restart: its client must not be told that another try does no harm.
                 SubmissionResult answer = unanswered.remove(id);
-                answer.notNoted();
-                over(h, End.FAILED);
-                tell(new Relay.Withdrawn(id));
+                answer.onNotStored();
+                complete(pending, End.FAILED);
+                addEvent(new Relay.Withdrawn(id));
                 answer.failed();
             } else {
-                unanswered.get(id).notNoted();
+                unanswered.get(id).onNotStored();
                 refuse(id, unanswered.get(id));
             }
         }
@@ -426,28 +434,28 @@
             journal.commit();
         } catch (IOException e) {
             LOG.error("store cannot be written: messages of this turn are refused, their sends not made", e);
-            // Guards the loop's turns against a store that fails at once: what is staged anew waits.
-            if (!rests) {
-                rests = true;
-                loop.schedule(this::commitAgain, AFTER_FAULT, TimeUnit.MICROSECONDS);
+            // Guards the event loop's turns against a store that fails at once: what is staged anew waits.
+            if (!commitRetryPending) {
+                commitRetryPending = true;
+                loop.schedule(this::commitAgain, FAULT_BACKOFF_US, TimeUnit.MICROSECONDS);
             }
-            ends.batchFailed();
+            completionListener.onBatchFailed();
             written = false;
         }
-        evidence.written(written);
-        ends.committed();
-        compaction.wanted();
+        hostKnowledge.onWritten(written);
+        completionListener.onCommitted();
+        compaction.startIfNeeded();
         return written;
     }
 
     private void commitAgain() {
-        rests = false;
+        commitRetryPending = false;
         commit();
     }
 
     /** Something was noted outside of a turn. */
     private void commitSoon() {
-        if (!commitDue && !turnDue && !rests) {
+        if (!commitDue && !turnDue && !commitRetryPending) {
             commitDue = true;
             loop.execute(this::commit);
         }
@@ -455,194 +463,197 @@
 
     private void refuse(String id, SubmissionResult answer) {
         unanswered.remove(id);
-        over(held.get(id), End.REFUSED);
-        tell(new Relay.Withdrawn(id));
-        answer.refused(COME_BACK);
-    }
-
-    private void carryOut(Relay.Action action, List<Relay.Action> turn) {
-        if (action instanceof Relay.Send a) {
-            departures.send(a, turn);
-        } else if (action instanceof Relay.Refuse a) {
-            end(a.id(), new Journal.End(true, a.retryAfter()));
-        } else if (action instanceof Relay.Fail a) {
-            end(a.id(), new Journal.End(false, 0));
-        } else if (action instanceof Relay.Cancel a) {
-            PendingMessage h = held.get(a.id());
-            HostTransport.Call call = h == null ? null : h.calls.get(a.attempt());
+        complete(pendingMessages.get(id), End.REFUSED);
+        addEvent(new Relay.Withdrawn(id));
+        answer.refused(RETRY_AFTER_US);
+    }
+
+    private void execute(Relay.Action action, List<Relay.Action> turn) {
+        if (action instanceof Relay.Send send) {
+            callSender.send(send, turn);
+        } else if (action instanceof Relay.Refuse refuse) {
+            endMessage(refuse.id(), new Journal.End(true, refuse.retryAfter()));
+        } else if (action instanceof Relay.Fail fail) {
+            endMessage(fail.id(), new Journal.End(false, 0));
+        } else if (action instanceof Relay.Cancel cancel) {
+            PendingMessage pending = pendingMessages.get(cancel.id());
+            HostTransport.Call call = pending == null ? null : pending.calls.get(cancel.attempt());
             if (call != null) {
                 call.cancel();
             }
-        } else if (action instanceof Relay.Close a) {
-            Host host = hosts.host(a.endpoint());
+        } else if (action instanceof Relay.Close close) {
+            Host host = hosts.host(close.endpoint());
             if (host != null) {
-                pool.closeIdle(host);
+                transport.closeIdle(host);
             }
-        } else if (action instanceof Relay.Wake a) {
-            loop.schedule(() -> tell(new Relay.Due()), a.after(), TimeUnit.MICROSECONDS);
-        } else if (action instanceof Relay.Log a) {
-            LOG.info("{}", a.text());
+        } else if (action instanceof Relay.Wake wake) {
+            loop.schedule(() -> addEvent(new Relay.Due()), wake.after(), TimeUnit.MICROSECONDS);
+        } else if (action instanceof Relay.Log log) {
+            LOG.info("{}", log.text());
         }
     }
 
     // ---- Calls ----------------------------------------------------------------------------------
-    private void ended(PendingMessage h, int attempt, Host host, CallReply reply) {
+    private void onCallEnded(PendingMessage pending, int attempt, Host host, CallReply reply) {
         if (successor != null) {
-            h.done(attempt);
-            successor.ended(h.message.id(), attempt, host.name, reply);
+            pending.onCallEnded(attempt);
+            successor.onCallEnded(pending.message.id(), attempt, host.name, reply);
             return;
         }
         if (stopped) {
             return;
         }
-        h.done(attempt);
-        if (reply.waitFor() > 0) {
+        pending.onCallEnded(attempt);
+        if (reply.retryAfter() > 0) {
             // Guards the rule on waits: calls there that still wait for their connection do not go out.
             boolean apart = settings.kinds().get(host.kind).apart();
             hosts.hosts().stream()
                     .filter(other -> other == host || !apart && other.destination == host.destination)
-                    .forEach(pool::takeBack);
-        }
-        boolean over = h.over || reply.over();
-        if (!h.over) {
-            if (reply.over()) {
-                over(h, reply.outcome() == Relay.Outcome.OK ? End.SERVED : End.FAILED);
-                tellOrigin(
-                        h.message,
+                    .forEach(transport::recall);
+        }
+        boolean over = pending.isCompleted || reply.isFinal();
+        if (!pending.isCompleted) {
+            if (reply.isFinal()) {
+                complete(pending, reply.outcome() == Relay.Outcome.OK ? End.SERVED : End.FAILED);
+                notifyCompletion(
+                        pending.message,
                         reply.outcome() == Relay.Outcome.OK
                                 ? CompletionListener.End.DELIVERED
                                 : CompletionListener.End.GIVEN_UP,
                         0);
-                close(h.entry);
+                closeEntry(pending.entry);
             } else if (reply.outcome().neverRan()) {
-                notRun(h, attempt);
+                recordNotRun(pending, attempt);
             }
         }
-        tell(new Relay.Ended(
-                h.message.id(),
+        addEvent(new Relay.Ended(
+                pending.message.id(),
                 attempt,
                 host.number,
                 reply.outcome(),
                 over,
-                reply.waitFor(),
+                reply.retryAfter(),
                 reply.latency(),
-                reply.left(),
+                reply.remaining(),
                 reply.limit(),
                 reply.reused()));
-        forget(h);
+        forgetIfDone(pending);
     }
 
-    private void notRun(PendingMessage h, int attempt) {
+    private void recordNotRun(PendingMessage pending, int attempt) {
         try {
-            journal.notRun(h.entry, attempt);
+            journal.notRun(pending.entry, attempt);
         } catch (IOException e) {
             // The attempt then counts as one that may have run, which is safe.
-            LOG.error("store cannot be written, outcome of message {} is not kept", h.message.id(), e);
+            LOG.error("store cannot be written, outcome of message {} is not kept", pending.message.id(), e);
         }
         commitSoon();
     }
 
     // ---- Ends -----------------------------------------------------------------------------------
-    private void end(String id, Journal.End end) {
-        PendingMessage h = held.get(id);
-        if (h != null && !h.over) {
-            over(h, end.handedBack() ? End.REFUSED : End.FAILED);
-            end(h.entry, end);
+    private void endMessage(String id, Journal.End end) {
+        PendingMessage pending = pendingMessages.get(id);
+        if (pending != null && !pending.isCompleted) {
+            complete(pending, end.handedBack() ? End.REFUSED : End.FAILED);
+            endMessage(pending.entry, end);
         }
     }
 
-    private void end(Journal.Entry entry, Journal.End end) {
+    private void endMessage(Journal.Entry entry, Journal.End end) {
         try {
             journal.ended(entry, end);
         } catch (IOException e) {
             LOG.error("store cannot be written, end of message {} is told all the same", entry.message.id(), e);
         }
-        tellOrigin(
+        notifyCompletion(
                 entry.message,
                 end.handedBack() ? CompletionListener.End.HANDED_BACK : CompletionListener.End.GIVEN_UP,
                 end.retryAfter());
-        platform.notice(entry);
+        platform.postNotice(entry);
     }
 
-    /** In the batch that notes the end: told exactly once, whatever happens in between. */
-    private void tellOrigin(Message message, CompletionListener.End end, long retryAfter) {
-        if (message.origin() != null || ends.ofAll()) {
-            ends.ended(message, end, retryAfter);
+    /** In the batch that notes the end: reported exactly once, whatever happens in between. */
+    private void notifyCompletion(Message message, CompletionListener.End end, long retryAfter) {
+        if (message.origin() != null || completionListener.wantsAll()) {
+            completionListener.onCompleted(message, end, retryAfter);
             commitSoon();
         }
     }
 
-    /** Sets who is asked whether a message may be handed in; before {@link #start}. */
-    public void door(AdmissionGate asked) {
-        door = asked;
+    /** Sets who is asked whether a message may be submitted; before {@link #start}. */
+    public void admissionGate(AdmissionGate gate) {
+        admissionGate = gate;
     }
 
-    /** Sets who is told the ends of messages that have an origin; before {@link #start}. */
-    public void ends(CompletionListener told) {
-        ends = told;
+    /** Sets who is notified of the ends of messages that have an origin; before {@link #start}. */
+    public void completionListener(CompletionListener listener) {
+        completionListener = listener;
     }
 
     /** Something besides the journal was staged in the store: it goes with this pass's batch. */
-    public void staged() {
+    public void onStaged() {
         commitSoon();
     }
 
-    private void over(PendingMessage h, End end) {
-        h.over = true;
-        waiting.remove(h.message.id());
-        open--;
-        figures.ended(classes.get(h.message.messageClass()), end);
-        door.ended(h.message.id());
+    private void complete(PendingMessage pending, End end) {
+        pending.isCompleted = true;
+        waitingAtGate.remove(pending.message.id());
+        openMessages--;
+        metrics.ended(classes.get(pending.message.messageClass()), end);
+        admissionGate.onEnded(pending.message.id());
         // Guards slots: a send decided in the turn that refuses its message must find it, and end.
-        loop.execute(() -> forget(h));
+        loop.execute(() -> forgetIfDone(pending));
     }
 
     /** The module may still name a message until the last of its calls has ended. */
-    private void forget(PendingMessage h) {
-        if (h.over && h.out() == 0) {
-            held.remove(h.message.id(), h);
+    private void forgetIfDone(PendingMessage pending) {
+        if (pending.isCompleted && pending.callsInFlight() == 0) {
+            pendingMessages.remove(pending.message.id(), pending);
         }
     }
 
     /**
      * What this loop, the module and the journal do not agree on: each has to hold the same messages between
-     * turns. Null where they do, or while something told has not been decided.
+     * turns. Null where they do, or while an event has not been decided.
      */
-    public String disagreement() {
+    public String findInconsistency() {
         if (stopped || turnDue || !events.isEmpty() || !unanswered.isEmpty()) {
             return null;
         }
         Set<String> here = new TreeSet<>();
-        held.values().stream().filter(h -> !h.over).forEach(h -> here.add(h.message.id()));
+        pendingMessages.values().stream()
+                .filter(pending -> !pending.isCompleted)
+                .forEach(pending -> here.add(pending.message.id()));
         Set<String> owed = new TreeSet<>();
         journal.owed().stream().filter(e -> e.end == null).forEach(e -> owed.add(e.message.id()));
         Set<String> decided = new TreeSet<>(control.memory().openMessages().keySet());
-        // A message that waits at the door is held and written down, and the module has not heard of it.
-        decided.addAll(waiting);
-        if (here.equals(owed) && here.equals(decided) && here.size() == open) {
+        // A message that waits at the admission gate is held and written down, and the module has not heard of it.
+        decided.addAll(waitingAtGate);
+        if (here.equals(owed) && here.equals(decided) && here.size() == openMessages) {
             return null;
         }
-        return "loop " + open + " " + brief(here) + ", module " + brief(decided) + ", journal " + brief(owed);
+        return "loop " + openMessages + " " + summary(here) + ", module " + summary(decided) + ", journal "
+                + summary(owed);
     }
 
-    private static String brief(Set<String> ids) {
+    private static String summary(Set<String> ids) {
         return ids.size() + " " + ids.stream().limit(3).toList();
     }
 
     /** True while a message of this id was taken on and has not ended. */
-    public boolean holds(String id) {
-        return held.containsKey(id);
+    public boolean isPending(String id) {
+        return pendingMessages.containsKey(id);
     }
 
     /** A notice has been acknowledged: nothing more is owed. */
-    public void noticed(Journal.Entry entry) {
+    public void onNoticeAcknowledged(Journal.Entry entry) {
         if (DispatchTrace.ON) {
-            DispatchTrace.noticed(clock.unixMillis(), entry.message.id());
+            DispatchTrace.onNoticeAcknowledged(clock.unixMillis(), entry.message.id());
         }
-        close(entry);
+        closeEntry(entry);
     }
 
-    private void close(Journal.Entry entry) {
+    private void closeEntry(Journal.Entry entry) {
         try {
             journal.closed(entry);
         } catch (IOException e) {
@@ -654,14 +665,14 @@
         commitSoon();
     }
 
-    // ---- Hosts out by hand ----------------------------------------------------------------------
+    // ---- Hosts excluded by operators ----------------------------------------------------------------------
     /** Nothing new goes to this host from now on; or it may be used again, with care. */
-    public void exclude(Host host, boolean out) {
-        host.out = out;
-        tell(new Relay.Excluded(host.number, out));
+    public void setExcluded(Host host, boolean out) {
+        host.excluded = out;
+        addEvent(new Relay.Excluded(host.number, out));
         if (out) {
-            pool.takeBack(host);
-            pool.closeIdle(host);
+            transport.recall(host);
+            transport.closeIdle(host);
         }
     }
 
@@ -671,29 +682,30 @@
     }
 
     /** Listed hosts that get no ordinary traffic now. */
-    public int avoided() {
+    public int avoidedHosts() {
         return control.avoided();
     }
 
     // ---- Hand-over ------------------------------------------------------------------------------
     /**
-     * Ends this loop between turns, for another process to go on with what it held: all that has been told is
+     * Ends this loop between turns, for another process to go on with what it held: all events are
      * decided and written, then nothing more. The replies of calls that are out go to the successor.
      */
-    public HandoverState handOn(Successor to) {
+    public HandoverState handOver(Successor to) {
         turn();
         commit();
         stopped = true;
         successor = to;
-        platform.letGo();
-        List<HandoverState.Out> outs = new ArrayList<>();
-        for (PendingMessage h : held.values()) {
-            if (!h.over) {
-                figures.ended(classes.get(h.message.messageClass()), End.HANDED_ON);
+        platform.release();
+        List<HandoverState.CallInFlight> outs = new ArrayList<>();
+        for (PendingMessage pending : pendingMessages.values()) {
+            if (!pending.isCompleted) {
+                metrics.ended(classes.get(pending.message.messageClass()), End.HANDED_ON);
             }
-            for (int i = 0; i < h.calls.size(); i++) {
-                if (h.isOut(i)) {
-                    outs.add(new HandoverState.Out(h.message.id(), i, h.host(i), h.over));
+            for (int i = 0; i < pending.calls.size(); i++) {
+                if (pending.isInFlight(i)) {
+                    outs.add(new HandoverState.CallInFlight(
+                            pending.message.id(), i, pending.hostName(i), pending.isCompleted));
                 }
             }
         }
@@ -703,78 +715,83 @@
     }
 
     /** Takes back the calls to a host, or to all (null), that were handed on and of which no byte is out. */
-    public void takeBackOut(Host host) {
+    public void recallCalls(Host host) {
         List.copyOf(hosts.hosts()).stream()
-                .filter(h -> host == null || h == host)
-                .forEach(pool::takeBack);
+                .filter(other -> host == null || other == host)
+                .forEach(transport::recall);
     }
 
     /** Cancels a call that was out when this loop was handed on; its reply comes as any other. */
-    public void cancelOut(String id, int attempt) {
-        PendingMessage h = held.get(id);
-        if (successor != null && h != null && attempt < h.calls.size() && h.calls.get(attempt) != null) {
-            h.calls.get(attempt).cancel();
+    public void cancelCall(String id, int attempt) {
+        PendingMessage pending = pendingMessages.get(id);
+        if (successor != null
+                && pending != null
+                && attempt < pending.calls.size()
+                && pending.calls.get(attempt) != null) {
+            pending.calls.get(attempt).cancel();
         }
     }
 
     /** Cancels all that was out when this loop was handed on: nobody waits for its replies any more. */
-    public void cancelAllOut() {
-        for (PendingMessage h : List.copyOf(held.values())) {
-            for (int i = 0; i < h.calls.size(); i++) {
-                cancelOut(h.message.id(), i);
+    public void cancelAllCalls() {
+        for (PendingMessage pending : List.copyOf(pendingMessages.values())) {
+            for (int i = 0; i < pending.calls.size(); i++) {
+                cancelCall(pending.message.id(), i);
             }
         }
     }
 
     /** Calls that were out when this loop was handed on, and still are. */
-    public int stillOut() {
-        return held.values().stream().mapToInt(PendingMessage::out).sum();
+    public int callsInFlight() {
+        return pendingMessages.values().stream()
+                .mapToInt(PendingMessage::callsInFlight)
+                .sum();
     }
 
     /** In the place of {@link #start}: goes on with what was handed on; {@code whole}: the list as it is. */
-    public void resume(Platform on, Relay.Listed whole, HandoverState from, RemoteCalls afar) {
+    public void resume(Platform on, Relay.Listed whole, HandoverState from, RemoteCalls remoteCalls) {
         platform = on;
-        evidence.handedOn();
+        hostKnowledge.onHandedOver();
         for (Journal.Entry entry : journal.owed()) {
             if (entry.end != null) {
-                platform.notice(entry);
+                platform.postNotice(entry);
                 continue;
             }
-            PendingMessage h = new PendingMessage(entry.message, entry);
-            entry.attempts.forEach(a -> h.calls.add(null));
-            held.put(h.message.id(), h);
-            open++;
-            figures.taken(classes.get(h.message.messageClass()));
-            door.recovered(h.message);
-        }
-        for (HandoverState.Out out : from.outs()) {
-            PendingMessage h = held.computeIfAbsent(out.id(), id -> PendingMessage.over(id));
-            while (h.calls.size() <= out.attempt()) {
-                h.calls.add(null);
+            PendingMessage pending = new PendingMessage(entry.message, entry);
+            entry.attempts.forEach(attempt -> pending.calls.add(null));
+            pendingMessages.put(pending.message.id(), pending);
+            openMessages++;
+            metrics.taken(classes.get(pending.message.messageClass()));
+            admissionGate.onRecovered(pending.message);
+        }
+        for (HandoverState.CallInFlight call : from.callsInFlight()) {
+            PendingMessage pending = pendingMessages.computeIfAbsent(call.id(), id -> PendingMessage.isCompleted(id));
+            while (pending.calls.size() <= call.attempt()) {
+                pending.calls.add(null);
             }
-            h.begun(out.attempt(), out.host());
-            h.calls.set(
-                    out.attempt(),
-                    afar.out(
-                            out.id(),
-                            out.attempt(),
-                            hosts.reserved(out.host()),
-                            (host, reply) -> ended(h, out.attempt(), host, reply)));
-        }
-        tell(whole);
+            pending.onCallStarted(call.attempt(), call.host());
+            pending.calls.set(
+                    call.attempt(),
+                    remoteCalls.takeOver(
+                            call.id(),
+                            call.attempt(),
+                            hosts.hostNamed(call.host()),
+                            (host, reply) -> onCallEnded(pending, call.attempt(), host, reply)));
+        }
+        addEvent(whole);
         turn();
     }
 
     // ---- List -----------------------------------------------------------------------------------
-    /** The list or its changes are here, and {@link Hosts} holds them. */
-    public void listed(Relay.Listed list) {
-        tell(list);
-        evidence.listed(list).forEach(this::tell);
+    /** The list or its changes are here, and {@link HostDirectory} holds them. */
+    public void onListed(Relay.Listed list) {
+        addEvent(list);
+        hostKnowledge.onListed(list).forEach(this::addEvent);
         commitSoon();
         for (Host host : hosts.hosts()) {
-            if (!host.ready || host.out) {
-                pool.takeBack(host);
-                pool.closeIdle(host);
+            if (!host.ready || host.excluded) {
+                transport.recall(host);
+                transport.closeIdle(host);
             }
         }
         forgetGone();
@@ -782,7 +799,7 @@
 
     private void tidy() {
         forgetGone();
-        if (!stopped && evidence.look()) {
+        if (!stopped && hostKnowledge.recordChanges()) {
             commitSoon();
         }
     }
@@ -790,9 +807,9 @@
     /** Hosts come and go all day: what is gone and has nothing out is not kept. */
     private void forgetGone() {
         for (Host host : List.copyOf(hosts.hosts())) {
-            if (host.gone && !host.out && pool.forget(host)) {
+            if (host.gone && !host.excluded && transport.forget(host)) {
                 hosts.forget(host);
-                evidence.forgotten(host);
+                hostKnowledge.onForgotten(host);
             }
         }
     }
--- a/src/main/java/brambletray/relay/core/Host.java
+++ b/src/main/java/brambletray/relay/core/Host.java
@@ -6,7 +6,7 @@
 public final class Host {
     public final long number;
     public final String name;
-    public InetSocketAddress dial;
+    public InetSocketAddress address;
     /** By which its calls go out. */
     public String protocol = "http";
 
@@ -19,8 +19,8 @@
     public boolean ready;
     /** Off the list; forgotten once nothing is out to it. */
     public boolean gone;
-    /** Taken out by hand: nothing new goes there, whatever the list says; never forgotten while it is. */
-    public boolean out;
+    /** Taken excluded by operators: nothing new goes there, whatever the list says; never forgotten while it is. */
+    public boolean excluded;
 
     public Host(long number, String name) {
         this.number = number;
--- a/src/main/java/brambletray/relay/core/HostDirectory.java
+++ b/src/main/java/brambletray/relay/core/HostDirectory.java
@@ -2,7 +2,7 @@
 
 import java.util.Collection;
 
-/** The hosts that the loop may be asked to send to, as membership keeps them. */
+/** The hosts that the event loop may be asked to send to, as membership keeps them. */
 public interface HostDirectory {
     /** The host that the module knows by this number; null for one that is not known or forgotten. */
     Host host(long number);
@@ -14,13 +14,13 @@
     boolean hasNamed(String name);
 
     /** The host of this name; one that is not held is made, as gone: it has its number when it is listed. */
-    Host reserved(String name);
+    Host hostNamed(String name);
 
     /** The version of the list held; -1 before the first. */
     long version();
 
     /** Hosts on the list. */
-    int listed();
+    int listedCount();
 
     /** Drops a host that is gone. Should its name come back, it has the same number. */
     void forget(Host host);
--- a/src/main/java/brambletray/relay/core/HostKnowledgeRecorder.java
+++ b/src/main/java/brambletray/relay/core/HostKnowledgeRecorder.java
@@ -15,23 +15,28 @@
 import java.util.Set;
 
 /**
- * Brings what the module knows of hosts over the end of the process: told waits in the batch of the turn that
- * heard them, the rest when it is looked at. One thread, that of the loop.
+ * Brings what the module knows of hosts over the end of the process: retry-after times in the batch of the turn that
+ * reported them, the rest when it is looked at. One thread, that of the event loop.
  */
 final class HostKnowledgeRecorder {
     /** Hosts that are gone of which that is still known. */
-    private static final int GONE_MOST = 64;
+    private static final int MAX_GONE_HOSTS = 64;
 
     private final Clock clock;
     private final Control control;
     private final HostDirectory hosts;
-    private final HostKnowledgeJournal notes;
-    private final HostStateCache recollection = new HostStateCache();
-    private final long cold;
-    /** Hosts of earlier lives that no list has named yet; of those known, what is believed is told once. */
-    private final Set<String> untold = new HashSet<>();
-    /** Hosts that no list of this life's platform has spoken of, and that had left when it last did. */
-    private final Set<String> left = new HashSet<>();
+    private final HostKnowledgeJournal journal;
+    private final HostStateCache stateCache = new HostStateCache();
+    private final long slowStartUs;
+    /**
+     * Hosts of earlier runs of the process that no list has named yet; of those known, what is believed is reported
+     * once.
+     */
+    private final Set<String> unreported = new HashSet<>();
+    /**
+     * Hosts that no list of the platform in this run of the process has spoken of, and that had left when it last did.
+     */
+    private final Set<String> leftBeforeStart = new HashSet<>();
     /** By name, the version of the list by which it leaves. */
     private final Map<String, Long> leaving = new HashMap<>();
     /** Names of gone hosts, the oldest first. */
@@ -39,16 +44,16 @@
     /** Of the batch that is not written yet. */
     private final List<String> staged = new ArrayList<>();
 
-    /** {@code cold}: us that a host takes to warm up. */
+    /** {@code slowStartUs}: us that a host needs for slow start. */
     HostKnowledgeRecorder(Clock clock, Control control, HostDirectory hosts, HostKnowledgeJournal notes, long cold) {
         this.clock = clock;
         this.control = control;
         this.hosts = hosts;
-        this.notes = notes;
-        this.cold = cold;
+        this.journal = notes;
+        this.slowStartUs = cold;
         for (HostStateCache.Note note : notes.found()) {
-            recollection.found(note);
-            untold.add(note.host());
+            stateCache.found(note);
+            unreported.add(note.host());
             if (note.leftAt() != HostStateCache.IN_USE) {
                 leaving.put(note.host(), note.leftAt());
                 gone.add(note.host());
@@ -57,26 +62,32 @@
     }
 
     /** The list from before the start, in which hosts that were leaving since get nothing new. */
-    Relay.Listed careful(Relay.Listed known) {
+    Relay.Listed withoutLeavers(Relay.Listed known) {
         List<Relay.Endpoint> endpoints = new ArrayList<>();
-        for (Relay.Endpoint p : known.endpoints()) {
-            Host host = hosts.host(p.id());
-            boolean since = p.listing() == Relay.Listing.READY && recollection.leftSince(host.name, hosts.version());
+        for (Relay.Endpoint endpoint : known.endpoints()) {
+            Host host = hosts.host(endpoint.id());
+            boolean since =
+                    endpoint.listing() == Relay.Listing.READY && stateCache.leftSince(host.name, hosts.version());
             if (since) {
                 host.ready = false;
-                left.add(host.name);
+                leftBeforeStart.add(host.name);
             }
             endpoints.add(
                     since
                             ? new Relay.Endpoint(
-                                    p.id(), p.zone(), p.kind(), p.destination(), Relay.Listing.DRAINING, p.weight())
-                            : p);
+                                    endpoint.id(),
+                                    endpoint.zone(),
+                                    endpoint.kind(),
+                                    endpoint.destination(),
+                                    Relay.Listing.DRAINING,
+                                    endpoint.weight())
+                            : endpoint);
         }
         return new Relay.Listed(known.kind(), endpoints);
     }
 
-    /** A list of the platform is held; what is told beside it to the module. */
-    List<Relay.Event> listed(Relay.Listed list) {
+    /** A list of the platform is held; the events for the module beside it. */
+    List<Relay.Event> onListed(Relay.Listed list) {
         for (Host host : hosts.hosts()) {
             if (host.ready) {
                 leaving.remove(host.name);
@@ -84,63 +95,65 @@
                 leaving.putIfAbsent(host.name, hosts.version());
             }
         }
-        List<Relay.Event> told = new ArrayList<>(freed(list));
-        told.addAll(believed());
-        look();
-        return told;
+        List<Relay.Event> taken = new ArrayList<>(relist(list));
+        taken.addAll(believedEvents());
+        recordChanges();
+        return taken;
     }
 
     /** Those that the platform does not speak of are as the list from before the start has them. */
-    private List<Relay.Event> freed(Relay.Listed list) {
-        list.endpoints().forEach(p -> left.remove(hosts.host(p.id()) == null ? "" : hosts.host(p.id()).name));
+    private List<Relay.Event> relist(Relay.Listed list) {
+        list.endpoints()
+                .forEach(endpoint -> leftBeforeStart.remove(
+                        hosts.host(endpoint.id()) == null ? "" : hosts.host(endpoint.id()).name));
         List<Relay.Endpoint> again = new ArrayList<>();
         for (Host host : hosts.hosts()) {
-            if (left.remove(host.name) && !host.gone) {
+            if (leftBeforeStart.remove(host.name) && !host.gone) {
                 host.ready = true;
                 leaving.remove(host.name);
                 again.add(new Relay.Endpoint(
                         host.number, host.zone, host.kind, host.destination, Relay.Listing.READY, host.weight));
             }
         }
-        left.clear();
+        leftBeforeStart.clear();
         return again.isEmpty() ? List.of() : List.of(new Relay.Listed(Relay.ListKind.CHANGES, again));
     }
 
     /** What is still believed of the hosts that are listed by now. */
-    List<Relay.Event> believed() {
-        List<Relay.Event> told = new ArrayList<>();
-        for (Host host : untold.isEmpty() ? List.<Host>of() : hosts.hosts()) {
-            if (!host.gone && untold.remove(host.name)) {
-                HostKnowledge known = recollection.believed(host.name, clock.moment(), cold);
+    List<Relay.Event> believedEvents() {
+        List<Relay.Event> taken = new ArrayList<>();
+        for (Host host : unreported.isEmpty() ? List.<Host>of() : hosts.hosts()) {
+            if (!host.gone && unreported.remove(host.name)) {
+                HostKnowledge known = stateCache.believed(host.name, clock.moment(), slowStartUs);
                 if (!known.equals(HostKnowledge.NOTHING)) {
-                    told.add(new Relay.Remembered(
+                    taken.add(new Relay.Remembered(
                             host.number,
                             new Relay.Known(
                                     known.waitFor(), known.failing(), known.warming(), known.limit(), known.pace())));
                 }
             }
         }
-        return told;
+        return taken;
     }
 
-    /** The module has decided on these: waits that they told are noted before anything of it goes out. */
-    void decided(List<Relay.Event> events) {
+    /** The module has decided on these: retry-after times in them are noted before anything of it goes out. */
+    void onDecided(List<Relay.Event> events) {
         for (Relay.Event event : events) {
-            if (event instanceof Relay.Ended e && e.retryAfter() > 0 && hosts.host(e.endpoint()) != null) {
-                note(hosts.host(e.endpoint()));
+            if (event instanceof Relay.Ended ended && ended.retryAfter() > 0 && hosts.host(ended.endpoint()) != null) {
+                record(hosts.host(ended.endpoint()));
             }
         }
     }
 
     /** Looks at all hosts; true where something was staged. */
-    boolean look() {
+    boolean recordChanges() {
         int before = staged.size();
-        hosts.hosts().forEach(this::note);
+        hosts.hosts().forEach(this::record);
         return staged.size() > before;
     }
 
-    private void note(Host host) {
-        if (untold.contains(host.name)) {
+    private void record(Host host) {
+        if (unreported.contains(host.name)) {
             return;
         }
         Relay.Known known = control.known(host.number);
@@ -148,44 +161,44 @@
                 ? HostKnowledge.NOTHING
                 : new HostKnowledge(
                         known.retryAfter(), known.isUnhealthy(), known.slowStartAge(), known.limit(), known.pace());
-        HostStateCache.Note note = recollection.worth(
+        HostStateCache.Note note = stateCache.worth(
                 clock.moment(), host.name, leaving.getOrDefault(host.name, HostStateCache.IN_USE), here);
         if (note == null) {
             return;
         }
-        if (notes.put(note)) {
+        if (journal.put(note)) {
             staged.add(host.name);
         } else {
-            recollection.forget(host.name);
+            stateCache.forget(host.name);
         }
     }
 
     /** A batch was written, or failed: what it held is then noted anew. */
-    void written(boolean lasts) {
+    void onWritten(boolean lasts) {
         if (!lasts) {
-            staged.forEach(recollection::forget);
+            staged.forEach(stateCache::forget);
         }
         staged.clear();
     }
 
-    /** This life goes on with the memory of the one before. */
-    void handedOn() {
-        untold.clear();
+    /** This run of the process goes on with the memory of the one before. */
+    void onHandedOver() {
+        unreported.clear();
     }
 
     /**
      * A host is gone and nothing is out to it. That it is gone is known for longer: the list that a start
      * begins with may still name it.
      */
-    void forgotten(Host host) {
+    void onForgotten(Host host) {
         gone.add(host.name);
-        if (gone.size() > GONE_MOST) {
+        if (gone.size() > MAX_GONE_HOSTS) {
             String oldest = gone.iterator().next();
             gone.remove(oldest);
-            if (hosts.hosts().stream().noneMatch(h -> h.name.equals(oldest))) {
+            if (hosts.hosts().stream().noneMatch(other -> other.name.equals(oldest))) {
                 leaving.remove(oldest);
-                recollection.forget(oldest);
-                notes.drop(oldest);
+                stateCache.forget(oldest);
+                journal.drop(oldest);
             }
         }
     }
--- a/src/main/java/brambletray/relay/core/JournalCompaction.java
+++ b/src/main/java/brambletray/relay/core/JournalCompaction.java
@@ -9,19 +9,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The journal's compaction, in slices between the turns of the loop. */
+/** The journal's compaction, in slices between the turns of the event loop. */
 final class JournalCompaction {
     private static final Logger LOG = LoggerFactory.getLogger(JournalCompaction.class);
     /** How long one slice may take, ns; the gap to the next, us. */
-    private static final long SLICE = 500_000;
+    private static final long SLICE_NS = 500_000;
 
-    private static final long GAP = 2_000;
+    private static final long GAP_US = 2_000;
 
     private final EventLoop loop;
     private final Clock clock;
     private final Journal journal;
     private final BooleanSupplier stopped;
-    private boolean due;
+    private boolean isScheduled;
 
     JournalCompaction(EventLoop loop, Clock clock, Journal journal, BooleanSupplier stopped) {
         this.loop = loop;
@@ -31,28 +31,28 @@
     }
 
     /** Begins if there is need, and goes on while there is. */
-    void wanted() {
-        if (journal.wantsCompaction() && !due) {
-            due = true;
-            loop.execute(this::slice);
+    void startIfNeeded() {
+        if (journal.wantsCompaction() && !isScheduled) {
+            isScheduled = true;
+            loop.execute(this::runSlice);
         }
     }
 
     /** One slice; the next one after what has come in meanwhile. */
-    private void slice() {
-        due = false;
+    private void runSlice() {
+        isScheduled = false;
         if (stopped.getAsBoolean() || !journal.wantsCompaction()) {
             return;
         }
         try {
-            journal.compact(clock::nanos, SLICE);
+            journal.compact(clock::nanos, SLICE_NS);
         } catch (IOException e) {
             LOG.error("store cannot be compacted: it grows until this is mended", e);
             return;
         }
         if (journal.wantsCompaction()) {
-            due = true;
-            loop.schedule(this::slice, GAP, TimeUnit.MICROSECONDS);
+            isScheduled = true;
+            loop.schedule(this::runSlice, GAP_US, TimeUnit.MICROSECONDS);
         }
     }
 }
--- a/src/main/java/brambletray/relay/core/MessageReceiver.java
+++ b/src/main/java/brambletray/relay/core/MessageReceiver.java
@@ -3,13 +3,13 @@
 import brambletray.relay.control.Relay;
 import brambletray.relay.message.Message;
 
-/** Where the fronts hand messages in. One thread, that of the loop. */
+/** Where the fronts submit messages. One thread, that of the event loop. */
 public interface MessageReceiver {
-    /** A message is handed in; the answer is told exactly once, at once or within a bound of its own. */
+    /** A message is submitted; the result is reported exactly once, at once or within a bound of its own. */
     void accept(Message message, SubmissionResult answer);
 
     /**
-     * The client did not hear that its message was taken on: it hands it in anew, this one counts for
+     * The client did not hear that its message was taken on: it submits it again, this one counts for
      * nothing.
      */
     void withdraw(String id);
--- a/src/main/java/brambletray/relay/core/PendingMessage.java
+++ b/src/main/java/brambletray/relay/core/PendingMessage.java
@@ -13,11 +13,11 @@
     final List<HostTransport.Call> calls = new ArrayList<>();
 
     Journal.Entry entry;
-    boolean over;
+    boolean isCompleted;
     /** By number of attempt, the name of the host that it is out to; null for one that is not. */
-    private final List<String> to = new ArrayList<>(2);
+    private final List<String> hostNames = new ArrayList<>(2);
 
-    private int out;
+    private int callsInFlight;
 
     PendingMessage(Message message, Journal.Entry entry) {
         this.message = message;
@@ -25,38 +25,39 @@
     }
 
     /** One that has had its end, of which only the id is known; calls for it are still out. */
-    static PendingMessage over(String id) {
-        PendingMessage h = new PendingMessage(new Message(id, "", 0, null, null, 0, 0, Body.of(new byte[0])), null);
-        h.over = true;
-        return h;
+    static PendingMessage isCompleted(String id) {
+        PendingMessage pending =
+                new PendingMessage(new Message(id, "", 0, null, null, 0, 0, Body.of(new byte[0])), null);
+        pending.isCompleted = true;
+        return pending;
     }
 
     /** A call goes out, or is about to. */
-    void begun(int attempt, String host) {
-        while (to.size() <= attempt) {
-            to.add(null);
+    void onCallStarted(int attempt, String host) {
+        while (hostNames.size() <= attempt) {
+            hostNames.add(null);
         }
-        to.set(attempt, host);
-        out++;
+        hostNames.set(attempt, host);
+        callsInFlight++;
     }
 
     /** It has ended, or did not go out. */
-    void done(int attempt) {
-        to.set(attempt, null);
-        out--;
+    void onCallEnded(int attempt) {
+        hostNames.set(attempt, null);
+        callsInFlight--;
     }
 
-    boolean isOut(int attempt) {
-        return attempt < to.size() && to.get(attempt) != null;
+    boolean isInFlight(int attempt) {
+        return attempt < hostNames.size() && hostNames.get(attempt) != null;
     }
 
     /** The name of the host that one went to. */
-    String host(int attempt) {
-        return to.get(attempt);
+    String hostName(int attempt) {
+        return hostNames.get(attempt);
     }
 
     /** Calls out. */
-    int out() {
-        return out;
+    int callsInFlight() {
+        return callsInFlight;
     }
 }
--- a/src/main/java/brambletray/relay/core/ProtocolHostTransport.java
+++ b/src/main/java/brambletray/relay/core/ProtocolHostTransport.java
@@ -7,39 +7,39 @@
 
 /** Sends each host its calls by the protocol that its list entry names. */
 public final class ProtocolHostTransport implements HostTransport {
-    private final Map<String, HostTransport> ways;
+    private final Map<String, HostTransport> transports;
 
-    /** {@code ways}: for each protocol the way out; hosts of any other are left out by membership. */
+    /** {@code ways}: for each protocol the transport; hosts of any other are left out by membership. */
     public ProtocolHostTransport(Map<String, HostTransport> ways) {
-        this.ways = Map.copyOf(ways);
+        this.transports = Map.copyOf(ways);
     }
 
-    private HostTransport way(Host host) {
-        return ways.get(host.protocol);
+    private HostTransport transportFor(Host host) {
+        return transports.get(host.protocol);
     }
 
     @Override
-    public Call call(Host host, Message message, long patience, Consumer<CallReply> whenEnded) {
-        return way(host).call(host, message, patience, whenEnded);
+    public Call call(Host host, Message message, long timeoutUs, Consumer<CallReply> onReply) {
+        return transportFor(host).call(host, message, timeoutUs, onReply);
     }
 
     @Override
-    public List<Call> bundle(Host host, List<Part> parts) {
-        return way(host).bundle(host, parts);
+    public List<Call> callBatch(Host host, List<Part> parts) {
+        return transportFor(host).callBatch(host, parts);
     }
 
     @Override
-    public void takeBack(Host host) {
-        way(host).takeBack(host);
+    public void recall(Host host) {
+        transportFor(host).recall(host);
     }
 
     @Override
     public void closeIdle(Host host) {
-        way(host).closeIdle(host);
+        transportFor(host).closeIdle(host);
     }
 
     @Override
     public boolean forget(Host host) {
-        return way(host).forget(host);
+        return transportFor(host).forget(host);
     }
 }
--- a/src/main/java/brambletray/relay/core/RateLimitedLog.java
+++ b/src/main/java/brambletray/relay/core/RateLimitedLog.java
@@ -9,35 +9,35 @@
  * is counted. One thread.
  */
 public final class RateLimitedLog {
-    private static final int A_SECOND = 5;
-    private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
+    private static final int LINES_PER_WINDOW = 5;
+    private static final long WINDOW_NS = TimeUnit.SECONDS.toNanos(1);
     private final Logger log;
     private final Clock clock;
-    private long since;
+    private long windowStartNs;
     private int written;
-    private long leftOut;
+    private long suppressed;
 
     public RateLimitedLog(Logger log, Clock clock) {
         this.log = log;
         this.clock = clock;
-        this.since = clock.nanos();
+        this.windowStartNs = clock.nanos();
     }
 
     public void warn(String text) {
         long now = clock.nanos();
-        if (now - since >= SECOND) {
-            if (leftOut > 0) {
-                log.warn("{} more lines were left out", leftOut);
+        if (now - windowStartNs >= WINDOW_NS) {
+            if (suppressed > 0) {
+                log.warn("{} more lines were left out", suppressed);
             }
-            since = now;
+            windowStartNs = now;
             written = 0;
-            leftOut = 0;
+            suppressed = 0;
         }
-        if (written < A_SECOND) {
+        if (written < LINES_PER_WINDOW) {
             written++;
             log.warn(text);
         } else {
-            leftOut++;
+            suppressed++;
         }
     }
 }
--- a/src/main/java/brambletray/relay/core/Successor.java
+++ b/src/main/java/brambletray/relay/core/Successor.java
@@ -3,5 +3,5 @@
 /** Whoever goes on in the place of a loop that was handed on. */
 public interface Successor {
     /** A call that was out has its reply; exactly once for each. */
-    void ended(String id, int attempt, String host, CallReply reply);
+    void onCallEnded(String id, int attempt, String host, CallReply reply);
 }
--- a/src/main/java/brambletray/relay/handover/ForwardedCalls.java
+++ b/src/main/java/brambletray/relay/handover/ForwardedCalls.java
@@ -17,7 +17,7 @@
 
     private final Function<String, Host> hosts;
     private final Consumer<HandoverFrame> tell;
-    private final Map<Key, WhenEnded> out = new HashMap<>();
+    private final Map<Key, ReplyListener> out = new HashMap<>();
     /** A host for replies that name none: those of calls lost with the link. */
     private final Map<Key, Host> to = new HashMap<>();
 
@@ -27,7 +27,7 @@
     }
 
     @Override
-    public HostTransport.Call out(String id, int attempt, Host host, WhenEnded whenEnded) {
+    public HostTransport.Call takeOver(String id, int attempt, Host host, ReplyListener whenEnded) {
         Key key = new Key(id, attempt);
         out.put(key, whenEnded);
         to.put(key, host);
@@ -40,17 +40,17 @@
 
     void ended(HandoverFrame.Ended told) {
         Key key = new Key(told.id(), told.attempt());
-        WhenEnded whenEnded = out.remove(key);
+        ReplyListener whenEnded = out.remove(key);
         to.remove(key);
         if (whenEnded != null) {
-            whenEnded.ended(hosts.apply(told.host()), told.reply());
+            whenEnded.onReply(hosts.apply(told.host()), told.reply());
         }
     }
 
     /** The process that had them is gone, and its connections with it: they may have run. */
     void lost() {
         for (Key key : List.copyOf(out.keySet())) {
-            out.remove(key).ended(to.remove(key), new CallReply(Outcome.RESET, false, 0, 0, -1, -1, true));
+            out.remove(key).onReply(to.remove(key), new CallReply(Outcome.RESET, false, 0, 0, -1, -1, true));
         }
     }
 
--- a/src/main/java/brambletray/relay/handover/ForwardedSubmissions.java
+++ b/src/main/java/brambletray/relay/handover/ForwardedSubmissions.java
@@ -48,8 +48,8 @@
             return;
         }
         switch (told.met()) {
-            case TAKEN -> w.answer().taken();
-            case HELD -> w.answer().held();
+            case TAKEN -> w.answer().accepted();
+            case HELD -> w.answer().duplicate();
             case CONFLICT -> w.answer().conflict();
             case REFUSED -> w.answer().refused(told.retryAfter());
             case FAILED -> w.answer().failed();
--- a/src/main/java/brambletray/relay/handover/HandoverFrame.java
+++ b/src/main/java/brambletray/relay/handover/HandoverFrame.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** What two processes of one relay tell one another; the form on the wire is {@link FrameCodec}'s. */
+/** What two processes of one relay tell one another; the form on the wire is {@link HandoverFrameCodec}'s. */
 sealed interface HandoverFrame {
     /** How a message that was handed in through the other process was met. */
     enum Met {
@@ -47,7 +47,7 @@
     record Drained(boolean away) implements HandoverFrame {}
 
     /** All that is handed on. {@code memory}: {@link MemoryCodec}'s. */
-    record State(long time, long unix, Map<String, Long> numbers, List<HandoverState.Out> outs, byte[] memory)
+    record State(long time, long unix, Map<String, Long> numbers, List<HandoverState.CallInFlight> outs, byte[] memory)
             implements HandoverFrame {}
 
     /** The sender owns the folder; {@code careful}: nothing that was handed on is used. */
--- a/src/main/java/brambletray/relay/handover/HandoverFrameCodec.java
+++ b/src/main/java/brambletray/relay/handover/HandoverFrameCodec.java
@@ -234,11 +234,11 @@
             out.writeLong(e.getValue());
         }
         out.writeInt(f.outs().size());
-        for (HandoverState.Out o : f.outs()) {
+        for (HandoverState.CallInFlight o : f.outs()) {
             out.writeUTF(o.id());
             out.writeInt(o.attempt());
             out.writeUTF(o.host());
-            out.writeBoolean(o.over());
+            out.writeBoolean(o.isCompleted());
         }
         bytes(out, f.memory());
     }
@@ -250,9 +250,9 @@
         for (int left = count(in); left > 0; left--) {
             numbers.put(in.readUTF(), in.readLong());
         }
-        List<HandoverState.Out> outs = new ArrayList<>();
+        List<HandoverState.CallInFlight> outs = new ArrayList<>();
         for (int left = count(in); left > 0; left--) {
-            outs.add(new HandoverState.Out(in.readUTF(), in.readInt(), in.readUTF(), in.readBoolean()));
+            outs.add(new HandoverState.CallInFlight(in.readUTF(), in.readInt(), in.readUTF(), in.readBoolean()));
         }
         return new HandoverFrame.State(time, unix, numbers, outs, bytes(in, rest));
     }
@@ -267,10 +267,10 @@
 
     private static void write(CallReply r, DataOutput out) throws IOException {
         out.writeByte(r.outcome().ordinal());
-        out.writeBoolean(r.over());
-        out.writeLong(r.waitFor());
+        out.writeBoolean(r.isFinal());
+        out.writeLong(r.retryAfter());
         out.writeLong(r.latency());
-        out.writeDouble(r.left());
+        out.writeDouble(r.remaining());
         out.writeDouble(r.limit());
         out.writeBoolean(r.reused());
     }
--- a/src/main/java/brambletray/relay/handover/ProcessHandover.java
+++ b/src/main/java/brambletray/relay/handover/ProcessHandover.java
@@ -27,7 +27,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries out what {@link Tenure} asks of one process, over the link to the other: serves clients through
+ * Carries out what {@link OwnershipLease} asks of one process, over the link to the other: serves clients through
  * the owner while this one does not own, hands on, takes over, takes back. One thread, that of the loop.
  */
 public final class ProcessHandover {
@@ -214,7 +214,7 @@
     private void handOn() {
         HandoverState handoff = duties.handOn(new Successor() {
             @Override
-            public void ended(String id, int attempt, String host, CallReply reply) {
+            public void onCallEnded(String id, int attempt, String host, CallReply reply) {
                 tellAfter(new HandoverFrame.Ended(id, attempt, host, reply));
             }
         });
@@ -231,7 +231,8 @@
                     sameSettings ? "too many" : "other settings");
             memory = new byte[0];
         }
-        tellAfter(new HandoverFrame.State(handoff.time(), handoff.unix(), handoff.numbers(), handoff.outs(), memory));
+        tellAfter(new HandoverFrame.State(
+                handoff.moduleTimeUs(), handoff.unixMs(), handoff.hostNumbers(), handoff.callsInFlight(), memory));
         duties.takeBackOut(null);
         duties.serveOut();
     }
@@ -375,12 +376,12 @@
         if (tenure.owns()) {
             duties.intake().accept(f.message(), new SubmissionResult() {
                 @Override
-                public void taken() {
+                public void accepted() {
                     answer(HandoverFrame.Met.TAKEN, 0);
                 }
 
                 @Override
-                public void held() {
+                public void duplicate() {
                     answer(HandoverFrame.Met.HELD, 0);
                 }
 
@@ -425,7 +426,7 @@
         }
     }
 
-    /** As {@link Intake#withdraw}. */
+    /** As {@link MessageReceiver#withdraw}. */
     public void withdraw(String id) {
         if (tenure.owns()) {
             duties.intake().withdraw(id);
--- a/src/main/java/brambletray/relay/http/clients/Server.java
+++ b/src/main/java/brambletray/relay/http/clients/Server.java
@@ -422,7 +422,7 @@
         }
 
         @Override
-        public void taken() {
+        public void accepted() {
             client.respond(HttpResponseStatus.ACCEPTED, 0, keep).addListener(done -> {
                 if (!done.isSuccess()) {
                     intake.withdraw(id);
@@ -431,7 +431,7 @@
         }
 
         @Override
-        public void held() {
+        public void duplicate() {
             client.respond(HttpResponseStatus.ACCEPTED, 0, keep);
         }
 
--- a/src/main/java/brambletray/relay/http/hosts/Answers.java
+++ b/src/main/java/brambletray/relay/http/hosts/Answers.java
@@ -54,10 +54,10 @@
                         false,
                         micros(answer.headers().get(HttpHeaderNames.RETRY_AFTER)),
                         latency,
-                        reply.left(),
+                        reply.remaining(),
                         reply.limit());
-            case 400, 413 -> reply.as(Outcome.NOT_SENT, false);
-            case 504, 410 -> reply.as(Outcome.ERROR, false);
+            case 400, 413 -> reply.withOutcome(Outcome.NOT_SENT, false);
+            case 504, 410 -> reply.withOutcome(Outcome.ERROR, false);
             default -> reply;
         };
     }
--- a/src/main/java/brambletray/relay/http/hosts/Batch.java
+++ b/src/main/java/brambletray/relay/http/hosts/Batch.java
@@ -92,11 +92,11 @@
 
     private static CallReply reply(String state, CallReply whole) {
         return switch (state == null ? "" : state) {
-            case "accepted" -> whole.as(Outcome.OK, true);
-            case "deferred" -> whole.as(Outcome.FULL, false);
-            case "expired" -> whole.as(Outcome.NOT_SENT, true);
-            case "no_more" -> whole.as(Outcome.NOT_SENT, false);
-            default -> whole.as(Outcome.ERROR, false);
+            case "accepted" -> whole.withOutcome(Outcome.OK, true);
+            case "deferred" -> whole.withOutcome(Outcome.FULL, false);
+            case "expired" -> whole.withOutcome(Outcome.NOT_SENT, true);
+            case "no_more" -> whole.withOutcome(Outcome.NOT_SENT, false);
+            default -> whole.withOutcome(Outcome.ERROR, false);
         };
     }
 }
--- a/src/main/java/brambletray/relay/http/hosts/HostPool.java
+++ b/src/main/java/brambletray/relay/http/hosts/HostPool.java
@@ -85,8 +85,8 @@
         private Part(Call call, HostTransport.Part asked) {
             this.call = call;
             this.message = asked.message();
-            this.patience = asked.patience();
-            this.whenEnded = asked.whenEnded();
+            this.patience = asked.timeoutUs();
+            this.whenEnded = asked.onReply();
             this.timer = loop.schedule(this::giveUp, patience, TimeUnit.MICROSECONDS);
         }
 
@@ -117,7 +117,7 @@
                 if (call.ended()) {
                     pool(call.host).connecting.remove(call);
                 }
-                whenEnded.accept(call.reused ? reply.onKeptConnection() : reply);
+                whenEnded.accept(call.reused ? reply.onReusedConnection() : reply);
             }
         }
     }
@@ -165,7 +165,7 @@
             }
             Map<String, CallReply> replies = Batch.replies(reply, body);
             for (Part part : parts) {
-                part.end(replies.getOrDefault(part.message.id(), reply.as(Outcome.ERROR, false)));
+                part.end(replies.getOrDefault(part.message.id(), reply.withOutcome(Outcome.ERROR, false)));
             }
         }
 
@@ -234,7 +234,7 @@
     }
 
     @Override
-    public List<HostTransport.Call> bundle(Host host, List<HostTransport.Part> asked) {
+    public List<HostTransport.Call> callBatch(Host host, List<HostTransport.Part> asked) {
         List<HostTransport.Call> calls = new ArrayList<>();
         int from = 0;
         int bytes = 0;
@@ -288,15 +288,15 @@
             loop.execute(() -> call.end(Outcome.CONNECT_FAILED));
             return;
         }
-        ChannelFuture connect = bootstrap.connect(host.dial);
+        ChannelFuture connect = bootstrap.connect(host.address);
         call.channel = connect.channel();
         if (connect.isDone()
                 && !connect.isSuccess()
                 && !call.channel.closeFuture().isDone()) {
             // Guards the account: where the system gave no socket, nothing is open that could be closed.
-            descriptors.give(Owner.HOSTS);
+            descriptors.release(Owner.HOSTS);
         } else {
-            call.channel.closeFuture().addListener(closed -> descriptors.give(Owner.HOSTS));
+            call.channel.closeFuture().addListener(closed -> descriptors.release(Owner.HOSTS));
         }
         connect.addListener(done -> {
             if (!done.isSuccess()) {
@@ -314,7 +314,7 @@
 
     /** Takes a descriptor; where none is left, from the connection that has been idle for longest. */
     private boolean mayOpen() {
-        if (descriptors.take(Owner.HOSTS)) {
+        if (descriptors.acquire(Owner.HOSTS)) {
             return true;
         }
         Connection longest = null;
@@ -327,7 +327,7 @@
             return false;
         }
         longest.channel.close();
-        return descriptors.take(Owner.HOSTS);
+        return descriptors.acquire(Owner.HOSTS);
     }
 
     /** True for a connection that came up and was reset at once; others are refused or never come up. */
@@ -343,7 +343,7 @@
      * more.
      */
     @Override
-    public void takeBack(Host host) {
+    public void recall(Host host) {
         for (Call call : List.copyOf(pool(host).connecting)) {
             call.abandon(Outcome.NOT_SENT);
         }
@@ -454,12 +454,12 @@
         }
 
         private boolean usable(Host host) {
-            return channel.isActive() && !stale() && host.dial.equals(dial);
+            return channel.isActive() && !stale() && host.address.equals(dial);
         }
 
         private void begin(Call next) {
             call = next;
-            dial = next.host.dial;
+            dial = next.host.address;
             head = null;
             reply = null;
             body = 0;
@@ -636,7 +636,7 @@
         request.headers()
                 .set(
                         HttpHeaderNames.HOST,
-                        call.host.dial.getAddress().getHostAddress() + ":" + call.host.dial.getPort())
+                        call.host.address.getAddress().getHostAddress() + ":" + call.host.address.getPort())
                 .set("X-Timeout-Ms", Math.max(1, (patience - call.latency()) / 1_000))
                 .set(HttpHeaderNames.CONTENT_LENGTH, body.length);
         if (!bundled) {
--- a/src/main/java/brambletray/relay/membership/Discovery.java
+++ b/src/main/java/brambletray/relay/membership/Discovery.java
@@ -73,7 +73,7 @@
      * the new one at once: a notice unanswered is still owed.
      */
     @Override
-    public void move(InetSocketAddress agent) {
+    public void onAgentMoved(InetSocketAddress agent) {
         if (agent.equals(reports.agent)) {
             return;
         }
@@ -91,7 +91,7 @@
     }
 
     @Override
-    public void letGo() {
+    public void release() {
         notices.clear();
         watch.end();
         watching = false;
@@ -112,7 +112,7 @@
 
     /** Posts the end of a message, again and again until the platform has it. */
     @Override
-    public void notice(Journal.Entry entry) {
+    public void postNotice(Journal.Entry entry) {
         notices.put(entry.number, entry);
         if (!posting) {
             posting = true;
@@ -121,7 +121,7 @@
     }
 
     @Override
-    public boolean noticesLeft() {
+    public boolean hasUnacknowledgedNotices() {
         return !notices.isEmpty();
     }
 
--- a/src/main/java/brambletray/relay/membership/HostList.java
+++ b/src/main/java/brambletray/relay/membership/HostList.java
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public Host reserved(String name) {
+    public Host hostNamed(String name) {
         Host host = byName.get(name);
         if (host == null) {
             host = new Host(number(name), name);
@@ -74,7 +74,7 @@
     }
 
     @Override
-    public int listed() {
+    public int listedCount() {
         return (int) byNumber.values().stream().filter(h -> !h.gone).count();
     }
 
@@ -151,13 +151,13 @@
             LOG.warn("list entry of host {} left out: it is gone first where its protocol changes", name);
             return null;
         }
-        host = host == null ? reserved(name) : host;
+        host = host == null ? hostNamed(name) : host;
         host.protocol = protocol;
         host.ready = listing == Relay.Listing.READY;
         host.gone = listing == Relay.Listing.GONE;
         if (listing != Relay.Listing.GONE) {
             try {
-                host.dial = Addresses.parse(entry.text("dial"));
+                host.address = Addresses.parse(entry.text("dial"));
             } catch (Wire.Malformed e) {
                 LOG.warn("list entry of host {} left out: {}", name, e.getMessage());
                 host.ready = false;
--- a/src/main/java/brambletray/relay/mqtt/clients/MqttClient.java
+++ b/src/main/java/brambletray/relay/mqtt/clients/MqttClient.java
@@ -521,7 +521,7 @@
         }
 
         @Override
-        public void noted() {
+        public void onStaged() {
             sessions.take(id);
             if (qos == MqttQoS.EXACTLY_ONCE && !ended) {
                 sessions.received(session, packet);
@@ -529,19 +529,19 @@
         }
 
         @Override
-        public void notNoted() {
+        public void onNotStored() {
             sessions.untake(id);
             sessions.released(session, packet);
         }
 
         @Override
-        public void taken() {
+        public void accepted() {
             // A client that has left hears of it by the answer that its session keeps; it may send it again.
             MqttClient.this.taken(qos, packet);
         }
 
         @Override
-        public void held() {
+        public void duplicate() {
             MqttClient.this.taken(qos, packet);
         }
 
--- a/src/main/java/brambletray/relay/mqtt/clients/Sessions.java
+++ b/src/main/java/brambletray/relay/mqtt/clients/Sessions.java
@@ -113,7 +113,7 @@
                             out.writeLong(until);
                         })),
                         until));
-        loop.staged();
+        loop.onStaged();
     }
 
     /** It was not taken on after all. */
@@ -121,7 +121,7 @@
         Taken t = taken.remove(id);
         if (t != null) {
             store.delete(t.chain());
-            loop.staged();
+            loop.onStaged();
         }
     }
 
@@ -158,7 +158,7 @@
                     session.answers.size());
         }
         store.delete(session.chain);
-        loop.staged();
+        loop.onStaged();
     }
 
     /** Ends the sessions whose clients have been away for too long. */
@@ -247,7 +247,7 @@
 
     // ---- Ends -----------------------------------------------------------------------------------
     @Override
-    public void ended(Message message, End end, long retryAfter) {
+    public void onCompleted(Message message, End end, long retryAfter) {
         Session session = find(message.origin().client());
         if (session == null) {
             return;
@@ -295,7 +295,7 @@
     }
 
     @Override
-    public void batchFailed() {
+    public void onBatchFailed() {
         List<Session> again = List.copyOf(staged);
         staged.clear();
         for (Session session : again) {
@@ -306,7 +306,7 @@
     }
 
     @Override
-    public void committed() {
+    public void onCommitted() {
         if (!store.dirty()) {
             staged.clear();
         }
@@ -319,7 +319,7 @@
             snapshot(session);
         } else {
             store.append(session.chain, bytes(fields));
-            loop.staged();
+            loop.onStaged();
         }
     }
 
@@ -355,7 +355,7 @@
         }));
         session.answers.values().forEach(answer -> notes.add(out -> write(out, answer)));
         notes.forEach(fields -> store.append(session.chain, bytes(fields)));
-        loop.staged();
+        loop.onStaged();
     }
 
     private Session read(Chain chain) throws IOException {
--- a/src/main/java/brambletray/relay/mqtt/hosts/MqttCalls.java
+++ b/src/main/java/brambletray/relay/mqtt/hosts/MqttCalls.java
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public void takeBack(Host host) {
+    public void recall(Host host) {
         PartnerLine line = lines.get(host);
         if (line != null) {
             line.takeBack();
--- a/src/main/java/brambletray/relay/mqtt/hosts/PartnerLine.java
+++ b/src/main/java/brambletray/relay/mqtt/hosts/PartnerLine.java
@@ -216,7 +216,7 @@
                         fresh.pipeline().addLast(new MqttDecoder(PACKET_MOST), MqttEncoder.INSTANCE, new Packets());
                     }
                 })
-                .connect(host.dial);
+                .connect(host.address);
         channel = connect.channel();
         connect.addListener(done -> {
             if (connect.channel() != channel) {
--- a/src/main/java/brambletray/relay/peers/PeerRecovery.java
+++ b/src/main/java/brambletray/relay/peers/PeerRecovery.java
@@ -174,14 +174,14 @@
 
     /** The relay owns its folder and decides: siblings are told from now on. On the loop. */
     public void live(Store store, EventDispatcher loop) {
-        siblings.live(() -> new StoreFreshness(store.number(), life, store.last()), store, loop::staged);
+        siblings.live(() -> new StoreFreshness(store.number(), life, store.last()), store, loop::onStaged);
         if (rest != QuietPeriod.NONE) {
             machine.loop()
                     .schedule(
                             () -> {
                                 // Lost with its batch, it costs the next start a rest.
                                 note(store, life, Stage.SETTLED);
-                                loop.staged();
+                                loop.onStaged();
                                 LOG.info("all messages are taken on again");
                             },
                             Math.max(0, rest.until() - now()),
@@ -195,30 +195,30 @@
                 ? inner
                 : new AdmissionGate() {
                     @Override
-                    public Entry ask(Message message) {
+                    public Decision admit(Message message) {
                         Relay.MessageClass asked = loop.messageClass(message.messageClass());
                         long closed = rest.closed(now(), asked.effect() == Relay.Effect.SAFE);
-                        return closed > 0 ? new Turned(closed * 1_000, List.of()) : inner.ask(message);
+                        return closed > 0 ? new Rejected(closed * 1_000, List.of()) : inner.admit(message);
                     }
 
                     @Override
-                    public Entry again(Message message) {
-                        return inner.again(message);
+                    public Decision retry(Message message) {
+                        return inner.retry(message);
                     }
 
                     @Override
-                    public void recovered(Message message) {
-                        inner.recovered(message);
+                    public void onRecovered(Message message) {
+                        inner.onRecovered(message);
                     }
 
                     @Override
-                    public void sent(String id) {
-                        inner.sent(id);
+                    public void onSent(String id) {
+                        inner.onSent(id);
                     }
 
                     @Override
-                    public void ended(String id) {
-                        inner.ended(id);
+                    public void onEnded(String id) {
+                        inner.onEnded(id);
                     }
                 };
     }
--- a/src/main/java/brambletray/relay/serve/FailoverCalls.java
+++ b/src/main/java/brambletray/relay/serve/FailoverCalls.java
@@ -16,13 +16,13 @@
     }
 
     @Override
-    public List<Call> bundle(Host host, List<Part> parts) {
-        return own.bundle(host, parts);
+    public List<Call> callBatch(Host host, List<Part> parts) {
+        return own.callBatch(host, parts);
     }
 
     @Override
-    public void takeBack(Host host) {
-        own.takeBack(host);
+    public void recall(Host host) {
+        own.recall(host);
         succession.takeBack(host);
     }
 
--- a/src/main/java/brambletray/relay/serve/OperatorActions.java
+++ b/src/main/java/brambletray/relay/serve/OperatorActions.java
@@ -34,7 +34,7 @@
         this.exclusions = new Exclusions(kept.all());
         this.draining = draining;
         for (String name : kept.all()) {
-            loop.exclude(hosts.reserved(name), true);
+            loop.setExcluded(hosts.hostNamed(name), true);
         }
     }
 
@@ -45,7 +45,7 @@
 
     @Override
     public void figures(Consumer<CommandResponse> then) {
-        then.accept(CommandResponse.yes(Statsd.lines(figures, hosts.listed(), loop.avoided())));
+        then.accept(CommandResponse.yes(Statsd.lines(figures, hosts.listedCount(), loop.avoidedHosts())));
     }
 
     @Override
@@ -62,7 +62,7 @@
                     case FULL -> new CommandResponse(503, Exclusions.MOST + " hosts are out already");
                     case UNCHANGED -> out ? takenOut(name) : CommandResponse.yes(name + " is in use");
                     case CHANGED -> {
-                        loop.exclude(hosts.reserved(name), out);
+                        loop.setExcluded(hosts.hostNamed(name), out);
                         yield out ? takenOut(name) : putBack(name);
                     }
                 });
@@ -87,8 +87,8 @@
         if (!loop.commitNow()) {
             // Guards against a host that is in use until a restart, and out again after it.
             exclusions.enter(name, true);
-            Host host = hosts.reserved(name);
-            loop.exclude(host, true);
+            Host host = hosts.hostNamed(name);
+            loop.setExcluded(host, true);
             return new CommandResponse(503, name + " is still out: the store cannot be written");
         }
         kept.exited(name);
--- a/src/main/java/brambletray/relay/serve/RelayInstance.java
+++ b/src/main/java/brambletray/relay/serve/RelayInstance.java
@@ -134,7 +134,8 @@
                 machine,
                 config,
                 journal,
-                (on, hosts, loop, store) -> new Discovery(on, config.discovery(), hosts, loop::listed, loop::noticed));
+                (on, hosts, loop, store) ->
+                        new Discovery(on, config.discovery(), hosts, loop::onListed, loop::onNoticeAcknowledged));
     }
 
     /** The same, without the platform's agent. */
@@ -239,15 +240,15 @@
         }
         if (config.quotas() != null) {
             door = QuotaAdmission.door(machine, config.quotas(), config.settings(), journal.store());
-            loop.door(door);
+            loop.admissionGate(door);
             server.view("/v1/quotas", door::view);
         }
         if (surroundings != null) {
-            loop.door(surroundings.door(door == null ? AdmissionGate.OPEN : door));
+            loop.admissionGate(surroundings.door(door == null ? AdmissionGate.ALWAYS_OPEN : door));
             CompletionListener ends =
                     surroundings.ends(machine, loop, journal.store(), mqtt == null ? null : mqtt.ends());
             if (ends != null) {
-                loop.ends(ends);
+                loop.completionListener(ends);
             }
             server.answers(surroundings.answers());
         }
@@ -282,13 +283,13 @@
 
     private void listed(Relay.Listed list) {
         if (owns()) {
-            loop.listed(list);
+            loop.onListed(list);
         }
     }
 
     private void noticed(Journal.Entry entry) {
         if (owns()) {
-            loop.noticed(entry);
+            loop.onNoticeAcknowledged(entry);
         }
     }
 
@@ -340,20 +341,20 @@
 
     /** What loop, module and journal do not agree on, between turns; null where they do. */
     public String disagreement() {
-        return owns() && loop != null ? loop.disagreement() : null;
+        return owns() && loop != null ? loop.findInconsistency() : null;
     }
 
     /** True when nothing is owed any more. */
     public boolean idle() {
-        return loop != null && loop.idle();
+        return loop != null && loop.isIdle();
     }
 
     /** Discovery is at another address from now on. */
     public void discoveryAt(InetSocketAddress agent) {
         if (discovery != null) {
-            discovery.move(agent);
+            discovery.onAgentMoved(agent);
         } else {
-            loop.discoveryAt(agent);
+            loop.onDiscoveryMoved(agent);
         }
     }
 
@@ -391,7 +392,7 @@
     }
 
     private void workOff() {
-        if (loop.idle() || machine.clock().nanos() >= leaveBy) {
+        if (loop.isIdle() || machine.clock().nanos() >= leaveBy) {
             stop();
             whenLeft.run();
         } else {
@@ -404,7 +405,7 @@
         drain.handOver();
         Machine.close(bound.channel());
         machine.loop().schedule(server::closeIdle, CUT_AT, TimeUnit.MILLISECONDS);
-        machine.loop().schedule(loop::cancelAllOut, CANCEL_AT, TimeUnit.MILLISECONDS);
+        machine.loop().schedule(loop::cancelAllCalls, CANCEL_AT, TimeUnit.MILLISECONDS);
         machine.loop().schedule(this::lookOut, LOOK, TimeUnit.MILLISECONDS);
     }
 
@@ -412,7 +413,8 @@
         if (owns()) {
             return;
         }
-        if (server.connections() == 0 && loop.stillOut() == 0 || machine.clock().nanos() >= leaveBy) {
+        if (server.connections() == 0 && loop.callsInFlight() == 0
+                || machine.clock().nanos() >= leaveBy) {
             LOG.info("handed over, nothing is open here any more");
             whenLeft.run();
         } else {
@@ -540,7 +542,7 @@
             if (owns() && operator != null) {
                 operator.figures(then);
             } else {
-                then.accept(CommandResponse.yes(Statsd.lines(figures, hosts.listed(), avoidedByOwner)));
+                then.accept(CommandResponse.yes(Statsd.lines(figures, hosts.listedCount(), avoidedByOwner)));
             }
         }
 
@@ -595,7 +597,7 @@
 
         @Override
         public HandoverState handOn(Successor to) {
-            HandoverState handoff = loop.handOn(to);
+            HandoverState handoff = loop.handOver(to);
             hosts.hosts().forEach(pool::closeIdle);
             Journal closing = journal;
             journal = null;
@@ -651,17 +653,17 @@
 
         @Override
         public void cancelOut(String id, int attempt) {
-            loop.cancelOut(id, attempt);
+            loop.cancelCall(id, attempt);
         }
 
         @Override
         public void cancelAllOut() {
-            loop.cancelAllOut();
+            loop.cancelAllCalls();
         }
 
         @Override
         public void takeBackOut(String host) {
-            loop.takeBackOut(host == null ? null : hosts.reserved(host));
+            loop.recallCalls(host == null ? null : hosts.hostNamed(host));
         }
 
         @Override
@@ -680,7 +682,7 @@
 
         @Override
         public int avoided() {
-            return loop.avoided();
+            return loop.avoidedHosts();
         }
 
         @Override
@@ -690,7 +692,7 @@
 
         @Override
         public Host host(String name) {
-            return hosts.reserved(name);
+            return hosts.hostNamed(name);
         }
 
         @Override
--- a/src/main/java/brambletray/relay/standalone/InventoryPlatform.java
+++ b/src/main/java/brambletray/relay/standalone/InventoryPlatform.java
@@ -198,7 +198,7 @@
 
     private void listed(Wire.Fields slice) {
         try {
-            loop.listed(hosts.update(slice));
+            loop.onListed(hosts.update(slice));
         } catch (Wire.Malformed e) {
             throw new IllegalStateException("a list of the relay's own can be read", e);
         }
@@ -207,7 +207,7 @@
     private void keep(long key, byte[] text) {
         if (store.fits(Store.cost(text.length))) {
             store.put(LAST_GOOD, key, text);
-            loop.staged();
+            loop.onStaged();
         } else {
             LOG.warn(
                     "the inventory of {} bytes does not fit into the store beside the messages: after a"
@@ -290,17 +290,17 @@
 
     /** Ends are noted and told by {@link Outcomes}, in the batch of the end itself. */
     @Override
-    public void notice(Journal.Entry entry) {
-        loop.noticed(entry);
+    public void postNotice(Journal.Entry entry) {
+        loop.onNoticeAcknowledged(entry);
     }
 
     @Override
-    public boolean noticesLeft() {
+    public boolean hasUnacknowledgedNotices() {
         return false;
     }
 
     @Override
-    public void move(InetSocketAddress agent) {
+    public void onAgentMoved(InetSocketAddress agent) {
         throw new IllegalStateException("there is no agent");
     }
 }
--- a/src/main/java/brambletray/relay/standalone/Outcomes.java
+++ b/src/main/java/brambletray/relay/standalone/Outcomes.java
@@ -126,12 +126,12 @@
     }
 
     @Override
-    public boolean ofAll() {
+    public boolean wantsAll() {
         return true;
     }
 
     @Override
-    public void ended(Message message, End end, long retryAfter) {
+    public void onCompleted(Message message, End end, long retryAfter) {
         long now = clock.unixMillis();
         makeRoom(now);
         String id = message.id();
@@ -146,7 +146,7 @@
             whenUntold.run();
         }
         if (beside != null && message.origin() != null) {
-            beside.ended(message, end, retryAfter);
+            beside.onCompleted(message, end, retryAfter);
         }
     }
 
@@ -162,7 +162,7 @@
         }
         kept.put(outcome.id(), new Kept(outcome, store.put(ANSWERS, next++, bytes.toByteArray())));
         staged.add(outcome.id());
-        loop.staged();
+        loop.onStaged();
     }
 
     /** Drops what is kept no longer; beyond the bound the eldest, told or not. */
@@ -184,12 +184,12 @@
             untold.remove(eldest.outcome.id());
             kept.remove(eldest.outcome.id());
             store.delete(eldest.chain);
-            loop.staged();
+            loop.onStaged();
         }
     }
 
     @Override
-    public void batchFailed() {
+    public void onBatchFailed() {
         for (String id : List.copyOf(staged)) {
             Kept lost = kept.get(id);
             if (lost != null) {
@@ -197,17 +197,17 @@
             }
         }
         if (beside != null) {
-            beside.batchFailed();
+            beside.onBatchFailed();
         }
     }
 
     @Override
-    public void committed() {
+    public void onCommitted() {
         if (!store.dirty()) {
             staged.clear();
         }
         if (beside != null) {
-            beside.committed();
+            beside.onCommitted();
         }
     }
 }
--- a/src/main/java/brambletray/relay/standalone/StandaloneRelay.java
+++ b/src/main/java/brambletray/relay/standalone/StandaloneRelay.java
@@ -124,7 +124,7 @@
     public Function<String, String> answers() {
         return id -> {
             String ended = outcomes.json(id);
-            return ended != null ? ended : loop.holds(id) ? "{\"outcome\":\"pending\"}" : null;
+            return ended != null ? ended : loop.isPending(id) ? "{\"outcome\":\"pending\"}" : null;
         };
     }
 }
--- a/src/test/java/brambletray/relay/admission/QuotaDoorTest.java
+++ b/src/test/java/brambletray/relay/admission/QuotaDoorTest.java
@@ -129,7 +129,7 @@
                 Store store = Store.open(disk, new Store.Options(3_000_000, Store.Promise.PROCESS, 1 << 16));
                 AdmissionGate door = new QuotaDoor(Clock.system(), store, tree, List.of(), 0, 1);
                 int own = 0;
-                while ((life == 2 || own < killedAfter) && door.ask(message(taken)) == AdmissionGate.IN) {
+                while ((life == 2 || own < killedAfter) && door.admit(message(taken)) == AdmissionGate.ADMITTED) {
                     taken++;
                     own++;
                     store.commit();
--- a/src/test/java/brambletray/relay/core/DescriptorBudgetTest.java
+++ b/src/test/java/brambletray/relay/core/DescriptorBudgetTest.java
@@ -32,13 +32,13 @@
     void nobodyTakesMoreThanItsShareNorGivesWhatItHasNot() {
         DescriptorBudget d = new DescriptorBudget(100);
         for (int i = 0; i < d.share(Owner.HOSTS); i++) {
-            assertTrue(d.take(Owner.HOSTS));
+            assertTrue(d.acquire(Owner.HOSTS));
         }
-        assertFalse(d.take(Owner.HOSTS));
-        assertTrue(d.take(Owner.CLIENTS), "another's share is its own");
-        d.give(Owner.HOSTS);
-        assertTrue(d.take(Owner.HOSTS));
-        d.give(Owner.CLIENTS);
-        assertThrows(IllegalStateException.class, () -> d.give(Owner.CLIENTS));
+        assertFalse(d.acquire(Owner.HOSTS));
+        assertTrue(d.acquire(Owner.CLIENTS), "another's share is its own");
+        d.release(Owner.HOSTS);
+        assertTrue(d.acquire(Owner.HOSTS));
+        d.release(Owner.CLIENTS);
+        assertThrows(IllegalStateException.class, () -> d.release(Owner.CLIENTS));
     }
 }
--- a/src/test/java/brambletray/relay/core/EventDispatcherAuditTest.java
+++ b/src/test/java/brambletray/relay/core/EventDispatcherAuditTest.java
@@ -66,7 +66,7 @@
             }
 
             @Override
-            public void takeBack(Host host) {}
+            public void recall(Host host) {}
 
             @Override
             public void closeIdle(Host host) {}
@@ -81,17 +81,17 @@
             public void watch() {}
 
             @Override
-            public void notice(Journal.Entry entry) {
-                loop.noticed(entry);
+            public void postNotice(Journal.Entry entry) {
+                loop.onNoticeAcknowledged(entry);
             }
 
             @Override
-            public boolean noticesLeft() {
+            public boolean hasUnacknowledgedNotices() {
                 return false;
             }
 
             @Override
-            public void move(InetSocketAddress agent) {}
+            public void onAgentMoved(InetSocketAddress agent) {}
         };
         loop = new EventDispatcher(machine, 1, settings, hosts, calls, journal, figures);
         machine.loop().execute(() -> {
@@ -123,12 +123,12 @@
                                 Body.of(new byte[10])),
                         new SubmissionResult() {
                             @Override
-                            public void taken() {
+                            public void accepted() {
                                 met[0] = "taken";
                             }
 
                             @Override
-                            public void held() {
+                            public void duplicate() {
                                 met[0] = "held";
                             }
 
@@ -158,7 +158,7 @@
     }
 
     private void assertAgreed() {
-        assertNull(loop.disagreement());
+        assertNull(loop.findInconsistency());
         long ended = 0;
         for (End end : End.values()) {
             ended += figures.count(0, end) + figures.count(1, end);
@@ -181,25 +181,25 @@
                 throw new IOException("Too many open files");
             }
         });
-        loop.ends(new CompletionListener() {
+        loop.completionListener(new CompletionListener() {
             @Override
-            public void ended(Message message, End end, long retryAfter) {
+            public void onCompleted(Message message, End end, long retryAfter) {
                 journal.store().put((byte) 99, 1, new byte[] {1});
-                loop.staged();
+                loop.onStaged();
             }
 
             @Override
-            public boolean ofAll() {
+            public boolean wantsAll() {
                 return true;
             }
 
             @Override
-            public void batchFailed() {
-                ended(null, null, 0);
+            public void onBatchFailed() {
+                onCompleted(null, null, 0);
             }
 
             @Override
-            public void committed() {
+            public void onCommitted() {
                 noted[0] = !journal.store().chains((byte) 99).isEmpty();
             }
         });
@@ -249,7 +249,7 @@
             assertAgreed();
         }
         assertTrue(figures.count(0, End.REFUSED) > 0);
-        assertEquals(0, out.size() - loop.stillOut());
+        assertEquals(0, out.size() - loop.callsInFlight());
     }
 
     /** A fault that is planted: the journal has let a message go that loop and module hold. */
@@ -258,7 +258,7 @@
         hand("a", "bill", 16_000);
         assertAgreed();
         journal.closed(journal.owed().iterator().next());
-        assertNotNull(loop.disagreement());
-        assertTrue(loop.disagreement().contains("journal 0"), loop.disagreement());
+        assertNotNull(loop.findInconsistency());
+        assertTrue(loop.findInconsistency().contains("journal 0"), loop.findInconsistency());
     }
 }
--- a/src/test/java/brambletray/relay/core/HostKnowledgeRecorderTest.java
+++ b/src/test/java/brambletray/relay/core/HostKnowledgeRecorderTest.java
@@ -89,19 +89,19 @@
         List<Relay.Action> turn(List<Relay.Event> events) {
             List<Relay.Action> actions = control.turn(time.micros, events);
             sends(actions).forEach(s -> attempts.merge(s.id(), 1, Integer::sum));
-            evidence.decided(events);
+            evidence.onDecided(events);
             return actions;
         }
 
         void start(Relay.Listed known) {
-            List<Relay.Event> events = new ArrayList<>(List.of(evidence.careful(known)));
-            events.addAll(evidence.believed());
+            List<Relay.Event> events = new ArrayList<>(List.of(evidence.withoutLeavers(known)));
+            events.addAll(evidence.believedEvents());
             turn(events);
         }
 
         void listed(Relay.Listed list) {
             List<Relay.Event> events = new ArrayList<>(List.of(list));
-            events.addAll(evidence.listed(list));
+            events.addAll(evidence.onListed(list));
             turn(events);
         }
 
@@ -134,14 +134,14 @@
         }
 
         long number(String host) {
-            return hosts.reserved(host).number;
+            return hosts.hostNamed(host).number;
         }
 
         /** What is staged lasts, and the process ends. */
         @Override
         public void close() throws Exception {
             store.commit();
-            evidence.written(true);
+            evidence.onWritten(true);
             store.close();
         }
     }
@@ -180,11 +180,11 @@
                 sends.addAll(life.pass(SECOND));
                 sends.forEach(s -> life.ended(s, Relay.Outcome.FULL, 60 * SECOND, 0));
             }
-            assertFalse(life.evidence.look(), "noted when it was heard");
+            assertFalse(life.evidence.recordChanges(), "noted when it was heard");
         }
         try (Life life = new Life()) {
             life.start(life.update(1, true, "b ready"));
-            life.evidence.look();
+            life.evidence.recordChanges();
             life.listed(life.update(2, false, "a ready"));
             assertTrue(
                     life.control.known(life.number("b")).isUnhealthy(),
@@ -205,7 +205,7 @@
                 sends.forEach(s -> life.ended(s, Relay.Outcome.CONNECT_FAILED, 0, 0));
             }
             assertTrue(life.control.known(life.number("a")).isUnhealthy());
-            assertTrue(life.evidence.look());
+            assertTrue(life.evidence.recordChanges());
         }
         try (Life life = new Life()) {
             life.start(life.update(1, true, "a ready"));
@@ -218,7 +218,7 @@
             life.ended(trial.get(0), Relay.Outcome.OK, 0, 0);
             assertTrue(life.control.known(life.number("a")).slowStartAge() >= 0);
             life.pass(SECOND);
-            assertTrue(life.evidence.look());
+            assertTrue(life.evidence.recordChanges());
         }
         time.micros += 2 * SECOND;
         try (Life life = new Life()) {
@@ -239,7 +239,7 @@
             life.start(life.update(1, true, "a ready"));
             life.ended(life.message().get(0), Relay.Outcome.OK, 0, 10);
             pace = life.control.known(life.number("a")).pace();
-            assertTrue(life.evidence.look());
+            assertTrue(life.evidence.recordChanges());
         }
         time.micros += 2 * SECOND;
         try (Life life = new Life()) {
@@ -262,15 +262,15 @@
                 life.message().forEach(s -> assertEquals(life.number("c"), s.endpoint()));
             }
             assertTrue(life.pass(5 * SECOND).stream().allMatch(s -> s.endpoint() == life.number("c")));
-            assertFalse(life.hosts.reserved("a").ready, "a call that waits for its connection does not go out");
+            assertFalse(life.hosts.hostNamed("a").ready, "a call that waits for its connection does not go out");
             life.listed(life.update(6, false, "a draining"));
-            assertFalse(life.hosts.reserved("a").ready);
-            assertTrue(life.hosts.reserved("b").ready, "the platform has spoken, and not of it");
+            assertFalse(life.hosts.hostNamed("a").ready);
+            assertTrue(life.hosts.hostNamed("b").ready, "the platform has spoken, and not of it");
         }
         try (Life life = new Life()) {
             life.start(life.update(7, true, "a ready", "b ready"));
-            assertTrue(life.hosts.reserved("a").ready, "a later list");
-            assertTrue(life.hosts.reserved("b").ready);
+            assertTrue(life.hosts.hostNamed("a").ready, "a later list");
+            assertTrue(life.hosts.hostNamed("b").ready);
         }
     }
 
@@ -280,10 +280,10 @@
         try (Life life = new Life()) {
             life.start(life.update(1, true, "a ready"));
             life.ended(life.message().get(0), Relay.Outcome.FULL, 30 * SECOND, 0);
-            life.evidence.written(false);
-            assertTrue(life.evidence.look());
-            life.evidence.written(true);
-            assertFalse(life.evidence.look());
+            life.evidence.onWritten(false);
+            assertTrue(life.evidence.recordChanges());
+            life.evidence.onWritten(true);
+            assertFalse(life.evidence.recordChanges());
         }
     }
 
@@ -296,11 +296,11 @@
                 String host = "h" + i;
                 life.listed(life.update(2 + 2L * i, false, host + " ready"));
                 life.listed(life.update(3 + 2L * i, false, host + " gone"));
-                Host gone = life.hosts.reserved(host);
+                Host gone = life.hosts.hostNamed(host);
                 life.hosts.forget(gone);
-                life.evidence.forgotten(gone);
+                life.evidence.onForgotten(gone);
                 life.store.commit();
-                life.evidence.written(true);
+                life.evidence.onWritten(true);
             }
         }
         try (Life life = new Life()) {
--- a/src/test/java/brambletray/relay/handover/HandoverCodecTest.java
+++ b/src/test/java/brambletray/relay/handover/HandoverCodecTest.java
@@ -110,9 +110,11 @@
     void aMessageAndTheStateArriveAsTheyWere() throws IOException {
         Message m = new Message("a", "bill", 2, null, "key", 7, 123, Body.of(new byte[] {0, 1, -1}));
         HandoverFrame.State state = new HandoverFrame.State(
-                5, 6, Map.of("s-1", 4_000_000_000L), List.of(new HandoverState.Out("a", 0, "s-1", true)), new byte[] {
-                    1, 2, 3
-                });
+                5,
+                6,
+                Map.of("s-1", 4_000_000_000L),
+                List.of(new HandoverState.CallInFlight("a", 0, "s-1", true)),
+                new byte[] {1, 2, 3});
         EmbeddedChannel in = new EmbeddedChannel(new HandoverFrameCodec());
         in.writeInbound(bytes(new HandoverFrame.Submit(4, m), state));
         HandoverFrame.Submit submit = in.readInbound();
--- a/src/test/java/brambletray/relay/http/hosts/BundleTest.java
+++ b/src/test/java/brambletray/relay/http/hosts/BundleTest.java
@@ -50,8 +50,8 @@
     }
 
     private List<HostTransport.Call> bundle(HostStub host, HostTransport.Part... parts) throws Exception {
-        listed.dial = new InetSocketAddress(PlatformStub.LOOPBACK, host.port());
-        return group.next().submit(() -> pool.bundle(listed, List.of(parts))).get();
+        listed.address = new InetSocketAddress(PlatformStub.LOOPBACK, host.port());
+        return group.next().submit(() -> pool.callBatch(listed, List.of(parts))).get();
     }
 
     private List<HostTransport.Call> three(HostStub host) throws Exception {
@@ -98,8 +98,8 @@
             next.answer(answer(200, "", "[{\"id\":\"d\",\"state\":\"expired\"},{\"id\":\"e\",\"state\":\"no_more\"}]"));
             var first = replies.take();
             var second = replies.take();
-            assertTrue(first.getValue().over() && first.getValue().outcome() == Outcome.NOT_SENT);
-            assertTrue(!second.getValue().over() && second.getValue().outcome() == Outcome.NOT_SENT);
+            assertTrue(first.getValue().isFinal() && first.getValue().outcome() == Outcome.NOT_SENT);
+            assertTrue(!second.getValue().isFinal() && second.getValue().outcome() == Outcome.NOT_SENT);
             assertTrue(second.getValue().reused());
         }
     }
@@ -123,8 +123,8 @@
             for (int i = 0; i < 3; i++) {
                 CallReply reply = replies.take().getValue();
                 assertEquals(outcome, reply.outcome());
-                assertEquals(wait, reply.waitFor());
-                assertFalse(reply.over());
+                assertEquals(wait, reply.retryAfter());
+                assertFalse(reply.isFinal());
             }
         }
     }
@@ -136,7 +136,7 @@
             three(host);
             host.call().answer(answer(200, "Retry-After: 0.25\r\n", states("accepted", "accepted", "deferred")));
             for (int i = 0; i < 3; i++) {
-                assertEquals(250_000, replies.take().getValue().waitFor());
+                assertEquals(250_000, replies.take().getValue().retryAfter());
             }
         }
     }
@@ -248,11 +248,11 @@
     @Test
     void aCallThatWaitsForItsConnectionIsTakenBackWhole() throws Exception {
         try (HostStub host = new HostStub()) {
-            listed.dial = new InetSocketAddress(PlatformStub.LOOPBACK, host.port());
+            listed.address = new InetSocketAddress(PlatformStub.LOOPBACK, host.port());
             group.next()
                     .submit(() -> {
-                        pool.bundle(listed, List.of(part("a", LONG, 1), part("b", LONG, 1)));
-                        pool.takeBack(listed);
+                        pool.callBatch(listed, List.of(part("a", LONG, 1), part("b", LONG, 1)));
+                        pool.recall(listed);
                     })
                     .get();
             assertEquals(Map.of("a", Outcome.NOT_SENT, "b", Outcome.NOT_SENT), outcomes(2));
--- a/src/test/java/brambletray/relay/http/hosts/HostPoolTest.java
+++ b/src/test/java/brambletray/relay/http/hosts/HostPoolTest.java
@@ -49,7 +49,7 @@
     }
 
     private HostTransport.Call call(HostPool pool, int port, long patience, int bytes) throws Exception {
-        listed.dial = new InetSocketAddress(PlatformStub.LOOPBACK, port);
+        listed.address = new InetSocketAddress(PlatformStub.LOOPBACK, port);
         Message message = new Message("a", "bill", 0, null, null, 7, 0, Body.of(new byte[bytes]));
         return group.next()
                 .submit(() -> pool.call(listed, message, patience, replies::add))
@@ -81,9 +81,9 @@
                             + (header == null ? "" : header + "\r\n") + "Content-Length: 0\r\n\r\n");
             CallReply reply = reply();
             assertEquals(outcome, reply.outcome());
-            assertEquals(over, reply.over());
-            assertEquals(wait, reply.waitFor());
-            assertEquals(0.4, reply.left());
+            assertEquals(over, reply.isFinal());
+            assertEquals(wait, reply.retryAfter());
+            assertEquals(0.4, reply.remaining());
             assertEquals(25, reply.limit());
         }
     }
@@ -109,7 +109,7 @@
             call.answer(piece[0]);
             CallReply reply = reply();
             assertEquals(Outcome.OK, reply.outcome());
-            assertTrue(reply.over(), "delivered, and still owed");
+            assertTrue(reply.isFinal(), "delivered, and still owed");
             if (piece[1].equals("!")) {
                 call.reset();
             } else {
@@ -144,7 +144,7 @@
             hosts.add(new HostStub());
             call(pool, new Host(2 * share, "beyond"), hosts.get(2 * share));
             assertEquals(Outcome.CONNECT_FAILED, reply().outcome(), "all are in use");
-            assertEquals(share, descriptors.held(DescriptorBudget.Owner.HOSTS));
+            assertEquals(share, descriptors.inUse(DescriptorBudget.Owner.HOSTS));
         } finally {
             for (HostStub host : hosts) {
                 host.close();
@@ -178,7 +178,7 @@
             for (int i = 0; i <= descriptors.share(DescriptorBudget.Owner.HOSTS); i++) {
                 call(pool, listed, host);
                 assertEquals(Outcome.CONNECT_FAILED, reply().outcome());
-                assertEquals(0, descriptors.held(DescriptorBudget.Owner.HOSTS));
+                assertEquals(0, descriptors.inUse(DescriptorBudget.Owner.HOSTS));
             }
             group.next().submit(() -> refuses[0] = false).get();
             call(pool, listed, host);
@@ -188,7 +188,7 @@
     }
 
     private void call(HostPool pool, Host host, HostStub to) throws Exception {
-        host.dial = new InetSocketAddress(PlatformStub.LOOPBACK, to.port());
+        host.address = new InetSocketAddress(PlatformStub.LOOPBACK, to.port());
         Message message = new Message("a", "bill", 0, null, null, 7, 0, Body.of(new byte[1]));
         group.next().submit(() -> pool.call(host, message, LONG, replies::add)).get();
     }
@@ -283,7 +283,7 @@
                 }
             }
             call(pool, listener.getLocalPort(), LONG, 10);
-            group.next().submit(() -> pool.takeBack(listed)).get();
+            group.next().submit(() -> pool.recall(listed)).get();
             assertEquals(Outcome.NOT_SENT, reply().outcome());
             for (Socket filler : fillers) {
                 filler.close();
@@ -355,7 +355,7 @@
             call.answer(answer.replace("|", "\r\n"));
             CallReply reply = reply();
             assertEquals(outcome, reply.outcome());
-            assertEquals(0, reply.waitFor());
+            assertEquals(0, reply.retryAfter());
             if (!answer.contains("Endless")) {
                 assertTrue(host.ended(call));
             }
@@ -409,7 +409,7 @@
             host.call().answer("HTTP/1.1 200 OK\r\nX-Server-Load: " + load + "\r\nContent-Length: 0\r\n\r\n");
             CallReply reply = reply();
             assertEquals(Outcome.OK, reply.outcome());
-            assertEquals(-1, reply.left());
+            assertEquals(-1, reply.remaining());
             assertEquals(-1, reply.limit());
         }
     }
--- a/src/test/java/brambletray/relay/stage/InventoryNightTest.java
+++ b/src/test/java/brambletray/relay/stage/InventoryNightTest.java
@@ -169,20 +169,20 @@
                 }
 
                 @Override
-                public void notice(Journal.Entry entry) {
+                public void postNotice(Journal.Entry entry) {
                     stage[0].scene()
                             .noticed(entry.message.id(), entry.end.handedBack(), entry.end.retryAfter() / 1_000);
-                    platform.notice(entry);
+                    platform.postNotice(entry);
                 }
 
                 @Override
-                public boolean noticesLeft() {
+                public boolean hasUnacknowledgedNotices() {
                     return false;
                 }
 
                 @Override
-                public void move(InetSocketAddress agent) {
-                    platform.move(agent);
+                public void onAgentMoved(InetSocketAddress agent) {
+                    platform.onAgentMoved(agent);
                 }
             };
         }
