--- a/src/main/java/brambletray/relay/core/HostKnowledgeRecorder.java
+++ b/src/main/java/brambletray/relay/core/HostKnowledgeRecorder.java
@@ -51,11 +51,11 @@
         this.hosts = hosts;
         this.journal = notes;
         this.slowStartUs = cold;
-        for (HostStateCache.Note note : notes.found()) {
-            stateCache.found(note);
+        for (HostStateCache.Entry note : notes.found()) {
+            stateCache.restore(note);
             unreported.add(note.host());
-            if (note.leftAt() != HostStateCache.IN_USE) {
-                leaving.put(note.host(), note.leftAt());
+            if (note.leftInVersion() != HostStateCache.IN_USE) {
+                leaving.put(note.host(), note.leftInVersion());
                 gone.add(note.host());
             }
         }
@@ -67,7 +67,7 @@
         for (Relay.Endpoint endpoint : known.endpoints()) {
             Host host = hosts.host(endpoint.id());
             boolean since =
-                    endpoint.listing() == Relay.Listing.READY && stateCache.leftSince(host.name, hosts.version());
+                    endpoint.listing() == Relay.Listing.READY && stateCache.hasLeftSince(host.name, hosts.version());
             if (since) {
                 host.ready = false;
                 leftBeforeStart.add(host.name);
@@ -124,12 +124,16 @@
         List<Relay.Event> taken = new ArrayList<>();
         for (Host host : unreported.isEmpty() ? List.<Host>of() : hosts.hosts()) {
             if (!host.gone && unreported.remove(host.name)) {
-                HostKnowledge known = stateCache.believed(host.name, clock.moment(), slowStartUs);
-                if (!known.equals(HostKnowledge.NOTHING)) {
+                HostKnowledge known = stateCache.stillValid(host.name, clock.moment(), slowStartUs);
+                if (!known.equals(HostKnowledge.NONE)) {
                     taken.add(new Relay.Remembered(
                             host.number,
                             new Relay.Known(
-                                    known.waitFor(), known.failing(), known.warming(), known.limit(), known.pace())));
+                                    known.retryAfterUs(),
+                                    known.isUnhealthy(),
+                                    known.slowStartAgeUs(),
+                                    known.limit(),
+                                    known.pace())));
                 }
             }
         }
@@ -158,10 +162,10 @@
         }
         Relay.Known known = control.known(host.number);
         HostKnowledge here = known == null
-                ? HostKnowledge.NOTHING
+                ? HostKnowledge.NONE
                 : new HostKnowledge(
                         known.retryAfter(), known.isUnhealthy(), known.slowStartAge(), known.limit(), known.pace());
-        HostStateCache.Note note = stateCache.worth(
+        HostStateCache.Entry note = stateCache.nextEntry(
                 clock.moment(), host.name, leaving.getOrDefault(host.name, HostStateCache.IN_USE), here);
         if (note == null) {
             return;
--- a/src/main/java/brambletray/relay/journal/HostKnowledgeJournal.java
+++ b/src/main/java/brambletray/relay/journal/HostKnowledgeJournal.java
@@ -32,7 +32,7 @@
 
     private final Store store;
     private final Map<String, Chain> chains = new HashMap<>();
-    private final List<HostStateCache.Note> found = new ArrayList<>();
+    private final List<HostStateCache.Entry> found = new ArrayList<>();
     private long last;
 
     /** Reads those of earlier lives. */
@@ -45,7 +45,7 @@
                 if (in.readByte() != FORM) {
                     throw new IOException("a note of another form");
                 }
-                HostStateCache.Note note = new HostStateCache.Note(
+                HostStateCache.Entry note = new HostStateCache.Entry(
                         in.readUTF(),
                         new BootTimestamp(in.readLong(), in.readLong(), in.readLong()),
                         in.readLong(),
@@ -62,25 +62,25 @@
     }
 
     /** Those of earlier lives. */
-    public List<HostStateCache.Note> found() {
+    public List<HostStateCache.Entry> found() {
         return List.copyOf(found);
     }
 
     /** False where there is no room for it. */
-    public boolean put(HostStateCache.Note note) {
+    public boolean put(HostStateCache.Entry note) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(FORM);
             out.writeUTF(note.host());
-            out.writeLong(note.at().bootId());
-            out.writeLong(note.at().steadyMs());
-            out.writeLong(note.at().wallMs());
-            out.writeLong(note.leftAt());
-            out.writeLong(note.known().waitFor());
-            out.writeBoolean(note.known().failing());
-            out.writeLong(note.known().warming());
-            out.writeDouble(note.known().limit());
-            out.writeDouble(note.known().pace());
+            out.writeLong(note.recordedAt().bootId());
+            out.writeLong(note.recordedAt().steadyMs());
+            out.writeLong(note.recordedAt().wallMs());
+            out.writeLong(note.leftInVersion());
+            out.writeLong(note.knowledge().retryAfterUs());
+            out.writeBoolean(note.knowledge().isUnhealthy());
+            out.writeLong(note.knowledge().slowStartAgeUs());
+            out.writeDouble(note.knowledge().limit());
+            out.writeDouble(note.knowledge().pace());
         } catch (IOException e) {
             throw new IllegalStateException("memory cannot fail to be written", e);
         }
--- a/src/main/java/brambletray/relay/peers/PeerLink.java
+++ b/src/main/java/brambletray/relay/peers/PeerLink.java
@@ -28,44 +28,44 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The link to the siblings: asks them at the start, tells them how far this relay has come while it lives,
+ * The link to the peers: asks them at the start, reports to them how far this relay has come while it runs,
  * and answers those that ask. On the machine's event loop. Nothing that it hears is needed to go on: a lost
- * note makes a relay that starts ask again, and more careful at worst.
+ * message makes a relay that starts ask again, and more careful at worst.
  */
 final class PeerLink {
     private static final Logger LOG = LoggerFactory.getLogger(PeerLink.class);
-    /** ms between two questions; and between two complaints about notes that are of no use. */
-    private static final long ASK_EVERY = 100;
+    /** ms between two questions; and between two warnings about messages that are of no use. */
+    private static final long REQUEST_INTERVAL_MS = 100;
 
-    private static final long COMPLAIN_EVERY = 10_000;
+    private static final long WARN_INTERVAL_MS = 10_000;
 
     private final Machine machine;
     private final PeersFile file;
     private final PeerMessageCodec codec;
-    private final PeerObservations sightings;
+    private final PeerObservations observations;
     private final List<String> names;
     private final long nonce = new SecureRandom().nextLong();
     private Channel channel;
-    private GenerationInquiry asking;
-    private Promise<FolderFinding> answer;
-    private Future<?> asks;
-    private long beats;
-    private long complainedAt = Long.MIN_VALUE;
+    private GenerationInquiry inquiry;
+    private Promise<FolderFinding> result;
+    private Future<?> requestTimer;
+    private long heartbeatCount;
+    private long warnedAtMs = Long.MIN_VALUE;
 
-    /** {@code store}: read now; written to from {@link #live} on, on the loop. */
+    /** {@code store}: read now; written to from {@link #startHeartbeats} on, on the loop. */
     PeerLink(Machine machine, PeersFile file, Store store) {
         this.machine = machine;
         this.file = file;
         this.codec = new PeerMessageCodec(file.cluster(), file.key());
-        this.names = new ArrayList<>(file.others().keySet());
-        this.sightings = new PeerObservations(store, names, now());
+        this.names = new ArrayList<>(file.peers().keySet());
+        this.observations = new PeerObservations(store, names, nowMs());
     }
 
-    private long now() {
+    private long nowMs() {
         return machine.clock().micros() / 1_000;
     }
 
-    /** Listens for notes; done once it does. */
+    /** Listens for messages; done once it does. */
     ChannelFuture listen() {
         ChannelFuture bound = new Bootstrap()
                 .group(machine.loop())
@@ -73,12 +73,12 @@
                 .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                     @Override
                     protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-                        heard(ByteBufUtil.getBytes(packet.content()));
+                        onDatagram(ByteBufUtil.getBytes(packet.content()));
                     }
 
                     @Override
                     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-                        complain(cause.toString());
+                        warn(cause.toString());
                     }
                 })
                 .bind(file.listen());
@@ -87,83 +87,88 @@
     }
 
     /** Asks them all what they know of this relay; called from any thread, once it listens. */
-    Future<FolderFinding> ask(StoreFreshness own, long longest) {
-        answer = machine.loop().newPromise();
+    Future<FolderFinding> inquire(StoreFreshness own, long longest) {
+        result = machine.loop().newPromise();
         machine.loop().execute(() -> {
-            GenerationInquiry.Terms terms = new GenerationInquiry.Terms(file.askMs(), file.beatMs(), longest);
-            asking = new GenerationInquiry(own, names.size(), terms, now());
-            asks = machine.loop().scheduleAtFixedRate(this::askAgain, 0, ASK_EVERY, TimeUnit.MILLISECONDS);
+            GenerationInquiry.Terms terms =
+                    new GenerationInquiry.Terms(file.inquiryTimeoutMs(), file.heartbeatIntervalMs(), longest);
+            inquiry = new GenerationInquiry(own, names.size(), terms, nowMs());
+            requestTimer = machine.loop()
+                    .scheduleAtFixedRate(this::sendRequests, 0, REQUEST_INTERVAL_MS, TimeUnit.MILLISECONDS);
         });
-        return answer;
+        return result;
     }
 
-    private void askAgain() {
-        found(asking.due(now()));
-        if (!answer.isDone()) {
-            names.forEach(name -> send(name, new PeerMessage.Ask(file.name(), nonce)));
+    private void sendRequests() {
+        complete(inquiry.tick(nowMs()));
+        if (!result.isDone()) {
+            names.forEach(name -> send(name, new PeerMessage.WitnessRequest(file.name(), nonce)));
         }
     }
 
-    private void found(FolderFinding finding) {
-        if (finding != null && answer.trySuccess(finding)) {
-            asks.cancel(false);
+    private void complete(FolderFinding finding) {
+        if (finding != null && result.trySuccess(finding)) {
+            requestTimer.cancel(false);
         }
     }
 
-    /** The number of the life that begins; after {@link #ask}. */
-    long nextLife() {
-        return asking.nextLife();
+    /** The number of the incarnation that begins; after {@link #inquire}. */
+    long nextIncarnation() {
+        return inquiry.nextIncarnation();
     }
 
     /** From now on it tells how far it has come, and keeps what it hears. On the loop. */
-    void live(Supplier<StoreFreshness> standing, Store store, Runnable staged) {
-        sightings.keep(store, staged);
+    void startHeartbeats(Supplier<StoreFreshness> freshness, Store store, Runnable onStaged) {
+        observations.recordTo(store, onStaged);
         machine.loop()
                 .scheduleAtFixedRate(
                         () -> {
-                            PeerMessage beat = new PeerMessage.Beat(file.name(), standing.get(), ++beats);
-                            names.forEach(name -> send(name, beat));
+                            PeerMessage heartbeat =
+                                    new PeerMessage.Heartbeat(file.name(), freshness.get(), ++heartbeatCount);
+                            names.forEach(name -> send(name, heartbeat));
                         },
                         0,
-                        file.beatMs(),
+                        file.heartbeatIntervalMs(),
                         TimeUnit.MILLISECONDS);
     }
 
-    private void send(String name, PeerMessage note) {
-        // Failures are not looked at: whoever matters is asked, or told, again.
+    private void send(String name, PeerMessage message) {
+        // Failures are not looked at: whoever matters is asked or notified again.
         channel.writeAndFlush(new DatagramPacket(
-                Unpooled.wrappedBuffer(codec.bytes(note)), file.others().get(name)));
+                Unpooled.wrappedBuffer(codec.encode(message)), file.peers().get(name)));
     }
 
-    private void heard(byte[] bytes) {
-        PeerMessage note;
+    private void onDatagram(byte[] bytes) {
+        PeerMessage message;
         try {
-            note = codec.read(bytes);
+            message = codec.decode(bytes);
         } catch (IOException e) {
-            complain(e.getMessage());
+            warn(e.getMessage());
             return;
         }
-        int who = names.indexOf(note.from());
+        int who = names.indexOf(message.from());
         if (who < 0) {
-            complain("a note of relay '" + note.from() + "', which is no sibling in the file");
-        } else if (note instanceof PeerMessage.Beat beat) {
-            sightings.heard(beat.from(), beat.standing(), beat.beats(), now());
-        } else if (note instanceof PeerMessage.Ask ask) {
-            WitnessReport account = sightings.of(ask.from(), now());
-            send(ask.from(), new PeerMessage.Tell(file.name(), ask.nonce(), account));
-        } else if (note instanceof PeerMessage.Tell tell && tell.nonce() == nonce && asking != null) {
-            found(asking.told(now(), who, tell.account()));
+            warn("a note of relay '" + message.from() + "', which is no sibling in the file");
+        } else if (message instanceof PeerMessage.Heartbeat heartbeat) {
+            observations.onHeartbeat(heartbeat.from(), heartbeat.freshness(), heartbeat.sequence(), nowMs());
+        } else if (message instanceof PeerMessage.WitnessRequest request) {
+            WitnessReport report = observations.reportOn(request.from(), nowMs());
+            send(request.from(), new PeerMessage.WitnessResponse(file.name(), request.nonce(), report));
+        } else if (message instanceof PeerMessage.WitnessResponse response
+                && response.nonce() == nonce
+                && inquiry != null) {
+            complete(inquiry.onReport(nowMs(), who, response.report()));
         }
     }
 
-    private void complain(String what) {
-        if (complainedAt == Long.MIN_VALUE || now() - complainedAt >= COMPLAIN_EVERY) {
-            complainedAt = now();
+    private void warn(String what) {
+        if (warnedAtMs == Long.MIN_VALUE || nowMs() - warnedAtMs >= WARN_INTERVAL_MS) {
+            warnedAtMs = nowMs();
             LOG.warn("{} on {}: left out", what, file.listen());
         }
     }
 
-    /** Where notes of the others come in. */
+    /** Where messages of the others come in. */
     SocketAddress address() {
         return channel.localAddress();
     }
--- a/src/main/java/brambletray/relay/peers/PeerMessageCodec.java
+++ b/src/main/java/brambletray/relay/peers/PeerMessageCodec.java
@@ -14,21 +14,21 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Notes as bytes: form, cluster, sender, sort and what belongs to it, then the first 16 bytes of HMAC-SHA256
+ * Messages as bytes: form, cluster, sender, sort and what belongs to it, then the first 16 bytes of HMAC-SHA256
  * (RFC 2104, FIPS 198-1) over all before. Not for several threads.
  */
 final class PeerMessageCodec {
-    /** Bytes of a note at most. */
-    static final int MOST = 256;
+    /** Bytes of a message at most. */
+    static final int MAX_BYTES = 256;
     /** Characters of a name at most. */
-    static final int NAME_MOST = 40;
+    static final int MAX_NAME_LENGTH = 40;
 
-    private static final int HASH = 16;
+    private static final int HASH_BYTES = 16;
     private static final byte FORM = 1;
-    private static final byte BEAT = 1;
-    private static final byte ASK = 2;
-    private static final byte SEEN = 3;
-    private static final byte NEVER = 4;
+    private static final byte HEARTBEAT = 1;
+    private static final byte REQUEST = 2;
+    private static final byte RESPONSE_SEEN = 3;
+    private static final byte RESPONSE_NOT_SEEN = 4;
 
     private final String cluster;
     private final Mac mac;
@@ -43,52 +43,52 @@
         }
     }
 
-    byte[] bytes(PeerMessage note) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(MOST);
+    byte[] encode(PeerMessage message) {
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(MAX_BYTES);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(FORM);
             out.writeUTF(cluster);
-            out.writeUTF(note.from());
-            if (note instanceof PeerMessage.Beat beat) {
-                out.writeByte(BEAT);
-                write(out, beat.standing());
-                out.writeLong(beat.beats());
-            } else if (note instanceof PeerMessage.Ask ask) {
-                out.writeByte(ASK);
-                out.writeLong(ask.nonce());
-            } else if (note instanceof PeerMessage.Tell tell) {
-                boolean seen = tell.account() instanceof WitnessReport.Seen;
-                out.writeByte(seen ? SEEN : NEVER);
-                out.writeLong(tell.nonce());
-                if (tell.account() instanceof WitnessReport.Never account) {
-                    out.writeLong(account.memory());
-                } else if (tell.account() instanceof WitnessReport.Seen account) {
-                    write(out, account.last());
-                    out.writeLong(account.age());
-                    out.writeLong(account.beats());
+            out.writeUTF(message.from());
+            if (message instanceof PeerMessage.Heartbeat heartbeat) {
+                out.writeByte(HEARTBEAT);
+                writeFreshness(out, heartbeat.freshness());
+                out.writeLong(heartbeat.sequence());
+            } else if (message instanceof PeerMessage.WitnessRequest request) {
+                out.writeByte(REQUEST);
+                out.writeLong(request.nonce());
+            } else if (message instanceof PeerMessage.WitnessResponse response) {
+                boolean isSeen = response.report() instanceof WitnessReport.Seen;
+                out.writeByte(isSeen ? RESPONSE_SEEN : RESPONSE_NOT_SEEN);
+                out.writeLong(response.nonce());
+                if (response.report() instanceof WitnessReport.NotSeen notSeen) {
+                    out.writeLong(notSeen.memoryMs());
+                } else if (response.report() instanceof WitnessReport.Seen seen) {
+                    writeFreshness(out, seen.newest());
+                    out.writeLong(seen.ageMs());
+                    out.writeLong(seen.heartbeats());
                 }
             }
             byte[] said = bytes.toByteArray();
-            out.write(mac.doFinal(said), 0, HASH);
+            out.write(mac.doFinal(said), 0, HASH_BYTES);
         } catch (IOException e) {
             throw new IllegalStateException("memory cannot fail to be written", e);
         }
         return bytes.toByteArray();
     }
 
-    private static void write(DataOutputStream out, StoreFreshness standing) throws IOException {
-        out.writeLong(standing.store());
-        out.writeLong(standing.life());
-        out.writeLong(standing.at());
+    private static void writeFreshness(DataOutputStream out, StoreFreshness freshness) throws IOException {
+        out.writeLong(freshness.storeNumber());
+        out.writeLong(freshness.incarnation());
+        out.writeLong(freshness.batch());
     }
 
     /** Reads one; throws with the cause for one that is not of this cluster, or that has been changed. */
-    PeerMessage read(byte[] bytes) throws IOException {
-        if (bytes.length <= HASH || bytes.length > MOST) {
+    PeerMessage decode(byte[] bytes) throws IOException {
+        if (bytes.length <= HASH_BYTES || bytes.length > MAX_BYTES) {
             throw new IOException("a note of " + bytes.length + " bytes");
         }
-        byte[] said = Arrays.copyOf(bytes, bytes.length - HASH);
-        byte[] hash = Arrays.copyOf(mac.doFinal(said), HASH);
+        byte[] said = Arrays.copyOf(bytes, bytes.length - HASH_BYTES);
+        byte[] hash = Arrays.copyOf(mac.doFinal(said), HASH_BYTES);
         if (!MessageDigest.isEqual(hash, Arrays.copyOfRange(bytes, said.length, bytes.length))) {
             throw new IOException("a note whose keyed hash does not fit");
         }
@@ -102,22 +102,23 @@
         }
         String from = in.readUTF();
         byte sort = in.readByte();
-        PeerMessage note = switch (sort) {
-            case BEAT -> new PeerMessage.Beat(from, standing(in), in.readLong());
-            case ASK -> new PeerMessage.Ask(from, in.readLong());
-            case SEEN ->
-                new PeerMessage.Tell(
-                        from, in.readLong(), new WitnessReport.Seen(standing(in), in.readLong(), in.readLong()));
-            case NEVER -> new PeerMessage.Tell(from, in.readLong(), new WitnessReport.Never(in.readLong()));
+        PeerMessage message = switch (sort) {
+            case HEARTBEAT -> new PeerMessage.Heartbeat(from, readFreshness(in), in.readLong());
+            case REQUEST -> new PeerMessage.WitnessRequest(from, in.readLong());
+            case RESPONSE_SEEN ->
+                new PeerMessage.WitnessResponse(
+                        from, in.readLong(), new WitnessReport.Seen(readFreshness(in), in.readLong(), in.readLong()));
+            case RESPONSE_NOT_SEEN ->
+                new PeerMessage.WitnessResponse(from, in.readLong(), new WitnessReport.NotSeen(in.readLong()));
             default -> throw new IOException("a note of sort " + sort);
         };
         if (in.available() > 0) {
             throw new IOException("a note that is too long for its sort");
         }
-        return note;
+        return message;
     }
 
-    private static StoreFreshness standing(DataInputStream in) throws IOException {
+    private static StoreFreshness readFreshness(DataInputStream in) throws IOException {
         return new StoreFreshness(in.readLong(), in.readLong(), in.readLong());
     }
 }
--- a/src/main/java/brambletray/relay/peers/PeerObservations.java
+++ b/src/main/java/brambletray/relay/peers/PeerObservations.java
@@ -18,53 +18,53 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How far each sibling had come when it was last heard of: at most one record for each name that the file
+ * How far each peer had come when it was last heard of: at most one record for each name that the file
  * has, kept in the store (name space {@link #SPACE}), so that a fleet that comes back all at once remembers.
- * A new life is noted at once, progress once in {@link #NOTE_EVERY} ms. One thread.
+ * A new incarnation is recorded at once, progress once in {@link #MIN_RECORD_INTERVAL_MS} ms. One thread.
  */
 final class PeerObservations {
     static final byte SPACE = 9;
-    /** ms between two records of one sibling's progress. */
-    static final long NOTE_EVERY = 1_000;
+    /** ms between two records of one peer's progress. */
+    static final long MIN_RECORD_INTERVAL_MS = 1_000;
 
     private static final Logger LOG = LoggerFactory.getLogger(PeerObservations.class);
 
-    private static final class Sighting {
+    private static final class Observation {
         final long key;
-        StoreFreshness last;
-        /** Of the life that {@code last} tells of; -1: known from the store only. */
-        long beats = -1;
+        StoreFreshness newest;
+        /** Of the incarnation that {@code newest} tells of; -1: known from the store only. */
+        long heartbeats = -1;
         /** ms; when it was heard, or when this relay began. */
-        long at;
+        long heardAtMs;
 
-        long notedAt;
-        StoreFreshness noted;
+        long recordedAtMs;
+        StoreFreshness recorded;
 
-        Sighting(long key, long now) {
+        Observation(long key, long now) {
             this.key = key;
-            at = now;
+            heardAtMs = now;
         }
     }
 
     private final List<String> names;
-    private final Map<String, Sighting> all = new HashMap<>();
-    private final long began;
+    private final Map<String, Observation> observations = new HashMap<>();
+    private final long startedAtMs;
     private Store store;
-    private Runnable staged;
+    private Runnable onStaged;
 
     /** Reads what is known. {@code now}: ms of the clock that all calls use. */
     PeerObservations(Store store, List<String> names, long now) {
         this.names = List.copyOf(names);
-        this.began = now;
+        this.startedAtMs = now;
         for (Chain chain : store.chains(SPACE)) {
             try {
                 DataInputStream in = new DataInputStream(new ByteArrayInputStream(store.read(chain, 0)));
                 String name = in.readUTF();
-                Sighting s = new Sighting(key(name), now);
-                s.last = new StoreFreshness(in.readLong(), in.readLong(), in.readLong());
-                s.noted = s.last;
+                Observation observation = new Observation(key(name), now);
+                observation.newest = new StoreFreshness(in.readLong(), in.readLong(), in.readLong());
+                observation.recorded = observation.newest;
                 if (names.contains(name)) {
-                    all.put(name, s);
+                    observations.put(name, observation);
                 }
             } catch (IOException e) {
                 LOG.error("a sibling's record in the store can't be read and is left out: {}", e.toString());
@@ -77,52 +77,60 @@
         return UUID.nameUUIDFromBytes(name.getBytes(StandardCharsets.UTF_8)).getMostSignificantBits();
     }
 
-    /** From now on what is heard is noted; {@code staged}: told that there is something to commit. */
-    void keep(Store in, Runnable whenStaged) {
-        store = in;
-        staged = whenStaged;
+    /** From now on what is heard is recorded; {@code staged}: called when there is something to commit. */
+    void recordTo(Store recordStore, Runnable listener) {
+        store = recordStore;
+        onStaged = listener;
     }
 
-    void heard(String name, StoreFreshness standing, long beats, long now) {
-        if (!names.contains(name) || !standing.sensible()) {
+    void onHeartbeat(String name, StoreFreshness freshness, long beats, long now) {
+        if (!names.contains(name) || !freshness.isValid()) {
             return;
         }
-        Sighting s = all.computeIfAbsent(name, n -> new Sighting(key(n), now));
-        boolean sameLife = s.last != null && s.last.store() == standing.store() && s.last.life() == standing.life();
-        // Guards against notes that come late, or twice: an old one neither takes it back nor makes it young.
-        if (s.last != null && (sameLife ? beats <= s.beats : !s.last.behind(standing))) {
+        Observation observation = observations.computeIfAbsent(name, n -> new Observation(key(n), now));
+        boolean sameLife = observation.newest != null
+                && observation.newest.storeNumber() == freshness.storeNumber()
+                && observation.newest.incarnation() == freshness.incarnation();
+        // Guards against messages that come late, or twice: an old one neither takes it back nor makes it recent.
+        if (observation.newest != null
+                && (sameLife ? beats <= observation.heartbeats : !observation.newest.isBehind(freshness))) {
             return;
         }
-        s.last = sameLife && s.last.at() > standing.at() ? s.last : standing;
-        s.beats = beats;
-        s.at = now;
-        if (store != null && !s.last.equals(s.noted) && (!sameLife || now - s.notedAt >= NOTE_EVERY)) {
-            note(name, s, now);
+        observation.newest =
+                sameLife && observation.newest.batch() > freshness.batch() ? observation.newest : freshness;
+        observation.heartbeats = beats;
+        observation.heardAtMs = now;
+        if (store != null
+                && !observation.newest.equals(observation.recorded)
+                && (!sameLife || now - observation.recordedAtMs >= MIN_RECORD_INTERVAL_MS)) {
+            record(name, observation, now);
         }
     }
 
-    private void note(String name, Sighting s, long now) {
+    private void record(String name, Observation observation, long now) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeUTF(name);
-            out.writeLong(s.last.store());
-            out.writeLong(s.last.life());
-            out.writeLong(s.last.at());
+            out.writeLong(observation.newest.storeNumber());
+            out.writeLong(observation.newest.incarnation());
+            out.writeLong(observation.newest.batch());
         } catch (IOException e) {
             throw new IllegalStateException("memory cannot fail to be written", e);
         }
-        s.notedAt = now;
+        observation.recordedAtMs = now;
         if (!store.fits(Store.cost(bytes.size()))) {
             LOG.warn("what was heard of relay {} is not kept: the store is full; raise disk_mb", name);
             return;
         }
-        s.noted = s.last;
-        store.put(SPACE, s.key, bytes.toByteArray());
-        staged.run();
+        observation.recorded = observation.newest;
+        store.put(SPACE, observation.key, bytes.toByteArray());
+        onStaged.run();
     }
 
-    WitnessReport of(String name, long now) {
-        Sighting s = all.get(name);
-        return s == null ? new WitnessReport.Never(now - began) : new WitnessReport.Seen(s.last, now - s.at, s.beats);
+    WitnessReport reportOn(String name, long now) {
+        Observation observation = observations.get(name);
+        return observation == null
+                ? new WitnessReport.NotSeen(now - startedAtMs)
+                : new WitnessReport.Seen(observation.newest, now - observation.heardAtMs, observation.heartbeats);
     }
 }
--- a/src/main/java/brambletray/relay/peers/PeerRecovery.java
+++ b/src/main/java/brambletray/relay/peers/PeerRecovery.java
@@ -25,21 +25,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A relay with siblings comes back: whose folder it has, whether that is the newest, and what follows for
- * what is owed and for what is handed in. The life that begins is noted in the folder (name space
- * {@link #SPACE}: name, number, {@link Stage}) before anything is owned; what a life that is killed had begun
+ * A relay with peers recovers: whose folder it has, whether that is the newest, and what follows for
+ * what is owed and for what is submitted. The incarnation that begins is recorded in the folder (name space
+ * {@link #SPACE}: name, number, {@link Stage}) before anything is owned; what an incarnation that is killed had begun
  * and not ended is done again by the next.
  */
 public final class PeerRecovery {
     static final byte SPACE = 8;
 
-    /** How far coming back has come; by number, as it is noted. */
+    /** How far recovery has come; by number, as it is recorded. */
     private enum Stage {
         SETTLED,
-        /** What is owed is being doubted. */
+        /** What is owed is being marked as perhaps sent. */
         DOUBTING,
-        /** Second tries are turned away. */
-        RESTING
+        /** Repeated messages are rejected. */
+        QUIET
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(PeerRecovery.class);
@@ -47,9 +47,9 @@
     private final Machine machine;
     private final PeersFile file;
     private final Relay.Settings settings;
-    private PeerLink siblings;
-    private QuietPeriod rest = QuietPeriod.NONE;
-    private long life;
+    private PeerLink peerLink;
+    private QuietPeriod quietPeriod = QuietPeriod.NONE;
+    private long incarnation;
 
     public PeerRecovery(Machine machine, PeersFile file, Relay.Settings settings) {
         this.machine = machine;
@@ -58,10 +58,10 @@
     }
 
     /**
-     * Asks, and has the journal doubt what may have been done since; not on the loop, which must be free.
+     * Asks the peers, and marks in the journal what may have been done since; not on the loop, which must be free.
      * Null, or one line that says why this process must not serve from this folder.
      */
-    public String before(Journal journal) throws IOException {
+    public String recover(Journal journal) throws IOException {
         Store store = journal.store();
         StoreFreshness own = null;
         Stage former = Stage.SETTLED;
@@ -76,42 +76,45 @@
             former = Stage.values()[in.readByte()];
         }
         if (own == null && store.last() > 0) {
-            // From before it had siblings.
+            // From before it had peers.
             own = new StoreFreshness(store.number(), 0, store.last());
         }
-        siblings = new PeerLink(machine, file, store);
+        peerLink = new PeerLink(machine, file, store);
         try {
-            ChannelFuture bound = siblings.listen().await();
+            ChannelFuture bound = peerLink.listen().await();
             if (!bound.isSuccess()) {
                 return "no notes of siblings can come in on " + file.listen() + ": "
                         + bound.cause().getMessage();
             }
-            LOG.info("siblings on {}", siblings.address());
-            FolderFinding found = siblings.ask(own, longest()).get();
-            if (found instanceof FolderFinding.Twin twin) {
-                siblings.close();
+            LOG.info("siblings on {}", peerLink.address());
+            FolderFinding finding =
+                    peerLink.inquire(own, maxMessageLifetimeMs()).get();
+            if (finding instanceof FolderFinding.DuplicateProcess duplicate) {
+                peerLink.close();
                 return "another process lives as relay '" + file.name() + "', in life "
-                        + twin.seen().life() + ": end it first, or give this one a name of its own (docs/recovery.md)";
+                        + duplicate.newest().incarnation()
+                        + ": end it first, or give this one a name of its own (docs/recovery.md)";
             }
-            tell(found);
-            if (QuietPeriod.doubts(found, file.trusting()) || former == Stage.DOUBTING) {
-                // Each batch of doubts brings the folder on: killed amid them, it might pass for the newest.
-                note(store, own.life(), Stage.DOUBTING);
+            logFinding(finding);
+            if (QuietPeriod.makesOwedUncertain(finding, file.trustsUnconfirmed()) || former == Stage.DOUBTING) {
+                // Each batch of marks advances the folder: killed amid them, it might pass for the newest.
+                recordStage(store, own.incarnation(), Stage.DOUBTING);
                 store.commit();
                 LOG.warn("{} messages that the folder says are owed count as perhaps sent", journal.doubt());
                 HostKnowledgeJournal.discard(store);
             }
-            rest = QuietPeriod.after(found, file.trusting(), now()).orAgain(former != Stage.SETTLED, now(), longest());
+            quietPeriod = QuietPeriod.requiredBy(finding, file.trustsUnconfirmed(), nowMs())
+                    .orRestarted(former != Stage.SETTLED, nowMs(), maxMessageLifetimeMs());
             if (former != Stage.SETTLED) {
                 LOG.warn(
                         "the life before was killed while it came back: unsafe and keyed messages are turned"
                                 + " away for {} ms",
-                        rest.until() - now());
+                        quietPeriod.untilMs() - nowMs());
             }
-            life = siblings.nextLife();
-            note(store, life, rest == QuietPeriod.NONE ? Stage.SETTLED : Stage.RESTING);
+            incarnation = peerLink.nextIncarnation();
+            recordStage(store, incarnation, quietPeriod == QuietPeriod.NONE ? Stage.SETTLED : Stage.QUIET);
             store.commit();
-            LOG.info("relay {} begins life {}", file.name(), life);
+            LOG.info("relay {} begins life {}", file.name(), incarnation);
             return null;
         } catch (InterruptedException e) {
             return "interrupted while siblings were asked";
@@ -120,7 +123,7 @@
         }
     }
 
-    private void note(Store store, long number, Stage stage) {
+    private void recordStage(Store store, long number, Stage stage) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeUTF(file.name());
@@ -132,38 +135,38 @@
         store.put(SPACE, 0, bytes.toByteArray());
     }
 
-    private static void tell(FolderFinding found) {
-        if (found instanceof FolderFinding.First) {
+    private static void logFinding(FolderFinding finding) {
+        if (finding instanceof FolderFinding.NewRelay) {
             LOG.info("folder: new, and no sibling has heard of this relay");
-        } else if (found instanceof FolderFinding.Continues) {
+        } else if (finding instanceof FolderFinding.Current) {
             LOG.info("folder: the newest that siblings know of");
-        } else if (found instanceof FolderFinding.Lost lost) {
+        } else if (finding instanceof FolderFinding.Lost lost) {
             LOG.error(
                     "folder: LOST; it is empty, and siblings saw life {}: unsafe and keyed messages are"
                             + " turned away for {} ms",
-                    lost.seen().life(),
-                    lost.rest());
-        } else if (found instanceof FolderFinding.RolledBack back) {
+                    lost.newest().incarnation(),
+                    lost.quietPeriodMs());
+        } else if (finding instanceof FolderFinding.RolledBack back) {
             LOG.error(
                     "folder: ROLLED BACK; siblings saw life {} up to {}: unsafe and keyed messages are"
                             + " turned away for {} ms; hosts taken out by hand since are in use again: look",
-                    back.seen().life(),
-                    back.seen().at(),
-                    back.rest());
-        } else if (found instanceof FolderFinding.Unconfirmed unknown) {
+                    back.newest().incarnation(),
+                    back.newest().batch(),
+                    back.quietPeriodMs());
+        } else if (finding instanceof FolderFinding.Unconfirmed unknown) {
             LOG.warn(
                     "folder: {}, and too few siblings answered to tell whether it is the newest ({} ms)",
-                    unknown.empty() ? "empty" : "there",
-                    unknown.rest());
+                    unknown.isEmpty() ? "empty" : "there",
+                    unknown.quietPeriodMs());
         }
     }
 
-    private long now() {
+    private long nowMs() {
         return machine.clock().micros() / 1_000;
     }
 
-    /** ms; the longest time limit of messages whose second try could do harm. */
-    private long longest() {
+    /** ms; the longest time limit of messages whose second attempt could do harm. */
+    private long maxMessageLifetimeMs() {
         return settings.classes().stream()
                         .filter(c -> c.effect() != Relay.Effect.SAFE)
                         .mapToLong(Relay.MessageClass::lifetime)
@@ -172,32 +175,33 @@
                 / 1_000;
     }
 
-    /** The relay owns its folder and decides: siblings are told from now on. On the loop. */
-    public void live(Store store, EventDispatcher loop) {
-        siblings.live(() -> new StoreFreshness(store.number(), life, store.last()), store, loop::onStaged);
-        if (rest != QuietPeriod.NONE) {
+    /** The relay owns its folder and decides: peers are notified from now on. On the loop. */
+    public void onOwned(Store store, EventDispatcher dispatcher) {
+        peerLink.startHeartbeats(
+                () -> new StoreFreshness(store.number(), incarnation, store.last()), store, dispatcher::onStaged);
+        if (quietPeriod != QuietPeriod.NONE) {
             machine.loop()
                     .schedule(
                             () -> {
-                                // Lost with its batch, it costs the next start a rest.
-                                note(store, life, Stage.SETTLED);
-                                loop.onStaged();
+                                // Lost with its batch, it costs the next start a quiet period.
+                                recordStage(store, incarnation, Stage.SETTLED);
+                                dispatcher.onStaged();
                                 LOG.info("all messages are taken on again");
                             },
-                            Math.max(0, rest.until() - now()),
+                            Math.max(0, quietPeriod.untilMs() - nowMs()),
                             TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Who lets messages in while what was forgotten may still be under way. */
-    public AdmissionGate door(AdmissionGate inner, EventDispatcher loop) {
-        return rest == QuietPeriod.NONE
+    /** Admits messages while what was forgotten may still be under way. */
+    public AdmissionGate admissionGate(AdmissionGate inner, EventDispatcher dispatcher) {
+        return quietPeriod == QuietPeriod.NONE
                 ? inner
                 : new AdmissionGate() {
                     @Override
                     public Decision admit(Message message) {
-                        Relay.MessageClass asked = loop.messageClass(message.messageClass());
-                        long closed = rest.closed(now(), asked.effect() == Relay.Effect.SAFE);
+                        Relay.MessageClass asked = dispatcher.messageClass(message.messageClass());
+                        long closed = quietPeriod.retryAfterMs(nowMs(), asked.effect() == Relay.Effect.SAFE);
                         return closed > 0 ? new Rejected(closed * 1_000, List.of()) : inner.admit(message);
                     }
 
--- a/src/main/java/brambletray/relay/recovery/FolderFinding.java
+++ b/src/main/java/brambletray/relay/recovery/FolderFinding.java
@@ -2,26 +2,27 @@
 
 /** What a relay that starts finds about its folder. */
 public sealed interface FolderFinding {
-    /** It has not lived before: all witnesses have answered, and none of them, each up for long
-     * enough, has heard of it. */
-    record First() implements FolderFinding {}
+    /**
+     * It has not run before: all witnesses have answered, and none of them, each up for long enough, has heard of it.
+     */
+    record NewRelay() implements FolderFinding {}
 
     /** The folder is as new as anything that was seen. */
-    record Continues() implements FolderFinding {}
+    record Current() implements FolderFinding {}
 
     /**
-     * The folder is empty, and the relay has lived.
+     * The folder is empty, and the relay has run before.
      *
-     * @param rest ms until nothing that it has forgotten can still be under way
+     * @param quietPeriodMs ms until nothing that it has forgotten can still be under way
      */
-    record Lost(StoreFreshness seen, long rest) implements FolderFinding {}
+    record Lost(StoreFreshness newest, long quietPeriodMs) implements FolderFinding {}
 
-    /** The folder is older than what was seen; {@code rest} as in {@link Lost}. */
-    record RolledBack(StoreFreshness seen, long rest) implements FolderFinding {}
+    /** The folder is older than what was seen; {@code quietPeriodMs} as in {@link Lost}. */
+    record RolledBack(StoreFreshness newest, long quietPeriodMs) implements FolderFinding {}
 
-    /** Too few witnesses answered to tell; {@code rest} as in {@link Lost}. */
-    record Unconfirmed(boolean empty, long rest) implements FolderFinding {}
+    /** Too few witnesses answered to tell; {@code quietPeriodMs} as in {@link Lost}. */
+    record Unconfirmed(boolean isEmpty, long quietPeriodMs) implements FolderFinding {}
 
-    /** Another process lives under this name: it was heard of while this one asked. */
-    record Twin(StoreFreshness seen) implements FolderFinding {}
+    /** Another process runs under this name: it was heard of while this one asked. */
+    record DuplicateProcess(StoreFreshness newest) implements FolderFinding {}
 }
--- a/src/main/java/brambletray/relay/recovery/HostStateCache.java
+++ b/src/main/java/brambletray/relay/recovery/HostStateCache.java
@@ -5,120 +5,125 @@
 import java.util.Map;
 
 /**
- * What of the hosts is worth noting for the next life of a relay, and what that life believes of it. It is
- * told what the module knows; it reads no clock. A wait and a drain bind until they are known to be over; of
- * the rest it holds that old knowledge is worse than none, for it is learned anew within seconds.
+ * What of the hosts is worth recording for the next incarnation of a relay, and what that incarnation believes of it.
+ * It is given what the module knows; it reads no clock. A retry-after time and a drain bind until they are known to be
+ * over; of the rest it holds that old knowledge is worse than none, for it is learned anew within seconds.
  */
 public final class HostStateCache {
-    /** us; a shorter wait is over before another life can send. */
-    static final long WAIT_LEAST = 300_000;
-    /** us; a wait that ends later than noted by no more than this is the same one. */
-    static final long WAIT_SAME = 20_000;
-    /** Changes of a pace and of a limit that are worth a note, as parts of what is noted. */
-    static final double PACE_MOVED = 0.25;
+    /** us; a shorter retry-after time is over before another incarnation can send. */
+    static final long MIN_RETRY_AFTER_US = 300_000;
+    /** us; a retry-after time that ends later than recorded by no more than this is the same one. */
+    static final long RETRY_AFTER_TOLERANCE_US = 20_000;
+    /** Changes of a pace and of a limit that are worth a record, as parts of what is recorded. */
+    static final double PACE_CHANGE = 0.25;
 
-    static final double LIMIT_MOVED = 0.05;
-    /** ms between two notes of one host, but for a longer wait, an outage, a drain. */
-    static final long EVERY = 1_000;
+    static final double LIMIT_CHANGE = 0.05;
+    /** ms between two entries of one host, but for a longer retry-after time, an outage, a drain. */
+    static final long MIN_INTERVAL_MS = 1_000;
     /** ms for which limits and paces are believed, and that a host fails or warms up. */
-    static final long LIMIT_BELIEVED = 30_000;
+    static final long LIMIT_VALIDITY_MS = 30_000;
 
-    static final long HEALTH_BELIEVED = 60_000;
-    /** Hosts of which something is noted at most. */
-    public static final int MOST = 512;
+    static final long HEALTH_VALIDITY_MS = 60_000;
+    /** Hosts of which something is recorded at most. */
+    public static final int MAX_HOSTS = 512;
 
     /**
-     * One note.
+     * What is recorded of one host.
      *
-     * @param at when it was true
-     * @param leftAt version of the list that told that the host leaves or is gone; {@link #IN_USE}: none did
+     * @param recordedAt when it was true
+     * @param leftInVersion version of the list that reported that the host leaves or is gone; {@link #IN_USE}: none did
      */
-    public record Note(String host, BootTimestamp at, long leftAt, HostKnowledge known) {}
+    public record Entry(String host, BootTimestamp recordedAt, long leftInVersion, HostKnowledge knowledge) {}
 
     public static final long IN_USE = -1;
 
-    private final Map<String, Note> noted = new HashMap<>();
+    private final Map<String, Entry> entries = new HashMap<>();
 
-    /** A note that lasts from an earlier life. */
-    public void found(Note note) {
-        if (noted.size() < MOST) {
-            noted.put(note.host(), note);
+    /** Takes an entry that an earlier incarnation has recorded. */
+    public void restore(Entry entry) {
+        if (entries.size() < MAX_HOSTS) {
+            entries.put(entry.host(), entry);
         }
     }
 
-    /** The note to be made now of a host; null where what is noted will do. */
-    public Note worth(BootTimestamp now, String host, long leftAt, HostKnowledge known) {
-        Note last = noted.get(host);
-        boolean worth = last == null
-                ? (known.ofUse() || leftAt != IN_USE) && noted.size() < MOST
+    /** The entry to be recorded now of a host; null where what is recorded will do. */
+    public Entry nextEntry(BootTimestamp now, String host, long leftAt, HostKnowledge known) {
+        Entry last = entries.get(host);
+        boolean isWorthRecording = last == null
+                ? (known.isUseful() || leftAt != IN_USE) && entries.size() < MAX_HOSTS
                 : differs(last, now, leftAt, known);
-        if (!worth) {
+        if (!isWorthRecording) {
             return null;
         }
-        Note note = new Note(host, now, leftAt, known);
-        noted.put(host, note);
-        return note;
+        Entry entry = new Entry(host, now, leftAt, known);
+        entries.put(host, entry);
+        return entry;
     }
 
-    private static boolean differs(Note last, BootTimestamp now, long leftAt, HostKnowledge known) {
-        long passed = now.msSince(last.at);
-        long waits = last.known.waitFor() - Math.max(0, passed) * 1_000;
-        boolean longer = known.waitFor() >= WAIT_LEAST && known.waitFor() > waits + WAIT_SAME;
-        boolean health = known.failing() != last.known.failing()
-                || (known.warming() == HostKnowledge.WARM) != (last.known.warming() == HostKnowledge.WARM);
-        if (longer || health || leftAt != last.leftAt) {
+    private static boolean differs(Entry last, BootTimestamp now, long leftAt, HostKnowledge known) {
+        long passed = now.msSince(last.recordedAt);
+        long waits = last.knowledge.retryAfterUs() - Math.max(0, passed) * 1_000;
+        boolean longer =
+                known.retryAfterUs() >= MIN_RETRY_AFTER_US && known.retryAfterUs() > waits + RETRY_AFTER_TOLERANCE_US;
+        boolean health = known.isUnhealthy() != last.knowledge.isUnhealthy()
+                || (known.slowStartAgeUs() == HostKnowledge.NOT_IN_SLOW_START)
+                        != (last.knowledge.slowStartAgeUs() == HostKnowledge.NOT_IN_SLOW_START);
+        if (longer || health || leftAt != last.leftInVersion) {
             return true;
         }
         boolean limits = known.limit() > 0
-                && (passed > LIMIT_BELIEVED / 2
-                        || moved(last.known.limit(), known.limit(), LIMIT_MOVED)
-                        || moved(last.known.pace(), known.pace(), PACE_MOVED));
-        return limits && (passed == BootTimestamp.UNKNOWN || passed >= EVERY);
+                && (passed > LIMIT_VALIDITY_MS / 2
+                        || hasChanged(last.knowledge.limit(), known.limit(), LIMIT_CHANGE)
+                        || hasChanged(last.knowledge.pace(), known.pace(), PACE_CHANGE));
+        return limits && (passed == BootTimestamp.UNKNOWN || passed >= MIN_INTERVAL_MS);
     }
 
-    private static boolean moved(double from, double to, double part) {
+    private static boolean hasChanged(double from, double to, double part) {
         return Math.abs(to - from) > part * Math.max(from, to);
     }
 
-    /** What was noted of a host did not last, or it is not to be known any more. */
+    /** What was recorded of a host did not last, or it is not to be known any more. */
     public void forget(String host) {
-        noted.remove(host);
+        entries.remove(host);
     }
 
     /**
-     * Whether a host that a list names ready is one that was told to be leaving later than that list.
+     * Whether a host that a list names ready is one that was reported to be leaving later than that list.
      *
      * @param version of the list
      */
-    public boolean leftSince(String host, long version) {
-        Note note = noted.get(host);
-        return note != null && note.leftAt != IN_USE && version < note.leftAt;
+    public boolean hasLeftSince(String host, long version) {
+        Entry entry = entries.get(host);
+        return entry != null && entry.leftInVersion != IN_USE && version < entry.leftInVersion;
     }
 
     /**
      * What is still believed of a host, now.
      *
-     * @param cold us that a host takes to warm up
+     * @param slowStartUs us that a host needs for slow start
      */
-    public HostKnowledge believed(String host, BootTimestamp now, long cold) {
-        Note note = noted.get(host);
-        if (note == null) {
-            return HostKnowledge.NOTHING;
+    public HostKnowledge stillValid(String host, BootTimestamp now, long slowStartUs) {
+        Entry entry = entries.get(host);
+        if (entry == null) {
+            return HostKnowledge.NONE;
         }
-        HostKnowledge then = note.known;
-        long passed = now.msSince(note.at);
+        HostKnowledge recorded = entry.knowledge;
+        long passed = now.msSince(entry.recordedAt);
         if (passed == BootTimestamp.UNKNOWN) {
-            // The machine was started anew: a wait begins again, and what was cold is.
-            return new HostKnowledge(then.waitFor(), then.failing(), Math.min(then.warming(), 0), 0, 0);
+            // The machine was started anew: a retry-after time begins again, and so does slow start.
+            return new HostKnowledge(
+                    recorded.retryAfterUs(), recorded.isUnhealthy(), Math.min(recorded.slowStartAgeUs(), 0), 0, 0);
         }
-        long warming = then.warming() == HostKnowledge.WARM ? HostKnowledge.WARM : then.warming() + passed * 1_000;
-        boolean limits = then.limit() > 0 && passed <= LIMIT_BELIEVED;
-        boolean failing = then.failing() && passed <= HEALTH_BELIEVED;
+        long warming = recorded.slowStartAgeUs() == HostKnowledge.NOT_IN_SLOW_START
+                ? HostKnowledge.NOT_IN_SLOW_START
+                : recorded.slowStartAgeUs() + passed * 1_000;
+        boolean limits = recorded.limit() > 0 && passed <= LIMIT_VALIDITY_MS;
+        boolean failing = recorded.isUnhealthy() && passed <= HEALTH_VALIDITY_MS;
         return new HostKnowledge(
-                Math.max(0, then.waitFor() - passed * 1_000),
+                Math.max(0, recorded.retryAfterUs() - passed * 1_000),
                 failing,
-                warming < cold ? warming : HostKnowledge.WARM,
-                limits ? then.limit() : 0,
-                limits ? then.pace() : 0);
+                warming < slowStartUs ? warming : HostKnowledge.NOT_IN_SLOW_START,
+                limits ? recorded.limit() : 0,
+                limits ? recorded.pace() : 0);
     }
 }
--- a/src/main/java/brambletray/relay/standalone/StandaloneRelay.java
+++ b/src/main/java/brambletray/relay/standalone/StandaloneRelay.java
@@ -76,7 +76,7 @@
         if (settings.siblings() != null) {
             comingBack = new PeerRecovery(
                     machine, settings.siblings(), settings.config().settings());
-            String refusal = comingBack.before(journal);
+            String refusal = comingBack.recover(journal);
             if (refusal != null) {
                 throw new StoreLockedException(refusal);
             }
@@ -85,7 +85,7 @@
 
     @Override
     public AdmissionGate door(AdmissionGate inner) {
-        return comingBack == null ? inner : comingBack.door(inner, loop);
+        return comingBack == null ? inner : comingBack.admissionGate(inner, loop);
     }
 
     @Override
@@ -93,7 +93,7 @@
         this.loop = relay;
         inventories = new InventoryPlatform(machine, settings, hosts, relay, store, reader);
         if (comingBack != null) {
-            comingBack.live(store, relay);
+            comingBack.onOwned(store, relay);
         }
         return inventories;
     }
--- a/src/test/java/brambletray/WithdrawnNamesTest.java
+++ b/src/test/java/brambletray/WithdrawnNamesTest.java
@@ -62,8 +62,12 @@
             "worth",
             "yard");
     /** Packages that hold to them; each is entered here once it does, and never taken out. */
-    private static final List<String> PACKAGES =
-            List.of("brambletray.platform", "brambletray.relay.control", "brambletray.relay.core");
+    private static final List<String> PACKAGES = List.of(
+            "brambletray.platform",
+            "brambletray.relay.control",
+            "brambletray.relay.core",
+            "brambletray.relay.peers",
+            "brambletray.relay.recovery");
 
     private static final Pattern WORD = Pattern.compile("[A-Z]?[a-z]+|[A-Z]+(?![a-z])");
     private static final Pattern EVENT =
--- a/src/test/java/brambletray/relay/peers/PeerLinkTest.java
+++ b/src/test/java/brambletray/relay/peers/PeerLinkTest.java
@@ -37,7 +37,7 @@
     private static PeerMessage receive(DatagramSocket witness, PeerMessageCodec codec) throws IOException {
         DatagramPacket packet = new DatagramPacket(new byte[512], 512);
         witness.receive(packet);
-        return codec.read(Arrays.copyOf(packet.getData(), packet.getLength()));
+        return codec.decode(Arrays.copyOf(packet.getData(), packet.getLength()));
     }
 
     /** An answer to an earlier question, kept and sent again, says nothing of now. */
@@ -61,27 +61,27 @@
             siblings.listen().sync();
             StoreFreshness own = new StoreFreshness(1, 2, 3);
             StoreFreshness later = new StoreFreshness(1, 9, 3);
-            Future<FolderFinding> found = siblings.ask(own, 1_000);
-            PeerMessage.Ask ask = (PeerMessage.Ask) receive(witness, codec);
-            for (PeerMessage note : new PeerMessage[] {
-                new PeerMessage.Tell("w", ask.nonce() + 1, new WitnessReport.Seen(later, 9_000, 1)),
-                new PeerMessage.Tell("stranger", ask.nonce(), new WitnessReport.Seen(later, 9_000, 1)),
-                new PeerMessage.Tell("w", ask.nonce(), new WitnessReport.Seen(own, 9_000, 1))
+            Future<FolderFinding> found = siblings.inquire(own, 1_000);
+            PeerMessage.WitnessRequest request = (PeerMessage.WitnessRequest) receive(witness, codec);
+            for (PeerMessage message : new PeerMessage[] {
+                new PeerMessage.WitnessResponse("w", request.nonce() + 1, new WitnessReport.Seen(later, 9_000, 1)),
+                new PeerMessage.WitnessResponse("stranger", request.nonce(), new WitnessReport.Seen(later, 9_000, 1)),
+                new PeerMessage.WitnessResponse("w", request.nonce(), new WitnessReport.Seen(own, 9_000, 1))
             }) {
-                byte[] bytes = codec.bytes(note);
+                byte[] bytes = codec.encode(message);
                 witness.send(new DatagramPacket(bytes, bytes.length, siblings.address()));
             }
-            assertEquals(new FolderFinding.Continues(), found.get());
+            assertEquals(new FolderFinding.Current(), found.get());
             // And it answers, of whom it has heard nothing.
-            byte[] asked = codec.bytes(new PeerMessage.Ask("w", 77));
+            byte[] asked = codec.encode(new PeerMessage.WitnessRequest("w", 77));
             witness.send(new DatagramPacket(asked, asked.length, siblings.address()));
             PeerMessage told = receive(witness, codec);
-            while (told instanceof PeerMessage.Ask) {
+            while (told instanceof PeerMessage.WitnessRequest) {
                 told = receive(witness, codec);
             }
-            PeerMessage.Tell tell = assertInstanceOf(PeerMessage.Tell.class, told);
-            assertEquals(77, tell.nonce());
-            assertInstanceOf(WitnessReport.Never.class, tell.account());
+            PeerMessage.WitnessResponse response = assertInstanceOf(PeerMessage.WitnessResponse.class, told);
+            assertEquals(77, response.nonce());
+            assertInstanceOf(WitnessReport.NotSeen.class, response.report());
             siblings.close();
         } finally {
             group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
--- a/src/test/java/brambletray/relay/peers/PeerObservationsTest.java
+++ b/src/test/java/brambletray/relay/peers/PeerObservationsTest.java
@@ -81,7 +81,7 @@
         }
         w.sightings = new PeerObservations(w.store, List.of("other", "r"), now);
         Store mine = w.store;
-        w.sightings.keep(mine, () -> {
+        w.sightings.recordTo(mine, () -> {
             try {
                 mine.commit();
             } catch (IOException e) {
@@ -116,13 +116,14 @@
     private void live(StoreFreshness from, long commits, long span) {
         long beats = 0;
         for (long t = 0; t <= span; t += BEAT) {
-            StoreFreshness standing = new StoreFreshness(from.store(), from.life(), from.at() + commits * t / span);
+            StoreFreshness freshness =
+                    new StoreFreshness(from.storeNumber(), from.incarnation(), from.batch() + commits * t / span);
             long beat = ++beats;
             at(now + t, () -> {
                 for (Witness w : witnesses) {
                     carry(w, () -> {
-                        w.handed = w.handed == null || w.handed.behind(standing) ? standing : w.handed;
-                        w.sightings.heard("r", standing, beat, now);
+                        w.handed = w.handed == null || w.handed.isBehind(freshness) ? freshness : w.handed;
+                        w.sightings.onHeartbeat("r", freshness, beat, now);
                     });
                 }
             });
@@ -142,17 +143,17 @@
             long began = now;
             for (long t = 0; t <= PATIENCE; t += 100) {
                 at(began + t, () -> {
-                    found(asking.due(now));
+                    found(asking.tick(now));
                     for (int i = 0; i < witnesses.size(); i++) {
                         int who = i;
                         Witness w = witnesses.get(i);
                         carry(w, () -> {
-                            WitnessReport account = w.sightings.of("r", now);
+                            WitnessReport report = w.sightings.reportOn("r", now);
                             carry(w, () -> {
-                                if (found == null && account instanceof WitnessReport.Seen s) {
-                                    told = told == null || told.behind(s.last()) ? s.last() : told;
+                                if (found == null && report instanceof WitnessReport.Seen s) {
+                                    told = told == null || told.isBehind(s.newest()) ? s.newest() : told;
                                 }
-                                found(asking.told(now, who, account));
+                                found(asking.onReport(now, who, report));
                             });
                         });
                     }
@@ -231,22 +232,22 @@
         StoreFreshness own = kind == Folder.EMPTY
                 ? null
                 : kind == Folder.KEPT ? newest : folder.get(random.nextInt(folder.size() - 1));
-        boolean stale = own == null || own.behind(newest);
+        boolean stale = own == null || own.isBehind(newest);
         Question q = new Question(own);
         runUntil(now + PATIENCE + 1);
         assertNotNull(q.found, "within its patience");
-        boolean trusts = q.found instanceof FolderFinding.First || q.found instanceof FolderFinding.Continues;
+        boolean trusts = q.found instanceof FolderFinding.NewRelay || q.found instanceof FolderFinding.Current;
         if (trusts && q.told != null) {
-            assertFalse(own == null || own.behind(q.told), "believed, though told of " + q.told + ": " + q.found);
+            assertFalse(own == null || own.isBehind(q.told), "believed, though told of " + q.told + ": " + q.found);
         }
-        assertFalse(q.found instanceof FolderFinding.First, "it has lived");
-        assertFalse(q.found instanceof FolderFinding.Twin, "late notes of a life that is over");
+        assertFalse(q.found instanceof FolderFinding.NewRelay, "it has lived");
+        assertFalse(q.found instanceof FolderFinding.DuplicateProcess, "late notes of a life that is over");
         if (!stale) {
             assertFalse(
                     q.found instanceof FolderFinding.RolledBack || q.found instanceof FolderFinding.Lost, "" + q.found);
         }
-        if (q.told != null && q.asking.nextLife() <= q.told.life()) {
-            fail("life " + q.asking.nextLife() + " after " + q.told);
+        if (q.told != null && q.asking.nextIncarnation() <= q.told.incarnation()) {
+            fail("life " + q.asking.nextIncarnation() + " after " + q.told);
         }
         // Every witness up, whole and reachable, that had been handed the end: then a lie cannot pass.
         boolean allKnow = witnesses.stream().allMatch(w -> w.up && !w.cut && newest.equals(w.handed));
@@ -268,7 +269,7 @@
             }
         }
         System.out.println("stories " + stories + ", found " + found);
-        for (String each : List.of("Continues", "RolledBack", "Lost", "Unconfirmed")) {
+        for (String each : List.of("Current", "RolledBack", "Lost", "Unconfirmed")) {
             assertTrue(found.getOrDefault(each, 0) > SEEDS / 50, each + " is hardly ever seen: " + found);
         }
     }
@@ -286,11 +287,13 @@
             long reached = Math.min(4_000, sim.now);
             sim.kill(w, false);
             sim.up(w);
-            WitnessReport.Seen seen = assertInstanceOf(WitnessReport.Seen.class, w.sightings.of("r", sim.now + 70));
-            assertEquals(5, seen.last().life());
+            WitnessReport.Seen seen =
+                    assertInstanceOf(WitnessReport.Seen.class, w.sightings.reportOn("r", sim.now + 70));
+            assertEquals(5, seen.newest().incarnation());
             assertTrue(
-                    seen.last().at() >= reached - PeerObservations.NOTE_EVERY - 2 * BEAT - 400, reached + ": " + seen);
-            assertEquals(70, seen.age(), "no longer ago than this life of the witness");
+                    seen.newest().batch() >= reached - PeerObservations.MIN_RECORD_INTERVAL_MS - 2 * BEAT - 400,
+                    reached + ": " + seen);
+            assertEquals(70, seen.ageMs(), "no longer ago than this life of the witness");
         }
     }
 }
--- a/src/test/java/brambletray/relay/recovery/GenerationInquiryTest.java
+++ b/src/test/java/brambletray/relay/recovery/GenerationInquiryTest.java
@@ -18,19 +18,19 @@
         FolderFinding found = null;
         for (int i = 0; i < accounts.length; i++) {
             assertNull(found, "not before all have answered");
-            found = accounts[i] == null ? null : asking.told(10 + i, i, accounts[i]);
+            found = accounts[i] == null ? null : asking.onReport(10 + i, i, accounts[i]);
         }
-        return found != null ? found : asking.due(2_000);
+        return found != null ? found : asking.tick(2_000);
     }
 
     @Test
     void theNewestFolderGoesOn() {
-        assertEquals(new FolderFinding.Continues(), all(FOLDER, seen(FOLDER), seen(new StoreFreshness(7, 2, 120))));
+        assertEquals(new FolderFinding.Current(), all(FOLDER, seen(FOLDER), seen(new StoreFreshness(7, 2, 120))));
         assertEquals(
-                new FolderFinding.Continues(),
-                all(FOLDER, seen(new StoreFreshness(7, 3, 99)), new WitnessReport.Never(1)));
+                new FolderFinding.Current(),
+                all(FOLDER, seen(new StoreFreshness(7, 3, 99)), new WitnessReport.NotSeen(1)));
         assertEquals(
-                new FolderFinding.Continues(),
+                new FolderFinding.Current(),
                 all(new StoreFreshness(8, 4, 1), seen(FOLDER), seen(FOLDER)),
                 "one made after a loss");
     }
@@ -46,13 +46,14 @@
             assertEquals(new FolderFinding.RolledBack(later, 11_000), all(FOLDER, seen(FOLDER), seen(later)));
             assertEquals(new FolderFinding.RolledBack(later, 11_000), all(FOLDER, seen(later), null));
             assertEquals(
-                    new FolderFinding.RolledBack(later, 11_000), all(FOLDER, new WitnessReport.Never(9), seen(later)));
+                    new FolderFinding.RolledBack(later, 11_000),
+                    all(FOLDER, new WitnessReport.NotSeen(9), seen(later)));
         }
     }
 
     @Test
     void anEmptyOneOfARelayThatHasLivedIsLost() {
-        assertEquals(new FolderFinding.Lost(FOLDER, 11_000), all(null, seen(FOLDER), new WitnessReport.Never(1)));
+        assertEquals(new FolderFinding.Lost(FOLDER, 11_000), all(null, seen(FOLDER), new WitnessReport.NotSeen(1)));
         assertEquals(new FolderFinding.Lost(FOLDER, 0), all(null, new WitnessReport.Seen(FOLDER, 20_000, 1)));
     }
 
@@ -60,16 +61,17 @@
     @Test
     void anEmptyOneIsTheFirstOnlyForWitnessesThatWereUpForLongEnough() {
         assertEquals(
-                new FolderFinding.First(), all(null, new WitnessReport.Never(16_000), new WitnessReport.Never(90_000)));
+                new FolderFinding.NewRelay(),
+                all(null, new WitnessReport.NotSeen(16_000), new WitnessReport.NotSeen(90_000)));
         assertEquals(
                 new FolderFinding.Unconfirmed(true, 15_700),
-                all(null, new WitnessReport.Never(300), new WitnessReport.Never(90_000)));
-        assertEquals(new FolderFinding.Unconfirmed(true, 16_000), all(null, new WitnessReport.Never(90_000), null));
+                all(null, new WitnessReport.NotSeen(300), new WitnessReport.NotSeen(90_000)));
+        assertEquals(new FolderFinding.Unconfirmed(true, 16_000), all(null, new WitnessReport.NotSeen(90_000), null));
     }
 
     @Test
     void aFolderNeedsAMajority() {
-        assertEquals(new FolderFinding.Continues(), all(FOLDER, seen(FOLDER), null), "two of three");
+        assertEquals(new FolderFinding.Current(), all(FOLDER, seen(FOLDER), null), "two of three");
         assertEquals(new FolderFinding.Unconfirmed(false, 16_000), all(FOLDER, null, null));
         assertEquals(
                 new FolderFinding.Unconfirmed(false, 16_000), all(FOLDER, seen(FOLDER), null, null), "two of four");
@@ -80,31 +82,34 @@
     @Test
     void aLifeThatHasJustEndedIsWaitedFor() {
         GenerationInquiry asking = new GenerationInquiry(FOLDER, 1, TERMS, 0);
-        assertNull(asking.told(10, 0, new WitnessReport.Seen(FOLDER, 50, 9)));
-        assertNull(asking.told(100, 0, new WitnessReport.Seen(FOLDER, 140, 9)));
-        assertEquals(new FolderFinding.Continues(), asking.told(710, 0, new WitnessReport.Seen(FOLDER, 750, 9)));
+        assertNull(asking.onReport(10, 0, new WitnessReport.Seen(FOLDER, 50, 9)));
+        assertNull(asking.onReport(100, 0, new WitnessReport.Seen(FOLDER, 140, 9)));
+        assertEquals(new FolderFinding.Current(), asking.onReport(710, 0, new WitnessReport.Seen(FOLDER, 750, 9)));
     }
 
     /** Two processes of one name: it goes on being heard of. A note that comes late is one beat, and no more. */
     @Test
     void aLifeThatGoesOnIsATwin() {
         GenerationInquiry asking = new GenerationInquiry(FOLDER, 1, TERMS, 0);
-        assertNull(asking.told(10, 0, new WitnessReport.Seen(FOLDER, 200, 9)));
-        assertNull(asking.told(100, 0, new WitnessReport.Seen(FOLDER, 40, 10)));
+        assertNull(asking.onReport(10, 0, new WitnessReport.Seen(FOLDER, 200, 9)));
+        assertNull(asking.onReport(100, 0, new WitnessReport.Seen(FOLDER, 40, 10)));
         StoreFreshness now = new StoreFreshness(7, 3, 101);
-        assertEquals(new FolderFinding.Twin(now), asking.told(310, 0, new WitnessReport.Seen(now, 10, 11)));
-        assertEquals(new FolderFinding.Twin(now), asking.due(9_000), "and stays one");
+        assertEquals(
+                new FolderFinding.DuplicateProcess(now), asking.onReport(310, 0, new WitnessReport.Seen(now, 10, 11)));
+        assertEquals(new FolderFinding.DuplicateProcess(now), asking.tick(9_000), "and stays one");
     }
 
     /** The other's life begins after the question: neither may go on unseen. */
     @Test
     void aTwinThatBeginsALifeMeanwhileIsSeenToo() {
         GenerationInquiry asking = new GenerationInquiry(FOLDER, 1, TERMS, 0);
-        assertNull(asking.told(10, 0, new WitnessReport.Seen(FOLDER, 300, 9)));
+        assertNull(asking.onReport(10, 0, new WitnessReport.Seen(FOLDER, 300, 9)));
         StoreFreshness other = new StoreFreshness(7, 4, 101);
-        assertNull(asking.told(400, 0, new WitnessReport.Seen(other, 5, 1)));
-        assertNull(asking.told(600, 0, new WitnessReport.Seen(other, 5, 2)));
-        assertEquals(new FolderFinding.Twin(other), asking.told(900, 0, new WitnessReport.Seen(other, 5, 3)));
+        assertNull(asking.onReport(400, 0, new WitnessReport.Seen(other, 5, 1)));
+        assertNull(asking.onReport(600, 0, new WitnessReport.Seen(other, 5, 2)));
+        assertEquals(
+                new FolderFinding.DuplicateProcess(other),
+                asking.onReport(900, 0, new WitnessReport.Seen(other, 5, 3)));
     }
 
     /** Answers that come late, twice or in another order change nothing; those that make no sense neither. */
@@ -112,38 +117,41 @@
     void theFurthestAccountOfAWitnessCounts() {
         StoreFreshness later = new StoreFreshness(7, 3, 150);
         GenerationInquiry asking = new GenerationInquiry(FOLDER, 2, TERMS, 0);
-        assertNull(asking.told(10, 0, seen(later)));
-        assertNull(asking.told(20, 0, seen(FOLDER)));
-        assertNull(asking.told(30, 0, new WitnessReport.Never(90_000)));
-        assertNull(asking.told(40, 1, seen(new StoreFreshness(7, Long.MAX_VALUE, 1))), "no life of anybody");
-        assertEquals(new FolderFinding.RolledBack(later, 11_000), asking.told(50, 1, seen(FOLDER)));
-        assertEquals(4, asking.nextLife());
+        assertNull(asking.onReport(10, 0, seen(later)));
+        assertNull(asking.onReport(20, 0, seen(FOLDER)));
+        assertNull(asking.onReport(30, 0, new WitnessReport.NotSeen(90_000)));
+        assertNull(asking.onReport(40, 1, seen(new StoreFreshness(7, Long.MAX_VALUE, 1))), "no life of anybody");
+        assertEquals(new FolderFinding.RolledBack(later, 11_000), asking.onReport(50, 1, seen(FOLDER)));
+        assertEquals(4, asking.nextIncarnation());
     }
 
     @Test
     void aLifeIsAboveAllThatWereSeen() {
         GenerationInquiry asking = new GenerationInquiry(FOLDER, 2, TERMS, 0);
-        asking.told(1, 0, seen(new StoreFreshness(8, 9, 1)));
-        asking.told(1, 1, seen(new StoreFreshness(7, 4, 1)));
-        assertEquals(10, asking.nextLife());
-        assertEquals(1, new GenerationInquiry(null, 0, TERMS, 0).nextLife());
+        asking.onReport(1, 0, seen(new StoreFreshness(8, 9, 1)));
+        asking.onReport(1, 1, seen(new StoreFreshness(7, 4, 1)));
+        assertEquals(10, asking.nextIncarnation());
+        assertEquals(1, new GenerationInquiry(null, 0, TERMS, 0).nextIncarnation());
     }
 
     @Test
     void whatIsTurnedAwayAndForHowLong() {
-        QuietPeriod lost = QuietPeriod.after(new FolderFinding.Lost(FOLDER, 11_000), true, 500);
-        assertEquals(11_000, lost.closed(500, false));
-        assertEquals(1, lost.closed(11_499, false));
-        assertEquals(0, lost.closed(11_500, false));
-        assertEquals(0, lost.closed(500, true), "a second try of it does no harm");
-        assertEquals(new QuietPeriod(900), QuietPeriod.NONE.orAgain(true, 400, 500), "the last life's was cut short");
-        assertEquals(lost, lost.orAgain(true, 500, 600), "the longer one");
-        assertSame(QuietPeriod.NONE, QuietPeriod.NONE.orAgain(false, 400, 500));
+        QuietPeriod lost = QuietPeriod.requiredBy(new FolderFinding.Lost(FOLDER, 11_000), true, 500);
+        assertEquals(11_000, lost.retryAfterMs(500, false));
+        assertEquals(1, lost.retryAfterMs(11_499, false));
+        assertEquals(0, lost.retryAfterMs(11_500, false));
+        assertEquals(0, lost.retryAfterMs(500, true), "a second try of it does no harm");
+        assertEquals(
+                new QuietPeriod(900), QuietPeriod.NONE.orRestarted(true, 400, 500), "the last life's was cut short");
+        assertEquals(lost, lost.orRestarted(true, 500, 600), "the longer one");
+        assertSame(QuietPeriod.NONE, QuietPeriod.NONE.orRestarted(false, 400, 500));
         FolderFinding unknown = new FolderFinding.Unconfirmed(false, 9);
-        assertEquals(9, QuietPeriod.after(unknown, false, 0).closed(0, false));
-        assertEquals(0, QuietPeriod.after(unknown, true, 0).closed(0, false), "trusted");
-        assertTrue(QuietPeriod.doubts(unknown, false) && !QuietPeriod.doubts(unknown, true));
-        assertTrue(QuietPeriod.doubts(new FolderFinding.RolledBack(FOLDER, 1), true), "whatever is trusted");
-        assertFalse(QuietPeriod.doubts(new FolderFinding.Lost(FOLDER, 1), false), "nothing is there to doubt");
+        assertEquals(9, QuietPeriod.requiredBy(unknown, false, 0).retryAfterMs(0, false));
+        assertEquals(0, QuietPeriod.requiredBy(unknown, true, 0).retryAfterMs(0, false), "trusted");
+        assertTrue(QuietPeriod.makesOwedUncertain(unknown, false) && !QuietPeriod.makesOwedUncertain(unknown, true));
+        assertTrue(
+                QuietPeriod.makesOwedUncertain(new FolderFinding.RolledBack(FOLDER, 1), true), "whatever is trusted");
+        assertFalse(
+                QuietPeriod.makesOwedUncertain(new FolderFinding.Lost(FOLDER, 1), false), "nothing is there to doubt");
     }
 }
