--- a/src/main/java/brambletray/relay/admission/QuotaDoor.java
+++ b/src/main/java/brambletray/relay/admission/QuotaDoor.java
@@ -60,10 +60,14 @@
         restore();
     }
 
-    private Asked asked(Message m) {
-        String tenant = m.tenant() < tenants.size() ? tenants.get(m.tenant()) : null;
+    private Asked asked(Message message) {
+        String tenant = message.tenant() < tenants.size() ? tenants.get(message.tenant()) : null;
         return new Asked(
-                m.id(), tenant, m.messageClass(), m.destination(), m.body().length());
+                message.id(),
+                tenant,
+                message.messageClass(),
+                message.destination(),
+                message.body().length());
     }
 
     @Override
@@ -199,16 +203,16 @@
         return text.toString();
     }
 
-    private static void dimension(JsonGenerator out, String name, Quotas.Standing s) throws IOException {
+    private static void dimension(JsonGenerator out, String name, Quotas.Standing standing) throws IOException {
         out.writeObjectFieldStart(name);
-        out.writeNumberField("used", s.used());
-        out.writeNumberField("guaranteed", s.share());
-        out.writeNumberField("borrowed", s.borrowed());
-        out.writeNumberField("lent", s.lent());
-        out.writeNumberField("wished", s.wished());
-        out.writeNumberField("used_in_all", s.usedInAll());
-        out.writeNumberField("borrowed_in_all", s.borrowedInAll());
-        out.writeNumberField("refused_in_all", s.refusedInAll());
+        out.writeNumberField("used", standing.used());
+        out.writeNumberField("guaranteed", standing.share());
+        out.writeNumberField("borrowed", standing.borrowed());
+        out.writeNumberField("lent", standing.lent());
+        out.writeNumberField("wished", standing.wished());
+        out.writeNumberField("used_in_all", standing.usedInAll());
+        out.writeNumberField("borrowed_in_all", standing.borrowedInAll());
+        out.writeNumberField("refused_in_all", standing.refusedInAll());
         out.writeEndObject();
     }
 }
--- a/src/main/java/brambletray/relay/admission/QuotaFile.java
+++ b/src/main/java/brambletray/relay/admission/QuotaFile.java
@@ -63,10 +63,10 @@
         long held = s.has("held") ? whole(s, "held", 1) : Long.MAX_VALUE;
         Section share = s.section("share", false);
         Map<Dimension, Long> guaranteed = new EnumMap<>(Dimension.class);
-        for (Dimension d : Dimension.values()) {
-            String field = field(d);
+        for (Dimension dimension : Dimension.values()) {
+            String field = field(dimension);
             if (share.has(field)) {
-                guaranteed.put(d, whole(share, field, 1));
+                guaranteed.put(dimension, whole(share, field, 1));
             }
         }
         long guaranteedHeld = share.has("held") ? whole(share, "held", 1) : 0;
@@ -104,8 +104,8 @@
         return member;
     }
 
-    private static String field(Dimension d) {
-        return d == Dimension.MESSAGES ? "messages" : "bytes";
+    private static String field(Dimension dimension) {
+        return dimension == Dimension.MESSAGES ? "messages" : "bytes";
     }
 
     private static long whole(Section s, String field, long absent) {
@@ -119,14 +119,14 @@
     private static void limit(Section l, List<Limit> limits) {
         double window = l.number("in_s", 0.1, WINDOW_S_MOST);
         int found = 0;
-        for (Dimension d : Dimension.values()) {
-            if (l.has(field(d))) {
+        for (Dimension dimension : Dimension.values()) {
+            if (l.has(field(dimension))) {
                 found++;
                 long micros = Math.round(window * 1e6);
-                if (limits.stream().anyMatch(o -> o.dimension() == d && o.window() == micros)) {
-                    l.fault("in_s", "expected one limit of " + field(d) + " for each window");
+                if (limits.stream().anyMatch(limit -> limit.dimension() == dimension && limit.window() == micros)) {
+                    l.fault("in_s", "expected one limit of " + field(dimension) + " for each window");
                 }
-                limits.add(new Limit(d, micros, whole(l, field(d), 1)));
+                limits.add(new Limit(dimension, micros, whole(l, field(dimension), 1)));
             }
         }
         if (found != 1) {
@@ -155,23 +155,24 @@
 
     /** Shares that could not all be had at once are a promise that is broken on the first busy day. */
     private static void shares(Section s, Member member) {
-        for (Dimension d : Dimension.values()) {
+        for (Dimension dimension : Dimension.values()) {
             long sum = member.members().stream()
-                    .mapToLong(m -> m.guaranteed().getOrDefault(d, 0L))
+                    .mapToLong(m -> m.guaranteed().getOrDefault(dimension, 0L))
                     .sum();
-            long most = member.aSecond(d);
-            String what = "the shares of " + field(d) + " below " + member.path() + " add up to " + sum;
+            long most = member.aSecond(dimension);
+            String what = "the shares of " + field(dimension) + " below " + member.path() + " add up to " + sum;
             if (sum > most) {
                 s.fault("members", what + " a second: expected no more than its limits bear, " + most);
             }
-            Long own = member.guaranteed().get(d);
+            Long own = member.guaranteed().get(dimension);
             if (own != null && sum > own) {
                 s.fault("members", what + ": expected no more than its own share, " + own);
             }
             if (own != null && own > most) {
                 s.fault(
                         "share",
-                        "expected no more " + field(d) + " than its limits bear in a second, " + most + ", not " + own);
+                        "expected no more " + field(dimension) + " than its limits bear in a second, " + most + ", not "
+                                + own);
             }
         }
         long held = member.members().stream().mapToLong(Member::guaranteedHeld).sum();
--- a/src/main/java/brambletray/relay/check/Figures.java
+++ b/src/main/java/brambletray/relay/check/Figures.java
@@ -18,18 +18,18 @@
         double held = 0;
         double[] latencies = new double[samples.size()];
         int delivered = 0;
-        for (Sample s : samples) {
-            if (s == null) {
+        for (Sample sample : samples) {
+            if (sample == null) {
                 continue;
             }
-            held += Math.max(0, Math.min(until, s.ended()) - Math.max(from, s.sent()));
-            if (s.sent() < from || s.sent() >= until) {
+            held += Math.max(0, Math.min(until, sample.ended()) - Math.max(from, sample.sent()));
+            if (sample.sent() < from || sample.sent() >= until) {
                 continue;
             }
             calls++;
-            if (s.outcome() == Outcome.DELIVERED) {
-                latencies[delivered++] = (s.ended() - s.sent()) / 1e6;
-            } else if (s.outcome() == Outcome.REFUSED) {
+            if (sample.outcome() == Outcome.DELIVERED) {
+                latencies[delivered++] = (sample.ended() - sample.sent()) / 1e6;
+            } else if (sample.outcome() == Outcome.REFUSED) {
                 refused++;
             } else {
                 wrong++;
--- a/src/main/java/brambletray/relay/check/Plan.java
+++ b/src/main/java/brambletray/relay/check/Plan.java
@@ -59,10 +59,10 @@
     List<Long> phases(Endpoint endpoint) {
         TreeSet<Long> borders = new TreeSet<>(List.of(0L, script.length()));
         script.steps().stream()
-                .filter(s -> s.endpoints().contains(endpoint.name()))
-                .forEach(s -> {
-                    borders.add(Math.min(s.at(), script.length()));
-                    borders.add(Math.min(s.until(), script.length()));
+                .filter(step -> step.endpoints().contains(endpoint.name()))
+                .forEach(step -> {
+                    borders.add(Math.min(step.at(), script.length()));
+                    borders.add(Math.min(step.until(), script.length()));
                 });
         return List.copyOf(borders);
     }
--- a/src/main/java/brambletray/relay/check/WireRun.java
+++ b/src/main/java/brambletray/relay/check/WireRun.java
@@ -74,12 +74,12 @@
     }
 
     List<List<Sample>> samples() {
-        return callers.stream().map(c -> Arrays.asList(c.samples)).toList();
+        return callers.stream().map(caller -> Arrays.asList(caller.samples)).toList();
     }
 
     void close() {
         front.close();
-        callers.forEach(c -> List.copyOf(c.open).forEach(connection -> connection.channel.close()));
+        callers.forEach(caller -> List.copyOf(caller.open).forEach(connection -> connection.channel.close()));
     }
 
     /** Sends to one endpoint, on the connection that came free last. */
--- a/src/main/java/brambletray/relay/cli/Demo.java
+++ b/src/main/java/brambletray/relay/cli/Demo.java
@@ -78,9 +78,9 @@
             stage.watch(scene -> {
                 Score.Result now = scene.result();
                 StringBuilder states = new StringBuilder();
-                for (Endpoint e : scene.world().endpoints()) {
-                    String state = e.state(scene.now());
-                    states.append(state.equals("open") ? "" : "  " + e.name() + " " + state);
+                for (Endpoint endpoint : scene.world().endpoints()) {
+                    String state = endpoint.state(scene.now());
+                    states.append(state.equals("open") ? "" : "  " + endpoint.name() + " " + state);
                 }
                 out.printf(
                         Locale.ROOT,
@@ -102,46 +102,46 @@
     }
 
     /** Given up by a notice; the rest is still open. */
-    private static long ended(Score.Result r) {
-        return r.givenUp() - r.open();
+    private static long ended(Score.Result result) {
+        return result.givenUp() - result.open();
     }
 
     /** Prints the figures of a run; 0 if no rule was broken. */
-    static int verdict(PrintWriter out, Score.Result r) {
+    static int verdict(PrintWriter out, Score.Result result) {
         out.printf(
                 Locale.ROOT,
                 "%nasked %d: delivered %d (%d of them late), handed back %d, given up %d,"
                         + " turned away %d, not answered %d%n",
-                r.asked(),
-                r.delivered(),
-                r.late(),
-                r.handedBack(),
-                r.givenUp(),
-                r.turnedAway(),
-                r.unanswered());
+                result.asked(),
+                result.delivered(),
+                result.late(),
+                result.handedBack(),
+                result.givenUp(),
+                result.turnedAway(),
+                result.unanswered());
         out.printf(
                 Locale.ROOT,
                 "service score %.3f (whole run %.3f, worst ten seconds %.3f)%n",
-                r.score(),
-                r.whole(),
-                r.worst());
-        out.printf("rules broken: %d%n", r.lostCount() + r.breachCount());
-        for (String id : r.lost()) {
+                result.score(),
+                result.whole(),
+                result.worst());
+        out.printf("rules broken: %d%n", result.lostCount() + result.breachCount());
+        for (String id : result.lost()) {
             out.println("  no end in time: " + id);
         }
-        for (Ledger.Breach b : r.breaches()) {
+        for (Ledger.Breach breach : result.breaches()) {
             out.printf(
                     Locale.ROOT,
                     "  %s at %.3f s: %s %s by %s, %s%n",
-                    b.rule(),
-                    b.at() / 1e9,
-                    b.endpoint(),
-                    b.message(),
-                    b.caller(),
-                    b.detail());
+                    breach.rule(),
+                    breach.at() / 1e9,
+                    breach.endpoint(),
+                    breach.message(),
+                    breach.caller(),
+                    breach.detail());
         }
         out.flush();
-        return r.clean() ? 0 : 1;
+        return result.clean() ? 0 : 1;
     }
 
     static void clear(Path folder) throws IOException {
--- a/src/main/java/brambletray/relay/cli/Emulate.java
+++ b/src/main/java/brambletray/relay/cli/Emulate.java
@@ -82,19 +82,19 @@
     /** The endpoints as they stand in a relay's inventory. */
     private static Revision inventory(RealStage stage) throws InterruptedException, ExecutionException {
         Map<String, Entry> hosts = new LinkedHashMap<>();
-        for (Endpoint e : stage.endpoints()) {
-            InetSocketAddress at = stage.address(e);
+        for (Endpoint endpoint : stage.endpoints()) {
+            InetSocketAddress at = stage.address(endpoint);
             hosts.put(
-                    e.name(),
+                    endpoint.name(),
                     new Entry(
-                            e.name(),
+                            endpoint.name(),
                             at.getAddress().getHostAddress(),
                             at.getPort(),
-                            e.protocol(),
-                            e.partner().destination(),
-                            e.zone(),
-                            e.partner().kind(),
-                            e.partner().listedRate(),
+                            endpoint.protocol(),
+                            endpoint.partner().destination(),
+                            endpoint.zone(),
+                            endpoint.partner().kind(),
+                            endpoint.partner().listedRate(),
                             Entry.State.READY));
         }
         return new Revision(hosts);
@@ -152,8 +152,8 @@
     private InetSocketAddress address(String option, String text) {
         try {
             return Addresses.parse(text);
-        } catch (Wire.Malformed e) {
-            throw new CommandLine.ParameterException(spec.commandLine(), option + ": " + e.getMessage());
+        } catch (Wire.Malformed malformed) {
+            throw new CommandLine.ParameterException(spec.commandLine(), option + ": " + malformed.getMessage());
         }
     }
 
@@ -164,23 +164,28 @@
     /** What each server did in this second; quiet ones that are open are left out. */
     private static void second(PrintWriter out, Scene scene, Map<String, long[]> before) {
         StringBuilder text = new StringBuilder();
-        for (Endpoint e : scene.world().endpoints()) {
-            Tally t = e.tally();
-            long[] now = {t.arrived, t.delivered(), t.refusedInAll(), t.failed + t.reset + t.spoilt + t.unanswered};
-            long[] was = before.getOrDefault(e.name(), new long[now.length]);
-            before.put(e.name(), now);
-            String state = e.state(scene.now());
-            if (now[0] > was[0] || e.inHand() > 0 || !state.equals("open")) {
+        for (Endpoint endpoint : scene.world().endpoints()) {
+            Tally tally = endpoint.tally();
+            long[] now = {
+                tally.arrived,
+                tally.delivered(),
+                tally.refusedInAll(),
+                tally.failed + tally.reset + tally.spoilt + tally.unanswered
+            };
+            long[] was = before.getOrDefault(endpoint.name(), new long[now.length]);
+            before.put(endpoint.name(), now);
+            String state = endpoint.state(scene.now());
+            if (now[0] > was[0] || endpoint.inHand() > 0 || !state.equals("open")) {
                 text.append(String.format(
                         Locale.ROOT,
                         "%5.0f s  %-16s %-10s in hand %3d  queued %3d"
                                 + "  connections %3d  came %4d  delivered %4d  refused %4d  failed %3d%n",
                         scene.now() / 1e9,
-                        e.name(),
+                        endpoint.name(),
                         state,
-                        e.inHand(),
-                        e.queued(),
-                        e.connections(),
+                        endpoint.inHand(),
+                        endpoint.queued(),
+                        endpoint.connections(),
                         now[0] - was[0],
                         now[1] - was[1],
                         now[2] - was[2],
@@ -205,23 +210,23 @@
                 "queued",
                 "busy",
                 "conns");
-        for (Endpoint e : endpoints) {
-            Tally t = e.tally();
+        for (Endpoint endpoint : endpoints) {
+            Tally tally = endpoint.tally();
             out.printf(
                     Locale.ROOT,
                     "%-16s %8d %9d %8d %7d %6d %6d %9.1f %9.2f %7.2f %7d%s%n",
-                    e.name(),
-                    t.arrived,
-                    t.delivered(),
-                    t.refusedInAll(),
-                    t.failed,
-                    t.reset,
-                    t.unanswered,
-                    t.meanLatency() / 1e6,
-                    t.meanQueued(),
-                    t.meanBusy(),
-                    t.mostConnections,
-                    e.fallen() ? "  FELL OVER" : "");
+                    endpoint.name(),
+                    tally.arrived,
+                    tally.delivered(),
+                    tally.refusedInAll(),
+                    tally.failed,
+                    tally.reset,
+                    tally.unanswered,
+                    tally.meanLatency() / 1e6,
+                    tally.meanQueued(),
+                    tally.meanBusy(),
+                    tally.mostConnections,
+                    endpoint.fallen() ? "  FELL OVER" : "");
         }
         out.flush();
     }
--- a/src/main/java/brambletray/relay/cli/InventoryCommand.java
+++ b/src/main/java/brambletray/relay/cli/InventoryCommand.java
@@ -51,7 +51,7 @@
     int check(@Parameters(paramLabel = "FILE") Path file) throws Faults, IOException {
         Inventory.Parsed parsed = read(file);
         long destinations = parsed.revision().hosts().values().stream()
-                .mapToLong(e -> e.destination())
+                .mapToLong(entry -> entry.destination())
                 .distinct()
                 .count();
         PrintWriter out = spec.commandLine().getOut();
@@ -82,16 +82,16 @@
         Inventory.Parsed parsed = read(next);
         Reconciler.Verdict verdict = reconciler.offer(parsed.revision(), parsed.sealed());
         PrintWriter out = spec.commandLine().getOut();
-        if (verdict instanceof Reconciler.Taken t) {
-            tell(out, t.change(), parsed.revision());
+        if (verdict instanceof Reconciler.Taken taken) {
+            tell(out, taken.change(), parsed.revision());
             return 0;
         }
-        if (verdict instanceof Reconciler.HeldBack h) {
-            tell(out, h.change(), parsed.revision());
+        if (verdict instanceof Reconciler.HeldBack heldBack) {
+            tell(out, heldBack.change(), parsed.revision());
             out.println("HELD BACK: "
-                    + (h.unsealed()
+                    + (heldBack.unsealed()
                             ? "the old one's last line seals it, and this one's does not"
-                            : "it takes more than " + h.most() + " hosts away")
+                            : "it takes more than " + heldBack.most() + " hosts away")
                     + "; end it with the line '# end of inventory: "
                     + parsed.revision().hosts().size()
                     + " hosts' if that is meant");
--- a/src/main/java/brambletray/relay/cli/Play.java
+++ b/src/main/java/brambletray/relay/cli/Play.java
@@ -67,23 +67,23 @@
         Path folder = Files.createTempDirectory("brambletray-play");
         Clock clock = Clock.system();
         try (SimStage stage = new SimStage(script, seed, folder)) {
-            Score.Result r = stage.play();
+            Score.Result result = stage.play();
             double took = clock.micros() / 1e6;
             out.printf(
                     Locale.ROOT,
                     "  seed %d: score %.3f (whole %.3f, worst 10 s %.3f), asked %d, delivered %d,"
                             + " late %d, handed back %d, given up %d, turned away %d, rules broken %d, trace %016x%n",
                     seed,
-                    r.score(),
-                    r.whole(),
-                    r.worst(),
-                    r.asked(),
-                    r.delivered(),
-                    r.late(),
-                    r.handedBack(),
-                    r.givenUp(),
-                    r.turnedAway(),
-                    r.lostCount() + r.breachCount(),
+                    result.score(),
+                    result.whole(),
+                    result.worst(),
+                    result.asked(),
+                    result.delivered(),
+                    result.late(),
+                    result.handedBack(),
+                    result.givenUp(),
+                    result.turnedAway(),
+                    result.lostCount() + result.breachCount(),
                     stage.simulation().trace());
             out.printf(
                     Locale.ROOT,
@@ -91,9 +91,9 @@
                     stage.simulation().now() / 1e9,
                     took,
                     stage.simulation().now() / 1e9 / took);
-            r.breaches().stream().limit(5).forEach(b -> out.println("    " + b));
-            r.lost().stream().limit(5).forEach(id -> out.println("    no end in time: " + id));
-            return r.clean();
+            result.breaches().stream().limit(5).forEach(breach -> out.println("    " + breach));
+            result.lost().stream().limit(5).forEach(id -> out.println("    no end in time: " + id));
+            return result.clean();
         } finally {
             Demo.clear(folder);
         }
--- a/src/main/java/brambletray/relay/cli/QuotaCommand.java
+++ b/src/main/java/brambletray/relay/cli/QuotaCommand.java
@@ -96,24 +96,24 @@
         private static void tell(PrintWriter out, Member m, boolean own) {
             out.println((own ? "" : "under ") + m.path());
             m.limits()
-                    .forEach(l -> out.println("    never more than " + l.amount() + " " + word(l.dimension())
-                            + " in any " + l.window() / 1e6 + " s"));
+                    .forEach(limit -> out.println("    never more than " + limit.amount() + " "
+                            + word(limit.dimension()) + " in any " + limit.window() / 1e6 + " s"));
             if (m.held() != Long.MAX_VALUE) {
                 out.println("    never more than " + m.held() + " messages held");
             }
             m.guaranteed()
-                    .forEach((d, amount) -> out.println("    has a right to " + amount + " " + word(d) + " a second"
-                            + (m.lends() ? ", lent while it does not ask for them" : ", never lent")));
+                    .forEach((dimension, amount) -> out.println("    has a right to " + amount + " " + word(dimension)
+                            + " a second" + (m.lends() ? ", lent while it does not ask for them" : ", never lent")));
             if (m.guaranteedHeld() > 0) {
                 out.println("    has a right to hold " + m.guaranteedHeld() + " messages");
             }
-            for (Dimension d : Dimension.values()) {
-                long most = m.aSecond(d);
+            for (Dimension dimension : Dimension.values()) {
+                long most = m.aSecond(dimension);
                 if (most != Long.MAX_VALUE && !m.members().isEmpty()) {
                     long shares = m.members().stream()
-                            .mapToLong(b -> b.guaranteed().getOrDefault(d, 0L))
+                            .mapToLong(b -> b.guaranteed().getOrDefault(dimension, 0L))
                             .sum();
-                    out.println("    lends its members what is idle of " + most + " " + word(d)
+                    out.println("    lends its members what is idle of " + most + " " + word(dimension)
                             + " a second; their shares are " + shares);
                 }
             }
@@ -122,8 +122,8 @@
             }
         }
 
-        private static String word(Dimension d) {
-            return d == Dimension.MESSAGES ? "messages" : "bytes";
+        private static String word(Dimension dimension) {
+            return dimension == Dimension.MESSAGES ? "messages" : "bytes";
         }
     }
 }
--- a/src/main/java/brambletray/relay/cli/Rehearse.java
+++ b/src/main/java/brambletray/relay/cli/Rehearse.java
@@ -95,31 +95,37 @@
         }
     }
 
-    private static void tell(PrintWriter out, Verdict v) {
-        double low =
-                v.plays().stream().mapToDouble(p -> p.result().score()).min().orElse(0);
-        double high =
-                v.plays().stream().mapToDouble(p -> p.result().score()).max().orElse(0);
-        double[] scores =
-                v.plays().stream().mapToDouble(p -> p.result().score()).sorted().toArray();
+    private static void tell(PrintWriter out, Verdict verdict) {
+        double low = verdict.plays().stream()
+                .mapToDouble(play -> play.result().score())
+                .min()
+                .orElse(0);
+        double high = verdict.plays().stream()
+                .mapToDouble(play -> play.result().score())
+                .max()
+                .orElse(0);
+        double[] scores = verdict.plays().stream()
+                .mapToDouble(play -> play.result().score())
+                .sorted()
+                .toArray();
         out.printf(
                 Locale.ROOT,
                 "%-18s %s  score %.3f (%.3f to %.3f), bound %.3f%n",
-                v.night().script().name(),
-                v.passed() ? "passed" : "FAILED",
+                verdict.night().script().name(),
+                verdict.passed() ? "passed" : "FAILED",
                 scores[(scores.length - 1) / 2],
                 low,
                 high,
-                v.night().least());
-        v.faults().stream().limit(5).forEach(fault -> out.println("    " + fault));
+                verdict.night().least());
+        verdict.faults().stream().limit(5).forEach(fault -> out.println("    " + fault));
     }
 
     private void write(List<Verdict> verdicts, Path folder, PrintWriter tell) throws Exception {
         Files.createDirectories(out);
-        for (Verdict v : verdicts) {
+        for (Verdict verdict : verdicts) {
             int number = 0;
-            for (Story story : Kit.stories(v, STORIES_MOST, folder)) {
-                Path file = out.resolve("story-" + v.night().script().name() + "-" + ++number + ".txt");
+            for (Story story : Kit.stories(verdict, STORIES_MOST, folder)) {
+                Path file = out.resolve("story-" + verdict.night().script().name() + "-" + ++number + ".txt");
                 Files.write(file, story.told());
                 tell.println("what happened to message " + story.line() + ": " + file);
             }
@@ -267,8 +273,8 @@
                             row.brokenB());
                 }
                 return worse ? 1 : 0;
-            } catch (Wire.Malformed e) {
-                throw new UsageException("a build's report can't be read: " + e.getMessage());
+            } catch (Wire.Malformed malformed) {
+                throw new UsageException("a build's report can't be read: " + malformed.getMessage());
             } finally {
                 Demo.clear(folder);
             }
--- a/src/main/java/brambletray/relay/cli/StoreCommand.java
+++ b/src/main/java/brambletray/relay/cli/StoreCommand.java
@@ -53,8 +53,9 @@
             })
     int verify(@Parameters(paramLabel = "DIR") Path folder) throws IOException {
         List<Damage> damages = StoreTools.verify(disk(folder, true));
-        damages.forEach(d -> out(spec).println(d.kind().name().toLowerCase().replace('_', ' ') + ": " + d));
-        boolean hole = damages.stream().anyMatch(d -> d.kind() == Damage.Kind.HOLE);
+        damages.forEach(
+                damage -> out(spec).println(damage.kind().name().toLowerCase().replace('_', ' ') + ": " + damage));
+        boolean hole = damages.stream().anyMatch(damage -> damage.kind() == Damage.Kind.HOLE);
         out(spec)
                 .println(
                         damages.isEmpty()
@@ -71,21 +72,23 @@
             mixinStandardHelpOptions = true,
             description = "Prints every record in the order in which it was written, dead ones too.")
     int dump(@Parameters(paramLabel = "DIR") Path folder) throws IOException {
-        StoreTools.dump(disk(folder, true), r -> {
-            String value = r.value().length == 0
+        StoreTools.dump(disk(folder, true), record -> {
+            String value = record.value().length == 0
                     ? ""
-                    : r.space() == Journal.SPACE ? Journal.describe(r.value()) : r.value().length + " bytes";
+                    : record.space() == Journal.SPACE
+                            ? Journal.describe(record.value())
+                            : record.value().length + " bytes";
             out(spec)
                     .println(String.join(
                                     " ",
-                                    r.file(),
-                                    String.valueOf(r.at()),
-                                    "#" + r.sequence(),
-                                    r.sort(),
+                                    record.file(),
+                                    String.valueOf(record.at()),
+                                    "#" + record.sequence(),
+                                    record.sort(),
                                     "space",
-                                    String.valueOf(r.space()),
+                                    String.valueOf(record.space()),
                                     "key",
-                                    String.valueOf(r.key()),
+                                    String.valueOf(record.key()),
                                     value)
                             .stripTrailing());
         });
@@ -98,10 +101,12 @@
             mixinStandardHelpOptions = true,
             description = "Prints sizes: of each segment what is live, of each name space what it holds.")
     int stat(@Parameters(paramLabel = "DIR") Path folder) throws IOException {
-        StoreTools.Figures f = StoreTools.stat(disk(folder, true));
-        out(spec).printf("store %016x, %d records, next batch %d%n", f.store(), f.records(), f.next());
-        f.segments().forEach((name, sizes) -> out(spec).printf("%s %9d bytes, live %9d%n", name, sizes[0], sizes[1]));
-        f.spaces()
+        StoreTools.Figures figures = StoreTools.stat(disk(folder, true));
+        out(spec)
+                .printf("store %016x, %d records, next batch %d%n", figures.store(), figures.records(), figures.next());
+        figures.segments()
+                .forEach((name, sizes) -> out(spec).printf("%s %9d bytes, live %9d%n", name, sizes[0], sizes[1]));
+        figures.spaces()
                 .forEach((space, s) -> out(spec)
                         .printf(
                                 "space %d: %d chains (%d doubtful), %d values, %d bytes%n",
--- a/src/main/java/brambletray/relay/console/CallTable.java
+++ b/src/main/java/brambletray/relay/console/CallTable.java
@@ -20,12 +20,20 @@
     private record Call(HttpMethod method, String path, boolean names, Work work) {}
 
     private static final List<Call> CALLS = List.of(
-            new Call(HttpMethod.GET, "/status", false, (o, id, then) -> o.ready(then)),
-            new Call(HttpMethod.GET, "/status/metrics", false, (o, id, then) -> o.figures(then)),
-            new Call(HttpMethod.POST, "/maintenance/enter/", true, (o, id, then) -> o.exclude(id, true, then)),
-            new Call(HttpMethod.POST, "/maintenance/exit/", true, (o, id, then) -> o.exclude(id, false, then)),
-            new Call(HttpMethod.POST, "/standby", false, (o, id, then) -> o.drain(true, then)),
-            new Call(HttpMethod.POST, "/active", false, (o, id, then) -> o.drain(false, then)));
+            new Call(HttpMethod.GET, "/status", false, (operations, id, then) -> operations.ready(then)),
+            new Call(HttpMethod.GET, "/status/metrics", false, (operations, id, then) -> operations.figures(then)),
+            new Call(
+                    HttpMethod.POST,
+                    "/maintenance/enter/",
+                    true,
+                    (operations, id, then) -> operations.exclude(id, true, then)),
+            new Call(
+                    HttpMethod.POST,
+                    "/maintenance/exit/",
+                    true,
+                    (operations, id, then) -> operations.exclude(id, false, then)),
+            new Call(HttpMethod.POST, "/standby", false, (operations, id, then) -> operations.drain(true, then)),
+            new Call(HttpMethod.POST, "/active", false, (operations, id, then) -> operations.drain(false, then)));
 
     private CallTable() {}
 
--- a/src/main/java/brambletray/relay/core/EventDispatcher.java
+++ b/src/main/java/brambletray/relay/core/EventDispatcher.java
@@ -625,7 +625,7 @@
                 .filter(pending -> !pending.isCompleted)
                 .forEach(pending -> here.add(pending.message.id()));
         Set<String> owed = new TreeSet<>();
-        journal.owed().stream().filter(e -> e.end == null).forEach(e -> owed.add(e.message.id()));
+        journal.owed().stream().filter(entry -> entry.end == null).forEach(entry -> owed.add(entry.message.id()));
         Set<String> decided = new TreeSet<>(control.memory().openMessages().keySet());
         // A message that waits at the admission gate is held and written down, and the module has not heard of it.
         decided.addAll(waitingAtGate);
--- a/src/main/java/brambletray/relay/deadletter/Judge.java
+++ b/src/main/java/brambletray/relay/deadletter/Judge.java
@@ -24,41 +24,43 @@
      * {@code proof} null for none; {@code now}, {@code epoch}: of the wall clock; {@code toDestination}:
      * where it would go.
      */
-    public static Judgement judge(KeptMessage m, long toDestination, NotDone proof, long now, int epoch) {
-        List<Send> ran = m.perhapsRun();
-        boolean proven =
-                proof != null && m.ended() <= proof.at() && ran.stream().allMatch(s -> s.sent() <= proof.at());
-        if (ran.isEmpty() && !m.doubtful()) {
-            return new Judgement.May("none of its " + m.sends().size() + " sends ran", List.of());
+    public static Judgement judge(KeptMessage keptMessage, long toDestination, NotDone proof, long now, int epoch) {
+        List<Send> ran = keptMessage.perhapsRun();
+        boolean proven = proof != null
+                && keptMessage.ended() <= proof.at()
+                && ran.stream().allMatch(send -> send.sent() <= proof.at());
+        if (ran.isEmpty() && !keptMessage.doubtful()) {
+            return new Judgement.May("none of its " + keptMessage.sends().size() + " sends ran", List.of());
         }
         if (proven) {
             return new Judgement.May(proof.by() + " says that it was not done: " + proof.reason(), List.of());
         }
         String stale = proof == null ? "" : "; the word of " + proof.by() + " is older than its last send";
-        if (m.rules().effect() == Effect.SAFE) {
+        if (keptMessage.rules().effect() == Effect.SAFE) {
             return new Judgement.May("its class may be repeated", ran);
         }
-        if (m.rules().effect() == Effect.UNSAFE) {
+        if (keptMessage.rules().effect() == Effect.UNSAFE) {
             return new Judgement.NeedsProof("it may have run, and its class must never take effect twice" + stale);
         }
-        if (m.key() == null) {
+        if (keptMessage.key() == null) {
             return new Judgement.NeedsProof("it may have run, and has no key for partners to know it by" + stale);
         }
-        if (toDestination != m.destination()) {
-            return new Judgement.NeedsProof("it may have run at destination " + m.destination()
+        if (toDestination != keptMessage.destination()) {
+            return new Judgement.NeedsProof("it may have run at destination " + keptMessage.destination()
                     + ", whose keys destination " + toDestination + " does not know" + stale);
         }
-        if (m.doubtful()) {
+        if (keptMessage.doubtful()) {
             return new Judgement.NeedsProof("records of it may be missing: when it was sent is not known" + stale);
         }
-        if (m.epoch() != epoch || now < m.ended()) {
+        if (keptMessage.epoch() != epoch || now < keptMessage.ended()) {
             return new Judgement.NeedsProof("the clock has been set back since: its key's age is not known" + stale);
         }
         long first = ran.stream().mapToLong(Send::sent).min().orElse(now);
-        long left = first + m.rules().window() - now;
+        long left = first + keptMessage.rules().window() - now;
         if (left < MARGIN) {
-            return new Judgement.NeedsProof("it may have run " + (now - first)
-                    + " ms ago, and its key is remembered for " + m.rules().window() + " ms" + stale);
+            return new Judgement.NeedsProof(
+                    "it may have run " + (now - first) + " ms ago, and its key is remembered for "
+                            + keptMessage.rules().window() + " ms" + stale);
         }
         return new Judgement.May("its key is remembered for another " + left + " ms", ran);
     }
--- a/src/main/java/brambletray/relay/deadletter/Redrives.java
+++ b/src/main/java/brambletray/relay/deadletter/Redrives.java
@@ -63,17 +63,17 @@
      * {@code proof} null for none. Takes nothing from rates and windows: {@link #begun} does, once a redrive
      * is claimed.
      */
-    public Decision decide(KeptMessage m, Judge.NotDone proof, long now, int epoch) {
+    public Decision decide(KeptMessage keptMessage, Judge.NotDone proof, long now, int epoch) {
         for (Rule rule : rules) {
-            if (rule.matches(m)) {
-                return decide(rule, m, proof, now, epoch);
+            if (rule.matches(keptMessage)) {
+                return decide(rule, keptMessage, proof, now, epoch);
             }
         }
         return new Wait("no rule matches");
     }
 
-    private Decision decide(Rule rule, KeptMessage m, Judge.NotDone proof, long now, int epoch) {
-        if (now - m.ended() < rule.olderThan()) {
+    private Decision decide(Rule rule, KeptMessage keptMessage, Judge.NotDone proof, long now, int epoch) {
+        if (now - keptMessage.ended() < rule.olderThan()) {
             return new Wait(rule.name() + ": not old enough");
         }
         if (rule.action() instanceof GiveUp) {
@@ -82,11 +82,11 @@
         if (!(rule.action() instanceof SendAgain how)) {
             return new Wait(rule.name() + ": holds it for a person");
         }
-        if (m.redrives() >= rule.redrives()) {
-            return new Wait(rule.name() + ": sent again " + m.redrives() + " times already");
+        if (keptMessage.redrives() >= rule.redrives()) {
+            return new Wait(rule.name() + ": sent again " + keptMessage.redrives() + " times already");
         }
-        long to = how.destination() == 0 ? m.destination() : how.destination();
-        Judgement judgement = Judge.judge(m, to, proof, now, epoch);
+        long to = how.destination() == 0 ? keptMessage.destination() : how.destination();
+        Judgement judgement = Judge.judge(keptMessage, to, proof, now, epoch);
         if (!(judgement instanceof Judgement.May may)) {
             return new Wait(rule.name() + ": " + judgement.why());
         }
@@ -128,7 +128,7 @@
     /** A redrive was out before a restart, and still is. */
     public void out(long destination) {
         if (places.size() >= PLACES_MOST) {
-            places.values().removeIf(p -> p.out == 0);
+            places.values().removeIf(place -> place.out == 0);
         }
         places.computeIfAbsent(destination, d -> new Place()).out++;
     }
--- a/src/main/java/brambletray/relay/deadletter/Rule.java
+++ b/src/main/java/brambletray/relay/deadletter/Rule.java
@@ -48,9 +48,9 @@
     public record Hold() implements Action {}
 
     /** True for messages that it is about, whether it is time for them or not. */
-    public boolean matches(KeptMessage m) {
-        return (classes.isEmpty() || classes.contains(m.messageClass()))
-                && (destinations.isEmpty() || destinations.contains(m.destination()))
-                && (reasons.isEmpty() || reasons.stream().anyMatch(m.reason()::contains));
+    public boolean matches(KeptMessage keptMessage) {
+        return (classes.isEmpty() || classes.contains(keptMessage.messageClass()))
+                && (destinations.isEmpty() || destinations.contains(keptMessage.destination()))
+                && (reasons.isEmpty() || reasons.stream().anyMatch(keptMessage.reason()::contains));
     }
 }
--- a/src/main/java/brambletray/relay/emulator/Endpoint.java
+++ b/src/main/java/brambletray/relay/emulator/Endpoint.java
@@ -48,7 +48,7 @@
     }
 
     private static final Comparator<Call> BY_FINISH =
-            Comparator.<Call>comparingLong(c -> c.finish).thenComparingLong(c -> c.number);
+            Comparator.<Call>comparingLong(call -> call.finish).thenComparingLong(call -> call.number);
 
     private final PartnerSpec partner;
     private final EndpointSpec spec;
@@ -282,7 +282,7 @@
             return false;
         }
         Map<String, Integer> senders = new HashMap<>();
-        recent.forEach(a -> senders.merge(a.caller(), 1, Integer::sum));
+        recent.forEach(arrival -> senders.merge(arrival.caller(), 1, Integer::sum));
         ledger.fell(now, name(), senders, sawOutage);
         fallen = true;
         tally.fellAt = now;
--- a/src/main/java/brambletray/relay/emulator/World.java
+++ b/src/main/java/brambletray/relay/emulator/World.java
@@ -37,7 +37,7 @@
     private final Map<String, Endpoint> endpoints = new LinkedHashMap<>();
     private final Map<String, String> hosts = new LinkedHashMap<>();
     private final PriorityQueue<Due> due = new PriorityQueue<>(
-            Comparator.comparingLong(Due::at).thenComparing(d -> !d.end()).thenComparingInt(Due::order));
+            Comparator.comparingLong(Due::at).thenComparing(due -> !due.end()).thenComparingInt(Due::order));
     private final Ledger ledger;
     private ListWatcher list = new ListWatcher() {
         @Override
@@ -138,65 +138,65 @@
         }
     }
 
-    private void begin(long at, Step step, Endpoint e) {
+    private void begin(long at, Step step, Endpoint endpoint) {
         Step.What what = step.what();
         if (what instanceof Step.Shut shut) {
-            e.shut(at, step.until(), shut.tells());
+            endpoint.shut(at, step.until(), shut.tells());
         } else if (what instanceof Step.Down) {
-            e.down(at, Endpoint.Reach.REFUSED);
+            endpoint.down(at, Endpoint.Reach.REFUSED);
         } else if (what instanceof Step.Vanish) {
-            e.down(at, Endpoint.Reach.SILENT);
+            endpoint.down(at, Endpoint.Reach.SILENT);
         } else if (what instanceof Step.Hang) {
-            e.hang(at);
+            endpoint.hang(at);
         } else if (what instanceof Step.Pause pause) {
-            e.pause(at, step.until(), pause.forgets());
+            endpoint.pause(at, step.until(), pause.forgets());
         } else if (what instanceof Step.Slow slow) {
-            e.slow(at, slow.factor());
+            endpoint.slow(at, slow.factor());
         } else if (what instanceof Step.Spoil spoil) {
-            e.spoil(at, spoil.shares());
+            endpoint.spoil(at, spoil.shares());
         } else if (what instanceof Step.Drain drain) {
-            list.listed(e, host(e), "draining", 0);
-            e.drain(at, drain.refuses());
+            list.listed(endpoint, host(endpoint), "draining", 0);
+            endpoint.drain(at, drain.refuses());
         } else if (what instanceof Step.Leave) {
-            list.listed(e, host(e), "gone", 0);
-            e.down(at, Endpoint.Reach.REFUSED);
+            list.listed(endpoint, host(endpoint), "gone", 0);
+            endpoint.down(at, Endpoint.Reach.REFUSED);
         } else if (what instanceof Step.Return) {
-            e.drain(at, false);
-            e.open(at);
-            list.listed(e, host(e), "ready", at);
+            endpoint.drain(at, false);
+            endpoint.open(at);
+            list.listed(endpoint, host(endpoint), "ready", at);
         } else if (what instanceof Step.Replace) {
-            list.listed(e, host(e), "gone", 0);
-            e.down(at, Endpoint.Reach.REFUSED);
-            e.drain(at, false);
-            e.open(at);
+            list.listed(endpoint, host(endpoint), "gone", 0);
+            endpoint.down(at, Endpoint.Reach.REFUSED);
+            endpoint.drain(at, false);
+            endpoint.open(at);
             replacements++;
-            hosts.put(e.name(), e.name() + "-r" + replacements);
-            list.listed(e, host(e), "ready", at);
+            hosts.put(endpoint.name(), endpoint.name() + "-r" + replacements);
+            list.listed(endpoint, host(endpoint), "ready", at);
         }
     }
 
-    private void end(long at, Step.What what, Endpoint e) {
+    private void end(long at, Step.What what, Endpoint endpoint) {
         if (what instanceof Step.Shut
                 || what instanceof Step.Down
                 || what instanceof Step.Vanish
                 || what instanceof Step.Hang) {
-            e.open(at);
+            endpoint.open(at);
         } else if (what instanceof Step.Pause) {
-            e.resume(at);
+            endpoint.resume(at);
         } else if (what instanceof Step.Slow) {
-            e.slow(at, 1);
+            endpoint.slow(at, 1);
         } else if (what instanceof Step.Spoil) {
             boolean cold = ((Step.Spoil) what).shares().failed() > 0.5;
-            e.spoil(at, Endpoint.Spoils.NONE);
+            endpoint.spoil(at, Endpoint.Spoils.NONE);
             if (cold) {
-                e.open(at);
+                endpoint.open(at);
             }
         } else if (what instanceof Step.Drain || what instanceof Step.Leave) {
-            e.drain(at, false);
+            endpoint.drain(at, false);
             if (what instanceof Step.Leave) {
-                e.open(at);
+                endpoint.open(at);
             }
-            list.listed(e, host(e), "ready", what instanceof Step.Leave ? at : 0);
+            list.listed(endpoint, host(endpoint), "ready", what instanceof Step.Leave ? at : 0);
         }
     }
 }
--- a/src/main/java/brambletray/relay/handover/HandoverFrameCodec.java
+++ b/src/main/java/brambletray/relay/handover/HandoverFrameCodec.java
@@ -82,65 +82,65 @@
     }
 
     private static void write(HandoverFrame frame, DataOutput out) throws IOException {
-        if (frame instanceof HandoverFrame.Hello f) {
+        if (frame instanceof HandoverFrame.Hello hello) {
             out.writeByte(HELLO);
-            out.writeInt(f.version());
-            out.writeUTF(f.settings());
-        } else if (frame instanceof HandoverFrame.Welcome f) {
+            out.writeInt(hello.version());
+            out.writeUTF(hello.settings());
+        } else if (frame instanceof HandoverFrame.Welcome welcome) {
             out.writeByte(WELCOME);
-            out.writeBoolean(f.drained());
-            out.writeInt(f.avoided());
-        } else if (frame instanceof HandoverFrame.TurnedAway f) {
+            out.writeBoolean(welcome.drained());
+            out.writeInt(welcome.avoided());
+        } else if (frame instanceof HandoverFrame.TurnedAway turnedAway) {
             out.writeByte(TURNED_AWAY);
-            out.writeUTF(f.why());
-        } else if (frame instanceof HandoverFrame.Submit f) {
+            out.writeUTF(turnedAway.why());
+        } else if (frame instanceof HandoverFrame.Submit submit) {
             out.writeByte(SUBMIT);
-            out.writeLong(f.number());
-            write(f.message(), out);
-        } else if (frame instanceof HandoverFrame.Answered f) {
+            out.writeLong(submit.number());
+            write(submit.message(), out);
+        } else if (frame instanceof HandoverFrame.Answered answered) {
             out.writeByte(ANSWERED);
-            out.writeLong(f.number());
-            out.writeByte(f.met().ordinal());
-            out.writeLong(f.retryAfter());
-        } else if (frame instanceof HandoverFrame.Withdraw f) {
+            out.writeLong(answered.number());
+            out.writeByte(answered.met().ordinal());
+            out.writeLong(answered.retryAfter());
+        } else if (frame instanceof HandoverFrame.Withdraw withdraw) {
             out.writeByte(WITHDRAW);
-            out.writeUTF(f.id());
-        } else if (frame instanceof HandoverFrame.Exclude f) {
+            out.writeUTF(withdraw.id());
+        } else if (frame instanceof HandoverFrame.Exclude exclude) {
             out.writeByte(EXCLUDE);
-            out.writeLong(f.number());
-            out.writeUTF(f.host());
-            out.writeBoolean(f.out());
-        } else if (frame instanceof HandoverFrame.Told f) {
+            out.writeLong(exclude.number());
+            out.writeUTF(exclude.host());
+            out.writeBoolean(exclude.out());
+        } else if (frame instanceof HandoverFrame.Told told) {
             out.writeByte(TOLD);
-            out.writeLong(f.number());
-            out.writeInt(f.status());
-            out.writeUTF(f.text());
-        } else if (frame instanceof HandoverFrame.Drained f) {
+            out.writeLong(told.number());
+            out.writeInt(told.status());
+            out.writeUTF(told.text());
+        } else if (frame instanceof HandoverFrame.Drained drained) {
             out.writeByte(DRAINED);
-            out.writeBoolean(f.away());
-        } else if (frame instanceof HandoverFrame.State f) {
+            out.writeBoolean(drained.away());
+        } else if (frame instanceof HandoverFrame.State state) {
             out.writeByte(STATE);
-            write(f, out);
-        } else if (frame instanceof HandoverFrame.Owner f) {
+            write(state, out);
+        } else if (frame instanceof HandoverFrame.Owner owner) {
             out.writeByte(OWNER);
-            out.writeBoolean(f.careful());
+            out.writeBoolean(owner.careful());
         } else if (frame instanceof HandoverFrame.Declined) {
             out.writeByte(DECLINED);
         } else if (frame instanceof HandoverFrame.Kept) {
             out.writeByte(KEPT);
-        } else if (frame instanceof HandoverFrame.Ended f) {
+        } else if (frame instanceof HandoverFrame.Ended ended) {
             out.writeByte(ENDED);
-            out.writeUTF(f.id());
-            out.writeInt(f.attempt());
-            out.writeUTF(f.host());
-            write(f.reply(), out);
-        } else if (frame instanceof HandoverFrame.Cancel f) {
+            out.writeUTF(ended.id());
+            out.writeInt(ended.attempt());
+            out.writeUTF(ended.host());
+            write(ended.reply(), out);
+        } else if (frame instanceof HandoverFrame.Cancel cancel) {
             out.writeByte(CANCEL);
-            out.writeUTF(f.id());
-            out.writeInt(f.attempt());
-        } else if (frame instanceof HandoverFrame.TakeBack f) {
+            out.writeUTF(cancel.id());
+            out.writeInt(cancel.attempt());
+        } else if (frame instanceof HandoverFrame.TakeBack takeBack) {
             out.writeByte(TAKE_BACK);
-            out.writeUTF(f.host());
+            out.writeUTF(takeBack.host());
         }
     }
 
@@ -176,15 +176,15 @@
         return values[ordinal];
     }
 
-    private static void write(Message m, DataOutput out) throws IOException {
-        out.writeUTF(m.id());
-        out.writeUTF(m.messageClass());
-        out.writeInt(m.tenant());
-        optional(out, m.routeKey());
-        optional(out, m.idempotencyKey());
-        out.writeLong(m.destination());
-        out.writeLong(m.deadline());
-        bytes(out, m.body().bytes());
+    private static void write(Message message, DataOutput out) throws IOException {
+        out.writeUTF(message.id());
+        out.writeUTF(message.messageClass());
+        out.writeInt(message.tenant());
+        optional(out, message.routeKey());
+        optional(out, message.idempotencyKey());
+        out.writeLong(message.destination());
+        out.writeLong(message.deadline());
+        bytes(out, message.body().bytes());
     }
 
     private static Message message(DataInput in, ByteBuf rest) throws IOException {
@@ -225,22 +225,22 @@
         return bytes;
     }
 
-    private static void write(HandoverFrame.State f, DataOutput out) throws IOException {
-        out.writeLong(f.time());
-        out.writeLong(f.unix());
-        out.writeInt(f.numbers().size());
-        for (Map.Entry<String, Long> e : f.numbers().entrySet()) {
+    private static void write(HandoverFrame.State state, DataOutput out) throws IOException {
+        out.writeLong(state.time());
+        out.writeLong(state.unix());
+        out.writeInt(state.numbers().size());
+        for (Map.Entry<String, Long> e : state.numbers().entrySet()) {
             out.writeUTF(e.getKey());
             out.writeLong(e.getValue());
         }
-        out.writeInt(f.outs().size());
-        for (HandoverState.CallInFlight o : f.outs()) {
-            out.writeUTF(o.id());
-            out.writeInt(o.attempt());
-            out.writeUTF(o.host());
-            out.writeBoolean(o.isCompleted());
+        out.writeInt(state.outs().size());
+        for (HandoverState.CallInFlight callInFlight : state.outs()) {
+            out.writeUTF(callInFlight.id());
+            out.writeInt(callInFlight.attempt());
+            out.writeUTF(callInFlight.host());
+            out.writeBoolean(callInFlight.isCompleted());
         }
-        bytes(out, f.memory());
+        bytes(out, state.memory());
     }
 
     private static HandoverFrame.State state(DataInput in, ByteBuf rest) throws IOException {
@@ -265,14 +265,14 @@
         return count;
     }
 
-    private static void write(CallReply r, DataOutput out) throws IOException {
-        out.writeByte(r.outcome().ordinal());
-        out.writeBoolean(r.isFinal());
-        out.writeLong(r.retryAfter());
-        out.writeLong(r.latency());
-        out.writeDouble(r.remaining());
-        out.writeDouble(r.limit());
-        out.writeBoolean(r.reused());
+    private static void write(CallReply callReply, DataOutput out) throws IOException {
+        out.writeByte(callReply.outcome().ordinal());
+        out.writeBoolean(callReply.isFinal());
+        out.writeLong(callReply.retryAfter());
+        out.writeLong(callReply.latency());
+        out.writeDouble(callReply.remaining());
+        out.writeDouble(callReply.limit());
+        out.writeBoolean(callReply.reused());
     }
 
     private static CallReply reply(DataInput in) throws IOException {
--- a/src/main/java/brambletray/relay/handover/OwnershipLease.java
+++ b/src/main/java/brambletray/relay/handover/OwnershipLease.java
@@ -164,7 +164,7 @@
 
     /** The owner has no place for it: one that has just lost a process beside it may not know that yet. */
     public List<Step> turnedAway(String why, long now) {
-        if (phase instanceof Seeking s && now - s.since() >= TURNED_MOST) {
+        if (phase instanceof Seeking seeking && now - seeking.since() >= TURNED_MOST) {
             phase = new Over(why);
             return List.of(Step.END);
         }
@@ -248,20 +248,20 @@
 
     /** Time has passed. */
     public List<Step> tick(long now) {
-        if (phase instanceof Seeking s && now - s.since() >= SEEK_MOST) {
+        if (phase instanceof Seeking seeking && now - seeking.since() >= SEEK_MOST) {
             phase = new Over("another process uses the folder, and does not hand it over");
             return List.of(Step.END);
         }
-        if (phase instanceof Bereft b && now - b.since() >= BEREFT_MOST) {
+        if (phase instanceof Bereft bereft && now - bereft.since() >= BEREFT_MOST) {
             phase = new Over("the process that owns the folder is out of reach");
             return List.of(Step.END);
         }
-        if (phase instanceof Receiving r && now - r.since() >= RECEIVE_MOST) {
+        if (phase instanceof Receiving receiving && now - receiving.since() >= RECEIVE_MOST) {
             phase = leaving ? new Over(null) : new Bereft(now);
             return leaving ? List.of(Step.DECLINE, Step.END) : List.of(Step.DECLINE);
         }
-        if (phase instanceof Yielding y) {
-            if (now - y.since() < YIELD_MOST) {
+        if (phase instanceof Yielding yielding) {
+            if (now - yielding.since() < YIELD_MOST) {
                 return List.of();
             }
             phase = new Retaking();
--- a/src/main/java/brambletray/relay/handover/ProcessHandover.java
+++ b/src/main/java/brambletray/relay/handover/ProcessHandover.java
@@ -164,7 +164,7 @@
         // What came while it was open who owns; then what waited here.
         List<HandoverFrame.Submit> came = List.copyOf(deferred);
         deferred.clear();
-        came.forEach(f -> submitted(f, before));
+        came.forEach(submit -> submitted(submit, before));
         submissions.handIn(duties.intake());
     }
 
@@ -302,44 +302,45 @@
 
     // ---- What is told ----------------------------------------------------------------------------
     private void told(HandoverFrame frame, HandoverLink link) {
-        if (frame instanceof HandoverFrame.Hello f) {
-            greeted(f, link);
-        } else if (frame instanceof HandoverFrame.Welcome f) {
-            duties.drained(f.drained());
-            duties.avoided(f.avoided());
+        if (frame instanceof HandoverFrame.Hello hello) {
+            greeted(hello, link);
+        } else if (frame instanceof HandoverFrame.Welcome welcome) {
+            duties.drained(welcome.drained());
+            duties.avoided(welcome.avoided());
             act(tenure.joined());
             submissions.all().forEach(link::send);
-        } else if (frame instanceof HandoverFrame.TurnedAway f) {
+        } else if (frame instanceof HandoverFrame.TurnedAway turnedAway) {
             // Closed first: a try that follows needs a connection of its own.
             link.close();
-            act(tenure.turnedAway(f.why(), clock.nanos()));
-        } else if (frame instanceof HandoverFrame.Submit f) {
-            submitted(f, link);
-        } else if (frame instanceof HandoverFrame.Answered f) {
-            submissions.answered(f, tenure.owns() ? duties.intake() : null);
-        } else if (frame instanceof HandoverFrame.Withdraw f) {
-            withdraw(f.id());
-        } else if (frame instanceof HandoverFrame.Exclude f) {
+            act(tenure.turnedAway(turnedAway.why(), clock.nanos()));
+        } else if (frame instanceof HandoverFrame.Submit submit) {
+            submitted(submit, link);
+        } else if (frame instanceof HandoverFrame.Answered answered) {
+            submissions.answered(answered, tenure.owns() ? duties.intake() : null);
+        } else if (frame instanceof HandoverFrame.Withdraw withdraw) {
+            withdraw(withdraw.id());
+        } else if (frame instanceof HandoverFrame.Exclude exclude) {
             if (tenure.owns()) {
                 duties.operations()
                         .exclude(
-                                f.host(),
-                                f.out(),
-                                said -> link.send(new HandoverFrame.Told(f.number(), said.status(), said.text())));
+                                exclude.host(),
+                                exclude.out(),
+                                said -> link.send(
+                                        new HandoverFrame.Told(exclude.number(), said.status(), said.text())));
             } else {
-                link.send(new HandoverFrame.Told(f.number(), 503, "this process does not own: ask again"));
+                link.send(new HandoverFrame.Told(exclude.number(), 503, "this process does not own: ask again"));
             }
-        } else if (frame instanceof HandoverFrame.Told f) {
-            Consumer<CommandResponse> then = asked.remove(f.number());
+        } else if (frame instanceof HandoverFrame.Told told) {
+            Consumer<CommandResponse> then = asked.remove(told.number());
             if (then != null) {
-                then.accept(new CommandResponse(f.status(), f.text()));
+                then.accept(new CommandResponse(told.status(), told.text()));
             }
-        } else if (frame instanceof HandoverFrame.Drained f) {
-            duties.drained(f.away());
+        } else if (frame instanceof HandoverFrame.Drained drained) {
+            duties.drained(drained.away());
         } else if (frame instanceof HandoverFrame.State f) {
             received(f);
-        } else if (frame instanceof HandoverFrame.Owner f) {
-            if (f.careful()) {
+        } else if (frame instanceof HandoverFrame.Owner owner) {
+            if (owner.careful()) {
                 // Nobody waits for what is out here: their hosts learn of it by the close.
                 duties.cancelAllOut();
             }
@@ -351,12 +352,12 @@
             deferred.clear();
             act(tenure.kept());
             submissions.all().forEach(link::send);
-        } else if (frame instanceof HandoverFrame.Ended f) {
-            far.ended(f);
-        } else if (frame instanceof HandoverFrame.Cancel f) {
-            duties.cancelOut(f.id(), f.attempt());
-        } else if (frame instanceof HandoverFrame.TakeBack f) {
-            duties.takeBackOut(f.host());
+        } else if (frame instanceof HandoverFrame.Ended ended) {
+            far.ended(ended);
+        } else if (frame instanceof HandoverFrame.Cancel cancel) {
+            duties.cancelOut(cancel.id(), cancel.attempt());
+        } else if (frame instanceof HandoverFrame.TakeBack takeBack) {
+            duties.takeBackOut(takeBack.host());
         }
     }
 
@@ -372,9 +373,9 @@
         act(tenure.received(clock.nanos()));
     }
 
-    private void submitted(HandoverFrame.Submit f, HandoverLink link) {
+    private void submitted(HandoverFrame.Submit submit, HandoverLink link) {
         if (tenure.owns()) {
-            duties.intake().accept(f.message(), new SubmissionResult() {
+            duties.intake().accept(submit.message(), new SubmissionResult() {
                 @Override
                 public void accepted() {
                     answer(HandoverFrame.Met.TAKEN, 0);
@@ -402,14 +403,14 @@
 
                 private void answer(HandoverFrame.Met met, long retryAfter) {
                     if (link != null) {
-                        link.send(new HandoverFrame.Answered(f.number(), met, retryAfter));
+                        link.send(new HandoverFrame.Answered(submit.number(), met, retryAfter));
                     }
                 }
             });
         } else if (link == before && deferred.size() < ForwardedSubmissions.MOST) {
-            deferred.add(f);
+            deferred.add(submit);
         } else {
-            link.send(new HandoverFrame.Answered(f.number(), HandoverFrame.Met.BOUNCED, 0));
+            link.send(new HandoverFrame.Answered(submit.number(), HandoverFrame.Met.BOUNCED, 0));
         }
     }
 
--- a/src/main/java/brambletray/relay/http/clients/Server.java
+++ b/src/main/java/brambletray/relay/http/clients/Server.java
@@ -129,7 +129,7 @@
 
     /** Closes the connections on which no request is under way. */
     public void closeIdle() {
-        List.copyOf(clients).stream().filter(c -> !c.busy).forEach(c -> c.channel.close());
+        List.copyOf(clients).stream().filter(client -> !client.busy).forEach(client -> client.channel.close());
     }
 
     /**
@@ -137,12 +137,12 @@
      * come.
      */
     public void closeClients() {
-        List.copyOf(clients).forEach(c -> c.channel.close());
+        List.copyOf(clients).forEach(client -> client.channel.close());
     }
 
     private void sweep() {
         long now = clock.nanos();
-        List.copyOf(clients).forEach(c -> c.look(now));
+        List.copyOf(clients).forEach(client -> client.look(now));
     }
 
     /** One connection: how long it has been at its request, or idle. It stands first, before the decoder. */
@@ -168,8 +168,8 @@
             if (clients.size() > mostClients) {
                 // Guards clients that ask against crowds that connect and say nothing.
                 Client gone = clients.stream()
-                        .filter(c -> c != this && c.rank() < 3)
-                        .min(Comparator.comparingInt(Client::rank).thenComparingLong(c -> c.since))
+                        .filter(client -> client != this && client.rank() < 3)
+                        .min(Comparator.comparingInt(Client::rank).thenComparingLong(client -> client.since))
                         .orElse(this);
                 complaints.warn("connection closed: " + mostClients + " clients are connected");
                 gone.channel.close();
@@ -394,9 +394,9 @@
                     Message message = submission.message(request, path);
                     intake.accept(message, new ToClient(client, message.id(), keep));
                 }
-            } catch (Bad e) {
-                complaints.warn("request turned away: " + e.status.code() + " " + e.getMessage());
-                client.respond(e.status, 0, keep);
+            } catch (Bad bad) {
+                complaints.warn("request turned away: " + bad.status.code() + " " + bad.getMessage());
+                client.respond(bad.status, 0, keep);
             }
         }
 
--- a/src/main/java/brambletray/relay/http/hosts/Batch.java
+++ b/src/main/java/brambletray/relay/http/hosts/Batch.java
@@ -28,9 +28,10 @@
     private Batch() {}
 
     /** Bytes that a message takes in the body of a call, or more. */
-    static int size(Message m) {
-        int key = m.idempotencyKey() == null ? 0 : m.idempotencyKey().length();
-        return ENTRY + m.id().length() + key + (m.body().length() / 3 + 1) * ENCODED;
+    static int size(Message message) {
+        int key =
+                message.idempotencyKey() == null ? 0 : message.idempotencyKey().length();
+        return ENTRY + message.id().length() + key + (message.body().length() / 3 + 1) * ENCODED;
     }
 
     /** The body of a call; {@code bodies} in the order of the messages. */
@@ -39,11 +40,11 @@
         try (JsonGenerator out = JSON.createGenerator(bytes)) {
             out.writeStartArray();
             for (int i = 0; i < messages.size(); i++) {
-                Message m = messages.get(i);
+                Message message = messages.get(i);
                 out.writeStartObject();
-                out.writeStringField("id", m.id());
-                if (m.idempotencyKey() != null) {
-                    out.writeStringField("key", m.idempotencyKey());
+                out.writeStringField("id", message.id());
+                if (message.idempotencyKey() != null) {
+                    out.writeStringField("key", message.idempotencyKey());
                 }
                 out.writeBinaryField("body", bodies.get(i));
                 out.writeEndObject();
--- a/src/main/java/brambletray/relay/http/hosts/HostPool.java
+++ b/src/main/java/brambletray/relay/http/hosts/HostPool.java
@@ -268,10 +268,13 @@
         if (call.ended()) {
             return;
         }
-        pool.idle.stream().filter(c -> !c.usable(host)).toList().forEach(c -> c.channel.close());
+        pool.idle.stream()
+                .filter(connection -> !connection.usable(host))
+                .toList()
+                .forEach(connection -> connection.channel.close());
         Connection free = null;
-        for (Connection c : pool.idle) {
-            free = c.channel.isActive() && c.rested() ? c : free;
+        for (Connection connection : pool.idle) {
+            free = connection.channel.isActive() && connection.rested() ? connection : free;
         }
         if (free != null) {
             pool.idle.remove(free);
@@ -279,7 +282,7 @@
             free.begin(call);
             return;
         }
-        if (pool.idle.stream().anyMatch(c -> c.channel.isActive())) {
+        if (pool.idle.stream().anyMatch(connection -> connection.channel.isActive())) {
             loop.schedule(() -> start(call, pool), REST, TimeUnit.NANOSECONDS);
             return;
         }
@@ -304,10 +307,10 @@
             } else if (call.ended()) {
                 call.channel.close();
             } else {
-                Connection c = call.channel.pipeline().get(Connection.class);
-                c.pool = pool;
-                pool.open.add(c);
-                c.begin(call);
+                Connection connection = call.channel.pipeline().get(Connection.class);
+                connection.pool = pool;
+                pool.open.add(connection);
+                connection.begin(call);
             }
         });
     }
@@ -351,10 +354,10 @@
 
     @Override
     public void closeIdle(Host host) {
-        for (Connection c : List.copyOf(pool(host).open)) {
-            c.keep = false;
-            if (c.call == null) {
-                c.channel.close();
+        for (Connection connection : List.copyOf(pool(host).open)) {
+            connection.keep = false;
+            if (connection.call == null) {
+                connection.channel.close();
             }
         }
         pool(host).idle.clear();
@@ -640,10 +643,10 @@
                 .set("X-Timeout-Ms", Math.max(1, (patience - call.latency()) / 1_000))
                 .set(HttpHeaderNames.CONTENT_LENGTH, body.length);
         if (!bundled) {
-            Message m = call.parts.get(0).message;
-            request.headers().set("X-Request-ID", m.id());
-            if (m.idempotencyKey() != null) {
-                request.headers().set("Idempotency-Key", m.idempotencyKey());
+            Message message = call.parts.get(0).message;
+            request.headers().set("X-Request-ID", message.id());
+            if (message.idempotencyKey() != null) {
+                request.headers().set("Idempotency-Key", message.idempotencyKey());
             }
         }
         return request;
--- a/src/main/java/brambletray/relay/inventory/Follower.java
+++ b/src/main/java/brambletray/relay/inventory/Follower.java
@@ -181,8 +181,9 @@
                 if (same) {
                     whenRead.accept(parsed);
                 }
-            } catch (Faults e) {
-                fault = e.lines().size() + " faults, the hosts stay as they were: " + String.join("; ", e.lines());
+            } catch (Faults faults) {
+                fault = faults.lines().size() + " faults, the hosts stay as they were: "
+                        + String.join("; ", faults.lines());
                 same = true;
             } catch (IOException | RuntimeException e) {
                 fault = "inventory " + file + " can't be read (" + e + "); the hosts stay as they were";
--- a/src/main/java/brambletray/relay/inventory/Inventory.java
+++ b/src/main/java/brambletray/relay/inventory/Inventory.java
@@ -83,17 +83,17 @@
         } else {
             out.append("hosts:\n");
         }
-        for (Entry e : revision.hosts().values()) {
+        for (Entry entry : revision.hosts().values()) {
             List<String> values = List.of(
-                    e.name(),
-                    e.address(),
-                    "" + e.port(),
-                    e.protocol(),
-                    "" + e.destination(),
-                    e.zone(),
-                    e.kind(),
-                    number(e.rate()),
-                    e.state().name().toLowerCase(Locale.ROOT));
+                    entry.name(),
+                    entry.address(),
+                    "" + entry.port(),
+                    entry.protocol(),
+                    "" + entry.destination(),
+                    entry.zone(),
+                    entry.kind(),
+                    number(entry.rate()),
+                    entry.state().name().toLowerCase(Locale.ROOT));
             if (csv) {
                 out.append(String.join(
                                 ",", values.stream().map(Inventory::quoted).toList()))
--- a/src/main/java/brambletray/relay/inventory/Rows.java
+++ b/src/main/java/brambletray/relay/inventory/Rows.java
@@ -167,7 +167,7 @@
             faults.sort(Comparator.comparingInt(Fault::line).thenComparingInt(Fault::column));
             throw new Faults(faults.stream()
                     .limit(FAULTS_MOST)
-                    .map(f -> file + ":" + f.line() + ":" + f.column() + ": " + f.text())
+                    .map(fault -> file + ":" + fault.line() + ":" + fault.column() + ": " + fault.text())
                     .toList());
         }
         return new Revision(hosts);
--- a/src/main/java/brambletray/relay/journal/Journal.java
+++ b/src/main/java/brambletray/relay/journal/Journal.java
@@ -387,14 +387,14 @@
             }
             // What is told to others all the same, and the numbers of attempts, are owed to the disk: they go
             // with the next batch. A send of this one has not been made.
-            for (Note n : notes) {
-                if (n.entry().refused || n.entry().chain == null) {
+            for (Note note : notes) {
+                if (note.entry().refused || note.entry().chain == null) {
                     continue;
                 }
-                note(n.entry(), n.value(), -1);
-                if (n.send() >= 0) {
-                    n.entry().attempts.get(n.send()).mayHaveRun = false;
-                    note(n.entry(), notRun(n.send()), -1);
+                note(note.entry(), note.value(), -1);
+                if (note.send() >= 0) {
+                    note.entry().attempts.get(note.send()).mayHaveRun = false;
+                    note(note.entry(), notRun(note.send()), -1);
                 }
             }
             for (Chain chain : ends) {
@@ -440,24 +440,24 @@
     }
 
     // ---- Records --------------------------------------------------------------------------------
-    private static byte[] head(Message m, long now) throws IOException {
+    private static byte[] head(Message message, long now) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
         out.writeByte(TAKEN);
         out.writeLong(now);
-        out.writeUTF(m.id());
-        out.writeUTF(m.messageClass());
-        out.writeInt(m.tenant());
-        optional(out, m.routeKey());
-        optional(out, m.idempotencyKey());
-        out.writeLong(m.destination());
-        out.writeLong(m.deadline());
-        out.writeBoolean(m.origin() != null);
-        if (m.origin() != null) {
-            out.writeUTF(m.origin().client());
-            out.writeUTF(m.origin().topic());
-            out.writeShort(m.origin().correlation().length);
-            out.write(m.origin().correlation());
+        out.writeUTF(message.id());
+        out.writeUTF(message.messageClass());
+        out.writeInt(message.tenant());
+        optional(out, message.routeKey());
+        optional(out, message.idempotencyKey());
+        out.writeLong(message.destination());
+        out.writeLong(message.deadline());
+        out.writeBoolean(message.origin() != null);
+        if (message.origin() != null) {
+            out.writeUTF(message.origin().client());
+            out.writeUTF(message.origin().topic());
+            out.writeShort(message.origin().correlation().length);
+            out.write(message.origin().correlation());
         }
         return bytes.toByteArray();
     }
--- a/src/main/java/brambletray/relay/membership/HostList.java
+++ b/src/main/java/brambletray/relay/membership/HostList.java
@@ -75,7 +75,7 @@
 
     @Override
     public int listedCount() {
-        return (int) byNumber.values().stream().filter(h -> !h.gone).count();
+        return (int) byNumber.values().stream().filter(host -> !host.gone).count();
     }
 
     @Override
@@ -113,9 +113,9 @@
             }
         }
         if (whole) {
-            byNumber.values().stream().filter(h -> !named.contains(h)).forEach(h -> {
-                h.ready = false;
-                h.gone = true;
+            byNumber.values().stream().filter(host -> !named.contains(host)).forEach(host -> {
+                host.ready = false;
+                host.gone = true;
             });
         }
         version = next;
@@ -158,8 +158,8 @@
         if (listing != Relay.Listing.GONE) {
             try {
                 host.address = Addresses.parse(entry.text("dial"));
-            } catch (Wire.Malformed e) {
-                LOG.warn("list entry of host {} left out: {}", name, e.getMessage());
+            } catch (Wire.Malformed malformed) {
+                LOG.warn("list entry of host {} left out: {}", name, malformed.getMessage());
                 host.ready = false;
                 listing = Relay.Listing.GONE;
             }
@@ -183,14 +183,14 @@
         return new Relay.Listed(
                 Relay.ListKind.FULL,
                 byNumber.values().stream()
-                        .filter(h -> !h.gone)
-                        .map(h -> new Relay.Endpoint(
-                                h.number,
-                                h.zone,
-                                h.kind,
-                                h.destination,
-                                h.ready ? Relay.Listing.READY : Relay.Listing.DRAINING,
-                                h.weight))
+                        .filter(host -> !host.gone)
+                        .map(host -> new Relay.Endpoint(
+                                host.number,
+                                host.zone,
+                                host.kind,
+                                host.destination,
+                                host.ready ? Relay.Listing.READY : Relay.Listing.DRAINING,
+                                host.weight))
                         .toList());
     }
 
--- a/src/main/java/brambletray/relay/membership/Watch.java
+++ b/src/main/java/brambletray/relay/membership/Watch.java
@@ -78,8 +78,8 @@
                     return;
                 }
                 complain("discovery answered " + (answer == null ? "nothing" : answer.status()), null);
-            } catch (Wire.Malformed e) {
-                complain("discovery's list cannot be read: " + e.getMessage(), null);
+            } catch (Wire.Malformed malformed) {
+                complain("discovery's list cannot be read: " + malformed.getMessage(), null);
             } catch (RuntimeException e) {
                 // Guards the watch: it must go on whatever the list held.
                 complain("discovery's list could not be taken in", e);
--- a/src/main/java/brambletray/relay/mqtt/clients/MqttClient.java
+++ b/src/main/java/brambletray/relay/mqtt/clients/MqttClient.java
@@ -389,9 +389,9 @@
             }
             underWay.add(id);
             loop.accept(message, new ToPublisher(qos, id, message.id()));
-        } catch (Bad e) {
-            complaints.warn("MQTT publish of " + clientId + " turned away: " + e.getMessage());
-            refused(qos, id, e.reason, 0);
+        } catch (Bad bad) {
+            complaints.warn("MQTT publish of " + clientId + " turned away: " + bad.getMessage());
+            refused(qos, id, bad.reason, 0);
         }
     }
 
@@ -773,8 +773,8 @@
             if (!sessions.wasTaken(message.id())) {
                 loop.accept(message, new ToPublisher(MqttQoS.AT_MOST_ONCE, 0, message.id()));
             }
-        } catch (Bad e) {
-            complaints.warn("will of MQTT client " + clientId + " not taken on: " + e.getMessage());
+        } catch (Bad bad) {
+            complaints.warn("will of MQTT client " + clientId + " not taken on: " + bad.getMessage());
         }
     }
 
--- a/src/main/java/brambletray/relay/mqtt/clients/MqttSettings.java
+++ b/src/main/java/brambletray/relay/mqtt/clients/MqttSettings.java
@@ -43,8 +43,8 @@
         InetSocketAddress listen = null;
         try {
             listen = Addresses.parse(root.text("listen", "127.0.0.1:1883"));
-        } catch (Wire.Malformed e) {
-            root.fault("listen", e.getMessage());
+        } catch (Wire.Malformed malformed) {
+            root.fault("listen", malformed.getMessage());
         }
         TopicScheme topics = null;
         try {
--- a/src/main/java/brambletray/relay/mqtt/hosts/Dialect.java
+++ b/src/main/java/brambletray/relay/mqtt/hosts/Dialect.java
@@ -14,13 +14,13 @@
 
     private static Map<String, Dialect> all() {
         Map<String, Dialect> all = new LinkedHashMap<>();
-        for (Dialect d : new Dialect[] {
+        for (Dialect dialect : new Dialect[] {
             new Dialect("mqtt", MqttVersion.MQTT_5, 1),
             new Dialect("mqtt-qos2", MqttVersion.MQTT_5, 2),
             new Dialect("mqtt-3.1.1", MqttVersion.MQTT_3_1_1, 1),
             new Dialect("mqtt-3.1.1-qos2", MqttVersion.MQTT_3_1_1, 2)
         }) {
-            all.put(d.protocol, d);
+            all.put(dialect.protocol, dialect);
         }
         return Map.copyOf(all);
     }
--- a/src/main/java/brambletray/relay/mqtt/hosts/PartnerLine.java
+++ b/src/main/java/brambletray/relay/mqtt/hosts/PartnerLine.java
@@ -142,11 +142,11 @@
         if (!ready) {
             return;
         }
-        for (OutboundSession.Resumed<OutCall> r : session.resume()) {
-            if (r.call() == null) {
-                write(packets.release(r.packet(), true));
+        for (OutboundSession.Resumed<OutCall> resumed : session.resume()) {
+            if (resumed.call() == null) {
+                write(packets.release(resumed.packet(), true));
             } else {
-                publish(r.call(), true);
+                publish(resumed.call(), true);
             }
         }
         while (ready && !waiting.isEmpty() && session.room() > 0 && !session.awaitsResumption()) {
--- a/src/main/java/brambletray/relay/operations/Drain.java
+++ b/src/main/java/brambletray/relay/operations/Drain.java
@@ -69,8 +69,8 @@
 
     /** Time has passed. True at the one call that finds that nobody should be connected any more. */
     public boolean look(long now) {
-        if (phase instanceof Draining d && now - d.since() >= AWAY_AFTER) {
-            phase = new Away(d.since());
+        if (phase instanceof Draining draining && now - draining.since() >= AWAY_AFTER) {
+            phase = new Away(draining.since());
             return true;
         }
         return false;
@@ -78,7 +78,7 @@
 
     /** True where new clients are welcome: what {@code /healthz} says. */
     public boolean welcome() {
-        return phase instanceof Serving || phase instanceof HandedOver h && !h.drained();
+        return phase instanceof Serving || phase instanceof HandedOver handedOver && !handedOver.drained();
     }
 
     /** True where an answer is the last on its connection. */
@@ -88,6 +88,8 @@
 
     /** True in a drain that operators asked for. */
     public boolean drained() {
-        return phase instanceof Draining || phase instanceof Away || phase instanceof HandedOver h && h.drained();
+        return phase instanceof Draining
+                || phase instanceof Away
+                || phase instanceof HandedOver handedOver && handedOver.drained();
     }
 }
--- a/src/main/java/brambletray/relay/partners/MqttSession.java
+++ b/src/main/java/brambletray/relay/partners/MqttSession.java
@@ -83,7 +83,7 @@
         underWay.remove(packet);
         boolean ran = answer instanceof Answer.Delivered
                 || answer instanceof Answer.Spoilt
-                || answer instanceof Answer.Reset r && r.ran();
+                || answer instanceof Answer.Reset reset && reset.ran();
         if (ran) {
             received.put(packet, call);
         }
--- a/src/main/java/brambletray/relay/partners/PartnerFront.java
+++ b/src/main/java/brambletray/relay/partners/PartnerFront.java
@@ -320,7 +320,7 @@
                         silence.accept(address(endpoint), true);
                     } else {
                         listener.channel().config().setAutoRead(false);
-                        connections.forEach(c -> c.channel().config().setAutoRead(false));
+                        connections.forEach(line -> line.channel().config().setAutoRead(false));
                     }
                 }
             }
@@ -466,21 +466,23 @@
             }
             call = null;
             answered = ended;
-            if (answer instanceof Answer.Delivered a) {
+            if (answer instanceof Answer.Delivered delivered) {
                 respond(
                         HttpResponseStatus.OK,
                         bundled ? Bundle.accepted(ended) : Unpooled.EMPTY_BUFFER,
-                        a.load(),
+                        delivered.load(),
                         null,
                         true);
-            } else if (answer instanceof Answer.Refused a) {
+            } else if (answer instanceof Answer.Refused refused) {
                 respond(
-                        a.told() > 0 ? HttpResponseStatus.TOO_MANY_REQUESTS : HttpResponseStatus.SERVICE_UNAVAILABLE,
-                        a.load(),
-                        a.told() > 0 ? seconds(a.told()) : null,
+                        refused.told() > 0
+                                ? HttpResponseStatus.TOO_MANY_REQUESTS
+                                : HttpResponseStatus.SERVICE_UNAVAILABLE,
+                        refused.load(),
+                        refused.told() > 0 ? seconds(refused.told()) : null,
                         true);
-            } else if (answer instanceof Answer.Failed a) {
-                respond(HttpResponseStatus.INTERNAL_SERVER_ERROR, a.load(), null, true);
+            } else if (answer instanceof Answer.Failed failed) {
+                respond(HttpResponseStatus.INTERNAL_SERVER_ERROR, failed.load(), null, true);
             } else if (answer instanceof Answer.Spoilt) {
                 ByteBuf noise = Unpooled.wrappedBuffer(NOISE);
                 channel.pipeline().firstContext().writeAndFlush(noise);
--- a/src/main/java/brambletray/relay/partners/Registry.java
+++ b/src/main/java/brambletray/relay/partners/Registry.java
@@ -40,9 +40,10 @@
         this.dials = dials;
         this.clock = clock;
         this.lag = lag;
-        for (Endpoint e : world.endpoints()) {
-            entries.put(world.host(e), new Entry(world.host(e), e, dials.apply(e), "ready", 0));
-            versions.put(world.host(e), 1L);
+        for (Endpoint endpoint : world.endpoints()) {
+            entries.put(
+                    world.host(endpoint), new Entry(world.host(endpoint), endpoint, dials.apply(endpoint), "ready", 0));
+            versions.put(world.host(endpoint), 1L);
         }
     }
 
--- a/src/main/java/brambletray/relay/peers/PeerRecovery.java
+++ b/src/main/java/brambletray/relay/peers/PeerRecovery.java
@@ -168,7 +168,7 @@
     /** ms; the longest time limit of messages whose second attempt could do harm. */
     private long maxMessageLifetimeMs() {
         return settings.classes().stream()
-                        .filter(c -> c.effect() != Relay.Effect.SAFE)
+                        .filter(messageClass -> messageClass.effect() != Relay.Effect.SAFE)
                         .mapToLong(Relay.MessageClass::lifetime)
                         .max()
                         .orElse(0)
--- a/src/main/java/brambletray/relay/peers/PeersFile.java
+++ b/src/main/java/brambletray/relay/peers/PeersFile.java
@@ -85,7 +85,7 @@
         String text = section.text(field);
         try {
             return Addresses.parse(text);
-        } catch (Wire.Malformed e) {
+        } catch (Wire.Malformed malformed) {
             section.fault(field, "expected an IP address and a port, not '" + text + "'");
             return null;
         }
--- a/src/main/java/brambletray/relay/quota/Member.java
+++ b/src/main/java/brambletray/relay/quota/Member.java
@@ -40,10 +40,10 @@
     public record Match(String tenant, String messageClass, List<Long> destinations) {
         public static final Match ANY = new Match(null, null, List.of());
 
-        public boolean fits(Asked m) {
-            return (tenant == null || tenant.equals(m.tenant()))
-                    && (messageClass == null || messageClass.equals(m.messageClass()))
-                    && (destinations.isEmpty() || destinations.contains(m.destination()));
+        public boolean fits(Asked asked) {
+            return (tenant == null || tenant.equals(asked.tenant()))
+                    && (messageClass == null || messageClass.equals(asked.messageClass()))
+                    && (destinations.isEmpty() || destinations.contains(asked.destination()));
         }
     }
 
@@ -53,9 +53,9 @@
     /** What one second may bring at most by its limits; {@link Long#MAX_VALUE} without any. */
     public long aSecond(Dimension dimension) {
         long least = Long.MAX_VALUE;
-        for (Limit l : limits) {
-            if (l.dimension() == dimension) {
-                least = Math.min(least, Math.max(1, (long) (l.amount() * (1e6 / l.window()))));
+        for (Limit limit : limits) {
+            if (limit.dimension() == dimension) {
+                least = Math.min(least, Math.max(1, (long) (limit.amount() * (1e6 / limit.window()))));
             }
         }
         return least;
@@ -67,12 +67,12 @@
             return this;
         }
         Map<Dimension, Long> own = new java.util.EnumMap<>(Dimension.class);
-        guaranteed.forEach((d, amount) -> own.put(d, part(amount, rank, relays)));
+        guaranteed.forEach((dimension, amount) -> own.put(dimension, part(amount, rank, relays)));
         return new Member(
                 name,
                 path,
                 limits.stream()
-                        .map(l -> new Limit(l.dimension(), l.window(), part(l.amount(), rank, relays)))
+                        .map(limit -> new Limit(limit.dimension(), limit.window(), part(limit.amount(), rank, relays)))
                         .toList(),
                 part(held, rank, relays),
                 own,
@@ -81,7 +81,7 @@
                 priority,
                 lends,
                 match,
-                members.stream().map(m -> m.part(rank, relays)).toList());
+                members.stream().map(member -> member.part(rank, relays)).toList());
     }
 
     /** Parts of all ranks add up to the whole, and no more. */
--- a/src/main/java/brambletray/relay/quota/Node.java
+++ b/src/main/java/brambletray/relay/quota/Node.java
@@ -70,12 +70,12 @@
     Node(Node parent, Member member) {
         this.parent = parent;
         this.member = member;
-        for (Limit l : member.limits()) {
-            windows.add(new Window(l.window()));
+        for (Limit limit : member.limits()) {
+            windows.add(new Window(limit.window()));
         }
         unnoted = neverNoted(windows.size());
-        for (Dimension d : Dimension.values()) {
-            counts.put(d, new Count());
+        for (Dimension dimension : Dimension.values()) {
+            counts.put(dimension, new Count());
         }
     }
 
@@ -85,13 +85,13 @@
         return all;
     }
 
-    long share(Dimension d) {
-        return member.guaranteed().getOrDefault(d, 0L);
+    long share(Dimension dimension) {
+        return member.guaranteed().getOrDefault(dimension, 0L);
     }
 
     /** Of those right below that lend, all shares. */
-    long shares(Dimension d) {
-        return sharesBelow.getOrDefault(d, 0L);
+    long shares(Dimension dimension) {
+        return sharesBelow.getOrDefault(dimension, 0L);
     }
 
     /** Members below by what they match, for {@link #below}; made anew when they change. */
@@ -101,42 +101,44 @@
         holding.clear();
         sharesBelow.clear();
         int number = 0;
-        for (Node m : members) {
-            m.order = number++;
-            if (!m.removed && m.member.lends()) {
-                m.member.guaranteed().forEach((d, amount) -> sharesBelow.merge(d, amount, Long::sum));
+        for (Node node : members) {
+            node.order = number++;
+            if (!node.removed && node.member.lends()) {
+                node.member
+                        .guaranteed()
+                        .forEach((dimension, amount) -> sharesBelow.merge(dimension, amount, Long::sum));
             }
-            Member.Match match = m.member.match();
-            if (m.removed) {
+            Member.Match match = node.member.match();
+            if (node.removed) {
                 continue;
             }
-            if (!m.member.lends()) {
-                keeping.add(m);
+            if (!node.member.lends()) {
+                keeping.add(node);
             }
-            if (m.member.guaranteedHeld() > 0) {
-                holding.add(m);
+            if (node.member.guaranteedHeld() > 0) {
+                holding.add(node);
             }
             if (match.tenant() != null) {
-                index.computeIfAbsent(match.tenant(), k -> new ArrayList<>(1)).add(m);
+                index.computeIfAbsent(match.tenant(), k -> new ArrayList<>(1)).add(node);
             } else if (!match.destinations().isEmpty()) {
                 match.destinations()
                         .forEach(d -> index.computeIfAbsent(d, k -> new ArrayList<>(1))
-                                .add(m));
+                                .add(node));
             } else {
-                index.computeIfAbsent(ANY, k -> new ArrayList<>(1)).add(m);
+                index.computeIfAbsent(ANY, k -> new ArrayList<>(1)).add(node);
             }
         }
     }
 
     /** The first member below, in the file's order, whose message this is; null for none. */
-    Node below(Member.Asked m) {
+    Node below(Member.Asked asked) {
         Node first = null;
-        for (Object key : new Object[] {m.tenant(), (Object) m.destination(), ANY}) {
+        for (Object key : new Object[] {asked.tenant(), (Object) asked.destination(), ANY}) {
             List<Node> some = key == null ? null : index.get(key);
             for (int i = 0; some != null && i < some.size(); i++) {
                 Node node = some.get(i);
                 if ((first == null || node.order < first.order)
-                        && node.member.match().fits(m)) {
+                        && node.member.match().fits(asked)) {
                     first = node;
                     break;
                 }
@@ -146,14 +148,14 @@
     }
 
     /** What it has left of its share of this second. */
-    long shareLeft(Dimension d, long now) {
-        return Math.max(0, share(d) - counts.get(d).used.used(now));
+    long shareLeft(Dimension dimension, long now) {
+        return Math.max(0, share(dimension) - counts.get(dimension).used.used(now));
     }
 
     /** True while it wished for something in the last second that it has not had. */
     boolean wishes(long now) {
-        for (Count c : counts.values()) {
-            if (c.wished.used(now) > 0) {
+        for (Count count : counts.values()) {
+            if (count.wished.used(now) > 0) {
                 return true;
             }
         }
@@ -162,8 +164,8 @@
 
     /** True while it wished for some of its share in the last second and has not had it. */
     boolean claims(long now) {
-        for (Count c : counts.values()) {
-            if (c.rightful.used(now) > 0) {
+        for (Count count : counts.values()) {
+            if (count.rightful.used(now) > 0) {
                 return true;
             }
         }
@@ -180,8 +182,8 @@
     }
 
     /** What it used beyond its share in this second. */
-    long borrowed(Dimension d, long now) {
-        return Math.max(0, counts.get(d).used.used(now) - share(d));
+    long borrowed(Dimension dimension, long now) {
+        return Math.max(0, counts.get(dimension).used.used(now) - share(dimension));
     }
 
     long borrowedHeld() {
@@ -189,12 +191,12 @@
     }
 
     /** The least that any of its limits of a dimension leaves; {@link Long#MAX_VALUE} without a limit. */
-    long free(Dimension d, long now) {
+    long free(Dimension dimension, long now) {
         long least = Long.MAX_VALUE;
         for (int i = 0; i < windows.size(); i++) {
-            Limit l = member.limits().get(i);
-            if (l.dimension() == d) {
-                least = Math.min(least, l.amount() - windows.get(i).used(now));
+            Limit limit = member.limits().get(i);
+            if (limit.dimension() == dimension) {
+                least = Math.min(least, limit.amount() - windows.get(i).used(now));
             }
         }
         return least;
--- a/src/main/java/brambletray/relay/quota/Quotas.java
+++ b/src/main/java/brambletray/relay/quota/Quotas.java
@@ -78,35 +78,35 @@
 
     // ---- Asking ---------------------------------------------------------------------------------
     /** May this message be taken on? If so it counts, until {@link #ended}. */
-    public Verdict ask(long time, Asked m) {
+    public Verdict ask(long time, Asked asked) {
         at(time);
-        Node own = own(root, m);
+        Node own = own(root, asked);
         Verdict.Refused refused = full(own);
         boolean room = refused == null;
-        refused = room ? limits(own, m) : refused;
+        refused = room ? limits(own, asked) : refused;
         boolean borrowed = false;
-        for (Dimension d : Dimension.values()) {
-            long amount = amount(d, m);
-            Node right = entitled(own, d, amount);
+        for (Dimension dimension : Dimension.values()) {
+            long amount = amount(dimension, asked);
+            Node right = entitled(own, dimension, amount);
             for (Node at = own; refused == null && at.parent != null && at != right; at = at.parent) {
-                refused = loan(own, at, d, amount);
+                refused = loan(own, at, dimension, amount);
                 borrowed = true;
             }
         }
         Verdict.Refused heldOut = room ? heldLoan(own) : null;
-        if (refused != null && heldOut == null && room && refused.after() <= Node.SECOND && rightful(own, m)) {
-            wished(own, m, false);
-            hold(own, m.id());
-            atDoor.put(m.id(), m);
+        if (refused != null && heldOut == null && room && refused.after() <= Node.SECOND && rightful(own, asked)) {
+            wished(own, asked, false);
+            hold(own, asked.id());
+            atDoor.put(asked.id(), asked);
             return new Verdict.Waits(refused.after());
         }
         refused = refused != null ? refused : heldOut;
         if (refused != null) {
-            wished(own, m, refused.after() == Window.NEVER);
+            wished(own, asked, refused.after() == Window.NEVER);
             return refused;
         }
-        count(own, m);
-        hold(own, m.id());
+        count(own, asked);
+        hold(own, asked.id());
         return new Verdict.Taken(borrowed);
     }
 
@@ -114,30 +114,31 @@
     public Verdict again(long time, String id) {
         at(time);
         Holder holder = holders.get(id);
-        Asked m = atDoor.get(id);
-        if (holder == null || m == null) {
+        Asked asked = atDoor.get(id);
+        if (holder == null || asked == null) {
             return new Verdict.Taken(false);
         }
-        Verdict.Refused refused = limits(holder.member, m);
+        Verdict.Refused refused = limits(holder.member, asked);
         if (refused != null) {
             return new Verdict.Waits(Math.min(Node.SECOND, refused.after()));
         }
         atDoor.remove(id);
-        count(holder.member, m);
+        count(holder.member, asked);
         return new Verdict.Taken(false);
     }
 
     /** Within shares in every dimension, counted with what was wished for and not had. */
-    private boolean rightful(Node own, Asked m) {
-        for (Dimension d : Dimension.values()) {
-            Node right = entitled(own, d, amount(d, m));
+    private boolean rightful(Node own, Asked asked) {
+        for (Dimension dimension : Dimension.values()) {
+            Node right = entitled(own, dimension, amount(dimension, asked));
             boolean bound = false;
             for (Node at = own; at != null; at = at.parent) {
-                bound |= at.member.aSecond(d) != Long.MAX_VALUE;
+                bound |= at.member.aSecond(dimension) != Long.MAX_VALUE;
             }
             if (bound
                     && (right == null
-                            || right.counts.get(d).rightful.used(now) + amount(d, m) > right.shareLeft(d, now))) {
+                            || right.counts.get(dimension).rightful.used(now) + amount(dimension, asked)
+                                    > right.shareLeft(dimension, now))) {
                 return false;
             }
         }
@@ -145,41 +146,43 @@
     }
 
     /** The deepest member whose messages these are; among siblings the first that fits. */
-    private static Node own(Node at, Asked m) {
-        Node below = at.below(m);
-        return below == null ? at : own(below, m);
+    private static Node own(Node at, Asked asked) {
+        Node below = at.below(asked);
+        return below == null ? at : own(below, asked);
     }
 
-    private static long amount(Dimension d, Asked m) {
-        return d == Dimension.MESSAGES ? 1 : m.bytes();
+    private static long amount(Dimension dimension, Asked asked) {
+        return dimension == Dimension.MESSAGES ? 1 : asked.bytes();
     }
 
     /** The lowest member on the way up within whose share this is, which entitles from there on; or null. */
-    private Node entitled(Node own, Dimension d, long amount) {
+    private Node entitled(Node own, Dimension dimension, long amount) {
         Node at = own;
-        while (at.parent != null && (at.share(d) == 0 || amount > at.shareLeft(d, now))) {
+        while (at.parent != null && (at.share(dimension) == 0 || amount > at.shareLeft(dimension, now))) {
             at = at.parent;
         }
         return at.parent == null ? null : at;
     }
 
     /** Limits hold for all. */
-    private Verdict.Refused limits(Node own, Asked m) {
+    private Verdict.Refused limits(Node own, Asked asked) {
         Verdict.Refused worst = null;
         for (Node at = own; at != null; at = at.parent) {
             for (int i = 0; i < at.windows.size(); i++) {
-                Limit l = at.member.limits().get(i);
-                long amount = amount(l.dimension(), m);
+                Limit limit = at.member.limits().get(i);
+                long amount = amount(limit.dimension(), asked);
                 Window window = at.windows.get(i);
-                long free = window.freeAt(now, amount, l.amount());
+                long free = window.freeAt(now, amount, limit.amount());
                 if (free > now && free != Window.NEVER) {
                     // Those of the same member that were refused before come first: a crowd is spread out.
-                    long ahead = Math.min(own.counts.get(l.dimension()).wished.used(now), l.amount() - amount);
-                    free = Math.max(free, Math.min(now + Node.SECOND, window.freeAt(now, amount + ahead, l.amount())));
+                    long ahead =
+                            Math.min(own.counts.get(limit.dimension()).wished.used(now), limit.amount() - amount);
+                    free = Math.max(
+                            free, Math.min(now + Node.SECOND, window.freeAt(now, amount + ahead, limit.amount())));
                 }
                 if (free > now && (worst == null || free - now > worst.after())) {
                     worst = new Verdict.Refused(
-                            at.member.path(), words(l), free == Window.NEVER ? free : free - now, List.of());
+                            at.member.path(), words(limit), free == Window.NEVER ? free : free - now, List.of());
                 }
             }
         }
@@ -196,22 +199,24 @@
         return null;
     }
 
-    static String words(Limit l) {
-        return l.amount() + (l.dimension() == Dimension.MESSAGES ? " messages" : " bytes") + " in "
-                + (l.window() % Node.SECOND == 0 ? l.window() / Node.SECOND + " s" : l.window() / 1_000 + " ms");
+    static String words(Limit limit) {
+        return limit.amount() + (limit.dimension() == Dimension.MESSAGES ? " messages" : " bytes") + " in "
+                + (limit.window() % Node.SECOND == 0
+                        ? limit.window() / Node.SECOND + " s"
+                        : limit.window() / 1_000 + " ms");
     }
 
     /** Beyond the share of a member: what its parent can lend it; null if it can. */
-    private Verdict.Refused loan(Node own, Node of, Dimension d, long amount) {
+    private Verdict.Refused loan(Node own, Node of, Dimension dimension, long amount) {
         Node parent = of.parent;
-        long capacity = parent.member.aSecond(d);
+        long capacity = parent.member.aSecond(dimension);
         if (capacity == Long.MAX_VALUE) {
             return null;
         }
-        long lenders = parent.shares(d) - (of.member.lends() ? of.share(d) : 0);
+        long lenders = parent.shares(dimension) - (of.member.lends() ? of.share(dimension) : 0);
         long leased = lenders <= 0
                 ? now
-                : parent.counts.get(d).lent.freeAt(now, amount, Math.max(amount, capacity / LEASES + 1));
+                : parent.counts.get(dimension).lent.freeAt(now, amount, Math.max(amount, capacity / LEASES + 1));
         if (leased > now) {
             return new Verdict.Refused(parent.member.path(), "loans of an eighth of a second", leased - now, List.of());
         }
@@ -222,16 +227,16 @@
             if (!other.claims(now)) {
                 it.remove();
             } else if (other.member.lends() && !own.isBelow(other)) {
-                kept = plus(kept, rightful(other, d));
+                kept = plus(kept, rightful(other, dimension));
             }
         }
         // Where more claim than are looked at one by one, what they wished for is known in all.
         kept = Math.max(
                 kept,
-                parent.counts.get(d).rightful.used(now)
-                        - own.counts.get(d).rightful.used(now));
+                parent.counts.get(dimension).rightful.used(now)
+                        - own.counts.get(dimension).rightful.used(now));
         for (Node other : parent.keeping) {
-            kept = other == of ? kept : plus(kept, other.shareLeft(d, now));
+            kept = other == of ? kept : plus(kept, other.shareLeft(dimension, now));
         }
         looked = 0;
         for (var it = parent.wishing.iterator(); it.hasNext() && looked++ < LOOK_MOST; ) {
@@ -239,18 +244,19 @@
             if (!other.wishes(now)) {
                 it.remove();
             } else if (other != of && other.member.lends()) {
-                kept = plus(kept, better(other, of, d, amount));
+                kept = plus(kept, better(other, of, dimension, amount));
             }
         }
         long wanted = plus(kept, amount);
-        if (wanted <= parent.free(d, now) && leavesLongWindows(parent, d, lenders, wanted)) {
+        if (wanted <= parent.free(dimension, now) && leavesLongWindows(parent, dimension, lenders, wanted)) {
             return null;
         }
         long after = Node.SECOND;
         for (int i = 0; i < parent.windows.size(); i++) {
-            Limit l = parent.member.limits().get(i);
-            if (l.dimension() == d) {
-                long free = parent.windows.get(i).freeAt(now, Math.min(l.amount(), plus(kept, amount)), l.amount());
+            Limit limit = parent.member.limits().get(i);
+            if (limit.dimension() == dimension) {
+                long free =
+                        parent.windows.get(i).freeAt(now, Math.min(limit.amount(), plus(kept, amount)), limit.amount());
                 after = Math.min(after, Math.max(Node.SECOND / 64, free - now));
             }
         }
@@ -261,14 +267,14 @@
      * What is lent must not use up the hours of those that lend: of windows longer than a second it takes no
      * more in any second than they bear in every one, unless they have room besides all shares.
      */
-    private boolean leavesLongWindows(Node parent, Dimension d, long lenders, long wanted) {
-        long used = parent.counts.get(d).used.used(now);
+    private boolean leavesLongWindows(Node parent, Dimension dimension, long lenders, long wanted) {
+        long used = parent.counts.get(dimension).used.used(now);
         for (int i = 0; i < parent.windows.size(); i++) {
-            Limit l = parent.member.limits().get(i);
-            if (l.dimension() == d && l.window() > Node.SECOND) {
-                double seconds = (double) l.window() / Node.SECOND;
-                boolean paced = used + wanted <= l.amount() / seconds;
-                boolean besides = l.amount() - parent.windows.get(i).used(now) - lenders * seconds >= wanted;
+            Limit limit = parent.member.limits().get(i);
+            if (limit.dimension() == dimension && limit.window() > Node.SECOND) {
+                double seconds = (double) limit.window() / Node.SECOND;
+                boolean paced = used + wanted <= limit.amount() / seconds;
+                boolean besides = limit.amount() - parent.windows.get(i).used(now) - lenders * seconds >= wanted;
                 if (!paced && !besides) {
                     return false;
                 }
@@ -281,16 +287,16 @@
      * What is kept for a member that wished for some of its share and did not get it: that; and all that is
      * left of the share where it wants nearly all of it, for the next wish comes before the room does.
      */
-    private long rightful(Node other, Dimension d) {
-        Node.Count count = other.counts.get(d);
+    private long rightful(Node other, Dimension dimension) {
+        Node.Count count = other.counts.get(dimension);
         long wished = count.rightful.used(now);
-        boolean keen = wished > 0 && count.used.used(now) + wished >= KEEN * other.share(d);
-        return keen ? other.shareLeft(d, now) : Math.min(wished, other.shareLeft(d, now));
+        boolean keen = wished > 0 && count.used.used(now) + wished >= KEEN * other.share(dimension);
+        return keen ? other.shareLeft(dimension, now) : Math.min(wished, other.shareLeft(dimension, now));
     }
 
     /** What one that wants to borrow keeps from another, beyond shares. */
-    private long better(Node other, Node borrower, Dimension d, long amount) {
-        Node.Count count = other.counts.get(d);
+    private long better(Node other, Node borrower, Dimension dimension, long amount) {
+        Node.Count count = other.counts.get(dimension);
         long wished = Math.max(0, count.wished.used(now) - count.rightful.used(now));
         if (wished == 0) {
             return 0;
@@ -299,8 +305,8 @@
         if (other.member.priority() != borrower.member.priority()) {
             return other.member.priority() > borrower.member.priority() ? wished : 0;
         }
-        double mine = (borrower.borrowed(d, now) + (double) amount) / borrower.member.weight();
-        long behind = (long) Math.max(0, mine * other.member.weight() - other.borrowed(d, now));
+        double mine = (borrower.borrowed(dimension, now) + (double) amount) / borrower.member.weight();
+        long behind = (long) Math.max(0, mine * other.member.weight() - other.borrowed(dimension, now));
         return Math.min(wished, behind);
     }
 
@@ -369,14 +375,14 @@
     }
 
     // ---- Counting -------------------------------------------------------------------------------
-    private void count(Node own, Asked m) {
-        for (Dimension d : Dimension.values()) {
-            long amount = amount(d, m);
-            Node right = entitled(own, d, amount);
+    private void count(Node own, Asked asked) {
+        for (Dimension dimension : Dimension.values()) {
+            long amount = amount(dimension, asked);
+            Node right = entitled(own, dimension, amount);
             boolean loan = true;
             for (Node at = own; at != null; at = at.parent) {
                 loan &= at != right && at.parent != null;
-                Node.Count count = at.counts.get(d);
+                Node.Count count = at.counts.get(dimension);
                 count.used.add(now, amount);
                 count.wished.settle(now, amount);
                 if (!loan) {
@@ -385,14 +391,14 @@
                 count.usedInAll += amount;
                 if (loan) {
                     count.borrowedInAll += amount;
-                    at.parent.counts.get(d).lent.add(now, amount);
+                    at.parent.counts.get(dimension).lent.add(now, amount);
                 }
                 for (int i = 0; i < at.windows.size(); i++) {
-                    Limit l = at.member.limits().get(i);
-                    if (l.dimension() == d) {
+                    Limit limit = at.member.limits().get(i);
+                    if (limit.dimension() == dimension) {
                         at.windows.get(i).add(now, amount);
                         at.unnoted[i] += amount;
-                        if (l.window() >= LASTS && at.unnoted[i] >= part(l)) {
+                        if (limit.window() >= LASTS && at.unnoted[i] >= part(limit)) {
                             noteDue.add(at);
                         }
                     }
@@ -409,17 +415,17 @@
         holders.put(id, new Holder(own, seq));
     }
 
-    private void wished(Node own, Asked m, boolean never) {
-        for (Dimension d : Dimension.values()) {
-            long amount = amount(d, m);
-            Node right = entitled(own, d, amount);
+    private void wished(Node own, Asked asked, boolean never) {
+        for (Dimension dimension : Dimension.values()) {
+            long amount = amount(dimension, asked);
+            Node right = entitled(own, dimension, amount);
             // No more is kept for a member than its share: it may ask for that again and again.
-            boolean rightful =
-                    right != null && right.counts.get(d).rightful.used(now) + amount <= right.shareLeft(d, now);
+            boolean rightful = right != null
+                    && right.counts.get(dimension).rightful.used(now) + amount <= right.shareLeft(dimension, now);
             boolean above = false;
             for (Node at = own; at != null; at = at.parent) {
                 above |= at == right;
-                Node.Count count = at.counts.get(d);
+                Node.Count count = at.counts.get(dimension);
                 count.refusedInAll += amount;
                 if (!never) {
                     count.wished.add(now, amount);
@@ -460,8 +466,8 @@
     }
 
     /** A message from before a restart is held again; it was counted when it was taken on. */
-    public void recovered(Asked m) {
-        hold(own(root, m), m.id());
+    public void recovered(Asked asked) {
+        hold(own(root, asked), asked.id());
     }
 
     // ---- Another file ---------------------------------------------------------------------------
@@ -479,13 +485,15 @@
 
     private void merge(Node node, Member next) {
         List<Window> windows = new ArrayList<>();
-        for (Limit l : next.limits()) {
+        for (Limit limit : next.limits()) {
             Window kept = null;
             for (int i = 0; i < node.windows.size(); i++) {
                 Limit old = node.member.limits().get(i);
-                kept = old.dimension() == l.dimension() && old.window() == l.window() ? node.windows.get(i) : kept;
+                kept = old.dimension() == limit.dimension() && old.window() == limit.window()
+                        ? node.windows.get(i)
+                        : kept;
             }
-            windows.add(kept != null ? kept : seeded(node, l));
+            windows.add(kept != null ? kept : seeded(node, limit));
         }
         node.unnoted = Node.neverNoted(windows.size());
         node.windows.clear();
@@ -516,9 +524,9 @@
     }
 
     /** A limit that was not there before: what the last second brought is known, and counts. */
-    private Window seeded(Node node, Limit l) {
-        Window window = new Window(l.window());
-        long used = node.counts.get(l.dimension()).used.used(now);
+    private Window seeded(Node node, Limit limit) {
+        Window window = new Window(limit.window());
+        long used = node.counts.get(limit.dimension()).used.used(now);
         if (used > 0) {
             window.add(now, used);
         }
@@ -547,8 +555,8 @@
     public record Use(Dimension dimension, long window, long[] uses) {}
 
     /** What is used unnoted at most, of a limit: so much counts as used after a restart. */
-    private static long part(Limit l) {
-        return Math.max(1, l.amount() / NOTED_PARTS);
+    private static long part(Limit limit) {
+        return Math.max(1, limit.amount() / NOTED_PARTS);
     }
 
     /**
@@ -567,9 +575,10 @@
         Node node = byPath.get(path);
         List<Use> all = new ArrayList<>();
         for (int i = 0; node != null && i < node.windows.size(); i++) {
-            Limit l = node.member.limits().get(i);
-            if (l.window() >= LASTS) {
-                all.add(new Use(l.dimension(), l.window(), node.windows.get(i).uses(now)));
+            Limit limit = node.member.limits().get(i);
+            if (limit.window() >= LASTS) {
+                all.add(new Use(
+                        limit.dimension(), limit.window(), node.windows.get(i).uses(now)));
                 node.unnoted[i] = 0;
             }
         }
@@ -584,14 +593,14 @@
         at(time);
         Node node = byPath.get(path);
         for (int i = 0; node != null && i < node.windows.size(); i++) {
-            Limit l = node.member.limits().get(i);
+            Limit limit = node.member.limits().get(i);
             for (Use use : noted) {
-                if (use.dimension() == l.dimension() && use.window() == l.window()) {
+                if (use.dimension() == limit.dimension() && use.window() == limit.window()) {
                     Window window = node.windows.get(i);
                     for (int u = 0; u + 1 < use.uses().length; u += 2) {
                         window.add(Math.min(now, use.uses()[u]), use.uses()[u + 1]);
                     }
-                    window.add(now, Math.min(part(l), Math.max(0, l.amount() - window.used(now))));
+                    window.add(now, Math.min(part(limit), Math.max(0, limit.amount() - window.used(now))));
                 }
             }
         }
@@ -613,32 +622,32 @@
             long refusedInAll) {}
 
     /** How each member stands in a dimension, the root first, then by the file's order. */
-    public List<Standing> standing(long time, Dimension d) {
+    public List<Standing> standing(long time, Dimension dimension) {
         at(time);
         List<Standing> all = new ArrayList<>();
-        stand(root, d, all);
+        stand(root, dimension, all);
         return all;
     }
 
-    private void stand(Node node, Dimension d, List<Standing> all) {
-        Node.Count c = node.counts.get(d);
+    private void stand(Node node, Dimension dimension, List<Standing> all) {
+        Node.Count count = node.counts.get(dimension);
         long below = 0;
         for (Node m : node.members) {
-            below += m.borrowed(d, now);
+            below += m.borrowed(dimension, now);
         }
         all.add(new Standing(
                 node.member.path(),
                 node.held,
                 node.member.held(),
-                c.used.used(now),
-                node.share(d),
-                node.borrowed(d, now),
+                count.used.used(now),
+                node.share(dimension),
+                node.borrowed(dimension, now),
                 below,
-                c.wished.used(now),
-                c.usedInAll,
-                c.borrowedInAll,
-                c.refusedInAll));
-        node.members.forEach(m -> stand(m, d, all));
+                count.wished.used(now),
+                count.usedInAll,
+                count.borrowedInAll,
+                count.refusedInAll));
+        node.members.forEach(m -> stand(m, dimension, all));
     }
 
     /** The member that a message would be; null where there is none of that path. */
@@ -648,8 +657,8 @@
     }
 
     /** The path of the member whose messages these are. */
-    public String pathOf(Asked m) {
-        return own(root, m).member.path();
+    public String pathOf(Asked asked) {
+        return own(root, asked).member.path();
     }
 
     Node root() {
--- a/src/main/java/brambletray/relay/recovery/WitnessReport.java
+++ b/src/main/java/brambletray/relay/recovery/WitnessReport.java
@@ -7,7 +7,7 @@
      *
      * @param newest the furthest that it had come
      * @param ageMs how long ago it last heard, at least
-     * @param heartbeats how often it has heard in that incarnation; as reported by the relay, so that copies don't count
+     * @param heartbeats how often it has heard in that incarnation, as the relay counts them: copies don't count twice
      */
     record Seen(StoreFreshness newest, long ageMs, long heartbeats) implements WitnessReport {}
 
--- a/src/main/java/brambletray/relay/rehearsal/Comparison.java
+++ b/src/main/java/brambletray/relay/rehearsal/Comparison.java
@@ -59,7 +59,8 @@
         }
         // As many nights, as many chances of luck (Bonferroni).
         return rows.stream()
-                .map(r -> new Row(r.night(), r.mean(), Math.min(1, r.chance() * rows.size()), r.brokenA(), r.brokenB()))
+                .map(row -> new Row(
+                        row.night(), row.mean(), Math.min(1, row.chance() * rows.size()), row.brokenA(), row.brokenB()))
                 .toList();
     }
 
--- a/src/main/java/brambletray/relay/rehearsal/Hunt.java
+++ b/src/main/java/brambletray/relay/rehearsal/Hunt.java
@@ -38,7 +38,10 @@
         this.base = base;
         this.folder = folder;
         Night night = Night.parse("base.yaml", base);
-        night.script().partners().forEach(p -> p.endpoints().forEach(e -> endpoints.add(e.name())));
+        night.script()
+                .partners()
+                .forEach(partnerSpec ->
+                        partnerSpec.endpoints().forEach(endpointSpec -> endpoints.add(endpointSpec.name())));
         relays = night.script().fleet().relays();
         seconds = night.script().length() / 1e9;
     }
@@ -108,10 +111,11 @@
     private String yaml(List<Event> events) {
         StringBuilder text = new StringBuilder(base);
         for (boolean ofRelay : new boolean[] {false, true}) {
-            List<Event> some = events.stream().filter(e -> e.ofRelay == ofRelay).toList();
+            List<Event> some =
+                    events.stream().filter(event -> event.ofRelay == ofRelay).toList();
             if (!some.isEmpty()) {
                 text.append(ofRelay ? "relay_events:\n" : "events:\n");
-                some.forEach(e -> text.append("  - ").append(e.line).append('\n'));
+                some.forEach(event -> text.append("  - ").append(event.line).append('\n'));
             }
         }
         return text.toString();
--- a/src/main/java/brambletray/relay/rehearsal/Kit.java
+++ b/src/main/java/brambletray/relay/rehearsal/Kit.java
@@ -23,10 +23,11 @@
     /** What happened to the first messages, so many at most, with which a rule was broken in a night. */
     public static List<Story> stories(Verdict verdict, int most, Path folder) throws IOException, Config.Unusable {
         List<Story> stories = new ArrayList<>();
-        for (Verdict.Subject s :
+        for (Verdict.Subject subject :
                 verdict.subjects().stream().distinct().limit(most).toList()) {
             Path own = folder.resolve(verdict.night().script().name() + "-story-" + stories.size());
-            stories.add(Rehearsal.story(verdict.night(), s.seed(), s.message(), Files.createDirectories(own)));
+            stories.add(
+                    Rehearsal.story(verdict.night(), subject.seed(), subject.message(), Files.createDirectories(own)));
         }
         return stories;
     }
--- a/src/main/java/brambletray/relay/rehearsal/Night.java
+++ b/src/main/java/brambletray/relay/rehearsal/Night.java
@@ -75,8 +75,8 @@
         long[] noticed = {0};
         Rehearsal.Use[] most = {new Rehearsal.Use(CONNECTIONS, DISK)};
         Script script = ScriptReader.parse(name, text, (root, fleet) -> {
-            for (Section s : root.sections("relay_events", false)) {
-                events.add(event(s, fleet.relays()));
+            for (Section section : root.sections("relay_events", false)) {
+                events.add(event(section, fleet.relays()));
             }
             noticed[0] = nanos(root.number("front_notices_s", 0.5, 0, 60));
             Section bounds = root.section("bounds", false);
@@ -90,15 +90,15 @@
         return new Night(script, List.copyOf(events), noticed[0], least[0], most[0]);
     }
 
-    private static RelayEvent event(Section s, int relays) {
-        long at = nanos(s.number("at_s", 0, DAY_S));
-        int relay = s.text("relay", "").equals("all") ? -1 : s.whole("relay", 0, relays - 1);
+    private static RelayEvent event(Section section, int relays) {
+        long at = nanos(section.number("at_s", 0, DAY_S));
+        int relay = section.text("relay", "").equals("all") ? -1 : section.whole("relay", 0, relays - 1);
         RelayEvent.What what = RelayEvent.What.valueOf(
-                s.word("do", "kill", "kill", "kill_and_lose_folder", "kill_after_write", "kill_after_sent")
+                section.word("do", "kill", "kill", "kill_and_lose_folder", "kill_after_write", "kill_after_sent")
                         .toUpperCase(Locale.ROOT));
-        int number = s.whole("number", 1, 1, 1_000_000);
-        long back = nanos(s.number("back_after_s", 1, 0.01, DAY_S));
-        s.done();
+        int number = section.whole("number", 1, 1, 1_000_000);
+        long back = nanos(section.number("back_after_s", 1, 0.01, DAY_S));
+        section.done();
         return new RelayEvent(at, relay, what, number, back);
     }
 
--- a/src/main/java/brambletray/relay/rehearsal/Rehearsal.java
+++ b/src/main/java/brambletray/relay/rehearsal/Rehearsal.java
@@ -104,13 +104,18 @@
     /** Deaths, returns, and the front's knowledge of them, in order; what falls together, by relay. */
     private static List<Due> plan(Night night) {
         List<Due> plan = new ArrayList<>();
-        for (RelayEvent e : night.relayEvents()) {
+        for (RelayEvent relayEvent : night.relayEvents()) {
             for (int relay = 0; relay < night.script().fleet().relays(); relay++) {
-                if (e.relay() == -1 || e.relay() == relay) {
-                    plan.add(new Due(e.at(), relay, true, false, e));
-                    plan.add(new Due(e.at() + night.noticed(), relay, true, true, e));
-                    plan.add(new Due(e.at() + e.backAfter(), relay, false, false, e));
-                    plan.add(new Due(e.at() + e.backAfter() + night.noticed(), relay, false, true, e));
+                if (relayEvent.relay() == -1 || relayEvent.relay() == relay) {
+                    plan.add(new Due(relayEvent.at(), relay, true, false, relayEvent));
+                    plan.add(new Due(relayEvent.at() + night.noticed(), relay, true, true, relayEvent));
+                    plan.add(new Due(relayEvent.at() + relayEvent.backAfter(), relay, false, false, relayEvent));
+                    plan.add(new Due(
+                            relayEvent.at() + relayEvent.backAfter() + night.noticed(),
+                            relay,
+                            false,
+                            true,
+                            relayEvent));
                 }
             }
         }
--- a/src/main/java/brambletray/relay/rehearsal/Reports.java
+++ b/src/main/java/brambletray/relay/rehearsal/Reports.java
@@ -29,19 +29,19 @@
             out.writeStartObject();
             out.writeBooleanField("passed", verdicts.stream().allMatch(Verdict::passed));
             out.writeArrayFieldStart("nights");
-            for (Verdict v : verdicts) {
+            for (Verdict verdict : verdicts) {
                 out.writeStartObject();
-                out.writeStringField("night", v.night().script().name());
-                out.writeBooleanField("passed", v.passed());
-                out.writeStringField("middle_score", figure(Verdict.middle(v.plays())));
-                out.writeStringField("least_score", figure(v.night().least()));
+                out.writeStringField("night", verdict.night().script().name());
+                out.writeBooleanField("passed", verdict.passed());
+                out.writeStringField("middle_score", figure(Verdict.middle(verdict.plays())));
+                out.writeStringField("least_score", figure(verdict.night().least()));
                 out.writeArrayFieldStart("faults");
-                for (String fault : v.faults()) {
+                for (String fault : verdict.faults()) {
                     out.writeString(fault);
                 }
                 out.writeEndArray();
                 out.writeArrayFieldStart("seeds");
-                for (Play play : v.plays()) {
+                for (Play play : verdict.plays()) {
                     seed(out, play);
                 }
                 out.writeEndArray();
@@ -56,20 +56,20 @@
     }
 
     private static void seed(JsonGenerator out, Play play) throws IOException {
-        Score.Result r = play.result();
+        Score.Result result = play.result();
         out.writeStartObject();
         out.writeNumberField("seed", play.seed());
-        out.writeStringField("score", figure(r.score()));
-        out.writeStringField("whole", figure(r.whole()));
-        out.writeStringField("worst_ten_seconds", figure(r.worst()));
-        out.writeNumberField("asked", r.asked());
-        out.writeNumberField("delivered", r.delivered());
-        out.writeNumberField("late", r.late());
-        out.writeNumberField("handed_back", r.handedBack());
-        out.writeNumberField("given_up", r.givenUp());
-        out.writeNumberField("turned_away", r.turnedAway());
-        out.writeNumberField("unanswered", r.unanswered());
-        out.writeNumberField("rules_broken", r.breachCount() + r.lostCount());
+        out.writeStringField("score", figure(result.score()));
+        out.writeStringField("whole", figure(result.whole()));
+        out.writeStringField("worst_ten_seconds", figure(result.worst()));
+        out.writeNumberField("asked", result.asked());
+        out.writeNumberField("delivered", result.delivered());
+        out.writeNumberField("late", result.late());
+        out.writeNumberField("handed_back", result.handedBack());
+        out.writeNumberField("given_up", result.givenUp());
+        out.writeNumberField("turned_away", result.turnedAway());
+        out.writeNumberField("unanswered", result.unanswered());
+        out.writeNumberField("rules_broken", result.breachCount() + result.lostCount());
         out.writeStringField("trace", String.format("%016x", play.trace()));
         out.writeEndObject();
     }
@@ -91,7 +91,7 @@
 
     /** A suite with a case for each night. */
     public static String junit(List<Verdict> verdicts) {
-        long failed = verdicts.stream().filter(v -> !v.passed()).count();
+        long failed = verdicts.stream().filter(verdict -> !verdict.passed()).count();
         StringBuilder out = new StringBuilder(
                         "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<testsuite" + " name=\"rehearsal\"")
                 .append(" tests=\"")
@@ -99,17 +99,17 @@
                 .append("\" failures=\"")
                 .append(failed)
                 .append("\" errors=\"0\" skipped=\"0\">\n");
-        for (Verdict v : verdicts) {
+        for (Verdict verdict : verdicts) {
             out.append("  <testcase classname=\"rehearsal\"" + " name=\"")
-                    .append(escaped(v.night().script().name()))
+                    .append(escaped(verdict.night().script().name()))
                     .append('"');
-            if (v.passed()) {
+            if (verdict.passed()) {
                 out.append("/>\n");
             } else {
                 out.append(">\n    <failure message=\"")
-                        .append(escaped(v.faults().get(0)))
+                        .append(escaped(verdict.faults().get(0)))
                         .append("\">")
-                        .append(escaped(String.join("\n", v.faults())))
+                        .append(escaped(String.join("\n", verdict.faults())))
                         .append("</failure>\n  </testcase>\n");
             }
         }
@@ -139,42 +139,42 @@
                 .append(passed ? "good\">May go into service" : "bad\">May not go into service")
                 .append("</h1>\n<table><tr><th>night</th><th>verdict</th><th>middle score</th><th>bound</th>"
                         + "<th>lowest</th><th>highest</th></tr>\n");
-        for (Verdict v : verdicts) {
-            double low = v.plays().stream()
-                    .mapToDouble(p -> p.result().score())
+        for (Verdict verdict : verdicts) {
+            double low = verdict.plays().stream()
+                    .mapToDouble(play -> play.result().score())
                     .min()
                     .orElse(0);
-            double high = v.plays().stream()
-                    .mapToDouble(p -> p.result().score())
+            double high = verdict.plays().stream()
+                    .mapToDouble(play -> play.result().score())
                     .max()
                     .orElse(0);
             out.append(String.format(
                     Locale.ROOT,
                     "<tr><td><a href=\"#%1$s\">%1$s</a></td><td class=\"%2$s\">%3$s"
                             + "</td><td>%4$.3f</td><td>%5$.3f</td><td>%6$.3f</td><td>%7$.3f</td></tr>%n",
-                    escaped(v.night().script().name()),
-                    v.passed() ? "good" : "bad",
-                    v.passed() ? "passed" : "failed",
-                    Verdict.middle(v.plays()),
-                    v.night().least(),
+                    escaped(verdict.night().script().name()),
+                    verdict.passed() ? "good" : "bad",
+                    verdict.passed() ? "passed" : "failed",
+                    Verdict.middle(verdict.plays()),
+                    verdict.night().least(),
                     low,
                     high));
         }
         out.append("</table>\n");
-        verdicts.forEach(v -> night(out, v));
+        verdicts.forEach(verdict -> night(out, verdict));
         return out.append("</body></html>\n").toString();
     }
 
-    private static void night(StringBuilder out, Verdict v) {
-        double seconds = v.night().script().length() / 1e9;
+    private static void night(StringBuilder out, Verdict verdict) {
+        double seconds = verdict.night().script().length() / 1e9;
         out.append("<h2 id=\"")
-                .append(escaped(v.night().script().name()))
+                .append(escaped(verdict.night().script().name()))
                 .append("\">")
-                .append(escaped(v.night().script().name()))
+                .append(escaped(verdict.night().script().name()))
                 .append("</h2>\n<p>")
-                .append(escaped(v.night().script().about()))
+                .append(escaped(verdict.night().script().about()))
                 .append("</p>\n");
-        for (String fault : v.faults()) {
+        for (String fault : verdict.faults()) {
             out.append("<p class=\"bad\">").append(escaped(fault)).append("</p>\n");
         }
         out.append(String.format(
@@ -182,7 +182,7 @@
                 "<svg width=\"%d\" height=\"%d\" role=\"img\" aria-label=\"worth by" + " second\">",
                 WIDTH,
                 HEIGHT + 20));
-        for (Play play : v.plays()) {
+        for (Play play : verdict.plays()) {
             out.append("<path d=\"");
             List<Double> worth = play.result().bySecond();
             boolean down = false;
@@ -201,8 +201,8 @@
             }
             out.append("\"/>");
         }
-        v.night().script().steps().forEach(step -> mark(out, step.at() / 1e9 / seconds));
-        v.night().relayEvents().forEach(e -> mark(out, e.at() / 1e9 / seconds));
+        verdict.night().script().steps().forEach(step -> mark(out, step.at() / 1e9 / seconds));
+        verdict.night().relayEvents().forEach(relayEvent -> mark(out, relayEvent.at() / 1e9 / seconds));
         out.append(String.format(
                 Locale.ROOT,
                 "<text x=\"2\" y=\"12\">worth of what was asked for in each second,"
--- a/src/main/java/brambletray/relay/rehearsal/Story.java
+++ b/src/main/java/brambletray/relay/rehearsal/Story.java
@@ -53,8 +53,9 @@
     /** One line for each event, with its time in seconds. */
     public List<String> told() {
         return events.stream()
-                .filter(e -> Score.line(e.of).equals(line) || met.contains(e.of) || e.of.startsWith("relay"))
-                .map(e -> String.format(Locale.ROOT, "%10.6f s  %s: %s", e.at / 1e9, e.of, e.what))
+                .filter(event ->
+                        Score.line(event.of).equals(line) || met.contains(event.of) || event.of.startsWith("relay"))
+                .map(event -> String.format(Locale.ROOT, "%10.6f s  %s: %s", event.at / 1e9, event.of, event.what))
                 .toList();
     }
 }
--- a/src/main/java/brambletray/relay/rehearsal/Verdict.java
+++ b/src/main/java/brambletray/relay/rehearsal/Verdict.java
@@ -22,20 +22,20 @@
         List<String> faults = new ArrayList<>();
         List<Subject> subjects = new ArrayList<>();
         for (Play play : plays) {
-            for (Ledger.Breach b :
+            for (Ledger.Breach breach :
                     play.result().breaches().stream().limit(TOLD_MOST).toList()) {
                 faults.add(String.format(
                         Locale.ROOT,
                         "seed %d: %s at %.3f s: message %s from %s to %s, %s",
                         play.seed(),
-                        b.rule().name().toLowerCase(Locale.ROOT).replace('_', ' '),
-                        b.at() / 1e9,
-                        b.message(),
-                        b.caller(),
-                        b.endpoint(),
-                        b.detail()));
-                if (!b.message().isEmpty()) {
-                    subjects.add(new Subject(play.seed(), b.message()));
+                        breach.rule().name().toLowerCase(Locale.ROOT).replace('_', ' '),
+                        breach.at() / 1e9,
+                        breach.message(),
+                        breach.caller(),
+                        breach.endpoint(),
+                        breach.detail()));
+                if (!breach.message().isEmpty()) {
+                    subjects.add(new Subject(play.seed(), breach.message()));
                 }
             }
             for (String id : play.result().lost().stream().limit(TOLD_MOST).toList()) {
@@ -69,7 +69,7 @@
 
     static double middle(List<Play> plays) {
         List<Double> scores = plays.stream()
-                .map(p -> p.result().score())
+                .map(play -> play.result().score())
                 .sorted(Comparator.naturalOrder())
                 .toList();
         return scores.get((scores.size() - 1) / 2);
--- a/src/main/java/brambletray/relay/script/Script.java
+++ b/src/main/java/brambletray/relay/script/Script.java
@@ -103,6 +103,8 @@
 
     /** Endpoints of all partners. */
     public int endpoints() {
-        return partners.stream().mapToInt(p -> p.endpoints().size()).sum();
+        return partners.stream()
+                .mapToInt(partnerSpec -> partnerSpec.endpoints().size())
+                .sum();
     }
 }
--- a/src/main/java/brambletray/relay/script/ScriptReader.java
+++ b/src/main/java/brambletray/relay/script/ScriptReader.java
@@ -85,8 +85,8 @@
         Script.Fleet fleet = fleet(root.section("fleet", false));
         Script.Traffic traffic = traffic(root.section("traffic", false), length);
         List<Script.MessageClass> classes = new ArrayList<>();
-        for (Section c : root.sections("classes", false)) {
-            classes.add(messageClass(c));
+        for (Section section : root.sections("classes", false)) {
+            classes.add(messageClass(section));
         }
         if (classes.isEmpty()) {
             classes.add(new Script.MessageClass("bill-post", 1, 2_000, 16_000, "keyed", 15_000, 0.3, 1));
@@ -98,8 +98,8 @@
         }
         List<PartnerSpec> partners = new ArrayList<>();
         List<Section> sections = root.sections("partners", true);
-        for (Section p : sections) {
-            partners(p, fleet, partners);
+        for (Section section : sections) {
+            partners(section, fleet, partners);
         }
         if (partners.isEmpty() && !sections.isEmpty()) {
             root.fault("partners", "expected one partner at least");
@@ -142,83 +142,83 @@
         return Math.round(ms * 1e6);
     }
 
-    private Script.Fleet fleet(Section s) {
-        List<String> zones = s.texts("zones", false);
+    private Script.Fleet fleet(Section section) {
+        List<String> zones = section.texts("zones", false);
         Script.Fleet fleet = new Script.Fleet(
-                s.whole("relays", 1, 1, 300),
-                s.whole("slots", 24, 1, 10_000),
-                s.whole("open", 200, 1, 1_000_000),
+                section.whole("relays", 1, 1, 300),
+                section.whole("slots", 24, 1, 10_000),
+                section.whole("open", 200, 1, 1_000_000),
                 zones.isEmpty() ? List.of("here") : zones,
-                millis(s.number("same_zone_ms", 0.5, 0, 60_000)),
-                millis(s.number("cross_zone_ms", 0.5, 0, 60_000)),
-                s.number("jitter", 0.2, 0, 10),
-                s.word("weights", "rough", "none", "nominal", "rough"));
-        s.done();
+                millis(section.number("same_zone_ms", 0.5, 0, 60_000)),
+                millis(section.number("cross_zone_ms", 0.5, 0, 60_000)),
+                section.number("jitter", 0.2, 0, 10),
+                section.word("weights", "rough", "none", "nominal", "rough"));
+        section.done();
         return fleet;
     }
 
-    private Script.Traffic traffic(Section s, long length) {
-        long from = seconds(s.number("from_s", 0, 0, DAY_S));
+    private Script.Traffic traffic(Section section, long length) {
+        long from = seconds(section.number("from_s", 0, 0, DAY_S));
         Script.Traffic traffic = new Script.Traffic(
-                s.number("per_s", 46, 0, RATE_MOST),
-                s.number("swing", 0, 0, 1),
-                seconds(s.number("period_s", 30, 0.1, DAY_S)),
+                section.number("per_s", 46, 0, RATE_MOST),
+                section.number("swing", 0, 0, 1),
+                seconds(section.number("period_s", 30, 0.1, DAY_S)),
                 from,
-                seconds(s.number("until_s", length / 1e9, 0, DAY_S)),
-                s.whole("retries", 1, 0, 10),
-                s.number("honour", 0.7, 0, 1),
-                s.whole("body_bytes", 200, 0, 64 * 1024),
-                s.number("mqtt_share", 0, 0, 1));
-        s.done();
+                seconds(section.number("until_s", length / 1e9, 0, DAY_S)),
+                section.whole("retries", 1, 0, 10),
+                section.number("honour", 0.7, 0, 1),
+                section.whole("body_bytes", 200, 0, 64 * 1024),
+                section.number("mqtt_share", 0, 0, 1));
+        section.done();
         return traffic;
     }
 
-    private Script.MessageClass messageClass(Section s) {
-        long limit = Math.round(s.number("limit_ms", 16_000, 1, 3_600_000));
-        Script.MessageClass c = new Script.MessageClass(
-                s.text("name"),
-                s.number("share", 1, 0, 1_000),
-                Math.round(s.number("aim_ms", 2_000, 1, 3_600_000)),
+    private Script.MessageClass messageClass(Section section) {
+        long limit = Math.round(section.number("limit_ms", 16_000, 1, 3_600_000));
+        Script.MessageClass messageClass = new Script.MessageClass(
+                section.text("name"),
+                section.number("share", 1, 0, 1_000),
+                Math.round(section.number("aim_ms", 2_000, 1, 3_600_000)),
                 limit,
-                s.word("effect", "keyed", "safe", "keyed", "unsafe"),
-                Math.round(s.number("window_ms", 15_000, 0, 3_600_000)),
-                s.number("late_worth", 0.3, 0, 1),
-                s.number("worth", 1, 0.001, 1_000));
-        if (!c.name().matches("[A-Za-z0-9._-]+")) {
-            s.fault("name", "expected letters, digits, '.', '_' and '-' only");
+                section.word("effect", "keyed", "safe", "keyed", "unsafe"),
+                Math.round(section.number("window_ms", 15_000, 0, 3_600_000)),
+                section.number("late_worth", 0.3, 0, 1),
+                section.number("worth", 1, 0.001, 1_000));
+        if (!messageClass.name().matches("[A-Za-z0-9._-]+")) {
+            section.fault("name", "expected letters, digits, '.', '_' and '-' only");
         }
-        if (c.aim() > c.limit()) {
-            s.fault("aim_ms", "expected no more than limit_ms");
+        if (messageClass.aim() > messageClass.limit()) {
+            section.fault("aim_ms", "expected no more than limit_ms");
         }
-        s.done();
-        return c;
+        section.done();
+        return messageClass;
     }
 
     // ---- Partners -------------------------------------------------------------------------------
-    private void partners(Section s, Script.Fleet fleet, List<PartnerSpec> all) {
-        String name = s.text("name");
-        int count = s.whole("count", 1, 1, PARTNERS_MOST);
-        int endpoints = s.whole("endpoints", 1, 1, ENDPOINTS_MOST);
+    private void partners(Section section, Script.Fleet fleet, List<PartnerSpec> all) {
+        String name = section.text("name");
+        int count = section.whole("count", 1, 1, PARTNERS_MOST);
+        int endpoints = section.whole("endpoints", 1, 1, ENDPOINTS_MOST);
         for (int i = 1; i <= count && all.size() < PARTNERS_MOST; i++) {
-            all.add(partner(s, count == 1 ? name : name + "-" + i, endpoints, fleet, all.size()));
+            all.add(partner(section, count == 1 ? name : name + "-" + i, endpoints, fleet, all.size()));
         }
-        s.done();
+        section.done();
     }
 
-    private PartnerSpec partner(Section s, String name, int endpoints, Script.Fleet fleet, int index) {
+    private PartnerSpec partner(Section section, String name, int endpoints, Script.Fleet fleet, int index) {
         if (places.containsKey(name)) {
-            s.fault("name", "'" + name + "' stands here twice");
+            section.fault("name", "'" + name + "' stands here twice");
         }
-        String kindName = s.text("kind", "partner");
+        String kindName = section.text("kind", "partner");
         Section kind = kinds.get(kindName);
-        if (kind == null && s.has("kind") && !kinds.isEmpty()) {
-            s.fault("kind", "expected one of " + String.join(", ", kinds.keySet()));
+        if (kind == null && section.has("kind") && !kinds.isEmpty()) {
+            section.fault("kind", "expected one of " + String.join(", ", kinds.keySet()));
         }
-        long destination = s.whole("destination", index + 1, 1, Integer.MAX_VALUE);
+        long destination = section.whole("destination", index + 1, 1, Integer.MAX_VALUE);
         if (!destinations.add(destination)) {
-            s.fault("destination", destination + " belongs to another partner");
+            section.fault("destination", destination + " belongs to another partner");
         }
-        String protocol = from(s, kind, "protocol").word("protocol", "http", PartnerSpec.PROTOCOLS);
+        String protocol = from(section, kind, "protocol").word("protocol", "http", PartnerSpec.PROTOCOLS);
         List<PartnerSpec.EndpointSpec> specs = new ArrayList<>();
         List<String> names = new ArrayList<>();
         for (int e = 1; e <= endpoints; e++) {
@@ -229,26 +229,26 @@
             places.put(endpoint, List.of(endpoint));
         }
         places.put(name, names);
-        double traffic = s.number("traffic", 1, 0, 1_000_000);
-        Law law = law(from(s, kind, "service"));
-        int servers = from(s, kind, "servers").whole("servers", 4, 1, 10_000);
-        int queue = from(s, kind, "queue").whole("queue", 16, 0, 1_000_000);
-        Limit limit = limit(from(s, kind, "limit"));
-        PartnerSpec.Waits waits = waits(from(s, kind, "told_waits"));
-        PartnerSpec.Reports reports = reports(from(s, kind, "reports"));
-        PartnerSpec.Connections connections = connections(from(s, kind, "connections"));
-        PartnerSpec.Keys keys = keys(from(s, kind, "keys"));
-        PartnerSpec.Cold cold = cold(from(s, kind, "cold"));
-        boolean apart = from(s, kind, "routes_apart").flag("routes_apart", true);
-        PartnerSpec.Abandoned abandoned =
-                switch (from(s, kind, "abandoned").word("abandoned", "runs", "runs", "dropped_in_queue", "dropped")) {
-                    case "dropped" -> PartnerSpec.Abandoned.DROPPED;
-                    case "dropped_in_queue" -> PartnerSpec.Abandoned.DROPPED_IN_QUEUE;
-                    default -> PartnerSpec.Abandoned.RUNS;
-                };
+        double traffic = section.number("traffic", 1, 0, 1_000_000);
+        Law law = law(from(section, kind, "service"));
+        int servers = from(section, kind, "servers").whole("servers", 4, 1, 10_000);
+        int queue = from(section, kind, "queue").whole("queue", 16, 0, 1_000_000);
+        Limit limit = limit(from(section, kind, "limit"));
+        PartnerSpec.Waits waits = waits(from(section, kind, "told_waits"));
+        PartnerSpec.Reports reports = reports(from(section, kind, "reports"));
+        PartnerSpec.Connections connections = connections(from(section, kind, "connections"));
+        PartnerSpec.Keys keys = keys(from(section, kind, "keys"));
+        PartnerSpec.Cold cold = cold(from(section, kind, "cold"));
+        boolean apart = from(section, kind, "routes_apart").flag("routes_apart", true);
+        PartnerSpec.Abandoned abandoned = switch (from(section, kind, "abandoned")
+                .word("abandoned", "runs", "runs", "dropped_in_queue", "dropped")) {
+            case "dropped" -> PartnerSpec.Abandoned.DROPPED;
+            case "dropped_in_queue" -> PartnerSpec.Abandoned.DROPPED_IN_QUEUE;
+            default -> PartnerSpec.Abandoned.RUNS;
+        };
         double capacity = servers * 1e9 / law.mean();
         double rate = limit.perSecond() > 0 ? Math.min(capacity, limit.perSecond()) : capacity;
-        double listed = from(s, kind, "listed_per_s").number("listed_per_s", rate, 0.001, RATE_MOST);
+        double listed = from(section, kind, "listed_per_s").number("listed_per_s", rate, 0.001, RATE_MOST);
         return new PartnerSpec(
                 name,
                 destination,
@@ -266,7 +266,7 @@
                 cold,
                 abandoned,
                 listed,
-                bundle(from(s, kind, "bundle")),
+                bundle(from(section, kind, "bundle")),
                 specs);
     }
 
@@ -303,14 +303,14 @@
     }
 
     private static Law law(Section from) {
-        Section s = from.section("service", false);
-        String law = s.word("law", "exponential", "constant", "exponential", "lognormal");
-        double mean = s.number("mean_ms", 140, 0.001, MS_MOST) * 1e6;
-        double cv = s.number("cv", 0.3, 0, 100);
-        if (s.has("cv") && !law.equals("lognormal")) {
-            s.fault("cv", "expected with law lognormal only");
+        Section section = from.section("service", false);
+        String law = section.word("law", "exponential", "constant", "exponential", "lognormal");
+        double mean = section.number("mean_ms", 140, 0.001, MS_MOST) * 1e6;
+        double cv = section.number("cv", 0.3, 0, 100);
+        if (section.has("cv") && !law.equals("lognormal")) {
+            section.fault("cv", "expected with law lognormal only");
         }
-        s.done();
+        section.done();
         return switch (law) {
             case "constant" -> new Law.Constant(mean);
             case "lognormal" -> new Law.LogNormal(mean, cv);
@@ -323,84 +323,87 @@
             from.section("limit", false);
             return new Limit.None();
         }
-        Section s = from.section("limit", true);
-        boolean refusedUse = s.flag("refused_use", false);
+        Section section = from.section("limit", true);
+        boolean refusedUse = section.flag("refused_use", false);
         Limit limit;
-        if (s.has("per_s") == s.has("count")) {
-            s.fault("per_s", "expected either per_s (with burst) or count (with span_ms)");
+        if (section.has("per_s") == section.has("count")) {
+            section.fault("per_s", "expected either per_s (with burst) or count (with span_ms)");
         }
-        if (s.has("count")) {
+        if (section.has("count")) {
             limit = new Limit.Span(
-                    s.whole("count", 1, 1, 1_000_000), millis(s.number("span_ms", 1_000, 1, MS_MOST)), refusedUse);
+                    section.whole("count", 1, 1, 1_000_000),
+                    millis(section.number("span_ms", 1_000, 1, MS_MOST)),
+                    refusedUse);
         } else {
-            double rate = s.number("per_s", 0.001, RATE_MOST);
-            limit = new Limit.Rate(rate, s.number("burst", Math.max(1, rate / 4), 1, RATE_MOST), refusedUse);
+            double rate = section.number("per_s", 0.001, RATE_MOST);
+            limit = new Limit.Rate(rate, section.number("burst", Math.max(1, rate / 4), 1, RATE_MOST), refusedUse);
         }
-        s.done();
+        section.done();
         return limit;
     }
 
     private static PartnerSpec.Waits waits(Section from) {
-        Section s = from.section("told_waits", false);
-        double least = s.number("least_ms", 0, 0, MS_MOST);
-        double most = s.number("most_ms", least, 0, MS_MOST);
+        Section section = from.section("told_waits", false);
+        double least = section.number("least_ms", 0, 0, MS_MOST);
+        double most = section.number("most_ms", least, 0, MS_MOST);
         if (most < least) {
-            s.fault("most_ms", "expected no less than least_ms");
+            section.fault("most_ms", "expected no less than least_ms");
         }
         PartnerSpec.Waits waits =
-                new PartnerSpec.Waits(s.number("share", 0.5, 0, 1), millis(least), millis(Math.max(least, most)));
-        s.done();
+                new PartnerSpec.Waits(section.number("share", 0.5, 0, 1), millis(least), millis(Math.max(least, most)));
+        section.done();
         return waits;
     }
 
     private static PartnerSpec.Reports reports(Section from) {
         boolean there = from.has("reports");
-        Section s = from.section("reports", false);
+        Section section = from.section("reports", false);
         PartnerSpec.Reports reports = new PartnerSpec.Reports(
-                millis(s.number("refresh_ms", 400, 1, MS_MOST)), millis(s.number("delay_ms", 0, 0, 60_000)));
-        s.done();
+                millis(section.number("refresh_ms", 400, 1, MS_MOST)),
+                millis(section.number("delay_ms", 0, 0, 60_000)));
+        section.done();
         return there ? reports : null;
     }
 
     private static PartnerSpec.Connections connections(Section from) {
-        Section s = from.section("connections", false);
+        Section section = from.section("connections", false);
         PartnerSpec.Connections connections = new PartnerSpec.Connections(
-                s.whole("cap", 1_000, 1, 1_000_000),
-                millis(s.number("handshake_ms", 0, 0, 60_000)),
-                millis(s.number("idle_ms", 15_000, 1, MS_MOST)));
-        s.done();
+                section.whole("cap", 1_000, 1, 1_000_000),
+                millis(section.number("handshake_ms", 0, 0, 60_000)),
+                millis(section.number("idle_ms", 15_000, 1, MS_MOST)));
+        section.done();
         return connections;
     }
 
     private static PartnerSpec.Keys keys(Section from) {
-        Section s = from.section("keys", false);
+        Section section = from.section("keys", false);
         PartnerSpec.Keys keys = new PartnerSpec.Keys(
-                millis(s.number("window_ms", 15_000, 0, MS_MOST)),
-                s.word("group", "all", "all", "zone").equals("zone"));
-        s.done();
+                millis(section.number("window_ms", 15_000, 0, MS_MOST)),
+                section.word("group", "all", "all", "zone").equals("zone"));
+        section.done();
         return keys;
     }
 
     private static PartnerSpec.Cold cold(Section from) {
-        Section s = from.section("cold", false);
+        Section section = from.section("cold", false);
         PartnerSpec.Cold cold = new PartnerSpec.Cold(
-                s.number("from", 0.19, 0.01, 1),
-                millis(s.number("warm_ms", 12_000, 1, MS_MOST)),
-                s.number("multiple", 2, 1, 1_000),
-                millis(s.number("fall_ms", 3_000, 1, MS_MOST)),
-                s.number("slack_calls", 4, 0, 1_000_000));
-        s.done();
+                section.number("from", 0.19, 0.01, 1),
+                millis(section.number("warm_ms", 12_000, 1, MS_MOST)),
+                section.number("multiple", 2, 1, 1_000),
+                millis(section.number("fall_ms", 3_000, 1, MS_MOST)),
+                section.number("slack_calls", 4, 0, 1_000_000));
+        section.done();
         return cold;
     }
 
     // ---- Events ---------------------------------------------------------------------------------
-    private Step step(Section s, long length) {
-        long at = seconds(s.number("at_s", 0, DAY_S));
+    private Step step(Section section, long length) {
+        long at = seconds(section.number("at_s", 0, DAY_S));
         if (at > length) {
-            s.fault("at_s", "expected no more than length_s");
+            section.fault("at_s", "expected no more than length_s");
         }
-        long span = seconds(s.number("for_s", 0, 0, DAY_S));
-        String word = s.word(
+        long span = seconds(section.number("for_s", 0, 0, DAY_S));
+        String word = section.word(
                 "do",
                 "",
                 "shut",
@@ -418,64 +421,64 @@
                 "list_stalled",
                 "list_moved");
         if (word.isEmpty()) {
-            if (!s.has("do")) {
-                s.fault("do", "is missing: expected what happens");
+            if (!section.has("do")) {
+                section.fault("do", "is missing: expected what happens");
             }
             return null;
         }
         boolean needsEnd =
                 !Set.of("drain", "leave", "return", "replace", "list_moved").contains(word);
         if (needsEnd && span <= 0) {
-            s.fault("for_s", "expected a time above 0 for " + word);
+            section.fault("for_s", "expected a time above 0 for " + word);
         }
         if (Set.of("return", "replace", "list_moved").contains(word) && span > 0) {
-            s.fault("for_s", word + " has no end");
+            section.fault("for_s", word + " has no end");
         }
         Step.What what = switch (word) {
-            case "shut" -> new Step.Shut(s.flag("told_waits", true));
+            case "shut" -> new Step.Shut(section.flag("told_waits", true));
             case "down" -> new Step.Down();
             case "vanish" -> new Step.Vanish();
             case "hang" -> new Step.Hang();
             case "pause" ->
-                new Step.Pause(s.word("answers", "late", "late", "never").equals("never"));
-            case "slow" -> new Step.Slow(s.number("factor", 0.01, 1_000));
-            case "spoil" -> new Step.Spoil(spoils(s));
-            case "drain" -> new Step.Drain(s.flag("refuses", false));
+                new Step.Pause(section.word("answers", "late", "late", "never").equals("never"));
+            case "slow" -> new Step.Slow(section.number("factor", 0.01, 1_000));
+            case "spoil" -> new Step.Spoil(spoils(section));
+            case "drain" -> new Step.Drain(section.flag("refuses", false));
             case "leave" -> new Step.Leave();
             case "return" -> new Step.Return();
             case "replace" -> new Step.Replace();
-            case "list_late" -> new Step.ListLate(seconds(s.number("by_s", 0, 3_600)));
+            case "list_late" -> new Step.ListLate(seconds(section.number("by_s", 0, 3_600)));
             case "list_moved" -> new Step.ListMoved();
             default -> new Step.ListStalled();
         };
-        List<String> on = word.startsWith("list_") ? List.of() : endpoints(s);
-        s.done();
-        return new Step(at, at + span, on, what, s.line());
+        List<String> on = word.startsWith("list_") ? List.of() : endpoints(section);
+        section.done();
+        return new Step(at, at + span, on, what, section.line());
     }
 
-    private static Endpoint.Spoils spoils(Section s) {
+    private static Endpoint.Spoils spoils(Section section) {
         Endpoint.Spoils spoils = new Endpoint.Spoils(
-                s.number("failed", 0, 0, 1),
-                s.number("reset_before", 0, 0, 1),
-                s.number("reset_after", 0, 0, 1),
-                s.number("spoilt", 0, 0, 1));
+                section.number("failed", 0, 0, 1),
+                section.number("reset_before", 0, 0, 1),
+                section.number("reset_after", 0, 0, 1),
+                section.number("spoilt", 0, 0, 1));
         double all = spoils.failed() + spoils.resetBefore() + spoils.resetAfter() + spoils.spoilt();
         if (all <= 0 || all > 1) {
-            s.fault("do", "expected failed, reset_before, reset_after, spoilt with a sum above 0, up to 1");
+            section.fault("do", "expected failed, reset_before, reset_after, spoilt with a sum above 0, up to 1");
         }
         return spoils;
     }
 
     /** Names of endpoints, partners or kinds, or all; each endpoint once, in the order of the script. */
-    private List<String> endpoints(Section s) {
+    private List<String> endpoints(Section section) {
         Set<String> all = new LinkedHashSet<>();
-        for (String name : s.texts("on", true)) {
+        for (String name : section.texts("on", true)) {
             if (name.equals("all")) {
                 places.values().forEach(all::addAll);
             } else if (places.containsKey(name)) {
                 all.addAll(places.get(name));
             } else {
-                s.fault("on", "no partner or endpoint is called '" + name + "'");
+                section.fault("on", "no partner or endpoint is called '" + name + "'");
             }
         }
         return List.copyOf(all);
--- a/src/main/java/brambletray/relay/serve/Config.java
+++ b/src/main/java/brambletray/relay/serve/Config.java
@@ -108,8 +108,8 @@
                     all.values().get("quotas") == null
                             ? null
                             : checked(Path.of(file).resolveSibling(all.text("quotas"))));
-        } catch (Wire.Malformed e) {
-            throw new Unusable("configuration " + file + ": " + e.getMessage());
+        } catch (Wire.Malformed malformed) {
+            throw new Unusable("configuration " + file + ": " + malformed.getMessage());
         } catch (IOException e) {
             throw new Unusable("cannot read configuration " + file + ": " + e);
         }
@@ -131,8 +131,8 @@
         }
         try {
             return Addresses.parse(address);
-        } catch (Wire.Malformed e) {
-            throw new Wire.Malformed("console: " + e.getMessage());
+        } catch (Wire.Malformed malformed) {
+            throw new Wire.Malformed("console: " + malformed.getMessage());
         }
     }
 
@@ -175,43 +175,45 @@
      * module is told that keys are remembered for so much less: a repeat then still comes inside the true
      * window.
      */
-    private static Relay.Settings usable(Relay.Settings s, boolean mqtt) throws Unusable {
-        if (s.classes().isEmpty()
-                || s.kinds().isEmpty()
-                || s.relays() < 1
-                || s.allowed().slots() < 1
-                || s.allowed().connectTimeout() <= 0
-                || s.allowed().keepAlive() <= 0) {
+    private static Relay.Settings usable(Relay.Settings settings, boolean mqtt) throws Unusable {
+        if (settings.classes().isEmpty()
+                || settings.kinds().isEmpty()
+                || settings.relays() < 1
+                || settings.allowed().slots() < 1
+                || settings.allowed().connectTimeout() <= 0
+                || settings.allowed().keepAlive() <= 0) {
             throw new Unusable("settings lack classes, kinds, relays, slots or connection times");
         }
-        List<Relay.Kind> kinds = s.kinds().stream()
-                .map(k -> new Relay.Kind(k.apart(), mqtt ? 1 : k.bundle()))
+        List<Relay.Kind> kinds = settings.kinds().stream()
+                .map(kind -> new Relay.Kind(kind.apart(), mqtt ? 1 : kind.bundle()))
                 .toList();
-        List<Relay.MessageClass> classes = s.classes().stream()
-                .map(c -> new Relay.MessageClass(
-                        c.name(),
-                        c.latencyTarget(),
-                        c.lifetime(),
-                        c.value(),
-                        c.lateValue(),
-                        c.effect(),
-                        c.zoneGroup(),
-                        Math.max(0, c.dedupWindow() - s.allowed().connectTimeout() - WINDOW_MARGIN),
-                        c.inOrder()))
+        List<Relay.MessageClass> classes = settings.classes().stream()
+                .map(messageClass -> new Relay.MessageClass(
+                        messageClass.name(),
+                        messageClass.latencyTarget(),
+                        messageClass.lifetime(),
+                        messageClass.value(),
+                        messageClass.lateValue(),
+                        messageClass.effect(),
+                        messageClass.zoneGroup(),
+                        Math.max(
+                                0,
+                                messageClass.dedupWindow() - settings.allowed().connectTimeout() - WINDOW_MARGIN),
+                        messageClass.inOrder()))
                 .toList();
         return new Relay.Settings(
-                s.rank(),
-                s.relays(),
-                s.zone(),
-                s.halfLifeDecay(),
-                s.overShareValue(),
-                s.weights(),
+                settings.rank(),
+                settings.relays(),
+                settings.zone(),
+                settings.halfLifeDecay(),
+                settings.overShareValue(),
+                settings.weights(),
                 classes,
-                s.tenants(),
+                settings.tenants(),
                 kinds,
-                s.allowed(),
-                s.rules(),
-                s.prices());
+                settings.allowed(),
+                settings.rules(),
+                settings.prices());
     }
 
     private static List<String> names(Wire.Fields settings, String field) throws Wire.Malformed {
--- a/src/main/java/brambletray/relay/serve/MqttSettingsLoader.java
+++ b/src/main/java/brambletray/relay/serve/MqttSettingsLoader.java
@@ -12,8 +12,8 @@
     static MqttSettings read(Path file) throws Config.Unusable, IOException {
         try {
             return MqttSettings.read(file);
-        } catch (Faults e) {
-            throw new Config.Unusable(e.getMessage());
+        } catch (Faults faults) {
+            throw new Config.Unusable(faults.getMessage());
         }
     }
 }
--- a/src/main/java/brambletray/relay/serve/QuotaAdmission.java
+++ b/src/main/java/brambletray/relay/serve/QuotaAdmission.java
@@ -16,8 +16,8 @@
     static void check(Path file) throws Config.Unusable {
         try {
             QuotaFile.read(file);
-        } catch (Faults e) {
-            throw new Config.Unusable(e.getMessage());
+        } catch (Faults faults) {
+            throw new Config.Unusable(faults.getMessage());
         } catch (IOException e) {
             throw new Config.Unusable("cannot read quotas " + file + ": " + e);
         }
--- a/src/main/java/brambletray/relay/serve/RelayInstance.java
+++ b/src/main/java/brambletray/relay/serve/RelayInstance.java
@@ -482,9 +482,9 @@
 
         @Override
         public Relay.MessageClass messageClass(String name) {
-            for (Relay.MessageClass c : config.settings().classes()) {
-                if (c.name().equals(name)) {
-                    return c;
+            for (Relay.MessageClass messageClass : config.settings().classes()) {
+                if (messageClass.name().equals(name)) {
+                    return messageClass;
                 }
             }
             return null;
@@ -570,7 +570,7 @@
                         config.promise(),
                         config.settings().allowed().attempts());
                 return true;
-            } catch (FolderInUse e) {
+            } catch (FolderInUse folderInUse) {
                 return false;
             }
         }
--- a/src/main/java/brambletray/relay/serve/WarmUp.java
+++ b/src/main/java/brambletray/relay/serve/WarmUp.java
@@ -103,24 +103,24 @@
     }
 
     private static Config scene(
-            Config c, Path folder, InetSocketAddress listen, InetSocketAddress console, InetSocketAddress standIn)
+            Config config, Path folder, InetSocketAddress listen, InetSocketAddress console, InetSocketAddress standIn)
             throws Wire.Malformed {
         String known = "{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"s\",\"dial\":\""
                 + standIn.getAddress().getHostAddress() + ":" + standIn.getPort() + "\",\"site\":\""
-                + c.zones().get(0) + "\",\"class\":\"" + c.kinds().get(0)
+                + config.zones().get(0) + "\",\"class\":\"" + config.kinds().get(0)
                 + "\",\"block\":1,\"health\":\"ready\",\"share\":1000}]}";
         return new Config(
                 listen,
                 console,
                 standIn,
                 folder,
-                c.seed(),
-                c.sockets(),
-                c.diskBytes(),
-                c.promise(),
-                c.settings(),
-                c.zones(),
-                c.kinds(),
+                config.seed(),
+                config.sockets(),
+                config.diskBytes(),
+                config.promise(),
+                config.settings(),
+                config.zones(),
+                config.kinds(),
                 Wire.decode(known),
                 null,
                 null);
--- a/src/main/java/brambletray/relay/simhost/SimHost.java
+++ b/src/main/java/brambletray/relay/simhost/SimHost.java
@@ -44,8 +44,8 @@
                     host.line(line);
                 }
             }
-        } catch (Wire.Malformed e) {
-            err.println("line " + number + ": " + e.getMessage());
+        } catch (Wire.Malformed malformed) {
+            err.println("line " + number + ": " + malformed.getMessage());
             return 1;
         }
         if (host.inBatch) {
--- a/src/main/java/brambletray/relay/simhost/SimWire.java
+++ b/src/main/java/brambletray/relay/simhost/SimWire.java
@@ -31,54 +31,54 @@
 
     static List<Relay.Endpoint> endpoints(List<Wire.Fields> items) throws Wire.Malformed {
         List<Relay.Endpoint> all = new ArrayList<>();
-        for (Wire.Fields e : items) {
-            Relay.Listing listing = switch (e.text("state")) {
+        for (Wire.Fields fields : items) {
+            Relay.Listing listing = switch (fields.text("state")) {
                 case "SERVING" -> Relay.Listing.READY;
                 case "DRAINING" -> Relay.Listing.DRAINING;
                 case "DELETED" -> Relay.Listing.GONE;
-                default -> throw new Wire.Malformed("unknown state '" + e.text("state") + "'");
+                default -> throw new Wire.Malformed("unknown state '" + fields.text("state") + "'");
             };
             all.add(new Relay.Endpoint(
-                    e.whole("host"),
-                    (int) e.whole("region-part", 0),
-                    (int) e.whole("family-type", 0),
-                    e.whole("owner-no", 0),
+                    fields.whole("host"),
+                    (int) fields.whole("region-part", 0),
+                    (int) fields.whole("family-type", 0),
+                    fields.whole("owner-no", 0),
                     listing,
-                    e.number("size", 1)));
+                    fields.number("size", 1)));
         }
         return all;
     }
 
     /** Decodes an event of one instance; null where the event asks nothing of the module. */
-    static Relay.Event event(String verb, Wire.Fields f) throws Wire.Malformed {
+    static Relay.Event event(String verb, Wire.Fields fields) throws Wire.Malformed {
         switch (verb) {
             case "Accept":
                 return new Relay.Accepted(
-                        f.text("ref"),
-                        (int) f.whole("cls", 0),
-                        (int) f.whole("realm", 0),
-                        f.text("route-key", null),
-                        f.time("deadline"),
-                        f.whole("to-exchange", 0));
+                        fields.text("ref"),
+                        (int) fields.whole("cls", 0),
+                        (int) fields.whole("realm", 0),
+                        fields.text("route-key", null),
+                        fields.time("deadline"),
+                        fields.whole("to-exchange", 0));
             case "Verdict": {
-                Relay.Outcome outcome = outcome(f.text("rc"));
-                Wire.Fields report = f.object("report");
-                long wait = outcome == Relay.Outcome.FULL ? Math.max(0, f.time("detail", 0)) : 0;
+                Relay.Outcome outcome = outcome(fields.text("rc"));
+                Wire.Fields report = fields.object("report");
+                long wait = outcome == Relay.Outcome.FULL ? Math.max(0, fields.time("detail", 0)) : 0;
                 return new Relay.Ended(
-                        f.text("ref"),
-                        (int) f.whole("attempt", 0),
-                        f.whole("host"),
+                        fields.text("ref"),
+                        (int) fields.whole("attempt", 0),
+                        fields.whole("host"),
                         outcome,
-                        f.flag("finished"),
+                        fields.flag("finished"),
                         wait,
-                        f.time("spent", 0),
+                        fields.time("spent", 0),
                         report.number("x0", -1),
                         report.number("x1", -1));
             }
             case "TickDue":
                 return new Relay.Due();
             case "Dropped":
-                return new Relay.Withdrawn(f.text("ref"));
+                return new Relay.Withdrawn(fields.text("ref"));
             case "Pong", "Heard", "Started":
                 return null;
             default:
@@ -106,28 +106,28 @@
 
         void action(int instance, Relay.Action action) throws IOException {
             out.writeStartObject();
-            if (action instanceof Relay.Send a) {
-                head("Issue", instance, a.id());
-                out.writeNumberField("host", a.endpoint());
-                time("patience", a.timeout());
-            } else if (action instanceof Relay.Refuse a) {
-                head("Deny", instance, a.id());
-                time("come-back", a.retryAfter());
-            } else if (action instanceof Relay.Fail a) {
-                head("EndFailed", instance, a.id());
-            } else if (action instanceof Relay.Cancel a) {
-                head("CallOff", instance, a.id());
-                out.writeNumberField("attempt", a.attempt());
-            } else if (action instanceof Relay.Close a) {
+            if (action instanceof Relay.Send send) {
+                head("Issue", instance, send.id());
+                out.writeNumberField("host", send.endpoint());
+                time("patience", send.timeout());
+            } else if (action instanceof Relay.Refuse refuse) {
+                head("Deny", instance, refuse.id());
+                time("come-back", refuse.retryAfter());
+            } else if (action instanceof Relay.Fail fail) {
+                head("EndFailed", instance, fail.id());
+            } else if (action instanceof Relay.Cancel cancel) {
+                head("CallOff", instance, cancel.id());
+                out.writeNumberField("attempt", cancel.attempt());
+            } else if (action instanceof Relay.Close close) {
                 head("DropConns", instance, null);
-                out.writeNumberField("host", a.endpoint());
-            } else if (action instanceof Relay.Wake a) {
+                out.writeNumberField("host", close.endpoint());
+            } else if (action instanceof Relay.Wake wake) {
                 head("Remind", instance, null);
                 out.writeNumberField("label", label = (label + 1) & 0xffff);
-                time("sleep-for", a.after());
-            } else if (action instanceof Relay.Log a) {
+                time("sleep-for", wake.after());
+            } else if (action instanceof Relay.Log log) {
                 head("NoteDown", instance, null);
-                out.writeStringField("message", a.text());
+                out.writeStringField("message", log.text());
             }
             endLine();
         }
--- a/src/main/java/brambletray/relay/stage/HttpClients.java
+++ b/src/main/java/brambletray/relay/stage/HttpClients.java
@@ -78,7 +78,7 @@
     @Override
     public void stop() {
         for (Relay relay : relays) {
-            List.copyOf(relay.kept).forEach(c -> c.channel.close());
+            List.copyOf(relay.kept).forEach(answers -> answers.channel.close());
         }
     }
 
--- a/src/main/java/brambletray/relay/stage/MqttClients.java
+++ b/src/main/java/brambletray/relay/stage/MqttClients.java
@@ -120,9 +120,9 @@
     @Override
     public void stop() {
         stopped = true;
-        relays.forEach(programs -> programs.forEach(p -> {
-            if (p.channel != null) {
-                p.channel.close();
+        relays.forEach(programs -> programs.forEach(program -> {
+            if (program.channel != null) {
+                program.channel.close();
             }
         }));
     }
@@ -267,9 +267,9 @@
             }
         }
 
-        private MqttMessage publish(int p, Handed m, boolean again) {
-            String topic = "bills/" + m.messageClass().name() + "/" + m.destination() + "/" + m.id() + "/key-"
-                    + m.line() + "/" + Math.max(1, m.left().getAsLong());
+        private MqttMessage publish(int p, Handed handed, boolean again) {
+            String topic = "bills/" + handed.messageClass().name() + "/" + handed.destination() + "/" + handed.id()
+                    + "/key-" + handed.line() + "/" + Math.max(1, handed.left().getAsLong());
             return new MqttPublishMessage(
                     new MqttFixedHeader(MqttMessageType.PUBLISH, again, qos, false, 0),
                     new MqttPublishVariableHeader(topic, p, MqttProperties.NO_PROPERTIES),
--- a/src/main/java/brambletray/relay/stage/RealStage.java
+++ b/src/main/java/brambletray/relay/stage/RealStage.java
@@ -108,7 +108,7 @@
         List<InetSocketAddress> addresses =
                 relays.stream().map(RelayProcess::address).toList();
         List<InetSocketAddress> mqtt = relays.stream()
-                .map(r -> RelayConfig.speaksMqtt(script) ? r.mqttAddress() : null)
+                .map(relayProcess -> RelayConfig.speaksMqtt(script) ? relayProcess.mqttAddress() : null)
                 .toList();
         on(() -> {
             scene.begin(addresses, mqtt);
--- a/src/main/java/brambletray/relay/stage/RelayConfig.java
+++ b/src/main/java/brambletray/relay/stage/RelayConfig.java
@@ -63,8 +63,8 @@
     static boolean speaksMqtt(Script script) {
         return script.traffic().mqttShare() > 0
                 || script.partners().stream()
-                        .flatMap(p -> p.endpoints().stream())
-                        .anyMatch(e -> !e.protocol().equals("http"));
+                        .flatMap(partnerSpec -> partnerSpec.endpoints().stream())
+                        .anyMatch(endpointSpec -> !endpointSpec.protocol().equals("http"));
     }
 
     static String mqttFile(int relay) {
@@ -89,7 +89,10 @@
         out.writeNumberField("max-retry-after", ADVICE_MS);
         out.writeNumberField("connect-timeout", CONNECT_MS);
         out.writeNumberField(
-                "keepalive", of(script, p -> p.connections().idle() / 1e6).min().orElse(0));
+                "keepalive",
+                of(script, partnerSpec -> partnerSpec.connections().idle() / 1e6)
+                        .min()
+                        .orElse(0));
         out.writeNumberField("most-tries", ATTEMPTS);
         out.writeNumberField("open-cap", fleet.open());
         out.writeNumberField("max-streams", 1);
@@ -101,14 +104,14 @@
         out.writeArrayFieldStart("kind-apart");
         for (String kind : kinds) {
             out.writeBoolean(script.partners().stream()
-                    .filter(p -> p.kind().equals(kind))
+                    .filter(partnerSpec -> partnerSpec.kind().equals(kind))
                     .allMatch(PartnerSpec::apart));
         }
         out.writeEndArray();
         out.writeArrayFieldStart("bundle-max");
         for (String kind : kinds) {
             out.writeNumber(script.partners().stream()
-                    .filter(p -> p.kind().equals(kind))
+                    .filter(partnerSpec -> partnerSpec.kind().equals(kind))
                     .mapToInt(PartnerSpec::bundle)
                     .min()
                     .orElse(1));
@@ -124,12 +127,17 @@
         out.writeNumberField("answer-slack", 20);
         out.writeNumberField("stop-sending-within", DRAIN_MS);
         out.writeNumberField(
-                "fall-multiple", of(script, p -> p.cold().multiple()).min().orElse(1));
+                "fall-multiple",
+                of(script, partnerSpec -> partnerSpec.cold().multiple()).min().orElse(1));
         out.writeNumberField(
-                "tip-after", of(script, p -> p.cold().fall() / 1e6).min().orElse(1));
-        out.writeNumberField("cold-from", of(script, p -> p.cold().from()).min().orElse(1));
+                "tip-after",
+                of(script, partnerSpec -> partnerSpec.cold().fall() / 1e6).min().orElse(1));
         out.writeNumberField(
-                "cold", of(script, p -> p.cold().warm() / 1e6).max().orElse(0));
+                "cold-from",
+                of(script, partnerSpec -> partnerSpec.cold().from()).min().orElse(1));
+        out.writeNumberField(
+                "cold",
+                of(script, partnerSpec -> partnerSpec.cold().warm() / 1e6).max().orElse(0));
         out.writeEndObject();
         out.writeObjectFieldStart("deductions");
         out.writeNumberField("handshake", 0.06);
@@ -137,23 +145,24 @@
         out.writeNumberField("waste", 0.05);
         out.writeEndObject();
         out.writeArrayFieldStart("profiles");
-        boolean byZone = script.partners().stream().anyMatch(p -> p.keys().byZone());
-        for (Script.MessageClass c : script.classes()) {
+        boolean byZone = script.partners().stream()
+                .anyMatch(partnerSpec -> partnerSpec.keys().byZone());
+        for (Script.MessageClass messageClass : script.classes()) {
             out.writeStartObject();
-            out.writeStringField("name", c.name());
-            out.writeNumberField("aim", c.aim());
-            out.writeNumberField("hard-limit", c.limit());
-            out.writeNumberField("worth", c.worth());
-            out.writeNumberField("late-worth", c.lateWorth());
+            out.writeStringField("name", messageClass.name());
+            out.writeNumberField("aim", messageClass.aim());
+            out.writeNumberField("hard-limit", messageClass.limit());
+            out.writeNumberField("worth", messageClass.worth());
+            out.writeNumberField("late-worth", messageClass.lateWorth());
             out.writeStringField(
                     "semantics",
-                    switch (c.effect()) {
+                    switch (messageClass.effect()) {
                         case "safe" -> "retryable";
                         case "unsafe" -> "fragile";
                         default -> "dedup";
                     });
             out.writeStringField("group", byZone ? "zone" : "all");
-            out.writeNumberField("window", c.window());
+            out.writeNumberField("window", messageClass.window());
             out.writeEndObject();
         }
         out.writeEndArray();
--- a/src/main/java/brambletray/relay/stage/Scene.java
+++ b/src/main/java/brambletray/relay/stage/Scene.java
@@ -71,7 +71,7 @@
     /** Binds partners and agents; done when each listens. */
     public List<ChannelFuture> listen() {
         List<Endpoint> endpoints = world.endpoints();
-        return front.listen(e -> plan.partner(endpoints.indexOf(e)));
+        return front.listen(endpoint -> plan.partner(endpoints.indexOf(endpoint)));
     }
 
     /** Binds the agents, once the partners listen. */
@@ -89,17 +89,17 @@
         world.watch(new World.ListWatcher() {
             @Override
             public void listed(Endpoint endpoint, String host, String health, long born) {
-                registries.forEach(r -> r.listed(endpoint, host, health, born));
+                registries.forEach(registry -> registry.listed(endpoint, host, health, born));
             }
 
             @Override
             public void late(long by) {
-                registries.forEach(r -> r.late(by));
+                registries.forEach(registry -> registry.late(by));
             }
 
             @Override
             public void stalled(boolean silent) {
-                registries.forEach(r -> r.stalled(silent));
+                registries.forEach(registry -> registry.stalled(silent));
             }
 
             @Override
--- a/src/main/java/brambletray/relay/stage/Score.java
+++ b/src/main/java/brambletray/relay/stage/Score.java
@@ -280,14 +280,17 @@
             return 0;
         }
         double ms = (delivered - line.asked) / 1e6;
-        Script.MessageClass c = line.messageClass;
-        if (ms <= c.aim()) {
+        Script.MessageClass messageClass = line.messageClass;
+        if (ms <= messageClass.aim()) {
             return 1;
         }
-        if (ms > c.limit()) {
+        if (ms > messageClass.limit()) {
             return 0;
         }
-        return 1 - (1 - c.lateWorth()) * (ms - c.aim()) / Math.max(1, c.limit() - c.aim());
+        return 1
+                - (1 - messageClass.lateWorth())
+                        * (ms - messageClass.aim())
+                        / Math.max(1, messageClass.limit() - messageClass.aim());
     }
 
     /** The least share of ten seconds in a row; of the whole run where that is shorter. */
--- a/src/main/java/brambletray/relay/stage/SimStage.java
+++ b/src/main/java/brambletray/relay/stage/SimStage.java
@@ -201,8 +201,8 @@
                         surroundings == null
                                 ? new RelayInstance(machine, config, journal)
                                 : new RelayInstance(machine, config, journal, surroundings.apply(relay)));
-            } catch (Wire.Malformed e) {
-                throw new IllegalStateException("the scene's own list cannot be read", e);
+            } catch (Wire.Malformed malformed) {
+                throw new IllegalStateException("the scene's own list cannot be read", malformed);
             }
         });
     }
--- a/src/main/java/brambletray/relay/standalone/AgentSource.java
+++ b/src/main/java/brambletray/relay/standalone/AgentSource.java
@@ -64,10 +64,10 @@
             }
         }
         Set<String> places = new HashSet<>();
-        next.values().removeIf(e -> {
-            boolean again = !places.add(e.address() + " " + e.port());
+        next.values().removeIf(entry -> {
+            boolean again = !places.add(entry.address() + " " + entry.port());
             if (again) {
-                LOG.warn("the agent's entry of host {} left out: another host has its address", e.name());
+                LOG.warn("the agent's entry of host {} left out: another host has its address", entry.name());
             }
             return again;
         });
@@ -95,8 +95,8 @@
                     host.text("class", ""),
                     rate > 0 ? rate : RATE,
                     health.equals("ready") ? Entry.State.READY : Entry.State.DRAINING);
-        } catch (Wire.Malformed e) {
-            LOG.warn("the agent's entry of host {} left out: {}", name, e.getMessage());
+        } catch (Wire.Malformed malformed) {
+            LOG.warn("the agent's entry of host {} left out: {}", name, malformed.getMessage());
             return null;
         }
     }
--- a/src/main/java/brambletray/relay/standalone/InventoryPlatform.java
+++ b/src/main/java/brambletray/relay/standalone/InventoryPlatform.java
@@ -199,8 +199,8 @@
     private void listed(Wire.Fields slice) {
         try {
             loop.onListed(hosts.update(slice));
-        } catch (Wire.Malformed e) {
-            throw new IllegalStateException("a list of the relay's own can be read", e);
+        } catch (Wire.Malformed malformed) {
+            throw new IllegalStateException("a list of the relay's own can be read", malformed);
         }
     }
 
@@ -243,8 +243,8 @@
     private Wire.Fields decoded(Map<String, Entry> entries, boolean whole) {
         try {
             return Wire.decode(list(entries, whole));
-        } catch (Wire.Malformed e) {
-            throw new IllegalStateException("a list of the relay's own can be read", e);
+        } catch (Wire.Malformed malformed) {
+            throw new IllegalStateException("a list of the relay's own can be read", malformed);
         }
     }
 
--- a/src/main/java/brambletray/relay/standalone/Outcomes.java
+++ b/src/main/java/brambletray/relay/standalone/Outcomes.java
@@ -122,7 +122,7 @@
     }
 
     void told(List<Outcome> acknowledged) {
-        acknowledged.forEach(o -> untold.remove(o.id()));
+        acknowledged.forEach(outcome -> untold.remove(outcome.id()));
     }
 
     @Override
--- a/src/main/java/brambletray/relay/standalone/Poster.java
+++ b/src/main/java/brambletray/relay/standalone/Poster.java
@@ -61,7 +61,7 @@
     private void post() {
         List<Outcomes.Outcome> batch = outcomes.untold(MOST);
         StringBuilder lines = new StringBuilder();
-        batch.forEach(o -> lines.append(o.json()).append('\n'));
+        batch.forEach(outcome -> lines.append(outcome.json()).append('\n'));
         Attempt attempt = new Attempt(batch);
         ChannelFuture connect = machine.dialling(PATIENCE_MS, new ChannelInitializer<Channel>() {
                     @Override
--- a/src/main/java/brambletray/relay/standalone/Standalone.java
+++ b/src/main/java/brambletray/relay/standalone/Standalone.java
@@ -130,8 +130,8 @@
                     postTo,
                     postPath,
                     siblings);
-        } catch (Wire.Malformed e) {
-            throw new IllegalStateException("settings of the relay's own can be read", e);
+        } catch (Wire.Malformed malformed) {
+            throw new IllegalStateException("settings of the relay's own can be read", malformed);
         }
     }
 
@@ -143,7 +143,7 @@
     private static InetSocketAddress address(Section section, String field, String text) {
         try {
             return Addresses.parse(text);
-        } catch (Wire.Malformed e) {
+        } catch (Wire.Malformed malformed) {
             section.fault(field, "expected an IP address and a port, not '" + text + "'");
             return null;
         }
@@ -209,8 +209,8 @@
             cold.done();
             out.writeArrayFieldStart("profiles");
             List<String> seen = new ArrayList<>();
-            for (Section c : root.sections("classes", true)) {
-                messageClass(out, c, seen);
+            for (Section section : root.sections("classes", true)) {
+                messageClass(out, section, seen);
             }
             out.writeEndArray();
             out.writeEndObject();
@@ -218,28 +218,28 @@
         return text.toString();
     }
 
-    private static void messageClass(JsonGenerator out, Section c, List<String> seen) throws IOException {
-        String name = c.text("name");
+    private static void messageClass(JsonGenerator out, Section section, List<String> seen) throws IOException {
+        String name = section.text("name");
         if (seen.contains(name) || !name.matches("[A-Za-z0-9._-]+")) {
-            c.fault("name", "expected a name of its own of letters, digits, '.', '_' and '-'");
+            section.fault("name", "expected a name of its own of letters, digits, '.', '_' and '-'");
         }
         seen.add(name);
-        int limit = c.whole("limit_ms", 16_000, 1, 3_600_000);
+        int limit = section.whole("limit_ms", 16_000, 1, 3_600_000);
         out.writeStartObject();
         out.writeStringField("name", name);
-        out.writeNumberField("aim", c.whole("aim_ms", Math.min(2_000, limit), 1, limit));
+        out.writeNumberField("aim", section.whole("aim_ms", Math.min(2_000, limit), 1, limit));
         out.writeNumberField("hard-limit", limit);
-        out.writeNumberField("late-worth", c.number("late_worth", 0.3, 0, 1));
+        out.writeNumberField("late-worth", section.number("late_worth", 0.3, 0, 1));
         out.writeStringField(
                 "semantics",
-                switch (c.word("effect", "unsafe", "safe", "keyed", "unsafe")) {
+                switch (section.word("effect", "unsafe", "safe", "keyed", "unsafe")) {
                     case "safe" -> "retryable";
                     case "keyed" -> "dedup";
                     default -> "fragile";
                 });
-        out.writeNumberField("window", c.whole("window_ms", 0, 0, 3_600_000));
+        out.writeNumberField("window", section.whole("window_ms", 0, 0, 3_600_000));
         out.writeEndObject();
-        c.done();
+        section.done();
     }
 
     private static void texts(JsonGenerator out, String name, List<String> all) throws IOException {
--- a/src/main/java/brambletray/relay/store/Manifest.java
+++ b/src/main/java/brambletray/relay/store/Manifest.java
@@ -21,8 +21,8 @@
                 .putLong(store)
                 .putLong(nextSegment)
                 .putInt(segments.size());
-        for (Entry e : segments) {
-            out.putLong(e.segment()).putLong(e.first()).putLong(e.sealed());
+        for (Entry entry : segments) {
+            out.putLong(entry.segment()).putLong(entry.first()).putLong(entry.sealed());
         }
         return out.putInt(Layout.crc(out.array(), 0, out.position())).array();
     }
--- a/src/main/java/brambletray/relay/store/MemoryDisk.java
+++ b/src/main/java/brambletray/relay/store/MemoryDisk.java
@@ -84,9 +84,9 @@
             bytes.get(data);
             try {
                 before("write", name, data.length);
-            } catch (PartlyWritten e) {
-                put(at, Arrays.copyOf(data, Math.min(data.length, e.bytes)));
-                throw e;
+            } catch (PartlyWritten partlyWritten) {
+                put(at, Arrays.copyOf(data, Math.min(data.length, partlyWritten.bytes)));
+                throw partlyWritten;
             }
             put(at, data);
             whenWritten.run();
@@ -277,7 +277,7 @@
     /** Bytes that all files take up, each in whole blocks. */
     public long used() {
         return names.values().stream()
-                .mapToLong(n -> (n.seen.length + BLOCK - 1L) / BLOCK * BLOCK)
+                .mapToLong(node -> (node.seen.length + BLOCK - 1L) / BLOCK * BLOCK)
                 .sum();
     }
 
--- a/src/main/java/brambletray/relay/store/RealDisk.java
+++ b/src/main/java/brambletray/relay/store/RealDisk.java
@@ -132,7 +132,7 @@
         try {
             lock(name).close();
             return false;
-        } catch (FolderInUse e) {
+        } catch (FolderInUse folderInUse) {
             return true;
         } catch (Exception e) {
             return false;
--- a/src/main/java/brambletray/relay/store/StoreTools.java
+++ b/src/main/java/brambletray/relay/store/StoreTools.java
@@ -161,8 +161,8 @@
                 () -> chains.values().forEach(sum -> sum.doubtful = true));
         Manifest manifest = Store.manifest(disk);
         Map<String, long[]> segments = new TreeMap<>();
-        for (Manifest.Entry e : manifest.segments()) {
-            String name = Layout.segmentName(e.segment());
+        for (Manifest.Entry entry : manifest.segments()) {
+            String name = Layout.segmentName(entry.segment());
             long size = 0;
             if (disk.exists(name)) {
                 Disk.File file = disk.open(name, false);
@@ -258,7 +258,7 @@
         if (disk.exists(Layout.MANIFEST)) {
             try {
                 return Store.manifest(disk);
-            } catch (UntrustedStore e) {
+            } catch (UntrustedStore untrustedStore) {
                 // The heads of the segments have to do.
             }
         }
--- a/src/main/java/brambletray/relay/wire/Wire.java
+++ b/src/main/java/brambletray/relay/wire/Wire.java
@@ -141,8 +141,8 @@
                 throw new Malformed("more than one value on the line");
             }
             return Fields.asFields(value, "line");
-        } catch (Malformed e) {
-            throw e;
+        } catch (Malformed malformed) {
+            throw malformed;
         } catch (IOException e) {
             throw new Malformed(
                     "bad JSON: " + e.getMessage().lines().findFirst().orElse(""));
