--- a/src/test/java/brambletray/CheckstyleRatchetTest.java
+++ b/src/test/java/brambletray/CheckstyleRatchetTest.java
@@ -14,7 +14,7 @@
     /** Bounds of the list: lowered with it, never raised. */
     private static final int MOST_ENTRIES = 204;
 
-    private static final int MOST_VIOLATIONS = 307;
+    private static final int MOST_VIOLATIONS = 306;
 
     private record Entry(String file, String check, int count) {
         static Entry of(String line) {
--- a/src/test/java/brambletray/WithdrawnNamesTest.java
+++ b/src/test/java/brambletray/WithdrawnNamesTest.java
@@ -21,7 +21,8 @@
 
 /**
  * Words of the former house style do not come back as names: of types, methods and fields of the platform and of the
- * relay's decisions and event loop, and of the platform's log events. {@code docs/GLOSSARY.md} has the terms that stand in their place.
+ * relay's decisions, event loop and recovery, and of the platform's log events. {@code docs/GLOSSARY.md} has the terms
+ * that stand in their place.
  */
 class WithdrawnNamesTest {
     private static final Set<String> WITHDRAWN = Set.of(
