--- a/src/main/java/brambletray/relay/core/AdmissionGate.java
+++ b/src/main/java/brambletray/relay/core/AdmissionGate.java
@@ -4,49 +4,49 @@
 import java.util.List;
 
 /**
- * Who may submit how much, asked before the module is told of a message: what a client rejected there
- * submits again does no harm. One thread, that of the event loop.
+ * Admission control, for example by quota. It is consulted before the control module gets a message, so that a rejected
+ * message can safely be submitted again. Runs on the event loop's thread.
  */
 public interface AdmissionGate {
-    /** What the admission gate says. */
+    /** Result of an admission check. */
     sealed interface Decision permits Admitted, Deferred, Rejected {}
 
-    /** It is admitted, and counts until {@link #onEnded}. */
+    /** The message is admitted and counts as open until {@link #onEnded}. */
     record Admitted() implements Decision {}
 
     /**
-     * It is taken on, counts as held until {@link #onEnded}, and the module is told of it only once
-     * {@link #retry}, asked {@code retryAfter} us later, admits it.
+     * The message is accepted and counts as open until {@link #onEnded}, but the control module gets it only once
+     * {@link #retry}, called {@code retryAfter} us later, admits it.
      */
     record Deferred(long retryAfter) implements Decision {}
 
     /**
-     * Rejected.
+     * The message is rejected.
      *
      * @param retryAfter us after which to submit it again; 0 for no advice
-     * @param recalledIds ids of messages that are to be handed back if they still wait
+     * @param recalledIds ids of open messages to hand back to their clients if they have not been sent
      */
     record Rejected(long retryAfter, List<String> recalledIds) implements Decision {}
 
     Decision ADMITTED = new Admitted();
 
-    /** Everybody, anything. */
+    /** Admits every message. */
     AdmissionGate ALWAYS_OPEN = message -> ADMITTED;
 
-    /** A message is submitted. */
+    /** Checks a newly submitted message. */
     Decision admit(Message message);
 
-    /** A message that was to wait asks again: it is admitted or waits on. */
+    /** Checks a deferred message again; admits it or defers it further. */
     default Decision retry(Message message) {
         return ADMITTED;
     }
 
-    /** A message that was admitted before a restart is held again. */
+    /** A message that was admitted before a restart is open again. */
     default void onRecovered(Message message) {}
 
-    /** A call with it goes out. */
+    /** A call with the message is being sent. */
     default void onSent(String id) {}
 
-    /** It is held no longer, or was not taken on after all. */
+    /** The message has ended, or was not accepted after all. */
     default void onEnded(String id) {}
 }
--- a/src/main/java/brambletray/relay/core/CallReply.java
+++ b/src/main/java/brambletray/relay/core/CallReply.java
@@ -3,9 +3,14 @@
 import brambletray.relay.control.Relay.Outcome;
 
 /**
- * What came back of one call, for one message: {@code isFinal} where nothing more is owed for it. Times
- * in microseconds, {@code remaining} and {@code limit} -1 if not reported.
- * {@code reused}: the call went out on a connection that had carried one before.
+ * Result of one call for one message.
+ *
+ * @param isFinal true if this reply settles the message and no further attempt may be made
+ * @param retryAfter the host's retry-after time, us; 0 if none
+ * @param latency us
+ * @param remaining share of the host's rate limit that is left; -1 if not reported
+ * @param limit the host's rate limit, calls per second; -1 if not reported
+ * @param reused true if the call was sent on a connection that had carried a call before
  */
 public record CallReply(
         Outcome outcome,
@@ -15,7 +20,7 @@
         double remaining,
         double limit,
         boolean reused) {
-    /** A message that has been delivered is over: no caller has to say so, and none can say otherwise. */
+    /** A delivered message is always final, whatever the caller passes. */
     public CallReply {
         isFinal = isFinal || outcome == Outcome.OK;
     }
@@ -24,9 +29,9 @@
         this(outcome, isFinal, retryAfter, latency, remaining, limit, false);
     }
 
-    /** The same answer with another outcome: that of one message among those of its call. */
-    public CallReply withOutcome(Outcome other, boolean isOver) {
-        return new CallReply(other, isOver, retryAfter, latency, remaining, limit, reused);
+    /** Returns this reply with the outcome of one message of a batch call. */
+    public CallReply withOutcome(Outcome outcome, boolean isFinal) {
+        return new CallReply(outcome, isFinal, retryAfter, latency, remaining, limit, reused);
     }
 
     public CallReply onReusedConnection() {
--- a/src/main/java/brambletray/relay/core/CallSender.java
+++ b/src/main/java/brambletray/relay/core/CallSender.java
@@ -14,13 +14,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Makes the sends of a turn: each is noted in the turn's batch first, and goes out only when that has been
- * written. One thread, that of the event loop.
+ * Executes the sends of a turn: each is staged in the turn's journal batch first, and is sent only after that batch has
+ * been committed. Runs on the event loop's thread.
  */
 final class CallSender {
     private static final Logger LOG = LoggerFactory.getLogger(CallSender.class);
 
-    /** Is notified of the reply of each send, exactly once. */
+    /** Receives the reply of each send, exactly once. */
     interface ReplyListener {
         void onReply(PendingMessage pending, int attempt, Host host, CallReply reply);
     }
@@ -33,7 +33,7 @@
     private final Function<String, PendingMessage> pendingMessages;
     private final Consumer<String> onSent;
     private final ReplyListener replyListener;
-    /** Sends of the turn under way, noted and not yet made. */
+    /** Sends of the current turn that are staged but not yet executed. */
     private final Map<Relay.Send, Prepared> preparedSends = new IdentityHashMap<>();
 
     CallSender(
@@ -42,25 +42,25 @@
             HostDirectory hosts,
             HostTransport transport,
             Journal journal,
-            Function<String, PendingMessage> held,
-            Consumer<String> whenSent,
-            ReplyListener whenEnded) {
+            Function<String, PendingMessage> pendingMessages,
+            Consumer<String> onSent,
+            ReplyListener replyListener) {
         this.clock = clock;
         this.settings = settings;
         this.hosts = hosts;
         this.transport = transport;
         this.journal = journal;
-        this.pendingMessages = held;
-        this.onSent = whenSent;
-        this.replyListener = whenEnded;
+        this.pendingMessages = pendingMessages;
+        this.onSent = onSent;
+        this.replyListener = replyListener;
     }
 
-    /** The turn is over. */
+    /** Drops the prepared sends at the end of a turn. */
     void clear() {
         preparedSends.clear();
     }
 
-    /** A send that is noted in this turn's batch; {@code record} null where it is not to go out. */
+    /** A send of the current turn; {@code record}: its journal record, null if it must not be sent. */
     private record Prepared(PendingMessage pending, int attempt, Host host, Journal.Attempt record) {}
 
     void prepare(Relay.Send send) {
@@ -73,25 +73,25 @@
         pending.calls.add(null);
         pending.onCallStarted(attempt, host.name);
         onSent.accept(send.id());
-        Journal.Attempt note = null;
+        Journal.Attempt record = null;
         try {
             if (!pending.isCompleted && pending.entry != null) {
-                note = journal.sent(pending.entry, clock.unixMillis(), host.zone);
+                record = journal.sent(pending.entry, clock.unixMillis(), host.zone);
             }
         } catch (IOException e) {
-            LOG.error("store cannot be written, message {} not sent", send.id(), e);
+            LOG.error("store write failed; message {} not sent", send.id(), e);
         }
-        preparedSends.put(send, new Prepared(pending, attempt, host, note));
+        preparedSends.put(send, new Prepared(pending, attempt, host, record));
     }
 
-    /** Makes a send, in one call with those to the same endpoint in this turn, as many as its kind takes. */
+    /** Executes a send, in one call with the turn's other sends to the same endpoint, up to the kind's batch size. */
     void send(Relay.Send send, List<Relay.Action> turn) {
         Prepared prepared = preparedSends.get(send);
         if (prepared == null) {
             return;
         }
-        int most = settings.kinds().get(prepared.host().kind).bundle();
-        if (most == 1) {
+        int maxBatch = settings.kinds().get(prepared.host().kind).bundle();
+        if (maxBatch == 1) {
             preparedSends.remove(send);
             if (maySend(prepared)) {
                 prepared.pending()
@@ -107,18 +107,18 @@
             }
             return;
         }
-        List<Prepared> together = new ArrayList<>();
+        List<Prepared> batch = new ArrayList<>();
         List<HostTransport.Part> parts = new ArrayList<>();
-        int taken = 0;
+        int selected = 0;
         for (Relay.Action other : turn) {
-            if (taken < most
+            if (selected < maxBatch
                     && other instanceof Relay.Send candidateSend
                     && candidateSend.endpoint() == send.endpoint()
                     && preparedSends.containsKey(candidateSend)) {
                 Prepared candidate = preparedSends.remove(candidateSend);
-                taken++;
+                selected++;
                 if (maySend(candidate)) {
-                    together.add(candidate);
+                    batch.add(candidate);
                     parts.add(new HostTransport.Part(
                             candidate.pending().message,
                             candidateSend.timeout(),
@@ -133,14 +133,14 @@
         List<HostTransport.Call> calls =
                 transport.callBatch(prepared.host(), settings.allowed().hedging() ? parts : withLongestTimeout(parts));
         for (int i = 0; i < calls.size(); i++) {
-            Prepared candidate = together.get(i);
+            Prepared candidate = batch.get(i);
             candidate.pending().calls.set(candidate.attempt(), calls.get(i));
         }
     }
 
     /**
-     * Guards installations without second copies: a message given up while its call goes on for others would
-     * be a copy when sent again, so all of a call are waited for as long.
+     * Gives all messages of a call the longest time-out among them, where duplicates are not allowed: a message that
+     * times out while its call continues for others could be sent again and run twice.
      */
     private static List<HostTransport.Part> withLongestTimeout(List<HostTransport.Part> parts) {
         long longest =
@@ -150,7 +150,10 @@
                 .toList();
     }
 
-    /** Ends at once a send that is not to go out: a note whose batch failed says so, it has not run. */
+    /**
+     * Checks whether a send may go out and otherwise ends it at once as not sent. A failed commit clears
+     * {@link Journal.Attempt#mayHaveRun} of the sends in its batch.
+     */
     private boolean maySend(Prepared prepared) {
         PendingMessage pending = prepared.pending();
         if (!pending.isCompleted
--- a/src/main/java/brambletray/relay/core/CompletionListener.java
+++ b/src/main/java/brambletray/relay/core/CompletionListener.java
@@ -3,8 +3,8 @@
 import brambletray.relay.message.Message;
 
 /**
- * Is notified of the end of each message that has an {@link brambletray.relay.message.Origin}, or of all, in the batch
- * that notes it.
+ * Notified of the end of each message that has an {@link brambletray.relay.message.Origin}, or of all messages. What it
+ * stages is committed in the batch that records the end.
  */
 public interface CompletionListener {
     /** How a message ended. */
@@ -14,20 +14,20 @@
         GIVEN_UP
     }
 
-    /** Exactly once for each message; {@code retryAfter}: us, 0 for no advice. */
+    /** Called exactly once for each message; {@code retryAfter}: us, 0 for no advice. */
     void onCompleted(Message message, End end, long retryAfter);
 
-    /** True where the ends of all messages are wanted, also of those that have no origin. */
+    /** True to be notified of all messages, including those without an origin. */
     default boolean wantsAll() {
         return false;
     }
 
-    /** The batch of this pass failed: what was staged beside the journal's notes has to be staged again. */
+    /** The commit failed: the listener has to stage its own records of that batch again. */
     default void onBatchFailed() {}
 
-    /** The batch of this pass is over, well or not. */
+    /** The commit has ended, successfully or not. */
     default void onCommitted() {}
 
-    /** For relays whose clients all ask by HTTP. */
+    /** Ignores all ends; for relays that have only HTTP clients. */
     CompletionListener NONE = (message, end, retryAfter) -> {};
 }
--- a/src/main/java/brambletray/relay/core/DescriptorBudget.java
+++ b/src/main/java/brambletray/relay/core/DescriptorBudget.java
@@ -3,77 +3,75 @@
 import java.util.Arrays;
 
 /**
- * Who may have how many of the process's descriptors: one account with a share for each owner. The program's
- * own files, the store, the notices and the operators' address have theirs before any client or host gets
- * one. One thread; no I/O.
+ * Divides the process's file descriptors among their owners. The program's own files, the store, the notices and the
+ * operators' console have reserved shares; clients and hosts share the rest. Not thread-safe; performs no I/O.
  */
 public final class DescriptorBudget {
-    /** Who holds descriptors. Those with a number have that share, as far as half of all suffices. */
+    /** Users of descriptors. The reserved shares are scaled down if they exceed half of the total. */
     public enum Owner {
         /** Libraries, listeners, the event loop, standard streams. */
         PROGRAM(32),
-        /** Segments, manifests and marks, while one takes another's place too. */
+        /** Segments, manifests and marker files, including both files while one replaces the other. */
         STORE(24),
-        /** The agent's watch and the notices to it. */
+        /** The watch on the platform agent, and the notices sent to it. */
         NOTICES(4),
-        /** The operators' address: its callers and one in the admission gate. */
+        /** The operators' console: its connections, and one that is being accepted. */
         CONSOLE(25),
-        /** Two fifths of all. */
+        /** Two fifths of the total, but at most four fifths of what the reserved shares leave. */
         CLIENTS(0),
-        /** What is left: calls and the connections kept for more. */
+        /** The remainder: connections with calls and idle connections kept for reuse. */
         HOSTS(0);
 
-        private final int wanted;
+        private final int reserved;
 
         Owner(int wanted) {
-            this.wanted = wanted;
+            this.reserved = wanted;
         }
     }
 
     private final int[] shares = new int[Owner.values().length];
     private final int[] inUse = new int[Owner.values().length];
 
-    /** {@code all}: descriptors that the process may have open. */
-    public DescriptorBudget(int all) {
-        int wanted =
-                Arrays.stream(Owner.values()).mapToInt(owner -> owner.wanted).sum();
-        int left = all;
+    /** {@code total}: descriptors that the process may have open. */
+    public DescriptorBudget(int total) {
+        int reserved =
+                Arrays.stream(Owner.values()).mapToInt(owner -> owner.reserved).sum();
+        int remaining = total;
         for (Owner owner : Owner.values()) {
-            int share = wanted <= all / 2 ? owner.wanted : owner.wanted * (all / 2) / wanted;
-            shares[owner.ordinal()] =
-                    owner == Owner.CLIENTS ? Math.min(all * 2 / 5, left * 4 / 5) : owner == Owner.HOSTS ? left : share;
-            left -= shares[owner.ordinal()];
+            int share = reserved <= total / 2 ? owner.reserved : owner.reserved * (total / 2) / reserved;
+            shares[owner.ordinal()] = owner == Owner.CLIENTS
+                    ? Math.min(total * 2 / 5, remaining * 4 / 5)
+                    : owner == Owner.HOSTS ? remaining : share;
+            remaining -= shares[owner.ordinal()];
         }
     }
 
-    /** How many an owner may have. */
     public int share(Owner owner) {
         return shares[owner.ordinal()];
     }
 
-    /** How many it has. */
     public int inUse(Owner owner) {
         return inUse[owner.ordinal()];
     }
 
-    /** One more, if its share has one left. */
+    /** Takes one descriptor from an owner's share; false if the share is used up. */
     public boolean acquire(Owner owner) {
-        boolean left = inUse(owner) < share(owner);
-        inUse[owner.ordinal()] += left ? 1 : 0;
-        return left;
+        boolean available = inUse(owner) < share(owner);
+        inUse[owner.ordinal()] += available ? 1 : 0;
+        return available;
     }
 
-    /** One that was taken is closed. */
+    /** Returns a closed descriptor to its owner's share. */
     public void release(Owner owner) {
         if (inUse(owner) == 0) {
-            throw new IllegalStateException(owner + " gives back what it has not taken");
+            throw new IllegalStateException(owner + " released more descriptors than it acquired");
         }
         inUse[owner.ordinal()]--;
     }
 
     @Override
     public String toString() {
-        return "hosts hold " + inUse(Owner.HOSTS) + " of " + share(Owner.HOSTS) + ", clients may have "
+        return "descriptors: hosts " + inUse(Owner.HOSTS) + " of " + share(Owner.HOSTS) + ", limit for clients "
                 + share(Owner.CLIENTS);
     }
 }
--- a/src/main/java/brambletray/relay/core/DispatchTrace.java
+++ b/src/main/java/brambletray/relay/core/DispatchTrace.java
@@ -6,8 +6,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The events and actions of the module, a short line each, for {@code bench/fleet-trace}. Off unless the
- * logger {@code brambletray.trace} logs at debug; then it costs a line for each event and send.
+ * Logs the control module's events and actions, one short line each, in the format that {@code bench/fleet-trace}
+ * parses. Off unless the logger {@code brambletray.trace} is at debug level; it then logs a line for each event and
+ * send.
  */
 final class DispatchTrace {
     private static final Logger LOG = LoggerFactory.getLogger("brambletray.trace");
@@ -15,11 +16,11 @@
 
     private DispatchTrace() {}
 
-    /** The settings that bind a fleet; once, at the start. */
-    static void settings(long unix, Relay.Settings settings) {
+    /** Logs the settings of the relay fleet, once at the start. */
+    static void settings(long unixMs, Relay.Settings settings) {
         LOG.debug(
                 "{} settings rank {} of {} {} {} weights {}",
-                unix,
+                unixMs,
                 settings.rank(),
                 settings.relays(),
                 settings.allowed(),
@@ -27,27 +28,27 @@
                 settings.weights());
     }
 
-    /** The platform has acknowledged the notice of a message's end. */
-    static void onNoticeAcknowledged(long unix, String id) {
-        LOG.debug("{} noticed {}", unix, id);
+    /** Logs that the platform has acknowledged the notice of a message's end. */
+    static void onNoticeAcknowledged(long unixMs, String id) {
+        LOG.debug("{} noticed {}", unixMs, id);
     }
 
-    /** One turn: its events and what came of them. {@code unix}: ms; {@code micros}: the module's time. */
-    static void turn(long unix, long micros, List<Relay.Event> events, List<Relay.Action> actions) {
+    /** Logs the events and actions of one turn; {@code controlTimeUs}: the control module's time. */
+    static void turn(long unixMs, long controlTimeUs, List<Relay.Event> events, List<Relay.Action> actions) {
         for (Relay.Event event : events) {
             if (event instanceof Relay.Accepted accepted) {
                 LOG.debug(
                         "{} in {} dest {} class {} earlier {} left {}",
-                        unix,
+                        unixMs,
                         accepted.id(),
                         accepted.destination(),
                         accepted.messageClass(),
                         accepted.earlier().size(),
-                        (accepted.deadline() - micros) / 1_000);
+                        (accepted.deadline() - controlTimeUs) / 1_000);
             } else if (event instanceof Relay.Ended ended) {
                 LOG.debug(
                         "{} end {} host {} {} wait {} took {} left {} limit {} reused {}",
-                        unix,
+                        unixMs,
                         ended.id(),
                         ended.endpoint(),
                         ended.outcome(),
@@ -60,7 +61,7 @@
                 for (Relay.Endpoint endpoint : list.endpoints()) {
                     LOG.debug(
                             "{} list {} host {} dest {} kind {} zone {} {} weight {}",
-                            unix,
+                            unixMs,
                             list.kind(),
                             endpoint.id(),
                             endpoint.destination(),
@@ -73,13 +74,13 @@
         }
         for (Relay.Action action : actions) {
             if (action instanceof Relay.Send send) {
-                LOG.debug("{} send {} host {} patience {}", unix, send.id(), send.endpoint(), send.timeout());
+                LOG.debug("{} send {} host {} patience {}", unixMs, send.id(), send.endpoint(), send.timeout());
             } else if (action instanceof Relay.Refuse refuse) {
-                LOG.debug("{} refuse {} after {}", unix, refuse.id(), refuse.retryAfter());
+                LOG.debug("{} refuse {} after {}", unixMs, refuse.id(), refuse.retryAfter());
             } else if (action instanceof Relay.Fail fail) {
-                LOG.debug("{} fail {}", unix, fail.id());
+                LOG.debug("{} fail {}", unixMs, fail.id());
             } else if (action instanceof Relay.Close close) {
-                LOG.debug("{} close host {}", unix, close.endpoint());
+                LOG.debug("{} close host {}", unixMs, close.endpoint());
             }
         }
     }
--- a/src/main/java/brambletray/relay/core/EventDispatcher.java
+++ b/src/main/java/brambletray/relay/core/EventDispatcher.java
@@ -25,48 +25,53 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Drives the module: what happens on the sockets becomes events, what the module asks for is carried out in
- * order. It decides nothing. All of it runs on one event loop.
+ * Runs the control module ({@link Control}) on one event loop: collects network and platform events, passes them to the
+ * module in turns, and executes the actions that the module returns, in order. All scheduling decisions are the
+ * module's. Not thread-safe: everything runs on the event loop's thread.
  */
 public final class EventDispatcher implements MessageReceiver {
     private static final Logger LOG = LoggerFactory.getLogger(EventDispatcher.class);
-    /** us; retry-after time of a client that is rejected before the module has seen its message. */
+    /** us; retry-after time of a message that is rejected without a decision of the control module. */
     private static final long RETRY_AFTER_US = 1_000_000;
-    /** ms that a message must have left when it leaves the admission gate, to be delivered or ended by a notice. */
-    private static final long MIN_TIME_AT_GATE_MS = 300;
+    /**
+     * ms; lifetime that a message deferred by the admission gate must have left at its next attempt, so that there is
+     * time to deliver it or to send the notice of its end.
+     */
+    private static final long MIN_REMAINING_LIFETIME_MS = 300;
 
+    /** us; delay before the retry after a failed commit or turn. */
     private static final long FAULT_BACKOFF_US = 100_000;
-    /** s; between looks at hosts: what can be forgotten, and what is worth recording. */
-    private static final long TIDY_INTERVAL_S = 1;
+    /** s; interval at which removed hosts are dropped and changed host knowledge is recorded. */
+    private static final long MAINTENANCE_INTERVAL_S = 1;
 
     private final EventLoop loop;
     private final Clock clock;
     private final RateLimitedLog rateLimitedLog;
     private final Relay.Settings settings;
     private final Control control;
-    /** us; from the clock to the module's. */
-    private final long clockOffset;
-    /** Who gets the replies of calls that were out when this loop was handed on; null before. */
+    /** us; added to {@link #clock} to give the control module's time. */
+    private final long clockOffsetUs;
+    /** Receives the replies of calls in flight after {@link #handOver}; null before that. */
     private Successor successor;
 
     private final HostDirectory hosts;
     private final HostTransport transport;
     private final Journal journal;
     private Platform platform;
-    private final Map<String, Integer> classes = new HashMap<>();
+    private final Map<String, Integer> classIndexes = new HashMap<>();
     private final Map<String, PendingMessage> pendingMessages = new HashMap<>();
     private List<Relay.Event> events = new ArrayList<>();
-    /** Messages taken on that the admission gate has not let in. */
+    /** Ids of messages that are stored but that the admission gate has not admitted yet. */
     private final Set<String> waitingAtGate = new HashSet<>();
 
-    private final Map<String, SubmissionResult> unanswered = new LinkedHashMap<>();
+    private final Map<String, SubmissionResult> unansweredSubmissions = new LinkedHashMap<>();
     private boolean turnDue;
     private boolean stopped;
     private int openMessages;
     private CompletionListener completionListener = CompletionListener.NONE;
     private AdmissionGate admissionGate = AdmissionGate.ALWAYS_OPEN;
     private boolean commitDue;
-    /** The last batch failed: only what clients wait for is committed before {@link #commitAgain}. */
+    /** The last commit failed: until {@link #retryCommit}, only {@link #answerClients} commits. */
     private boolean commitRetryPending;
 
     private final CallSender callSender;
@@ -85,7 +90,7 @@
         this(machine, settings, hosts, transport, journal, metrics, new Control(seed, settings), 0);
     }
 
-    /** One whose module goes on where another process's ended: {@link #resume}, not {@link #start}. */
+    /** Continues from another process's handover state; to be followed by {@link #resume}, not {@link #start}. */
     public EventDispatcher(
             Machine machine,
             long seed,
@@ -94,7 +99,7 @@
             HostTransport transport,
             Journal journal,
             MessageMetrics metrics,
-            HandoverState from) {
+            HandoverState handoverState) {
         this(
                 machine,
                 settings,
@@ -102,8 +107,9 @@
                 transport,
                 journal,
                 metrics,
-                new Control(seed, settings, from.memory()),
-                from.timeAt(machine.clock().unixMillis()) - machine.clock().micros());
+                new Control(seed, settings, handoverState.memory()),
+                handoverState.controlTimeAt(machine.clock().unixMillis())
+                        - machine.clock().micros());
     }
 
     private EventDispatcher(
@@ -114,13 +120,13 @@
             Journal journal,
             MessageMetrics metrics,
             Control control,
-            long shift) {
+            long clockOffsetUs) {
         this.loop = machine.loop();
         this.clock = machine.clock();
         this.rateLimitedLog = new RateLimitedLog(LOG, clock);
         this.settings = settings;
         this.control = control;
-        this.clockOffset = shift;
+        this.clockOffsetUs = clockOffsetUs;
         this.hosts = hosts;
         this.transport = transport;
         this.journal = journal;
@@ -141,30 +147,34 @@
                 hosts,
                 new HostKnowledgeJournal(journal.store()),
                 settings.rules().cold());
-        loop.scheduleWithFixedDelay(this::tidy, TIDY_INTERVAL_S, TIDY_INTERVAL_S, TimeUnit.SECONDS);
+        loop.scheduleWithFixedDelay(
+                this::runMaintenance, MAINTENANCE_INTERVAL_S, MAINTENANCE_INTERVAL_S, TimeUnit.SECONDS);
         for (int i = 0; i < settings.classes().size(); i++) {
-            classes.put(settings.classes().get(i).name(), i);
+            classIndexes.put(settings.classes().get(i).name(), i);
         }
     }
 
     /**
-     * Reports to the module the list as last had (null: none) and what the journal holds, then begins to watch the
-     * platform, which is to call {@link #onListed} and {@link #onNoticeAcknowledged}.
+     * Passes the last known host list (null: none) and the messages in the journal to the control module, then starts
+     * to watch the platform, which calls {@link #onListed} and {@link #onNoticeAcknowledged}.
      */
-    public void start(Platform platform, Relay.Listed known) {
+    public void start(Platform platform, Relay.Listed lastKnownList) {
         this.platform = platform;
         if (DispatchTrace.ON) {
             DispatchTrace.settings(clock.unixMillis(), settings);
         }
-        if (known != null) {
-            addEvent(hostKnowledge.withoutLeavers(known));
-            hostKnowledge.believedEvents().forEach(this::addEvent);
+        if (lastKnownList != null) {
+            addEvent(hostKnowledge.withLeavingHostsDraining(lastKnownList));
+            hostKnowledge.restoredEvents().forEach(this::addEvent);
         }
         for (Journal.Entry entry : journal.owed()) {
             if (entry.end != null) {
                 platform.postNotice(entry);
-            } else if (!classes.containsKey(entry.message.messageClass())) {
-                LOG.warn("message {} given up: its class {} is gone", entry.message.id(), entry.message.messageClass());
+            } else if (!classIndexes.containsKey(entry.message.messageClass())) {
+                LOG.warn(
+                        "failing message {}: message class {} is no longer configured",
+                        entry.message.id(),
+                        entry.message.messageClass());
                 endMessage(entry, new Journal.End(false, 0));
             } else {
                 recover(entry);
@@ -174,43 +184,43 @@
         platform.watch();
     }
 
-    /** The deadline passes into the module's clock; earlier attempts keep their distance from now. */
+    /** Restores a message from the journal: its deadline and attempt times are converted to the module's clock. */
     private void recover(Journal.Entry entry) {
         PendingMessage pending = new PendingMessage(entry.message, entry);
         pendingMessages.put(pending.message.id(), pending);
         openMessages++;
-        metrics.taken(classes.get(pending.message.messageClass()));
+        metrics.taken(classIndexes.get(pending.message.messageClass()));
         List<Relay.Earlier> earlier = new ArrayList<>();
         for (Journal.Attempt attempt : entry.attempts) {
             pending.calls.add(null);
-            earlier.add(new Relay.Earlier(moduleTime(attempt.sent), attempt.zone, attempt.mayHaveRun));
+            earlier.add(new Relay.Earlier(toControlTime(attempt.sent), attempt.zone, attempt.mayHaveRun));
         }
         admissionGate.onRecovered(pending.message);
         if (!earlier.isEmpty()) {
             admissionGate.onSent(pending.message.id());
         }
-        addEvent(accepted(pending.message, earlier));
+        addEvent(acceptedEvent(pending.message, earlier));
     }
 
-    private Relay.Accepted accepted(Message message, List<Relay.Earlier> earlier) {
+    private Relay.Accepted acceptedEvent(Message message, List<Relay.Earlier> earlier) {
         return new Relay.Accepted(
                 message.id(),
-                classes.get(message.messageClass()),
+                classIndexes.get(message.messageClass()),
                 message.tenant(),
                 message.routeKey(),
-                moduleTime(message.deadline()),
+                toControlTime(message.deadline()),
                 message.destination(),
                 earlier);
     }
 
     @Override
-    public boolean knows(String messageClass, long destination) {
-        return classes.containsKey(messageClass) && hosts.knows(destination);
+    public boolean isRoutable(String messageClass, long destination) {
+        return classIndexes.containsKey(messageClass) && hosts.hasDestination(destination);
     }
 
     @Override
     public Relay.MessageClass messageClass(String name) {
-        return classes.containsKey(name) ? settings.classes().get(classes.get(name)) : null;
+        return classIndexes.containsKey(name) ? settings.classes().get(classIndexes.get(name)) : null;
     }
 
     @Override
@@ -223,12 +233,12 @@
         return settings.tenants().size();
     }
 
-    /** Discovery has moved. */
-    public void onDiscoveryMoved(InetSocketAddress agent) {
-        platform.onAgentMoved(agent);
+    /** The platform agent has a new address. */
+    public void onAgentAddressChanged(InetSocketAddress agent) {
+        platform.onAgentAddressChanged(agent);
     }
 
-    /** The process ends: nothing more is decided or written down, calls still out count as may have run. */
+    /** Stops all decisions and journal writes; after a restart, calls still in flight count as possibly executed. */
     public void stop() {
         stopped = true;
     }
@@ -239,72 +249,75 @@
 
     // ---- Clients --------------------------------------------------------------------------------
     @Override
-    public void accept(Message message, SubmissionResult answer) {
-        PendingMessage known = pendingMessages.get(message.id());
-        if (known != null && !known.isCompleted) {
-            // A client sends a request once more when its connection closed as it wrote: it is held already.
-            if (known.message.sameAs(message)) {
-                answer.duplicate();
+    public void accept(Message message, SubmissionResult result) {
+        PendingMessage existing = pendingMessages.get(message.id());
+        if (existing != null && !existing.isCompleted) {
+            // A client resends a request whose connection closed during the write; the message may be held already.
+            if (existing.message.sameAs(message)) {
+                result.duplicate();
             } else {
-                answer.conflict();
+                result.conflict();
             }
             return;
         }
-        if (known != null || openMessages >= settings.allowed().openMessages()) {
-            metrics.turnedAway(classes.get(message.messageClass()), End.REFUSED);
-            answer.refused(RETRY_AFTER_US);
+        if (existing != null || openMessages >= settings.allowed().openMessages()) {
+            metrics.turnedAway(classIndexes.get(message.messageClass()), End.REFUSED);
+            result.refused(RETRY_AFTER_US);
             return;
         }
-        AdmissionGate.Decision entry = admissionGate.admit(message);
-        if (entry instanceof AdmissionGate.Rejected turned) {
-            turned.recalledIds().forEach(id -> addEvent(new Relay.Recalled(id)));
-            metrics.turnedAway(classes.get(message.messageClass()), End.REFUSED);
-            answer.refused(turned.retryAfter());
+        AdmissionGate.Decision decision = admissionGate.admit(message);
+        if (decision instanceof AdmissionGate.Rejected rejected) {
+            rejected.recalledIds().forEach(id -> addEvent(new Relay.Recalled(id)));
+            metrics.turnedAway(classIndexes.get(message.messageClass()), End.REFUSED);
+            result.refused(rejected.retryAfter());
             return;
         }
         PendingMessage pending = new PendingMessage(message, null);
         pendingMessages.put(message.id(), pending);
         openMessages++;
-        metrics.taken(classes.get(message.messageClass()));
-        unanswered.put(message.id(), answer);
-        // The turn comes when the event loop has read what else is there: one batch, and one sync, for all of it.
-        if (entry instanceof AdmissionGate.Deferred later) {
+        metrics.taken(classIndexes.get(message.messageClass()));
+        unansweredSubmissions.put(message.id(), result);
+        // The turn runs after the event loop has read all pending input, so one batch and one sync cover all of it.
+        if (decision instanceof AdmissionGate.Deferred deferred) {
             waitingAtGate.add(message.id());
             addEvent(new Relay.Due());
-            loop.schedule(() -> retryAdmission(pending), later.retryAfter(), TimeUnit.MICROSECONDS);
+            loop.schedule(() -> retryAdmission(pending), deferred.retryAfter(), TimeUnit.MICROSECONDS);
         } else {
-            addEvent(accepted(message, List.of()));
+            addEvent(acceptedEvent(message, List.of()));
         }
     }
 
-    /** A message that was taken on and waits at the admission gate: in, or on, or back while there is time for that. */
+    /**
+     * Asks the admission gate again for a deferred message: admits it, defers it again, or rejects it while there is
+     * still time to do so.
+     */
     private void retryAdmission(PendingMessage pending) {
         if (pending.isCompleted || stopped) {
             return;
         }
-        AdmissionGate.Decision entry = admissionGate.retry(pending.message);
-        if (!(entry instanceof AdmissionGate.Deferred later)) {
+        AdmissionGate.Decision decision = admissionGate.retry(pending.message);
+        if (!(decision instanceof AdmissionGate.Deferred deferred)) {
             waitingAtGate.remove(pending.message.id());
-            addEvent(accepted(pending.message, List.of()));
-        } else if (clock.unixMillis() + later.retryAfter() / 1_000 + MIN_TIME_AT_GATE_MS
+            addEvent(acceptedEvent(pending.message, List.of()));
+        } else if (clock.unixMillis() + deferred.retryAfter() / 1_000 + MIN_REMAINING_LIFETIME_MS
                 >= pending.message.deadline()) {
-            endMessage(pending.message.id(), new Journal.End(true, later.retryAfter()));
+            endMessage(pending.message.id(), new Journal.End(true, deferred.retryAfter()));
         } else {
-            loop.schedule(() -> retryAdmission(pending), later.retryAfter(), TimeUnit.MICROSECONDS);
+            loop.schedule(() -> retryAdmission(pending), deferred.retryAfter(), TimeUnit.MICROSECONDS);
         }
     }
 
     @Override
     public void withdraw(String id) {
-        // Guards the module's slots: inside the turn that takes a message on, its first send would be left
-        // out, and the module would wait for that send's end for good.
+        // Deferred to its own task: within the turn that accepts the message, its first send would be skipped, and the
+        // control module would wait for the end of that send forever, which leaks a slot.
         loop.execute(() -> onWithdrawn(id));
     }
 
     private void onWithdrawn(String id) {
         PendingMessage pending = pendingMessages.get(id);
         if (pending != null && !pending.isCompleted) {
-            rateLimitedLog.warn("message " + id + " withdrawn, its client left before the answer");
+            rateLimitedLog.warn("message " + id + " withdrawn: client disconnected before the response");
             complete(pending, End.WITHDRAWN);
             closeEntry(pending.entry);
             addEvent(new Relay.Withdrawn(id));
@@ -320,13 +333,13 @@
         }
     }
 
-    private long micros() {
-        return clock.micros() + clockOffset;
+    private long controlTimeUs() {
+        return clock.micros() + clockOffsetUs;
     }
 
-    /** Unix time in ms to the module's clock, which may then be below 0. */
-    private long moduleTime(long unix) {
-        return micros() + (unix - clock.unixMillis()) * 1_000;
+    /** Converts Unix time (ms) to the control module's time (us), which is negative before that clock's start. */
+    private long toControlTime(long unixMs) {
+        return controlTimeUs() + (unixMs - clock.unixMillis()) * 1_000;
     }
 
     private void turn() {
@@ -334,65 +347,65 @@
         if (events.isEmpty() || stopped) {
             return;
         }
-        List<Relay.Event> taken = events;
+        List<Relay.Event> batch = events;
         events = new ArrayList<>();
         try {
-            List<Relay.Action> actions = control.turn(micros(), taken);
+            List<Relay.Action> actions = control.turn(controlTimeUs(), batch);
             if (DispatchTrace.ON) {
-                DispatchTrace.turn(clock.unixMillis(), micros(), taken, actions);
+                DispatchTrace.turn(clock.unixMillis(), controlTimeUs(), batch, actions);
             }
-            hostKnowledge.onDecided(taken);
+            hostKnowledge.stageRetryAfterTimes(batch);
             answerClients(actions);
             for (Relay.Action action : actions) {
                 try {
                     execute(action, actions);
                 } catch (RuntimeException e) {
-                    LOG.error("could not carry out {}", action, e);
+                    LOG.error("action {} failed", action, e);
                 }
             }
         } catch (RuntimeException e) {
-            LOG.error("turn failed on {}", taken, e);
-            // Guards against standing still: the module's timer may have been lost with the turn.
+            LOG.error("turn failed for events {}", batch, e);
+            // The failed turn may have lost the control module's timer; without an event nothing would run again.
             loop.schedule(() -> addEvent(new Relay.Due()), FAULT_BACKOFF_US, TimeUnit.MICROSECONDS);
         } finally {
-            // Guards clients against getting no answer if the turn failed: nothing was written down for these.
-            for (String id : List.copyOf(unanswered.keySet())) {
-                refuse(id, unanswered.get(id));
+            // After a failed turn, clients still need a response; nothing was stored for these messages.
+            for (String id : List.copyOf(unansweredSubmissions.keySet())) {
+                refuse(id, unansweredSubmissions.get(id));
             }
             callSender.clear();
         }
-        // Before anything that waits for it: notices are posted by a task of their own.
+        // Commits before anything that depends on it: notices are posted by a later task of the event loop.
         if (!commitRetryPending) {
             commit();
         }
     }
 
     /**
-     * Answers the clients of this turn's new messages. An end that the module decided at once is the answer
-     * itself; the others are written down, in one batch with the turn's sends, then answered, and only
-     * after that is anything sent.
+     * Responds to the clients of this turn's new messages. A message that the control module refused or failed at once
+     * gets that as its response. The others are written in one batch with the turn's sends, then accepted; nothing is
+     * sent before that.
      */
     private void answerClients(List<Relay.Action> actions) {
-        for (Relay.Action action : unanswered.isEmpty() ? List.<Relay.Action>of() : actions) {
-            if (action instanceof Relay.Refuse refuse && unanswered.containsKey(refuse.id())) {
+        for (Relay.Action action : unansweredSubmissions.isEmpty() ? List.<Relay.Action>of() : actions) {
+            if (action instanceof Relay.Refuse refuse && unansweredSubmissions.containsKey(refuse.id())) {
                 complete(pendingMessages.get(refuse.id()), End.REFUSED);
-                unanswered.remove(refuse.id()).refused(refuse.retryAfter());
-            } else if (action instanceof Relay.Fail fail && unanswered.containsKey(fail.id())) {
+                unansweredSubmissions.remove(refuse.id()).refused(refuse.retryAfter());
+            } else if (action instanceof Relay.Fail fail && unansweredSubmissions.containsKey(fail.id())) {
                 complete(pendingMessages.get(fail.id()), End.FAILED);
-                unanswered.remove(fail.id()).failed();
+                unansweredSubmissions.remove(fail.id()).failed();
             }
         }
-        for (String id : List.copyOf(unanswered.keySet())) {
+        for (String id : List.copyOf(unansweredSubmissions.keySet())) {
             PendingMessage pending = pendingMessages.get(id);
             try {
                 pending.entry = journal.take(pending.message, clock.unixMillis());
             } catch (IOException e) {
-                LOG.error("store cannot be written, message {} refused", id, e);
+                LOG.error("store write failed; message {} refused", id, e);
             }
             if (pending.entry == null) {
-                refuse(id, unanswered.get(id));
+                refuse(id, unansweredSubmissions.get(id));
             } else {
-                unanswered.get(id).onStaged();
+                unansweredSubmissions.get(id).onStaged();
             }
         }
         for (Relay.Action action : actions) {
@@ -401,28 +414,30 @@
             }
         }
         commit();
-        for (String id : List.copyOf(unanswered.keySet())) {
+        for (String id : List.copyOf(unansweredSubmissions.keySet())) {
             PendingMessage pending = pendingMessages.get(id);
             if (pending.entry.held()) {
                 pending.message = pending.entry.message;
-                unanswered.remove(id).accepted();
+                unansweredSubmissions.remove(id).accepted();
             } else if (pending.entry.uncertain()) {
-                // It may be found after a restart: its client must not be told that another try does no harm.
-                SubmissionResult answer = unanswered.remove(id);
-                answer.onNotStored();
+                // A restart may recover this message, so the client must not be told that a retry is safe.
+                SubmissionResult result = unansweredSubmissions.remove(id);
+                result.onNotStored();
                 complete(pending, End.FAILED);
                 addEvent(new Relay.Withdrawn(id));
-                answer.failed();
+                result.failed();
             } else {
-                unanswered.get(id).onNotStored();
-                refuse(id, unanswered.get(id));
+                unansweredSubmissions.get(id).onNotStored();
+                refuse(id, unansweredSubmissions.get(id));
             }
         }
     }
 
     /**
-     * What was noted lasts from now on; messages and sends of a batch that failed know it themselves. False
-     * where it failed.
+     * Commits what has been staged. After a failure, {@link Journal.Entry#held} and {@link Journal.Attempt#mayHaveRun}
+     * show it for each message and send of the batch.
+     *
+     * @return false if the commit failed or the dispatcher has stopped
      */
     private boolean commit() {
         commitDue = false;
@@ -433,11 +448,11 @@
         try {
             journal.commit();
         } catch (IOException e) {
-            LOG.error("store cannot be written: messages of this turn are refused, their sends not made", e);
-            // Guards the event loop's turns against a store that fails at once: what is staged anew waits.
+            LOG.error("store commit failed; new messages of this turn are refused and its sends are not made", e);
+            // A store that fails at once would otherwise keep the event loop busy with retries of restaged records.
             if (!commitRetryPending) {
                 commitRetryPending = true;
-                loop.schedule(this::commitAgain, FAULT_BACKOFF_US, TimeUnit.MICROSECONDS);
+                loop.schedule(this::retryCommit, FAULT_BACKOFF_US, TimeUnit.MICROSECONDS);
             }
             completionListener.onBatchFailed();
             written = false;
@@ -448,12 +463,12 @@
         return written;
     }
 
-    private void commitAgain() {
+    private void retryCommit() {
         commitRetryPending = false;
         commit();
     }
 
-    /** Something was noted outside of a turn. */
+    /** Schedules a commit of records that were staged outside a turn. */
     private void commitSoon() {
         if (!commitDue && !turnDue && !commitRetryPending) {
             commitDue = true;
@@ -461,11 +476,11 @@
         }
     }
 
-    private void refuse(String id, SubmissionResult answer) {
-        unanswered.remove(id);
+    private void refuse(String id, SubmissionResult result) {
+        unansweredSubmissions.remove(id);
         complete(pendingMessages.get(id), End.REFUSED);
         addEvent(new Relay.Withdrawn(id));
-        answer.refused(RETRY_AFTER_US);
+        result.refused(RETRY_AFTER_US);
     }
 
     private void execute(Relay.Action action, List<Relay.Action> turn) {
@@ -505,13 +520,13 @@
         }
         pending.onCallEnded(attempt);
         if (reply.retryAfter() > 0) {
-            // Guards the rule on waits: calls there that still wait for their connection do not go out.
-            boolean apart = settings.kinds().get(host.kind).apart();
+            // The retry-after time also applies to calls that still wait for a connection to the same limit scope.
+            boolean hasOwnLimits = settings.kinds().get(host.kind).apart();
             hosts.hosts().stream()
-                    .filter(other -> other == host || !apart && other.destination == host.destination)
+                    .filter(other -> other == host || !hasOwnLimits && other.destination == host.destination)
                     .forEach(transport::recall);
         }
-        boolean over = pending.isCompleted || reply.isFinal();
+        boolean isFinal = pending.isCompleted || reply.isFinal();
         if (!pending.isCompleted) {
             if (reply.isFinal()) {
                 complete(pending, reply.outcome() == Relay.Outcome.OK ? End.SERVED : End.FAILED);
@@ -523,7 +538,7 @@
                         0);
                 closeEntry(pending.entry);
             } else if (reply.outcome().neverRan()) {
-                recordNotRun(pending, attempt);
+                recordAttemptNotRun(pending, attempt);
             }
         }
         addEvent(new Relay.Ended(
@@ -531,7 +546,7 @@
                 attempt,
                 host.number,
                 reply.outcome(),
-                over,
+                isFinal,
                 reply.retryAfter(),
                 reply.latency(),
                 reply.remaining(),
@@ -540,12 +555,16 @@
         forgetIfDone(pending);
     }
 
-    private void recordNotRun(PendingMessage pending, int attempt) {
+    private void recordAttemptNotRun(PendingMessage pending, int attempt) {
         try {
             journal.notRun(pending.entry, attempt);
         } catch (IOException e) {
-            // The attempt then counts as one that may have run, which is safe.
-            LOG.error("store cannot be written, outcome of message {} is not kept", pending.message.id(), e);
+            // The attempt then counts as possibly executed, which is safe.
+            LOG.error(
+                    "store write failed; message {}: proof that attempt {} did not run is not recorded",
+                    pending.message.id(),
+                    attempt,
+                    e);
         }
         commitSoon();
     }
@@ -563,7 +582,7 @@
         try {
             journal.ended(entry, end);
         } catch (IOException e) {
-            LOG.error("store cannot be written, end of message {} is told all the same", entry.message.id(), e);
+            LOG.error("store write failed; end of message {} is not recorded but is reported", entry.message.id(), e);
         }
         notifyCompletion(
                 entry.message,
@@ -572,7 +591,7 @@
         platform.postNotice(entry);
     }
 
-    /** In the batch that notes the end: reported exactly once, whatever happens in between. */
+    /** Called in the batch that records the end, so that the end is reported exactly once even across a crash. */
     private void notifyCompletion(Message message, CompletionListener.End end, long retryAfter) {
         if (message.origin() != null || completionListener.wantsAll()) {
             completionListener.onCompleted(message, end, retryAfter);
@@ -580,17 +599,17 @@
         }
     }
 
-    /** Sets who is asked whether a message may be submitted; before {@link #start}. */
+    /** Sets the gate that new messages must pass; to be called before {@link #start}. */
     public void admissionGate(AdmissionGate gate) {
         admissionGate = gate;
     }
 
-    /** Sets who is notified of the ends of messages that have an origin; before {@link #start}. */
+    /** Sets the listener for the ends of messages; to be called before {@link #start}. */
     public void completionListener(CompletionListener listener) {
         completionListener = listener;
     }
 
-    /** Something besides the journal was staged in the store: it goes with this pass's batch. */
+    /** Another owner of the store has staged records: they are committed with the event loop's next batch. */
     public void onStaged() {
         commitSoon();
     }
@@ -599,13 +618,14 @@
         pending.isCompleted = true;
         waitingAtGate.remove(pending.message.id());
         openMessages--;
-        metrics.ended(classes.get(pending.message.messageClass()), end);
+        metrics.ended(classIndexes.get(pending.message.messageClass()), end);
         admissionGate.onEnded(pending.message.id());
-        // Guards slots: a send decided in the turn that refuses its message must find it, and end.
+        // Removed later: a send decided in the turn that refuses its message must still find the message and end, or
+        // its slot leaks.
         loop.execute(() -> forgetIfDone(pending));
     }
 
-    /** The module may still name a message until the last of its calls has ended. */
+    /** Removes a completed message once its last call has ended; until then, the control module may refer to it. */
     private void forgetIfDone(PendingMessage pending) {
         if (pending.isCompleted && pending.callsInFlight() == 0) {
             pendingMessages.remove(pending.message.id(), pending);
@@ -613,39 +633,43 @@
     }
 
     /**
-     * What this loop, the module and the journal do not agree on: each has to hold the same messages between
-     * turns. Null where they do, or while an event has not been decided.
+     * Compares the open messages of the dispatcher, the control module and the journal, which must be the same between
+     * turns.
+     *
+     * @return a description of the difference; null if there is none, or while events are pending
      */
     public String findInconsistency() {
-        if (stopped || turnDue || !events.isEmpty() || !unanswered.isEmpty()) {
+        if (stopped || turnDue || !events.isEmpty() || !unansweredSubmissions.isEmpty()) {
             return null;
         }
-        Set<String> here = new TreeSet<>();
+        Set<String> dispatcherIds = new TreeSet<>();
         pendingMessages.values().stream()
                 .filter(pending -> !pending.isCompleted)
-                .forEach(pending -> here.add(pending.message.id()));
-        Set<String> owed = new TreeSet<>();
-        journal.owed().stream().filter(entry -> entry.end == null).forEach(entry -> owed.add(entry.message.id()));
-        Set<String> decided = new TreeSet<>(control.memory().openMessages().keySet());
-        // A message that waits at the admission gate is held and written down, and the module has not heard of it.
-        decided.addAll(waitingAtGate);
-        if (here.equals(owed) && here.equals(decided) && here.size() == openMessages) {
+                .forEach(pending -> dispatcherIds.add(pending.message.id()));
+        Set<String> journalIds = new TreeSet<>();
+        journal.owed().stream().filter(entry -> entry.end == null).forEach(entry -> journalIds.add(entry.message.id()));
+        Set<String> controlIds = new TreeSet<>(control.memory().openMessages().keySet());
+        // A message that waits at the admission gate is stored, but not yet known to the control module.
+        controlIds.addAll(waitingAtGate);
+        if (dispatcherIds.equals(journalIds)
+                && dispatcherIds.equals(controlIds)
+                && dispatcherIds.size() == openMessages) {
             return null;
         }
-        return "loop " + openMessages + " " + summary(here) + ", module " + summary(decided) + ", journal "
-                + summary(owed);
+        return "open messages differ: counter " + openMessages + ", dispatcher " + summarize(dispatcherIds)
+                + ", control module " + summarize(controlIds) + ", journal " + summarize(journalIds);
     }
 
-    private static String summary(Set<String> ids) {
+    private static String summarize(Set<String> ids) {
         return ids.size() + " " + ids.stream().limit(3).toList();
     }
 
-    /** True while a message of this id was taken on and has not ended. */
+    /** True while a message of this id is open or still has calls in flight. */
     public boolean isPending(String id) {
         return pendingMessages.containsKey(id);
     }
 
-    /** A notice has been acknowledged: nothing more is owed. */
+    /** The platform has acknowledged the notice of a message's end: its journal entry can be closed. */
     public void onNoticeAcknowledged(Journal.Entry entry) {
         if (DispatchTrace.ON) {
             DispatchTrace.onNoticeAcknowledged(clock.unixMillis(), entry.message.id());
@@ -657,71 +681,68 @@
         try {
             journal.closed(entry);
         } catch (IOException e) {
-            LOG.error(
-                    "store cannot be written, message {} will be taken up again after a restart",
-                    entry.message.id(),
-                    e);
+            LOG.error("store write failed; message {} will be recovered again after a restart", entry.message.id(), e);
         }
         commitSoon();
     }
 
-    // ---- Hosts excluded by operators ----------------------------------------------------------------------
-    /** Nothing new goes to this host from now on; or it may be used again, with care. */
-    public void setExcluded(Host host, boolean out) {
-        host.excluded = out;
-        addEvent(new Relay.Excluded(host.number, out));
-        if (out) {
+    // ---- Hosts excluded by operators ------------------------------------------------------------
+    /** Excludes a host from all new calls, or readmits it; a readmitted host is probed first. */
+    public void setExcluded(Host host, boolean excluded) {
+        host.excluded = excluded;
+        addEvent(new Relay.Excluded(host.number, excluded));
+        if (excluded) {
             transport.recall(host);
             transport.closeIdle(host);
         }
     }
 
-    /** Writes what was staged, between turns. False where it could not be written: none of it lasts. */
+    /** Commits staged records between turns; false if the commit failed and none of them is durable. */
     public boolean commitNow() {
         return commit();
     }
 
-    /** Listed hosts that get no ordinary traffic now. */
+    /** Number of listed hosts that get no regular traffic at present. */
     public int avoidedHosts() {
         return control.avoided();
     }
 
-    // ---- Hand-over ------------------------------------------------------------------------------
+    // ---- Handover -------------------------------------------------------------------------------
     /**
-     * Ends this loop between turns, for another process to go on with what it held: all events are
-     * decided and written, then nothing more. The replies of calls that are out go to the successor.
+     * Stops this dispatcher between turns and returns its state for another process to continue. Pending events are
+     * processed and committed first. The replies of calls in flight go to the successor.
      */
-    public HandoverState handOver(Successor to) {
+    public HandoverState handOver(Successor newSuccessor) {
         turn();
         commit();
         stopped = true;
-        successor = to;
+        successor = newSuccessor;
         platform.release();
-        List<HandoverState.CallInFlight> outs = new ArrayList<>();
+        List<HandoverState.CallInFlight> callsInFlight = new ArrayList<>();
         for (PendingMessage pending : pendingMessages.values()) {
             if (!pending.isCompleted) {
-                metrics.ended(classes.get(pending.message.messageClass()), End.HANDED_ON);
+                metrics.ended(classIndexes.get(pending.message.messageClass()), End.HANDED_ON);
             }
             for (int i = 0; i < pending.calls.size(); i++) {
                 if (pending.isInFlight(i)) {
-                    outs.add(new HandoverState.CallInFlight(
+                    callsInFlight.add(new HandoverState.CallInFlight(
                             pending.message.id(), i, pending.hostName(i), pending.isCompleted));
                 }
             }
         }
-        Map<String, Long> numbers = new HashMap<>();
-        hosts.hosts().forEach(host -> numbers.put(host.name, host.number));
-        return new HandoverState(control.memory(), micros(), clock.unixMillis(), numbers, outs);
+        Map<String, Long> hostNumbers = new HashMap<>();
+        hosts.hosts().forEach(host -> hostNumbers.put(host.name, host.number));
+        return new HandoverState(control.memory(), controlTimeUs(), clock.unixMillis(), hostNumbers, callsInFlight);
     }
 
-    /** Takes back the calls to a host, or to all (null), that were handed on and of which no byte is out. */
+    /** After a handover, recalls calls of which no byte has been written, to one host or to all (null). */
     public void recallCalls(Host host) {
         List.copyOf(hosts.hosts()).stream()
                 .filter(other -> host == null || other == host)
                 .forEach(transport::recall);
     }
 
-    /** Cancels a call that was out when this loop was handed on; its reply comes as any other. */
+    /** Cancels a call that was in flight at the handover; its reply is delivered like any other. */
     public void cancelCall(String id, int attempt) {
         PendingMessage pending = pendingMessages.get(id);
         if (successor != null
@@ -732,7 +753,7 @@
         }
     }
 
-    /** Cancels all that was out when this loop was handed on: nobody waits for its replies any more. */
+    /** Cancels all calls that were in flight at the handover, when nobody waits for their replies any more. */
     public void cancelAllCalls() {
         for (PendingMessage pending : List.copyOf(pendingMessages.values())) {
             for (int i = 0; i < pending.calls.size(); i++) {
@@ -741,16 +762,16 @@
         }
     }
 
-    /** Calls that were out when this loop was handed on, and still are. */
+    /** Number of calls in flight, after a handover of those that have not ended since. */
     public int callsInFlight() {
         return pendingMessages.values().stream()
                 .mapToInt(PendingMessage::callsInFlight)
                 .sum();
     }
 
-    /** In the place of {@link #start}: goes on with what was handed on; {@code whole}: the list as it is. */
-    public void resume(Platform on, Relay.Listed whole, HandoverState from, RemoteCalls remoteCalls) {
-        platform = on;
+    /** Continues from a handover, instead of {@link #start}; {@code fullList}: the complete current host list. */
+    public void resume(Platform platform, Relay.Listed fullList, HandoverState handoverState, RemoteCalls remoteCalls) {
+        this.platform = platform;
         hostKnowledge.onHandedOver();
         for (Journal.Entry entry : journal.owed()) {
             if (entry.end != null) {
@@ -761,11 +782,11 @@
             entry.attempts.forEach(attempt -> pending.calls.add(null));
             pendingMessages.put(pending.message.id(), pending);
             openMessages++;
-            metrics.taken(classes.get(pending.message.messageClass()));
+            metrics.taken(classIndexes.get(pending.message.messageClass()));
             admissionGate.onRecovered(pending.message);
         }
-        for (HandoverState.CallInFlight call : from.callsInFlight()) {
-            PendingMessage pending = pendingMessages.computeIfAbsent(call.id(), id -> PendingMessage.isCompleted(id));
+        for (HandoverState.CallInFlight call : handoverState.callsInFlight()) {
+            PendingMessage pending = pendingMessages.computeIfAbsent(call.id(), id -> PendingMessage.completed(id));
             while (pending.calls.size() <= call.attempt()) {
                 pending.calls.add(null);
             }
@@ -778,12 +799,12 @@
                             hosts.hostNamed(call.host()),
                             (host, reply) -> onCallEnded(pending, call.attempt(), host, reply)));
         }
-        addEvent(whole);
+        addEvent(fullList);
         turn();
     }
 
-    // ---- List -----------------------------------------------------------------------------------
-    /** The list or its changes are here, and {@link HostDirectory} holds them. */
+    // ---- Host list ------------------------------------------------------------------------------
+    /** A full or partial host list has arrived and has been applied to the {@link HostDirectory}. */
     public void onListed(Relay.Listed list) {
         addEvent(list);
         hostKnowledge.onListed(list).forEach(this::addEvent);
@@ -794,18 +815,18 @@
                 transport.closeIdle(host);
             }
         }
-        forgetGone();
+        removeGoneHosts();
     }
 
-    private void tidy() {
-        forgetGone();
+    private void runMaintenance() {
+        removeGoneHosts();
         if (!stopped && hostKnowledge.recordChanges()) {
             commitSoon();
         }
     }
 
-    /** Hosts come and go all day: what is gone and has nothing out is not kept. */
-    private void forgetGone() {
+    /** Drops hosts that left the list and have no open connections, so that host churn does not leak memory. */
+    private void removeGoneHosts() {
         for (Host host : List.copyOf(hosts.hosts())) {
             if (host.gone && !host.excluded && transport.forget(host)) {
                 hosts.forget(host);
--- a/src/main/java/brambletray/relay/core/HandoverState.java
+++ b/src/main/java/brambletray/relay/core/HandoverState.java
@@ -6,36 +6,36 @@
 import java.util.Map;
 
 /**
- * What one process hands on so that another goes on in its place; the journal goes beside it, by the folder.
+ * State that one process passes to another that continues in its place. The journal is passed separately, by its folder.
  *
- * @param memory the module's
- * @param moduleTimeUs us of the module's clock when it ended
- * @param unixMs the same instant, Unix time, ms
- * @param hostNumbers by which the module knows hosts, by their names
- * @param callsInFlight calls that are out and stay with the process that made them
+ * @param memory the control module's memory
+ * @param controlTimeUs the control module's time at the handover, us
+ * @param unixMs the same instant as Unix time, ms
+ * @param hostNumbers by host name, the number that identifies the host in the control module
+ * @param callsInFlight calls in flight, which stay with the process that made them
  */
 public record HandoverState(
         Memory memory,
-        long moduleTimeUs,
+        long controlTimeUs,
         long unixMs,
         Map<String, Long> hostNumbers,
         List<CallInFlight> callsInFlight) {
-    /** us; a step of the wall clock between two processes moves the module's clock by no more than this. */
-    private static final long MAX_STEP_US = 10_000_000;
+    /** us; limit on how far a step of the wall clock during a handover can advance the control module's clock. */
+    private static final long MAX_CLOCK_ADVANCE_US = 10_000_000;
 
-    /** A call that is out to a host; {@code isFinal}: its message has had its end, the slot is waited for. */
+    /** A call in flight; {@code isCompleted}: its message has ended and only the slot is still in use. */
     public record CallInFlight(String id, int attempt, String host, boolean isCompleted) {}
 
-    /** us of the module's clock at a Unix time in ms; it never goes back. */
-    long timeAt(long unixNow) {
-        return moduleTimeUs + Math.max(0, Math.min(MAX_STEP_US, (unixNow - unixMs) * 1_000));
+    /** Converts a Unix time (ms) after the handover to the control module's time (us), which never goes back. */
+    long controlTimeAt(long unixMsNow) {
+        return controlTimeUs + Math.max(0, Math.min(MAX_CLOCK_ADVANCE_US, (unixMsNow - unixMs) * 1_000));
     }
 
     /**
-     * Whether this fits what the journal holds and the numbers that hosts have here. Where it does not, the
-     * module has to {@link EventDispatcher#start} with what the journal tells.
+     * Checks this state against the journal and against this process's host numbers. If it does not match, the process
+     * has to {@link EventDispatcher#start} from the journal alone.
      */
-    public boolean fits(Journal journal, HostDirectory hosts) {
+    public boolean isConsistentWith(Journal journal, HostDirectory hosts) {
         Map<String, Integer> open = memory.openMessages();
         for (Journal.Entry entry : journal.owed()) {
             if (entry.end == null && !Integer.valueOf(entry.attempts.size()).equals(open.remove(entry.message.id()))) {
--- a/src/main/java/brambletray/relay/core/Host.java
+++ b/src/main/java/brambletray/relay/core/Host.java
@@ -2,24 +2,24 @@
 
 import java.net.InetSocketAddress;
 
-/** One host that a list has named; {@code number} is what the module knows it by. */
+/** A host from the host list; {@code number} identifies it in the control module. */
 public final class Host {
     public final long number;
     public final String name;
     public InetSocketAddress address;
-    /** By which its calls go out. */
+    /** Protocol used for calls to this host. */
     public String protocol = "http";
 
     public int zone;
     public int kind;
     public long destination;
-    /** As listed: the rate in calls a second that its destination takes, or 1. */
+    /** Listed weight: the rate in calls per second that its destination can take, or 1. */
     public double weight;
 
     public boolean ready;
-    /** Off the list; forgotten once nothing is out to it. */
+    /** No longer on the list; dropped once it has no open connections. */
     public boolean gone;
-    /** Taken excluded by operators: nothing new goes there, whatever the list says; never forgotten while it is. */
+    /** Excluded by an operator: gets no new calls, whatever the list says, and is not dropped. */
     public boolean excluded;
 
     public Host(long number, String name) {
--- a/src/main/java/brambletray/relay/core/HostDirectory.java
+++ b/src/main/java/brambletray/relay/core/HostDirectory.java
@@ -2,29 +2,29 @@
 
 import java.util.Collection;
 
-/** The hosts that the event loop may be asked to send to, as membership keeps them. */
+/** The hosts to which calls can be sent, as maintained from the host list. */
 public interface HostDirectory {
-    /** The host that the module knows by this number; null for one that is not known or forgotten. */
+    /** The host with this number in the control module; null if it is unknown or was dropped. */
     Host host(long number);
 
-    /** The hosts on the list, and those off it that are not forgotten. */
+    /** The hosts on the list, and gone hosts that have not been dropped. */
     Collection<Host> hosts();
 
-    /** True for a name that some list has had, as far back as is remembered. */
-    boolean hasNamed(String name);
+    /** True if some list has named this host; old names are eventually forgotten. */
+    boolean wasListed(String name);
 
-    /** The host of this name; one that is not held is made, as gone: it has its number when it is listed. */
+    /** The host of this name. An unknown host is created as gone and keeps its number when it is listed later. */
     Host hostNamed(String name);
 
-    /** The version of the list held; -1 before the first. */
+    /** Version of the current list; -1 before the first. */
     long version();
 
-    /** Hosts on the list. */
+    /** Number of hosts on the list. */
     int listedCount();
 
-    /** Drops a host that is gone. Should its name come back, it has the same number. */
+    /** Drops a gone host. If its name is listed again, it gets the same number. */
     void forget(Host host);
 
-    /** True for a destination that a list has named; it stays one while all of its hosts are gone. */
-    boolean knows(long destination);
+    /** True if a list has named this destination, even if all of its hosts are gone. */
+    boolean hasDestination(long destination);
 }
--- a/src/main/java/brambletray/relay/core/HostKnowledgeRecorder.java
+++ b/src/main/java/brambletray/relay/core/HostKnowledgeRecorder.java
@@ -15,11 +15,11 @@
 import java.util.Set;
 
 /**
- * Brings what the module knows of hosts over the end of the process: retry-after times in the batch of the turn that
- * reported them, the rest when it is looked at. One thread, that of the event loop.
+ * Persists what the control module knows of hosts, for the next run of the process. Retry-after times are staged in the
+ * batch of the turn that received them, the rest at the next periodic check. Runs on the event loop's thread.
  */
 final class HostKnowledgeRecorder {
-    /** Hosts that are gone of which that is still known. */
+    /** Maximum number of gone hosts that are still remembered as gone. */
     private static final int MAX_GONE_HOSTS = 64;
 
     private final Clock clock;
@@ -29,51 +29,53 @@
     private final HostStateCache stateCache = new HostStateCache();
     private final long slowStartUs;
     /**
-     * Hosts of earlier runs of the process that no list has named yet; of those known, what is believed is reported
-     * once.
+     * Hosts recorded by earlier runs of the process whose knowledge has not been passed to the control module yet; it
+     * is passed on once, when a list names the host.
      */
-    private final Set<String> unreported = new HashSet<>();
+    private final Set<String> notYetRestored = new HashSet<>();
     /**
-     * Hosts that no list of the platform in this run of the process has spoken of, and that had left when it last did.
+     * Hosts that the last known list names ready, but that were reported as leaving after it; kept out of use until the
+     * first list that the platform sends in this run.
      */
-    private final Set<String> leftBeforeStart = new HashSet<>();
-    /** By name, the version of the list by which it leaves. */
-    private final Map<String, Long> leaving = new HashMap<>();
-    /** Names of gone hosts, the oldest first. */
-    private final Set<String> gone = new LinkedHashSet<>();
-    /** Of the batch that is not written yet. */
-    private final List<String> staged = new ArrayList<>();
+    private final Set<String> leftSinceLastKnownList = new HashSet<>();
+    /** By host name, the version of the list that reported the host as draining or gone. */
+    private final Map<String, Long> leftInVersion = new HashMap<>();
+    /** Names of gone hosts, oldest first. */
+    private final Set<String> goneHosts = new LinkedHashSet<>();
+    /** Names of hosts with an entry in the batch that is not committed yet. */
+    private final List<String> stagedHosts = new ArrayList<>();
 
-    /** {@code slowStartUs}: us that a host needs for slow start. */
-    HostKnowledgeRecorder(Clock clock, Control control, HostDirectory hosts, HostKnowledgeJournal notes, long cold) {
+    /** {@code slowStartUs}: duration of a host's slow start, us. */
+    HostKnowledgeRecorder(
+            Clock clock, Control control, HostDirectory hosts, HostKnowledgeJournal journal, long slowStartUs) {
         this.clock = clock;
         this.control = control;
         this.hosts = hosts;
-        this.journal = notes;
-        this.slowStartUs = cold;
-        for (HostStateCache.Entry note : notes.found()) {
-            stateCache.restore(note);
-            unreported.add(note.host());
-            if (note.leftInVersion() != HostStateCache.IN_USE) {
-                leaving.put(note.host(), note.leftInVersion());
-                gone.add(note.host());
+        this.journal = journal;
+        this.slowStartUs = slowStartUs;
+        for (HostStateCache.Entry entry : journal.found()) {
+            stateCache.restore(entry);
+            notYetRestored.add(entry.host());
+            if (entry.leftInVersion() != HostStateCache.IN_USE) {
+                leftInVersion.put(entry.host(), entry.leftInVersion());
+                goneHosts.add(entry.host());
             }
         }
     }
 
-    /** The list from before the start, in which hosts that were leaving since get nothing new. */
-    Relay.Listed withoutLeavers(Relay.Listed known) {
+    /** Returns the last known list with hosts that were reported as leaving after it set to draining. */
+    Relay.Listed withLeavingHostsDraining(Relay.Listed lastKnownList) {
         List<Relay.Endpoint> endpoints = new ArrayList<>();
-        for (Relay.Endpoint endpoint : known.endpoints()) {
+        for (Relay.Endpoint endpoint : lastKnownList.endpoints()) {
             Host host = hosts.host(endpoint.id());
-            boolean since =
+            boolean hasLeft =
                     endpoint.listing() == Relay.Listing.READY && stateCache.hasLeftSince(host.name, hosts.version());
-            if (since) {
+            if (hasLeft) {
                 host.ready = false;
-                leftBeforeStart.add(host.name);
+                leftSinceLastKnownList.add(host.name);
             }
             endpoints.add(
-                    since
+                    hasLeft
                             ? new Relay.Endpoint(
                                     endpoint.id(),
                                     endpoint.zone(),
@@ -83,50 +85,50 @@
                                     endpoint.weight())
                             : endpoint);
         }
-        return new Relay.Listed(known.kind(), endpoints);
+        return new Relay.Listed(lastKnownList.kind(), endpoints);
     }
 
-    /** A list of the platform is held; the events for the module beside it. */
+    /** Handles a list from the platform; returns further events for the control module. */
     List<Relay.Event> onListed(Relay.Listed list) {
         for (Host host : hosts.hosts()) {
             if (host.ready) {
-                leaving.remove(host.name);
+                leftInVersion.remove(host.name);
             } else {
-                leaving.putIfAbsent(host.name, hosts.version());
+                leftInVersion.putIfAbsent(host.name, hosts.version());
             }
         }
-        List<Relay.Event> taken = new ArrayList<>(relist(list));
-        taken.addAll(believedEvents());
+        List<Relay.Event> events = new ArrayList<>(relistUnmentionedHosts(list));
+        events.addAll(restoredEvents());
         recordChanges();
-        return taken;
+        return events;
     }
 
-    /** Those that the platform does not speak of are as the list from before the start has them. */
-    private List<Relay.Event> relist(Relay.Listed list) {
+    /** Hosts that the platform's first list does not mention get back the state of the last known list. */
+    private List<Relay.Event> relistUnmentionedHosts(Relay.Listed list) {
         list.endpoints()
-                .forEach(endpoint -> leftBeforeStart.remove(
+                .forEach(endpoint -> leftSinceLastKnownList.remove(
                         hosts.host(endpoint.id()) == null ? "" : hosts.host(endpoint.id()).name));
-        List<Relay.Endpoint> again = new ArrayList<>();
+        List<Relay.Endpoint> relisted = new ArrayList<>();
         for (Host host : hosts.hosts()) {
-            if (leftBeforeStart.remove(host.name) && !host.gone) {
+            if (leftSinceLastKnownList.remove(host.name) && !host.gone) {
                 host.ready = true;
-                leaving.remove(host.name);
-                again.add(new Relay.Endpoint(
+                leftInVersion.remove(host.name);
+                relisted.add(new Relay.Endpoint(
                         host.number, host.zone, host.kind, host.destination, Relay.Listing.READY, host.weight));
             }
         }
-        leftBeforeStart.clear();
-        return again.isEmpty() ? List.of() : List.of(new Relay.Listed(Relay.ListKind.CHANGES, again));
+        leftSinceLastKnownList.clear();
+        return relisted.isEmpty() ? List.of() : List.of(new Relay.Listed(Relay.ListKind.CHANGES, relisted));
     }
 
-    /** What is still believed of the hosts that are listed by now. */
-    List<Relay.Event> believedEvents() {
-        List<Relay.Event> taken = new ArrayList<>();
-        for (Host host : unreported.isEmpty() ? List.<Host>of() : hosts.hosts()) {
-            if (!host.gone && unreported.remove(host.name)) {
+    /** Returns the recorded knowledge that is still valid, for hosts that are listed for the first time in this run. */
+    List<Relay.Event> restoredEvents() {
+        List<Relay.Event> events = new ArrayList<>();
+        for (Host host : notYetRestored.isEmpty() ? List.<Host>of() : hosts.hosts()) {
+            if (!host.gone && notYetRestored.remove(host.name)) {
                 HostKnowledge known = stateCache.stillValid(host.name, clock.moment(), slowStartUs);
                 if (!known.equals(HostKnowledge.NONE)) {
-                    taken.add(new Relay.Remembered(
+                    events.add(new Relay.Remembered(
                             host.number,
                             new Relay.Known(
                                     known.retryAfterUs(),
@@ -137,11 +139,11 @@
                 }
             }
         }
-        return taken;
+        return events;
     }
 
-    /** The module has decided on these: retry-after times in them are noted before anything of it goes out. */
-    void onDecided(List<Relay.Event> events) {
+    /** Stages the retry-after times of a turn's events, so that they are committed before the turn's sends. */
+    void stageRetryAfterTimes(List<Relay.Event> events) {
         for (Relay.Event event : events) {
             if (event instanceof Relay.Ended ended && ended.retryAfter() > 0 && hosts.host(ended.endpoint()) != null) {
                 record(hosts.host(ended.endpoint()));
@@ -149,58 +151,58 @@
         }
     }
 
-    /** Looks at all hosts; true where something was staged. */
+    /** Stages the changed knowledge of all hosts; true if anything was staged. */
     boolean recordChanges() {
-        int before = staged.size();
+        int before = stagedHosts.size();
         hosts.hosts().forEach(this::record);
-        return staged.size() > before;
+        return stagedHosts.size() > before;
     }
 
     private void record(Host host) {
-        if (unreported.contains(host.name)) {
+        if (notYetRestored.contains(host.name)) {
             return;
         }
         Relay.Known known = control.known(host.number);
-        HostKnowledge here = known == null
+        HostKnowledge knowledge = known == null
                 ? HostKnowledge.NONE
                 : new HostKnowledge(
                         known.retryAfter(), known.isUnhealthy(), known.slowStartAge(), known.limit(), known.pace());
-        HostStateCache.Entry note = stateCache.nextEntry(
-                clock.moment(), host.name, leaving.getOrDefault(host.name, HostStateCache.IN_USE), here);
-        if (note == null) {
+        HostStateCache.Entry entry = stateCache.nextEntry(
+                clock.moment(), host.name, leftInVersion.getOrDefault(host.name, HostStateCache.IN_USE), knowledge);
+        if (entry == null) {
             return;
         }
-        if (journal.put(note)) {
-            staged.add(host.name);
+        if (journal.put(entry)) {
+            stagedHosts.add(host.name);
         } else {
             stateCache.forget(host.name);
         }
     }
 
-    /** A batch was written, or failed: what it held is then noted anew. */
-    void onWritten(boolean lasts) {
-        if (!lasts) {
-            staged.forEach(stateCache::forget);
+    /** A batch was committed or failed; entries of a failed batch are recorded again. */
+    void onWritten(boolean succeeded) {
+        if (!succeeded) {
+            stagedHosts.forEach(stateCache::forget);
         }
-        staged.clear();
+        stagedHosts.clear();
     }
 
-    /** This run of the process goes on with the memory of the one before. */
+    /** After a handover, the control module's memory already has what the store would restore. */
     void onHandedOver() {
-        unreported.clear();
+        notYetRestored.clear();
     }
 
     /**
-     * A host is gone and nothing is out to it. That it is gone is known for longer: the list that a start
-     * begins with may still name it.
+     * A gone host was dropped. Its absence is remembered for longer, because the last known list at the next start may
+     * still name it.
      */
     void onForgotten(Host host) {
-        gone.add(host.name);
-        if (gone.size() > MAX_GONE_HOSTS) {
-            String oldest = gone.iterator().next();
-            gone.remove(oldest);
+        goneHosts.add(host.name);
+        if (goneHosts.size() > MAX_GONE_HOSTS) {
+            String oldest = goneHosts.iterator().next();
+            goneHosts.remove(oldest);
             if (hosts.hosts().stream().noneMatch(other -> other.name.equals(oldest))) {
-                leaving.remove(oldest);
+                leftInVersion.remove(oldest);
                 stateCache.forget(oldest);
                 journal.drop(oldest);
             }
--- a/src/main/java/brambletray/relay/core/HostTransport.java
+++ b/src/main/java/brambletray/relay/core/HostTransport.java
@@ -4,21 +4,21 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** A transport: carries calls to hosts over one protocol. One thread, that of the event loop. */
+/** Sends calls to hosts over one protocol. Runs on the event loop's thread. */
 public interface HostTransport {
-    /** A call that is out. */
+    /** A call in flight. */
     interface Call {
-        /** Stops waiting; its reply comes at once, as cancelled, unless it has come. */
+        /** Stops waiting: delivers a cancelled reply at once, unless a reply has been delivered. */
         void cancel();
     }
 
-    /** One message of a call: how long its reply is awaited (us), and who gets that, exactly once. */
+    /** One message of a batch call; {@code onReply} is called exactly once. */
     record Part(Message message, long timeoutUs, Consumer<CallReply> onReply) {}
 
     /**
-     * Begins one call that carries several messages, no more than the host's kind takes; each has a reply of
-     * its own. One that is cancelled or whose time-out has passed is no longer waited for: the call itself is
-     * given up with the last. Transports whose protocol has no such call make one for each message.
+     * Starts one call with several messages, up to the batch size of the host's kind. Each message gets its own reply. A
+     * cancelled or timed-out message is no longer waited for; the call itself is abandoned with the last one. Protocols
+     * without batch calls use one call per message.
      */
     default List<Call> callBatch(Host host, List<Part> parts) {
         return parts.stream()
@@ -26,15 +26,15 @@
                 .toList();
     }
 
-    /** Begins a call, which ends within {@code timeoutUs} microseconds; its reply comes exactly once. */
+    /** Starts a call, which ends within {@code timeoutUs} microseconds; its reply is delivered exactly once. */
     Call call(Host host, Message message, long timeoutUs, Consumer<CallReply> onReply);
 
-    /** Takes back the calls to a host of which no byte has gone out: each ends as not sent. */
+    /** Recalls the calls to a host of which no byte has been written; each ends as not sent. */
     void recall(Host host);
 
-    /** Closes the connections to a host that carry no call; one with an answer coming in, after that. */
+    /** Closes the idle connections to a host; a connection that is receiving a response is closed after it. */
     void closeIdle(Host host);
 
-    /** Drops what is held of a host that is gone; false while a connection to it is open or coming up. */
+    /** Drops the state of a gone host; false while a connection to it is open or being established. */
     boolean forget(Host host);
 }
--- a/src/main/java/brambletray/relay/core/JournalCompaction.java
+++ b/src/main/java/brambletray/relay/core/JournalCompaction.java
@@ -9,13 +9,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The journal's compaction, in slices between the turns of the event loop. */
+/** Compacts the journal in short slices between the turns of the event loop. */
 final class JournalCompaction {
     private static final Logger LOG = LoggerFactory.getLogger(JournalCompaction.class);
-    /** How long one slice may take, ns; the gap to the next, us. */
-    private static final long SLICE_NS = 500_000;
-
-    private static final long GAP_US = 2_000;
+    /** ns; maximum duration of one slice. */
+    private static final long SLICE_BUDGET_NS = 500_000;
+    /** us; delay between slices. */
+    private static final long SLICE_GAP_US = 2_000;
 
     private final EventLoop loop;
     private final Clock clock;
@@ -30,7 +30,7 @@
         this.stopped = stopped;
     }
 
-    /** Begins if there is need, and goes on while there is. */
+    /** Starts compaction if the journal needs it; it then continues until it is done. */
     void startIfNeeded() {
         if (journal.wantsCompaction() && !isScheduled) {
             isScheduled = true;
@@ -38,21 +38,21 @@
         }
     }
 
-    /** One slice; the next one after what has come in meanwhile. */
+    /** Runs one slice and schedules the next, so that input that arrived meanwhile is handled in between. */
     private void runSlice() {
         isScheduled = false;
         if (stopped.getAsBoolean() || !journal.wantsCompaction()) {
             return;
         }
         try {
-            journal.compact(clock::nanos, SLICE_NS);
+            journal.compact(clock::nanos, SLICE_BUDGET_NS);
         } catch (IOException e) {
-            LOG.error("store cannot be compacted: it grows until this is mended", e);
+            LOG.error("store compaction failed; the store grows until the cause is fixed", e);
             return;
         }
         if (journal.wantsCompaction()) {
             isScheduled = true;
-            loop.schedule(this::runSlice, GAP_US, TimeUnit.MICROSECONDS);
+            loop.schedule(this::runSlice, SLICE_GAP_US, TimeUnit.MICROSECONDS);
         }
     }
 }
--- a/src/main/java/brambletray/relay/core/MessageReceiver.java
+++ b/src/main/java/brambletray/relay/core/MessageReceiver.java
@@ -3,23 +3,22 @@
 import brambletray.relay.control.Relay;
 import brambletray.relay.message.Message;
 
-/** Where the fronts submit messages. One thread, that of the event loop. */
+/** Accepts messages from the protocol front ends. Runs on the event loop's thread. */
 public interface MessageReceiver {
-    /** A message is submitted; the result is reported exactly once, at once or within a bound of its own. */
-    void accept(Message message, SubmissionResult answer);
+    /** Submits a message; the result is reported exactly once, immediately or later within a bounded time. */
+    void accept(Message message, SubmissionResult result);
 
     /**
-     * The client did not hear that its message was taken on: it submits it again, this one counts for
-     * nothing.
+     * Withdraws a message whose client could not be told that it was accepted: the client will submit it again.
      */
     void withdraw(String id);
 
-    /** True for a class of the settings and a destination that a list has named. */
-    boolean knows(String messageClass, long destination);
+    /** True if the message class is configured and a list has named the destination. */
+    boolean isRoutable(String messageClass, long destination);
 
-    /** A class of the settings by its name; null for none. */
+    /** Returns the configured message class of this name; null if there is none. */
     Relay.MessageClass messageClass(String name);
 
-    /** The tenant's number; one that the settings do not name stands past them and has no share. */
+    /** Returns the tenant's index; an unconfigured tenant gets the index past the last one and has no quota. */
     int tenant(String name);
 }
--- a/src/main/java/brambletray/relay/core/PendingMessage.java
+++ b/src/main/java/brambletray/relay/core/PendingMessage.java
@@ -6,15 +6,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A message that the module holds, or that has calls out. */
+/** A message that the control module holds, or that still has calls in flight. */
 final class PendingMessage {
     Message message;
-    /** By number of attempt; null where none was made, or it was made before a restart. */
+    /** By attempt number; null if the call was not made, or was made before a restart. */
     final List<HostTransport.Call> calls = new ArrayList<>();
 
     Journal.Entry entry;
     boolean isCompleted;
-    /** By number of attempt, the name of the host that it is out to; null for one that is not. */
+    /** By attempt number, the name of the host of a call in flight; null if it is not in flight. */
     private final List<String> hostNames = new ArrayList<>(2);
 
     private int callsInFlight;
@@ -24,15 +24,15 @@
         this.entry = entry;
     }
 
-    /** One that has had its end, of which only the id is known; calls for it are still out. */
-    static PendingMessage isCompleted(String id) {
+    /** Creates a completed message of which only the id is known, for calls that are still in flight. */
+    static PendingMessage completed(String id) {
         PendingMessage pending =
                 new PendingMessage(new Message(id, "", 0, null, null, 0, 0, Body.of(new byte[0])), null);
         pending.isCompleted = true;
         return pending;
     }
 
-    /** A call goes out, or is about to. */
+    /** A call is sent or about to be sent. */
     void onCallStarted(int attempt, String host) {
         while (hostNames.size() <= attempt) {
             hostNames.add(null);
@@ -41,7 +41,7 @@
         callsInFlight++;
     }
 
-    /** It has ended, or did not go out. */
+    /** A call has ended or was not sent. */
     void onCallEnded(int attempt) {
         hostNames.set(attempt, null);
         callsInFlight--;
@@ -51,12 +51,10 @@
         return attempt < hostNames.size() && hostNames.get(attempt) != null;
     }
 
-    /** The name of the host that one went to. */
     String hostName(int attempt) {
         return hostNames.get(attempt);
     }
 
-    /** Calls out. */
     int callsInFlight() {
         return callsInFlight;
     }
--- a/src/main/java/brambletray/relay/core/Platform.java
+++ b/src/main/java/brambletray/relay/core/Platform.java
@@ -3,23 +3,23 @@
 import brambletray.relay.journal.Journal;
 import java.net.InetSocketAddress;
 
-/** What runs the relay: it provides the list of hosts and takes the notices. */
+/** The platform that the relay runs on: it provides the host list and receives notices of message ends. */
 public interface Platform {
-    /** Begins to follow the list; changes come to {@link EventDispatcher#onListed}. */
+    /** Starts to watch the host list; changes are passed to {@link EventDispatcher#onListed}. */
     void watch();
 
     /**
-     * Posts the end of a message, again and again until it is acknowledged ({@link
+     * Posts the notice of a message's end, and repeats it until it is acknowledged ({@link
      * EventDispatcher#onNoticeAcknowledged}).
      */
     void postNotice(Journal.Entry entry);
 
-    /** True while a notice is not acknowledged. */
+    /** True while any notice has not been acknowledged. */
     boolean hasUnacknowledgedNotices();
 
-    /** Nothing more is watched or posted: another process does, from here on. */
+    /** Stops watching and posting, because another process takes over. */
     default void release() {}
 
-    /** It is reached at another address from now on. */
-    void onAgentMoved(InetSocketAddress agent);
+    /** The platform agent has a new address. */
+    void onAgentAddressChanged(InetSocketAddress agent);
 }
--- a/src/main/java/brambletray/relay/core/ProtocolHostTransport.java
+++ b/src/main/java/brambletray/relay/core/ProtocolHostTransport.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Sends each host its calls by the protocol that its list entry names. */
+/** Selects the transport for each host by the protocol in its list entry. */
 public final class ProtocolHostTransport implements HostTransport {
     private final Map<String, HostTransport> transports;
 
-    /** {@code ways}: for each protocol the transport; hosts of any other are left out by membership. */
-    public ProtocolHostTransport(Map<String, HostTransport> ways) {
-        this.transports = Map.copyOf(ways);
+    /** {@code transports}: by protocol; the host list omits hosts of other protocols. */
+    public ProtocolHostTransport(Map<String, HostTransport> transports) {
+        this.transports = Map.copyOf(transports);
     }
 
     private HostTransport transportFor(Host host) {
--- a/src/main/java/brambletray/relay/core/RateLimitedLog.java
+++ b/src/main/java/brambletray/relay/core/RateLimitedLog.java
@@ -5,8 +5,8 @@
 import org.slf4j.Logger;
 
 /**
- * Log lines about what strangers do, a few a second at most: they may do it at full speed. What is left out
- * is counted. One thread.
+ * Logs warnings that remote peers can trigger, limited to a few lines per second so that a peer cannot flood the log.
+ * Suppressed lines are counted. Not thread-safe.
  */
 public final class RateLimitedLog {
     private static final int LINES_PER_WINDOW = 5;
@@ -27,7 +27,7 @@
         long now = clock.nanos();
         if (now - windowStartNs >= WINDOW_NS) {
             if (suppressed > 0) {
-                log.warn("{} more lines were left out", suppressed);
+                log.warn("{} more lines suppressed", suppressed);
             }
             windowStartNs = now;
             written = 0;
--- a/src/main/java/brambletray/relay/core/SubmissionResult.java
+++ b/src/main/java/brambletray/relay/core/SubmissionResult.java
@@ -1,27 +1,22 @@
 package brambletray.relay.core;
 
 /**
- * How a message submitted was met. A client that could not be told must be reported to
+ * Receives the result of submitting a message. If the client cannot be told, the message must be withdrawn with
  * {@link MessageReceiver#withdraw}.
  */
 public interface SubmissionResult {
-    /**
-     * It has been noted in the batch that is about to be committed: what must go with it is staged now.
-     */
+    /** The message is staged in the next batch: records to be committed with it must be staged now. */
     default void onStaged() {}
 
-    /**
-     * That batch failed, or the message is not taken on after all; {@link #refused} or the like
-     * follows.
-     */
+    /** That batch failed or the message is not accepted after all; {@link #refused} or {@link #failed} follows. */
     default void onNotStored() {}
 
     void accepted();
 
-    /** It is held already: this is not the request that took it on. */
+    /** The same message was already accepted by an earlier request and is still open. */
     void duplicate();
 
-    /** Its id is that of another message, which is held. */
+    /** Another open message has the same id. */
     void conflict();
 
     void refused(long retryAfter);
--- a/src/main/java/brambletray/relay/core/Successor.java
+++ b/src/main/java/brambletray/relay/core/Successor.java
@@ -1,7 +1,7 @@
 package brambletray.relay.core;
 
-/** Whoever goes on in the place of a loop that was handed on. */
+/** The process that continues in place of a dispatcher after a handover. */
 public interface Successor {
-    /** A call that was out has its reply; exactly once for each. */
+    /** Passes on the reply of a call that was in flight at the handover; exactly once for each. */
     void onCallEnded(String id, int attempt, String host, CallReply reply);
 }
--- a/src/main/java/brambletray/relay/core/package-info.java
+++ b/src/main/java/brambletray/relay/core/package-info.java
@@ -1,2 +1,2 @@
-/** The event loop around the decision module: turns what happens into events and carries out actions in order. */
+/** The event dispatcher around the control module: collects events, runs turns and executes actions in order. */
 package brambletray.relay.core;
--- a/src/test/java/brambletray/relay/core/DescriptorBudgetTest.java
+++ b/src/test/java/brambletray/relay/core/DescriptorBudgetTest.java
@@ -7,38 +7,38 @@
 
 class DescriptorBudgetTest {
     @Test
-    void sharesAddUpToAllAndNoneIsWithout() {
-        for (int all = 64; all <= 2_000; all++) {
-            DescriptorBudget d = new DescriptorBudget(all);
+    void sharesAddUpToTotalAndNoneIsEmpty() {
+        for (int total = 64; total <= 2_000; total++) {
+            DescriptorBudget budget = new DescriptorBudget(total);
             int sum = 0;
             for (Owner owner : Owner.values()) {
-                assertTrue(d.share(owner) > 0, all + ": " + owner);
-                sum += d.share(owner);
+                assertTrue(budget.share(owner) > 0, total + ": " + owner);
+                sum += budget.share(owner);
             }
-            assertEquals(all, sum);
-            assertTrue(d.share(Owner.HOSTS) >= all / 10, all + ": " + d);
+            assertEquals(total, sum);
+            assertTrue(budget.share(Owner.HOSTS) >= total / 10, total + ": " + budget);
         }
     }
 
-    /** rb38060: 384 descriptors, 382 of them with clients and hosts, and none for the store's next file. */
+    /** Seen in rb38060: clients and hosts used 382 of 384 descriptors, and the store could not open its next file. */
     @Test
-    void clientsAndHostsLeaveTheOthersTheirs() {
-        DescriptorBudget d = new DescriptorBudget(384);
-        assertEquals(153, d.share(Owner.CLIENTS));
-        assertEquals(384 - 153 - 32 - 24 - 4 - 25, d.share(Owner.HOSTS));
+    void clientsAndHostsLeaveReservedSharesFree() {
+        DescriptorBudget budget = new DescriptorBudget(384);
+        assertEquals(153, budget.share(Owner.CLIENTS));
+        assertEquals(384 - 153 - 32 - 24 - 4 - 25, budget.share(Owner.HOSTS));
     }
 
     @Test
-    void nobodyTakesMoreThanItsShareNorGivesWhatItHasNot() {
-        DescriptorBudget d = new DescriptorBudget(100);
-        for (int i = 0; i < d.share(Owner.HOSTS); i++) {
-            assertTrue(d.acquire(Owner.HOSTS));
+    void acquireAndReleaseAreLimitedByTheShare() {
+        DescriptorBudget budget = new DescriptorBudget(100);
+        for (int i = 0; i < budget.share(Owner.HOSTS); i++) {
+            assertTrue(budget.acquire(Owner.HOSTS));
         }
-        assertFalse(d.acquire(Owner.HOSTS));
-        assertTrue(d.acquire(Owner.CLIENTS), "another's share is its own");
-        d.release(Owner.HOSTS);
-        assertTrue(d.acquire(Owner.HOSTS));
-        d.release(Owner.CLIENTS);
-        assertThrows(IllegalStateException.class, () -> d.release(Owner.CLIENTS));
+        assertFalse(budget.acquire(Owner.HOSTS));
+        assertTrue(budget.acquire(Owner.CLIENTS), "the share of one owner does not limit another");
+        budget.release(Owner.HOSTS);
+        assertTrue(budget.acquire(Owner.HOSTS));
+        budget.release(Owner.CLIENTS);
+        assertThrows(IllegalStateException.class, () -> budget.release(Owner.CLIENTS));
     }
 }
--- a/src/test/java/brambletray/relay/core/HostKnowledgeRecorderTest.java
+++ b/src/test/java/brambletray/relay/core/HostKnowledgeRecorderTest.java
@@ -18,12 +18,12 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Lives of one relay on one store, its module told what the last one knew. */
+/** Successive runs of one relay on one store; each run restores what the previous one knew of its hosts. */
 class HostKnowledgeRecorderTest {
     private static final long MS = 1_000;
     private static final long SECOND = 1_000_000;
 
-    private static final class Time implements Ticker {
+    private static final class FakeTime implements Ticker {
         long micros = 1_000_000;
 
         @Override
@@ -58,75 +58,75 @@
             new Relay.Prices(0.1, 0.01, 0, 0, List.of()));
 
     private final MemoryDisk disk = new MemoryDisk();
-    private final Time time = new Time();
+    private final FakeTime time = new FakeTime();
 
-    /** One life: its store, list, module and evidence. */
-    private final class Life implements AutoCloseable {
+    /** One run of the relay, with its store, host list, control module and recorder. */
+    private final class RelayRun implements AutoCloseable {
         final Store store;
         final HostList hosts = new HostList(List.of("z"), List.of("k"));
         final Control control = new Control(3, SETTINGS);
-        final HostKnowledgeRecorder evidence;
+        final HostKnowledgeRecorder recorder;
         final Map<String, Integer> attempts = new HashMap<>();
-        int sent;
+        int accepted;
 
-        Life() throws Exception {
+        RelayRun() throws Exception {
             store = Store.open(disk, new Store.Options(1_000_000, Store.Promise.PROCESS, 1_000));
-            evidence = new HostKnowledgeRecorder(
+            recorder = new HostKnowledgeRecorder(
                     Clock.of(time, 0), control, hosts, new HostKnowledgeJournal(store), 12 * SECOND);
         }
 
-        Relay.Listed update(long seq, boolean whole, String... hostsAndHealth) throws Wire.Malformed {
+        Relay.Listed update(long seq, boolean full, String... hostsAndHealth) throws Wire.Malformed {
             List<String> entries = new ArrayList<>();
-            for (String h : hostsAndHealth) {
-                entries.add(
-                        "{\"host\":\"" + h.split(" ")[0] + "\",\"dial\":\"127.0.0.1:1\",\"site\":\"z\",\"class\":\"k\","
-                                + "\"block\":1,\"health\":\"" + h.split(" ")[1] + "\",\"share\":50}");
+            for (String hostAndHealth : hostsAndHealth) {
+                entries.add("{\"host\":\"" + hostAndHealth.split(" ")[0]
+                        + "\",\"dial\":\"127.0.0.1:1\",\"site\":\"z\",\"class\":\"k\"," + "\"block\":1,\"health\":\""
+                        + hostAndHealth.split(" ")[1] + "\",\"share\":50}");
             }
             return hosts.update(Wire.decode(
-                    "{\"seq\":" + seq + ",\"whole\":" + whole + ",\"hosts\":[" + String.join(",", entries) + "]}"));
+                    "{\"seq\":" + seq + ",\"whole\":" + full + ",\"hosts\":[" + String.join(",", entries) + "]}"));
         }
 
         List<Relay.Action> turn(List<Relay.Event> events) {
             List<Relay.Action> actions = control.turn(time.micros, events);
             sends(actions).forEach(s -> attempts.merge(s.id(), 1, Integer::sum));
-            evidence.onDecided(events);
+            recorder.stageRetryAfterTimes(events);
             return actions;
         }
 
-        void start(Relay.Listed known) {
-            List<Relay.Event> events = new ArrayList<>(List.of(evidence.withoutLeavers(known)));
-            events.addAll(evidence.believedEvents());
+        void start(Relay.Listed lastKnownList) {
+            List<Relay.Event> events = new ArrayList<>(List.of(recorder.withLeavingHostsDraining(lastKnownList)));
+            events.addAll(recorder.restoredEvents());
             turn(events);
         }
 
-        void listed(Relay.Listed list) {
+        void onListed(Relay.Listed list) {
             List<Relay.Event> events = new ArrayList<>(List.of(list));
-            events.addAll(evidence.onListed(list));
+            events.addAll(recorder.onListed(list));
             turn(events);
         }
 
-        /** A message comes in; the endpoint it is sent to, 0 for none. */
-        List<Relay.Send> message() {
-            return sends(turn(List.of(new Relay.Accepted("m" + sent++, 0, 0, null, time.micros + 60 * SECOND, 1))));
+        /** Accepts a message; returns the sends of that turn. */
+        List<Relay.Send> acceptMessage() {
+            return sends(turn(List.of(new Relay.Accepted("m" + accepted++, 0, 0, null, time.micros + 60 * SECOND, 1))));
         }
 
-        List<Relay.Send> pass(long span) {
+        List<Relay.Send> advance(long spanUs) {
             List<Relay.Send> sends = new ArrayList<>();
-            for (long until = time.micros + span; time.micros < until; ) {
+            for (long until = time.micros + spanUs; time.micros < until; ) {
                 time.micros += 10 * MS;
                 sends.addAll(sends(turn(List.of(new Relay.Due()))));
             }
             return sends;
         }
 
-        void ended(Relay.Send send, Relay.Outcome outcome, long wait, double limit) {
+        void ended(Relay.Send send, Relay.Outcome outcome, long retryAfter, double limit) {
             turn(List.of(new Relay.Ended(
                     send.id(),
                     attempts.get(send.id()) - 1,
                     send.endpoint(),
                     outcome,
                     false,
-                    wait,
+                    retryAfter,
                     5 * MS,
                     limit > 0 ? 0.5 : -1,
                     limit,
@@ -137,11 +137,11 @@
             return hosts.hostNamed(host).number;
         }
 
-        /** What is staged lasts, and the process ends. */
+        /** Commits what is staged and ends the run. */
         @Override
         public void close() throws Exception {
             store.commit();
-            evidence.onWritten(true);
+            recorder.onWritten(true);
             store.close();
         }
     }
@@ -153,160 +153,163 @@
                 .toList();
     }
 
-    /** Rule 6: noted in the batch of the turn that heard it, for the next life's every message. */
+    /** Rule 6: a retry-after time is staged in the batch of its turn and applies to all messages of the next run. */
     @Test
-    void aToldWaitBindsTheNextLife() throws Exception {
-        try (Life life = new Life()) {
-            life.start(life.update(1, true, "a ready"));
-            life.ended(life.message().get(0), Relay.Outcome.FULL, 3 * SECOND, 0);
+    void retryAfterTimeSurvivesRestart() throws Exception {
+        try (RelayRun run = new RelayRun()) {
+            run.start(run.update(1, true, "a ready"));
+            run.ended(run.acceptMessage().get(0), Relay.Outcome.FULL, 3 * SECOND, 0);
         }
-        long told = time.micros;
+        long receivedAt = time.micros;
         time.micros += SECOND;
-        try (Life life = new Life()) {
-            life.start(life.update(1, true, "a ready"));
-            assertTrue(life.message().isEmpty());
-            assertTrue(life.pass(told + 3 * SECOND - time.micros - 20 * MS).isEmpty(), "the wait is not over");
-            assertFalse(life.pass(2 * SECOND).isEmpty(), "it is over");
+        try (RelayRun run = new RelayRun()) {
+            run.start(run.update(1, true, "a ready"));
+            assertTrue(run.acceptMessage().isEmpty());
+            assertTrue(
+                    run.advance(receivedAt + 3 * SECOND - time.micros - 20 * MS).isEmpty(),
+                    "sent before the retry-after time has passed");
+            assertFalse(run.advance(2 * SECOND).isEmpty(), "not sent after the retry-after time has passed");
         }
     }
 
-    /** Nothing is known of a host that no list names; once one does, it is. */
+    /** Recorded knowledge of a host is passed to the control module when a list names the host, not before. */
     @Test
-    void whatIsKnownWaitsForTheHostToBeListed() throws Exception {
-        try (Life life = new Life()) {
-            life.start(life.update(1, true, "a ready", "b ready"));
+    void knowledgeIsRestoredOnceTheHostIsListed() throws Exception {
+        try (RelayRun run = new RelayRun()) {
+            run.start(run.update(1, true, "a ready", "b ready"));
             for (int i = 0; i < 4; i++) {
-                List<Relay.Send> sends = new ArrayList<>(life.message());
-                sends.addAll(life.pass(SECOND));
-                sends.forEach(s -> life.ended(s, Relay.Outcome.FULL, 60 * SECOND, 0));
+                List<Relay.Send> sends = new ArrayList<>(run.acceptMessage());
+                sends.addAll(run.advance(SECOND));
+                sends.forEach(s -> run.ended(s, Relay.Outcome.FULL, 60 * SECOND, 0));
             }
-            assertFalse(life.evidence.recordChanges(), "noted when it was heard");
+            assertFalse(run.recorder.recordChanges(), "already staged when the reply arrived");
         }
-        try (Life life = new Life()) {
-            life.start(life.update(1, true, "b ready"));
-            life.evidence.recordChanges();
-            life.listed(life.update(2, false, "a ready"));
+        try (RelayRun run = new RelayRun()) {
+            run.start(run.update(1, true, "b ready"));
+            run.recorder.recordChanges();
+            run.onListed(run.update(2, false, "a ready"));
             assertTrue(
-                    life.control.known(life.number("b")).isUnhealthy(),
-                    "its sibling was shut, and it was not heard from");
-            assertTrue(life.control.known(life.number("b")).retryAfter() > 40 * SECOND);
+                    run.control.known(run.number("b")).isUnhealthy(),
+                    "its sibling is in a retry-after time, and it has not replied");
+            assertTrue(run.control.known(run.number("b")).retryAfter() > 40 * SECOND);
         }
     }
 
-    /** Rule 4: killed while a host was failing, or warming up: the next life does not push it over. */
+    /** Rule 4: a relay killed while a host fails or is in slow start must not overload that host in its next run. */
     @Test
-    void aHostThatFailedGetsATrialAndIsWarmedUp() throws Exception {
-        try (Life life = new Life()) {
-            life.start(life.update(1, true, "a ready"));
-            life.pass(SECOND);
-            for (int i = 0; i < 20 && !life.control.known(life.number("a")).isUnhealthy(); i++) {
-                List<Relay.Send> sends = new ArrayList<>(life.message());
-                sends.addAll(life.pass(SECOND));
-                sends.forEach(s -> life.ended(s, Relay.Outcome.CONNECT_FAILED, 0, 0));
+    void failedHostIsProbedAndSlowStartedAfterRestart() throws Exception {
+        try (RelayRun run = new RelayRun()) {
+            run.start(run.update(1, true, "a ready"));
+            run.advance(SECOND);
+            for (int i = 0; i < 20 && !run.control.known(run.number("a")).isUnhealthy(); i++) {
+                List<Relay.Send> sends = new ArrayList<>(run.acceptMessage());
+                sends.addAll(run.advance(SECOND));
+                sends.forEach(s -> run.ended(s, Relay.Outcome.CONNECT_FAILED, 0, 0));
             }
-            assertTrue(life.control.known(life.number("a")).isUnhealthy());
-            assertTrue(life.evidence.recordChanges());
+            assertTrue(run.control.known(run.number("a")).isUnhealthy());
+            assertTrue(run.recorder.recordChanges());
         }
-        try (Life life = new Life()) {
-            life.start(life.update(1, true, "a ready"));
-            List<Relay.Send> trial = new ArrayList<>();
+        try (RelayRun run = new RelayRun()) {
+            run.start(run.update(1, true, "a ready"));
+            List<Relay.Send> probes = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                trial.addAll(life.message());
+                probes.addAll(run.acceptMessage());
             }
-            trial.addAll(life.pass(2 * SECOND));
-            assertEquals(1, trial.size(), "a trial");
-            life.ended(trial.get(0), Relay.Outcome.OK, 0, 0);
-            assertTrue(life.control.known(life.number("a")).slowStartAge() >= 0);
-            life.pass(SECOND);
-            assertTrue(life.evidence.recordChanges());
+            probes.addAll(run.advance(2 * SECOND));
+            assertEquals(1, probes.size(), "exactly one probe");
+            run.ended(probes.get(0), Relay.Outcome.OK, 0, 0);
+            assertTrue(run.control.known(run.number("a")).slowStartAge() >= 0);
+            run.advance(SECOND);
+            assertTrue(run.recorder.recordChanges());
         }
         time.micros += 2 * SECOND;
-        try (Life life = new Life()) {
-            life.start(life.update(1, true, "a ready"));
-            long warming = life.control.known(life.number("a")).slowStartAge();
-            assertTrue(warming >= 3 * SECOND && warming < 4 * SECOND, "goes on warming up: " + warming);
+        try (RelayRun run = new RelayRun()) {
+            run.start(run.update(1, true, "a ready"));
+            long slowStartAge = run.control.known(run.number("a")).slowStartAge();
+            assertTrue(
+                    slowStartAge >= 3 * SECOND && slowStartAge < 4 * SECOND, "slow start continues: " + slowStartAge);
             for (int i = 0; i < 20; i++) {
-                life.message();
+                run.acceptMessage();
             }
-            assertTrue(life.pass(SECOND).size() <= 12, "within what a cold host bears");
+            assertTrue(run.advance(SECOND).size() <= 12, "within the slow-start limit");
         }
     }
 
     @Test
-    void aToldLimitIsKnownToTheNextLife() throws Exception {
+    void reportedLimitSurvivesRestart() throws Exception {
         double pace;
-        try (Life life = new Life()) {
-            life.start(life.update(1, true, "a ready"));
-            life.ended(life.message().get(0), Relay.Outcome.OK, 0, 10);
-            pace = life.control.known(life.number("a")).pace();
-            assertTrue(life.evidence.recordChanges());
+        try (RelayRun run = new RelayRun()) {
+            run.start(run.update(1, true, "a ready"));
+            run.ended(run.acceptMessage().get(0), Relay.Outcome.OK, 0, 10);
+            pace = run.control.known(run.number("a")).pace();
+            assertTrue(run.recorder.recordChanges());
         }
         time.micros += 2 * SECOND;
-        try (Life life = new Life()) {
-            life.start(life.update(1, true, "a ready"));
-            assertEquals(10, life.control.known(life.number("a")).limit());
-            assertEquals(pace, life.control.known(life.number("a")).pace());
+        try (RelayRun run = new RelayRun()) {
+            run.start(run.update(1, true, "a ready"));
+            assertEquals(10, run.control.known(run.number("a")).limit());
+            assertEquals(pace, run.control.known(run.number("a")).pace());
         }
     }
 
-    /** Rule 3: the list that a start begins with is older than the drain that was heard. */
+    /** Rule 3: the last known list at a start may be older than a drain that the previous run has received. */
     @Test
-    void aHostThatWasLeavingStaysOutUntilAListOfNow() throws Exception {
-        try (Life life = new Life()) {
-            life.start(life.update(4, true, "a ready", "b ready", "c ready"));
-            life.listed(life.update(5, false, "a draining", "b gone"));
+    void leavingHostStaysOutUntilACurrentListArrives() throws Exception {
+        try (RelayRun run = new RelayRun()) {
+            run.start(run.update(4, true, "a ready", "b ready", "c ready"));
+            run.onListed(run.update(5, false, "a draining", "b gone"));
         }
-        try (Life life = new Life()) {
-            life.start(life.update(4, true, "a ready", "b ready", "c ready"));
+        try (RelayRun run = new RelayRun()) {
+            run.start(run.update(4, true, "a ready", "b ready", "c ready"));
             for (int i = 0; i < 6; i++) {
-                life.message().forEach(s -> assertEquals(life.number("c"), s.endpoint()));
+                run.acceptMessage().forEach(s -> assertEquals(run.number("c"), s.endpoint()));
             }
-            assertTrue(life.pass(5 * SECOND).stream().allMatch(s -> s.endpoint() == life.number("c")));
-            assertFalse(life.hosts.hostNamed("a").ready, "a call that waits for its connection does not go out");
-            life.listed(life.update(6, false, "a draining"));
-            assertFalse(life.hosts.hostNamed("a").ready);
-            assertTrue(life.hosts.hostNamed("b").ready, "the platform has spoken, and not of it");
+            assertTrue(run.advance(5 * SECOND).stream().allMatch(s -> s.endpoint() == run.number("c")));
+            assertFalse(run.hosts.hostNamed("a").ready, "a call that waits for a connection must not be sent");
+            run.onListed(run.update(6, false, "a draining"));
+            assertFalse(run.hosts.hostNamed("a").ready);
+            assertTrue(run.hosts.hostNamed("b").ready, "the platform's first list does not mention it");
         }
-        try (Life life = new Life()) {
-            life.start(life.update(7, true, "a ready", "b ready"));
-            assertTrue(life.hosts.hostNamed("a").ready, "a later list");
-            assertTrue(life.hosts.hostNamed("b").ready);
+        try (RelayRun run = new RelayRun()) {
+            run.start(run.update(7, true, "a ready", "b ready"));
+            assertTrue(run.hosts.hostNamed("a").ready, "ready in a later list");
+            assertTrue(run.hosts.hostNamed("b").ready);
         }
     }
 
-    /** A batch that failed has told the store nothing. */
+    /** Entries of a failed batch are not in the store. */
     @Test
-    void aNoteWhoseBatchFailedIsMadeAnew() throws Exception {
-        try (Life life = new Life()) {
-            life.start(life.update(1, true, "a ready"));
-            life.ended(life.message().get(0), Relay.Outcome.FULL, 30 * SECOND, 0);
-            life.evidence.onWritten(false);
-            assertTrue(life.evidence.recordChanges());
-            life.evidence.onWritten(true);
-            assertFalse(life.evidence.recordChanges());
+    void entryOfAFailedBatchIsRecordedAgain() throws Exception {
+        try (RelayRun run = new RelayRun()) {
+            run.start(run.update(1, true, "a ready"));
+            run.ended(run.acceptMessage().get(0), Relay.Outcome.FULL, 30 * SECOND, 0);
+            run.recorder.onWritten(false);
+            assertTrue(run.recorder.recordChanges());
+            run.recorder.onWritten(true);
+            assertFalse(run.recorder.recordChanges());
         }
     }
 
-    /** Hosts that come and go all day leave a bounded trace. */
+    /** Host churn leaves a bounded number of records in the store. */
     @Test
-    void hostsThatAreGoneAreForgottenInTheEnd() throws Exception {
-        try (Life life = new Life()) {
-            life.start(life.update(1, true, "a ready"));
+    void goneHostsAreEventuallyForgotten() throws Exception {
+        try (RelayRun run = new RelayRun()) {
+            run.start(run.update(1, true, "a ready"));
             for (int i = 0; i < 1_000; i++) {
                 String host = "h" + i;
-                life.listed(life.update(2 + 2L * i, false, host + " ready"));
-                life.listed(life.update(3 + 2L * i, false, host + " gone"));
-                Host gone = life.hosts.hostNamed(host);
-                life.hosts.forget(gone);
-                life.evidence.onForgotten(gone);
-                life.store.commit();
-                life.evidence.onWritten(true);
+                run.onListed(run.update(2 + 2L * i, false, host + " ready"));
+                run.onListed(run.update(3 + 2L * i, false, host + " gone"));
+                Host gone = run.hosts.hostNamed(host);
+                run.hosts.forget(gone);
+                run.recorder.onForgotten(gone);
+                run.store.commit();
+                run.recorder.onWritten(true);
             }
         }
-        try (Life life = new Life()) {
+        try (RelayRun run = new RelayRun()) {
             assertTrue(
-                    life.store.chains(HostKnowledgeJournal.SPACE).size() <= 70,
-                    "" + life.store.chains(HostKnowledgeJournal.SPACE).size());
+                    run.store.chains(HostKnowledgeJournal.SPACE).size() <= 70,
+                    "" + run.store.chains(HostKnowledgeJournal.SPACE).size());
         }
     }
 }
