--- a/src/main/java/brambletray/relay/core/DescriptorBudget.java
+++ b/src/main/java/brambletray/relay/core/DescriptorBudget.java
@@ -46,10 +46,12 @@
         }
     }
 
+    /** Number of descriptors that an owner may use. */
     public int share(Owner owner) {
         return shares[owner.ordinal()];
     }
 
+    /** Number of descriptors that an owner uses now. */
     public int inUse(Owner owner) {
         return inUse[owner.ordinal()];
     }
@@ -71,7 +73,7 @@
 
     @Override
     public String toString() {
-        return "descriptors: hosts " + inUse(Owner.HOSTS) + " of " + share(Owner.HOSTS) + ", limit for clients "
+        return "hosts use " + inUse(Owner.HOSTS) + " of " + share(Owner.HOSTS) + ", clients may use up to "
                 + share(Owner.CLIENTS);
     }
 }
--- a/src/main/java/brambletray/relay/core/EventDispatcher.java
+++ b/src/main/java/brambletray/relay/core/EventDispatcher.java
@@ -34,8 +34,8 @@
     /** us; retry-after time of a message that is rejected without a decision of the control module. */
     private static final long RETRY_AFTER_US = 1_000_000;
     /**
-     * ms; lifetime that a message deferred by the admission gate must have left at its next attempt, so that there is
-     * time to deliver it or to send the notice of its end.
+     * ms; lifetime that a message deferred by the admission gate must have left at its next admission check, so that
+     * there is time to deliver it or to send the notice of its end.
      */
     private static final long MIN_REMAINING_LIFETIME_MS = 300;
 
@@ -561,9 +561,8 @@
         } catch (IOException e) {
             // The attempt then counts as possibly executed, which is safe.
             LOG.error(
-                    "store write failed; message {}: proof that attempt {} did not run is not recorded",
+                    "store write failed; proof that an attempt of message {} did not run is not recorded",
                     pending.message.id(),
-                    attempt,
                     e);
         }
         commitSoon();
@@ -770,8 +769,9 @@
     }
 
     /** Continues from a handover, instead of {@link #start}; {@code fullList}: the complete current host list. */
-    public void resume(Platform platform, Relay.Listed fullList, HandoverState handoverState, RemoteCalls remoteCalls) {
-        this.platform = platform;
+    public void resume(
+            Platform newPlatform, Relay.Listed fullList, HandoverState handoverState, RemoteCalls remoteCalls) {
+        platform = newPlatform;
         hostKnowledge.onHandedOver();
         for (Journal.Entry entry : journal.owed()) {
             if (entry.end != null) {
@@ -825,7 +825,7 @@
         }
     }
 
-    /** Drops hosts that left the list and have no open connections, so that host churn does not leak memory. */
+    /** Drops gone hosts without open connections, unless they are excluded, so that host churn does not leak memory. */
     private void removeGoneHosts() {
         for (Host host : List.copyOf(hosts.hosts())) {
             if (host.gone && !host.excluded && transport.forget(host)) {
--- a/src/main/java/brambletray/relay/core/HandoverState.java
+++ b/src/main/java/brambletray/relay/core/HandoverState.java
@@ -6,7 +6,8 @@
 import java.util.Map;
 
 /**
- * State that one process passes to another that continues in its place. The journal is passed separately, by its folder.
+ * State that one process passes to another that continues in its place. The journal is not part of it: the new process
+ * opens the journal's folder.
  *
  * @param memory the control module's memory
  * @param controlTimeUs the control module's time at the handover, us
--- a/src/main/java/brambletray/relay/core/HostTransport.java
+++ b/src/main/java/brambletray/relay/core/HostTransport.java
@@ -16,9 +16,9 @@
     record Part(Message message, long timeoutUs, Consumer<CallReply> onReply) {}
 
     /**
-     * Starts one call with several messages, up to the batch size of the host's kind. Each message gets its own reply. A
-     * cancelled or timed-out message is no longer waited for; the call itself is abandoned with the last one. Protocols
-     * without batch calls use one call per message.
+     * Starts one call with several messages, up to the batch size of the host's kind. Each message gets its own reply.
+     * A cancelled or timed-out message is no longer waited for; the call itself is abandoned with the last one.
+     * Protocols without batch calls use one call per message.
      */
     default List<Call> callBatch(Host host, List<Part> parts) {
         return parts.stream()
