--- a/src/main/java/brambletray/relay/core/DispatchTrace.java
+++ b/src/main/java/brambletray/relay/core/DispatchTrace.java
@@ -43,9 +43,9 @@
                         accepted.id(),
                         accepted.destination(),
                         accepted.messageClass(),
-                        accepted.earlier().size(),
+                        accepted.priorAttempts().size(),
                         (accepted.deadline() - controlTimeUs) / 1_000);
-            } else if (event instanceof Relay.Ended ended) {
+            } else if (event instanceof Relay.AttemptEnded ended) {
                 LOG.debug(
                         "{} end {} host {} {} wait {} took {} left {} limit {} reused {}",
                         unixMs,
@@ -57,7 +57,7 @@
                         ended.remaining(),
                         ended.limit(),
                         ended.reused());
-            } else if (event instanceof Relay.Listed list) {
+            } else if (event instanceof Relay.EndpointsListed list) {
                 for (Relay.Endpoint endpoint : list.endpoints()) {
                     LOG.debug(
                             "{} list {} host {} dest {} kind {} zone {} {} weight {}",
@@ -79,7 +79,7 @@
                 LOG.debug("{} refuse {} after {}", unixMs, refuse.id(), refuse.retryAfter());
             } else if (action instanceof Relay.Fail fail) {
                 LOG.debug("{} fail {}", unixMs, fail.id());
-            } else if (action instanceof Relay.Close close) {
+            } else if (action instanceof Relay.CloseIdleConnections close) {
                 LOG.debug("{} close host {}", unixMs, close.endpoint());
             }
         }
--- a/src/main/java/brambletray/relay/core/EventDispatcher.java
+++ b/src/main/java/brambletray/relay/core/EventDispatcher.java
@@ -158,7 +158,7 @@
      * Passes the last known host list (null: none) and the messages in the journal to the control module, then starts
      * to watch the platform, which calls {@link #onListed} and {@link #onNoticeAcknowledged}.
      */
-    public void start(Platform platform, Relay.Listed lastKnownList) {
+    public void start(Platform platform, Relay.EndpointsListed lastKnownList) {
         this.platform = platform;
         if (DispatchTrace.ON) {
             DispatchTrace.settings(clock.unixMillis(), settings);
@@ -190,10 +190,10 @@
         pendingMessages.put(pending.message.id(), pending);
         openMessages++;
         metrics.taken(classIndexes.get(pending.message.messageClass()));
-        List<Relay.Earlier> earlier = new ArrayList<>();
+        List<Relay.PriorAttempt> earlier = new ArrayList<>();
         for (Journal.Attempt attempt : entry.attempts) {
             pending.calls.add(null);
-            earlier.add(new Relay.Earlier(toControlTime(attempt.sent), attempt.zone, attempt.mayHaveRun));
+            earlier.add(new Relay.PriorAttempt(toControlTime(attempt.sent), attempt.zone, attempt.mayHaveRun));
         }
         admissionGate.onRecovered(pending.message);
         if (!earlier.isEmpty()) {
@@ -202,7 +202,7 @@
         addEvent(acceptedEvent(pending.message, earlier));
     }
 
-    private Relay.Accepted acceptedEvent(Message message, List<Relay.Earlier> earlier) {
+    private Relay.Accepted acceptedEvent(Message message, List<Relay.PriorAttempt> earlier) {
         return new Relay.Accepted(
                 message.id(),
                 classIndexes.get(message.messageClass()),
@@ -280,7 +280,7 @@
         // The turn runs after the event loop has read all pending input, so one batch and one sync cover all of it.
         if (decision instanceof AdmissionGate.Deferred deferred) {
             waitingAtGate.add(message.id());
-            addEvent(new Relay.Due());
+            addEvent(new Relay.TimerFired());
             loop.schedule(() -> retryAdmission(pending), deferred.retryAfter(), TimeUnit.MICROSECONDS);
         } else {
             addEvent(acceptedEvent(message, List.of()));
@@ -366,7 +366,7 @@
         } catch (RuntimeException e) {
             LOG.error("turn failed for events {}", batch, e);
             // The failed turn may have lost the control module's timer; without an event nothing would run again.
-            loop.schedule(() -> addEvent(new Relay.Due()), FAULT_BACKOFF_US, TimeUnit.MICROSECONDS);
+            loop.schedule(() -> addEvent(new Relay.TimerFired()), FAULT_BACKOFF_US, TimeUnit.MICROSECONDS);
         } finally {
             // After a failed turn, clients still need a response; nothing was stored for these messages.
             for (String id : List.copyOf(unansweredSubmissions.keySet())) {
@@ -496,13 +496,13 @@
             if (call != null) {
                 call.cancel();
             }
-        } else if (action instanceof Relay.Close close) {
+        } else if (action instanceof Relay.CloseIdleConnections close) {
             Host host = hosts.host(close.endpoint());
             if (host != null) {
                 transport.closeIdle(host);
             }
-        } else if (action instanceof Relay.Wake wake) {
-            loop.schedule(() -> addEvent(new Relay.Due()), wake.after(), TimeUnit.MICROSECONDS);
+        } else if (action instanceof Relay.SetTimer wake) {
+            loop.schedule(() -> addEvent(new Relay.TimerFired()), wake.delay(), TimeUnit.MICROSECONDS);
         } else if (action instanceof Relay.Log log) {
             LOG.info("{}", log.text());
         }
@@ -541,7 +541,7 @@
                 recordAttemptNotRun(pending, attempt);
             }
         }
-        addEvent(new Relay.Ended(
+        addEvent(new Relay.AttemptEnded(
                 pending.message.id(),
                 attempt,
                 host.number,
@@ -647,7 +647,7 @@
                 .forEach(pending -> dispatcherIds.add(pending.message.id()));
         Set<String> journalIds = new TreeSet<>();
         journal.owed().stream().filter(entry -> entry.end == null).forEach(entry -> journalIds.add(entry.message.id()));
-        Set<String> controlIds = new TreeSet<>(control.memory().openMessages().keySet());
+        Set<String> controlIds = new TreeSet<>(control.memory().openMessageAttemptCounts().keySet());
         // A message that waits at the admission gate is stored, but not yet known to the control module.
         controlIds.addAll(waitingAtGate);
         if (dispatcherIds.equals(journalIds)
@@ -689,7 +689,7 @@
     /** Excludes a host from all new calls, or readmits it; a readmitted host is probed first. */
     public void setExcluded(Host host, boolean excluded) {
         host.excluded = excluded;
-        addEvent(new Relay.Excluded(host.number, excluded));
+        addEvent(new Relay.EndpointExclusion(host.number, excluded));
         if (excluded) {
             transport.recall(host);
             transport.closeIdle(host);
@@ -703,7 +703,7 @@
 
     /** Number of listed hosts that get no regular traffic at present. */
     public int avoidedHosts() {
-        return control.avoided();
+        return control.unavailableEndpointCount();
     }
 
     // ---- Handover -------------------------------------------------------------------------------
@@ -770,7 +770,7 @@
 
     /** Continues from a handover, instead of {@link #start}; {@code fullList}: the complete current host list. */
     public void resume(
-            Platform newPlatform, Relay.Listed fullList, HandoverState handoverState, RemoteCalls remoteCalls) {
+            Platform newPlatform, Relay.EndpointsListed fullList, HandoverState handoverState, RemoteCalls remoteCalls) {
         platform = newPlatform;
         hostKnowledge.onHandedOver();
         for (Journal.Entry entry : journal.owed()) {
@@ -805,7 +805,7 @@
 
     // ---- Host list ------------------------------------------------------------------------------
     /** A full or partial host list has arrived and has been applied to the {@link HostDirectory}. */
-    public void onListed(Relay.Listed list) {
+    public void onListed(Relay.EndpointsListed list) {
         addEvent(list);
         hostKnowledge.onListed(list).forEach(this::addEvent);
         commitSoon();
--- a/src/main/java/brambletray/relay/core/HandoverState.java
+++ b/src/main/java/brambletray/relay/core/HandoverState.java
@@ -37,7 +37,7 @@
      * has to {@link EventDispatcher#start} from the journal alone.
      */
     public boolean isConsistentWith(Journal journal, HostDirectory hosts) {
-        Map<String, Integer> open = memory.openMessages();
+        Map<String, Integer> open = memory.openMessageAttemptCounts();
         for (Journal.Entry entry : journal.owed()) {
             if (entry.end == null && !Integer.valueOf(entry.attempts.size()).equals(open.remove(entry.message.id()))) {
                 return false;
@@ -45,6 +45,6 @@
         }
         return open.isEmpty()
                 && hostNumbers.entrySet().stream().allMatch(e -> hosts.hostNamed(e.getKey()).number == e.getValue())
-                && hostNumbers.values().containsAll(memory.endpoints());
+                && hostNumbers.values().containsAll(memory.listedEndpointIds());
     }
 }
--- a/src/main/java/brambletray/relay/core/HostKnowledgeRecorder.java
+++ b/src/main/java/brambletray/relay/core/HostKnowledgeRecorder.java
@@ -64,7 +64,7 @@
     }
 
     /** Returns the last known list with hosts that were reported as leaving after it set to draining. */
-    Relay.Listed withLeavingHostsDraining(Relay.Listed lastKnownList) {
+    Relay.EndpointsListed withLeavingHostsDraining(Relay.EndpointsListed lastKnownList) {
         List<Relay.Endpoint> endpoints = new ArrayList<>();
         for (Relay.Endpoint endpoint : lastKnownList.endpoints()) {
             Host host = hosts.host(endpoint.id());
@@ -85,11 +85,11 @@
                                     endpoint.weight())
                             : endpoint);
         }
-        return new Relay.Listed(lastKnownList.kind(), endpoints);
+        return new Relay.EndpointsListed(lastKnownList.kind(), endpoints);
     }
 
     /** Handles a list from the platform; returns further events for the control module. */
-    List<Relay.Event> onListed(Relay.Listed list) {
+    List<Relay.Event> onListed(Relay.EndpointsListed list) {
         for (Host host : hosts.hosts()) {
             if (host.ready) {
                 leftInVersion.remove(host.name);
@@ -104,7 +104,7 @@
     }
 
     /** Hosts that the platform's first list does not mention get back the state of the last known list. */
-    private List<Relay.Event> relistUnmentionedHosts(Relay.Listed list) {
+    private List<Relay.Event> relistUnmentionedHosts(Relay.EndpointsListed list) {
         list.endpoints()
                 .forEach(endpoint -> leftSinceLastKnownList.remove(
                         hosts.host(endpoint.id()) == null ? "" : hosts.host(endpoint.id()).name));
@@ -118,7 +118,7 @@
             }
         }
         leftSinceLastKnownList.clear();
-        return relisted.isEmpty() ? List.of() : List.of(new Relay.Listed(Relay.ListKind.CHANGES, relisted));
+        return relisted.isEmpty() ? List.of() : List.of(new Relay.EndpointsListed(Relay.ListKind.CHANGES, relisted));
     }
 
     /** Returns the recorded knowledge that is still valid, for hosts that are listed for the first time in this run. */
@@ -128,9 +128,9 @@
             if (!host.gone && notYetRestored.remove(host.name)) {
                 HostKnowledge known = stateCache.stillValid(host.name, clock.moment(), slowStartUs);
                 if (!known.equals(HostKnowledge.NONE)) {
-                    events.add(new Relay.Remembered(
+                    events.add(new Relay.EndpointRestored(
                             host.number,
-                            new Relay.Known(
+                            new Relay.EndpointKnowledge(
                                     known.retryAfterUs(),
                                     known.isUnhealthy(),
                                     known.slowStartAgeUs(),
@@ -145,7 +145,7 @@
     /** Stages the retry-after times of a turn's events, so that they are committed before the turn's sends. */
     void stageRetryAfterTimes(List<Relay.Event> events) {
         for (Relay.Event event : events) {
-            if (event instanceof Relay.Ended ended && ended.retryAfter() > 0 && hosts.host(ended.endpoint()) != null) {
+            if (event instanceof Relay.AttemptEnded ended && ended.retryAfter() > 0 && hosts.host(ended.endpoint()) != null) {
                 record(hosts.host(ended.endpoint()));
             }
         }
@@ -162,7 +162,7 @@
         if (notYetRestored.contains(host.name)) {
             return;
         }
-        Relay.Known known = control.known(host.number);
+        Relay.EndpointKnowledge known = control.endpointKnowledge(host.number);
         HostKnowledge knowledge = known == null
                 ? HostKnowledge.NONE
                 : new HostKnowledge(
--- a/src/test/java/brambletray/relay/core/HostKnowledgeRecorderTest.java
+++ b/src/test/java/brambletray/relay/core/HostKnowledgeRecorderTest.java
@@ -75,7 +75,7 @@
                     Clock.of(time, 0), control, hosts, new HostKnowledgeJournal(store), 12 * SECOND);
         }
 
-        Relay.Listed update(long seq, boolean full, String... hostsAndHealth) throws Wire.Malformed {
+        Relay.EndpointsListed update(long seq, boolean full, String... hostsAndHealth) throws Wire.Malformed {
             List<String> entries = new ArrayList<>();
             for (String hostAndHealth : hostsAndHealth) {
                 entries.add("{\"host\":\"" + hostAndHealth.split(" ")[0]
@@ -93,13 +93,13 @@
             return actions;
         }
 
-        void start(Relay.Listed lastKnownList) {
+        void start(Relay.EndpointsListed lastKnownList) {
             List<Relay.Event> events = new ArrayList<>(List.of(recorder.withLeavingHostsDraining(lastKnownList)));
             events.addAll(recorder.restoredEvents());
             turn(events);
         }
 
-        void onListed(Relay.Listed list) {
+        void onListed(Relay.EndpointsListed list) {
             List<Relay.Event> events = new ArrayList<>(List.of(list));
             events.addAll(recorder.onListed(list));
             turn(events);
@@ -114,13 +114,13 @@
             List<Relay.Send> sends = new ArrayList<>();
             for (long until = time.micros + spanUs; time.micros < until; ) {
                 time.micros += 10 * MS;
-                sends.addAll(sends(turn(List.of(new Relay.Due()))));
+                sends.addAll(sends(turn(List.of(new Relay.TimerFired()))));
             }
             return sends;
         }
 
         void ended(Relay.Send send, Relay.Outcome outcome, long retryAfter, double limit) {
-            turn(List.of(new Relay.Ended(
+            turn(List.of(new Relay.AttemptEnded(
                     send.id(),
                     attempts.get(send.id()) - 1,
                     send.endpoint(),
@@ -189,9 +189,9 @@
             run.recorder.recordChanges();
             run.onListed(run.update(2, false, "a ready"));
             assertTrue(
-                    run.control.known(run.number("b")).isUnhealthy(),
+                    run.control.endpointKnowledge(run.number("b")).isUnhealthy(),
                     "its sibling is in a retry-after time, and it has not replied");
-            assertTrue(run.control.known(run.number("b")).retryAfter() > 40 * SECOND);
+            assertTrue(run.control.endpointKnowledge(run.number("b")).retryAfter() > 40 * SECOND);
         }
     }
 
@@ -201,12 +201,12 @@
         try (RelayRun run = new RelayRun()) {
             run.start(run.update(1, true, "a ready"));
             run.advance(SECOND);
-            for (int i = 0; i < 20 && !run.control.known(run.number("a")).isUnhealthy(); i++) {
+            for (int i = 0; i < 20 && !run.control.endpointKnowledge(run.number("a")).isUnhealthy(); i++) {
                 List<Relay.Send> sends = new ArrayList<>(run.acceptMessage());
                 sends.addAll(run.advance(SECOND));
                 sends.forEach(s -> run.ended(s, Relay.Outcome.CONNECT_FAILED, 0, 0));
             }
-            assertTrue(run.control.known(run.number("a")).isUnhealthy());
+            assertTrue(run.control.endpointKnowledge(run.number("a")).isUnhealthy());
             assertTrue(run.recorder.recordChanges());
         }
         try (RelayRun run = new RelayRun()) {
@@ -218,14 +218,14 @@
             probes.addAll(run.advance(2 * SECOND));
             assertEquals(1, probes.size(), "exactly one probe");
             run.ended(probes.get(0), Relay.Outcome.OK, 0, 0);
-            assertTrue(run.control.known(run.number("a")).slowStartAge() >= 0);
+            assertTrue(run.control.endpointKnowledge(run.number("a")).slowStartAge() >= 0);
             run.advance(SECOND);
             assertTrue(run.recorder.recordChanges());
         }
         time.micros += 2 * SECOND;
         try (RelayRun run = new RelayRun()) {
             run.start(run.update(1, true, "a ready"));
-            long slowStartAge = run.control.known(run.number("a")).slowStartAge();
+            long slowStartAge = run.control.endpointKnowledge(run.number("a")).slowStartAge();
             assertTrue(
                     slowStartAge >= 3 * SECOND && slowStartAge < 4 * SECOND, "slow start continues: " + slowStartAge);
             for (int i = 0; i < 20; i++) {
@@ -241,14 +241,14 @@
         try (RelayRun run = new RelayRun()) {
             run.start(run.update(1, true, "a ready"));
             run.ended(run.acceptMessage().get(0), Relay.Outcome.OK, 0, 10);
-            pace = run.control.known(run.number("a")).pace();
+            pace = run.control.endpointKnowledge(run.number("a")).pace();
             assertTrue(run.recorder.recordChanges());
         }
         time.micros += 2 * SECOND;
         try (RelayRun run = new RelayRun()) {
             run.start(run.update(1, true, "a ready"));
-            assertEquals(10, run.control.known(run.number("a")).limit());
-            assertEquals(pace, run.control.known(run.number("a")).pace());
+            assertEquals(10, run.control.endpointKnowledge(run.number("a")).limit());
+            assertEquals(pace, run.control.endpointKnowledge(run.number("a")).pace());
         }
     }
 
