--- a/src/main/java/brambletray/relay/control/AnswerTimes.java
+++ b/src/main/java/brambletray/relay/control/AnswerTimes.java
@@ -9,13 +9,13 @@
 import brambletray.relay.control.State.EndpointState;
 import brambletray.relay.control.State.Message;
 
-/** What answers tell of times, and the time-outs that follow from it. */
+/** Response time statistics, and the call time-outs derived from them. */
 record AnswerTimes(Settings settings, Memory memory) {
-    /** A destination is slow when its latest answers take this multiple of the usual. */
+    /** A destination is slow when its recent response time exceeds this multiple of the usual one. */
     private static final double SLOW_FACTOR = 2.5;
-    /** Weight of a new answer in the latest answer time. */
+    /** Weight of a new answer in the recent response time. */
     private static final double RECENT_WEIGHT = 0.3;
-    /** Weight of a new answer in the usual answer time. */
+    /** Weight of a new answer in the usual response time. */
     private static final double USUAL_WEIGHT = 0.03;
     /** Time-out of a call as a multiple of the hedge delay. */
     private static final double TIMEOUT_FACTOR = 4.5;
@@ -23,21 +23,21 @@
     private static final long MIN_TIMEOUT_US = 3 * SECOND / 2;
     /** us; longest time-out. */
     private static final long MAX_TIMEOUT_US = 6 * SECOND;
-    /** us; time-out until answers are known. */
+    /** us; time-out until enough answers are known. */
     private static final long INITIAL_TIMEOUT_US = 3 * SECOND;
-    /** us; shortest time-out while calls are lost and slots are scarce. */
+    /** us; shortest time-out while calls get lost and slots are scarce. */
     private static final double MIN_SCARCE_TIMEOUT_US = SECOND / 2;
-    /** Time-out as a multiple of the hedge delay while calls are lost and slots are scarce. */
+    /** Time-out as a multiple of the hedge delay while calls get lost and slots are scarce. */
     private static final double SCARCE_TIMEOUT_FACTOR = 2;
     /** Share of the slots in use from which on slots are scarce. */
     private static final double SCARCE_SLOTS_SHARE = 0.9;
-    /** Share of timed-out messages answered in the usual time at their next call above which calls count as lost. */
+    /** Calls count as lost if at least this share of timed-out messages is answered in the usual time when retried. */
     private static final double LOST_CALLS_SHARE = 0.5;
     /** Weight of a new message in that share. */
     private static final double LOST_CALLS_WEIGHT = 0.3;
-    /** Longer time-outs at each of a message that timed out before: it may just take that long. */
+    /** Factor of the time-out for each earlier time-out of a message, whose processing may just take that long. */
     private static final double REPEAT_TIMEOUT_FACTOR = 2;
-    /** Longer time-outs where one loses the message. */
+    /** Factor of the time-out for messages that a time-out would lose. */
     private static final double UNSAFE_TIMEOUT_FACTOR = 3;
 
     static boolean isSlow(Destination destination) {
@@ -67,15 +67,15 @@
 
     /** The time-out of a message's next call. */
     long timeoutFor(Message message, long now) {
-        HedgeDelay copies = message.destination.hedgeDelay;
-        // Guards the slots against calls that are never answered: while they are scarce, none waits for long.
-        // It hurts where destinations turn slow after that; a message that timed out gets longer there.
-        boolean brief = memory.lostShare >= LOST_CALLS_SHARE
+        HedgeDelay hedgeDelay = message.destination.hedgeDelay;
+        // Short time-outs keep lost calls from occupying scarce slots. Drawback: a destination that turns slow
+        // meanwhile times out too; its messages get a longer time-out on retry.
+        boolean scarce = memory.lostShare >= LOST_CALLS_SHARE
                 && memory.slotsUsed >= SCARCE_SLOTS_SHARE * settings.allowed().slots();
-        double base = brief
-                ? Math.max(MIN_SCARCE_TIMEOUT_US, SCARCE_TIMEOUT_FACTOR * copies.delayUs())
-                : Math.max(MIN_TIMEOUT_US, TIMEOUT_FACTOR * copies.delayUs());
-        base = copies.isKnown() ? Math.min(MAX_TIMEOUT_US, base) : INITIAL_TIMEOUT_US;
+        double base = scarce
+                ? Math.max(MIN_SCARCE_TIMEOUT_US, SCARCE_TIMEOUT_FACTOR * hedgeDelay.delayUs())
+                : Math.max(MIN_TIMEOUT_US, TIMEOUT_FACTOR * hedgeDelay.delayUs());
+        base = hedgeDelay.isKnown() ? Math.min(MAX_TIMEOUT_US, base) : INITIAL_TIMEOUT_US;
         base *= message.messageClass.effect() == Effect.UNSAFE
                 ? UNSAFE_TIMEOUT_FACTOR
                 : Math.pow(REPEAT_TIMEOUT_FACTOR, message.timeouts);
--- a/src/main/java/brambletray/relay/control/ConcurrencyWindow.java
+++ b/src/main/java/brambletray/relay/control/ConcurrencyWindow.java
@@ -3,20 +3,20 @@
 import brambletray.relay.control.Relay.Settings;
 import brambletray.relay.control.State.Destination;
 
-/** The window of calls in flight to one destination, hedges included. */
+/** Limit of the calls in flight to one destination, hedges included: additive increase, multiplicative decrease. */
 record ConcurrencyWindow(Settings settings) {
-    /** Share of the slots that one destination's window may reach. */
+    /** Share of the slots that one destination may use. */
     private static final double MAX_SLOT_SHARE = 0.75;
     /** The same while the destination fails or is slow. */
     private static final double MAX_SLOT_SHARE_UNHEALTHY = 0.3;
 
-    /** Calls that a destination may have out: its window, under a cap lower while failing or slow. */
+    /** Calls that a destination may have in flight: its window, capped by a share of the slots. */
     int capacity(Destination destination) {
-        boolean poor = AnswerTimes.isSlow(destination)
+        boolean degraded = AnswerTimes.isSlow(destination)
                 || 2 * destination.overdueAttempts > destination.callsInFlight
                 || !destination.hasHealthyEndpoint();
-        // Guards the slots against hosts that take calls and do not answer, before a time-out tells.
-        double cap = (poor ? MAX_SLOT_SHARE_UNHEALTHY : MAX_SLOT_SHARE)
+        // The lower cap leaves slots to others before calls to an unresponsive host have timed out.
+        double cap = (degraded ? MAX_SLOT_SHARE_UNHEALTHY : MAX_SLOT_SHARE)
                 * settings.allowed().slots();
         return (int) Math.max(1, Math.min(destination.window, cap));
     }
--- a/src/main/java/brambletray/relay/control/Connections.java
+++ b/src/main/java/brambletray/relay/control/Connections.java
@@ -3,8 +3,8 @@
 import static brambletray.relay.control.Turn.MS;
 import static brambletray.relay.control.Turn.SECOND;
 
-import brambletray.relay.control.Relay.Close;
-import brambletray.relay.control.Relay.Ended;
+import brambletray.relay.control.Relay.AttemptEnded;
+import brambletray.relay.control.Relay.CloseIdleConnections;
 import brambletray.relay.control.Relay.Settings;
 import brambletray.relay.control.State.Attempt;
 import brambletray.relay.control.State.EndpointState;
@@ -12,36 +12,36 @@
 import java.util.Arrays;
 import java.util.SplittableRandom;
 
-/** Idle connections: how long they are held and trusted, and how many of them hosts accept. */
+/** Idle connections: how long they are kept, how long they are assumed alive, and how many hosts accept. */
 record Connections(Settings settings, Memory memory, SplittableRandom random, Turn turn) {
-    /** A connection stays open where this many uses are expected while connections of its kind are held. */
+    /** An idle connection is kept where at least this many uses are expected within the hold time of its kind. */
     private static final double MIN_EXPECTED_USES = 0.5;
-    /** Factor of the span for which connections are held, at a failed connect. */
+    /** Factor of the hold time at a failed connect. */
     private static final double HOLD_TIME_CUT = 0.5;
-    /** Factor of that span, at an answer. */
+    /** Factor of the hold time at an answer. */
     private static final double HOLD_TIME_GROWTH = 1.02;
-    /** Relays up to which they are held as long as hosts keep them; with more, for less at first. */
+    /** Fleet size up to which connections are held for the full keep-alive time; in larger ones for less at first. */
     private static final double FULL_HOLD_RELAYS = 14;
-    /** us; first back-off where a host accepts no further connection. */
+    /** us; first back-off after a host accepted no further connection. */
     private static final double INITIAL_CAPACITY_BACKOFF_US = 200 * MS;
-    /** us; longest such back-off. */
+    /** us; longest such back-off up to {@link #FULL_HOLD_RELAYS}; scaled with larger fleets. */
     private static final double MAX_CAPACITY_BACKOFF_US = 2 * SECOND;
-    /** Factor from one such back-off to the next. */
+    /** Growth factor from one such back-off to the next. */
     private static final double CAPACITY_BACKOFF_MULTIPLIER = 2;
-    /** us; shortest idle time after which a connection may count as dropped. */
+    /** us; shortest idle time after which a connection may be assumed dropped. */
     private static final double MIN_TRUST_TIME_US = 250 * MS;
-    /** A connection is trusted for this multiple of the idle time that one has survived. */
+    /** Connections are trusted for this multiple of the longest idle time that one has survived. */
     private static final double PROVEN_TRUST_FACTOR = 1.25;
 
-    /** Nothing is known yet. */
-    void start() {
-        // Guards hosts that hold few connections: a relay that has one is never rejected, and never learns of it.
+    /** Initial values, before anything is known. */
+    void init() {
+        // Hosts may accept few connections; a relay that holds one is never rejected and would never learn of it.
         Arrays.fill(
                 memory.holdTimes, settings.allowed().keepAlive() * Math.min(1, FULL_HOLD_RELAYS / settings.relays()));
         Arrays.fill(memory.trustTimes, settings.allowed().keepAlive());
     }
 
-    /** Takes an idle connection for a call; how long it was idle, or -1 for a new one. */
+    /** Takes an idle connection for a call; returns its idle time, or -1 for a new connection. */
     long takeIdle(EndpointState endpoint) {
         if (!endpoint.idleConnections.isEmpty()
                 && endpoint.idleConnections.peekLast() < turn.now - memory.trustTimes[endpoint.kind]) {
@@ -50,28 +50,28 @@
         return endpoint.idleConnections.isEmpty() ? -1 : turn.now - endpoint.idleConnections.pollLast();
     }
 
-    /** Guards tables of few connections, idle ones counted, against a fleet that each keeps its own. */
+    /** Closes rarely used idle connections: hosts with few connections count idle ones of the whole fleet too. */
     void releaseIfUnused(EndpointState endpoint) {
-        double held = Math.min(memory.holdTimes[endpoint.kind], memory.trustTimes[endpoint.kind]);
-        double uses =
-                endpoint.destination.usualRate / Math.max(1, endpoint.destination.endpoints.size()) * held / SECOND;
-        if (uses < MIN_EXPECTED_USES && endpoint.inflight == 0 && !endpoint.idleConnections.isEmpty()) {
+        double holdTime = Math.min(memory.holdTimes[endpoint.kind], memory.trustTimes[endpoint.kind]);
+        double expectedUses =
+                endpoint.destination.usualRate / Math.max(1, endpoint.destination.endpoints.size()) * holdTime / SECOND;
+        if (expectedUses < MIN_EXPECTED_USES && endpoint.inflight == 0 && !endpoint.idleConnections.isEmpty()) {
             closeIdle(endpoint);
         }
     }
 
     private void closeIdle(EndpointState endpoint) {
         endpoint.idleConnections.clear();
-        turn.addAction(new Close(endpoint.id));
+        turn.addAction(new CloseIdleConnections(endpoint.id));
     }
 
     void onAnswered(Attempt attempt) {
         EndpointState endpoint = attempt.endpoint;
-        double longest = settings.allowed().keepAlive();
-        memory.holdTimes[endpoint.kind] = Math.min(longest, memory.holdTimes[endpoint.kind] * HOLD_TIME_GROWTH);
+        double keepAlive = settings.allowed().keepAlive();
+        memory.holdTimes[endpoint.kind] = Math.min(keepAlive, memory.holdTimes[endpoint.kind] * HOLD_TIME_GROWTH);
         double trust =
                 Math.max(memory.trustTimes[endpoint.kind] * HOLD_TIME_GROWTH, attempt.idleTime * PROVEN_TRUST_FACTOR);
-        memory.trustTimes[endpoint.kind] = Math.min(longest, trust);
+        memory.trustTimes[endpoint.kind] = Math.min(keepAlive, trust);
         endpoint.holdTimeBeforeCuts = 0;
         endpoint.consecutiveCapacityRefusals = 0;
         if (endpoint.inflight + 1 >= endpoint.connectionCapacity
@@ -82,9 +82,9 @@
     }
 
     /**
-     * A connect that failed may tell of a full table: connections of its kind are held for less. A host that
-     * is down refuses every connect: an outage takes its cuts back. Guards all hosts of the kind against a
-     * connection for each call for minutes after it.
+     * A failed connect may mean that the host's connection table is full, so connections of its kind are held for
+     * less. A host that is down fails every connect; {@link #restoreHoldTime} then undoes the cuts, or all hosts of
+     * the kind would get a new connection for each call for minutes.
      */
     void shortenHoldTime(EndpointState endpoint) {
         if (!(endpoint.health == Health.UNHEALTHY && endpoint.outageConfirmed)) {
@@ -98,10 +98,10 @@
     }
 
     /**
-     * True where the host rejected a new connection, not its call: it holds all those that it takes. What
-     * reads a call and has a limit tells of it in every answer.
+     * True where the host rejected a new connection, not the call on it: its connection table is full. A host that
+     * reads the call reports its limit in every answer, if hosts of its kind do.
      */
-    boolean isOutOfCapacity(Attempt attempt, Ended ended) {
+    boolean isOutOfCapacity(Attempt attempt, AttemptEnded ended) {
         return attempt.idleTime < 0
                 && !ended.reused()
                 && ended.retryAfter() == 0
@@ -111,36 +111,37 @@
     }
 
     /**
-     * Guards all relays together against holding all connections of their hosts idle, and against
-     * taking a lack of connections for the limit or for an outage: the limit is not used up, and one is free
-     * again once a call there has ended. Where this relay has calls in flight there, that many is its capacity.
-     * It hurts where a host is closed and refuses without a retry-after time.
+     * A lack of connections is neither an exhausted limit nor an outage: the token is returned, and a connection is
+     * free once a call there ends. Idle connections of the kind are closed, lest the fleet hold all of a host's
+     * connections idle. Calls in flight there become the connection capacity. Drawback: a closed host that refuses
+     * without a retry-after time is mistaken for a full one.
      */
     void onOutOfCapacity(Attempt attempt) {
         EndpointState endpoint = attempt.endpoint;
         endpoint.idleConnections.pollLast();
         endpoint.limitScope.bucket.tokens++;
         endpoint.connectionCapacity = Math.max(1, endpoint.inflight);
-        boolean alone = endpoint.inflight == 0 && attempt.sentAt >= endpoint.capacityChangedAt;
+        boolean noOtherCall = endpoint.inflight == 0 && attempt.sentAt >= endpoint.capacityChangedAt;
         endpoint.capacityChangedAt = turn.now;
-        if (!alone) {
+        if (!noOtherCall) {
             return;
         }
         memory.holdTimes[endpoint.kind] *= HOLD_TIME_CUT;
         memory.endpoints.values().stream()
                 .filter(other -> other.kind == endpoint.kind)
                 .forEach(this::releaseIfUnused);
-        double most = Math.min(
+        double maxBackoff = Math.min(
                 Backoff.MAX_BACKOFF_US, MAX_CAPACITY_BACKOFF_US * Math.max(1, settings.relays() / FULL_HOLD_RELAYS));
-        double span = Math.min(
-                most,
+        double delay = Math.min(
+                maxBackoff,
                 INITIAL_CAPACITY_BACKOFF_US
                         * Math.pow(CAPACITY_BACKOFF_MULTIPLIER, endpoint.consecutiveCapacityRefusals++));
-        endpoint.backoffUntil = Math.max(endpoint.backoffUntil, turn.now + (long) (span * (0.5 + random.nextDouble())));
+        endpoint.backoffUntil =
+                Math.max(endpoint.backoffUntil, turn.now + (long) (delay * (0.5 + random.nextDouble())));
     }
 
-    /** Guards against idle connections dropped unseen; failures in a row or on new ones tell otherwise. */
-    void distrustIdle(Attempt attempt) {
+    /** Shortens trust where the connection may have been dropped while idle; a failure on a new one extends it. */
+    void adjustTrustTime(Attempt attempt) {
         int kind = attempt.endpoint.kind;
         double trust = memory.trustTimes[kind];
         if (attempt.idleTime < 0) {
--- a/src/main/java/brambletray/relay/control/Control.java
+++ b/src/main/java/brambletray/relay/control/Control.java
@@ -2,15 +2,15 @@
 
 import brambletray.relay.control.Relay.Accepted;
 import brambletray.relay.control.Relay.Action;
-import brambletray.relay.control.Relay.Due;
-import brambletray.relay.control.Relay.Ended;
+import brambletray.relay.control.Relay.AttemptEnded;
+import brambletray.relay.control.Relay.EndpointExclusion;
+import brambletray.relay.control.Relay.EndpointKnowledge;
+import brambletray.relay.control.Relay.EndpointRestored;
+import brambletray.relay.control.Relay.EndpointsListed;
 import brambletray.relay.control.Relay.Event;
-import brambletray.relay.control.Relay.Excluded;
-import brambletray.relay.control.Relay.Known;
-import brambletray.relay.control.Relay.Listed;
 import brambletray.relay.control.Relay.Recalled;
-import brambletray.relay.control.Relay.Remembered;
 import brambletray.relay.control.Relay.Settings;
+import brambletray.relay.control.Relay.TimerFired;
 import brambletray.relay.control.Relay.Withdrawn;
 import brambletray.relay.control.State.Attempt;
 import brambletray.relay.control.State.Destination;
@@ -23,12 +23,12 @@
 import java.util.SplittableRandom;
 
 /**
- * The module: all decisions of one relay. The interface (settings, events, actions) is in Relay.java.
+ * All scheduling decisions of one relay. The interface (settings, events, actions) is in {@link Relay}.
  *
- * <p>Feed {@link #turn} with the time and events; carry out what it returns, in order. One thread.
+ * <p>Pass the time and events to {@link #turn} and carry out the returned actions in order. Not thread-safe.
  *
- * <p>One file a concern, each with its tuned values; here they are put together. The ordinary path is
- * speculative execution: docs/design.md tells what is kept, added and excepted, and which file does what.
+ * <p>Each concern has its own class with its tuned constants; this class wires them together. The design (speculative
+ * execution, with its additions and exceptions) and the responsibilities of the classes are in docs/design.md.
  */
 public final class Control {
     private final Memory memory;
@@ -39,23 +39,23 @@
     private final Dispatch dispatch;
     private final Messages messages;
 
-    /** A relay that knows nothing yet but its settings. */
+    /** Starts with an empty state. */
     public Control(long seed, Settings settings) {
         this(
                 seed,
                 settings,
                 new Memory(settings.tenants().size(), settings.kinds().size()));
-        connections.start();
+        connections.init();
     }
 
     /**
-     * One that goes on where another ended, under the same settings and on the same clock; what was out then
-     * is out still. The connections are not handed on.
+     * Continues from the state of another instance, under the same settings and on the same clock; its attempts in
+     * flight remain so. Idle connections are not handed over.
      */
-    public Control(long seed, Settings settings, Memory left) {
+    public Control(long seed, Settings settings, Memory inherited) {
         Objects.requireNonNull(settings, "settings");
         SplittableRandom random = new SplittableRandom(seed);
-        memory = left;
+        memory = inherited;
         turn = new Turn(memory);
         AnswerTimes times = new AnswerTimes(settings, memory);
         ConcurrencyWindow window = new ConcurrencyWindow(settings);
@@ -78,64 +78,64 @@
         memory.endpoints.values().forEach(endpoint -> endpoint.idleConnections.clear());
     }
 
-    /** What it remembers, between turns; it must get no more events from then on. */
+    /** Returns the state, for handover between turns; this instance must get no events afterwards. */
     public Memory memory() {
         return memory;
     }
 
-    /** One turn: the time, which never goes back, and the events since the last. Returns what to do. */
+    /** Processes the events since the last turn; {@code time} must not go back. Returns the actions to carry out. */
     public List<Action> turn(long time, List<Event> events) {
         Objects.requireNonNull(events, "events");
         turn.begin(time);
         for (Event event : events) {
             dispatchEvent(Objects.requireNonNull(event, "event"));
         }
-        for (Timer due = turn.nextDue(); due != null; due = turn.nextDue()) {
-            runTimer(due);
+        for (Timer timer = turn.pollDueTimer(); timer != null; timer = turn.pollDueTimer()) {
+            runTimer(timer);
         }
         dispatch.run();
-        turn.freed.forEach(connections::releaseIfUnused);
-        turn.freed.clear();
+        turn.freedEndpoints.forEach(connections::releaseIfUnused);
+        turn.freedEndpoints.clear();
         return turn.end();
     }
 
     private void dispatchEvent(Event event) {
         if (event instanceof Accepted accepted) {
             messages.accept(accepted);
-        } else if (event instanceof Ended ended) {
+        } else if (event instanceof AttemptEnded ended) {
             messages.onAttemptEnded(ended);
-        } else if (event instanceof Listed listed) {
+        } else if (event instanceof EndpointsListed listed) {
             endpoints.onListed(listed);
         } else if (event instanceof Withdrawn withdrawn && memory.messages.containsKey(withdrawn.id())) {
             messages.close(memory.messages.get(withdrawn.id()));
         } else if (event instanceof Recalled recalled && memory.messages.containsKey(recalled.id())) {
             messages.onRecalled(memory.messages.get(recalled.id()));
-        } else if (event instanceof Excluded exclusion) {
+        } else if (event instanceof EndpointExclusion exclusion) {
             endpoints.onExcluded(exclusion);
-        } else if (event instanceof Remembered remembered && memory.endpoints.containsKey(remembered.endpoint())) {
-            endpoints.restore(memory.endpoints.get(remembered.endpoint()), remembered.known());
-        } else if (event instanceof Due) {
+        } else if (event instanceof EndpointRestored restored && memory.endpoints.containsKey(restored.endpoint())) {
+            endpoints.restore(memory.endpoints.get(restored.endpoint()), restored.known());
+        } else if (event instanceof TimerFired) {
             turn.onTimer();
         }
     }
 
-    private void runTimer(Timer entry) {
-        switch (entry.kind()) {
-            case DEADLINE -> messages.giveUp((Message) entry.subject());
-            case HEDGE -> hedging.maybeHedge((Attempt) entry.subject());
-            case DISPATCH -> memory.dispatchable.add((Destination) entry.subject());
-            case FORGET_ENDPOINT -> endpoints.forget((EndpointState) entry.subject());
-            case RELEASE_KEY -> messages.advance((OrderingKey) entry.subject());
+    private void runTimer(Timer timer) {
+        switch (timer.kind()) {
+            case DEADLINE -> messages.giveUp((Message) timer.subject());
+            case HEDGE -> hedging.maybeHedge((Attempt) timer.subject());
+            case DISPATCH -> memory.dispatchable.add((Destination) timer.subject());
+            case FORGET_ENDPOINT -> endpoints.forget((EndpointState) timer.subject());
+            case RELEASE_KEY -> messages.advance((OrderingKey) timer.subject());
         }
     }
 
-    /** What another module would have to learn again of an endpoint; null where it is not held. */
-    public Known known(long endpoint) {
-        return memory.known(endpoint);
+    /** Learned state of an endpoint, worth keeping over a restart; null for an unknown endpoint. */
+    public EndpointKnowledge endpointKnowledge(long endpoint) {
+        return memory.endpointKnowledge(endpoint);
     }
 
-    /** Listed endpoints that get no ordinary traffic now: taken out by an operator, or unhealthy. */
-    public int avoided() {
-        return memory.avoided();
+    /** Listed endpoints that get no regular traffic now: unhealthy or excluded by an operator. */
+    public int unavailableEndpointCount() {
+        return memory.unavailableEndpointCount();
     }
 }
--- a/src/main/java/brambletray/relay/control/Dispatch.java
+++ b/src/main/java/brambletray/relay/control/Dispatch.java
@@ -14,90 +14,90 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Dispatch: which waiting message goes next, and by which endpoint. */
+/** Selects the next waiting message and its endpoint. */
 record Dispatch(Settings settings, Memory memory, Turn turn, SendGate gate, Hedging hedging) {
-    /** Priority: weight of the value lost by another second of waiting against the value itself. */
+    /** Weight in the priority of the value lost by another second of waiting, relative to the value itself. */
     private static final double URGENCY_WEIGHT = 2;
-    /** us; a waiting message is considered again at least this often while its limit scope is exhausted. */
+    /** us; longest interval between two looks at a message that cannot be sent. */
     private static final long RECHECK_INTERVAL_US = 500 * MS;
 
-    private record Pick(Message message, EndpointState endpoint, double priority) {}
+    private record Candidate(Message message, EndpointState endpoint, double priority) {}
 
     private double priority(Message message) {
-        long when = turn.now + (long) message.destination.recentLatency;
-        double soon = message.valueAt(when);
-        return soon + URGENCY_WEIGHT * (soon - message.valueAt(when + SECOND));
+        long deliveryTime = turn.now + (long) message.destination.recentLatency;
+        double value = message.valueAt(deliveryTime);
+        return value + URGENCY_WEIGHT * (value - message.valueAt(deliveryTime + SECOND));
     }
 
-    /** Sends what may go, best first. What cannot go is considered again in time, or when a call ends. */
+    /** Sends what may be sent, highest priority first; the rest is reconsidered by timer, or when a call ends. */
     void run() {
         int slots = settings.allowed().slots();
-        List<Pick> picks = new ArrayList<>();
+        List<Candidate> candidates = new ArrayList<>();
         for (var it = memory.dispatchable.iterator(); it.hasNext() && memory.slotsUsed < slots; ) {
-            Pick pick = pick(it.next());
-            if (pick != null) {
-                picks.add(pick);
+            Candidate candidate = pick(it.next());
+            if (candidate != null) {
+                candidates.add(candidate);
             } else {
                 it.remove();
             }
         }
-        while (!picks.isEmpty()) {
-            Pick best = Collections.max(picks, Comparator.comparingDouble(Pick::priority));
-            picks.remove(best);
-            if (gate.opensAt(best.message, best.endpoint, false) <= turn.now) {
+        while (!candidates.isEmpty()) {
+            Candidate best = Collections.max(candidates, Comparator.comparingDouble(Candidate::priority));
+            candidates.remove(best);
+            if (gate.earliestSendAt(best.message, best.endpoint, false) <= turn.now) {
                 gate.send(best.message, best.endpoint);
                 hedging.onSent(best.message.destination);
             }
-            Pick next =
+            Candidate next =
                     memory.slotsUsed < slots || gate.joinsBatch(best.endpoint) ? pick(best.message.destination) : null;
             if (next != null) {
-                picks.add(next);
+                candidates.add(next);
             }
         }
     }
 
-    /** The best message of a destination that can go now, with its endpoint; else a timer is scheduled for it. */
-    private Pick pick(Destination destination) {
-        Pick best = null;
-        long look = turn.now + RECHECK_INTERVAL_US;
-        for (WaitingQueue band : destination.queues) {
-            Message message = destination.queuedMessages > 0 ? nextOf(band) : null;
+    /** The highest-priority message that can be sent now, with its endpoint; if there is none, schedules a timer. */
+    private Candidate pick(Destination destination) {
+        Candidate best = null;
+        long recheckAt = turn.now + RECHECK_INTERVAL_US;
+        for (WaitingQueue queue : destination.queues) {
+            Message message = destination.queuedMessages > 0 ? nextMessage(queue) : null;
             double priority = message == null ? 0 : priority(message);
             if (message == null || best != null && best.priority >= priority) {
                 continue;
             }
-            EndpointState choice = null;
-            double least = Double.MAX_VALUE;
+            EndpointState cheapest = null;
+            double lowestCost = Double.MAX_VALUE;
             for (EndpointState endpoint : destination.endpoints.values()) {
-                long when = gate.opensAt(message, endpoint, false);
-                double cost = when <= turn.now ? gate.cost(message, endpoint) : least;
-                look = when <= turn.now ? look : Math.min(look, when);
-                if (cost < least) {
-                    least = cost;
-                    choice = endpoint;
+                long when = gate.earliestSendAt(message, endpoint, false);
+                double cost = when <= turn.now ? gate.cost(message, endpoint) : lowestCost;
+                recheckAt = when <= turn.now ? recheckAt : Math.min(recheckAt, when);
+                if (cost < lowestCost) {
+                    lowestCost = cost;
+                    cheapest = endpoint;
                 }
             }
-            if (choice != null) {
-                best = new Pick(message, choice, priority);
+            if (cheapest != null) {
+                best = new Candidate(message, cheapest, priority);
             }
         }
         if (best == null
                 && destination.queuedMessages > 0
-                && (destination.dispatchAt <= turn.now || look < destination.dispatchAt)) {
-            destination.dispatchAt = look;
-            turn.schedule(look, TimerKind.DISPATCH, destination);
+                && (destination.dispatchAt <= turn.now || recheckAt < destination.dispatchAt)) {
+            destination.dispatchAt = recheckAt;
+            turn.schedule(recheckAt, TimerKind.DISPATCH, destination);
         }
         return best;
     }
 
-    /** The earliest latency target that can still be met; if there is none the newest, whose value is highest. */
-    private Message nextOf(WaitingQueue band) {
-        for (Message message = band.firstOnTime(); message != null; message = band.firstOnTime()) {
+    /** The message with the earliest latency target that can still be met; else the newest, whose value is highest. */
+    private Message nextMessage(WaitingQueue queue) {
+        for (Message message = queue.firstOnTime(); message != null; message = queue.firstOnTime()) {
             if (turn.now + (long) message.destination.recentLatency <= message.targetTime) {
                 return message;
             }
-            band.late.addLast(band.onTime.pollFirst());
+            queue.late.addLast(queue.onTime.pollFirst());
         }
-        return band.lastLate();
+        return queue.lastLate();
     }
 }
--- a/src/main/java/brambletray/relay/control/Endpoints.java
+++ b/src/main/java/brambletray/relay/control/Endpoints.java
@@ -3,10 +3,10 @@
 import static brambletray.relay.control.Turn.SECOND;
 
 import brambletray.relay.control.Relay.Endpoint;
-import brambletray.relay.control.Relay.Excluded;
-import brambletray.relay.control.Relay.Known;
+import brambletray.relay.control.Relay.EndpointExclusion;
+import brambletray.relay.control.Relay.EndpointKnowledge;
+import brambletray.relay.control.Relay.EndpointsListed;
 import brambletray.relay.control.Relay.ListKind;
-import brambletray.relay.control.Relay.Listed;
 import brambletray.relay.control.Relay.Listing;
 import brambletray.relay.control.Relay.Settings;
 import brambletray.relay.control.State.Destination;
@@ -18,9 +18,9 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The list of endpoints, what operators take out of it, and what earlier modules knew of them. */
+/** The endpoint list, exclusions by operators, and endpoint state restored from earlier processes. */
 record Endpoints(Settings settings, Memory memory, Turn turn, Pace pace, Backoff backoff, Outages outages) {
-    /** us; an endpoint off the list is forgotten after this: later than any retry-after time or slow start. */
+    /** us; the state of an unlisted endpoint is dropped after this: longer than any retry-after time or slow start. */
     private static final long FORGET_AFTER_US = 60 * SECOND;
 
     Destination destination(long id) {
@@ -28,16 +28,16 @@
                 id, k -> new Destination(settings.classes().size() * Messages.QUEUES_PER_CLASS));
     }
 
-    void onListed(Listed listed) {
-        Map<Long, EndpointState> routes = memory.endpoints;
-        Set<Long> named = new HashSet<>();
+    void onListed(EndpointsListed listed) {
+        Map<Long, EndpointState> endpoints = memory.endpoints;
+        Set<Long> listedIds = new HashSet<>();
         for (Endpoint listedEndpoint : listed.endpoints()) {
-            named.add(listedEndpoint.id());
-            EndpointState endpoint = routes.get(listedEndpoint.id());
+            listedIds.add(listedEndpoint.id());
+            EndpointState endpoint = endpoints.get(listedEndpoint.id());
             if (endpoint != null
                     && listedEndpoint.listing() != Listing.GONE
                     && endpoint.destination != destination(listedEndpoint.destination())) {
-                // Guards destinations against a number that stands for another host by now.
+                // The id was reassigned to a host of another destination.
                 remove(endpoint);
                 endpoint = null;
             }
@@ -52,8 +52,8 @@
             }
         }
         if (listed.kind() == ListKind.FULL) {
-            routes.values().stream()
-                    .filter(endpoint -> !named.contains(endpoint.id))
+            endpoints.values().stream()
+                    .filter(endpoint -> !listedIds.contains(endpoint.id))
                     .forEach(this::remove);
         }
     }
@@ -63,15 +63,16 @@
         endpoint.disabledByOperator = memory.excluded.contains(endpoint.id);
         endpoint.destination = destination(listedEndpoint.destination());
         endpoint.destination.kind = listedEndpoint.kind();
-        boolean apart = settings.kinds().get(listedEndpoint.kind()).apart();
-        endpoint.limitScope = apart || endpoint.destination.sharedLimitScope == null
+        boolean separateLimits = settings.kinds().get(listedEndpoint.kind()).apart();
+        endpoint.limitScope = separateLimits || endpoint.destination.sharedLimitScope == null
                 ? new LimitScope()
                 : endpoint.destination.sharedLimitScope;
-        endpoint.destination.sharedLimitScope = apart ? endpoint.destination.sharedLimitScope : endpoint.limitScope;
+        endpoint.destination.sharedLimitScope =
+                separateLimits ? endpoint.destination.sharedLimitScope : endpoint.limitScope;
         if (endpoint.limitScope.pace == 0) {
             pace.startLimitScope(endpoint.limitScope, listedEndpoint.weight());
         }
-        // A new endpoint is cold, and the messages held for a failing destination would all go there at once.
+        // A new endpoint is cold; without this, all messages waiting for a failing destination would go there at once.
         if (!endpoint.destination.endpoints.isEmpty() && !endpoint.destination.hasHealthyEndpoint()) {
             outages.markUnhealthy(endpoint, true);
             endpoint.lastSentAt = turn.now;
@@ -80,13 +81,14 @@
         return endpoint;
     }
 
-    /** What comes back into use has been restarted, or was failing: probes first, then the return budget. */
-    void onExcluded(Excluded exclusion) {
+    /** A readmitted endpoint was restarted or failing: it gets probes first, then a slow start. */
+    void onExcluded(EndpointExclusion exclusion) {
         Set<Long> excluded = memory.excluded;
-        boolean changed = exclusion.out() ? excluded.add(exclusion.endpoint()) : excluded.remove(exclusion.endpoint());
+        boolean changed =
+                exclusion.excluded() ? excluded.add(exclusion.endpoint()) : excluded.remove(exclusion.endpoint());
         EndpointState endpoint = memory.endpoints.get(exclusion.endpoint());
         if (changed && endpoint != null) {
-            endpoint.disabledByOperator = exclusion.out();
+            endpoint.disabledByOperator = exclusion.excluded();
             if (!endpoint.disabledByOperator) {
                 outages.markUnhealthy(endpoint, true);
             }
@@ -94,10 +96,8 @@
         }
     }
 
-    /**
-     * Guards hosts against relays that were killed: a retry-after time goes on, and so does an outage or a slow start.
-     */
-    void restore(EndpointState endpoint, Known known) {
+    /** Continues retry-after times, outages and slow starts after a restart, lest a restarted relay overload hosts. */
+    void restore(EndpointState endpoint, EndpointKnowledge known) {
         if (known.retryAfter() > 0) {
             backoff.restore(endpoint.limitScope, known.retryAfter());
         }
@@ -114,7 +114,7 @@
         }
     }
 
-    /** Takes an endpoint off the list; its state is kept for a while, as waits and health outlast a gap. */
+    /** Takes an endpoint off the list; its state is kept for a while, in case it is listed again. */
     private void remove(EndpointState endpoint) {
         endpoint.ready = false;
         if (endpoint.destination.endpoints.remove(endpoint.id) != null) {
--- a/src/main/java/brambletray/relay/control/HedgeDelay.java
+++ b/src/main/java/brambletray/relay/control/HedgeDelay.java
@@ -4,45 +4,44 @@
 import java.util.Arrays;
 
 /**
- * The delay after which a call with no answer is sent once more elsewhere (hedged request). It sits
- * above about nine in ten of the recent answers of one destination. Add the time of each answer and ask. It
- * reads no clock and needs nothing else of the module; times are whole microseconds; one thread.
+ * Delay after which an unanswered call is hedged: a high quantile of the recent response times of one destination.
+ * Reads no clock and is independent of the other classes; times are whole microseconds; not thread-safe.
  */
 public final class HedgeDelay implements Serializable {
-    /** us; hedge delay until a destination's answers are known (the design's figure). */
+    /** us; hedge delay until enough answers of a destination are known. */
     public static final long INITIAL_DELAY_US = 200_000;
-    /** Share of recent answers below the hedge delay; the design asks for about nine in ten. */
+    /** Share of recent answers below the hedge delay; the specification asks for about nine in ten. */
     private static final double DELAY_QUANTILE = 0.95;
-    /** Answers remembered for the delay: enough for a tail, few enough to follow changes. */
+    /** Window size: large enough to show the tail, small enough to follow changes. */
     private static final int SAMPLES = 48;
-    /** Answers from which on the delay is known. */
+    /** Answers needed before the quantile is used. */
     private static final int MIN_SAMPLES = 8;
 
     private static final long serialVersionUID = 1;
 
     private final long[] ring = new long[SAMPLES];
-    /** The answers held, the shortest first; null where one came since it was last asked for. */
+    /** The samples in ascending order; null when {@link #add} was called since they were last sorted. */
     private long[] sorted;
 
     private int count;
 
-    /** An answer has come this many us after its call was sent. */
+    /** Adds a response time, in us. */
     public void add(long time) {
         ring[count++ % ring.length] = time;
         sorted = null;
     }
 
-    /** False until enough answers came for a delay of their own. */
+    /** True once there are enough samples to use their quantile. */
     public boolean isKnown() {
         return count >= MIN_SAMPLES;
     }
 
-    /** False until twice as many came: a usual time still follows each answer closely. */
+    /** True once there are twice as many; until then the usual answer time follows each new sample closely. */
     public boolean isSettled() {
         return count >= 2 * MIN_SAMPLES;
     }
 
-    /** us after which a call with no answer is run once more; {@link #INITIAL_DELAY_US} until enough answers came. */
+    /** us after which an unanswered call is hedged; {@link #INITIAL_DELAY_US} until {@link #isKnown}. */
     public long delayUs() {
         if (!isKnown()) {
             return INITIAL_DELAY_US;
--- a/src/main/java/brambletray/relay/control/Hedging.java
+++ b/src/main/java/brambletray/relay/control/Hedging.java
@@ -8,23 +8,23 @@
 import brambletray.relay.control.State.Health;
 import brambletray.relay.control.State.Message;
 
-/** Hedged requests (speculative execution): when one goes out and where, after {@link HedgeDelay}. */
+/** Hedged requests (speculative execution): whether and where one is sent after the {@link HedgeDelay}. */
 record Hedging(Settings settings, SendGate gate, Turn turn) {
-    /** Extra executions of one message; the source's example uses one. */
+    /** Hedges per message, as in the original description of the technique. */
     private static final int MAX_HEDGES = 1;
-    /** Calls that a limit must have left for a hedge. */
+    /** Tokens that an endpoint's limit scope must have left for a hedge. */
     private static final double MIN_TOKENS = 2;
-    /** Hedges earned by each call that is sent, so that hedges cannot pile up. */
+    /** Hedge budget earned by each message sent, which bounds the share of hedges. */
     private static final double HEDGE_RATIO = 0.05;
-    /** Earned hedges that are saved at most. */
+    /** Upper bound of the hedge budget. */
     private static final double MAX_HEDGE_BUDGET = 2;
 
-    /** A message was sent for the first time, or again after a failure. */
+    /** A message was sent, for the first time or as a retry. */
     void onSent(Destination destination) {
         destination.hedgeBudget = Math.min(MAX_HEDGE_BUDGET, destination.hedgeBudget + HEDGE_RATIO);
     }
 
-    /** The delay has passed with no answer: a hedge to another endpoint, if there is capacity for one. */
+    /** The hedge delay has passed with no answer: sends a hedge to another endpoint if capacity allows. */
     void maybeHedge(Attempt attempt) {
         Message message = attempt.message;
         if (attempt.isDone) {
@@ -41,27 +41,27 @@
                 || !settings.allowed().hedging()) {
             return;
         }
-        EndpointState choice = null;
-        // Unsent messages go first; and hedges are held to a share of sends, lest an overload, in which every
-        // call trips the delay, pile them onto a full destination.
+        EndpointState cheapest = null;
+        // Unsent messages go first, and hedges are limited to a share of sends: in an overload every call exceeds
+        // the delay, and unlimited hedges would add to the load of a full destination.
         if (message.destination.queuedMessages == 0
                 && message.destination.hedgeBudget >= 1
                 && !AnswerTimes.isSlow(message.destination)) {
-            double least = Double.MAX_VALUE;
+            double lowestCost = Double.MAX_VALUE;
             for (EndpointState endpoint : message.destination.endpoints.values()) {
                 double cost = gate.cost(message, endpoint);
-                boolean free = gate.opensAt(message, endpoint, true) <= turn.now
+                boolean free = gate.earliestSendAt(message, endpoint, true) <= turn.now
                         && endpoint.limitScope.bucket.tokens >= MIN_TOKENS;
-                if (endpoint != attempt.endpoint && endpoint.health == Health.HEALTHY && free && cost < least) {
-                    least = cost;
-                    choice = endpoint;
+                if (endpoint != attempt.endpoint && endpoint.health == Health.HEALTHY && free && cost < lowestCost) {
+                    lowestCost = cost;
+                    cheapest = endpoint;
                 }
             }
         }
-        if (choice != null) {
+        if (cheapest != null) {
             message.hedges++;
             message.destination.hedgeBudget--;
-            gate.send(message, choice);
+            gate.send(message, cheapest);
         }
     }
 }
--- a/src/main/java/brambletray/relay/control/KeyOrder.java
+++ b/src/main/java/brambletray/relay/control/KeyOrder.java
@@ -5,7 +5,7 @@
 import brambletray.relay.control.State.OrderingKey;
 import brambletray.relay.control.State.TimerKind;
 
-/** Order of messages that share a key: as they were taken on, one at a time. */
+/** Sends messages that share a key one at a time, in the order of acceptance. */
 record KeyOrder(Settings settings, Memory memory, Turn turn) {
     void enqueue(Message message, String name) {
         message.key = memory.keys.computeIfAbsent(name, k -> new OrderingKey());
@@ -13,19 +13,19 @@
         message.key.queue.addLast(message);
     }
 
-    /** True while what went before it may still be under way. */
-    static boolean isQuiet(Message message, long now) {
+    /** True while an earlier call of its key that was abandoned may still arrive. */
+    static boolean inQuietPeriod(Message message, long now) {
         return message.key != null && message.key.quietUntil > now && message.attempts.isEmpty();
     }
 
-    /** Guards the order against a call that nobody waits for any more: it may yet arrive. */
-    void keepQuiet(Message message) {
+    /** Holds the key back after an abandoned call, which may still arrive and would break the order. */
+    void startQuietPeriod(Message message) {
         if (message.key != null) {
             message.key.quietUntil = turn.now + settings.rules().keyRest();
         }
     }
 
-    /** The message whose turn it is now, to be queued; null if there is none, or not yet. */
+    /** The next message of a key, to be queued; null if there is none or the quiet period has not passed. */
     Message advance(OrderingKey key) {
         Message head = key.head();
         boolean idle = head == null || !head.isEnded && !head.isQueued && head.openAttempts == 0;
--- a/src/main/java/brambletray/relay/control/Memory.java
+++ b/src/main/java/brambletray/relay/control/Memory.java
@@ -18,12 +18,11 @@
 import java.util.TreeMap;
 
 /**
- * All that one module remembers, so that another can go on in its place: made by {@link Control#memory},
- * taken up by a new {@link Control}. Its form changes with the module's own; {@link #VERSION} goes
- * up with it.
+ * The complete state of one {@link Control}, handed over to another that continues from it: obtained from
+ * {@link Control#memory} and passed to the constructor. Raise {@link #VERSION} with each change of its serialized form.
  */
 public final class Memory implements Serializable {
-    /** Of the form in which it is handed on. */
+    /** Version of the serialized form. */
     public static final long VERSION = 5;
 
     private static final long serialVersionUID = VERSION;
@@ -32,25 +31,25 @@
     final Map<String, OrderingKey> keys = new HashMap<>();
     final Map<Long, Destination> destinations = new TreeMap<>();
     final Map<Long, EndpointState> endpoints = new TreeMap<>();
-    /** Endpoints that operators have taken out, listed or not. */
+    /** Endpoints excluded by operators, listed or not. */
     final Set<Long> excluded = new HashSet<>();
 
     final Set<Destination> dispatchable = new LinkedHashSet<>();
     final PriorityQueue<Timer> timers = new PriorityQueue<>();
     final TokenBucket[] tenantBuckets;
-    /** us, by kind: how long idle connections are held, as endpoints may accept few. */
+    /** us, by kind: how long idle connections are kept, as endpoints may accept few. */
     final double[] holdTimes;
 
-    /** us, by kind: how long idle connections are trusted to be alive. */
+    /** us, by kind: idle time up to which connections are assumed to be alive. */
     final double[] trustTimes;
-    /** By kind: the share of calls after a refusal that are admitted. */
+    /** By kind: share of calls after a refusal that are admitted. */
     final double[] admissionShares;
-    /** By kind: whether some endpoint has reported its limit in an answer, so that all that read a call do. */
+    /** By kind: whether an endpoint has reported its limit; then each that reads a call is expected to. */
     final boolean[] reportsLimits;
-    /** us of the module's clock at its last turn. */
+    /** us; time of the last turn. */
     long now;
 
-    /** us of the module's clock at its first turn. */
+    /** us; time of the first turn. */
     long startedAt;
 
     long nextSequence;
@@ -71,13 +70,13 @@
         reportsLimits = new boolean[kinds];
     }
 
-    /** us of the clock of the module whose it was, at its last turn. */
-    public long time() {
+    /** us; time of the last turn, on the clock of the {@link Control} that it is from. */
+    public long lastTurnTime() {
         return now;
     }
 
-    /** The messages that are not over, each with the number of its attempts so far. */
-    public Map<String, Integer> openMessages() {
+    /** The open messages, each with the number of its attempts so far. */
+    public Map<String, Integer> openMessageAttemptCounts() {
         Map<String, Integer> open = new HashMap<>();
         messages.values().stream()
                 .filter(message -> !message.isEnded)
@@ -85,12 +84,12 @@
         return open;
     }
 
-    /** What another module would have to learn again of an endpoint; null where it is not held. */
-    Relay.Known known(long id) {
+    /** Learned state of an endpoint, worth keeping over a restart; null for an unknown endpoint. */
+    Relay.EndpointKnowledge endpointKnowledge(long id) {
         EndpointState endpoint = endpoints.get(id);
         return endpoint == null
                 ? null
-                : new Relay.Known(
+                : new Relay.EndpointKnowledge(
                         Math.max(0, endpoint.limitScope.waitUntil - now),
                         endpoint.health == Health.UNHEALTHY && endpoint.outageConfirmed,
                         endpoint.health == Health.SLOW_START ? now - endpoint.slowStartAt : -1,
@@ -98,8 +97,8 @@
                         endpoint.limitScope.pace);
     }
 
-    /** Listed endpoints that are taken out by an operator, or unhealthy. */
-    int avoided() {
+    /** Listed endpoints that are unhealthy or excluded by an operator. */
+    int unavailableEndpointCount() {
         int avoided = 0;
         for (Destination destination : destinations.values()) {
             for (EndpointState endpoint : destination.endpoints.values()) {
@@ -109,8 +108,8 @@
         return avoided;
     }
 
-    /** The endpoints that are on the list; of others it may know more than the list of hosts does. */
-    public Set<Long> endpoints() {
+    /** The listed endpoints; the state may include others, which were removed from the list. */
+    public Set<Long> listedEndpointIds() {
         Set<Long> listed = new HashSet<>();
         destinations.values().forEach(destination -> listed.addAll(destination.endpoints.keySet()));
         return listed;
--- a/src/main/java/brambletray/relay/control/Messages.java
+++ b/src/main/java/brambletray/relay/control/Messages.java
@@ -3,12 +3,12 @@
 import static brambletray.relay.control.Turn.SECOND;
 
 import brambletray.relay.control.Relay.Accepted;
+import brambletray.relay.control.Relay.AttemptEnded;
 import brambletray.relay.control.Relay.Cancel;
-import brambletray.relay.control.Relay.Earlier;
 import brambletray.relay.control.Relay.Effect;
-import brambletray.relay.control.Relay.Ended;
 import brambletray.relay.control.Relay.Fail;
 import brambletray.relay.control.Relay.Outcome;
+import brambletray.relay.control.Relay.PriorAttempt;
 import brambletray.relay.control.Relay.Refuse;
 import brambletray.relay.control.Relay.Settings;
 import brambletray.relay.control.State.Attempt;
@@ -19,7 +19,7 @@
 import brambletray.relay.control.State.TimerKind;
 import brambletray.relay.control.State.WaitingQueue;
 
-/** The life of a message: taken on, queued, attempted, and ended by exactly one final answer. */
+/** Life cycle of a message: accepted, queued, attempted, and ended by exactly one final answer. */
 record Messages(
         Settings settings,
         Memory memory,
@@ -28,17 +28,17 @@
         KeyOrder keyOrder,
         SendGate gate,
         Outcomes outcomes) {
-    /** us; span over which a relay measures its own usual rate to a destination. */
+    /** us; time constant of the moving average of a relay's own message rate to a destination. */
     private static final long RATE_WINDOW_US = 15 * SECOND;
-    /** us; shortest time since the start by which that measurement divides. */
+    /** us; lower bound of the measuring time since the start, by which that rate is divided. */
     private static final long MIN_RATE_AGE_US = 3 * SECOND;
-    /** s; a tenant inside its share may run ahead of it by this much. */
-    private static final double SHARE_BURST_S = 2;
-    /** Waiting queues of each message class: of tenants inside their share, of others, of keyed repeats. */
+    /** s; burst of a tenant's quota, as the time in which its rate would fill it. */
+    private static final double QUOTA_BURST_S = 2;
+    /** Waiting queues of each message class: of tenants within their quota, of tenants over it, of keyed retries. */
     static final int QUEUES_PER_CLASS = 3;
 
-    private static final int OVER_SHARE_QUEUE = 1;
-    private static final int REPEAT_QUEUE = 2;
+    private static final int OVER_QUOTA_QUEUE = 1;
+    private static final int RETRY_QUEUE = 2;
 
     void accept(Accepted accepted) {
         if (memory.messages.containsKey(accepted.id())) {
@@ -50,17 +50,17 @@
                 accepted, settings.classes().get(accepted.messageClass()), destination, memory.nextSequence++);
         message.halfLifeDecay = settings.halfLifeDecay();
         message.targetTime = latencyTargetTime(message);
-        boolean inShare = inShare(accepted.tenant());
-        message.queueIndex = accepted.messageClass() * QUEUES_PER_CLASS + (inShare ? 0 : OVER_SHARE_QUEUE);
-        message.fullValue = message.messageClass.value() * (inShare ? 1 : settings.overShareValue());
+        boolean withinQuota = takeQuotaToken(accepted.tenant());
+        message.queueIndex = accepted.messageClass() * QUEUES_PER_CLASS + (withinQuota ? 0 : OVER_QUOTA_QUEUE);
+        message.fullValue = message.messageClass.value() * (withinQuota ? 1 : settings.overShareValue());
         memory.messages.put(message.id, message);
         memory.openMessages++;
         turn.schedule(message.deadline, TimerKind.DEADLINE, message);
         if (message.messageClass.inOrder() && accepted.key() != null) {
             keyOrder.enqueue(message, accepted.key());
         }
-        for (Earlier before : accepted.earlier()) {
-            message.attempts.add(recoveredAttempt(message, before));
+        for (PriorAttempt prior : accepted.priorAttempts()) {
+            message.attempts.add(recoveredAttempt(message, prior));
         }
         if (!message.attempts.isEmpty()
                 && (message.attempts.size() >= settings.allowed().attempts()
@@ -75,40 +75,40 @@
     }
 
     /**
-     * Until when a message has its full value. Less than the class's time left mostly means that it was handed in
-     * before; less than even its latency target, that its client never had more to give. Guards short messages against
-     * waiting behind all others as if late. It hurts where clients come again for the last time.
+     * Until when a message has its full value. A remaining lifetime below that of its class mostly means an earlier
+     * submission; one below the latency target, that the client set a short deadline: such messages must not queue as
+     * if they were late. Drawback: a client's last resubmission gets the same treatment.
      */
     private long latencyTargetTime(Message message) {
-        boolean brief = message.deadline - turn.now <= message.messageClass.latencyTarget();
-        return brief
+        boolean shortLived = message.deadline - turn.now <= message.messageClass.latencyTarget();
+        return shortLived
                 ? message.deadline
                 : message.deadline - message.messageClass.lifetime() + message.messageClass.latencyTarget();
     }
 
-    /** An attempt made before a restart; one that was out then may have run. */
-    private Attempt recoveredAttempt(Message message, Earlier before) {
-        Attempt attempt = new Attempt(message, new EndpointState(0, before.zone(), 0), before.sent());
+    /** An attempt made before a restart; one in flight at that time may have run. */
+    private Attempt recoveredAttempt(Message message, PriorAttempt prior) {
+        Attempt attempt = new Attempt(message, new EndpointState(0, prior.zone(), 0), prior.sentAt());
         attempt.isDone = true;
-        attempt.mayHaveRun = before.mayHaveRun();
+        attempt.mayHaveRun = prior.mayHaveRun();
         if (attempt.mayHaveRun) {
-            keyOrder.keepQuiet(message);
+            keyOrder.startQuietPeriod(message);
         }
         return attempt;
     }
 
-    private boolean inShare(int tenant) {
+    private boolean takeQuotaToken(int tenant) {
         if (tenant >= memory.tenantBuckets.length) {
             return true;
         }
         double rate = settings.tenants().get(tenant).quota() / settings.relays();
-        memory.tenantBuckets[tenant].fill(rate, rate * SHARE_BURST_S, turn.now);
-        return memory.tenantBuckets[tenant].take();
+        memory.tenantBuckets[tenant].refill(rate, rate * QUOTA_BURST_S, turn.now);
+        return memory.tenantBuckets[tenant].tryTake();
     }
 
     private void enqueue(Message message) {
         if (message.messageClass.effect() == Effect.KEYED && message.mayHaveRun()) {
-            message.queueIndex = message.queueIndex / QUEUES_PER_CLASS * QUEUES_PER_CLASS + REPEAT_QUEUE;
+            message.queueIndex = message.queueIndex / QUEUES_PER_CLASS * QUEUES_PER_CLASS + RETRY_QUEUE;
         }
         message.isQueued = true;
         message.destination.queuedMessages++;
@@ -122,35 +122,35 @@
                 || message.messageClass.effect() == Effect.KEYED && !message.messageClass.zoneGroup();
     }
 
-    /** Ends a message for want of a better answer: handed back where the rules allow it, else failed. */
+    /** Ends a message without delivery: refused where that is safe, else failed. */
     void giveUp(Message message) {
         if (message.isEnded) {
             return;
         }
-        boolean back = mayRefuse(message) && turn.now < message.deadline;
-        turn.addAction(back ? new Refuse(message.id, retryAfter(message.destination)) : new Fail(message.id));
+        boolean refuse = mayRefuse(message) && turn.now < message.deadline;
+        turn.addAction(refuse ? new Refuse(message.id, retryAfter(message.destination)) : new Fail(message.id));
         close(message);
     }
 
-    /** When to hand a refused message in again: once a endpoint is open and those that wait have gone. */
+    /** Advice for resubmission: when an endpoint is available and the messages now waiting have been sent. */
     private long retryAfter(Destination destination) {
-        long longest = settings.allowed().longestAdvice();
-        long opens = destination.endpoints.values().stream()
+        long maxAdvice = settings.allowed().longestAdvice();
+        long availableAt = destination.endpoints.values().stream()
                 .filter(endpoint -> !endpoint.disabledByOperator)
-                .mapToLong(EndpointState::closedUntil)
+                .mapToLong(EndpointState::blockedUntil)
                 .min()
-                .orElse(destination.endpoints.isEmpty() ? turn.now : turn.now + longest);
-        return Math.min(longest, Math.max(opens - turn.now, (long) queueTime(destination)));
+                .orElse(destination.endpoints.isEmpty() ? turn.now : turn.now + maxAdvice);
+        return Math.min(maxAdvice, Math.max(availableAt - turn.now, (long) queueTime(destination)));
     }
 
-    /** us; how long those that wait for a destination will take. */
+    /** us; estimated time until the messages waiting for a destination have been sent. */
     private double queueTime(Destination destination) {
         return destination.queuedMessages
                 / destination.window
                 * Math.max(destination.recentLatency, HedgeDelay.INITIAL_DELAY_US);
     }
 
-    /** The message is over: nothing more goes out for it, and hedges still out are called off. */
+    /** Ends a message: nothing more is sent for it, and attempts in flight are cancelled. */
     void close(Message message) {
         memory.openMessages -= message.isEnded ? 0 : 1;
         message.isEnded = true;
@@ -166,7 +166,7 @@
         forgetIfEnded(message);
     }
 
-    /** Forgets an ended message once its last attempt is known, and lets the next of its key go. */
+    /** Drops an ended message once all its attempts have ended, and queues the next message of its key. */
     private void forgetIfEnded(Message message) {
         if (!message.isEnded || message.openAttempts > 0) {
             return;
@@ -184,7 +184,7 @@
         }
     }
 
-    void onAttemptEnded(Ended ended) {
+    void onAttemptEnded(AttemptEnded ended) {
         Message message = memory.messages.get(ended.id());
         if (message == null
                 || ended.attempt() < 0
@@ -200,9 +200,9 @@
         if (ended.outcome() == Outcome.TIMEOUT
                 || ended.outcome() == Outcome.RESET
                 || ended.outcome() == Outcome.CANCELLED) {
-            keyOrder.keepQuiet(message);
+            keyOrder.startQuietPeriod(message);
         }
-        if (!message.isEnded && (ended.over() || ended.outcome() == Outcome.OK)) {
+        if (!message.isEnded && (ended.messageEnded() || ended.outcome() == Outcome.OK)) {
             close(message);
         } else if (!message.isEnded && message.openAttempts == 0) {
             afterFailure(message);
@@ -211,43 +211,43 @@
         }
     }
 
-    /** No attempt is out and none has delivered: wait for another, or end. */
+    /** All attempts have failed: queues the message for another, or ends it. */
     private void afterFailure(Message message) {
-        boolean spent = message.attempts.size() >= settings.allowed().attempts() || turn.now >= message.deadline;
-        if (spent || message.messageClass.effect() == Effect.UNSAFE && message.mayHaveRun()) {
+        boolean exhausted = message.attempts.size() >= settings.allowed().attempts() || turn.now >= message.deadline;
+        if (exhausted || message.messageClass.effect() == Effect.UNSAFE && message.mayHaveRun()) {
             giveUp(message);
         } else {
             enqueue(message);
         }
     }
 
-    /** Handed back only if it has not been sent: its client may come again with it. */
+    /** Refuses the message only if it was never sent, so that its client can submit it again. */
     void onRecalled(Message message) {
         if (message.isQueued && message.attempts.isEmpty()) {
             giveUp(message);
         }
     }
 
-    /** The hold is full: give back the waiting message that has least left to gain. */
+    /** The limit of open messages is reached: refuses the waiting message with the lowest expected value. */
     private void shedLoad() {
-        Message worst = null;
-        double least = Double.MAX_VALUE;
+        Message leastValuable = null;
+        double lowestValue = Double.MAX_VALUE;
         for (Destination destination : memory.destinations.values()) {
             if (destination.queuedMessages == 0) {
                 continue;
             }
-            long gone = turn.now + (long) queueTime(destination);
-            for (WaitingQueue band : destination.queues) {
-                Message message = band.firstLate() != null ? band.firstLate() : band.lastOnTime();
-                double left = message != null && mayRefuse(message) ? message.valueAt(gone) : least;
-                if (left < least) {
-                    least = left;
-                    worst = message;
+            long sendTime = turn.now + (long) queueTime(destination);
+            for (WaitingQueue queue : destination.queues) {
+                Message message = queue.firstLate() != null ? queue.firstLate() : queue.lastOnTime();
+                double value = message != null && mayRefuse(message) ? message.valueAt(sendTime) : lowestValue;
+                if (value < lowestValue) {
+                    lowestValue = value;
+                    leastValuable = message;
                 }
             }
         }
-        if (worst != null) {
-            giveUp(worst);
+        if (leastValuable != null) {
+            giveUp(leastValuable);
         }
     }
 }
--- a/src/main/java/brambletray/relay/control/Outages.java
+++ b/src/main/java/brambletray/relay/control/Outages.java
@@ -4,7 +4,7 @@
 import static brambletray.relay.control.Turn.NEVER;
 import static brambletray.relay.control.Turn.SECOND;
 
-import brambletray.relay.control.Relay.Ended;
+import brambletray.relay.control.Relay.AttemptEnded;
 import brambletray.relay.control.Relay.Outcome;
 import brambletray.relay.control.Relay.Rules;
 import brambletray.relay.control.Relay.Settings;
@@ -15,32 +15,32 @@
 import java.util.SplittableRandom;
 
 /**
- * Outages and returns: what counts as a failure, when failures are an outage, and the way back: probes, then
- * a slow start within the budget of what a cold endpoint bears.
+ * Outage detection and recovery: what counts as a failure, when failures mean an outage, and the recovery by probes and
+ * a slow start within the recovery budget, the rate that a cold endpoint can take.
  */
 record Outages(
         Settings settings, SplittableRandom random, Turn turn, Pace pace, Backoff backoff, Connections connections) {
-    /** Failures in a row that mean an outage. */
+    /** Consecutive failures that mean an outage. */
     private static final int OUTAGE_FAILURES = 3;
     /** Share of failed recent calls that means an outage. */
     private static final double OUTAGE_FAILURE_SHARE = 0.6;
-    /** Weight of a new outcome in that share. */
+    /** Weight of a new outcome in the moving average of that share. */
     private static final double OUTCOME_WEIGHT = 0.2;
-    /** New connections in a row that broke with no answer between, from which on the host is held to fail. */
+    /** Consecutive resets of new connections, with no answer between, from which on each counts as a failure. */
     private static final int OUTAGE_RESETS = 4;
-    /** us; a endpoint that answered within this is not yet taken for failing. */
+    /** us; an endpoint that answered within this time is not marked unhealthy by consecutive failures. */
     private static final long SILENCE_US = 700 * MS;
-    /** us; a peer of a failing endpoint that answered a call sent this long before is not suspected. */
+    /** us; a peer of a failing endpoint is not suspected if it answered a call sent at most this long before. */
     private static final long SUSPICION_WINDOW_US = 500 * MS;
-    /** us; shortest time between probes of a endpoint. */
+    /** us; shortest time from the start of an outage to its first probe, and upper bound of quick reconnect delays. */
     private static final long PROBE_INTERVAL_US = 400 * MS;
-    /** us; a suspicion that is cleared within this time is followed by no slow start. */
+    /** us; a suspicion cleared within this time needs no slow start. */
     private static final long MAX_SUSPICION_US = 2 * SECOND;
-    /** Part of the return budget used: leaves room for chance and for calls already under way. */
+    /** Share of the recovery budget that is used: leaves room for random variation and calls in flight. */
     private static final double BUDGET_SHARE = 0.95;
-    /** Part used of an even share of a reported limit: what a destination can do is over its limit by some. */
+    /** Share used of an equal part of a reported limit: a cold endpoint's capacity may lie below its limit. */
     private static final double REPORTED_LIMIT_SHARE = 0.8;
-    /** A rough weight may be this much over the truth. */
+    /** A rough weight may exceed the true rate by this factor. */
     private static final double ROUGH_WEIGHT_FACTOR = 1.5;
 
     void onAnswered(Attempt attempt) {
@@ -48,7 +48,7 @@
         endpoint.lastSuccessAt = turn.now;
         endpoint.lastSuccessSentAt = Math.max(endpoint.lastSuccessSentAt, attempt.sentAt);
         endpoint.failureShare *= 1 - OUTCOME_WEIGHT;
-        // A quiet endpoint sees one failure of an outage: a suspicion not cleared at once ends in a slow start too.
+        // A rarely used endpoint sees one failure per outage: a suspicion cleared late leads to a slow start too.
         endpoint.outageConfirmed |=
                 endpoint.health == Health.UNHEALTHY && attempt.sentAt - endpoint.unhealthySince > MAX_SUSPICION_US;
         if (endpoint.health != Health.UNHEALTHY || attempt.sentAt >= endpoint.unhealthySince) {
@@ -58,83 +58,81 @@
             endpoint.health = endpoint.outageConfirmed ? Health.SLOW_START : Health.HEALTHY;
             endpoint.slowStartAt = turn.now;
             if (endpoint.outageConfirmed) {
-                turn.log(endpoint, "answers again, held to the return budget");
+                turn.log(endpoint, "recovered, rate limited by slow start");
             }
         }
     }
 
     /**
-     * Guards endpoints, and the windows of their destinations, against calls that are lost and messages that
-     * take long wherever they go: where the host has answered a call sent later, or the message timed out
-     * before, a time-out says nothing of the host. It covers calls stuck behind others too. It hurts where a
-     * host drops some calls and answers the rest: those cost their time-out and no outage is seen.
+     * A time-out is no evidence against the host if a call sent later was answered (the call was lost or stuck behind
+     * others) or if the message timed out before (it takes long anywhere). Drawback: where a host drops some calls and
+     * answers the rest, each dropped call costs its time-out and no outage is detected.
      */
     void onTimeout(Attempt attempt, boolean firstOfCall) {
-        boolean notTheHost = attempt.message.timeouts++ > 0 || attempt.sentAt < attempt.endpoint.lastSuccessSentAt;
+        boolean unrelatedToHost = attempt.message.timeouts++ > 0 || attempt.sentAt < attempt.endpoint.lastSuccessSentAt;
         if (firstOfCall) {
-            connections.distrustIdle(attempt);
+            connections.adjustTrustTime(attempt);
         }
-        if (firstOfCall && !notTheHost) {
+        if (firstOfCall && !unrelatedToHost) {
             ConcurrencyWindow.halve(attempt.endpoint.destination);
             onFailure(attempt);
         }
     }
 
     /**
-     * Guards endpoints against being taken for failing, and then held to the return budget as long as a cold
-     * one, because connections break. A kept one that is reset (dropped by what lies between, closed as the
-     * call went out, lost with a process that is up again) says nothing of the host; new ones do once some in
-     * a row broke. A host that is down refuses new connections, which counts at once. It hurts where a host
-     * dies of each call that it reads: that costs a few calls more.
+     * The reset of a reused connection (dropped by a middlebox, closed as the call went out, lost with a process that
+     * has restarted) is no evidence against the host and must not lead to a slow start; several consecutive resets of
+     * new connections are. A host that is down refuses connects, which counts at once. Drawback: a host that crashes
+     * on each call it reads costs a few more calls.
      */
-    void onReset(Attempt attempt, Ended ended) {
+    void onReset(Attempt attempt, AttemptEnded ended) {
         EndpointState endpoint = attempt.endpoint;
         boolean reused = ended.reused();
         if (ended.outcome() == Outcome.RESET) {
-            connections.distrustIdle(attempt);
+            connections.adjustTrustTime(attempt);
         }
         endpoint.consecutiveResets += !reused && attempt.sentAt >= endpoint.lastSuccessSentAt ? 1 : 0;
         if (!reused && endpoint.consecutiveResets >= OUTAGE_RESETS) {
             onFailure(attempt);
             endpoint.backoffUntil =
-                    turn.now + backoff.backoffSpan(endpoint.destination, endpoint.consecutiveFailures, 0);
+                    turn.now + backoff.backoffDelay(endpoint.destination, endpoint.consecutiveFailures, 0);
         }
     }
 
     /**
-     * A host that is down refuses connects at once, at no cost: it is tried again soon, within the return
-     * budget. Guards against learning of a return only after back-offs that grew while it was down.
+     * A host that is down refuses connects at once and at no cost, so it is probed again soon: a recovery would
+     * otherwise be noticed only after back-offs that grew during the outage.
      */
     void onConnectFailed(Attempt attempt, long latency) {
         EndpointState endpoint = attempt.endpoint;
         connections.shortenHoldTime(endpoint);
         onFailure(attempt);
-        long pause = backoff.backoffSpan(endpoint.destination, endpoint.consecutiveFailures, 0);
+        long delay = backoff.backoffDelay(endpoint.destination, endpoint.consecutiveFailures, 0);
         if (endpoint.health == Health.UNHEALTHY && latency < PROBE_INTERVAL_US) {
-            pause = Math.min(pause, (long) (PROBE_INTERVAL_US * (0.5 + random.nextDouble())));
+            delay = Math.min(delay, (long) (PROBE_INTERVAL_US * (0.5 + random.nextDouble())));
         }
-        endpoint.backoffUntil = turn.now + pause;
+        endpoint.backoffUntil = turn.now + delay;
     }
 
-    /** A failed call counts only while no call sent after it has been answered, or once failures prevail. */
+    /** A failure counts unless a call sent later was answered; a high share of failures counts in any case. */
     void onFailure(Attempt attempt) {
         EndpointState endpoint = attempt.endpoint;
         endpoint.failureShare += OUTCOME_WEIGHT * (1 - endpoint.failureShare);
-        boolean prevails = endpoint.failureShare >= OUTAGE_FAILURE_SHARE;
+        boolean mostlyFailing = endpoint.failureShare >= OUTAGE_FAILURE_SHARE;
         if (attempt.sentAt >= endpoint.lastSuccessSentAt) {
             endpoint.consecutiveFailures++;
         }
-        // A busy endpoint that fails part of its calls answers the others: no outage while answers are recent.
+        // A busy endpoint that fails some calls answers others: no outage while answers are recent.
         boolean silent = turn.now - endpoint.lastSuccessAt >= SILENCE_US;
-        boolean trial = endpoint.health == Health.UNHEALTHY && attempt.sentAt >= endpoint.unhealthySince;
-        if (prevails || trial || silent && endpoint.consecutiveFailures >= OUTAGE_FAILURES) {
+        boolean probeFailed = endpoint.health == Health.UNHEALTHY && attempt.sentAt >= endpoint.unhealthySince;
+        if (mostlyFailing || probeFailed || silent && endpoint.consecutiveFailures >= OUTAGE_FAILURES) {
             markUnhealthy(endpoint, true);
         } else if (endpoint.consecutiveFailures > 0 && silent && endpoint.health != Health.SLOW_START) {
             markUnhealthy(endpoint, false);
         }
     }
 
-    /** Probes only. One failure is a suspicion, which one answer clears; an outage ends in a slow start. */
+    /** Restricts an endpoint to probes. One answer clears a suspicion; a confirmed outage ends in a slow start. */
     void markUnhealthy(EndpointState endpoint, boolean confirmed) {
         if (endpoint.health != Health.UNHEALTHY) {
             endpoint.outageConfirmed = false;
@@ -145,8 +143,8 @@
         if (confirmed && !endpoint.outageConfirmed) {
             endpoint.outageConfirmed = true;
             connections.restoreHoldTime(endpoint);
-            turn.log(endpoint, "fails or refuses, trials only");
-            // Endpoints of a destination mostly fail together: those not heard from must answer a probe.
+            turn.log(endpoint, "unhealthy, sending probes only");
+            // Endpoints of a destination mostly fail together: those without a recent answer must pass a probe.
             for (EndpointState other : endpoint.destination.endpoints.values()) {
                 boolean silent = other.lastSuccessSentAt < endpoint.unhealthySince - SUSPICION_WINDOW_US;
                 if (other.limitScope == endpoint.limitScope && other.health == Health.HEALTHY && silent) {
@@ -156,14 +154,14 @@
         }
     }
 
-    /** When the endpoint may take another message: waits, back-off, pace; after failures, probes or slow start. */
-    long opensAt(EndpointState endpoint, boolean joins) {
-        long when = endpoint.closedUntil();
+    /** Earliest time for another message: retry-after, back-off and pace; after failures, probes or slow start. */
+    long earliestSendAt(EndpointState endpoint, boolean joins) {
+        long when = endpoint.blockedUntil();
         if (endpoint.health == Health.SLOW_START
                 && turn.now - endpoint.slowStartAt >= settings.rules().cold()) {
             endpoint.health = Health.HEALTHY;
             endpoint.failureShare = 0;
-            turn.log(endpoint, "warm again");
+            turn.log(endpoint, "slow start finished");
         }
         if (endpoint.health == Health.UNHEALTHY) {
             if (endpoint.probesInFlight > 0) {
@@ -172,40 +170,40 @@
             when = Math.max(when, endpoint.unhealthySince + PROBE_INTERVAL_US);
         }
         if (endpoint.health != Health.HEALTHY && endpoint.outageConfirmed && !joins) {
-            when = Math.max(when, budgetOpensAt(endpoint));
+            when = Math.max(when, budgetAllowsAt(endpoint));
         }
-        long token = pace.nextTokenAt(endpoint.limitScope);
-        return joins ? when : Math.max(when, token);
+        long tokenAt = pace.nextTokenAt(endpoint.limitScope);
+        return joins ? when : Math.max(when, tokenAt);
     }
 
     /**
-     * The earliest time for another call within this relay's part of what a cold endpoint bears: an even one of
-     * a rate that answers reported. Of a listed rate it is the mean of an even one and of what this relay usually
-     * sends: hundreds that each scale their own fit together.
+     * Earliest time for another call within this relay's share of the recovery budget: an equal share of a reported
+     * rate; for a listed rate the mean of an equal share and this relay's usual rate, so that the sum over hundreds of
+     * relays, each scaling its own rate, fits.
      */
-    private long budgetOpensAt(EndpointState endpoint) {
+    private long budgetAllowsAt(EndpointState endpoint) {
         Rules rules = settings.rules();
-        double warm = rules.coldFrom();
+        double coldShare = rules.coldFrom();
         if (endpoint.health == Health.SLOW_START) {
             double age = Math.max(0, turn.now - endpoint.slowStartAt - rules.tipAfter() / 2);
-            warm += (1 - warm) * Math.min(1, age / Math.max(1, rules.cold()));
+            coldShare += (1 - coldShare) * Math.min(1, age / Math.max(1, rules.cold()));
         }
-        int routes = Math.max(1, endpoint.destination.endpoints.size());
-        double usual = endpoint.destination.usualRate / routes;
-        // A limit scope of one endpoint has a rate of its own; only one that the endpoints share is split among them.
-        double even = Pace.rate(endpoint.limitScope)
+        int endpointCount = Math.max(1, endpoint.destination.endpoints.size());
+        double usualRate = endpoint.destination.usualRate / endpointCount;
+        // Only the rate of a limit scope that the endpoints share is split among them.
+        double fairShare = Pace.rate(endpoint.limitScope)
                 / settings.relays()
-                / (endpoint.destination.sharedLimitScope == endpoint.limitScope ? routes : 1);
-        double listed = even / (settings.weights() == Weights.ROUGH ? ROUGH_WEIGHT_FACTOR : 1);
-        // Guards hosts of which no rate is known against a share of any size: what is usual there must do.
-        double part = endpoint.limitScope.limitReported
-                ? REPORTED_LIMIT_SHARE * even
-                : endpoint.limitScope.hasRate ? (listed + usual) / 2 : usual;
-        double rate = Math.max(Backoff.MIN_RATE_PER_S, BUDGET_SHARE * rules.fallMultiple() * warm * part);
+                / (endpoint.destination.sharedLimitScope == endpoint.limitScope ? endpointCount : 1);
+        double listedShare = fairShare / (settings.weights() == Weights.ROUGH ? ROUGH_WEIGHT_FACTOR : 1);
+        // Without a known rate the usual rate is the only bound on the share.
+        double share = endpoint.limitScope.limitReported
+                ? REPORTED_LIMIT_SHARE * fairShare
+                : endpoint.limitScope.hasRate ? (listedShare + usualRate) / 2 : usualRate;
+        double rate = Math.max(Backoff.MIN_RATE_PER_S, BUDGET_SHARE * rules.fallMultiple() * coldShare * share);
         return Math.max(endpoint.limitScope.waitUntil, endpoint.lastSentAt) + (long) (endpoint.spacing * SECOND / rate);
     }
 
-    /** A call goes out: in an outage it is a probe. */
+    /** Records a send; to an unhealthy endpoint it is a probe. */
     void onSent(EndpointState endpoint, Attempt attempt) {
         endpoint.lastSentAt = turn.now;
         endpoint.spacing = 0.5 + random.nextDouble();
--- a/src/main/java/brambletray/relay/control/Outcomes.java
+++ b/src/main/java/brambletray/relay/control/Outcomes.java
@@ -1,12 +1,12 @@
 package brambletray.relay.control;
 
-import brambletray.relay.control.Relay.Ended;
+import brambletray.relay.control.Relay.AttemptEnded;
 import brambletray.relay.control.Relay.Outcome;
 import brambletray.relay.control.State.Attempt;
 import brambletray.relay.control.State.EndpointState;
 import brambletray.relay.control.State.Health;
 
-/** Learning: what each outcome of a call tells of its destination, limit scope, endpoint and connections. */
+/** Updates the state of destination, limit scope, endpoint and connections from the outcome of each call. */
 record Outcomes(
         AnswerTimes times,
         ConcurrencyWindow window,
@@ -14,11 +14,10 @@
         Backoff backoff,
         Connections connections,
         Outages outages) {
-    /** Learns from how an attempt ended. */
-    void observe(Attempt attempt, Ended ended) {
+    void observe(Attempt attempt, AttemptEnded ended) {
         EndpointState endpoint = attempt.endpoint;
         Outcome outcome = ended.outcome();
-        // Messages of one call mostly fare alike: what tells of its host is counted once.
+        // Messages of one batch mostly end alike: an outcome counts once per call.
         boolean firstOfCall = attempt.call.outcomes.add(outcome);
         boolean outOfCapacity = outcome == Outcome.FULL && connections.isOutOfCapacity(attempt, ended);
         if (attempt.followsRefusal && (outcome == Outcome.OK || outcome == Outcome.FULL && !outOfCapacity)) {
@@ -47,7 +46,7 @@
         }
     }
 
-    private void onFailed(Attempt attempt, Ended ended) {
+    private void onFailed(Attempt attempt, AttemptEnded ended) {
         EndpointState endpoint = attempt.endpoint;
         switch (ended.outcome()) {
             case FULL -> {
--- a/src/main/java/brambletray/relay/control/Pace.java
+++ b/src/main/java/brambletray/relay/control/Pace.java
@@ -8,32 +8,32 @@
 import brambletray.relay.control.State.LimitScope;
 import java.util.SplittableRandom;
 
-/** Rates of limit scopes, and the limits that hosts tell in lists and in answers. */
+/** Rate limiting of limit scopes, by the rates that the endpoint list and answers report. */
 record Pace(Settings settings, Memory memory, SplittableRandom random, Turn turn) {
-    /** Highest pace, as a multiple of the listed rate. */
+    /** Highest pace, as a multiple of the known rate. */
     private static final double MAX_PACE_FACTOR = 1.4;
     /** Factor of the pace at a refusal. */
     private static final double REFUSAL_FACTOR = 0.75;
-    /** Lowest pace, as a multiple of a relay's even part of the rate. */
+    /** Lowest pace, as a multiple of a relay's equal share of the rate. */
     private static final double MIN_PACE_FACTOR = 0.5;
-    /** First pace, as a multiple of a relay's even part of the rate. */
+    /** First pace, as a multiple of a relay's equal share of the rate. */
     private static final double INITIAL_PACE_FACTOR = 2;
-    /** Growth of the pace at an answer, in even parts, up to an even part. */
-    private static final double GROWTH_BELOW_EVEN = 0.15;
-    /** The same past an even part. */
-    private static final double GROWTH_ABOVE_EVEN = 0.03;
-    /** Calls a second; pace where no rate is listed, in effect none. */
+    /** Growth of the pace at an answer, in equal shares, while below the equal share. */
+    private static final double GROWTH_BELOW_FAIR_SHARE = 0.15;
+    /** The same above the equal share. */
+    private static final double GROWTH_ABOVE_FAIR_SHARE = 0.03;
+    /** Calls a second; assumed rate where none is known: in effect unlimited. */
     private static final double UNPACED_PER_S = 1e6;
-    /** Calls a second; slowest pace, as less would be a ban. */
+    /** Calls a second; slowest pace: less would amount to a ban. */
     private static final double MIN_PACE_PER_S = 0.25;
-    /** s; a limit scope may send this much of its pace at once. */
+    /** s; burst size, as the time in which the pace would fill it. */
     private static final double BURST_S = 0.7;
-    /** Share of the limit that is left below which the pace is cut. */
+    /** Remaining share of a reported limit below which the pace is cut. */
     private static final double LOW_REMAINING_SHARE = 0.15;
     /** Factor of the pace at each such cut. */
     private static final double LOW_REMAINING_FACTOR = 0.9;
 
-    /** Calls a second that a limit scope takes from all relays together, as listed or reported in answers. */
+    /** Calls a second that a limit scope accepts from all relays together, as listed or reported in answers. */
     static double rate(LimitScope limitScope) {
         return limitScope.hasRate ? limitScope.rate : UNPACED_PER_S;
     }
@@ -46,7 +46,7 @@
         return Math.max(MIN_PACE_PER_S, MIN_PACE_FACTOR * rate(limitScope) / settings.relays());
     }
 
-    /** A limit scope's first endpoint came on the list. */
+    /** Initializes a limit scope when its first endpoint is listed. */
     void startLimitScope(LimitScope limitScope, double weight) {
         limitScope.rate = weight;
         limitScope.hasRate = settings.weights() != Weights.NONE;
@@ -58,20 +58,20 @@
         limitScope.pace = Math.min(limitScope.pace, maxPace(limitScope));
     }
 
-    /** The earliest time for another call at the limit scope's pace; 0 for at once. */
+    /** Earliest time at which the pace allows another call; 0 for at once. */
     long nextTokenAt(LimitScope limitScope) {
-        limitScope.bucket.fill(limitScope.pace, Math.max(2, limitScope.pace * BURST_S), turn.now);
+        limitScope.bucket.refill(limitScope.pace, Math.max(2, limitScope.pace * BURST_S), turn.now);
         return limitScope.bucket.tokens >= 1
                 ? 0
                 : turn.now + (long) ((1 - limitScope.bucket.tokens) / limitScope.pace * SECOND) + 1;
     }
 
-    /** An answer came: a limit scope that uses its pace up gets more. */
+    /** Raises the pace of a limit scope that uses it up. */
     void onAnswered(LimitScope limitScope) {
         if (limitScope.bucket.tokens < 1 && limitScope.pace < maxPace(limitScope)) {
-            double even = minPace(limitScope) / MIN_PACE_FACTOR;
-            double step = limitScope.pace < even ? GROWTH_BELOW_EVEN : GROWTH_ABOVE_EVEN;
-            limitScope.pace = Math.min(maxPace(limitScope), limitScope.pace + step * even);
+            double fairShare = minPace(limitScope) / MIN_PACE_FACTOR;
+            double step = limitScope.pace < fairShare ? GROWTH_BELOW_FAIR_SHARE : GROWTH_ABOVE_FAIR_SHARE;
+            limitScope.pace = Math.min(maxPace(limitScope), limitScope.pace + step * fairShare);
         }
     }
 
@@ -79,11 +79,11 @@
         limitScope.pace = Math.max(minPace(limitScope), limitScope.pace * REFUSAL_FACTOR);
     }
 
-    /** An answer has reported the limit of its scope. */
-    void onLimitReported(EndpointState endpoint, double limit, double left) {
+    /** Takes over the limit of its scope that an answer reported. */
+    void onLimitReported(EndpointState endpoint, double limit, double remaining) {
         LimitScope limitScope = endpoint.limitScope;
         memory.reportsLimits[endpoint.kind] = true;
-        // Where nothing is listed, what answers tell is the first that is known of a limit scope's rate.
+        // Without a listed rate, the reported one is the first known.
         limitScope.pace = limitScope.hasRate
                 ? limitScope.pace
                 : Math.min(limitScope.pace, INITIAL_PACE_FACTOR * limit / settings.relays());
@@ -91,12 +91,12 @@
         limitScope.limitReported = true;
         limitScope.rate = limit;
         limitScope.pace = Math.min(limitScope.pace, limit);
-        if (left >= 0 && left < LOW_REMAINING_SHARE) {
+        if (remaining >= 0 && remaining < LOW_REMAINING_SHARE) {
             limitScope.pace = Math.max(minPace(limitScope), limitScope.pace * LOW_REMAINING_FACTOR);
         }
     }
 
-    /** An earlier module knew this limit, and had this pace. */
+    /** Restores the limit and pace that an earlier process had. */
     void restore(EndpointState endpoint, double limit, double pace) {
         LimitScope limitScope = endpoint.limitScope;
         limitScope.hasRate = true;
@@ -104,7 +104,7 @@
         memory.reportsLimits[endpoint.kind] = true;
         limitScope.rate = limit;
         limitScope.pace = Math.max(minPace(limitScope), Math.min(maxPace(limitScope), pace));
-        // Relays that were killed at once do not all send at once.
-        limitScope.bucket.fill(0, random.nextDouble(), turn.now);
+        // A random fill level keeps relays that were restarted together from sending together.
+        limitScope.bucket.refill(0, random.nextDouble(), turn.now);
     }
 }
--- a/src/main/java/brambletray/relay/control/Relay.java
+++ b/src/main/java/brambletray/relay/control/Relay.java
@@ -4,26 +4,25 @@
 import java.util.List;
 
 /**
- * The interface of {@link Control}: its settings, the events that it takes and the actions that it asks for.
- * Times are points of one monotonic clock and spans of it, in whole microseconds. Ids are the caller's own.
- * This file decides nothing.
+ * The interface of {@link Control}: its settings, the events that it handles and the actions that it requests. Times and
+ * durations are in whole microseconds of one monotonic clock. Ids are assigned by the caller. Contains no logic.
  */
 public final class Relay {
     private Relay() {}
 
-    /** What a second run of the same message would do. */
+    /** Effect of processing the same message twice. */
     public enum Effect {
-        /** May be repeated at will. */
+        /** Repeats are harmless. */
         SAFE,
-        /** A repeat is dropped by the receivers of one group for a while. */
+        /** Repeats are dropped by the receivers of one group within the deduplication window. */
         KEYED,
-        /** A second run would take effect twice. */
+        /** A repeat would take effect twice. */
         UNSAFE
     }
 
     /**
-     * How one attempt ended. RESET and CONNECT_RESET: its connection broke, after the last byte of the call
-     * and before that. FULL, CONNECT_FAILED, CONNECT_RESET and NOT_SENT prove that the message never ran.
+     * How one attempt ended. RESET: its connection broke after the last byte of the call; CONNECT_RESET: before that.
+     * FULL, CONNECT_FAILED, CONNECT_RESET and NOT_SENT prove that the message never ran.
      */
     public enum Outcome {
         OK,
@@ -41,23 +40,23 @@
         }
     }
 
-    /** Standing of an endpoint in the list; it says nothing of its health. */
+    /** Status of an endpoint in the list, independent of its health. */
     public enum Listing {
         READY,
         DRAINING,
         GONE
     }
 
-    /** How a list of endpoints relates to the one held: changes only, or all there is. */
+    /** Whether a list of endpoints contains changes only or is complete. */
     public enum ListKind {
         CHANGES,
         FULL
     }
 
-    /** One address of a destination; the weight is the listed rate in calls a second, or 1. */
+    /** One address of a destination. {@code weight}: the listed rate in calls a second, or 1 if none is listed. */
     public record Endpoint(long id, int zone, int kind, long destination, Listing listing, double weight) {}
 
-    /** A class of message. {@code zoneGroup}: repeats are dropped only by endpoints of one zone. */
+    /** Settings of a class of messages. {@code zoneGroup}: repeats are dropped only within one zone. */
     public record MessageClass(
             String name,
             long latencyTarget,
@@ -70,20 +69,20 @@
             boolean inOrder)
             implements Serializable {}
 
-    /** A tenant and its rate of messages, over all relays, that counts in full. */
+    /** A tenant. {@code quota}: messages a second over all relays up to which its messages have their full value. */
     public record Tenant(String name, double quota) {}
 
-    /** A kind of destination: whether each of its endpoints has limits of its own; messages in one call at most. */
+    /** A kind of destination. {@code apart}: each endpoint has its own limits; {@code bundle}: most messages in a call. */
     public record Kind(boolean apart, int bundle) {}
 
-    /** Listed weights: none, exact, or up to half too high or too low. */
+    /** Accuracy of listed weights: none listed, exact, or up to half too high or too low. */
     public enum Weights {
         NONE,
         NOMINAL,
         ROUGH
     }
 
-    /** What the site lets a relay do. */
+    /** What the deployment allows a relay to do. */
     public record Allowed(
             int slots,
             int openMessages,
@@ -95,7 +94,7 @@
             long keepAlive,
             long longestAdvice) {}
 
-    /** Figures of the rules. */
+    /** Parameters of the delivery rules. */
     public record Rules(
             long drainGrace,
             double fallMultiple,
@@ -105,7 +104,7 @@
             long keyRest,
             long answerSlack) {}
 
-    /** Points taken off: per refused call, new connection, crossing; a fee for each zone's endpoints. */
+    /** Penalties: per refused call, new connection and call to another zone; a fee for the endpoints of each zone. */
     public record Prices(double refusal, double handshake, double crossZone, double waste, List<Double> zoneFee) {}
 
     /** All settings of a relay. */
@@ -123,18 +122,24 @@
             Rules rules,
             Prices prices) {}
 
-    /** Something that happened. */
+    /** Input of a turn. */
     public sealed interface Event {}
 
-    /** An attempt made before a restart; {@code sent} may lie before this clock began. */
-    public record Earlier(long sent, int zone, boolean mayHaveRun) {}
+    /** An attempt made before a restart; {@code sentAt} may precede the start of this clock. */
+    public record PriorAttempt(long sentAt, int zone, boolean mayHaveRun) {}
 
     /**
-     * A message was taken on; exactly one final answer is owed before {@code deadline}. {@code earlier}: its
-     * attempts so far, if it was taken on before a restart; new attempts are numbered on from these.
+     * A message was accepted; exactly one final answer is due before {@code deadline}. {@code priorAttempts}: its
+     * attempts before a restart; the numbers of new attempts continue from these.
      */
     public record Accepted(
-            String id, int messageClass, int tenant, String key, long deadline, long destination, List<Earlier> earlier)
+            String id,
+            int messageClass,
+            int tenant,
+            String key,
+            long deadline,
+            long destination,
+            List<PriorAttempt> priorAttempts)
             implements Event {
         public Accepted(String id, int messageClass, int tenant, String key, long deadline, long destination) {
             this(id, messageClass, tenant, key, deadline, destination, List.of());
@@ -143,83 +148,84 @@
 
     /**
      * An attempt ended. {@code retryAfter}: us, or 0. {@code remaining}, {@code limit}: -1 if not reported.
-     * {@code reused}: it is known to have gone out on a connection that had carried a call before.
+     * {@code reused}: true only if it is known that the connection had carried a call before.
      */
-    public record Ended(
+    public record AttemptEnded(
             String id,
             int attempt,
             long endpoint,
             Outcome outcome,
-            boolean over,
+            boolean messageEnded,
             long retryAfter,
             long latency,
             double remaining,
             double limit,
             boolean reused)
             implements Event {
-        public Ended(
+        public AttemptEnded(
                 String id,
                 int attempt,
                 long endpoint,
                 Outcome outcome,
-                boolean over,
+                boolean messageEnded,
                 long retryAfter,
                 long latency,
                 double remaining,
                 double limit) {
-            this(id, attempt, endpoint, outcome, over, retryAfter, latency, remaining, limit, false);
+            this(id, attempt, endpoint, outcome, messageEnded, retryAfter, latency, remaining, limit, false);
         }
     }
 
-    /** The list of endpoints changed. */
-    public record Listed(ListKind kind, List<Endpoint> endpoints) implements Event {}
+    /** A new or changed list of endpoints. */
+    public record EndpointsListed(ListKind kind, List<Endpoint> endpoints) implements Event {}
 
     /**
-     * Operators take an endpoint out of use, whatever the list says of it, or put it back: it may have been
-     * restarted meanwhile, and is cold.
+     * An operator excluded an endpoint, whatever its listing, or readmitted it; it may have been restarted in between
+     * and counts as cold.
      */
-    public record Excluded(long endpoint, boolean out) implements Event {}
+    public record EndpointExclusion(long endpoint, boolean excluded) implements Event {}
 
     /**
-     * What a module knows of an endpoint. {@code retryAfter}: us that are left of it, or 0; {@code isUnhealthy}: only
+     * Learned state of an endpoint. {@code retryAfter}: us remaining, or 0; {@code isUnhealthy}: only
      * probes are sent; {@code slowStartAge}: us since it recovered, or -1; {@code limit}: as reported, or 0;
      * {@code pace}: of its limit scope.
      */
-    public record Known(long retryAfter, boolean isUnhealthy, long slowStartAge, double limit, double pace) {}
+    public record EndpointKnowledge(
+            long retryAfter, boolean isUnhealthy, long slowStartAge, double limit, double pace) {}
 
-    /** An earlier module knew this of a listed endpoint, and it is still believed. */
-    public record Remembered(long endpoint, Known known) implements Event {}
+    /** Learned state of a listed endpoint from an earlier process, still recent enough to use. */
+    public record EndpointRestored(long endpoint, EndpointKnowledge known) implements Event {}
 
-    /** The message was withdrawn; nothing is owed any more. */
+    /** The message was withdrawn; it needs no final answer any more. */
     public record Withdrawn(String id) implements Event {}
 
-    /** The capacity that this message takes is due to another: it is handed back if it has not been sent. */
+    /** The capacity that this message occupies is needed for another: it is refused if it has not been sent. */
     public record Recalled(String id) implements Event {}
 
-    /** A timer asked for with {@link Wake} is due. */
-    public record Due() implements Event {}
+    /** A timer requested by {@link SetTimer} has fired. */
+    public record TimerFired() implements Event {}
 
-    /** Something to do. */
+    /** Output of a turn, to be carried out by the caller. */
     public sealed interface Action {}
 
-    /** Send the message; sends to one endpoint in one turn share a call up to the kind's bundle. */
+    /** Send the message; sends to one endpoint in one turn form a batch of up to the kind's {@code bundle}. */
     public record Send(String id, long endpoint, long timeout) implements Action {}
 
-    /** Final answer: handed back, a retry is harmless. {@code retryAfter}: advice, 0 for none. */
+    /** Final answer: not delivered, and safe to submit again. {@code retryAfter}: advice, 0 for none. */
     public record Refuse(String id, long retryAfter) implements Action {}
 
-    /** Final answer: given up, nothing is promised. */
+    /** Final answer: given up; whether it took effect is unknown. */
     public record Fail(String id) implements Action {}
 
     /** Stop waiting for an attempt. */
     public record Cancel(String id, int attempt) implements Action {}
 
-    /** Close the idle connections held to an endpoint. */
-    public record Close(long endpoint) implements Action {}
+    /** Close the idle connections to an endpoint. */
+    public record CloseIdleConnections(long endpoint) implements Action {}
 
-    /** Ask for a {@link Due} event after this span. */
-    public record Wake(long after) implements Action {}
+    /** Deliver a {@link TimerFired} event after this delay. */
+    public record SetTimer(long delay) implements Action {}
 
-    /** A line for the operators' log. */
+    /** Write a line to the operators' log. */
     public record Log(String text) implements Action {}
 }
--- a/src/main/java/brambletray/relay/control/SendGate.java
+++ b/src/main/java/brambletray/relay/control/SendGate.java
@@ -14,7 +14,7 @@
 import brambletray.relay.control.State.TimerKind;
 import java.util.SplittableRandom;
 
-/** The one gate of every send: what may go where and when, and at what cost; and the slots in use. */
+/** Admission check of every send: which message may go to which endpoint, when and at what cost; counts slots in use. */
 record SendGate(
         Settings settings,
         Memory memory,
@@ -24,11 +24,11 @@
         ConcurrencyWindow window,
         Connections connections,
         Outages outages) {
-    /** us; cost of opening a connection, in the choice of an endpoint. */
+    /** us of latency that a new connection counts as, in the choice of an endpoint. */
     private static final long CONNECT_COST_US = 400 * MS;
-    /** us; cost of one point of fee. */
+    /** us of latency that one point of fee counts as. */
     private static final long POINT_COST_US = 50 * MS;
-    /** us; cost of each failure in a row. */
+    /** us of latency that each consecutive failure, overdue call or earlier attempt counts as. */
     private static final long FAILURE_COST_US = 2 * SECOND;
 
     double cost(Message message, EndpointState endpoint) {
@@ -50,14 +50,14 @@
                         * FAILURE_COST_US;
     }
 
-    /** True when the next message there joins the batch that this turn has begun. */
+    /** True when the next message to this endpoint joins the batch that this turn has started. */
     boolean joinsBatch(EndpointState endpoint) {
         return endpoint.batchTurn == memory.turnCount
                 && endpoint.batch.size < settings.kinds().get(endpoint.kind).bundle();
     }
 
-    /** The one gate of every send: when this message may go to this endpoint; now or earlier means it may. */
-    long opensAt(Message message, EndpointState endpoint, boolean isHedge) {
+    /** Earliest time at which this message may go to this endpoint; a time up to now means at once. */
+    long earliestSendAt(Message message, EndpointState endpoint, boolean isHedge) {
         if (!endpoint.ready
                 || endpoint.disabledByOperator
                 || message.isEnded
@@ -66,7 +66,7 @@
                 || message.deadline <= turn.now
                 || !effectAllows(message, endpoint, isHedge)
                 || !message.isHeadOfKey()
-                || KeyOrder.isQuiet(message, turn.now)) {
+                || KeyOrder.inQuietPeriod(message, turn.now)) {
             return NEVER;
         }
         boolean joins = joinsBatch(endpoint);
@@ -75,10 +75,10 @@
         if (!joins && (full || endpoint.inflight >= endpoint.connectionCapacity)) {
             return NEVER;
         }
-        return outages.opensAt(endpoint, joins);
+        return outages.earliestSendAt(endpoint, joins);
     }
 
-    /** The rule on effects: where an earlier attempt may have run, only what the class allows. */
+    /** Where an earlier attempt may have run, a repeat is allowed only as far as the class's effect permits. */
     private boolean effectAllows(Message message, EndpointState endpoint, boolean isHedge) {
         if (isHedge
                 ? !settings.allowed().hedging() || message.messageClass.effect() == Effect.UNSAFE
@@ -121,12 +121,12 @@
         turn.schedule(turn.now + message.destination.hedgeDelay.delayUs(), TimerKind.HEDGE, attempt);
     }
 
-    /** An attempt has ended: its slot and its connection are free once all of its call have. */
+    /** Releases an ended attempt; slot and connection are free once all attempts of its call have ended. */
     void release(Attempt attempt) {
         if (attempt.finish()) {
             memory.slotsUsed--;
             attempt.endpoint.idleConnections.addLast(turn.now);
-            turn.freed.add(attempt.endpoint);
+            turn.freedEndpoints.add(attempt.endpoint);
         }
         memory.dispatchable.add(attempt.endpoint.destination);
     }
--- a/src/main/java/brambletray/relay/control/State.java
+++ b/src/main/java/brambletray/relay/control/State.java
@@ -11,11 +11,11 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** What {@link Control} remembers: plain records of fact and containers. Nothing here decides. */
+/** Data types of the state of {@link Control}; they make no decisions. */
 final class State {
     private State() {}
 
-    /** Health of an endpoint: answering, failing (only probes are sent), or recovered and held to the return budget. */
+    /** Health of an endpoint: answering; failing, so that only probes are sent; or recovering at a limited rate. */
     enum Health {
         HEALTHY,
         UNHEALTHY,
@@ -31,7 +31,7 @@
         FORGET_ENDPOINT
     }
 
-    /** Something due at a time; entries of one time keep their order. */
+    /** A scheduled action; timers of the same time fire in the order in which they were scheduled. */
     record Timer(long dueAt, long sequence, TimerKind kind, Serializable subject)
             implements Comparable<Timer>, Serializable {
         @Override
@@ -39,14 +39,14 @@
             return dueAt != other.dueAt ? Long.compare(dueAt, other.dueAt) : Long.compare(sequence, other.sequence);
         }
 
-        /** True when nothing is left to do at its time. */
+        /** True when it no longer has an effect. */
         boolean isStale() {
             return subject instanceof Attempt attempt && attempt.isDone
                     || kind == TimerKind.DEADLINE && ((Message) subject).isEnded;
         }
     }
 
-    /** One message: waiting in a queue, held back behind its key, in flight, or ended. */
+    /** One message: queued, waiting for an earlier one of its key, in flight, or ended. */
     static final class Message implements Serializable {
         private static final long serialVersionUID = Memory.VERSION;
         String id;
@@ -54,9 +54,9 @@
         Destination destination;
         OrderingKey key;
         long deadline;
-        /** Until when it has its full value. */
+        /** us; until when delivery has its full value. */
         long targetTime;
-        /** By order of arrival. */
+        /** Order of arrival. */
         long sequence;
 
         int queueIndex;
@@ -77,12 +77,12 @@
             this.sequence = sequence;
         }
 
-        /** True when no other message of its key goes before it. */
+        /** True when no other message of its key must be sent before it. */
         boolean isHeadOfKey() {
             return key == null || key.queue.peekFirst() == this;
         }
 
-        /** True when some attempt is out or may have taken effect. */
+        /** True when some attempt is in flight or may have taken effect. */
         boolean mayHaveRun() {
             for (Attempt attempt : attempts) {
                 if (attempt.mayHaveRun) {
@@ -92,41 +92,41 @@
             return false;
         }
 
-        /** Value of delivering at a time, as the settings of its class and the tenant's share have it. */
-        double valueAt(long when) {
-            if (when <= targetTime) {
+        /** Value of delivery at a time, from the settings of its class and the tenant's quota. */
+        double valueAt(long time) {
+            if (time <= targetTime) {
                 return fullValue;
             }
-            if (when > deadline) {
+            if (time > deadline) {
                 return 0;
             }
             if (halfLifeDecay) {
                 return fullValue
                         * Math.max(
                                 messageClass.lateValue(),
-                                Math.pow(0.5, (double) (when - targetTime) / messageClass.latencyTarget()));
+                                Math.pow(0.5, (double) (time - targetTime) / messageClass.latencyTarget()));
             }
-            double part = (double) (when - targetTime) / Math.max(1, deadline - targetTime);
-            return fullValue * (1 - part * (1 - messageClass.lateValue()));
+            double elapsedShare = (double) (time - targetTime) / Math.max(1, deadline - targetTime);
+            return fullValue * (1 - elapsedShare * (1 - messageClass.lateValue()));
         }
 
         int attemptsAt(EndpointState endpoint) {
-            int n = 0;
+            int count = 0;
             for (Attempt attempt : attempts) {
-                n += attempt.endpoint == endpoint ? 1 : 0;
+                count += attempt.endpoint == endpoint ? 1 : 0;
             }
-            return n;
+            return count;
         }
     }
 
-    /** One send of a message. {@code mayHaveRun} holds until its outcome proves otherwise. */
+    /** One send of a message. {@code mayHaveRun} stays true until its outcome proves otherwise. */
     static final class Attempt implements Serializable {
         private static final long serialVersionUID = Memory.VERSION;
         Message message;
         EndpointState endpoint;
         Call call;
         long sentAt;
-        /** us for which its connection had been idle; -1 for a new one. */
+        /** us; idle time of its connection before the send; -1 for a new connection. */
         long idleTime = -1;
 
         boolean isDone;
@@ -142,9 +142,9 @@
             this.sentAt = sent;
         }
 
-        /** Counts one that goes out, with this call. */
-        void start(Call with) {
-            call = with;
+        /** Adds the attempt to its call and to the counts of attempts in flight. */
+        void start(Call newCall) {
+            call = newCall;
             call.openAttempts++;
             call.size++;
             endpoint.inflight++;
@@ -152,7 +152,7 @@
             message.openAttempts++;
         }
 
-        /** Takes one that has ended out of the counts; true if that was the last of its call. */
+        /** Removes the attempt from the counts of attempts in flight; true if it was the last one of its call. */
         boolean finish() {
             Destination destination = endpoint.destination;
             message.openAttempts--;
@@ -160,29 +160,29 @@
             endpoint.probesInFlight -= isProbe ? 1 : 0;
             endpoint.overdue -= isOverdue ? 1 : 0;
             destination.overdueAttempts -= isOverdue ? 1 : 0;
-            boolean last = --call.openAttempts == 0;
-            destination.callsInFlight -= last ? 1 : 0;
-            return last;
+            boolean lastOfCall = --call.openAttempts == 0;
+            destination.callsInFlight -= lastOfCall ? 1 : 0;
+            return lastOfCall;
         }
     }
 
-    /** What takes one slot: one message, or a batch. */
+    /** One request to an endpoint, which takes one slot: a single message or a batch. */
     static final class Call implements Serializable {
         private static final long serialVersionUID = Memory.VERSION;
         int openAttempts;
         int size;
-        /** How its messages ended so far. */
+        /** Outcomes of its messages so far. */
         final EnumSet<Relay.Outcome> outcomes = EnumSet.noneOf(Relay.Outcome.class);
     }
 
-    /** Messages that share a key, in the order in which they were taken. */
+    /** Messages that share a key, in the order of acceptance. */
     static final class OrderingKey implements Serializable {
         private static final long serialVersionUID = Memory.VERSION;
         String name;
         long quietUntil;
         final ArrayDeque<Message> queue = new ArrayDeque<>();
 
-        /** The first that is not over and out of the way; null if there is none. */
+        /** Drops ended messages with no open attempt; returns the first of the others, or null. */
         Message head() {
             while (!queue.isEmpty() && queue.peekFirst().isEnded && queue.peekFirst().openAttempts == 0) {
                 queue.pollFirst();
@@ -191,7 +191,7 @@
         }
     }
 
-    /** Orders of messages; an enum, so that it outlasts the process that sorted by it. */
+    /** Orders of messages; an enum, so that serialized sorted sets keep their comparator. */
     enum MessageOrder implements Comparator<Message> {
         BY_LATENCY_TARGET;
 
@@ -203,12 +203,10 @@
         }
     }
 
-    /**
-     * Waiting messages of one priority: within their latency target, and past it; ones no longer queued are skipped.
-     */
+    /** Waiting messages of one priority, before and past their latency target; skips those no longer queued. */
     static final class WaitingQueue implements Serializable {
         private static final long serialVersionUID = Memory.VERSION;
-        /** By latency target: in order of arrival where all have the same time. */
+        /** By latency target, then by order of arrival. */
         final TreeSet<Message> onTime = new TreeSet<>(MessageOrder.BY_LATENCY_TARGET);
 
         final ArrayDeque<Message> late = new ArrayDeque<>();
@@ -241,7 +239,7 @@
             return late.peekLast();
         }
 
-        /** Removes a message that is on time, or the last of the late ones. */
+        /** Removes a message that is on time, or is the last of the late ones. */
         void remove(Message message) {
             if (!onTime.remove(message) && late.peekLast() == message) {
                 late.pollLast();
@@ -255,25 +253,25 @@
         double tokens = Double.MAX_VALUE;
         private long filledAt;
 
-        void fill(double perSecond, double most, long now) {
-            tokens = Math.min(most, tokens + perSecond * (now - filledAt) / 1e6);
+        void refill(double perSecond, double capacity, long now) {
+            tokens = Math.min(capacity, tokens + perSecond * (now - filledAt) / 1e6);
             filledAt = now;
         }
 
-        boolean take() {
-            boolean enough = tokens >= 1;
-            tokens -= enough ? 1 : 0;
-            return enough;
+        boolean tryTake() {
+            boolean available = tokens >= 1;
+            tokens -= available ? 1 : 0;
+            return available;
         }
     }
 
-    /** What a rate limit and a retry-after time belong to: a destination, or one endpoint where each has its own. */
+    /** What a rate limit and a retry-after time apply to: a destination, or an endpoint where each has its own limits. */
     static final class LimitScope implements Serializable {
         private static final long serialVersionUID = Memory.VERSION;
         final TokenBucket bucket = new TokenBucket();
-        /** Whether {@code rate} was listed or reported. */
+        /** Whether {@code rate} is known, from the list or from answers. */
         boolean hasRate;
-        /** Whether an answer has reported it. */
+        /** Whether {@code rate} was reported in an answer. */
         boolean limitReported;
 
         double rate;
@@ -281,11 +279,11 @@
         long waitUntil;
         long backoffUntil;
         long refusedAt;
-        /** Refusals in a row, those of calls that were out together counted once. */
+        /** Consecutive refusals; those of calls in flight at the same time count once. */
         int refusals;
     }
 
-    /** One endpoint: its place on the list, health and connections. */
+    /** One endpoint: its listing, health and connections. */
     static final class EndpointState implements Serializable {
         private static final long serialVersionUID = Memory.VERSION;
         long id;
@@ -293,7 +291,7 @@
         int kind;
         Destination destination;
         LimitScope limitScope;
-        /** Listed as taking ordinary traffic. */
+        /** Listed as ready for traffic. */
         boolean ready;
 
         boolean outageConfirmed;
@@ -302,22 +300,22 @@
         Health health = Health.HEALTHY;
         int inflight;
         int consecutiveFailures;
-        /** New connections in a row that broke, with no answer between. */
+        /** Consecutive resets of new connections, with no answer between. */
         int consecutiveResets;
 
         int probesInFlight;
         int overdue;
-        /** Times in a row that it has accepted no further connection. */
+        /** Consecutive refusals of a further connection. */
         int consecutiveCapacityRefusals;
-        /** Calls of this relay that it has connections for, as far as known. */
+        /** Concurrent calls of this relay that it has connections for, as far as known. */
         int connectionCapacity = Integer.MAX_VALUE;
         /** us; when {@code connectionCapacity} last changed. */
         long capacityChangedAt = -1;
-        /** us; smoothed. */
+        /** us; moving average. */
         double latency;
-        /** Share of recent calls that failed. */
+        /** Moving average of the share of calls that failed. */
         double failureShare;
-        /** us; how long its kind's connections were held before its connects failed. */
+        /** us; hold time of its kind before its failed connects cut it. */
         double holdTimeBeforeCuts;
 
         long backoffUntil;
@@ -338,14 +336,14 @@
             this.kind = kind;
         }
 
-        /** When its retry-after time and its back-offs are over. */
-        long closedUntil() {
+        /** When its retry-after time and its back-offs have passed. */
+        long blockedUntil() {
             return Math.max(
                     Math.max(backoffUntil, destination.backoffUntil),
                     Math.max(limitScope.waitUntil, limitScope.backoffUntil));
         }
 
-        /** True when there is a connection that became idle after this time. */
+        /** True when there is a connection that has become idle after this time. */
         boolean hasWarmConnection(long since) {
             while (!idleConnections.isEmpty() && idleConnections.peekFirst() <= since) {
                 idleConnections.pollFirst();
@@ -354,7 +352,7 @@
         }
     }
 
-    /** One destination: its endpoints, waiting messages, window and answers. */
+    /** One destination: its endpoints, waiting messages, concurrency window and response times. */
     static final class Destination implements Serializable {
         private static final long serialVersionUID = Memory.VERSION;
         final Map<Long, EndpointState> endpoints = new TreeMap<>();
@@ -363,7 +361,7 @@
         LimitScope sharedLimitScope;
         private double arrivals;
         private long arrivalsAt;
-        /** Messages a second that come in for it, when the last one came. */
+        /** Messages a second that arrive for it, as of the last arrival. */
         double usualRate;
 
         double window = 1;
@@ -384,7 +382,7 @@
             Arrays.setAll(this.queues, i -> new WaitingQueue());
         }
 
-        /** True when one of its endpoints answers. */
+        /** True when at least one of its endpoints is healthy. */
         boolean hasHealthyEndpoint() {
             for (EndpointState endpoint : endpoints.values()) {
                 if (endpoint.health == Health.HEALTHY) {
@@ -394,11 +392,11 @@
             return false;
         }
 
-        /** Counts a message into the rate over an exponential span; {@code age}: counted how long. */
-        void countArrival(long now, long span, long age) {
-            arrivals = arrivals * Math.exp((double) (arrivalsAt - now) / span) + 1;
+        /** Adds an arrival to the exponentially weighted rate. {@code age}: time since counting began. */
+        void countArrival(long now, long window, long age) {
+            arrivals = arrivals * Math.exp((double) (arrivalsAt - now) / window) + 1;
             arrivalsAt = now;
-            usualRate = arrivals * 1e6 / (span * -Math.expm1(-(double) age / span));
+            usualRate = arrivals * 1e6 / (window * -Math.expm1(-(double) age / window));
         }
     }
 }
--- a/src/main/java/brambletray/relay/control/Turn.java
+++ b/src/main/java/brambletray/relay/control/Turn.java
@@ -2,7 +2,7 @@
 
 import brambletray.relay.control.Relay.Action;
 import brambletray.relay.control.Relay.Log;
-import brambletray.relay.control.Relay.Wake;
+import brambletray.relay.control.Relay.SetTimer;
 import brambletray.relay.control.State.EndpointState;
 import brambletray.relay.control.State.Timer;
 import brambletray.relay.control.State.TimerKind;
@@ -13,18 +13,18 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 
-/** One turn: its time, the actions that it asks for, and the timers. It decides nothing. */
+/** The current turn: its time, the actions that it requests, and the timers. Makes no decisions. */
 final class Turn {
     static final long MS = 1_000L;
     static final long SECOND = 1_000_000L;
     static final long NEVER = Long.MAX_VALUE;
-    /** Log lines at most: operators keep only the first few hundred. */
+    /** Limit of log lines: operators keep only the first few hundred. */
     private static final int MAX_LOG_LINES = 100;
-    /** Endpoints whose calls ended in this turn. */
-    final Set<EndpointState> freed = new LinkedHashSet<>();
+    /** Endpoints at which a call has ended in this turn. */
+    final Set<EndpointState> freedEndpoints = new LinkedHashSet<>();
 
     private final Memory memory;
-    private List<Action> out = new ArrayList<>();
+    private List<Action> actions = new ArrayList<>();
     private long wakeAt = NEVER;
     long now;
 
@@ -40,44 +40,44 @@
         now = time;
         memory.now = time;
         memory.startedAt = memory.turnCount++ == 0 ? now : memory.startedAt;
-        out = new ArrayList<>();
+        actions = new ArrayList<>();
     }
 
     void addAction(Action action) {
-        out.add(action);
+        actions.add(action);
     }
 
-    void log(EndpointState endpoint, String what) {
+    void log(EndpointState endpoint, String text) {
         if (memory.loggedLines++ < MAX_LOG_LINES) {
-            out.add(new Log("endpoint " + endpoint.id + ": " + what));
+            actions.add(new Log("endpoint " + endpoint.id + ": " + text));
         }
     }
 
-    /** Schedules a timer; those of one time keep their order. */
-    void schedule(long when, TimerKind duty, Serializable of) {
-        memory.timers.add(new Timer(when, memory.nextSequence++, duty, of));
+    /** Schedules a timer; those of the same time fire in the order of scheduling. */
+    void schedule(long dueAt, TimerKind kind, Serializable subject) {
+        memory.timers.add(new Timer(dueAt, memory.nextSequence++, kind, subject));
     }
 
-    /** Takes the next timer that is due; null if there is none. */
-    Timer nextDue() {
+    /** Removes and returns the next timer that is due; null if there is none. */
+    Timer pollDueTimer() {
         return !memory.timers.isEmpty() && memory.timers.peek().dueAt() <= now ? memory.timers.poll() : null;
     }
 
-    /** The caller's timer has fired. */
+    /** The timer requested from the caller has fired. */
     void onTimer() {
         wakeAt = wakeAt <= now ? NEVER : wakeAt;
     }
 
-    /** Asks for a call at the next timer that is not stale, and returns what the turn asked for. */
+    /** Requests a wake-up for the next timer that is not stale, and returns the actions of the turn. */
     List<Action> end() {
-        PriorityQueue<Timer> agenda = memory.timers;
-        while (!agenda.isEmpty() && agenda.peek().isStale()) {
-            agenda.poll();
+        PriorityQueue<Timer> timers = memory.timers;
+        while (!timers.isEmpty() && timers.peek().isStale()) {
+            timers.poll();
         }
-        if (!agenda.isEmpty() && agenda.peek().dueAt() < wakeAt) {
-            wakeAt = agenda.peek().dueAt();
-            out.add(new Wake(Math.max(1, wakeAt - now)));
+        if (!timers.isEmpty() && timers.peek().dueAt() < wakeAt) {
+            wakeAt = timers.peek().dueAt();
+            actions.add(new SetTimer(Math.max(1, wakeAt - now)));
         }
-        return out;
+        return actions;
     }
 }
--- a/src/main/java/brambletray/relay/control/package-info.java
+++ b/src/main/java/brambletray/relay/control/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The relay's decisions as a pure module: events in, actions out; it reads no clock, socket or file
- * (docs/design.md).
+ * The relay's scheduling decisions as a deterministic state machine: events in, actions out, with no access to clock,
+ * network or files (docs/design.md).
  */
 package brambletray.relay.control;
--- a/src/main/java/brambletray/relay/core/EventDispatcher.java
+++ b/src/main/java/brambletray/relay/core/EventDispatcher.java
@@ -151,7 +151,7 @@
      * Reports to the module the list as last had (null: none) and what the journal holds, then begins to watch the
      * platform, which is to call {@link #onListed} and {@link #onNoticeAcknowledged}.
      */
-    public void start(Platform platform, Relay.Listed known) {
+    public void start(Platform platform, Relay.EndpointsListed known) {
         this.platform = platform;
         if (DispatchTrace.ON) {
             DispatchTrace.settings(clock.unixMillis(), settings);
@@ -180,10 +180,10 @@
         pendingMessages.put(pending.message.id(), pending);
         openMessages++;
         metrics.taken(classes.get(pending.message.messageClass()));
-        List<Relay.Earlier> earlier = new ArrayList<>();
+        List<Relay.PriorAttempt> earlier = new ArrayList<>();
         for (Journal.Attempt attempt : entry.attempts) {
             pending.calls.add(null);
-            earlier.add(new Relay.Earlier(moduleTime(attempt.sent), attempt.zone, attempt.mayHaveRun));
+            earlier.add(new Relay.PriorAttempt(moduleTime(attempt.sent), attempt.zone, attempt.mayHaveRun));
         }
         admissionGate.onRecovered(pending.message);
         if (!earlier.isEmpty()) {
@@ -192,7 +192,7 @@
         addEvent(accepted(pending.message, earlier));
     }
 
-    private Relay.Accepted accepted(Message message, List<Relay.Earlier> earlier) {
+    private Relay.Accepted accepted(Message message, List<Relay.PriorAttempt> earlier) {
         return new Relay.Accepted(
                 message.id(),
                 classes.get(message.messageClass()),
@@ -270,7 +270,7 @@
         // The turn comes when the event loop has read what else is there: one batch, and one sync, for all of it.
         if (entry instanceof AdmissionGate.Deferred later) {
             waitingAtGate.add(message.id());
-            addEvent(new Relay.Due());
+            addEvent(new Relay.TimerFired());
             loop.schedule(() -> retryAdmission(pending), later.retryAfter(), TimeUnit.MICROSECONDS);
         } else {
             addEvent(accepted(message, List.of()));
@@ -353,7 +353,7 @@
         } catch (RuntimeException e) {
             LOG.error("turn failed on {}", taken, e);
             // Guards against standing still: the module's timer may have been lost with the turn.
-            loop.schedule(() -> addEvent(new Relay.Due()), FAULT_BACKOFF_US, TimeUnit.MICROSECONDS);
+            loop.schedule(() -> addEvent(new Relay.TimerFired()), FAULT_BACKOFF_US, TimeUnit.MICROSECONDS);
         } finally {
             // Guards clients against getting no answer if the turn failed: nothing was written down for these.
             for (String id : List.copyOf(unanswered.keySet())) {
@@ -481,13 +481,13 @@
             if (call != null) {
                 call.cancel();
             }
-        } else if (action instanceof Relay.Close close) {
+        } else if (action instanceof Relay.CloseIdleConnections close) {
             Host host = hosts.host(close.endpoint());
             if (host != null) {
                 transport.closeIdle(host);
             }
-        } else if (action instanceof Relay.Wake wake) {
-            loop.schedule(() -> addEvent(new Relay.Due()), wake.after(), TimeUnit.MICROSECONDS);
+        } else if (action instanceof Relay.SetTimer wake) {
+            loop.schedule(() -> addEvent(new Relay.TimerFired()), wake.delay(), TimeUnit.MICROSECONDS);
         } else if (action instanceof Relay.Log log) {
             LOG.info("{}", log.text());
         }
@@ -526,7 +526,7 @@
                 recordNotRun(pending, attempt);
             }
         }
-        addEvent(new Relay.Ended(
+        addEvent(new Relay.AttemptEnded(
                 pending.message.id(),
                 attempt,
                 host.number,
@@ -626,7 +626,8 @@
                 .forEach(pending -> here.add(pending.message.id()));
         Set<String> owed = new TreeSet<>();
         journal.owed().stream().filter(entry -> entry.end == null).forEach(entry -> owed.add(entry.message.id()));
-        Set<String> decided = new TreeSet<>(control.memory().openMessages().keySet());
+        Set<String> decided =
+                new TreeSet<>(control.memory().openMessageAttemptCounts().keySet());
         // A message that waits at the admission gate is held and written down, and the module has not heard of it.
         decided.addAll(waitingAtGate);
         if (here.equals(owed) && here.equals(decided) && here.size() == openMessages) {
@@ -669,7 +670,7 @@
     /** Nothing new goes to this host from now on; or it may be used again, with care. */
     public void setExcluded(Host host, boolean out) {
         host.excluded = out;
-        addEvent(new Relay.Excluded(host.number, out));
+        addEvent(new Relay.EndpointExclusion(host.number, out));
         if (out) {
             transport.recall(host);
             transport.closeIdle(host);
@@ -683,7 +684,7 @@
 
     /** Listed hosts that get no ordinary traffic now. */
     public int avoidedHosts() {
-        return control.avoided();
+        return control.unavailableEndpointCount();
     }
 
     // ---- Hand-over ------------------------------------------------------------------------------
@@ -749,7 +750,7 @@
     }
 
     /** In the place of {@link #start}: goes on with what was handed on; {@code whole}: the list as it is. */
-    public void resume(Platform on, Relay.Listed whole, HandoverState from, RemoteCalls remoteCalls) {
+    public void resume(Platform on, Relay.EndpointsListed whole, HandoverState from, RemoteCalls remoteCalls) {
         platform = on;
         hostKnowledge.onHandedOver();
         for (Journal.Entry entry : journal.owed()) {
@@ -784,7 +785,7 @@
 
     // ---- List -----------------------------------------------------------------------------------
     /** The list or its changes are here, and {@link HostDirectory} holds them. */
-    public void onListed(Relay.Listed list) {
+    public void onListed(Relay.EndpointsListed list) {
         addEvent(list);
         hostKnowledge.onListed(list).forEach(this::addEvent);
         commitSoon();
--- a/src/main/java/brambletray/relay/core/HandoverState.java
+++ b/src/main/java/brambletray/relay/core/HandoverState.java
@@ -36,7 +36,7 @@
      * module has to {@link EventDispatcher#start} with what the journal tells.
      */
     public boolean fits(Journal journal, HostDirectory hosts) {
-        Map<String, Integer> open = memory.openMessages();
+        Map<String, Integer> open = memory.openMessageAttemptCounts();
         for (Journal.Entry entry : journal.owed()) {
             if (entry.end == null && !Integer.valueOf(entry.attempts.size()).equals(open.remove(entry.message.id()))) {
                 return false;
@@ -44,6 +44,6 @@
         }
         return open.isEmpty()
                 && hostNumbers.entrySet().stream().allMatch(e -> hosts.hostNamed(e.getKey()).number == e.getValue())
-                && hostNumbers.values().containsAll(memory.endpoints());
+                && hostNumbers.values().containsAll(memory.listedEndpointIds());
     }
 }
--- a/src/main/java/brambletray/relay/core/HostKnowledgeRecorder.java
+++ b/src/main/java/brambletray/relay/core/HostKnowledgeRecorder.java
@@ -62,7 +62,7 @@
     }
 
     /** The list from before the start, in which hosts that were leaving since get nothing new. */
-    Relay.Listed withoutLeavers(Relay.Listed known) {
+    Relay.EndpointsListed withoutLeavers(Relay.EndpointsListed known) {
         List<Relay.Endpoint> endpoints = new ArrayList<>();
         for (Relay.Endpoint endpoint : known.endpoints()) {
             Host host = hosts.host(endpoint.id());
@@ -83,11 +83,11 @@
                                     endpoint.weight())
                             : endpoint);
         }
-        return new Relay.Listed(known.kind(), endpoints);
+        return new Relay.EndpointsListed(known.kind(), endpoints);
     }
 
     /** A list of the platform is held; the events for the module beside it. */
-    List<Relay.Event> onListed(Relay.Listed list) {
+    List<Relay.Event> onListed(Relay.EndpointsListed list) {
         for (Host host : hosts.hosts()) {
             if (host.ready) {
                 leaving.remove(host.name);
@@ -102,7 +102,7 @@
     }
 
     /** Those that the platform does not speak of are as the list from before the start has them. */
-    private List<Relay.Event> relist(Relay.Listed list) {
+    private List<Relay.Event> relist(Relay.EndpointsListed list) {
         list.endpoints()
                 .forEach(endpoint -> leftBeforeStart.remove(
                         hosts.host(endpoint.id()) == null ? "" : hosts.host(endpoint.id()).name));
@@ -116,7 +116,7 @@
             }
         }
         leftBeforeStart.clear();
-        return again.isEmpty() ? List.of() : List.of(new Relay.Listed(Relay.ListKind.CHANGES, again));
+        return again.isEmpty() ? List.of() : List.of(new Relay.EndpointsListed(Relay.ListKind.CHANGES, again));
     }
 
     /** What is still believed of the hosts that are listed by now. */
@@ -126,9 +126,9 @@
             if (!host.gone && unreported.remove(host.name)) {
                 HostKnowledge known = stateCache.stillValid(host.name, clock.moment(), slowStartUs);
                 if (!known.equals(HostKnowledge.NONE)) {
-                    taken.add(new Relay.Remembered(
+                    taken.add(new Relay.EndpointRestored(
                             host.number,
-                            new Relay.Known(
+                            new Relay.EndpointKnowledge(
                                     known.retryAfterUs(),
                                     known.isUnhealthy(),
                                     known.slowStartAgeUs(),
@@ -143,7 +143,9 @@
     /** The module has decided on these: retry-after times in them are noted before anything of it goes out. */
     void onDecided(List<Relay.Event> events) {
         for (Relay.Event event : events) {
-            if (event instanceof Relay.Ended ended && ended.retryAfter() > 0 && hosts.host(ended.endpoint()) != null) {
+            if (event instanceof Relay.AttemptEnded ended
+                    && ended.retryAfter() > 0
+                    && hosts.host(ended.endpoint()) != null) {
                 record(hosts.host(ended.endpoint()));
             }
         }
@@ -160,7 +162,7 @@
         if (unreported.contains(host.name)) {
             return;
         }
-        Relay.Known known = control.known(host.number);
+        Relay.EndpointKnowledge known = control.endpointKnowledge(host.number);
         HostKnowledge here = known == null
                 ? HostKnowledge.NONE
                 : new HostKnowledge(
--- a/src/main/java/brambletray/relay/membership/Discovery.java
+++ b/src/main/java/brambletray/relay/membership/Discovery.java
@@ -49,7 +49,7 @@
             Machine machine,
             InetSocketAddress agent,
             HostList hosts,
-            Consumer<Relay.Listed> whenListed,
+            Consumer<Relay.EndpointsListed> whenListed,
             Consumer<Journal.Entry> whenNoticed) {
         this.machine = machine;
         this.loop = machine.loop();
--- a/src/main/java/brambletray/relay/message/Body.java
+++ b/src/main/java/brambletray/relay/message/Body.java
@@ -3,14 +3,14 @@
 import java.io.IOException;
 import java.util.Arrays;
 
-/** The bytes of a message, in memory or where they last; not changed by whoever gets them. */
+/** The payload of a message, in memory or in a file; callers must not modify the bytes. */
 public interface Body {
-    /** Its bytes; may be read from a file. */
+    /** Returns the bytes; may read them from a file. */
     byte[] bytes() throws IOException;
 
     int length();
 
-    /** A body in memory. */
+    /** Creates an in-memory body that wraps the array. */
     static Body of(byte[] bytes) {
         return new Body() {
             @Override
@@ -25,7 +25,7 @@
         };
     }
 
-    /** True when both can be read and are alike. */
+    /** True when both can be read and have the same content. */
     static boolean same(Body one, Body other) {
         try {
             return one.length() == other.length() && Arrays.equals(one.bytes(), other.bytes());
--- a/src/main/java/brambletray/relay/message/Message.java
+++ b/src/main/java/brambletray/relay/message/Message.java
@@ -3,8 +3,8 @@
 import java.util.Objects;
 
 /**
- * One message as its client handed it in. {@code deadline}: Unix time, ms; keys are null where there are
- * none, {@code origin} where its end is told to nobody but the platform.
+ * A message as its client submitted it. {@code deadline}: Unix time, ms. Absent keys are null; {@code origin} is null
+ * where only the platform is notified of the message's end.
  */
 public record Message(
         String id,
@@ -16,7 +16,7 @@
         long deadline,
         Body body,
         Origin origin) {
-    /** A message whose end is told by the platform's notices alone. */
+    /** A message of whose end only the platform is notified. */
     public Message(
             String id,
             String messageClass,
@@ -29,7 +29,7 @@
         this(id, messageClass, tenant, routeKey, idempotencyKey, destination, deadline, body, null);
     }
 
-    /** True when the other is this message once more; its time may have been told anew. */
+    /** True when the other is a resubmission of this message; its deadline may differ. */
     public boolean sameAs(Message other) {
         return id.equals(other.id)
                 && messageClass.equals(other.messageClass)
@@ -38,9 +38,8 @@
                 && Body.same(body, other.body);
     }
 
-    /** The same message with its bytes elsewhere. */
-    public Message with(Body elsewhere) {
-        return new Message(
-                id, messageClass, tenant, routeKey, idempotencyKey, destination, deadline, elsewhere, origin);
+    /** The same message with another body instance. */
+    public Message withBody(Body newBody) {
+        return new Message(id, messageClass, tenant, routeKey, idempotencyKey, destination, deadline, newBody, origin);
     }
 }
--- a/src/main/java/brambletray/relay/message/Origin.java
+++ b/src/main/java/brambletray/relay/message/Origin.java
@@ -1,7 +1,7 @@
 package brambletray.relay.message;
 
 /**
- * Where the end of a message is to be told besides the platform's notice: a client of a protocol that keeps
- * sessions, a topic and what the client correlates its answer by (no bytes for nothing).
+ * Where to report the end of a message in addition to the platform's notice: a client of a protocol with sessions, a
+ * response topic and the client's correlation data (empty if there is none).
  */
 public record Origin(String client, String topic, byte[] correlation) {}
--- a/src/main/java/brambletray/relay/serve/RelayInstance.java
+++ b/src/main/java/brambletray/relay/serve/RelayInstance.java
@@ -86,7 +86,7 @@
 
     private final ProcessHandover succession;
     private final Promise<Void> serving;
-    private final Relay.Listed known;
+    private final Relay.EndpointsListed known;
     private ChannelFuture bound;
     private ChannelFuture mqttBound;
     private ChannelFuture consoleBound;
@@ -281,7 +281,7 @@
         mqttBound = mqtt == null ? null : mqtt.listen();
     }
 
-    private void listed(Relay.Listed list) {
+    private void listed(Relay.EndpointsListed list) {
         if (owns()) {
             loop.onListed(list);
         }
--- a/src/test/java/brambletray/relay/control/Bench.java
+++ b/src/test/java/brambletray/relay/control/ControlHarness.java
@@ -3,9 +3,8 @@
 import brambletray.relay.control.Relay.Accepted;
 import brambletray.relay.control.Relay.Action;
 import brambletray.relay.control.Relay.Allowed;
-import brambletray.relay.control.Relay.Due;
+import brambletray.relay.control.Relay.AttemptEnded;
 import brambletray.relay.control.Relay.Effect;
-import brambletray.relay.control.Relay.Ended;
 import brambletray.relay.control.Relay.Endpoint;
 import brambletray.relay.control.Relay.Event;
 import brambletray.relay.control.Relay.Kind;
@@ -15,33 +14,34 @@
 import brambletray.relay.control.Relay.Prices;
 import brambletray.relay.control.Relay.Rules;
 import brambletray.relay.control.Relay.Send;
+import brambletray.relay.control.Relay.SetTimer;
 import brambletray.relay.control.Relay.Settings;
 import brambletray.relay.control.Relay.Tenant;
-import brambletray.relay.control.Relay.Wake;
+import brambletray.relay.control.Relay.TimerFired;
 import brambletray.relay.control.Relay.Weights;
 import java.util.ArrayList;
 import java.util.List;
 
 /** Drives one Control by script: events in, actions out, every one of them past the rule checker. */
-final class Bench {
+final class ControlHarness {
     static final long MS = 1_000;
     static final long SECOND = 1_000_000;
-    final Settings set;
+    final Settings settings;
     final RuleChecker checker;
     final Control control;
     long now = 5 * SECOND;
     long wakeAt = Long.MAX_VALUE;
-    private int next;
+    private int nextMessage;
 
     /**
      * Classes: 0 safe, 1 keyed (group all), 2 unsafe in order, 3 keyed (zone group). Kinds: 0 shared, 1 apart, 2
      * bundles.
      */
-    static Settings settings(int slots, boolean copies, int relays) {
-        return settings(slots, copies, relays, 8, 200);
+    static Settings settings(int slots, boolean hedging, int relays) {
+        return settings(slots, hedging, relays, 8, 200);
     }
 
-    static Settings settings(int slots, boolean copies, int relays, int attempts, int open) {
+    static Settings settings(int slots, boolean hedging, int relays, int attempts, int openMessages) {
         List<MessageClass> classes = List.of(
                 new MessageClass("a", SECOND, 5 * SECOND, 2, 0, Effect.SAFE, false, 0, false),
                 new MessageClass("b", 4 * SECOND, 16 * SECOND, 1, 0.5, Effect.KEYED, false, 10 * SECOND, false),
@@ -57,19 +57,19 @@
                 classes,
                 List.of(new Tenant("t", 50)),
                 List.of(new Kind(false, 1), new Kind(true, 1), new Kind(true, 10)),
-                new Allowed(slots, open, attempts, copies, true, 1, 1500 * MS, 10 * SECOND, 3 * SECOND),
+                new Allowed(slots, openMessages, attempts, hedging, true, 1, 1500 * MS, 10 * SECOND, 3 * SECOND),
                 new Rules(250 * MS, 2.5, 3 * SECOND, 0.15, 10 * SECOND, 50 * MS, 20 * MS),
                 new Prices(0.05, 0.06, 0, 0.05, List.of(0.0, 0.0)));
     }
 
-    Bench(Settings set) {
-        this(set, 1);
+    ControlHarness(Settings settings) {
+        this(settings, 1);
     }
 
-    Bench(Settings set, long seed) {
-        this.set = set;
-        checker = new RuleChecker(set);
-        control = new Control(seed, set);
+    ControlHarness(Settings settings, long seed) {
+        this.settings = settings;
+        checker = new RuleChecker(settings);
+        control = new Control(seed, settings);
     }
 
     static Endpoint endpoint(long id, int zone, int kind, long destination, double weight) {
@@ -82,36 +82,36 @@
 
     List<Action> turn(List<Event> events) {
         for (Event e : events) {
-            checker.event(now, e);
+            checker.onEvent(now, e);
         }
         if (wakeAt <= now) {
             wakeAt = Long.MAX_VALUE;
             events = new ArrayList<>(events);
-            events.add(new Due());
+            events.add(new TimerFired());
         }
         List<Action> actions = control.turn(now, events);
         for (Action a : actions) {
-            checker.action(now, a);
-            if (a instanceof Wake w) {
-                wakeAt = Math.min(wakeAt, now + w.after());
+            checker.onAction(now, a);
+            if (a instanceof SetTimer w) {
+                wakeAt = Math.min(wakeAt, now + w.delay());
             }
         }
-        checker.time(now);
+        checker.checkDeadlines(now);
         return actions;
     }
 
     /** Lets time pass in steps of 5 ms, as a host with a clock of that grain would; returns all actions on the way. */
-    List<Action> pass(long span) {
-        List<Action> all = new ArrayList<>();
+    List<Action> advance(long span) {
+        List<Action> actions = new ArrayList<>();
         for (long end = now + span; now < end; ) {
             now += 5 * MS;
             if (wakeAt <= now) {
-                all.addAll(turn());
+                actions.addAll(turn());
             } else {
-                checker.time(now);
+                checker.checkDeadlines(now);
             }
         }
-        return all;
+        return actions;
     }
 
     Accepted message(int cls, long destination) {
@@ -120,16 +120,21 @@
 
     Accepted message(int cls, long destination, String key) {
         return new Accepted(
-                "m" + next++, cls, 0, key, now + set.classes().get(cls).lifetime(), destination);
+                "m" + nextMessage++,
+                cls,
+                0,
+                key,
+                now + settings.classes().get(cls).lifetime(),
+                destination);
     }
 
-    static Ended ended(Send send, int attempt, Outcome outcome) {
+    static AttemptEnded ended(Send send, int attempt, Outcome outcome) {
         return ended(send, attempt, outcome, 0);
     }
 
-    static Ended ended(Send send, int attempt, Outcome outcome, long waitFor) {
-        return new Ended(
-                send.id(), attempt, send.endpoint(), outcome, outcome == Outcome.OK, waitFor, 100 * MS, -1, -1);
+    static AttemptEnded ended(Send send, int attempt, Outcome outcome, long retryAfter) {
+        return new AttemptEnded(
+                send.id(), attempt, send.endpoint(), outcome, outcome == Outcome.OK, retryAfter, 100 * MS, -1, -1);
     }
 
     static List<Send> sends(List<Action> actions) {
@@ -148,7 +153,7 @@
         for (int i = 0; i < messages; i++) {
             List<Send> sent = new ArrayList<>(sends(turn(message(0, destination))));
             for (int step = 0; sent.isEmpty() && step < 400; step++) {
-                sent.addAll(sends(pass(10 * MS)));
+                sent.addAll(sends(advance(10 * MS)));
             }
             now += 100 * MS;
             turn(ended(sent.get(0), 0, Outcome.OK));
--- a/src/test/java/brambletray/relay/control/RandomStreamTest.java
+++ b/src/test/java/brambletray/relay/control/RandomStreamTest.java
@@ -1,19 +1,19 @@
 package brambletray.relay.control;
 
-import static brambletray.relay.control.Bench.MS;
-import static brambletray.relay.control.Bench.SECOND;
-import static brambletray.relay.control.Bench.settings;
+import static brambletray.relay.control.ControlHarness.MS;
+import static brambletray.relay.control.ControlHarness.SECOND;
+import static brambletray.relay.control.ControlHarness.settings;
 import static org.junit.jupiter.api.Assertions.*;
 
 import brambletray.relay.control.Relay.Accepted;
 import brambletray.relay.control.Relay.Action;
+import brambletray.relay.control.Relay.AttemptEnded;
 import brambletray.relay.control.Relay.Cancel;
-import brambletray.relay.control.Relay.Ended;
 import brambletray.relay.control.Relay.Endpoint;
+import brambletray.relay.control.Relay.EndpointExclusion;
+import brambletray.relay.control.Relay.EndpointsListed;
 import brambletray.relay.control.Relay.Event;
-import brambletray.relay.control.Relay.Excluded;
 import brambletray.relay.control.Relay.ListKind;
-import brambletray.relay.control.Relay.Listed;
 import brambletray.relay.control.Relay.Listing;
 import brambletray.relay.control.Relay.Outcome;
 import brambletray.relay.control.Relay.Send;
@@ -27,7 +27,7 @@
 
 /** Seeded random legal streams of events, every action past the rule checker. */
 class RandomStreamTest {
-    private record Flight(Send send, int attempt, long at, Outcome outcome, long waitFor) {}
+    private record PendingAttempt(Send send, int attempt, long endsAt, Outcome outcome, long retryAfter) {}
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
@@ -52,54 +52,54 @@
         return run(seed, 2 + random.nextInt(8), 1 + random.nextInt(4), 4);
     }
 
-    private static List<Action> run(long seed, int slots, int relays, int oneIn) {
+    private static List<Action> run(long seed, int slots, int relays, int stepsPerMessage) {
         Random random = new Random(seed);
-        Bench b = new Bench(settings(slots, seed % 3 != 0, relays, 8, 60), seed);
+        ControlHarness b = new ControlHarness(settings(slots, seed % 3 != 0, relays, 8, 60), seed);
         List<Action> all = new ArrayList<>();
-        List<Flight> flying = new ArrayList<>();
-        List<Accepted> taken = new ArrayList<>();
-        list(b, random, true);
-        int trouble = 0;
+        List<PendingAttempt> pending = new ArrayList<>();
+        List<Accepted> accepted = new ArrayList<>();
+        listEndpoints(b, random, true);
+        int failuresInTen = 0;
         for (int step = 0; step < 6000; step++) {
             b.now += 5 * MS;
             if (step % 400 == 0) {
-                trouble = random.nextInt(6);
+                failuresInTen = random.nextInt(6);
             }
             List<Event> events = new ArrayList<>();
             if (random.nextInt(300) == 0) {
-                events.add(list(b, random, random.nextBoolean()));
+                events.add(listEndpoints(b, random, random.nextBoolean()));
             }
             if (random.nextInt(250) == 0) {
-                events.add(new Excluded(100 + random.nextInt(9), random.nextBoolean()));
+                events.add(new EndpointExclusion(100 + random.nextInt(9), random.nextBoolean()));
             }
-            for (Flight f : List.copyOf(flying)) {
-                if (f.at <= b.now) {
-                    flying.remove(f);
-                    RuleChecker.Seen s = b.checker.messages.get(f.send.id());
-                    boolean over = s.over || f.outcome == Outcome.OK;
-                    events.add(new Ended(
+            for (PendingAttempt f : List.copyOf(pending)) {
+                if (f.endsAt <= b.now) {
+                    pending.remove(f);
+                    RuleChecker.TrackedMessage s = b.checker.messages.get(f.send.id());
+                    boolean messageEnded = s.ended || f.outcome == Outcome.OK;
+                    events.add(new AttemptEnded(
                             f.send.id(),
                             f.attempt,
                             f.send.endpoint(),
                             f.outcome,
-                            over,
-                            f.waitFor,
-                            f.at,
+                            messageEnded,
+                            f.retryAfter,
+                            f.endsAt,
                             random.nextDouble(),
                             random.nextInt(3) == 0 ? 5 : -1));
                 }
             }
-            if (step < 4000 && random.nextInt(oneIn) == 0) {
+            if (step < 4000 && random.nextInt(stepsPerMessage) == 0) {
                 Accepted m = b.message(
                         random.nextInt(4),
                         1 + random.nextInt(3),
                         random.nextBoolean() ? "k" + random.nextInt(4) : null);
-                taken.add(m);
+                accepted.add(m);
                 events.add(m);
             }
-            if (!taken.isEmpty() && random.nextInt(200) == 0) {
-                Accepted m = taken.get(random.nextInt(taken.size()));
-                if (b.checker.messages.containsKey(m.id()) && !b.checker.messages.get(m.id()).over) {
+            if (!accepted.isEmpty() && random.nextInt(200) == 0) {
+                Accepted m = accepted.get(random.nextInt(accepted.size()));
+                if (b.checker.messages.containsKey(m.id()) && !b.checker.messages.get(m.id()).ended) {
                     events.add(new Withdrawn(m.id()));
                 }
             }
@@ -110,53 +110,54 @@
             all.addAll(actions);
             for (Action a : actions) {
                 if (a instanceof Send s) {
-                    flying.add(flight(b, s, random, trouble));
+                    pending.add(startAttempt(b, s, random, failuresInTen));
                 } else if (a instanceof Cancel c) {
-                    flying.replaceAll(f -> f.send.id().equals(c.id()) && f.attempt == c.attempt()
-                            ? new Flight(f.send, f.attempt, b.now + 5 * MS, Outcome.CANCELLED, 0)
+                    pending.replaceAll(f -> f.send.id().equals(c.id()) && f.attempt == c.attempt()
+                            ? new PendingAttempt(f.send, f.attempt, b.now + 5 * MS, Outcome.CANCELLED, 0)
                             : f);
                 }
             }
         }
         b.now += 40 * SECOND;
         b.turn();
-        for (Accepted m : taken) {
-            RuleChecker.Seen s = b.checker.messages.get(m.id());
-            assertTrue(s == null || s.over, "no end for " + m.id());
+        for (Accepted m : accepted) {
+            RuleChecker.TrackedMessage s = b.checker.messages.get(m.id());
+            assertTrue(s == null || s.ended, "no end for " + m.id());
         }
         return all;
     }
 
-    private static Flight flight(Bench b, Send s, Random random, int trouble) {
+    private static PendingAttempt startAttempt(ControlHarness b, Send s, Random random, int failuresInTen) {
         Outcome outcome = Outcome.OK;
-        long took = 50 * MS + random.nextInt(300) * MS;
-        long wait = 0;
-        if (random.nextInt(10) < trouble) {
+        long latency = 50 * MS + random.nextInt(300) * MS;
+        long retryAfter = 0;
+        if (random.nextInt(10) < failuresInTen) {
             outcome = Outcome.values()[1 + random.nextInt(5)];
             if (outcome == Outcome.FULL && random.nextBoolean()) {
-                wait = random.nextInt(2000) * MS;
+                retryAfter = random.nextInt(2000) * MS;
             }
         }
-        if (outcome == Outcome.TIMEOUT || took > s.timeout()) {
+        if (outcome == Outcome.TIMEOUT || latency > s.timeout()) {
             outcome = Outcome.TIMEOUT;
-            took = s.timeout();
+            latency = s.timeout();
         }
-        return new Flight(s, b.checker.messages.get(s.id()).sends.size() - 1, b.now + took, outcome, wait);
+        return new PendingAttempt(
+                s, b.checker.messages.get(s.id()).sends.size() - 1, b.now + latency, outcome, retryAfter);
     }
 
-    private static Listed list(Bench b, Random random, boolean whole) {
+    private static EndpointsListed listEndpoints(ControlHarness b, Random random, boolean full) {
         List<Endpoint> items = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            if (whole ? random.nextInt(8) > 0 : random.nextInt(3) == 0) {
-                Listing listing = whole || random.nextInt(3) > 0
+            if (full ? random.nextInt(8) > 0 : random.nextInt(3) == 0) {
+                Listing listing = full || random.nextInt(3) > 0
                         ? Listing.READY
                         : random.nextBoolean() ? Listing.DRAINING : Listing.GONE;
                 int dest = 1 + i % 3;
                 items.add(new Endpoint(100 + i, i % 2, dest - 1, dest, listing, 4 + dest));
             }
         }
-        Listed event = new Listed(whole ? ListKind.FULL : ListKind.CHANGES, items);
-        if (b.control != null && whole) {
+        EndpointsListed event = new EndpointsListed(full ? ListKind.FULL : ListKind.CHANGES, items);
+        if (b.control != null && full) {
             b.turn(event);
         }
         return event;
--- a/src/test/java/brambletray/relay/core/HostKnowledgeRecorderTest.java
+++ b/src/test/java/brambletray/relay/core/HostKnowledgeRecorderTest.java
@@ -75,7 +75,7 @@
                     Clock.of(time, 0), control, hosts, new HostKnowledgeJournal(store), 12 * SECOND);
         }
 
-        Relay.Listed update(long seq, boolean whole, String... hostsAndHealth) throws Wire.Malformed {
+        Relay.EndpointsListed update(long seq, boolean whole, String... hostsAndHealth) throws Wire.Malformed {
             List<String> entries = new ArrayList<>();
             for (String h : hostsAndHealth) {
                 entries.add(
@@ -93,13 +93,13 @@
             return actions;
         }
 
-        void start(Relay.Listed known) {
+        void start(Relay.EndpointsListed known) {
             List<Relay.Event> events = new ArrayList<>(List.of(evidence.withoutLeavers(known)));
             events.addAll(evidence.believedEvents());
             turn(events);
         }
 
-        void listed(Relay.Listed list) {
+        void listed(Relay.EndpointsListed list) {
             List<Relay.Event> events = new ArrayList<>(List.of(list));
             events.addAll(evidence.onListed(list));
             turn(events);
@@ -114,13 +114,13 @@
             List<Relay.Send> sends = new ArrayList<>();
             for (long until = time.micros + span; time.micros < until; ) {
                 time.micros += 10 * MS;
-                sends.addAll(sends(turn(List.of(new Relay.Due()))));
+                sends.addAll(sends(turn(List.of(new Relay.TimerFired()))));
             }
             return sends;
         }
 
         void ended(Relay.Send send, Relay.Outcome outcome, long wait, double limit) {
-            turn(List.of(new Relay.Ended(
+            turn(List.of(new Relay.AttemptEnded(
                     send.id(),
                     attempts.get(send.id()) - 1,
                     send.endpoint(),
@@ -187,9 +187,9 @@
             life.evidence.recordChanges();
             life.listed(life.update(2, false, "a ready"));
             assertTrue(
-                    life.control.known(life.number("b")).isUnhealthy(),
+                    life.control.endpointKnowledge(life.number("b")).isUnhealthy(),
                     "its sibling was shut, and it was not heard from");
-            assertTrue(life.control.known(life.number("b")).retryAfter() > 40 * SECOND);
+            assertTrue(life.control.endpointKnowledge(life.number("b")).retryAfter() > 40 * SECOND);
         }
     }
 
@@ -199,12 +199,14 @@
         try (Life life = new Life()) {
             life.start(life.update(1, true, "a ready"));
             life.pass(SECOND);
-            for (int i = 0; i < 20 && !life.control.known(life.number("a")).isUnhealthy(); i++) {
+            for (int i = 0;
+                    i < 20 && !life.control.endpointKnowledge(life.number("a")).isUnhealthy();
+                    i++) {
                 List<Relay.Send> sends = new ArrayList<>(life.message());
                 sends.addAll(life.pass(SECOND));
                 sends.forEach(s -> life.ended(s, Relay.Outcome.CONNECT_FAILED, 0, 0));
             }
-            assertTrue(life.control.known(life.number("a")).isUnhealthy());
+            assertTrue(life.control.endpointKnowledge(life.number("a")).isUnhealthy());
             assertTrue(life.evidence.recordChanges());
         }
         try (Life life = new Life()) {
@@ -216,14 +218,14 @@
             trial.addAll(life.pass(2 * SECOND));
             assertEquals(1, trial.size(), "a trial");
             life.ended(trial.get(0), Relay.Outcome.OK, 0, 0);
-            assertTrue(life.control.known(life.number("a")).slowStartAge() >= 0);
+            assertTrue(life.control.endpointKnowledge(life.number("a")).slowStartAge() >= 0);
             life.pass(SECOND);
             assertTrue(life.evidence.recordChanges());
         }
         time.micros += 2 * SECOND;
         try (Life life = new Life()) {
             life.start(life.update(1, true, "a ready"));
-            long warming = life.control.known(life.number("a")).slowStartAge();
+            long warming = life.control.endpointKnowledge(life.number("a")).slowStartAge();
             assertTrue(warming >= 3 * SECOND && warming < 4 * SECOND, "goes on warming up: " + warming);
             for (int i = 0; i < 20; i++) {
                 life.message();
@@ -238,14 +240,14 @@
         try (Life life = new Life()) {
             life.start(life.update(1, true, "a ready"));
             life.ended(life.message().get(0), Relay.Outcome.OK, 0, 10);
-            pace = life.control.known(life.number("a")).pace();
+            pace = life.control.endpointKnowledge(life.number("a")).pace();
             assertTrue(life.evidence.recordChanges());
         }
         time.micros += 2 * SECOND;
         try (Life life = new Life()) {
             life.start(life.update(1, true, "a ready"));
-            assertEquals(10, life.control.known(life.number("a")).limit());
-            assertEquals(pace, life.control.known(life.number("a")).pace());
+            assertEquals(10, life.control.endpointKnowledge(life.number("a")).limit());
+            assertEquals(pace, life.control.endpointKnowledge(life.number("a")).pace());
         }
     }
 
