--- a/src/main/java/brambletray/relay/control/Backoff.java
+++ b/src/main/java/brambletray/relay/control/Backoff.java
@@ -20,16 +20,16 @@
     /** Growth factor from one back-off to the next. */
     private static final double BACKOFF_MULTIPLIER = 3;
     /** First back-off after a refusal or a failed connect, in mean call intervals of this relay. */
-    private static final double INITIAL_BACKOFF_GAPS = 0.5;
+    private static final double INITIAL_BACKOFF_INTERVALS = 0.5;
     /** Shortest back-off in mean call intervals, where that is less than {@link #MAX_MIN_BACKOFF_US}. */
-    private static final double MIN_BACKOFF_GAPS = 2;
+    private static final double MIN_BACKOFF_INTERVALS = 2;
     /** Longest back-off, in mean call intervals. */
-    private static final double MAX_BACKOFF_GAPS = 10;
+    private static final double MAX_BACKOFF_INTERVALS = 10;
     /** us; upper bound of the first back-off. */
     private static final long MAX_INITIAL_BACKOFF_US = 500 * MS;
     /** us; upper bound of the shortest back-off. */
     private static final long MAX_MIN_BACKOFF_US = 150 * MS;
-    /** us; upper bound of a first back-off derived from a relay's equal share, and lower bound of the longest back-off. */
+    /** us; upper bound of a first back-off derived from a relay's fair share; lower bound of the longest back-off. */
     private static final long MIDDLE_BACKOFF_US = 2 * SECOND;
     /** us; longest back-off. */
     static final long MAX_BACKOFF_US = 8 * SECOND;
@@ -56,12 +56,12 @@
         limitScope.refusals += attempt.sentAt >= limitScope.refusedAt ? 1 : 0;
         destination.refusedAt = turn.now;
         limitScope.refusedAt = turn.now;
-        long delay = (long)
-                (Math.min(retryAfter, INITIAL_BACKOFF_GAPS * SECOND / destination.usualRate) * random.nextDouble());
-        // Never shorter than a relay's equal share of a reported limit allows: where limits count refused calls too,
+        long delay = (long) (Math.min(retryAfter, INITIAL_BACKOFF_INTERVALS * SECOND / destination.usualRate)
+                * random.nextDouble());
+        // Never shorter than a relay's fair share of a reported limit allows: where limits count refused calls too,
         // a fleet that keeps retrying keeps a host closed while its peers answer.
-        double fairGap = SECOND * settings.relays() / Math.max(MIN_RATE_PER_S, limitScope.rate);
-        double minBackoff = limitScope.limitReported ? INITIAL_BACKOFF_GAPS * fairGap : 0;
+        double fairInterval = SECOND * settings.relays() / Math.max(MIN_RATE_PER_S, limitScope.rate);
+        double minBackoff = limitScope.limitReported ? INITIAL_BACKOFF_INTERVALS * fairInterval : 0;
         delay = Math.max(
                 delay, backoffDelay(destination, limitScope.refusals - (retryAfter > minBackoff ? 1 : 0), minBackoff));
         limitScope.backoffUntil = Math.max(limitScope.backoffUntil, turn.now + retryAfter + delay);
@@ -99,12 +99,12 @@
 
     /** Back-off after consecutive failures. {@code minInitial}: us; lower bound of the first, up to the middle one. */
     long backoffDelay(Destination destination, int failures, double minInitial) {
-        double gap = SECOND / Math.max(MIN_RATE_PER_S, destination.usualRate);
+        double interval = SECOND / Math.max(MIN_RATE_PER_S, destination.usualRate);
         // Without the small minimum, an endpoint with many calls a second would idle for a dozen after each refusal.
-        double min = Math.min(MAX_MIN_BACKOFF_US, MIN_BACKOFF_GAPS * gap);
-        double initial = Math.max(min, Math.min(MAX_INITIAL_BACKOFF_US, gap * INITIAL_BACKOFF_GAPS));
+        double min = Math.min(MAX_MIN_BACKOFF_US, MIN_BACKOFF_INTERVALS * interval);
+        double initial = Math.max(min, Math.min(MAX_INITIAL_BACKOFF_US, interval * INITIAL_BACKOFF_INTERVALS));
         initial = Math.max(initial, Math.min(MIDDLE_BACKOFF_US, minInitial));
-        double max = Math.max(MIDDLE_BACKOFF_US, Math.min(MAX_BACKOFF_US, gap * MAX_BACKOFF_GAPS));
+        double max = Math.max(MIDDLE_BACKOFF_US, Math.min(MAX_BACKOFF_US, interval * MAX_BACKOFF_INTERVALS));
         // Where limits count refused calls too, retries keep them exhausted: back off longer there.
         double admission = Math.min(
                 1, Math.max(MIN_ADMISSION_SHARE, memory.admissionShares[destination.kind]) / USUAL_ADMISSION_SHARE);
--- a/src/main/java/brambletray/relay/control/Connections.java
+++ b/src/main/java/brambletray/relay/control/Connections.java
@@ -24,7 +24,7 @@
     private static final double FULL_HOLD_RELAYS = 14;
     /** us; first back-off after a host accepted no further connection. */
     private static final double INITIAL_CAPACITY_BACKOFF_US = 200 * MS;
-    /** us; longest such back-off up to {@link #FULL_HOLD_RELAYS}; scaled with larger fleets. */
+    /** us; longest such back-off in a fleet of up to {@link #FULL_HOLD_RELAYS}; longer in proportion in larger ones. */
     private static final double MAX_CAPACITY_BACKOFF_US = 2 * SECOND;
     /** Growth factor from one such back-off to the next. */
     private static final double CAPACITY_BACKOFF_MULTIPLIER = 2;
--- a/src/main/java/brambletray/relay/control/Control.java
+++ b/src/main/java/brambletray/relay/control/Control.java
@@ -52,10 +52,10 @@
      * Continues from the state of another instance, under the same settings and on the same clock; its attempts in
      * flight remain so. Idle connections are not handed over.
      */
-    public Control(long seed, Settings settings, Memory inherited) {
+    public Control(long seed, Settings settings, Memory previous) {
         Objects.requireNonNull(settings, "settings");
         SplittableRandom random = new SplittableRandom(seed);
-        memory = inherited;
+        memory = previous;
         turn = new Turn(memory);
         AnswerTimes times = new AnswerTimes(settings, memory);
         ConcurrencyWindow window = new ConcurrencyWindow(settings);
--- a/src/main/java/brambletray/relay/control/Outages.java
+++ b/src/main/java/brambletray/relay/control/Outages.java
@@ -32,13 +32,13 @@
     private static final long SILENCE_US = 700 * MS;
     /** us; a peer of a failing endpoint is not suspected if it answered a call sent at most this long before. */
     private static final long SUSPICION_WINDOW_US = 500 * MS;
-    /** us; shortest time from the start of an outage to its first probe, and upper bound of quick reconnect delays. */
+    /** us; time from the start of an outage to its first probe, and mean cap of the delay after a refused connect. */
     private static final long PROBE_INTERVAL_US = 400 * MS;
     /** us; a suspicion cleared within this time needs no slow start. */
     private static final long MAX_SUSPICION_US = 2 * SECOND;
     /** Share of the recovery budget that is used: leaves room for random variation and calls in flight. */
     private static final double BUDGET_SHARE = 0.95;
-    /** Share used of an equal part of a reported limit: a cold endpoint's capacity may lie below its limit. */
+    /** Part used of the fair share of a reported limit: a destination's capacity may be below its limit. */
     private static final double REPORTED_LIMIT_SHARE = 0.8;
     /** A rough weight may exceed the true rate by this factor. */
     private static final double ROUGH_WEIGHT_FACTOR = 1.5;
@@ -177,16 +177,16 @@
     }
 
     /**
-     * Earliest time for another call within this relay's share of the recovery budget: an equal share of a reported
-     * rate; for a listed rate the mean of an equal share and this relay's usual rate, so that the sum over hundreds of
+     * Earliest time for another call within this relay's share of the recovery budget: a fair share of a reported
+     * rate; for a listed rate the mean of a fair share and this relay's usual rate, so that the sum over hundreds of
      * relays, each scaling its own rate, fits.
      */
     private long budgetAllowsAt(EndpointState endpoint) {
         Rules rules = settings.rules();
-        double coldShare = rules.coldFrom();
+        double capacityShare = rules.coldFrom();
         if (endpoint.health == Health.SLOW_START) {
             double age = Math.max(0, turn.now - endpoint.slowStartAt - rules.tipAfter() / 2);
-            coldShare += (1 - coldShare) * Math.min(1, age / Math.max(1, rules.cold()));
+            capacityShare += (1 - capacityShare) * Math.min(1, age / Math.max(1, rules.cold()));
         }
         int endpointCount = Math.max(1, endpoint.destination.endpoints.size());
         double usualRate = endpoint.destination.usualRate / endpointCount;
@@ -199,7 +199,7 @@
         double share = endpoint.limitScope.limitReported
                 ? REPORTED_LIMIT_SHARE * fairShare
                 : endpoint.limitScope.hasRate ? (listedShare + usualRate) / 2 : usualRate;
-        double rate = Math.max(Backoff.MIN_RATE_PER_S, BUDGET_SHARE * rules.fallMultiple() * coldShare * share);
+        double rate = Math.max(Backoff.MIN_RATE_PER_S, BUDGET_SHARE * rules.fallMultiple() * capacityShare * share);
         return Math.max(endpoint.limitScope.waitUntil, endpoint.lastSentAt) + (long) (endpoint.spacing * SECOND / rate);
     }
 
--- a/src/main/java/brambletray/relay/control/Pace.java
+++ b/src/main/java/brambletray/relay/control/Pace.java
@@ -14,13 +14,13 @@
     private static final double MAX_PACE_FACTOR = 1.4;
     /** Factor of the pace at a refusal. */
     private static final double REFUSAL_FACTOR = 0.75;
-    /** Lowest pace, as a multiple of a relay's equal share of the rate. */
+    /** Lowest pace, as a multiple of a relay's fair share of the rate. */
     private static final double MIN_PACE_FACTOR = 0.5;
-    /** First pace, as a multiple of a relay's equal share of the rate. */
+    /** First pace, as a multiple of a relay's fair share of the rate. */
     private static final double INITIAL_PACE_FACTOR = 2;
-    /** Growth of the pace at an answer, in equal shares, while below the equal share. */
+    /** Growth of the pace at an answer, in fair shares, while below the fair share. */
     private static final double GROWTH_BELOW_FAIR_SHARE = 0.15;
-    /** The same above the equal share. */
+    /** The same above the fair share. */
     private static final double GROWTH_ABOVE_FAIR_SHARE = 0.03;
     /** Calls a second; assumed rate where none is known: in effect unlimited. */
     private static final double UNPACED_PER_S = 1e6;
--- a/src/main/java/brambletray/relay/control/Relay.java
+++ b/src/main/java/brambletray/relay/control/Relay.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * The interface of {@link Control}: its settings, the events that it handles and the actions that it requests. Times and
- * durations are in whole microseconds of one monotonic clock. Ids are assigned by the caller. Contains no logic.
+ * The interface of {@link Control}: its settings, the events that it handles and the actions that it requests. Times
+ * and durations are in whole microseconds of one monotonic clock. Ids are assigned by the caller. Contains no logic.
  */
 public final class Relay {
     private Relay() {}
@@ -72,7 +72,7 @@
     /** A tenant. {@code quota}: messages a second over all relays up to which its messages have their full value. */
     public record Tenant(String name, double quota) {}
 
-    /** A kind of destination. {@code apart}: each endpoint has its own limits; {@code bundle}: most messages in a call. */
+    /** A kind of destination. {@code apart}: each endpoint has its own limits; {@code bundle}: maximum batch size. */
     public record Kind(boolean apart, int bundle) {}
 
     /** Accuracy of listed weights: none listed, exact, or up to half too high or too low. */
--- a/src/main/java/brambletray/relay/control/SendGate.java
+++ b/src/main/java/brambletray/relay/control/SendGate.java
@@ -14,7 +14,7 @@
 import brambletray.relay.control.State.TimerKind;
 import java.util.SplittableRandom;
 
-/** Admission check of every send: which message may go to which endpoint, when and at what cost; counts slots in use. */
+/** Admission check of every send: which message may go to which endpoint, when and at what cost; counts slots. */
 record SendGate(
         Settings settings,
         Memory memory,
@@ -35,17 +35,18 @@
         double latency = endpoint.latency > 0
                 ? endpoint.latency
                 : Math.max(endpoint.destination.recentLatency, HedgeDelay.INITIAL_DELAY_US);
-        double points = endpoint.zone == settings.zone() ? 0 : settings.prices().crossZone();
+        double feePoints =
+                endpoint.zone == settings.zone() ? 0 : settings.prices().crossZone();
         if (settings.kinds().get(endpoint.kind).apart()
                 && endpoint.zone < settings.prices().zoneFee().size()) {
-            points += settings.prices().zoneFee().get(endpoint.zone);
+            feePoints += settings.prices().zoneFee().get(endpoint.zone);
         }
         int streams = Math.max(1, settings.allowed().streams());
         boolean warm = endpoint.hasWarmConnection(turn.now - settings.allowed().keepAlive())
                 || endpoint.inflight % streams != 0;
         return latency * (1 + endpoint.inflight) * (1 + 0.1 * random.nextDouble())
                 + (warm ? 0 : CONNECT_COST_US)
-                + points * 100 * POINT_COST_US
+                + feePoints * 100 * POINT_COST_US
                 + (double) (endpoint.consecutiveFailures + endpoint.overdue + message.attemptsAt(endpoint))
                         * FAILURE_COST_US;
     }
--- a/src/main/java/brambletray/relay/control/State.java
+++ b/src/main/java/brambletray/relay/control/State.java
@@ -265,7 +265,7 @@
         }
     }
 
-    /** What a rate limit and a retry-after time apply to: a destination, or an endpoint where each has its own limits. */
+    /** What rate limits and retry-after times apply to: a destination, or an endpoint where each has its own limits. */
     static final class LimitScope implements Serializable {
         private static final long serialVersionUID = Memory.VERSION;
         final TokenBucket bucket = new TokenBucket();
--- a/src/test/java/brambletray/relay/control/ControlTest.java
+++ b/src/test/java/brambletray/relay/control/ControlTest.java
@@ -801,7 +801,7 @@
         }
     }
 
-    /** The rate of an endpoint with its own limit was split among its destination's endpoints, which doubled recovery. */
+    /** An endpoint's own rate was split among the destination's endpoints, which doubled the time to recover. */
     @Test
     void anEndpointWithSeparateLimitsKeepsItsFullRecoveryBudget() {
         long separate = sentInSlowStart(1);
--- a/src/test/java/brambletray/relay/control/HedgeDelayTest.java
+++ b/src/test/java/brambletray/relay/control/HedgeDelayTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void isAboveTheRecentAnswersBelowTheQuantile() {
+    void isAHighQuantileOfTheRecentAnswers() {
         HedgeDelay delay = new HedgeDelay();
         Random random = new Random(1);
         long[] last = new long[48];
--- a/src/test/java/brambletray/relay/control/RuleChecker.java
+++ b/src/test/java/brambletray/relay/control/RuleChecker.java
@@ -224,7 +224,7 @@
         ArrayDeque<Long> recent = sends.computeIfAbsent(to.id(), k -> new ArrayDeque<>());
         recent.addLast(now);
         recent.removeIf(t -> t <= now - settings.rules().tipAfter());
-        double coldShare = settings.rules().coldFrom()
+        double capacityShare = settings.rules().coldFrom()
                 + (1 - settings.rules().coldFrom())
                         * Math.min(
                                 1.0,
@@ -232,7 +232,7 @@
                                         / settings.rules().cold());
         double limit = settings.rules().fallMultiple()
                 * to.weight()
-                * coldShare
+                * capacityShare
                 * settings.rules().tipAfter()
                 / 1e6
                 / settings.relays();
