--- a/src/main/java/brambletray/relay/membership/Discovery.java
+++ b/src/main/java/brambletray/relay/membership/Discovery.java
@@ -73,7 +73,7 @@
      * the new one at once: a notice unanswered is still owed.
      */
     @Override
-    public void onAgentMoved(InetSocketAddress agent) {
+    public void onAgentAddressChanged(InetSocketAddress agent) {
         if (agent.equals(reports.agent)) {
             return;
         }
--- a/src/main/java/brambletray/relay/membership/HostList.java
+++ b/src/main/java/brambletray/relay/membership/HostList.java
@@ -89,12 +89,12 @@
     }
 
     @Override
-    public boolean hasNamed(String name) {
+    public boolean wasListed(String name) {
         return byName.containsKey(name) || former.contains(name);
     }
 
     @Override
-    public boolean knows(long destination) {
+    public boolean hasDestination(long destination) {
         return destinations.contains(destination);
     }
 
--- a/src/test/java/brambletray/relay/membership/HostListTest.java
+++ b/src/test/java/brambletray/relay/membership/HostListTest.java
@@ -66,7 +66,7 @@
                         PlatformStub.host("s-3", 80, 7, "ready").replace("\"m2\"", "\"m9\"")));
         assertEquals(1, next.endpoints().size());
         assertFalse(list.host(gone).ready);
-        assertTrue(list.knows(7), "a destination stays known while its hosts are gone");
+        assertTrue(list.hasDestination(7), "a destination stays known while its hosts are gone");
         assertEquals(2, list.version());
     }
 
