--- a/src/main/java/brambletray/relay/control/SendGate.java
+++ b/src/main/java/brambletray/relay/control/SendGate.java
@@ -14,7 +14,7 @@
 import brambletray.relay.control.State.TimerKind;
 import java.util.SplittableRandom;
 
-/** The one gate of every send: what may go where and when, and at what cost; and the slots in use. */
+/** Admission check of every send: which message may go to which endpoint, when and at what cost; counts slots. */
 record SendGate(
         Settings settings,
         Memory memory,
@@ -24,39 +24,40 @@
         ConcurrencyWindow window,
         Connections connections,
         Outages outages) {
-    /** us; cost of opening a connection, in the choice of an endpoint. */
+    /** us of latency that a new connection counts as, in the choice of an endpoint. */
     private static final long CONNECT_COST_US = 400 * MS;
-    /** us; cost of one point of fee. */
+    /** us of latency that one point of fee counts as. */
     private static final long POINT_COST_US = 50 * MS;
-    /** us; cost of each failure in a row. */
+    /** us of latency that each consecutive failure, overdue call or earlier attempt counts as. */
     private static final long FAILURE_COST_US = 2 * SECOND;
 
     double cost(Message message, EndpointState endpoint) {
         double latency = endpoint.latency > 0
                 ? endpoint.latency
                 : Math.max(endpoint.destination.recentLatency, HedgeDelay.INITIAL_DELAY_US);
-        double points = endpoint.zone == settings.zone() ? 0 : settings.prices().crossZone();
+        double feePoints =
+                endpoint.zone == settings.zone() ? 0 : settings.prices().crossZone();
         if (settings.kinds().get(endpoint.kind).apart()
                 && endpoint.zone < settings.prices().zoneFee().size()) {
-            points += settings.prices().zoneFee().get(endpoint.zone);
+            feePoints += settings.prices().zoneFee().get(endpoint.zone);
         }
         int streams = Math.max(1, settings.allowed().streams());
         boolean warm = endpoint.hasWarmConnection(turn.now - settings.allowed().keepAlive())
                 || endpoint.inflight % streams != 0;
         return latency * (1 + endpoint.inflight) * (1 + 0.1 * random.nextDouble())
                 + (warm ? 0 : CONNECT_COST_US)
-                + points * 100 * POINT_COST_US
+                + feePoints * 100 * POINT_COST_US
                 + (double) (endpoint.consecutiveFailures + endpoint.overdue + message.attemptsAt(endpoint))
                         * FAILURE_COST_US;
     }
 
-    /** True when the next message there joins the batch that this turn has begun. */
+    /** True when the next message to this endpoint joins the batch that this turn has started. */
     boolean joinsBatch(EndpointState endpoint) {
         return endpoint.batchTurn == memory.turnCount
                 && endpoint.batch.size < settings.kinds().get(endpoint.kind).bundle();
     }
 
-    /** The one gate of every send: when this message may go to this endpoint; now or earlier means it may. */
+    /** Earliest time at which this message may go to this endpoint; a time up to now means at once. */
     long earliestSendAt(Message message, EndpointState endpoint, boolean isHedge) {
         if (!endpoint.ready
                 || endpoint.disabledByOperator
@@ -78,7 +79,7 @@
         return outages.earliestSendAt(endpoint, joins);
     }
 
-    /** The rule on effects: where an earlier attempt may have run, only what the class allows. */
+    /** Where an earlier attempt may have run, a repeat is allowed only as far as the class's effect permits. */
     private boolean effectAllows(Message message, EndpointState endpoint, boolean isHedge) {
         if (isHedge
                 ? !settings.allowed().hedging() || message.messageClass.effect() == Effect.UNSAFE
@@ -121,7 +122,7 @@
         turn.schedule(turn.now + message.destination.hedgeDelay.delayUs(), TimerKind.HEDGE, attempt);
     }
 
-    /** An attempt has ended: its slot and its connection are free once all of its call have. */
+    /** Releases an ended attempt; slot and connection are free once all attempts of its call have ended. */
     void release(Attempt attempt) {
         if (attempt.finish()) {
             memory.slotsUsed--;
--- a/src/test/java/brambletray/relay/control/ControlHarness.java
+++ b/src/test/java/brambletray/relay/control/ControlHarness.java
@@ -3,9 +3,8 @@
 import brambletray.relay.control.Relay.Accepted;
 import brambletray.relay.control.Relay.Action;
 import brambletray.relay.control.Relay.Allowed;
-import brambletray.relay.control.Relay.TimerFired;
-import brambletray.relay.control.Relay.Effect;
 import brambletray.relay.control.Relay.AttemptEnded;
+import brambletray.relay.control.Relay.Effect;
 import brambletray.relay.control.Relay.Endpoint;
 import brambletray.relay.control.Relay.Event;
 import brambletray.relay.control.Relay.Kind;
@@ -15,14 +14,15 @@
 import brambletray.relay.control.Relay.Prices;
 import brambletray.relay.control.Relay.Rules;
 import brambletray.relay.control.Relay.Send;
+import brambletray.relay.control.Relay.SetTimer;
 import brambletray.relay.control.Relay.Settings;
 import brambletray.relay.control.Relay.Tenant;
-import brambletray.relay.control.Relay.SetTimer;
+import brambletray.relay.control.Relay.TimerFired;
 import brambletray.relay.control.Relay.Weights;
 import java.util.ArrayList;
 import java.util.List;
 
-/** Drives one Control by script: events in, actions out, every one of them past the rule checker. */
+/** Drives one {@link Control} with scripted events and checks every action with {@link RuleChecker}. */
 final class ControlHarness {
     static final long MS = 1_000;
     static final long SECOND = 1_000_000;
@@ -34,14 +34,14 @@
     private int nextMessage;
 
     /**
-     * Classes: 0 safe, 1 keyed (group all), 2 unsafe in order, 3 keyed (zone group). Kinds: 0 shared, 1 apart, 2
-     * bundles.
+     * Classes: 0 safe, 1 keyed (one group), 2 unsafe in order, 3 keyed (zone group). Kinds: 0 shared limits, 1 separate
+     * limits, 2 separate limits and batches.
      */
-    static Settings settings(int slots, boolean copies, int relays) {
-        return settings(slots, copies, relays, 8, 200);
+    static Settings settings(int slots, boolean hedging, int relays) {
+        return settings(slots, hedging, relays, 8, 200);
     }
 
-    static Settings settings(int slots, boolean copies, int relays, int attempts, int open) {
+    static Settings settings(int slots, boolean hedging, int relays, int attempts, int openMessages) {
         List<MessageClass> classes = List.of(
                 new MessageClass("a", SECOND, 5 * SECOND, 2, 0, Effect.SAFE, false, 0, false),
                 new MessageClass("b", 4 * SECOND, 16 * SECOND, 1, 0.5, Effect.KEYED, false, 10 * SECOND, false),
@@ -57,19 +57,19 @@
                 classes,
                 List.of(new Tenant("t", 50)),
                 List.of(new Kind(false, 1), new Kind(true, 1), new Kind(true, 10)),
-                new Allowed(slots, open, attempts, copies, true, 1, 1500 * MS, 10 * SECOND, 3 * SECOND),
+                new Allowed(slots, openMessages, attempts, hedging, true, 1, 1500 * MS, 10 * SECOND, 3 * SECOND),
                 new Rules(250 * MS, 2.5, 3 * SECOND, 0.15, 10 * SECOND, 50 * MS, 20 * MS),
                 new Prices(0.05, 0.06, 0, 0.05, List.of(0.0, 0.0)));
     }
 
-    ControlHarness(Settings set) {
-        this(set, 1);
+    ControlHarness(Settings settings) {
+        this(settings, 1);
     }
 
-    ControlHarness(Settings set, long seed) {
-        this.settings = set;
-        checker = new RuleChecker(set);
-        control = new Control(seed, set);
+    ControlHarness(Settings settings, long seed) {
+        this.settings = settings;
+        checker = new RuleChecker(settings);
+        control = new Control(seed, settings);
     }
 
     static Endpoint endpoint(long id, int zone, int kind, long destination, double weight) {
@@ -100,18 +100,18 @@
         return actions;
     }
 
-    /** Lets time pass in steps of 5 ms, as a host with a clock of that grain would; returns all actions on the way. */
+    /** Advances the clock in steps of 5 ms, firing timers that are due; returns all actions. */
     List<Action> advance(long span) {
-        List<Action> all = new ArrayList<>();
+        List<Action> actions = new ArrayList<>();
         for (long end = now + span; now < end; ) {
             now += 5 * MS;
             if (wakeAt <= now) {
-                all.addAll(turn());
+                actions.addAll(turn());
             } else {
                 checker.checkDeadlines(now);
             }
         }
-        return all;
+        return actions;
     }
 
     Accepted message(int cls, long destination) {
@@ -120,16 +120,21 @@
 
     Accepted message(int cls, long destination, String key) {
         return new Accepted(
-                "m" + nextMessage++, cls, 0, key, now + settings.classes().get(cls).lifetime(), destination);
+                "m" + nextMessage++,
+                cls,
+                0,
+                key,
+                now + settings.classes().get(cls).lifetime(),
+                destination);
     }
 
     static AttemptEnded ended(Send send, int attempt, Outcome outcome) {
         return ended(send, attempt, outcome, 0);
     }
 
-    static AttemptEnded ended(Send send, int attempt, Outcome outcome, long waitFor) {
+    static AttemptEnded ended(Send send, int attempt, Outcome outcome, long retryAfter) {
         return new AttemptEnded(
-                send.id(), attempt, send.endpoint(), outcome, outcome == Outcome.OK, waitFor, 100 * MS, -1, -1);
+                send.id(), attempt, send.endpoint(), outcome, outcome == Outcome.OK, retryAfter, 100 * MS, -1, -1);
     }
 
     static List<Send> sends(List<Action> actions) {
@@ -143,7 +148,7 @@
         return actions.stream().filter(type::isInstance).count();
     }
 
-    /** Sends and answers so many messages, one by one, so that answers are known and the window is open. */
+    /** Sends and answers messages one by one, so that response times are known and the window is open. */
     void warmUp(int messages, long destination) {
         for (int i = 0; i < messages; i++) {
             List<Send> sent = new ArrayList<>(sends(turn(message(0, destination))));
--- a/src/test/java/brambletray/relay/control/EmbeddingTest.java
+++ b/src/test/java/brambletray/relay/control/EmbeddingTest.java
@@ -4,14 +4,14 @@
 
 import brambletray.relay.control.Relay.Accepted;
 import brambletray.relay.control.Relay.Action;
-import brambletray.relay.control.Relay.TimerFired;
 import brambletray.relay.control.Relay.AttemptEnded;
+import brambletray.relay.control.Relay.EndpointsListed;
 import brambletray.relay.control.Relay.Event;
 import brambletray.relay.control.Relay.ListKind;
-import brambletray.relay.control.Relay.EndpointsListed;
 import brambletray.relay.control.Relay.Outcome;
 import brambletray.relay.control.Relay.Send;
 import brambletray.relay.control.Relay.SetTimer;
+import brambletray.relay.control.Relay.TimerFired;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -22,9 +22,9 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** How a real relay drives the module: its own clock and timers, events in, actions out. */
+/** Drives {@link Control} as a relay does: with its own clock and timers, events in, actions out. */
 class EmbeddingTest {
-    /** A host with a clock of its own and a network that answers every send after 30 ms. */
+    /** A relay with a simulated clock and a network that answers every send after 30 ms. */
     private static final class SimulatedRelay {
         private final Control control = new Control(7, ControlHarness.settings(8, true, 1));
         private final PriorityQueue<Long> timers = new PriorityQueue<>();
@@ -63,14 +63,16 @@
 
     @Test
     void allAcceptedMessagesAreDelivered() {
-        SimulatedRelay host = new SimulatedRelay();
-        host.deliver(new EndpointsListed(ListKind.FULL, List.of(ControlHarness.endpoint(1, 0, 0, 9, 50), ControlHarness.endpoint(2, 1, 0, 9, 50))));
-        List<String> taken = new ArrayList<>();
+        SimulatedRelay relay = new SimulatedRelay();
+        relay.deliver(new EndpointsListed(
+                ListKind.FULL,
+                List.of(ControlHarness.endpoint(1, 0, 0, 9, 50), ControlHarness.endpoint(2, 1, 0, 9, 50))));
+        List<String> accepted = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            taken.add("bill-" + i);
-            host.deliver(new Accepted("bill-" + i, 1, 0, null, host.clock + 16_000_000, 9));
+            accepted.add("bill-" + i);
+            relay.deliver(new Accepted("bill-" + i, 1, 0, null, relay.clock + 16_000_000, 9));
         }
-        host.run(3_000_000);
-        assertEquals(new TreeSet<>(taken), host.delivered);
+        relay.run(3_000_000);
+        assertEquals(new TreeSet<>(accepted), relay.delivered);
     }
 }
--- a/src/test/java/brambletray/relay/control/RuleChecker.java
+++ b/src/test/java/brambletray/relay/control/RuleChecker.java
@@ -2,15 +2,15 @@
 
 import brambletray.relay.control.Relay.Accepted;
 import brambletray.relay.control.Relay.Action;
+import brambletray.relay.control.Relay.AttemptEnded;
 import brambletray.relay.control.Relay.Cancel;
 import brambletray.relay.control.Relay.Effect;
-import brambletray.relay.control.Relay.AttemptEnded;
 import brambletray.relay.control.Relay.Endpoint;
-import brambletray.relay.control.Relay.Event;
 import brambletray.relay.control.Relay.EndpointExclusion;
+import brambletray.relay.control.Relay.EndpointsListed;
+import brambletray.relay.control.Relay.Event;
 import brambletray.relay.control.Relay.Fail;
 import brambletray.relay.control.Relay.ListKind;
-import brambletray.relay.control.Relay.EndpointsListed;
 import brambletray.relay.control.Relay.Listing;
 import brambletray.relay.control.Relay.MessageClass;
 import brambletray.relay.control.Relay.Outcome;
@@ -27,9 +27,9 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Watches one relay's events and actions and throws on the first breach of a rule. */
+/** Checks the events and actions of one relay and throws at the first violation of a delivery rule. */
 final class RuleChecker {
-    /** What is known of one message. */
+    /** Events and actions of one message so far. */
     static final class TrackedMessage {
         Accepted accepted;
         MessageClass messageClass;
@@ -66,17 +66,17 @@
     private final Map<Long, Long> drainedAt = new HashMap<>();
     private final Set<Long> excluded = new HashSet<>();
     private final Map<Long, Long> retryAfterUntil = new HashMap<>();
-    /** Endpoints under the return budget: set by a test that declares an outage and its end. */
+    /** Endpoints in slow start, with its begin; set by tests that simulate an outage and its end. */
     final Map<Long, Long> slowStartSince = new HashMap<>();
 
     private final Map<Long, ArrayDeque<Long>> sends = new HashMap<>();
     int violations;
 
-    RuleChecker(Settings set) {
-        this.settings = set;
+    RuleChecker(Settings settings) {
+        this.settings = settings;
     }
 
-    /** The lane that a wait binds: the destination, or the route where routes are apart. */
+    /** Key of what a retry-after time applies to: the destination, or the endpoint where each has its own limits. */
     private long limitScope(Endpoint e) {
         return settings.kinds().get(e.kind()).apart() ? e.id() : -1 - e.destination();
     }
@@ -99,10 +99,10 @@
             if (ended.retryAfter() > 0) {
                 retryAfterUntil.merge(limitScope(endpoints.get(ended.endpoint())), now + ended.retryAfter(), Math::max);
             }
-            boolean rests = ended.outcome() == Outcome.TIMEOUT
+            boolean startsQuietPeriod = ended.outcome() == Outcome.TIMEOUT
                     || ended.outcome() == Outcome.RESET
                     || ended.outcome() == Outcome.CANCELLED;
-            if (s.accepted.key() != null && s.messageClass.inOrder() && rests) {
+            if (s.accepted.key() != null && s.messageClass.inOrder() && startsQuietPeriod) {
                 keyQuietUntil.put(s.accepted.key(), now + settings.rules().keyRest());
             }
         } else if (event instanceof EndpointExclusion exclusion) {
@@ -123,9 +123,10 @@
                 }
             }
             if (listed.kind() == ListKind.FULL) {
-                List<Long> named = listed.endpoints().stream().map(Endpoint::id).toList();
+                List<Long> listedIds =
+                        listed.endpoints().stream().map(Endpoint::id).toList();
                 endpoints.keySet().stream()
-                        .filter(id -> !named.contains(id))
+                        .filter(id -> !listedIds.contains(id))
                         .forEach(id -> drainedAt.putIfAbsent(id, now));
             }
         }
@@ -146,8 +147,10 @@
             require(!s.ended, "1: a second final answer");
             boolean zoneBound = s.messageClass.effect() == Effect.KEYED && s.messageClass.zoneGroup();
             require(
-                    s.messageClass.effect() == Effect.SAFE || s.messageClass.effect() == Effect.KEYED && !zoneBound || !s.anyMayHaveRun(),
-                    "2: refused though it may have run");
+                    s.messageClass.effect() == Effect.SAFE
+                            || s.messageClass.effect() == Effect.KEYED && !zoneBound
+                            || !s.anyMayHaveRun(),
+                    "2: refused although it may have run");
             end(s, now);
         } else if (action instanceof Fail a) {
             TrackedMessage s = messages.get(a.id());
@@ -155,22 +158,24 @@
             end(s, now);
         } else if (action instanceof Cancel a) {
             require(settings.allowed().cancel(), "cancel is not allowed");
-            require(a.attempt() < messages.get(a.id()).sends.size(), "cancel of an attempt never made");
+            require(a.attempt() < messages.get(a.id()).sends.size(), "cancel of an attempt that was never made");
         }
     }
 
     private void checkSend(long now, Send a) {
         TrackedMessage s = messages.get(a.id());
         Endpoint to = endpoints.get(a.endpoint());
-        require(s != null && !s.ended, "1: sent after its end");
+        require(s != null && !s.ended, "1: sent after its final answer");
         require(to != null && to.destination() == s.accepted.destination(), "sent to another destination");
         require(s.sends.size() < settings.allowed().attempts(), "too many attempts");
         require(a.timeout() > 0 && now + a.timeout() <= s.accepted.deadline(), "time-out beyond the deadline");
-        Long told = drainedAt.get(a.endpoint());
-        require(told == null || now <= told + settings.rules().drainGrace(), "3: sent to a drained endpoint");
-        require(!excluded.contains(a.endpoint()), "3: sent to an endpoint that was taken out");
-        require(now >= retryAfterUntil.getOrDefault(limitScope(to), 0L), "5: sent inside a wait");
-        require(settings.allowed().hedging() || !s.hasOpenAttempt(), "2: two attempts out together");
+        Long drainTime = drainedAt.get(a.endpoint());
+        require(drainTime == null || now <= drainTime + settings.rules().drainGrace(), "3: sent to a drained endpoint");
+        require(!excluded.contains(a.endpoint()), "3: sent to an excluded endpoint");
+        require(
+                now >= retryAfterUntil.getOrDefault(limitScope(to), 0L),
+                "5: sent before the retry-after time had passed");
+        require(settings.allowed().hedging() || !s.hasOpenAttempt(), "2: two attempts in flight without hedging");
         checkEffects(now, s, to);
         checkOrder(now, s);
         checkRecoveryBudget(now, to);
@@ -184,9 +189,13 @@
                 continue;
             }
             require(s.messageClass.effect() == Effect.KEYED, "2: an unsafe message sent again");
-            require(now < s.sentAt.get(i) + s.messageClass.dedupWindow(), "2: sent again outside the window");
-            Endpoint before = endpoints.get(s.sends.get(i).endpoint());
-            require(!s.messageClass.zoneGroup() || before.zone() == to.zone(), "2: sent again outside the group");
+            require(
+                    now < s.sentAt.get(i) + s.messageClass.dedupWindow(),
+                    "2: sent again after the deduplication window");
+            Endpoint previous = endpoints.get(s.sends.get(i).endpoint());
+            require(
+                    !s.messageClass.zoneGroup() || previous.zone() == to.zone(),
+                    "2: sent again outside the zone group");
         }
     }
 
@@ -198,44 +207,53 @@
             if (earlier == s) {
                 break;
             }
-            require(earlier.ended && !earlier.hasOpenAttempt(), "6: sent before an earlier message of its key was over");
+            require(
+                    earlier.ended && !earlier.hasOpenAttempt(),
+                    "6: sent before an earlier message of its key had ended");
         }
-        require(!s.sends.isEmpty() || now >= keyQuietUntil.getOrDefault(s.accepted.key(), 0L), "6: sent while the key rests");
+        require(
+                !s.sends.isEmpty() || now >= keyQuietUntil.getOrDefault(s.accepted.key(), 0L),
+                "6: sent in the quiet period of its key");
     }
 
     private void checkRecoveryBudget(long now, Endpoint to) {
-        Long cold = slowStartSince.get(to.id());
-        if (cold == null || now - cold >= settings.rules().cold()) {
+        Long slowStart = slowStartSince.get(to.id());
+        if (slowStart == null || now - slowStart >= settings.rules().cold()) {
             return;
         }
         ArrayDeque<Long> recent = sends.computeIfAbsent(to.id(), k -> new ArrayDeque<>());
         recent.addLast(now);
         recent.removeIf(t -> t <= now - settings.rules().tipAfter());
-        double warm = settings.rules().coldFrom()
+        double capacityShare = settings.rules().coldFrom()
                 + (1 - settings.rules().coldFrom())
                         * Math.min(
                                 1.0,
-                                (double) Math.max(0, now - cold) / settings.rules().cold());
-        double limit =
-                settings.rules().fallMultiple() * to.weight() * warm * settings.rules().tipAfter() / 1e6 / settings.relays();
+                                (double) Math.max(0, now - slowStart)
+                                        / settings.rules().cold());
+        double limit = settings.rules().fallMultiple()
+                * to.weight()
+                * capacityShare
+                * settings.rules().tipAfter()
+                / 1e6
+                / settings.relays();
         require(
                 recent.size() <= Math.max(1, limit),
-                "4: pushed a returning endpoint, " + recent.size() + " > " + limit);
+                "4: recovery budget of an endpoint exceeded, " + recent.size() + " > " + limit);
     }
 
-    /** Every message whose time is up must be over; call at the end of each turn. */
+    /** Every message past its deadline must have ended; call at the end of each turn. */
     void checkDeadlines(long now) {
         for (TrackedMessage s : messages.values()) {
-            long due = s.accepted.deadline() + settings.rules().answerSlack();
-            require(s.ended || now <= due, "1: no final answer in time for " + s.accepted.id());
+            long answerDue = s.accepted.deadline() + settings.rules().answerSlack();
+            require(s.ended || now <= answerDue, "1: no final answer in time for " + s.accepted.id());
         }
         messages.values().removeIf(s -> s.ended && !s.hasOpenAttempt() && s.endedAt + 60_000_000L < now);
     }
 
-    private void require(boolean kept, String breach) {
-        if (!kept) {
+    private void require(boolean holds, String violation) {
+        if (!holds) {
             violations++;
-            throw new AssertionError("rule " + breach);
+            throw new AssertionError("rule " + violation);
         }
     }
 }
--- a/src/test/java/brambletray/relay/control/RuleCheckerTest.java
+++ b/src/test/java/brambletray/relay/control/RuleCheckerTest.java
@@ -8,9 +8,9 @@
 import brambletray.relay.control.Relay.Accepted;
 import brambletray.relay.control.Relay.AttemptEnded;
 import brambletray.relay.control.Relay.Endpoint;
+import brambletray.relay.control.Relay.EndpointsListed;
 import brambletray.relay.control.Relay.Fail;
 import brambletray.relay.control.Relay.ListKind;
-import brambletray.relay.control.Relay.EndpointsListed;
 import brambletray.relay.control.Relay.Listing;
 import brambletray.relay.control.Relay.Outcome;
 import brambletray.relay.control.Relay.Refuse;
@@ -19,22 +19,23 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The checker is itself fed a breach of each rule. */
+/** Feeds the checker a violation of each rule. */
 class RuleCheckerTest {
     private final RuleChecker checker = new RuleChecker(settings(8, true, 1));
     private static final long T = 10 * SECOND;
 
     @BeforeEach
     void list() {
-        checker.onEvent(T, new EndpointsListed(ListKind.FULL, List.of(endpoint(1, 0, 0, 1, 2), endpoint(2, 1, 0, 1, 2))));
+        checker.onEvent(
+                T, new EndpointsListed(ListKind.FULL, List.of(endpoint(1, 0, 0, 1, 2), endpoint(2, 1, 0, 1, 2))));
     }
 
     private void accept(String id, int cls, String key) {
         checker.onEvent(T, new Accepted(id, cls, 0, key, T + 5 * SECOND, 1));
     }
 
-    private void assertViolation(String rule, Runnable act) {
-        AssertionError e = assertThrows(AssertionError.class, act::run);
+    private void assertViolation(String rule, Runnable action) {
+        AssertionError e = assertThrows(AssertionError.class, action::run);
         assertTrue(e.getMessage().startsWith("rule " + rule), e.getMessage());
     }
 
@@ -63,7 +64,8 @@
     @Test
     void sendAfterDrain() {
         accept("a", 0, null);
-        checker.onEvent(T, new EndpointsListed(ListKind.CHANGES, List.of(new Endpoint(1, 0, 0, 1, Listing.DRAINING, 2))));
+        checker.onEvent(
+                T, new EndpointsListed(ListKind.CHANGES, List.of(new Endpoint(1, 0, 0, 1, Listing.DRAINING, 2))));
         assertViolation("3", () -> checker.onAction(T + SECOND, new Send("a", 1, SECOND)));
     }
 
