--- a/src/main/java/brambletray/platform/replication/AppliedEntryListener.java
+++ b/src/main/java/brambletray/platform/replication/AppliedEntryListener.java
@@ -1,10 +1,10 @@
 package brambletray.platform.replication;
 
-/** Told what the state machine of this member has been given. */
+/** Listener for the entries and snapshots that the state machine of this member applies. */
 interface AppliedEntryListener {
-    /** The state machine has applied this entry. */
+    /** Called after the state machine has applied the entry. */
     void onApplied(LogEntry entry);
 
-    /** The state machine has been replaced by a snapshot: what lay between was not applied one by one. */
+    /** Called after a snapshot has replaced the state: the entries it covers were not applied one by one. */
     void onSnapshotInstalled();
 }
--- a/src/main/java/brambletray/platform/replication/CommitState.java
+++ b/src/main/java/brambletray/platform/replication/CommitState.java
@@ -21,7 +21,7 @@
         this.listener = listener;
     }
 
-    /** Takes over the log that was found on disk; entries after its snapshot are applied once they are committed. */
+    /** Restores the log that was read from disk. Entries after its snapshot are applied once they are committed. */
     void restore(ReplicatedLog stored) {
         log = stored;
         durableIndex = stored.lastIndex();
@@ -34,7 +34,7 @@
         return log;
     }
 
-    /** Last index that is known to be on enough disks. */
+    /** Last index that is known to be committed. */
     long commitIndex() {
         return commitIndex;
     }
@@ -44,32 +44,32 @@
         return appliedIndex;
     }
 
-    /** Up to here the log is on this member's disk, as a log of the present view. */
+    /** Last index that is on this member's disk as part of the log of the current view. */
     long durableIndex() {
         return durableIndex;
     }
 
-    /** Last index of the log with which the view began: all that earlier views committed lies up to there. */
+    /** Last index of the log that the view started with. No entry committed in an earlier view has a higher index. */
     long viewStartIndex() {
         return viewStartIndex;
     }
 
-    /** The log is on disk up to this index. */
+    /** Records that the log is on disk up to this index. */
     void advanceDurable(long index) {
         durableIndex = Math.max(durableIndex, index);
     }
 
-    /** The active view began with a log that ended here. */
+    /** Records the last index of the log that the active view started with. */
     void setViewStartIndex(long index) {
         viewStartIndex = index;
     }
 
-    /** Whether everything that earlier views committed is known to be committed. */
+    /** Whether the commit index covers every entry that was committed in earlier views. */
     boolean coversEarlierViews() {
         return commitIndex >= viewStartIndex;
     }
 
-    /** Whether replacing the log by this one would lose an entry that is known to be committed. */
+    /** Whether replacing the log with this one would lose an entry that is known to be committed. */
     boolean losesCommitted(ReplicatedLog chosen) {
         if (chosen.lastIndex() < commitIndex) {
             return true;
@@ -79,9 +79,9 @@
     }
 
     /**
-     * Takes the log of a new view; nothing of it counts as durable before it is synced.
+     * Replaces the log with that of a new view. None of it counts as durable before it is synced.
      *
-     * @return the changes of the keys on disk
+     * @return the changes to write to disk, by key
      */
     Map<String, byte[]> replaceLog(ReplicatedLog chosen) {
         Map<String, byte[]> changes = new LinkedHashMap<>();
@@ -92,7 +92,7 @@
         return changes;
     }
 
-    /** Replaces the state where the snapshot of the log is ahead of it. */
+    /** Replaces the state if the snapshot of the log is ahead of it. */
     void installSnapshotIfAhead() {
         if (log.snapshotIndex() <= appliedIndex) {
             return;
@@ -104,9 +104,9 @@
     }
 
     /**
-     * Everything up to this index is on enough disks: applies it, and takes a snapshot where the log has grown long.
+     * Commits and applies all entries up to this index, and takes a snapshot if the log has become too long.
      *
-     * @return the changes of the keys on disk, empty without a snapshot
+     * @return the changes to write to disk, by key; empty if no snapshot was taken
      */
     Map<String, byte[]> advanceCommit(long index) {
         commitIndex = Math.max(commitIndex, Math.min(index, log.lastIndex()));
--- a/src/main/java/brambletray/platform/replication/DurableState.java
+++ b/src/main/java/brambletray/platform/replication/DurableState.java
@@ -6,16 +6,16 @@
 import java.util.TreeMap;
 
 /**
- * What a member finds on its disk at its start.
+ * The state that a member reads from its disk on start-up.
  *
- * @param incarnation drawn at random when the disk was first used; 0 if the disk is empty
- * @param seeds the founders, if this member is one of them; else empty
- * @param promisedBallot highest ballot promised
- * @param view last view installed, or null
+ * @param incarnation random number, drawn when the disk was first used; 0 if the disk is empty
+ * @param seeds addresses of the founders if this member is one of them, otherwise empty
+ * @param promisedBallot highest ballot that this member has promised
+ * @param view last installed view, or null
  * @param active whether all members were known to have that view on disk
- * @param log the log
- * @param retiredIncarnations incarnations whose disks are lost for good
- * @param knownAddresses control-plane addresses of members that were met
+ * @param log the replicated log
+ * @param retiredIncarnations incarnations whose disks are permanently lost
+ * @param knownAddresses control-plane addresses of known members
  */
 public record DurableState(
         long incarnation,
@@ -26,7 +26,7 @@
         ReplicatedLog log,
         List<Long> retiredIncarnations,
         List<String> knownAddresses) {
-    /** Prefix of all keys of this package. */
+    /** Prefix of all keys that this package writes to disk. */
     public static final String KEY_PREFIX = "view.";
 
     static final String INCARNATION_KEY = "view.life";
@@ -38,50 +38,53 @@
     static final String KNOWN_ADDRESSES_KEY = "view.known";
     static final String LOG_KEY_PREFIX = "view.log.";
 
-    /** An empty disk. */
+    /** State of an empty disk. */
     public static DurableState empty() {
         return new DurableState(0, List.of(), Ballot.NONE, null, false, ReplicatedLog.empty(), List.of(), List.of());
     }
 
-    /** Whether nothing was ever written to the disk. */
+    /** Whether the disk has never been written to. */
     boolean isEmpty() {
         return incarnation == 0;
     }
 
     /**
-     * Rebuilds it from all keys that begin with {@link #KEY_PREFIX}. Throws {@link ReplicationException} when they
-     * can't be read.
+     * Decodes the state from all keys that begin with {@link #KEY_PREFIX}.
+     *
+     * @throws ReplicationException if a value cannot be decoded
      */
-    public static DurableState read(Map<String, byte[]> map) {
-        if (!map.containsKey(INCARNATION_KEY)) {
+    public static DurableState read(Map<String, byte[]> values) {
+        if (!values.containsKey(INCARNATION_KEY)) {
             return empty();
         }
-        long incarnation = ReplicationCodec.read(map.get(INCARNATION_KEY), in -> in.readLong());
-        List<String> seeds = map.containsKey(SEEDS_KEY)
-                ? ReplicationCodec.read(map.get(SEEDS_KEY), ReplicationCodec::strings)
+        long incarnation = ReplicationCodec.read(values.get(INCARNATION_KEY), in -> in.readLong());
+        List<String> seeds = values.containsKey(SEEDS_KEY)
+                ? ReplicationCodec.read(values.get(SEEDS_KEY), ReplicationCodec::strings)
                 : List.of();
-        Ballot promise = map.containsKey(PROMISED_BALLOT_KEY)
-                ? ReplicationCodec.read(map.get(PROMISED_BALLOT_KEY), ReplicationCodec::ballot)
+        Ballot promisedBallot = values.containsKey(PROMISED_BALLOT_KEY)
+                ? ReplicationCodec.read(values.get(PROMISED_BALLOT_KEY), ReplicationCodec::ballot)
                 : Ballot.NONE;
-        boolean inForce = map.containsKey(VIEW_KEY) && ReplicationCodec.read(map.get(VIEW_KEY), in -> in.readBoolean());
-        View view = map.containsKey(VIEW_KEY)
-                ? ReplicationCodec.read(map.get(VIEW_KEY), in -> {
+        boolean active =
+                values.containsKey(VIEW_KEY) && ReplicationCodec.read(values.get(VIEW_KEY), in -> in.readBoolean());
+        View view = values.containsKey(VIEW_KEY)
+                ? ReplicationCodec.read(values.get(VIEW_KEY), in -> {
                     in.readBoolean();
                     return ReplicationCodec.view(in);
                 })
                 : null;
-        List<Long> dead = map.containsKey(RETIRED_INCARNATIONS_KEY)
-                ? ReplicationCodec.read(map.get(RETIRED_INCARNATIONS_KEY), ReplicationCodec::longs)
+        List<Long> retiredIncarnations = values.containsKey(RETIRED_INCARNATIONS_KEY)
+                ? ReplicationCodec.read(values.get(RETIRED_INCARNATIONS_KEY), ReplicationCodec::longs)
                 : List.of();
-        List<String> known = map.containsKey(KNOWN_ADDRESSES_KEY)
-                ? ReplicationCodec.read(map.get(KNOWN_ADDRESSES_KEY), ReplicationCodec::strings)
+        List<String> knownAddresses = values.containsKey(KNOWN_ADDRESSES_KEY)
+                ? ReplicationCodec.read(values.get(KNOWN_ADDRESSES_KEY), ReplicationCodec::strings)
                 : List.of();
-        return new DurableState(incarnation, seeds, promise, view, inForce, readLog(map), dead, known);
+        return new DurableState(
+                incarnation, seeds, promisedBallot, view, active, readLog(values), retiredIncarnations, knownAddresses);
     }
 
-    private static ReplicatedLog readLog(Map<String, byte[]> map) {
+    private static ReplicatedLog readLog(Map<String, byte[]> values) {
         TreeMap<String, byte[]> sorted = new TreeMap<>();
-        map.forEach((key, value) -> {
+        values.forEach((key, value) -> {
             if (key.startsWith(LOG_KEY_PREFIX)) {
                 sorted.put(key, value);
             }
@@ -91,9 +94,9 @@
             entries.add(ReplicationCodec.read(value, ReplicationCodec::entry));
         }
         ReplicatedLog log = ReplicatedLog.empty();
-        if (map.containsKey(SNAPSHOT_KEY)) {
+        if (values.containsKey(SNAPSHOT_KEY)) {
             log = ReplicationCodec.read(
-                    map.get(SNAPSHOT_KEY),
+                    values.get(SNAPSHOT_KEY),
                     in -> new ReplicatedLog(
                             in.readLong(), ReplicationCodec.ballot(in), in.readNBytes(in.readInt()), List.of()));
         }
--- a/src/main/java/brambletray/platform/replication/FaultTolerance.java
+++ b/src/main/java/brambletray/platform/replication/FaultTolerance.java
@@ -10,43 +10,44 @@
 import java.util.function.Function;
 
 /**
- * What may be lost at once, with its disks, without losing a committed entry ({@code fault-tolerance} of the
- * settings): so many machines, or all machines of so many zones, or of so many regions.
+ * The simultaneous losses, disks included, that committed entries must survive ({@code fault-tolerance} in the
+ * settings): a number of machines, or all machines of a number of zones, or of a number of regions.
  *
- * @param machines that may be lost
- * @param zones that may be lost
- * @param regions that may be lost
- * @param regionOf region of each zone; a zone that is not listed belongs to the region ""
+ * @param machines number of machines that may be lost
+ * @param zones number of zones that may be lost
+ * @param regions number of regions that may be lost
+ * @param regionOf region by zone; zones that are not listed belong to region ""
  */
 public record FaultTolerance(int machines, int zones, int regions, Map<String, String> regionOf) {
-    /** Only machines are lost, not zones. */
+    /** Tolerates the loss of machines, but not of a whole zone or region. */
     public static FaultTolerance ofMachines(int machines) {
         return new FaultTolerance(machines, 0, 0, Map.of());
     }
 
     /**
-     * Whether an entry that is on the disks of all these members survives each such loss: whichever machines, zones
-     * or regions are lost, one of the members is left. Members whose zone is not known count as one zone.
+     * Whether an entry that all these members have on disk survives any tolerated loss, that is, whether at least one
+     * of them always remains. Members without a known zone count as a single zone.
      */
     boolean toleratesLossWith(Collection<Member> members) {
-        Set<String> in = new HashSet<>();
-        Set<String> over = new HashSet<>();
+        Set<String> zonesWithMember = new HashSet<>();
+        Set<String> regionsWithMember = new HashSet<>();
         for (Member member : members) {
-            in.add(member.zone());
-            over.add(regionOf.getOrDefault(member.zone(), ""));
+            zonesWithMember.add(member.zone());
+            regionsWithMember.add(regionOf.getOrDefault(member.zone(), ""));
         }
-        return members.size() > machines && in.size() > zones && over.size() > regions;
+        return members.size() > machines && zonesWithMember.size() > zones && regionsWithMember.size() > regions;
     }
 
     /**
-     * Zones, or else regions, that may be lost at once and hold half of these members or more. Their loss leaves no
-     * majority: nothing committed is lost, but nothing is committed until they are back. Empty where there are none.
+     * Zones, or if there are none, regions, whose simultaneous loss is tolerated and which hold at least half of these
+     * members. Their loss leaves no majority: committed entries are kept, but nothing is committed until they are back.
+     * Empty if there are none.
      */
     List<String> groupsHoldingHalf(Collection<Member> members) {
-        List<String> some = groupsHoldingHalf(members, zones, Member::zone);
-        return some.isEmpty()
+        List<String> zonesHoldingHalf = groupsHoldingHalf(members, zones, Member::zone);
+        return zonesHoldingHalf.isEmpty()
                 ? groupsHoldingHalf(members, regions, member -> regionOf.getOrDefault(member.zone(), ""))
-                : some;
+                : zonesHoldingHalf;
     }
 
     private static List<String> groupsHoldingHalf(
@@ -57,7 +58,7 @@
                 .sorted(Comparator.<String>comparingInt(sizes::get).reversed().thenComparing(name -> name))
                 .limit(losses)
                 .toList();
-        int held = largest.stream().mapToInt(sizes::get).sum();
-        return held > 0 && 2 * held >= members.size() ? largest : List.of();
+        int membersHeld = largest.stream().mapToInt(sizes::get).sum();
+        return membersHeld > 0 && 2 * membersHeld >= members.size() ? largest : List.of();
     }
 }
--- a/src/main/java/brambletray/platform/replication/FollowerProgress.java
+++ b/src/main/java/brambletray/platform/replication/FollowerProgress.java
@@ -1,8 +1,8 @@
 package brambletray.platform.replication;
 
 /**
- * What the leader knows of one follower: how far its log is durable, what was sent to it, and when it was last heard.
- * Times are ms of the steady clock.
+ * The progress of one follower as seen by the leader: how far its log is durable, which entries were sent to it, and
+ * when it last answered. Times are in ms of the monotonic clock.
  */
 final class FollowerProgress {
     private static final long LONG_AGO_MS = Long.MIN_VALUE / 2;
@@ -18,7 +18,7 @@
     private long resentAtMs = NEVER;
     private boolean diskUnhealthy;
 
-    /** A follower of a view that begins with a log that ends at {@code lastIndex}, which it has on disk. */
+    /** @param lastIndex last index of the log that the view starts with, which the follower has on disk */
     FollowerProgress(Member member, long lastIndex, long nowMs) {
         this.member = member;
         durableIndex = lastIndex;
@@ -35,12 +35,12 @@
         return durableIndex;
     }
 
-    /** First index that was not sent to the follower yet. */
+    /** First index that has not been sent to the follower yet. */
     long nextIndex() {
         return nextIndex;
     }
 
-    /** Whether it was heard within so many ms, and has not promised to a higher ballot. */
+    /** Whether the follower answered within the last {@code withinMs} and has not promised a higher ballot. */
     boolean isResponsive(long nowMs, int withinMs) {
         return supersededSinceMs == NEVER && wasHeardWithin(nowMs, withinMs);
     }
@@ -49,23 +49,23 @@
         return nowMs - lastHeardAtMs <= withinMs;
     }
 
-    /** Whether it was silent for longer than the time-out, or for a while after its connection was reset. */
+    /** Whether it has not answered within the time-out, or within the one that applies after a connection reset. */
     boolean isSilent(long nowMs, int timeoutMs, int disconnectedTimeoutMs) {
         boolean disconnected = disconnectedAtMs >= lastHeardAtMs && !wasHeardWithin(nowMs, disconnectedTimeoutMs);
         return disconnected || !wasHeardWithin(nowMs, timeoutMs);
     }
 
-    /** Whether its disk is in trouble, or entries wait for its acknowledgement for longer than the time-out. */
+    /** Whether its disk is unhealthy, or entries have been unacknowledged for longer than the time-out. */
     boolean isSlow(long nowMs, int ackTimeoutMs) {
         return diskUnhealthy || waitingSinceMs != NEVER && nowMs - waitingSinceMs > ackTimeoutMs;
     }
 
-    /** Whether it has been stopped for the view change of another for longer than this. */
+    /** Whether it has been stopped by another member's view change for longer than the time-out. */
     boolean isSupersededFor(long nowMs, int timeoutMs) {
         return supersededSinceMs != NEVER && nowMs - supersededSinceMs > timeoutMs;
     }
 
-    /** Entries from {@link #nextIndex} on have been sent. */
+    /** Records that this many entries, from {@link #nextIndex} on, have been sent. */
     void onSent(int entries, long nowMs) {
         if (waitingSinceMs == NEVER) {
             waitingSinceMs = nowMs;
@@ -74,8 +74,10 @@
     }
 
     /**
-     * Entries up to this index are on its disk; {@code lastIndex}: of the leader's log. Whether the index has
-     * advanced.
+     * Records that the follower has all entries up to this index on disk.
+     *
+     * @param lastIndex last index of the leader's log
+     * @return whether the durable index has advanced
      */
     boolean onDurable(long index, long lastIndex, long nowMs) {
         if (index <= durableIndex || index > lastIndex) {
@@ -88,10 +90,11 @@
     }
 
     /**
-     * A heartbeat was answered. A follower that was away could not acknowledge: its disk is timed from its return.
+     * Records the answer to a heartbeat. A follower that was unreachable could not acknowledge entries, so its
+     * acknowledgement time-out restarts when it answers again.
      */
-    void onHeartbeatResponse(boolean unhealthy, boolean superseded, long nowMs, int silenceMs) {
-        if (!wasHeardWithin(nowMs, silenceMs) && waitingSinceMs != NEVER) {
+    void onHeartbeatResponse(boolean unhealthy, boolean superseded, long nowMs, int healthyTimeoutMs) {
+        if (!wasHeardWithin(nowMs, healthyTimeoutMs) && waitingSinceMs != NEVER) {
             waitingSinceMs = nowMs;
         }
         lastHeardAtMs = nowMs;
@@ -103,28 +106,28 @@
         }
     }
 
-    /** Since when nothing has moved: the last acknowledgement, or the last time that entries were sent again. */
+    /** Time of the last acknowledgement or retransmission, whichever is later. */
     long stalledSinceMs() {
         return Math.max(waitingSinceMs, resentAtMs);
     }
 
-    /** Whether the connection was reset since entries were last on their way. */
+    /** Whether the connection was reset after entries were last sent or acknowledged. */
     boolean mayHaveLostEntries() {
         return disconnectedAtMs >= stalledSinceMs();
     }
 
-    /** Entries are sent again from this index on. */
+    /** Makes the leader retransmit entries from this index on. */
     void resendFrom(long index, long nowMs) {
         resentAtMs = nowMs;
         nextIndex = index;
     }
 
-    /** The connection to the follower was refused or reset. */
+    /** Called when the connection to the follower was refused or reset. */
     void onDisconnected(long nowMs) {
         disconnectedAtMs = nowMs;
     }
 
-    /** The leader was paused: nothing counts as late before the time-outs have run anew. */
+    /** Restarts all time-outs after the leader process was paused, so that nothing counts as late because of it. */
     void resetTimers(long lastIndex, long nowMs) {
         lastHeardAtMs = nowMs;
         waitingSinceMs = durableIndex < lastIndex ? nowMs : NEVER;
--- a/src/main/java/brambletray/platform/replication/FollowerState.java
+++ b/src/main/java/brambletray/platform/replication/FollowerState.java
@@ -1,11 +1,12 @@
 package brambletray.platform.replication;
 
 /**
- * A member that does not lead: appends what the leader sends, answers its heartbeats, and stops for the view change of
- * another. Invariant: nothing is acknowledged under a ballot below the promised one, and nothing before it is on disk.
+ * A member that is not the leader: appends the leader's entries, answers its heartbeats, and stops when another member
+ * starts a view change. Invariant: it never acknowledges anything under a ballot lower than the promised one, nor
+ * anything that is not on disk.
  */
 final class FollowerState {
-    /** Bytes waiting for the disk beyond which appends are ignored; the leader sends them again. */
+    /** Limit of bytes waiting for the disk. Above it, appends are ignored; the leader retransmits them. */
     private static final int MAX_QUEUED_BYTES = 8 << 20;
 
     private final ReplicaState state;
@@ -58,7 +59,7 @@
         state.advanceCommit(heartbeat.commitIndex());
     }
 
-    /** Whether this is the ballot of an older view whose leader is not in the active one. */
+    /** Whether this is the ballot of an earlier view whose leader is not a member of the active view. */
     private boolean isFromExcludedLeader(Ballot ballot) {
         View view = state.view();
         return view != null && state.isActive() && view.ballot().isAbove(ballot) && !view.contains(ballot.proposer());
@@ -120,7 +121,9 @@
                                 viewBallot, state.self().incarnation(), durableIndex));
     }
 
-    /** Another member starts a view change: stops for it unless a higher ballot or a healthy leader stands against. */
+    /**
+     * Handles another member's view change: stops for it unless a higher ballot is reserved or the leader is healthy.
+     */
     void onPrepare(String from, ReplicationMessage.PrepareRequest request) {
         View view = state.view() == null ? View.NONE : state.view();
         boolean inActiveView = state.isActive() && !view.isFounding();
@@ -150,7 +153,7 @@
         });
     }
 
-    /** Whether the leader of the view is healthy, and is another than the one that asks. */
+    /** Whether the leader of the view is healthy and is not the proposer itself. */
     private boolean leaderIsHealthyAgainst(ReplicationMessage.PrepareRequest request) {
         boolean fromLeader =
                 request.proposer().incarnation() == state.view().ballot().proposer();
--- a/src/main/java/brambletray/platform/replication/JoinAdmission.java
+++ b/src/main/java/brambletray/platform/replication/JoinAdmission.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 
 /**
- * Admits newcomers at a member of the view: gathers them for the leader's next view change, and finds out which disks
- * are lost. A join request from a member's address under another incarnation is answered by a challenge with a fresh
- * number; the answer proves that the former incarnation is gone, as one process at a time runs at an address and an
- * old message cannot contain the number.
+ * Handles join requests at a member of the view: collects newcomers for the leader's next view change, and detects lost
+ * disks. A join request from a member's address with a different incarnation is answered with a challenge that contains
+ * a nonce. The response proves that the previous incarnation is gone, because only one process at a time runs at an
+ * address and an old message cannot contain the nonce.
  */
 final class JoinAdmission {
     private static final int MAX_LAG_ENTRIES = 64;
@@ -17,14 +17,14 @@
     private static final int REQUEST_EXPIRY_MS = 1000;
     private static final int PENALTY_MEMORY_MS = 20_000;
 
-    /** How often a member was left out lately, and until when it is not admitted again. */
+    /** How often a member was recently excluded, and the time before which it is not admitted again. */
     private record Penalty(int count, long imposedAtMs, long untilMs) {}
 
     private final ReplicaState state;
     private final RoleState roles;
     private final Map<Long, ReplicationMessage.JoinRequest> admitted = new LinkedHashMap<>();
     private final Map<Long, Long> requestedAtMs = new HashMap<>();
-    /** When newcomers that are still fetching the state were heard last, by incarnation; ms. */
+    /** Time in ms of the last request of each newcomer that is still fetching the state, by incarnation. */
     private final Map<Long, Long> catchingUp = new HashMap<>();
 
     private final Map<String, Penalty> penalties = new HashMap<>();
@@ -67,10 +67,10 @@
             }
             return;
         }
-        boolean fit = isCaughtUp(
+        boolean caughtUp = isCaughtUp(
                 state.log().patchFor(joinRequest.lastIndex(), joinRequest.lastView(), joinRequest.commitIndex()));
-        state.actions().send(from, new ReplicationMessage.JoinResponse(state.view(), fit));
-        if (!fit) {
+        state.actions().send(from, new ReplicationMessage.JoinResponse(state.view(), caughtUp));
+        if (!caughtUp) {
             if (catchingUp.size() < MAX_NEWCOMERS) {
                 catchingUp.put(requester.incarnation(), state.nowMs());
             }
@@ -93,8 +93,8 @@
     }
 
     /**
-     * Another incarnation at the address of a member is asked for its identity, so that an old message proves
-     * nothing.
+     * Requests the identity of a different incarnation at a member's address, because the join request itself may be an
+     * old message and proves nothing.
      */
     private void challenge(Member requester) {
         if (!replacesMember(requester)) {
@@ -118,24 +118,24 @@
         return false;
     }
 
-    private boolean provesDiskLost(Member now, Member before) {
-        return before.address().equals(now.address())
-                && before.incarnation() != now.incarnation()
-                && before.incarnation() != 0
-                && before.incarnation() != state.self().incarnation()
-                && !state.retiredIncarnations().contains(before.incarnation());
+    private boolean provesDiskLost(Member current, Member previous) {
+        return previous.address().equals(current.address())
+                && previous.incarnation() != current.incarnation()
+                && previous.incarnation() != 0
+                && previous.incarnation() != state.self().incarnation()
+                && !state.retiredIncarnations().contains(previous.incarnation());
     }
 
-    void onIdentityResponse(ReplicationMessage.IdentityResponse here) {
-        Long mine = challenges.get(here.responder().address());
-        if (mine == null || mine != here.nonce() || state.view() == null) {
+    void onIdentityResponse(ReplicationMessage.IdentityResponse response) {
+        Long expectedNonce = challenges.get(response.responder().address());
+        if (expectedNonce == null || expectedNonce != response.nonce() || state.view() == null) {
             return;
         }
-        challenges.remove(here.responder().address());
+        challenges.remove(response.responder().address());
         java.util.Set<Long> lostIncarnations = new java.util.LinkedHashSet<>();
         for (ViewMembership membership : state.view().viewsToConsult(false)) {
             for (Member member : membership.members()) {
-                if (provesDiskLost(here.responder(), member)) {
+                if (provesDiskLost(response.responder(), member)) {
                     lostIncarnations.add(member.incarnation());
                 }
             }
@@ -143,28 +143,30 @@
         if (state.retire(lostIncarnations)) {
             state.actions()
                     .log(new ReplicationEvent.DiskLost(
-                            here.responder().address(),
-                            Long.toHexString(here.responder().incarnation()),
+                            response.responder().address(),
+                            Long.toHexString(response.responder().incarnation()),
                             lostIncarnations));
             roles.onMembersRetired();
         }
     }
 
     /**
-     * A member was left out because it was silent or slow: each further time within a while it waits longer before it
-     * is admitted again.
+     * Records that a member was excluded because it was silent or slow. Repeated exclusions within {@link
+     * #PENALTY_MEMORY_MS} delay its next admission by an increasing time.
      */
     void penalise(String address) {
-        Penalty old = penalties.get(address);
-        int times = old == null || state.nowMs() - old.imposedAtMs() > PENALTY_MEMORY_MS ? 1 : old.count() + 1;
-        long wait = times <= 2 ? 0 : Math.min(4000, 250L << Math.min(times - 2, 4));
+        Penalty previous = penalties.get(address);
+        int count = previous == null || state.nowMs() - previous.imposedAtMs() > PENALTY_MEMORY_MS
+                ? 1
+                : previous.count() + 1;
+        long delayMs = count <= 2 ? 0 : Math.min(4000, 250L << Math.min(count - 2, 4));
         if (penalties.size() > 32) {
             penalties.clear();
         }
-        penalties.put(address, new Penalty(times, state.nowMs(), state.nowMs() + wait));
+        penalties.put(address, new Penalty(count, state.nowMs(), state.nowMs() + delayMs));
     }
 
-    /** Newcomers that can join now and were heard lately, by incarnation. */
+    /** Newcomers that can join now and whose request has not expired, by incarnation. */
     Map<Long, ReplicationMessage.JoinRequest> admitted() {
         if (admitted.isEmpty()) {
             return Map.of();
@@ -173,7 +175,9 @@
                 .removeIf(incarnation -> state.nowMs() - requestedAtMs.get(incarnation) > REQUEST_EXPIRY_MS
                         || state.view().contains(incarnation)
                         || state.retiredIncarnations().contains(incarnation));
-        // entries and compactions since the request: no view change starts for a newcomer that it could not admit
+        // entries and compactions since the request may have left it behind: no view change starts for a newcomer that
+        // it
+        // could not admit
         admitted.values()
                 .removeIf(joinRequest -> !isCaughtUp(state.log()
                         .patchFor(joinRequest.lastIndex(), joinRequest.lastView(), joinRequest.commitIndex())));
@@ -181,12 +185,12 @@
         return new LinkedHashMap<>(admitted);
     }
 
-    /** Whether a newcomer asks to join. */
+    /** Whether any newcomer is catching up or ready to join. */
     boolean hasNewcomers() {
         return hasNewcomersCatchingUp() || !admitted().isEmpty();
     }
 
-    /** Whether a newcomer is fetching the state. */
+    /** Whether any newcomer is still fetching the state. */
     boolean hasNewcomersCatchingUp() {
         catchingUp.values().removeIf(at -> state.nowMs() - at > REQUEST_EXPIRY_MS);
         catchingUp
--- a/src/main/java/brambletray/platform/replication/JoinRequester.java
+++ b/src/main/java/brambletray/platform/replication/JoinRequester.java
@@ -6,12 +6,12 @@
 
 /**
  * A member outside the view: sends join requests to all members it knows, fetches the state from the leader into
- * memory, and asks again. Nothing of the fetched state counts before a view is installed with it, so a process that
- * dies on the way leaves nothing behind.
+ * memory, and asks again. The fetched state is not used before a view is installed with it, so a process that is killed
+ * during the transfer leaves no partial state behind.
  */
 final class JoinRequester {
     private static final int RETRY_INTERVAL_MS = 250;
-    /** Silence of the source after which the transfer moves to another leader. */
+    /** Time without chunks from the source after which the transfer moves to another leader. */
     private static final int SOURCE_IDLE_TIMEOUT_MS = 1000;
 
     private final ReplicaState state;
@@ -21,7 +21,7 @@
     private ReplicatedLog fetchedLog;
     private long fetchedCommitIndex;
     private StateTransferClient transfer;
-    /** A transfer whose source fell silent or has nothing to offer; the next source goes on with it. */
+    /** A transfer whose source stopped responding or has nothing to offer; it is resumed from the next source. */
     private StateTransferClient interrupted;
 
     private long requestedAtMs = Long.MIN_VALUE / 2;
@@ -34,14 +34,14 @@
         this.seeds = seeds;
     }
 
-    /** Other addresses to ask first, from the settings. */
+    /** Replaces the addresses that are asked first, after the settings have changed. */
     void updateSeeds(List<String> newSeeds) {
         seeds = newSeeds;
     }
 
     /**
-     * A process that has just started may have been left out while it was away: a member of the later view will say
-     * so.
+     * Whether this process may have been excluded while it was down: true after a start until a leader is heard. A
+     * member of the later view answers its join request with that view.
      */
     private boolean mayHaveBeenExcluded() {
         return state.view() != null
@@ -49,7 +49,7 @@
                 && !state.view().isFounding();
     }
 
-    /** The log that a patch is applied to. */
+    /** The log that patches are applied to. */
     ReplicatedLog patchBase() {
         return fetchedLog != null && roles.isOutsideView() ? fetchedLog : state.log();
     }
@@ -60,7 +60,9 @@
         interrupted = null;
     }
 
-    /** Continues a transfer, and sends join requests if this member is outside the view and they are due. */
+    /**
+     * Drives the transfer, and sends join requests if this member is outside the view and the retry interval is over.
+     */
     void tick() {
         if (transfer != null) {
             transfer.tick();
@@ -84,7 +86,7 @@
         transfer = null;
     }
 
-    /** Asks at these addresses, and wherever else a member of the view may be. */
+    /** Sends join requests to these addresses and to all other addresses where a member of the view may be. */
     void sendJoinRequests(List<String> addresses) {
         if (state.isLeaving()) {
             return;
@@ -105,16 +107,16 @@
 
     private ReplicationMessage.JoinRequest joinRequest() {
         ReplicatedLog log = patchBase();
-        long commit = fetchedLog != null ? fetchedCommitIndex : state.commitIndex();
+        long commitIndex = fetchedLog != null ? fetchedCommitIndex : state.commitIndex();
         return new ReplicationMessage.JoinRequest(
                 state.self(),
                 state.view() == null ? Ballot.NONE : state.view().ballot(),
                 log.lastIndex(),
                 log.lastView(),
-                Math.min(commit, log.lastIndex()));
+                Math.min(commitIndex, log.lastIndex()));
     }
 
-    /** The active view; its leader says whether the state that was fetched is recent enough to join with. */
+    /** Handles the active view. The leader's response also says whether the fetched state is recent enough to join. */
     void onJoinResponse(String from, ReplicationMessage.JoinResponse response) {
         if (!roles.isOutsideView()) {
             roles.onNotMember(response.view());
@@ -126,9 +128,9 @@
             state.addKnownAddress(member.address());
         }
         Member leader = response.view().leader();
-        // the source may be gone, and another member lead
-        boolean leads = leader != null && leader.address().equals(from);
-        if (leads
+        // the source of the transfer may be down, with another member leading now
+        boolean fromLeader = leader != null && leader.address().equals(from);
+        if (fromLeader
                 && transfer != null
                 && !transfer.source().equals(from)
                 && transfer.idleMs() > SOURCE_IDLE_TIMEOUT_MS) {
--- a/src/main/java/brambletray/platform/replication/LeaderMonitor.java
+++ b/src/main/java/brambletray/platform/replication/LeaderMonitor.java
@@ -1,18 +1,18 @@
 package brambletray.platform.replication;
 
 /**
- * Whether the leader of the view is alive, and when this member should take over. Members wait in the order of their
- * rank (the leader first, then as listed in the view), each a bit longer than the one before it, which keeps two from
- * starting a view change at the same time.
+ * Detects failures of the leader, and decides when this member should take over. The time-out grows with the rank of
+ * the member (the leader first, then the order of the view), so that two members rarely start a view change at the same
+ * time.
  */
 final class LeaderMonitor {
-    /** Wait of a member that has not heard any leader since its start. */
+    /** Time-out of a member that has not heard from any leader since it started. */
     private static final int INITIAL_TIMEOUT_MS = 100;
-    /** Wait after the connection to the leader was reset. */
+    /** Time-out after the connection to the leader was reset. */
     private static final int DISCONNECT_TIMEOUT_MS = 250;
-    /** How long a reset of the connection counts. */
+    /** How long after a connection reset the shorter time-out applies. */
     private static final int DISCONNECT_MEMORY_MS = 2_000;
-    /** Silence up to which the leader counts as healthy. */
+    /** Time since its last message within which the leader counts as healthy. */
     private static final int LEADER_HEALTHY_MS = 350;
 
     private static final long LONG_AGO_MS = Long.MIN_VALUE / 2;
@@ -30,47 +30,45 @@
         this.heardAtMs = state.nowMs();
     }
 
-    /** Whether the leader was heard lately and is not about to end. */
+    /** Whether the leader was heard from recently and is not leaving. */
     boolean leaderIsHealthy() {
         return leaderSeen && leavingSinceMs == NOT_LEAVING && state.nowMs() - heardAtMs <= LEADER_HEALTHY_MS;
     }
 
-    /** Whether no leader has been heard since the start of the process. */
+    /** Whether no leader has been heard from since the process started. */
     boolean noLeaderSeenYet() {
         return !leaderSeen;
     }
 
-    /** Whether the leader is about to end. */
     boolean leaderIsLeaving() {
         return leavingSinceMs != NOT_LEAVING;
     }
 
-    /** The leader has been heard. */
     void onLeaderHeard() {
         heardAtMs = state.nowMs();
         leaderSeen = true;
     }
 
-    /** The leader has been heard, but its disk is in trouble: the time-out runs on. */
+    /** Called for a heartbeat from a leader whose disk is unhealthy: the time-out is not restarted. */
     void onUnhealthyLeaderHeard() {
         leaderSeen = true;
     }
 
-    /** The leader is about to end: the next in rank takes over at once. */
+    /** Called when the leader announces that it is leaving: the next in rank takes over at once. */
     void onLeaderLeaving() {
         if (leavingSinceMs == NOT_LEAVING) {
             leavingSinceMs = state.nowMs();
         }
     }
 
-    /** A new view is installed here. */
+    /** Called when this member has installed a new view. */
     void onViewInstalled() {
         leavingSinceMs = NOT_LEAVING;
         noElectionBeforeMs = LONG_AGO_MS;
         onLeaderHeard();
     }
 
-    /** The connection to this address was refused or reset. */
+    /** Called when the connection to this address was refused or reset. */
     void onDisconnected(String address) {
         Member leader = state.view() == null ? null : state.view().leader();
         if (leader != null && leader.address().equals(address)) {
@@ -78,18 +76,18 @@
         }
     }
 
-    /** This process was paused: the leader is not suspected before the time-out has run anew. */
+    /** Restarts the time-out after this process was paused, so that the leader is not suspected because of it. */
     void resetTimers() {
         heardAtMs = state.nowMs();
         disconnectedAtMs = LONG_AGO_MS;
     }
 
-    /** No view change of this member's own before so many ms are over. */
+    /** Keeps this member from starting a view change for the next {@code ms}. */
     void postponeElection(long ms) {
         noElectionBeforeMs = Math.max(noElectionBeforeMs, state.nowMs() + ms);
     }
 
-    /** Place of this member in the view, the leader's being 0. */
+    /** Position of this member in the view; the leader is 0. */
     int rank() {
         int rank = 0;
         for (Member member : state.view().members()) {
@@ -101,12 +99,12 @@
         return rank;
     }
 
-    /** ms by which this member waits longer than the leader would. */
+    /** Delay in ms that the rank of this member adds to its time-out. */
     long rankDelayMs() {
         return state.view() == null ? 0 : (long) rank() * state.settings().rankDelayMs();
     }
 
-    /** Whether the leader has been silent, or leaving, for so long that this member should take over. */
+    /** Whether the leader has been silent or leaving for long enough that this member should take over. */
     boolean electionTimeoutExpired() {
         if (state.view() == null || state.nowMs() < noElectionBeforeMs) {
             return false;
--- a/src/main/java/brambletray/platform/replication/LeaderState.java
+++ b/src/main/java/brambletray/platform/replication/LeaderState.java
@@ -9,20 +9,20 @@
 import java.util.function.Predicate;
 
 /**
- * The leader of an active view: assigns indices, sends entries and heartbeats, and commits what all members have on
- * disk. Invariant: an index is assigned once in a view, as only the proposer of a view leads it and it does so in one
- * process. It says which members are silent or slow; {@link ViewChangeInitiator} decides what follows.
+ * The leader of an active view: assigns indices, sends entries and heartbeats, and commits the entries that all members
+ * have on disk. Invariant: an index is assigned at most once in a view, because only the proposer of a view leads it,
+ * within a single process. This class reports silent and slow members; {@link ViewChangeInitiator} acts on them.
  */
 final class LeaderState {
     private static final int MAX_APPEND_BYTES = 256 << 10;
     private static final int MAX_UNCOMMITTED_ENTRIES = 128;
-    /** Bytes waiting for the disk beyond which proposals are rejected. */
+    /** Limit of bytes waiting for the disk. Above it, proposals are rejected. */
     private static final int MAX_QUEUED_BYTES = 4 << 20;
-    /** Bytes on their way to a member, besides the first entry: what more it lacks follows its acknowledgements. */
+    /** Limit of unacknowledged bytes per follower above which nothing more is sent; the last append may exceed it. */
     private static final int MAX_IN_FLIGHT_BYTES = 1 << 20;
-    /** Silence after which entries are sent again. */
+    /** Time without progress after which entries are retransmitted. */
     private static final int RESEND_BACKOFF_MS = 200;
-    /** Bytes of those entries for which a ms is added: 1 Mbit/s. */
+    /** Unacknowledged bytes that each extend the retransmission time-out by 1 ms: 1 Mbit/s. */
     private static final int RESEND_BYTES_PER_MS = 125;
 
     private static final int HEALTHY_TIMEOUT_MS = 350;
@@ -32,7 +32,7 @@
     private static final int ANNOUNCE_DURATION_MS = 30_000;
     private static final int MAX_RECENT_PROPOSALS = 1024;
 
-    /** A proposal that has an index in this view. */
+    /** Identifies a proposal, to recognise retries of one that already has an index. */
     private record ProposalId(long origin, long token) {}
 
     private final ReplicaState state;
@@ -45,7 +45,7 @@
     private long announcedCommitIndex;
     private final long activeSinceMs;
 
-    /** Begins to lead the view of the state, which is active. */
+    /** Starts leading the current view, which is active. */
     LeaderState(ReplicaState state) {
         this.state = state;
         this.view = state.view();
@@ -63,7 +63,7 @@
         sendHeartbeats();
     }
 
-    /** Whether more than half of the members answered lately and have not stopped for another view change. */
+    /** Whether a majority of the members answered recently and has not stopped for another view change. */
     boolean hasActiveQuorum() {
         int responsive = 1;
         for (FollowerProgress follower : followers.values()) {
@@ -75,9 +75,9 @@
     }
 
     /**
-     * Assigns an index to a proposal, unless it has one.
+     * Assigns an index to a proposal, unless it already has one.
      *
-     * @return false if this member may not lead now, or too much is in flight; the proposer tries again
+     * @return false if this member cannot lead now, is draining, or has too much in flight; the proposer retries
      */
     boolean propose(long origin, long token, byte[] bytes) {
         if (!state.isOperationalIn(view.ballot())) {
@@ -87,7 +87,7 @@
         if (recentProposals.contains(proposal)) {
             return true;
         }
-        // draining: what is in flight is to be committed before another leads, so nothing more is begun
+        // while draining, uncommitted entries are to be committed before another member leads: take no new ones
         if (state.isDraining() || isOverloaded()) {
             return false;
         }
@@ -130,7 +130,7 @@
             return;
         }
         if (nextIndex <= log.snapshotIndex()) {
-            // cannot be: what is compacted is committed, and all members have that on disk
+            // unreachable unless there is a bug: compacted entries are committed, so all members have them on disk
             state.actions()
                     .log(new ReplicationEvent.BehindSnapshot(follower.member().name(), nextIndex, log.snapshotIndex()));
             return;
@@ -149,7 +149,7 @@
                                 view.ballot(), previousIndex, previousView, entries, state.commitIndex()));
     }
 
-    /** A follower has all entries up to this index on disk. */
+    /** Records that a follower has all entries up to this index on disk. */
     void onDurable(long incarnation, long index) {
         FollowerProgress follower = followers.get(incarnation);
         if (follower != null) {
@@ -164,7 +164,6 @@
         sendEntries(follower);
     }
 
-    /** A follower has answered a heartbeat. */
     void onHeartbeatResponse(ReplicationMessage.HeartbeatResponse response) {
         FollowerProgress follower = followers.get(response.incarnation());
         if (follower == null) {
@@ -180,7 +179,8 @@
     }
 
     /**
-     * Sends again what a broken link took with it, and what was not acknowledged for long, before it counts as slow.
+     * Retransmits entries that a connection reset may have lost, or that were not acknowledged for long. Happens before
+     * {@code ackTimeoutMs}, at which the follower counts as slow.
      */
     private void resendIfStalled(FollowerProgress follower, long durableIndex) {
         ReplicatedLog log = state.log();
@@ -198,7 +198,7 @@
         }
     }
 
-    /** Committed is what all members have on disk, if one disk is left whichever of those that may be lost are. */
+    /** Commits what all members have on disk, provided that the members of the view tolerate the configured losses. */
     private void maybeAdvanceCommit() {
         if (!state.isOperationalIn(view.ballot())
                 || !state.settings().tolerance().toleratesLossWith(view.members())) {
@@ -214,14 +214,14 @@
     }
 
     /**
-     * Whether the view has been active for a while, so that a planned view change (a newcomer, a leave) does not follow
-     * so closely on the last that callers feel both as one pause.
+     * Whether the view has reached the minimum age for a planned view change (a newcomer, a leave). Without it, two
+     * view changes could follow each other so closely that callers see them as one longer pause.
      */
-    boolean hasBeenActiveForAWhile() {
+    boolean hasReachedMinViewAge() {
         return state.nowMs() - activeSinceMs >= MIN_VIEW_AGE_MS;
     }
 
-    /** The connection to this address was refused or reset. */
+    /** Called when the connection to this address was refused or reset. */
     void onDisconnected(String address) {
         for (FollowerProgress follower : followers.values()) {
             if (follower.member().address().equals(address)) {
@@ -230,21 +230,21 @@
         }
     }
 
-    /** This process was paused: nobody is suspected before the time-outs have run anew. */
+    /** Restarts all time-outs after this process was paused, so that no follower is suspected because of it. */
     void resetTimers() {
         for (FollowerProgress follower : followers.values()) {
             follower.resetTimers(state.log().lastIndex(), state.nowMs());
         }
     }
 
-    /** To be called every 25 to 50 ms. */
+    /** Must be called every 25 to 50 ms. */
     void tick() {
         if (state.nowMs() - heartbeatSentAtMs >= state.settings().heartbeatIntervalMs()) {
             sendHeartbeats();
         }
     }
 
-    /** Tells the followers at once of a commit index that has advanced. */
+    /** Sends the commit index to the followers at once if it has advanced. */
     void announceCommit() {
         if (state.commitIndex() <= announcedCommitIndex) {
             return;
@@ -275,7 +275,10 @@
         }
     }
 
-    /** After a view change: a machine that was left out may be back with another disk and know nobody. */
+    /**
+     * Sends the known addresses to machines outside the view, for {@link #ANNOUNCE_DURATION_MS} after a view change: an
+     * excluded machine may be back with an empty disk and know no member.
+     */
     private void announceMembership() {
         if (state.knownAddresses().isEmpty() || state.nowMs() - activeSinceMs > ANNOUNCE_DURATION_MS) {
             return;
@@ -289,19 +292,19 @@
         }
     }
 
-    /** Incarnations that were not heard for too long: a view change does not wait for them. */
+    /** Incarnations that have not answered for too long; a view change does not wait for them. */
     Set<Long> silentMembers() {
         return membersWith(
                 follower -> follower.isSilent(state.nowMs(), state.settings().electionTimeoutMs(), HEALTHY_TIMEOUT_MS));
     }
 
-    /** Incarnations that answer, but whose disk holds up every commit. */
+    /** Incarnations that answer heartbeats, but whose disk delays every commit. */
     Set<Long> slowMembers() {
         return membersWith(follower -> follower.wasHeardWithin(state.nowMs(), HEALTHY_TIMEOUT_MS)
                 && follower.isSlow(state.nowMs(), state.settings().ackTimeoutMs()));
     }
 
-    /** Whether a member has stopped for the view change of another, of which nothing came. */
+    /** Whether a member has stopped for another member's view change that did not complete in time. */
     boolean hasSupersededMember() {
         return !membersWith(follower -> follower.isSupersededFor(state.nowMs(), SUPERSEDED_TIMEOUT_MS))
                 .isEmpty();
--- a/src/main/java/brambletray/platform/replication/LeaveRequests.java
+++ b/src/main/java/brambletray/platform/replication/LeaveRequests.java
@@ -1,6 +1,6 @@
 package brambletray.platform.replication;
 
-/** What a member does when another one says that it is about to end ({@link PlannedLeave}). */
+/** Handles the announcements of other members that they are leaving ({@link PlannedLeave}). */
 final class LeaveRequests {
     private final ReplicaState state;
     private final RoleState roles;
--- a/src/main/java/brambletray/platform/replication/LogEntry.java
+++ b/src/main/java/brambletray/platform/replication/LogEntry.java
@@ -1,13 +1,13 @@
 package brambletray.platform.replication;
 
 /**
- * One entry of the log.
+ * An entry of the replicated log.
  *
- * @param index position, from 1, without gaps
- * @param view ballot of the view whose leader assigned the index; two entries with the same index and view are the
- *     same, and so is everything before them
- * @param origin process that proposed it, drawn at random at each start
- * @param token the number that the process has given it
- * @param bytes the change; opaque here
+ * @param index position in the log; starts at 1, without gaps
+ * @param view ballot of the view whose leader assigned the index; two entries with the same index and view are
+ *     identical, and so are all entries before them
+ * @param origin identifies the process that proposed the entry; drawn at random on each start
+ * @param token number assigned to the proposal by that process
+ * @param bytes payload, opaque to this package
  */
 public record LogEntry(long index, Ballot view, long origin, long token, byte[] bytes) {}
--- a/src/main/java/brambletray/platform/replication/LogPatch.java
+++ b/src/main/java/brambletray/platform/replication/LogPatch.java
@@ -3,23 +3,23 @@
 import java.util.List;
 
 /**
- * What turns one log into another: everything after an index is replaced by these entries, or the log is replaced
- * altogether.
+ * The difference between two logs: either all entries after an index are replaced, or the whole log is replaced by a
+ * snapshot and the entries after it.
  *
- * @param replacesAll whether the snapshot replaces the log
- * @param previousIndex last index that stays; that of the snapshot if it replaces the log
+ * @param replacesAll whether the snapshot replaces the whole log
+ * @param previousIndex last index that is kept, or the index of the snapshot if it replaces the log
  * @param previousView ballot of the view of the entry at that index
- * @param snapshot state at that index if it replaces the log, else empty
- * @param entries those that follow
+ * @param snapshot state at that index if it replaces the log, otherwise empty
+ * @param entries the entries after that index
  */
 public record LogPatch(
         boolean replacesAll, long previousIndex, Ballot previousView, byte[] snapshot, List<LogEntry> entries) {
     /**
-     * Bytes of a patch that may be sent in one message with a new view: 0.26 s of a link of 2 Mbit/s, which {@link
-     * ReplicationSettings#installTimeoutMs} has to allow for. Longer patches are fetched in chunks.
+     * Largest patch that is sent in one message with a new view. At 2 Mbit/s it takes 0.26 s, which {@link
+     * ReplicationSettings#installTimeoutMs} has to allow for. Larger patches are fetched in chunks.
      */
     static final int MAX_INLINE_BYTES = 64 << 10;
-    /** Bytes of an entry besides those of its change. */
+    /** Bytes of an entry in addition to its payload. */
     private static final int ENTRY_OVERHEAD_BYTES = 64;
 
     long lastIndex() {
--- a/src/main/java/brambletray/platform/replication/Member.java
+++ b/src/main/java/brambletray/platform/replication/Member.java
@@ -1,17 +1,16 @@
 package brambletray.platform.replication;
 
 /**
- * One machine of the core, with one disk.
+ * A member of the replication group: one machine with one disk.
  *
  * @param address ip:port of its control plane
- * @param name name of the node, for logs and operators
- * @param incarnation drawn at random when its disk was first used; 0 only in the list of seeds, where it is not known
- *     yet
- * @param zone zone of the machine; "" where it is not known, as in the list of seeds and on disks that were written
- *     before zones were stored
+ * @param name name of the node, shown in logs and to operators
+ * @param incarnation random number, drawn when the disk was first used; 0 only in the list of seeds, where it is not
+ *     known yet
+ * @param zone zone of the machine; "" if unknown, as in the list of seeds and in data written before zones were stored
  */
 public record Member(String address, String name, long incarnation, String zone) {
-    /** A member whose zone is not known. */
+    /** Creates a member with an unknown zone. */
     public Member(String address, String name, long incarnation) {
         this(address, name, incarnation, "");
     }
--- a/src/main/java/brambletray/platform/replication/MemberRemovalOrders.java
+++ b/src/main/java/brambletray/platform/replication/MemberRemovalRequests.java
@@ -5,14 +5,14 @@
 import java.util.function.Consumer;
 
 /**
- * Removal of a machine that is gone for good and whose address never answers again, by an operator's word. A removed
- * incarnation counts like one whose disk is proven lost (see {@link Quorum}), so the removal is rejected while there
- * is any sign that the machine is alive, and while the view works without it.
+ * Handles operator requests to remove a machine that is permanently lost and whose address will not answer again. A
+ * removed incarnation is treated like one whose disk is proven lost (see {@link Quorum}), so a removal is rejected
+ * while there is any sign that the machine is alive, and while the view is operational without it.
  */
-final class MemberRemovalOrders {
-    /** The machine must not have been heard for so long, by a process that ran all the while. */
+final class MemberRemovalRequests {
+    /** Time for which this process must have been running without hearing from the machine. */
     static final int MIN_SILENCE_MS = 10_000;
-    /** How long the machine has to answer the question that precedes the removal. */
+    /** How long the machine has to answer the identity request that precedes the removal. */
     static final int IDENTITY_TIMEOUT_MS = 2_000;
 
     private record PendingRemoval(Member member, long startedAtMs, Consumer<MemberRemovalOutcome> onOutcome) {}
@@ -23,22 +23,22 @@
     private final Map<String, Long> lastHeardAtMs = new HashMap<>();
     private PendingRemoval pending;
 
-    MemberRemovalOrders(ReplicaState state, RoleState roles) {
+    MemberRemovalRequests(ReplicaState state, RoleState roles) {
         this.state = state;
         this.roles = roles;
         startedAtMs = state.nowMs();
     }
 
-    /** A message has come from the machine at this address. */
+    /** Records that a message from this address was received. */
     void onMessage(String address) {
         lastHeardAtMs.put(address, state.nowMs());
     }
 
     void request(String address, long incarnation, Consumer<MemberRemovalOutcome> onOutcome) {
         Member target = findMember(address, incarnation);
-        MemberRemovalOutcome refusal = findRejection(target);
-        if (refusal != null) {
-            onOutcome.accept(refusal);
+        MemberRemovalOutcome rejection = findRejection(target);
+        if (rejection != null) {
+            onOutcome.accept(rejection);
             return;
         }
         pending = new PendingRemoval(target, state.nowMs(), onOutcome);
@@ -64,7 +64,9 @@
         return wouldLoseMajority(target) ? MemberRemovalOutcome.MAJORITY_WOULD_BE_LOST : null;
     }
 
-    /** The member of the last view, or of one of its predecessors; null if there is none, or it is this member. */
+    /**
+     * The matching member of the last view or of one of its predecessors; null if there is none or it is this member.
+     */
     private Member findMember(String address, long incarnation) {
         if (state.view() == null
                 || state.view().isFounding()
@@ -85,11 +87,11 @@
 
     private boolean wouldLoseMajority(Member target) {
         for (ViewMembership membership : state.view().viewsToConsult(state.isActive())) {
-            long gone = membership.members().stream()
+            long lost = membership.members().stream()
                     .filter(member -> member.incarnation() == target.incarnation()
                             || state.retiredIncarnations().contains(member.incarnation()))
                     .count();
-            if (gone >= membership.members().size() / 2 + 1) {
+            if (lost >= membership.members().size() / 2 + 1) {
                 return true;
             }
         }
@@ -121,9 +123,9 @@
         });
     }
 
-    private void complete(MemberRemovalOutcome result) {
+    private void complete(MemberRemovalOutcome outcome) {
         Consumer<MemberRemovalOutcome> onOutcome = pending.onOutcome();
         pending = null;
-        onOutcome.accept(result);
+        onOutcome.accept(outcome);
     }
 }
--- a/src/main/java/brambletray/platform/replication/MembershipState.java
+++ b/src/main/java/brambletray/platform/replication/MembershipState.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * The view of this member, where it came from, and which other machines it knows. Invariant: the ballot of the view
- * only grows. {@link ReplicaState} writes each change to disk.
+ * The current view of this member, its lineage, and the other machines that are known. Invariant: the ballot of the
+ * view only increases. {@link ReplicaState} writes each change to disk.
  */
 final class MembershipState {
     private static final int MAX_RETIRED_INCARNATIONS = 64;
@@ -28,7 +28,7 @@
         this.self = self;
     }
 
-    /** Takes over what was found on disk. */
+    /** Restores the state that was read from disk. */
     void restore(DurableState stored) {
         view = stored.view();
         active = stored.active();
@@ -40,7 +40,7 @@
         return self;
     }
 
-    /** The last view on disk; null before the first one, the list of seeds for a founder. */
+    /** The last view on disk. Before the first one: the list of seeds for a founder, otherwise null. */
     View view() {
         return view;
     }
@@ -50,33 +50,33 @@
         return active;
     }
 
-    /** Number of the view that the present one came from, if that was known to be active; else -1. */
+    /** Number of the direct predecessor of the current view if that was known to be active, otherwise -1. */
     long previousViewNumber() {
         return previousViewNumber;
     }
 
-    /** Views that the present one came from, each directly from the one before it, as this process has seen them. */
+    /** Chain of predecessors of the current view that this process has seen, oldest first, without gaps. */
     List<ViewMembership> lineage() {
         return lineage;
     }
 
-    /** Incarnations whose disks are proven lost, or that an operator has removed. */
+    /** Incarnations whose disks are proven lost or that an operator has removed. */
     Set<Long> retiredIncarnations() {
         return Collections.unmodifiableSet(retiredIncarnations);
     }
 
-    /** Control-plane addresses of members that were met, the latest last. */
+    /** Control-plane addresses of known members, the most recent last. */
     Set<String> knownAddresses() {
         return Collections.unmodifiableSet(knownAddresses);
     }
 
-    /** This member is one of the founders: the list of seeds stands before the first view. */
+    /** Makes this member a founder: the list of seeds serves as the view before the first one. */
     void foundFrom(List<String> seeds) {
         view = View.ofSeeds(seeds);
         active = true;
     }
 
-    /** Takes a proposed view, which is not active yet. */
+    /** Installs a proposed view, which is not active yet. */
     void install(View next) {
         lineage = lineageOf(next);
         view = next;
@@ -85,7 +85,9 @@
                 next.predecessors().size() == 1 ? next.predecessors().get(0).number() : UNKNOWN_VIEW_NUMBER;
     }
 
-    /** All members have the view: from now on nothing of the views before it is needed. */
+    /**
+     * Marks the view active, as all its members have it on disk, and drops its predecessors, which are not needed now.
+     */
     void activate() {
         active = true;
         view = new View(view.ballot(), view.members(), List.of());
@@ -104,7 +106,11 @@
         return List.copyOf(longer.subList(Math.max(0, longer.size() - MAX_LINEAGE), longer.size()));
     }
 
-    /** Remembers incarnations that are gone for good; whether one of them is new. */
+    /**
+     * Adds permanently lost incarnations.
+     *
+     * @return whether any of them is new
+     */
     boolean retire(Iterable<Long> incarnations) {
         boolean changed = false;
         for (long incarnation : incarnations) {
@@ -116,7 +122,11 @@
         return changed;
     }
 
-    /** Remembers an address; whether it is new. */
+    /**
+     * Adds the address of a member.
+     *
+     * @return whether it is new
+     */
     boolean addKnownAddress(String address) {
         if (address.equals(self.address()) || knownAddresses.contains(address)) {
             return false;
--- a/src/main/java/brambletray/platform/replication/MessageDispatcher.java
+++ b/src/main/java/brambletray/platform/replication/MessageDispatcher.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * Hands each message to the part of the member that it is for; messages for a role that it does not have are dropped.
+ * Dispatches each message to its handler. Messages for a role that this member does not have are dropped.
  */
 final class MessageDispatcher {
     private final ReplicaState state;
@@ -18,7 +18,7 @@
         stateTransferServer = new StateTransferServer(state, this::logToServe);
     }
 
-    /** The log of a view that this member is installing, or its own. */
+    /** The log of a view that this member is installing, or its own log for {@link Ballot#NONE}. */
     private ReplicatedLog logToServe(Ballot view) {
         if (view.equals(Ballot.NONE)) {
             return state.view() == null ? null : state.log();
@@ -55,7 +55,7 @@
         } else if (message instanceof ReplicationMessage.PrepareRequest prepare) {
             handlers.follower().onPrepare(from, prepare);
             if (state.view() == null) {
-                // the proposer takes this address for a member: a join request shows that the disk is another one
+                // the proposer believes that this address is a member: a join request shows that its disk was replaced
                 handlers.joinRequester().sendJoinRequests(List.of(from));
             }
         } else if (message instanceof ReplicationMessage.NotMember notMember) {
@@ -147,7 +147,7 @@
         }
     }
 
-    /** A chunk names its transfer by number; whoever has begun it takes it. */
+    /** Offers the chunk to all clients; the one that started the transfer with its number accepts it. */
     private void onChunk(ReplicationMessage.FetchChunkResponse chunk) {
         handlers.joinRequester().onChunk(chunk);
         handlers.viewInstaller().onChunk(chunk);
--- a/src/main/java/brambletray/platform/replication/MessageHandlers.java
+++ b/src/main/java/brambletray/platform/replication/MessageHandlers.java
@@ -1,6 +1,6 @@
 package brambletray.platform.replication;
 
-/** The parts of a member that messages are for. */
+/** The components of a member that handle messages. */
 record MessageHandlers(
         FollowerState follower,
         ViewInstaller viewInstaller,
--- a/src/main/java/brambletray/platform/replication/PendingProposals.java
+++ b/src/main/java/brambletray/platform/replication/PendingProposals.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * Proposals of this process until their outcome is known: each is sent to the leader of each view in turn, as long as
- * it is not in the log. A proposal is applied at most once, as a leader recognises it by origin and token.
+ * Proposals of this process whose outcome is not known yet. Each is sent to the leader of every successive view until
+ * it is in the log. It is applied at most once, because leaders recognise it by origin and token.
  */
 final class PendingProposals {
     private static final int RETRY_INTERVAL_MS = 300;
@@ -18,15 +18,15 @@
         final byte[] bytes;
         final long deadlineMs;
         /**
-         * Ballot of the view whose leader was sent it; null when it is certain that no leader can still append it.
+         * Ballot of the view whose leader it was sent to; null if it is certain that no leader can still append it.
          */
         Ballot sentInView;
 
         long sentAtMs;
 
-        Proposal(byte[] bytes, long until) {
+        Proposal(byte[] bytes, long deadlineMs) {
             this.bytes = bytes;
-            this.deadlineMs = until;
+            this.deadlineMs = deadlineMs;
         }
     }
 
@@ -50,7 +50,7 @@
         sendPending();
     }
 
-    /** Sends what is pending to the leader of the active view. */
+    /** Sends the pending proposals to the leader of the active view. */
     void sendPending() {
         if (pending.isEmpty()
                 || !state.isActive()
@@ -58,71 +58,73 @@
                 || roles.isExcluded()) {
             return;
         }
-        for (Map.Entry<Long, Proposal> one : pending.entrySet()) {
-            Proposal item = one.getValue();
-            if (item.sentInView != null && !item.sentInView.equals(state.view().ballot())) {
-                // that view has ended: what is not in the log that this one began with was not appended in it for
-                // good
-                if (state.log().containsProposal(state.origin(), one.getKey())) {
+        for (Map.Entry<Long, Proposal> entry : pending.entrySet()) {
+            Proposal proposal = entry.getValue();
+            if (proposal.sentInView != null
+                    && !proposal.sentInView.equals(state.view().ballot())) {
+                // that view has ended: unless the proposal is in the log that the current view started with, it can no
+                // longer be appended there
+                if (state.log().containsProposal(state.origin(), entry.getKey())) {
                     continue;
                 }
-                item.sentInView = null;
+                proposal.sentInView = null;
             }
-            if (item.sentInView != null && state.nowMs() - item.sentAtMs < RETRY_INTERVAL_MS) {
+            if (proposal.sentInView != null && state.nowMs() - proposal.sentAtMs < RETRY_INTERVAL_MS) {
                 continue;
             }
             if (roles.isLeader()) {
-                if (item.sentInView == null && roles.leader().propose(state.origin(), one.getKey(), item.bytes)) {
-                    item.sentInView = state.view().ballot();
+                if (proposal.sentInView == null
+                        && roles.leader().propose(state.origin(), entry.getKey(), proposal.bytes)) {
+                    proposal.sentInView = state.view().ballot();
                 }
             } else if (state.view().leader().incarnation() != state.self().incarnation()) {
-                item.sentInView = state.view().ballot();
-                item.sentAtMs = state.nowMs();
+                proposal.sentInView = state.view().ballot();
+                proposal.sentAtMs = state.nowMs();
                 state.actions()
                         .send(
                                 state.view().leader().address(),
                                 new ReplicationMessage.ProposeRequest(
-                                        item.sentInView, state.origin(), one.getKey(), item.bytes));
+                                        proposal.sentInView, state.origin(), entry.getKey(), proposal.bytes));
             }
         }
     }
 
     void onApplied(LogEntry entry) {
-        Proposal item = entry.origin() == state.origin() ? pending.remove(entry.token()) : null;
-        if (item == null) {
+        Proposal proposal = entry.origin() == state.origin() ? pending.remove(entry.token()) : null;
+        if (proposal == null) {
             return;
         }
-        pendingBytes -= item.bytes.length;
+        pendingBytes -= proposal.bytes.length;
         state.actions().proposalCompleted(entry.token(), ProposalOutcome.COMMITTED);
     }
 
-    /** The state was replaced by a snapshot, which may include whatever had been sent to a leader. */
+    /** Completes all proposals that were sent to a leader, as the snapshot may contain any of them. */
     void onSnapshotInstalled() {
-        completeIf(item -> item.sentInView != null);
+        completeIf(proposal -> proposal.sentInView != null);
     }
 
     void tick() {
         if (pending.isEmpty()) {
             return;
         }
-        // this process does not join again: callers are to turn to the others now
-        completeIf(item -> state.nowMs() > item.deadlineMs || state.isLeaving() && roles.isExcluded());
+        // a leaving process that is out of the view does not rejoin: callers have to use another member
+        completeIf(proposal -> state.nowMs() > proposal.deadlineMs || state.isLeaving() && roles.isExcluded());
         sendPending();
     }
 
-    private void completeIf(java.util.function.Predicate<Proposal> which) {
-        List<Long> over = new ArrayList<>();
-        for (Map.Entry<Long, Proposal> one : pending.entrySet()) {
-            if (which.test(one.getValue())) {
-                over.add(one.getKey());
+    private void completeIf(java.util.function.Predicate<Proposal> condition) {
+        List<Long> completedTokens = new ArrayList<>();
+        for (Map.Entry<Long, Proposal> entry : pending.entrySet()) {
+            if (condition.test(entry.getValue())) {
+                completedTokens.add(entry.getKey());
             }
         }
-        for (long token : over) {
-            Proposal item = pending.remove(token);
-            pendingBytes -= item.bytes.length;
+        for (long token : completedTokens) {
+            Proposal proposal = pending.remove(token);
+            pendingBytes -= proposal.bytes.length;
             state.actions()
                     .proposalCompleted(
-                            token, item.sentInView == null ? ProposalOutcome.REJECTED : ProposalOutcome.UNKNOWN);
+                            token, proposal.sentInView == null ? ProposalOutcome.REJECTED : ProposalOutcome.UNKNOWN);
         }
     }
 }
--- a/src/main/java/brambletray/platform/replication/PlannedLeave.java
+++ b/src/main/java/brambletray/platform/replication/PlannedLeave.java
@@ -1,16 +1,17 @@
 package brambletray.platform.replication;
 
 /**
- * The planned end of a member: leadership transfer, then a view change without it. A leader begins nothing more,
- * waits until what is in flight is committed and newcomers have joined, and only then says that it leaves, so that
- * the next in rank takes over at once; any other member says so to the leader, which changes the view. It is repeated
- * until a view without this member is active. That view has to tolerate the losses; while the rest does not (two
- * members and no newcomer), this member stays, for as long as it may.
+ * Planned shutdown of a member: leadership transfer, then a view change that excludes it. A leader accepts no new
+ * proposals, waits until entries in flight are committed and newcomers have joined, and only then announces that it is
+ * leaving, so that the next in rank takes over at once. Any other member announces it to all, and the leader changes
+ * the view. The announcement is repeated until a view without this member is active. That view has to tolerate the
+ * configured losses; while the remaining members do not (two members and no newcomer), this member stays until {@link
+ * ReplicationSettings#leaveTimeoutMs}.
  */
 final class PlannedLeave {
-    /** ms between two leave requests: one may be lost, or reach a member that cannot act on it yet. */
+    /** Interval of leave requests: one may be lost, or reach a member that cannot act on it yet. */
     private static final int RETRY_INTERVAL_MS = 100;
-    /** ms for what is in flight to be committed; it takes longer only when a member is unhealthy. */
+    /** Limit for committing the entries in flight; it takes longer only if a member is unhealthy. */
     private static final int DRAIN_TIMEOUT_MS = 300;
 
     private final ReplicaState state;
@@ -34,7 +35,7 @@
                         state.log().lastIndex()));
     }
 
-    /** Whether the process may end. */
+    /** Whether the process may exit. */
     boolean isOver() {
         return endReason != null;
     }
@@ -43,13 +44,16 @@
         if (endReason != null) {
             return;
         }
-        boolean member = state.view() != null && !state.view().isFounding() && !roles.isExcluded();
-        if (!member) {
-            end(state.view() == null || state.view().isFounding() ? "not a member" : "gone on without it");
+        boolean isMember = state.view() != null && !state.view().isFounding() && !roles.isExcluded();
+        if (!isMember) {
+            end(
+                    state.view() == null || state.view().isFounding()
+                            ? "not a member"
+                            : "a view without this member is active");
         } else if (state.nowMs() - startedAtMs >= state.settings().leaveTimeoutMs()) {
-            end("nobody has gone on without it in time");
+            end("leave timeout expired");
         } else if (state.view().members().size() == 1 && !joinAdmission.hasNewcomers()) {
-            end("alone");
+            end("only member of the view");
         } else if (roles.viewChange() == null
                 && state.nowMs() - announcedAtMs >= RETRY_INTERVAL_MS
                 && (!roles.isLeader() || isDrained())) {
@@ -58,12 +62,12 @@
     }
 
     /**
-     * Whether this leader has nothing to finish first: newcomers that are catching up (for half of the time it has,
-     * at most), the last view change, and then what is in flight.
+     * Whether this leader may announce its leave. It first waits for newcomers to join and for the view to reach its
+     * minimum age, for at most half of the leave time-out, and then for the entries in flight to be committed.
      */
     private boolean isDrained() {
-        boolean settles = !roles.hasBeenLeaderForAWhile() || joinAdmission.hasNewcomers();
-        if (settles && 2 * (state.nowMs() - startedAtMs) < state.settings().leaveTimeoutMs()) {
+        boolean unsettled = !roles.hasBeenLeaderForAWhile() || joinAdmission.hasNewcomers();
+        if (unsettled && 2 * (state.nowMs() - startedAtMs) < state.settings().leaveTimeoutMs()) {
             return false;
         }
         if (!state.isDraining()) {
@@ -86,12 +90,12 @@
         }
     }
 
-    private void end(String how) {
-        endReason = how;
+    private void end(String reason) {
+        endReason = reason;
         View view = roles.successorView() != null ? roles.successorView() : state.view();
         state.actions()
                 .log(new ReplicationEvent.LeaveFinished(
-                        how,
+                        reason,
                         state.nowMs() - startedAtMs,
                         view == null ? "none" : view.ballot().toString(),
                         view == null ? "" : ReplicaState.names(view.members())));
--- a/src/main/java/brambletray/platform/replication/PrepareResponses.java
+++ b/src/main/java/brambletray/platform/replication/PrepareResponses.java
@@ -6,19 +6,20 @@
 import java.util.Set;
 
 /**
- * The responses to one view change, this member's own first: which view is the latest, whose members have to be
- * consulted, and whether a quorum has answered. A value; each further response makes a new one.
+ * The responses to the prepare requests of one view change, this member's own first: which view is the latest, which
+ * members have to be consulted, and whether a quorum has answered. Immutable: a new instance is created for each
+ * further response.
  */
 final class PrepareResponses {
     final List<ReplicationMessage.PrepareResponse> responses;
-    /** The view with the highest ballot that anybody has on disk. */
+    /** The view with the highest ballot among those reported. */
     final View latestView;
     /**
-     * The views whose members have to be consulted: {@link #latestView}, and its predecessors back to the last that
-     * is known to be active.
+     * The views of which a quorum has to answer: {@link #latestView}, and its predecessors back to the last one that is
+     * known to be active.
      */
     final List<ViewMembership> consultedViews;
-    /** Incarnations that all members that answered knew to be retired when they answered. */
+    /** Incarnations that every responder knew to be retired when it answered. */
     final Set<Long> retiredIncarnations;
 
     PrepareResponses(List<ReplicationMessage.PrepareResponse> all) {
@@ -55,8 +56,8 @@
     }
 
     /**
-     * Whether these responses are a quorum of each of the views. A member without any view is none of the founders,
-     * whatever its address.
+     * Whether these responses contain a quorum of each consulted view. A member without any view does not count as a
+     * founder, even if its address is one of the seeds.
      */
     boolean hasQuorum(List<ReplicationMessage.PrepareResponse> subset) {
         for (ViewMembership membership : consultedViews) {
@@ -73,7 +74,7 @@
         return true;
     }
 
-    /** Among the members whose last view is the latest, the one with the longest log. */
+    /** The response with the longest log among the members whose last view is the latest view. */
     ReplicationMessage.PrepareResponse longestLog() {
         ReplicationMessage.PrepareResponse longest = null;
         for (ReplicationMessage.PrepareResponse response : responses) {
@@ -85,7 +86,7 @@
         return longest;
     }
 
-    /** Response of this incarnation, or null. */
+    /** The response of this incarnation, or null. */
     ReplicationMessage.PrepareResponse fromIncarnation(long incarnation) {
         for (ReplicationMessage.PrepareResponse response : responses) {
             if (response.responder().incarnation() == incarnation) {
@@ -105,31 +106,31 @@
     }
 
     /**
-     * The members of the next view: members of any of the views, without the unhealthy and the excluded ones if the
-     * rest is enough. The proposer is always among them; it gets the log like a newcomer if it was in none of the
-     * views.
+     * Selects the members of the next view: all responders that were members of a consulted view, without the unhealthy
+     * and the excluded ones if the others suffice. The proposer is always included; if it was in none of the views, it
+     * gets the log like a newcomer.
      */
     List<Member> nextMembers(Set<Long> excluded, FaultTolerance tolerance) {
-        List<ReplicationMessage.PrepareResponse> everyone = new ArrayList<>();
-        everyone.add(responses.get(0));
+        List<ReplicationMessage.PrepareResponse> candidates = new ArrayList<>();
+        candidates.add(responses.get(0));
         for (ReplicationMessage.PrepareResponse response : responses) {
-            if (!everyone.contains(response) && wasMember(response)) {
-                everyone.add(response);
+            if (!candidates.contains(response) && wasMember(response)) {
+                candidates.add(response);
             }
         }
-        List<ReplicationMessage.PrepareResponse> well = new ArrayList<>();
-        for (ReplicationMessage.PrepareResponse response : everyone) {
+        List<ReplicationMessage.PrepareResponse> healthy = new ArrayList<>();
+        for (ReplicationMessage.PrepareResponse response : candidates) {
             if (!response.diskUnhealthy()
                     && !excluded.contains(response.responder().incarnation())) {
-                well.add(response);
+                healthy.add(response);
             }
         }
-        List<Member> all = members(everyone);
-        List<Member> subset = members(well);
-        boolean rest = well.contains(this.responses.get(0))
-                && hasQuorum(well)
-                && (tolerance.toleratesLossWith(subset) || subset.size() == all.size());
-        return rest ? subset : all;
+        List<Member> allMembers = members(candidates);
+        List<Member> healthyMembers = members(healthy);
+        boolean healthySuffice = healthy.contains(this.responses.get(0))
+                && hasQuorum(healthy)
+                && (tolerance.toleratesLossWith(healthyMembers) || healthyMembers.size() == allMembers.size());
+        return healthySuffice ? healthyMembers : allMembers;
     }
 
     private static List<Member> members(List<ReplicationMessage.PrepareResponse> responses) {
@@ -155,15 +156,15 @@
         return false;
     }
 
-    /** The predecessors of the next view, each set of members once. */
+    /** The predecessors of the next view, without views that repeat a set of members. */
     List<ViewMembership> viewsToConsult() {
-        List<ViewMembership> subset = new ArrayList<>();
-        Set<Set<Member>> sets = new HashSet<>();
+        List<ViewMembership> distinctViews = new ArrayList<>();
+        Set<Set<Member>> memberSets = new HashSet<>();
         for (ViewMembership membership : consultedViews) {
-            if (sets.add(new HashSet<>(membership.members()))) {
-                subset.add(membership);
+            if (memberSets.add(new HashSet<>(membership.members()))) {
+                distinctViews.add(membership);
             }
         }
-        return subset;
+        return distinctViews;
     }
 }
--- a/src/main/java/brambletray/platform/replication/PrepareRound.java
+++ b/src/main/java/brambletray/platform/replication/PrepareRound.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * The prepare requests of one view change and the responses to them. The members of the last view that is known are
- * contacted, and those of its predecessors; a response may name a later view, whose members are contacted as well.
+ * The prepare requests of one view change and the responses to them. Contacts the members of the last known view and of
+ * its predecessors. If a response reports a later view, the members of that view are contacted as well.
  */
 final class PrepareRound {
     private static final int RETRY_INTERVAL_MS = 100;
@@ -24,7 +24,11 @@
         this.ballot = ballot;
     }
 
-    /** Contacts the members of this view and of its predecessors; whether one of them is new. */
+    /**
+     * Adds the members of this view and of its predecessors to those contacted.
+     *
+     * @return whether any of them is new
+     */
     boolean contactMembersOf(View view) {
         int before = contacted.size();
         for (ViewMembership membership : view.viewsToConsult(view == state.view() && state.isActive())) {
@@ -41,12 +45,12 @@
         return contacted.values();
     }
 
-    /** The member at this address, or null if it was not contacted. */
+    /** The contacted member at this address, or null. */
     Member contactedAt(String address) {
         return contacted.get(address);
     }
 
-    /** Sends the request to all that have not answered. */
+    /** Sends the request to all contacted members that have not answered. */
     void sendRequests() {
         sentAtMs = state.nowMs();
         PrepareResponses answered = responses();
@@ -61,14 +65,14 @@
         }
     }
 
-    /** To be called every 25 to 50 ms while responses count. */
+    /** Must be called every 25 to 50 ms while responses are awaited. */
     void tick() {
         if (state.nowMs() - sentAtMs >= RETRY_INTERVAL_MS) {
             sendRequests();
         }
     }
 
-    /** Takes a response to this round; members that it reveals are contacted. */
+    /** Handles a response to this round, and contacts members that it newly reveals. */
     void onResponse(ReplicationMessage.PrepareResponse response) {
         if (responses.put(response.responder().incarnation(), response) == null) {
             state.actions()
@@ -86,7 +90,7 @@
         }
     }
 
-    /** The responses until now, with what this member would answer itself. */
+    /** The responses so far, including this member's own. */
     PrepareResponses responses() {
         List<ReplicationMessage.PrepareResponse> all = new ArrayList<>();
         all.add(state.prepareResponse(ballot));
@@ -94,7 +98,7 @@
         return new PrepareResponses(all);
     }
 
-    /** Whether a member may still answer: not one of those suspected, or whose disk is known to be lost. */
+    /** Whether an answer is outstanding from a member that is neither suspected nor known to have lost its disk. */
     boolean isWaitingFor(PrepareResponses answered, Collection<Long> suspected) {
         for (Member member : contacted.values()) {
             if (!answered.hasAnswerFrom(member.address())
--- a/src/main/java/brambletray/platform/replication/Replica.java
+++ b/src/main/java/brambletray/platform/replication/Replica.java
@@ -20,7 +20,7 @@
     private final JoinAdmission joinAdmission;
     private final PendingProposals pendingProposals;
     private final ReadIndex readIndex;
-    private final MemberRemovalOrders memberRemovalOrders;
+    private final MemberRemovalRequests memberRemovalOrders;
     private final ViewChangeInitiator viewChangeInitiator;
     private final MessageDispatcher messageDispatcher;
     private boolean incarnationIsDurable;
@@ -49,7 +49,7 @@
         joinAdmission = new JoinAdmission(state, roles);
         pendingProposals = new PendingProposals(state, roles);
         readIndex = new ReadIndex(state, roles);
-        memberRemovalOrders = new MemberRemovalOrders(state, roles);
+        memberRemovalOrders = new MemberRemovalRequests(state, roles);
         viewChangeInitiator = new ViewChangeInitiator(state, roles, leaderMonitor, joinAdmission);
         messageDispatcher = new MessageDispatcher(
                 state,
--- a/src/test/java/brambletray/platform/replication/MemberRemovalOrdersTest.java
+++ b/src/test/java/brambletray/platform/replication/MemberRemovalRequestsTest.java
@@ -12,7 +12,7 @@
  * An operator declares a machine dead: what it takes, what goes on after it, and that the machine can do no harm when
  * it is there after all.
  */
-class MemberRemovalOrdersTest {
+class MemberRemovalRequestsTest {
     private SimulatedReplicas world;
     private MemberRemovalOutcome result;
 
@@ -102,7 +102,7 @@
         core("a", "b");
         long gone = life("b");
         node("b").kill(true);
-        world.until(world.now + MemberRemovalOrders.MIN_SILENCE_MS - 1_000);
+        world.until(world.now + MemberRemovalRequests.MIN_SILENCE_MS - 1_000);
         assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, declared("a", "b", gone));
         world.until(world.now + 2_000);
         assertEquals(MemberRemovalOutcome.REMOVED, declared("a", "b", gone));
@@ -114,7 +114,7 @@
         core("a", "b");
         long gone = life("b");
         node("b").kill(true);
-        world.until(world.now + 2 * MemberRemovalOrders.MIN_SILENCE_MS);
+        world.until(world.now + 2 * MemberRemovalRequests.MIN_SILENCE_MS);
         node("a").kill(false);
         node("a").start();
         world.until(world.now + 1_000);
@@ -126,9 +126,9 @@
     void whoAnswersTheQuestionIsNotDeclaredDead() {
         core("a", "b");
         world.cut("a", "b", true);
-        world.until(world.now + MemberRemovalOrders.MIN_SILENCE_MS + 1_000);
+        world.until(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
         order("a", "b", life("b"));
-        world.until(world.now + MemberRemovalOrders.IDENTITY_TIMEOUT_MS / 2);
+        world.until(world.now + MemberRemovalRequests.IDENTITY_TIMEOUT_MS / 2);
         assertNull(result);
         world.cut("a", "b", false);
         world.await(() -> result != null, 4_000, "an answer to the order");
@@ -141,7 +141,7 @@
         core("a", "b", "c");
         long gone = life("c");
         node("c").kill(true);
-        world.until(world.now + MemberRemovalOrders.MIN_SILENCE_MS + 1_000);
+        world.until(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
         assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, declared("a", "c", gone), "left out long ago");
         assertEquals(MemberRemovalOutcome.VIEW_IS_HEALTHY, declared("a", "b", life("b")));
     }
@@ -151,7 +151,7 @@
         core("a", "b");
         long gone = life("b");
         node("b").kill(true);
-        world.until(world.now + MemberRemovalOrders.MIN_SILENCE_MS + 1_000);
+        world.until(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
         assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, declared("a", "b", gone + 1));
         assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, declared("a", "x", gone));
         assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, declared("a", "a", life("a")));
@@ -168,7 +168,7 @@
         long second = life("c");
         node("b").kill(true);
         node("c").kill(true);
-        world.until(world.now + MemberRemovalOrders.MIN_SILENCE_MS + 1_000);
+        world.until(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
         assertEquals(MemberRemovalOutcome.REMOVED, declared("a", "b", first));
         assertEquals(MemberRemovalOutcome.MAJORITY_WOULD_BE_LOST, declared("a", "c", second));
         world.until(world.now + 3_000);
@@ -182,7 +182,7 @@
         world.node("c", List.of("a", "b"));
         long gone = life("b");
         node("b").kill(true);
-        world.until(world.now + MemberRemovalOrders.MIN_SILENCE_MS + 1_000);
+        world.until(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
         assertEquals(MemberRemovalOutcome.REMOVED, declared("a", "b", gone));
         node("a").kill(true);
         node("a").start();
