--- a/src/main/java/brambletray/platform/replication/PendingProposals.java
+++ b/src/main/java/brambletray/platform/replication/PendingProposals.java
@@ -62,8 +62,8 @@
             Proposal proposal = entry.getValue();
             if (proposal.sentInView != null
                     && !proposal.sentInView.equals(state.view().ballot())) {
-                // that view has ended: unless the proposal is in the log that the current view started with, it can no
-                // longer be appended there
+                // that view has ended: if the proposal is not in the log that the current view started with, the leader
+                // of that view can no longer append it
                 if (state.log().containsProposal(state.origin(), entry.getKey())) {
                     continue;
                 }
--- a/src/test/java/brambletray/platform/replication/CatchUpTest.java
+++ b/src/test/java/brambletray/platform/replication/CatchUpTest.java
@@ -7,93 +7,101 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How long a member of three that was away for so many changes takes from the start of its process until it is in the
- * view again with all that was acknowledged, and how many bytes go to it: in simulated ms, with all its links at one
- * rate. Printed; the bounds on time are wide. The state is as large as one change, as a configuration that replaces
- * another is.
+ * Measures how long a member of three that missed many changes takes from the start of its process until it is back in
+ * the view with all acknowledged changes, and how many bytes are sent to it. Times are simulated, and all its links
+ * have the same rate. The results are printed; the time limits are generous. The state is as large as one change,
+ * because a change replaces the whole configuration.
  */
 class CatchUpTest {
-    private static final int FULL = 125_000;
-    private static final int SLOW = 250;
-    private static final int PACE_MS = 20;
-    /** Bytes besides the state itself: what is remembered of each change, frames of the view change, knocks. */
-    private static final int SOME = 48 << 10;
+    private static final int FAST_BYTES_PER_MS = 125_000;
+    private static final int SLOW_BYTES_PER_MS = 250;
+    private static final int CHANGE_INTERVAL_MS = 20;
+    /** Bytes in addition to the state: metadata of the changes, messages of the view change, join requests. */
+    private static final int OVERHEAD_BYTES = 48 << 10;
 
-    private record Case(int changes, int bytes, int rate, int everyMs, long mostMs) {}
+    private record Case(int changes, int changeBytes, int linkBytesPerMs, int changeIntervalMs, long maxMs) {}
 
     private static final List<Case> CASES = List.of(
-            new Case(500, 1 << 10, FULL, 0, 2_000), new Case(500, 1 << 10, SLOW, 0, 4_000),
-            new Case(500, 256 << 10, FULL, 0, 2_000), new Case(500, 256 << 10, SLOW, 0, 10_000),
-            new Case(2000, 1 << 10, FULL, 0, 2_000), new Case(2000, 1 << 10, SLOW, 0, 4_000),
-            new Case(2000, 256 << 10, FULL, 0, 2_000), new Case(2000, 256 << 10, SLOW, 0, 10_000),
-            new Case(500, 1 << 10, FULL, 500, 3_000), new Case(500, 1 << 10, SLOW, 500, 6_000),
-            new Case(500, 256 << 10, FULL, 2_500, 3_000), new Case(500, 256 << 10, SLOW, 2_500, 20_000));
+            new Case(500, 1 << 10, FAST_BYTES_PER_MS, 0, 2_000), new Case(500, 1 << 10, SLOW_BYTES_PER_MS, 0, 4_000),
+            new Case(500, 256 << 10, FAST_BYTES_PER_MS, 0, 2_000),
+                    new Case(500, 256 << 10, SLOW_BYTES_PER_MS, 0, 10_000),
+            new Case(2000, 1 << 10, FAST_BYTES_PER_MS, 0, 2_000), new Case(2000, 1 << 10, SLOW_BYTES_PER_MS, 0, 4_000),
+            new Case(2000, 256 << 10, FAST_BYTES_PER_MS, 0, 2_000),
+                    new Case(2000, 256 << 10, SLOW_BYTES_PER_MS, 0, 10_000),
+            new Case(500, 1 << 10, FAST_BYTES_PER_MS, 500, 3_000),
+                    new Case(500, 1 << 10, SLOW_BYTES_PER_MS, 500, 6_000),
+            new Case(500, 256 << 10, FAST_BYTES_PER_MS, 2_500, 3_000),
+                    new Case(500, 256 << 10, SLOW_BYTES_PER_MS, 2_500, 20_000));
 
     @Test
-    void aMemberThatWasAwayForHundredsOfChangesIsInAgainSoon() {
+    void aMemberThatMissedHundredsOfChangesRejoinsInTime() {
         System.out.println(
                 "| changes missed | bytes each | link, Mbit/s | changes meanwhile | back in the view, s | bytes to it, kB |");
         System.out.println("| ---: | ---: | ---: | --- | ---: | ---: |");
-        for (Case one : CASES) {
-            play(one);
+        for (Case testCase : CASES) {
+            run(testCase);
         }
     }
 
-    private void play(Case one) {
+    private void run(Case testCase) {
         ReplicationTestCluster core = new ReplicationTestCluster(List.of("a", "b", "c"));
         SimulatedReplicas world = core.world;
         core.found();
-        world.padding = "p".repeat(one.bytes());
-        world.ballast = "b".repeat(one.bytes());
-        SimulatedReplica away = world.nodes.get("c");
-        away.kill(true);
+        world.padding = "p".repeat(testCase.changeBytes());
+        world.ballast = "b".repeat(testCase.changeBytes());
+        SimulatedReplica restarted = world.nodes.get("c");
+        restarted.kill(true);
         world.until(world.now + 1500);
-        for (int i = 0; i < one.changes(); i++) {
+        for (int i = 0; i < testCase.changes(); i++) {
             world.ruleChecker.propose(world.leader());
-            world.until(world.now + PACE_MS);
+            world.until(world.now + CHANGE_INTERVAL_MS);
         }
         world.until(world.now + 1000);
         assertTrue(
-                world.ruleChecker.acknowledged.size() == one.changes(),
-                "acknowledged " + world.ruleChecker.acknowledged.size());
+                world.ruleChecker.acknowledged.size() == testCase.changes(),
+                "acknowledged changes: " + world.ruleChecker.acknowledged.size());
         for (String other : List.of("a", "b")) {
-            world.rate("c", other, one.rate());
+            world.rate("c", other, testCase.linkBytesPerMs());
         }
-        long before = bytes(world);
-        long begin = world.now;
-        long next = begin + 100;
-        away.start();
-        while (!back(world, away)) {
-            assertTrue(world.now - begin < one.mostMs(), one + ": not back");
+        long bytesBefore = bytesSentToRestarted(world);
+        long startedAtMs = world.now;
+        long nextChangeAtMs = startedAtMs + 100;
+        restarted.start();
+        while (!hasCaughtUp(world, restarted)) {
+            assertTrue(
+                    world.now - startedAtMs < testCase.maxMs(),
+                    testCase + ": not back in the view within " + testCase.maxMs() + " ms");
             world.until(world.now + 10);
-            if (one.everyMs() > 0 && world.now >= next && world.leader() != null) {
+            if (testCase.changeIntervalMs() > 0 && world.now >= nextChangeAtMs && world.leader() != null) {
                 world.ruleChecker.propose(world.leader());
-                next += one.everyMs();
+                nextChangeAtMs += testCase.changeIntervalMs();
             }
         }
-        long bytes = bytes(world) - before;
-        long most = one.everyMs() > 0 ? 4L * one.bytes() + SOME : one.bytes() + SOME;
-        assertTrue(bytes < most, one + ": bytes " + bytes);
+        long bytes = bytesSentToRestarted(world) - bytesBefore;
+        long maxBytes = testCase.changeIntervalMs() > 0
+                ? 4L * testCase.changeBytes() + OVERHEAD_BYTES
+                : testCase.changeBytes() + OVERHEAD_BYTES;
+        assertTrue(bytes < maxBytes, testCase + ": bytes " + bytes);
         System.out.printf(
                 Locale.ROOT,
                 "| %d | %d kB | %d | %s | %.2f | %d |%n",
-                one.changes(),
-                one.bytes() >> 10,
-                one.rate() / 125,
-                one.everyMs() == 0 ? "none" : "every " + one.everyMs() / 1000.0 + " s",
-                (world.now - begin) / 1000.0,
+                testCase.changes(),
+                testCase.changeBytes() >> 10,
+                testCase.linkBytesPerMs() / 125,
+                testCase.changeIntervalMs() == 0 ? "none" : "every " + testCase.changeIntervalMs() / 1000.0 + " s",
+                (world.now - startedAtMs) / 1000.0,
                 bytes >> 10);
     }
 
-    private static boolean back(SimulatedReplicas world, SimulatedReplica away) {
-        if (away.replica.status().role() != ReplicaRole.MEMBER
-                || !away.replica.status().active()) {
+    private static boolean hasCaughtUp(SimulatedReplicas world, SimulatedReplica restarted) {
+        if (restarted.replica.status().role() != ReplicaRole.MEMBER
+                || !restarted.replica.status().active()) {
             return false;
         }
-        return away.state.containsAll(world.ruleChecker.acknowledged);
+        return restarted.state.containsAll(world.ruleChecker.acknowledged);
     }
 
-    private static long bytes(SimulatedReplicas world) {
+    private static long bytesSentToRestarted(SimulatedReplicas world) {
         return world.link("a", "c").bytes + world.link("b", "c").bytes;
     }
 }
--- a/src/test/java/brambletray/platform/replication/DiskPositionsTest.java
+++ b/src/test/java/brambletray/platform/replication/DiskPositionsTest.java
@@ -7,120 +7,124 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * One scenario of a core: founded, changed, compacted, a member that lost its disk let in again, changed on. At each
- * position of each
- * member's disk (a write has begun; its sync is about to return) one fault: the disk refuses, the process is killed,
- * the power goes, for
- * this member or for all at once. Nothing acknowledged is lost, and once all is calm changes are acknowledged again.
+ * Injects a fault at every disk position of one scenario. The scenario: the group is founded, changes are committed and
+ * compacted, a member that lost its disk rejoins, and more changes follow. The positions: on any member, a write has
+ * started, or its sync is about to return. The faults: the disk refuses writes, the process is killed, or the power is
+ * lost, on that member or on all at once. No acknowledged change may be lost, and changes must be acknowledged again
+ * after the fault.
  */
 class DiskPositionsTest {
-    private static final int REFUSED_MS = 1_500;
-    private static final int DOWN_MS = 300;
-    private static final int CALM_MS = 9_000;
-    /** Bytes of a change: four of them make a log be compacted. */
+    private static final int WRITE_REFUSAL_MS = 1_500;
+    private static final int RESTART_DELAY_MS = 300;
+    private static final int RECOVERY_TIMEOUT_MS = 9_000;
+    /** Size of a change; four changes of this size trigger a compaction. */
     private static final int CHANGE_BYTES = 300 << 10;
 
-    private enum Trouble {
-        REFUSED(false) {
+    private enum Fault {
+        WRITES_REFUSED(false) {
             @Override
-            void strike(SimulatedReplicas world, SimulatedReplica node) {
-                refuse(world, node);
+            void inject(SimulatedReplicas world, SimulatedReplica node) {
+                refuseWrites(world, node);
             }
         },
-        KILLED(false) {
+        PROCESS_KILLED(false) {
             @Override
-            void strike(SimulatedReplicas world, SimulatedReplica node) {
-                end(world, node, false);
+            void inject(SimulatedReplicas world, SimulatedReplica node) {
+                killAndRestart(world, node, false);
             }
         },
-        DARK(false) {
+        POWER_LOST(false) {
             @Override
-            void strike(SimulatedReplicas world, SimulatedReplica node) {
-                end(world, node, true);
+            void inject(SimulatedReplicas world, SimulatedReplica node) {
+                killAndRestart(world, node, true);
             }
         },
-        ALL_REFUSED(true) {
+        ALL_WRITES_REFUSED(true) {
             @Override
-            void strike(SimulatedReplicas world, SimulatedReplica node) {
-                refuse(world, node);
+            void inject(SimulatedReplicas world, SimulatedReplica node) {
+                refuseWrites(world, node);
             }
         },
-        ALL_KILLED(true) {
+        ALL_PROCESSES_KILLED(true) {
             @Override
-            void strike(SimulatedReplicas world, SimulatedReplica node) {
-                end(world, node, false);
+            void inject(SimulatedReplicas world, SimulatedReplica node) {
+                killAndRestart(world, node, false);
             }
         },
-        ALL_DARK(true) {
+        ALL_POWER_LOST(true) {
             @Override
-            void strike(SimulatedReplicas world, SimulatedReplica node) {
-                end(world, node, true);
+            void inject(SimulatedReplicas world, SimulatedReplica node) {
+                killAndRestart(world, node, true);
             }
         };
 
-        private final boolean all;
+        private final boolean affectsAllNodes;
 
-        Trouble(boolean all) {
-            this.all = all;
+        Fault(boolean affectsAllNodes) {
+            this.affectsAllNodes = affectsAllNodes;
         }
 
-        abstract void strike(SimulatedReplicas world, SimulatedReplica node);
+        abstract void inject(SimulatedReplicas world, SimulatedReplica node);
 
-        void strikeAt(SimulatedReplicas world, SimulatedReplica node) {
-            for (SimulatedReplica one : all ? List.copyOf(world.nodes.values()) : List.of(node)) {
-                strike(world, one);
+        void injectAt(SimulatedReplicas world, SimulatedReplica node) {
+            for (SimulatedReplica target : affectsAllNodes ? List.copyOf(world.nodes.values()) : List.of(node)) {
+                inject(world, target);
             }
         }
 
-        private static void refuse(SimulatedReplicas world, SimulatedReplica node) {
+        private static void refuseWrites(SimulatedReplicas world, SimulatedReplica node) {
             node.disk.full = true;
-            world.later(world.now + REFUSED_MS, () -> node.disk.full = false);
+            world.later(world.now + WRITE_REFUSAL_MS, () -> node.disk.full = false);
         }
 
-        /** Ends the process, and starts it again; with {@code power}, what its disk hadn't synced is gone. */
-        private static void end(SimulatedReplicas world, SimulatedReplica node, boolean power) {
+        /** Kills the process and restarts it later; with {@code powerLost}, unsynced data on its disk is lost. */
+        private static void killAndRestart(SimulatedReplicas world, SimulatedReplica node, boolean powerLost) {
             if (!node.isRunning()) {
                 return;
             }
-            node.kill(power);
-            int boot = node.processNumber;
-            world.later(world.now + DOWN_MS, () -> {
-                if (node.processNumber == boot && node.down) {
+            node.kill(powerLost);
+            int processNumber = node.processNumber;
+            world.later(world.now + RESTART_DELAY_MS, () -> {
+                if (node.processNumber == processNumber && node.down) {
                     node.start();
                 }
             });
         }
     }
 
-    /** Plays the scenario with a fault at one position; returns how many positions there were. */
-    private static int play(int position, Trouble fault) {
+    /**
+     * Runs the scenario with a fault at one position.
+     *
+     * @return the number of positions in the run
+     */
+    private static int runScenario(int position, Fault fault) {
         ReplicationTestCluster core = new ReplicationTestCluster(List.of("a", "b", "c"));
         SimulatedReplicas world = core.world;
-        int[] seen = new int[1];
+        int[] positionsSeen = new int[1];
         core.found();
         world.atDisk = node -> {
-            if (seen[0]++ == position) {
-                fault.strikeAt(world, node);
+            if (positionsSeen[0]++ == position) {
+                fault.injectAt(world, node);
             }
         };
         world.padding = "p".repeat(CHANGE_BYTES);
-        change(world, 6);
-        SimulatedReplica empty = world.nodes.get("c");
-        if (empty.isRunning() && world.ruleChecker.intact()) {
-            empty.kill(true);
-            empty.wipe();
-            world.until(world.now + DOWN_MS);
-            if (!empty.isRunning()) {
-                empty.start();
+        proposeChanges(world, 6);
+        SimulatedReplica wiped = world.nodes.get("c");
+        if (wiped.isRunning() && world.ruleChecker.intact()) {
+            wiped.kill(true);
+            wiped.wipe();
+            world.until(world.now + RESTART_DELAY_MS);
+            if (!wiped.isRunning()) {
+                wiped.start();
             }
         }
-        change(world, 6);
-        world.until(world.now + REFUSED_MS);
-        calm(world);
-        return seen[0];
+        proposeChanges(world, 6);
+        world.until(world.now + WRITE_REFUSAL_MS);
+        awaitRecovery(world);
+        return positionsSeen[0];
     }
 
-    private static void change(SimulatedReplicas world, int count) {
+    private static void proposeChanges(SimulatedReplicas world, int count) {
         for (int i = 0; i < count; i++) {
             for (SimulatedReplica node : List.copyOf(world.nodes.values())) {
                 if (node.isRunning() && node.replica.status().isLeader()) {
@@ -131,25 +135,28 @@
         }
     }
 
-    private static void calm(SimulatedReplicas world) {
-        world.await(() -> settled(world), CALM_MS, "all in one view");
+    private static void awaitRecovery(SimulatedReplicas world) {
+        world.await(() -> allInOneView(world), RECOVERY_TIMEOUT_MS, "all nodes in one view");
         world.padding = "";
         int before = world.ruleChecker.acknowledged.size();
-        world.await(() -> acknowledges(world, before), CALM_MS, "a change after all is calm");
-        world.await(() -> alike(world), CALM_MS, "all alike");
+        world.await(
+                () -> acknowledgesNewChange(world, before),
+                RECOVERY_TIMEOUT_MS,
+                "a change acknowledged after the faults");
+        world.await(() -> statesAreEqual(world), RECOVERY_TIMEOUT_MS, "equal state on all nodes");
         world.ruleChecker.end(new ArrayList<>(world.nodes.values()));
     }
 
-    /** Proposes once more, as an operator does whose call had no clear answer. */
-    private static boolean acknowledges(SimulatedReplicas world, int before) {
-        boolean done = world.ruleChecker.acknowledged.size() > before;
-        if (!done && world.leader() != null) {
+    /** Proposes again until a new change is acknowledged, like an operator whose call had no definite outcome. */
+    private static boolean acknowledgesNewChange(SimulatedReplicas world, int before) {
+        boolean acknowledged = world.ruleChecker.acknowledged.size() > before;
+        if (!acknowledged && world.leader() != null) {
             world.ruleChecker.propose(world.leader());
         }
-        return done;
+        return acknowledged;
     }
 
-    private static boolean settled(SimulatedReplicas world) {
+    private static boolean allInOneView(SimulatedReplicas world) {
         SimulatedReplica leader = world.leader();
         return leader != null
                 && leader.replica.status().members().size() == world.nodes.size()
@@ -158,31 +165,31 @@
                                 node.isRunning() && node.replica.status().role() == ReplicaRole.MEMBER);
     }
 
-    private static boolean alike(SimulatedReplicas world) {
+    private static boolean statesAreEqual(SimulatedReplicas world) {
         List<String> first = world.nodes.get("a").state;
         return world.nodes.values().stream().allMatch(node -> node.state.equals(first));
     }
 
     @Test
-    void noTroubleAtAnyPositionOfADiskLosesWhatWasAcknowledged() {
-        int plays = 0;
+    void noFaultAtAnyDiskPositionLosesAcknowledgedChanges() {
+        int runs = 0;
         int positions = 0;
-        for (Trouble fault : Trouble.values()) {
+        for (Fault fault : Fault.values()) {
             int last = 0;
             for (int position = 0; position <= last; position++) {
                 try {
-                    last = Math.max(last, play(position, fault) - 1);
+                    last = Math.max(last, runScenario(position, fault) - 1);
                 } catch (AssertionError | RuntimeException e) {
                     throw new AssertionError(fault + " at position " + position + ": " + e.getMessage(), e);
                 }
-                plays++;
+                runs++;
                 if (last > 2_000) {
                     throw new AssertionError("too many positions: " + last);
                 }
             }
             positions = Math.max(positions, last + 1);
         }
-        System.out.println("disk positions: " + positions + ", plays " + plays);
-        assertTrue(positions > 60, "few positions: " + positions);
+        System.out.println("disk positions: " + positions + ", runs " + runs);
+        assertTrue(positions > 60, "too few positions: " + positions);
     }
 }
--- a/src/test/java/brambletray/platform/replication/ExplorationTest.java
+++ b/src/test/java/brambletray/platform/replication/ExplorationTest.java
@@ -10,135 +10,139 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every order in which the frames and syncs of view changes can come about, with a purse of impatience, losses of
- * power and of disks, planned ends and newcomers, up to a bound of states. {@code -Dview.states=N},
- * {@code -Dview.walks=N} go further; {@code -Dview.moves=1,2,3} plays one scenario and tells.
+ * Explores all orders of messages and syncs during view changes, with a limited number of expired time-outs, losses of
+ * power and of disks, planned leaves and newcomers, up to a maximum number of states. {@code -Dreplication.states=N}
+ * and {@code -Dreplication.walks=N} explore further; {@code -Dreplication.moves=1,2,3} replays one sequence of moves
+ * and logs each.
  */
 class ExplorationTest {
-    private static final int STATES = 10_000;
+    private static final int MAX_STATES = 10_000;
     private static final int WALKS = 20_000;
 
-    private final Set<Fingerprint.Print> seen = new HashSet<>();
+    private final Set<Fingerprint.Hash128> visited = new HashSet<>();
     private int states;
-    private int ends;
-    private int most;
-    /** States, or walks, in which a process has left, and in which the newcomer was in an active view. */
-    private int lefts;
+    private int terminalStates;
+    private int maxAcknowledged;
+    /** States, or walks, in which a process has left. */
+    private int statesWithLeave;
+    /** States, or walks, in which a newcomer was in an active view. */
+    private int statesWithJoin;
 
-    private int joins;
-    private int bound;
-    private int depth;
+    private int maxStates;
+    private int maxDepth;
 
-    private SteppedReplicas board(SteppedReplicas.Purse purse, List<Integer> moves) {
-        SteppedReplicas board = new SteppedReplicas(purse);
-        board.found();
+    private SteppedReplicas replay(SteppedReplicas.Purse budget, List<Integer> moves) {
+        SteppedReplicas replicas = new SteppedReplicas(budget);
+        replicas.found();
         for (int move : moves) {
-            board.play(move);
+            replicas.play(move);
         }
-        return board;
+        return replicas;
     }
 
-    private void explore(SteppedReplicas.Purse purse) {
-        seen.clear();
+    private void explore(SteppedReplicas.Purse budget) {
+        visited.clear();
         List<Integer> moves = new ArrayList<>();
-        walk(purse, board(purse, moves), moves);
+        visit(budget, replay(budget, moves), moves);
     }
 
-    private void walk(SteppedReplicas.Purse purse, SteppedReplicas board, List<Integer> moves) {
-        if (states >= bound || !seen.add(board.print())) {
+    private void visit(SteppedReplicas.Purse budget, SteppedReplicas replicas, List<Integer> moves) {
+        if (states >= maxStates || !visited.add(replicas.print())) {
             return;
         }
         states++;
-        depth = Math.max(depth, moves.size());
-        most = Math.max(most, board.acknowledged);
-        if (board.left > 0) {
-            lefts++;
+        maxDepth = Math.max(maxDepth, moves.size());
+        maxAcknowledged = Math.max(maxAcknowledged, replicas.acknowledged);
+        if (replicas.left > 0) {
+            statesWithLeave++;
         }
-        if (board.joined) {
-            joins++;
+        if (replicas.joined) {
+            statesWithJoin++;
         }
-        SteppedReplicas here = board;
-        boolean some = false;
-        boolean[] may = new boolean[SteppedReplicas.MOVES];
+        SteppedReplicas current = replicas;
+        boolean hasSuccessor = false;
+        boolean[] enabled = new boolean[SteppedReplicas.MOVES];
         for (int move = 0; move < SteppedReplicas.MOVES; move++) {
-            may[move] = board.may(move);
+            enabled[move] = replicas.may(move);
         }
         for (int move = 0; move < SteppedReplicas.MOVES; move++) {
-            if (!may[move] || states >= bound) {
+            if (!enabled[move] || states >= maxStates) {
                 continue;
             }
-            some = true;
-            if (here == null) {
-                here = board(purse, moves);
+            hasSuccessor = true;
+            if (current == null) {
+                current = replay(budget, moves);
             }
             moves.add(move);
             try {
-                here.play(move);
+                current.play(move);
             } catch (AssertionError | RuntimeException e) {
-                throw new AssertionError(e.getMessage() + " after " + purse + " " + moves, e);
+                throw new AssertionError(e.getMessage() + " after " + budget + " " + moves, e);
             }
-            walk(purse, here, moves);
+            visit(budget, current, moves);
             moves.remove(moves.size() - 1);
-            here = null;
+            current = null;
         }
-        if (!some) {
-            ends++;
+        if (!hasSuccessor) {
+            terminalStates++;
         }
     }
 
-    /** Random walks with a fuller purse reach further than the bound of states. */
+    /** Random walks with more faults reach deeper states than the bounded search. */
     @Test
-    void noWalkBreaksARule() {
+    void randomWalksViolateNoRule() {
         int walks = Integer.getInteger("replication.walks", WALKS);
         long first = Long.getLong("replication.first", 1);
-        int played = 0;
+        int walksRun = 0;
         long steps = 0;
         for (long seed = first; seed < first + walks; seed++) {
             Random random = new Random(seed);
             int newcomers = random.nextInt(2);
             int impatience = 1 + random.nextInt(5);
-            SteppedReplicas.Purse purse = new SteppedReplicas.Purse(
+            SteppedReplicas.Purse budget = new SteppedReplicas.Purse(
                     impatience, random.nextInt(3), random.nextInt(2), random.nextInt(2), newcomers);
-            SteppedReplicas board = new SteppedReplicas(purse);
-            board.found();
+            SteppedReplicas replicas = new SteppedReplicas(budget);
+            replicas.found();
             try {
-                steps += stroll(board, random, newcomers > 0);
+                steps += randomWalk(replicas, random, newcomers > 0);
             } catch (AssertionError | RuntimeException e) {
                 throw new AssertionError("walk " + seed + ": " + e.getMessage(), e);
             }
-            most = Math.max(most, board.acknowledged);
-            if (board.left > 0) {
-                lefts++;
+            maxAcknowledged = Math.max(maxAcknowledged, replicas.acknowledged);
+            if (replicas.left > 0) {
+                statesWithLeave++;
             }
-            if (board.joined) {
-                joins++;
+            if (replicas.joined) {
+                statesWithJoin++;
             }
-            played++;
+            walksRun++;
         }
-        System.out.println("exploration: " + played + " walks, " + steps + " steps, at most " + most
-                + " changes acknowledged, one left in " + lefts + ", the newcomer was let in in " + joins);
-        assertTrue(most >= 2, "hardly anything was acknowledged");
+        System.out.println("exploration: " + walksRun + " walks, " + steps + " steps, at most " + maxAcknowledged
+                + " changes acknowledged, a process left in " + statesWithLeave + ", the newcomer joined in "
+                + statesWithJoin);
+        assertTrue(maxAcknowledged >= 2, "acknowledged at most " + maxAcknowledged + " changes in one walk");
         assertTrue(
-                walks < WALKS || lefts > 100 && joins > 100, "hardly anybody left or came in: " + lefts + ", " + joins);
+                walks < WALKS || statesWithLeave > 100 && statesWithJoin > 100,
+                "walks with a leave: " + statesWithLeave + ", with a newcomer that joined: " + statesWithJoin);
     }
 
-    private static int stroll(SteppedReplicas board, Random random, boolean newcomer) {
-        int[] may = new int[SteppedReplicas.MOVES];
-        // a walk may favour some links: the others' frames come late
-        boolean[] slow = new boolean[SteppedReplicas.MOVES];
+    private static int randomWalk(SteppedReplicas replicas, Random random, boolean newcomer) {
+        int[] enabled = new int[SteppedReplicas.MOVES];
+        // a walk may delay the messages of some links
+        boolean[] delayed = new boolean[SteppedReplicas.MOVES];
         for (int i = 0; i < SteppedReplicas.SIZE * (SteppedReplicas.SIZE + 1); i++) {
-            slow[i] = random.nextInt(4) == 0;
+            delayed[i] = random.nextInt(4) == 0;
         }
-        // else a newcomer hardly ever has the state while the leader that it knocked at still leads
-        int calm = newcomer ? random.nextInt(80) : 0;
+        // without these steps, a newcomer hardly ever gets the state before the leader that it asked is replaced
+        int calmSteps = newcomer ? random.nextInt(80) : 0;
         if (newcomer) {
-            board.play(SteppedReplicas.MOVES - 1);
+            replicas.play(SteppedReplicas.MOVES - 1);
         }
         for (int step = 0; step < 400; step++) {
             int count = 0;
             for (int move = 0; move < SteppedReplicas.MOVES; move++) {
-                if (board.may(move) && (!slow[move] || step < calm || random.nextInt(20) == 0)) {
-                    may[count++] = move;
+                if (replicas.may(move) && (!delayed[move] || step < calmSteps || random.nextInt(20) == 0)) {
+                    enabled[count++] = move;
                 }
             }
             if (count == 0) {
@@ -147,66 +151,69 @@
                 }
                 continue;
             }
-            int move = may[random.nextInt(count)];
-            // mishaps are rarer than frames
-            boolean mishap = move >= SteppedReplicas.SIZE * (SteppedReplicas.SIZE + 1);
-            if (mishap && (step < calm || random.nextInt(6) > 0)) {
+            int move = enabled[random.nextInt(count)];
+            // faults are rarer than messages
+            boolean isFault = move >= SteppedReplicas.SIZE * (SteppedReplicas.SIZE + 1);
+            if (isFault && (step < calmSteps || random.nextInt(6) > 0)) {
                 continue;
             }
-            board.play(move);
+            replicas.play(move);
         }
         return 400;
     }
 
     @Test
-    void noOrderOfFramesAndSyncsBreaksARule() {
-        String one = System.getProperty("replication.moves");
+    void noOrderOfMessagesAndSyncsViolatesARule() {
+        String singleRun = System.getProperty("replication.moves");
         int power = Integer.getInteger("replication.power", 1);
         int disks = Integer.getInteger("replication.disks", 1);
         int impatience = Integer.getInteger("replication.impatience", 2);
-        if (one != null) {
-            SteppedReplicas board = new SteppedReplicas(new SteppedReplicas.Purse(
+        if (singleRun != null) {
+            SteppedReplicas replicas = new SteppedReplicas(new SteppedReplicas.Purse(
                     impatience,
                     power,
                     disks,
                     Integer.getInteger("replication.leaves", 0),
                     Integer.getInteger("replication.newcomers", 0)));
-            board.found();
-            board.talks = true;
-            for (String move : one.split("[, ]+")) {
-                board.play(Integer.parseInt(move));
+            replicas.found();
+            replicas.talks = true;
+            for (String move : singleRun.split("[, ]+")) {
+                replicas.play(Integer.parseInt(move));
             }
             return;
         }
-        bound = Integer.getInteger("replication.states", STATES);
-        List<SteppedReplicas.Purse> purses = new ArrayList<>();
+        maxStates = Integer.getInteger("replication.states", MAX_STATES);
+        List<SteppedReplicas.Purse> budgets = new ArrayList<>();
         for (int i = 1; i <= impatience; i++) {
             for (int p = 0; p <= power; p++) {
                 for (int d = 0; d <= disks; d++) {
-                    purses.add(new SteppedReplicas.Purse(i, p, d));
+                    budgets.add(new SteppedReplicas.Purse(i, p, d));
                 }
             }
         }
-        // with a planned end, and a newcomer at the same time
+        // with a planned leave, without and with a newcomer
         for (int i = 1; i <= impatience; i++) {
             for (int n = 0; n <= 1; n++) {
-                purses.add(new SteppedReplicas.Purse(i, 0, n * disks, 1, n));
+                budgets.add(new SteppedReplicas.Purse(i, 0, n * disks, 1, n));
             }
         }
-        int all = 0;
-        for (SteppedReplicas.Purse purse : purses) {
+        int totalStates = 0;
+        for (SteppedReplicas.Purse budget : budgets) {
             states = 0;
-            ends = 0;
-            depth = 0;
-            lefts = 0;
-            joins = 0;
-            explore(purse);
-            all += states;
-            System.out.println("exploration " + purse + ": " + states + " states"
-                    + (states >= bound ? " (bound)" : ", all") + ", " + ends + " ends, depth " + depth
-                    + ", one left in "
-                    + lefts + ", the newcomer in in " + joins);
+            terminalStates = 0;
+            maxDepth = 0;
+            statesWithLeave = 0;
+            statesWithJoin = 0;
+            explore(budget);
+            totalStates += states;
+            System.out.println("exploration " + budget + ": " + states + " states"
+                    + (states >= maxStates ? " (limit)" : ", all") + ", " + terminalStates + " terminal, depth "
+                    + maxDepth
+                    + ", a process left in "
+                    + statesWithLeave + ", the newcomer joined in " + statesWithJoin);
         }
-        assertTrue(all > 1000 && most >= 2, all + " states, at most " + most + " changes acknowledged");
+        assertTrue(
+                totalStates > 1000 && maxAcknowledged >= 2,
+                totalStates + " states explored, at most " + maxAcknowledged + " changes acknowledged in one");
     }
 }
--- a/src/test/java/brambletray/platform/replication/FaultToleranceTest.java
+++ b/src/test/java/brambletray/platform/replication/FaultToleranceTest.java
@@ -15,17 +15,17 @@
 class FaultToleranceTest {
     private static final Map<String, String> REGIONS = Map.of("z0", "r0", "z1", "r0", "z2", "r1", "z3", "r2");
 
-    /** Whether one is left whichever so many of the groups are lost. */
-    private static boolean outlasts(List<Member> replica, int losses, Function<Member, String> group) {
+    /** Whether at least one member remains after the loss of any {@code losses} groups. */
+    private static boolean survivesAnyLoss(List<Member> members, int losses, Function<Member, String> group) {
         Set<String> groups = new HashSet<>();
-        replica.forEach(member -> groups.add(group.apply(member)));
+        members.forEach(member -> groups.add(group.apply(member)));
         List<String> all = List.copyOf(groups);
-        for (int lostIncarnations = 0; lostIncarnations < 1 << all.size(); lostIncarnations++) {
-            if (Integer.bitCount(lostIncarnations) > losses) {
+        for (int lostBits = 0; lostBits < 1 << all.size(); lostBits++) {
+            if (Integer.bitCount(lostBits) > losses) {
                 continue;
             }
-            int gone = lostIncarnations;
-            if (replica.stream().allMatch(member -> (gone >> all.indexOf(group.apply(member)) & 1) == 1)) {
+            int lost = lostBits;
+            if (members.stream().allMatch(member -> (lost >> all.indexOf(group.apply(member)) & 1) == 1)) {
                 return false;
             }
         }
@@ -33,24 +33,24 @@
     }
 
     /**
-     * All placements of up to five members in four zones, all tolerances of up to three, against losing everything in
-     * turn.
+     * Compares with an enumeration of all losses, for all placements of up to five members in four zones and all
+     * tolerances of up to three.
      */
     @Test
-    void aChangeIsKeptWhenOneDiskIsLeftWhateverIsLost() {
+    void toleratesLossesThatLeaveAtLeastOneDisk() {
         int cases = 0;
         for (int size = 0; size <= 5; size++) {
-            for (int placed = 0; placed < 1 << 2 * size; placed++) {
-                List<Member> replica = new ArrayList<>();
+            for (int placement = 0; placement < 1 << 2 * size; placement++) {
+                List<Member> members = new ArrayList<>();
                 for (int i = 0; i < size; i++) {
-                    replica.add(new Member("m" + i, "m" + i, i + 1, "z" + (placed >> 2 * i & 3)));
+                    members.add(new Member("m" + i, "m" + i, i + 1, "z" + (placement >> 2 * i & 3)));
                 }
                 for (int all = 0; all < 64; all++) {
                     FaultTolerance tolerance = new FaultTolerance(all & 3, all >> 2 & 3, all >> 4, REGIONS);
-                    boolean expected = outlasts(replica, tolerance.machines(), Member::address)
-                            && outlasts(replica, tolerance.zones(), Member::zone)
-                            && outlasts(replica, tolerance.regions(), member -> REGIONS.get(member.zone()));
-                    assertEquals(expected, tolerance.toleratesLossWith(replica), () -> tolerance + " " + replica);
+                    boolean expected = survivesAnyLoss(members, tolerance.machines(), Member::address)
+                            && survivesAnyLoss(members, tolerance.zones(), Member::zone)
+                            && survivesAnyLoss(members, tolerance.regions(), member -> REGIONS.get(member.zone()));
+                    assertEquals(expected, tolerance.toleratesLossWith(members), () -> tolerance + " " + members);
                     cases++;
                 }
             }
@@ -58,45 +58,49 @@
         assertTrue(cases > 80_000);
     }
 
-    /** Whether a majority is left whichever so many of the groups are lost. */
-    private static boolean leavesMajority(List<Member> replica, int losses, Function<Member, String> group) {
-        List<String> all = replica.stream().map(group).distinct().sorted().toList();
-        for (int lostIncarnations = 0; lostIncarnations < 1 << all.size(); lostIncarnations++) {
-            if (Integer.bitCount(lostIncarnations) > losses) {
+    /** Whether a majority of the members remains after the loss of any {@code losses} groups. */
+    private static boolean leavesMajority(List<Member> members, int losses, Function<Member, String> group) {
+        List<String> groups = members.stream().map(group).distinct().sorted().toList();
+        for (int lostBits = 0; lostBits < 1 << groups.size(); lostBits++) {
+            if (Integer.bitCount(lostBits) > losses) {
                 continue;
             }
-            int gone = lostIncarnations;
-            long rest = replica.stream()
-                    .filter(member -> (gone >> all.indexOf(group.apply(member)) & 1) == 0)
+            int lost = lostBits;
+            long remaining = members.stream()
+                    .filter(member -> (lost >> groups.indexOf(group.apply(member)) & 1) == 0)
                     .count();
-            if (2 * rest <= replica.size()) {
+            if (2 * remaining <= members.size()) {
                 return false;
             }
         }
         return true;
     }
 
-    /** All placements of up to five members in four zones, against losing each set of zones, or of regions, in turn. */
+    /**
+     * Compares with an enumeration of lost zones and regions, for all placements of up to five members in four zones.
+     */
     @Test
-    void zonesThatMayBeLostWithHalfOfTheMembersAreNamed() {
-        int warned = 0;
+    void reportsZonesAndRegionsThatHoldHalfOfTheMembers() {
+        int withoutMajority = 0;
         for (int size = 1; size <= 5; size++) {
-            for (int placed = 0; placed < 1 << 2 * size; placed++) {
-                List<Member> replica = new ArrayList<>();
+            for (int placement = 0; placement < 1 << 2 * size; placement++) {
+                List<Member> members = new ArrayList<>();
                 for (int i = 0; i < size; i++) {
-                    replica.add(new Member("m" + i, "m" + i, i + 1, "z" + (placed >> 2 * i & 3)));
+                    members.add(new Member("m" + i, "m" + i, i + 1, "z" + (placement >> 2 * i & 3)));
                 }
                 for (int all = 0; all < 16; all++) {
                     FaultTolerance tolerance = new FaultTolerance(1, all & 3, all >> 2, REGIONS);
-                    boolean sound = leavesMajority(replica, tolerance.zones(), Member::zone)
-                            && leavesMajority(replica, tolerance.regions(), member -> REGIONS.get(member.zone()));
+                    boolean keepsMajority = leavesMajority(members, tolerance.zones(), Member::zone)
+                            && leavesMajority(members, tolerance.regions(), member -> REGIONS.get(member.zone()));
                     assertEquals(
-                            sound, tolerance.groupsHoldingHalf(replica).isEmpty(), () -> tolerance + " " + replica);
-                    warned += sound ? 0 : 1;
+                            keepsMajority,
+                            tolerance.groupsHoldingHalf(members).isEmpty(),
+                            () -> tolerance + " " + members);
+                    withoutMajority += keepsMajority ? 0 : 1;
                 }
             }
         }
-        assertTrue(warned > 1_000);
+        assertTrue(withoutMajority > 1_000);
         List<Member> four = List.of(
                 new Member("a", "a", 1, "z0"),
                 new Member("b", "b", 2, "z0"),
@@ -108,7 +112,7 @@
     }
 
     @Test
-    void membersWhoseZoneIsNotKnownCountAsOfOne() {
+    void membersWithUnknownZoneCountAsOneZone() {
         List<Member> two = List.of(new Member("a", "a", 1), new Member("b", "b", 2));
         assertTrue(FaultTolerance.ofMachines(1).toleratesLossWith(two));
         assertFalse(new FaultTolerance(1, 1, 0, Map.of()).toleratesLossWith(two));
--- a/src/test/java/brambletray/platform/replication/Fingerprint.java
+++ b/src/test/java/brambletray/platform/replication/Fingerprint.java
@@ -10,24 +10,24 @@
 import java.util.List;
 import java.util.Map;
 
-/** A hash of all that an object holds, to know a state again that has been reached another way. */
+/** Hashes the complete contents of objects, to recognise a state that has already been reached in another way. */
 final class Fingerprint {
     private static final Map<Class<?>, Field[]> FIELDS = new HashMap<>();
     private static final long PRIME = 0x100000001b3L;
 
-    private final IdentityHashMap<Object, Integer> seen = new IdentityHashMap<>();
+    private final IdentityHashMap<Object, Integer> visited = new IdentityHashMap<>();
     private long a = 0xcbf29ce484222325L;
     private long b = 0x9e3779b97f4a7c15L;
 
-    /** Two hashes in one word would collide too often for millions of states: this is one of 128 bits. */
-    record Print(long a, long b) {}
+    /** A 128-bit hash: 64 bits would collide too often for millions of states. */
+    record Hash128(long a, long b) {}
 
-    static Print of(Object... objects) {
-        Fingerprint print = new Fingerprint();
+    static Hash128 of(Object... objects) {
+        Fingerprint fingerprint = new Fingerprint();
         for (Object object : objects) {
-            print.visit(object);
+            fingerprint.visit(object);
         }
-        return new Print(print.a, print.b);
+        return new Hash128(fingerprint.a, fingerprint.b);
     }
 
     private void add(long value) {
@@ -45,8 +45,8 @@
         Class<?> type = object.getClass();
         if (object instanceof Number number) {
             add(number.longValue());
-        } else if (object instanceof Boolean yes) {
-            add(yes ? 3 : 2);
+        } else if (object instanceof Boolean bool) {
+            add(bool ? 3 : 2);
         } else if (object instanceof CharSequence || object instanceof Enum) {
             add(object.toString().hashCode());
         } else if (object instanceof byte[] bytes) {
@@ -54,16 +54,16 @@
         } else if (object instanceof ReplicationActions || object instanceof StateMachine || object instanceof Class) {
             add(4);
         } else {
-            Integer at = seen.putIfAbsent(object, seen.size());
-            if (at != null) {
-                add(1000 + at);
+            Integer reference = visited.putIfAbsent(object, visited.size());
+            if (reference != null) {
+                add(1000 + reference);
             } else {
-                enter(object, type);
+                visitContents(object, type);
             }
         }
     }
 
-    private void enter(Object object, Class<?> type) {
+    private void visitContents(Object object, Class<?> type) {
         add(type.isHidden() ? 5 : type.getName().hashCode());
         if (object instanceof Collection<?> all) {
             add(all.size());
@@ -91,8 +91,8 @@
 
     private static Field[] fields(Class<?> type) {
         List<Field> all = new ArrayList<>();
-        for (Class<?> at = type; at != null && at != Object.class; at = at.getSuperclass()) {
-            for (Field field : at.getDeclaredFields()) {
+        for (Class<?> current = type; current != null && current != Object.class; current = current.getSuperclass()) {
+            for (Field field : current.getDeclaredFields()) {
                 if (Modifier.isStatic(field.getModifiers())) {
                     continue;
                 }
--- a/src/test/java/brambletray/platform/replication/LeaderStateTest.java
+++ b/src/test/java/brambletray/platform/replication/LeaderStateTest.java
@@ -5,32 +5,33 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The leader by itself: when it sends entries again to a member that has not acknowledged them. */
+/** Tests when the leader retransmits entries that a follower has not acknowledged. */
 class LeaderStateTest {
     private static final Member LEADER = new Member("a", "a", 1);
     private static final Member FOLLOWER = new Member("b", "b", 2);
     private static final View VIEW = new View(new Ballot(5, 1), List.of(LEADER, FOLLOWER), List.of());
     private static final int HEARTBEAT_MS = 100;
 
-    private final RecordingReplicationActions out = new RecordingReplicationActions();
+    private final RecordingReplicationActions actions = new RecordingReplicationActions();
     private final ReplicaState state = RecordingReplicationActions.state(
-            new DurableState(1, List.of(), Ballot.NONE, VIEW, true, ReplicatedLog.empty(), List.of(), List.of()), out);
+            new DurableState(1, List.of(), Ballot.NONE, VIEW, true, ReplicatedLog.empty(), List.of(), List.of()),
+            actions);
 
-    private LeaderState leading() {
+    private LeaderState newLeader() {
         return new LeaderState(state);
     }
 
-    /** Heartbeat answers without progress, for so long. */
-    private void answersWithoutProgress(LeaderState leader, int ms) {
-        for (int passed = 0; passed < ms; passed += HEARTBEAT_MS) {
+    /** Answers heartbeats without acknowledging entries, for {@code ms}. */
+    private void answerHeartbeatsWithoutProgress(LeaderState leader, int ms) {
+        for (int elapsedMs = 0; elapsedMs < ms; elapsedMs += HEARTBEAT_MS) {
             state.advanceTo(state.nowMs() + HEARTBEAT_MS);
             leader.onHeartbeatResponse(new ReplicationMessage.HeartbeatResponse(
-                    VIEW.ballot(), FOLLOWER.incarnation(), passed, 0, VIEW.ballot(), false));
+                    VIEW.ballot(), FOLLOWER.incarnation(), elapsedMs, 0, VIEW.ballot(), false));
         }
     }
 
-    private long timesSent() {
-        return out.sentTo("b", ReplicationMessage.AppendRequest.class).stream()
+    private long appendsWithEntries() {
+        return actions.sentTo("b", ReplicationMessage.AppendRequest.class).stream()
                 .filter(append -> !append.entries().isEmpty())
                 .count();
     }
@@ -38,27 +39,27 @@
     /**
      * <pre>
      * ms    leader                follower
-     * 0     100 kB are sent
-     * 100   ...                   heartbeat answers, nothing on disk yet
-     * 600   not sent again
-     * 800   sent again
+     * 0     sends 100 kB
+     * 100   ...                   answers heartbeats, nothing on disk yet
+     * 600   has not retransmitted
+     * 800   has retransmitted
      * </pre>
      */
     @Test
-    void waitsForAsLongAsTheBytesTakeBeforeItSendsThemAgain() {
-        LeaderState leader = leading();
+    void waitsForTheTransferTimeBeforeRetransmitting() {
+        LeaderState leader = newLeader();
         leader.propose(77, 1, new byte[100_000]);
-        answersWithoutProgress(leader, 600);
-        assertEquals(1, timesSent(), "100 kB take 800 ms at 1 Mbit/s");
-        answersWithoutProgress(leader, 200);
-        assertEquals(2, timesSent(), "before the member is held to be slow");
+        answerHeartbeatsWithoutProgress(leader, 600);
+        assertEquals(1, appendsWithEntries(), "100 kB take 800 ms at 1 Mbit/s");
+        answerHeartbeatsWithoutProgress(leader, 200);
+        assertEquals(2, appendsWithEntries(), "retransmits before the follower counts as slow");
     }
 
     @Test
-    void sendsAFewBytesAgainSoon() {
-        LeaderState leader = leading();
+    void retransmitsSmallEntriesSoon() {
+        LeaderState leader = newLeader();
         leader.propose(77, 1, new byte[100]);
-        answersWithoutProgress(leader, 300);
-        assertEquals(2, timesSent());
+        answerHeartbeatsWithoutProgress(leader, 300);
+        assertEquals(2, appendsWithEntries());
     }
 }
--- a/src/test/java/brambletray/platform/replication/MemberRemovalRequestsTest.java
+++ b/src/test/java/brambletray/platform/replication/MemberRemovalRequestsTest.java
@@ -9,39 +9,39 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * An operator declares a machine dead: what it takes, what goes on after it, and that the machine can do no harm when
- * it is there after all.
+ * Tests the removal of a machine by an operator: when it is accepted, that the other members continue after it, and
+ * that the removed machine does no harm if it comes back.
  */
 class MemberRemovalRequestsTest {
     private SimulatedReplicas world;
-    private MemberRemovalOutcome result;
+    private MemberRemovalOutcome outcome;
 
-    private void core(String... names) {
-        ReplicationTestCluster core = new ReplicationTestCluster(List.of(names));
-        world = core.world;
-        core.found();
+    private void startCluster(String... names) {
+        ReplicationTestCluster cluster = new ReplicationTestCluster(List.of(names));
+        world = cluster.world;
+        cluster.found();
     }
 
     private SimulatedReplica node(String name) {
         return world.nodes.get(name);
     }
 
-    private long life(String name) {
+    private long incarnationOf(String name) {
         return node(name).replica.status().self().incarnation();
     }
 
-    private void order(String at, String address, long incarnation) {
-        result = null;
-        node(at).replica.removeMember(address, incarnation, world.now, response -> result = response);
+    private void requestRemoval(String at, String address, long incarnation) {
+        outcome = null;
+        node(at).replica.removeMember(address, incarnation, world.now, response -> outcome = response);
     }
 
-    private MemberRemovalOutcome declared(String at, String address, long incarnation) {
-        order(at, address, incarnation);
-        world.await(() -> result != null, 4_000, "an answer to the order");
-        return result;
+    private MemberRemovalOutcome removalOutcome(String at, String address, long incarnation) {
+        requestRemoval(at, address, incarnation);
+        world.await(() -> outcome != null, 4_000, "an outcome of the removal");
+        return outcome;
     }
 
-    private boolean in(String name) {
+    private boolean isInView(String name) {
         SimulatedReplica leader = world.leader();
         return leader != null
                 && leader.replica.status().active()
@@ -52,141 +52,144 @@
     /**
      * <pre>
      *   ms      a                        b              c (another address)
-     *   0       change kept by both
-     *   50                               gone for good
-     *   1000                                            knocks, isn't let in
+     *   0       change on both disks
+     *   50                               permanently lost
+     *   1000                                            asks to join, is not admitted
      *   21000   still waits for b
-     *           order: b is dead
+     *           operator removes b
      *   23000   view of a alone          (silent)
-     *           view of a and c                         in
-     *           changes are kept
-     *   33000                            back with its disk: is in no view, leads nothing
+     *           view of a and c                         member
+     *           changes are committed
+     *   33000                            back with its disk: in no view, not leader
      * </pre>
      */
     @Test
-    void ofTwoTheOtherGoesOnAfterTheOrderAndNotBefore() {
-        core("a", "b");
+    void theRemainingMemberOfTwoContinuesOnlyAfterTheRemoval() {
+        startCluster("a", "b");
         world.node("c", List.of("a", "b"));
         long before = world.ruleChecker.propose(node("a"));
-        world.await(() -> world.ruleChecker.acknowledged.contains("c" + before), 1_000, "a change of both");
-        long gone = life("b");
+        world.await(
+                () -> world.ruleChecker.acknowledged.contains("c" + before), 1_000, "a change acknowledged by both");
+        long lostIncarnation = incarnationOf("b");
         node("b").kill(true);
         world.until(world.now + 1_000);
         node("c").start();
         world.until(world.now + 20_000);
-        assertFalse(in("c"), "let in without the other of two");
+        assertFalse(isInView("c"), "c was admitted without b");
         assertEquals(ReplicaRole.SUSPENDED, node("a").replica.status().role());
 
-        assertEquals(MemberRemovalOutcome.REMOVED, declared("a", "b", gone));
-        world.await(() -> in("c") && !in("b"), 3_000, "the view of a and c");
+        assertEquals(MemberRemovalOutcome.REMOVED, removalOutcome("a", "b", lostIncarnation));
+        world.await(() -> isInView("c") && !isInView("b"), 3_000, "a view of a and c");
         long after = world.ruleChecker.propose(node("a"));
-        world.await(() -> world.ruleChecker.acknowledged.contains("c" + after), 3_000, "a change without b");
+        world.await(
+                () -> world.ruleChecker.acknowledged.contains("c" + after), 3_000, "a change acknowledged without b");
 
         world.until(world.now + 5_000);
         node("b").start();
         for (int i = 0; i < 500; i++) {
             world.until(world.now + 10);
             assertFalse(node("b").replica.status().isLeader());
-            assertFalse(in("b"), "who was declared dead is let in with its disk");
+            assertFalse(isInView("b"), "the removed member rejoined with its old disk");
         }
         node("b").kill(true);
         node("b").wipe();
         node("b").start();
-        world.await(() -> in("b"), 6_000, "back with another disk");
+        world.await(() -> isInView("b"), 6_000, "b rejoins with an empty disk");
         world.until(world.now + 500);
         world.ruleChecker.end(List.copyOf(world.nodes.values()));
     }
 
     @Test
-    void whoWasHeardLatelyIsNotDeclaredDead() {
-        core("a", "b");
-        long gone = life("b");
+    void aRecentlyHeardMemberIsNotRemoved() {
+        startCluster("a", "b");
+        long lostIncarnation = incarnationOf("b");
         node("b").kill(true);
         world.until(world.now + MemberRemovalRequests.MIN_SILENCE_MS - 1_000);
-        assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, declared("a", "b", gone));
+        assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, removalOutcome("a", "b", lostIncarnation));
         world.until(world.now + 2_000);
-        assertEquals(MemberRemovalOutcome.REMOVED, declared("a", "b", gone));
+        assertEquals(MemberRemovalOutcome.REMOVED, removalOutcome("a", "b", lostIncarnation));
     }
 
-    /** A process that has just started can't say how long the other has been silent. */
+    /** A process that has just started cannot tell how long the other member has been silent. */
     @Test
-    void aProcessThatHasJustStartedHasNotListenedForLongEnough() {
-        core("a", "b");
-        long gone = life("b");
+    void aProcessThatHasJustStartedRejectsRemovals() {
+        startCluster("a", "b");
+        long lostIncarnation = incarnationOf("b");
         node("b").kill(true);
         world.until(world.now + 2 * MemberRemovalRequests.MIN_SILENCE_MS);
         node("a").kill(false);
         node("a").start();
         world.until(world.now + 1_000);
-        assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, declared("a", "b", gone));
+        assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, removalOutcome("a", "b", lostIncarnation));
     }
 
-    /** The partition heals while the order is looked into. */
+    /** The partition heals while the removal is pending. */
     @Test
-    void whoAnswersTheQuestionIsNotDeclaredDead() {
-        core("a", "b");
+    void aMemberThatAnswersTheIdentityRequestIsNotRemoved() {
+        startCluster("a", "b");
         world.cut("a", "b", true);
         world.until(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
-        order("a", "b", life("b"));
+        requestRemoval("a", "b", incarnationOf("b"));
         world.until(world.now + MemberRemovalRequests.IDENTITY_TIMEOUT_MS / 2);
-        assertNull(result);
+        assertNull(outcome);
         world.cut("a", "b", false);
-        world.await(() -> result != null, 4_000, "an answer to the order");
-        assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, result);
-        world.await(() -> in("a") && in("b"), 4_000, "both go on");
+        world.await(() -> outcome != null, 4_000, "an outcome of the removal");
+        assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, outcome);
+        world.await(() -> isInView("a") && isInView("b"), 4_000, "both members in the view again");
     }
 
     @Test
-    void aViewThatWorksDeclaresNobodyDead() {
-        core("a", "b", "c");
-        long gone = life("c");
+    void aHealthyViewRejectsRemovals() {
+        startCluster("a", "b", "c");
+        long lostIncarnation = incarnationOf("c");
         node("c").kill(true);
         world.until(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
-        assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, declared("a", "c", gone), "left out long ago");
-        assertEquals(MemberRemovalOutcome.VIEW_IS_HEALTHY, declared("a", "b", life("b")));
+        assertEquals(
+                MemberRemovalOutcome.UNKNOWN_MEMBER, removalOutcome("a", "c", lostIncarnation), "excluded long ago");
+        assertEquals(MemberRemovalOutcome.VIEW_IS_HEALTHY, removalOutcome("a", "b", incarnationOf("b")));
     }
 
     @Test
-    void anOrderNamesAMemberAndItsLife() {
-        core("a", "b");
-        long gone = life("b");
+    void aRemovalNeedsAMemberAndItsIncarnation() {
+        startCluster("a", "b");
+        long lostIncarnation = incarnationOf("b");
         node("b").kill(true);
         world.until(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
-        assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, declared("a", "b", gone + 1));
-        assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, declared("a", "x", gone));
-        assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, declared("a", "a", life("a")));
+        assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, removalOutcome("a", "b", lostIncarnation + 1));
+        assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, removalOutcome("a", "x", lostIncarnation));
+        assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, removalOutcome("a", "a", incarnationOf("a")));
     }
 
     /**
-     * Of three, two are gone at once: whatever the operator says, one alone can't show that it has all that two may
-     * have acknowledged.
+     * Two of three members are lost at once. The removal of both must be rejected, because one member alone cannot
+     * prove that it has every change that the other two may have acknowledged.
      */
     @Test
-    void aMajorityIsNeverDeclaredDead() {
-        core("a", "b", "c");
-        long first = life("b");
-        long second = life("c");
+    void aMajorityIsNeverRemoved() {
+        startCluster("a", "b", "c");
+        long firstLost = incarnationOf("b");
+        long secondLost = incarnationOf("c");
         node("b").kill(true);
         node("c").kill(true);
         world.until(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
-        assertEquals(MemberRemovalOutcome.REMOVED, declared("a", "b", first));
-        assertEquals(MemberRemovalOutcome.MAJORITY_WOULD_BE_LOST, declared("a", "c", second));
+        assertEquals(MemberRemovalOutcome.REMOVED, removalOutcome("a", "b", firstLost));
+        assertEquals(MemberRemovalOutcome.MAJORITY_WOULD_BE_LOST, removalOutcome("a", "c", secondLost));
         world.until(world.now + 3_000);
         assertTrue(node("a").replica.status().role() != ReplicaRole.MEMBER);
     }
 
-    /** A declaration outlasts a kill right after it: it is on the disk before it counts. */
+    /** A removal survives a kill right after it, because it is on disk before it takes effect. */
     @Test
-    void aDeclarationIsKept() {
-        core("a", "b");
+    void aRemovalIsDurable() {
+        startCluster("a", "b");
         world.node("c", List.of("a", "b"));
-        long gone = life("b");
+        long lostIncarnation = incarnationOf("b");
         node("b").kill(true);
         world.until(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
-        assertEquals(MemberRemovalOutcome.REMOVED, declared("a", "b", gone));
+        assertEquals(MemberRemovalOutcome.REMOVED, removalOutcome("a", "b", lostIncarnation));
         node("a").kill(true);
         node("a").start();
         node("c").start();
-        world.await(() -> in("a") && in("c"), 5_000, "a and c go on");
+        world.await(() -> isInView("a") && isInView("c"), 5_000, "a and c in the view");
     }
 }
--- a/src/test/java/brambletray/platform/replication/MessageSizes.java
+++ b/src/test/java/brambletray/platform/replication/MessageSizes.java
@@ -4,38 +4,39 @@
 import brambletray.platform.transport.Link;
 import java.util.List;
 
-/** How long frames are on a link, nearly, and what a link bears. */
+/** Approximate sizes of messages on a simulated link, and the limits of a link. */
 final class MessageSizes {
-    static final int LONGEST = FrameCodec.MAX_FRAME_BYTES;
-    static final long MOST_WAITING = Link.MAX_PENDING_BYTES;
-    private static final int SMALL = 64;
+    static final int MAX_FRAME_BYTES = FrameCodec.MAX_FRAME_BYTES;
+    static final long MAX_PENDING_BYTES = Link.MAX_PENDING_BYTES;
+    private static final int SMALL_MESSAGE_BYTES = 64;
 
     private MessageSizes() {}
 
-    static int bytes(Object frame) {
-        if (frame instanceof ReplicationMessage.AppendRequest append) {
-            return SMALL + bytes(append.entries());
+    static int bytes(Object message) {
+        if (message instanceof ReplicationMessage.AppendRequest append) {
+            return SMALL_MESSAGE_BYTES + bytes(append.entries());
         }
-        if (frame instanceof ReplicationMessage.InstallViewRequest install) {
-            return 4 * SMALL
+        if (message instanceof ReplicationMessage.InstallViewRequest install) {
+            return 4 * SMALL_MESSAGE_BYTES
                     + install.patch().snapshot().length
                     + bytes(install.patch().entries());
         }
-        if (frame instanceof ReplicationMessage.FetchChunkResponse chunk) {
-            return SMALL + chunk.bytes().length;
+        if (message instanceof ReplicationMessage.FetchChunkResponse chunk) {
+            return SMALL_MESSAGE_BYTES + chunk.bytes().length;
         }
-        if (frame instanceof ReplicationMessage.ProposeRequest submit) {
-            return SMALL + submit.bytes().length;
+        if (message instanceof ReplicationMessage.ProposeRequest propose) {
+            return SMALL_MESSAGE_BYTES + propose.bytes().length;
         }
-        return frame instanceof ReplicationMessage.PrepareResponse || frame instanceof ReplicationMessage.JoinResponse
-                ? 4 * SMALL
-                : SMALL;
+        return message instanceof ReplicationMessage.PrepareResponse
+                        || message instanceof ReplicationMessage.JoinResponse
+                ? 4 * SMALL_MESSAGE_BYTES
+                : SMALL_MESSAGE_BYTES;
     }
 
     private static int bytes(List<LogEntry> entries) {
         int bytes = 0;
         for (LogEntry entry : entries) {
-            bytes += SMALL + entry.bytes().length;
+            bytes += SMALL_MESSAGE_BYTES + entry.bytes().length;
         }
         return bytes;
     }
--- a/src/test/java/brambletray/platform/replication/PlannedLeaveTest.java
+++ b/src/test/java/brambletray/platform/replication/PlannedLeaveTest.java
@@ -9,51 +9,51 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How long nothing is acknowledged, and no read is confirmed, when a member leaves as planned, comes back, is
- * replaced, and when another is lost for good after that: seeded scenarios, the longest stretch of each. {@code
- * -Dleave.seeds=N} plays N scenarios of each kind (200 for the figures of docs/control/leaving.md), {@code
- * -Dleave.seed=S} one and tells; {@code -Dleave.measure=true} measures and holds nothing.
+ * Measures the longest pause without acknowledgements, and without confirmed reads, when a member leaves as planned,
+ * returns or is replaced, and when another one is permanently lost afterwards. Scenarios are seeded. {@code
+ * -Dleave.seeds=N} runs N scenarios of each kind (200 for the figures in docs/control/leaving.md), {@code
+ * -Dleave.seed=S} runs one and logs its events, {@code -Dleave.measure=true} only measures and asserts no limit.
  */
 class PlannedLeaveTest {
-    private static final int COURSES = 20;
-    /** ms between two calls, in turn at all members that are up. */
-    private static final int CALL_MS = 10;
+    private static final int SCENARIOS = 20;
+    /** Interval of calls, which go to the running members in turn. */
+    private static final int CALL_INTERVAL_MS = 10;
     /**
-     * ms from the end of a process to its next start, and from the start of a replacement to when the leaver is told:
-     * at most.
+     * Longest time from the end of a process to its restart, and from the start of a replacement to the leave of the
+     * member that it replaces.
      */
-    private static final int AWAY_MS = 1500;
-    /** A machine counts as lost until so long, in ms, after its return; a second loss comes right after. */
+    private static final int MAX_ABSENCE_MS = 1500;
+    /** Time after its return for which a machine still counts as lost; a second loss follows right after it. */
     private static final int SYNC_MS = 4000;
 
-    /** A planned leave pauses for less than this, ms. */
-    private static final int PLANNED_MS = 100;
+    /** A planned leave must pause for less than this. */
+    private static final int MAX_PLANNED_PAUSE_MS = 100;
 
-    /** What happens to the first machine. */
-    private enum Trouble {
+    /** What happens to the first node. */
+    private enum Disruption {
         KILLED,
         LEAVES,
         REPLACED,
         REPLACED_THEN_LOSS
     }
 
-    /** One scenario: machines, calls all the time, the longest stretches without an answer. */
-    private static final class Course {
+    /** One scenario: nodes with constant calls, and the longest pauses without a response. */
+    private static final class Scenario {
         final SimulatedReplicas world;
         final Random random;
         final List<SimulatedReplica> live = new ArrayList<>();
         int calls;
-        long ackedAt;
-        long readAt;
-        int acked;
-        int read;
-        long longestAck;
-        long longestRead;
-
-        Course(long seed, int machines, boolean talks) {
+        long lastAckAtMs;
+        long lastReadAtMs;
+        int ackCount;
+        int readCount;
+        long longestAckPauseMs;
+        long longestReadPauseMs;
+
+        Scenario(long seed, int machines, boolean logsEvents) {
             random = new Random(seed);
             world = new SimulatedReplicas(seed, ReplicationSettings.defaults(machines / 2));
-            world.logsEvents = talks;
+            world.logsEvents = logsEvents;
             List<String> seeds = List.of("a", "b", "c");
             for (int i = 0; i < machines; i++) {
                 SimulatedReplica node = world.node(String.valueOf((char) ('a' + i)), seeds);
@@ -61,13 +61,13 @@
                 live.add(node);
             }
             live.forEach(SimulatedReplica::start);
-            world.await(() -> allIn(machines), 8000, "founding");
+            world.await(() -> allInOneView(machines), 8000, "all nodes in the first view");
             live.forEach(node -> node.initial = false);
-            play(300);
-            reset();
+            run(300);
+            resetPauses();
         }
 
-        boolean allIn(int machines) {
+        boolean allInOneView(int machines) {
             SimulatedReplica leader = world.leader();
             return leader != null
                     && leader.replica.status().members().size() == machines
@@ -76,15 +76,15 @@
                                     node.isRunning() && node.replica.status().role() == ReplicaRole.MEMBER);
         }
 
-        /** Calls for so long. */
-        void play(long span) {
-            long end = world.now + span;
+        /** Issues calls for {@code durationMs}. */
+        void run(long durationMs) {
+            long end = world.now + durationMs;
             while (world.now < end) {
-                if (world.now % CALL_MS == 0) {
+                if (world.now % CALL_INTERVAL_MS == 0) {
                     call();
                 }
                 world.until(world.now + 1);
-                look();
+                recordPauses();
             }
         }
 
@@ -97,46 +97,46 @@
             world.ruleChecker.confirm(node);
         }
 
-        private void look() {
-            if (world.ruleChecker.acknowledged.size() > acked) {
-                ackedAt = world.now;
+        private void recordPauses() {
+            if (world.ruleChecker.acknowledged.size() > ackCount) {
+                lastAckAtMs = world.now;
             }
-            if (world.ruleChecker.confirmedOk > read) {
-                readAt = world.now;
+            if (world.ruleChecker.confirmedOk > readCount) {
+                lastReadAtMs = world.now;
             }
-            acked = world.ruleChecker.acknowledged.size();
-            read = world.ruleChecker.confirmedOk;
-            longestAck = Math.max(longestAck, world.now - ackedAt);
-            longestRead = Math.max(longestRead, world.now - readAt);
+            ackCount = world.ruleChecker.acknowledged.size();
+            readCount = world.ruleChecker.confirmedOk;
+            longestAckPauseMs = Math.max(longestAckPauseMs, world.now - lastAckAtMs);
+            longestReadPauseMs = Math.max(longestReadPauseMs, world.now - lastReadAtMs);
         }
 
-        void reset() {
-            ackedAt = world.now;
-            readAt = world.now;
-            longestAck = 0;
-            longestRead = 0;
+        void resetPauses() {
+            lastAckAtMs = world.now;
+            lastReadAtMs = world.now;
+            longestAckPauseMs = 0;
+            longestReadPauseMs = 0;
         }
 
-        /** SIGTERM, and the end of the process. */
+        /** Starts a planned leave, as SIGTERM does, and kills the process once it may terminate. */
         void leave(SimulatedReplica node) {
             node.replica.leave(world.now);
-            ends(node, node.processNumber);
+            killOnceItMayTerminate(node, node.processNumber);
         }
 
-        private void ends(SimulatedReplica node, int boot) {
+        private void killOnceItMayTerminate(SimulatedReplica node, int processNumber) {
             world.later(world.now + 50, () -> {
-                if (node.processNumber != boot || !node.isRunning()) {
+                if (node.processNumber != processNumber || !node.isRunning()) {
                     return;
                 }
                 if (node.replica.mayTerminate()) {
                     node.kill(false);
                 } else {
-                    ends(node, boot);
+                    killOnceItMayTerminate(node, processNumber);
                 }
             });
         }
 
-        SimulatedReplica victim() {
+        SimulatedReplica leaderOrOtherNode() {
             SimulatedReplica leader = world.leader();
             if (random.nextBoolean()) {
                 return leader;
@@ -144,99 +144,105 @@
             return live.stream().filter(node -> node != leader).toList().get(random.nextInt(live.size() - 1));
         }
 
-        void newcomer(int in) {
-            SimulatedReplica next = world.node("n" + live.size() + world.nodes.size(), List.of("a", "b", "c"));
-            live.add(next);
-            world.later(world.now + in, next::start);
+        void addNode(int delayMs) {
+            SimulatedReplica newcomer = world.node("n" + live.size() + world.nodes.size(), List.of("a", "b", "c"));
+            live.add(newcomer);
+            world.later(world.now + delayMs, newcomer::start);
         }
 
-        /** Stretches of the fault and of the return: acknowledgement, read, acknowledgement, read. */
-        long[] play(Trouble fault) {
+        /** Longest pauses in ms: acknowledgements and reads during the disruption, then both after it. */
+        long[] run(Disruption disruption) {
             int machines = live.size();
-            SimulatedReplica first = victim();
-            long[] all = new long[4];
-            if (fault == Trouble.REPLACED || fault == Trouble.REPLACED_THEN_LOSS) {
-                newcomer(0);
-                play(random.nextInt(AWAY_MS));
+            SimulatedReplica first = leaderOrOtherNode();
+            long[] pauses = new long[4];
+            if (disruption == Disruption.REPLACED || disruption == Disruption.REPLACED_THEN_LOSS) {
+                addNode(0);
+                run(random.nextInt(MAX_ABSENCE_MS));
                 leave(first);
-                play(SYNC_MS);
+                run(SYNC_MS);
                 live.remove(first);
-                world.await(() -> allIn(machines), 1, "the replacement is in after sync-s");
-            } else if (fault == Trouble.LEAVES) {
+                world.await(() -> allInOneView(machines), 1, "the replacement has joined within sync-s");
+            } else if (disruption == Disruption.LEAVES) {
                 leave(first);
-                play(AWAY_MS);
+                run(MAX_ABSENCE_MS);
             } else {
                 first.kill(false);
-                play(AWAY_MS);
+                run(MAX_ABSENCE_MS);
             }
-            all[0] = longestAck;
-            all[1] = longestRead;
-            reset();
-            if (fault == Trouble.REPLACED_THEN_LOSS) {
-                SimulatedReplica second = victim();
+            pauses[0] = longestAckPauseMs;
+            pauses[1] = longestReadPauseMs;
+            resetPauses();
+            if (disruption == Disruption.REPLACED_THEN_LOSS) {
+                SimulatedReplica second = leaderOrOtherNode();
                 second.kill(true);
                 second.wipe();
                 live.remove(second);
-                newcomer(1000);
-                play(SYNC_MS);
-                world.await(() -> allIn(machines), 1000, "after a second loss");
+                addNode(1000);
+                run(SYNC_MS);
+                world.await(() -> allInOneView(machines), 1000, "all nodes in one view after a second loss");
             } else if (live.contains(first)) {
                 if (first.isRunning()) {
                     first.kill(false);
                 }
                 first.start();
-                play(SYNC_MS);
-                world.await(() -> allIn(machines), 1, "back after sync-s");
+                run(SYNC_MS);
+                world.await(() -> allInOneView(machines), 1, "the first node has rejoined within sync-s");
             }
-            all[2] = longestAck;
-            all[3] = longestRead;
+            pauses[2] = longestAckPauseMs;
+            pauses[3] = longestReadPauseMs;
             world.until(world.now + 500);
             world.ruleChecker.end(live);
-            return all;
+            return pauses;
         }
     }
 
     @Test
-    void aPlannedLeavePausesForLessThanATenthOfASecond() {
-        int scenarios = Integer.getInteger("leave.seeds", COURSES);
-        List<String> broken = new ArrayList<>();
-        Long only = Long.getLong("leave.seed");
+    void aPlannedLeavePausesForLessThan100Ms() {
+        int scenarios = Integer.getInteger("leave.seeds", SCENARIOS);
+        List<String> violations = new ArrayList<>();
+        Long onlySeed = Long.getLong("leave.seed");
         for (int machines = 3; machines <= 5; machines += 2) {
-            for (Trouble fault : Trouble.values()) {
-                List<List<Long>> stretches =
+            for (Disruption disruption : Disruption.values()) {
+                List<List<Long>> pauses =
                         List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
-                for (long seed = only == null ? 1 : only; seed <= (only == null ? scenarios : only); seed++) {
-                    Course scenario = new Course(seed, machines, only != null);
+                for (long seed = onlySeed == null ? 1 : onlySeed;
+                        seed <= (onlySeed == null ? scenarios : onlySeed);
+                        seed++) {
+                    Scenario scenario = new Scenario(seed, machines, onlySeed != null);
                     try {
-                        long[] some = scenario.play(fault);
-                        for (int i = 0; i < some.length; i++) {
-                            stretches.get(i).add(some[i]);
+                        long[] scenarioPauses = scenario.run(disruption);
+                        for (int i = 0; i < scenarioPauses.length; i++) {
+                            pauses.get(i).add(scenarioPauses[i]);
                         }
-                        if (fault != Trouble.KILLED && Math.max(some[0], some[1]) >= PLANNED_MS) {
-                            broken.add(machines + " " + fault + " seed " + seed + ": ack " + some[0] + ", read "
-                                    + some[1]);
+                        if (disruption != Disruption.KILLED
+                                && Math.max(scenarioPauses[0], scenarioPauses[1]) >= MAX_PLANNED_PAUSE_MS) {
+                            violations.add(machines + " " + disruption + " seed " + seed + ": ack " + scenarioPauses[0]
+                                    + ", read " + scenarioPauses[1]);
                         }
                     } catch (AssertionError | RuntimeException e) {
                         scenario.world.events.forEach(System.out::println);
-                        throw new AssertionError(machines + " " + fault + " seed " + seed + ": " + e.getMessage(), e);
+                        throw new AssertionError(
+                                machines + " " + disruption + " seed " + seed + ": " + e.getMessage(), e);
                     }
-                    if (only != null) {
+                    if (onlySeed != null) {
                         scenario.world.events.forEach(System.out::println);
                     }
                 }
-                System.out.println("leave: " + machines + " " + fault + " (50 %, 99 %, worst; ms): ack "
-                        + figures(stretches.get(0))
-                        + ", read " + figures(stretches.get(1)) + "; after it: ack " + figures(stretches.get(2))
+                System.out.println("leave: " + machines + " " + disruption + " (50 %, 99 %, worst; ms): ack "
+                        + percentiles(pauses.get(0))
+                        + ", read " + percentiles(pauses.get(1)) + "; afterwards: ack " + percentiles(pauses.get(2))
                         + ", read "
-                        + figures(stretches.get(3)));
+                        + percentiles(pauses.get(3)));
             }
         }
         if (!Boolean.getBoolean("leave.measure")) {
-            assertTrue(broken.isEmpty(), () -> "paused for too long: " + broken);
+            assertTrue(
+                    violations.isEmpty(),
+                    () -> "planned leaves paused for " + MAX_PLANNED_PAUSE_MS + " ms or more: " + violations);
         }
     }
 
-    private static String figures(List<Long> all) {
+    private static String percentiles(List<Long> all) {
         Collections.sort(all);
         return all.get(all.size() / 2) + " " + all.get(Math.min(all.size() - 1, all.size() * 99 / 100)) + " "
                 + all.get(all.size() - 1);
--- a/src/test/java/brambletray/platform/replication/QuorumTest.java
+++ b/src/test/java/brambletray/platform/replication/QuorumTest.java
@@ -11,58 +11,61 @@
 
 class QuorumTest {
     private static List<Member> members(int size) {
-        List<Member> replica = new ArrayList<>();
+        List<Member> members = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-            replica.add(new Member("m" + i, "m" + i, i + 1));
+            members.add(new Member("m" + i, "m" + i, i + 1));
         }
-        return replica;
+        return members;
     }
 
-    private static List<Member> some(List<Member> replica, int bits) {
-        List<Member> some = new ArrayList<>();
-        for (int i = 0; i < replica.size(); i++) {
+    private static List<Member> subset(List<Member> members, int bits) {
+        List<Member> subset = new ArrayList<>();
+        for (int i = 0; i < members.size(); i++) {
             if ((bits >> i & 1) == 1) {
-                some.add(replica.get(i));
+                subset.add(members.get(i));
             }
         }
-        return some;
+        return subset;
     }
 
-    private static Set<Long> lives(List<Member> replica) {
+    private static Set<Long> incarnations(List<Member> members) {
         Set<Long> incarnations = new HashSet<>();
-        replica.forEach(member -> incarnations.add(member.incarnation()));
+        members.forEach(member -> incarnations.add(member.incarnation()));
         return incarnations;
     }
 
-    private static boolean enough(List<Member> replica, int answered, int dead) {
-        return (answered & dead) == 0 && Quorum.isReached(replica, some(replica, answered), lives(some(replica, dead)));
+    private static boolean isQuorum(List<Member> members, int answered, int retired) {
+        return (answered & retired) == 0
+                && Quorum.isReached(members, subset(members, answered), incarnations(subset(members, retired)));
     }
 
     /**
-     * All pairs of answers and proven deaths for up to six members. Where two don't meet, each would have answered
-     * after the death of all of the other.
+     * Checks all pairs of responders and retired incarnations for up to six members. Two quorums may be disjoint only
+     * if each one counts all responders of the other as retired, which cannot both be true.
      */
     @Test
-    void anyTwoMeet() {
+    void anyTwoQuorumsIntersect() {
         int pairs = 0;
         for (int size = 1; size <= 6; size++) {
-            List<Member> replica = members(size);
-            int all = 1 << size;
+            List<Member> members = members(size);
+            int subsets = 1 << size;
             List<int[]> quorums = new ArrayList<>();
-            for (int answered = 0; answered < all; answered++) {
-                for (int dead = 0; dead < all; dead++) {
-                    if (enough(replica, answered, dead)) {
-                        quorums.add(new int[] {answered, dead});
+            for (int answered = 0; answered < subsets; answered++) {
+                for (int retired = 0; retired < subsets; retired++) {
+                    if (isQuorum(members, answered, retired)) {
+                        quorums.add(new int[] {answered, retired});
                     }
                 }
             }
             for (int[] one : quorums) {
                 for (int[] other : quorums) {
                     pairs++;
-                    boolean meet = (one[0] & other[0]) != 0;
-                    boolean bothAfter = (one[0] & other[1]) == one[0] && (other[0] & one[1]) == other[0];
+                    boolean intersect = (one[0] & other[0]) != 0;
+                    boolean eachAfterRetirementOfOther =
+                            (one[0] & other[1]) == one[0] && (other[0] & one[1]) == other[0];
                     assertTrue(
-                            meet || bothAfter, replica + " " + one[0] + "/" + one[1] + " " + other[0] + "/" + other[1]);
+                            intersect || eachAfterRetirementOfOther,
+                            members + " " + one[0] + "/" + one[1] + " " + other[0] + "/" + other[1]);
                 }
             }
         }
@@ -70,18 +73,18 @@
     }
 
     @Test
-    void aViewOfTwoGoesOnWithOneOnlyWhenTheOtherIsProvenDead() {
+    void aViewOfTwoContinuesWithOneOnlyIfTheOtherIsRetired() {
         List<Member> two = members(2);
-        assertFalse(enough(two, 1, 0));
-        assertTrue(enough(two, 1, 2));
-        assertFalse(enough(two, 0, 3));
-        assertFalse(enough(members(3), 1, 6), "two of three dead is more than is borne");
+        assertFalse(isQuorum(two, 1, 0));
+        assertTrue(isQuorum(two, 1, 2));
+        assertFalse(isQuorum(two, 0, 3));
+        assertFalse(isQuorum(members(3), 1, 6), "two of three retired: no majority");
     }
 
     @Test
-    void seedsAreCountedByAddressAndNeverDead() {
+    void seedsAreCountedByAddressAndNeverRetired() {
         View seeds = View.ofSeeds(List.of("m0", "m1", "m2"));
-        assertTrue(Quorum.isReached(seeds.members(), some(members(3), 3), Set.of()));
-        assertFalse(Quorum.isReached(seeds.members(), some(members(3), 1), Set.of(2L, 3L, 0L)));
+        assertTrue(Quorum.isReached(seeds.members(), subset(members(3), 3), Set.of()));
+        assertFalse(Quorum.isReached(seeds.members(), subset(members(3), 1), Set.of(2L, 3L, 0L)));
     }
 }
--- a/src/test/java/brambletray/platform/replication/RandomFaults.java
+++ b/src/test/java/brambletray/platform/replication/RandomFaults.java
@@ -4,23 +4,23 @@
 import java.util.List;
 import java.util.Random;
 
-/** Random faults and work in a simulated world: one seed, one scenario. */
+/** Runs a random scenario of faults and requests on simulated replicas; each seed gives one scenario. */
 public final class RandomFaults {
     private final SimulatedReplicas world;
     private final Random random;
     public final List<SimulatedReplica> live = new ArrayList<>();
     private final int machines;
-    private int replaced;
-    /** What else may happen to a process at times. */
-    public java.util.function.Consumer<SimulatedReplica> prank = node -> {};
+    private int replacements;
+    /** Additional action that is applied to a random node now and then. */
+    public java.util.function.Consumer<SimulatedReplica> extraAction = node -> {};
 
-    public RandomFaults(long seed, boolean talks) {
+    public RandomFaults(long seed, boolean logsEvents) {
         random = new Random(seed);
         machines = random.nextInt(4) == 0 ? 5 : 3;
         world = new SimulatedReplicas(seed, ReplicationSettings.defaults(1));
-        world.logsEvents = talks;
+        world.logsEvents = logsEvents;
         world.ruleChecker.harsh = seed % 4 == 0;
-        // large changes on links that take their time
+        // large changes, as links may get a limited rate
         if (seed % 5 == 2) {
             world.padding = "p".repeat(24 << 10);
         }
@@ -36,19 +36,23 @@
         return world;
     }
 
-    /** Whether nothing more is expected of this scenario than that no rule is broken. */
-    public boolean harsh() {
+    /** Whether this scenario checks only that no rule is violated, and not that the group recovers. */
+    public boolean checksSafetyOnly() {
         return world.ruleChecker.harsh;
     }
 
-    /** Plays; returns how many changes were acknowledged. */
-    public int play() {
+    /**
+     * Runs the scenario.
+     *
+     * @return the number of acknowledged changes
+     */
+    public int run() {
         for (SimulatedReplica node : live) {
             world.later(world.now + random.nextInt(400), node::start);
         }
         world.until(world.now + 500);
         if (random.nextInt(4) > 0) {
-            settle(8000);
+            awaitOneView(8000);
         }
         for (SimulatedReplica node : live) {
             node.initial = false;
@@ -57,43 +61,46 @@
         for (int i = 0; i < rounds; i++) {
             int faults = 1 + random.nextInt(3);
             for (int f = 0; f < faults; f++) {
-                fault();
-                work(random.nextInt(400));
+                injectFault();
+                issueRequests(random.nextInt(400));
             }
-            work(random.nextInt(1500));
+            issueRequests(random.nextInt(1500));
             if (random.nextInt(3) == 0) {
-                calm();
+                endFaults();
                 if (world.ruleChecker.harsh) {
-                    work(2000);
+                    issueRequests(2000);
                 } else {
-                    settle(9000);
+                    awaitOneView(9000);
                 }
             }
         }
-        calm();
+        endFaults();
         if (world.ruleChecker.harsh) {
-            work(5000);
+            issueRequests(5000);
             return world.ruleChecker.acknowledged.size();
         }
-        settle(9000);
+        awaitOneView(9000);
         long token = world.ruleChecker.propose(live.get(0));
-        world.await(() -> world.ruleChecker.acknowledged.contains("c" + token), 2000, "a change after all is calm");
-        settle(3000);
+        world.await(
+                () -> world.ruleChecker.acknowledged.contains("c" + token),
+                2000,
+                "a change acknowledged after the faults");
+        awaitOneView(3000);
         world.until(world.now + 300);
-        settle(3000);
-        world.await(this::alike, 4000, "all alike");
+        awaitOneView(3000);
+        world.await(this::statesAreEqual, 4000, "equal state on all nodes");
         world.ruleChecker.end(live);
         return world.ruleChecker.acknowledged.size();
     }
 
-    private void calm() {
+    private void endFaults() {
         world.heal();
-        // those that are about to end, as planned, do
+        // let planned leaves complete
         world.until(world.now + 350);
         world.await(
                 () -> live.stream().noneMatch(node -> node.isRunning() && node.replica.isLeaving()),
                 6000,
-                "those that leave have left");
+                "planned leaves completed");
         for (SimulatedReplica node : live) {
             if (!node.isRunning()) {
                 node.start();
@@ -101,11 +108,11 @@
         }
     }
 
-    private void settle(int span) {
-        world.await(this::settled, span, "all in one view");
+    private void awaitOneView(int timeoutMs) {
+        world.await(this::allInOneView, timeoutMs, "all nodes in one view");
     }
 
-    private boolean settled() {
+    private boolean allInOneView() {
         SimulatedReplica leader = world.leader();
         if (leader == null) {
             return false;
@@ -123,7 +130,7 @@
         return leader.replica.status().members().size() == live.size();
     }
 
-    private boolean alike() {
+    private boolean statesAreEqual() {
         for (SimulatedReplica node : live) {
             if (!node.state.equals(live.get(0).state)) {
                 return false;
@@ -132,14 +139,14 @@
         return true;
     }
 
-    private void work(int span) {
-        long end = world.now + span;
+    private void issueRequests(int durationMs) {
+        long end = world.now + durationMs;
         while (world.now < end) {
             world.until(Math.min(end, world.now + 1 + random.nextInt(120)));
-            SimulatedReplica node = any();
+            SimulatedReplica node = randomNode();
             if (node.isRunning() && node.frozenUntil <= world.now) {
                 if (random.nextInt(20) == 0) {
-                    prank.accept(node);
+                    extraAction.accept(node);
                 }
                 if (random.nextInt(4) == 0) {
                     world.ruleChecker.confirm(node);
@@ -150,18 +157,18 @@
         }
     }
 
-    private SimulatedReplica any() {
+    private SimulatedReplica randomNode() {
         return live.get(random.nextInt(live.size()));
     }
 
-    /** A process that has been told to end does so once it may, and is started again. */
-    private void ends(SimulatedReplica node, int boot) {
+    /** Kills a leaving process once it may terminate, and restarts it. */
+    private void restartOnceItMayTerminate(SimulatedReplica node, int processNumber) {
         world.later(world.now + 50, () -> {
-            if (node.processNumber != boot || !node.isRunning()) {
+            if (node.processNumber != processNumber || !node.isRunning()) {
                 return;
             }
             if (!node.replica.mayTerminate()) {
-                ends(node, boot);
+                restartOnceItMayTerminate(node, processNumber);
                 return;
             }
             node.kill(false);
@@ -169,18 +176,18 @@
         });
     }
 
-    private void restart(SimulatedReplica node, int ms) {
-        int boot = node.processNumber;
-        world.later(world.now + ms, () -> {
-            if (node.processNumber == boot && node.down && live.contains(node)) {
+    private void restart(SimulatedReplica node, int delayMs) {
+        int processNumber = node.processNumber;
+        world.later(world.now + delayMs, () -> {
+            if (node.processNumber == processNumber && node.down && live.contains(node)) {
                 node.start();
             }
         });
     }
 
-    private void fault() {
-        SimulatedReplica node = any();
-        SimulatedReplica other = any();
+    private void injectFault() {
+        SimulatedReplica node = randomNode();
+        SimulatedReplica other = randomNode();
         switch (random.nextInt(14)) {
             case 0, 1 -> {
                 if (node.isRunning()) {
@@ -191,8 +198,8 @@
             case 2 -> world.cut(node.address, other.address, true);
             case 3 -> world.one(node.address, other.address, true);
             case 4 -> {
-                for (SimulatedReplica one : live) {
-                    world.cut(node.address, one.address, true);
+                for (SimulatedReplica affected : live) {
+                    world.cut(node.address, affected.address, true);
                 }
             }
             case 5 -> node.frozenUntil = Math.max(node.frozenUntil, world.now + 200 + random.nextInt(3000));
@@ -200,12 +207,12 @@
             case 7 -> node.disk.hungUntil = world.now + random.nextInt(4000);
             case 8 -> node.disk.full = true;
             case 9 -> {
-                boolean power = random.nextBoolean();
-                for (SimulatedReplica one : live) {
-                    if (one.isRunning()) {
-                        one.kill(power);
+                boolean powerLost = random.nextBoolean();
+                for (SimulatedReplica affected : live) {
+                    if (affected.isRunning()) {
+                        affected.kill(powerLost);
                     }
-                    restart(one, 100 + random.nextInt(1200));
+                    restart(affected, 100 + random.nextInt(1200));
                 }
                 if (random.nextBoolean()) {
                     wipe(node);
@@ -215,7 +222,7 @@
             case 12 -> {
                 if (node.isRunning()) {
                     node.replica.leave(world.now);
-                    ends(node, node.processNumber);
+                    restartOnceItMayTerminate(node, node.processNumber);
                 }
             }
             case 11 -> {
@@ -243,21 +250,21 @@
         restart(node, 100 + random.nextInt(2000));
     }
 
-    /** A machine is lost for good, another comes at a new address, before or after. */
+    /** Loses a machine permanently and adds a replacement at a new address. */
     private void replace(SimulatedReplica node) {
-        if (replaced >= 2 || !world.ruleChecker.intact() || !settled()) {
+        if (replacements >= 2 || !world.ruleChecker.intact() || !allInOneView()) {
             return;
         }
-        replaced++;
+        replacements++;
         if (node.isRunning()) {
             node.kill(true);
         }
         node.wipe();
         world.ruleChecker.recovering.remove(node.address);
         live.remove(node);
-        SimulatedReplica next = world.node("r" + replaced, List.of("a", "b", "c"));
-        live.add(next);
-        world.ruleChecker.recovering.add(next.address);
-        restart(next, random.nextInt(2000));
+        SimulatedReplica replacement = world.node("r" + replacements, List.of("a", "b", "c"));
+        live.add(replacement);
+        world.ruleChecker.recovering.add(replacement.address);
+        restart(replacement, random.nextInt(2000));
     }
 }
--- a/src/test/java/brambletray/platform/replication/RandomFaultsTest.java
+++ b/src/test/java/brambletray/platform/replication/RandomFaultsTest.java
@@ -5,36 +5,37 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Hundreds of random scenarios of faults, each with its own seed. {@code -Dview.seeds=N} plays more,
- * {@code -Dview.seed=S} plays one and tells.
+ * Runs hundreds of random fault scenarios, each with its own seed. {@code -Dreplication.seeds=N} sets their number,
+ * {@code -Dreplication.seed=S} runs a single one and logs its events.
  */
 class RandomFaultsTest {
     private static final int SEEDS = 500;
 
     @Test
-    void nothingAcknowledgedIsLostInAnyWeather() {
-        Long only = Long.getLong("replication.seed");
+    void noAcknowledgedChangeIsLostUnderRandomFaults() {
+        Long onlySeed = Long.getLong("replication.seed");
         int seeds = Integer.getInteger("replication.seeds", SEEDS);
         long first = Long.getLong("replication.first", 1);
-        int played = 0;
+        int scenarios = 0;
         long acknowledged = 0;
         long views = 0;
-        for (long seed = only != null ? only : first; seed < first + seeds; seed++) {
-            RandomFaults weather = new RandomFaults(seed, only != null);
+        for (long seed = onlySeed != null ? onlySeed : first; seed < first + seeds; seed++) {
+            RandomFaults faults = new RandomFaults(seed, onlySeed != null);
             try {
-                acknowledged += weather.play();
+                acknowledged += faults.run();
             } catch (AssertionError | RuntimeException e) {
-                weather.world().events.forEach(System.out::println);
+                faults.world().events.forEach(System.out::println);
                 throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
             }
-            views += weather.world().ruleChecker.views();
-            played++;
-            if (only != null) {
+            views += faults.world().ruleChecker.views();
+            scenarios++;
+            if (onlySeed != null) {
                 break;
             }
         }
-        System.out.println(
-                "weather: " + played + " courses, " + acknowledged + " changes acknowledged, " + views + " views");
-        assertTrue(acknowledged > played, "hardly anything was acknowledged");
+        System.out.println("random faults: " + scenarios + " scenarios, " + acknowledged + " changes acknowledged, "
+                + views + " views");
+        assertTrue(
+                acknowledged > scenarios, "acknowledged changes: " + acknowledged + " in " + scenarios + " scenarios");
     }
 }
--- a/src/test/java/brambletray/platform/replication/RecordingReplicationActions.java
+++ b/src/test/java/brambletray/platform/replication/RecordingReplicationActions.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Keeps the frames that one member sends; everything else that it says is dropped. */
+/** Records the messages that a member sends and ignores all other actions. */
 final class RecordingReplicationActions implements ReplicationActions {
-    /** A frame and the address that it was sent to. */
-    record Sent(String address, ReplicationMessage frame) {}
+    /** A message and the address that it was sent to. */
+    record Sent(String address, ReplicationMessage message) {}
 
     final List<Sent> sent = new ArrayList<>();
 
@@ -16,11 +16,11 @@
         sent.add(new Sent(address, frame));
     }
 
-    /** Frames of this type to this address. */
+    /** Recorded messages of this type to this address. */
     <T extends ReplicationMessage> List<T> sentTo(String address, Class<T> type) {
         return sent.stream()
-                .filter(one -> one.address().equals(address) && type.isInstance(one.frame()))
-                .map(one -> type.cast(one.frame()))
+                .filter(sentMessage -> sentMessage.address().equals(address) && type.isInstance(sentMessage.message()))
+                .map(sentMessage -> type.cast(sentMessage.message()))
                 .toList();
     }
 
@@ -39,22 +39,22 @@
     @Override
     public void log(ReplicationEvent event) {}
 
-    /** The state of machine "a" with incarnation 1, at 1,000 ms, by what its disk holds. */
+    /** Creates the state of member "a" with incarnation 1 at 1,000 ms, from the contents of its disk. */
     static ReplicaState state(DurableState stored, ReplicationActions actions) {
         ReplicaConfig config =
                 new ReplicaConfig("a", "a", "", 1, 77, List.of(), false, ReplicationSettings.defaults(1));
-        AppliedEntryListener nobody = new AppliedEntryListener() {
+        AppliedEntryListener ignoringListener = new AppliedEntryListener() {
             @Override
             public void onApplied(LogEntry entry) {}
 
             @Override
             public void onSnapshotInstalled() {}
         };
-        return new ReplicaState(config, stored, actions, stateless(), nobody, 1_000);
+        return new ReplicaState(config, stored, actions, statelessMachine(), ignoringListener, 1_000);
     }
 
-    /** A state machine without a state. */
-    static StateMachine stateless() {
+    /** A state machine without any state. */
+    static StateMachine statelessMachine() {
         return new StateMachine() {
             @Override
             public byte[] snapshot() {
--- a/src/test/java/brambletray/platform/replication/ReplicatedLogTest.java
+++ b/src/test/java/brambletray/platform/replication/ReplicatedLogTest.java
@@ -6,11 +6,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What a log gives to one that lacks some of it, before and after it was compacted. */
+/** Tests the patches for logs that lag behind, before and after a compaction. */
 class ReplicatedLogTest {
     private static final Ballot FIRST = new Ballot(1, 1);
     private static final Ballot SECOND = new Ballot(2, 2);
-    private static final int STATE = 10_000;
+    private static final int SNAPSHOT_BYTES = 10_000;
 
     private static ReplicatedLog log(int entries, Ballot view) {
         ReplicatedLog log = ReplicatedLog.empty();
@@ -25,9 +25,9 @@
     }
 
     @Test
-    void whatACompactionTookAwayIsStillGivenToWhoLacksLittle() {
+    void patchesAShortLagFromEntriesRetainedAfterCompaction() {
         ReplicatedLog log = log(300, FIRST);
-        log.compact(300, new byte[STATE]);
+        log.compact(300, new byte[SNAPSHOT_BYTES]);
         log.append(entry(301, FIRST));
         LogPatch patch = log.patchFor(290, FIRST, 0);
         assertFalse(patch.replacesAll());
@@ -38,29 +38,29 @@
     }
 
     @Test
-    void theStateIsGivenToWhoLacksMoreThanItWeighsOrThanIsRemembered() {
+    void sendsTheSnapshotForALongLagOrOneBeyondTheRetainedEntries() {
         ReplicatedLog log = log(300, FIRST);
-        log.compact(300, new byte[STATE]);
+        log.compact(300, new byte[SNAPSHOT_BYTES]);
         assertTrue(log.patchFor(100, FIRST, 0).replacesAll());
         for (int i = 301; i <= 1000; i++) {
             log.append(entry(i, FIRST));
         }
         log.compact(1000, new byte[1 << 20]);
-        assertTrue(log.patchFor(400, FIRST, 0).replacesAll(), "not remembered any more");
+        assertTrue(log.patchFor(400, FIRST, 0).replacesAll(), "entry 401 is not retained any more");
         assertFalse(log.patchFor(600, FIRST, 0).replacesAll());
-        // 512 are remembered, and the view of the one before them
+        // 512 entries are retained, and the view of the entry before them
         assertFalse(log.patchFor(488, FIRST, 0).replacesAll());
         assertTrue(log.patchFor(487, FIRST, 0).replacesAll());
     }
 
     /**
-     * A member that ends with entries that nobody kept: they are not taken for ours, though their places are
-     * remembered.
+     * A log may end with uncommitted entries of another view. They must not be mistaken for the retained entries at the
+     * same indices.
      */
     @Test
-    void anotherEntryAtARememberedPlaceIsReplacedWithAllBehindTheSnapshot() {
+    void replacesTheWholeLogIfTheLastEntryDiffersFromTheRetainedOne() {
         ReplicatedLog log = log(300, FIRST);
-        log.compact(300, new byte[STATE]);
+        log.compact(300, new byte[SNAPSHOT_BYTES]);
         for (long end : new long[] {250, 290, 300}) {
             assertTrue(log.patchFor(end, SECOND, 0).replacesAll(), "end " + end);
         }
@@ -68,7 +68,7 @@
         for (int i = 251; i <= 300; i++) {
             later.append(entry(i, SECOND));
         }
-        later.compact(300, new byte[STATE]);
+        later.compact(300, new byte[SNAPSHOT_BYTES]);
         assertFalse(later.patchFor(251, SECOND, 0).replacesAll());
         assertTrue(later.patchFor(251, FIRST, 0).replacesAll());
         assertFalse(later.patchFor(250, FIRST, 0).replacesAll());
--- a/src/test/java/brambletray/platform/replication/ReplicationCodecTest.java
+++ b/src/test/java/brambletray/platform/replication/ReplicationCodecTest.java
@@ -27,7 +27,7 @@
                 seen.add(frame.getClass());
                 return speech.roundTrip(frame);
             };
-            weather.play();
+            weather.run();
         }
         // hardly ever seen: a patch that doesn't fit
         seen.add(speech.roundTrip(new ReplicationMessage.PatchMismatch(new Ballot(1, 2), 3))
--- a/src/test/java/brambletray/platform/replication/SimulatedReplicas.java
+++ b/src/test/java/brambletray/platform/replication/SimulatedReplicas.java
@@ -114,7 +114,7 @@
             return;
         }
         int size = MessageSizes.bytes(frame);
-        if (size > MessageSizes.LONGEST) {
+        if (size > MessageSizes.MAX_FRAME_BYTES) {
             ruleChecker.fail(from.address + " says a frame of " + size + " bytes: "
                     + frame.getClass().getSimpleName());
         }
@@ -135,7 +135,7 @@
 
     /** A frame on a link that takes its time: whole frames, one after the other. */
     private void later(SimulatedReplica from, SimulatedReplica target, Link link, int size, Object frame) {
-        if ((link.freeAt - now) * link.rate > MessageSizes.MOST_WAITING) {
+        if ((link.freeAt - now) * link.rate > MessageSizes.MAX_PENDING_BYTES) {
             link.breaks++;
             link.freeAt = now;
             from.replica.onDisconnected(target.address, now);
--- a/src/test/java/brambletray/platform/replication/SteppedReplicas.java
+++ b/src/test/java/brambletray/platform/replication/SteppedReplicas.java
@@ -346,7 +346,7 @@
         }
     }
 
-    Fingerprint.Print print() {
+    Fingerprint.Hash128 print() {
         List<Object> all = new ArrayList<>();
         for (SteppedReplica replica : replicas) {
             all.add(replica.members);
--- a/src/test/resources/brambletray/platform/replication/join.feature
+++ b/src/test/resources/brambletray/platform/replication/join.feature
@@ -1,7 +1,7 @@
-Feature: Newcomers and machines lost for good
-  One column a machine, time in ms downwards. The words of a cell are told in Picture.java.
+Feature: Newcomers and permanently lost machines
+  One column per machine; time in ms runs downwards. Timeline.java explains the words in the cells.
 
-  Scenario: another machine takes the place of a lost one; its seeds lag and name the lost one
+  Scenario: a replacement joins although its outdated seeds name the lost machine
     Given a core of "a, b, c" at rest
     And a spare machine "d" that is told of "a, b, c"
     When this happens
@@ -16,7 +16,7 @@
       """
     Then all that are up agree and have all that was acknowledged
 
-  Scenario: the replacement comes while its predecessor is still there, and while only the predecessor is told
+  Scenario: a replacement joins while its predecessor is still a member and is its only seed
     Given a core of "a, b, c" at rest
     And a spare machine "d" that is told of "c"
     When this happens
@@ -30,7 +30,7 @@
       <6500   L4           M4           M4           M4
       """
 
-  Scenario: five founded together, though only three are told
+  Scenario: five machines found a group with only three seeds
     Given a core of "a, b, c, d, e" at rest
     When this happens
       """
@@ -43,7 +43,7 @@
       <4600   M5           M5           L5           M5           M5
       """
 
-  Scenario: of five, one after the other is lost and replaced
+  Scenario: machines are lost and replaced one after the other
     Given a core of "a, b, c" at rest
     And a spare machine "d" that is told of "a, b, c"
     And a spare machine "e" that is told of "b, c"
@@ -62,7 +62,7 @@
       """
     Then all that are up agree and have all that was acknowledged
 
-  Scenario: a wiped machine that finds only machines it was never told of is found by them
+  Scenario: a wiped machine whose other seeds are down is contacted by the current members
     Given a core of "a, b, c" at rest
     And a spare machine "d" that is told of "a, b, c"
     And a spare machine "e" that is told of "a, b, c"
@@ -79,7 +79,7 @@
       <12500  .            .            M3           M3           M3
       """
 
-  Scenario: a machine that was founder and is wiped never founds again
+  Scenario: a wiped founder never founds a group again
     Given a core of "a, b, c" at rest
     When this happens
       """
@@ -91,7 +91,7 @@
       9000    K            K            S
       """
 
-  Scenario: a machine comes and goes again and again; each time it waits longer
+  Scenario: a machine that restarts repeatedly is admitted again after a longer delay
     Given a core of "a, b, c" at rest
     When this happens
       """
@@ -107,7 +107,7 @@
       <8000   L3           M3           M3
       """
 
-  Scenario: one alone, the other's disk proven lost: it goes on, and acknowledges nothing before another is in
+  Scenario: one member continues alone once the other's disk is proven lost, and acknowledges nothing until another joins
     Given a core of "a, b, c" at rest
     When this happens
       """
@@ -126,7 +126,7 @@
       """
     Then all that are up agree and have all that was acknowledged
 
-  Scenario: a view that only some have kept is no way round the view that it came from
+  Scenario: a view that only some members installed does not bypass the quorum of its predecessor
     Given a core of "a, b, c" at rest
     And a spare machine "d" that is told of "a"
     When this happens
--- a/src/test/resources/brambletray/platform/replication/leave.feature
+++ b/src/test/resources/brambletray/platform/replication/leave.feature
@@ -1,7 +1,7 @@
-Feature: Members that leave as planned
-  One column a machine, time in ms downwards. The words of a cell are told in Picture.java.
+Feature: Planned leaves
+  One column per machine; time in ms runs downwards. Timeline.java explains the words in the cells.
 
-  Scenario: the leader leaves: what is under way is kept, another leads within a tenth of a second, callers are told
+  Scenario: the leader leaves: entries in flight are committed and another member leads within 100 ms
     Given a core of "a, b, c" at rest
     When this happens
       """
@@ -15,7 +15,7 @@
       """
     Then all that are up agree and have all that was acknowledged
 
-  Scenario: another member leaves
+  Scenario: a follower leaves
     Given a core of "a, b, c" at rest
     When this happens
       """
@@ -27,7 +27,7 @@
       """
     Then all that are up agree and have all that was acknowledged
 
-  Scenario Outline: one doesn't hear the leader's Bye, as its link (<link>) is cut: it hears of it from the next leader
+  Scenario Outline: a member misses the leader's leave request (link cut: <link>) and follows the next leader
     Given a core of "a, b, c" at rest
     When this happens
       """
@@ -42,7 +42,7 @@
       | ~>c  |
       | ~c   |
 
-  Scenario: the next leader dies before it tells the leaver that it is out; it hears of it from the one after
+  Scenario: the next leader is killed before it confirms the leave, and its successor confirms it
     Given a core of "a, b, c, d, e" at rest
     When this happens
       """
@@ -51,7 +51,7 @@
       <1500   left         .            M3           M3           M3
       """
 
-  Scenario: the word that it is out is lost: it is said again
+  Scenario: the confirmation of a leave is lost and sent again
     Given a core of "a, b, c" at rest
     When this happens
       """
@@ -62,7 +62,7 @@
       <450    L2           M2           left
       """
 
-  Scenario Outline: <who> leaves while the one that takes its place fetches the state: it stays until that is in
+  Scenario Outline: <who> leaves while its replacement fetches the state, and stays until the replacement has joined
     Given a core of "a, b, c" at rest
     And a state of 300 kB
     And a spare machine "d" that is told of "a, b, c"
@@ -80,7 +80,7 @@
       | a leader  | bye<JoinRequest | .         | left   | .      | .    | L3   | M3   |
       | another   | .         | bye<JoinRequest | .      | left   | L3   | M3   | .    |
 
-  Scenario: the newcomer dies on the way: the leaver goes without it
+  Scenario: the newcomer is killed during the transfer, and the member leaves without it
     Given a core of "a, b, c" at rest
     And a state of 300 kB
     And a spare machine "d" that is told of "a, b, c"
@@ -92,7 +92,7 @@
       <1300   left         L2           M2           .
       """
 
-  Scenario: one of two stays until another is in, as alone the other would bear no loss
+  Scenario: one of two members stays until another has joined, as the other alone would not tolerate a loss
     Given a core of "a, b, c" at rest
     And a spare machine "d" that is told of "a, b"
     When this happens
@@ -110,7 +110,7 @@
       """
     Then all that are up agree and have all that was acknowledged
 
-  Scenario: nobody comes, or nobody is in touch: it ends in time all the same
+  Scenario: a member without reachable peers leaves after its time-out
     Given a core of "a, b, c" at rest
     When this happens
       """
@@ -122,7 +122,7 @@
       <6600   left         .            .
       """
 
-  Scenario: two leave at once, of five
+  Scenario: two of five members leave at once
     Given a core of "a, b, c, d, e" at rest
     When this happens
       """
@@ -131,7 +131,7 @@
       <600    left,ok:x    left         L3           M3           M3
       """
 
-  Scenario: a leaver whose knock is older than its leaving is not waited for
+  Scenario: a newcomer that leaves after its join request is not waited for
     Given a core of "a, b, c" at rest
     And a spare machine "d" that is told of "a"
     When this happens
--- a/src/test/resources/brambletray/platform/replication/log.feature
+++ b/src/test/resources/brambletray/platform/replication/log.feature
@@ -1,11 +1,11 @@
-Feature: What is acknowledged is kept
-  One column a machine, time in ms downwards. The words of a cell are told in Picture.java.
-  The first machine of a core at rest leads.
+Feature: Acknowledged changes are not lost
+  One column per machine; time in ms runs downwards. Timeline.java explains the words in the cells.
+  The first machine of an idle group leads.
 
   Background:
     Given a core of "a, b, c" at rest
 
-  Scenario: a change is acknowledged once all members have it on disk, and delivered everywhere
+  Scenario: a change is acknowledged once all members have it on disk, and is applied on all
     When this happens
       """
               a            b            c
@@ -15,7 +15,7 @@
       <100    =y           ok:y,=y      =y
       """
 
-  Scenario: power is lost between taking and syncing; the others have it, and keep it
+  Scenario: the leader loses power before its sync, and the others keep the change
     When this happens
       """
               a            b            c
@@ -27,7 +27,7 @@
       """
     Then all that are up agree and have all that was acknowledged
 
-  Scenario: power is lost after the sync and before anybody was told; nobody was acknowledged, nobody has it
+  Scenario: the isolated leader loses power after its sync, and the unacknowledged change is discarded
     When this happens
       """
               a            b            c
@@ -42,7 +42,7 @@
       """
     Then all that are up agree and have all that was acknowledged
 
-  Scenario: the leader dies with all acknowledgements in, before it tells
+  Scenario: the leader is killed after it has received an acknowledgement and before it announces the commit
     When this happens
       """
               a            b            c
@@ -54,7 +54,7 @@
       """
     Then all that are up agree and have all that was acknowledged
 
-  Scenario: power is lost everywhere within a few ms of an acknowledgement
+  Scenario: all machines lose power right after an acknowledgement
     When this happens
       """
               a            b            c
@@ -68,7 +68,7 @@
       """
     Then all that are up agree and have all that was acknowledged
 
-  Scenario: acknowledged, and the acknowledging disk is lost while all others lose power
+  Scenario: the leader loses its disk and all others lose power right after an acknowledgement
     When this happens
       """
               a            b            c
@@ -81,7 +81,7 @@
       """
     Then all that are up agree and have all that was acknowledged
 
-  Scenario: acknowledged by a view of two; one is wiped, one is off, the third comes back first
+  Scenario: a change acknowledged by two is kept when one is wiped, one is down and the third returns first
     When this happens
       """
               a            b            c
@@ -100,7 +100,7 @@
       """
     Then all that are up agree and have all that was acknowledged
 
-  Scenario: the longest log is at one who stays, and another leads the change: it is fetched and kept
+  Scenario: the proposer of a view change fetches the longest log from another member
     When this happens
       """
               a            b            c
@@ -113,7 +113,7 @@
       """
     Then all that are up agree and have all that was acknowledged
 
-  Scenario: the longest log is at the one who left; what nobody acknowledged is trimmed, there too
+  Scenario: an unacknowledged entry on an excluded member is discarded, also on its disk when it rejoins
     When this happens
       """
               a            b            c
@@ -129,7 +129,7 @@
       """
     Then all that are up agree and have all that was acknowledged
 
-  Scenario: proposals of a member outlast the leader
+  Scenario: a follower's proposal survives the loss of the leader
     When this happens
       """
               a            b            c
@@ -139,7 +139,7 @@
       """
     Then all that are up agree and have all that was acknowledged
 
-  Scenario: a state of some size goes to an empty disk in pieces; all are killed on the way, and nothing half is left
+  Scenario: all machines are killed during a chunked state transfer, and no partial state remains
     Given a state of 900 kB
     When this happens
       """
