--- a/src/main/java/brambletray/relay/control/Backoff.java
+++ b/src/main/java/brambletray/relay/control/Backoff.java
@@ -20,11 +20,11 @@
     /** Factor from one back-off to the next. */
     private static final double BACKOFF_MULTIPLIER = 3;
     /** First back-off after a refusal or a failed connect, in usual gaps between own calls. */
-    private static final double INITIAL_BACKOFF_GAPS = 0.5;
+    private static final double INITIAL_BACKOFF_INTERVALS = 0.5;
     /** Shortest back-off in usual gaps between own calls, where that is less than {@link #MAX_MIN_BACKOFF_US}. */
-    private static final double MIN_BACKOFF_GAPS = 2;
+    private static final double MIN_BACKOFF_INTERVALS = 2;
     /** Longest back-off, in usual gaps between own calls. */
-    private static final double MAX_BACKOFF_GAPS = 10;
+    private static final double MAX_BACKOFF_INTERVALS = 10;
     /** us; upper bound of the first back-off. */
     private static final long MAX_INITIAL_BACKOFF_US = 500 * MS;
     /** us; upper bound of the shortest back-off. */
@@ -57,12 +57,12 @@
         destination.refusedAt = turn.now;
         limitScope.refusedAt = turn.now;
         long spread =
-                (long) (Math.min(told, INITIAL_BACKOFF_GAPS * SECOND / destination.usualRate) * random.nextDouble());
+                (long) (Math.min(told, INITIAL_BACKOFF_INTERVALS * SECOND / destination.usualRate) * random.nextDouble());
         // Its own refusals, and no sooner than an even part of a reported limit lets all ask: where limits count
         // refused calls, a fleet that goes on asking keeps a host closed while its peers answer.
         double gap = SECOND * settings.relays() / Math.max(MIN_RATE_PER_S, limitScope.rate);
-        double even = limitScope.limitReported ? INITIAL_BACKOFF_GAPS * gap : 0;
-        spread = Math.max(spread, backoffSpan(destination, limitScope.refusals - (told > even ? 1 : 0), even));
+        double even = limitScope.limitReported ? INITIAL_BACKOFF_INTERVALS * gap : 0;
+        spread = Math.max(spread, backoffDelay(destination, limitScope.refusals - (told > even ? 1 : 0), even));
         limitScope.backoffUntil = Math.max(limitScope.backoffUntil, turn.now + told + spread);
         // Once all endpoints refused in a row, the back-off is for all: a closed host is not asked by turns.
         destination.backoffUntil = destination.refusals >= destination.endpoints.size()
@@ -98,13 +98,13 @@
     }
 
     /** After so many failures in a row. {@code even}: us; the first is no shorter, up to the middle one. */
-    long backoffSpan(Destination destination, int failures, double even) {
+    long backoffDelay(Destination destination, int failures, double even) {
         double gap = SECOND / Math.max(MIN_RATE_PER_S, destination.usualRate);
         // Guards hosts that take many calls a second against standing idle for a dozen at each refusal.
-        double least = Math.min(MAX_MIN_BACKOFF_US, MIN_BACKOFF_GAPS * gap);
-        double first = Math.max(least, Math.min(MAX_INITIAL_BACKOFF_US, gap * INITIAL_BACKOFF_GAPS));
+        double least = Math.min(MAX_MIN_BACKOFF_US, MIN_BACKOFF_INTERVALS * gap);
+        double first = Math.max(least, Math.min(MAX_INITIAL_BACKOFF_US, gap * INITIAL_BACKOFF_INTERVALS));
         first = Math.max(first, Math.min(MIDDLE_BACKOFF_US, even));
-        double most = Math.max(MIDDLE_BACKOFF_US, Math.min(MAX_BACKOFF_US, gap * MAX_BACKOFF_GAPS));
+        double most = Math.max(MIDDLE_BACKOFF_US, Math.min(MAX_BACKOFF_US, gap * MAX_BACKOFF_INTERVALS));
         // Where limits count refused calls too, asking again keeps them shut: back off longer there.
         double ease = Math.min(
                 1, Math.max(MIN_ADMISSION_SHARE, memory.admissionShares[destination.kind]) / USUAL_ADMISSION_SHARE);
--- a/src/main/java/brambletray/relay/control/Connections.java
+++ b/src/main/java/brambletray/relay/control/Connections.java
@@ -3,8 +3,8 @@
 import static brambletray.relay.control.Turn.MS;
 import static brambletray.relay.control.Turn.SECOND;
 
-import brambletray.relay.control.Relay.Close;
-import brambletray.relay.control.Relay.Ended;
+import brambletray.relay.control.Relay.CloseIdleConnections;
+import brambletray.relay.control.Relay.AttemptEnded;
 import brambletray.relay.control.Relay.Settings;
 import brambletray.relay.control.State.Attempt;
 import brambletray.relay.control.State.EndpointState;
@@ -34,7 +34,7 @@
     private static final double PROVEN_TRUST_FACTOR = 1.25;
 
     /** Nothing is known yet. */
-    void start() {
+    void init() {
         // Guards hosts that hold few connections: a relay that has one is never rejected, and never learns of it.
         Arrays.fill(
                 memory.holdTimes, settings.allowed().keepAlive() * Math.min(1, FULL_HOLD_RELAYS / settings.relays()));
@@ -62,7 +62,7 @@
 
     private void closeIdle(EndpointState endpoint) {
         endpoint.idleConnections.clear();
-        turn.addAction(new Close(endpoint.id));
+        turn.addAction(new CloseIdleConnections(endpoint.id));
     }
 
     void onAnswered(Attempt attempt) {
@@ -101,7 +101,7 @@
      * True where the host rejected a new connection, not its call: it holds all those that it takes. What
      * reads a call and has a limit tells of it in every answer.
      */
-    boolean isOutOfCapacity(Attempt attempt, Ended ended) {
+    boolean isOutOfCapacity(Attempt attempt, AttemptEnded ended) {
         return attempt.idleTime < 0
                 && !ended.reused()
                 && ended.retryAfter() == 0
@@ -140,7 +140,7 @@
     }
 
     /** Guards against idle connections dropped unseen; failures in a row or on new ones tell otherwise. */
-    void distrustIdle(Attempt attempt) {
+    void adjustTrustTime(Attempt attempt) {
         int kind = attempt.endpoint.kind;
         double trust = memory.trustTimes[kind];
         if (attempt.idleTime < 0) {
--- a/src/main/java/brambletray/relay/control/Control.java
+++ b/src/main/java/brambletray/relay/control/Control.java
@@ -2,14 +2,14 @@
 
 import brambletray.relay.control.Relay.Accepted;
 import brambletray.relay.control.Relay.Action;
-import brambletray.relay.control.Relay.Due;
-import brambletray.relay.control.Relay.Ended;
+import brambletray.relay.control.Relay.TimerFired;
+import brambletray.relay.control.Relay.AttemptEnded;
 import brambletray.relay.control.Relay.Event;
-import brambletray.relay.control.Relay.Excluded;
-import brambletray.relay.control.Relay.Known;
-import brambletray.relay.control.Relay.Listed;
+import brambletray.relay.control.Relay.EndpointExclusion;
+import brambletray.relay.control.Relay.EndpointKnowledge;
+import brambletray.relay.control.Relay.EndpointsListed;
 import brambletray.relay.control.Relay.Recalled;
-import brambletray.relay.control.Relay.Remembered;
+import brambletray.relay.control.Relay.EndpointRestored;
 import brambletray.relay.control.Relay.Settings;
 import brambletray.relay.control.Relay.Withdrawn;
 import brambletray.relay.control.State.Attempt;
@@ -45,7 +45,7 @@
                 seed,
                 settings,
                 new Memory(settings.tenants().size(), settings.kinds().size()));
-        connections.start();
+        connections.init();
     }
 
     /**
@@ -90,31 +90,31 @@
         for (Event event : events) {
             dispatchEvent(Objects.requireNonNull(event, "event"));
         }
-        for (Timer due = turn.nextDue(); due != null; due = turn.nextDue()) {
+        for (Timer due = turn.pollDueTimer(); due != null; due = turn.pollDueTimer()) {
             runTimer(due);
         }
         dispatch.run();
-        turn.freed.forEach(connections::releaseIfUnused);
-        turn.freed.clear();
+        turn.freedEndpoints.forEach(connections::releaseIfUnused);
+        turn.freedEndpoints.clear();
         return turn.end();
     }
 
     private void dispatchEvent(Event event) {
         if (event instanceof Accepted accepted) {
             messages.accept(accepted);
-        } else if (event instanceof Ended ended) {
+        } else if (event instanceof AttemptEnded ended) {
             messages.onAttemptEnded(ended);
-        } else if (event instanceof Listed listed) {
+        } else if (event instanceof EndpointsListed listed) {
             endpoints.onListed(listed);
         } else if (event instanceof Withdrawn withdrawn && memory.messages.containsKey(withdrawn.id())) {
             messages.close(memory.messages.get(withdrawn.id()));
         } else if (event instanceof Recalled recalled && memory.messages.containsKey(recalled.id())) {
             messages.onRecalled(memory.messages.get(recalled.id()));
-        } else if (event instanceof Excluded exclusion) {
+        } else if (event instanceof EndpointExclusion exclusion) {
             endpoints.onExcluded(exclusion);
-        } else if (event instanceof Remembered remembered && memory.endpoints.containsKey(remembered.endpoint())) {
+        } else if (event instanceof EndpointRestored remembered && memory.endpoints.containsKey(remembered.endpoint())) {
             endpoints.restore(memory.endpoints.get(remembered.endpoint()), remembered.known());
-        } else if (event instanceof Due) {
+        } else if (event instanceof TimerFired) {
             turn.onTimer();
         }
     }
@@ -130,12 +130,12 @@
     }
 
     /** What another module would have to learn again of an endpoint; null where it is not held. */
-    public Known known(long endpoint) {
-        return memory.known(endpoint);
+    public EndpointKnowledge endpointKnowledge(long endpoint) {
+        return memory.endpointKnowledge(endpoint);
     }
 
     /** Listed endpoints that get no ordinary traffic now: taken out by an operator, or unhealthy. */
-    public int avoided() {
-        return memory.avoided();
+    public int unavailableEndpointCount() {
+        return memory.unavailableEndpointCount();
     }
 }
--- a/src/main/java/brambletray/relay/control/Dispatch.java
+++ b/src/main/java/brambletray/relay/control/Dispatch.java
@@ -21,7 +21,7 @@
     /** us; a waiting message is considered again at least this often while its limit scope is exhausted. */
     private static final long RECHECK_INTERVAL_US = 500 * MS;
 
-    private record Pick(Message message, EndpointState endpoint, double priority) {}
+    private record Candidate(Message message, EndpointState endpoint, double priority) {}
 
     private double priority(Message message) {
         long when = turn.now + (long) message.destination.recentLatency;
@@ -32,9 +32,9 @@
     /** Sends what may go, best first. What cannot go is considered again in time, or when a call ends. */
     void run() {
         int slots = settings.allowed().slots();
-        List<Pick> picks = new ArrayList<>();
+        List<Candidate> picks = new ArrayList<>();
         for (var it = memory.dispatchable.iterator(); it.hasNext() && memory.slotsUsed < slots; ) {
-            Pick pick = pick(it.next());
+            Candidate pick = pick(it.next());
             if (pick != null) {
                 picks.add(pick);
             } else {
@@ -42,13 +42,13 @@
             }
         }
         while (!picks.isEmpty()) {
-            Pick best = Collections.max(picks, Comparator.comparingDouble(Pick::priority));
+            Candidate best = Collections.max(picks, Comparator.comparingDouble(Candidate::priority));
             picks.remove(best);
-            if (gate.opensAt(best.message, best.endpoint, false) <= turn.now) {
+            if (gate.earliestSendAt(best.message, best.endpoint, false) <= turn.now) {
                 gate.send(best.message, best.endpoint);
                 hedging.onSent(best.message.destination);
             }
-            Pick next =
+            Candidate next =
                     memory.slotsUsed < slots || gate.joinsBatch(best.endpoint) ? pick(best.message.destination) : null;
             if (next != null) {
                 picks.add(next);
@@ -57,11 +57,11 @@
     }
 
     /** The best message of a destination that can go now, with its endpoint; else a timer is scheduled for it. */
-    private Pick pick(Destination destination) {
-        Pick best = null;
+    private Candidate pick(Destination destination) {
+        Candidate best = null;
         long look = turn.now + RECHECK_INTERVAL_US;
         for (WaitingQueue band : destination.queues) {
-            Message message = destination.queuedMessages > 0 ? nextOf(band) : null;
+            Message message = destination.queuedMessages > 0 ? nextMessage(band) : null;
             double priority = message == null ? 0 : priority(message);
             if (message == null || best != null && best.priority >= priority) {
                 continue;
@@ -69,7 +69,7 @@
             EndpointState choice = null;
             double least = Double.MAX_VALUE;
             for (EndpointState endpoint : destination.endpoints.values()) {
-                long when = gate.opensAt(message, endpoint, false);
+                long when = gate.earliestSendAt(message, endpoint, false);
                 double cost = when <= turn.now ? gate.cost(message, endpoint) : least;
                 look = when <= turn.now ? look : Math.min(look, when);
                 if (cost < least) {
@@ -78,7 +78,7 @@
                 }
             }
             if (choice != null) {
-                best = new Pick(message, choice, priority);
+                best = new Candidate(message, choice, priority);
             }
         }
         if (best == null
@@ -91,7 +91,7 @@
     }
 
     /** The earliest latency target that can still be met; if there is none the newest, whose value is highest. */
-    private Message nextOf(WaitingQueue band) {
+    private Message nextMessage(WaitingQueue band) {
         for (Message message = band.firstOnTime(); message != null; message = band.firstOnTime()) {
             if (turn.now + (long) message.destination.recentLatency <= message.targetTime) {
                 return message;
--- a/src/main/java/brambletray/relay/control/Endpoints.java
+++ b/src/main/java/brambletray/relay/control/Endpoints.java
@@ -3,10 +3,10 @@
 import static brambletray.relay.control.Turn.SECOND;
 
 import brambletray.relay.control.Relay.Endpoint;
-import brambletray.relay.control.Relay.Excluded;
-import brambletray.relay.control.Relay.Known;
+import brambletray.relay.control.Relay.EndpointExclusion;
+import brambletray.relay.control.Relay.EndpointKnowledge;
 import brambletray.relay.control.Relay.ListKind;
-import brambletray.relay.control.Relay.Listed;
+import brambletray.relay.control.Relay.EndpointsListed;
 import brambletray.relay.control.Relay.Listing;
 import brambletray.relay.control.Relay.Settings;
 import brambletray.relay.control.State.Destination;
@@ -28,7 +28,7 @@
                 id, k -> new Destination(settings.classes().size() * Messages.QUEUES_PER_CLASS));
     }
 
-    void onListed(Listed listed) {
+    void onListed(EndpointsListed listed) {
         Map<Long, EndpointState> routes = memory.endpoints;
         Set<Long> named = new HashSet<>();
         for (Endpoint listedEndpoint : listed.endpoints()) {
@@ -81,12 +81,12 @@
     }
 
     /** What comes back into use has been restarted, or was failing: probes first, then the return budget. */
-    void onExcluded(Excluded exclusion) {
+    void onExcluded(EndpointExclusion exclusion) {
         Set<Long> excluded = memory.excluded;
-        boolean changed = exclusion.out() ? excluded.add(exclusion.endpoint()) : excluded.remove(exclusion.endpoint());
+        boolean changed = exclusion.excluded() ? excluded.add(exclusion.endpoint()) : excluded.remove(exclusion.endpoint());
         EndpointState endpoint = memory.endpoints.get(exclusion.endpoint());
         if (changed && endpoint != null) {
-            endpoint.disabledByOperator = exclusion.out();
+            endpoint.disabledByOperator = exclusion.excluded();
             if (!endpoint.disabledByOperator) {
                 outages.markUnhealthy(endpoint, true);
             }
@@ -97,7 +97,7 @@
     /**
      * Guards hosts against relays that were killed: a retry-after time goes on, and so does an outage or a slow start.
      */
-    void restore(EndpointState endpoint, Known known) {
+    void restore(EndpointState endpoint, EndpointKnowledge known) {
         if (known.retryAfter() > 0) {
             backoff.restore(endpoint.limitScope, known.retryAfter());
         }
--- a/src/main/java/brambletray/relay/control/Hedging.java
+++ b/src/main/java/brambletray/relay/control/Hedging.java
@@ -50,7 +50,7 @@
             double least = Double.MAX_VALUE;
             for (EndpointState endpoint : message.destination.endpoints.values()) {
                 double cost = gate.cost(message, endpoint);
-                boolean free = gate.opensAt(message, endpoint, true) <= turn.now
+                boolean free = gate.earliestSendAt(message, endpoint, true) <= turn.now
                         && endpoint.limitScope.bucket.tokens >= MIN_TOKENS;
                 if (endpoint != attempt.endpoint && endpoint.health == Health.HEALTHY && free && cost < least) {
                     least = cost;
--- a/src/main/java/brambletray/relay/control/KeyOrder.java
+++ b/src/main/java/brambletray/relay/control/KeyOrder.java
@@ -14,12 +14,12 @@
     }
 
     /** True while what went before it may still be under way. */
-    static boolean isQuiet(Message message, long now) {
+    static boolean inQuietPeriod(Message message, long now) {
         return message.key != null && message.key.quietUntil > now && message.attempts.isEmpty();
     }
 
     /** Guards the order against a call that nobody waits for any more: it may yet arrive. */
-    void keepQuiet(Message message) {
+    void startQuietPeriod(Message message) {
         if (message.key != null) {
             message.key.quietUntil = turn.now + settings.rules().keyRest();
         }
--- a/src/main/java/brambletray/relay/control/Memory.java
+++ b/src/main/java/brambletray/relay/control/Memory.java
@@ -72,12 +72,12 @@
     }
 
     /** us of the clock of the module whose it was, at its last turn. */
-    public long time() {
+    public long lastTurnTime() {
         return now;
     }
 
     /** The messages that are not over, each with the number of its attempts so far. */
-    public Map<String, Integer> openMessages() {
+    public Map<String, Integer> openMessageAttemptCounts() {
         Map<String, Integer> open = new HashMap<>();
         messages.values().stream()
                 .filter(message -> !message.isEnded)
@@ -86,11 +86,11 @@
     }
 
     /** What another module would have to learn again of an endpoint; null where it is not held. */
-    Relay.Known known(long id) {
+    Relay.EndpointKnowledge endpointKnowledge(long id) {
         EndpointState endpoint = endpoints.get(id);
         return endpoint == null
                 ? null
-                : new Relay.Known(
+                : new Relay.EndpointKnowledge(
                         Math.max(0, endpoint.limitScope.waitUntil - now),
                         endpoint.health == Health.UNHEALTHY && endpoint.outageConfirmed,
                         endpoint.health == Health.SLOW_START ? now - endpoint.slowStartAt : -1,
@@ -99,7 +99,7 @@
     }
 
     /** Listed endpoints that are taken out by an operator, or unhealthy. */
-    int avoided() {
+    int unavailableEndpointCount() {
         int avoided = 0;
         for (Destination destination : destinations.values()) {
             for (EndpointState endpoint : destination.endpoints.values()) {
@@ -110,7 +110,7 @@
     }
 
     /** The endpoints that are on the list; of others it may know more than the list of hosts does. */
-    public Set<Long> endpoints() {
+    public Set<Long> listedEndpointIds() {
         Set<Long> listed = new HashSet<>();
         destinations.values().forEach(destination -> listed.addAll(destination.endpoints.keySet()));
         return listed;
--- a/src/main/java/brambletray/relay/control/Messages.java
+++ b/src/main/java/brambletray/relay/control/Messages.java
@@ -4,9 +4,9 @@
 
 import brambletray.relay.control.Relay.Accepted;
 import brambletray.relay.control.Relay.Cancel;
-import brambletray.relay.control.Relay.Earlier;
+import brambletray.relay.control.Relay.PriorAttempt;
 import brambletray.relay.control.Relay.Effect;
-import brambletray.relay.control.Relay.Ended;
+import brambletray.relay.control.Relay.AttemptEnded;
 import brambletray.relay.control.Relay.Fail;
 import brambletray.relay.control.Relay.Outcome;
 import brambletray.relay.control.Relay.Refuse;
@@ -33,12 +33,12 @@
     /** us; shortest time since the start by which that measurement divides. */
     private static final long MIN_RATE_AGE_US = 3 * SECOND;
     /** s; a tenant inside its share may run ahead of it by this much. */
-    private static final double SHARE_BURST_S = 2;
+    private static final double QUOTA_BURST_S = 2;
     /** Waiting queues of each message class: of tenants inside their share, of others, of keyed repeats. */
     static final int QUEUES_PER_CLASS = 3;
 
-    private static final int OVER_SHARE_QUEUE = 1;
-    private static final int REPEAT_QUEUE = 2;
+    private static final int OVER_QUOTA_QUEUE = 1;
+    private static final int RETRY_QUEUE = 2;
 
     void accept(Accepted accepted) {
         if (memory.messages.containsKey(accepted.id())) {
@@ -50,8 +50,8 @@
                 accepted, settings.classes().get(accepted.messageClass()), destination, memory.nextSequence++);
         message.halfLifeDecay = settings.halfLifeDecay();
         message.targetTime = latencyTargetTime(message);
-        boolean inShare = inShare(accepted.tenant());
-        message.queueIndex = accepted.messageClass() * QUEUES_PER_CLASS + (inShare ? 0 : OVER_SHARE_QUEUE);
+        boolean inShare = takeQuotaToken(accepted.tenant());
+        message.queueIndex = accepted.messageClass() * QUEUES_PER_CLASS + (inShare ? 0 : OVER_QUOTA_QUEUE);
         message.fullValue = message.messageClass.value() * (inShare ? 1 : settings.overShareValue());
         memory.messages.put(message.id, message);
         memory.openMessages++;
@@ -59,7 +59,7 @@
         if (message.messageClass.inOrder() && accepted.key() != null) {
             keyOrder.enqueue(message, accepted.key());
         }
-        for (Earlier before : accepted.earlier()) {
+        for (PriorAttempt before : accepted.priorAttempts()) {
             message.attempts.add(recoveredAttempt(message, before));
         }
         if (!message.attempts.isEmpty()
@@ -87,28 +87,28 @@
     }
 
     /** An attempt made before a restart; one that was out then may have run. */
-    private Attempt recoveredAttempt(Message message, Earlier before) {
-        Attempt attempt = new Attempt(message, new EndpointState(0, before.zone(), 0), before.sent());
+    private Attempt recoveredAttempt(Message message, PriorAttempt before) {
+        Attempt attempt = new Attempt(message, new EndpointState(0, before.zone(), 0), before.sentAt());
         attempt.isDone = true;
         attempt.mayHaveRun = before.mayHaveRun();
         if (attempt.mayHaveRun) {
-            keyOrder.keepQuiet(message);
+            keyOrder.startQuietPeriod(message);
         }
         return attempt;
     }
 
-    private boolean inShare(int tenant) {
+    private boolean takeQuotaToken(int tenant) {
         if (tenant >= memory.tenantBuckets.length) {
             return true;
         }
         double rate = settings.tenants().get(tenant).quota() / settings.relays();
-        memory.tenantBuckets[tenant].fill(rate, rate * SHARE_BURST_S, turn.now);
-        return memory.tenantBuckets[tenant].take();
+        memory.tenantBuckets[tenant].refill(rate, rate * QUOTA_BURST_S, turn.now);
+        return memory.tenantBuckets[tenant].tryTake();
     }
 
     private void enqueue(Message message) {
         if (message.messageClass.effect() == Effect.KEYED && message.mayHaveRun()) {
-            message.queueIndex = message.queueIndex / QUEUES_PER_CLASS * QUEUES_PER_CLASS + REPEAT_QUEUE;
+            message.queueIndex = message.queueIndex / QUEUES_PER_CLASS * QUEUES_PER_CLASS + RETRY_QUEUE;
         }
         message.isQueued = true;
         message.destination.queuedMessages++;
@@ -137,7 +137,7 @@
         long longest = settings.allowed().longestAdvice();
         long opens = destination.endpoints.values().stream()
                 .filter(endpoint -> !endpoint.disabledByOperator)
-                .mapToLong(EndpointState::closedUntil)
+                .mapToLong(EndpointState::blockedUntil)
                 .min()
                 .orElse(destination.endpoints.isEmpty() ? turn.now : turn.now + longest);
         return Math.min(longest, Math.max(opens - turn.now, (long) queueTime(destination)));
@@ -184,7 +184,7 @@
         }
     }
 
-    void onAttemptEnded(Ended ended) {
+    void onAttemptEnded(AttemptEnded ended) {
         Message message = memory.messages.get(ended.id());
         if (message == null
                 || ended.attempt() < 0
@@ -200,9 +200,9 @@
         if (ended.outcome() == Outcome.TIMEOUT
                 || ended.outcome() == Outcome.RESET
                 || ended.outcome() == Outcome.CANCELLED) {
-            keyOrder.keepQuiet(message);
+            keyOrder.startQuietPeriod(message);
         }
-        if (!message.isEnded && (ended.over() || ended.outcome() == Outcome.OK)) {
+        if (!message.isEnded && (ended.messageEnded() || ended.outcome() == Outcome.OK)) {
             close(message);
         } else if (!message.isEnded && message.openAttempts == 0) {
             afterFailure(message);
--- a/src/main/java/brambletray/relay/control/Outages.java
+++ b/src/main/java/brambletray/relay/control/Outages.java
@@ -4,7 +4,7 @@
 import static brambletray.relay.control.Turn.NEVER;
 import static brambletray.relay.control.Turn.SECOND;
 
-import brambletray.relay.control.Relay.Ended;
+import brambletray.relay.control.Relay.AttemptEnded;
 import brambletray.relay.control.Relay.Outcome;
 import brambletray.relay.control.Relay.Rules;
 import brambletray.relay.control.Relay.Settings;
@@ -72,7 +72,7 @@
     void onTimeout(Attempt attempt, boolean firstOfCall) {
         boolean notTheHost = attempt.message.timeouts++ > 0 || attempt.sentAt < attempt.endpoint.lastSuccessSentAt;
         if (firstOfCall) {
-            connections.distrustIdle(attempt);
+            connections.adjustTrustTime(attempt);
         }
         if (firstOfCall && !notTheHost) {
             ConcurrencyWindow.halve(attempt.endpoint.destination);
@@ -87,17 +87,17 @@
      * a row broke. A host that is down refuses new connections, which counts at once. It hurts where a host
      * dies of each call that it reads: that costs a few calls more.
      */
-    void onReset(Attempt attempt, Ended ended) {
+    void onReset(Attempt attempt, AttemptEnded ended) {
         EndpointState endpoint = attempt.endpoint;
         boolean reused = ended.reused();
         if (ended.outcome() == Outcome.RESET) {
-            connections.distrustIdle(attempt);
+            connections.adjustTrustTime(attempt);
         }
         endpoint.consecutiveResets += !reused && attempt.sentAt >= endpoint.lastSuccessSentAt ? 1 : 0;
         if (!reused && endpoint.consecutiveResets >= OUTAGE_RESETS) {
             onFailure(attempt);
             endpoint.backoffUntil =
-                    turn.now + backoff.backoffSpan(endpoint.destination, endpoint.consecutiveFailures, 0);
+                    turn.now + backoff.backoffDelay(endpoint.destination, endpoint.consecutiveFailures, 0);
         }
     }
 
@@ -109,7 +109,7 @@
         EndpointState endpoint = attempt.endpoint;
         connections.shortenHoldTime(endpoint);
         onFailure(attempt);
-        long pause = backoff.backoffSpan(endpoint.destination, endpoint.consecutiveFailures, 0);
+        long pause = backoff.backoffDelay(endpoint.destination, endpoint.consecutiveFailures, 0);
         if (endpoint.health == Health.UNHEALTHY && latency < PROBE_INTERVAL_US) {
             pause = Math.min(pause, (long) (PROBE_INTERVAL_US * (0.5 + random.nextDouble())));
         }
@@ -157,8 +157,8 @@
     }
 
     /** When the endpoint may take another message: waits, back-off, pace; after failures, probes or slow start. */
-    long opensAt(EndpointState endpoint, boolean joins) {
-        long when = endpoint.closedUntil();
+    long earliestSendAt(EndpointState endpoint, boolean joins) {
+        long when = endpoint.blockedUntil();
         if (endpoint.health == Health.SLOW_START
                 && turn.now - endpoint.slowStartAt >= settings.rules().cold()) {
             endpoint.health = Health.HEALTHY;
@@ -172,7 +172,7 @@
             when = Math.max(when, endpoint.unhealthySince + PROBE_INTERVAL_US);
         }
         if (endpoint.health != Health.HEALTHY && endpoint.outageConfirmed && !joins) {
-            when = Math.max(when, budgetOpensAt(endpoint));
+            when = Math.max(when, budgetAllowsAt(endpoint));
         }
         long token = pace.nextTokenAt(endpoint.limitScope);
         return joins ? when : Math.max(when, token);
@@ -183,7 +183,7 @@
      * a rate that answers reported. Of a listed rate it is the mean of an even one and of what this relay usually
      * sends: hundreds that each scale their own fit together.
      */
-    private long budgetOpensAt(EndpointState endpoint) {
+    private long budgetAllowsAt(EndpointState endpoint) {
         Rules rules = settings.rules();
         double warm = rules.coldFrom();
         if (endpoint.health == Health.SLOW_START) {
--- a/src/main/java/brambletray/relay/control/Outcomes.java
+++ b/src/main/java/brambletray/relay/control/Outcomes.java
@@ -1,6 +1,6 @@
 package brambletray.relay.control;
 
-import brambletray.relay.control.Relay.Ended;
+import brambletray.relay.control.Relay.AttemptEnded;
 import brambletray.relay.control.Relay.Outcome;
 import brambletray.relay.control.State.Attempt;
 import brambletray.relay.control.State.EndpointState;
@@ -15,7 +15,7 @@
         Connections connections,
         Outages outages) {
     /** Learns from how an attempt ended. */
-    void observe(Attempt attempt, Ended ended) {
+    void observe(Attempt attempt, AttemptEnded ended) {
         EndpointState endpoint = attempt.endpoint;
         Outcome outcome = ended.outcome();
         // Messages of one call mostly fare alike: what tells of its host is counted once.
@@ -47,7 +47,7 @@
         }
     }
 
-    private void onFailed(Attempt attempt, Ended ended) {
+    private void onFailed(Attempt attempt, AttemptEnded ended) {
         EndpointState endpoint = attempt.endpoint;
         switch (ended.outcome()) {
             case FULL -> {
--- a/src/main/java/brambletray/relay/control/Pace.java
+++ b/src/main/java/brambletray/relay/control/Pace.java
@@ -19,9 +19,9 @@
     /** First pace, as a multiple of a relay's even part of the rate. */
     private static final double INITIAL_PACE_FACTOR = 2;
     /** Growth of the pace at an answer, in even parts, up to an even part. */
-    private static final double GROWTH_BELOW_EVEN = 0.15;
+    private static final double GROWTH_BELOW_FAIR_SHARE = 0.15;
     /** The same past an even part. */
-    private static final double GROWTH_ABOVE_EVEN = 0.03;
+    private static final double GROWTH_ABOVE_FAIR_SHARE = 0.03;
     /** Calls a second; pace where no rate is listed, in effect none. */
     private static final double UNPACED_PER_S = 1e6;
     /** Calls a second; slowest pace, as less would be a ban. */
@@ -60,7 +60,7 @@
 
     /** The earliest time for another call at the limit scope's pace; 0 for at once. */
     long nextTokenAt(LimitScope limitScope) {
-        limitScope.bucket.fill(limitScope.pace, Math.max(2, limitScope.pace * BURST_S), turn.now);
+        limitScope.bucket.refill(limitScope.pace, Math.max(2, limitScope.pace * BURST_S), turn.now);
         return limitScope.bucket.tokens >= 1
                 ? 0
                 : turn.now + (long) ((1 - limitScope.bucket.tokens) / limitScope.pace * SECOND) + 1;
@@ -70,7 +70,7 @@
     void onAnswered(LimitScope limitScope) {
         if (limitScope.bucket.tokens < 1 && limitScope.pace < maxPace(limitScope)) {
             double even = minPace(limitScope) / MIN_PACE_FACTOR;
-            double step = limitScope.pace < even ? GROWTH_BELOW_EVEN : GROWTH_ABOVE_EVEN;
+            double step = limitScope.pace < even ? GROWTH_BELOW_FAIR_SHARE : GROWTH_ABOVE_FAIR_SHARE;
             limitScope.pace = Math.min(maxPace(limitScope), limitScope.pace + step * even);
         }
     }
@@ -105,6 +105,6 @@
         limitScope.rate = limit;
         limitScope.pace = Math.max(minPace(limitScope), Math.min(maxPace(limitScope), pace));
         // Relays that were killed at once do not all send at once.
-        limitScope.bucket.fill(0, random.nextDouble(), turn.now);
+        limitScope.bucket.refill(0, random.nextDouble(), turn.now);
     }
 }
--- a/src/main/java/brambletray/relay/control/Relay.java
+++ b/src/main/java/brambletray/relay/control/Relay.java
@@ -127,14 +127,14 @@
     public sealed interface Event {}
 
     /** An attempt made before a restart; {@code sent} may lie before this clock began. */
-    public record Earlier(long sent, int zone, boolean mayHaveRun) {}
+    public record PriorAttempt(long sentAt, int zone, boolean mayHaveRun) {}
 
     /**
      * A message was taken on; exactly one final answer is owed before {@code deadline}. {@code earlier}: its
      * attempts so far, if it was taken on before a restart; new attempts are numbered on from these.
      */
     public record Accepted(
-            String id, int messageClass, int tenant, String key, long deadline, long destination, List<Earlier> earlier)
+            String id, int messageClass, int tenant, String key, long deadline, long destination, List<PriorAttempt> priorAttempts)
             implements Event {
         public Accepted(String id, int messageClass, int tenant, String key, long deadline, long destination) {
             this(id, messageClass, tenant, key, deadline, destination, List.of());
@@ -145,19 +145,19 @@
      * An attempt ended. {@code retryAfter}: us, or 0. {@code remaining}, {@code limit}: -1 if not reported.
      * {@code reused}: it is known to have gone out on a connection that had carried a call before.
      */
-    public record Ended(
+    public record AttemptEnded(
             String id,
             int attempt,
             long endpoint,
             Outcome outcome,
-            boolean over,
+            boolean messageEnded,
             long retryAfter,
             long latency,
             double remaining,
             double limit,
             boolean reused)
             implements Event {
-        public Ended(
+        public AttemptEnded(
                 String id,
                 int attempt,
                 long endpoint,
@@ -172,23 +172,23 @@
     }
 
     /** The list of endpoints changed. */
-    public record Listed(ListKind kind, List<Endpoint> endpoints) implements Event {}
+    public record EndpointsListed(ListKind kind, List<Endpoint> endpoints) implements Event {}
 
     /**
      * Operators take an endpoint out of use, whatever the list says of it, or put it back: it may have been
      * restarted meanwhile, and is cold.
      */
-    public record Excluded(long endpoint, boolean out) implements Event {}
+    public record EndpointExclusion(long endpoint, boolean excluded) implements Event {}
 
     /**
      * What a module knows of an endpoint. {@code retryAfter}: us that are left of it, or 0; {@code isUnhealthy}: only
      * probes are sent; {@code slowStartAge}: us since it recovered, or -1; {@code limit}: as reported, or 0;
      * {@code pace}: of its limit scope.
      */
-    public record Known(long retryAfter, boolean isUnhealthy, long slowStartAge, double limit, double pace) {}
+    public record EndpointKnowledge(long retryAfter, boolean isUnhealthy, long slowStartAge, double limit, double pace) {}
 
     /** An earlier module knew this of a listed endpoint, and it is still believed. */
-    public record Remembered(long endpoint, Known known) implements Event {}
+    public record EndpointRestored(long endpoint, EndpointKnowledge known) implements Event {}
 
     /** The message was withdrawn; nothing is owed any more. */
     public record Withdrawn(String id) implements Event {}
@@ -196,8 +196,8 @@
     /** The capacity that this message takes is due to another: it is handed back if it has not been sent. */
     public record Recalled(String id) implements Event {}
 
-    /** A timer asked for with {@link Wake} is due. */
-    public record Due() implements Event {}
+    /** A timer asked for with {@link SetTimer} is due. */
+    public record TimerFired() implements Event {}
 
     /** Something to do. */
     public sealed interface Action {}
@@ -215,10 +215,10 @@
     public record Cancel(String id, int attempt) implements Action {}
 
     /** Close the idle connections held to an endpoint. */
-    public record Close(long endpoint) implements Action {}
+    public record CloseIdleConnections(long endpoint) implements Action {}
 
-    /** Ask for a {@link Due} event after this span. */
-    public record Wake(long after) implements Action {}
+    /** Ask for a {@link TimerFired} event after this span. */
+    public record SetTimer(long delay) implements Action {}
 
     /** A line for the operators' log. */
     public record Log(String text) implements Action {}
--- a/src/main/java/brambletray/relay/control/SendGate.java
+++ b/src/main/java/brambletray/relay/control/SendGate.java
@@ -57,7 +57,7 @@
     }
 
     /** The one gate of every send: when this message may go to this endpoint; now or earlier means it may. */
-    long opensAt(Message message, EndpointState endpoint, boolean isHedge) {
+    long earliestSendAt(Message message, EndpointState endpoint, boolean isHedge) {
         if (!endpoint.ready
                 || endpoint.disabledByOperator
                 || message.isEnded
@@ -66,7 +66,7 @@
                 || message.deadline <= turn.now
                 || !effectAllows(message, endpoint, isHedge)
                 || !message.isHeadOfKey()
-                || KeyOrder.isQuiet(message, turn.now)) {
+                || KeyOrder.inQuietPeriod(message, turn.now)) {
             return NEVER;
         }
         boolean joins = joinsBatch(endpoint);
@@ -75,7 +75,7 @@
         if (!joins && (full || endpoint.inflight >= endpoint.connectionCapacity)) {
             return NEVER;
         }
-        return outages.opensAt(endpoint, joins);
+        return outages.earliestSendAt(endpoint, joins);
     }
 
     /** The rule on effects: where an earlier attempt may have run, only what the class allows. */
@@ -126,7 +126,7 @@
         if (attempt.finish()) {
             memory.slotsUsed--;
             attempt.endpoint.idleConnections.addLast(turn.now);
-            turn.freed.add(attempt.endpoint);
+            turn.freedEndpoints.add(attempt.endpoint);
         }
         memory.dispatchable.add(attempt.endpoint.destination);
     }
--- a/src/main/java/brambletray/relay/control/State.java
+++ b/src/main/java/brambletray/relay/control/State.java
@@ -255,12 +255,12 @@
         double tokens = Double.MAX_VALUE;
         private long filledAt;
 
-        void fill(double perSecond, double most, long now) {
+        void refill(double perSecond, double most, long now) {
             tokens = Math.min(most, tokens + perSecond * (now - filledAt) / 1e6);
             filledAt = now;
         }
 
-        boolean take() {
+        boolean tryTake() {
             boolean enough = tokens >= 1;
             tokens -= enough ? 1 : 0;
             return enough;
@@ -339,7 +339,7 @@
         }
 
         /** When its retry-after time and its back-offs are over. */
-        long closedUntil() {
+        long blockedUntil() {
             return Math.max(
                     Math.max(backoffUntil, destination.backoffUntil),
                     Math.max(limitScope.waitUntil, limitScope.backoffUntil));
--- a/src/main/java/brambletray/relay/control/Turn.java
+++ b/src/main/java/brambletray/relay/control/Turn.java
@@ -2,7 +2,7 @@
 
 import brambletray.relay.control.Relay.Action;
 import brambletray.relay.control.Relay.Log;
-import brambletray.relay.control.Relay.Wake;
+import brambletray.relay.control.Relay.SetTimer;
 import brambletray.relay.control.State.EndpointState;
 import brambletray.relay.control.State.Timer;
 import brambletray.relay.control.State.TimerKind;
@@ -21,10 +21,10 @@
     /** Log lines at most: operators keep only the first few hundred. */
     private static final int MAX_LOG_LINES = 100;
     /** Endpoints whose calls ended in this turn. */
-    final Set<EndpointState> freed = new LinkedHashSet<>();
+    final Set<EndpointState> freedEndpoints = new LinkedHashSet<>();
 
     private final Memory memory;
-    private List<Action> out = new ArrayList<>();
+    private List<Action> actions = new ArrayList<>();
     private long wakeAt = NEVER;
     long now;
 
@@ -40,16 +40,16 @@
         now = time;
         memory.now = time;
         memory.startedAt = memory.turnCount++ == 0 ? now : memory.startedAt;
-        out = new ArrayList<>();
+        actions = new ArrayList<>();
     }
 
     void addAction(Action action) {
-        out.add(action);
+        actions.add(action);
     }
 
     void log(EndpointState endpoint, String what) {
         if (memory.loggedLines++ < MAX_LOG_LINES) {
-            out.add(new Log("endpoint " + endpoint.id + ": " + what));
+            actions.add(new Log("endpoint " + endpoint.id + ": " + what));
         }
     }
 
@@ -59,7 +59,7 @@
     }
 
     /** Takes the next timer that is due; null if there is none. */
-    Timer nextDue() {
+    Timer pollDueTimer() {
         return !memory.timers.isEmpty() && memory.timers.peek().dueAt() <= now ? memory.timers.poll() : null;
     }
 
@@ -76,8 +76,8 @@
         }
         if (!agenda.isEmpty() && agenda.peek().dueAt() < wakeAt) {
             wakeAt = agenda.peek().dueAt();
-            out.add(new Wake(Math.max(1, wakeAt - now)));
+            actions.add(new SetTimer(Math.max(1, wakeAt - now)));
         }
-        return out;
+        return actions;
     }
 }
--- a/src/main/java/brambletray/relay/core/DescriptorBudget.java
+++ b/src/main/java/brambletray/relay/core/DescriptorBudget.java
@@ -23,10 +23,10 @@
         /** What is left: calls and the connections kept for more. */
         HOSTS(0);
 
-        private final int wanted;
+        private final int reserved;
 
         Owner(int wanted) {
-            this.wanted = wanted;
+            this.reserved = wanted;
         }
     }
 
@@ -36,10 +36,10 @@
     /** {@code all}: descriptors that the process may have open. */
     public DescriptorBudget(int all) {
         int wanted =
-                Arrays.stream(Owner.values()).mapToInt(owner -> owner.wanted).sum();
+                Arrays.stream(Owner.values()).mapToInt(owner -> owner.reserved).sum();
         int left = all;
         for (Owner owner : Owner.values()) {
-            int share = wanted <= all / 2 ? owner.wanted : owner.wanted * (all / 2) / wanted;
+            int share = wanted <= all / 2 ? owner.reserved : owner.reserved * (all / 2) / wanted;
             shares[owner.ordinal()] =
                     owner == Owner.CLIENTS ? Math.min(all * 2 / 5, left * 4 / 5) : owner == Owner.HOSTS ? left : share;
             left -= shares[owner.ordinal()];
--- a/src/main/java/brambletray/relay/core/DispatchTrace.java
+++ b/src/main/java/brambletray/relay/core/DispatchTrace.java
@@ -42,9 +42,9 @@
                         accepted.id(),
                         accepted.destination(),
                         accepted.messageClass(),
-                        accepted.earlier().size(),
+                        accepted.priorAttempts().size(),
                         (accepted.deadline() - micros) / 1_000);
-            } else if (event instanceof Relay.Ended ended) {
+            } else if (event instanceof Relay.AttemptEnded ended) {
                 LOG.debug(
                         "{} end {} host {} {} wait {} took {} left {} limit {} reused {}",
                         unix,
@@ -56,7 +56,7 @@
                         ended.remaining(),
                         ended.limit(),
                         ended.reused());
-            } else if (event instanceof Relay.Listed list) {
+            } else if (event instanceof Relay.EndpointsListed list) {
                 for (Relay.Endpoint endpoint : list.endpoints()) {
                     LOG.debug(
                             "{} list {} host {} dest {} kind {} zone {} {} weight {}",
@@ -78,7 +78,7 @@
                 LOG.debug("{} refuse {} after {}", unix, refuse.id(), refuse.retryAfter());
             } else if (action instanceof Relay.Fail fail) {
                 LOG.debug("{} fail {}", unix, fail.id());
-            } else if (action instanceof Relay.Close close) {
+            } else if (action instanceof Relay.CloseIdleConnections close) {
                 LOG.debug("{} close host {}", unix, close.endpoint());
             }
         }
--- a/src/main/java/brambletray/relay/core/EventDispatcher.java
+++ b/src/main/java/brambletray/relay/core/EventDispatcher.java
@@ -33,11 +33,11 @@
     /** us; retry-after time of a client that is rejected before the module has seen its message. */
     private static final long RETRY_AFTER_US = 1_000_000;
     /** ms that a message must have left when it leaves the admission gate, to be delivered or ended by a notice. */
-    private static final long MIN_TIME_AT_GATE_MS = 300;
+    private static final long MIN_REMAINING_LIFETIME_MS = 300;
 
     private static final long FAULT_BACKOFF_US = 100_000;
     /** s; between looks at hosts: what can be forgotten, and what is worth recording. */
-    private static final long TIDY_INTERVAL_S = 1;
+    private static final long MAINTENANCE_INTERVAL_S = 1;
 
     private final EventLoop loop;
     private final Clock clock;
@@ -45,7 +45,7 @@
     private final Relay.Settings settings;
     private final Control control;
     /** us; from the clock to the module's. */
-    private final long clockOffset;
+    private final long clockOffsetUs;
     /** Who gets the replies of calls that were out when this loop was handed on; null before. */
     private Successor successor;
 
@@ -53,20 +53,20 @@
     private final HostTransport transport;
     private final Journal journal;
     private Platform platform;
-    private final Map<String, Integer> classes = new HashMap<>();
+    private final Map<String, Integer> classIndexes = new HashMap<>();
     private final Map<String, PendingMessage> pendingMessages = new HashMap<>();
     private List<Relay.Event> events = new ArrayList<>();
     /** Messages taken on that the admission gate has not let in. */
     private final Set<String> waitingAtGate = new HashSet<>();
 
-    private final Map<String, SubmissionResult> unanswered = new LinkedHashMap<>();
+    private final Map<String, SubmissionResult> unansweredSubmissions = new LinkedHashMap<>();
     private boolean turnDue;
     private boolean stopped;
     private int openMessages;
     private CompletionListener completionListener = CompletionListener.NONE;
     private AdmissionGate admissionGate = AdmissionGate.ALWAYS_OPEN;
     private boolean commitDue;
-    /** The last batch failed: only what clients wait for is committed before {@link #commitAgain}. */
+    /** The last batch failed: only what clients wait for is committed before {@link #retryCommit}. */
     private boolean commitRetryPending;
 
     private final CallSender callSender;
@@ -103,7 +103,7 @@
                 journal,
                 metrics,
                 new Control(seed, settings, from.memory()),
-                from.timeAt(machine.clock().unixMillis()) - machine.clock().micros());
+                from.controlTimeAt(machine.clock().unixMillis()) - machine.clock().micros());
     }
 
     private EventDispatcher(
@@ -120,7 +120,7 @@
         this.rateLimitedLog = new RateLimitedLog(LOG, clock);
         this.settings = settings;
         this.control = control;
-        this.clockOffset = shift;
+        this.clockOffsetUs = shift;
         this.hosts = hosts;
         this.transport = transport;
         this.journal = journal;
@@ -141,9 +141,9 @@
                 hosts,
                 new HostKnowledgeJournal(journal.store()),
                 settings.rules().cold());
-        loop.scheduleWithFixedDelay(this::tidy, TIDY_INTERVAL_S, TIDY_INTERVAL_S, TimeUnit.SECONDS);
+        loop.scheduleWithFixedDelay(this::runMaintenance, MAINTENANCE_INTERVAL_S, MAINTENANCE_INTERVAL_S, TimeUnit.SECONDS);
         for (int i = 0; i < settings.classes().size(); i++) {
-            classes.put(settings.classes().get(i).name(), i);
+            classIndexes.put(settings.classes().get(i).name(), i);
         }
     }
 
@@ -151,19 +151,19 @@
      * Reports to the module the list as last had (null: none) and what the journal holds, then begins to watch the
      * platform, which is to call {@link #onListed} and {@link #onNoticeAcknowledged}.
      */
-    public void start(Platform platform, Relay.Listed known) {
+    public void start(Platform platform, Relay.EndpointsListed known) {
         this.platform = platform;
         if (DispatchTrace.ON) {
             DispatchTrace.settings(clock.unixMillis(), settings);
         }
         if (known != null) {
-            addEvent(hostKnowledge.withoutLeavers(known));
-            hostKnowledge.believedEvents().forEach(this::addEvent);
+            addEvent(hostKnowledge.withLeavingHostsDraining(known));
+            hostKnowledge.restoredEvents().forEach(this::addEvent);
         }
         for (Journal.Entry entry : journal.owed()) {
             if (entry.end != null) {
                 platform.postNotice(entry);
-            } else if (!classes.containsKey(entry.message.messageClass())) {
+            } else if (!classIndexes.containsKey(entry.message.messageClass())) {
                 LOG.warn("message {} given up: its class {} is gone", entry.message.id(), entry.message.messageClass());
                 endMessage(entry, new Journal.End(false, 0));
             } else {
@@ -179,38 +179,38 @@
         PendingMessage pending = new PendingMessage(entry.message, entry);
         pendingMessages.put(pending.message.id(), pending);
         openMessages++;
-        metrics.taken(classes.get(pending.message.messageClass()));
-        List<Relay.Earlier> earlier = new ArrayList<>();
+        metrics.taken(classIndexes.get(pending.message.messageClass()));
+        List<Relay.PriorAttempt> earlier = new ArrayList<>();
         for (Journal.Attempt attempt : entry.attempts) {
             pending.calls.add(null);
-            earlier.add(new Relay.Earlier(moduleTime(attempt.sent), attempt.zone, attempt.mayHaveRun));
+            earlier.add(new Relay.PriorAttempt(toControlTime(attempt.sent), attempt.zone, attempt.mayHaveRun));
         }
         admissionGate.onRecovered(pending.message);
         if (!earlier.isEmpty()) {
             admissionGate.onSent(pending.message.id());
         }
-        addEvent(accepted(pending.message, earlier));
+        addEvent(acceptedEvent(pending.message, earlier));
     }
 
-    private Relay.Accepted accepted(Message message, List<Relay.Earlier> earlier) {
+    private Relay.Accepted acceptedEvent(Message message, List<Relay.PriorAttempt> earlier) {
         return new Relay.Accepted(
                 message.id(),
-                classes.get(message.messageClass()),
+                classIndexes.get(message.messageClass()),
                 message.tenant(),
                 message.routeKey(),
-                moduleTime(message.deadline()),
+                toControlTime(message.deadline()),
                 message.destination(),
                 earlier);
     }
 
     @Override
-    public boolean knows(String messageClass, long destination) {
-        return classes.containsKey(messageClass) && hosts.knows(destination);
+    public boolean isRoutable(String messageClass, long destination) {
+        return classIndexes.containsKey(messageClass) && hosts.hasDestination(destination);
     }
 
     @Override
     public Relay.MessageClass messageClass(String name) {
-        return classes.containsKey(name) ? settings.classes().get(classes.get(name)) : null;
+        return classIndexes.containsKey(name) ? settings.classes().get(classIndexes.get(name)) : null;
     }
 
     @Override
@@ -224,8 +224,8 @@
     }
 
     /** Discovery has moved. */
-    public void onDiscoveryMoved(InetSocketAddress agent) {
-        platform.onAgentMoved(agent);
+    public void onAgentAddressChanged(InetSocketAddress agent) {
+        platform.onAgentAddressChanged(agent);
     }
 
     /** The process ends: nothing more is decided or written down, calls still out count as may have run. */
@@ -251,29 +251,29 @@
             return;
         }
         if (known != null || openMessages >= settings.allowed().openMessages()) {
-            metrics.turnedAway(classes.get(message.messageClass()), End.REFUSED);
+            metrics.turnedAway(classIndexes.get(message.messageClass()), End.REFUSED);
             answer.refused(RETRY_AFTER_US);
             return;
         }
         AdmissionGate.Decision entry = admissionGate.admit(message);
         if (entry instanceof AdmissionGate.Rejected turned) {
             turned.recalledIds().forEach(id -> addEvent(new Relay.Recalled(id)));
-            metrics.turnedAway(classes.get(message.messageClass()), End.REFUSED);
+            metrics.turnedAway(classIndexes.get(message.messageClass()), End.REFUSED);
             answer.refused(turned.retryAfter());
             return;
         }
         PendingMessage pending = new PendingMessage(message, null);
         pendingMessages.put(message.id(), pending);
         openMessages++;
-        metrics.taken(classes.get(message.messageClass()));
-        unanswered.put(message.id(), answer);
+        metrics.taken(classIndexes.get(message.messageClass()));
+        unansweredSubmissions.put(message.id(), answer);
         // The turn comes when the event loop has read what else is there: one batch, and one sync, for all of it.
         if (entry instanceof AdmissionGate.Deferred later) {
             waitingAtGate.add(message.id());
-            addEvent(new Relay.Due());
+            addEvent(new Relay.TimerFired());
             loop.schedule(() -> retryAdmission(pending), later.retryAfter(), TimeUnit.MICROSECONDS);
         } else {
-            addEvent(accepted(message, List.of()));
+            addEvent(acceptedEvent(message, List.of()));
         }
     }
 
@@ -285,8 +285,8 @@
         AdmissionGate.Decision entry = admissionGate.retry(pending.message);
         if (!(entry instanceof AdmissionGate.Deferred later)) {
             waitingAtGate.remove(pending.message.id());
-            addEvent(accepted(pending.message, List.of()));
-        } else if (clock.unixMillis() + later.retryAfter() / 1_000 + MIN_TIME_AT_GATE_MS
+            addEvent(acceptedEvent(pending.message, List.of()));
+        } else if (clock.unixMillis() + later.retryAfter() / 1_000 + MIN_REMAINING_LIFETIME_MS
                 >= pending.message.deadline()) {
             endMessage(pending.message.id(), new Journal.End(true, later.retryAfter()));
         } else {
@@ -320,13 +320,13 @@
         }
     }
 
-    private long micros() {
-        return clock.micros() + clockOffset;
+    private long controlTimeUs() {
+        return clock.micros() + clockOffsetUs;
     }
 
     /** Unix time in ms to the module's clock, which may then be below 0. */
-    private long moduleTime(long unix) {
-        return micros() + (unix - clock.unixMillis()) * 1_000;
+    private long toControlTime(long unix) {
+        return controlTimeUs() + (unix - clock.unixMillis()) * 1_000;
     }
 
     private void turn() {
@@ -337,11 +337,11 @@
         List<Relay.Event> taken = events;
         events = new ArrayList<>();
         try {
-            List<Relay.Action> actions = control.turn(micros(), taken);
+            List<Relay.Action> actions = control.turn(controlTimeUs(), taken);
             if (DispatchTrace.ON) {
-                DispatchTrace.turn(clock.unixMillis(), micros(), taken, actions);
+                DispatchTrace.turn(clock.unixMillis(), controlTimeUs(), taken, actions);
             }
-            hostKnowledge.onDecided(taken);
+            hostKnowledge.stageRetryAfterTimes(taken);
             answerClients(actions);
             for (Relay.Action action : actions) {
                 try {
@@ -353,11 +353,11 @@
         } catch (RuntimeException e) {
             LOG.error("turn failed on {}", taken, e);
             // Guards against standing still: the module's timer may have been lost with the turn.
-            loop.schedule(() -> addEvent(new Relay.Due()), FAULT_BACKOFF_US, TimeUnit.MICROSECONDS);
+            loop.schedule(() -> addEvent(new Relay.TimerFired()), FAULT_BACKOFF_US, TimeUnit.MICROSECONDS);
         } finally {
             // Guards clients against getting no answer if the turn failed: nothing was written down for these.
-            for (String id : List.copyOf(unanswered.keySet())) {
-                refuse(id, unanswered.get(id));
+            for (String id : List.copyOf(unansweredSubmissions.keySet())) {
+                refuse(id, unansweredSubmissions.get(id));
             }
             callSender.clear();
         }
@@ -373,16 +373,16 @@
      * after that is anything sent.
      */
     private void answerClients(List<Relay.Action> actions) {
-        for (Relay.Action action : unanswered.isEmpty() ? List.<Relay.Action>of() : actions) {
-            if (action instanceof Relay.Refuse refuse && unanswered.containsKey(refuse.id())) {
+        for (Relay.Action action : unansweredSubmissions.isEmpty() ? List.<Relay.Action>of() : actions) {
+            if (action instanceof Relay.Refuse refuse && unansweredSubmissions.containsKey(refuse.id())) {
                 complete(pendingMessages.get(refuse.id()), End.REFUSED);
-                unanswered.remove(refuse.id()).refused(refuse.retryAfter());
-            } else if (action instanceof Relay.Fail fail && unanswered.containsKey(fail.id())) {
+                unansweredSubmissions.remove(refuse.id()).refused(refuse.retryAfter());
+            } else if (action instanceof Relay.Fail fail && unansweredSubmissions.containsKey(fail.id())) {
                 complete(pendingMessages.get(fail.id()), End.FAILED);
-                unanswered.remove(fail.id()).failed();
+                unansweredSubmissions.remove(fail.id()).failed();
             }
         }
-        for (String id : List.copyOf(unanswered.keySet())) {
+        for (String id : List.copyOf(unansweredSubmissions.keySet())) {
             PendingMessage pending = pendingMessages.get(id);
             try {
                 pending.entry = journal.take(pending.message, clock.unixMillis());
@@ -390,9 +390,9 @@
                 LOG.error("store cannot be written, message {} refused", id, e);
             }
             if (pending.entry == null) {
-                refuse(id, unanswered.get(id));
+                refuse(id, unansweredSubmissions.get(id));
             } else {
-                unanswered.get(id).onStaged();
+                unansweredSubmissions.get(id).onStaged();
             }
         }
         for (Relay.Action action : actions) {
@@ -401,21 +401,21 @@
             }
         }
         commit();
-        for (String id : List.copyOf(unanswered.keySet())) {
+        for (String id : List.copyOf(unansweredSubmissions.keySet())) {
             PendingMessage pending = pendingMessages.get(id);
             if (pending.entry.held()) {
                 pending.message = pending.entry.message;
-                unanswered.remove(id).accepted();
+                unansweredSubmissions.remove(id).accepted();
             } else if (pending.entry.uncertain()) {
                 // It may be found after a restart: its client must not be told that another try does no harm.
-                SubmissionResult answer = unanswered.remove(id);
+                SubmissionResult answer = unansweredSubmissions.remove(id);
                 answer.onNotStored();
                 complete(pending, End.FAILED);
                 addEvent(new Relay.Withdrawn(id));
                 answer.failed();
             } else {
-                unanswered.get(id).onNotStored();
-                refuse(id, unanswered.get(id));
+                unansweredSubmissions.get(id).onNotStored();
+                refuse(id, unansweredSubmissions.get(id));
             }
         }
     }
@@ -437,7 +437,7 @@
             // Guards the event loop's turns against a store that fails at once: what is staged anew waits.
             if (!commitRetryPending) {
                 commitRetryPending = true;
-                loop.schedule(this::commitAgain, FAULT_BACKOFF_US, TimeUnit.MICROSECONDS);
+                loop.schedule(this::retryCommit, FAULT_BACKOFF_US, TimeUnit.MICROSECONDS);
             }
             completionListener.onBatchFailed();
             written = false;
@@ -448,7 +448,7 @@
         return written;
     }
 
-    private void commitAgain() {
+    private void retryCommit() {
         commitRetryPending = false;
         commit();
     }
@@ -462,7 +462,7 @@
     }
 
     private void refuse(String id, SubmissionResult answer) {
-        unanswered.remove(id);
+        unansweredSubmissions.remove(id);
         complete(pendingMessages.get(id), End.REFUSED);
         addEvent(new Relay.Withdrawn(id));
         answer.refused(RETRY_AFTER_US);
@@ -481,13 +481,13 @@
             if (call != null) {
                 call.cancel();
             }
-        } else if (action instanceof Relay.Close close) {
+        } else if (action instanceof Relay.CloseIdleConnections close) {
             Host host = hosts.host(close.endpoint());
             if (host != null) {
                 transport.closeIdle(host);
             }
-        } else if (action instanceof Relay.Wake wake) {
-            loop.schedule(() -> addEvent(new Relay.Due()), wake.after(), TimeUnit.MICROSECONDS);
+        } else if (action instanceof Relay.SetTimer wake) {
+            loop.schedule(() -> addEvent(new Relay.TimerFired()), wake.delay(), TimeUnit.MICROSECONDS);
         } else if (action instanceof Relay.Log log) {
             LOG.info("{}", log.text());
         }
@@ -523,10 +523,10 @@
                         0);
                 closeEntry(pending.entry);
             } else if (reply.outcome().neverRan()) {
-                recordNotRun(pending, attempt);
+                recordAttemptNotRun(pending, attempt);
             }
         }
-        addEvent(new Relay.Ended(
+        addEvent(new Relay.AttemptEnded(
                 pending.message.id(),
                 attempt,
                 host.number,
@@ -540,7 +540,7 @@
         forgetIfDone(pending);
     }
 
-    private void recordNotRun(PendingMessage pending, int attempt) {
+    private void recordAttemptNotRun(PendingMessage pending, int attempt) {
         try {
             journal.notRun(pending.entry, attempt);
         } catch (IOException e) {
@@ -599,7 +599,7 @@
         pending.isCompleted = true;
         waitingAtGate.remove(pending.message.id());
         openMessages--;
-        metrics.ended(classes.get(pending.message.messageClass()), end);
+        metrics.ended(classIndexes.get(pending.message.messageClass()), end);
         admissionGate.onEnded(pending.message.id());
         // Guards slots: a send decided in the turn that refuses its message must find it, and end.
         loop.execute(() -> forgetIfDone(pending));
@@ -617,7 +617,7 @@
      * turns. Null where they do, or while an event has not been decided.
      */
     public String findInconsistency() {
-        if (stopped || turnDue || !events.isEmpty() || !unanswered.isEmpty()) {
+        if (stopped || turnDue || !events.isEmpty() || !unansweredSubmissions.isEmpty()) {
             return null;
         }
         Set<String> here = new TreeSet<>();
@@ -626,17 +626,17 @@
                 .forEach(pending -> here.add(pending.message.id()));
         Set<String> owed = new TreeSet<>();
         journal.owed().stream().filter(entry -> entry.end == null).forEach(entry -> owed.add(entry.message.id()));
-        Set<String> decided = new TreeSet<>(control.memory().openMessages().keySet());
+        Set<String> decided = new TreeSet<>(control.memory().openMessageAttemptCounts().keySet());
         // A message that waits at the admission gate is held and written down, and the module has not heard of it.
         decided.addAll(waitingAtGate);
         if (here.equals(owed) && here.equals(decided) && here.size() == openMessages) {
             return null;
         }
-        return "loop " + openMessages + " " + summary(here) + ", module " + summary(decided) + ", journal "
-                + summary(owed);
+        return "loop " + openMessages + " " + summarize(here) + ", module " + summarize(decided) + ", journal "
+                + summarize(owed);
     }
 
-    private static String summary(Set<String> ids) {
+    private static String summarize(Set<String> ids) {
         return ids.size() + " " + ids.stream().limit(3).toList();
     }
 
@@ -669,7 +669,7 @@
     /** Nothing new goes to this host from now on; or it may be used again, with care. */
     public void setExcluded(Host host, boolean out) {
         host.excluded = out;
-        addEvent(new Relay.Excluded(host.number, out));
+        addEvent(new Relay.EndpointExclusion(host.number, out));
         if (out) {
             transport.recall(host);
             transport.closeIdle(host);
@@ -683,7 +683,7 @@
 
     /** Listed hosts that get no ordinary traffic now. */
     public int avoidedHosts() {
-        return control.avoided();
+        return control.unavailableEndpointCount();
     }
 
     // ---- Hand-over ------------------------------------------------------------------------------
@@ -700,7 +700,7 @@
         List<HandoverState.CallInFlight> outs = new ArrayList<>();
         for (PendingMessage pending : pendingMessages.values()) {
             if (!pending.isCompleted) {
-                metrics.ended(classes.get(pending.message.messageClass()), End.HANDED_ON);
+                metrics.ended(classIndexes.get(pending.message.messageClass()), End.HANDED_ON);
             }
             for (int i = 0; i < pending.calls.size(); i++) {
                 if (pending.isInFlight(i)) {
@@ -711,7 +711,7 @@
         }
         Map<String, Long> numbers = new HashMap<>();
         hosts.hosts().forEach(host -> numbers.put(host.name, host.number));
-        return new HandoverState(control.memory(), micros(), clock.unixMillis(), numbers, outs);
+        return new HandoverState(control.memory(), controlTimeUs(), clock.unixMillis(), numbers, outs);
     }
 
     /** Takes back the calls to a host, or to all (null), that were handed on and of which no byte is out. */
@@ -749,7 +749,7 @@
     }
 
     /** In the place of {@link #start}: goes on with what was handed on; {@code whole}: the list as it is. */
-    public void resume(Platform on, Relay.Listed whole, HandoverState from, RemoteCalls remoteCalls) {
+    public void resume(Platform on, Relay.EndpointsListed whole, HandoverState from, RemoteCalls remoteCalls) {
         platform = on;
         hostKnowledge.onHandedOver();
         for (Journal.Entry entry : journal.owed()) {
@@ -761,11 +761,11 @@
             entry.attempts.forEach(attempt -> pending.calls.add(null));
             pendingMessages.put(pending.message.id(), pending);
             openMessages++;
-            metrics.taken(classes.get(pending.message.messageClass()));
+            metrics.taken(classIndexes.get(pending.message.messageClass()));
             admissionGate.onRecovered(pending.message);
         }
         for (HandoverState.CallInFlight call : from.callsInFlight()) {
-            PendingMessage pending = pendingMessages.computeIfAbsent(call.id(), id -> PendingMessage.isCompleted(id));
+            PendingMessage pending = pendingMessages.computeIfAbsent(call.id(), id -> PendingMessage.completed(id));
             while (pending.calls.size() <= call.attempt()) {
                 pending.calls.add(null);
             }
@@ -784,7 +784,7 @@
 
     // ---- List -----------------------------------------------------------------------------------
     /** The list or its changes are here, and {@link HostDirectory} holds them. */
-    public void onListed(Relay.Listed list) {
+    public void onListed(Relay.EndpointsListed list) {
         addEvent(list);
         hostKnowledge.onListed(list).forEach(this::addEvent);
         commitSoon();
@@ -794,18 +794,18 @@
                 transport.closeIdle(host);
             }
         }
-        forgetGone();
+        removeGoneHosts();
     }
 
-    private void tidy() {
-        forgetGone();
+    private void runMaintenance() {
+        removeGoneHosts();
         if (!stopped && hostKnowledge.recordChanges()) {
             commitSoon();
         }
     }
 
     /** Hosts come and go all day: what is gone and has nothing out is not kept. */
-    private void forgetGone() {
+    private void removeGoneHosts() {
         for (Host host : List.copyOf(hosts.hosts())) {
             if (host.gone && !host.excluded && transport.forget(host)) {
                 hosts.forget(host);
--- a/src/main/java/brambletray/relay/core/HostDirectory.java
+++ b/src/main/java/brambletray/relay/core/HostDirectory.java
@@ -11,7 +11,7 @@
     Collection<Host> hosts();
 
     /** True for a name that some list has had, as far back as is remembered. */
-    boolean hasNamed(String name);
+    boolean wasListed(String name);
 
     /** The host of this name; one that is not held is made, as gone: it has its number when it is listed. */
     Host hostNamed(String name);
@@ -26,5 +26,5 @@
     void forget(Host host);
 
     /** True for a destination that a list has named; it stays one while all of its hosts are gone. */
-    boolean knows(long destination);
+    boolean hasDestination(long destination);
 }
--- a/src/main/java/brambletray/relay/core/HostKnowledgeRecorder.java
+++ b/src/main/java/brambletray/relay/core/HostKnowledgeRecorder.java
@@ -32,17 +32,17 @@
      * Hosts of earlier runs of the process that no list has named yet; of those known, what is believed is reported
      * once.
      */
-    private final Set<String> unreported = new HashSet<>();
+    private final Set<String> notYetRestored = new HashSet<>();
     /**
      * Hosts that no list of the platform in this run of the process has spoken of, and that had left when it last did.
      */
-    private final Set<String> leftBeforeStart = new HashSet<>();
+    private final Set<String> leftSinceLastKnownList = new HashSet<>();
     /** By name, the version of the list by which it leaves. */
-    private final Map<String, Long> leaving = new HashMap<>();
+    private final Map<String, Long> leftInVersion = new HashMap<>();
     /** Names of gone hosts, the oldest first. */
-    private final Set<String> gone = new LinkedHashSet<>();
+    private final Set<String> goneHosts = new LinkedHashSet<>();
     /** Of the batch that is not written yet. */
-    private final List<String> staged = new ArrayList<>();
+    private final List<String> stagedHosts = new ArrayList<>();
 
     /** {@code slowStartUs}: us that a host needs for slow start. */
     HostKnowledgeRecorder(Clock clock, Control control, HostDirectory hosts, HostKnowledgeJournal notes, long cold) {
@@ -53,16 +53,16 @@
         this.slowStartUs = cold;
         for (HostStateCache.Entry note : notes.found()) {
             stateCache.restore(note);
-            unreported.add(note.host());
+            notYetRestored.add(note.host());
             if (note.leftInVersion() != HostStateCache.IN_USE) {
-                leaving.put(note.host(), note.leftInVersion());
-                gone.add(note.host());
+                leftInVersion.put(note.host(), note.leftInVersion());
+                goneHosts.add(note.host());
             }
         }
     }
 
     /** The list from before the start, in which hosts that were leaving since get nothing new. */
-    Relay.Listed withoutLeavers(Relay.Listed known) {
+    Relay.EndpointsListed withLeavingHostsDraining(Relay.EndpointsListed known) {
         List<Relay.Endpoint> endpoints = new ArrayList<>();
         for (Relay.Endpoint endpoint : known.endpoints()) {
             Host host = hosts.host(endpoint.id());
@@ -70,7 +70,7 @@
                     endpoint.listing() == Relay.Listing.READY && stateCache.hasLeftSince(host.name, hosts.version());
             if (since) {
                 host.ready = false;
-                leftBeforeStart.add(host.name);
+                leftSinceLastKnownList.add(host.name);
             }
             endpoints.add(
                     since
@@ -83,52 +83,52 @@
                                     endpoint.weight())
                             : endpoint);
         }
-        return new Relay.Listed(known.kind(), endpoints);
+        return new Relay.EndpointsListed(known.kind(), endpoints);
     }
 
     /** A list of the platform is held; the events for the module beside it. */
-    List<Relay.Event> onListed(Relay.Listed list) {
+    List<Relay.Event> onListed(Relay.EndpointsListed list) {
         for (Host host : hosts.hosts()) {
             if (host.ready) {
-                leaving.remove(host.name);
+                leftInVersion.remove(host.name);
             } else {
-                leaving.putIfAbsent(host.name, hosts.version());
+                leftInVersion.putIfAbsent(host.name, hosts.version());
             }
         }
-        List<Relay.Event> taken = new ArrayList<>(relist(list));
-        taken.addAll(believedEvents());
+        List<Relay.Event> taken = new ArrayList<>(relistUnmentionedHosts(list));
+        taken.addAll(restoredEvents());
         recordChanges();
         return taken;
     }
 
     /** Those that the platform does not speak of are as the list from before the start has them. */
-    private List<Relay.Event> relist(Relay.Listed list) {
+    private List<Relay.Event> relistUnmentionedHosts(Relay.EndpointsListed list) {
         list.endpoints()
-                .forEach(endpoint -> leftBeforeStart.remove(
+                .forEach(endpoint -> leftSinceLastKnownList.remove(
                         hosts.host(endpoint.id()) == null ? "" : hosts.host(endpoint.id()).name));
         List<Relay.Endpoint> again = new ArrayList<>();
         for (Host host : hosts.hosts()) {
-            if (leftBeforeStart.remove(host.name) && !host.gone) {
+            if (leftSinceLastKnownList.remove(host.name) && !host.gone) {
                 host.ready = true;
-                leaving.remove(host.name);
+                leftInVersion.remove(host.name);
                 again.add(new Relay.Endpoint(
                         host.number, host.zone, host.kind, host.destination, Relay.Listing.READY, host.weight));
             }
         }
-        leftBeforeStart.clear();
-        return again.isEmpty() ? List.of() : List.of(new Relay.Listed(Relay.ListKind.CHANGES, again));
+        leftSinceLastKnownList.clear();
+        return again.isEmpty() ? List.of() : List.of(new Relay.EndpointsListed(Relay.ListKind.CHANGES, again));
     }
 
     /** What is still believed of the hosts that are listed by now. */
-    List<Relay.Event> believedEvents() {
+    List<Relay.Event> restoredEvents() {
         List<Relay.Event> taken = new ArrayList<>();
-        for (Host host : unreported.isEmpty() ? List.<Host>of() : hosts.hosts()) {
-            if (!host.gone && unreported.remove(host.name)) {
+        for (Host host : notYetRestored.isEmpty() ? List.<Host>of() : hosts.hosts()) {
+            if (!host.gone && notYetRestored.remove(host.name)) {
                 HostKnowledge known = stateCache.stillValid(host.name, clock.moment(), slowStartUs);
                 if (!known.equals(HostKnowledge.NONE)) {
-                    taken.add(new Relay.Remembered(
+                    taken.add(new Relay.EndpointRestored(
                             host.number,
-                            new Relay.Known(
+                            new Relay.EndpointKnowledge(
                                     known.retryAfterUs(),
                                     known.isUnhealthy(),
                                     known.slowStartAgeUs(),
@@ -141,9 +141,9 @@
     }
 
     /** The module has decided on these: retry-after times in them are noted before anything of it goes out. */
-    void onDecided(List<Relay.Event> events) {
+    void stageRetryAfterTimes(List<Relay.Event> events) {
         for (Relay.Event event : events) {
-            if (event instanceof Relay.Ended ended && ended.retryAfter() > 0 && hosts.host(ended.endpoint()) != null) {
+            if (event instanceof Relay.AttemptEnded ended && ended.retryAfter() > 0 && hosts.host(ended.endpoint()) != null) {
                 record(hosts.host(ended.endpoint()));
             }
         }
@@ -151,27 +151,27 @@
 
     /** Looks at all hosts; true where something was staged. */
     boolean recordChanges() {
-        int before = staged.size();
+        int before = stagedHosts.size();
         hosts.hosts().forEach(this::record);
-        return staged.size() > before;
+        return stagedHosts.size() > before;
     }
 
     private void record(Host host) {
-        if (unreported.contains(host.name)) {
+        if (notYetRestored.contains(host.name)) {
             return;
         }
-        Relay.Known known = control.known(host.number);
+        Relay.EndpointKnowledge known = control.endpointKnowledge(host.number);
         HostKnowledge here = known == null
                 ? HostKnowledge.NONE
                 : new HostKnowledge(
                         known.retryAfter(), known.isUnhealthy(), known.slowStartAge(), known.limit(), known.pace());
         HostStateCache.Entry note = stateCache.nextEntry(
-                clock.moment(), host.name, leaving.getOrDefault(host.name, HostStateCache.IN_USE), here);
+                clock.moment(), host.name, leftInVersion.getOrDefault(host.name, HostStateCache.IN_USE), here);
         if (note == null) {
             return;
         }
         if (journal.put(note)) {
-            staged.add(host.name);
+            stagedHosts.add(host.name);
         } else {
             stateCache.forget(host.name);
         }
@@ -180,14 +180,14 @@
     /** A batch was written, or failed: what it held is then noted anew. */
     void onWritten(boolean lasts) {
         if (!lasts) {
-            staged.forEach(stateCache::forget);
+            stagedHosts.forEach(stateCache::forget);
         }
-        staged.clear();
+        stagedHosts.clear();
     }
 
     /** This run of the process goes on with the memory of the one before. */
     void onHandedOver() {
-        unreported.clear();
+        notYetRestored.clear();
     }
 
     /**
@@ -195,12 +195,12 @@
      * begins with may still name it.
      */
     void onForgotten(Host host) {
-        gone.add(host.name);
-        if (gone.size() > MAX_GONE_HOSTS) {
-            String oldest = gone.iterator().next();
-            gone.remove(oldest);
+        goneHosts.add(host.name);
+        if (goneHosts.size() > MAX_GONE_HOSTS) {
+            String oldest = goneHosts.iterator().next();
+            goneHosts.remove(oldest);
             if (hosts.hosts().stream().noneMatch(other -> other.name.equals(oldest))) {
-                leaving.remove(oldest);
+                leftInVersion.remove(oldest);
                 stateCache.forget(oldest);
                 journal.drop(oldest);
             }
--- a/src/main/java/brambletray/relay/core/JournalCompaction.java
+++ b/src/main/java/brambletray/relay/core/JournalCompaction.java
@@ -13,9 +13,9 @@
 final class JournalCompaction {
     private static final Logger LOG = LoggerFactory.getLogger(JournalCompaction.class);
     /** How long one slice may take, ns; the gap to the next, us. */
-    private static final long SLICE_NS = 500_000;
+    private static final long SLICE_BUDGET_NS = 500_000;
 
-    private static final long GAP_US = 2_000;
+    private static final long SLICE_GAP_US = 2_000;
 
     private final EventLoop loop;
     private final Clock clock;
@@ -45,14 +45,14 @@
             return;
         }
         try {
-            journal.compact(clock::nanos, SLICE_NS);
+            journal.compact(clock::nanos, SLICE_BUDGET_NS);
         } catch (IOException e) {
             LOG.error("store cannot be compacted: it grows until this is mended", e);
             return;
         }
         if (journal.wantsCompaction()) {
             isScheduled = true;
-            loop.schedule(this::runSlice, GAP_US, TimeUnit.MICROSECONDS);
+            loop.schedule(this::runSlice, SLICE_GAP_US, TimeUnit.MICROSECONDS);
         }
     }
 }
--- a/src/main/java/brambletray/relay/core/MessageReceiver.java
+++ b/src/main/java/brambletray/relay/core/MessageReceiver.java
@@ -15,7 +15,7 @@
     void withdraw(String id);
 
     /** True for a class of the settings and a destination that a list has named. */
-    boolean knows(String messageClass, long destination);
+    boolean isRoutable(String messageClass, long destination);
 
     /** A class of the settings by its name; null for none. */
     Relay.MessageClass messageClass(String name);
--- a/src/main/java/brambletray/relay/core/PendingMessage.java
+++ b/src/main/java/brambletray/relay/core/PendingMessage.java
@@ -25,7 +25,7 @@
     }
 
     /** One that has had its end, of which only the id is known; calls for it are still out. */
-    static PendingMessage isCompleted(String id) {
+    static PendingMessage completed(String id) {
         PendingMessage pending =
                 new PendingMessage(new Message(id, "", 0, null, null, 0, 0, Body.of(new byte[0])), null);
         pending.isCompleted = true;
--- a/src/main/java/brambletray/relay/core/Platform.java
+++ b/src/main/java/brambletray/relay/core/Platform.java
@@ -21,5 +21,5 @@
     default void release() {}
 
     /** It is reached at another address from now on. */
-    void onAgentMoved(InetSocketAddress agent);
+    void onAgentAddressChanged(InetSocketAddress agent);
 }
--- a/src/main/java/brambletray/relay/handover/ProcessHandover.java
+++ b/src/main/java/brambletray/relay/handover/ProcessHandover.java
@@ -232,7 +232,7 @@
             memory = new byte[0];
         }
         tellAfter(new HandoverFrame.State(
-                handoff.moduleTimeUs(), handoff.unixMs(), handoff.hostNumbers(), handoff.callsInFlight(), memory));
+                handoff.controlTimeUs(), handoff.unixMs(), handoff.hostNumbers(), handoff.callsInFlight(), memory));
         duties.takeBackOut(null);
         duties.serveOut();
     }
--- a/src/main/java/brambletray/relay/http/clients/Submission.java
+++ b/src/main/java/brambletray/relay/http/clients/Submission.java
@@ -37,7 +37,7 @@
             throw new Bad(HttpResponseStatus.NOT_FOUND, "unknown class");
         }
         long destination = destination(headers.get("X-Envelope", ""));
-        if (!intake.knows(name, destination)) {
+        if (!intake.isRoutable(name, destination)) {
             throw new Bad(HttpResponseStatus.NOT_FOUND, "unknown destination " + destination);
         }
         String key = text(headers, "Idempotency-Key", KEY_MOST, kind.effect() == Relay.Effect.KEYED);
--- a/src/main/java/brambletray/relay/journal/Journal.java
+++ b/src/main/java/brambletray/relay/journal/Journal.java
@@ -186,7 +186,7 @@
         Entry entry = new Entry(chain.key(), message);
         entry.chain = chain;
         entry.taken = taken;
-        entry.message = message.with(new Kept(chain, first.length - in.available(), in.available()));
+        entry.message = message.withBody(new Kept(chain, first.length - in.available(), in.available()));
         for (int i = 1; i < chain.size(); i++) {
             DataInputStream more = new DataInputStream(new ByteArrayInputStream(store.read(chain, i)));
             byte sort = more.readByte();
@@ -261,7 +261,7 @@
         entry.chain = store.put(SPACE, entry.number, value);
         entry.taken = now;
         store.reserve(entry.chain, rest);
-        entry.message = message.with(new Kept(entry.chain, head.length, body.length));
+        entry.message = message.withBody(new Kept(entry.chain, head.length, body.length));
         entries.put(entry.number, entry);
         taking.add(entry);
         return entry;
--- a/src/main/java/brambletray/relay/membership/Discovery.java
+++ b/src/main/java/brambletray/relay/membership/Discovery.java
@@ -49,7 +49,7 @@
             Machine machine,
             InetSocketAddress agent,
             HostList hosts,
-            Consumer<Relay.Listed> whenListed,
+            Consumer<Relay.EndpointsListed> whenListed,
             Consumer<Journal.Entry> whenNoticed) {
         this.machine = machine;
         this.loop = machine.loop();
@@ -73,7 +73,7 @@
      * the new one at once: a notice unanswered is still owed.
      */
     @Override
-    public void onAgentMoved(InetSocketAddress agent) {
+    public void onAgentAddressChanged(InetSocketAddress agent) {
         if (agent.equals(reports.agent)) {
             return;
         }
--- a/src/main/java/brambletray/relay/membership/HostList.java
+++ b/src/main/java/brambletray/relay/membership/HostList.java
@@ -89,17 +89,17 @@
     }
 
     @Override
-    public boolean hasNamed(String name) {
+    public boolean wasListed(String name) {
         return byName.containsKey(name) || former.contains(name);
     }
 
     @Override
-    public boolean knows(long destination) {
+    public boolean hasDestination(long destination) {
         return destinations.contains(destination);
     }
 
     /** Takes a list or its changes in, and returns what the module is to be told. */
-    public Relay.Listed update(Wire.Fields list) throws Wire.Malformed {
+    public Relay.EndpointsListed update(Wire.Fields list) throws Wire.Malformed {
         List<Relay.Endpoint> endpoints = new ArrayList<>();
         List<Wire.Fields> entries = list.objects("hosts");
         boolean whole = list.flag("whole");
@@ -119,7 +119,7 @@
             });
         }
         version = next;
-        return new Relay.Listed(whole ? Relay.ListKind.FULL : Relay.ListKind.CHANGES, endpoints);
+        return new Relay.EndpointsListed(whole ? Relay.ListKind.FULL : Relay.ListKind.CHANGES, endpoints);
     }
 
     /** One entry; null, and a line in the log, for one that cannot be used. The others still count. */
@@ -179,8 +179,8 @@
     }
 
     /** The list as it is held, for a module that has not been told of it. */
-    public Relay.Listed whole() {
-        return new Relay.Listed(
+    public Relay.EndpointsListed whole() {
+        return new Relay.EndpointsListed(
                 Relay.ListKind.FULL,
                 byNumber.values().stream()
                         .filter(host -> !host.gone)
--- a/src/main/java/brambletray/relay/message/Message.java
+++ b/src/main/java/brambletray/relay/message/Message.java
@@ -39,7 +39,7 @@
     }
 
     /** The same message with its bytes elsewhere. */
-    public Message with(Body elsewhere) {
+    public Message withBody(Body elsewhere) {
         return new Message(
                 id, messageClass, tenant, routeKey, idempotencyKey, destination, deadline, elsewhere, origin);
     }
--- a/src/main/java/brambletray/relay/mqtt/clients/MqttClient.java
+++ b/src/main/java/brambletray/relay/mqtt/clients/MqttClient.java
@@ -444,7 +444,7 @@
             throw new Bad(TOPIC_INVALID, "unknown class " + name);
         }
         long destination = number(told.get("destination"), "destination");
-        if (!loop.knows(name, destination)) {
+        if (!loop.isRoutable(name, destination)) {
             throw new Bad(TOPIC_INVALID, "unknown destination " + destination);
         }
         byte[] correlation = new byte[0];
--- a/src/main/java/brambletray/relay/serve/OperatorActions.java
+++ b/src/main/java/brambletray/relay/serve/OperatorActions.java
@@ -55,7 +55,7 @@
 
     @Override
     public void exclude(String name, boolean out, Consumer<CommandResponse> then) {
-        boolean listed = hosts.hasNamed(name);
+        boolean listed = hosts.wasListed(name);
         then.accept(
                 switch (out ? exclusions.enter(name, listed) : exclusions.exit(name, listed)) {
                     case UNKNOWN -> new CommandResponse(404, "no list has named a host " + name);
--- a/src/main/java/brambletray/relay/serve/RelayInstance.java
+++ b/src/main/java/brambletray/relay/serve/RelayInstance.java
@@ -86,7 +86,7 @@
 
     private final ProcessHandover succession;
     private final Promise<Void> serving;
-    private final Relay.Listed known;
+    private final Relay.EndpointsListed known;
     private ChannelFuture bound;
     private ChannelFuture mqttBound;
     private ChannelFuture consoleBound;
@@ -281,7 +281,7 @@
         mqttBound = mqtt == null ? null : mqtt.listen();
     }
 
-    private void listed(Relay.Listed list) {
+    private void listed(Relay.EndpointsListed list) {
         if (owns()) {
             loop.onListed(list);
         }
@@ -352,9 +352,9 @@
     /** Discovery is at another address from now on. */
     public void discoveryAt(InetSocketAddress agent) {
         if (discovery != null) {
-            discovery.onAgentMoved(agent);
+            discovery.onAgentAddressChanged(agent);
         } else {
-            loop.onDiscoveryMoved(agent);
+            loop.onAgentAddressChanged(agent);
         }
     }
 
@@ -476,8 +476,8 @@
     /** What clients may name, by the settings and the list; the loop knows the same. */
     private abstract class ByList implements MessageReceiver {
         @Override
-        public boolean knows(String messageClass, long destination) {
-            return messageClass(messageClass) != null && hosts.knows(destination);
+        public boolean isRoutable(String messageClass, long destination) {
+            return messageClass(messageClass) != null && hosts.hasDestination(destination);
         }
 
         @Override
@@ -583,7 +583,7 @@
 
         @Override
         public boolean fits(HandoverState from) {
-            return from.fits(journal, hosts);
+            return from.isConsistentWith(journal, hosts);
         }
 
         @Override
--- a/src/main/java/brambletray/relay/simhost/SimHost.java
+++ b/src/main/java/brambletray/relay/simhost/SimHost.java
@@ -120,7 +120,7 @@
             case "full", "cached" -> Relay.ListKind.FULL;
             default -> throw new Wire.Malformed("unknown mode '" + mode + "'");
         };
-        events.add(new Relay.Listed(kind, items));
+        events.add(new Relay.EndpointsListed(kind, items));
     }
 
     private void reply() throws IOException {
--- a/src/main/java/brambletray/relay/simhost/SimWire.java
+++ b/src/main/java/brambletray/relay/simhost/SimWire.java
@@ -64,7 +64,7 @@
                 Relay.Outcome outcome = outcome(fields.text("rc"));
                 Wire.Fields report = fields.object("report");
                 long wait = outcome == Relay.Outcome.FULL ? Math.max(0, fields.time("detail", 0)) : 0;
-                return new Relay.Ended(
+                return new Relay.AttemptEnded(
                         fields.text("ref"),
                         (int) fields.whole("attempt", 0),
                         fields.whole("host"),
@@ -76,7 +76,7 @@
                         report.number("x1", -1));
             }
             case "TickDue":
-                return new Relay.Due();
+                return new Relay.TimerFired();
             case "Dropped":
                 return new Relay.Withdrawn(fields.text("ref"));
             case "Pong", "Heard", "Started":
@@ -118,13 +118,13 @@
             } else if (action instanceof Relay.Cancel cancel) {
                 head("CallOff", instance, cancel.id());
                 out.writeNumberField("attempt", cancel.attempt());
-            } else if (action instanceof Relay.Close close) {
+            } else if (action instanceof Relay.CloseIdleConnections close) {
                 head("DropConns", instance, null);
                 out.writeNumberField("host", close.endpoint());
-            } else if (action instanceof Relay.Wake wake) {
+            } else if (action instanceof Relay.SetTimer wake) {
                 head("Remind", instance, null);
                 out.writeNumberField("label", label = (label + 1) & 0xffff);
-                time("sleep-for", wake.after());
+                time("sleep-for", wake.delay());
             } else if (action instanceof Relay.Log log) {
                 head("NoteDown", instance, null);
                 out.writeStringField("message", log.text());
--- a/src/main/java/brambletray/relay/standalone/InventoryPlatform.java
+++ b/src/main/java/brambletray/relay/standalone/InventoryPlatform.java
@@ -300,7 +300,7 @@
     }
 
     @Override
-    public void onAgentMoved(InetSocketAddress agent) {
+    public void onAgentAddressChanged(InetSocketAddress agent) {
         throw new IllegalStateException("there is no agent");
     }
 }
--- a/src/test/java/brambletray/relay/control/Bench.java
+++ b/src/test/java/brambletray/relay/control/ControlHarness.java
@@ -3,9 +3,9 @@
 import brambletray.relay.control.Relay.Accepted;
 import brambletray.relay.control.Relay.Action;
 import brambletray.relay.control.Relay.Allowed;
-import brambletray.relay.control.Relay.Due;
+import brambletray.relay.control.Relay.TimerFired;
 import brambletray.relay.control.Relay.Effect;
-import brambletray.relay.control.Relay.Ended;
+import brambletray.relay.control.Relay.AttemptEnded;
 import brambletray.relay.control.Relay.Endpoint;
 import brambletray.relay.control.Relay.Event;
 import brambletray.relay.control.Relay.Kind;
@@ -17,21 +17,21 @@
 import brambletray.relay.control.Relay.Send;
 import brambletray.relay.control.Relay.Settings;
 import brambletray.relay.control.Relay.Tenant;
-import brambletray.relay.control.Relay.Wake;
+import brambletray.relay.control.Relay.SetTimer;
 import brambletray.relay.control.Relay.Weights;
 import java.util.ArrayList;
 import java.util.List;
 
 /** Drives one Control by script: events in, actions out, every one of them past the rule checker. */
-final class Bench {
+final class ControlHarness {
     static final long MS = 1_000;
     static final long SECOND = 1_000_000;
-    final Settings set;
+    final Settings settings;
     final RuleChecker checker;
     final Control control;
     long now = 5 * SECOND;
     long wakeAt = Long.MAX_VALUE;
-    private int next;
+    private int nextMessage;
 
     /**
      * Classes: 0 safe, 1 keyed (group all), 2 unsafe in order, 3 keyed (zone group). Kinds: 0 shared, 1 apart, 2
@@ -62,12 +62,12 @@
                 new Prices(0.05, 0.06, 0, 0.05, List.of(0.0, 0.0)));
     }
 
-    Bench(Settings set) {
+    ControlHarness(Settings set) {
         this(set, 1);
     }
 
-    Bench(Settings set, long seed) {
-        this.set = set;
+    ControlHarness(Settings set, long seed) {
+        this.settings = set;
         checker = new RuleChecker(set);
         control = new Control(seed, set);
     }
@@ -82,33 +82,33 @@
 
     List<Action> turn(List<Event> events) {
         for (Event e : events) {
-            checker.event(now, e);
+            checker.onEvent(now, e);
         }
         if (wakeAt <= now) {
             wakeAt = Long.MAX_VALUE;
             events = new ArrayList<>(events);
-            events.add(new Due());
+            events.add(new TimerFired());
         }
         List<Action> actions = control.turn(now, events);
         for (Action a : actions) {
-            checker.action(now, a);
-            if (a instanceof Wake w) {
-                wakeAt = Math.min(wakeAt, now + w.after());
+            checker.onAction(now, a);
+            if (a instanceof SetTimer w) {
+                wakeAt = Math.min(wakeAt, now + w.delay());
             }
         }
-        checker.time(now);
+        checker.checkDeadlines(now);
         return actions;
     }
 
     /** Lets time pass in steps of 5 ms, as a host with a clock of that grain would; returns all actions on the way. */
-    List<Action> pass(long span) {
+    List<Action> advance(long span) {
         List<Action> all = new ArrayList<>();
         for (long end = now + span; now < end; ) {
             now += 5 * MS;
             if (wakeAt <= now) {
                 all.addAll(turn());
             } else {
-                checker.time(now);
+                checker.checkDeadlines(now);
             }
         }
         return all;
@@ -120,15 +120,15 @@
 
     Accepted message(int cls, long destination, String key) {
         return new Accepted(
-                "m" + next++, cls, 0, key, now + set.classes().get(cls).lifetime(), destination);
+                "m" + nextMessage++, cls, 0, key, now + settings.classes().get(cls).lifetime(), destination);
     }
 
-    static Ended ended(Send send, int attempt, Outcome outcome) {
+    static AttemptEnded ended(Send send, int attempt, Outcome outcome) {
         return ended(send, attempt, outcome, 0);
     }
 
-    static Ended ended(Send send, int attempt, Outcome outcome, long waitFor) {
-        return new Ended(
+    static AttemptEnded ended(Send send, int attempt, Outcome outcome, long waitFor) {
+        return new AttemptEnded(
                 send.id(), attempt, send.endpoint(), outcome, outcome == Outcome.OK, waitFor, 100 * MS, -1, -1);
     }
 
@@ -148,7 +148,7 @@
         for (int i = 0; i < messages; i++) {
             List<Send> sent = new ArrayList<>(sends(turn(message(0, destination))));
             for (int step = 0; sent.isEmpty() && step < 400; step++) {
-                sent.addAll(sends(pass(10 * MS)));
+                sent.addAll(sends(advance(10 * MS)));
             }
             now += 100 * MS;
             turn(ended(sent.get(0), 0, Outcome.OK));
--- a/src/test/java/brambletray/relay/control/ControlTest.java
+++ b/src/test/java/brambletray/relay/control/ControlTest.java
@@ -1,27 +1,27 @@
 package brambletray.relay.control;
 
-import static brambletray.relay.control.Bench.MS;
-import static brambletray.relay.control.Bench.SECOND;
-import static brambletray.relay.control.Bench.count;
-import static brambletray.relay.control.Bench.ended;
-import static brambletray.relay.control.Bench.endpoint;
-import static brambletray.relay.control.Bench.sends;
-import static brambletray.relay.control.Bench.settings;
+import static brambletray.relay.control.ControlHarness.MS;
+import static brambletray.relay.control.ControlHarness.SECOND;
+import static brambletray.relay.control.ControlHarness.count;
+import static brambletray.relay.control.ControlHarness.ended;
+import static brambletray.relay.control.ControlHarness.endpoint;
+import static brambletray.relay.control.ControlHarness.sends;
+import static brambletray.relay.control.ControlHarness.settings;
 import static org.junit.jupiter.api.Assertions.*;
 
 import brambletray.relay.control.Relay.Accepted;
 import brambletray.relay.control.Relay.Action;
 import brambletray.relay.control.Relay.Cancel;
-import brambletray.relay.control.Relay.Close;
-import brambletray.relay.control.Relay.Due;
-import brambletray.relay.control.Relay.Earlier;
-import brambletray.relay.control.Relay.Ended;
+import brambletray.relay.control.Relay.CloseIdleConnections;
+import brambletray.relay.control.Relay.TimerFired;
+import brambletray.relay.control.Relay.PriorAttempt;
+import brambletray.relay.control.Relay.AttemptEnded;
 import brambletray.relay.control.Relay.Endpoint;
 import brambletray.relay.control.Relay.Event;
-import brambletray.relay.control.Relay.Excluded;
+import brambletray.relay.control.Relay.EndpointExclusion;
 import brambletray.relay.control.Relay.Fail;
 import brambletray.relay.control.Relay.ListKind;
-import brambletray.relay.control.Relay.Listed;
+import brambletray.relay.control.Relay.EndpointsListed;
 import brambletray.relay.control.Relay.Listing;
 import brambletray.relay.control.Relay.Log;
 import brambletray.relay.control.Relay.Outcome;
@@ -41,20 +41,20 @@
 
 /** Scripted events: the design's ordinary path, its exceptions, and one small test for each failure found. */
 class ControlTest {
-    private static Bench bench(int kind, int slots, boolean copies) {
-        Bench b = new Bench(settings(slots, copies, 2));
-        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, kind, 1, 50), endpoint(12, 1, kind, 1, 50))));
+    private static ControlHarness harness(int kind, int slots, boolean copies) {
+        ControlHarness b = new ControlHarness(settings(slots, copies, 2));
+        b.turn(new EndpointsListed(ListKind.FULL, List.of(endpoint(11, 0, kind, 1, 50), endpoint(12, 1, kind, 1, 50))));
         return b;
     }
 
     @Test
-    void copyGoesToAnotherEndpointAfterTheDelayAndTheFirstAnswerCancelsTheRest() {
-        Bench b = bench(0, 8, true);
+    void hedgeGoesToAnotherEndpointAfterTheDelayAndTheFirstAnswerCancelsTheOther() {
+        ControlHarness b = harness(0, 8, true);
         b.warmUp(20, 1);
         Send first = sends(b.turn(b.message(0, 1))).get(0);
-        List<Send> copies = sends(b.pass(90 * MS));
+        List<Send> copies = sends(b.advance(90 * MS));
         assertTrue(copies.isEmpty(), "no copy before nine in ten answers would have come");
-        copies = sends(b.pass(60 * MS));
+        copies = sends(b.advance(60 * MS));
         assertEquals(1, copies.size());
         assertEquals(first.id(), copies.get(0).id());
         assertNotEquals(first.endpoint(), copies.get(0).endpoint());
@@ -69,42 +69,42 @@
      * taken.
      */
     @Test
-    void anEndpointTakenOutGetsNothingUntilItIsPutBack() {
-        Bench b = bench(1, 8, false);
-        b.turn(new Excluded(11, true), new Excluded(11, true));
-        b.turn(new Listed(ListKind.CHANGES, List.of(new Endpoint(11, 0, 1, 1, Listing.GONE, 50))));
-        b.turn(new Listed(ListKind.CHANGES, List.of(endpoint(11, 0, 1, 1, 50))));
+    void anExcludedEndpointGetsNothingUntilItIsReadmitted() {
+        ControlHarness b = harness(1, 8, false);
+        b.turn(new EndpointExclusion(11, true), new EndpointExclusion(11, true));
+        b.turn(new EndpointsListed(ListKind.CHANGES, List.of(new Endpoint(11, 0, 1, 1, Listing.GONE, 50))));
+        b.turn(new EndpointsListed(ListKind.CHANGES, List.of(endpoint(11, 0, 1, 1, 50))));
         for (int i = 0; i < 10; i++) {
             Send send = sends(b.turn(b.message(0, 1))).get(0);
             assertEquals(12, send.endpoint());
             b.now += 50 * MS;
             b.turn(ended(send, 0, Outcome.OK));
         }
-        assertEquals(1, b.control.avoided());
-        b.turn(new Excluded(11, false), new Excluded(12, true));
+        assertEquals(1, b.control.unavailableEndpointCount());
+        b.turn(new EndpointExclusion(11, false), new EndpointExclusion(12, true));
         List<Send> back = new ArrayList<>(sends(b.turn(b.message(0, 1))));
-        back.addAll(sends(b.pass(SECOND)));
+        back.addAll(sends(b.advance(SECOND)));
         assertEquals(List.of(11L), back.stream().map(Send::endpoint).toList());
     }
 
     /** It was restarted meanwhile: one trial, then no more than a cold one bears. */
     @Test
-    void anEndpointPutBackIsTakenForCold() {
-        Bench b = new Bench(settings(8, false, 2));
-        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 20))));
-        b.turn(new Excluded(11, true));
+    void aReadmittedEndpointStartsWithAProbeAndASlowStart() {
+        ControlHarness b = new ControlHarness(settings(8, false, 2));
+        b.turn(new EndpointsListed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 20))));
+        b.turn(new EndpointExclusion(11, true));
         assertTrue(
                 sends(b.turn(b.message(1, 1), b.message(1, 1), b.message(1, 1))).isEmpty());
-        assertTrue(sends(b.pass(2 * SECOND)).isEmpty(), "all of its destination is out: messages wait");
-        b.turn(new Excluded(11, false));
-        List<Send> trial = sends(b.pass(2 * SECOND));
+        assertTrue(sends(b.advance(2 * SECOND)).isEmpty(), "all of its destination is out: messages wait");
+        b.turn(new EndpointExclusion(11, false));
+        List<Send> trial = sends(b.advance(2 * SECOND));
         assertEquals(1, trial.size(), "a trial");
-        b.checker.coldSince.put(11L, b.now);
+        b.checker.slowStartSince.put(11L, b.now);
         b.turn(ended(trial.get(0), 0, Outcome.OK));
         int sent = 0;
         for (int step = 0; step < 200; step++) {
             List<Action> actions = new ArrayList<>(b.turn(b.message(1, 1)));
-            actions.addAll(b.pass(50 * MS));
+            actions.addAll(b.advance(50 * MS));
             for (Send s : sends(actions)) {
                 sent++;
                 b.turn(ended(s, b.checker.messages.get(s.id()).sends.size() - 1, Outcome.OK));
@@ -115,10 +115,10 @@
 
     /** With all routes out nothing is promised for the next moment. */
     @Test
-    void aMessageHandedBackWhileAllRoutesAreOutIsToComeLate() {
-        Bench b = new Bench(settings(8, false, 2, 8, 2));
-        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 4))));
-        b.turn(new Excluded(11, true));
+    void aRefusalWhileAllEndpointsAreExcludedAdvisesTheLongestRetryAfter() {
+        ControlHarness b = new ControlHarness(settings(8, false, 2, 8, 2));
+        b.turn(new EndpointsListed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 4))));
+        b.turn(new EndpointExclusion(11, true));
         b.turn(b.message(1, 1));
         Refuse refuse = b.turn(b.message(1, 1)).stream()
                 .filter(Refuse.class::isInstance)
@@ -128,39 +128,39 @@
         assertEquals(3 * SECOND, refuse.retryAfter());
     }
 
-    private static Event recovered(Bench b, int cls, Earlier... earlier) {
+    private static Event recovered(ControlHarness b, int cls, PriorAttempt... earlier) {
         return new Accepted("r", cls, 0, null, b.message(cls, 1).deadline(), 1, List.of(earlier));
     }
 
-    private static Earlier earlier(Bench b, long ago, int zone, boolean mayHaveRun) {
-        return new Earlier(b.now - ago, zone, mayHaveRun);
+    private static PriorAttempt priorAttempt(ControlHarness b, long ago, int zone, boolean mayHaveRun) {
+        return new PriorAttempt(b.now - ago, zone, mayHaveRun);
     }
 
-    private static List<Action> recover(int cls, Earlier... earlier) {
-        Bench b = bench(1, 8, false);
+    private static List<Action> recover(int cls, PriorAttempt... earlier) {
+        ControlHarness b = harness(1, 8, false);
         return b.control.turn(b.now, List.of(recovered(b, cls, earlier)));
     }
 
     /** Guards against double effects after a restart: the module knows the attempts made before it. */
     @Test
-    void recoveredMessagesKeepTheirHistory() {
-        Bench b = new Bench(settings(8, false, 2));
-        Earlier ran = earlier(b, SECOND, 0, true);
-        Earlier old = earlier(b, 10 * SECOND, 0, true);
-        Earlier never = earlier(b, SECOND, 0, false);
+    void recoveredMessagesKeepTheirPriorAttempts() {
+        ControlHarness b = new ControlHarness(settings(8, false, 2));
+        PriorAttempt ran = priorAttempt(b, SECOND, 0, true);
+        PriorAttempt old = priorAttempt(b, 10 * SECOND, 0, true);
+        PriorAttempt never = priorAttempt(b, SECOND, 0, false);
         assertEquals(1, count(recover(2, ran), Fail.class), "unsafe and may have run");
         assertEquals(1, sends(recover(2, never)).size(), "unsafe and never ran");
         assertEquals(1, sends(recover(1, ran)).size(), "keyed, inside the window");
         assertTrue(sends(recover(1, ran, old)).isEmpty(), "the window counts from the earliest");
-        Earlier[] all = {never, never, never, never, never, never, never, never};
+        PriorAttempt[] all = {never, never, never, never, never, never, never, never};
         assertEquals(1, count(recover(0, all), Refuse.class), "all attempts made");
     }
 
     @Test
     void aRecoveredKeyedMessageStaysInItsZoneGroup() {
         for (int zone = 0; zone < 2; zone++) {
-            Bench b = bench(1, 8, false);
-            Event again = recovered(b, 3, earlier(b, SECOND, zone, true));
+            ControlHarness b = harness(1, 8, false);
+            Event again = recovered(b, 3, priorAttempt(b, SECOND, zone, true));
             assertEquals(
                     11 + zone,
                     sends(b.control.turn(b.now, List.of(again))).get(0).endpoint());
@@ -168,57 +168,57 @@
     }
 
     @Test
-    void delayStartsAt200MillisecondsUntilAnswersAreKnown() {
-        Bench b = bench(0, 8, true);
+    void hedgeDelayIs200MillisecondsUntilAnswersAreKnown() {
+        ControlHarness b = harness(0, 8, true);
         b.warmUp(3, 1);
         b.turn(b.message(0, 1));
-        assertTrue(sends(b.pass(195 * MS)).isEmpty());
-        assertEquals(1, sends(b.pass(10 * MS)).size());
+        assertTrue(sends(b.advance(195 * MS)).isEmpty());
+        assertEquals(1, sends(b.advance(10 * MS)).size());
     }
 
     @Test
-    void unsafeMessagesAndSitesWithoutCopiesSendNone() {
-        Bench b = bench(0, 8, true);
+    void unsafeMessagesAndSitesWithoutHedgingSendNoHedges() {
+        ControlHarness b = harness(0, 8, true);
         b.warmUp(20, 1);
         assertEquals(1, sends(b.turn(b.message(2, 1))).size());
-        assertTrue(sends(b.pass(SECOND)).isEmpty());
-        Bench none = bench(0, 8, false);
+        assertTrue(sends(b.advance(SECOND)).isEmpty());
+        ControlHarness none = harness(0, 8, false);
         none.warmUp(20, 1);
         none.turn(none.message(0, 1));
-        assertTrue(sends(none.pass(SECOND)).isEmpty());
+        assertTrue(sends(none.advance(SECOND)).isEmpty());
     }
 
     @Test
-    void keyedCopyStaysInItsZoneGroup() {
-        Bench b = bench(0, 8, true);
+    void keyedHedgeStaysInItsZoneGroup() {
+        ControlHarness b = harness(0, 8, true);
         b.warmUp(20, 1);
         assertEquals(1, sends(b.turn(b.message(3, 1))).size());
-        assertTrue(sends(b.pass(SECOND)).isEmpty(), "the only other endpoint is in another zone");
+        assertTrue(sends(b.advance(SECOND)).isEmpty(), "the only other endpoint is in another zone");
     }
 
     @Test
-    void windowStartsAtOneGrowsToThreeQuartersAndCountsCopies() {
-        Bench b = bench(0, 8, true);
+    void windowStartsAtOneGrowsToThreeQuartersOfTheSlotsAndCountsHedges() {
+        ControlHarness b = harness(0, 8, true);
         assertEquals(
                 1,
                 sends(b.turn(b.message(1, 1), b.message(1, 1), b.message(1, 1))).size());
-        Bench warm = bench(0, 8, true);
+        ControlHarness warm = harness(0, 8, true);
         warm.warmUp(20, 1);
         List<Event> many = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             many.add(warm.message(1, 1));
         }
         assertEquals(6, sends(warm.turn(many)).size(), "three quarters of eight slots");
-        assertTrue(sends(warm.pass(150 * MS)).isEmpty(), "no copy beyond the window");
+        assertTrue(sends(warm.advance(150 * MS)).isEmpty(), "no copy beyond the window");
     }
 
     @Test
     void windowHalvesOnRefusal() {
-        Bench b = bench(0, 8, false);
+        ControlHarness b = harness(0, 8, false);
         b.warmUp(20, 1);
         Send sent = sends(b.turn(b.message(1, 1))).get(0);
         b.turn(ended(sent, 0, Outcome.FULL));
-        b.pass(3 * SECOND);
+        b.advance(3 * SECOND);
         List<Event> many = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             many.add(b.message(1, 1));
@@ -227,23 +227,23 @@
     }
 
     @Test
-    void unsentMessagesGoBeforeCopies() {
-        Bench b = bench(0, 2, true);
+    void unsentMessagesGoBeforeHedges() {
+        ControlHarness b = harness(0, 2, true);
         b.warmUp(20, 1);
         Send first = sends(b.turn(b.message(0, 1), b.message(0, 1))).get(0);
-        for (Send s : sends(b.pass(300 * MS))) {
+        for (Send s : sends(b.advance(300 * MS))) {
             assertNotEquals(first.id(), s.id(), "a copy went out while a message waited");
         }
     }
 
     @Test
-    void anOverloadDoesNotPileUpCopies() {
-        Bench b = bench(0, 16, true);
+    void hedgesStayLimitedInAnOverload() {
+        ControlHarness b = harness(0, 16, true);
         b.warmUp(30, 1);
         int copies = 0;
         for (int i = 0; i < 40; i++) {
             Send s = sends(b.turn(b.message(0, 1))).get(0);
-            List<Send> more = sends(b.pass(250 * MS));
+            List<Send> more = sends(b.advance(250 * MS));
             copies += more.size();
             b.turn(ended(s, 0, Outcome.OK));
             for (Send copy : more) {
@@ -254,14 +254,14 @@
     }
 
     @Test
-    void toldWaitIsKeptForTheWholeDestinationButOnlyForTheRouteWhereApart() {
-        Bench b = bench(0, 8, true);
+    void retryAfterBindsTheDestinationOrOnlyTheEndpointWhereLimitsAreSeparate() {
+        ControlHarness b = harness(0, 8, true);
         b.warmUp(5, 1);
         Send s = sends(b.turn(b.message(0, 1))).get(0);
         b.turn(ended(s, 0, Outcome.FULL, SECOND));
-        assertTrue(sends(b.pass(990 * MS)).isEmpty());
-        assertEquals(1, sends(b.pass(300 * MS)).size());
-        Bench apart = bench(1, 8, true);
+        assertTrue(sends(b.advance(990 * MS)).isEmpty());
+        assertEquals(1, sends(b.advance(300 * MS)).size());
+        ControlHarness apart = harness(1, 8, true);
         apart.warmUp(5, 1);
         Send t = sends(apart.turn(apart.message(0, 1))).get(0);
         List<Send> next = sends(apart.turn(ended(t, 0, Outcome.FULL, SECOND)));
@@ -270,21 +270,21 @@
     }
 
     @Test
-    void unsafeMessageIsTriedAgainOnlyWhenItNeverRan() {
-        Bench b = bench(0, 8, true);
+    void unsafeMessageIsRetriedOnlyWhenItNeverRan() {
+        ControlHarness b = harness(0, 8, true);
         b.warmUp(5, 1);
         Send s = sends(b.turn(b.message(2, 1, "k"))).get(0);
         List<Send> again = new ArrayList<>(sends(b.turn(ended(s, 0, Outcome.FULL))));
-        again.addAll(sends(b.pass(SECOND)));
+        again.addAll(sends(b.advance(SECOND)));
         assertEquals(1, again.size());
         List<Action> end = b.turn(ended(again.get(0), 1, Outcome.RESET));
         assertEquals(1, count(end, Fail.class));
-        assertTrue(sends(b.pass(2 * SECOND)).isEmpty());
+        assertTrue(sends(b.advance(2 * SECOND)).isEmpty());
     }
 
     @Test
-    void sameKeyGoesOneAtATimeInOrderAndRests() {
-        Bench b = bench(0, 8, true);
+    void sameKeyIsSentOneAtATimeInOrderWithAQuietPeriod() {
+        ControlHarness b = harness(0, 8, true);
         b.warmUp(20, 1);
         Accepted one = b.message(2, 1, "k");
         Accepted two = b.message(2, 1, "k");
@@ -295,24 +295,24 @@
         assertTrue(sends(end).isEmpty(), "the key rests");
         assertEquals(
                 List.of(two.id()),
-                sends(b.pass(3 * SECOND)).stream().map(Send::id).toList());
+                sends(b.advance(3 * SECOND)).stream().map(Send::id).toList());
     }
 
     @Test
     void drainedAndGoneEndpointsGetNothing() {
-        Bench b = bench(0, 8, true);
-        b.turn(new Listed(ListKind.CHANGES, List.of(new Endpoint(11, 0, 0, 1, Listing.DRAINING, 50))));
+        ControlHarness b = harness(0, 8, true);
+        b.turn(new EndpointsListed(ListKind.CHANGES, List.of(new Endpoint(11, 0, 0, 1, Listing.DRAINING, 50))));
         assertEquals(12, sends(b.turn(b.message(0, 1))).get(0).endpoint());
-        b.turn(new Listed(ListKind.FULL, List.of()));
+        b.turn(new EndpointsListed(ListKind.FULL, List.of()));
         assertTrue(sends(b.turn(b.message(1, 1))).isEmpty());
-        List<Action> end = b.pass(17 * SECOND);
+        List<Action> end = b.advance(17 * SECOND);
         assertEquals(2, count(end, Fail.class) + count(end, Refuse.class), "both end in time with nowhere to go");
     }
 
     @Test
-    void bundleSharesOneSlot() {
-        Bench b = bench(2, 1, false);
-        Bench plain = bench(1, 1, false);
+    void batchSharesOneSlot() {
+        ControlHarness b = harness(2, 1, false);
+        ControlHarness plain = harness(1, 1, false);
         assertEquals(
                 3,
                 sends(b.turn(b.message(1, 1), b.message(1, 1), b.message(1, 1))).size());
@@ -320,7 +320,7 @@
                 1, sends(plain.turn(plain.message(1, 1), plain.message(1, 1))).size());
     }
 
-    private static Settings unrated(int relays) {
+    private static Settings settingsWithoutWeights(int relays) {
         Settings s = settings(40, true, relays, 8, 400);
         return new Settings(
                 s.rank(),
@@ -342,16 +342,16 @@
      * shared by the relays.
      */
     @Test
-    void aLimitToldInAnswersPacesWhatNoListRates() {
-        Bench b = new Bench(unrated(2));
-        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 0, 1, 1))));
+    void aReportedLimitPacesEndpointsWithoutAListedRate() {
+        ControlHarness b = new ControlHarness(settingsWithoutWeights(2));
+        b.turn(new EndpointsListed(ListKind.FULL, List.of(endpoint(11, 0, 0, 1, 1))));
         int sent = 0;
         int refused = 0;
         double left = 5;
         // Of ten calls a second another relay uses half; of what comes beyond, each is refused.
         for (long end = b.now + 30 * SECOND; b.now < end; ) {
             List<Send> out = new ArrayList<>(sends(b.turn(b.message(1, 1))));
-            out.addAll(sends(b.pass(50 * MS)));
+            out.addAll(sends(b.advance(50 * MS)));
             left = Math.min(5, left + 0.25);
             while (!out.isEmpty()) {
                 Send s = out.remove(0);
@@ -360,7 +360,7 @@
                 sent++;
                 refused += taken ? 0 : 1;
                 int attempt = b.checker.messages.get(s.id()).sends.size() - 1;
-                out.addAll(sends(b.turn(new Ended(
+                out.addAll(sends(b.turn(new AttemptEnded(
                         s.id(), attempt, 11, taken ? Outcome.OK : Outcome.FULL, taken, 0, 10 * MS, left / 5, 10))));
             }
         }
@@ -370,14 +370,14 @@
 
     /** Guards the rule on returns where no rate is known: what a cold place gets then hangs on what is usual there. */
     @Test
-    void aReturningRouteWithoutARateIsHeldToWhatIsUsual() {
-        Bench b = new Bench(unrated(2));
-        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 1))));
+    void aRecoveringEndpointWithoutARateIsHeldToTheUsualRate() {
+        ControlHarness b = new ControlHarness(settingsWithoutWeights(2));
+        b.turn(new EndpointsListed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 1))));
         b.warmUp(30, 1);
         List<Send> out = new ArrayList<>();
         for (long down = b.now + 6 * SECOND; b.now < down; ) {
             out.addAll(sends(b.turn(b.message(1, 1))));
-            out.addAll(sends(b.pass(100 * MS)));
+            out.addAll(sends(b.advance(100 * MS)));
             for (Send s : List.copyOf(out)) {
                 out.addAll(sends(
                         b.turn(ended(s, b.checker.messages.get(s.id()).sends.size() - 1, Outcome.ERROR))));
@@ -386,7 +386,7 @@
         }
         int back = 0;
         for (long end = b.now + 3 * SECOND; b.now < end; ) {
-            out.addAll(sends(b.pass(20 * MS)));
+            out.addAll(sends(b.advance(20 * MS)));
             back += out.size();
             for (Send s : List.copyOf(out)) {
                 out.addAll(sends(
@@ -400,11 +400,11 @@
 
     /** Guards bundles against counting five times what happened once: a refused call halves the window once. */
     @Test
-    void whatTellsOfAHostCountsOnceForEachCall() {
+    void aRefusedBatchHalvesTheWindowOnce() {
         List<Integer> rooms = new ArrayList<>();
         for (int size : new int[] {1, 5}) {
-            Bench b = new Bench(settings(64, false, 2));
-            b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 2, 1, 50))));
+            ControlHarness b = new ControlHarness(settings(64, false, 2));
+            b.turn(new EndpointsListed(ListKind.FULL, List.of(endpoint(11, 0, 2, 1, 50))));
             b.warmUp(60, 1);
             List<Event> messages = new ArrayList<>();
             for (int i = 0; i < size; i++) {
@@ -416,7 +416,7 @@
             }
             assertEquals(size, refused.size());
             b.turn(refused);
-            b.pass(5 * SECOND);
+            b.advance(5 * SECOND);
             for (int i = 0; i < 400; i++) {
                 messages.add(b.message(1, 1));
             }
@@ -427,31 +427,31 @@
 
     /** A wait binds whatever it came with. */
     @Test
-    void aWaitToldInAGoodAnswerIsHeeded() {
-        Bench b = bench(0, 8, false);
+    void retryAfterInASuccessfulAnswerIsObeyed() {
+        ControlHarness b = harness(0, 8, false);
         Send s = sends(b.turn(b.message(0, 1))).get(0);
         assertTrue(
                 sends(b.turn(ended(s, 0, Outcome.OK, SECOND), b.message(0, 1))).isEmpty());
-        assertTrue(sends(b.pass(995 * MS)).isEmpty());
-        assertEquals(1, sends(b.pass(20 * MS)).size());
+        assertTrue(sends(b.advance(995 * MS)).isEmpty());
+        assertEquals(1, sends(b.advance(20 * MS)).size());
     }
 
     @Test
     void attemptsAreLimited() {
-        Bench b = new Bench(settings(8, true, 2, 2, 200));
-        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 0, 1, 50))));
+        ControlHarness b = new ControlHarness(settings(8, true, 2, 2, 200));
+        b.turn(new EndpointsListed(ListKind.FULL, List.of(endpoint(11, 0, 0, 1, 50))));
         Accepted m = b.message(1, 1);
         Send s = sends(b.turn(m)).get(0);
         List<Send> again = new ArrayList<>(sends(b.turn(ended(s, 0, Outcome.FULL))));
-        again.addAll(sends(b.pass(SECOND)));
+        again.addAll(sends(b.advance(SECOND)));
         assertEquals(1, count(b.turn(ended(again.get(0), 1, Outcome.FULL)), Refuse.class));
     }
 
     /** Guards against clients that come back to a closed door: a refusal tells when the told wait is over. */
     @Test
-    void aRefusalTellsWhenToComeBack() {
-        Bench b = new Bench(settings(8, true, 2, 1, 200));
-        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 50))));
+    void aRefusalPassesOnTheRetryAfterTime() {
+        ControlHarness b = new ControlHarness(settings(8, true, 2, 1, 200));
+        b.turn(new EndpointsListed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 50))));
         Send s = sends(b.turn(b.message(1, 1))).get(0);
         for (Action a : b.turn(ended(s, 0, Outcome.FULL, 700 * MS))) {
             if (a instanceof Refuse refusal) {
@@ -463,8 +463,8 @@
     }
 
     @Test
-    void aFullHoldGivesBackWhatHasLeastLeftToGain() {
-        Bench b = new Bench(settings(1, true, 2, 8, 5));
+    void loadSheddingRefusesTheMessageWithTheLeastRemainingValue() {
+        ControlHarness b = new ControlHarness(settings(1, true, 2, 8, 5));
         List<Event> five = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             five.add(b.message(i == 2 ? 1 : 0, 9));
@@ -480,8 +480,8 @@
 
     /** Found on merkez-atolye: one failing zone sent the whole of a shared destination to trials. */
     @Test
-    void aFailingEndpointDoesNotStopItsSibling() {
-        Bench b = bench(0, 8, true);
+    void aFailingEndpointDoesNotStopAHealthyOneOfTheSameDestination() {
+        ControlHarness b = harness(0, 8, true);
         b.warmUp(20, 1);
         int served = 0;
         List<Send> out = new ArrayList<>();
@@ -496,7 +496,7 @@
                         b.checker.messages.get(s.id()).sends.size() - 1,
                         s.endpoint() == 12 ? Outcome.OK : Outcome.ERROR))));
             }
-            out.addAll(sends(b.pass(100 * MS)));
+            out.addAll(sends(b.advance(100 * MS)));
         }
         assertTrue(served > 40, "served by the sound sibling: " + served);
     }
@@ -504,12 +504,12 @@
     /** Found in i62d03c: places that take calls and answer none held the slots until their time-outs. */
     @Test
     void silentDestinationsLeaveSlotsToTheOthers() {
-        Bench b = new Bench(settings(8, true, 1));
+        ControlHarness b = new ControlHarness(settings(8, true, 1));
         List<Endpoint> items = new ArrayList<>();
         for (int d = 1; d <= 9; d++) {
             items.add(endpoint(10 + d, 0, 1, d, 50));
         }
-        b.turn(new Listed(ListKind.FULL, items));
+        b.turn(new EndpointsListed(ListKind.FULL, items));
         for (int d = 1; d <= 9; d++) {
             b.warmUp(12, d);
         }
@@ -517,32 +517,32 @@
             for (int d = 1; d <= 3; d++) {
                 b.turn(b.message(1, d));
             }
-            b.pass(150 * MS);
+            b.advance(150 * MS);
         }
-        b.pass(SECOND);
+        b.advance(SECOND);
         assertEquals(1, sends(b.turn(b.message(1, 9))).size(), "a slot is left for the sound destination");
     }
 
     /** Found on thu-duc big-1: a limit shared with other relays was taken for an outage. */
     /** Guards places that take many calls a second: one refusal held them back for as long as a dozen calls take. */
     @Test
-    void aBusyPlaceIsAskedAgainAfterAFewOfItsGaps() {
-        Bench b = new Bench(settings(40, false, 2));
-        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 200))));
+    void aBusyEndpointIsRetriedAfterAFewCallIntervals() {
+        ControlHarness b = new ControlHarness(settings(40, false, 2));
+        b.turn(new EndpointsListed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 200))));
         long held = 0;
         for (int refusal = 0; refusal < 8; refusal++) {
             for (int i = 0; i < 120; i++) {
                 for (Send s : sends(b.turn(b.message(1, 1)))) {
                     b.turn(ended(s, b.checker.messages.get(s.id()).sends.size() - 1, Outcome.OK));
                 }
-                b.pass(25 * MS);
+                b.advance(25 * MS);
             }
             Send refused = sends(b.turn(b.message(1, 1))).get(0);
             b.turn(ended(refused, 0, Outcome.FULL));
             long from = b.now;
             List<Send> again = List.of();
             while (again.isEmpty() && b.now < from + 2 * SECOND) {
-                again = sends(b.pass(5 * MS));
+                again = sends(b.advance(5 * MS));
             }
             held += b.now - from;
             b.turn(ended(again.get(0), 1, Outcome.OK));
@@ -552,14 +552,14 @@
 
     @Test
     void refusalsAboveALimitAreNoOutage() {
-        Bench b = bench(1, 8, true);
+        ControlHarness b = harness(1, 8, true);
         b.warmUp(20, 1);
         List<Action> all = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             for (Send s : sends(b.turn(b.message(2, 1)))) {
                 all.addAll(b.turn(ended(s, 0, i % 3 == 0 ? Outcome.OK : Outcome.FULL, i % 3 == 0 ? 0 : 300 * MS)));
             }
-            all.addAll(b.pass(400 * MS));
+            all.addAll(b.advance(400 * MS));
         }
         assertEquals(0, count(all, Log.class), "no outage was judged");
     }
@@ -567,7 +567,7 @@
     /** Found in ic0f6d2: single resets among answers were taken for outages. */
     @Test
     void scatteredFailuresAreNoOutage() {
-        Bench b = bench(1, 8, true);
+        ControlHarness b = harness(1, 8, true);
         b.warmUp(20, 1);
         int sent = 0;
         for (int i = 0; i < 100; i++) {
@@ -576,15 +576,15 @@
                 b.now += 50 * MS;
                 b.turn(ended(s, 0, i % 5 == 0 ? Outcome.RESET : Outcome.OK));
             }
-            b.pass(100 * MS);
+            b.advance(100 * MS);
         }
         assertTrue(sent > 90, "sent " + sent);
     }
 
     @Test
-    void aReturningRouteGetsNoMoreThanTheShareOfWhatItBears() {
-        Bench b = new Bench(settings(40, true, 2, 8, 400));
-        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 20))));
+    void aRecoveringEndpointGetsNoMoreThanItsRecoveryBudget() {
+        ControlHarness b = new ControlHarness(settings(40, true, 2, 8, 400));
+        b.turn(new EndpointsListed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 20))));
         b.warmUp(30, 1);
         List<Send> out = new ArrayList<>();
         long end = b.now + 30 * SECOND;
@@ -593,7 +593,7 @@
         boolean told = false;
         while (b.now < end) {
             out.addAll(sends(b.turn(b.message(1, 1))));
-            out.addAll(sends(b.pass(100 * MS)));
+            out.addAll(sends(b.advance(100 * MS)));
             List<Send> now = new ArrayList<>(out);
             out.clear();
             for (Send s : now) {
@@ -601,7 +601,7 @@
                 if (b.now > back + 10 * SECOND) {
                     late++;
                 } else if (!told && b.now > back - 5 * SECOND) {
-                    b.checker.coldSince.put(11L, back);
+                    b.checker.slowStartSince.put(11L, back);
                     told = true;
                 }
                 int attempt = b.checker.messages.get(s.id()).sends.size() - 1;
@@ -613,15 +613,15 @@
 
     /** A quiet route sees one failure of an outage; an answer long after it is not taken for health. */
     @Test
-    void aLateAnswerToASuspicionEndsInARampAndAQuickOneClearsIt() {
+    void aLateAnswerAfterASuspicionStartsASlowStartAndAnEarlyOneClearsIt() {
         for (long gap : new long[] {500 * MS, 5 * SECOND}) {
-            Bench b = new Bench(settings(8, true, 2));
-            b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 20))));
+            ControlHarness b = new ControlHarness(settings(8, true, 2));
+            b.turn(new EndpointsListed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 20))));
             b.warmUp(20, 1);
-            b.pass(2 * SECOND);
+            b.advance(2 * SECOND);
             Send one = sends(b.turn(b.message(2, 1))).get(0);
             b.turn(ended(one, 0, Outcome.ERROR));
-            b.pass(gap);
+            b.advance(gap);
             Send two = sends(b.turn(b.message(2, 1))).get(0);
             List<Action> back = b.turn(ended(two, 0, Outcome.OK), b.message(0, 1), b.message(0, 1));
             assertEquals(gap > SECOND ? 1 : 0, count(back, Log.class), "the ramp is on");
@@ -632,86 +632,86 @@
     /** i80fd1b: endpoints that take few connections were full of idle ones held by hundreds of relays. */
     @Test
     void idleConnectionsAreClosedWhereConnectsFailAndFewUsesAreExpected() {
-        Bench b = new Bench(settings(8, true, 300));
-        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 600))));
+        ControlHarness b = new ControlHarness(settings(8, true, 300));
+        b.turn(new EndpointsListed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 600))));
         b.warmUp(20, 1);
         long closed = 0;
         for (int i = 0; i < 6; i++) {
-            b.pass(10 * SECOND);
+            b.advance(10 * SECOND);
             Accepted m = b.message(2, 1);
             b.turn(ended(firstSend(b, m), 0, Outcome.CONNECT_FAILED), new Withdrawn(m.id()));
             Send s = firstSend(b, b.message(2, 1));
-            closed = count(b.turn(ended(s, 0, Outcome.OK)), Close.class);
+            closed = count(b.turn(ended(s, 0, Outcome.OK)), CloseIdleConnections.class);
         }
         assertEquals(1, closed, "not kept for another relay's harm");
     }
 
     /** An answer with a load report: the host read the call. {@code Bench.ended} is one without. */
-    private static Ended reported(Send send, Outcome outcome) {
-        return new Ended(send.id(), 0, send.endpoint(), outcome, outcome == Outcome.OK, 0, 100 * MS, 0.9, 600);
+    private static AttemptEnded endedWithLimitReport(Send send, Outcome outcome) {
+        return new AttemptEnded(send.id(), 0, send.endpoint(), outcome, outcome == Outcome.OK, 0, 100 * MS, 0.9, 600);
     }
 
-    private static Bench manyRelays() {
-        return relays(95);
+    private static ControlHarness harnessOfManyRelays() {
+        return harnessOfRelays(95);
     }
 
-    private static Bench relays(int many) {
-        Bench b = new Bench(settings(64, false, many));
-        b.turn(new Listed(
+    private static ControlHarness harnessOfRelays(int many) {
+        ControlHarness b = new ControlHarness(settings(64, false, many));
+        b.turn(new EndpointsListed(
                 ListKind.FULL,
                 List.of(endpoint(11, 0, 1, 1, 600), endpoint(12, 0, 1, 1, 600), endpoint(21, 0, 1, 2, 600))));
         for (int i = 0; i < 8; i++) {
             Send s = firstSend(b, b.message(1, 1 + i % 2));
-            b.turn(reported(s, Outcome.OK));
-            b.pass(300 * MS);
+            b.turn(endedWithLimitReport(s, Outcome.OK));
+            b.advance(300 * MS);
         }
         return b;
     }
 
     /** herd+mass: of 5,784 refusals 5,256 came without a report on new connections, and closed lanes for seconds. */
     @Test
-    void aLackOfPlacesIsNeitherALimitNorAnOutage() {
-        Bench b = manyRelays();
-        b.turn(new Listed(ListKind.CHANGES, List.of(endpoint(31, 0, 1, 3, 600), endpoint(32, 0, 1, 3, 600))));
+    void aLackOfConnectionsIsNeitherALimitNorAnOutage() {
+        ControlHarness b = harnessOfManyRelays();
+        b.turn(new EndpointsListed(ListKind.CHANGES, List.of(endpoint(31, 0, 1, 3, 600), endpoint(32, 0, 1, 3, 600))));
         for (int i = 0; i < 8; i++) {
             Send s = firstSend(b, b.message(1, 3));
             List<Send> other = sends(b.turn(ended(s, 0, Outcome.FULL)));
             assertEquals(1, other.size(), "the other host is asked at once");
             assertNotEquals(s.endpoint(), other.get(0).endpoint());
             b.turn(ended(other.get(0), 1, Outcome.OK));
-            b.pass(5 * SECOND);
+            b.advance(5 * SECOND);
         }
-        assertEquals(0, b.control.avoided(), "no host is taken for failing");
+        assertEquals(0, b.control.unavailableEndpointCount(), "no host is taken for failing");
     }
 
     /** The same: 95 relays each kept an idle connection at every host for as long as it is kept alive. */
     @Test
-    void idleConnectionsAreGivenBackOnceAHostHasNoPlace() {
-        Bench b = manyRelays();
-        b.turn(new Listed(ListKind.CHANGES, List.of(endpoint(31, 0, 1, 3, 600), endpoint(32, 0, 1, 3, 600))));
+    void idleConnectionsAreClosedOnceAHostAcceptsNoMore() {
+        ControlHarness b = harnessOfManyRelays();
+        b.turn(new EndpointsListed(ListKind.CHANGES, List.of(endpoint(31, 0, 1, 3, 600), endpoint(32, 0, 1, 3, 600))));
         Set<Long> closed = new HashSet<>();
         for (int i = 0; i < 8; i++) {
             Accepted m = b.message(1, 3);
             List<Action> after =
                     new ArrayList<>(b.turn(ended(firstSend(b, m), 0, Outcome.FULL), new Withdrawn(m.id())));
-            after.stream().filter(Close.class::isInstance).forEach(a -> closed.add(((Close) a).endpoint()));
-            b.pass(SECOND);
+            after.stream().filter(CloseIdleConnections.class::isInstance).forEach(a -> closed.add(((CloseIdleConnections) a).endpoint()));
+            b.advance(SECOND);
         }
         assertTrue(closed.containsAll(Set.of(11L, 21L)), "of all hosts of the kind: " + closed);
         Send s = firstSend(b, b.message(1, 2));
-        assertEquals(1, count(b.turn(reported(s, Outcome.OK)), Close.class), "and no longer kept after a call");
+        assertEquals(1, count(b.turn(endedWithLimitReport(s, Outcome.OK)), CloseIdleConnections.class), "and no longer kept after a call");
     }
 
     /** herd+mass: hosts stood idle half of the time, their places held by relays with a call there in 7 s. */
     @Test
-    void oneOfManyRelaysKeepsAConnectionForLessUntilItHasProvedItsUse() {
+    void inALargeFleetConnectionsAreHeldForLessAtFirst() {
         for (int relays : new int[] {2, 14, 95}) {
-            Bench b = new Bench(settings(64, false, relays));
-            b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 600))));
+            ControlHarness b = new ControlHarness(settings(64, false, relays));
+            b.turn(new EndpointsListed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 600))));
             long closed = 0;
             for (int i = 0; i < 3; i++) {
-                closed += count(b.turn(reported(firstSend(b, b.message(1, 1)), Outcome.OK)), Close.class);
-                b.pass(7 * SECOND);
+                closed += count(b.turn(endedWithLimitReport(firstSend(b, b.message(1, 1)), Outcome.OK)), CloseIdleConnections.class);
+                b.advance(7 * SECOND);
             }
             assertEquals(relays > 14, closed > 0, relays + " relays: " + closed);
         }
@@ -719,66 +719,66 @@
 
     /** upgrade+hand: eight calls at once to a host with few places; all but those with one were turned away. */
     @Test
-    void ownCallsOutAtAHostBoundThoseSentThereOnceItHasNoPlace() {
-        Bench b = manyRelays();
+    void aConnectionRefusalLimitsCallsToThoseInFlight() {
+        ControlHarness b = harnessOfManyRelays();
         List<Send> out = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             out.add(firstSend(b, b.message(1, 2)));
-            b.pass(SECOND);
+            b.advance(SECOND);
         }
         List<Action> after = b.turn(ended(out.get(2), 0, Outcome.FULL));
         assertEquals(0, sends(after).size(), "not sent again while two hold the places");
-        assertEquals(0, count(after, Close.class), "idle connections elsewhere are kept");
-        assertEquals(1, sends(b.turn(reported(out.get(0), Outcome.OK))).size(), "a place is free, and used");
+        assertEquals(0, count(after, CloseIdleConnections.class), "idle connections elsewhere are kept");
+        assertEquals(1, sends(b.turn(endedWithLimitReport(out.get(0), Outcome.OK))).size(), "a place is free, and used");
     }
 
     /** A refusal that tells of a limit, or that has no such host before it, stays one. */
     @Test
-    void aRefusalWithAReportIsNoLackOfPlaces() {
-        Bench b = relays(14);
-        b.turn(new Listed(ListKind.CHANGES, List.of(endpoint(31, 0, 1, 3, 600), endpoint(32, 0, 1, 3, 600))));
+    void aRefusalWithALimitReportIsNoLackOfConnections() {
+        ControlHarness b = harnessOfRelays(14);
+        b.turn(new EndpointsListed(ListKind.CHANGES, List.of(endpoint(31, 0, 1, 3, 600), endpoint(32, 0, 1, 3, 600))));
         long closed = 0;
         for (int i = 0; i < 4; i++) {
             Accepted m = b.message(1, 3);
             List<Action> after =
-                    new ArrayList<>(b.turn(reported(firstSend(b, m), Outcome.FULL), new Withdrawn(m.id())));
-            closed += count(after, Close.class);
-            b.pass(5 * SECOND);
+                    new ArrayList<>(b.turn(endedWithLimitReport(firstSend(b, m), Outcome.FULL), new Withdrawn(m.id())));
+            closed += count(after, CloseIdleConnections.class);
+            b.advance(5 * SECOND);
         }
         assertEquals(0, closed);
     }
 
     /** zone+vast: a host that was down refused every connect, and each call after it opened a connection of its own. */
     @Test
-    void connectionsAreHeldAsBeforeOnceAnOutageExplainsTheConnectsThatFailed() {
-        Bench b = new Bench(settings(8, true, 14));
-        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 600))));
+    void holdTimeIsRestoredOnceAnOutageExplainsTheFailedConnects() {
+        ControlHarness b = new ControlHarness(settings(8, true, 14));
+        b.turn(new EndpointsListed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 600))));
         b.warmUp(20, 1);
-        b.pass(2 * SECOND);
+        b.advance(2 * SECOND);
         for (int i = 0; i < 6; i++) {
             Accepted m = b.message(2, 1);
             b.turn(ended(firstSend(b, m), 0, Outcome.CONNECT_FAILED), new Withdrawn(m.id()));
         }
         for (int i = 0; i < 3; i++) {
             Send s = firstSend(b, b.message(2, 1));
-            assertEquals(0, count(b.turn(ended(s, 0, Outcome.OK)), Close.class));
+            assertEquals(0, count(b.turn(ended(s, 0, Outcome.OK)), CloseIdleConnections.class));
         }
     }
 
     /** zone+vast: the rate of a route apart was split by its destination's routes, so a return took twice as long. */
     @Test
-    void aRouteWithARateOfItsOwnKeepsItsWholePartOfTheReturnBudget() {
-        long two = sentInRamp(1);
-        long shared = sentInRamp(0);
+    void anEndpointWithSeparateLimitsKeepsItsFullRecoveryBudget() {
+        long two = sentInSlowStart(1);
+        long shared = sentInSlowStart(0);
         assertTrue(two >= 1.3 * shared, two + " by routes apart, " + shared + " by routes that share one limit");
     }
 
     /** Sends to two routes of 600 a second each in two seconds after both came back from an outage. */
-    private static long sentInRamp(int kind) {
-        Bench b = new Bench(settings(100, false, 14, 100, 1000));
-        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, kind, 1, 600), endpoint(12, 0, kind, 1, 600))));
+    private static long sentInSlowStart(int kind) {
+        ControlHarness b = new ControlHarness(settings(100, false, 14, 100, 1000));
+        b.turn(new EndpointsListed(ListKind.FULL, List.of(endpoint(11, 0, kind, 1, 600), endpoint(12, 0, kind, 1, 600))));
         b.warmUp(20, 1);
-        b.pass(SECOND);
+        b.advance(SECOND);
         Set<Long> back = new HashSet<>();
         Map<String, Integer> attempts = new HashMap<>();
         ArrayDeque<Send> out = new ArrayDeque<>();
@@ -788,7 +788,7 @@
             out.addAll(sends(b.turn(b.message(1, 1))));
         }
         for (long down = b.now + 3 * SECOND, end = b.now + 14 * SECOND; b.now < Math.min(end, until); ) {
-            out.addAll(sends(b.pass(5 * MS)));
+            out.addAll(sends(b.advance(5 * MS)));
             for (int n = out.size(); n > 0; n--) {
                 Send s = out.poll();
                 boolean up = b.now > down;
@@ -806,13 +806,13 @@
 
     /** thu-duc-later: a call on a connection idle for long fails where these are dropped unseen. */
     @Test
-    void aLongIdleConnectionIsDoubtedAfterAFailureOnOneAndTrustComesBack() {
-        Bench b = new Bench(settings(8, true, 300));
-        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 20))));
+    void longIdleConnectionsAreClosedAfterAFailureUntilTrustIsRestored() {
+        ControlHarness b = new ControlHarness(settings(8, true, 300));
+        b.turn(new EndpointsListed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 20))));
         b.warmUp(20, 1);
-        b.pass(4 * SECOND);
+        b.advance(4 * SECOND);
         Send lost = sends(b.turn(b.message(2, 1))).get(0);
-        b.turn(new Ended(lost.id(), 0, 11, Outcome.RESET, true, 0, 100 * MS, -1, -1));
+        b.turn(new AttemptEnded(lost.id(), 0, 11, Outcome.RESET, true, 0, 100 * MS, -1, -1));
         assertEquals(1, closed(b, 4 * SECOND), "idle for longer than is trusted");
         assertEquals(0, closed(b, SECOND), "idle for less");
         for (int i = 0; i < 60; i++) {
@@ -821,21 +821,21 @@
         assertEquals(0, closed(b, 3 * SECOND), "trusted again");
     }
 
-    private static Send firstSend(Bench b, Accepted m) {
+    private static Send firstSend(ControlHarness b, Accepted m) {
         List<Send> sent = sends(b.turn(m));
         while (sent.isEmpty() && b.now < m.deadline()) {
-            sent = sends(b.pass(5 * MS));
+            sent = sends(b.advance(5 * MS));
         }
         return sent.get(0);
     }
 
     /** Sends and answers one message after a pause; how many connections were closed before the send. */
-    private static long closed(Bench b, long pause) {
-        b.pass(pause);
+    private static long closed(ControlHarness b, long pause) {
+        b.advance(pause);
         List<Action> all = b.turn(b.message(2, 1));
-        long closed = count(all, Close.class);
+        long closed = count(all, CloseIdleConnections.class);
         for (int step = 0; sends(all).isEmpty() && step < 400; step++) {
-            all = b.pass(10 * MS);
+            all = b.advance(10 * MS);
         }
         b.now += 100 * MS;
         b.turn(ended(sends(all).get(0), 0, Outcome.OK));
@@ -844,9 +844,9 @@
 
     /** thu-duc-later big-2: a shut destination with several routes was asked by turns, and pushed over. */
     @Test
-    void refusalsByEveryRouteInARowHoldBackAllOfThem() {
-        Bench b = new Bench(settings(8, false, 300));
-        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 50), endpoint(12, 0, 1, 1, 50))));
+    void refusalsByAllEndpointsInARowBackOffTheDestination() {
+        ControlHarness b = new ControlHarness(settings(8, false, 300));
+        b.turn(new EndpointsListed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 50), endpoint(12, 0, 1, 1, 50))));
         List<Send> asked = new ArrayList<>();
         List<Send> sent = new ArrayList<>(sends(b.turn(b.message(2, 1), b.message(2, 1), b.message(2, 1))));
         for (int step = 0; step < 800; step++) {
@@ -864,42 +864,42 @@
 
     /** i038d82: messages held for a failing destination all went to its replacements, new and cold. */
     @Test
-    void anEndpointNewToAFailingDestinationStartsOnTrials() {
-        Bench b = new Bench(settings(8, false, 2));
-        b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 50))));
+    void aNewEndpointOfAFailingDestinationStartsWithProbes() {
+        ControlHarness b = new ControlHarness(settings(8, false, 2));
+        b.turn(new EndpointsListed(ListKind.FULL, List.of(endpoint(11, 0, 1, 1, 50))));
         b.warmUp(20, 1);
         for (int i = 0; i < 3; i++) {
-            b.pass(3 * SECOND);
+            b.advance(3 * SECOND);
             sends(b.turn(b.message(2, 1)))
-                    .forEach(s -> b.turn(new Ended(s.id(), 0, 11, Outcome.ERROR, true, 0, 100 * MS, -1, -1)));
+                    .forEach(s -> b.turn(new AttemptEnded(s.id(), 0, 11, Outcome.ERROR, true, 0, 100 * MS, -1, -1)));
         }
         List<Event> events = new ArrayList<>();
-        events.add(new Listed(ListKind.CHANGES, List.of(endpoint(12, 0, 1, 1, 50))));
+        events.add(new EndpointsListed(ListKind.CHANGES, List.of(endpoint(12, 0, 1, 1, 50))));
         for (int i = 0; i < 8; i++) {
             events.add(b.message(0, 1));
         }
         long cold = sends(b.turn(events)).stream()
                         .filter(s -> s.endpoint() == 12)
                         .count()
-                + sends(b.pass(SECOND)).stream().filter(s -> s.endpoint() == 12).count();
+                + sends(b.advance(SECOND)).stream().filter(s -> s.endpoint() == 12).count();
         assertTrue(cold <= 1, "one trial at a time, sent " + cold);
     }
 
     /** The fleet's rule: relays that all saw one refusal of a shut place do not come back in step. */
     @Test
-    void aFleetComesBackSpreadOverTime() {
+    void retriesOfAFleetAreSpreadOverTime() {
         List<Long> backs = new ArrayList<>();
         for (int relay = 0; relay < 200; relay++) {
-            Bench b = new Bench(settings(2, false, 200), relay);
-            b.turn(new Listed(ListKind.FULL, List.of(endpoint(11, 0, 0, 1, 50))));
+            ControlHarness b = new ControlHarness(settings(2, false, 200), relay);
+            b.turn(new EndpointsListed(ListKind.FULL, List.of(endpoint(11, 0, 0, 1, 50))));
             b.warmUp(2, 1);
-            b.pass(10 * SECOND);
+            b.advance(10 * SECOND);
             Send s = sends(b.turn(b.message(1, 1))).get(0);
             b.turn(ended(s, 0, Outcome.FULL));
             long start = b.now;
             List<Send> again = List.of();
             while (again.isEmpty() && b.now < start + 14 * SECOND) {
-                again = sends(b.pass(5 * MS));
+                again = sends(b.advance(5 * MS));
             }
             assertFalse(again.isEmpty(), "it starves");
             backs.add((b.now - start) / (100 * MS));
@@ -911,24 +911,24 @@
     }
 
     @Test
-    void oddButLegalEventsAreAbsorbed() {
-        Bench b = bench(0, 8, true);
+    void eventsForUnknownOrEndedMessagesAreIgnored() {
+        ControlHarness b = harness(0, 8, true);
         assertTrue(sends(b.control.turn(
                         b.now,
-                        List.of(new Ended("x", 0, 11, Outcome.OK, true, 0, 1, -1, -1), new Withdrawn("x"), new Due())))
+                        List.of(new AttemptEnded("x", 0, 11, Outcome.OK, true, 0, 1, -1, -1), new Withdrawn("x"), new TimerFired())))
                 .isEmpty());
         Accepted m = b.message(0, 1);
         Send s = sends(b.turn(m)).get(0);
         List<Action> gone = b.turn(new Withdrawn(m.id()));
         assertEquals(1, count(gone, Cancel.class));
         b.turn(new Withdrawn(m.id()));
-        assertTrue(b.turn(new Ended(s.id(), 0, 11, Outcome.CANCELLED, true, 0, 1, -1, -1)).stream()
+        assertTrue(b.turn(new AttemptEnded(s.id(), 0, 11, Outcome.CANCELLED, true, 0, 1, -1, -1)).stream()
                 .noneMatch(a -> a instanceof Fail || a instanceof Refuse || a instanceof Send));
     }
 
     @Test
-    void illegalUseIsAPlainException() {
-        Bench b = bench(0, 8, true);
+    void illegalUseThrows() {
+        ControlHarness b = harness(0, 8, true);
         assertThrows(IllegalArgumentException.class, () -> b.control.turn(b.now - 1, List.of()));
         assertThrows(NullPointerException.class, () -> b.control.turn(b.now, null));
         assertThrows(NullPointerException.class, () -> new Control(1, null));
--- a/src/test/java/brambletray/relay/control/HedgeDelayTest.java
+++ b/src/test/java/brambletray/relay/control/HedgeDelayTest.java
@@ -8,7 +8,7 @@
 /** The delay of copies, by itself: how another program would use it. */
 class HedgeDelayTest {
     @Test
-    void isTheDesignsFigureUntilEightAnswersAreKnown() {
+    void isTheInitialDelayUntilEightAnswersAreKnown() {
         HedgeDelay delay = new HedgeDelay();
         for (int i = 0; i < 7; i++) {
             assertEquals(200_000, delay.delayUs());
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void sitsAboveAboutNineInTenOfTheRecentAnswers() {
+    void isAHighQuantileOfTheRecentAnswers() {
         HedgeDelay delay = new HedgeDelay();
         Random random = new Random(1);
         long[] last = new long[48];
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void followsAChangeWithinItsMemory() {
+    void followsAChangeWithinItsSampleWindow() {
         HedgeDelay delay = new HedgeDelay();
         for (int i = 0; i < 100; i++) {
             delay.add(20_000);
--- a/src/test/java/brambletray/relay/control/RandomStreamTest.java
+++ b/src/test/java/brambletray/relay/control/RandomStreamTest.java
@@ -1,19 +1,19 @@
 package brambletray.relay.control;
 
-import static brambletray.relay.control.Bench.MS;
-import static brambletray.relay.control.Bench.SECOND;
-import static brambletray.relay.control.Bench.settings;
+import static brambletray.relay.control.ControlHarness.MS;
+import static brambletray.relay.control.ControlHarness.SECOND;
+import static brambletray.relay.control.ControlHarness.settings;
 import static org.junit.jupiter.api.Assertions.*;
 
 import brambletray.relay.control.Relay.Accepted;
 import brambletray.relay.control.Relay.Action;
 import brambletray.relay.control.Relay.Cancel;
-import brambletray.relay.control.Relay.Ended;
+import brambletray.relay.control.Relay.AttemptEnded;
 import brambletray.relay.control.Relay.Endpoint;
 import brambletray.relay.control.Relay.Event;
-import brambletray.relay.control.Relay.Excluded;
+import brambletray.relay.control.Relay.EndpointExclusion;
 import brambletray.relay.control.Relay.ListKind;
-import brambletray.relay.control.Relay.Listed;
+import brambletray.relay.control.Relay.EndpointsListed;
 import brambletray.relay.control.Relay.Listing;
 import brambletray.relay.control.Relay.Outcome;
 import brambletray.relay.control.Relay.Send;
@@ -27,7 +27,7 @@
 
 /** Seeded random legal streams of events, every action past the rule checker. */
 class RandomStreamTest {
-    private record Flight(Send send, int attempt, long at, Outcome outcome, long waitFor) {}
+    private record PendingAttempt(Send send, int attempt, long endsAt, Outcome outcome, long retryAfter) {}
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
@@ -54,11 +54,11 @@
 
     private static List<Action> run(long seed, int slots, int relays, int oneIn) {
         Random random = new Random(seed);
-        Bench b = new Bench(settings(slots, seed % 3 != 0, relays, 8, 60), seed);
+        ControlHarness b = new ControlHarness(settings(slots, seed % 3 != 0, relays, 8, 60), seed);
         List<Action> all = new ArrayList<>();
-        List<Flight> flying = new ArrayList<>();
+        List<PendingAttempt> flying = new ArrayList<>();
         List<Accepted> taken = new ArrayList<>();
-        list(b, random, true);
+        listEndpoints(b, random, true);
         int trouble = 0;
         for (int step = 0; step < 6000; step++) {
             b.now += 5 * MS;
@@ -67,24 +67,24 @@
             }
             List<Event> events = new ArrayList<>();
             if (random.nextInt(300) == 0) {
-                events.add(list(b, random, random.nextBoolean()));
+                events.add(listEndpoints(b, random, random.nextBoolean()));
             }
             if (random.nextInt(250) == 0) {
-                events.add(new Excluded(100 + random.nextInt(9), random.nextBoolean()));
+                events.add(new EndpointExclusion(100 + random.nextInt(9), random.nextBoolean()));
             }
-            for (Flight f : List.copyOf(flying)) {
-                if (f.at <= b.now) {
+            for (PendingAttempt f : List.copyOf(flying)) {
+                if (f.endsAt <= b.now) {
                     flying.remove(f);
-                    RuleChecker.Seen s = b.checker.messages.get(f.send.id());
-                    boolean over = s.over || f.outcome == Outcome.OK;
-                    events.add(new Ended(
+                    RuleChecker.TrackedMessage s = b.checker.messages.get(f.send.id());
+                    boolean over = s.ended || f.outcome == Outcome.OK;
+                    events.add(new AttemptEnded(
                             f.send.id(),
                             f.attempt,
                             f.send.endpoint(),
                             f.outcome,
                             over,
-                            f.waitFor,
-                            f.at,
+                            f.retryAfter,
+                            f.endsAt,
                             random.nextDouble(),
                             random.nextInt(3) == 0 ? 5 : -1));
                 }
@@ -99,7 +99,7 @@
             }
             if (!taken.isEmpty() && random.nextInt(200) == 0) {
                 Accepted m = taken.get(random.nextInt(taken.size()));
-                if (b.checker.messages.containsKey(m.id()) && !b.checker.messages.get(m.id()).over) {
+                if (b.checker.messages.containsKey(m.id()) && !b.checker.messages.get(m.id()).ended) {
                     events.add(new Withdrawn(m.id()));
                 }
             }
@@ -110,10 +110,10 @@
             all.addAll(actions);
             for (Action a : actions) {
                 if (a instanceof Send s) {
-                    flying.add(flight(b, s, random, trouble));
+                    flying.add(startAttempt(b, s, random, trouble));
                 } else if (a instanceof Cancel c) {
                     flying.replaceAll(f -> f.send.id().equals(c.id()) && f.attempt == c.attempt()
-                            ? new Flight(f.send, f.attempt, b.now + 5 * MS, Outcome.CANCELLED, 0)
+                            ? new PendingAttempt(f.send, f.attempt, b.now + 5 * MS, Outcome.CANCELLED, 0)
                             : f);
                 }
             }
@@ -121,13 +121,13 @@
         b.now += 40 * SECOND;
         b.turn();
         for (Accepted m : taken) {
-            RuleChecker.Seen s = b.checker.messages.get(m.id());
-            assertTrue(s == null || s.over, "no end for " + m.id());
+            RuleChecker.TrackedMessage s = b.checker.messages.get(m.id());
+            assertTrue(s == null || s.ended, "no end for " + m.id());
         }
         return all;
     }
 
-    private static Flight flight(Bench b, Send s, Random random, int trouble) {
+    private static PendingAttempt startAttempt(ControlHarness b, Send s, Random random, int trouble) {
         Outcome outcome = Outcome.OK;
         long took = 50 * MS + random.nextInt(300) * MS;
         long wait = 0;
@@ -141,10 +141,10 @@
             outcome = Outcome.TIMEOUT;
             took = s.timeout();
         }
-        return new Flight(s, b.checker.messages.get(s.id()).sends.size() - 1, b.now + took, outcome, wait);
+        return new PendingAttempt(s, b.checker.messages.get(s.id()).sends.size() - 1, b.now + took, outcome, wait);
     }
 
-    private static Listed list(Bench b, Random random, boolean whole) {
+    private static EndpointsListed listEndpoints(ControlHarness b, Random random, boolean whole) {
         List<Endpoint> items = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             if (whole ? random.nextInt(8) > 0 : random.nextInt(3) == 0) {
@@ -155,7 +155,7 @@
                 items.add(new Endpoint(100 + i, i % 2, dest - 1, dest, listing, 4 + dest));
             }
         }
-        Listed event = new Listed(whole ? ListKind.FULL : ListKind.CHANGES, items);
+        EndpointsListed event = new EndpointsListed(whole ? ListKind.FULL : ListKind.CHANGES, items);
         if (b.control != null && whole) {
             b.turn(event);
         }
--- a/src/test/java/brambletray/relay/core/DescriptorBudgetTest.java
+++ b/src/test/java/brambletray/relay/core/DescriptorBudgetTest.java
@@ -7,7 +7,7 @@
 
 class DescriptorBudgetTest {
     @Test
-    void sharesAddUpToAllAndNoneIsWithout() {
+    void sharesAddUpToTotalAndNoneIsEmpty() {
         for (int all = 64; all <= 2_000; all++) {
             DescriptorBudget d = new DescriptorBudget(all);
             int sum = 0;
@@ -22,14 +22,14 @@
 
     /** rb38060: 384 descriptors, 382 of them with clients and hosts, and none for the store's next file. */
     @Test
-    void clientsAndHostsLeaveTheOthersTheirs() {
+    void clientsAndHostsLeaveReservedSharesFree() {
         DescriptorBudget d = new DescriptorBudget(384);
         assertEquals(153, d.share(Owner.CLIENTS));
         assertEquals(384 - 153 - 32 - 24 - 4 - 25, d.share(Owner.HOSTS));
     }
 
     @Test
-    void nobodyTakesMoreThanItsShareNorGivesWhatItHasNot() {
+    void acquireAndReleaseAreLimitedByTheShare() {
         DescriptorBudget d = new DescriptorBudget(100);
         for (int i = 0; i < d.share(Owner.HOSTS); i++) {
             assertTrue(d.acquire(Owner.HOSTS));
--- a/src/test/java/brambletray/relay/core/EventDispatcherAuditTest.java
+++ b/src/test/java/brambletray/relay/core/EventDispatcherAuditTest.java
@@ -25,21 +25,21 @@
 
 /** Loop, module and journal hold the same messages, whatever ends one; and where they do not, that is seen. */
 class EventDispatcherAuditTest {
-    private static final long S = 1_000_000;
-    private static final String LIST =
+    private static final long SECOND_US = 1_000_000;
+    private static final String HOST_LIST =
             "{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"s\",\"dial\":\"10.0.0.9:1\",\"site\":\"a\","
                     + "\"class\":\"m\",\"block\":7,\"health\":\"ready\",\"share\":50}]}";
 
-    private final List<Consumer<CallReply>> out = new ArrayList<>();
+    private final List<Consumer<CallReply>> replyCallbacks = new ArrayList<>();
     private final Simulation simulation = new Simulation(1, 1_900_000_000_000L);
-    private final MessageMetrics figures = new MessageMetrics(List.of("bill", "pay"));
+    private final MessageMetrics metrics = new MessageMetrics(List.of("bill", "pay"));
     private final MemoryDisk disk = new MemoryDisk();
     private Machine machine;
     private Journal journal;
-    private EventDispatcher loop;
+    private EventDispatcher dispatcher;
 
     @BeforeEach
-    void begin() throws Exception {
+    void startDispatcher() throws Exception {
         machine = simulation.machine(InetAddress.getByAddress(new byte[] {10, 0, 0, 1}));
         HostList hosts = new HostList(List.of("a"), List.of("m"));
         Relay.Settings settings = new Relay.Settings(
@@ -50,18 +50,18 @@
                 0,
                 Relay.Weights.ROUGH,
                 List.of(
-                        new Relay.MessageClass("bill", 2 * S, 16 * S, 1, 0.3, Relay.Effect.KEYED, false, 15 * S, false),
-                        new Relay.MessageClass("pay", 2 * S, 16 * S, 1, 0.3, Relay.Effect.UNSAFE, false, 0, false)),
+                        new Relay.MessageClass("bill", 2 * SECOND_US, 16 * SECOND_US, 1, 0.3, Relay.Effect.KEYED, false, 15 * SECOND_US, false),
+                        new Relay.MessageClass("pay", 2 * SECOND_US, 16 * SECOND_US, 1, 0.3, Relay.Effect.UNSAFE, false, 0, false)),
                 List.of(),
                 List.of(new Relay.Kind(true, 1)),
-                new Relay.Allowed(8, 6, 12, false, true, 1, S, 15 * S, 3 * S),
-                new Relay.Rules(250_000, 2, 3 * S, 0.2, 12 * S, 0, 20_000),
+                new Relay.Allowed(8, 6, 12, false, true, 1, SECOND_US, 15 * SECOND_US, 3 * SECOND_US),
+                new Relay.Rules(250_000, 2, 3 * SECOND_US, 0.2, 12 * SECOND_US, 0, 20_000),
                 new Relay.Prices(0, 0, 0, 0, List.of()));
         journal = Journal.open(disk, 3_000_000, Store.Promise.PROCESS, 12);
         HostTransport calls = new HostTransport() {
             @Override
             public Call call(Host host, Message message, long patience, Consumer<CallReply> whenEnded) {
-                out.add(whenEnded);
+                replyCallbacks.add(whenEnded);
                 return () -> {};
             }
 
@@ -82,7 +82,7 @@
 
             @Override
             public void postNotice(Journal.Entry entry) {
-                loop.onNoticeAcknowledged(entry);
+                dispatcher.onNoticeAcknowledged(entry);
             }
 
             @Override
@@ -91,27 +91,27 @@
             }
 
             @Override
-            public void onAgentMoved(InetSocketAddress agent) {}
+            public void onAgentAddressChanged(InetSocketAddress agent) {}
         };
-        loop = new EventDispatcher(machine, 1, settings, hosts, calls, journal, figures);
+        dispatcher = new EventDispatcher(machine, 1, settings, hosts, calls, journal, metrics);
         machine.loop().execute(() -> {
             try {
-                loop.start(platform, hosts.update(Wire.decode(LIST)));
+                dispatcher.start(platform, hosts.update(Wire.decode(HOST_LIST)));
             } catch (Wire.Malformed e) {
                 throw new IllegalStateException(e);
             }
         });
-        pass(0);
+        advance(0);
     }
 
-    private void pass(long millis) {
+    private void advance(long millis) {
         simulation.runUntil(simulation.now() + millis * 1_000_000);
     }
 
-    private String hand(String id, String messageClass, long millis) {
+    private String submit(String id, String messageClass, long millis) {
         String[] met = {"nothing"};
         machine.loop()
-                .execute(() -> loop.accept(
+                .execute(() -> dispatcher.accept(
                         new Message(
                                 id,
                                 messageClass,
@@ -147,23 +147,23 @@
                                 met[0] = "failed";
                             }
                         }));
-        pass(0);
+        advance(0);
         return met[0];
     }
 
     private void reply(Relay.Outcome outcome, boolean over) {
-        Consumer<CallReply> next = out.remove(0);
+        Consumer<CallReply> next = replyCallbacks.remove(0);
         machine.loop().execute(() -> next.accept(new CallReply(outcome, over, 0, 1_000, -1, -1)));
-        pass(0);
+        advance(0);
     }
 
-    private void assertAgreed() {
-        assertNull(loop.findInconsistency());
+    private void assertConsistent() {
+        assertNull(dispatcher.findInconsistency());
         long ended = 0;
         for (End end : End.values()) {
-            ended += figures.count(0, end) + figures.count(1, end);
+            ended += metrics.count(0, end) + metrics.count(1, end);
         }
-        assertEquals(journal.owed().size(), figures.inFlight());
+        assertEquals(journal.owed().size(), metrics.inFlight());
         assertTrue(ended >= 0);
     }
 
@@ -172,7 +172,7 @@
      * again without a pause: a core spent on nothing.
      */
     @Test
-    void whatIsStagedAnewAfterABatchThatFailedWaits() {
+    void failedCommitIsRetriedWithADelay() {
         int[] tries = {0};
         boolean[] fails = {false};
         boolean[] noted = {false};
@@ -181,11 +181,11 @@
                 throw new IOException("Too many open files");
             }
         });
-        loop.completionListener(new CompletionListener() {
+        dispatcher.completionListener(new CompletionListener() {
             @Override
             public void onCompleted(Message message, End end, long retryAfter) {
                 journal.store().put((byte) 99, 1, new byte[] {1});
-                loop.onStaged();
+                dispatcher.onStaged();
             }
 
             @Override
@@ -203,62 +203,62 @@
                 noted[0] = !journal.store().chains((byte) 99).isEmpty();
             }
         });
-        hand("a", "bill", 16_000);
+        submit("a", "bill", 16_000);
         fails[0] = true;
         reply(Relay.Outcome.OK, false);
-        pass(1_000);
+        advance(1_000);
         assertTrue(tries[0] >= 8 && tries[0] <= 14, tries[0] + " tries in a second");
         assertFalse(noted[0]);
         fails[0] = false;
-        pass(100);
+        advance(100);
         assertTrue(noted[0], "written once it can be, with no turn in between");
-        assertAgreed();
+        assertConsistent();
     }
 
     /** Each way in which a message ends: counted once, and held nowhere any more. */
     @Test
-    void allThreeAgreeOverEachEndThatThereIs() {
-        assertEquals("taken", hand("delivered", "bill", 16_000));
-        assertAgreed();
+    void openMessagesAreConsistentAfterEachKindOfEnd() {
+        assertEquals("taken", submit("delivered", "bill", 16_000));
+        assertConsistent();
         reply(Relay.Outcome.OK, false);
-        assertAgreed();
-        assertEquals(1, figures.count(0, End.SERVED));
-        hand("over", "bill", 16_000);
+        assertConsistent();
+        assertEquals(1, metrics.count(0, End.SERVED));
+        submit("over", "bill", 16_000);
         reply(Relay.Outcome.NOT_SENT, true);
-        assertAgreed();
-        assertEquals(1, figures.count(0, End.FAILED));
-        hand("perhaps", "pay", 16_000);
+        assertConsistent();
+        assertEquals(1, metrics.count(0, End.FAILED));
+        submit("perhaps", "pay", 16_000);
         reply(Relay.Outcome.RESET, false);
-        assertAgreed();
-        assertEquals(1, figures.count(1, End.FAILED));
-        hand("left", "bill", 16_000);
-        machine.loop().execute(() -> loop.withdraw("left"));
-        pass(0);
-        assertAgreed();
-        assertEquals(1, figures.count(0, End.WITHDRAWN));
+        assertConsistent();
+        assertEquals(1, metrics.count(1, End.FAILED));
+        submit("left", "bill", 16_000);
+        machine.loop().execute(() -> dispatcher.withdraw("left"));
+        advance(0);
+        assertConsistent();
+        assertEquals(1, metrics.count(0, End.WITHDRAWN));
         reply(Relay.Outcome.CANCELLED, false);
-        assertAgreed();
-        hand("late", "bill", 500);
-        pass(700);
-        assertAgreed();
+        assertConsistent();
+        submit("late", "bill", 500);
+        advance(700);
+        assertConsistent();
         reply(Relay.Outcome.TIMEOUT, false);
-        assertAgreed();
-        assertEquals(2, figures.count(0, End.FAILED) + figures.count(0, End.REFUSED));
+        assertConsistent();
+        assertEquals(2, metrics.count(0, End.FAILED) + metrics.count(0, End.REFUSED));
         for (int i = 0; i < 9; i++) {
-            hand("many" + i, "bill", 16_000);
-            assertAgreed();
+            submit("many" + i, "bill", 16_000);
+            assertConsistent();
         }
-        assertTrue(figures.count(0, End.REFUSED) > 0);
-        assertEquals(0, out.size() - loop.callsInFlight());
+        assertTrue(metrics.count(0, End.REFUSED) > 0);
+        assertEquals(0, replyCallbacks.size() - dispatcher.callsInFlight());
     }
 
     /** A fault that is planted: the journal has let a message go that loop and module hold. */
     @Test
-    void whereTheyDoNotAgreeThatIsSeen() throws Exception {
-        hand("a", "bill", 16_000);
-        assertAgreed();
+    void differenceIsReported() throws Exception {
+        submit("a", "bill", 16_000);
+        assertConsistent();
         journal.closed(journal.owed().iterator().next());
-        assertNotNull(loop.findInconsistency());
-        assertTrue(loop.findInconsistency().contains("journal 0"), loop.findInconsistency());
+        assertNotNull(dispatcher.findInconsistency());
+        assertTrue(dispatcher.findInconsistency().contains("journal 0"), dispatcher.findInconsistency());
     }
 }
--- a/src/test/java/brambletray/relay/core/HostKnowledgeRecorderTest.java
+++ b/src/test/java/brambletray/relay/core/HostKnowledgeRecorderTest.java
@@ -23,7 +23,7 @@
     private static final long MS = 1_000;
     private static final long SECOND = 1_000_000;
 
-    private static final class Time implements Ticker {
+    private static final class FakeTime implements Ticker {
         long micros = 1_000_000;
 
         @Override
@@ -58,24 +58,24 @@
             new Relay.Prices(0.1, 0.01, 0, 0, List.of()));
 
     private final MemoryDisk disk = new MemoryDisk();
-    private final Time time = new Time();
+    private final FakeTime time = new FakeTime();
 
     /** One life: its store, list, module and evidence. */
-    private final class Life implements AutoCloseable {
+    private final class RelayRun implements AutoCloseable {
         final Store store;
         final HostList hosts = new HostList(List.of("z"), List.of("k"));
         final Control control = new Control(3, SETTINGS);
-        final HostKnowledgeRecorder evidence;
+        final HostKnowledgeRecorder recorder;
         final Map<String, Integer> attempts = new HashMap<>();
-        int sent;
+        int accepted;
 
-        Life() throws Exception {
+        RelayRun() throws Exception {
             store = Store.open(disk, new Store.Options(1_000_000, Store.Promise.PROCESS, 1_000));
-            evidence = new HostKnowledgeRecorder(
+            recorder = new HostKnowledgeRecorder(
                     Clock.of(time, 0), control, hosts, new HostKnowledgeJournal(store), 12 * SECOND);
         }
 
-        Relay.Listed update(long seq, boolean whole, String... hostsAndHealth) throws Wire.Malformed {
+        Relay.EndpointsListed update(long seq, boolean whole, String... hostsAndHealth) throws Wire.Malformed {
             List<String> entries = new ArrayList<>();
             for (String h : hostsAndHealth) {
                 entries.add(
@@ -89,38 +89,38 @@
         List<Relay.Action> turn(List<Relay.Event> events) {
             List<Relay.Action> actions = control.turn(time.micros, events);
             sends(actions).forEach(s -> attempts.merge(s.id(), 1, Integer::sum));
-            evidence.onDecided(events);
+            recorder.stageRetryAfterTimes(events);
             return actions;
         }
 
-        void start(Relay.Listed known) {
-            List<Relay.Event> events = new ArrayList<>(List.of(evidence.withoutLeavers(known)));
-            events.addAll(evidence.believedEvents());
+        void start(Relay.EndpointsListed known) {
+            List<Relay.Event> events = new ArrayList<>(List.of(recorder.withLeavingHostsDraining(known)));
+            events.addAll(recorder.restoredEvents());
             turn(events);
         }
 
-        void listed(Relay.Listed list) {
+        void onListed(Relay.EndpointsListed list) {
             List<Relay.Event> events = new ArrayList<>(List.of(list));
-            events.addAll(evidence.onListed(list));
+            events.addAll(recorder.onListed(list));
             turn(events);
         }
 
         /** A message comes in; the endpoint it is sent to, 0 for none. */
-        List<Relay.Send> message() {
-            return sends(turn(List.of(new Relay.Accepted("m" + sent++, 0, 0, null, time.micros + 60 * SECOND, 1))));
+        List<Relay.Send> acceptMessage() {
+            return sends(turn(List.of(new Relay.Accepted("m" + accepted++, 0, 0, null, time.micros + 60 * SECOND, 1))));
         }
 
-        List<Relay.Send> pass(long span) {
+        List<Relay.Send> advance(long span) {
             List<Relay.Send> sends = new ArrayList<>();
             for (long until = time.micros + span; time.micros < until; ) {
                 time.micros += 10 * MS;
-                sends.addAll(sends(turn(List.of(new Relay.Due()))));
+                sends.addAll(sends(turn(List.of(new Relay.TimerFired()))));
             }
             return sends;
         }
 
         void ended(Relay.Send send, Relay.Outcome outcome, long wait, double limit) {
-            turn(List.of(new Relay.Ended(
+            turn(List.of(new Relay.AttemptEnded(
                     send.id(),
                     attempts.get(send.id()) - 1,
                     send.endpoint(),
@@ -141,7 +141,7 @@
         @Override
         public void close() throws Exception {
             store.commit();
-            evidence.onWritten(true);
+            recorder.onWritten(true);
             store.close();
         }
     }
@@ -155,119 +155,119 @@
 
     /** Rule 6: noted in the batch of the turn that heard it, for the next life's every message. */
     @Test
-    void aToldWaitBindsTheNextLife() throws Exception {
-        try (Life life = new Life()) {
+    void retryAfterTimeSurvivesRestart() throws Exception {
+        try (RelayRun life = new RelayRun()) {
             life.start(life.update(1, true, "a ready"));
-            life.ended(life.message().get(0), Relay.Outcome.FULL, 3 * SECOND, 0);
+            life.ended(life.acceptMessage().get(0), Relay.Outcome.FULL, 3 * SECOND, 0);
         }
         long told = time.micros;
         time.micros += SECOND;
-        try (Life life = new Life()) {
+        try (RelayRun life = new RelayRun()) {
             life.start(life.update(1, true, "a ready"));
-            assertTrue(life.message().isEmpty());
-            assertTrue(life.pass(told + 3 * SECOND - time.micros - 20 * MS).isEmpty(), "the wait is not over");
-            assertFalse(life.pass(2 * SECOND).isEmpty(), "it is over");
+            assertTrue(life.acceptMessage().isEmpty());
+            assertTrue(life.advance(told + 3 * SECOND - time.micros - 20 * MS).isEmpty(), "the wait is not over");
+            assertFalse(life.advance(2 * SECOND).isEmpty(), "it is over");
         }
     }
 
     /** Nothing is known of a host that no list names; once one does, it is. */
     @Test
-    void whatIsKnownWaitsForTheHostToBeListed() throws Exception {
-        try (Life life = new Life()) {
+    void knowledgeIsRestoredOnceTheHostIsListed() throws Exception {
+        try (RelayRun life = new RelayRun()) {
             life.start(life.update(1, true, "a ready", "b ready"));
             for (int i = 0; i < 4; i++) {
-                List<Relay.Send> sends = new ArrayList<>(life.message());
-                sends.addAll(life.pass(SECOND));
+                List<Relay.Send> sends = new ArrayList<>(life.acceptMessage());
+                sends.addAll(life.advance(SECOND));
                 sends.forEach(s -> life.ended(s, Relay.Outcome.FULL, 60 * SECOND, 0));
             }
-            assertFalse(life.evidence.recordChanges(), "noted when it was heard");
+            assertFalse(life.recorder.recordChanges(), "noted when it was heard");
         }
-        try (Life life = new Life()) {
+        try (RelayRun life = new RelayRun()) {
             life.start(life.update(1, true, "b ready"));
-            life.evidence.recordChanges();
-            life.listed(life.update(2, false, "a ready"));
+            life.recorder.recordChanges();
+            life.onListed(life.update(2, false, "a ready"));
             assertTrue(
-                    life.control.known(life.number("b")).isUnhealthy(),
+                    life.control.endpointKnowledge(life.number("b")).isUnhealthy(),
                     "its sibling was shut, and it was not heard from");
-            assertTrue(life.control.known(life.number("b")).retryAfter() > 40 * SECOND);
+            assertTrue(life.control.endpointKnowledge(life.number("b")).retryAfter() > 40 * SECOND);
         }
     }
 
     /** Rule 4: killed while a host was failing, or warming up: the next life does not push it over. */
     @Test
-    void aHostThatFailedGetsATrialAndIsWarmedUp() throws Exception {
-        try (Life life = new Life()) {
+    void failedHostIsProbedAndSlowStartedAfterRestart() throws Exception {
+        try (RelayRun life = new RelayRun()) {
             life.start(life.update(1, true, "a ready"));
-            life.pass(SECOND);
-            for (int i = 0; i < 20 && !life.control.known(life.number("a")).isUnhealthy(); i++) {
-                List<Relay.Send> sends = new ArrayList<>(life.message());
-                sends.addAll(life.pass(SECOND));
+            life.advance(SECOND);
+            for (int i = 0; i < 20 && !life.control.endpointKnowledge(life.number("a")).isUnhealthy(); i++) {
+                List<Relay.Send> sends = new ArrayList<>(life.acceptMessage());
+                sends.addAll(life.advance(SECOND));
                 sends.forEach(s -> life.ended(s, Relay.Outcome.CONNECT_FAILED, 0, 0));
             }
-            assertTrue(life.control.known(life.number("a")).isUnhealthy());
-            assertTrue(life.evidence.recordChanges());
+            assertTrue(life.control.endpointKnowledge(life.number("a")).isUnhealthy());
+            assertTrue(life.recorder.recordChanges());
         }
-        try (Life life = new Life()) {
+        try (RelayRun life = new RelayRun()) {
             life.start(life.update(1, true, "a ready"));
             List<Relay.Send> trial = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                trial.addAll(life.message());
+                trial.addAll(life.acceptMessage());
             }
-            trial.addAll(life.pass(2 * SECOND));
+            trial.addAll(life.advance(2 * SECOND));
             assertEquals(1, trial.size(), "a trial");
             life.ended(trial.get(0), Relay.Outcome.OK, 0, 0);
-            assertTrue(life.control.known(life.number("a")).slowStartAge() >= 0);
-            life.pass(SECOND);
-            assertTrue(life.evidence.recordChanges());
+            assertTrue(life.control.endpointKnowledge(life.number("a")).slowStartAge() >= 0);
+            life.advance(SECOND);
+            assertTrue(life.recorder.recordChanges());
         }
         time.micros += 2 * SECOND;
-        try (Life life = new Life()) {
+        try (RelayRun life = new RelayRun()) {
             life.start(life.update(1, true, "a ready"));
-            long warming = life.control.known(life.number("a")).slowStartAge();
+            long warming = life.control.endpointKnowledge(life.number("a")).slowStartAge();
             assertTrue(warming >= 3 * SECOND && warming < 4 * SECOND, "goes on warming up: " + warming);
             for (int i = 0; i < 20; i++) {
-                life.message();
+                life.acceptMessage();
             }
-            assertTrue(life.pass(SECOND).size() <= 12, "within what a cold host bears");
+            assertTrue(life.advance(SECOND).size() <= 12, "within what a cold host bears");
         }
     }
 
     @Test
-    void aToldLimitIsKnownToTheNextLife() throws Exception {
+    void reportedLimitSurvivesRestart() throws Exception {
         double pace;
-        try (Life life = new Life()) {
+        try (RelayRun life = new RelayRun()) {
             life.start(life.update(1, true, "a ready"));
-            life.ended(life.message().get(0), Relay.Outcome.OK, 0, 10);
-            pace = life.control.known(life.number("a")).pace();
-            assertTrue(life.evidence.recordChanges());
+            life.ended(life.acceptMessage().get(0), Relay.Outcome.OK, 0, 10);
+            pace = life.control.endpointKnowledge(life.number("a")).pace();
+            assertTrue(life.recorder.recordChanges());
         }
         time.micros += 2 * SECOND;
-        try (Life life = new Life()) {
+        try (RelayRun life = new RelayRun()) {
             life.start(life.update(1, true, "a ready"));
-            assertEquals(10, life.control.known(life.number("a")).limit());
-            assertEquals(pace, life.control.known(life.number("a")).pace());
+            assertEquals(10, life.control.endpointKnowledge(life.number("a")).limit());
+            assertEquals(pace, life.control.endpointKnowledge(life.number("a")).pace());
         }
     }
 
     /** Rule 3: the list that a start begins with is older than the drain that was heard. */
     @Test
-    void aHostThatWasLeavingStaysOutUntilAListOfNow() throws Exception {
-        try (Life life = new Life()) {
+    void leavingHostStaysOutUntilACurrentListArrives() throws Exception {
+        try (RelayRun life = new RelayRun()) {
             life.start(life.update(4, true, "a ready", "b ready", "c ready"));
-            life.listed(life.update(5, false, "a draining", "b gone"));
+            life.onListed(life.update(5, false, "a draining", "b gone"));
         }
-        try (Life life = new Life()) {
+        try (RelayRun life = new RelayRun()) {
             life.start(life.update(4, true, "a ready", "b ready", "c ready"));
             for (int i = 0; i < 6; i++) {
-                life.message().forEach(s -> assertEquals(life.number("c"), s.endpoint()));
+                life.acceptMessage().forEach(s -> assertEquals(life.number("c"), s.endpoint()));
             }
-            assertTrue(life.pass(5 * SECOND).stream().allMatch(s -> s.endpoint() == life.number("c")));
+            assertTrue(life.advance(5 * SECOND).stream().allMatch(s -> s.endpoint() == life.number("c")));
             assertFalse(life.hosts.hostNamed("a").ready, "a call that waits for its connection does not go out");
-            life.listed(life.update(6, false, "a draining"));
+            life.onListed(life.update(6, false, "a draining"));
             assertFalse(life.hosts.hostNamed("a").ready);
             assertTrue(life.hosts.hostNamed("b").ready, "the platform has spoken, and not of it");
         }
-        try (Life life = new Life()) {
+        try (RelayRun life = new RelayRun()) {
             life.start(life.update(7, true, "a ready", "b ready"));
             assertTrue(life.hosts.hostNamed("a").ready, "a later list");
             assertTrue(life.hosts.hostNamed("b").ready);
@@ -276,34 +276,34 @@
 
     /** A batch that failed has told the store nothing. */
     @Test
-    void aNoteWhoseBatchFailedIsMadeAnew() throws Exception {
-        try (Life life = new Life()) {
+    void entryOfAFailedBatchIsRecordedAgain() throws Exception {
+        try (RelayRun life = new RelayRun()) {
             life.start(life.update(1, true, "a ready"));
-            life.ended(life.message().get(0), Relay.Outcome.FULL, 30 * SECOND, 0);
-            life.evidence.onWritten(false);
-            assertTrue(life.evidence.recordChanges());
-            life.evidence.onWritten(true);
-            assertFalse(life.evidence.recordChanges());
+            life.ended(life.acceptMessage().get(0), Relay.Outcome.FULL, 30 * SECOND, 0);
+            life.recorder.onWritten(false);
+            assertTrue(life.recorder.recordChanges());
+            life.recorder.onWritten(true);
+            assertFalse(life.recorder.recordChanges());
         }
     }
 
     /** Hosts that come and go all day leave a bounded trace. */
     @Test
-    void hostsThatAreGoneAreForgottenInTheEnd() throws Exception {
-        try (Life life = new Life()) {
+    void goneHostsAreEventuallyForgotten() throws Exception {
+        try (RelayRun life = new RelayRun()) {
             life.start(life.update(1, true, "a ready"));
             for (int i = 0; i < 1_000; i++) {
                 String host = "h" + i;
-                life.listed(life.update(2 + 2L * i, false, host + " ready"));
-                life.listed(life.update(3 + 2L * i, false, host + " gone"));
+                life.onListed(life.update(2 + 2L * i, false, host + " ready"));
+                life.onListed(life.update(3 + 2L * i, false, host + " gone"));
                 Host gone = life.hosts.hostNamed(host);
                 life.hosts.forget(gone);
-                life.evidence.onForgotten(gone);
+                life.recorder.onForgotten(gone);
                 life.store.commit();
-                life.evidence.onWritten(true);
+                life.recorder.onWritten(true);
             }
         }
-        try (Life life = new Life()) {
+        try (RelayRun life = new RelayRun()) {
             assertTrue(
                     life.store.chains(HostKnowledgeJournal.SPACE).size() <= 70,
                     "" + life.store.chains(HostKnowledgeJournal.SPACE).size());
--- a/src/test/java/brambletray/relay/handover/HandoverCodecTest.java
+++ b/src/test/java/brambletray/relay/handover/HandoverCodecTest.java
@@ -8,15 +8,15 @@
 import brambletray.relay.control.Relay.Accepted;
 import brambletray.relay.control.Relay.Action;
 import brambletray.relay.control.Relay.Allowed;
-import brambletray.relay.control.Relay.Due;
+import brambletray.relay.control.Relay.TimerFired;
 import brambletray.relay.control.Relay.Effect;
-import brambletray.relay.control.Relay.Ended;
+import brambletray.relay.control.Relay.AttemptEnded;
 import brambletray.relay.control.Relay.Endpoint;
 import brambletray.relay.control.Relay.Event;
-import brambletray.relay.control.Relay.Excluded;
+import brambletray.relay.control.Relay.EndpointExclusion;
 import brambletray.relay.control.Relay.Kind;
 import brambletray.relay.control.Relay.ListKind;
-import brambletray.relay.control.Relay.Listed;
+import brambletray.relay.control.Relay.EndpointsListed;
 import brambletray.relay.control.Relay.Listing;
 import brambletray.relay.control.Relay.MessageClass;
 import brambletray.relay.control.Relay.Outcome;
@@ -159,18 +159,18 @@
         control.turn(
                 0,
                 List.of(
-                        new Listed(
+                        new EndpointsListed(
                                 ListKind.FULL,
                                 List.of(
                                         new Endpoint(1, 0, 0, 1, Listing.READY, 50),
                                         new Endpoint(2, 0, 0, 2, Listing.READY, 50),
                                         new Endpoint(3, 0, 0, 3, Listing.READY, 50))),
-                        new Excluded(3, true)));
+                        new EndpointExclusion(3, true)));
         for (int i = 0; i < 30; i++) {
             control.turn(i * 1_000L, List.of(new Accepted("m" + i, i % 2, 0, "k" + i % 3, 5 * S, 1 + i % 3)));
         }
-        control.turn(40_000, List.of(new Ended("m0", 0, 1, Outcome.OK, true, 0, 30_000, 0.5, 40)));
-        control.turn(50_000, List.of(new Ended("m1", 0, 2, Outcome.FULL, false, 2 * S, 30_000, 0, 40)));
+        control.turn(40_000, List.of(new AttemptEnded("m0", 0, 1, Outcome.OK, true, 0, 30_000, 0.5, 40)));
+        control.turn(50_000, List.of(new AttemptEnded("m1", 0, 2, Outcome.FULL, false, 2 * S, 30_000, 0, 40)));
         return control;
     }
 
@@ -186,16 +186,16 @@
                     MemoryCodec.decode(
                             MemoryCodec.encode(new Control(9, SETTINGS, MemoryCodec.decode(left)).memory())));
             long at = 60_000 + step * 150_000L;
-            List<Event> events = List.of(new Due(), new Accepted("n", 0, 0, null, 8 * S, 1));
+            List<Event> events = List.of(new TimerFired(), new Accepted("n", 0, 0, null, 8 * S, 1));
             assertEquals(stayed.turn(at, events), moved.turn(at, events));
-            assertEquals(stayed.avoided(), moved.avoided());
+            assertEquals(stayed.unavailableEndpointCount(), moved.unavailableEndpointCount());
         }
         Memory memory = MemoryCodec.decode(MemoryCodec.encode(busy().memory()));
         Control next = new Control(9, SETTINGS, memory);
-        assertEquals(1, next.avoided());
+        assertEquals(1, next.unavailableEndpointCount());
         // The wait told to the one before binds the next; the host taken out gets nothing.
         for (long at = 100_000; at < 2 * S; at += 50_000) {
-            for (Action a : next.turn(at, List.of(new Due()))) {
+            for (Action a : next.turn(at, List.of(new TimerFired()))) {
                 if (a instanceof Send send) {
                     assertEquals(1, send.endpoint(), "inside the wait, or taken out");
                 }
@@ -206,7 +206,7 @@
     @Test
     void whatIsNotWholeOrNotOfThisVersionIsRefused() throws IOException {
         byte[] good = MemoryCodec.encode(busy().memory());
-        assertEquals(30 - 1, MemoryCodec.decode(good).openMessages().size());
+        assertEquals(30 - 1, MemoryCodec.decode(good).openMessageAttemptCounts().size());
         Random random = new Random(3);
         for (int round = 0; round < 300; round++) {
             byte[] spoilt = good.clone();
--- a/src/test/java/brambletray/relay/membership/HostListTest.java
+++ b/src/test/java/brambletray/relay/membership/HostListTest.java
@@ -11,7 +11,7 @@
 
 /** Discovery's list, as the module is told it. */
 class HostListTest {
-    private static Relay.Listed update(HostList list, String text) throws Wire.Malformed {
+    private static Relay.EndpointsListed update(HostList list, String text) throws Wire.Malformed {
         return list.update(Wire.decode(text));
     }
 
@@ -25,8 +25,8 @@
         String one = PlatformStub.host("s-1", 80, 7, "ready");
         String two = PlatformStub.host("s-2", 80, 7, "ready");
         HostList first = list();
-        Relay.Listed listed = update(first, PlatformStub.list(1, true, one, two));
-        Relay.Listed other = update(list(), PlatformStub.list(1, true, two, one));
+        Relay.EndpointsListed listed = update(first, PlatformStub.list(1, true, one, two));
+        Relay.EndpointsListed other = update(list(), PlatformStub.list(1, true, two, one));
         assertEquals(listed.endpoints().get(0), other.endpoints().get(1));
         assertEquals(listed.endpoints().get(1), other.endpoints().get(0));
         assertEquals(
@@ -39,7 +39,7 @@
     /** "plumless" and "buckeroo" have one CRC-32: they must still be two hosts. */
     @Test
     void namesThatCollideGetNumbersOfTheirOwn() throws Wire.Malformed {
-        Relay.Listed listed = update(
+        Relay.EndpointsListed listed = update(
                 list(),
                 PlatformStub.list(
                         1,
@@ -57,7 +57,7 @@
                 .endpoints()
                 .get(0)
                 .id();
-        Relay.Listed next = update(
+        Relay.EndpointsListed next = update(
                 list,
                 PlatformStub.list(
                         2,
@@ -66,7 +66,7 @@
                         PlatformStub.host("s-3", 80, 7, "ready").replace("\"m2\"", "\"m9\"")));
         assertEquals(1, next.endpoints().size());
         assertFalse(list.host(gone).ready);
-        assertTrue(list.knows(7), "a destination stays known while its hosts are gone");
+        assertTrue(list.hasDestination(7), "a destination stays known while its hosts are gone");
         assertEquals(2, list.version());
     }
 
--- a/src/test/java/brambletray/relay/stage/InventoryNightTest.java
+++ b/src/test/java/brambletray/relay/stage/InventoryNightTest.java
@@ -181,8 +181,8 @@
                 }
 
                 @Override
-                public void onAgentMoved(InetSocketAddress agent) {
-                    platform.onAgentMoved(agent);
+                public void onAgentAddressChanged(InetSocketAddress agent) {
+                    platform.onAgentAddressChanged(agent);
                 }
             };
         }
