--- a/src/test/java/brambletray/platform/replication/DiskPositionsTest.java
+++ b/src/test/java/brambletray/platform/replication/DiskPositionsTest.java
@@ -7,17 +7,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * One scenario of a core: founded, changed, compacted, a member that lost its disk let in again, changed on. At each
- * position of each
- * member's disk (a write has begun; its sync is about to return) one fault: the disk refuses, the process is killed,
- * the power goes, for
- * this member or for all at once. Nothing acknowledged is lost, and once all is calm changes are acknowledged again.
+ * Injects a fault at every disk position of one scenario. The scenario: the group is founded, changes are committed and
+ * compacted, a member that lost its disk rejoins, and more changes follow. The positions: on any member, a write has
+ * started, or its sync is about to return. The faults: the disk refuses writes, the process is killed, or the power is
+ * lost, on that member or on all at once. No acknowledged change may be lost, and changes must be acknowledged again
+ * after the fault.
  */
 class DiskPositionsTest {
     private static final int WRITE_REFUSAL_MS = 1_500;
     private static final int RESTART_DELAY_MS = 300;
     private static final int RECOVERY_TIMEOUT_MS = 9_000;
-    /** Bytes of a change: four of them make a log be compacted. */
+    /** Size of a change; four changes of this size trigger a compaction. */
     private static final int CHANGE_BYTES = 300 << 10;
 
     private enum Fault {
@@ -60,15 +60,15 @@
 
         private final boolean affectsAllNodes;
 
-        Fault(boolean all) {
-            this.affectsAllNodes = all;
+        Fault(boolean affectsAllNodes) {
+            this.affectsAllNodes = affectsAllNodes;
         }
 
         abstract void inject(SimulatedReplicas world, SimulatedReplica node);
 
         void injectAt(SimulatedReplicas world, SimulatedReplica node) {
-            for (SimulatedReplica one : affectsAllNodes ? List.copyOf(world.nodes.values()) : List.of(node)) {
-                inject(world, one);
+            for (SimulatedReplica target : affectsAllNodes ? List.copyOf(world.nodes.values()) : List.of(node)) {
+                inject(world, target);
             }
         }
 
@@ -77,47 +77,51 @@
             world.later(world.now + WRITE_REFUSAL_MS, () -> node.disk.full = false);
         }
 
-        /** Ends the process, and starts it again; with {@code power}, what its disk hadn't synced is gone. */
-        private static void killAndRestart(SimulatedReplicas world, SimulatedReplica node, boolean power) {
+        /** Kills the process and restarts it later; with {@code powerLost}, unsynced data on its disk is lost. */
+        private static void killAndRestart(SimulatedReplicas world, SimulatedReplica node, boolean powerLost) {
             if (!node.isRunning()) {
                 return;
             }
-            node.kill(power);
-            int boot = node.processNumber;
+            node.kill(powerLost);
+            int processNumber = node.processNumber;
             world.later(world.now + RESTART_DELAY_MS, () -> {
-                if (node.processNumber == boot && node.down) {
+                if (node.processNumber == processNumber && node.down) {
                     node.start();
                 }
             });
         }
     }
 
-    /** Plays the scenario with a fault at one position; returns how many positions there were. */
+    /**
+     * Runs the scenario with a fault at one position.
+     *
+     * @return the number of positions in the run
+     */
     private static int runScenario(int position, Fault fault) {
         ReplicationTestCluster core = new ReplicationTestCluster(List.of("a", "b", "c"));
         SimulatedReplicas world = core.world;
-        int[] seen = new int[1];
+        int[] positionsSeen = new int[1];
         core.found();
         world.atDisk = node -> {
-            if (seen[0]++ == position) {
+            if (positionsSeen[0]++ == position) {
                 fault.injectAt(world, node);
             }
         };
         world.padding = "p".repeat(CHANGE_BYTES);
         proposeChanges(world, 6);
-        SimulatedReplica empty = world.nodes.get("c");
-        if (empty.isRunning() && world.ruleChecker.intact()) {
-            empty.kill(true);
-            empty.wipe();
+        SimulatedReplica wiped = world.nodes.get("c");
+        if (wiped.isRunning() && world.ruleChecker.intact()) {
+            wiped.kill(true);
+            wiped.wipe();
             world.until(world.now + RESTART_DELAY_MS);
-            if (!empty.isRunning()) {
-                empty.start();
+            if (!wiped.isRunning()) {
+                wiped.start();
             }
         }
         proposeChanges(world, 6);
         world.until(world.now + WRITE_REFUSAL_MS);
         awaitRecovery(world);
-        return seen[0];
+        return positionsSeen[0];
     }
 
     private static void proposeChanges(SimulatedReplicas world, int count) {
@@ -132,21 +136,24 @@
     }
 
     private static void awaitRecovery(SimulatedReplicas world) {
-        world.await(() -> allInOneView(world), RECOVERY_TIMEOUT_MS, "all in one view");
+        world.await(() -> allInOneView(world), RECOVERY_TIMEOUT_MS, "all nodes in one view");
         world.padding = "";
         int before = world.ruleChecker.acknowledged.size();
-        world.await(() -> acknowledgesNewChange(world, before), RECOVERY_TIMEOUT_MS, "a change after all is calm");
-        world.await(() -> statesAreEqual(world), RECOVERY_TIMEOUT_MS, "all alike");
+        world.await(
+                () -> acknowledgesNewChange(world, before),
+                RECOVERY_TIMEOUT_MS,
+                "a change acknowledged after the faults");
+        world.await(() -> statesAreEqual(world), RECOVERY_TIMEOUT_MS, "equal state on all nodes");
         world.ruleChecker.end(new ArrayList<>(world.nodes.values()));
     }
 
-    /** Proposes once more, as an operator does whose call had no clear answer. */
+    /** Proposes again until a new change is acknowledged, like an operator whose call had no definite outcome. */
     private static boolean acknowledgesNewChange(SimulatedReplicas world, int before) {
-        boolean done = world.ruleChecker.acknowledged.size() > before;
-        if (!done && world.leader() != null) {
+        boolean acknowledged = world.ruleChecker.acknowledged.size() > before;
+        if (!acknowledged && world.leader() != null) {
             world.ruleChecker.propose(world.leader());
         }
-        return done;
+        return acknowledged;
     }
 
     private static boolean allInOneView(SimulatedReplicas world) {
@@ -165,7 +172,7 @@
 
     @Test
     void noFaultAtAnyDiskPositionLosesAcknowledgedChanges() {
-        int plays = 0;
+        int runs = 0;
         int positions = 0;
         for (Fault fault : Fault.values()) {
             int last = 0;
@@ -175,14 +182,14 @@
                 } catch (AssertionError | RuntimeException e) {
                     throw new AssertionError(fault + " at position " + position + ": " + e.getMessage(), e);
                 }
-                plays++;
+                runs++;
                 if (last > 2_000) {
                     throw new AssertionError("too many positions: " + last);
                 }
             }
             positions = Math.max(positions, last + 1);
         }
-        System.out.println("disk positions: " + positions + ", plays " + plays);
-        assertTrue(positions > 60, "few positions: " + positions);
+        System.out.println("disk positions: " + positions + ", runs " + runs);
+        assertTrue(positions > 60, "too few positions: " + positions);
     }
 }
--- a/src/test/java/brambletray/platform/replication/MemberRemovalRequestsTest.java
+++ b/src/test/java/brambletray/platform/replication/MemberRemovalRequestsTest.java
@@ -9,17 +9,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * An operator declares a machine dead: what it takes, what goes on after it, and that the machine can do no harm when
- * it is there after all.
+ * Tests the removal of a machine by an operator: when it is accepted, that the other members continue after it, and
+ * that the removed machine does no harm if it comes back.
  */
 class MemberRemovalRequestsTest {
     private SimulatedReplicas world;
     private MemberRemovalOutcome outcome;
 
     private void startCluster(String... names) {
-        ReplicationTestCluster core = new ReplicationTestCluster(List.of(names));
-        world = core.world;
-        core.found();
+        ReplicationTestCluster cluster = new ReplicationTestCluster(List.of(names));
+        world = cluster.world;
+        cluster.found();
     }
 
     private SimulatedReplica node(String name) {
@@ -37,7 +37,7 @@
 
     private MemberRemovalOutcome removalOutcome(String at, String address, long incarnation) {
         requestRemoval(at, address, incarnation);
-        world.await(() -> outcome != null, 4_000, "an answer to the order");
+        world.await(() -> outcome != null, 4_000, "an outcome of the removal");
         return outcome;
     }
 
@@ -52,15 +52,15 @@
     /**
      * <pre>
      *   ms      a                        b              c (another address)
-     *   0       change kept by both
-     *   50                               gone for good
-     *   1000                                            knocks, isn't let in
+     *   0       change on both disks
+     *   50                               permanently lost
+     *   1000                                            asks to join, is not admitted
      *   21000   still waits for b
-     *           order: b is dead
+     *           operator removes b
      *   23000   view of a alone          (silent)
-     *           view of a and c                         in
-     *           changes are kept
-     *   33000                            back with its disk: is in no view, leads nothing
+     *           view of a and c                         member
+     *           changes are committed
+     *   33000                            back with its disk: in no view, not leader
      * </pre>
      */
     @Test
@@ -68,31 +68,33 @@
         startCluster("a", "b");
         world.node("c", List.of("a", "b"));
         long before = world.ruleChecker.propose(node("a"));
-        world.await(() -> world.ruleChecker.acknowledged.contains("c" + before), 1_000, "a change of both");
-        long gone = incarnationOf("b");
+        world.await(
+                () -> world.ruleChecker.acknowledged.contains("c" + before), 1_000, "a change acknowledged by both");
+        long lostIncarnation = incarnationOf("b");
         node("b").kill(true);
         world.until(world.now + 1_000);
         node("c").start();
         world.until(world.now + 20_000);
-        assertFalse(isInView("c"), "let in without the other of two");
+        assertFalse(isInView("c"), "c was admitted without b");
         assertEquals(ReplicaRole.SUSPENDED, node("a").replica.status().role());
 
-        assertEquals(MemberRemovalOutcome.REMOVED, removalOutcome("a", "b", gone));
-        world.await(() -> isInView("c") && !isInView("b"), 3_000, "the view of a and c");
+        assertEquals(MemberRemovalOutcome.REMOVED, removalOutcome("a", "b", lostIncarnation));
+        world.await(() -> isInView("c") && !isInView("b"), 3_000, "a view of a and c");
         long after = world.ruleChecker.propose(node("a"));
-        world.await(() -> world.ruleChecker.acknowledged.contains("c" + after), 3_000, "a change without b");
+        world.await(
+                () -> world.ruleChecker.acknowledged.contains("c" + after), 3_000, "a change acknowledged without b");
 
         world.until(world.now + 5_000);
         node("b").start();
         for (int i = 0; i < 500; i++) {
             world.until(world.now + 10);
             assertFalse(node("b").replica.status().isLeader());
-            assertFalse(isInView("b"), "who was declared dead is let in with its disk");
+            assertFalse(isInView("b"), "the removed member rejoined with its old disk");
         }
         node("b").kill(true);
         node("b").wipe();
         node("b").start();
-        world.await(() -> isInView("b"), 6_000, "back with another disk");
+        world.await(() -> isInView("b"), 6_000, "b rejoins with an empty disk");
         world.until(world.now + 500);
         world.ruleChecker.end(List.copyOf(world.nodes.values()));
     }
@@ -100,28 +102,28 @@
     @Test
     void aRecentlyHeardMemberIsNotRemoved() {
         startCluster("a", "b");
-        long gone = incarnationOf("b");
+        long lostIncarnation = incarnationOf("b");
         node("b").kill(true);
         world.until(world.now + MemberRemovalRequests.MIN_SILENCE_MS - 1_000);
-        assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, removalOutcome("a", "b", gone));
+        assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, removalOutcome("a", "b", lostIncarnation));
         world.until(world.now + 2_000);
-        assertEquals(MemberRemovalOutcome.REMOVED, removalOutcome("a", "b", gone));
+        assertEquals(MemberRemovalOutcome.REMOVED, removalOutcome("a", "b", lostIncarnation));
     }
 
-    /** A process that has just started can't say how long the other has been silent. */
+    /** A process that has just started cannot tell how long the other member has been silent. */
     @Test
     void aProcessThatHasJustStartedRejectsRemovals() {
         startCluster("a", "b");
-        long gone = incarnationOf("b");
+        long lostIncarnation = incarnationOf("b");
         node("b").kill(true);
         world.until(world.now + 2 * MemberRemovalRequests.MIN_SILENCE_MS);
         node("a").kill(false);
         node("a").start();
         world.until(world.now + 1_000);
-        assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, removalOutcome("a", "b", gone));
+        assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, removalOutcome("a", "b", lostIncarnation));
     }
 
-    /** The partition heals while the order is looked into. */
+    /** The partition heals while the removal is pending. */
     @Test
     void aMemberThatAnswersTheIdentityRequestIsNotRemoved() {
         startCluster("a", "b");
@@ -131,62 +133,63 @@
         world.until(world.now + MemberRemovalRequests.IDENTITY_TIMEOUT_MS / 2);
         assertNull(outcome);
         world.cut("a", "b", false);
-        world.await(() -> outcome != null, 4_000, "an answer to the order");
+        world.await(() -> outcome != null, 4_000, "an outcome of the removal");
         assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, outcome);
-        world.await(() -> isInView("a") && isInView("b"), 4_000, "both go on");
+        world.await(() -> isInView("a") && isInView("b"), 4_000, "both members in the view again");
     }
 
     @Test
     void aHealthyViewRejectsRemovals() {
         startCluster("a", "b", "c");
-        long gone = incarnationOf("c");
+        long lostIncarnation = incarnationOf("c");
         node("c").kill(true);
         world.until(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
-        assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, removalOutcome("a", "c", gone), "left out long ago");
+        assertEquals(
+                MemberRemovalOutcome.UNKNOWN_MEMBER, removalOutcome("a", "c", lostIncarnation), "excluded long ago");
         assertEquals(MemberRemovalOutcome.VIEW_IS_HEALTHY, removalOutcome("a", "b", incarnationOf("b")));
     }
 
     @Test
     void aRemovalNeedsAMemberAndItsIncarnation() {
         startCluster("a", "b");
-        long gone = incarnationOf("b");
+        long lostIncarnation = incarnationOf("b");
         node("b").kill(true);
         world.until(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
-        assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, removalOutcome("a", "b", gone + 1));
-        assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, removalOutcome("a", "x", gone));
+        assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, removalOutcome("a", "b", lostIncarnation + 1));
+        assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, removalOutcome("a", "x", lostIncarnation));
         assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, removalOutcome("a", "a", incarnationOf("a")));
     }
 
     /**
-     * Of three, two are gone at once: whatever the operator says, one alone can't show that it has all that two may
-     * have acknowledged.
+     * Two of three members are lost at once. The removal of both must be rejected, because one member alone cannot
+     * prove that it has every change that the other two may have acknowledged.
      */
     @Test
     void aMajorityIsNeverRemoved() {
         startCluster("a", "b", "c");
-        long first = incarnationOf("b");
-        long second = incarnationOf("c");
+        long firstLost = incarnationOf("b");
+        long secondLost = incarnationOf("c");
         node("b").kill(true);
         node("c").kill(true);
         world.until(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
-        assertEquals(MemberRemovalOutcome.REMOVED, removalOutcome("a", "b", first));
-        assertEquals(MemberRemovalOutcome.MAJORITY_WOULD_BE_LOST, removalOutcome("a", "c", second));
+        assertEquals(MemberRemovalOutcome.REMOVED, removalOutcome("a", "b", firstLost));
+        assertEquals(MemberRemovalOutcome.MAJORITY_WOULD_BE_LOST, removalOutcome("a", "c", secondLost));
         world.until(world.now + 3_000);
         assertTrue(node("a").replica.status().role() != ReplicaRole.MEMBER);
     }
 
-    /** A declaration outlasts a kill right after it: it is on the disk before it counts. */
+    /** A removal survives a kill right after it, because it is on disk before it takes effect. */
     @Test
     void aRemovalIsDurable() {
         startCluster("a", "b");
         world.node("c", List.of("a", "b"));
-        long gone = incarnationOf("b");
+        long lostIncarnation = incarnationOf("b");
         node("b").kill(true);
         world.until(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
-        assertEquals(MemberRemovalOutcome.REMOVED, removalOutcome("a", "b", gone));
+        assertEquals(MemberRemovalOutcome.REMOVED, removalOutcome("a", "b", lostIncarnation));
         node("a").kill(true);
         node("a").start();
         node("c").start();
-        world.await(() -> isInView("a") && isInView("c"), 5_000, "a and c go on");
+        world.await(() -> isInView("a") && isInView("c"), 5_000, "a and c in the view");
     }
 }
--- a/src/test/java/brambletray/platform/replication/MessageSizes.java
+++ b/src/test/java/brambletray/platform/replication/MessageSizes.java
@@ -4,7 +4,7 @@
 import brambletray.platform.transport.Link;
 import java.util.List;
 
-/** How long frames are on a link, nearly, and what a link bears. */
+/** Approximate sizes of messages on a simulated link, and the limits of a link. */
 final class MessageSizes {
     static final int MAX_FRAME_BYTES = FrameCodec.MAX_FRAME_BYTES;
     static final long MAX_PENDING_BYTES = Link.MAX_PENDING_BYTES;
@@ -12,22 +12,23 @@
 
     private MessageSizes() {}
 
-    static int bytes(Object frame) {
-        if (frame instanceof ReplicationMessage.AppendRequest append) {
+    static int bytes(Object message) {
+        if (message instanceof ReplicationMessage.AppendRequest append) {
             return SMALL_MESSAGE_BYTES + bytes(append.entries());
         }
-        if (frame instanceof ReplicationMessage.InstallViewRequest install) {
+        if (message instanceof ReplicationMessage.InstallViewRequest install) {
             return 4 * SMALL_MESSAGE_BYTES
                     + install.patch().snapshot().length
                     + bytes(install.patch().entries());
         }
-        if (frame instanceof ReplicationMessage.FetchChunkResponse chunk) {
+        if (message instanceof ReplicationMessage.FetchChunkResponse chunk) {
             return SMALL_MESSAGE_BYTES + chunk.bytes().length;
         }
-        if (frame instanceof ReplicationMessage.ProposeRequest submit) {
-            return SMALL_MESSAGE_BYTES + submit.bytes().length;
+        if (message instanceof ReplicationMessage.ProposeRequest propose) {
+            return SMALL_MESSAGE_BYTES + propose.bytes().length;
         }
-        return frame instanceof ReplicationMessage.PrepareResponse || frame instanceof ReplicationMessage.JoinResponse
+        return message instanceof ReplicationMessage.PrepareResponse
+                        || message instanceof ReplicationMessage.JoinResponse
                 ? 4 * SMALL_MESSAGE_BYTES
                 : SMALL_MESSAGE_BYTES;
     }
--- a/src/test/java/brambletray/platform/replication/PlannedLeaveTest.java
+++ b/src/test/java/brambletray/platform/replication/PlannedLeaveTest.java
@@ -9,27 +9,27 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How long nothing is acknowledged, and no read is confirmed, when a member leaves as planned, comes back, is
- * replaced, and when another is lost for good after that: seeded scenarios, the longest stretch of each. {@code
- * -Dleave.seeds=N} plays N scenarios of each kind (200 for the figures of docs/control/leaving.md), {@code
- * -Dleave.seed=S} one and tells; {@code -Dleave.measure=true} measures and holds nothing.
+ * Measures the longest pause without acknowledgements, and without confirmed reads, when a member leaves as planned,
+ * returns or is replaced, and when another one is permanently lost afterwards. Scenarios are seeded. {@code
+ * -Dleave.seeds=N} runs N scenarios of each kind (200 for the figures in docs/control/leaving.md), {@code
+ * -Dleave.seed=S} runs one and logs its events, {@code -Dleave.measure=true} only measures and asserts no limit.
  */
 class PlannedLeaveTest {
     private static final int SCENARIOS = 20;
-    /** ms between two calls, in turn at all members that are up. */
+    /** Interval of calls, which go to the running members in turn. */
     private static final int CALL_INTERVAL_MS = 10;
     /**
-     * ms from the end of a process to its next start, and from the start of a replacement to when the leaver is told:
-     * at most.
+     * Longest time from the end of a process to its restart, and from the start of a replacement to the leave of the
+     * member that it replaces.
      */
     private static final int MAX_ABSENCE_MS = 1500;
-    /** A machine counts as lost until so long, in ms, after its return; a second loss comes right after. */
+    /** Time after its return for which a machine still counts as lost; a second loss follows right after it. */
     private static final int SYNC_MS = 4000;
 
-    /** A planned leave pauses for less than this, ms. */
+    /** A planned leave must pause for less than this. */
     private static final int MAX_PLANNED_PAUSE_MS = 100;
 
-    /** What happens to the first machine. */
+    /** What happens to the first node. */
     private enum Disruption {
         KILLED,
         LEAVES,
@@ -37,7 +37,7 @@
         REPLACED_THEN_LOSS
     }
 
-    /** One scenario: machines, calls all the time, the longest stretches without an answer. */
+    /** One scenario: nodes with constant calls, and the longest pauses without a response. */
     private static final class Scenario {
         final SimulatedReplicas world;
         final Random random;
@@ -50,10 +50,10 @@
         long longestAckPauseMs;
         long longestReadPauseMs;
 
-        Scenario(long seed, int machines, boolean talks) {
+        Scenario(long seed, int machines, boolean logsEvents) {
             random = new Random(seed);
             world = new SimulatedReplicas(seed, ReplicationSettings.defaults(machines / 2));
-            world.logsEvents = talks;
+            world.logsEvents = logsEvents;
             List<String> seeds = List.of("a", "b", "c");
             for (int i = 0; i < machines; i++) {
                 SimulatedReplica node = world.node(String.valueOf((char) ('a' + i)), seeds);
@@ -61,7 +61,7 @@
                 live.add(node);
             }
             live.forEach(SimulatedReplica::start);
-            world.await(() -> allInOneView(machines), 8000, "founding");
+            world.await(() -> allInOneView(machines), 8000, "all nodes in the first view");
             live.forEach(node -> node.initial = false);
             run(300);
             resetPauses();
@@ -76,9 +76,9 @@
                                     node.isRunning() && node.replica.status().role() == ReplicaRole.MEMBER);
         }
 
-        /** Calls for so long. */
-        void run(long span) {
-            long end = world.now + span;
+        /** Issues calls for {@code durationMs}. */
+        void run(long durationMs) {
+            long end = world.now + durationMs;
             while (world.now < end) {
                 if (world.now % CALL_INTERVAL_MS == 0) {
                     call();
@@ -117,21 +117,21 @@
             longestReadPauseMs = 0;
         }
 
-        /** SIGTERM, and the end of the process. */
+        /** Starts a planned leave, as SIGTERM does, and kills the process once it may terminate. */
         void leave(SimulatedReplica node) {
             node.replica.leave(world.now);
             killOnceItMayTerminate(node, node.processNumber);
         }
 
-        private void killOnceItMayTerminate(SimulatedReplica node, int boot) {
+        private void killOnceItMayTerminate(SimulatedReplica node, int processNumber) {
             world.later(world.now + 50, () -> {
-                if (node.processNumber != boot || !node.isRunning()) {
+                if (node.processNumber != processNumber || !node.isRunning()) {
                     return;
                 }
                 if (node.replica.mayTerminate()) {
                     node.kill(false);
                 } else {
-                    killOnceItMayTerminate(node, boot);
+                    killOnceItMayTerminate(node, processNumber);
                 }
             });
         }
@@ -144,95 +144,101 @@
             return live.stream().filter(node -> node != leader).toList().get(random.nextInt(live.size() - 1));
         }
 
-        void addNode(int in) {
-            SimulatedReplica next = world.node("n" + live.size() + world.nodes.size(), List.of("a", "b", "c"));
-            live.add(next);
-            world.later(world.now + in, next::start);
+        void addNode(int delayMs) {
+            SimulatedReplica newcomer = world.node("n" + live.size() + world.nodes.size(), List.of("a", "b", "c"));
+            live.add(newcomer);
+            world.later(world.now + delayMs, newcomer::start);
         }
 
-        /** Stretches of the fault and of the return: acknowledgement, read, acknowledgement, read. */
-        long[] run(Disruption fault) {
+        /** Longest pauses in ms: acknowledgements and reads during the disruption, then both after it. */
+        long[] run(Disruption disruption) {
             int machines = live.size();
             SimulatedReplica first = leaderOrOtherNode();
-            long[] all = new long[4];
-            if (fault == Disruption.REPLACED || fault == Disruption.REPLACED_THEN_LOSS) {
+            long[] pauses = new long[4];
+            if (disruption == Disruption.REPLACED || disruption == Disruption.REPLACED_THEN_LOSS) {
                 addNode(0);
                 run(random.nextInt(MAX_ABSENCE_MS));
                 leave(first);
                 run(SYNC_MS);
                 live.remove(first);
-                world.await(() -> allInOneView(machines), 1, "the replacement is in after sync-s");
-            } else if (fault == Disruption.LEAVES) {
+                world.await(() -> allInOneView(machines), 1, "the replacement has joined within sync-s");
+            } else if (disruption == Disruption.LEAVES) {
                 leave(first);
                 run(MAX_ABSENCE_MS);
             } else {
                 first.kill(false);
                 run(MAX_ABSENCE_MS);
             }
-            all[0] = longestAckPauseMs;
-            all[1] = longestReadPauseMs;
+            pauses[0] = longestAckPauseMs;
+            pauses[1] = longestReadPauseMs;
             resetPauses();
-            if (fault == Disruption.REPLACED_THEN_LOSS) {
+            if (disruption == Disruption.REPLACED_THEN_LOSS) {
                 SimulatedReplica second = leaderOrOtherNode();
                 second.kill(true);
                 second.wipe();
                 live.remove(second);
                 addNode(1000);
                 run(SYNC_MS);
-                world.await(() -> allInOneView(machines), 1000, "after a second loss");
+                world.await(() -> allInOneView(machines), 1000, "all nodes in one view after a second loss");
             } else if (live.contains(first)) {
                 if (first.isRunning()) {
                     first.kill(false);
                 }
                 first.start();
                 run(SYNC_MS);
-                world.await(() -> allInOneView(machines), 1, "back after sync-s");
+                world.await(() -> allInOneView(machines), 1, "the first node has rejoined within sync-s");
             }
-            all[2] = longestAckPauseMs;
-            all[3] = longestReadPauseMs;
+            pauses[2] = longestAckPauseMs;
+            pauses[3] = longestReadPauseMs;
             world.until(world.now + 500);
             world.ruleChecker.end(live);
-            return all;
+            return pauses;
         }
     }
 
     @Test
     void aPlannedLeavePausesForLessThan100Ms() {
         int scenarios = Integer.getInteger("leave.seeds", SCENARIOS);
-        List<String> broken = new ArrayList<>();
-        Long only = Long.getLong("leave.seed");
+        List<String> violations = new ArrayList<>();
+        Long onlySeed = Long.getLong("leave.seed");
         for (int machines = 3; machines <= 5; machines += 2) {
-            for (Disruption fault : Disruption.values()) {
-                List<List<Long>> stretches =
+            for (Disruption disruption : Disruption.values()) {
+                List<List<Long>> pauses =
                         List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
-                for (long seed = only == null ? 1 : only; seed <= (only == null ? scenarios : only); seed++) {
-                    Scenario scenario = new Scenario(seed, machines, only != null);
+                for (long seed = onlySeed == null ? 1 : onlySeed;
+                        seed <= (onlySeed == null ? scenarios : onlySeed);
+                        seed++) {
+                    Scenario scenario = new Scenario(seed, machines, onlySeed != null);
                     try {
-                        long[] some = scenario.run(fault);
-                        for (int i = 0; i < some.length; i++) {
-                            stretches.get(i).add(some[i]);
+                        long[] scenarioPauses = scenario.run(disruption);
+                        for (int i = 0; i < scenarioPauses.length; i++) {
+                            pauses.get(i).add(scenarioPauses[i]);
                         }
-                        if (fault != Disruption.KILLED && Math.max(some[0], some[1]) >= MAX_PLANNED_PAUSE_MS) {
-                            broken.add(machines + " " + fault + " seed " + seed + ": ack " + some[0] + ", read "
-                                    + some[1]);
+                        if (disruption != Disruption.KILLED
+                                && Math.max(scenarioPauses[0], scenarioPauses[1]) >= MAX_PLANNED_PAUSE_MS) {
+                            violations.add(machines + " " + disruption + " seed " + seed + ": ack " + scenarioPauses[0]
+                                    + ", read " + scenarioPauses[1]);
                         }
                     } catch (AssertionError | RuntimeException e) {
                         scenario.world.events.forEach(System.out::println);
-                        throw new AssertionError(machines + " " + fault + " seed " + seed + ": " + e.getMessage(), e);
+                        throw new AssertionError(
+                                machines + " " + disruption + " seed " + seed + ": " + e.getMessage(), e);
                     }
-                    if (only != null) {
+                    if (onlySeed != null) {
                         scenario.world.events.forEach(System.out::println);
                     }
                 }
-                System.out.println("leave: " + machines + " " + fault + " (50 %, 99 %, worst; ms): ack "
-                        + percentiles(stretches.get(0))
-                        + ", read " + percentiles(stretches.get(1)) + "; after it: ack " + percentiles(stretches.get(2))
+                System.out.println("leave: " + machines + " " + disruption + " (50 %, 99 %, worst; ms): ack "
+                        + percentiles(pauses.get(0))
+                        + ", read " + percentiles(pauses.get(1)) + "; afterwards: ack " + percentiles(pauses.get(2))
                         + ", read "
-                        + percentiles(stretches.get(3)));
+                        + percentiles(pauses.get(3)));
             }
         }
         if (!Boolean.getBoolean("leave.measure")) {
-            assertTrue(broken.isEmpty(), () -> "paused for too long: " + broken);
+            assertTrue(
+                    violations.isEmpty(),
+                    () -> "planned leaves paused for " + MAX_PLANNED_PAUSE_MS + " ms or more: " + violations);
         }
     }
 
--- a/src/test/java/brambletray/platform/replication/RandomFaults.java
+++ b/src/test/java/brambletray/platform/replication/RandomFaults.java
@@ -4,23 +4,23 @@
 import java.util.List;
 import java.util.Random;
 
-/** Random faults and work in a simulated world: one seed, one scenario. */
+/** Runs a random scenario of faults and requests on simulated replicas; each seed gives one scenario. */
 public final class RandomFaults {
     private final SimulatedReplicas world;
     private final Random random;
     public final List<SimulatedReplica> live = new ArrayList<>();
     private final int machines;
     private int replacements;
-    /** What else may happen to a process at times. */
+    /** Additional action that is applied to a random node now and then. */
     public java.util.function.Consumer<SimulatedReplica> extraAction = node -> {};
 
-    public RandomFaults(long seed, boolean talks) {
+    public RandomFaults(long seed, boolean logsEvents) {
         random = new Random(seed);
         machines = random.nextInt(4) == 0 ? 5 : 3;
         world = new SimulatedReplicas(seed, ReplicationSettings.defaults(1));
-        world.logsEvents = talks;
+        world.logsEvents = logsEvents;
         world.ruleChecker.harsh = seed % 4 == 0;
-        // large changes on links that take their time
+        // large changes, as links may get a limited rate
         if (seed % 5 == 2) {
             world.padding = "p".repeat(24 << 10);
         }
@@ -36,12 +36,16 @@
         return world;
     }
 
-    /** Whether nothing more is expected of this scenario than that no rule is broken. */
+    /** Whether this scenario checks only that no rule is violated, and not that the group recovers. */
     public boolean checksSafetyOnly() {
         return world.ruleChecker.harsh;
     }
 
-    /** Plays; returns how many changes were acknowledged. */
+    /**
+     * Runs the scenario.
+     *
+     * @return the number of acknowledged changes
+     */
     public int run() {
         for (SimulatedReplica node : live) {
             world.later(world.now + random.nextInt(400), node::start);
@@ -77,23 +81,26 @@
         }
         awaitOneView(9000);
         long token = world.ruleChecker.propose(live.get(0));
-        world.await(() -> world.ruleChecker.acknowledged.contains("c" + token), 2000, "a change after all is calm");
+        world.await(
+                () -> world.ruleChecker.acknowledged.contains("c" + token),
+                2000,
+                "a change acknowledged after the faults");
         awaitOneView(3000);
         world.until(world.now + 300);
         awaitOneView(3000);
-        world.await(this::statesAreEqual, 4000, "all alike");
+        world.await(this::statesAreEqual, 4000, "equal state on all nodes");
         world.ruleChecker.end(live);
         return world.ruleChecker.acknowledged.size();
     }
 
     private void endFaults() {
         world.heal();
-        // those that are about to end, as planned, do
+        // let planned leaves complete
         world.until(world.now + 350);
         world.await(
                 () -> live.stream().noneMatch(node -> node.isRunning() && node.replica.isLeaving()),
                 6000,
-                "those that leave have left");
+                "planned leaves completed");
         for (SimulatedReplica node : live) {
             if (!node.isRunning()) {
                 node.start();
@@ -101,8 +108,8 @@
         }
     }
 
-    private void awaitOneView(int span) {
-        world.await(this::allInOneView, span, "all in one view");
+    private void awaitOneView(int timeoutMs) {
+        world.await(this::allInOneView, timeoutMs, "all nodes in one view");
     }
 
     private boolean allInOneView() {
@@ -132,8 +139,8 @@
         return true;
     }
 
-    private void issueRequests(int span) {
-        long end = world.now + span;
+    private void issueRequests(int durationMs) {
+        long end = world.now + durationMs;
         while (world.now < end) {
             world.until(Math.min(end, world.now + 1 + random.nextInt(120)));
             SimulatedReplica node = randomNode();
@@ -154,14 +161,14 @@
         return live.get(random.nextInt(live.size()));
     }
 
-    /** A process that has been told to end does so once it may, and is started again. */
-    private void restartOnceItMayTerminate(SimulatedReplica node, int boot) {
+    /** Kills a leaving process once it may terminate, and restarts it. */
+    private void restartOnceItMayTerminate(SimulatedReplica node, int processNumber) {
         world.later(world.now + 50, () -> {
-            if (node.processNumber != boot || !node.isRunning()) {
+            if (node.processNumber != processNumber || !node.isRunning()) {
                 return;
             }
             if (!node.replica.mayTerminate()) {
-                restartOnceItMayTerminate(node, boot);
+                restartOnceItMayTerminate(node, processNumber);
                 return;
             }
             node.kill(false);
@@ -169,10 +176,10 @@
         });
     }
 
-    private void restart(SimulatedReplica node, int ms) {
-        int boot = node.processNumber;
-        world.later(world.now + ms, () -> {
-            if (node.processNumber == boot && node.down && live.contains(node)) {
+    private void restart(SimulatedReplica node, int delayMs) {
+        int processNumber = node.processNumber;
+        world.later(world.now + delayMs, () -> {
+            if (node.processNumber == processNumber && node.down && live.contains(node)) {
                 node.start();
             }
         });
@@ -191,8 +198,8 @@
             case 2 -> world.cut(node.address, other.address, true);
             case 3 -> world.one(node.address, other.address, true);
             case 4 -> {
-                for (SimulatedReplica one : live) {
-                    world.cut(node.address, one.address, true);
+                for (SimulatedReplica affected : live) {
+                    world.cut(node.address, affected.address, true);
                 }
             }
             case 5 -> node.frozenUntil = Math.max(node.frozenUntil, world.now + 200 + random.nextInt(3000));
@@ -200,12 +207,12 @@
             case 7 -> node.disk.hungUntil = world.now + random.nextInt(4000);
             case 8 -> node.disk.full = true;
             case 9 -> {
-                boolean power = random.nextBoolean();
-                for (SimulatedReplica one : live) {
-                    if (one.isRunning()) {
-                        one.kill(power);
+                boolean powerLost = random.nextBoolean();
+                for (SimulatedReplica affected : live) {
+                    if (affected.isRunning()) {
+                        affected.kill(powerLost);
                     }
-                    restart(one, 100 + random.nextInt(1200));
+                    restart(affected, 100 + random.nextInt(1200));
                 }
                 if (random.nextBoolean()) {
                     wipe(node);
@@ -243,7 +250,7 @@
         restart(node, 100 + random.nextInt(2000));
     }
 
-    /** A machine is lost for good, another comes at a new address, before or after. */
+    /** Loses a machine permanently and adds a replacement at a new address. */
     private void replace(SimulatedReplica node) {
         if (replacements >= 2 || !world.ruleChecker.intact() || !allInOneView()) {
             return;
@@ -255,9 +262,9 @@
         node.wipe();
         world.ruleChecker.recovering.remove(node.address);
         live.remove(node);
-        SimulatedReplica next = world.node("r" + replacements, List.of("a", "b", "c"));
-        live.add(next);
-        world.ruleChecker.recovering.add(next.address);
-        restart(next, random.nextInt(2000));
+        SimulatedReplica replacement = world.node("r" + replacements, List.of("a", "b", "c"));
+        live.add(replacement);
+        world.ruleChecker.recovering.add(replacement.address);
+        restart(replacement, random.nextInt(2000));
     }
 }
--- a/src/test/java/brambletray/platform/replication/ReplicaTest.java
+++ b/src/test/java/brambletray/platform/replication/ReplicaTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** One member by itself: what it says, and that it says nothing before it is on the disk. */
+/** Tests the messages of a single member, and that it sends none before what they depend on is on disk. */
 class ReplicaTest {
     private static final Member A = new Member("a", "a", 1);
     private static final Member B = new Member("b", "b", 2);
@@ -68,7 +68,7 @@
         }
     };
 
-    /** Member b of an active view that a leads. */
+    /** Member b of an active view whose leader is a. */
     private Replica follower() {
         DurableState durableState =
                 new DurableState(2, List.of(), VIEW.ballot(), VIEW, true, ReplicatedLog.empty(), List.of(), List.of());
@@ -117,13 +117,15 @@
         assertNull(lastOutput(ReplicationMessage.PrepareResponse.class));
         b.synced(lastTicket, now + 3000);
         assertEquals(
-                new Ballot(6, 3), lastOutput(ReplicationMessage.PrepareResponse.class).ballot());
+                new Ballot(6, 3),
+                lastOutput(ReplicationMessage.PrepareResponse.class).ballot());
         b.receive("a", append(0, 0), now + 3000);
         b.synced(lastTicket, now + 3000);
         assertNull(lastOutput(ReplicationMessage.AppendResponse.class));
         b.receive("a", new ReplicationMessage.PrepareRequest(new Ballot(6, 1), A, List.of()), now + 3000);
         assertEquals(
-                new Ballot(6, 3), lastOutput(ReplicationMessage.BallotRejected.class).promisedBallot());
+                new Ballot(6, 3),
+                lastOutput(ReplicationMessage.BallotRejected.class).promisedBallot());
     }
 
     @Test
@@ -149,11 +151,14 @@
         b.receive("c", new ReplicationMessage.IdentityResponse(nonce + 1, new Member("c", "c", 33)), now);
         b.receive("a", new ReplicationMessage.PrepareRequest(new Ballot(6, 1), A, List.of()), now);
         b.synced(lastTicket, now);
-        assertEquals(List.of(), lastOutput(ReplicationMessage.PrepareResponse.class).retiredIncarnations());
+        assertEquals(
+                List.of(), lastOutput(ReplicationMessage.PrepareResponse.class).retiredIncarnations());
         b.receive("c", new ReplicationMessage.IdentityResponse(nonce, new Member("c", "c", 33)), now);
         b.synced(lastTicket, now);
         b.receive("a", new ReplicationMessage.PrepareRequest(new Ballot(6, 1), A, List.of()), now);
-        assertEquals(List.of(3L), lastOutput(ReplicationMessage.PrepareResponse.class).retiredIncarnations());
+        assertEquals(
+                List.of(3L),
+                lastOutput(ReplicationMessage.PrepareResponse.class).retiredIncarnations());
     }
 
     @Test
@@ -161,7 +166,8 @@
         Replica b = follower();
         b.propose(1, new byte[] {1}, now);
         assertEquals(
-                VIEW.ballot(), lastOutput(ReplicationMessage.ProposeRequest.class).viewBallot());
+                VIEW.ballot(),
+                lastOutput(ReplicationMessage.ProposeRequest.class).viewBallot());
         b.receive("a", new ReplicationMessage.PrepareRequest(new Ballot(6, 1), A, List.of()), now);
         b.propose(2, new byte[] {2}, now);
         for (int i = 0; i < 100; i++) {
@@ -190,7 +196,7 @@
         Ballot mine = new Ballot(b.status().viewNumber(), 2);
         b.receive("a", new ReplicationMessage.ProposeRequest(alone.ballot(), 7, 1, new byte[0]), now);
         b.synced(lastTicket, now);
-        assertNull(lastOutput(Long.class), "an old view's");
+        assertNull(lastOutput(Long.class), "a proposal of an old view");
         b.receive("a", new ReplicationMessage.ProposeRequest(mine, 7, 1, new byte[0]), now);
         b.receive("a", new ReplicationMessage.ProposeRequest(mine, 7, 1, new byte[0]), now);
         b.synced(lastTicket, now);
@@ -199,8 +205,8 @@
     }
 
     /**
-     * An entry whose sync ends after the promise: the view change counts it by what is told, not by an
-     * acknowledgement.
+     * An entry whose sync ends after the promise must not be acknowledged: the view change learns of it from the
+     * response to the prepare request.
      */
     @Test
     void aSuspendedMemberAcknowledgesNoEntrySyncedLaterAndConfirmsNoRead() {
@@ -215,30 +221,38 @@
         assertNull(lastOutput(ReplicationMessage.ReadIndexResponse.class));
     }
 
-    /** The source's log may have changed since it was offered: only the one that was offered is kept with the view. */
+    /** The source's log may have changed since the offer: only the offered log may be installed with the view. */
     @Test
     void installsOnlyTheLogThatWasOffered() {
         View next = new View(new Ballot(6, 1), List.of(A, B, C), List.of());
         Replica b = follower();
         b.receive("a", new ReplicationMessage.InstallViewOffer(next, 2, VIEW.ballot()), now);
-        b.receive("a", wholeLogInOneChunk(lastOutput(ReplicationMessage.FetchChunkRequest.class), List.of(entry(1))), now);
+        b.receive(
+                "a",
+                wholeLogInOneChunk(lastOutput(ReplicationMessage.FetchChunkRequest.class), List.of(entry(1))),
+                now);
         b.synced(lastTicket, now);
-        assertNull(lastOutput(ReplicationMessage.InstallViewResponse.class), "one entry, where two were offered");
+        assertNull(
+                lastOutput(ReplicationMessage.InstallViewResponse.class),
+                "installed one entry although two were offered");
         assertEquals(5, b.status().viewNumber());
         b.receive("a", new ReplicationMessage.InstallViewOffer(next, 2, VIEW.ballot()), now);
-        b.receive("a", wholeLogInOneChunk(lastOutput(ReplicationMessage.FetchChunkRequest.class), List.of(entry(1), entry(2))), now);
+        b.receive(
+                "a",
+                wholeLogInOneChunk(lastOutput(ReplicationMessage.FetchChunkRequest.class), List.of(entry(1), entry(2))),
+                now);
         b.synced(lastTicket, now);
         assertEquals(
                 next.ballot(),
                 lastOutput(ReplicationMessage.InstallViewResponse.class).viewBallot());
     }
 
-    /** All of it in one piece. */
+    /** Response with the whole log in one chunk. */
     private static ReplicationMessage.FetchChunkResponse wholeLogInOneChunk(
-            ReplicationMessage.FetchChunkRequest asked, List<LogEntry> entries) {
+            ReplicationMessage.FetchChunkRequest request, List<LogEntry> entries) {
         LogPatch patch = new LogPatch(false, 0, Ballot.NONE, new byte[0], entries);
         byte[] bytes = ReplicationCodec.patch(patch, 0);
         return new ReplicationMessage.FetchChunkResponse(
-                asked.transferId(), 0, bytes.length, bytes, TransferDescriptor.of(patch, 0, bytes));
+                request.transferId(), 0, bytes.length, bytes, TransferDescriptor.of(patch, 0, bytes));
     }
 }
--- a/src/test/java/brambletray/platform/replication/ReplicatedLogTest.java
+++ b/src/test/java/brambletray/platform/replication/ReplicatedLogTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What a log gives to one that lacks some of it, before and after it was compacted. */
+/** Tests the patches for logs that lag behind, before and after a compaction. */
 class ReplicatedLogTest {
     private static final Ballot FIRST = new Ballot(1, 1);
     private static final Ballot SECOND = new Ballot(2, 2);
@@ -46,16 +46,16 @@
             log.append(entry(i, FIRST));
         }
         log.compact(1000, new byte[1 << 20]);
-        assertTrue(log.patchFor(400, FIRST, 0).replacesAll(), "not remembered any more");
+        assertTrue(log.patchFor(400, FIRST, 0).replacesAll(), "entry 401 is not retained any more");
         assertFalse(log.patchFor(600, FIRST, 0).replacesAll());
-        // 512 are remembered, and the view of the one before them
+        // 512 entries are retained, and the view of the entry before them
         assertFalse(log.patchFor(488, FIRST, 0).replacesAll());
         assertTrue(log.patchFor(487, FIRST, 0).replacesAll());
     }
 
     /**
-     * A member that ends with entries that nobody kept: they are not taken for ours, though their places are
-     * remembered.
+     * A log may end with uncommitted entries of another view. They must not be mistaken for the retained entries at the
+     * same indices.
      */
     @Test
     void replacesTheWholeLogIfTheLastEntryDiffersFromTheRetainedOne() {
