--- a/src/test/java/brambletray/platform/replication/CatchUpTest.java
+++ b/src/test/java/brambletray/platform/replication/CatchUpTest.java
@@ -47,21 +47,21 @@
         ReplicationTestCluster core = new ReplicationTestCluster(List.of("a", "b", "c"));
         SimulatedReplicas world = core.world;
         core.found();
-        world.padding = "p".repeat(testCase.changeBytes());
-        world.ballast = "b".repeat(testCase.changeBytes());
+        world.changePadding = "p".repeat(testCase.changeBytes());
+        world.snapshotPadding = "b".repeat(testCase.changeBytes());
         SimulatedReplica restarted = world.nodes.get("c");
         restarted.kill(true);
-        world.until(world.now + 1500);
+        world.runUntil(world.now + 1500);
         for (int i = 0; i < testCase.changes(); i++) {
             world.ruleChecker.propose(world.leader());
-            world.until(world.now + CHANGE_INTERVAL_MS);
+            world.runUntil(world.now + CHANGE_INTERVAL_MS);
         }
-        world.until(world.now + 1000);
+        world.runUntil(world.now + 1000);
         assertTrue(
                 world.ruleChecker.acknowledged.size() == testCase.changes(),
                 "acknowledged changes: " + world.ruleChecker.acknowledged.size());
         for (String other : List.of("a", "b")) {
-            world.rate("c", other, testCase.linkBytesPerMs());
+            world.setBandwidth("c", other, testCase.linkBytesPerMs());
         }
         long bytesBefore = bytesSentToRestarted(world);
         long startedAtMs = world.now;
@@ -71,7 +71,7 @@
             assertTrue(
                     world.now - startedAtMs < testCase.maxMs(),
                     testCase + ": not back in the view within " + testCase.maxMs() + " ms");
-            world.until(world.now + 10);
+            world.runUntil(world.now + 10);
             if (testCase.changeIntervalMs() > 0 && world.now >= nextChangeAtMs && world.leader() != null) {
                 world.ruleChecker.propose(world.leader());
                 nextChangeAtMs += testCase.changeIntervalMs();
--- a/src/test/java/brambletray/platform/replication/DiskPositionsTest.java
+++ b/src/test/java/brambletray/platform/replication/DiskPositionsTest.java
@@ -74,7 +74,7 @@
 
         private static void refuseWrites(SimulatedReplicas world, SimulatedReplica node) {
             node.disk.full = true;
-            world.later(world.now + WRITE_REFUSAL_MS, () -> node.disk.full = false);
+            world.schedule(world.now + WRITE_REFUSAL_MS, () -> node.disk.full = false);
         }
 
         /** Kills the process and restarts it later; with {@code powerLost}, unsynced data on its disk is lost. */
@@ -84,7 +84,7 @@
             }
             node.kill(powerLost);
             int processNumber = node.processNumber;
-            world.later(world.now + RESTART_DELAY_MS, () -> {
+            world.schedule(world.now + RESTART_DELAY_MS, () -> {
                 if (node.processNumber == processNumber && node.down) {
                     node.start();
                 }
@@ -102,24 +102,24 @@
         SimulatedReplicas world = core.world;
         int[] positionsSeen = new int[1];
         core.found();
-        world.atDisk = node -> {
+        world.onDiskWrite = node -> {
             if (positionsSeen[0]++ == position) {
                 fault.injectAt(world, node);
             }
         };
-        world.padding = "p".repeat(CHANGE_BYTES);
+        world.changePadding = "p".repeat(CHANGE_BYTES);
         proposeChanges(world, 6);
         SimulatedReplica wiped = world.nodes.get("c");
-        if (wiped.isRunning() && world.ruleChecker.intact()) {
+        if (wiped.isRunning() && world.ruleChecker.mayLoseDisk()) {
             wiped.kill(true);
             wiped.wipe();
-            world.until(world.now + RESTART_DELAY_MS);
+            world.runUntil(world.now + RESTART_DELAY_MS);
             if (!wiped.isRunning()) {
                 wiped.start();
             }
         }
         proposeChanges(world, 6);
-        world.until(world.now + WRITE_REFUSAL_MS);
+        world.runUntil(world.now + WRITE_REFUSAL_MS);
         awaitRecovery(world);
         return positionsSeen[0];
     }
@@ -131,20 +131,20 @@
                     world.ruleChecker.propose(node);
                 }
             }
-            world.until(world.now + 60);
+            world.runUntil(world.now + 60);
         }
     }
 
     private static void awaitRecovery(SimulatedReplicas world) {
-        world.await(() -> allInOneView(world), RECOVERY_TIMEOUT_MS, "all nodes in one view");
-        world.padding = "";
+        world.runUntilTrue(() -> allInOneView(world), RECOVERY_TIMEOUT_MS, "all nodes in one view");
+        world.changePadding = "";
         int before = world.ruleChecker.acknowledged.size();
-        world.await(
+        world.runUntilTrue(
                 () -> acknowledgesNewChange(world, before),
                 RECOVERY_TIMEOUT_MS,
                 "a change acknowledged after the faults");
-        world.await(() -> statesAreEqual(world), RECOVERY_TIMEOUT_MS, "equal state on all nodes");
-        world.ruleChecker.end(new ArrayList<>(world.nodes.values()));
+        world.runUntilTrue(() -> statesAreEqual(world), RECOVERY_TIMEOUT_MS, "equal state on all nodes");
+        world.ruleChecker.checkFinalState(new ArrayList<>(world.nodes.values()));
     }
 
     /** Proposes again until a new change is acknowledged, like an operator whose call had no definite outcome. */
--- a/src/test/java/brambletray/platform/replication/ExplorationTest.java
+++ b/src/test/java/brambletray/platform/replication/ExplorationTest.java
@@ -31,29 +31,29 @@
     private int maxStates;
     private int maxDepth;
 
-    private SteppedReplicas replay(SteppedReplicas.Purse budget, List<Integer> moves) {
+    private SteppedReplicas replay(SteppedReplicas.EventBudget budget, List<Integer> moves) {
         SteppedReplicas replicas = new SteppedReplicas(budget);
         replicas.found();
         for (int move : moves) {
-            replicas.play(move);
+            replicas.execute(move);
         }
         return replicas;
     }
 
-    private void explore(SteppedReplicas.Purse budget) {
+    private void explore(SteppedReplicas.EventBudget budget) {
         visited.clear();
         List<Integer> moves = new ArrayList<>();
         visit(budget, replay(budget, moves), moves);
     }
 
-    private void visit(SteppedReplicas.Purse budget, SteppedReplicas replicas, List<Integer> moves) {
-        if (states >= maxStates || !visited.add(replicas.print())) {
+    private void visit(SteppedReplicas.EventBudget budget, SteppedReplicas replicas, List<Integer> moves) {
+        if (states >= maxStates || !visited.add(replicas.fingerprint())) {
             return;
         }
         states++;
         maxDepth = Math.max(maxDepth, moves.size());
         maxAcknowledged = Math.max(maxAcknowledged, replicas.acknowledged);
-        if (replicas.left > 0) {
+        if (replicas.leftCount > 0) {
             statesWithLeave++;
         }
         if (replicas.joined) {
@@ -63,7 +63,7 @@
         boolean hasSuccessor = false;
         boolean[] enabled = new boolean[SteppedReplicas.MOVES];
         for (int move = 0; move < SteppedReplicas.MOVES; move++) {
-            enabled[move] = replicas.may(move);
+            enabled[move] = replicas.isEnabled(move);
         }
         for (int move = 0; move < SteppedReplicas.MOVES; move++) {
             if (!enabled[move] || states >= maxStates) {
@@ -75,7 +75,7 @@
             }
             moves.add(move);
             try {
-                current.play(move);
+                current.execute(move);
             } catch (AssertionError | RuntimeException e) {
                 throw new AssertionError(e.getMessage() + " after " + budget + " " + moves, e);
             }
@@ -99,7 +99,7 @@
             Random random = new Random(seed);
             int newcomers = random.nextInt(2);
             int impatience = 1 + random.nextInt(5);
-            SteppedReplicas.Purse budget = new SteppedReplicas.Purse(
+            SteppedReplicas.EventBudget budget = new SteppedReplicas.EventBudget(
                     impatience, random.nextInt(3), random.nextInt(2), random.nextInt(2), newcomers);
             SteppedReplicas replicas = new SteppedReplicas(budget);
             replicas.found();
@@ -109,7 +109,7 @@
                 throw new AssertionError("walk " + seed + ": " + e.getMessage(), e);
             }
             maxAcknowledged = Math.max(maxAcknowledged, replicas.acknowledged);
-            if (replicas.left > 0) {
+            if (replicas.leftCount > 0) {
                 statesWithLeave++;
             }
             if (replicas.joined) {
@@ -136,12 +136,12 @@
         // without these steps, a newcomer hardly ever gets the state before the leader that it asked is replaced
         int calmSteps = newcomer ? random.nextInt(80) : 0;
         if (newcomer) {
-            replicas.play(SteppedReplicas.MOVES - 1);
+            replicas.execute(SteppedReplicas.MOVES - 1);
         }
         for (int step = 0; step < 400; step++) {
             int count = 0;
             for (int move = 0; move < SteppedReplicas.MOVES; move++) {
-                if (replicas.may(move) && (!delayed[move] || step < calmSteps || random.nextInt(20) == 0)) {
+                if (replicas.isEnabled(move) && (!delayed[move] || step < calmSteps || random.nextInt(20) == 0)) {
                     enabled[count++] = move;
                 }
             }
@@ -157,7 +157,7 @@
             if (isFault && (step < calmSteps || random.nextInt(6) > 0)) {
                 continue;
             }
-            replicas.play(move);
+            replicas.execute(move);
         }
         return 400;
     }
@@ -169,36 +169,36 @@
         int disks = Integer.getInteger("replication.disks", 1);
         int impatience = Integer.getInteger("replication.impatience", 2);
         if (singleRun != null) {
-            SteppedReplicas replicas = new SteppedReplicas(new SteppedReplicas.Purse(
+            SteppedReplicas replicas = new SteppedReplicas(new SteppedReplicas.EventBudget(
                     impatience,
                     power,
                     disks,
                     Integer.getInteger("replication.leaves", 0),
                     Integer.getInteger("replication.newcomers", 0)));
             replicas.found();
-            replicas.talks = true;
+            replicas.verbose = true;
             for (String move : singleRun.split("[, ]+")) {
-                replicas.play(Integer.parseInt(move));
+                replicas.execute(Integer.parseInt(move));
             }
             return;
         }
         maxStates = Integer.getInteger("replication.states", MAX_STATES);
-        List<SteppedReplicas.Purse> budgets = new ArrayList<>();
+        List<SteppedReplicas.EventBudget> budgets = new ArrayList<>();
         for (int i = 1; i <= impatience; i++) {
             for (int p = 0; p <= power; p++) {
                 for (int d = 0; d <= disks; d++) {
-                    budgets.add(new SteppedReplicas.Purse(i, p, d));
+                    budgets.add(new SteppedReplicas.EventBudget(i, p, d));
                 }
             }
         }
         // with a planned leave, without and with a newcomer
         for (int i = 1; i <= impatience; i++) {
             for (int n = 0; n <= 1; n++) {
-                budgets.add(new SteppedReplicas.Purse(i, 0, n * disks, 1, n));
+                budgets.add(new SteppedReplicas.EventBudget(i, 0, n * disks, 1, n));
             }
         }
         int totalStates = 0;
-        for (SteppedReplicas.Purse budget : budgets) {
+        for (SteppedReplicas.EventBudget budget : budgets) {
             states = 0;
             terminalStates = 0;
             maxDepth = 0;
--- a/src/test/java/brambletray/platform/replication/MemberRemovalRequestsTest.java
+++ b/src/test/java/brambletray/platform/replication/MemberRemovalRequestsTest.java
@@ -37,7 +37,7 @@
 
     private MemberRemovalOutcome removalOutcome(String at, String address, long incarnation) {
         requestRemoval(at, address, incarnation);
-        world.await(() -> outcome != null, 4_000, "an outcome of the removal");
+        world.runUntilTrue(() -> outcome != null, 4_000, "an outcome of the removal");
         return outcome;
     }
 
@@ -68,35 +68,35 @@
         startCluster("a", "b");
         world.node("c", List.of("a", "b"));
         long before = world.ruleChecker.propose(node("a"));
-        world.await(
+        world.runUntilTrue(
                 () -> world.ruleChecker.acknowledged.contains("c" + before), 1_000, "a change acknowledged by both");
         long lostIncarnation = incarnationOf("b");
         node("b").kill(true);
-        world.until(world.now + 1_000);
+        world.runUntil(world.now + 1_000);
         node("c").start();
-        world.until(world.now + 20_000);
+        world.runUntil(world.now + 20_000);
         assertFalse(isInView("c"), "c was admitted without b");
         assertEquals(ReplicaRole.SUSPENDED, node("a").replica.status().role());
 
         assertEquals(MemberRemovalOutcome.REMOVED, removalOutcome("a", "b", lostIncarnation));
-        world.await(() -> isInView("c") && !isInView("b"), 3_000, "a view of a and c");
+        world.runUntilTrue(() -> isInView("c") && !isInView("b"), 3_000, "a view of a and c");
         long after = world.ruleChecker.propose(node("a"));
-        world.await(
+        world.runUntilTrue(
                 () -> world.ruleChecker.acknowledged.contains("c" + after), 3_000, "a change acknowledged without b");
 
-        world.until(world.now + 5_000);
+        world.runUntil(world.now + 5_000);
         node("b").start();
         for (int i = 0; i < 500; i++) {
-            world.until(world.now + 10);
+            world.runUntil(world.now + 10);
             assertFalse(node("b").replica.status().isLeader());
             assertFalse(isInView("b"), "the removed member rejoined with its old disk");
         }
         node("b").kill(true);
         node("b").wipe();
         node("b").start();
-        world.await(() -> isInView("b"), 6_000, "b rejoins with an empty disk");
-        world.until(world.now + 500);
-        world.ruleChecker.end(List.copyOf(world.nodes.values()));
+        world.runUntilTrue(() -> isInView("b"), 6_000, "b rejoins with an empty disk");
+        world.runUntil(world.now + 500);
+        world.ruleChecker.checkFinalState(List.copyOf(world.nodes.values()));
     }
 
     @Test
@@ -104,9 +104,9 @@
         startCluster("a", "b");
         long lostIncarnation = incarnationOf("b");
         node("b").kill(true);
-        world.until(world.now + MemberRemovalRequests.MIN_SILENCE_MS - 1_000);
+        world.runUntil(world.now + MemberRemovalRequests.MIN_SILENCE_MS - 1_000);
         assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, removalOutcome("a", "b", lostIncarnation));
-        world.until(world.now + 2_000);
+        world.runUntil(world.now + 2_000);
         assertEquals(MemberRemovalOutcome.REMOVED, removalOutcome("a", "b", lostIncarnation));
     }
 
@@ -116,10 +116,10 @@
         startCluster("a", "b");
         long lostIncarnation = incarnationOf("b");
         node("b").kill(true);
-        world.until(world.now + 2 * MemberRemovalRequests.MIN_SILENCE_MS);
+        world.runUntil(world.now + 2 * MemberRemovalRequests.MIN_SILENCE_MS);
         node("a").kill(false);
         node("a").start();
-        world.until(world.now + 1_000);
+        world.runUntil(world.now + 1_000);
         assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, removalOutcome("a", "b", lostIncarnation));
     }
 
@@ -127,15 +127,15 @@
     @Test
     void aMemberThatAnswersTheIdentityRequestIsNotRemoved() {
         startCluster("a", "b");
-        world.cut("a", "b", true);
-        world.until(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
+        world.setCut("a", "b", true);
+        world.runUntil(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
         requestRemoval("a", "b", incarnationOf("b"));
-        world.until(world.now + MemberRemovalRequests.IDENTITY_TIMEOUT_MS / 2);
+        world.runUntil(world.now + MemberRemovalRequests.IDENTITY_TIMEOUT_MS / 2);
         assertNull(outcome);
-        world.cut("a", "b", false);
-        world.await(() -> outcome != null, 4_000, "an outcome of the removal");
+        world.setCut("a", "b", false);
+        world.runUntilTrue(() -> outcome != null, 4_000, "an outcome of the removal");
         assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, outcome);
-        world.await(() -> isInView("a") && isInView("b"), 4_000, "both members in the view again");
+        world.runUntilTrue(() -> isInView("a") && isInView("b"), 4_000, "both members in the view again");
     }
 
     @Test
@@ -143,7 +143,7 @@
         startCluster("a", "b", "c");
         long lostIncarnation = incarnationOf("c");
         node("c").kill(true);
-        world.until(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
+        world.runUntil(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
         assertEquals(
                 MemberRemovalOutcome.UNKNOWN_MEMBER, removalOutcome("a", "c", lostIncarnation), "excluded long ago");
         assertEquals(MemberRemovalOutcome.VIEW_IS_HEALTHY, removalOutcome("a", "b", incarnationOf("b")));
@@ -154,7 +154,7 @@
         startCluster("a", "b");
         long lostIncarnation = incarnationOf("b");
         node("b").kill(true);
-        world.until(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
+        world.runUntil(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
         assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, removalOutcome("a", "b", lostIncarnation + 1));
         assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, removalOutcome("a", "x", lostIncarnation));
         assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, removalOutcome("a", "a", incarnationOf("a")));
@@ -171,10 +171,10 @@
         long secondLost = incarnationOf("c");
         node("b").kill(true);
         node("c").kill(true);
-        world.until(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
+        world.runUntil(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
         assertEquals(MemberRemovalOutcome.REMOVED, removalOutcome("a", "b", firstLost));
         assertEquals(MemberRemovalOutcome.MAJORITY_WOULD_BE_LOST, removalOutcome("a", "c", secondLost));
-        world.until(world.now + 3_000);
+        world.runUntil(world.now + 3_000);
         assertTrue(node("a").replica.status().role() != ReplicaRole.MEMBER);
     }
 
@@ -185,11 +185,11 @@
         world.node("c", List.of("a", "b"));
         long lostIncarnation = incarnationOf("b");
         node("b").kill(true);
-        world.until(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
+        world.runUntil(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
         assertEquals(MemberRemovalOutcome.REMOVED, removalOutcome("a", "b", lostIncarnation));
         node("a").kill(true);
         node("a").start();
         node("c").start();
-        world.await(() -> isInView("a") && isInView("c"), 5_000, "a and c in the view");
+        world.runUntilTrue(() -> isInView("a") && isInView("c"), 5_000, "a and c in the view");
     }
 }
--- a/src/test/java/brambletray/platform/replication/PlannedLeaveTest.java
+++ b/src/test/java/brambletray/platform/replication/PlannedLeaveTest.java
@@ -57,12 +57,12 @@
             List<String> seeds = List.of("a", "b", "c");
             for (int i = 0; i < machines; i++) {
                 SimulatedReplica node = world.node(String.valueOf((char) ('a' + i)), seeds);
-                node.initial = true;
+                node.initialStart = true;
                 live.add(node);
             }
             live.forEach(SimulatedReplica::start);
-            world.await(() -> allInOneView(machines), 8000, "all nodes in the first view");
-            live.forEach(node -> node.initial = false);
+            world.runUntilTrue(() -> allInOneView(machines), 8000, "all nodes in the first view");
+            live.forEach(node -> node.initialStart = false);
             run(300);
             resetPauses();
         }
@@ -83,7 +83,7 @@
                 if (world.now % CALL_INTERVAL_MS == 0) {
                     call();
                 }
-                world.until(world.now + 1);
+                world.runUntil(world.now + 1);
                 recordPauses();
             }
         }
@@ -94,18 +94,18 @@
                 return;
             }
             world.ruleChecker.propose(node);
-            world.ruleChecker.confirm(node);
+            world.ruleChecker.requestReadIndex(node);
         }
 
         private void recordPauses() {
             if (world.ruleChecker.acknowledged.size() > ackCount) {
                 lastAckAtMs = world.now;
             }
-            if (world.ruleChecker.confirmedOk > readCount) {
+            if (world.ruleChecker.confirmedReads > readCount) {
                 lastReadAtMs = world.now;
             }
             ackCount = world.ruleChecker.acknowledged.size();
-            readCount = world.ruleChecker.confirmedOk;
+            readCount = world.ruleChecker.confirmedReads;
             longestAckPauseMs = Math.max(longestAckPauseMs, world.now - lastAckAtMs);
             longestReadPauseMs = Math.max(longestReadPauseMs, world.now - lastReadAtMs);
         }
@@ -124,7 +124,7 @@
         }
 
         private void killOnceItMayTerminate(SimulatedReplica node, int processNumber) {
-            world.later(world.now + 50, () -> {
+            world.schedule(world.now + 50, () -> {
                 if (node.processNumber != processNumber || !node.isRunning()) {
                     return;
                 }
@@ -147,7 +147,7 @@
         void addNode(int delayMs) {
             SimulatedReplica newcomer = world.node("n" + live.size() + world.nodes.size(), List.of("a", "b", "c"));
             live.add(newcomer);
-            world.later(world.now + delayMs, newcomer::start);
+            world.schedule(world.now + delayMs, newcomer::start);
         }
 
         /** Longest pauses in ms: acknowledgements and reads during the disruption, then both after it. */
@@ -161,7 +161,7 @@
                 leave(first);
                 run(SYNC_MS);
                 live.remove(first);
-                world.await(() -> allInOneView(machines), 1, "the replacement has joined within sync-s");
+                world.runUntilTrue(() -> allInOneView(machines), 1, "the replacement has joined within sync-s");
             } else if (disruption == Disruption.LEAVES) {
                 leave(first);
                 run(MAX_ABSENCE_MS);
@@ -179,19 +179,19 @@
                 live.remove(second);
                 addNode(1000);
                 run(SYNC_MS);
-                world.await(() -> allInOneView(machines), 1000, "all nodes in one view after a second loss");
+                world.runUntilTrue(() -> allInOneView(machines), 1000, "all nodes in one view after a second loss");
             } else if (live.contains(first)) {
                 if (first.isRunning()) {
                     first.kill(false);
                 }
                 first.start();
                 run(SYNC_MS);
-                world.await(() -> allInOneView(machines), 1, "the first node has rejoined within sync-s");
+                world.runUntilTrue(() -> allInOneView(machines), 1, "the first node has rejoined within sync-s");
             }
             pauses[2] = longestAckPauseMs;
             pauses[3] = longestReadPauseMs;
-            world.until(world.now + 500);
-            world.ruleChecker.end(live);
+            world.runUntil(world.now + 500);
+            world.ruleChecker.checkFinalState(live);
             return pauses;
         }
     }
--- a/src/test/java/brambletray/platform/replication/RandomFaults.java
+++ b/src/test/java/brambletray/platform/replication/RandomFaults.java
@@ -19,15 +19,15 @@
         machines = random.nextInt(4) == 0 ? 5 : 3;
         world = new SimulatedReplicas(seed, ReplicationSettings.defaults(1));
         world.logsEvents = logsEvents;
-        world.ruleChecker.harsh = seed % 4 == 0;
+        world.ruleChecker.rapidDiskLosses = seed % 4 == 0;
         // large changes, as links may get a limited rate
         if (seed % 5 == 2) {
-            world.padding = "p".repeat(24 << 10);
+            world.changePadding = "p".repeat(24 << 10);
         }
         List<String> seeds = List.of("a", "b", "c");
         for (int i = 0; i < machines; i++) {
             SimulatedReplica node = world.node(String.valueOf((char) ('a' + i)), seeds);
-            node.initial = true;
+            node.initialStart = true;
             live.add(node);
         }
     }
@@ -38,7 +38,7 @@
 
     /** Whether this scenario checks only that no rule is violated, and not that the group recovers. */
     public boolean checksSafetyOnly() {
-        return world.ruleChecker.harsh;
+        return world.ruleChecker.rapidDiskLosses;
     }
 
     /**
@@ -48,14 +48,14 @@
      */
     public int run() {
         for (SimulatedReplica node : live) {
-            world.later(world.now + random.nextInt(400), node::start);
+            world.schedule(world.now + random.nextInt(400), node::start);
         }
-        world.until(world.now + 500);
+        world.runUntil(world.now + 500);
         if (random.nextInt(4) > 0) {
             awaitOneView(8000);
         }
         for (SimulatedReplica node : live) {
-            node.initial = false;
+            node.initialStart = false;
         }
         int rounds = 3 + random.nextInt(10);
         for (int i = 0; i < rounds; i++) {
@@ -67,7 +67,7 @@
             issueRequests(random.nextInt(1500));
             if (random.nextInt(3) == 0) {
                 endFaults();
-                if (world.ruleChecker.harsh) {
+                if (world.ruleChecker.rapidDiskLosses) {
                     issueRequests(2000);
                 } else {
                     awaitOneView(9000);
@@ -75,29 +75,29 @@
             }
         }
         endFaults();
-        if (world.ruleChecker.harsh) {
+        if (world.ruleChecker.rapidDiskLosses) {
             issueRequests(5000);
             return world.ruleChecker.acknowledged.size();
         }
         awaitOneView(9000);
         long token = world.ruleChecker.propose(live.get(0));
-        world.await(
+        world.runUntilTrue(
                 () -> world.ruleChecker.acknowledged.contains("c" + token),
                 2000,
                 "a change acknowledged after the faults");
         awaitOneView(3000);
-        world.until(world.now + 300);
+        world.runUntil(world.now + 300);
         awaitOneView(3000);
-        world.await(this::statesAreEqual, 4000, "equal state on all nodes");
-        world.ruleChecker.end(live);
+        world.runUntilTrue(this::statesAreEqual, 4000, "equal state on all nodes");
+        world.ruleChecker.checkFinalState(live);
         return world.ruleChecker.acknowledged.size();
     }
 
     private void endFaults() {
         world.heal();
         // let planned leaves complete
-        world.until(world.now + 350);
-        world.await(
+        world.runUntil(world.now + 350);
+        world.runUntilTrue(
                 () -> live.stream().noneMatch(node -> node.isRunning() && node.replica.isLeaving()),
                 6000,
                 "planned leaves completed");
@@ -109,7 +109,7 @@
     }
 
     private void awaitOneView(int timeoutMs) {
-        world.await(this::allInOneView, timeoutMs, "all nodes in one view");
+        world.runUntilTrue(this::allInOneView, timeoutMs, "all nodes in one view");
     }
 
     private boolean allInOneView() {
@@ -142,14 +142,14 @@
     private void issueRequests(int durationMs) {
         long end = world.now + durationMs;
         while (world.now < end) {
-            world.until(Math.min(end, world.now + 1 + random.nextInt(120)));
+            world.runUntil(Math.min(end, world.now + 1 + random.nextInt(120)));
             SimulatedReplica node = randomNode();
             if (node.isRunning() && node.frozenUntil <= world.now) {
                 if (random.nextInt(20) == 0) {
                     extraAction.accept(node);
                 }
                 if (random.nextInt(4) == 0) {
-                    world.ruleChecker.confirm(node);
+                    world.ruleChecker.requestReadIndex(node);
                 } else {
                     world.ruleChecker.propose(node);
                 }
@@ -163,7 +163,7 @@
 
     /** Kills a leaving process once it may terminate, and restarts it. */
     private void restartOnceItMayTerminate(SimulatedReplica node, int processNumber) {
-        world.later(world.now + 50, () -> {
+        world.schedule(world.now + 50, () -> {
             if (node.processNumber != processNumber || !node.isRunning()) {
                 return;
             }
@@ -178,7 +178,7 @@
 
     private void restart(SimulatedReplica node, int delayMs) {
         int processNumber = node.processNumber;
-        world.later(world.now + delayMs, () -> {
+        world.schedule(world.now + delayMs, () -> {
             if (node.processNumber == processNumber && node.down && live.contains(node)) {
                 node.start();
             }
@@ -195,11 +195,11 @@
                 }
                 restart(node, 100 + random.nextInt(3000));
             }
-            case 2 -> world.cut(node.address, other.address, true);
-            case 3 -> world.one(node.address, other.address, true);
+            case 2 -> world.setCut(node.address, other.address, true);
+            case 3 -> world.setOneWayCut(node.address, other.address, true);
             case 4 -> {
                 for (SimulatedReplica affected : live) {
-                    world.cut(node.address, affected.address, true);
+                    world.setCut(node.address, affected.address, true);
                 }
             }
             case 5 -> node.frozenUntil = Math.max(node.frozenUntil, world.now + 200 + random.nextInt(3000));
@@ -228,8 +228,8 @@
             case 11 -> {
                 world.link(node.address, other.address).loss = random.nextDouble();
                 world.link(other.address, node.address).delayMs = 2 + random.nextInt(200);
-                if (!world.padding.isEmpty()) {
-                    world.rate(node.address, other.address, 100 + random.nextInt(2000));
+                if (!world.changePadding.isEmpty()) {
+                    world.setBandwidth(node.address, other.address, 100 + random.nextInt(2000));
                 }
             }
             default -> replace(node);
@@ -240,7 +240,7 @@
     }
 
     private void wipe(SimulatedReplica node) {
-        if (!world.ruleChecker.intact()) {
+        if (!world.ruleChecker.mayLoseDisk()) {
             return;
         }
         if (node.isRunning()) {
@@ -252,7 +252,7 @@
 
     /** Loses a machine permanently and adds a replacement at a new address. */
     private void replace(SimulatedReplica node) {
-        if (replacements >= 2 || !world.ruleChecker.intact() || !allInOneView()) {
+        if (replacements >= 2 || !world.ruleChecker.mayLoseDisk() || !allInOneView()) {
             return;
         }
         replacements++;
--- a/src/test/java/brambletray/platform/replication/RandomFaultsTest.java
+++ b/src/test/java/brambletray/platform/replication/RandomFaultsTest.java
@@ -27,7 +27,7 @@
                 faults.world().events.forEach(System.out::println);
                 throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
             }
-            views += faults.world().ruleChecker.views();
+            views += faults.world().ruleChecker.viewCount();
             scenarios++;
             if (onlySeed != null) {
                 break;
