--- a/src/main/java/brambletray/platform/replication/ProposalOutcome.java
+++ b/src/main/java/brambletray/platform/replication/ProposalOutcome.java
@@ -1,11 +1,11 @@
 package brambletray.platform.replication;
 
-/** The outcome of a proposal. */
+/** The outcome of a proposal, as reported to the proposing process. */
 public enum ProposalOutcome {
-    /** Committed, and applied here just before. */
+    /** Committed, and already applied at the proposing process. */
     COMMITTED,
-    /** Not in the log, and it never will be. */
+    /** Not in the log, and never will be. */
     REJECTED,
-    /** May or may not be in the log, now or later. */
+    /** May or may not be, or become, part of the log. */
     UNKNOWN
 }
--- a/src/main/java/brambletray/platform/replication/Quorum.java
+++ b/src/main/java/brambletray/platform/replication/Quorum.java
@@ -5,41 +5,42 @@
 import java.util.Set;
 
 /**
- * Which members of a view must have answered before a later view may be installed: a majority, or all except those
- * whose disk is proven lost, if these are fewer than a majority. Any two such sets share a member that still has its
- * disk:
+ * The members of a view that must have responded before a later view may be installed: a majority, or all except
+ * those whose disk is proven lost (the retired ones), if these are fewer than a majority. Any two such sets share a
+ * member that still has its disk:
  * <ul>
- * <li>two majorities share one by their size;
+ * <li>two majorities intersect because of their size;
  * <li>a majority and "all but the retired": the retired are fewer than a majority, so some member of the majority is
- * not among them;
- * <li>"all but D" and "all but E": if they shared none, each would lie within the other's retired. A member that
- * answers has learned of the retired incarnations, and has them on disk, before it answers; so every answer of the
- * first set came after the retirement of all who answered in the second, and the other way round, which no order of
- * events allows.
- * </ul> In the list of seeds incarnations are not known, members are counted by address, and nobody is retired.
+ * not retired;
+ * <li>"all but D" and "all but E": if they were disjoint, each would be a subset of the other's retired members. A
+ * member has the retired incarnations on disk before it responds; so every response of the first set came after the
+ * retirement of all responders of the second, and vice versa, which is a contradiction.
+ * </ul> In the founding view, made from the seeds, incarnations are unknown: members are counted by address and none is
+ * retired.
  */
 final class Quorum {
     private Quorum() {}
 
-    static boolean isReached(List<Member> members, Collection<Member> answered, Set<Long> dead) {
-        int heard = 0;
-        int gone = 0;
+    static boolean isReached(List<Member> members, Collection<Member> answered, Set<Long> retiredIncarnations) {
+        int answeredCount = 0;
+        int retiredCount = 0;
         for (Member member : members) {
             if (hasAnswered(member, answered)) {
-                heard++;
-            } else if (member.incarnation() != 0 && dead.contains(member.incarnation())) {
-                gone++;
+                answeredCount++;
+            } else if (member.incarnation() != 0 && retiredIncarnations.contains(member.incarnation())) {
+                retiredCount++;
             }
         }
         int majority = members.size() / 2 + 1;
-        return heard >= majority || (gone < majority && heard > 0 && heard + gone == members.size());
+        return answeredCount >= majority
+                || (retiredCount < majority && answeredCount > 0 && answeredCount + retiredCount == members.size());
     }
 
     private static boolean hasAnswered(Member member, Collection<Member> answered) {
-        for (Member one : answered) {
+        for (Member responder : answered) {
             if (member.incarnation() == 0
-                    ? one.address().equals(member.address())
-                    : one.incarnation() == member.incarnation()) {
+                    ? responder.address().equals(member.address())
+                    : responder.incarnation() == member.incarnation()) {
                 return true;
             }
         }
--- a/src/main/java/brambletray/platform/replication/ReadIndex.java
+++ b/src/main/java/brambletray/platform/replication/ReadIndex.java
@@ -7,11 +7,11 @@
 import java.util.Set;
 
 /**
- * Confirms that what is applied here includes everything acknowledged before the question (read index; Raft
- * dissertation, section 6.4). A majority of the view has to answer that the view is still its own, the leader among
- * it, which adds its commit index. Before a later view can acknowledge anything, a {@link Quorum} of this one has
- * stopped for it, and a quorum shares a member with every majority; that member does not answer any more. One silent
- * member holds up no read and no rejection, unlike a commit.
+ * Confirms that the state applied here includes everything acknowledged before the request (read index; Raft
+ * dissertation, section 6.4). A majority of the view, including the leader, has to confirm that it is still in this
+ * view; the leader adds its commit index. Before a later view can acknowledge anything, a {@link Quorum} of this view
+ * has promised a higher ballot; a quorum shares a member with every majority, and that member no longer confirms.
+ * Unlike a commit, neither a read nor a rejection is delayed by a single silent member.
  */
 final class ReadIndex {
     private static final int RETRY_INTERVAL_MS = 200;
@@ -26,9 +26,9 @@
         final Set<Long> confirmedBy = new HashSet<>();
         long requiredIndex = -1;
 
-        Round(long token, long until) {
+        Round(long token, long deadlineMs) {
             this.token = token;
-            this.deadlineMs = until;
+            this.deadlineMs = deadlineMs;
         }
     }
 
@@ -57,7 +57,7 @@
         if (!state.isOperationalIn(request.viewBallot())) {
             return;
         }
-        boolean leads = roles.isLeader();
+        boolean isLeader = roles.isLeader();
         state.actions()
                 .send(
                         from,
@@ -65,8 +65,8 @@
                                 request.viewBallot(),
                                 state.self().incarnation(),
                                 request.sequence(),
-                                leads ? state.commitIndex() : -1,
-                                leads && state.isSettled()));
+                                isLeader ? state.commitIndex() : -1,
+                                isLeader && state.isSettled()));
     }
 
     void onReadIndexResponse(ReplicationMessage.ReadIndexResponse response) {
@@ -91,26 +91,26 @@
         if (rounds.isEmpty()) {
             return;
         }
-        boolean may = state.view() != null
+        boolean canConfirm = state.view() != null
                 && state.isActive()
                 && state.isOperationalIn(state.view().ballot())
                 && !roles.isExcluded();
-        List<Round> over = new ArrayList<>();
-        Iterator<Round> all = rounds.iterator();
-        while (all.hasNext()) {
-            Round round = all.next();
-            if (may) {
+        List<Round> completed = new ArrayList<>();
+        Iterator<Round> iterator = rounds.iterator();
+        while (iterator.hasNext()) {
+            Round round = iterator.next();
+            if (canConfirm) {
                 sendRequests(round);
             }
-            boolean yes = may && isConfirmed(round);
-            if (!yes && state.nowMs() <= round.deadlineMs && !(state.isLeaving() && roles.isExcluded())) {
+            boolean confirmed = canConfirm && isConfirmed(round);
+            if (!confirmed && state.nowMs() <= round.deadlineMs && !(state.isLeaving() && roles.isExcluded())) {
                 continue;
             }
-            all.remove();
-            round.requiredIndex = yes ? 1 : -1;
-            over.add(round);
+            iterator.remove();
+            round.requiredIndex = confirmed ? 1 : -1;
+            completed.add(round);
         }
-        for (Round round : over) {
+        for (Round round : completed) {
             state.actions().readIndexCompleted(round.token, round.requiredIndex > 0);
         }
     }
--- a/src/main/java/brambletray/platform/replication/Replica.java
+++ b/src/main/java/brambletray/platform/replication/Replica.java
@@ -5,11 +5,12 @@
 import java.util.function.Consumer;
 
 /**
- * One member of the core: the entry points of the replication protocol. {@link RoleState} owns its role, {@link
- * ReplicaState} what it knows and has on disk; {@link MessageDispatcher} knows which part a message is for.
+ * One member of the replicated control plane: the entry points of the replication protocol. {@link RoleState} owns
+ * the member's role, {@link ReplicaState} its durable and volatile state; {@link MessageDispatcher} routes messages to
+ * their handlers.
  *
- * <p>Pure: time, messages and completed syncs come in, {@link ReplicationActions} says what is to be done. One thread
- * only. The package comment says why nothing that was acknowledged is lost.
+ * <p>Deterministic and free of I/O: time, messages and completed syncs are passed in, effects are requested through
+ * {@link ReplicationActions}. Not thread-safe. The package documentation shows why no acknowledged entry is lost.
  */
 public final class Replica {
     private final ReplicaState state;
@@ -28,10 +29,10 @@
     private long lastTickAtMs;
 
     /**
-     * Starts a member from its disk; it sends nothing before its incarnation is synced.
+     * Starts a member from its stored state; it sends nothing before its incarnation is synced.
      *
-     * @param stored what the disk holds
-     * @param nowMs  steady clock
+     * @param stored the state read from disk
+     * @param nowMs  monotonic clock
      */
     public Replica(
             ReplicaConfig config,
@@ -71,7 +72,11 @@
         state.writeAheadQueue().flush(nowMs);
     }
 
-    /** Writes the identity of an empty disk, and begins from the list of seeds; whether this member is a founder. */
+    /**
+     * Stores a new incarnation if the disk is empty, and creates the founding view from the seeds if there is no view.
+     *
+     * @return whether this member is a founder
+     */
     private boolean bootstrap(ReplicaConfig config, DurableState stored) {
         List<String> founders = stored.seeds();
         if (stored.isEmpty()) {
@@ -127,13 +132,13 @@
         }
     }
 
-    /** The settings or the seeds have changed (SIGHUP). */
+    /** Applies changed settings and seeds (on SIGHUP). */
     public void updateSettings(ReplicationSettings settings, List<String> newSeeds) {
         state.updateSettings(settings);
         joinRequester.updateSeeds(List.copyOf(newSeeds));
     }
 
-    /** To be called every 25 to 50 ms; after a much later call this member suspects itself before others. */
+    /** To be called every 25 to 50 ms. After a late call this member resets its timers before it suspects others. */
     public void tick(long nowMs) {
         advanceTime(nowMs);
         lastTickAtMs = nowMs;
@@ -154,7 +159,7 @@
         flush();
     }
 
-    /** Each entry point begins with this: a process that was paused forgets all suspicion first. */
+    /** Called first by each entry point. If the process was paused, all failure-detection timers are reset. */
     private void advanceTime(long nowMs) {
         state.advanceTo(nowMs);
         long sinceTickMs = state.nowMs() - lastTickAtMs;
@@ -170,7 +175,7 @@
         roles.dropPreparingViewChange();
     }
 
-    /** Each entry point ends with this: sends and writes what it brought about. */
+    /** Called last by each entry point: sends and writes what the call has produced. */
     private void flush() {
         if (plannedLeave != null && incarnationIsDurable) {
             plannedLeave.tick();
@@ -181,7 +186,7 @@
         state.writeAheadQueue().flush(state.nowMs());
     }
 
-    /** A message has come from the member at this control-plane address; other kinds of objects are ignored. */
+    /** Handles a message from the member at this control-plane address; objects of other types are ignored. */
     public void receive(String from, Object frame, long nowMs) {
         advanceTime(nowMs);
         memberRemovalOrders.onMessage(from);
@@ -192,11 +197,11 @@
     }
 
     /**
-     * An operator says that the machine of this member is gone for good, with its disk, and will never answer again.
-     * That is the operator's word and no proof: it must not be given on both sides of a partition.
+     * Removes a member whose machine and disk an operator declares permanently lost. The declaration is not verified,
+     * so it must not be made on both sides of a network partition.
      *
-     * @param incarnation as {@link ReplicaStatus#members} has it
-     * @param onOutcome   called now or within a few seconds; may not call back into this object before it returns
+     * @param incarnation as in {@link ReplicaStatus#members}
+     * @param onOutcome   called now or within a few seconds; must not call back into this object before it returns
      */
     public void removeMember(String address, long incarnation, long nowMs, Consumer<MemberRemovalOutcome> onOutcome) {
         advanceTime(nowMs);
@@ -204,7 +209,7 @@
         flush();
     }
 
-    /** The batch of this ticket is on the disk. */
+    /** The batch with this ticket is durable. */
     public void synced(long ticket, long nowMs) {
         advanceTime(nowMs);
         state.writeAheadQueue().synced(ticket);
@@ -212,7 +217,7 @@
     }
 
     /**
-     * The batch of this ticket could not be written; whether any of it is on the disk is not known. It is tried again.
+     * The batch with this ticket could not be written; an unknown part of it may be on disk. It is retried.
      */
     public void syncFailed(long ticket, long nowMs) {
         advanceTime(nowMs);
@@ -223,7 +228,7 @@
         flush();
     }
 
-    /** A connection to this address was refused or reset: a hint that only counts together with a time-out. */
+    /** A connection to this address was refused or reset: a hint that counts only together with a timeout. */
     public void onDisconnected(String address, long nowMs) {
         advanceTime(nowMs);
         leaderMonitor.onDisconnected(address);
@@ -234,9 +239,9 @@
     }
 
     /**
-     * Proposes a change; its outcome comes through {@link ReplicationActions#proposalCompleted}.
+     * Proposes a change; the outcome is reported through {@link ReplicationActions#proposalCompleted}.
      *
-     * @param token used once by a process
+     * @param token unique within this process
      */
     public void propose(long token, byte[] bytes, long nowMs) {
         advanceTime(nowMs);
@@ -245,8 +250,8 @@
     }
 
     /**
-     * Asks whether what has been applied here includes everything that was acknowledged until now; the answer comes
-     * through {@link ReplicationActions#readIndexCompleted}.
+     * Asks whether the state applied here includes everything acknowledged so far; the answer is reported through
+     * {@link ReplicationActions#readIndexCompleted}.
      */
     public void requestReadIndex(long token, long nowMs) {
         advanceTime(nowMs);
@@ -255,8 +260,8 @@
     }
 
     /**
-     * This process is about to end as planned (SIGTERM): another member leads and the view changes without this one,
-     * which does not join again. {@link #mayTerminate} says when the process may end.
+     * Starts a planned shutdown of this process (SIGTERM): leadership is handed over, and the view changes to one
+     * without this member, which does not rejoin. {@link #mayTerminate} tells when the process may end.
      */
     public void leave(long nowMs) {
         advanceTime(nowMs);
@@ -268,19 +273,19 @@
     }
 
     /**
-     * Whether this process may end: a view without it is active, or it has waited for as long as it may
-     * ({@link ReplicationSettings#leaveTimeoutMs}).
+     * Whether this process may end: a view without it is active, or {@link ReplicationSettings#leaveTimeoutMs} has
+     * passed.
      */
     public boolean mayTerminate() {
         return plannedLeave != null && plannedLeave.isOver();
     }
 
-    /** Whether this process is about to end. */
+    /** Whether a planned shutdown has started. */
     boolean isLeaving() {
         return state.isLeaving();
     }
 
-    /** What this member knows, for operators and logs. */
+    /** The status of this member, for operators and logs. */
     public ReplicaStatus status() {
         View view = state.view();
         boolean founding = view != null && view.isFounding();
@@ -301,8 +306,8 @@
     }
 
     /**
-     * Zones, or else regions, that may be lost and hold half of the active view or more; empty where the rest would go
-     * on.
+     * Zones (or regions) whose loss is to be tolerated but which hold half of the active view or more; empty if the
+     * remaining members could continue.
      */
     public List<String> zonesHoldingHalf() {
         boolean known =
@@ -313,8 +318,8 @@
     }
 
     /**
-     * Control-plane address of the leader that the others go on with, once this process is about to end and is not in
-     * their view any more; else null.
+     * Control-plane address of the leader of the later view, once this process is shutting down and that view excludes
+     * it; else null.
      */
     public String successor() {
         return state.isLeaving() && roles.isExcluded()
--- a/src/main/java/brambletray/platform/replication/ReplicaConfig.java
+++ b/src/main/java/brambletray/platform/replication/ReplicaConfig.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What a member is given at its start.
+ * The configuration of a member at process start.
  *
- * @param address ip:port of this machine's control plane, as the others call it
+ * @param address ip:port of this machine's control plane, as known to the other members
  * @param name name of the node
- * @param zone zone of the machine; "" where it is not known
- * @param newIncarnation drawn at random, not 0: taken where the disk is empty
- * @param origin drawn at random at each start of the process, not 0; identifies its proposals
+ * @param zone zone of the machine; "" if unknown
+ * @param newIncarnation random and non-zero; used if the disk is empty
+ * @param origin random and non-zero, drawn at each process start; identifies the proposals of the process
  * @param seeds control-plane addresses from the settings
- * @param initialStart whether the settings say that the whole system starts for the first time
+ * @param initialStart whether the settings declare this the first start of the whole system
  * @param settings timeouts and bounds
  */
 public record ReplicaConfig(
@@ -23,7 +23,7 @@
         List<String> seeds,
         boolean initialStart,
         ReplicationSettings settings) {
-    /** The list of seeds is copied. */
+    /** Copies the list of seeds. */
     public ReplicaConfig {
         seeds = List.copyOf(seeds);
     }
--- a/src/main/java/brambletray/platform/replication/ReplicaRole.java
+++ b/src/main/java/brambletray/platform/replication/ReplicaRole.java
@@ -1,13 +1,13 @@
 package brambletray.platform.replication;
 
-/** The role of a member, as status and operators see it. */
+/** The role of a member, as reported in its status. */
 public enum ReplicaRole {
-    /** One of the seeds of a core that is not yet founded. */
+    /** One of the seeds of a control plane that has no first view yet. */
     FOUNDING,
-    /** In an active view, and in touch with its leader. */
+    /** In an active view whose leader is healthy. */
     MEMBER,
-    /** In a view whose leader is not heard, or that is being changed. */
+    /** In a view without a responsive leader, or with a view change in progress. */
     SUSPENDED,
-    /** Outside the view; asks to join. */
+    /** Outside the view, sending join requests. */
     JOINING
 }
--- a/src/main/java/brambletray/platform/replication/ReplicaState.java
+++ b/src/main/java/brambletray/platform/replication/ReplicaState.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 
 /**
- * The state of one member, by owner: {@link BallotState} what it has promised, {@link MembershipState} the view and
- * the machines it knows, {@link CommitState} the log and how far it is committed. In memory the state is ahead of the
- * disk; messages that reveal it are sent from {@link WriteAheadQueue#onSynced}. One thread only.
+ * The state of one member: its promised ballot ({@link BallotState}), its view and known machines ({@link
+ * MembershipState}), its log and commit index ({@link CommitState}). The state in memory is ahead of the disk; messages
+ * that reveal it are sent from {@link WriteAheadQueue#onSynced} callbacks. Not thread-safe.
  */
 final class ReplicaState {
     private ReplicationSettings settings;
@@ -48,8 +48,8 @@
         return settings;
     }
 
-    void updateSettings(ReplicationSettings next) {
-        settings = next;
+    void updateSettings(ReplicationSettings newSettings) {
+        settings = newSettings;
     }
 
     ReplicationActions actions() {
@@ -76,12 +76,12 @@
         return commits;
     }
 
-    /** Drawn at each start of the process: the origin of its proposals. */
+    /** Random number drawn at each process start; identifies the proposals of this process. */
     long origin() {
         return origin;
     }
 
-    /** Steady clock, ms. */
+    /** Monotonic clock, ms. */
     long nowMs() {
         return nowMs;
     }
@@ -134,7 +134,7 @@
         return commits.viewStartIndex();
     }
 
-    /** Whether this process is about to end. */
+    /** Whether a planned shutdown of this process has started. */
     boolean isLeaving() {
         return leaving;
     }
@@ -143,43 +143,47 @@
         leaving = true;
     }
 
-    /** Whether this member leads and is about to hand over: what is in flight is finished, nothing more is begun. */
+    /** Whether this member leads and is handing over: entries in flight are completed, no new ones are accepted. */
     boolean isDraining() {
         return draining;
     }
 
-    void setDraining(boolean next) {
-        draining = next;
+    void setDraining(boolean newDraining) {
+        draining = newDraining;
     }
 
-    /** Counts the state transfers that this process has begun. */
+    /** Returns a number unique among the state transfers of this process. */
     long nextTransferNumber() {
         return ++transferCount;
     }
 
-    /** Whether a promise forbids to acknowledge anything in the present view. */
+    /** Whether a promised ballot forbids acknowledging anything in the current view. */
     boolean hasPromisedHigherBallot() {
         return view() != null && promisedBallot().isAbove(view().ballot());
     }
 
-    /** Whether this is the present view, and no promise forbids to work in it. */
+    /** Whether this ballot is that of the current view, and no higher ballot has been promised. */
     boolean isOperationalIn(Ballot ballot) {
         return view() != null && view().ballot().equals(ballot) && !hasPromisedHigherBallot() && !view().isFounding();
     }
 
-    /** Whether writes fail, or the oldest one has been waiting for too long. */
+    /** Whether writes fail, or the oldest pending write exceeds {@link ReplicationSettings#syncTimeoutMs}. */
     boolean diskUnhealthy() {
         return writeAheadQueue.isFailing() || writeAheadQueue.oldestWriteAgeMs(nowMs) > settings.syncTimeoutMs();
     }
 
-    /** Promises to acknowledge nothing in views below this ballot; it counts once it is synced. */
+    /** Promises to acknowledge nothing in views below this ballot; binding once it is synced. */
     void promise(Ballot ballot) {
         ballots.promise(ballot);
         put(DurableState.PROMISED_BALLOT_KEY, ReplicationCodec.ballot(ballot));
         actions.statusChanged();
     }
 
-    /** Remembers incarnations that are gone for good, which counts once it is synced; whether one of them is new. */
+    /**
+     * Records incarnations whose disk is permanently lost; effective once synced.
+     *
+     * @return whether any of them is new
+     */
     boolean retire(Iterable<Long> incarnations) {
         if (!membership.retire(incarnations)) {
             return false;
@@ -197,29 +201,29 @@
     }
 
     /**
-     * Takes a proposed view with its log.
+     * Accepts a proposed view and its log.
      *
-     * @return false, with nothing changed, if that log lacks an entry that is known to be committed
+     * @return false, without any change, if that log lacks an entry known to be committed
      */
-    boolean acceptView(View next, ReplicatedLog chosen) {
-        if (commits.losesCommitted(chosen)) {
+    boolean acceptView(View nextView, ReplicatedLog nextLog) {
+        if (commits.losesCommitted(nextLog)) {
             actions.log(new ReplicationEvent.CommittedEntriesMissing(
-                    next.ballot(), chosen.lastIndex(), commits.commitIndex()));
+                    nextView.ballot(), nextLog.lastIndex(), commits.commitIndex()));
             return false;
         }
-        Map<String, byte[]> changes = commits.replaceLog(chosen);
-        membership.install(next);
-        if (next.ballot().isAbove(ballots.promised())) {
-            promise(next.ballot());
+        Map<String, byte[]> changes = commits.replaceLog(nextLog);
+        membership.install(nextView);
+        if (nextView.ballot().isAbove(ballots.promised())) {
+            promise(nextView.ballot());
         }
         writeAheadQueue.put(changes, nowMs);
-        put(DurableState.VIEW_KEY, ReplicationCodec.view(next, false));
-        for (Member member : next.members()) {
+        put(DurableState.VIEW_KEY, ReplicationCodec.view(nextView, false));
+        for (Member member : nextView.members()) {
             addKnownAddress(member.address());
         }
-        long lastIndex = chosen.lastIndex();
+        long lastIndex = nextLog.lastIndex();
         writeAheadQueue.onSynced(() -> {
-            if (view() == next) {
+            if (view() == nextView) {
                 commits.advanceDurable(lastIndex);
             }
         });
@@ -228,17 +232,17 @@
         return true;
     }
 
-    /** All members have the view: it is active. */
+    /** Marks the view as active: all its members have it on disk. */
     void activateView() {
         membership.activate();
         put(DurableState.VIEW_KEY, ReplicationCodec.view(view(), true));
         actions.log(new ReplicationEvent.ViewActivated(
                 view().ballot(), names(view().members()), view().leader().name(), log().lastIndex()));
-        warnOfZonesHoldingHalf();
+        warnIfZonesHoldHalf();
         actions.statusChanged();
     }
 
-    private void warnOfZonesHoldingHalf() {
+    private void warnIfZonesHoldHalf() {
         List<String> zones = settings.tolerance().groupsHoldingHalf(view().members());
         if (!zones.isEmpty()) {
             actions.log(new ReplicationEvent.ZonesHoldHalf(
@@ -255,7 +259,7 @@
         put(DurableState.logKey(entry.index()), ReplicationCodec.entry(entry));
     }
 
-    /** Everything up to this index is on enough disks: applies it. */
+    /** Commits and applies everything up to this index. */
     void advanceCommit(long index) {
         writeAheadQueue.put(commits.advanceCommit(index), nowMs);
     }
@@ -265,7 +269,7 @@
         return isActive() && commits.coversEarlierViews();
     }
 
-    /** The state of this member as it answers a prepare request. */
+    /** Builds this member's response to a prepare request. */
     ReplicationMessage.PrepareResponse prepareResponse(Ballot ballot) {
         return new ReplicationMessage.PrepareResponse(
                 ballot,
--- a/src/main/java/brambletray/platform/replication/ReplicaStatus.java
+++ b/src/main/java/brambletray/platform/replication/ReplicaStatus.java
@@ -3,23 +3,23 @@
 import java.util.List;
 
 /**
- * What a member knows, for operators and logs.
+ * The status of a member, for operators and logs.
  *
- * @param role its role
- * @param self itself
- * @param viewNumber number of its last view, 0 when none
- * @param previousViewNumber number of the view that it came from if that was known to be active (0: the founding),
- *     else -1
- * @param members of that view
- * @param leader of that view, or null
- * @param isLeader whether that is this process
+ * @param role the role of the member
+ * @param self the member itself
+ * @param viewNumber number of its last view, 0 if none
+ * @param previousViewNumber number of the direct predecessor of that view if it was known to be active (0 for the
+ *     founding view), else -1
+ * @param members the members of that view
+ * @param leader the leader of that view, or null
+ * @param isLeader whether this process is the leader
  * @param active whether that view is known to be active
  * @param settled whether everything that earlier views committed has been applied here
  * @param commitIndex last index known to be committed
  * @param appliedIndex last index applied here
  * @param diskUnhealthy whether writes fail or take too long here
- * @param lineage views that its last view came from, each directly from the one before it, as this process has seen
- *     them; the last is that of number {@code previousViewNumber}
+ * @param lineage predecessors of the last view that this process has observed, each the direct predecessor of the next;
+ *     the last one has number {@code previousViewNumber}
  */
 public record ReplicaStatus(
         ReplicaRole role,
@@ -35,13 +35,13 @@
         long appliedIndex,
         boolean diskUnhealthy,
         List<ViewMembership> lineage) {
-    /** The status of a member without a lineage. */
+    /** Creates a status with an empty lineage. */
     public ReplicaStatus(
             ReplicaRole role,
             Member self,
             long viewNumber,
             long previousViewNumber,
-            List<Member> replica,
+            List<Member> members,
             Member leader,
             boolean isLeader,
             boolean active,
@@ -54,7 +54,7 @@
                 self,
                 viewNumber,
                 previousViewNumber,
-                replica,
+                members,
                 leader,
                 isLeader,
                 active,
--- a/src/main/java/brambletray/platform/replication/ReplicatedLog.java
+++ b/src/main/java/brambletray/platform/replication/ReplicatedLog.java
@@ -6,18 +6,18 @@
 import java.util.Map;
 
 /**
- * The log of one member: a snapshot of the state at an index, and the entries after it. Two logs that have an entry
- * with the same index and view are the same up to there: within a view one leader assigns the indices, and all its
- * members begin with one log (Raft: log matching property).
+ * The log of one member: a snapshot of the state at an index, and the entries after it. Two logs that hold an entry
+ * with the same index and view are identical up to that entry: within a view a single leader assigns the indices, and
+ * all members start from the same log (the log matching property of Raft).
  */
 final class ReplicatedLog {
-    /** A snapshot is taken after so many applied entries, or so many bytes of entries. */
+    /** A snapshot is taken after this many applied entries, or {@link #MAX_BYTES_BEFORE_SNAPSHOT} bytes of entries. */
     static final int MAX_ENTRIES_BEFORE_SNAPSHOT = 256;
 
     static final int MAX_BYTES_BEFORE_SNAPSHOT = 1 << 20;
     /**
-     * Entries before the snapshot that are remembered, in memory only, for members that lack a few of them; and their
-     * bytes.
+     * Bound of the entries before the snapshot that are retained in memory for members that lack only a few of them;
+     * {@link #MAX_COMPACTED_BYTES} bounds their size.
      */
     private static final int MAX_COMPACTED_ENTRIES = 512;
 
@@ -28,16 +28,16 @@
     private byte[] snapshot;
     private final List<LogEntry> entries;
     private long entryBytes;
-    /** Entries that the last compactions took out of {@link #entries}, up to the snapshot without gaps. */
+    /** Entries that recent compactions removed from {@link #entries}, contiguous up to the snapshot. */
     private final ArrayDeque<LogEntry> compacted = new ArrayDeque<>();
 
     private long compactedBytes;
-    /** Ballot of the view of the entry before the first of {@link #compacted}. */
+    /** View ballot of the entry before the first one in {@link #compacted}. */
     private Ballot viewBeforeCompacted = Ballot.NONE;
 
-    ReplicatedLog(long base, Ballot baseView, byte[] snapshot, List<LogEntry> entries) {
-        this.snapshotIndex = base;
-        this.snapshotView = baseView;
+    ReplicatedLog(long snapshotIndex, Ballot snapshotView, byte[] snapshot, List<LogEntry> entries) {
+        this.snapshotIndex = snapshotIndex;
+        this.snapshotView = snapshotView;
         this.snapshot = snapshot;
         this.entries = new ArrayList<>(entries);
         for (LogEntry entry : entries) {
@@ -49,7 +49,6 @@
         return new ReplicatedLog(0, Ballot.NONE, new byte[0], List.of());
     }
 
-    /** Index of the snapshot. */
     long snapshotIndex() {
         return snapshotIndex;
     }
@@ -66,7 +65,7 @@
         return entries;
     }
 
-    /** Index of the last entry. */
+    /** Index of the last entry, or of the snapshot if there are no entries. */
     long lastIndex() {
         return snapshotIndex + entries.size();
     }
@@ -75,7 +74,7 @@
         return viewAt(lastIndex());
     }
 
-    /** Ballot of the view of the entry at this index; null if the index is before the snapshot or after the end. */
+    /** View ballot of the entry at this index; null if the index is before the snapshot or after the last entry. */
     Ballot viewAt(long index) {
         if (index == snapshotIndex) {
             return snapshotView;
@@ -85,49 +84,49 @@
                 : entryAt(index).view();
     }
 
-    /** Entry at an index after the snapshot's, up to the end. */
+    /** The entry at an index after that of the snapshot. */
     LogEntry entryAt(long index) {
         return entries.get((int) (index - snapshotIndex - 1));
     }
 
     void append(LogEntry entry) {
         if (entry.index() != lastIndex() + 1) {
-            throw new ReplicationException("replication.gap", "entry " + entry.index() + " after " + lastIndex());
+            throw new ReplicationException(
+                    "replication.gap", "cannot append entry " + entry.index() + " after index " + lastIndex());
         }
         entries.add(entry);
         entryBytes += entry.bytes().length;
     }
 
-    /** Bytes of the entries after one index up to another, as far as they follow the snapshot. */
+    /** Size in bytes of the entries after {@code after} up to {@code to}, without those before the snapshot. */
     long bytesBetween(long after, long to) {
-        long some = 0;
+        long bytes = 0;
         for (long index = Math.max(after, snapshotIndex) + 1; index <= Math.min(to, lastIndex()); index++) {
-            some += entryAt(index).bytes().length;
+            bytes += entryAt(index).bytes().length;
         }
-        return some;
+        return bytes;
     }
 
-    /** Entries after one index up to another; both lie between the snapshot and the end. */
+    /** Entries after {@code after} up to {@code to}; both lie between the snapshot and the last index. */
     List<LogEntry> entriesBetween(long after, long to) {
         return List.copyOf(entries.subList((int) (after - snapshotIndex), (int) (to - snapshotIndex)));
     }
 
-    /** Entries after an index, up to so many bytes but one at least. */
-    List<LogEntry> entriesAfter(long index, int most) {
-        List<LogEntry> some = new ArrayList<>();
+    /** Entries after an index, limited to {@code maxBytes} but at least one. */
+    List<LogEntry> entriesAfter(long index, int maxBytes) {
+        List<LogEntry> result = new ArrayList<>();
         int size = 0;
-        for (long at = index + 1; at <= lastIndex(); at++) {
-            LogEntry entry = entryAt(at);
+        for (long nextIndex = index + 1; nextIndex <= lastIndex(); nextIndex++) {
+            LogEntry entry = entryAt(nextIndex);
             size += entry.bytes().length + 64;
-            if (size > most && !some.isEmpty()) {
+            if (size > maxBytes && !result.isEmpty()) {
                 break;
             }
-            some.add(entry);
+            result.add(entry);
         }
-        return some;
+        return result;
     }
 
-    /** Whether the entries contain this proposal. */
     boolean containsProposal(long origin, long token) {
         for (LogEntry entry : entries) {
             if (entry.origin() == origin && entry.token() == token) {
@@ -138,44 +137,45 @@
     }
 
     /**
-     * What a log lacks that ends with this index and view, and of which everything up to {@code commit} is known to
-     * be committed, and so is in every later log.
+     * The patch for a log that ends with this index and view and is known to be committed up to {@code commitIndex},
+     * so that every later log contains that part.
      */
-    LogPatch patchFor(long end, Ballot endView, long commit) {
-        if (endView.equals(viewAt(end))) {
-            return patchAfter(end);
+    LogPatch patchFor(long endIndex, Ballot endView, long commitIndex) {
+        if (endView.equals(viewAt(endIndex))) {
+            return patchAfter(endIndex);
         }
-        if (commit >= snapshotIndex && commit <= lastIndex()) {
-            return patchAfter(commit);
+        if (commitIndex >= snapshotIndex && commitIndex <= lastIndex()) {
+            return patchAfter(commitIndex);
         }
         LogPatch fullLog = new LogPatch(true, snapshotIndex, snapshotView, snapshot, List.copyOf(entries));
-        LogPatch tail = patchFromCompacted(end, endView);
+        LogPatch tail = patchFromCompacted(endIndex, endView);
         return tail != null && tail.sizeBytes() <= fullLog.sizeBytes() ? tail : fullLog;
     }
 
     /**
-     * What follows an index before the snapshot; null if that is not remembered, or the entry there is another one.
+     * The entries after an index before the snapshot; null if they are no longer retained, or the entry at that index
+     * belongs to another view.
      */
-    private LogPatch patchFromCompacted(long end, Ballot endView) {
-        long before = snapshotIndex - compacted.size();
-        if (end < before || end >= snapshotIndex) {
+    private LogPatch patchFromCompacted(long endIndex, Ballot endView) {
+        long indexBeforeCompacted = snapshotIndex - compacted.size();
+        if (endIndex < indexBeforeCompacted || endIndex >= snapshotIndex) {
             return null;
         }
-        List<LogEntry> some = new ArrayList<>();
+        List<LogEntry> missing = new ArrayList<>();
         Ballot view = viewBeforeCompacted;
         for (LogEntry entry : compacted) {
-            if (entry.index() == end) {
+            if (entry.index() == endIndex) {
                 view = entry.view();
             }
-            if (entry.index() > end) {
-                some.add(entry);
+            if (entry.index() > endIndex) {
+                missing.add(entry);
             }
         }
         if (!view.equals(endView)) {
             return null;
         }
-        some.addAll(entries);
-        return new LogPatch(false, end, endView, new byte[0], some);
+        missing.addAll(entries);
+        return new LogPatch(false, endIndex, endView, new byte[0], missing);
     }
 
     private LogPatch patchAfter(long index) {
@@ -187,7 +187,7 @@
                 List.copyOf(entries.subList((int) (index - snapshotIndex), entries.size())));
     }
 
-    /** This log after the patch, or null if the patch doesn't fit. */
+    /** This log with the patch applied, or null if the patch does not match it. */
     ReplicatedLog patched(LogPatch patch) {
         if (patch.replacesAll()) {
             return new ReplicatedLog(patch.previousIndex(), patch.previousView(), patch.snapshot(), patch.entries());
@@ -206,25 +206,25 @@
         return log;
     }
 
-    /** Whether it is time for a snapshot, when everything up to this index has been applied. */
-    boolean needsSnapshot(long delivered) {
-        return delivered - snapshotIndex >= MAX_ENTRIES_BEFORE_SNAPSHOT
-                || (entryBytes > MAX_BYTES_BEFORE_SNAPSHOT && delivered > snapshotIndex);
+    /** Whether a snapshot is due once everything up to this index has been applied. */
+    boolean needsSnapshot(long appliedIndex) {
+        return appliedIndex - snapshotIndex >= MAX_ENTRIES_BEFORE_SNAPSHOT
+                || (entryBytes > MAX_BYTES_BEFORE_SNAPSHOT && appliedIndex > snapshotIndex);
     }
 
-    /** Replaces everything up to this index by the state at it. */
+    /** Replaces everything up to this index by a snapshot of the state at that index. */
     void compact(long index, byte[] state) {
         Ballot view = viewAt(index);
-        List<LogEntry> gone = entries.subList(0, (int) (index - snapshotIndex));
+        List<LogEntry> removed = entries.subList(0, (int) (index - snapshotIndex));
         if (compacted.isEmpty()) {
             viewBeforeCompacted = snapshotView;
         }
-        for (LogEntry entry : gone) {
+        for (LogEntry entry : removed) {
             entryBytes -= entry.bytes().length;
             compacted.add(entry);
             compactedBytes += entry.bytes().length;
         }
-        gone.clear();
+        removed.clear();
         while (compacted.size() > MAX_COMPACTED_ENTRIES || compactedBytes > MAX_COMPACTED_BYTES) {
             LogEntry first = compacted.remove();
             compactedBytes -= first.bytes().length;
@@ -235,17 +235,17 @@
         snapshot = state;
     }
 
-    /** Puts into the map the changes of keys on disk that turn one log into the other. */
-    static void collectChanges(ReplicatedLog before, ReplicatedLog now, Map<String, byte[]> changes) {
-        if (before.snapshotIndex != now.snapshotIndex || !before.snapshotView.equals(now.snapshotView)) {
-            changes.put(DurableState.SNAPSHOT_KEY, ReplicationCodec.snapshot(now));
+    /** Adds the key changes that turn one stored log into the other; a null value removes the key. */
+    static void collectChanges(ReplicatedLog before, ReplicatedLog after, Map<String, byte[]> changes) {
+        if (before.snapshotIndex != after.snapshotIndex || !before.snapshotView.equals(after.snapshotView)) {
+            changes.put(DurableState.SNAPSHOT_KEY, ReplicationCodec.snapshot(after));
         }
         for (LogEntry entry : before.entries) {
-            if (!entry.view().equals(now.viewAt(entry.index())) || entry.index() <= now.snapshotIndex) {
+            if (!entry.view().equals(after.viewAt(entry.index())) || entry.index() <= after.snapshotIndex) {
                 changes.put(DurableState.logKey(entry.index()), null);
             }
         }
-        for (LogEntry entry : now.entries) {
+        for (LogEntry entry : after.entries) {
             if (entry.index() <= before.snapshotIndex || !entry.view().equals(before.viewAt(entry.index()))) {
                 changes.put(DurableState.logKey(entry.index()), ReplicationCodec.entry(entry));
             }
--- a/src/main/java/brambletray/platform/replication/ReplicationActions.java
+++ b/src/main/java/brambletray/platform/replication/ReplicationActions.java
@@ -3,34 +3,34 @@
 import java.util.Map;
 
 /**
- * What a member wants done: its only way to the outside. None of these may call back into {@link Replica} before they
- * return.
+ * Effects requested by a {@link Replica}; its only outbound interface. Implementations must not call back into the
+ * replica before they return.
  */
 public interface ReplicationActions {
     /**
-     * Sends a message to the member at this address; it may be lost, but messages that arrive over one connection
+     * Sends a message to the member at this address. Messages may be lost, but those delivered over one connection
      * keep their order.
      */
-    void send(String address, ReplicationMessage frame);
+    void send(String address, ReplicationMessage message);
 
     /**
-     * Writes changes durably and atomically, then answers {@link Replica#synced} or {@link Replica#syncFailed} with
-     * the ticket, later and on the same thread. At most one batch is in flight. A null value removes the key.
+     * Writes changes durably and atomically, then calls {@link Replica#synced} or {@link Replica#syncFailed} with the
+     * ticket, asynchronously and on the same thread. At most one batch is in flight. A null value removes the key.
      */
     void persist(long ticket, Map<String, byte[]> changes);
 
-    /** A proposal of this process has completed; called once for each. */
+    /** A proposal of this process has completed; called exactly once per proposal. */
     void proposalCompleted(long token, ProposalOutcome outcome);
 
     /**
-     * Whether this process has applied everything that was acknowledged before {@link Replica#requestReadIndex} was
-     * called; called once for each token.
+     * Reports whether this process has applied everything that was acknowledged before {@link
+     * Replica#requestReadIndex} was called; called exactly once per token.
      */
-    void readIndexCompleted(long token, boolean yes);
+    void readIndexCompleted(long token, boolean confirmed);
 
-    /** The view, its leader or whether it is active has changed: see {@link Replica#status}. */
+    /** The status may have changed; see {@link Replica#status}. */
     void statusChanged();
 
-    /** Something to be logged. */
+    /** Writes an event to the log of this process. */
     void log(ReplicationEvent event);
 }
--- a/src/main/java/brambletray/platform/replication/ReplicationCodec.java
+++ b/src/main/java/brambletray/platform/replication/ReplicationCodec.java
@@ -9,12 +9,12 @@
 import java.util.List;
 
 /**
- * Binary form of what is stored and of what is transferred in chunks. Each value begins with the version of its form;
- * older forms are read, only the current one is written.
+ * Binary format of stored values and of state transfers. Each value starts with its format version; older versions can
+ * be read, only the current one is written.
  */
 final class ReplicationCodec {
-    /** Form 1 lacks the zones of members and is still read. */
-    private static final int CURRENT_FORM = 2;
+    /** Version 1, without the zones of members, can still be read. */
+    private static final int CURRENT_VERSION = 2;
 
     private ReplicationCodec() {}
 
@@ -26,37 +26,38 @@
         T readFrom(DataInputStream in) throws IOException;
     }
 
-    static byte[] write(Writer writing) {
+    static byte[] write(Writer writer) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeByte(CURRENT_FORM);
-            writing.writeTo(out);
+            out.writeByte(CURRENT_VERSION);
+            writer.writeTo(out);
         } catch (IOException e) {
-            throw new ReplicationException("replication.form", "cannot be written", e);
+            throw new ReplicationException("replication.form", "value could not be encoded", e);
         }
         return bytes.toByteArray();
     }
 
-    /** An input, and the form that it was written in. */
+    /** An input stream with the format version of its content. */
     private static final class VersionedInput extends DataInputStream {
-        final int form;
+        final int version;
 
         VersionedInput(byte[] bytes) throws IOException {
             super(new ByteArrayInputStream(bytes));
-            form = readByte();
+            version = readByte();
         }
     }
 
-    static <T> T read(byte[] bytes, Reader<T> reading) {
+    static <T> T read(byte[] bytes, Reader<T> reader) {
         try (VersionedInput in = new VersionedInput(bytes)) {
-            if (in.form < 1 || in.form > CURRENT_FORM) {
+            if (in.version < 1 || in.version > CURRENT_VERSION) {
                 throw new ReplicationException(
                         "replication.form",
-                        "stored in form " + in.form + ", this program reads forms up to " + CURRENT_FORM);
+                        "unsupported format version " + in.version + "; this release reads versions up to "
+                                + CURRENT_VERSION);
             }
-            return reading.readFrom(in);
+            return reader.readFrom(in);
         } catch (IOException e) {
-            throw new ReplicationException("replication.form", "cannot be read: " + e.getMessage(), e);
+            throw new ReplicationException("replication.form", "value could not be decoded: " + e.getMessage(), e);
         }
     }
 
@@ -84,18 +85,18 @@
     }
 
     private static List<Member> members(DataInputStream in) throws IOException {
-        boolean zones = !(in instanceof VersionedInput input) || input.form > 1;
+        boolean hasZones = !(in instanceof VersionedInput input) || input.version > 1;
         int count = in.readInt();
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            members.add(new Member(in.readUTF(), in.readUTF(), in.readLong(), zones ? in.readUTF() : ""));
+            members.add(new Member(in.readUTF(), in.readUTF(), in.readLong(), hasZones ? in.readUTF() : ""));
         }
         return members;
     }
 
-    static byte[] view(View view, boolean inForce) {
+    static byte[] view(View view, boolean active) {
         return write(out -> {
-            out.writeBoolean(inForce);
+            out.writeBoolean(active);
             ballot(out, view.ballot());
             members(out, view.members());
             out.writeInt(view.predecessors().size());
@@ -106,16 +107,16 @@
         });
     }
 
-    /** The view, after a flag that says whether it is known to be active. */
+    /** Reads a view; the caller has read the preceding flag that tells whether it is known to be active. */
     static View view(DataInputStream in) throws IOException {
         Ballot ballot = ballot(in);
         List<Member> members = members(in);
         int count = in.readInt();
-        List<ViewMembership> past = new ArrayList<>();
+        List<ViewMembership> predecessors = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            past.add(new ViewMembership(ballot(in), members(in)));
+            predecessors.add(new ViewMembership(ballot(in), members(in)));
         }
-        return new View(ballot, members, past);
+        return new View(ballot, members, predecessors);
     }
 
     static byte[] entry(LogEntry entry) {
@@ -142,9 +143,9 @@
         });
     }
 
-    static byte[] patch(LogPatch patch, long commit) {
+    static byte[] patch(LogPatch patch, long commitIndex) {
         return write(out -> {
-            out.writeLong(commit);
+            out.writeLong(commitIndex);
             out.writeBoolean(patch.replacesAll());
             out.writeLong(patch.previousIndex());
             ballot(out, patch.previousView());
@@ -156,18 +157,18 @@
         });
     }
 
-    /** The patch, after the commit index of the member that has packed it. */
+    /** Reads a patch; the caller has read the preceding commit index of the member that packed it. */
     static LogPatch patch(DataInputStream in) throws IOException {
         boolean replacesAll = in.readBoolean();
-        long after = in.readLong();
-        Ballot afterView = ballot(in);
+        long previousIndex = in.readLong();
+        Ballot previousView = ballot(in);
         byte[] snapshot = bytes(in);
         int count = in.readInt();
         List<LogEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             entries.add(entry(in));
         }
-        return new LogPatch(replacesAll, after, afterView, snapshot, entries);
+        return new LogPatch(replacesAll, previousIndex, previousView, snapshot, entries);
     }
 
     static byte[] strings(List<String> strings) {
@@ -193,8 +194,8 @@
             List<Long> all = new ArrayList<>();
             longs.forEach(all::add);
             out.writeInt(all.size());
-            for (long one : all) {
-                out.writeLong(one);
+            for (long value : all) {
+                out.writeLong(value);
             }
         });
     }
@@ -216,7 +217,7 @@
     private static byte[] bytes(DataInputStream in) throws IOException {
         int length = in.readInt();
         if (length < 0 || length > 64 << 20) {
-            throw new IOException("length " + length);
+            throw new IOException("invalid byte array length " + length);
         }
         return in.readNBytes(length);
     }
--- a/src/main/java/brambletray/platform/replication/ReplicationEvent.java
+++ b/src/main/java/brambletray/platform/replication/ReplicationEvent.java
@@ -3,9 +3,9 @@
 import brambletray.platform.logging.LogEvent;
 import java.util.Set;
 
-/** What a member of the core logs about views and its log; {@code docs/operating.md} says what to do about which. */
+/** Log events about views and the replicated log; {@code docs/operating.md} describes how to respond to them. */
 public sealed interface ReplicationEvent extends LogEvent {
-    /** The process has read its disk and takes part from now on. */
+    /** The process has read its stored state and participates from now on. */
     record Started(String incarnation, boolean diskEmpty, boolean isFounder, String view, long lastIndex)
             implements ReplicationEvent {
         @Override
@@ -23,7 +23,7 @@
         }
     }
 
-    /** The tick of this process came late: all timers start anew before anybody is suspected. */
+    /** The tick of this process was late: all timers are reset before any member is suspected. */
     record ProcessPaused(long ms) implements ReplicationEvent {
         @Override
         public String name() {
@@ -36,7 +36,7 @@
         }
     }
 
-    /** This member proposes a new view and asks the members of the last one to stop. */
+    /** This member starts a view change and sends prepare requests to the members of its last view. */
     record ViewChangeStarted(Ballot ballot, Ballot view, String reason, int newcomers, long lastIndex)
             implements ReplicationEvent {
         @Override
@@ -54,7 +54,7 @@
         }
     }
 
-    /** A view change of this member ends without a new view. */
+    /** A view change started by this member has ended without a new view. */
     record ViewChangeAbandoned(Ballot ballot, String reason) implements ReplicationEvent {
         @Override
         public String name() {
@@ -68,7 +68,7 @@
         }
     }
 
-    /** A member has promised the ballot of this member's view change, and answered with its state. */
+    /** A member has promised the ballot of this member's view change and reported its state. */
     record PrepareAnswered(
             Ballot ballot, String responder, Ballot view, boolean active, long lastIndex, boolean diskUnhealthy)
             implements ReplicationEvent {
@@ -88,7 +88,7 @@
         }
     }
 
-    /** This member has stopped for the view change of another. */
+    /** This member has promised the ballot of another member's view change and stopped working in lower ones. */
     record BallotPromised(Ballot ballot, String proposer, Ballot view, long lastIndex) implements ReplicationEvent {
         @Override
         public String name() {
@@ -104,7 +104,7 @@
         }
     }
 
-    /** A quorum has answered: the new view and its log are sent to its members. */
+    /** A quorum has responded: the new view and its log are sent to its members. */
     record ViewProposed(Ballot ballot, String members, long lastIndex, Ballot source) implements ReplicationEvent {
         @Override
         public String name() {
@@ -134,7 +134,7 @@
         }
     }
 
-    /** The view of this member is active: changes are committed in it. */
+    /** The view of this member has become active: entries can be committed in it. */
     record ViewActivated(Ballot view, String members, String leader, long lastIndex) implements ReplicationEvent {
         @Override
         public String name() {
@@ -150,7 +150,7 @@
         }
     }
 
-    /** Zones or regions that may be lost hold half of the active view: without them the rest has no majority. */
+    /** Zones or regions whose loss is to be tolerated hold half of the active view; the rest has no majority. */
     record ZonesHoldHalf(Ballot view, String zones, String members, String reason) implements ReplicationEvent {
         @Override
         public String name() {
@@ -171,7 +171,7 @@
         }
     }
 
-    /** The others have gone on in a later view without this member, which asks to join again. */
+    /** A later view excludes this member, which sends join requests. */
     record ExcludedFromView(Ballot ownView, Ballot newView, String members) implements ReplicationEvent {
         @Override
         public String name() {
@@ -186,7 +186,7 @@
         }
     }
 
-    /** This process is about to end and hands over. */
+    /** A planned shutdown has started; a leader hands over. */
     record LeaveStarted(String view, boolean isLeader, long commitIndex, long lastIndex) implements ReplicationEvent {
         @Override
         public String name() {
@@ -202,7 +202,7 @@
         }
     }
 
-    /** This process may end. */
+    /** The planned shutdown has completed on the replication side: the process may end. */
     record LeaveFinished(String reason, long ms, String view, String members) implements ReplicationEvent {
         @Override
         public String name() {
@@ -218,7 +218,7 @@
         }
     }
 
-    /** The disk has refused a batch; it is tried again. */
+    /** A batch could not be written to disk; it is retried. */
     record WriteFailed(long ticket) implements ReplicationEvent {
         @Override
         public String name() {
@@ -231,7 +231,7 @@
         }
     }
 
-    /** A machine has answered with another incarnation: the disk of the earlier one is gone. */
+    /** An address has responded with another incarnation: the disk of the earlier one is lost. */
     record DiskLost(String address, String incarnation, Set<Long> lostIncarnations) implements ReplicationEvent {
         @Override
         public String name() {
@@ -246,7 +246,7 @@
         }
     }
 
-    /** An operator has requested the removal of a machine; it is asked once more whether it is alive. */
+    /** An operator has requested the removal of a member; before that it is checked once more for a response. */
     record RemovalRequested(String member, String address, String incarnation) implements ReplicationEvent {
         @Override
         public String name() {
@@ -261,7 +261,7 @@
         }
     }
 
-    /** A machine counts as gone for good, by an operator's word. */
+    /** A member counts as permanently lost because an operator declared it so. */
     record MemberRemoved(String member, String address, String incarnation) implements ReplicationEvent {
         @Override
         public String name() {
@@ -276,7 +276,7 @@
         }
     }
 
-    /** An append does not fit this member's log; it is ignored. */
+    /** An append request does not match this member's log and is ignored. */
     record LogsDiffer(Ballot view, long index, Ballot ownView, Ballot leaderView) implements ReplicationEvent {
         @Override
         public String name() {
@@ -292,7 +292,7 @@
         }
     }
 
-    /** A member lacks entries that the leader has compacted, which cannot happen within a view. */
+    /** A member lacks entries that the leader has already compacted, which must not happen within a view. */
     record BehindSnapshot(String member, long nextIndex, long snapshotIndex) implements ReplicationEvent {
         @Override
         public String name() {
@@ -307,7 +307,7 @@
         }
     }
 
-    /** A proposed view would lose committed entries; it is rejected. */
+    /** A proposed view is rejected because its log lacks committed entries. */
     record CommittedEntriesMissing(Ballot view, long lastIndex, long commitIndex) implements ReplicationEvent {
         @Override
         public String name() {
@@ -322,7 +322,7 @@
         }
     }
 
-    /** A state transfer goes on at another member, from the byte that was reached. */
+    /** A state transfer continues from another source at the byte reached. */
     record TransferResumed(String source, String previousSource, int bytes, int totalBytes)
             implements ReplicationEvent {
         @Override
@@ -339,7 +339,7 @@
         }
     }
 
-    /** A state transfer starts at its first byte again. */
+    /** A state transfer restarts from its first byte. */
     record TransferRestarted(String source, int bytes, String reason) implements ReplicationEvent {
         @Override
         public String name() {
@@ -354,7 +354,7 @@
         }
     }
 
-    /** The bytes of a state transfer do not have the digest that was announced. */
+    /** The received bytes of a state transfer do not match the announced digest. */
     record TransferCorrupt(String source, int bytes) implements ReplicationEvent {
         @Override
         public String name() {
@@ -368,7 +368,7 @@
         }
     }
 
-    /** A newcomer has fetched the state and asks to join with it. */
+    /** A newcomer has fetched the state and sends a join request with it. */
     record TransferCompleted(String source, long lastIndex) implements ReplicationEvent {
         @Override
         public String name() {
--- a/src/main/java/brambletray/platform/replication/ReplicationException.java
+++ b/src/main/java/brambletray/platform/replication/ReplicationException.java
@@ -3,8 +3,8 @@
 import brambletray.platform.errors.PlatformException;
 
 /**
- * The stored state cannot be read ({@code replication.form}), or an invariant of the log is violated ({@code
- * replication.gap}).
+ * A value could not be encoded or decoded ({@code replication.form}), or an entry does not follow the end of the log
+ * ({@code replication.gap}).
  */
 public final class ReplicationException extends PlatformException {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/brambletray/platform/replication/ReplicationMessage.java
+++ b/src/main/java/brambletray/platform/replication/ReplicationMessage.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * Messages between members of the core. {@code viewBallot} is the ballot of the sender's view; a receiver in another
- * view ignores the message, or answers {@link NotMember}.
+ * Messages between members of the replicated control plane. {@code viewBallot} is the ballot of the sender's view; a
+ * receiver in another view ignores the message or responds with {@link NotMember}.
  */
 public sealed interface ReplicationMessage {
-    /** All messages, for registration with the codec; the records within them come first. */
+    /** All message types, for registration with the codec, preceded by the records nested in them. */
     List<Class<?>> TYPES = List.of(
             Ballot.class,
             Member.class,
@@ -41,8 +41,8 @@
             ReadIndexResponse.class);
 
     /**
-     * From the leader, every {@link ReplicationSettings#heartbeatIntervalMs}: how far it has committed, whether the
-     * view is active, and whether its own disk is in trouble.
+     * Sent by the leader every {@link ReplicationSettings#heartbeatIntervalMs}: its commit index, whether the view is
+     * active, and whether its own disk is unhealthy.
      */
     record HeartbeatRequest(
             Ballot viewBallot,
@@ -54,8 +54,8 @@
             implements ReplicationMessage {}
 
     /**
-     * Answer to a heartbeat: what is on this member's disk. A higher promised ballot says that it has stopped in this
-     * view.
+     * Response to a heartbeat, with this member's durable index. A higher promised ballot means that this member
+     * acknowledges nothing more in this view.
      */
     record HeartbeatResponse(
             Ballot viewBallot,
@@ -66,22 +66,22 @@
             boolean diskUnhealthy)
             implements ReplicationMessage {}
 
-    /** From the leader: entries that follow an index; without entries it announces the commit index. */
+    /** Sent by the leader: the entries after an index; without entries it only announces the commit index. */
     record AppendRequest(
             Ballot viewBallot, long previousIndex, Ballot previousView, List<LogEntry> entries, long commitIndex)
             implements ReplicationMessage {}
 
-    /** Answer to entries: everything up to this index is on this member's disk. */
+    /** Response to an append request: everything up to this index is on this member's disk. */
     record AppendResponse(Ballot viewBallot, long incarnation, long durableIndex) implements ReplicationMessage {}
 
     /**
-     * A view change begins: promise its ballot, stop in lower ones, and answer with your state. The incarnations are
-     * known to be retired.
+     * Starts a view change: asks the receiver to promise the ballot, to stop working in lower ones and to report its
+     * state. Carries the incarnations that the proposer knows to be retired.
      */
     record PrepareRequest(Ballot ballot, Member proposer, List<Long> retiredIncarnations)
             implements ReplicationMessage {}
 
-    /** The ballot is promised; the state of this member. */
+    /** Promises the ballot and reports the state of this member. */
     record PrepareResponse(
             Ballot ballot,
             Member responder,
@@ -94,50 +94,49 @@
             List<Long> retiredIncarnations)
             implements ReplicationMessage {}
 
-    /** The ballot is not promised: a higher one was, or the leader is healthy. */
+    /** Rejects a ballot, because a higher one has been promised or the leader is healthy. */
     record BallotRejected(Ballot ballot, Ballot promisedBallot, boolean leaderIsHealthy)
             implements ReplicationMessage {}
 
-    /** A new view, and what the receiver's log lacks. */
+    /** A new view with the patch for the receiver's log. */
     record InstallViewRequest(View view, LogPatch patch) implements ReplicationMessage {}
 
     /**
-     * A new view whose log is longer than a message may be: the receiver is to fetch the log with this end in chunks.
+     * A new view whose patch is too large for a message: the receiver fetches the log with this last entry in chunks.
      */
     record InstallViewOffer(View view, long lastIndex, Ballot lastView) implements ReplicationMessage {}
 
     /** View and log are on this member's disk. */
     record InstallViewResponse(Ballot viewBallot, long incarnation) implements ReplicationMessage {}
 
-    /** The patch does not fit this member's log, or it lacks committed entries. */
+    /** The patch does not match this member's log, or lacks committed entries. */
     record PatchMismatch(Ballot viewBallot, long incarnation) implements ReplicationMessage {}
 
     /** An active view of which the receiver is not a member. */
     record NotMember(View view) implements ReplicationMessage {}
 
-    /** A machine outside the view asks to join; what it has fetched so far. */
+    /** Request of a machine outside the view to join, with the end of the log that it has fetched so far. */
     record JoinRequest(Member requester, Ballot viewBallot, long lastIndex, Ballot lastView, long commitIndex)
             implements ReplicationMessage {}
 
     /**
-     * Answer to a join request: the active view; whether the requester is close enough to the end of the log to be
-     * let in.
+     * Response to a join request: the active view, and whether the requester's log is complete enough to be admitted.
      */
     record JoinResponse(View view, boolean caughtUp) implements ReplicationMessage {}
 
-    /** Answer to a join request by a member that is outside the view itself: addresses that it knows. */
+    /** Response to a join request from a machine that is outside the view itself: the addresses it knows. */
     record KnownMembers(List<String> addresses) implements ReplicationMessage {}
 
-    /** Asks which incarnation runs at the receiver's address now. */
+    /** Asks which incarnation currently runs at the receiver's address. */
     record IdentityRequest(long nonce) implements ReplicationMessage {}
 
-    /** This incarnation runs here. */
+    /** Reports the incarnation that runs at this address. */
     record IdentityResponse(long nonce, Member responder) implements ReplicationMessage {}
 
     /**
-     * Asks for a chunk of what its log lacks, given what it has. {@code viewBallot}: of the view that is being
-     * installed and whose log is fetched; {@link Ballot#NONE} for the receiver's own log. {@code transfer}: of what
-     * was fetched already, perhaps from another member.
+     * Requests a chunk of the patch for the sender's log, whose end the request describes. {@code viewBallot} is the
+     * view being installed whose log is fetched, or {@link Ballot#NONE} for the receiver's own log. {@code transfer}
+     * identifies the bytes already fetched, perhaps from another member.
      */
     record FetchChunkRequest(
             long transferId,
@@ -150,22 +149,25 @@
             implements ReplicationMessage {}
 
     /**
-     * A chunk; a total below 0 says that there is nothing to be had here. One of another transfer at offset 0 starts
-     * the transfer anew.
+     * A chunk; a negative total means that the log cannot be served here. A chunk of another transfer at offset 0
+     * restarts the transfer.
      */
     record FetchChunkResponse(long transferId, int offset, int totalBytes, byte[] bytes, TransferDescriptor transfer)
             implements ReplicationMessage {}
 
-    /** This member is about to end as planned: go on without it. */
+    /** Announces the planned shutdown of a member, which is to be excluded from the view. */
     record LeaveRequest(Ballot viewBallot, long incarnation) implements ReplicationMessage {}
 
-    /** A proposal that was made at a member that does not lead. */
+    /** A proposal forwarded to the leader by another member. */
     record ProposeRequest(Ballot viewBallot, long origin, long token, byte[] bytes) implements ReplicationMessage {}
 
-    /** Asks whether this is still the receiver's view (read index). */
+    /** Asks whether this is still the receiver's view, for a read index. */
     record ReadIndexRequest(Ballot viewBallot, long sequence) implements ReplicationMessage {}
 
-    /** It is; the leader adds its commit index, and whether everything that earlier views committed is committed. */
+    /**
+     * Confirms that this is the receiver's view. The leader adds its commit index and whether everything that earlier
+     * views committed is committed.
+     */
     record ReadIndexResponse(Ballot viewBallot, long incarnation, long sequence, long commitIndex, boolean settled)
             implements ReplicationMessage {}
 }
--- a/src/main/java/brambletray/platform/replication/ReplicationSettings.java
+++ b/src/main/java/brambletray/platform/replication/ReplicationSettings.java
@@ -1,22 +1,21 @@
 package brambletray.platform.replication;
 
 /**
- * Timeouts in milliseconds. A machine counts as lost until sync-s after its return, so its way back into the view has
- * to be shorter than that.
+ * Fault tolerance and timeouts in milliseconds. A machine counts as lost until sync-s after its return, so rejoining
+ * the view has to take less than that.
  *
- * @param tolerance what may be lost at once: an entry is committed once it is on disks that survive this
- * @param heartbeatIntervalMs between heartbeats of the leader
- * @param electionTimeoutMs silence after which a member is suspected
- * @param ackTimeoutMs missing acknowledgement after which a member is suspected
- * @param syncTimeoutMs age of the oldest write that is not synced after which a member calls its disk unhealthy
- * @param maxTickDelayMs lateness of its own tick after which a member resets its timers
- * @param rankDelayMs between the election time-outs of members of neighbouring rank
- * @param prepareGraceMs wait for further responses once a quorum has answered
- * @param foundingGraceMs the same, at the founding
- * @param installTimeoutMs wait for all members of a proposed view to have it on disk
- * @param proposalTimeoutMs how long a proposal is pending before its outcome is called unknown
- * @param leaveTimeoutMs how long a member that is about to end stays at most, so that others go on without it:
- *     grace-s less a margin
+ * @param tolerance simultaneous losses to survive: an entry is committed once it is on disks that survive them
+ * @param heartbeatIntervalMs interval between heartbeats of the leader
+ * @param electionTimeoutMs time without a message after which a member is suspected
+ * @param ackTimeoutMs time without an expected acknowledgement after which a member is suspected
+ * @param syncTimeoutMs age of the oldest unsynced write above which a member reports its disk as unhealthy
+ * @param maxTickDelayMs delay of its own tick above which a member resets its timers
+ * @param rankDelayMs difference between the election timeouts of members of adjacent rank
+ * @param prepareGraceMs time to wait for further responses once a quorum has responded
+ * @param foundingGraceMs the same, for the founding view
+ * @param installTimeoutMs time to wait for all members of a proposed view to have it on disk
+ * @param proposalTimeoutMs time after which the outcome of a pending proposal is reported as unknown
+ * @param leaveTimeoutMs longest time that a leaving member waits for a view without it: grace-s less a margin
  */
 public record ReplicationSettings(
         FaultTolerance tolerance,
@@ -31,18 +30,17 @@
         int installTimeoutMs,
         int proposalTimeoutMs,
         int leaveTimeoutMs) {
-    /** Most members of a view. */
     static final int MAX_MEMBERS = 9;
 
-    /** The defaults, with the shortest grace-s of all deployments, 6 s, less a margin. */
-    public static ReplicationSettings defaults(int losses) {
-        return defaults(FaultTolerance.ofMachines(losses), 5000);
+    /** The defaults, with a leave timeout based on the shortest grace-s of all deployments, 6 s, less a margin. */
+    public static ReplicationSettings defaults(int tolerableLosses) {
+        return defaults(FaultTolerance.ofMachines(tolerableLosses), 5000);
     }
 
     /**
-     * The defaults for this tolerance; {@code leaveTimeoutMs}: how long a member that is about to end stays at most.
+     * The defaults for this tolerance and leave timeout.
      */
-    public static ReplicationSettings defaults(FaultTolerance tolerance, int leaveMs) {
-        return new ReplicationSettings(tolerance, 100, 700, 1000, 700, 400, 200, 150, 1500, 700, 3000, leaveMs);
+    public static ReplicationSettings defaults(FaultTolerance tolerance, int leaveTimeoutMs) {
+        return new ReplicationSettings(tolerance, 100, 700, 1000, 700, 400, 200, 150, 1500, 700, 3000, leaveTimeoutMs);
     }
 }
--- a/src/main/java/brambletray/platform/replication/RoleState.java
+++ b/src/main/java/brambletray/platform/replication/RoleState.java
@@ -5,28 +5,28 @@
 import java.util.Set;
 
 /**
- * The role of one member and every transition between roles: follower, leader ({@link LeaderState}), proposer of a view
- * change ({@link ViewChange}), or outside the view. One thread only.
+ * The role of one member and all transitions between roles: follower, leader ({@link LeaderState}), proposer of a view
+ * change ({@link ViewChange}), or outside the view. Not thread-safe.
  *
- * <p>Invariants: at most one of leader and installing view change is set; a higher promise ends both
- * ({@link #abandonLeadership}); a member that knows a later view without itself ({@link #isExcluded}) does not lead.
+ * <p>Invariants: a leader and an installing view change never coexist; promising a higher ballot ends both
+ * ({@link #abandonLeadership}); a member that knows of a later view without itself ({@link #isExcluded}) does not lead.
  */
 final class RoleState {
-    /** What else has to follow a transition. The calls come in the middle of it and may not start another. */
+    /** Observes transitions. Called during a transition; must not start another one. */
     interface Listener {
-        /** Newcomers that may join with the next view change of this leader, by incarnation. */
+        /** Join requests admitted for the next view change of this leader, by incarnation. */
         Map<Long, ReplicationMessage.JoinRequest> admittedNewcomers();
 
-        /** This member has begun to lead, or leads no longer: newcomers have to ask anew. */
+        /** This member has become leader or stopped being leader: newcomers have to send new join requests. */
         void onLeadershipChanged();
 
-        /** The view of this member, or one proposed by another, is accepted here: it need not ask to join. */
+        /** A view proposed by this or another member has been accepted here: no join request is needed. */
         void onViewAccepted();
 
-        /** A view is installed here: what was being fetched for another is of no use. */
+        /** A view has been installed here: a state transfer for another view is obsolete. */
         void onViewInstalled();
 
-        /** The view is active: proposals can be sent to its leader. */
+        /** The view has become active: proposals can be sent to its leader. */
         void onViewActivated();
     }
 
@@ -47,12 +47,12 @@
         return leader != null;
     }
 
-    /** The leader's state while this member leads; else null. */
+    /** The leader state; null if this member does not lead. */
     LeaderState leader() {
         return leader;
     }
 
-    /** The leader's state, if this member leads the view of this ballot and may work in it; else null. */
+    /** The leader state if this member leads the view with this ballot and has promised no higher one; else null. */
     LeaderState leaderOf(Ballot view) {
         return leader != null && state.isOperationalIn(view) ? leader : null;
     }
@@ -62,12 +62,12 @@
         return leader != null && leader.hasBeenActiveForAWhile();
     }
 
-    /** Whether this member leads, hears a majority of its view and is not about to end. */
+    /** Whether this member leads, receives responses from a majority of its view and is not shutting down. */
     boolean hasActiveQuorum() {
         return leader != null && leader.hasActiveQuorum() && !state.isLeaving();
     }
 
-    /** The view change that this member has started; null if there is none. */
+    /** The view change in progress that this member has started; null if there is none. */
     ViewChange viewChange() {
         return viewChange;
     }
@@ -87,7 +87,7 @@
         return successorView;
     }
 
-    /** The role as operators see it. */
+    /** The role as reported to operators. */
     ReplicaRole role() {
         View view = state.view();
         if (isOutsideView()) {
@@ -97,17 +97,17 @@
             return ReplicaRole.FOUNDING;
         }
         boolean healthy = leader != null ? leader.hasActiveQuorum() : leaderMonitor.leaderIsHealthy();
-        boolean working = state.isActive() && state.isOperationalIn(view.ballot());
-        return working && healthy ? ReplicaRole.MEMBER : ReplicaRole.SUSPENDED;
+        boolean operational = state.isActive() && state.isOperationalIn(view.ballot());
+        return operational && healthy ? ReplicaRole.MEMBER : ReplicaRole.SUSPENDED;
     }
 
-    /** The highest ballot that stands against lower ones: promised, or that of this member's own view change. */
+    /** The higher of the promised ballot and the ballot of this member's own view change. */
     Ballot highestReservedBallot() {
         boolean ownIsHigher = viewChange != null && viewChange.ballot().isAbove(state.promisedBallot());
         return ownIsHigher ? viewChange.ballot() : state.promisedBallot();
     }
 
-    /** Transition: to preparing a view change; as a leader with the newcomers that are admitted. */
+    /** Transition: starts preparing a view change; a leader includes the admitted newcomers. */
     void startViewChange(Set<Long> suspected, Set<Long> excluded, String reason) {
         Map<Long, ReplicationMessage.JoinRequest> newcomers =
                 leader != null ? listener.admittedNewcomers() : new LinkedHashMap<>();
@@ -115,14 +115,14 @@
         viewChange = new ViewChange(state, this, leaderMonitor, plan, reason);
     }
 
-    /** Transition: the view change is given up; the next one not before {@code pauseMs} are over. */
+    /** Transition: abandons the view change; the next one starts after {@code pauseMs} at the earliest. */
     void abandonViewChange(String reason, long pauseMs) {
         state.actions().log(new ReplicationEvent.ViewChangeAbandoned(viewChange.ballot(), reason));
         viewChange = null;
         leaderMonitor.postponeElection(pauseMs);
     }
 
-    /** Transition: a view change that is still preparing is dropped without a trace. */
+    /** Transition: drops a view change that is still preparing and has therefore no durable effect here. */
     void dropPreparingViewChange() {
         if (viewChange != null && viewChange.isPreparing()) {
             viewChange = null;
@@ -130,15 +130,15 @@
     }
 
     /**
-     * Transition: a new view change at once, without waiting for these members; where the rest is enough they are left
-     * out even if they answer, as they would delay it again.
+     * Transition: starts a new view change immediately without waiting for these members. If the others suffice they
+     * are excluded even if they respond, since they would delay it again.
      */
     void restartViewChange(Set<Long> absent, String reason) {
         viewChange = null;
         startViewChange(absent, absent, reason);
     }
 
-    /** Transition: the view change of another goes first, so this member neither leads nor changes the view. */
+    /** Transition: yields to another member's view change, ending this member's leadership and own view change. */
     void abandonLeadership() {
         viewChange = null;
         stopLeading();
@@ -154,7 +154,7 @@
         state.actions().statusChanged();
     }
 
-    /** Transition: all members have the view that this member has proposed; it leads. */
+    /** Transition: this member leads the view that it proposed, now on disk at all its members. */
     void becomeLeader(Iterable<String> excludedAddresses) {
         viewChange = null;
         onViewInstalled();
@@ -170,19 +170,19 @@
         listener.onViewActivated();
     }
 
-    /** Transition: a view that another member has proposed is installed here, so this member follows. */
+    /** Transition: this member follows the proposer of a view that has been installed here. */
     void becomeFollower() {
         abandonLeadership();
         onViewInstalled();
         listener.onViewAccepted();
     }
 
-    /** The view that this member has proposed is accepted here. */
+    /** The view proposed by this member has been accepted here. */
     void onOwnViewAccepted() {
         listener.onViewAccepted();
     }
 
-    /** The view of this member is active, as its leader says. */
+    /** The leader has reported that the view is active. */
     void onViewActivated() {
         listener.onViewActivated();
     }
@@ -193,28 +193,28 @@
         leaderMonitor.onViewInstalled();
     }
 
-    /** Transition: out of the view, if this is a later one that is active without this member. */
-    void onNotMember(View later) {
+    /** Transition: leaves the view if the given one is later and active without this member. */
+    void onNotMember(View laterView) {
         View view = state.view();
         boolean excludes = view != null
-                && later.ballot().isAbove(view.ballot())
-                && !later.contains(state.self().incarnation());
-        boolean known = successorView != null && !later.ballot().isAbove(successorView.ballot());
-        if (!excludes || known) {
+                && laterView.ballot().isAbove(view.ballot())
+                && !laterView.contains(state.self().incarnation());
+        boolean alreadyKnown = successorView != null && !laterView.ballot().isAbove(successorView.ballot());
+        if (!excludes || alreadyKnown) {
             return;
         }
-        successorView = later;
-        for (Member member : later.members()) {
+        successorView = laterView;
+        for (Member member : laterView.members()) {
             state.addKnownAddress(member.address());
         }
         abandonLeadership();
         state.actions()
                 .log(new ReplicationEvent.ExcludedFromView(
-                        view.ballot(), later.ballot(), ReplicaState.names(later.members())));
+                        view.ballot(), laterView.ballot(), ReplicaState.names(laterView.members())));
         state.actions().statusChanged();
     }
 
-    /** A disk is known to be lost: a view change that is preparing starts anew with that. */
+    /** Restarts a view change that is still preparing, as newly retired incarnations change its quorum. */
     void onMembersRetired() {
         if (viewChange != null && viewChange.isPreparing()) {
             restartViewChange(Set.of(), "a disk is lost");
--- a/src/main/java/brambletray/platform/replication/StateMachine.java
+++ b/src/main/java/brambletray/platform/replication/StateMachine.java
@@ -2,26 +2,28 @@
 
 import java.util.List;
 
-/** The replicated state machine; its state is the same at all members after the same index. Called on one thread. */
+/**
+ * The replicated state machine: deterministic, so that all members have the same state after the same index. Called on
+ * one thread.
+ */
 public interface StateMachine {
-    /** The present state. */
+    /** Serializes the current state. */
     byte[] snapshot();
 
     /**
-     * Replaces the state by one that {@link #snapshot} has returned somewhere; empty bytes are the state before the
-     * first change.
+     * Replaces the state by one that {@link #snapshot} has returned at some member; an empty array stands for the
+     * initial state.
      */
     void restore(byte[] snapshot);
 
     /**
-     * What {@link #snapshot} would give after a restore from {@code snapshot} and these changes; the state itself stays
-     * as it is.
+     * Computes what {@link #snapshot} would return after a restore from {@code snapshot} and these changes, without
+     * modifying the state.
      */
     byte[] replay(byte[] snapshot, List<byte[]> changes);
 
     /**
-     * The next change. Called once for each index between a restore and the end of the process, in order. Must not
-     * throw.
+     * Applies the next change. Called once per index after a restore, in order. Must not throw.
      */
     void apply(long index, byte[] change);
 }
--- a/src/main/java/brambletray/platform/replication/StateTransferClient.java
+++ b/src/main/java/brambletray/platform/replication/StateTransferClient.java
@@ -4,17 +4,17 @@
 import java.util.List;
 
 /**
- * Fetches what a log lacks from another member, in chunks, a few at a time. A transfer goes on at another source from
- * the byte that was reached, if that source can pack the same bytes.
+ * Fetches the missing part of a log from another member, with a few chunks in flight at a time. A transfer can be
+ * resumed from another source at the byte reached, if that source can produce the same bytes.
  */
 final class StateTransferClient {
-    /** Bytes of a chunk: 66 ms of a link of 2 Mbit/s, which a heartbeat sent after one may have to wait. */
+    /** Chunk size: takes 66 ms on a 2 Mbit/s link, by which a heartbeat queued behind a chunk may be delayed. */
     static final int CHUNK_BYTES = 16 << 10;
-    /** Chunks requested ahead; no more are ever in flight to one receiver. */
+    /** Chunks requested ahead, which bounds the chunks in flight to one receiver. */
     private static final int MAX_CHUNKS_IN_FLIGHT = 4;
     /**
-     * Silence after which all missing chunks are requested again: chunks are lost with their link only, so on a slow
-     * link a long time-out keeps the same chunks from being sent repeatedly. Doubles each time.
+     * Time without a chunk after which the outstanding chunks are requested again; doubles on each retry. Chunks are
+     * lost only together with their connection, so on a slow link a long timeout avoids sending the same chunks twice.
      */
     private static final int RETRY_TIMEOUT_MS = 500;
 
@@ -26,7 +26,7 @@
     private final ReplicatedLog ownLog;
     private Ballot viewBallot;
     private long transferId;
-    /** Identifies the bytes of which these are chunks. */
+    /** Identifies the packed bytes that the chunks belong to. */
     private TransferDescriptor descriptor = TransferDescriptor.NONE;
 
     private final List<byte[]> chunks = new ArrayList<>();
@@ -39,18 +39,20 @@
     private ReplicatedLog log;
     private long commitIndex;
     private boolean failed;
-    /** What was fetched is not a log, so it is of no use. */
+    /** The fetched bytes do not form a valid log, so the transfer cannot be resumed with them. */
     private boolean corrupt;
 
     /**
-     * {@code view}: one that is being installed there, whose log is fetched; {@link Ballot#NONE} for what the giver has
-     * itself.
+     * Creates a transfer; {@link #tick} sends the first request.
+     *
+     * @param viewBallot ballot of the view being installed by the source, whose log is fetched; {@link Ballot#NONE} for
+     *     the source's own log
      */
-    StateTransferClient(ReplicaState state, String from, ReplicatedLog mine, Ballot view) {
-        this.viewBallot = view;
+    StateTransferClient(ReplicaState state, String source, ReplicatedLog ownLog, Ballot viewBallot) {
+        this.viewBallot = viewBallot;
         this.state = state;
-        this.source = from;
-        this.ownLog = mine;
+        this.source = source;
+        this.ownLog = ownLog;
         this.transferId = nextTransferId();
         this.progressAtMs = state.nowMs();
     }
@@ -63,17 +65,17 @@
         return source;
     }
 
-    /** Whether a part has come that another source may go on from. */
+    /** Whether chunks have been received from which another source can continue. */
     boolean isResumable() {
         return !chunks.isEmpty() && !corrupt;
     }
 
-    /** Requests what is missing from another source, or from the same one again. */
-    void resume(String giver, Ballot of) {
+    /** Requests the missing chunks from another source, or again from the same one. */
+    void resume(String newSource, Ballot newViewBallot) {
         state.actions()
-                .log(new ReplicationEvent.TransferResumed(giver, source, receivedChunks * CHUNK_BYTES, totalBytes));
-        source = giver;
-        viewBallot = of;
+                .log(new ReplicationEvent.TransferResumed(newSource, source, receivedChunks * CHUNK_BYTES, totalBytes));
+        source = newSource;
+        viewBallot = newViewBallot;
         transferId = nextTransferId();
         failed = false;
         progressAtMs = state.nowMs();
@@ -86,9 +88,9 @@
         return viewBallot;
     }
 
-    /** A later view change installs the same log. */
-    void continueForView(Ballot later) {
-        viewBallot = later;
+    /** Continues the transfer for a later view change that installs the same log. */
+    void continueForView(Ballot laterViewBallot) {
+        viewBallot = laterViewBallot;
     }
 
     /** Milliseconds since the last chunk. */
@@ -96,7 +98,7 @@
         return state.nowMs() - progressAtMs;
     }
 
-    /** Requests again what has not come in time. */
+    /** Repeats requests that have timed out. */
     void tick() {
         if (state.nowMs() - progressAtMs > IDLE_TIMEOUT_MS) {
             failed = true;
@@ -112,10 +114,10 @@
     }
 
     private void requestChunks() {
-        int until = totalBytes < 0
+        int endChunk = totalBytes < 0
                 ? 1
                 : Math.min(receivedChunks + MAX_CHUNKS_IN_FLIGHT, (totalBytes + CHUNK_BYTES - 1) / CHUNK_BYTES);
-        for (; requestedChunks < until; requestedChunks++) {
+        for (; requestedChunks < endChunk; requestedChunks++) {
             requestedAtMs = state.nowMs();
             state.actions()
                     .send(
@@ -131,7 +133,11 @@
         }
     }
 
-    /** Takes a chunk; whether the transfer is over, successful or not. */
+    /**
+     * Handles a chunk.
+     *
+     * @return whether the transfer has ended, successfully or not
+     */
     boolean onChunk(ReplicationMessage.FetchChunkResponse chunk) {
         if (chunk.transferId() != transferId || log != null || failed) {
             return false;
@@ -168,11 +174,11 @@
         return true;
     }
 
-    /** The source packs another state: the chunks that have come do not belong to it. */
+    /** Discards the received chunks, as the source now serves different packed bytes. */
     private void restart() {
         state.actions()
                 .log(new ReplicationEvent.TransferRestarted(
-                        source, receivedChunks * CHUNK_BYTES, "the giver packs another cut"));
+                        source, receivedChunks * CHUNK_BYTES, "the source serves different bytes"));
         chunks.clear();
         receivedChunks = 0;
         requestedChunks = 0;
@@ -181,10 +187,10 @@
 
     private void assemble() {
         byte[] packed = new byte[totalBytes];
-        int at = 0;
+        int offset = 0;
         for (byte[] chunk : chunks) {
-            System.arraycopy(chunk, 0, packed, at, chunk.length);
-            at += chunk.length;
+            System.arraycopy(chunk, 0, packed, offset, chunk.length);
+            offset += chunk.length;
         }
         chunks.clear();
         if (!descriptor.matches(packed)) {
@@ -205,12 +211,12 @@
         return failed;
     }
 
-    /** The log that was fetched; null before the end and if the chunks did not fit. */
+    /** The fetched log; null until the transfer has completed, and if the fetched patch does not match. */
     ReplicatedLog log() {
         return log;
     }
 
-    /** Commit index of the member that has packed the log. */
+    /** Commit index of the member that packed the log. */
     long commitIndex() {
         return commitIndex;
     }
--- a/src/main/java/brambletray/platform/replication/StateTransferServer.java
+++ b/src/main/java/brambletray/platform/replication/StateTransferServer.java
@@ -10,21 +10,21 @@
 import java.util.function.Function;
 
 /**
- * Serves what the logs of others lack, in chunks of packed bytes that stay the same while entries and compactions go
- * on. Receivers that lack the same share the packed bytes, so many newcomers take no more memory than one. A receiver
- * that has been silent for a while, or has everything when another needs room, is forgotten.
+ * Serves the missing part of other members' logs, in chunks of packed bytes that stay unchanged while entries are
+ * appended and compacted. Receivers with the same needs share the packed bytes, so many newcomers take no more memory
+ * than one. A receiver is dropped when it has been idle for a while, or has everything and another one needs its slot.
  */
 final class StateTransferServer {
-    /** Packed patches, of a few megabytes each, and receivers at a time. */
+    /** Packed patches held at a time, of a few megabytes each. */
     private static final int MAX_PACKED = 4;
 
     private static final int MAX_RECEIVERS = 16;
     private static final int RECEIVER_IDLE_TIMEOUT_MS = 3000;
 
     private record PackedPatch(Ballot viewBallot, TransferDescriptor descriptor, byte[] bytes) {
-        static PackedPatch of(Ballot view, LogPatch patch, long commit) {
-            byte[] packed = ReplicationCodec.patch(patch, commit);
-            return new PackedPatch(view, TransferDescriptor.of(patch, commit, packed), packed);
+        static PackedPatch of(Ballot view, LogPatch patch, long commitIndex) {
+            byte[] packed = ReplicationCodec.patch(patch, commitIndex);
+            return new PackedPatch(view, TransferDescriptor.of(patch, commitIndex, packed), packed);
         }
     }
 
@@ -36,30 +36,32 @@
     }
 
     private final ReplicaState state;
-    private final Function<Ballot, ReplicatedLog> logs;
+    private final Function<Ballot, ReplicatedLog> logsByView;
     private final Map<String, Receiver> receivers = new LinkedHashMap<>();
 
     /**
-     * {@code logs}: of a view that is being installed the log it begins with; of {@link Ballot#NONE} this member's own;
-     * null if none.
+     * Creates a server without receivers.
+     *
+     * @param logsByView returns the initial log of a view being installed, this member's own log for
+     *     {@link Ballot#NONE}, and null for other ballots
      */
-    StateTransferServer(ReplicaState state, Function<Ballot, ReplicatedLog> logs) {
+    StateTransferServer(ReplicaState state, Function<Ballot, ReplicatedLog> logsByView) {
         this.state = state;
-        this.logs = logs;
+        this.logsByView = logsByView;
     }
 
     void onFetchChunk(String from, ReplicationMessage.FetchChunkRequest request) {
         Receiver receiver = receivers.get(from);
-        ReplicatedLog log = logs.apply(request.viewBallot());
+        ReplicatedLog log = logsByView.apply(request.viewBallot());
         int offset = request.offset();
         if (receiver == null || receiver.transferId != request.transferId()) {
             receivers.remove(from);
-            PackedPatch cut = log == null ? null : resumePacked(request, log);
-            if (cut == null && log != null) {
-                cut = selectPacked(request, log);
+            PackedPatch packed = log == null ? null : resumePacked(request, log);
+            if (packed == null && log != null) {
+                packed = selectPacked(request, log);
                 offset = 0;
             }
-            if (cut == null) {
+            if (packed == null) {
                 state.actions()
                         .send(
                                 from,
@@ -73,7 +75,7 @@
             }
             receiver = new Receiver();
             receiver.transferId = request.transferId();
-            receiver.packed = cut;
+            receiver.packed = packed;
             receivers.put(from, receiver);
         }
         receiver.lastUsedAtMs = state.nowMs();
@@ -92,129 +94,141 @@
     }
 
     /**
-     * The packed bytes of which the receiver has a part from another member, or from this one before its restart;
-     * null if they cannot be packed here.
+     * The packed bytes of which the receiver already has a part, from another member or from this one before its
+     * restart; null if they cannot be reproduced here.
      */
     private PackedPatch resumePacked(ReplicationMessage.FetchChunkRequest request, ReplicatedLog log) {
-        TransferDescriptor name = request.transfer();
-        if (name.equals(TransferDescriptor.NONE)) {
+        TransferDescriptor descriptor = request.transfer();
+        if (descriptor.equals(TransferDescriptor.NONE)) {
             return null;
         }
         for (Receiver other : receivers.values()) {
-            if (other.packed.descriptor.equals(name)) {
+            if (other.packed.descriptor.equals(descriptor)) {
                 return other.packed;
             }
         }
         if (receivers.size() >= MAX_RECEIVERS) {
             return null;
         }
-        LogPatch patch = name.isSnapshot() ? snapshotPatch(name, log) : entriesPatch(name, request, log);
+        LogPatch patch =
+                descriptor.isSnapshot() ? snapshotPatch(descriptor, log) : entriesPatch(descriptor, request, log);
         if (patch == null) {
             return null;
         }
-        byte[] packed = ReplicationCodec.patch(patch, name.commitIndex());
-        return name.matches(packed) ? new PackedPatch(request.viewBallot(), name, packed) : null;
+        byte[] packed = ReplicationCodec.patch(patch, descriptor.commitIndex());
+        return descriptor.matches(packed) ? new PackedPatch(request.viewBallot(), descriptor, packed) : null;
     }
 
     /**
-     * The state at the descriptor's index, computed again from this log, and the entries after it; null if this log
-     * begins later or ends earlier.
+     * The state at the descriptor's index, recomputed from this log, and the entries after it; null if this log starts
+     * later or ends earlier.
      */
-    private LogPatch snapshotPatch(TransferDescriptor name, ReplicatedLog log) {
-        long after = name.previousIndex();
-        if (after < log.snapshotIndex() || name.lastIndex() < after || name.lastIndex() > log.lastIndex()) {
+    private LogPatch snapshotPatch(TransferDescriptor descriptor, ReplicatedLog log) {
+        long snapshotIndex = descriptor.previousIndex();
+        if (snapshotIndex < log.snapshotIndex()
+                || descriptor.lastIndex() < snapshotIndex
+                || descriptor.lastIndex() > log.lastIndex()) {
             return null;
         }
         byte[] snapshot = log.snapshot();
-        if (after > log.snapshotIndex()) {
+        if (snapshotIndex > log.snapshotIndex()) {
             List<byte[]> changes = new ArrayList<>();
-            log.entriesBetween(log.snapshotIndex(), after).forEach(entry -> changes.add(entry.bytes()));
+            log.entriesBetween(log.snapshotIndex(), snapshotIndex).forEach(entry -> changes.add(entry.bytes()));
             snapshot = state.stateMachine().replay(snapshot, changes);
         }
-        return new LogPatch(true, after, log.viewAt(after), snapshot, log.entriesBetween(after, name.lastIndex()));
+        return new LogPatch(
+                true,
+                snapshotIndex,
+                log.viewAt(snapshotIndex),
+                snapshot,
+                log.entriesBetween(snapshotIndex, descriptor.lastIndex()));
     }
 
     private static LogPatch entriesPatch(
-            TransferDescriptor name, ReplicationMessage.FetchChunkRequest request, ReplicatedLog log) {
+            TransferDescriptor descriptor, ReplicationMessage.FetchChunkRequest request, ReplicatedLog log) {
         LogPatch patch = log.patchFor(request.lastIndex(), request.lastView(), request.commitIndex());
         if (patch.replacesAll()
-                || patch.previousIndex() != name.previousIndex()
-                || patch.lastIndex() < name.lastIndex()
-                || name.lastIndex() < name.previousIndex()) {
+                || patch.previousIndex() != descriptor.previousIndex()
+                || patch.lastIndex() < descriptor.lastIndex()
+                || descriptor.lastIndex() < descriptor.previousIndex()) {
             return null;
         }
-        List<LogEntry> entries = patch.entries().subList(0, (int) (name.lastIndex() - name.previousIndex()));
+        List<LogEntry> entries =
+                patch.entries().subList(0, (int) (descriptor.lastIndex() - descriptor.previousIndex()));
         return new LogPatch(false, patch.previousIndex(), patch.previousView(), patch.snapshot(), entries);
     }
 
     private PackedPatch selectPacked(ReplicationMessage.FetchChunkRequest request, ReplicatedLog log) {
         LogPatch patch = log.patchFor(request.lastIndex(), request.lastView(), request.commitIndex());
         if (request.viewBallot().equals(Ballot.NONE) && !patch.fitsInline()) {
-            patch = smallerOf(patch);
+            patch = patchOrCurrentState(patch);
         }
-        Set<PackedPatch> cuts = new HashSet<>();
+        Set<PackedPatch> packedInUse = new HashSet<>();
         for (Receiver other : receivers.values()) {
-            PackedPatch cut = other.packed;
-            TransferDescriptor name = cut.descriptor;
-            boolean response = name.isSnapshot() == patch.replacesAll()
-                    && name.previousIndex() == patch.previousIndex()
-                    && name.lastIndex() == patch.lastIndex();
-            if (response && cut.viewBallot.equals(request.viewBallot())) {
-                return cut;
+            PackedPatch packed = other.packed;
+            TransferDescriptor descriptor = packed.descriptor;
+            boolean samePatch = descriptor.isSnapshot() == patch.replacesAll()
+                    && descriptor.previousIndex() == patch.previousIndex()
+                    && descriptor.lastIndex() == patch.lastIndex();
+            if (samePatch && packed.viewBallot.equals(request.viewBallot())) {
+                return packed;
             }
-            cuts.add(cut);
+            packedInUse.add(packed);
         }
-        if (cuts.size() >= MAX_PACKED || receivers.size() >= MAX_RECEIVERS) {
+        if (packedInUse.size() >= MAX_PACKED || receivers.size() >= MAX_RECEIVERS) {
             receivers.values().removeIf(other -> other.complete);
         }
         if (receivers.size() >= MAX_RECEIVERS) {
             return null;
         }
-        cuts.clear();
+        packedInUse.clear();
         for (Receiver other : receivers.values()) {
-            cuts.add(other.packed);
+            packedInUse.add(other.packed);
         }
-        if (cuts.size() < MAX_PACKED) {
+        if (packedInUse.size() < MAX_PACKED) {
             return PackedPatch.of(request.viewBallot(), patch, state.commitIndex());
         }
-        // a full snapshot serves everybody; what has come since is fetched in another round
+        // a full snapshot suits every receiver; newer entries are fetched in another transfer
         PackedPatch newest = null;
-        for (PackedPatch cut : cuts) {
-            boolean fits = cut.descriptor.isSnapshot()
-                    && cut.viewBallot.equals(request.viewBallot())
+        for (PackedPatch packed : packedInUse) {
+            boolean usable = packed.descriptor.isSnapshot()
+                    && packed.viewBallot.equals(request.viewBallot())
                     && request.viewBallot().equals(Ballot.NONE)
-                    && cut.descriptor.lastIndex() > request.lastIndex();
-            if (fits && (newest == null || cut.descriptor.lastIndex() > newest.descriptor.lastIndex())) {
-                newest = cut;
+                    && packed.descriptor.lastIndex() > request.lastIndex();
+            if (usable && (newest == null || packed.descriptor.lastIndex() > newest.descriptor.lastIndex())) {
+                newest = packed;
             }
         }
         return newest;
     }
 
-    /** The present state, if that is smaller than the patch: changes replace each other. */
-    private LogPatch smallerOf(LogPatch patch) {
+    /**
+     * A patch with the current state if that is smaller than the given one, else the given one. The state can be
+     * smaller because later changes overwrite earlier ones.
+     */
+    private LogPatch patchOrCurrentState(LogPatch patch) {
         ReplicatedLog log = state.log();
-        List<LogEntry> rest = List.copyOf(log.entries()
+        List<LogEntry> unappliedEntries = List.copyOf(log.entries()
                 .subList(
                         (int) (state.appliedIndex() - log.snapshotIndex()),
                         log.entries().size()));
-        LogPatch fresh = new LogPatch(
+        LogPatch currentState = new LogPatch(
                 true,
                 state.appliedIndex(),
                 log.viewAt(state.appliedIndex()),
                 state.stateMachine().snapshot(),
-                rest);
-        return fresh.sizeBytes() < patch.sizeBytes() ? fresh : patch;
+                unappliedEntries);
+        return currentState.sizeBytes() < patch.sizeBytes() ? currentState : patch;
     }
 
     void tick() {
         if (receivers.isEmpty()) {
             return;
         }
-        Iterator<Receiver> all = receivers.values().iterator();
-        while (all.hasNext()) {
-            if (state.nowMs() - all.next().lastUsedAtMs > RECEIVER_IDLE_TIMEOUT_MS) {
-                all.remove();
+        Iterator<Receiver> iterator = receivers.values().iterator();
+        while (iterator.hasNext()) {
+            if (state.nowMs() - iterator.next().lastUsedAtMs > RECEIVER_IDLE_TIMEOUT_MS) {
+                iterator.remove();
             }
         }
     }
--- a/src/main/java/brambletray/platform/replication/TransferDescriptor.java
+++ b/src/main/java/brambletray/platform/replication/TransferDescriptor.java
@@ -5,27 +5,27 @@
 import java.util.zip.Checksum;
 
 /**
- * Identifies the bytes of a state transfer, so that another member can go on with them where the first one stopped:
- * what is needed to pack them again, and a digest that tells whether the result is the same.
+ * Identifies the bytes of a state transfer, so that another member can continue it: the parameters for reproducing the
+ * bytes, and a digest to verify that they are identical.
  *
- * @param digest CRC-32 and CRC-32C of the packed bytes, 64 bits together; 0 in {@link #NONE} only
+ * @param digest CRC-32 and CRC-32C of the packed bytes, combined into 64 bits; 0 only in {@link #NONE}
  * @param isSnapshot whether a snapshot replaces the receiver's log
- * @param previousIndex index after which the entries follow; that of the snapshot if there is one
+ * @param previousIndex index before the first entry; the index of the snapshot if there is one
  * @param lastIndex index of the last entry
- * @param commitIndex commit index of the member that packed the bytes first
+ * @param commitIndex commit index of the member that first packed the bytes
  */
 public record TransferDescriptor(
         long digest, boolean isSnapshot, long previousIndex, long lastIndex, long commitIndex) {
-    /** Of a transfer of which nothing has come yet, and of a response that offers nothing. */
+    /** Used in requests before any chunk has been received, and in responses without data. */
     static final TransferDescriptor NONE = new TransferDescriptor(0, false, 0, 0, 0);
 
-    /** Of a patch, packed with this commit. */
-    static TransferDescriptor of(LogPatch patch, long commit, byte[] packed) {
+    /** Describes a patch that was packed with this commit index. */
+    static TransferDescriptor of(LogPatch patch, long commitIndex, byte[] packed) {
         return new TransferDescriptor(
-                digest(packed), patch.replacesAll(), patch.previousIndex(), patch.lastIndex(), commit);
+                digest(packed), patch.replacesAll(), patch.previousIndex(), patch.lastIndex(), commitIndex);
     }
 
-    /** Whether these are the identified bytes. */
+    /** Whether the bytes have this descriptor's digest. */
     boolean matches(byte[] packed) {
         return digest == digest(packed);
     }
--- a/src/main/java/brambletray/platform/replication/View.java
+++ b/src/main/java/brambletray/platform/replication/View.java
@@ -4,29 +4,28 @@
 import java.util.List;
 
 /**
- * A view: its members, its leader, and which earlier views must have been consulted before a later one may be
- * installed.
+ * A view: its members, its leader, and the earlier views that must be consulted before a later view may be installed.
  *
  * @param ballot identifies the view; its number is the view's number
  * @param members leader first
- * @param predecessors the view that this one came from, and further ones back to the last that was known to be active
- *     when this one was proposed
+ * @param predecessors the direct predecessor of this view and further ones, back to the last view that was known to be
+ *     active when this one was proposed
  */
 public record View(Ballot ballot, List<Member> members, List<ViewMembership> predecessors) {
-    /** In the answer of a member without a view. */
+    /** Stands for a missing view in the prepare response of a member without one. */
     static final View NONE = new View(new Ballot(-1, 0), List.of(), List.of());
 
-    /** The views that have to be consulted, this one first: only this one when it is known to be active. */
-    public List<ViewMembership> viewsToConsult(boolean inForce) {
+    /** The views to consult, this one first; only this one if it is known to be active. */
+    public List<ViewMembership> viewsToConsult(boolean active) {
         List<ViewMembership> all = new ArrayList<>();
         all.add(new ViewMembership(ballot, members));
-        if (!inForce) {
+        if (!active) {
             all.addAll(predecessors);
         }
         return all;
     }
 
-    /** The member that leads; null in the list of seeds. */
+    /** The leader, which is the member that proposed the view; null for the founding view. */
     public Member leader() {
         for (Member member : members) {
             if (member.incarnation() == ballot.proposer()) {
@@ -36,12 +35,12 @@
         return null;
     }
 
-    /** Whether this incarnation is a member. */
+    /** Whether the member with this incarnation belongs to the view. */
     public boolean contains(long incarnation) {
         return memberOf(incarnation) != null;
     }
 
-    /** Member of this incarnation, or null. */
+    /** The member with this incarnation, or null. */
     public Member memberOf(long incarnation) {
         for (Member member : members) {
             if (member.incarnation() == incarnation) {
@@ -51,7 +50,7 @@
         return null;
     }
 
-    /** Member at this address, or null. */
+    /** The member with this address, or null. */
     public Member memberAt(String address) {
         for (Member member : members) {
             if (member.address().equals(address)) {
@@ -61,17 +60,17 @@
         return null;
     }
 
-    /** Whether this is the list of seeds, which stands before the first view. */
+    /** Whether this is the founding view, made from the seeds, which precedes the first proposed view. */
     public boolean isFounding() {
         return ballot.equals(Ballot.NONE);
     }
 
-    /** Number of the view. */
+    /** Number of the view, which is the number of its ballot. */
     public long number() {
         return ballot.number();
     }
 
-    /** The list of seeds as a view before the first; incarnations are not known. */
+    /** Creates the founding view from the seeds, whose incarnations are unknown. */
     static View ofSeeds(List<String> seeds) {
         List<Member> members = new ArrayList<>();
         for (String seed : seeds) {
--- a/src/main/java/brambletray/platform/replication/ViewChange.java
+++ b/src/main/java/brambletray/platform/replication/ViewChange.java
@@ -6,17 +6,17 @@
 import java.util.Set;
 
 /**
- * One view change, at the member that proposes it. Phases: prepare (ask the members of the last views to promise the
- * ballot and answer with their state), promise it itself, fetch the longest log, install view and log at all members.
- * It ends with an active view that this member leads, or is given up for a higher ballot. A view change that is still
- * preparing leaves no trace; after that this member has promised its own ballot.
+ * One view change, at the member that proposes it. Phases: prepare (ask the members of the latest views to promise the
+ * ballot and report their state), promise the ballot locally, fetch the longest log, install view and log at all
+ * members. It ends with an active view led by this member, or is abandoned for a higher ballot. While it is preparing
+ * it can be dropped without effect; afterwards this member is bound by the promise of its own ballot.
  */
 final class ViewChange {
-    /** Fetching goes on while chunks come, but not longer than this: enough for 7 MB on a link of 2 Mbit/s. */
+    /** Upper bound for fetching the log while chunks arrive: enough for 7 MB over a 2 Mbit/s link. */
     private static final int FETCH_TIMEOUT_MS = 30_000;
 
     private static final int MAX_PREDECESSORS = 64;
-    /** A member that has not heard any leader since its start waits so many times longer for the others. */
+    /** Multiplier of the prepare grace period for a member that has not heard from any leader since its start. */
     private static final int STARTUP_GRACE_FACTOR = 3;
 
     private enum Phase {
@@ -38,11 +38,15 @@
     private long quorumAtMs = -1;
     private long phaseSinceMs;
     private StateTransferClient transfer;
-    private PrepareResponses chosen;
-    /** Set in the phase {@link Phase#INSTALLING} only. */
+    private PrepareResponses finalResponses;
+    /** Non-null only in {@link Phase#INSTALLING}. */
     private ViewInstallation installation;
 
-    /** Sends the first prepare requests; {@code reason}: for the log. */
+    /**
+     * Sends the first prepare requests.
+     *
+     * @param reason cause of the view change, for the log
+     */
     ViewChange(ReplicaState state, RoleState roles, LeaderMonitor leaderMonitor, ViewChangePlan plan, String reason) {
         this.state = state;
         this.roles = roles;
@@ -71,14 +75,14 @@
         return plan;
     }
 
-    /** Whether it may still be dropped without a trace: the ballot was not promised by this member itself. */
+    /** Whether it can be dropped without effect: this member has not promised the ballot yet. */
     boolean isPreparing() {
         return phase == Phase.PREPARING;
     }
 
     void onPrepareResponse(ReplicationMessage.PrepareResponse response) {
-        boolean open = phase == Phase.PREPARING || phase == Phase.PROMISING;
-        if (!open
+        boolean acceptsResponses = phase == Phase.PREPARING || phase == Phase.PROMISING;
+        if (!acceptsResponses
                 || !response.ballot().equals(ballot)
                 || response.responder().incarnation() == state.self().incarnation()) {
             return;
@@ -110,10 +114,10 @@
         }
     }
 
-    /** Promises the ballot once a quorum has answered and the others have been waited for. */
+    /** Promises the ballot once a quorum has responded and the grace period for the others has passed. */
     private void maybePromise() {
-        PrepareResponses answered = prepareRound.responses();
-        if (!answered.hasQuorum()) {
+        PrepareResponses responses = prepareRound.responses();
+        if (!responses.hasQuorum()) {
             quorumAtMs = -1;
             return;
         }
@@ -123,7 +127,7 @@
         if (phase == Phase.PROMISING) {
             return;
         }
-        if (state.nowMs() - quorumAtMs < graceMs(answered) && prepareRound.isWaitingFor(answered, plan.suspected())) {
+        if (state.nowMs() - quorumAtMs < graceMs(responses) && prepareRound.isWaitingFor(responses, plan.suspected())) {
             return;
         }
         phase = Phase.PROMISING;
@@ -137,9 +141,9 @@
         });
     }
 
-    /** ms that members beyond the quorum have to answer; longer where many may be starting at the same time. */
-    private int graceMs(PrepareResponses answered) {
-        if (answered.latestView.isFounding()) {
+    /** Time in ms for responses beyond the quorum; longer when many members may be starting at the same time. */
+    private int graceMs(PrepareResponses responses) {
+        if (responses.latestView.isFounding()) {
             return state.settings().foundingGraceMs();
         }
         int graceMs = state.settings().prepareGraceMs();
@@ -147,16 +151,16 @@
     }
 
     /**
-     * The ballot is promised: the responses until now are final, as all who sent them have stopped; later ones do not
-     * count.
+     * Selects the log once the ballot is promised. The responses received so far are final, since their senders
+     * acknowledge nothing more in lower ballots; later responses are ignored.
      */
     private void chooseLog() {
-        chosen = prepareRound.responses();
-        if (!chosen.hasQuorum()) {
+        finalResponses = prepareRound.responses();
+        if (!finalResponses.hasQuorum()) {
             phase = Phase.PREPARING;
             return;
         }
-        ReplicationMessage.PrepareResponse longest = chosen.longestLog();
+        ReplicationMessage.PrepareResponse longest = finalResponses.longestLog();
         phaseSinceMs = state.nowMs();
         if (longest.responder().incarnation() == state.self().incarnation()) {
             install(state.log());
@@ -172,41 +176,43 @@
             return;
         }
         ReplicatedLog fetched = transfer.log();
-        ReplicationMessage.PrepareResponse longest = chosen.longestLog();
-        // the member may have promised a higher ballot since, and have another log with it
-        boolean asAnswered = fetched != null
+        ReplicationMessage.PrepareResponse longest = finalResponses.longestLog();
+        // the member may have promised a higher ballot meanwhile and replaced its log
+        boolean asReported = fetched != null
                 && fetched.lastIndex() == longest.lastIndex()
                 && fetched.lastView().equals(longest.lastView());
-        if (asAnswered) {
+        if (asReported) {
             install(fetched);
         } else {
-            roles.abandonViewChange("log can't be fetched", state.settings().rankDelayMs());
+            roles.abandonViewChange(
+                    "log could not be fetched, or has changed since it was reported",
+                    state.settings().rankDelayMs());
         }
     }
 
     private void install(ReplicatedLog log) {
-        List<ViewMembership> past = chosen.viewsToConsult();
+        List<ViewMembership> predecessors = finalResponses.viewsToConsult();
         List<Member> members = nextMembers(log);
-        if (past.size() > MAX_PREDECESSORS) {
+        if (predecessors.size() > MAX_PREDECESSORS) {
             roles.abandonViewChange(
                     "too many unfinished views", state.settings().electionTimeoutMs());
             return;
         }
         phase = Phase.INSTALLING;
-        View nextView = new View(ballot, List.copyOf(members), List.copyOf(past));
+        View nextView = new View(ballot, List.copyOf(members), List.copyOf(predecessors));
         state.actions()
                 .log(new ReplicationEvent.ViewProposed(
-                        ballot, ReplicaState.names(members), log.lastIndex(), chosen.latestView.ballot()));
-        installation = new ViewInstallation(state, roles, this, chosen, nextView, log);
+                        ballot, ReplicaState.names(members), log.lastIndex(), finalResponses.latestView.ballot()));
+        installation = new ViewInstallation(state, roles, this, finalResponses, nextView, log);
         installation.start();
     }
 
-    /** Those of the last views that answered and are not excluded, and the newcomers that can join now. */
+    /** The responding members that are not excluded, and the newcomers that can join now. */
     private List<Member> nextMembers(ReplicatedLog log) {
         List<Member> members =
-                chosen.nextMembers(plan.excluded(), state.settings().tolerance());
+                finalResponses.nextMembers(plan.excluded(), state.settings().tolerance());
         for (ReplicationMessage.JoinRequest joinRequest : plan.newcomers().values()) {
-            if (members.size() < ReplicationSettings.MAX_MEMBERS && mayJoin(joinRequest, members, log)) {
+            if (members.size() < ReplicationSettings.MAX_MEMBERS && canJoin(joinRequest, members, log)) {
                 members.add(joinRequest.requester());
             }
         }
@@ -214,9 +220,10 @@
     }
 
     /**
-     * A newcomer that has fallen behind since its request fetches the rest outside of the view change, and asks again.
+     * A newcomer that has fallen behind since its join request fetches the missing entries outside the view change and
+     * then sends another request.
      */
-    private boolean mayJoin(ReplicationMessage.JoinRequest joinRequest, List<Member> members, ReplicatedLog log) {
+    private boolean canJoin(ReplicationMessage.JoinRequest joinRequest, List<Member> members, ReplicatedLog log) {
         Member newcomer = joinRequest.requester();
         boolean addressIsFree =
                 members.stream().noneMatch(member -> member.address().equals(newcomer.address()));
@@ -226,8 +233,8 @@
     }
 
     /**
-     * The log of the view that is being installed, for a member that fetches it in chunks; null if that view is not
-     * being installed.
+     * The log of the view being installed, for a member that fetches it in chunks; null if this view change is not
+     * installing that view.
      */
     ReplicatedLog logForTransfer(Ballot view) {
         return installation == null ? null : installation.logForTransfer(view);
@@ -245,7 +252,7 @@
         }
     }
 
-    /** All members have the view: this one leads it. */
+    /** All members have the view on disk: this member becomes its leader. */
     void onInstalledByAll() {
         List<String> excludedAddresses = new ArrayList<>();
         for (Member member : prepareRound.contacted()) {
--- a/src/main/java/brambletray/platform/replication/ViewChangeInitiator.java
+++ b/src/main/java/brambletray/platform/replication/ViewChangeInitiator.java
@@ -8,15 +8,15 @@
 import java.util.Set;
 
 /**
- * Decides when this member starts a view change: as the leader, to leave out members that are silent or slow, and to
- * let newcomers in and leavers out; as a follower, to take over from a leader that is silent or leaving.
+ * Decides when this member starts a view change: as the leader, to exclude silent or slow members, to admit newcomers
+ * and to release leaving members; as a follower, to take over from a leader that is silent or leaving.
  */
 final class ViewChangeInitiator {
     private final ReplicaState state;
     private final RoleState roles;
     private final LeaderMonitor leaderMonitor;
     private final JoinAdmission joinAdmission;
-    /** When each member first said that it is about to end, by incarnation; ms. */
+    /** Time in ms of the first leave request of each member, by incarnation. */
     private final Map<Long, Long> leavingSinceMs = new LinkedHashMap<>();
 
     ViewChangeInitiator(ReplicaState state, RoleState roles, LeaderMonitor leaderMonitor, JoinAdmission joinAdmission) {
@@ -26,48 +26,48 @@
         this.joinAdmission = joinAdmission;
     }
 
-    /** A follower of this leader is about to end. */
+    /** A follower has announced its planned shutdown to this leader. */
     void onFollowerLeaving(long incarnation) {
         leavingSinceMs.putIfAbsent(incarnation, state.nowMs());
     }
 
-    /** Starts a view change if one is due; drops one that is not needed any more. */
+    /** Starts a view change if one is due; abandons one that is no longer needed. */
     void tick() {
         LeaderState leader = roles.leader();
         ViewChange current = roles.viewChange();
-        boolean needless = current != null
+        boolean unneeded = current != null
                 && current.isPreparing()
                 && leader == null
                 && leaderMonitor.leaderIsHealthy()
                 && !state.hasPromisedHigherBallot();
-        if (needless) {
-            roles.abandonViewChange("the leader is heard again", 0);
+        if (unneeded) {
+            roles.abandonViewChange("the leader responds again", 0);
         }
         if (roles.viewChange() != null || state.view() == null || state.diskUnhealthy()) {
             return;
         }
         if (leader != null) {
-            changeAsLeader(leader);
+            startAsLeader(leader);
         } else if (!state.isLeaving() && !roles.isExcluded() && leaderMonitor.electionTimeoutExpired()) {
             takeOver();
         }
     }
 
-    private void changeAsLeader(LeaderState leader) {
+    private void startAsLeader(LeaderState leader) {
         Set<Long> silent = leader.silentMembers();
         Set<Long> slow = leader.slowMembers();
         if (!silent.isEmpty() || !slow.isEmpty()) {
-            leaveOut(silent, slow);
+            excludeSuspected(silent, slow);
         } else if (leader.hasSupersededMember()) {
             roles.startViewChange(Set.of(), Set.of(), "a member has stopped");
         } else if (hasRetiredMember()) {
             roles.startViewChange(Set.of(), Set.of(), "a disk is lost");
         } else if (leader.hasBeenActiveForAWhile()) {
-            changeAsPlanned();
+            startPlanned();
         }
     }
 
-    private void leaveOut(Set<Long> silent, Set<Long> slow) {
+    private void excludeSuspected(Set<Long> silent, Set<Long> slow) {
         Set<Long> suspected = new LinkedHashSet<>(silent);
         suspected.addAll(slow);
         for (long incarnation : suspected) {
@@ -82,16 +82,16 @@
                 .anyMatch(member -> state.retiredIncarnations().contains(member.incarnation()));
     }
 
-    private void changeAsPlanned() {
-        Set<Long> leavers = removableLeavers();
+    private void startPlanned() {
+        Set<Long> leavingMembers = removableLeavingMembers();
         if (!joinAdmission.admitted().isEmpty()) {
-            roles.startViewChange(leavers, leavers, "newcomers");
-        } else if (!leavers.isEmpty() && !replacementIsCatchingUp()) {
-            roles.startViewChange(leavers, leavers, "leaves");
+            roles.startViewChange(leavingMembers, leavingMembers, "newcomers");
+        } else if (!leavingMembers.isEmpty() && !replacementIsCatchingUp()) {
+            roles.startViewChange(leavingMembers, leavingMembers, "leaves");
         }
     }
 
-    /** Starts a view change in place of a leader that is silent or about to end. */
+    /** Starts a view change to replace a leader that is silent or leaving. */
     private void takeOver() {
         Member leader = state.view().leader();
         boolean ledByOther =
@@ -106,8 +106,8 @@
     }
 
     /**
-     * Tells the others that the leader is leaving, ahead of the prepare requests on the same links: a member that has
-     * not heard it would reject them, as its leader is healthy.
+     * Forwards the leader's leave request to the others, ahead of the prepare requests on the same connections: a
+     * member unaware of it would reject them because its leader is healthy.
      */
     private void forwardLeave(Member leader) {
         for (Member member : state.view().members()) {
@@ -120,21 +120,21 @@
         }
     }
 
-    /** Members that are about to end, if the rest is a quorum that tolerates the losses; else none. */
-    private Set<Long> removableLeavers() {
+    /** The leaving members, if the others are a quorum with the configured fault tolerance; else none. */
+    private Set<Long> removableLeavingMembers() {
         leavingSinceMs.keySet().removeIf(incarnation -> !state.view().contains(incarnation));
         if (leavingSinceMs.isEmpty()) {
             return Set.of();
         }
-        List<Member> rest = new ArrayList<>(state.view().members());
-        rest.removeIf(member -> leavingSinceMs.containsKey(member.incarnation()));
-        boolean enough = state.settings().tolerance().toleratesLossWith(rest)
-                && Quorum.isReached(state.view().members(), rest, state.retiredIncarnations());
-        return enough ? Set.copyOf(leavingSinceMs.keySet()) : Set.of();
+        List<Member> remaining = new ArrayList<>(state.view().members());
+        remaining.removeIf(member -> leavingSinceMs.containsKey(member.incarnation()));
+        boolean sufficient = state.settings().tolerance().toleratesLossWith(remaining)
+                && Quorum.isReached(state.view().members(), remaining, state.retiredIncarnations());
+        return sufficient ? Set.copyOf(leavingSinceMs.keySet()) : Set.of();
     }
 
     /**
-     * Whether a leaver stays because its replacement is catching up: for half of the time that the leaver has, at most.
+     * Whether leaving members are kept because a replacement is catching up: for at most half of their leave timeout.
      */
     private boolean replacementIsCatchingUp() {
         for (long sinceMs : leavingSinceMs.values()) {
--- a/src/main/java/brambletray/platform/replication/ViewChangePlan.java
+++ b/src/main/java/brambletray/platform/replication/ViewChangePlan.java
@@ -4,10 +4,10 @@
 import java.util.Set;
 
 /**
- * Whom a view change is to leave out and let in.
+ * The members that a view change excludes and admits.
  *
- * @param suspected incarnations that are not waited for
- * @param excluded  incarnations that are left out if the rest is enough, even if they answer
- * @param newcomers join requests that were admitted, by incarnation
+ * @param suspected incarnations whose responses are not waited for
+ * @param excluded  incarnations that are excluded if the others suffice, even if they respond
+ * @param newcomers admitted join requests, by incarnation
  */
 record ViewChangePlan(Set<Long> suspected, Set<Long> excluded, Map<Long, ReplicationMessage.JoinRequest> newcomers) {}
--- a/src/main/java/brambletray/platform/replication/ViewInstallation.java
+++ b/src/main/java/brambletray/platform/replication/ViewInstallation.java
@@ -5,22 +5,22 @@
 
 /**
  * The last phase of a view change, at its proposer: sends view and log to all other members until each has both on
- * disk, then accepts them itself. Members whose log lacks more than a message may hold fetch it in chunks
- * ({@link #logForTransfer}). It ends with the view installed at all ({@link ViewChange#onInstalledByAll}), or with
- * another view change without those that did not answer in time.
+ * disk, then accepts them locally. Members that lack more than fits into a message fetch the log in chunks
+ * ({@link #logForTransfer}). It ends with the view installed at all members ({@link ViewChange#onInstalledByAll}), or
+ * with another view change without the members that did not respond in time.
  */
 final class ViewInstallation {
     private static final int RETRY_INTERVAL_MS = 200;
     /**
-     * Silence after which the view change does not wait for a member that fetches the log: longer than its disk may
-     * take for the last chunk.
+     * Time without a chunk request after which the view change stops waiting for a member that fetches the log: longer
+     * than its disk may take after the last chunk.
      */
     private static final int CHUNK_SERVED_TIMEOUT_MS = 2000;
 
     private final ReplicaState state;
     private final RoleState roles;
     private final ViewChange viewChange;
-    private final PrepareResponses chosen;
+    private final PrepareResponses responses;
     private final View nextView;
     private final ReplicatedLog nextLog;
     private final Set<Long> installedBy = new HashSet<>();
@@ -28,18 +28,23 @@
     private long sentAtMs;
     private long chunkServedAtMs = Long.MIN_VALUE / 2;
 
-    /** {@code chosen}: the responses that the view was made from; {@code nextLog}: the longest log of theirs. */
+    /**
+     * Creates an installation; {@link #start} sends the first requests.
+     *
+     * @param responses  the prepare responses that the view is based on
+     * @param nextLog the longest log among these responses
+     */
     ViewInstallation(
             ReplicaState state,
             RoleState roles,
             ViewChange viewChange,
-            PrepareResponses chosen,
+            PrepareResponses responses,
             View nextView,
             ReplicatedLog nextLog) {
         this.state = state;
         this.roles = roles;
         this.viewChange = viewChange;
-        this.chosen = chosen;
+        this.responses = responses;
         this.nextView = nextView;
         this.nextLog = nextLog;
         startedAtMs = state.nowMs();
@@ -49,7 +54,7 @@
         return nextView;
     }
 
-    /** Sends the first requests; a member alone accepts the view at once. */
+    /** Sends the first requests; the only member of a view accepts it immediately. */
     void start() {
         sendInstallRequests();
         if (nextView.members().size() == 1) {
@@ -58,8 +63,8 @@
     }
 
     /**
-     * All others have the view on disk. This member comes last: before that the view cannot be active, and a view
-     * change that fails binds nobody to it.
+     * Accepts the view here once all others have it on disk. The proposer is the last to write it: the view cannot be
+     * active before, so a failed view change has no active view.
      */
     private void acceptLocally() {
         if (state.view().ballot().equals(nextView.ballot())) {
@@ -85,16 +90,16 @@
                 continue;
             }
             LogPatch patch = patchFor(member.incarnation());
-            ReplicationMessage frame = patch.fitsInline()
+            ReplicationMessage message = patch.fitsInline()
                     ? new ReplicationMessage.InstallViewRequest(nextView, patch)
                     : new ReplicationMessage.InstallViewOffer(nextView, nextLog.lastIndex(), nextLog.lastView());
-            state.actions().send(member.address(), frame);
+            state.actions().send(member.address(), message);
         }
     }
 
-    /** What the log of this member lacks, by its answer to the prepare request, or by its join request. */
+    /** The patch for this member's log, as described by its prepare response or its join request. */
     private LogPatch patchFor(long incarnation) {
-        ReplicationMessage.PrepareResponse response = chosen.fromIncarnation(incarnation);
+        ReplicationMessage.PrepareResponse response = responses.fromIncarnation(incarnation);
         if (response != null) {
             return nextLog.patchFor(response.lastIndex(), response.lastView(), response.commitIndex());
         }
@@ -103,7 +108,7 @@
         return nextLog.patchFor(joinRequest.lastIndex(), joinRequest.lastView(), joinRequest.commitIndex());
     }
 
-    /** The log that is being installed, for a member that fetches it in chunks; null if it is of another view. */
+    /** The log being installed, for a member that fetches it in chunks; null if another view is requested. */
     ReplicatedLog logForTransfer(Ballot view) {
         if (!nextView.ballot().equals(view)) {
             return null;
@@ -127,29 +132,30 @@
 
     void onPatchMismatch(long incarnation) {
         if (nextView.contains(incarnation)) {
-            roles.restartViewChange(Set.of(incarnation), "patch of " + Long.toHexString(incarnation) + " doesn't fit");
+            roles.restartViewChange(
+                    Set.of(incarnation), "patch does not match the log of " + Long.toHexString(incarnation));
         }
     }
 
     void tick() {
         boolean timedOut = state.nowMs() - startedAtMs > state.settings().installTimeoutMs();
-        if (timedOut && (canDoWithoutAbsent() || state.nowMs() - chunkServedAtMs > CHUNK_SERVED_TIMEOUT_MS)) {
+        if (timedOut && (canExcludeAbsent() || state.nowMs() - chunkServedAtMs > CHUNK_SERVED_TIMEOUT_MS)) {
             roles.restartViewChange(absentMembers(), "not installed by all in time");
         } else if (state.nowMs() - sentAtMs >= RETRY_INTERVAL_MS) {
             sendInstallRequests();
         }
     }
 
-    /** Whether the view may be installed without those that do not have it yet. */
-    private boolean canDoWithoutAbsent() {
+    /** Whether a view without the members that have not installed it yet would be sufficient. */
+    private boolean canExcludeAbsent() {
         Set<Long> absent = absentMembers();
         Set<Long> excluded = new HashSet<>(viewChange.plan().excluded());
         excluded.addAll(absent);
-        return chosen.nextMembers(excluded, state.settings().tolerance()).stream()
+        return responses.nextMembers(excluded, state.settings().tolerance()).stream()
                 .noneMatch(member -> absent.contains(member.incarnation()));
     }
 
-    /** Other members that do not have the view yet; none if it is this member's own disk that is slow. */
+    /** Other members that have not installed the view yet; empty if only this member's own disk is slow. */
     private Set<Long> absentMembers() {
         Set<Long> absent = new HashSet<>();
         for (Member member : nextView.members()) {
--- a/src/main/java/brambletray/platform/replication/ViewInstaller.java
+++ b/src/main/java/brambletray/platform/replication/ViewInstaller.java
@@ -1,12 +1,15 @@
 package brambletray.platform.replication;
 
 /**
- * Installs the views that other members propose: takes the log that comes with the proposal, or fetches it in chunks
- * where it is longer than a message may be. A view is accepted unless a higher ballot is promised; the proposer hears
- * of it once view and log are on disk.
+ * Installs the views that other members propose, with the log from the proposal or, if that is too large for a message,
+ * a log fetched in chunks. A view is accepted unless a higher ballot has been promised; the proposer is notified once
+ * view and log are on disk.
  */
 final class ViewInstaller {
-    /** Silence after which a half-fetched log is dropped: longer than a view change after the loss of its proposer. */
+    /**
+     * Time without a chunk after which a partially fetched log is dropped: longer than a view change that follows the
+     * loss of the proposer.
+     */
     private static final int TRANSFER_IDLE_TIMEOUT_MS = 10_000;
 
     private final ReplicaState state;
@@ -21,53 +24,59 @@
         this.leaderMonitor = leaderMonitor;
     }
 
-    /** A view whose log the message holds; {@code base}: the log that the patch is applied to. */
+    /**
+     * Handles a proposed view whose log is in the message.
+     *
+     * @param base the log that the patch applies to
+     */
     void onInstallView(String from, ReplicationMessage.InstallViewRequest request, ReplicatedLog base) {
-        View next = request.view();
-        if (!next.contains(state.self().incarnation())) {
+        View view = request.view();
+        if (!view.contains(state.self().incarnation())) {
             return;
         }
         if (state.isLeaving() && (state.view() == null || roles.isExcluded())) {
-            // admitted by a join request from before this process was to end: nobody is to wait for it
-            reject(from, next);
+            // admitted by a join request sent before the shutdown started: the others must not wait for this member
+            reject(from, view);
             return;
         }
-        if (state.promisedBallot().isAbove(next.ballot())) {
+        if (state.promisedBallot().isAbove(view.ballot())) {
             state.actions()
-                    .send(from, new ReplicationMessage.BallotRejected(next.ballot(), state.promisedBallot(), false));
+                    .send(from, new ReplicationMessage.BallotRejected(view.ballot(), state.promisedBallot(), false));
             return;
         }
-        if (isInstalled(next)) {
-            respondOnceSynced(from, next);
+        if (isInstalled(view)) {
+            respondOnceSynced(from, view);
             return;
         }
-        ReplicatedLog chosen = base.patched(request.patch());
-        accept(from, next, chosen != null ? chosen : state.log().patched(request.patch()));
+        ReplicatedLog patched = base.patched(request.patch());
+        accept(from, view, patched != null ? patched : state.log().patched(request.patch()));
     }
 
-    /** A view whose log is to be fetched. */
+    /** Handles a proposed view whose log has to be fetched. */
     void onInstallViewOffer(String from, ReplicationMessage.InstallViewOffer offer, ReplicatedLog base) {
-        View next = offer.view();
-        if (!next.contains(state.self().incarnation())) {
+        View view = offer.view();
+        if (!view.contains(state.self().incarnation())) {
             return;
         }
-        if (isInstalled(next) || state.promisedBallot().isAbove(next.ballot())) {
-            onInstallView(from, new ReplicationMessage.InstallViewRequest(next, null), base);
+        if (isInstalled(view) || state.promisedBallot().isAbove(view.ballot())) {
+            onInstallView(from, new ReplicationMessage.InstallViewRequest(view, null), base);
             return;
         }
         boolean sameLog = transfer != null && offersSameLog(offer);
         pendingOffer = offer;
         if (sameLog && transfer.source().equals(from) && !transfer.failed()) {
-            transfer.continueForView(next.ballot());
+            transfer.continueForView(view.ballot());
         } else if (sameLog && transfer.isResumable()) {
-            transfer.resume(from, next.ballot());
+            transfer.resume(from, view.ballot());
         } else {
-            transfer = new StateTransferClient(state, from, base, next.ballot());
+            transfer = new StateTransferClient(state, from, base, view.ballot());
             transfer.tick();
         }
     }
 
-    /** Whether the log is the one of the offer before, perhaps from another proposer: what was fetched stays. */
+    /**
+     * Whether the previous offer, perhaps from another proposer, was for the same log, so that its chunks are reusable.
+     */
     private boolean offersSameLog(ReplicationMessage.InstallViewOffer offer) {
         return pendingOffer.lastIndex() == offer.lastIndex()
                 && pendingOffer.lastView().equals(offer.lastView());
@@ -77,10 +86,10 @@
         if (transfer == null) {
             return;
         }
-        boolean over = transfer.onChunk(chunk);
-        // about to be in a view: a view change of this member's own would end the transfer
+        boolean ended = transfer.onChunk(chunk);
+        // this member is about to join a view; starting its own view change would abort the transfer
         leaderMonitor.postponeElection(state.settings().electionTimeoutMs() + leaderMonitor.rankDelayMs());
-        if (!over) {
+        if (!ended) {
             return;
         }
         ReplicatedLog log = transfer.log();
@@ -98,50 +107,50 @@
         if (transfer == null) {
             return;
         }
-        boolean useless = transfer.failed() && !transfer.isResumable();
-        if (useless || transfer.idleMs() > TRANSFER_IDLE_TIMEOUT_MS) {
+        boolean unusable = transfer.failed() && !transfer.isResumable();
+        if (unusable || transfer.idleMs() > TRANSFER_IDLE_TIMEOUT_MS) {
             transfer = null;
         } else if (!state.promisedBallot().isAbove(transfer.viewBallot())) {
-            // after a higher promise the next proposer may offer the same log: what was fetched stays, nothing is
-            // requested
+            // after promising a higher ballot, requests stop but fetched chunks are kept: the next proposer may offer
+            // the same log
             transfer.tick();
         }
     }
 
-    /** A view is installed: whatever was being fetched is of no use. */
+    /** Cancels the transfer, which is obsolete once a view is installed. */
     void cancelTransfer() {
         transfer = null;
     }
 
-    private boolean isInstalled(View next) {
-        return state.view() != null && state.view().ballot().equals(next.ballot());
+    private boolean isInstalled(View view) {
+        return state.view() != null && state.view().ballot().equals(view.ballot());
     }
 
-    private void accept(String from, View next, ReplicatedLog chosen) {
-        if (chosen == null || !state.acceptView(next, chosen)) {
-            reject(from, next);
+    private void accept(String from, View view, ReplicatedLog log) {
+        if (log == null || !state.acceptView(view, log)) {
+            reject(from, view);
             return;
         }
         roles.becomeFollower();
-        respondOnceSynced(from, next);
+        respondOnceSynced(from, view);
     }
 
-    private void reject(String from, View next) {
+    private void reject(String from, View view) {
         state.actions()
                 .send(
                         from,
                         new ReplicationMessage.PatchMismatch(
-                                next.ballot(), state.self().incarnation()));
+                                view.ballot(), state.self().incarnation()));
     }
 
-    private void respondOnceSynced(String from, View next) {
+    private void respondOnceSynced(String from, View view) {
         state.writeAheadQueue().onSynced(() -> {
-            if (state.isOperationalIn(next.ballot())) {
+            if (state.isOperationalIn(view.ballot())) {
                 state.actions()
                         .send(
                                 from,
                                 new ReplicationMessage.InstallViewResponse(
-                                        next.ballot(), state.self().incarnation()));
+                                        view.ballot(), state.self().incarnation()));
             }
         });
     }
--- a/src/main/java/brambletray/platform/replication/ViewMembership.java
+++ b/src/main/java/brambletray/platform/replication/ViewMembership.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * The members of a view without its predecessors.
+ * A view without its predecessors.
  *
  * @param ballot identifies the view
- * @param members those who have to be consulted about what came after it
+ * @param members members that have to be consulted about later views
  */
 public record ViewMembership(Ballot ballot, List<Member> members) {
-    /** Number of the view. */
+    /** Number of the view, which is the number of its ballot. */
     public long number() {
         return ballot.number();
     }
--- a/src/main/java/brambletray/platform/replication/WriteAheadQueue.java
+++ b/src/main/java/brambletray/platform/replication/WriteAheadQueue.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * Writes on their way to the disk: gathered into one batch while the one before is being synced, in order, and tried
- * again after a failure. Callbacks wait here until everything written before them is synced.
+ * Queue of writes to the disk: while one batch is being synced, further writes are collected in order into the next
+ * one; failed batches are retried. Callbacks run once everything queued before them is synced.
  */
 final class WriteAheadQueue {
     private static final int RETRY_INTERVAL_MS = 250;
@@ -29,10 +29,10 @@
         this.actions = actions;
     }
 
-    /** Changes for the next batch; a null value removes the key. */
-    void put(String key, byte[] value, long now) {
+    /** Adds a change to the open batch; a null value removes the key. */
+    void put(String key, byte[] value, long nowMs) {
         if (openSinceMs < 0) {
-            openSinceMs = now;
+            openSinceMs = nowMs;
         }
         openBatch.put(key, value);
         if (value != null) {
@@ -40,27 +40,27 @@
         }
     }
 
-    void put(Map<String, byte[]> changes, long now) {
-        changes.forEach((key, value) -> put(key, value, now));
+    void put(Map<String, byte[]> changes, long nowMs) {
+        changes.forEach((key, value) -> put(key, value, nowMs));
     }
 
-    /** Runs the callback once everything that was put so far is synced. */
-    void onSynced(Runnable run) {
-        openCallbacks.add(run);
+    /** Runs the callback once everything queued so far is synced. */
+    void onSynced(Runnable callback) {
+        openCallbacks.add(callback);
     }
 
     /** Writes the next batch if none is in flight. */
-    void flush(long now) {
-        if (inFlightBatch != null || (lastWriteFailed && now < retryAtMs)) {
+    void flush(long nowMs) {
+        if (inFlightBatch != null || (lastWriteFailed && nowMs < retryAtMs)) {
             return;
         }
         while (openBatch.isEmpty()) {
-            List<Runnable> runs = openCallbacks;
-            if (runs.isEmpty()) {
+            List<Runnable> callbacks = openCallbacks;
+            if (callbacks.isEmpty()) {
                 return;
             }
             openCallbacks = new ArrayList<>();
-            runs.forEach(Runnable::run);
+            callbacks.forEach(Runnable::run);
         }
         inFlightBatch = openBatch;
         inFlightCallbacks = openCallbacks;
@@ -73,20 +73,20 @@
         actions.persist(++ticket, inFlightBatch);
     }
 
-    void synced(long which) {
-        if (inFlightBatch == null || which != ticket) {
+    void synced(long completedTicket) {
+        if (inFlightBatch == null || completedTicket != ticket) {
             return;
         }
-        List<Runnable> runs = inFlightCallbacks;
+        List<Runnable> callbacks = inFlightCallbacks;
         inFlightBatch = null;
         inFlightCallbacks = null;
         lastWriteFailed = false;
-        runs.forEach(Runnable::run);
+        callbacks.forEach(Runnable::run);
     }
 
-    /** The batch goes in front of what came after it, and is tried again after a while. */
-    void failed(long which, long now) {
-        if (inFlightBatch == null || which != ticket) {
+    /** Puts the failed batch in front of the open one, to be retried after {@link #RETRY_INTERVAL_MS}. */
+    void failed(long failedTicket, long nowMs) {
+        if (inFlightBatch == null || failedTicket != ticket) {
             return;
         }
         inFlightBatch.putAll(openBatch);
@@ -98,24 +98,23 @@
         inFlightBatch = null;
         inFlightCallbacks = null;
         lastWriteFailed = true;
-        retryAtMs = now + RETRY_INTERVAL_MS;
+        retryAtMs = nowMs + RETRY_INTERVAL_MS;
     }
 
-    /** Whether the last write failed. */
     boolean isFailing() {
         return lastWriteFailed;
     }
 
-    /** Milliseconds that the oldest write has been waiting; 0 when there is none. */
-    long oldestWriteAgeMs(long now) {
+    /** Age in ms of the oldest unsynced write; 0 if there is none. */
+    long oldestWriteAgeMs(long nowMs) {
         if (inFlightBatch != null) {
-            return now - inFlightSinceMs;
+            return nowMs - inFlightSinceMs;
         }
-        return openSinceMs < 0 ? 0 : now - openSinceMs;
+        return openSinceMs < 0 ? 0 : nowMs - openSinceMs;
     }
 
-    /** Whether more than this many bytes wait for the batch in flight. */
-    boolean hasOpenBytesAbove(long most) {
-        return openBytes > most;
+    /** Whether the open batch holds more than this many bytes. */
+    boolean hasOpenBytesAbove(long maxBytes) {
+        return openBytes > maxBytes;
     }
 }
--- a/src/test/java/brambletray/platform/replication/ReplicationCodecTest.java
+++ b/src/test/java/brambletray/platform/replication/ReplicationCodecTest.java
@@ -44,7 +44,7 @@
         map.put("view.life", new byte[] {9, 0, 0, 0, 0, 0, 0, 0, 1});
         ReplicationException fault = assertThrows(ReplicationException.class, () -> DurableState.read(map));
         assertEquals("replication.form", fault.code());
-        assertEquals("stored in form 9, this program reads forms up to 2", fault.getMessage());
+        assertEquals("unsupported format version 9; this release reads versions up to 2", fault.getMessage());
     }
 
     @Test
