--- a/src/test/java/brambletray/platform/election/ElectionNode.java
+++ b/src/test/java/brambletray/platform/election/ElectionNode.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** The role at one process in simulated time. */
-final class ElectionNode implements SimulatedReplica.Passenger, ElectionActions {
+final class ElectionNode implements SimulatedReplica.AdditionalComponent, ElectionActions {
     /** Is told of terms won and of moments at which a holder may act. */
     interface Witness {
         void won(SimulatedReplica node, long term);
@@ -23,7 +23,7 @@
         election = new LeaseElection(
                 "helm",
                 node.replica.status().self(),
-                node.disk.kept.get(LeaseElection.key("helm")),
+                node.disk.content.get(LeaseElection.key("helm")),
                 LeaseTimings.defaults(),
                 this,
                 now());
--- a/src/test/java/brambletray/platform/election/ElectionRandomFaultsTest.java
+++ b/src/test/java/brambletray/platform/election/ElectionRandomFaultsTest.java
@@ -50,9 +50,9 @@
     private Witness play(long seed, boolean talks) {
         RandomFaults weather = new RandomFaults(seed, talks);
         Witness witness = new Witness(weather);
-        weather.world().passengers = node -> new ElectionNode(node, witness);
+        weather.world().additionalComponents = node -> new ElectionNode(node, witness);
         weather.prank = node -> {
-            ElectionNode ride = (ElectionNode) node.passenger;
+            ElectionNode ride = (ElectionNode) node.additionalComponent;
             ride.election.handOver(node.world.now);
             ride.election.setWantsLease(true);
         };
@@ -60,7 +60,7 @@
             weather.play();
             if (!weather.harsh()) {
                 weather.world()
-                        .await(
+                        .runUntilTrue(
                                 () -> weather.world().now - witness.actedAt < 100,
                                 3000,
                                 "somebody acts after all is calm");
--- a/src/test/java/brambletray/platform/election/ElectionSteps.java
+++ b/src/test/java/brambletray/platform/election/ElectionSteps.java
@@ -15,7 +15,7 @@
  * highest it has seen; yield: hands over; sees:b takes b for the holder; doubt: hears that somebody has seen a higher
  * term than its own.
  */
-public final class ElectionSteps implements Timeline.Words, ElectionNode.Witness {
+public final class ElectionSteps implements Timeline.AdditionalWords, ElectionNode.Witness {
     private ReplicationTestCluster core;
     private long won;
     private long fence;
@@ -26,20 +26,20 @@
     public void aCore(String list) {
         core = new ReplicationTestCluster(List.of(list.split("[ ,]+")));
         core.world.logsEvents = Boolean.getBoolean("replication.talks");
-        core.world.passengers = node -> new ElectionNode(node, this);
+        core.world.additionalComponents = node -> new ElectionNode(node, this);
         core.found();
-        core.world.await(
+        core.world.runUntilTrue(
                 () -> core.world.nodes.values().stream()
                         .anyMatch(node -> ride(node).election.mayAct(core.world.now)),
                 2000,
                 "a holder");
-        core.world.until(core.world.now + 300);
+        core.world.runUntil(core.world.now + 300);
     }
 
     @When("this happens to the duty")
     public void happens(String drawn) {
         try {
-            new Timeline(core.world, this).play(drawn);
+            new Timeline(core.world, this).run(drawn);
         } catch (AssertionError e) {
             core.world.events.forEach(System.out::println);
             throw e;
@@ -47,7 +47,7 @@
     }
 
     private static ElectionNode ride(SimulatedReplica node) {
-        return (ElectionNode) node.passenger;
+        return (ElectionNode) node.additionalComponent;
     }
 
     @Override
@@ -70,7 +70,7 @@
     }
 
     @Override
-    public Boolean seen(SimulatedReplica node, String word) {
+    public Boolean holds(SimulatedReplica node, String word) {
         if (word.startsWith("sees:")) {
             LeaseHolder holder = ride(node).election.holder(core.world.now);
             return word.substring(5)
--- a/src/test/java/brambletray/platform/replication/CatchUpTest.java
+++ b/src/test/java/brambletray/platform/replication/CatchUpTest.java
@@ -43,21 +43,21 @@
         ReplicationTestCluster core = new ReplicationTestCluster(List.of("a", "b", "c"));
         SimulatedReplicas world = core.world;
         core.found();
-        world.padding = "p".repeat(one.bytes());
-        world.ballast = "b".repeat(one.bytes());
+        world.changePadding = "p".repeat(one.bytes());
+        world.snapshotPadding = "b".repeat(one.bytes());
         SimulatedReplica away = world.nodes.get("c");
         away.kill(true);
-        world.until(world.now + 1500);
+        world.runUntil(world.now + 1500);
         for (int i = 0; i < one.changes(); i++) {
             world.ruleChecker.propose(world.leader());
-            world.until(world.now + PACE_MS);
+            world.runUntil(world.now + PACE_MS);
         }
-        world.until(world.now + 1000);
+        world.runUntil(world.now + 1000);
         assertTrue(
                 world.ruleChecker.acknowledged.size() == one.changes(),
                 "acknowledged " + world.ruleChecker.acknowledged.size());
         for (String other : List.of("a", "b")) {
-            world.rate("c", other, one.rate());
+            world.setBandwidth("c", other, one.rate());
         }
         long before = bytes(world);
         long begin = world.now;
@@ -65,7 +65,7 @@
         away.start();
         while (!back(world, away)) {
             assertTrue(world.now - begin < one.mostMs(), one + ": not back");
-            world.until(world.now + 10);
+            world.runUntil(world.now + 10);
             if (one.everyMs() > 0 && world.now >= next && world.leader() != null) {
                 world.ruleChecker.propose(world.leader());
                 next += one.everyMs();
--- a/src/test/java/brambletray/platform/replication/DiskPositionsTest.java
+++ b/src/test/java/brambletray/platform/replication/DiskPositionsTest.java
@@ -74,7 +74,7 @@
 
         private static void refuse(SimulatedReplicas world, SimulatedReplica node) {
             node.disk.full = true;
-            world.later(world.now + REFUSED_MS, () -> node.disk.full = false);
+            world.schedule(world.now + REFUSED_MS, () -> node.disk.full = false);
         }
 
         /** Ends the process, and starts it again; with {@code power}, what its disk hadn't synced is gone. */
@@ -84,7 +84,7 @@
             }
             node.kill(power);
             int boot = node.processNumber;
-            world.later(world.now + DOWN_MS, () -> {
+            world.schedule(world.now + DOWN_MS, () -> {
                 if (node.processNumber == boot && node.down) {
                     node.start();
                 }
@@ -98,24 +98,24 @@
         SimulatedReplicas world = core.world;
         int[] seen = new int[1];
         core.found();
-        world.atDisk = node -> {
+        world.onDiskWrite = node -> {
             if (seen[0]++ == position) {
                 fault.strikeAt(world, node);
             }
         };
-        world.padding = "p".repeat(CHANGE_BYTES);
+        world.changePadding = "p".repeat(CHANGE_BYTES);
         change(world, 6);
         SimulatedReplica empty = world.nodes.get("c");
-        if (empty.isRunning() && world.ruleChecker.intact()) {
+        if (empty.isRunning() && world.ruleChecker.mayLoseDisk()) {
             empty.kill(true);
             empty.wipe();
-            world.until(world.now + DOWN_MS);
+            world.runUntil(world.now + DOWN_MS);
             if (!empty.isRunning()) {
                 empty.start();
             }
         }
         change(world, 6);
-        world.until(world.now + REFUSED_MS);
+        world.runUntil(world.now + REFUSED_MS);
         calm(world);
         return seen[0];
     }
@@ -127,17 +127,17 @@
                     world.ruleChecker.propose(node);
                 }
             }
-            world.until(world.now + 60);
+            world.runUntil(world.now + 60);
         }
     }
 
     private static void calm(SimulatedReplicas world) {
-        world.await(() -> settled(world), CALM_MS, "all in one view");
-        world.padding = "";
+        world.runUntilTrue(() -> settled(world), CALM_MS, "all in one view");
+        world.changePadding = "";
         int before = world.ruleChecker.acknowledged.size();
-        world.await(() -> acknowledges(world, before), CALM_MS, "a change after all is calm");
-        world.await(() -> alike(world), CALM_MS, "all alike");
-        world.ruleChecker.end(new ArrayList<>(world.nodes.values()));
+        world.runUntilTrue(() -> acknowledges(world, before), CALM_MS, "a change after all is calm");
+        world.runUntilTrue(() -> alike(world), CALM_MS, "all alike");
+        world.ruleChecker.checkFinalState(new ArrayList<>(world.nodes.values()));
     }
 
     /** Proposes once more, as an operator does whose call had no clear answer. */
--- a/src/test/java/brambletray/platform/replication/ExplorationTest.java
+++ b/src/test/java/brambletray/platform/replication/ExplorationTest.java
@@ -29,29 +29,29 @@
     private int bound;
     private int depth;
 
-    private SteppedReplicas board(SteppedReplicas.Purse purse, List<Integer> moves) {
+    private SteppedReplicas board(SteppedReplicas.EventBudget purse, List<Integer> moves) {
         SteppedReplicas board = new SteppedReplicas(purse);
         board.found();
         for (int move : moves) {
-            board.play(move);
+            board.execute(move);
         }
         return board;
     }
 
-    private void explore(SteppedReplicas.Purse purse) {
+    private void explore(SteppedReplicas.EventBudget purse) {
         seen.clear();
         List<Integer> moves = new ArrayList<>();
         walk(purse, board(purse, moves), moves);
     }
 
-    private void walk(SteppedReplicas.Purse purse, SteppedReplicas board, List<Integer> moves) {
-        if (states >= bound || !seen.add(board.print())) {
+    private void walk(SteppedReplicas.EventBudget purse, SteppedReplicas board, List<Integer> moves) {
+        if (states >= bound || !seen.add(board.fingerprint())) {
             return;
         }
         states++;
         depth = Math.max(depth, moves.size());
         most = Math.max(most, board.acknowledged);
-        if (board.left > 0) {
+        if (board.leftCount > 0) {
             lefts++;
         }
         if (board.joined) {
@@ -61,7 +61,7 @@
         boolean some = false;
         boolean[] may = new boolean[SteppedReplicas.MOVES];
         for (int move = 0; move < SteppedReplicas.MOVES; move++) {
-            may[move] = board.may(move);
+            may[move] = board.isEnabled(move);
         }
         for (int move = 0; move < SteppedReplicas.MOVES; move++) {
             if (!may[move] || states >= bound) {
@@ -73,7 +73,7 @@
             }
             moves.add(move);
             try {
-                here.play(move);
+                here.execute(move);
             } catch (AssertionError | RuntimeException e) {
                 throw new AssertionError(e.getMessage() + " after " + purse + " " + moves, e);
             }
@@ -97,7 +97,7 @@
             Random random = new Random(seed);
             int newcomers = random.nextInt(2);
             int impatience = 1 + random.nextInt(5);
-            SteppedReplicas.Purse purse = new SteppedReplicas.Purse(
+            SteppedReplicas.EventBudget purse = new SteppedReplicas.EventBudget(
                     impatience, random.nextInt(3), random.nextInt(2), random.nextInt(2), newcomers);
             SteppedReplicas board = new SteppedReplicas(purse);
             board.found();
@@ -107,7 +107,7 @@
                 throw new AssertionError("walk " + seed + ": " + e.getMessage(), e);
             }
             most = Math.max(most, board.acknowledged);
-            if (board.left > 0) {
+            if (board.leftCount > 0) {
                 lefts++;
             }
             if (board.joined) {
@@ -132,12 +132,12 @@
         // else a newcomer hardly ever has the state while the leader that it knocked at still leads
         int calm = newcomer ? random.nextInt(80) : 0;
         if (newcomer) {
-            board.play(SteppedReplicas.MOVES - 1);
+            board.execute(SteppedReplicas.MOVES - 1);
         }
         for (int step = 0; step < 400; step++) {
             int count = 0;
             for (int move = 0; move < SteppedReplicas.MOVES; move++) {
-                if (board.may(move) && (!slow[move] || step < calm || random.nextInt(20) == 0)) {
+                if (board.isEnabled(move) && (!slow[move] || step < calm || random.nextInt(20) == 0)) {
                     may[count++] = move;
                 }
             }
@@ -153,7 +153,7 @@
             if (mishap && (step < calm || random.nextInt(6) > 0)) {
                 continue;
             }
-            board.play(move);
+            board.execute(move);
         }
         return 400;
     }
@@ -165,36 +165,36 @@
         int disks = Integer.getInteger("replication.disks", 1);
         int impatience = Integer.getInteger("replication.impatience", 2);
         if (one != null) {
-            SteppedReplicas board = new SteppedReplicas(new SteppedReplicas.Purse(
+            SteppedReplicas board = new SteppedReplicas(new SteppedReplicas.EventBudget(
                     impatience,
                     power,
                     disks,
                     Integer.getInteger("replication.leaves", 0),
                     Integer.getInteger("replication.newcomers", 0)));
             board.found();
-            board.talks = true;
+            board.verbose = true;
             for (String move : one.split("[, ]+")) {
-                board.play(Integer.parseInt(move));
+                board.execute(Integer.parseInt(move));
             }
             return;
         }
         bound = Integer.getInteger("replication.states", STATES);
-        List<SteppedReplicas.Purse> purses = new ArrayList<>();
+        List<SteppedReplicas.EventBudget> purses = new ArrayList<>();
         for (int i = 1; i <= impatience; i++) {
             for (int p = 0; p <= power; p++) {
                 for (int d = 0; d <= disks; d++) {
-                    purses.add(new SteppedReplicas.Purse(i, p, d));
+                    purses.add(new SteppedReplicas.EventBudget(i, p, d));
                 }
             }
         }
         // with a planned end, and a newcomer at the same time
         for (int i = 1; i <= impatience; i++) {
             for (int n = 0; n <= 1; n++) {
-                purses.add(new SteppedReplicas.Purse(i, 0, n * disks, 1, n));
+                purses.add(new SteppedReplicas.EventBudget(i, 0, n * disks, 1, n));
             }
         }
         int all = 0;
-        for (SteppedReplicas.Purse purse : purses) {
+        for (SteppedReplicas.EventBudget purse : purses) {
             states = 0;
             ends = 0;
             depth = 0;
--- a/src/test/java/brambletray/platform/replication/MemberRemovalOrdersTest.java
+++ b/src/test/java/brambletray/platform/replication/MemberRemovalOrdersTest.java
@@ -37,7 +37,7 @@
 
     private MemberRemovalOutcome declared(String at, String address, long incarnation) {
         order(at, address, incarnation);
-        world.await(() -> result != null, 4_000, "an answer to the order");
+        world.runUntilTrue(() -> result != null, 4_000, "an answer to the order");
         return result;
     }
 
@@ -68,33 +68,33 @@
         core("a", "b");
         world.node("c", List.of("a", "b"));
         long before = world.ruleChecker.propose(node("a"));
-        world.await(() -> world.ruleChecker.acknowledged.contains("c" + before), 1_000, "a change of both");
+        world.runUntilTrue(() -> world.ruleChecker.acknowledged.contains("c" + before), 1_000, "a change of both");
         long gone = life("b");
         node("b").kill(true);
-        world.until(world.now + 1_000);
+        world.runUntil(world.now + 1_000);
         node("c").start();
-        world.until(world.now + 20_000);
+        world.runUntil(world.now + 20_000);
         assertFalse(in("c"), "let in without the other of two");
         assertEquals(ReplicaRole.SUSPENDED, node("a").replica.status().role());
 
         assertEquals(MemberRemovalOutcome.REMOVED, declared("a", "b", gone));
-        world.await(() -> in("c") && !in("b"), 3_000, "the view of a and c");
+        world.runUntilTrue(() -> in("c") && !in("b"), 3_000, "the view of a and c");
         long after = world.ruleChecker.propose(node("a"));
-        world.await(() -> world.ruleChecker.acknowledged.contains("c" + after), 3_000, "a change without b");
+        world.runUntilTrue(() -> world.ruleChecker.acknowledged.contains("c" + after), 3_000, "a change without b");
 
-        world.until(world.now + 5_000);
+        world.runUntil(world.now + 5_000);
         node("b").start();
         for (int i = 0; i < 500; i++) {
-            world.until(world.now + 10);
+            world.runUntil(world.now + 10);
             assertFalse(node("b").replica.status().isLeader());
             assertFalse(in("b"), "who was declared dead is let in with its disk");
         }
         node("b").kill(true);
         node("b").wipe();
         node("b").start();
-        world.await(() -> in("b"), 6_000, "back with another disk");
-        world.until(world.now + 500);
-        world.ruleChecker.end(List.copyOf(world.nodes.values()));
+        world.runUntilTrue(() -> in("b"), 6_000, "back with another disk");
+        world.runUntil(world.now + 500);
+        world.ruleChecker.checkFinalState(List.copyOf(world.nodes.values()));
     }
 
     @Test
@@ -102,9 +102,9 @@
         core("a", "b");
         long gone = life("b");
         node("b").kill(true);
-        world.until(world.now + MemberRemovalOrders.MIN_SILENCE_MS - 1_000);
+        world.runUntil(world.now + MemberRemovalOrders.MIN_SILENCE_MS - 1_000);
         assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, declared("a", "b", gone));
-        world.until(world.now + 2_000);
+        world.runUntil(world.now + 2_000);
         assertEquals(MemberRemovalOutcome.REMOVED, declared("a", "b", gone));
     }
 
@@ -114,10 +114,10 @@
         core("a", "b");
         long gone = life("b");
         node("b").kill(true);
-        world.until(world.now + 2 * MemberRemovalOrders.MIN_SILENCE_MS);
+        world.runUntil(world.now + 2 * MemberRemovalOrders.MIN_SILENCE_MS);
         node("a").kill(false);
         node("a").start();
-        world.until(world.now + 1_000);
+        world.runUntil(world.now + 1_000);
         assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, declared("a", "b", gone));
     }
 
@@ -125,15 +125,15 @@
     @Test
     void whoAnswersTheQuestionIsNotDeclaredDead() {
         core("a", "b");
-        world.cut("a", "b", true);
-        world.until(world.now + MemberRemovalOrders.MIN_SILENCE_MS + 1_000);
+        world.setCut("a", "b", true);
+        world.runUntil(world.now + MemberRemovalOrders.MIN_SILENCE_MS + 1_000);
         order("a", "b", life("b"));
-        world.until(world.now + MemberRemovalOrders.IDENTITY_TIMEOUT_MS / 2);
+        world.runUntil(world.now + MemberRemovalOrders.IDENTITY_TIMEOUT_MS / 2);
         assertNull(result);
-        world.cut("a", "b", false);
-        world.await(() -> result != null, 4_000, "an answer to the order");
+        world.setCut("a", "b", false);
+        world.runUntilTrue(() -> result != null, 4_000, "an answer to the order");
         assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, result);
-        world.await(() -> in("a") && in("b"), 4_000, "both go on");
+        world.runUntilTrue(() -> in("a") && in("b"), 4_000, "both go on");
     }
 
     @Test
@@ -141,7 +141,7 @@
         core("a", "b", "c");
         long gone = life("c");
         node("c").kill(true);
-        world.until(world.now + MemberRemovalOrders.MIN_SILENCE_MS + 1_000);
+        world.runUntil(world.now + MemberRemovalOrders.MIN_SILENCE_MS + 1_000);
         assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, declared("a", "c", gone), "left out long ago");
         assertEquals(MemberRemovalOutcome.VIEW_IS_HEALTHY, declared("a", "b", life("b")));
     }
@@ -151,7 +151,7 @@
         core("a", "b");
         long gone = life("b");
         node("b").kill(true);
-        world.until(world.now + MemberRemovalOrders.MIN_SILENCE_MS + 1_000);
+        world.runUntil(world.now + MemberRemovalOrders.MIN_SILENCE_MS + 1_000);
         assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, declared("a", "b", gone + 1));
         assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, declared("a", "x", gone));
         assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, declared("a", "a", life("a")));
@@ -168,10 +168,10 @@
         long second = life("c");
         node("b").kill(true);
         node("c").kill(true);
-        world.until(world.now + MemberRemovalOrders.MIN_SILENCE_MS + 1_000);
+        world.runUntil(world.now + MemberRemovalOrders.MIN_SILENCE_MS + 1_000);
         assertEquals(MemberRemovalOutcome.REMOVED, declared("a", "b", first));
         assertEquals(MemberRemovalOutcome.MAJORITY_WOULD_BE_LOST, declared("a", "c", second));
-        world.until(world.now + 3_000);
+        world.runUntil(world.now + 3_000);
         assertTrue(node("a").replica.status().role() != ReplicaRole.MEMBER);
     }
 
@@ -182,11 +182,11 @@
         world.node("c", List.of("a", "b"));
         long gone = life("b");
         node("b").kill(true);
-        world.until(world.now + MemberRemovalOrders.MIN_SILENCE_MS + 1_000);
+        world.runUntil(world.now + MemberRemovalOrders.MIN_SILENCE_MS + 1_000);
         assertEquals(MemberRemovalOutcome.REMOVED, declared("a", "b", gone));
         node("a").kill(true);
         node("a").start();
         node("c").start();
-        world.await(() -> in("a") && in("c"), 5_000, "a and c go on");
+        world.runUntilTrue(() -> in("a") && in("c"), 5_000, "a and c go on");
     }
 }
--- a/src/test/java/brambletray/platform/replication/PlannedLeaveTest.java
+++ b/src/test/java/brambletray/platform/replication/PlannedLeaveTest.java
@@ -57,12 +57,12 @@
             List<String> seeds = List.of("a", "b", "c");
             for (int i = 0; i < machines; i++) {
                 SimulatedReplica node = world.node(String.valueOf((char) ('a' + i)), seeds);
-                node.initial = true;
+                node.initialStart = true;
                 live.add(node);
             }
             live.forEach(SimulatedReplica::start);
-            world.await(() -> allIn(machines), 8000, "founding");
-            live.forEach(node -> node.initial = false);
+            world.runUntilTrue(() -> allIn(machines), 8000, "founding");
+            live.forEach(node -> node.initialStart = false);
             play(300);
             reset();
         }
@@ -83,7 +83,7 @@
                 if (world.now % CALL_MS == 0) {
                     call();
                 }
-                world.until(world.now + 1);
+                world.runUntil(world.now + 1);
                 look();
             }
         }
@@ -94,18 +94,18 @@
                 return;
             }
             world.ruleChecker.propose(node);
-            world.ruleChecker.confirm(node);
+            world.ruleChecker.requestReadIndex(node);
         }
 
         private void look() {
             if (world.ruleChecker.acknowledged.size() > acked) {
                 ackedAt = world.now;
             }
-            if (world.ruleChecker.confirmedOk > read) {
+            if (world.ruleChecker.confirmedReads > read) {
                 readAt = world.now;
             }
             acked = world.ruleChecker.acknowledged.size();
-            read = world.ruleChecker.confirmedOk;
+            read = world.ruleChecker.confirmedReads;
             longestAck = Math.max(longestAck, world.now - ackedAt);
             longestRead = Math.max(longestRead, world.now - readAt);
         }
@@ -124,7 +124,7 @@
         }
 
         private void ends(SimulatedReplica node, int boot) {
-            world.later(world.now + 50, () -> {
+            world.schedule(world.now + 50, () -> {
                 if (node.processNumber != boot || !node.isRunning()) {
                     return;
                 }
@@ -147,7 +147,7 @@
         void newcomer(int in) {
             SimulatedReplica next = world.node("n" + live.size() + world.nodes.size(), List.of("a", "b", "c"));
             live.add(next);
-            world.later(world.now + in, next::start);
+            world.schedule(world.now + in, next::start);
         }
 
         /** Stretches of the fault and of the return: acknowledgement, read, acknowledgement, read. */
@@ -161,7 +161,7 @@
                 leave(first);
                 play(SYNC_MS);
                 live.remove(first);
-                world.await(() -> allIn(machines), 1, "the replacement is in after sync-s");
+                world.runUntilTrue(() -> allIn(machines), 1, "the replacement is in after sync-s");
             } else if (fault == Trouble.LEAVES) {
                 leave(first);
                 play(AWAY_MS);
@@ -179,19 +179,19 @@
                 live.remove(second);
                 newcomer(1000);
                 play(SYNC_MS);
-                world.await(() -> allIn(machines), 1000, "after a second loss");
+                world.runUntilTrue(() -> allIn(machines), 1000, "after a second loss");
             } else if (live.contains(first)) {
                 if (first.isRunning()) {
                     first.kill(false);
                 }
                 first.start();
                 play(SYNC_MS);
-                world.await(() -> allIn(machines), 1, "back after sync-s");
+                world.runUntilTrue(() -> allIn(machines), 1, "back after sync-s");
             }
             all[2] = longestAck;
             all[3] = longestRead;
-            world.until(world.now + 500);
-            world.ruleChecker.end(live);
+            world.runUntil(world.now + 500);
+            world.ruleChecker.checkFinalState(live);
             return all;
         }
     }
--- a/src/test/java/brambletray/platform/replication/RandomFaults.java
+++ b/src/test/java/brambletray/platform/replication/RandomFaults.java
@@ -19,15 +19,15 @@
         machines = random.nextInt(4) == 0 ? 5 : 3;
         world = new SimulatedReplicas(seed, ReplicationSettings.defaults(1));
         world.logsEvents = talks;
-        world.ruleChecker.harsh = seed % 4 == 0;
+        world.ruleChecker.rapidDiskLosses = seed % 4 == 0;
         // large changes on links that take their time
         if (seed % 5 == 2) {
-            world.padding = "p".repeat(24 << 10);
+            world.changePadding = "p".repeat(24 << 10);
         }
         List<String> seeds = List.of("a", "b", "c");
         for (int i = 0; i < machines; i++) {
             SimulatedReplica node = world.node(String.valueOf((char) ('a' + i)), seeds);
-            node.initial = true;
+            node.initialStart = true;
             live.add(node);
         }
     }
@@ -38,20 +38,20 @@
 
     /** Whether nothing more is expected of this scenario than that no rule is broken. */
     public boolean harsh() {
-        return world.ruleChecker.harsh;
+        return world.ruleChecker.rapidDiskLosses;
     }
 
     /** Plays; returns how many changes were acknowledged. */
     public int play() {
         for (SimulatedReplica node : live) {
-            world.later(world.now + random.nextInt(400), node::start);
+            world.schedule(world.now + random.nextInt(400), node::start);
         }
-        world.until(world.now + 500);
+        world.runUntil(world.now + 500);
         if (random.nextInt(4) > 0) {
             settle(8000);
         }
         for (SimulatedReplica node : live) {
-            node.initial = false;
+            node.initialStart = false;
         }
         int rounds = 3 + random.nextInt(10);
         for (int i = 0; i < rounds; i++) {
@@ -63,7 +63,7 @@
             work(random.nextInt(1500));
             if (random.nextInt(3) == 0) {
                 calm();
-                if (world.ruleChecker.harsh) {
+                if (world.ruleChecker.rapidDiskLosses) {
                     work(2000);
                 } else {
                     settle(9000);
@@ -71,26 +71,27 @@
             }
         }
         calm();
-        if (world.ruleChecker.harsh) {
+        if (world.ruleChecker.rapidDiskLosses) {
             work(5000);
             return world.ruleChecker.acknowledged.size();
         }
         settle(9000);
         long token = world.ruleChecker.propose(live.get(0));
-        world.await(() -> world.ruleChecker.acknowledged.contains("c" + token), 2000, "a change after all is calm");
+        world.runUntilTrue(
+                () -> world.ruleChecker.acknowledged.contains("c" + token), 2000, "a change after all is calm");
         settle(3000);
-        world.until(world.now + 300);
+        world.runUntil(world.now + 300);
         settle(3000);
-        world.await(this::alike, 4000, "all alike");
-        world.ruleChecker.end(live);
+        world.runUntilTrue(this::alike, 4000, "all alike");
+        world.ruleChecker.checkFinalState(live);
         return world.ruleChecker.acknowledged.size();
     }
 
     private void calm() {
         world.heal();
         // those that are about to end, as planned, do
-        world.until(world.now + 350);
-        world.await(
+        world.runUntil(world.now + 350);
+        world.runUntilTrue(
                 () -> live.stream().noneMatch(node -> node.isRunning() && node.replica.isLeaving()),
                 6000,
                 "those that leave have left");
@@ -102,7 +103,7 @@
     }
 
     private void settle(int span) {
-        world.await(this::settled, span, "all in one view");
+        world.runUntilTrue(this::settled, span, "all in one view");
     }
 
     private boolean settled() {
@@ -135,14 +136,14 @@
     private void work(int span) {
         long end = world.now + span;
         while (world.now < end) {
-            world.until(Math.min(end, world.now + 1 + random.nextInt(120)));
+            world.runUntil(Math.min(end, world.now + 1 + random.nextInt(120)));
             SimulatedReplica node = any();
             if (node.isRunning() && node.frozenUntil <= world.now) {
                 if (random.nextInt(20) == 0) {
                     prank.accept(node);
                 }
                 if (random.nextInt(4) == 0) {
-                    world.ruleChecker.confirm(node);
+                    world.ruleChecker.requestReadIndex(node);
                 } else {
                     world.ruleChecker.propose(node);
                 }
@@ -156,7 +157,7 @@
 
     /** A process that has been told to end does so once it may, and is started again. */
     private void ends(SimulatedReplica node, int boot) {
-        world.later(world.now + 50, () -> {
+        world.schedule(world.now + 50, () -> {
             if (node.processNumber != boot || !node.isRunning()) {
                 return;
             }
@@ -171,7 +172,7 @@
 
     private void restart(SimulatedReplica node, int ms) {
         int boot = node.processNumber;
-        world.later(world.now + ms, () -> {
+        world.schedule(world.now + ms, () -> {
             if (node.processNumber == boot && node.down && live.contains(node)) {
                 node.start();
             }
@@ -188,11 +189,11 @@
                 }
                 restart(node, 100 + random.nextInt(3000));
             }
-            case 2 -> world.cut(node.address, other.address, true);
-            case 3 -> world.one(node.address, other.address, true);
+            case 2 -> world.setCut(node.address, other.address, true);
+            case 3 -> world.setOneWayCut(node.address, other.address, true);
             case 4 -> {
                 for (SimulatedReplica one : live) {
-                    world.cut(node.address, one.address, true);
+                    world.setCut(node.address, one.address, true);
                 }
             }
             case 5 -> node.frozenUntil = Math.max(node.frozenUntil, world.now + 200 + random.nextInt(3000));
@@ -221,8 +222,8 @@
             case 11 -> {
                 world.link(node.address, other.address).loss = random.nextDouble();
                 world.link(other.address, node.address).delayMs = 2 + random.nextInt(200);
-                if (!world.padding.isEmpty()) {
-                    world.rate(node.address, other.address, 100 + random.nextInt(2000));
+                if (!world.changePadding.isEmpty()) {
+                    world.setBandwidth(node.address, other.address, 100 + random.nextInt(2000));
                 }
             }
             default -> replace(node);
@@ -233,7 +234,7 @@
     }
 
     private void wipe(SimulatedReplica node) {
-        if (!world.ruleChecker.intact()) {
+        if (!world.ruleChecker.mayLoseDisk()) {
             return;
         }
         if (node.isRunning()) {
@@ -245,7 +246,7 @@
 
     /** A machine is lost for good, another comes at a new address, before or after. */
     private void replace(SimulatedReplica node) {
-        if (replaced >= 2 || !world.ruleChecker.intact() || !settled()) {
+        if (replaced >= 2 || !world.ruleChecker.mayLoseDisk() || !settled()) {
             return;
         }
         replaced++;
--- a/src/test/java/brambletray/platform/replication/RandomFaultsTest.java
+++ b/src/test/java/brambletray/platform/replication/RandomFaultsTest.java
@@ -27,7 +27,7 @@
                 weather.world().events.forEach(System.out::println);
                 throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
             }
-            views += weather.world().ruleChecker.views();
+            views += weather.world().ruleChecker.viewCount();
             played++;
             if (only != null) {
                 break;
--- a/src/test/java/brambletray/platform/replication/ReplicationCodecTest.java
+++ b/src/test/java/brambletray/platform/replication/ReplicationCodecTest.java
@@ -15,62 +15,62 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Frames as another process has them, and the kept state as the next process has it. */
+/** Encoding of messages between members and of the stored state. */
 class ReplicationCodecTest {
     @Test
-    void everyFrameIsRegisteredAndComesAsItWent() {
-        FrameCodec speech = new FrameCodec(List.of(ReplicationMessage.TYPES));
+    void everyMessageTypeIsRegisteredAndRoundTrips() {
+        FrameCodec codec = new FrameCodec(List.of(ReplicationMessage.TYPES));
         Set<Class<?>> seen = new HashSet<>();
         for (long seed = 1; seed <= 60; seed++) {
-            RandomFaults weather = new RandomFaults(seed, false);
-            weather.world().post = frame -> {
+            RandomFaults faults = new RandomFaults(seed, false);
+            faults.world().messageTransform = frame -> {
                 seen.add(frame.getClass());
-                return speech.roundTrip(frame);
+                return codec.roundTrip(frame);
             };
-            weather.play();
+            faults.play();
         }
-        // hardly ever seen: a patch that doesn't fit
-        seen.add(speech.roundTrip(new ReplicationMessage.PatchMismatch(new Ballot(1, 2), 3))
+        // a patch mismatch is too rare to occur reliably in these runs
+        seen.add(codec.roundTrip(new ReplicationMessage.PatchMismatch(new Ballot(1, 2), 3))
                 .getClass());
-        Set<Class<?>> never = new HashSet<>(List.of(ReplicationMessage.class.getPermittedSubclasses()));
-        never.removeAll(seen);
-        assertEquals(Set.of(), never, "frames never sent");
+        Set<Class<?>> missing = new HashSet<>(List.of(ReplicationMessage.class.getPermittedSubclasses()));
+        missing.removeAll(seen);
+        assertEquals(Set.of(), missing, "message types never sent");
         assertTrue(ReplicationMessage.TYPES.containsAll(List.of(ReplicationMessage.class.getPermittedSubclasses())));
     }
 
     @Test
-    void aNewerFormIsRefusedInOneLine() {
+    void aNewerFormatVersionIsRejected() {
         Map<String, byte[]> map = new HashMap<>();
         map.put("view.life", new byte[] {9, 0, 0, 0, 0, 0, 0, 0, 1});
-        ReplicationException fault = assertThrows(ReplicationException.class, () -> DurableState.read(map));
-        assertEquals("replication.form", fault.code());
-        assertEquals("unsupported format version 9; this release reads versions up to 2", fault.getMessage());
+        ReplicationException exception = assertThrows(ReplicationException.class, () -> DurableState.read(map));
+        assertEquals("replication.form", exception.code());
+        assertEquals("unsupported format version 9; this release reads versions up to 2", exception.getMessage());
     }
 
     @Test
-    void anEmptyDiskIsNone() {
+    void anEmptyDiskHasNoIncarnation() {
         assertEquals(0, DurableState.read(Map.of()).incarnation());
     }
 
-    /** As programs wrote it before the zones of members were kept. */
+    /** Version 1 of the format, written before members had zones. */
     @Test
-    void aViewOfTheFormBeforeZonesIsRead() throws IOException {
+    void aViewOfFormatVersion1IsReadWithoutZones() throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        DataOutputStream actions = new DataOutputStream(bytes);
-        actions.writeByte(1);
-        actions.writeBoolean(true);
-        actions.writeLong(5);
-        actions.writeLong(2);
+        DataOutputStream out = new DataOutputStream(bytes);
+        out.writeByte(1);
+        out.writeBoolean(true);
+        out.writeLong(5);
+        out.writeLong(2);
         for (int list = 0; list < 2; list++) {
-            actions.writeInt(1);
+            out.writeInt(1);
             if (list == 1) {
-                actions.writeLong(4);
-                actions.writeLong(3);
-                actions.writeInt(1);
+                out.writeLong(4);
+                out.writeLong(3);
+                out.writeInt(1);
             }
-            actions.writeUTF("a:1");
-            actions.writeUTF("core-a");
-            actions.writeLong(2);
+            out.writeUTF("a:1");
+            out.writeUTF("core-a");
+            out.writeLong(2);
         }
         View view = ReplicationCodec.read(bytes.toByteArray(), in -> {
             in.readBoolean();
@@ -83,9 +83,9 @@
                         List.of(member),
                         List.of(new ViewMembership(new Ballot(4, 3), List.of(member)))),
                 view);
-        Member placed = new Member("a:1", "core-a", 2, "z");
-        View now = new View(new Ballot(5, 2), List.of(placed), List.of());
-        assertEquals(now, ReplicationCodec.read(ReplicationCodec.view(now, true), in -> {
+        Member memberWithZone = new Member("a:1", "core-a", 2, "z");
+        View currentView = new View(new Ballot(5, 2), List.of(memberWithZone), List.of());
+        assertEquals(currentView, ReplicationCodec.read(ReplicationCodec.view(currentView, true), in -> {
             in.readBoolean();
             return ReplicationCodec.view(in);
         }));
--- a/src/test/java/brambletray/platform/replication/ReplicationTestCluster.java
+++ b/src/test/java/brambletray/platform/replication/ReplicationTestCluster.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A core in simulated time that has been founded and is at rest, without any chance in it: the first machine leads. */
+/** A simulated cluster that has been founded and is idle, without any randomness: the first machine is the leader. */
 public final class ReplicationTestCluster {
     public final SimulatedReplicas world;
 
@@ -11,7 +11,7 @@
         this(names, FaultTolerance.ofMachines(1));
     }
 
-    /** The same; {@code a/z} stands in zone z. */
+    /** The same; the name {@code a/z} denotes machine a in zone z. */
     ReplicationTestCluster(List<String> names, FaultTolerance tolerance) {
         world = new SimulatedReplicas(1, ReplicationSettings.defaults(tolerance, 5000));
         world.jitter = false;
@@ -19,7 +19,7 @@
                 .map(ReplicationTestCluster::address)
                 .toList();
         for (String name : names) {
-            machine(name, seeds).initial = true;
+            addMachine(name, seeds).initialStart = true;
         }
     }
 
@@ -27,16 +27,16 @@
         return name.replaceAll("/.*", "");
     }
 
-    private SimulatedReplica machine(String name, List<String> seeds) {
+    private SimulatedReplica addMachine(String name, List<String> seeds) {
         SimulatedReplica node = world.node(address(name), seeds);
         node.zone = name.substring(Math.min(name.length(), address(name).length() + 1));
         return node;
     }
 
-    /** Starts and waits until all are in. */
+    /** Starts all machines and waits until each is a member of one view. */
     public void found() {
         world.nodes.values().forEach(SimulatedReplica::start);
-        world.await(
+        world.runUntilTrue(
                 () -> {
                     SimulatedReplica leader = world.leader();
                     return leader != null
@@ -46,12 +46,12 @@
                 },
                 5000,
                 "founding");
-        world.nodes.values().forEach(node -> node.initial = false);
-        world.until(world.now + 500);
+        world.nodes.values().forEach(node -> node.initialStart = false);
+        world.runUntil(world.now + 500);
     }
 
-    /** A machine that isn't there yet, told these seeds. */
-    public void spare(String name, List<String> seeds) {
-        machine(name, seeds);
+    /** Adds a machine that is not started yet, configured with these seeds. */
+    public void addSpare(String name, List<String> seeds) {
+        addMachine(name, seeds);
     }
 }
--- a/src/test/java/brambletray/platform/replication/ReplicationTimelinesTest.java
+++ b/src/test/java/brambletray/platform/replication/ReplicationTimelinesTest.java
@@ -5,7 +5,7 @@
 import org.junit.platform.suite.api.SelectPackages;
 import org.junit.platform.suite.api.Suite;
 
-/** The drawn timelines of views and of the order. */
+/** Runs the timeline scenarios of the replication protocol ({@code *.feature}). */
 @Suite
 @IncludeEngines("cucumber")
 @SelectPackages("brambletray.platform.replication")
--- a/src/test/java/brambletray/platform/replication/RuleChecker.java
+++ b/src/test/java/brambletray/platform/replication/RuleChecker.java
@@ -9,46 +9,46 @@
 import java.util.TreeMap;
 
 /**
- * Sees all and holds the rules: one order, nothing acknowledged lost, nothing delivered twice, one view a number, reads
- * not older than acknowledgements.
+ * Checks the safety properties of a simulated cluster: all members apply the same entries in the same order, no
+ * acknowledged entry is lost or applied twice, there is one view per number, and reads include all earlier
+ * acknowledgements.
  */
 public final class RuleChecker {
     /**
-     * A second machine isn't lost so soon after the view without the first came active that only its leader knows of
-     * it.
+     * Minimum time between the activation of a view and the next loss of a disk, so that not only the leader knows that
+     * the view is active.
      */
-    private static final int SPREAD_MS = 300;
+    private static final int ACTIVATION_SPREAD_MS = 300;
 
-    /** A machine counts as lost for so long after its return. */
-    private static final int LOST_MS = 4000;
+    /** Time for which a machine counts as lost after its return. */
+    private static final int RECOVERY_MS = 4000;
 
     private final SimulatedReplicas world;
-    /** What was delivered anywhere, by place. */
-    final TreeMap<Long, String> order = new TreeMap<>();
+    /** The changes applied at any member, by index. */
+    final TreeMap<Long, String> appliedByIndex = new TreeMap<>();
 
-    private final Set<String> ordered = new HashSet<>();
+    private final Set<String> appliedTexts = new HashSet<>();
     final Set<String> acknowledged = new HashSet<>();
-    final Set<String> refused = new HashSet<>();
+    final Set<String> rejected = new HashSet<>();
     private final Map<Long, String> proposed = new HashMap<>();
     private final Map<Long, Set<String>> expected = new HashMap<>();
     private final Map<Long, View> views = new TreeMap<>();
-    private final Set<Long> lives = new HashSet<>();
-    private final Map<String, Long> lifeAt = new HashMap<>();
-    /** Machines whose disk was lost, or that take the place of one, and that aren't members yet. */
+    private final Set<Long> liveIncarnations = new HashSet<>();
+    private final Map<String, Long> incarnationByAddress = new HashMap<>();
+    /** Machines whose disk was lost, or that replace such a machine, and that are not members yet. */
     final Set<String> recovering = new HashSet<>();
 
-    View latest;
-    private long latestAt;
-    private long troubleAt = Long.MIN_VALUE / 2;
+    View latestView;
+    private long latestViewAtMs;
+    private long recoveringAtMs = Long.MIN_VALUE / 2;
     /**
-     * Whether disks are lost sooner after one another than is promised; then nobody promises that it goes on, only that
-     * nothing breaks.
+     * Whether disks are lost in faster succession than is tolerated; then only safety is guaranteed, not progress.
      */
-    boolean harsh;
+    boolean rapidDiskLosses;
 
-    int unclear;
-    int confirmedOk;
-    long tokens;
+    int unknownOutcomes;
+    int confirmedReads;
+    long lastToken;
 
     RuleChecker(SimulatedReplicas world) {
         this.world = world;
@@ -62,121 +62,123 @@
         throw new AssertionError(text.toString());
     }
 
-    void born(SimulatedReplica node, long incarnation) {
-        lifeAt.put(node.address, incarnation);
-        lives.add(incarnation);
+    void onStarted(SimulatedReplica node, long incarnation) {
+        incarnationByAddress.put(node.address, incarnation);
+        liveIncarnations.add(incarnation);
     }
 
-    void wiped(SimulatedReplica node) {
+    void onDiskWiped(SimulatedReplica node) {
         recovering.add(node.address);
         if (world.logsEvents) {
             world.events.add(world.now + " " + node.address + " wiped");
         }
-        lives.remove(lifeAt.getOrDefault(node.address, 0L));
-        lifeAt.put(node.address, 0L);
+        liveIncarnations.remove(incarnationByAddress.getOrDefault(node.address, 0L));
+        incarnationByAddress.put(node.address, 0L);
     }
 
-    /** Whether one more disk may be lost without losing what is kept on more disks than one. */
-    boolean intact() {
-        if (latest == null || latest.members().size() < 2 || world.now - latestAt < SPREAD_MS) {
+    /** Whether one more disk may be lost without losing entries that were on more than one disk. */
+    boolean mayLoseDisk() {
+        if (latestView == null
+                || latestView.members().size() < 2
+                || world.now - latestViewAtMs < ACTIVATION_SPREAD_MS) {
             return false;
         }
-        recovering.removeIf(address -> latest.memberAt(address) != null
-                && latest.memberAt(address).incarnation() == lifeAt.getOrDefault(address, 0L));
+        recovering.removeIf(address -> latestView.memberAt(address) != null
+                && latestView.memberAt(address).incarnation() == incarnationByAddress.getOrDefault(address, 0L));
         if (!recovering.isEmpty()) {
-            troubleAt = world.now;
+            recoveringAtMs = world.now;
             return false;
         }
-        if (!harsh && world.now - troubleAt < LOST_MS) {
+        if (!rapidDiskLosses && world.now - recoveringAtMs < RECOVERY_MS) {
             return false;
         }
-        for (Member member : latest.members()) {
-            if (!lives.contains(member.incarnation())) {
+        for (Member member : latestView.members()) {
+            if (!liveIncarnations.contains(member.incarnation())) {
                 return false;
             }
         }
         return true;
     }
 
-    void look(SimulatedReplica node) {
+    void checkView(SimulatedReplica node) {
         ReplicaStatus status = node.replica.status();
         if (!status.active()) {
             return;
         }
         View view = views.get(status.viewNumber());
-        View mine =
+        View observed =
                 new View(new Ballot(status.viewNumber(), status.leader().incarnation()), status.members(), List.of());
         if (view == null) {
-            views.put(status.viewNumber(), mine);
-            if (latest == null || mine.ballot().isAbove(latest.ballot())) {
-                latest = mine;
-                latestAt = world.now;
+            views.put(status.viewNumber(), observed);
+            if (latestView == null || observed.ballot().isAbove(latestView.ballot())) {
+                latestView = observed;
+                latestViewAtMs = world.now;
             }
-        } else if (!view.equals(mine)) {
-            fail("two views of number " + status.viewNumber() + ": " + view + " and " + mine);
+        } else if (!view.equals(observed)) {
+            fail("two views of number " + status.viewNumber() + ": " + view + " and " + observed);
         }
     }
 
-    public void delivered(SimulatedReplica node, long index, String text) {
-        String other = order.putIfAbsent(index, text);
-        ordered.add(text);
+    public void onApplied(SimulatedReplica node, long index, String text) {
+        String other = appliedByIndex.putIfAbsent(index, text);
+        appliedTexts.add(text);
         if (other != null && !other.equals(text)) {
-            fail(node.address + " delivers " + text + " at " + index + ", others " + other);
+            fail(node.address + " applies " + text + " at index " + index + ", another member applied " + other);
         }
-        if (refused.contains(text)) {
-            fail(text + " was refused and is delivered");
+        if (rejected.contains(text)) {
+            fail(text + " was rejected but has been applied");
         }
     }
 
-    /** Proposes a text here, {@code c} and the token that this returns. */
+    /** Proposes the text {@code c<token>} at this member and returns the token. */
     public long propose(SimulatedReplica node) {
-        long token = ++tokens;
+        long token = ++lastToken;
         String text = "c" + token;
         proposed.put(token, text);
-        String whole = world.padding.isEmpty() ? text : text + ' ' + world.padding;
-        node.replica.propose(token, whole.getBytes(java.nio.charset.StandardCharsets.UTF_8), world.now);
+        String change = world.changePadding.isEmpty() ? text : text + ' ' + world.changePadding;
+        node.replica.propose(token, change.getBytes(java.nio.charset.StandardCharsets.UTF_8), world.now);
         return token;
     }
 
-    void outcome(SimulatedReplica node, long token, ProposalOutcome outcome) {
+    void onProposalCompleted(SimulatedReplica node, long token, ProposalOutcome outcome) {
         String text = proposed.get(token);
         if (outcome == ProposalOutcome.COMMITTED) {
-            if (!ordered.contains(text)) {
-                fail(text + " acknowledged but not in the order");
+            if (!appliedTexts.contains(text)) {
+                fail(text + " acknowledged but not applied");
             }
             acknowledged.add(text);
         } else if (outcome == ProposalOutcome.REJECTED) {
-            if (ordered.contains(text)) {
-                fail(text + " refused but in the order");
+            if (appliedTexts.contains(text)) {
+                fail(text + " rejected but applied");
             }
-            refused.add(text);
+            rejected.add(text);
         } else {
-            unclear++;
+            unknownOutcomes++;
         }
     }
 
-    long confirm(SimulatedReplica node) {
-        long token = ++tokens;
+    long requestReadIndex(SimulatedReplica node) {
+        long token = ++lastToken;
         expected.put(token, new HashSet<>(acknowledged));
         node.replica.requestReadIndex(token, world.now);
         return token;
     }
 
-    void confirmed(SimulatedReplica node, long token, boolean yes) {
-        Set<String> must = expected.remove(token);
-        if (!yes) {
+    void onReadIndexCompleted(SimulatedReplica node, long token, boolean confirmed) {
+        Set<String> required = expected.remove(token);
+        if (!confirmed) {
             return;
         }
-        confirmedOk++;
-        for (String text : must) {
+        confirmedReads++;
+        for (String text : required) {
             if (!node.applied.contains(text)) {
-                fail(node.address + " reads without " + text + ", acknowledged before");
+                fail(node.address + " confirmed a read without " + text + ", which had been acknowledged before");
             }
         }
     }
 
-    /** At the end: all members have the same and all that was acknowledged. */
-    void end(List<SimulatedReplica> live) {
+    /** Checks at the end of a run that these members have the same state, with all acknowledged changes. */
+    void checkFinalState(List<SimulatedReplica> live) {
         for (String text : acknowledged) {
             for (SimulatedReplica node : live) {
                 if (!node.applied.contains(text)) {
@@ -192,7 +194,7 @@
         }
     }
 
-    int views() {
+    int viewCount() {
         return views.size();
     }
 }
--- a/src/test/java/brambletray/platform/replication/SimulatedReplica.java
+++ b/src/test/java/brambletray/platform/replication/SimulatedReplica.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** One machine of the control plane in simulated time: a disk that stays, and a process that comes and goes. */
+/** One simulated machine of the control plane: a persistent disk, and a process that can end and restart. */
 public final class SimulatedReplica {
-    /** What else the process does besides being a member. */
-    public interface Passenger {
+    /** Another component that runs in the same process as the replica. */
+    public interface AdditionalComponent {
         void tick();
 
         void receive(String from, Object frame);
@@ -18,7 +18,7 @@
         void syncFailed(long ticket);
     }
 
-    /** What the members replicate, in place of lists of texts, and the proposals that are its own. */
+    /** A replicated application in place of the default list of texts, with its own proposals. */
     public interface Application {
         StateMachine stateMachine();
 
@@ -32,18 +32,18 @@
     public final SimulatedReplicaDisk disk = new SimulatedReplicaDisk();
     List<String> seeds;
     public Replica replica;
-    public Passenger passenger;
-    /** Null for lists of texts. */
+    public AdditionalComponent additionalComponent;
+    /** Null for the default list of texts. */
     public Application application;
-    /** Counts processes; what was meant for an earlier one is dropped. */
+    /** Number of process starts; events scheduled for an earlier process are dropped. */
     int processNumber;
 
-    public boolean initial;
+    public boolean initialStart;
     String zone = "";
     public long frozenUntil;
-    /** What this process has delivered, by place; places before the first are in the snapshot. */
+    /** The changes that this process has applied, in order, including those from a snapshot. */
     public final List<String> state = new ArrayList<>();
-    /** The same, to look a change up. */
+    /** The same changes, for lookup. */
     public final java.util.Set<String> applied = new java.util.HashSet<>();
 
     long appliedIndex;
@@ -65,35 +65,35 @@
         state.clear();
         applied.clear();
         appliedIndex = 0;
-        long fresh = world.random.nextLong() | 1;
-        DurableState durableState = DurableState.read(disk.kept);
+        long newIncarnation = world.random.nextLong() | 1;
+        DurableState durableState = DurableState.read(disk.content);
         replica = null;
         long origin = world.random.nextLong() | 1;
-        application = world.applications == null ? null : world.applications.make(this, origin);
+        application = world.applications == null ? null : world.applications.create(this, origin);
         replica = new Replica(
-                new ReplicaConfig(address, address, zone, fresh, origin, seeds, initial, world.settings),
+                new ReplicaConfig(address, address, zone, newIncarnation, origin, seeds, initialStart, world.settings),
                 durableState,
-                new Ways(processNumber),
-                application == null ? new State() : application.stateMachine(),
+                new SimulatedActions(processNumber),
+                application == null ? new TextListStateMachine() : application.stateMachine(),
                 world.now);
-        world.ruleChecker.born(this, replica.status().self().incarnation());
-        passenger = world.passengers == null ? null : world.passengers.apply(this);
-        tick(processNumber);
+        world.ruleChecker.onStarted(this, replica.status().self().incarnation());
+        additionalComponent = world.additionalComponents == null ? null : world.additionalComponents.apply(this);
+        scheduleTick(processNumber);
     }
 
-    /** Runs it on this process's loop, unless the process ends before. */
-    public void execute(Runnable run) {
-        world.at(this, processNumber, world.now, run);
+    /** Runs the action as an event of this process, unless the process ends before. */
+    public void execute(Runnable action) {
+        world.at(this, processNumber, world.now, action);
     }
 
-    /** Keeps changes of the rider. */
+    /** Writes changes of the {@link #additionalComponent} to disk. */
     public void persist(long ticket, Map<String, byte[]> changes) {
         write(1, processNumber, ticket, changes);
     }
 
     private void write(int writer, int process, long ticket, Map<String, byte[]> changes) {
-        disk.begin(writer, changes);
-        world.later(world.now, () -> world.atDisk.accept(this));
+        disk.startWrite(writer, changes);
+        world.schedule(world.now, () -> world.onDiskWrite.accept(this));
         world.at(
                 this,
                 process,
@@ -106,21 +106,21 @@
             world.at(this, process, world.now + 10, () -> finish(writer, process, ticket));
             return;
         }
-        world.atDisk.accept(this);
+        world.onDiskWrite.accept(this);
         if (process != processNumber) {
             return;
         }
         boolean full = disk.full;
         if (full) {
-            disk.drop(writer);
+            disk.discardWrite(writer);
         } else {
-            disk.end(writer);
+            disk.completeWrite(writer);
         }
         if (writer == 1) {
             if (full) {
-                passenger.syncFailed(ticket);
+                additionalComponent.syncFailed(ticket);
             } else {
-                passenger.synced(ticket);
+                additionalComponent.synced(ticket);
             }
         } else {
             if (full) {
@@ -129,42 +129,42 @@
                 replica.synced(ticket, world.now);
             }
             if (replica != null) {
-                world.ruleChecker.look(this);
+                world.ruleChecker.checkView(this);
             }
         }
     }
 
-    private void tick(int which) {
-        world.at(this, which, world.now + 40, () -> {
+    private void scheduleTick(int process) {
+        world.at(this, process, world.now + 40, () -> {
             if (replica != null) {
                 replica.tick(world.now);
                 if (replica != null) {
-                    world.ruleChecker.look(this);
+                    world.ruleChecker.checkView(this);
                 }
-                if (passenger != null) {
-                    passenger.tick();
+                if (additionalComponent != null) {
+                    additionalComponent.tick();
                 }
             }
-            tick(which);
+            scheduleTick(process);
         });
     }
 
-    /** The process ends at once. With {@code power}, so does the machine: a batch under way may be lost. */
+    /** Ends the process immediately. With {@code power} the machine loses power, so a batch in flight may be lost. */
     public void kill(boolean power) {
         processNumber++;
         down = true;
         replica = null;
-        passenger = null;
+        additionalComponent = null;
         application = null;
         if (power && (!world.jitter || world.random.nextBoolean())) {
-            disk.dropAll();
+            disk.discardAllWrites();
         } else {
-            disk.endAll();
+            disk.completeAllWrites();
         }
     }
 
     public void wipe() {
-        world.ruleChecker.wiped(this);
+        world.ruleChecker.onDiskWiped(this);
         disk.wipe();
         disk.full = false;
         disk.hungUntil = 0;
@@ -174,25 +174,25 @@
         return !down;
     }
 
-    void hear(String from, Object frame) {
+    void deliver(String from, Object frame) {
         if (replica == null) {
             return;
         }
         if (frame instanceof ReplicationMessage) {
             replica.receive(from, frame, world.now);
             if (replica != null) {
-                world.ruleChecker.look(this);
+                world.ruleChecker.checkView(this);
             }
-        } else if (passenger != null) {
-            passenger.receive(from, frame);
+        } else if (additionalComponent != null) {
+            additionalComponent.receive(from, frame);
         }
         world.afterMessage.accept(this, frame);
     }
 
-    private final class State implements StateMachine {
+    private final class TextListStateMachine implements StateMachine {
         @Override
         public byte[] snapshot() {
-            return (appliedIndex + " " + world.ballast + "\n" + String.join("\n", state))
+            return (appliedIndex + " " + world.snapshotPadding + "\n" + String.join("\n", state))
                     .getBytes(StandardCharsets.UTF_8);
         }
 
@@ -207,7 +207,7 @@
             for (byte[] change : changes) {
                 lines.add(new String(change, StandardCharsets.UTF_8).split(" ")[0]);
             }
-            String all = (at + changes.size()) + " " + world.ballast + "\n" + String.join("\n", lines);
+            String all = (at + changes.size()) + " " + world.snapshotPadding + "\n" + String.join("\n", lines);
             return all.getBytes(StandardCharsets.UTF_8);
         }
 
@@ -230,24 +230,24 @@
         @Override
         public void apply(long index, byte[] change) {
             if (index != appliedIndex + 1) {
-                world.ruleChecker.fail(address + " delivers " + index + " after " + appliedIndex);
+                world.ruleChecker.fail(address + " applies index " + index + " after " + appliedIndex);
             }
             appliedIndex = index;
-            String whole = new String(change, StandardCharsets.UTF_8);
-            String text = whole.indexOf(' ') < 0 ? whole : whole.substring(0, whole.indexOf(' '));
+            String changeText = new String(change, StandardCharsets.UTF_8);
+            String text = changeText.indexOf(' ') < 0 ? changeText : changeText.substring(0, changeText.indexOf(' '));
             if (!applied.add(text)) {
-                world.ruleChecker.fail(address + " delivers " + text + " twice");
+                world.ruleChecker.fail(address + " applies " + text + " twice");
             }
             state.add(text);
-            world.ruleChecker.delivered(SimulatedReplica.this, index, text);
+            world.ruleChecker.onApplied(SimulatedReplica.this, index, text);
         }
     }
 
-    private final class Ways implements ReplicationActions {
-        private final int mine;
+    private final class SimulatedActions implements ReplicationActions {
+        private final int process;
 
-        Ways(int mine) {
-            this.mine = mine;
+        SimulatedActions(int process) {
+            this.process = process;
         }
 
         @Override
@@ -257,7 +257,7 @@
 
         @Override
         public void persist(long ticket, Map<String, byte[]> changes) {
-            write(0, mine, ticket, changes);
+            write(0, process, ticket, changes);
         }
 
         @Override
@@ -266,12 +266,12 @@
                 execute(() -> application.onProposalCompleted(token, outcome));
                 return;
             }
-            world.ruleChecker.outcome(SimulatedReplica.this, token, outcome);
+            world.ruleChecker.onProposalCompleted(SimulatedReplica.this, token, outcome);
         }
 
         @Override
         public void readIndexCompleted(long token, boolean yes) {
-            world.ruleChecker.confirmed(SimulatedReplica.this, token, yes);
+            world.ruleChecker.onReadIndexCompleted(SimulatedReplica.this, token, yes);
         }
 
         @Override
@@ -280,7 +280,7 @@
         @Override
         public void log(ReplicationEvent event) {
             if (event instanceof ReplicationEvent.BehindSnapshot) {
-                world.ruleChecker.fail(address + " can't send what a member lacks: " + event);
+                world.ruleChecker.fail(address + " has compacted entries that a member lacks: " + event);
             }
             if (!world.logsEvents) {
                 return;
--- a/src/test/java/brambletray/platform/replication/SimulatedReplicas.java
+++ b/src/test/java/brambletray/platform/replication/SimulatedReplicas.java
@@ -8,23 +8,23 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 
-/** Machines, links and disks in simulated time. One seed gives one scenario of events. */
+/** Machines, links and disks in simulated time. A seed determines the sequence of events. */
 public final class SimulatedReplicas {
-    private record Event(long at, long seq, SimulatedReplica node, int boot, Runnable run) {}
+    private record Event(long at, long seq, SimulatedReplica node, int process, Runnable run) {}
 
     /** One direction of a link. */
     static final class Link {
         boolean cut;
         int delayMs = 2;
         double loss;
-        /** Bytes a ms; 0 for a link that takes no time. */
-        int rate;
-        /** When all that was said is out; with more than may wait by then, the link closes and that is lost. */
-        double freeAt;
+        /** Bandwidth in bytes per ms; 0 for unlimited bandwidth. */
+        int bytesPerMs;
+        /** When the send queue will be empty. If the queue exceeds its bound, the connection closes and loses it. */
+        double queueEmptyAt;
 
         long bytes;
-        int breaks;
-        long lastAt;
+        int disconnects;
+        long lastDeliveryAt;
         final List<Object> held = new ArrayList<>();
     }
 
@@ -38,35 +38,36 @@
     public final List<String> events = new ArrayList<>();
     public boolean logsEvents;
     public boolean jitter = true;
-    /** Makes what rides on a process at its start; null for nothing. */
-    public java.util.function.Function<SimulatedReplica, SimulatedReplica.Passenger> passengers;
-    /** Makes what a process replicates, at its start; null for lists of texts. */
-    public Applications applications;
-    /** Makes snapshots larger, and changes. */
-    String ballast = "";
+    /** Creates the additional component of a process at its start; null for none. */
+    public java.util.function.Function<SimulatedReplica, SimulatedReplica.AdditionalComponent> additionalComponents;
+    /** Creates the replicated application of a process at its start; null for the default list of texts. */
+    public ApplicationFactory applications;
+    /** Added to each snapshot to make it larger; {@link #changePadding} does the same for changes. */
+    String snapshotPadding = "";
 
-    String padding = "";
+    String changePadding = "";
     public long now = 1000;
     private long seq;
-    /** Frames sent so far; and a chance to act on one before it goes: returns false to lose it. */
-    long frames;
+    /** Number of messages sent so far. */
+    long messageCount;
 
-    Tap tap = (from, to, frame) -> true;
-    /** How a frame comes to the other side. */
-    java.util.function.UnaryOperator<Object> post = frame -> frame;
-    /** Told of each frame once it has been dealt with. */
+    /** Called before each message is sent; returns false to drop it. */
+    SendFilter sendFilter = (from, to, frame) -> true;
+    /** Transforms each message on its way to the receiver. */
+    java.util.function.UnaryOperator<Object> messageTransform = frame -> frame;
+    /** Called after each message has been handled. */
     java.util.function.BiConsumer<SimulatedReplica, Object> afterMessage = (node, frame) -> {};
 
-    /** Told once a write has begun, and once more when its sync is about to return. */
-    java.util.function.Consumer<SimulatedReplica> atDisk = node -> {};
+    /** Called when a write has started, and again before its sync completes. */
+    java.util.function.Consumer<SimulatedReplica> onDiskWrite = node -> {};
 
-    /** {@code origin}: of the process's proposals. */
-    public interface Applications {
-        SimulatedReplica.Application make(SimulatedReplica node, long origin);
+    /** Factory of replicated applications; {@code origin} identifies the proposals of the process. */
+    public interface ApplicationFactory {
+        SimulatedReplica.Application create(SimulatedReplica node, long origin);
     }
 
-    interface Tap {
-        boolean pass(SimulatedReplica from, String to, Object frame);
+    interface SendFilter {
+        boolean maySend(SimulatedReplica from, String to, Object frame);
     }
 
     public SimulatedReplicas(long seed, ReplicationSettings settings) {
@@ -84,12 +85,12 @@
         return links.computeIfAbsent(from + ">" + to, key -> new Link());
     }
 
-    void at(SimulatedReplica node, int boot, long when, Runnable run) {
-        queue.add(new Event(when, ++seq, node, boot, run));
+    void at(SimulatedReplica node, int process, long when, Runnable run) {
+        queue.add(new Event(when, ++seq, node, process, run));
     }
 
-    /** Something that is no process's doing. */
-    public void later(long when, Runnable run) {
+    /** Schedules an action that does not belong to a process. */
+    public void schedule(long when, Runnable run) {
         at(null, 0, when, run);
     }
 
@@ -98,8 +99,8 @@
     }
 
     public void send(SimulatedReplica from, String to, Object frame) {
-        frames++;
-        if (!tap.pass(from, to, frame) || from.down) {
+        messageCount++;
+        if (!sendFilter.maySend(from, to, frame) || from.down) {
             return;
         }
         SimulatedReplica target = nodes.get(to);
@@ -115,35 +116,35 @@
         }
         int size = MessageSizes.bytes(frame);
         if (size > MessageSizes.LONGEST) {
-            ruleChecker.fail(from.address + " says a frame of " + size + " bytes: "
+            ruleChecker.fail(from.address + " sends a message of " + size + " bytes, above the limit: "
                     + frame.getClass().getSimpleName());
         }
         link.bytes += size;
-        if (link.rate > 0) {
-            later(from, target, link, size, post.apply(frame));
+        if (link.bytesPerMs > 0) {
+            schedule(from, target, link, size, messageTransform.apply(frame));
             return;
         }
         int delay = link.delayMs + (jitter ? random.nextInt(link.delayMs + 1) : 0);
-        link.lastAt = Math.max(link.lastAt, now + delay);
+        link.lastDeliveryAt = Math.max(link.lastDeliveryAt, now + delay);
         if (!target.isRunning()) {
             at(from, from.processNumber, now + 2L * delay, () -> from.replica.onDisconnected(to, now));
             return;
         }
-        Object response = post.apply(frame);
-        at(target, target.processNumber, link.lastAt, () -> target.hear(from.address, response));
+        Object received = messageTransform.apply(frame);
+        at(target, target.processNumber, link.lastDeliveryAt, () -> target.deliver(from.address, received));
     }
 
-    /** A frame on a link that takes its time: whole frames, one after the other. */
-    private void later(SimulatedReplica from, SimulatedReplica target, Link link, int size, Object frame) {
-        if ((link.freeAt - now) * link.rate > MessageSizes.MOST_WAITING) {
-            link.breaks++;
-            link.freeAt = now;
+    /** Sends a message over a link of limited bandwidth; messages are transmitted one after the other. */
+    private void schedule(SimulatedReplica from, SimulatedReplica target, Link link, int size, Object frame) {
+        if ((link.queueEmptyAt - now) * link.bytesPerMs > MessageSizes.MOST_WAITING) {
+            link.disconnects++;
+            link.queueEmptyAt = now;
             from.replica.onDisconnected(target.address, now);
             return;
         }
-        link.freeAt = Math.max(now, link.freeAt) + (double) size / link.rate;
-        int breaks = link.breaks;
-        link.lastAt = Math.max(link.lastAt, (long) link.freeAt + link.delayMs);
+        link.queueEmptyAt = Math.max(now, link.queueEmptyAt) + (double) size / link.bytesPerMs;
+        int disconnects = link.disconnects;
+        link.lastDeliveryAt = Math.max(link.lastDeliveryAt, (long) link.queueEmptyAt + link.delayMs);
         if (!target.isRunning()) {
             at(
                     from,
@@ -152,25 +153,25 @@
                     () -> from.replica.onDisconnected(target.address, now));
             return;
         }
-        at(target, target.processNumber, link.lastAt, () -> {
-            if (link.breaks == breaks) {
-                target.hear(from.address, frame);
+        at(target, target.processNumber, link.lastDeliveryAt, () -> {
+            if (link.disconnects == disconnects) {
+                target.deliver(from.address, frame);
             }
         });
     }
 
-    /** Both ways between two machines: bytes a ms. */
-    void rate(String a, String b, int bytes) {
-        link(a, b).rate = bytes;
-        link(b, a).rate = bytes;
+    /** Sets the bandwidth between two machines in both directions, in bytes per ms. */
+    void setBandwidth(String a, String b, int bytes) {
+        link(a, b).bytesPerMs = bytes;
+        link(b, a).bytesPerMs = bytes;
     }
 
-    public void cut(String a, String b, boolean cut) {
-        one(a, b, cut);
-        one(b, a, cut);
+    public void setCut(String a, String b, boolean cut) {
+        setOneWayCut(a, b, cut);
+        setOneWayCut(b, a, cut);
     }
 
-    void one(String from, String to, boolean cut) {
+    void setOneWayCut(String from, String to, boolean cut) {
         Link link = link(from, to);
         link.cut = cut;
         if (cut) {
@@ -179,7 +180,7 @@
         SimulatedReplica target = nodes.get(to);
         for (Object frame : link.held) {
             if (target.isRunning()) {
-                at(target, target.processNumber, now + link.delayMs, () -> target.hear(from, frame));
+                at(target, target.processNumber, now + link.delayMs, () -> target.deliver(from, frame));
             }
         }
         link.held.clear();
@@ -188,7 +189,7 @@
     public void heal() {
         for (SimulatedReplica node : nodes.values()) {
             node.frozenUntil = Math.min(node.frozenUntil, now);
-            thaw(node);
+            deliverDeferred(node);
             node.disk.full = false;
             node.disk.hungUntil = 0;
             node.disk.syncMs = 5;
@@ -198,30 +199,30 @@
                 Link link = link(a, b);
                 link.loss = 0;
                 link.delayMs = 2;
-                if (link.rate > 0) {
-                    // what waits in a slow link is lost with it
-                    link.breaks++;
-                    link.freeAt = now;
-                    link.lastAt = now;
-                    link.rate = 0;
+                if (link.bytesPerMs > 0) {
+                    // the queue of a slow link is lost when its connection closes
+                    link.disconnects++;
+                    link.queueEmptyAt = now;
+                    link.lastDeliveryAt = now;
+                    link.bytesPerMs = 0;
                     if (nodes.get(a).isRunning()) {
                         nodes.get(a).replica.onDisconnected(b, now);
                     }
                 }
-                one(a, b, false);
+                setOneWayCut(a, b, false);
             }
         }
     }
 
-    /** Plays until a time. */
-    public void until(long when) {
+    /** Runs all events up to this time. */
+    public void runUntil(long when) {
         while (!queue.isEmpty() && queue.peek().at <= when) {
             step();
         }
         now = Math.max(now, when);
     }
 
-    /** Plays the next event; false when there is none. */
+    /** Runs the next event; returns false if there is none. */
     boolean step() {
         Event event = queue.poll();
         if (event == null) {
@@ -230,14 +231,14 @@
         now = Math.max(now, event.at);
         SimulatedReplica node = event.node;
         if (node != null) {
-            if (node.processNumber != event.boot || node.down) {
+            if (node.processNumber != event.process || node.down) {
                 return true;
             }
             if (node.frozenUntil > now) {
                 if (node.deferred.isEmpty()) {
-                    later(node.frozenUntil, () -> thaw(node));
+                    schedule(node.frozenUntil, () -> deliverDeferred(node));
                 }
-                node.deferred.add(() -> at(node, event.boot, now, event.run));
+                node.deferred.add(() -> at(node, event.process, now, event.run));
                 return true;
             }
         }
@@ -245,25 +246,25 @@
         return true;
     }
 
-    /** What a frozen process has missed comes to it all at once, in order. */
-    private void thaw(SimulatedReplica node) {
+    /** Delivers the events deferred while the process was frozen, in order. */
+    private void deliverDeferred(SimulatedReplica node) {
         if (node.frozenUntil > now) {
-            later(node.frozenUntil, () -> thaw(node));
+            schedule(node.frozenUntil, () -> deliverDeferred(node));
             return;
         }
-        List<Runnable> all = List.copyOf(node.deferred);
+        List<Runnable> deferred = List.copyOf(node.deferred);
         node.deferred.clear();
-        all.forEach(Runnable::run);
+        deferred.forEach(Runnable::run);
     }
 
-    /** Plays on until the condition holds; fails after the span. */
-    public long await(java.util.function.BooleanSupplier condition, long span, String what) {
+    /** Runs until the condition holds and returns the time taken in ms; fails after {@code span} ms. */
+    public long runUntilTrue(java.util.function.BooleanSupplier condition, long span, String what) {
         long begin = now;
         while (!condition.getAsBoolean()) {
             if (now - begin > span) {
                 ruleChecker.fail("not within " + span + " ms: " + what);
             }
-            until(now + 10);
+            runUntil(now + 10);
         }
         return now - begin;
     }
--- a/src/test/java/brambletray/platform/replication/StateTransferServerTest.java
+++ b/src/test/java/brambletray/platform/replication/StateTransferServerTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a source holds for those that fetch from it. */
+/** Packed bytes that a state transfer server shares between its receivers. */
 class StateTransferServerTest {
     private static final Ballot INSTALLING = new Ballot(6, 1);
     private static final int RECEIVERS = 8;
@@ -14,23 +14,23 @@
     private final RecordingReplicationActions out = new RecordingReplicationActions();
     private final ReplicaState state = RecordingReplicationActions.state(DurableState.empty(), out);
 
-    /** The log of a view that is being installed can be had only as it is: no other cut does in its stead. */
+    /** Only the log of the view being installed may be served to these receivers, never other packed bytes. */
     @Test
-    void allThatLackTheSameOfANewViewAreServedFromOneCut() {
+    void receiversWithTheSameNeedsOfANewViewShareOnePackedPatch() {
         LogEntry entry = new LogEntry(1, INSTALLING, 7, 1, new byte[2 * StateTransferClient.CHUNK_BYTES]);
         ReplicatedLog log = new ReplicatedLog(0, Ballot.NONE, new byte[0], List.of(entry));
-        StateTransferServer serving = new StateTransferServer(state, view -> log);
+        StateTransferServer server = new StateTransferServer(state, view -> log);
         for (int i = 0; i < RECEIVERS; i++) {
-            serving.onFetchChunk(
+            server.onFetchChunk(
                     "learner-" + i,
                     new ReplicationMessage.FetchChunkRequest(
                             i + 1, 0, INSTALLING, 0, Ballot.NONE, 0, TransferDescriptor.NONE));
         }
         for (int i = 0; i < RECEIVERS; i++) {
-            List<ReplicationMessage.FetchChunkResponse> pieces =
+            List<ReplicationMessage.FetchChunkResponse> chunks =
                     out.sentTo("learner-" + i, ReplicationMessage.FetchChunkResponse.class);
-            assertEquals(1, pieces.size());
-            assertTrue(pieces.get(0).totalBytes() > 0, "learner-" + i + " was refused");
+            assertEquals(1, chunks.size());
+            assertTrue(chunks.get(0).totalBytes() > 0, "learner-" + i + " was rejected");
         }
         assertEquals(RECEIVERS, out.sent.size());
     }
--- a/src/test/java/brambletray/platform/replication/SteppedReplicas.java
+++ b/src/test/java/brambletray/platform/replication/SteppedReplicas.java
@@ -9,9 +9,9 @@
 import java.util.TreeMap;
 
 /**
- * Three members and one that may come later, their disks and links, moved by hand: each move is the next frame of a
- * link, the end of a sync, the impatience of a member, a loss of power or of a disk, a planned end, the start of the
- * newcomer. The same moves give the same board.
+ * Three members and a potential newcomer with their disks and links, advanced step by step: each move is the delivery
+ * of the next message on a link, the end of a sync, an election timeout of a member, a loss of power or of a disk, a
+ * planned shutdown, or the start of the newcomer. The same moves lead to the same state.
  */
 final class SteppedReplicas {
     /** Machines: the founders and the newcomer. */
@@ -21,84 +21,95 @@
     private static final int STEP_MS = 400;
     private static final String[] NAMES = {"a", "b", "c", "d"};
     private static final List<String> SEEDS = List.of("a", "b", "c");
-    private static final int FAR = 1_000_000_000;
-    private static final ReplicationSettings SETTINGS =
-            new ReplicationSettings(FaultTolerance.ofMachines(1), FAR, 1, FAR, FAR, FAR, 0, 0, 0, FAR, FAR, FAR);
+    private static final int NEVER_MS = 1_000_000_000;
+    private static final ReplicationSettings SETTINGS = new ReplicationSettings(
+            FaultTolerance.ofMachines(1),
+            NEVER_MS,
+            1,
+            NEVER_MS,
+            NEVER_MS,
+            NEVER_MS,
+            0,
+            0,
+            0,
+            NEVER_MS,
+            NEVER_MS,
+            NEVER_MS);
 
-    /** What may still happen: impatience, losses of power, losses of disks, planned ends, the start of the newcomer. */
-    record Purse(int impatience, int power, int disks, int leaves, int newcomers) {
-        Purse(int impatience, int power, int disks) {
+    /** Remaining number of timeouts, power losses, disk losses, planned shutdowns and newcomer starts. */
+    record EventBudget(int timeouts, int powerLosses, int diskLosses, int leaves, int newcomers) {
+        EventBudget(int impatience, int power, int disks) {
             this(impatience, power, disks, 0, 0);
         }
     }
 
     private static final class SteppedReplica implements ReplicationActions, StateMachine {
-        final SteppedReplicas board;
+        final SteppedReplicas cluster;
         final int number;
-        Map<String, byte[]> kept = new HashMap<>();
-        Map<String, byte[]> flying;
+        Map<String, byte[]> diskContent = new HashMap<>();
+        Map<String, byte[]> inFlight;
         long ticket;
-        int boot;
-        long life;
-        Replica members;
+        int startCount;
+        long incarnation;
+        Replica replica;
         final List<String> state = new ArrayList<>();
-        long proposedIn;
+        long lastProposedView;
 
-        SteppedReplica(SteppedReplicas board, int number) {
-            this.board = board;
+        SteppedReplica(SteppedReplicas cluster, int number) {
+            this.cluster = cluster;
             this.number = number;
         }
 
         void start(boolean initial) {
-            boot++;
+            startCount++;
             state.clear();
-            flying = null;
-            long fresh = 100 * (number + 1) + boot;
-            members = null;
-            members = new Replica(
+            inFlight = null;
+            long newIncarnation = 100 * (number + 1) + startCount;
+            replica = null;
+            replica = new Replica(
                     new ReplicaConfig(
                             NAMES[number],
                             NAMES[number],
                             "",
-                            fresh,
-                            1000 * (number + 1) + boot,
+                            newIncarnation,
+                            1000 * (number + 1) + startCount,
                             SEEDS,
                             initial,
                             SETTINGS),
-                    DurableState.read(kept),
+                    DurableState.read(diskContent),
                     this,
                     this,
-                    board.now);
-            life = members.status().self().incarnation();
+                    cluster.now);
+            incarnation = replica.status().self().incarnation();
         }
 
         @Override
         public void send(String address, ReplicationMessage frame) {
-            board.links.get(SIZE * number + address.charAt(0) - 'a').add(frame);
+            cluster.links.get(SIZE * number + address.charAt(0) - 'a').add(frame);
         }
 
         @Override
-        public void persist(long which, Map<String, byte[]> changes) {
-            ticket = which;
-            flying = new HashMap<>(changes);
+        public void persist(long newTicket, Map<String, byte[]> changes) {
+            ticket = newTicket;
+            inFlight = new HashMap<>(changes);
         }
 
         void sync() {
-            flying.forEach((key, value) -> {
+            inFlight.forEach((key, value) -> {
                 if (value == null) {
-                    kept.remove(key);
+                    diskContent.remove(key);
                 } else {
-                    kept.put(key, value);
+                    diskContent.put(key, value);
                 }
             });
-            flying = null;
-            members.synced(ticket, board.now);
+            inFlight = null;
+            replica.synced(ticket, cluster.now);
         }
 
         @Override
         public void proposalCompleted(long token, ProposalOutcome outcome) {
             if (outcome == ProposalOutcome.COMMITTED) {
-                board.acknowledged++;
+                cluster.acknowledged++;
             }
         }
 
@@ -110,7 +121,7 @@
 
         @Override
         public void log(ReplicationEvent event) {
-            if (!board.talks) {
+            if (!cluster.verbose) {
                 return;
             }
             StringBuilder line = new StringBuilder(NAMES[number]).append(' ').append(event.name());
@@ -146,33 +157,36 @@
         public void apply(long index, byte[] change) {
             String text = new String(change, StandardCharsets.UTF_8);
             if (state.contains(text)) {
-                throw new AssertionError(text + " twice at " + NAMES[number]);
+                throw new AssertionError(text + " applied twice at " + NAMES[number]);
             }
             state.add(text);
-            String other = board.order.putIfAbsent(index, text);
+            String other = cluster.appliedByIndex.putIfAbsent(index, text);
             if (other == null || other.equals(text)) {
                 return;
             }
-            throw new AssertionError(NAMES[number] + " delivers " + text + " at " + index + ", before it was " + other);
+            throw new AssertionError(
+                    NAMES[number] + " applies " + text + " at index " + index + ", another member applied " + other);
         }
     }
 
     private final SteppedReplica[] replicas = new SteppedReplica[SIZE];
     private final List<ArrayDeque<ReplicationMessage>> links = new ArrayList<>();
-    private final TreeMap<Long, String> order = new TreeMap<>();
+    private final TreeMap<Long, String> appliedByIndex = new TreeMap<>();
     private final TreeMap<Long, View> views = new TreeMap<>();
-    private final List<Long> lost = new ArrayList<>();
+    private final List<Long> lostIncarnations = new ArrayList<>();
     private long now = 1000;
-    private Purse purse;
+    private EventBudget budget;
     int acknowledged;
-    /** Processes that have left; newcomers let in. */
-    int left;
+    /** Number of processes that have ended as planned. */
+    int leftCount;
 
+    /** Whether the newcomer has become a member. */
     boolean joined;
-    boolean talks;
 
-    SteppedReplicas(Purse purse) {
-        this.purse = purse;
+    boolean verbose;
+
+    SteppedReplicas(EventBudget budget) {
+        this.budget = budget;
         for (int i = 0; i < SIZE; i++) {
             for (int j = 0; j < SIZE; j++) {
                 links.add(new ArrayDeque<>());
@@ -184,82 +198,82 @@
         }
     }
 
-    /** Founds the control plane: the first member leads, nothing is under way. */
+    /** Founds the cluster: afterwards the first member leads and no message or write is in flight. */
     void found() {
-        drain();
+        executeAllEnabled();
         now += STEP_MS;
-        replicas[0].members.tick(now);
-        drain();
-        // told to the others that the view is active by their leader's next beat
-        if (!replicas[0].members.status().isLeader()) {
+        replicas[0].replica.tick(now);
+        executeAllEnabled();
+        // the leader's next heartbeat tells the others that the view is active
+        if (!replicas[0].replica.status().isLeader()) {
             throw new AssertionError("not founded");
         }
     }
 
-    private void drain() {
-        boolean moved = true;
-        while (moved) {
-            moved = false;
+    private void executeAllEnabled() {
+        boolean progressed = true;
+        while (progressed) {
+            progressed = false;
             for (int move = 0; move < SIZE * SIZE + SIZE; move++) {
-                if (!may(move)) {
+                if (!isEnabled(move)) {
                     continue;
                 }
-                play(move);
-                moved = true;
+                execute(move);
+                progressed = true;
             }
         }
     }
 
     /**
-     * Moves: first the next frame of a link, then for each: sync, impatience, loss of power, of the disk, planned end,
-     * first start.
+     * Number of moves: the delivery of the next message for each link, then for each machine: sync, timeout, power
+     * loss, disk loss, planned shutdown, first start.
      */
     static final int MOVES = SIZE * SIZE + 6 * SIZE;
 
-    boolean may(int move) {
+    boolean isEnabled(int move) {
         if (move < SIZE * SIZE) {
             return !links.get(move).isEmpty();
         }
         SteppedReplica replica = replicas[move % SIZE];
         int kind = (move - SIZE * SIZE) / SIZE;
-        if (replica.members == null) {
-            return kind == 5 && purse.newcomers > 0 && replica.number >= FOUNDERS && replica.boot == 0;
+        if (replica.replica == null) {
+            return kind == 5 && budget.newcomers > 0 && replica.number >= FOUNDERS && replica.startCount == 0;
         }
         return switch (kind) {
-            case 0 -> replica.flying != null;
-            case 1 -> purse.impatience > 0;
-            case 2 -> purse.power > 0;
-            case 3 -> purse.disks > 0 && intact();
-            case 4 -> replica.members.isLeaving() ? replica.members.mayTerminate() : purse.leaves > 0;
+            case 0 -> replica.inFlight != null;
+            case 1 -> budget.timeouts > 0;
+            case 2 -> budget.powerLosses > 0;
+            case 3 -> budget.diskLosses > 0 && mayLoseDisk();
+            case 4 -> replica.replica.isLeaving() ? replica.replica.mayTerminate() : budget.leaves > 0;
             default -> false;
         };
     }
 
-    private boolean intact() {
+    private boolean mayLoseDisk() {
         if (views.isEmpty()) {
             return false;
         }
         View latest = views.lastEntry().getValue();
         return latest.members().size() > 1
-                && latest.members().stream().noneMatch(member -> lost.contains(member.incarnation()));
+                && latest.members().stream().noneMatch(member -> lostIncarnations.contains(member.incarnation()));
     }
 
-    void play(int move) {
+    void execute(int move) {
         if (move < SIZE * SIZE) {
             ReplicationMessage frame = links.get(move).poll();
-            if (replicas[move % SIZE].members == null) {
+            if (replicas[move % SIZE].replica == null) {
                 return;
             }
-            if (talks) {
+            if (verbose) {
                 System.out.println(NAMES[move / SIZE] + ">" + NAMES[move % SIZE] + " " + frame);
             }
-            replicas[move % SIZE].members.receive(NAMES[move / SIZE], frame, now);
-            look(replicas[move % SIZE]);
+            replicas[move % SIZE].replica.receive(NAMES[move / SIZE], frame, now);
+            checkView(replicas[move % SIZE]);
             return;
         }
         SteppedReplica replica = replicas[move % SIZE];
         int kind = (move - SIZE * SIZE) / SIZE;
-        if (talks) {
+        if (verbose) {
             System.out.println(NAMES[move % SIZE] + " "
                     + List.of("sync", "impatient", "power", "disk", "leaves", "comes")
                             .get(kind));
@@ -267,98 +281,105 @@
         if (kind == 0) {
             replica.sync();
         } else if (kind == 1) {
-            purse = new Purse(purse.impatience - 1, purse.power, purse.disks, purse.leaves, purse.newcomers);
+            budget = new EventBudget(
+                    budget.timeouts - 1, budget.powerLosses, budget.diskLosses, budget.leaves, budget.newcomers);
             now += STEP_MS;
-            replica.members.tick(now);
+            replica.replica.tick(now);
         } else if (kind == 4) {
-            if (replica.members.mayTerminate()) {
-                end(replica);
+            if (replica.replica.mayTerminate()) {
+                endProcess(replica);
                 return;
             }
-            purse = new Purse(purse.impatience, purse.power, purse.disks, purse.leaves - 1, purse.newcomers);
+            budget = new EventBudget(
+                    budget.timeouts, budget.powerLosses, budget.diskLosses, budget.leaves - 1, budget.newcomers);
             now += STEP_MS;
-            replica.members.leave(now);
+            replica.replica.leave(now);
         } else if (kind == 5) {
-            purse = new Purse(purse.impatience, purse.power, purse.disks, purse.leaves, purse.newcomers - 1);
+            budget = new EventBudget(
+                    budget.timeouts, budget.powerLosses, budget.diskLosses, budget.leaves, budget.newcomers - 1);
             now += STEP_MS;
             replica.start(false);
             replica.sync();
-            replica.members.tick(now);
+            replica.replica.tick(now);
         } else {
             boolean disk = kind == 3;
-            purse = new Purse(
-                    purse.impatience,
-                    purse.power - (disk ? 0 : 1),
-                    purse.disks - (disk ? 1 : 0),
-                    purse.leaves,
-                    purse.newcomers);
+            budget = new EventBudget(
+                    budget.timeouts,
+                    budget.powerLosses - (disk ? 0 : 1),
+                    budget.diskLosses - (disk ? 1 : 0),
+                    budget.leaves,
+                    budget.newcomers);
             if (disk) {
-                lost.add(replica.life);
-                replica.kept = new HashMap<>();
+                lostIncarnations.add(replica.incarnation);
+                replica.diskContent = new HashMap<>();
             }
-            cut(replica);
+            clearLinks(replica);
             replica.start(false);
         }
-        look(replica);
+        checkView(replica);
     }
 
-    private void cut(SteppedReplica replica) {
+    private void clearLinks(SteppedReplica replica) {
         for (int i = 0; i < SIZE; i++) {
             links.get(SIZE * i + replica.number).clear();
             links.get(SIZE * replica.number + i).clear();
         }
     }
 
-    /** The process has left: the others have to be able to go on without it, on more disks than may be lost. */
-    private void end(SteppedReplica replica) {
+    /**
+     * Ends a process after its planned shutdown. The others must be able to continue without it, with more disks than
+     * may be lost.
+     */
+    private void endProcess(SteppedReplica replica) {
         View latest = views.lastEntry().getValue();
-        boolean alone = latest.members().size() == 1;
-        if (latest.contains(replica.life) && !alone) {
-            throw new AssertionError(NAMES[replica.number] + " has left, and is in " + latest);
+        boolean singleMember = latest.members().size() == 1;
+        if (latest.contains(replica.incarnation) && !singleMember) {
+            throw new AssertionError(NAMES[replica.number] + " has ended as planned but is in " + latest);
         }
-        boolean one = !latest.contains(replica.life) && alone && lost.isEmpty();
-        if (one) {
-            throw new AssertionError(NAMES[replica.number] + " has left one disk: " + latest);
+        boolean leavesSingleDisk = !latest.contains(replica.incarnation) && singleMember && lostIncarnations.isEmpty();
+        if (leavesSingleDisk) {
+            throw new AssertionError(
+                    NAMES[replica.number] + " has ended as planned and left a view with one disk: " + latest);
         }
-        left++;
-        cut(replica);
-        replica.flying = null;
-        replica.members = null;
+        leftCount++;
+        clearLinks(replica);
+        replica.inFlight = null;
+        replica.replica = null;
     }
 
-    /** Holds the rules, and has each new leader propose something. */
-    private void look(SteppedReplica replica) {
-        ReplicaStatus status = replica.members.status();
+    /** Checks that there is one view per number, and lets each new leader propose a change. */
+    private void checkView(SteppedReplica replica) {
+        ReplicaStatus status = replica.replica.status();
         if (!status.active()) {
             return;
         }
         joined |= status.members().stream().anyMatch(member -> member.address().equals(NAMES[FOUNDERS]));
-        View mine =
+        View observed =
                 new View(new Ballot(status.viewNumber(), status.leader().incarnation()), status.members(), List.of());
-        View other = views.putIfAbsent(status.viewNumber(), mine);
-        if (other != null && !other.equals(mine)) {
-            throw new AssertionError("two views of number " + status.viewNumber() + ": " + other + ", " + mine);
+        View other = views.putIfAbsent(status.viewNumber(), observed);
+        if (other != null && !other.equals(observed)) {
+            throw new AssertionError("two views of number " + status.viewNumber() + ": " + other + ", " + observed);
         }
-        if (status.isLeader() && replica.proposedIn < status.viewNumber()) {
-            replica.proposedIn = status.viewNumber();
-            replica.members.propose(
+        if (status.isLeader() && replica.lastProposedView < status.viewNumber()) {
+            replica.lastProposedView = status.viewNumber();
+            replica.replica.propose(
                     status.viewNumber(), ("v" + status.viewNumber()).getBytes(StandardCharsets.UTF_8), now);
         }
     }
 
-    Fingerprint.Print print() {
+    Fingerprint.Print fingerprint() {
         List<Object> all = new ArrayList<>();
         for (SteppedReplica replica : replicas) {
-            all.add(replica.members);
-            all.add(new TreeMap<>(replica.kept));
-            all.add(replica.flying == null ? null : new TreeMap<>(replica.flying));
+            all.add(replica.replica);
+            all.add(new TreeMap<>(replica.diskContent));
+            all.add(replica.inFlight == null ? null : new TreeMap<>(replica.inFlight));
             all.add(replica.state);
-            all.add(replica.proposedIn);
+            all.add(replica.lastProposedView);
         }
         all.addAll(links);
-        all.add(order);
+        all.add(appliedByIndex);
         all.add(views);
-        all.add(purse);
+        all.add(budget);
         return Fingerprint.of(all.toArray());
     }
 }
--- a/src/test/java/brambletray/platform/replication/Timeline.java
+++ b/src/test/java/brambletray/platform/replication/Timeline.java
@@ -6,58 +6,58 @@
 import java.util.Map;
 
 /**
- * A drawn timeline: one column a machine, time (ms) downwards. A row at {@code 300} is played at that time; a row at
- * {@code <900} waits until all that it says is seen, at the latest then; a row at {@code +200} comes so long after the
- * row above. Words of a cell, joined by commas:
+ * Interprets a timeline table: one column per machine, time in ms downwards. A row at {@code 300} runs at that time; a
+ * row at {@code <900} waits until all its expectations hold, at the latest at that time; a row at {@code +200} runs
+ * that long after the row above. A cell holds words separated by commas:
  * <pre>
- * ^        starts                       X        its process is killed          XX     its machine loses power
- * W        loses power and disk         z500     is frozen for 500 ms           ~  ~b  is cut from all, from b
- * ~&gt;b      its frames to b are cut       -        all its links are well again
- * bye      is about to end, as planned          left     may end now               stays  may not end yet
- * full     its disk refuses writes      hung900  its disk hangs for 900 ms      slow90 its disk takes 90 ms      well
- * its disk is well again
- * +x       proposes x                   ?        asks whether it reads the newest
- * X@Stop   is killed as it is about to send its next Stop; XX@, W@, ~b@ likewise; X&gt;Stop: once it is sent;
- * X&lt;Told: once it has
- *          heard one; bye&lt; likewise
- * =x       has x                        !x       hasn't x                       ok:x   x was acknowledged        no:x
- * x wasn't (yet)
- * L M S K  leads, is a member, has stopped, knocks; L2, M3: in a view of so many        V1       the view's number is 1
- * .        nothing
+ * ^        start the process            X        kill the process               XX     power loss
+ * W        power and disk loss          z500     freeze for 500 ms              ~  ~b  cut off from all, from b
+ * ~&gt;b      cut only the link to b       -        restore all links of the machine
+ * bye      start a planned shutdown     left     may terminate                  stays  may not terminate yet
+ * full     disk refuses writes          hung900  disk hangs for 900 ms          slow90 syncs take 90 ms
+ * well     disk works normally again
+ * +x       propose x                    ?        request a read index           ?ok    a read index was confirmed
+ * X@T      kill before sending the next message of type T; likewise XX@, W@, ~b@
+ * X&gt;T      kill after sending it
+ * X&lt;T      kill after handling a received one; likewise bye&lt;
+ * =x       has applied x                !x       has not applied x
+ * ok:x     x was acknowledged           no:x     x was not acknowledged (yet)
+ * L M S K  is leader, member, suspended, joining; L2, M3: in a view of that size
+ * V1       the view has number 1        .        nothing
  * </pre>
  */
 public final class Timeline {
-    /** Further words. */
-    public interface Words {
-        /** Acts on a word; false if it isn't one. */
+    /** Additional words of a test. */
+    public interface AdditionalWords {
+        /** Performs the action of a word; returns false if the word is unknown here. */
         boolean act(SimulatedReplica node, String word);
 
-        /** Whether what the word says is seen; null if it isn't a word. */
-        Boolean seen(SimulatedReplica node, String word);
+        /** Whether the expectation of a word holds; null if the word is unknown here. */
+        Boolean holds(SimulatedReplica node, String word);
     }
 
     private final SimulatedReplicas world;
     private final Map<String, Long> tokens = new HashMap<>();
-    private final Words more;
-    private final List<Trap> traps = new ArrayList<>();
-    private long begin;
-    private int confirms;
+    private final AdditionalWords additionalWords;
+    private final List<MessageTrigger> triggers = new ArrayList<>();
+    private long beginMs;
+    private int confirmedReadsBefore;
 
-    private record Trap(SimulatedReplica node, String how, char when, String frame) {}
+    private record MessageTrigger(SimulatedReplica node, String action, char when, String messageType) {}
 
-    public Timeline(SimulatedReplicas world, Words more) {
+    public Timeline(SimulatedReplicas world, AdditionalWords additionalWords) {
         this.world = world;
-        this.more = more;
-        world.tap = this::pass;
-        world.afterMessage = this::heard;
+        this.additionalWords = additionalWords;
+        world.sendFilter = this::onSend;
+        world.afterMessage = this::onHandled;
     }
 
-    /** Plays the rows; throws AssertionError where something isn't seen. */
-    public void play(String drawn) {
-        begin = world.now;
-        long last = 0;
+    /** Runs the rows; throws {@link AssertionError} if an expectation does not hold in time. */
+    public void run(String table) {
+        beginMs = world.now;
+        long lastRowMs = 0;
         List<String> columns = null;
-        for (String line : drawn.split("\n")) {
+        for (String line : table.split("\n")) {
             if (line.isBlank()) {
                 continue;
             }
@@ -67,24 +67,24 @@
                 continue;
             }
             String time = cells.get(0);
-            boolean by = time.startsWith("<");
-            long at = time.startsWith("+")
-                    ? last + Long.parseLong(time.substring(1))
-                    : Long.parseLong(by ? time.substring(1) : time);
-            if (!by) {
-                world.until(begin + at);
+            boolean isDeadline = time.startsWith("<");
+            long rowMs = time.startsWith("+")
+                    ? lastRowMs + Long.parseLong(time.substring(1))
+                    : Long.parseLong(isDeadline ? time.substring(1) : time);
+            if (!isDeadline) {
+                world.runUntil(beginMs + rowMs);
             }
             for (int i = 1; i < cells.size(); i++) {
                 act(world.nodes.get(columns.get(i - 1)), cells.get(i));
             }
-            see(columns, cells, by ? begin + at : world.now, line);
-            last = by ? world.now - begin : at;
+            awaitExpectations(columns, cells, isDeadline ? beginMs + rowMs : world.now, line);
+            lastRowMs = isDeadline ? world.now - beginMs : rowMs;
         }
     }
 
     private void act(SimulatedReplica node, String cell) {
         for (String word : cell.split(",")) {
-            if (word.equals(".") || !more.act(node, word)) {
+            if (word.equals(".") || !additionalWords.act(node, word)) {
                 act(node, word, ' ');
             }
         }
@@ -96,7 +96,7 @@
             at = Math.max(word.indexOf('>'), word.indexOf('<'));
         }
         if (at > 0) {
-            traps.add(new Trap(node, word.substring(0, at), word.charAt(at), word.substring(at + 1)));
+            triggers.add(new MessageTrigger(node, word.substring(0, at), word.charAt(at), word.substring(at + 1)));
         } else if (word.equals("^")) {
             node.start();
         } else if (word.equals("X") || word.equals("XX") || word.equals("W")) {
@@ -106,7 +106,7 @@
         } else if (word.startsWith("~")) {
             cut(node, word.substring(1));
         } else if (word.equals("-")) {
-            world.nodes.keySet().forEach(other -> world.cut(node.address, other, false));
+            world.nodes.keySet().forEach(other -> world.setCut(node.address, other, false));
         } else if (word.equals("bye")) {
             node.replica.leave(world.now);
         } else if (word.equals("full")) {
@@ -122,8 +122,8 @@
         } else if (word.startsWith("+")) {
             tokens.put(word.substring(1), world.ruleChecker.propose(node));
         } else if (word.equals("?")) {
-            confirms = world.ruleChecker.confirmedOk;
-            world.ruleChecker.confirm(node);
+            confirmedReadsBefore = world.ruleChecker.confirmedReads;
+            world.ruleChecker.requestReadIndex(node);
         }
     }
 
@@ -131,77 +131,77 @@
         return Long.parseLong(word.substring(from));
     }
 
-    private void end(SimulatedReplica node, String how) {
+    private void end(SimulatedReplica node, String word) {
         if (node.isRunning()) {
-            node.kill(how.equals("XX") || how.equals("W"));
+            node.kill(word.equals("XX") || word.equals("W"));
         }
-        if (how.equals("W")) {
+        if (word.equals("W")) {
             node.wipe();
         }
     }
 
-    private void cut(SimulatedReplica node, String from) {
-        if (from.startsWith(">")) {
-            world.one(node.address, from.substring(1), true);
-        } else if (!from.isEmpty()) {
-            world.cut(node.address, from, true);
+    private void cut(SimulatedReplica node, String target) {
+        if (target.startsWith(">")) {
+            world.setOneWayCut(node.address, target.substring(1), true);
+        } else if (!target.isEmpty()) {
+            world.setCut(node.address, target, true);
         } else {
-            world.nodes.keySet().forEach(other -> world.cut(node.address, other, true));
+            world.nodes.keySet().forEach(other -> world.setCut(node.address, other, true));
         }
     }
 
-    private boolean pass(SimulatedReplica from, String to, Object frame) {
-        Trap trap = trap(from, '@', frame);
-        if (trap != null) {
-            traps.remove(trap);
-            act(from, trap.how, ' ');
+    private boolean onSend(SimulatedReplica from, String to, Object frame) {
+        MessageTrigger trigger = findTrigger(from, '@', frame);
+        if (trigger != null) {
+            triggers.remove(trigger);
+            act(from, trigger.action, ' ');
             return false;
         }
-        Trap later = trap(from, '>', frame);
-        if (later != null) {
-            traps.remove(later);
-            world.later(world.now, () -> act(from, later.how, ' '));
+        MessageTrigger triggerAfterSend = findTrigger(from, '>', frame);
+        if (triggerAfterSend != null) {
+            triggers.remove(triggerAfterSend);
+            world.schedule(world.now, () -> act(from, triggerAfterSend.action, ' '));
         }
         return true;
     }
 
-    private void heard(SimulatedReplica node, Object frame) {
-        Trap trap = trap(node, '<', frame);
-        if (trap == null) {
+    private void onHandled(SimulatedReplica node, Object frame) {
+        MessageTrigger trigger = findTrigger(node, '<', frame);
+        if (trigger == null) {
             return;
         }
-        traps.remove(trap);
-        act(node, trap.how, ' ');
+        triggers.remove(trigger);
+        act(node, trigger.action, ' ');
     }
 
-    private Trap trap(SimulatedReplica node, char when, Object frame) {
-        for (Trap trap : traps) {
-            if (trap.node == node
-                    && trap.when == when
-                    && trap.frame.equals(frame.getClass().getSimpleName())) {
-                return trap;
+    private MessageTrigger findTrigger(SimulatedReplica node, char when, Object frame) {
+        for (MessageTrigger trigger : triggers) {
+            if (trigger.node == node
+                    && trigger.when == when
+                    && trigger.messageType.equals(frame.getClass().getSimpleName())) {
+                return trigger;
             }
         }
         return null;
     }
 
-    private void see(List<String> columns, List<String> cells, long limit, String line) {
+    private void awaitExpectations(List<String> columns, List<String> cells, long limit, String line) {
         while (true) {
-            String missing = missing(columns, cells);
-            if (missing == null) {
+            String unmet = unmetExpectation(columns, cells);
+            if (unmet == null) {
                 return;
             }
             if (world.now >= limit) {
-                world.ruleChecker.fail("not seen: " + missing + " in the row: " + line.trim());
+                world.ruleChecker.fail("expectation not met: " + unmet + " in the row: " + line.trim());
             }
-            world.until(world.now + 5);
+            world.runUntil(world.now + 5);
         }
     }
 
-    private String missing(List<String> columns, List<String> cells) {
+    private String unmetExpectation(List<String> columns, List<String> cells) {
         for (int i = 1; i < cells.size(); i++) {
             for (String word : cells.get(i).split(",")) {
-                if (!seen(world.nodes.get(columns.get(i - 1)), word)) {
+                if (!holds(world.nodes.get(columns.get(i - 1)), word)) {
                     return columns.get(i - 1) + " " + word;
                 }
             }
@@ -209,10 +209,10 @@
         return null;
     }
 
-    private boolean seen(SimulatedReplica node, String word) {
-        Boolean other = more.seen(node, word);
-        if (other != null) {
-            return other;
+    private boolean holds(SimulatedReplica node, String word) {
+        Boolean additional = additionalWords.holds(node, word);
+        if (additional != null) {
+            return additional;
         }
         if (word.startsWith("ok:")) {
             return world.ruleChecker.acknowledged.contains(text(word.substring(3)));
@@ -230,7 +230,7 @@
             return node.replica.mayTerminate() == word.equals("left");
         }
         if (word.equals("?ok")) {
-            return world.ruleChecker.confirmedOk > confirms;
+            return world.ruleChecker.confirmedReads > confirmedReadsBefore;
         }
         if (!word.matches("[LMSKV]\\d?")) {
             return true;
@@ -255,7 +255,7 @@
 
     private String text(String name) {
         if (!tokens.containsKey(name)) {
-            throw new IllegalArgumentException("nobody proposed " + name);
+            throw new IllegalArgumentException("no proposal named " + name);
         }
         return "c" + tokens.get(name);
     }
--- a/src/test/resources/brambletray/platform/replication/reads.feature
+++ b/src/test/resources/brambletray/platform/replication/reads.feature
@@ -1,11 +1,11 @@
-Feature: Who reads or refuses asks first, and a majority is enough
-  One column a machine, time in ms downwards. The words of a cell are told in Picture.java.
-  The first machine of a core at rest leads.
+Feature: Reads are confirmed by a majority
+  One column per machine, time in ms downwards. Timeline.java defines the words of a cell.
+  The first machine of an idle cluster is the leader.
 
   Background:
     Given a core of "a, b, c" at rest
 
-  Scenario: one member is silent; the leader and the other read on at once
+  Scenario: with one silent member the leader and the other member confirm reads without delay
     When this happens
       """
               a            b            c
@@ -18,7 +18,7 @@
       """
     Then all that are up agree and have all that was acknowledged
 
-  Scenario: the leader is frozen while the others go on; what it was asked before it slept isn't answered by what it knew
+  Scenario: a leader frozen while the others change the view does not confirm a pending read from its old state
     When this happens
       """
               a            b            c
--- a/src/test/resources/brambletray/platform/replication/view-change.feature
+++ b/src/test/resources/brambletray/platform/replication/view-change.feature
@@ -1,10 +1,10 @@
-Feature: Changes of view
-  One column a machine, time in ms downwards. The words of a cell are told in Picture.java.
+Feature: View changes
+  One column per machine, time in ms downwards. Timeline.java defines the words of a cell.
 
   Background:
     Given a core of "a, b, c" at rest
 
-  Scenario Outline: the leader of a change dies as it is about to say, or has just said, or has just heard <step>
+  Scenario Outline: the proposer of a view change fails before sending, after sending or after receiving a message (<how> <step>)
     When this happens
       """
               a            b            c
@@ -27,7 +27,7 @@
       | XX< | PrepareResponse      |
       | XX@ | InstallViewRequest   |
 
-  Scenario Outline: the leader of a change dies when another has kept the new view: it may be in force, so both are waited for (<how> <step>)
+  Scenario Outline: the proposer fails when another member has stored the new view: it may be active, so both members are needed (<how> <step>)
     When this happens
       """
               a            b            c
@@ -47,7 +47,7 @@
       | XX< | InstallViewResponse |
       | XX@ | HeartbeatRequest      |
 
-  Scenario Outline: the other one of a change of two dies as it is about to say, or has just said, <step>
+  Scenario Outline: the only other member in a view change fails before or after a message (<how> <step>)
     When this happens
       """
               a            b            c
@@ -68,7 +68,7 @@
       | XX< | InstallViewRequest   |
       | XX@ | InstallViewResponse |
 
-  Scenario: a dead member is out within a second, and in again within a second and a half
+  Scenario: a failed member is excluded within 950 ms and rejoins within 1500 ms
     When this happens
       """
               a            b            c
@@ -78,7 +78,7 @@
       <4500   L3           M3           M3
       """
 
-  Scenario: a process that is back at once stays in; a dead leader is followed soon
+  Scenario: a process that restarts immediately stays a member; a failed leader is replaced within 1200 ms
     When this happens
       """
               a            b            c
@@ -91,7 +91,7 @@
       <3800   M3           L3           M3
       """
 
-  Scenario: one that was wiped answers under its old name and counts for nothing
+  Scenario: a member with a wiped disk does not count towards a quorum under its old address
     When this happens
       """
               a            b            c
@@ -109,7 +109,7 @@
       """
     Then all that are up agree and have all that was acknowledged
 
-  Scenario: cut off, believing in the old view, it can't acknowledge anything
+  Scenario: a leader that is cut off in an old view acknowledges nothing
     When this happens
       """
               a            b            c
@@ -123,7 +123,7 @@
       """
     Then all that are up agree and have all that was acknowledged
 
-  Scenario: the leader hears nobody but is heard
+  Scenario: the leader receives nothing but its messages arrive
     When this happens
       """
               a            b            c
@@ -133,7 +133,7 @@
       <3700   M3           L3           M3
       """
 
-  Scenario: a member hears nobody but is heard; it disturbs nothing
+  Scenario: a member that receives nothing but whose messages arrive does not disturb the others
     When this happens
       """
               a            b            c
@@ -145,7 +145,7 @@
       <4600   L3           M3           M3,=x
       """
 
-  Scenario: the link between the leader and one member is cut; the other doesn't follow suit
+  Scenario: the link between the leader and one member is cut; the other member stays with the leader
     When this happens
       """
               a            b            c
@@ -156,7 +156,7 @@
       <5700   L3           M3           M3
       """
 
-  Scenario: a full disk in the middle: out with it, and in again when it is well
+  Scenario: a member with a full disk is excluded and rejoins once there is space
     When this happens
       """
               a            b            c
@@ -168,7 +168,7 @@
       """
     Then all that are up agree and have all that was acknowledged
 
-  Scenario: the leader's own disk hangs for seconds
+  Scenario: the disk of the leader hangs for 5 s
     When this happens
       """
               a            b            c
@@ -180,7 +180,7 @@
       """
     Then all that are up agree and have all that was acknowledged
 
-  Scenario: a disk 25 times slower holds up for a while and nobody is thrown out
+  Scenario: a disk that is 25 times slower delays commits but its member is not excluded
     When this happens
       """
               a            b            c
@@ -190,7 +190,7 @@
       3000    L3           M3           M3
       """
 
-  Scenario: who has slept suspects nobody
+  Scenario: members that were frozen suspect no other member
     When this happens
       """
               a            b            c
@@ -200,7 +200,7 @@
       3500    L3           M3           M3
       """
 
-  Scenario: two of three have slept for longer than suspicion takes; no view is changed
+  Scenario: two of three members are frozen for longer than the election timeout; the view does not change
     When this happens
       """
               a            b            c
@@ -209,7 +209,7 @@
       2600    L3,V1        M3,V1        M3,V1
       """
 
-  Scenario: nothing is acknowledged while one of the view hasn't it on disk
+  Scenario: an entry is not acknowledged while a member of the view does not have it on disk
     When this happens
       """
               a            b            c
@@ -221,7 +221,7 @@
       """
     Then all that are up agree and have all that was acknowledged
 
-  Scenario: the leader sleeps for seconds, wakes in an old view and can't acknowledge
+  Scenario: a leader frozen for 3 s resumes in an old view and acknowledges nothing in it
     When this happens
       """
               a            b            c
@@ -234,7 +234,7 @@
       """
     Then all that are up agree and have all that was acknowledged
 
-  Scenario: all are killed and back within a second; it goes on within another
+  Scenario: all processes are killed and restarted within 1 s; the cluster recovers within 1250 ms
     When this happens
       """
               a            b            c
@@ -248,7 +248,7 @@
       <2200   M3           M3           M3
       """
 
-  Scenario: all are killed again and again
+  Scenario: all processes are killed repeatedly
     When this happens
       """
               a            b            c
@@ -261,7 +261,7 @@
       <2200   M3           M3           M3
       """
 
-  Scenario: a planned end holds nothing up, whoever it is
+  Scenario: planned shutdowns of one leader after another cause no delay
     When this happens
       """
               a            b            c
--- a/src/test/resources/brambletray/platform/replication/zones.feature
+++ b/src/test/resources/brambletray/platform/replication/zones.feature
@@ -1,7 +1,7 @@
-Feature: Zones that may be lost with all their machines
-  One column a machine, time in ms downwards. The words of a cell are told in Picture.java; a/y is the machine a in the zone y.
+Feature: The loss of a zone with all its machines is tolerated
+  One column per machine, time in ms downwards. Timeline.java defines the words of a cell; a/y is machine a in zone y.
 
-  Scenario: two in one zone acknowledge nothing before one of another zone is in
+  Scenario: two members in one zone acknowledge nothing until a machine of another zone joins
     Given a core of "a/y, b/y, c/z" at rest, of which one zone may be lost
     And a spare machine "d/z" that is told of "a, b, c"
     When this happens
@@ -17,7 +17,7 @@
       4000    .            .            .            =y
       """
 
-  Scenario: who is the last of its zone stays until another of another zone is in
+  Scenario: a leaving member that is the last of its zone stays until a machine of a third zone joins
     Given a core of "a/y, b/y, c/z" at rest, of which one zone may be lost
     And a spare machine "d/x" that is told of "a, b, c"
     When this happens
@@ -31,7 +31,7 @@
       """
     Then all that are up agree and have all that was acknowledged
 
-  Scenario: a slow one isn't left out if the rest stands in one zone
+  Scenario: a slow member is not excluded if all others are in one zone
     Given a core of "a/y, b/y, c/z" at rest, of which one zone may be lost
     When this happens
       """
