--- a/src/test/java/brambletray/platform/replication/SimulatedReplica.java
+++ b/src/test/java/brambletray/platform/replication/SimulatedReplica.java
@@ -83,7 +83,7 @@
 
     /** Runs the action as an event of this process, unless the process ends before. */
     public void execute(Runnable action) {
-        world.at(this, processNumber, world.now, action);
+        world.scheduleFor(this, processNumber, world.now, action);
     }
 
     /** Writes changes of the {@link #additionalComponent} to disk. */
@@ -94,7 +94,7 @@
     private void write(int writer, int process, long ticket, Map<String, byte[]> changes) {
         disk.startWrite(writer, changes);
         world.schedule(world.now, () -> world.onDiskWrite.accept(this));
-        world.at(
+        world.scheduleFor(
                 this,
                 process,
                 world.now + world.syncMs(disk) + disk.transferMs(writer),
@@ -103,7 +103,7 @@
 
     private void finish(int writer, int process, long ticket) {
         if (disk.hungUntil > world.now) {
-            world.at(this, process, world.now + 10, () -> finish(writer, process, ticket));
+            world.scheduleFor(this, process, world.now + 10, () -> finish(writer, process, ticket));
             return;
         }
         world.onDiskWrite.accept(this);
@@ -135,7 +135,7 @@
     }
 
     private void scheduleTick(int process) {
-        world.at(this, process, world.now + 40, () -> {
+        world.scheduleFor(this, process, world.now + 40, () -> {
             if (replica != null) {
                 replica.tick(world.now);
                 if (replica != null) {
--- a/src/test/java/brambletray/platform/replication/SimulatedReplicas.java
+++ b/src/test/java/brambletray/platform/replication/SimulatedReplicas.java
@@ -85,13 +85,13 @@
         return links.computeIfAbsent(from + ">" + to, key -> new Link());
     }
 
-    void at(SimulatedReplica node, int process, long when, Runnable run) {
+    void scheduleFor(SimulatedReplica node, int process, long when, Runnable run) {
         queue.add(new Event(when, ++seq, node, process, run));
     }
 
     /** Schedules an action that does not belong to a process. */
-    public void schedule(long when, Runnable run) {
-        at(null, 0, when, run);
+    public void schedule(long atMs, Runnable run) {
+        scheduleFor(null, 0, atMs, run);
     }
 
     int syncMs(SimulatedReplicaDisk disk) {
@@ -121,21 +121,21 @@
         }
         link.bytes += size;
         if (link.bytesPerMs > 0) {
-            schedule(from, target, link, size, messageTransform.apply(frame));
+            sendOverSlowLink(from, target, link, size, messageTransform.apply(frame));
             return;
         }
         int delay = link.delayMs + (jitter ? random.nextInt(link.delayMs + 1) : 0);
         link.lastDeliveryAt = Math.max(link.lastDeliveryAt, now + delay);
         if (!target.isRunning()) {
-            at(from, from.processNumber, now + 2L * delay, () -> from.replica.onDisconnected(to, now));
+            scheduleFor(from, from.processNumber, now + 2L * delay, () -> from.replica.onDisconnected(to, now));
             return;
         }
         Object received = messageTransform.apply(frame);
-        at(target, target.processNumber, link.lastDeliveryAt, () -> target.deliver(from.address, received));
+        scheduleFor(target, target.processNumber, link.lastDeliveryAt, () -> target.deliver(from.address, received));
     }
 
     /** Sends a message over a link of limited bandwidth; messages are transmitted one after the other. */
-    private void schedule(SimulatedReplica from, SimulatedReplica target, Link link, int size, Object frame) {
+    private void sendOverSlowLink(SimulatedReplica from, SimulatedReplica target, Link link, int size, Object frame) {
         if ((link.queueEmptyAt - now) * link.bytesPerMs > MessageSizes.MOST_WAITING) {
             link.disconnects++;
             link.queueEmptyAt = now;
@@ -146,14 +146,14 @@
         int disconnects = link.disconnects;
         link.lastDeliveryAt = Math.max(link.lastDeliveryAt, (long) link.queueEmptyAt + link.delayMs);
         if (!target.isRunning()) {
-            at(
+            scheduleFor(
                     from,
                     from.processNumber,
                     now + 2L * link.delayMs,
                     () -> from.replica.onDisconnected(target.address, now));
             return;
         }
-        at(target, target.processNumber, link.lastDeliveryAt, () -> {
+        scheduleFor(target, target.processNumber, link.lastDeliveryAt, () -> {
             if (link.disconnects == disconnects) {
                 target.deliver(from.address, frame);
             }
@@ -180,7 +180,7 @@
         SimulatedReplica target = nodes.get(to);
         for (Object frame : link.held) {
             if (target.isRunning()) {
-                at(target, target.processNumber, now + link.delayMs, () -> target.deliver(from, frame));
+                scheduleFor(target, target.processNumber, now + link.delayMs, () -> target.deliver(from, frame));
             }
         }
         link.held.clear();
@@ -215,11 +215,11 @@
     }
 
     /** Runs all events up to this time. */
-    public void runUntil(long when) {
-        while (!queue.isEmpty() && queue.peek().at <= when) {
+    public void runUntil(long untilMs) {
+        while (!queue.isEmpty() && queue.peek().at <= untilMs) {
             step();
         }
-        now = Math.max(now, when);
+        now = Math.max(now, untilMs);
     }
 
     /** Runs the next event; returns false if there is none. */
@@ -238,7 +238,7 @@
                 if (node.deferred.isEmpty()) {
                     schedule(node.frozenUntil, () -> deliverDeferred(node));
                 }
-                node.deferred.add(() -> at(node, event.process, now, event.run));
+                node.deferred.add(() -> scheduleFor(node, event.process, now, event.run));
                 return true;
             }
         }
--- a/src/test/java/brambletray/platform/replication/SteppedReplicas.java
+++ b/src/test/java/brambletray/platform/replication/SteppedReplicas.java
@@ -38,8 +38,8 @@
 
     /** Remaining number of timeouts, power losses, disk losses, planned shutdowns and newcomer starts. */
     record EventBudget(int timeouts, int powerLosses, int diskLosses, int leaves, int newcomers) {
-        EventBudget(int impatience, int power, int disks) {
-            this(impatience, power, disks, 0, 0);
+        EventBudget(int timeouts, int powerLosses, int diskLosses) {
+            this(timeouts, powerLosses, diskLosses, 0, 0);
         }
     }
 
