--- a/src/main/java/brambletray/platform/replication/Replica.java
+++ b/src/main/java/brambletray/platform/replication/Replica.java
@@ -21,7 +21,7 @@
     private final JoinAdmission joinAdmission;
     private final PendingProposals pendingProposals;
     private final ReadIndex readIndex;
-    private final MemberRemovalOrders memberRemovalOrders;
+    private final MemberRemovalRequests memberRemovalRequests;
     private final ViewChangeInitiator viewChangeInitiator;
     private final MessageDispatcher messageDispatcher;
     private boolean incarnationIsDurable;
@@ -50,7 +50,7 @@
         joinAdmission = new JoinAdmission(state, roles);
         pendingProposals = new PendingProposals(state, roles);
         readIndex = new ReadIndex(state, roles);
-        memberRemovalOrders = new MemberRemovalOrders(state, roles);
+        memberRemovalRequests = new MemberRemovalRequests(state, roles);
         viewChangeInitiator = new ViewChangeInitiator(state, roles, leaderMonitor, joinAdmission);
         messageDispatcher = new MessageDispatcher(
                 state,
@@ -154,7 +154,7 @@
             messageDispatcher.tick();
             pendingProposals.tick();
             readIndex.advance();
-            memberRemovalOrders.tick();
+            memberRemovalRequests.tick();
         }
         flush();
     }
@@ -189,7 +189,7 @@
     /** Handles a message from the member at this control-plane address; objects of other types are ignored. */
     public void receive(String from, Object frame, long nowMs) {
         advanceTime(nowMs);
-        memberRemovalOrders.onMessage(from);
+        memberRemovalRequests.onMessage(from);
         if (incarnationIsDurable && frame instanceof ReplicationMessage message) {
             messageDispatcher.dispatch(from, message);
         }
@@ -205,7 +205,7 @@
      */
     public void removeMember(String address, long incarnation, long nowMs, Consumer<MemberRemovalOutcome> onOutcome) {
         advanceTime(nowMs);
-        memberRemovalOrders.request(address, incarnation, onOutcome);
+        memberRemovalRequests.request(address, incarnation, onOutcome);
         flush();
     }
 
--- a/src/main/java/brambletray/platform/replication/ViewChangeInitiator.java
+++ b/src/main/java/brambletray/platform/replication/ViewChangeInitiator.java
@@ -62,7 +62,7 @@
             roles.startViewChange(Set.of(), Set.of(), "a member has stopped");
         } else if (hasRetiredMember()) {
             roles.startViewChange(Set.of(), Set.of(), "a disk is lost");
-        } else if (leader.hasBeenActiveForAWhile()) {
+        } else if (leader.hasReachedMinViewAge()) {
             startPlanned();
         }
     }
--- a/src/test/java/brambletray/platform/controlplane/OperationHistory.java
+++ b/src/test/java/brambletray/platform/controlplane/OperationHistory.java
@@ -84,8 +84,8 @@
 
     void play() {
         world.schedule(world.now + 500, this::attemptAgain);
-        faults.play();
-        if (!faults.harsh()) {
+        faults.run();
+        if (!faults.checksSafetyOnly()) {
             claimEachKeyAfterItsWindow();
         }
     }
--- a/src/test/java/brambletray/platform/election/ElectionRandomFaultsTest.java
+++ b/src/test/java/brambletray/platform/election/ElectionRandomFaultsTest.java
@@ -51,14 +51,14 @@
         RandomFaults weather = new RandomFaults(seed, talks);
         Witness witness = new Witness(weather);
         weather.world().additionalComponents = node -> new ElectionNode(node, witness);
-        weather.prank = node -> {
+        weather.extraAction = node -> {
             ElectionNode ride = (ElectionNode) node.additionalComponent;
             ride.election.handOver(node.world.now);
             ride.election.setWantsLease(true);
         };
         try {
-            weather.play();
-            if (!weather.harsh()) {
+            weather.run();
+            if (!weather.checksSafetyOnly()) {
                 weather.world()
                         .runUntilTrue(
                                 () -> weather.world().now - witness.actedAt < 100,
--- a/src/test/java/brambletray/platform/replication/ExplorationTest.java
+++ b/src/test/java/brambletray/platform/replication/ExplorationTest.java
@@ -15,21 +15,21 @@
  * {@code -Dview.walks=N} go further; {@code -Dview.moves=1,2,3} plays one scenario and tells.
  */
 class ExplorationTest {
-    private static final int STATES = 10_000;
+    private static final int MAX_STATES = 10_000;
     private static final int WALKS = 20_000;
 
-    private final Set<Fingerprint.Print> seen = new HashSet<>();
+    private final Set<Fingerprint.Hash128> visited = new HashSet<>();
     private int states;
-    private int ends;
-    private int most;
+    private int terminalStates;
+    private int maxAcknowledged;
     /** States, or walks, in which a process has left, and in which the newcomer was in an active view. */
-    private int lefts;
+    private int statesWithLeave;
 
-    private int joins;
-    private int bound;
-    private int depth;
+    private int statesWithJoin;
+    private int maxStates;
+    private int maxDepth;
 
-    private SteppedReplicas board(SteppedReplicas.EventBudget purse, List<Integer> moves) {
+    private SteppedReplicas replay(SteppedReplicas.EventBudget purse, List<Integer> moves) {
         SteppedReplicas board = new SteppedReplicas(purse);
         board.found();
         for (int move : moves) {
@@ -39,23 +39,23 @@
     }
 
     private void explore(SteppedReplicas.EventBudget purse) {
-        seen.clear();
+        visited.clear();
         List<Integer> moves = new ArrayList<>();
-        walk(purse, board(purse, moves), moves);
+        visit(purse, replay(purse, moves), moves);
     }
 
-    private void walk(SteppedReplicas.EventBudget purse, SteppedReplicas board, List<Integer> moves) {
-        if (states >= bound || !seen.add(board.fingerprint())) {
+    private void visit(SteppedReplicas.EventBudget purse, SteppedReplicas board, List<Integer> moves) {
+        if (states >= maxStates || !visited.add(board.fingerprint())) {
             return;
         }
         states++;
-        depth = Math.max(depth, moves.size());
-        most = Math.max(most, board.acknowledged);
+        maxDepth = Math.max(maxDepth, moves.size());
+        maxAcknowledged = Math.max(maxAcknowledged, board.acknowledged);
         if (board.leftCount > 0) {
-            lefts++;
+            statesWithLeave++;
         }
         if (board.joined) {
-            joins++;
+            statesWithJoin++;
         }
         SteppedReplicas here = board;
         boolean some = false;
@@ -64,12 +64,12 @@
             may[move] = board.isEnabled(move);
         }
         for (int move = 0; move < SteppedReplicas.MOVES; move++) {
-            if (!may[move] || states >= bound) {
+            if (!may[move] || states >= maxStates) {
                 continue;
             }
             some = true;
             if (here == null) {
-                here = board(purse, moves);
+                here = replay(purse, moves);
             }
             moves.add(move);
             try {
@@ -77,18 +77,18 @@
             } catch (AssertionError | RuntimeException e) {
                 throw new AssertionError(e.getMessage() + " after " + purse + " " + moves, e);
             }
-            walk(purse, here, moves);
+            visit(purse, here, moves);
             moves.remove(moves.size() - 1);
             here = null;
         }
         if (!some) {
-            ends++;
+            terminalStates++;
         }
     }
 
     /** Random walks with a fuller purse reach further than the bound of states. */
     @Test
-    void noWalkBreaksARule() {
+    void randomWalksViolateNoRule() {
         int walks = Integer.getInteger("replication.walks", WALKS);
         long first = Long.getLong("replication.first", 1);
         int played = 0;
@@ -102,27 +102,27 @@
             SteppedReplicas board = new SteppedReplicas(purse);
             board.found();
             try {
-                steps += stroll(board, random, newcomers > 0);
+                steps += randomWalk(board, random, newcomers > 0);
             } catch (AssertionError | RuntimeException e) {
                 throw new AssertionError("walk " + seed + ": " + e.getMessage(), e);
             }
-            most = Math.max(most, board.acknowledged);
+            maxAcknowledged = Math.max(maxAcknowledged, board.acknowledged);
             if (board.leftCount > 0) {
-                lefts++;
+                statesWithLeave++;
             }
             if (board.joined) {
-                joins++;
+                statesWithJoin++;
             }
             played++;
         }
-        System.out.println("exploration: " + played + " walks, " + steps + " steps, at most " + most
-                + " changes acknowledged, one left in " + lefts + ", the newcomer was let in in " + joins);
-        assertTrue(most >= 2, "hardly anything was acknowledged");
+        System.out.println("exploration: " + played + " walks, " + steps + " steps, at most " + maxAcknowledged
+                + " changes acknowledged, one left in " + statesWithLeave + ", the newcomer was let in in " + statesWithJoin);
+        assertTrue(maxAcknowledged >= 2, "hardly anything was acknowledged");
         assertTrue(
-                walks < WALKS || lefts > 100 && joins > 100, "hardly anybody left or came in: " + lefts + ", " + joins);
+                walks < WALKS || statesWithLeave > 100 && statesWithJoin > 100, "hardly anybody left or came in: " + statesWithLeave + ", " + statesWithJoin);
     }
 
-    private static int stroll(SteppedReplicas board, Random random, boolean newcomer) {
+    private static int randomWalk(SteppedReplicas board, Random random, boolean newcomer) {
         int[] may = new int[SteppedReplicas.MOVES];
         // a walk may favour some links: the others' frames come late
         boolean[] slow = new boolean[SteppedReplicas.MOVES];
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void noOrderOfFramesAndSyncsBreaksARule() {
+    void noOrderOfMessagesAndSyncsViolatesARule() {
         String one = System.getProperty("replication.moves");
         int power = Integer.getInteger("replication.power", 1);
         int disks = Integer.getInteger("replication.disks", 1);
@@ -178,7 +178,7 @@
             }
             return;
         }
-        bound = Integer.getInteger("replication.states", STATES);
+        maxStates = Integer.getInteger("replication.states", MAX_STATES);
         List<SteppedReplicas.EventBudget> purses = new ArrayList<>();
         for (int i = 1; i <= impatience; i++) {
             for (int p = 0; p <= power; p++) {
@@ -196,17 +196,17 @@
         int all = 0;
         for (SteppedReplicas.EventBudget purse : purses) {
             states = 0;
-            ends = 0;
-            depth = 0;
-            lefts = 0;
-            joins = 0;
+            terminalStates = 0;
+            maxDepth = 0;
+            statesWithLeave = 0;
+            statesWithJoin = 0;
             explore(purse);
             all += states;
             System.out.println("exploration " + purse + ": " + states + " states"
-                    + (states >= bound ? " (bound)" : ", all") + ", " + ends + " ends, depth " + depth
+                    + (states >= maxStates ? " (bound)" : ", all") + ", " + terminalStates + " ends, depth " + maxDepth
                     + ", one left in "
-                    + lefts + ", the newcomer in in " + joins);
+                    + statesWithLeave + ", the newcomer in in " + statesWithJoin);
         }
-        assertTrue(all > 1000 && most >= 2, all + " states, at most " + most + " changes acknowledged");
+        assertTrue(all > 1000 && maxAcknowledged >= 2, all + " states, at most " + maxAcknowledged + " changes acknowledged");
     }
 }
--- a/src/test/java/brambletray/platform/replication/MemberRemovalOrdersTest.java
+++ b/src/test/java/brambletray/platform/replication/MemberRemovalRequestsTest.java
@@ -12,11 +12,11 @@
  * An operator declares a machine dead: what it takes, what goes on after it, and that the machine can do no harm when
  * it is there after all.
  */
-class MemberRemovalOrdersTest {
+class MemberRemovalRequestsTest {
     private SimulatedReplicas world;
-    private MemberRemovalOutcome result;
+    private MemberRemovalOutcome outcome;
 
-    private void core(String... names) {
+    private void startCluster(String... names) {
         ReplicationTestCluster core = new ReplicationTestCluster(List.of(names));
         world = core.world;
         core.found();
@@ -26,22 +26,22 @@
         return world.nodes.get(name);
     }
 
-    private long life(String name) {
+    private long incarnationOf(String name) {
         return node(name).replica.status().self().incarnation();
     }
 
-    private void order(String at, String address, long incarnation) {
-        result = null;
-        node(at).replica.removeMember(address, incarnation, world.now, response -> result = response);
+    private void requestRemoval(String at, String address, long incarnation) {
+        outcome = null;
+        node(at).replica.removeMember(address, incarnation, world.now, response -> outcome = response);
     }
 
-    private MemberRemovalOutcome declared(String at, String address, long incarnation) {
-        order(at, address, incarnation);
-        world.runUntilTrue(() -> result != null, 4_000, "an answer to the order");
-        return result;
+    private MemberRemovalOutcome removalOutcome(String at, String address, long incarnation) {
+        requestRemoval(at, address, incarnation);
+        world.runUntilTrue(() -> outcome != null, 4_000, "an answer to the order");
+        return outcome;
     }
 
-    private boolean in(String name) {
+    private boolean isInView(String name) {
         SimulatedReplica leader = world.leader();
         return leader != null
                 && leader.replica.status().active()
@@ -64,21 +64,21 @@
      * </pre>
      */
     @Test
-    void ofTwoTheOtherGoesOnAfterTheOrderAndNotBefore() {
-        core("a", "b");
+    void theRemainingMemberOfTwoContinuesOnlyAfterTheRemoval() {
+        startCluster("a", "b");
         world.node("c", List.of("a", "b"));
         long before = world.ruleChecker.propose(node("a"));
         world.runUntilTrue(() -> world.ruleChecker.acknowledged.contains("c" + before), 1_000, "a change of both");
-        long gone = life("b");
+        long gone = incarnationOf("b");
         node("b").kill(true);
         world.runUntil(world.now + 1_000);
         node("c").start();
         world.runUntil(world.now + 20_000);
-        assertFalse(in("c"), "let in without the other of two");
+        assertFalse(isInView("c"), "let in without the other of two");
         assertEquals(ReplicaRole.SUSPENDED, node("a").replica.status().role());
 
-        assertEquals(MemberRemovalOutcome.REMOVED, declared("a", "b", gone));
-        world.runUntilTrue(() -> in("c") && !in("b"), 3_000, "the view of a and c");
+        assertEquals(MemberRemovalOutcome.REMOVED, removalOutcome("a", "b", gone));
+        world.runUntilTrue(() -> isInView("c") && !isInView("b"), 3_000, "the view of a and c");
         long after = world.ruleChecker.propose(node("a"));
         world.runUntilTrue(() -> world.ruleChecker.acknowledged.contains("c" + after), 3_000, "a change without b");
 
@@ -87,74 +87,74 @@
         for (int i = 0; i < 500; i++) {
             world.runUntil(world.now + 10);
             assertFalse(node("b").replica.status().isLeader());
-            assertFalse(in("b"), "who was declared dead is let in with its disk");
+            assertFalse(isInView("b"), "who was declared dead is let in with its disk");
         }
         node("b").kill(true);
         node("b").wipe();
         node("b").start();
-        world.runUntilTrue(() -> in("b"), 6_000, "back with another disk");
+        world.runUntilTrue(() -> isInView("b"), 6_000, "back with another disk");
         world.runUntil(world.now + 500);
         world.ruleChecker.checkFinalState(List.copyOf(world.nodes.values()));
     }
 
     @Test
-    void whoWasHeardLatelyIsNotDeclaredDead() {
-        core("a", "b");
-        long gone = life("b");
+    void aRecentlyHeardMemberIsNotRemoved() {
+        startCluster("a", "b");
+        long gone = incarnationOf("b");
         node("b").kill(true);
-        world.runUntil(world.now + MemberRemovalOrders.MIN_SILENCE_MS - 1_000);
-        assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, declared("a", "b", gone));
+        world.runUntil(world.now + MemberRemovalRequests.MIN_SILENCE_MS - 1_000);
+        assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, removalOutcome("a", "b", gone));
         world.runUntil(world.now + 2_000);
-        assertEquals(MemberRemovalOutcome.REMOVED, declared("a", "b", gone));
+        assertEquals(MemberRemovalOutcome.REMOVED, removalOutcome("a", "b", gone));
     }
 
     /** A process that has just started can't say how long the other has been silent. */
     @Test
-    void aProcessThatHasJustStartedHasNotListenedForLongEnough() {
-        core("a", "b");
-        long gone = life("b");
+    void aProcessThatHasJustStartedRejectsRemovals() {
+        startCluster("a", "b");
+        long gone = incarnationOf("b");
         node("b").kill(true);
-        world.runUntil(world.now + 2 * MemberRemovalOrders.MIN_SILENCE_MS);
+        world.runUntil(world.now + 2 * MemberRemovalRequests.MIN_SILENCE_MS);
         node("a").kill(false);
         node("a").start();
         world.runUntil(world.now + 1_000);
-        assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, declared("a", "b", gone));
+        assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, removalOutcome("a", "b", gone));
     }
 
     /** The partition heals while the order is looked into. */
     @Test
-    void whoAnswersTheQuestionIsNotDeclaredDead() {
-        core("a", "b");
+    void aMemberThatAnswersTheIdentityRequestIsNotRemoved() {
+        startCluster("a", "b");
         world.setCut("a", "b", true);
-        world.runUntil(world.now + MemberRemovalOrders.MIN_SILENCE_MS + 1_000);
-        order("a", "b", life("b"));
-        world.runUntil(world.now + MemberRemovalOrders.IDENTITY_TIMEOUT_MS / 2);
-        assertNull(result);
+        world.runUntil(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
+        requestRemoval("a", "b", incarnationOf("b"));
+        world.runUntil(world.now + MemberRemovalRequests.IDENTITY_TIMEOUT_MS / 2);
+        assertNull(outcome);
         world.setCut("a", "b", false);
-        world.runUntilTrue(() -> result != null, 4_000, "an answer to the order");
-        assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, result);
-        world.runUntilTrue(() -> in("a") && in("b"), 4_000, "both go on");
+        world.runUntilTrue(() -> outcome != null, 4_000, "an answer to the order");
+        assertEquals(MemberRemovalOutcome.RECENTLY_HEARD, outcome);
+        world.runUntilTrue(() -> isInView("a") && isInView("b"), 4_000, "both go on");
     }
 
     @Test
-    void aViewThatWorksDeclaresNobodyDead() {
-        core("a", "b", "c");
-        long gone = life("c");
+    void aHealthyViewRejectsRemovals() {
+        startCluster("a", "b", "c");
+        long gone = incarnationOf("c");
         node("c").kill(true);
-        world.runUntil(world.now + MemberRemovalOrders.MIN_SILENCE_MS + 1_000);
-        assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, declared("a", "c", gone), "left out long ago");
-        assertEquals(MemberRemovalOutcome.VIEW_IS_HEALTHY, declared("a", "b", life("b")));
+        world.runUntil(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
+        assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, removalOutcome("a", "c", gone), "left out long ago");
+        assertEquals(MemberRemovalOutcome.VIEW_IS_HEALTHY, removalOutcome("a", "b", incarnationOf("b")));
     }
 
     @Test
-    void anOrderNamesAMemberAndItsLife() {
-        core("a", "b");
-        long gone = life("b");
+    void aRemovalNeedsAMemberAndItsIncarnation() {
+        startCluster("a", "b");
+        long gone = incarnationOf("b");
         node("b").kill(true);
-        world.runUntil(world.now + MemberRemovalOrders.MIN_SILENCE_MS + 1_000);
-        assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, declared("a", "b", gone + 1));
-        assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, declared("a", "x", gone));
-        assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, declared("a", "a", life("a")));
+        world.runUntil(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
+        assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, removalOutcome("a", "b", gone + 1));
+        assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, removalOutcome("a", "x", gone));
+        assertEquals(MemberRemovalOutcome.UNKNOWN_MEMBER, removalOutcome("a", "a", incarnationOf("a")));
     }
 
     /**
@@ -162,31 +162,31 @@
      * have acknowledged.
      */
     @Test
-    void aMajorityIsNeverDeclaredDead() {
-        core("a", "b", "c");
-        long first = life("b");
-        long second = life("c");
+    void aMajorityIsNeverRemoved() {
+        startCluster("a", "b", "c");
+        long first = incarnationOf("b");
+        long second = incarnationOf("c");
         node("b").kill(true);
         node("c").kill(true);
-        world.runUntil(world.now + MemberRemovalOrders.MIN_SILENCE_MS + 1_000);
-        assertEquals(MemberRemovalOutcome.REMOVED, declared("a", "b", first));
-        assertEquals(MemberRemovalOutcome.MAJORITY_WOULD_BE_LOST, declared("a", "c", second));
+        world.runUntil(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
+        assertEquals(MemberRemovalOutcome.REMOVED, removalOutcome("a", "b", first));
+        assertEquals(MemberRemovalOutcome.MAJORITY_WOULD_BE_LOST, removalOutcome("a", "c", second));
         world.runUntil(world.now + 3_000);
         assertTrue(node("a").replica.status().role() != ReplicaRole.MEMBER);
     }
 
     /** A declaration outlasts a kill right after it: it is on the disk before it counts. */
     @Test
-    void aDeclarationIsKept() {
-        core("a", "b");
+    void aRemovalIsDurable() {
+        startCluster("a", "b");
         world.node("c", List.of("a", "b"));
-        long gone = life("b");
+        long gone = incarnationOf("b");
         node("b").kill(true);
-        world.runUntil(world.now + MemberRemovalOrders.MIN_SILENCE_MS + 1_000);
-        assertEquals(MemberRemovalOutcome.REMOVED, declared("a", "b", gone));
+        world.runUntil(world.now + MemberRemovalRequests.MIN_SILENCE_MS + 1_000);
+        assertEquals(MemberRemovalOutcome.REMOVED, removalOutcome("a", "b", gone));
         node("a").kill(true);
         node("a").start();
         node("c").start();
-        world.runUntilTrue(() -> in("a") && in("c"), 5_000, "a and c go on");
+        world.runUntilTrue(() -> isInView("a") && isInView("c"), 5_000, "a and c go on");
     }
 }
--- a/src/test/java/brambletray/platform/replication/RandomFaults.java
+++ b/src/test/java/brambletray/platform/replication/RandomFaults.java
@@ -10,9 +10,9 @@
     private final Random random;
     public final List<SimulatedReplica> live = new ArrayList<>();
     private final int machines;
-    private int replaced;
+    private int replacements;
     /** What else may happen to a process at times. */
-    public java.util.function.Consumer<SimulatedReplica> prank = node -> {};
+    public java.util.function.Consumer<SimulatedReplica> extraAction = node -> {};
 
     public RandomFaults(long seed, boolean talks) {
         random = new Random(seed);
@@ -37,18 +37,18 @@
     }
 
     /** Whether nothing more is expected of this scenario than that no rule is broken. */
-    public boolean harsh() {
+    public boolean checksSafetyOnly() {
         return world.ruleChecker.rapidDiskLosses;
     }
 
     /** Plays; returns how many changes were acknowledged. */
-    public int play() {
+    public int run() {
         for (SimulatedReplica node : live) {
             world.schedule(world.now + random.nextInt(400), node::start);
         }
         world.runUntil(world.now + 500);
         if (random.nextInt(4) > 0) {
-            settle(8000);
+            awaitOneView(8000);
         }
         for (SimulatedReplica node : live) {
             node.initialStart = false;
@@ -57,37 +57,37 @@
         for (int i = 0; i < rounds; i++) {
             int faults = 1 + random.nextInt(3);
             for (int f = 0; f < faults; f++) {
-                fault();
-                work(random.nextInt(400));
+                injectFault();
+                issueRequests(random.nextInt(400));
             }
-            work(random.nextInt(1500));
+            issueRequests(random.nextInt(1500));
             if (random.nextInt(3) == 0) {
-                calm();
+                endFaults();
                 if (world.ruleChecker.rapidDiskLosses) {
-                    work(2000);
+                    issueRequests(2000);
                 } else {
-                    settle(9000);
+                    awaitOneView(9000);
                 }
             }
         }
-        calm();
+        endFaults();
         if (world.ruleChecker.rapidDiskLosses) {
-            work(5000);
+            issueRequests(5000);
             return world.ruleChecker.acknowledged.size();
         }
-        settle(9000);
+        awaitOneView(9000);
         long token = world.ruleChecker.propose(live.get(0));
         world.runUntilTrue(
                 () -> world.ruleChecker.acknowledged.contains("c" + token), 2000, "a change after all is calm");
-        settle(3000);
+        awaitOneView(3000);
         world.runUntil(world.now + 300);
-        settle(3000);
-        world.runUntilTrue(this::alike, 4000, "all alike");
+        awaitOneView(3000);
+        world.runUntilTrue(this::statesAreEqual, 4000, "all alike");
         world.ruleChecker.checkFinalState(live);
         return world.ruleChecker.acknowledged.size();
     }
 
-    private void calm() {
+    private void endFaults() {
         world.heal();
         // those that are about to end, as planned, do
         world.runUntil(world.now + 350);
@@ -102,11 +102,11 @@
         }
     }
 
-    private void settle(int span) {
-        world.runUntilTrue(this::settled, span, "all in one view");
+    private void awaitOneView(int span) {
+        world.runUntilTrue(this::allInOneView, span, "all in one view");
     }
 
-    private boolean settled() {
+    private boolean allInOneView() {
         SimulatedReplica leader = world.leader();
         if (leader == null) {
             return false;
@@ -124,7 +124,7 @@
         return leader.replica.status().members().size() == live.size();
     }
 
-    private boolean alike() {
+    private boolean statesAreEqual() {
         for (SimulatedReplica node : live) {
             if (!node.state.equals(live.get(0).state)) {
                 return false;
@@ -133,14 +133,14 @@
         return true;
     }
 
-    private void work(int span) {
+    private void issueRequests(int span) {
         long end = world.now + span;
         while (world.now < end) {
             world.runUntil(Math.min(end, world.now + 1 + random.nextInt(120)));
-            SimulatedReplica node = any();
+            SimulatedReplica node = randomNode();
             if (node.isRunning() && node.frozenUntil <= world.now) {
                 if (random.nextInt(20) == 0) {
-                    prank.accept(node);
+                    extraAction.accept(node);
                 }
                 if (random.nextInt(4) == 0) {
                     world.ruleChecker.requestReadIndex(node);
@@ -151,18 +151,18 @@
         }
     }
 
-    private SimulatedReplica any() {
+    private SimulatedReplica randomNode() {
         return live.get(random.nextInt(live.size()));
     }
 
     /** A process that has been told to end does so once it may, and is started again. */
-    private void ends(SimulatedReplica node, int boot) {
+    private void restartOnceItMayTerminate(SimulatedReplica node, int boot) {
         world.schedule(world.now + 50, () -> {
             if (node.processNumber != boot || !node.isRunning()) {
                 return;
             }
             if (!node.replica.mayTerminate()) {
-                ends(node, boot);
+                restartOnceItMayTerminate(node, boot);
                 return;
             }
             node.kill(false);
@@ -179,9 +179,9 @@
         });
     }
 
-    private void fault() {
-        SimulatedReplica node = any();
-        SimulatedReplica other = any();
+    private void injectFault() {
+        SimulatedReplica node = randomNode();
+        SimulatedReplica other = randomNode();
         switch (random.nextInt(14)) {
             case 0, 1 -> {
                 if (node.isRunning()) {
@@ -216,7 +216,7 @@
             case 12 -> {
                 if (node.isRunning()) {
                     node.replica.leave(world.now);
-                    ends(node, node.processNumber);
+                    restartOnceItMayTerminate(node, node.processNumber);
                 }
             }
             case 11 -> {
@@ -246,17 +246,17 @@
 
     /** A machine is lost for good, another comes at a new address, before or after. */
     private void replace(SimulatedReplica node) {
-        if (replaced >= 2 || !world.ruleChecker.mayLoseDisk() || !settled()) {
+        if (replacements >= 2 || !world.ruleChecker.mayLoseDisk() || !allInOneView()) {
             return;
         }
-        replaced++;
+        replacements++;
         if (node.isRunning()) {
             node.kill(true);
         }
         node.wipe();
         world.ruleChecker.recovering.remove(node.address);
         live.remove(node);
-        SimulatedReplica next = world.node("r" + replaced, List.of("a", "b", "c"));
+        SimulatedReplica next = world.node("r" + replacements, List.of("a", "b", "c"));
         live.add(next);
         world.ruleChecker.recovering.add(next.address);
         restart(next, random.nextInt(2000));
--- a/src/test/java/brambletray/platform/replication/ReplicationCodecTest.java
+++ b/src/test/java/brambletray/platform/replication/ReplicationCodecTest.java
@@ -27,7 +27,7 @@
                 seen.add(frame.getClass());
                 return codec.roundTrip(frame);
             };
-            faults.play();
+            faults.run();
         }
         // a patch mismatch is too rare to occur reliably in these runs
         seen.add(codec.roundTrip(new ReplicationMessage.PatchMismatch(new Ballot(1, 2), 3))
--- a/src/test/java/brambletray/platform/replication/SimulatedReplicas.java
+++ b/src/test/java/brambletray/platform/replication/SimulatedReplicas.java
@@ -115,7 +115,7 @@
             return;
         }
         int size = MessageSizes.bytes(frame);
-        if (size > MessageSizes.LONGEST) {
+        if (size > MessageSizes.MAX_FRAME_BYTES) {
             ruleChecker.fail(from.address + " sends a message of " + size + " bytes, above the limit: "
                     + frame.getClass().getSimpleName());
         }
@@ -136,7 +136,7 @@
 
     /** Sends a message over a link of limited bandwidth; messages are transmitted one after the other. */
     private void sendOverSlowLink(SimulatedReplica from, SimulatedReplica target, Link link, int size, Object frame) {
-        if ((link.queueEmptyAt - now) * link.bytesPerMs > MessageSizes.MOST_WAITING) {
+        if ((link.queueEmptyAt - now) * link.bytesPerMs > MessageSizes.MAX_PENDING_BYTES) {
             link.disconnects++;
             link.queueEmptyAt = now;
             from.replica.onDisconnected(target.address, now);
--- a/src/test/java/brambletray/platform/replication/SteppedReplicas.java
+++ b/src/test/java/brambletray/platform/replication/SteppedReplicas.java
@@ -367,7 +367,7 @@
         }
     }
 
-    Fingerprint.Print fingerprint() {
+    Fingerprint.Hash128 fingerprint() {
         List<Object> all = new ArrayList<>();
         for (SteppedReplica replica : replicas) {
             all.add(replica.replica);
