--- a/src/test/java/brambletray/platform/replication/ReplicationTestCluster.java
+++ b/src/test/java/brambletray/platform/replication/ReplicationTestCluster.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A core in simulated time that has been founded and is at rest, without any chance in it: the first machine leads. */
+/** A simulated cluster that has been founded and is idle, without any randomness: the first machine is the leader. */
 public final class ReplicationTestCluster {
     public final SimulatedReplicas world;
 
@@ -11,7 +11,7 @@
         this(names, FaultTolerance.ofMachines(1));
     }
 
-    /** The same; {@code a/z} stands in zone z. */
+    /** The same; the name {@code a/z} denotes machine a in zone z. */
     ReplicationTestCluster(List<String> names, FaultTolerance tolerance) {
         world = new SimulatedReplicas(1, ReplicationSettings.defaults(tolerance, 5000));
         world.jitter = false;
@@ -33,7 +33,7 @@
         return node;
     }
 
-    /** Starts and waits until all are in. */
+    /** Starts all machines and waits until each is a member of one view. */
     public void found() {
         world.nodes.values().forEach(SimulatedReplica::start);
         world.runUntilTrue(
@@ -50,7 +50,7 @@
         world.runUntil(world.now + 500);
     }
 
-    /** A machine that isn't there yet, told these seeds. */
+    /** Adds a machine that is not started yet, configured with these seeds. */
     public void addSpare(String name, List<String> seeds) {
         addMachine(name, seeds);
     }
--- a/src/test/java/brambletray/platform/replication/RuleChecker.java
+++ b/src/test/java/brambletray/platform/replication/RuleChecker.java
@@ -9,21 +9,22 @@
 import java.util.TreeMap;
 
 /**
- * Sees all and holds the rules: one order, nothing acknowledged lost, nothing delivered twice, one view a number, reads
- * not older than acknowledgements.
+ * Checks the safety properties of a simulated cluster: all members apply the same entries in the same order, no
+ * acknowledged entry is lost or applied twice, there is one view per number, and reads include all earlier
+ * acknowledgements.
  */
 public final class RuleChecker {
     /**
-     * A second machine isn't lost so soon after the view without the first came active that only its leader knows of
-     * it.
+     * Minimum time between the activation of a view and the next loss of a disk, so that not only the leader knows that
+     * the view is active.
      */
     private static final int ACTIVATION_SPREAD_MS = 300;
 
-    /** A machine counts as lost for so long after its return. */
+    /** Time for which a machine counts as lost after its return. */
     private static final int RECOVERY_MS = 4000;
 
     private final SimulatedReplicas world;
-    /** What was delivered anywhere, by place. */
+    /** The changes applied at any member, by index. */
     final TreeMap<Long, String> appliedByIndex = new TreeMap<>();
 
     private final Set<String> appliedTexts = new HashSet<>();
@@ -34,15 +35,14 @@
     private final Map<Long, View> views = new TreeMap<>();
     private final Set<Long> liveIncarnations = new HashSet<>();
     private final Map<String, Long> incarnationByAddress = new HashMap<>();
-    /** Machines whose disk was lost, or that take the place of one, and that aren't members yet. */
+    /** Machines whose disk was lost, or that replace such a machine, and that are not members yet. */
     final Set<String> recovering = new HashSet<>();
 
     View latestView;
     private long latestViewAtMs;
     private long recoveringAtMs = Long.MIN_VALUE / 2;
     /**
-     * Whether disks are lost sooner after one another than is promised; then nobody promises that it goes on, only that
-     * nothing breaks.
+     * Whether disks are lost in faster succession than is tolerated; then only safety is guaranteed, not progress.
      */
     boolean rapidDiskLosses;
 
@@ -76,9 +76,11 @@
         incarnationByAddress.put(node.address, 0L);
     }
 
-    /** Whether one more disk may be lost without losing what is kept on more disks than one. */
+    /** Whether one more disk may be lost without losing entries that were on more than one disk. */
     boolean mayLoseDisk() {
-        if (latestView == null || latestView.members().size() < 2 || world.now - latestViewAtMs < ACTIVATION_SPREAD_MS) {
+        if (latestView == null
+                || latestView.members().size() < 2
+                || world.now - latestViewAtMs < ACTIVATION_SPREAD_MS) {
             return false;
         }
         recovering.removeIf(address -> latestView.memberAt(address) != null
@@ -104,16 +106,16 @@
             return;
         }
         View view = views.get(status.viewNumber());
-        View mine =
+        View observed =
                 new View(new Ballot(status.viewNumber(), status.leader().incarnation()), status.members(), List.of());
         if (view == null) {
-            views.put(status.viewNumber(), mine);
-            if (latestView == null || mine.ballot().isAbove(latestView.ballot())) {
-                latestView = mine;
+            views.put(status.viewNumber(), observed);
+            if (latestView == null || observed.ballot().isAbove(latestView.ballot())) {
+                latestView = observed;
                 latestViewAtMs = world.now;
             }
-        } else if (!view.equals(mine)) {
-            fail("two views of number " + status.viewNumber() + ": " + view + " and " + mine);
+        } else if (!view.equals(observed)) {
+            fail("two views of number " + status.viewNumber() + ": " + view + " and " + observed);
         }
     }
 
@@ -121,20 +123,20 @@
         String other = appliedByIndex.putIfAbsent(index, text);
         appliedTexts.add(text);
         if (other != null && !other.equals(text)) {
-            fail(node.address + " delivers " + text + " at " + index + ", others " + other);
+            fail(node.address + " applies " + text + " at index " + index + ", another member applied " + other);
         }
         if (rejected.contains(text)) {
-            fail(text + " was refused and is delivered");
+            fail(text + " was rejected but has been applied");
         }
     }
 
-    /** Proposes a text here, {@code c} and the token that this returns. */
+    /** Proposes the text {@code c<token>} at this member and returns the token. */
     public long propose(SimulatedReplica node) {
         long token = ++lastToken;
         String text = "c" + token;
         proposed.put(token, text);
-        String whole = world.changePadding.isEmpty() ? text : text + ' ' + world.changePadding;
-        node.replica.propose(token, whole.getBytes(java.nio.charset.StandardCharsets.UTF_8), world.now);
+        String change = world.changePadding.isEmpty() ? text : text + ' ' + world.changePadding;
+        node.replica.propose(token, change.getBytes(java.nio.charset.StandardCharsets.UTF_8), world.now);
         return token;
     }
 
@@ -142,12 +144,12 @@
         String text = proposed.get(token);
         if (outcome == ProposalOutcome.COMMITTED) {
             if (!appliedTexts.contains(text)) {
-                fail(text + " acknowledged but not in the order");
+                fail(text + " acknowledged but not applied");
             }
             acknowledged.add(text);
         } else if (outcome == ProposalOutcome.REJECTED) {
             if (appliedTexts.contains(text)) {
-                fail(text + " refused but in the order");
+                fail(text + " rejected but applied");
             }
             rejected.add(text);
         } else {
@@ -162,20 +164,20 @@
         return token;
     }
 
-    void onReadIndexCompleted(SimulatedReplica node, long token, boolean yes) {
-        Set<String> must = expected.remove(token);
-        if (!yes) {
+    void onReadIndexCompleted(SimulatedReplica node, long token, boolean confirmed) {
+        Set<String> required = expected.remove(token);
+        if (!confirmed) {
             return;
         }
         confirmedReads++;
-        for (String text : must) {
+        for (String text : required) {
             if (!node.applied.contains(text)) {
-                fail(node.address + " reads without " + text + ", acknowledged before");
+                fail(node.address + " confirmed a read without " + text + ", which had been acknowledged before");
             }
         }
     }
 
-    /** At the end: all members have the same and all that was acknowledged. */
+    /** Checks at the end of a run that these members have the same state, with all acknowledged changes. */
     void checkFinalState(List<SimulatedReplica> live) {
         for (String text : acknowledged) {
             for (SimulatedReplica node : live) {
--- a/src/test/java/brambletray/platform/replication/SimulatedReplica.java
+++ b/src/test/java/brambletray/platform/replication/SimulatedReplica.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** One machine of the control plane in simulated time: a disk that stays, and a process that comes and goes. */
+/** One simulated machine of the control plane: a persistent disk, and a process that can end and restart. */
 public final class SimulatedReplica {
-    /** What else the process does besides being a member. */
+    /** Another component that runs in the same process as the replica. */
     public interface AdditionalComponent {
         void tick();
 
@@ -18,7 +18,7 @@
         void syncFailed(long ticket);
     }
 
-    /** What the members replicate, in place of lists of texts, and the proposals that are its own. */
+    /** A replicated application in place of the default list of texts, with its own proposals. */
     public interface Application {
         StateMachine stateMachine();
 
@@ -33,17 +33,17 @@
     List<String> seeds;
     public Replica replica;
     public AdditionalComponent additionalComponent;
-    /** Null for lists of texts. */
+    /** Null for the default list of texts. */
     public Application application;
-    /** Counts processes; what was meant for an earlier one is dropped. */
+    /** Number of process starts; events scheduled for an earlier process are dropped. */
     int processNumber;
 
     public boolean initialStart;
     String zone = "";
     public long frozenUntil;
-    /** What this process has delivered, by place; places before the first are in the snapshot. */
+    /** The changes that this process has applied, in order, including those from a snapshot. */
     public final List<String> state = new ArrayList<>();
-    /** The same, to look a change up. */
+    /** The same changes, for lookup. */
     public final java.util.Set<String> applied = new java.util.HashSet<>();
 
     long appliedIndex;
@@ -65,13 +65,13 @@
         state.clear();
         applied.clear();
         appliedIndex = 0;
-        long fresh = world.random.nextLong() | 1;
+        long newIncarnation = world.random.nextLong() | 1;
         DurableState durableState = DurableState.read(disk.content);
         replica = null;
         long origin = world.random.nextLong() | 1;
         application = world.applications == null ? null : world.applications.create(this, origin);
         replica = new Replica(
-                new ReplicaConfig(address, address, zone, fresh, origin, seeds, initialStart, world.settings),
+                new ReplicaConfig(address, address, zone, newIncarnation, origin, seeds, initialStart, world.settings),
                 durableState,
                 new SimulatedActions(processNumber),
                 application == null ? new TextListStateMachine() : application.stateMachine(),
@@ -81,12 +81,12 @@
         scheduleTick(processNumber);
     }
 
-    /** Runs it on this process's loop, unless the process ends before. */
-    public void execute(Runnable run) {
-        world.scheduleFor(this, processNumber, world.now, run);
+    /** Runs the action as an event of this process, unless the process ends before. */
+    public void execute(Runnable action) {
+        world.scheduleFor(this, processNumber, world.now, action);
     }
 
-    /** Keeps changes of the rider. */
+    /** Writes changes of the {@link #additionalComponent} to disk. */
     public void persist(long ticket, Map<String, byte[]> changes) {
         write(1, processNumber, ticket, changes);
     }
@@ -134,8 +134,8 @@
         }
     }
 
-    private void scheduleTick(int which) {
-        world.scheduleFor(this, which, world.now + 40, () -> {
+    private void scheduleTick(int process) {
+        world.scheduleFor(this, process, world.now + 40, () -> {
             if (replica != null) {
                 replica.tick(world.now);
                 if (replica != null) {
@@ -145,11 +145,11 @@
                     additionalComponent.tick();
                 }
             }
-            scheduleTick(which);
+            scheduleTick(process);
         });
     }
 
-    /** The process ends at once. With {@code power}, so does the machine: a batch under way may be lost. */
+    /** Ends the process immediately. With {@code power} the machine loses power, so a batch in flight may be lost. */
     public void kill(boolean power) {
         processNumber++;
         down = true;
@@ -230,13 +230,13 @@
         @Override
         public void apply(long index, byte[] change) {
             if (index != appliedIndex + 1) {
-                world.ruleChecker.fail(address + " delivers " + index + " after " + appliedIndex);
+                world.ruleChecker.fail(address + " applies index " + index + " after " + appliedIndex);
             }
             appliedIndex = index;
-            String whole = new String(change, StandardCharsets.UTF_8);
-            String text = whole.indexOf(' ') < 0 ? whole : whole.substring(0, whole.indexOf(' '));
+            String changeText = new String(change, StandardCharsets.UTF_8);
+            String text = changeText.indexOf(' ') < 0 ? changeText : changeText.substring(0, changeText.indexOf(' '));
             if (!applied.add(text)) {
-                world.ruleChecker.fail(address + " delivers " + text + " twice");
+                world.ruleChecker.fail(address + " applies " + text + " twice");
             }
             state.add(text);
             world.ruleChecker.onApplied(SimulatedReplica.this, index, text);
@@ -246,8 +246,8 @@
     private final class SimulatedActions implements ReplicationActions {
         private final int process;
 
-        SimulatedActions(int mine) {
-            this.process = mine;
+        SimulatedActions(int process) {
+            this.process = process;
         }
 
         @Override
@@ -280,7 +280,7 @@
         @Override
         public void log(ReplicationEvent event) {
             if (event instanceof ReplicationEvent.BehindSnapshot) {
-                world.ruleChecker.fail(address + " can't send what a member lacks: " + event);
+                world.ruleChecker.fail(address + " has compacted entries that a member lacks: " + event);
             }
             if (!world.logsEvents) {
                 return;
--- a/src/test/java/brambletray/platform/replication/SimulatedReplicaDisk.java
+++ b/src/test/java/brambletray/platform/replication/SimulatedReplicaDisk.java
@@ -5,25 +5,24 @@
 import java.util.TreeMap;
 
 /**
- * A disk in simulated time: what is synced, and batches under way (one a writer) that a loss of power may take away or
- * leave.
+ * A simulated disk: the synced content, and one batch in flight per writer that a power loss may discard or keep.
  */
 public final class SimulatedReplicaDisk {
     public final Map<String, byte[]> content = new HashMap<>();
     private final Map<Integer, Map<String, byte[]>> inFlight = new TreeMap<>();
     int syncMs = 5;
-    /** Bytes that a sync writes in a ms; 0 for a disk on which size takes no time. */
+    /** Write throughput in bytes per ms; 0 if the size does not affect the sync time. */
     public int bytesPerMs;
 
     boolean full;
-    /** Syncs begun before this end after it. */
+    /** Syncs that started before this time complete after it. */
     long hungUntil;
 
     void startWrite(int writer, Map<String, byte[]> changes) {
         inFlight.put(writer, new HashMap<>(changes));
     }
 
-    /** ms that the bytes of a writer's batch under way add to its sync. */
+    /** Time in ms that the size of a writer's batch in flight adds to its sync. */
     int transferMs(int writer) {
         long bytes = 0;
         for (byte[] value : inFlight.get(writer).values()) {
--- a/src/test/java/brambletray/platform/replication/SimulatedReplicas.java
+++ b/src/test/java/brambletray/platform/replication/SimulatedReplicas.java
@@ -8,7 +8,7 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 
-/** Machines, links and disks in simulated time. One seed gives one scenario of events. */
+/** Machines, links and disks in simulated time. A seed determines the sequence of events. */
 public final class SimulatedReplicas {
     private record Event(long at, long seq, SimulatedReplica node, int process, Runnable run) {}
 
@@ -17,9 +17,9 @@
         boolean cut;
         int delayMs = 2;
         double loss;
-        /** Bytes a ms; 0 for a link that takes no time. */
+        /** Bandwidth in bytes per ms; 0 for unlimited bandwidth. */
         int bytesPerMs;
-        /** When all that was said is out; with more than may wait by then, the link closes and that is lost. */
+        /** When the send queue will be empty. If the queue exceeds its bound, the connection closes and loses it. */
         double queueEmptyAt;
 
         long bytes;
@@ -38,29 +38,30 @@
     public final List<String> events = new ArrayList<>();
     public boolean logsEvents;
     public boolean jitter = true;
-    /** Makes what rides on a process at its start; null for nothing. */
+    /** Creates the additional component of a process at its start; null for none. */
     public java.util.function.Function<SimulatedReplica, SimulatedReplica.AdditionalComponent> additionalComponents;
-    /** Makes what a process replicates, at its start; null for lists of texts. */
+    /** Creates the replicated application of a process at its start; null for the default list of texts. */
     public ApplicationFactory applications;
-    /** Makes snapshots larger, and changes. */
+    /** Added to each snapshot to make it larger; {@link #changePadding} does the same for changes. */
     String snapshotPadding = "";
 
     String changePadding = "";
     public long now = 1000;
     private long seq;
-    /** Frames sent so far; and a chance to act on one before it goes: returns false to lose it. */
+    /** Number of messages sent so far. */
     long messageCount;
 
+    /** Called before each message is sent; returns false to drop it. */
     SendFilter sendFilter = (from, to, frame) -> true;
-    /** How a frame comes to the other side. */
+    /** Transforms each message on its way to the receiver. */
     java.util.function.UnaryOperator<Object> messageTransform = frame -> frame;
-    /** Told of each frame once it has been dealt with. */
+    /** Called after each message has been handled. */
     java.util.function.BiConsumer<SimulatedReplica, Object> afterMessage = (node, frame) -> {};
 
-    /** Told once a write has begun, and once more when its sync is about to return. */
+    /** Called when a write has started, and again before its sync completes. */
     java.util.function.Consumer<SimulatedReplica> onDiskWrite = node -> {};
 
-    /** {@code origin}: of the process's proposals. */
+    /** Factory of replicated applications; {@code origin} identifies the proposals of the process. */
     public interface ApplicationFactory {
         SimulatedReplica.Application create(SimulatedReplica node, long origin);
     }
@@ -84,13 +85,13 @@
         return links.computeIfAbsent(from + ">" + to, key -> new Link());
     }
 
-    void scheduleFor(SimulatedReplica node, int boot, long when, Runnable run) {
-        queue.add(new Event(when, ++seq, node, boot, run));
+    void scheduleFor(SimulatedReplica node, int process, long when, Runnable run) {
+        queue.add(new Event(when, ++seq, node, process, run));
     }
 
-    /** Something that is no process's doing. */
-    public void schedule(long when, Runnable run) {
-        scheduleFor(null, 0, when, run);
+    /** Schedules an action that does not belong to a process. */
+    public void schedule(long atMs, Runnable run) {
+        scheduleFor(null, 0, atMs, run);
     }
 
     int syncMs(SimulatedReplicaDisk disk) {
@@ -115,12 +116,12 @@
         }
         int size = MessageSizes.bytes(frame);
         if (size > MessageSizes.MAX_FRAME_BYTES) {
-            ruleChecker.fail(from.address + " says a frame of " + size + " bytes: "
+            ruleChecker.fail(from.address + " sends a message of " + size + " bytes, above the limit: "
                     + frame.getClass().getSimpleName());
         }
         link.bytes += size;
         if (link.bytesPerMs > 0) {
-            schedule(from, target, link, size, messageTransform.apply(frame));
+            sendOverSlowLink(from, target, link, size, messageTransform.apply(frame));
             return;
         }
         int delay = link.delayMs + (jitter ? random.nextInt(link.delayMs + 1) : 0);
@@ -129,12 +130,12 @@
             scheduleFor(from, from.processNumber, now + 2L * delay, () -> from.replica.onDisconnected(to, now));
             return;
         }
-        Object response = messageTransform.apply(frame);
-        scheduleFor(target, target.processNumber, link.lastDeliveryAt, () -> target.deliver(from.address, response));
+        Object received = messageTransform.apply(frame);
+        scheduleFor(target, target.processNumber, link.lastDeliveryAt, () -> target.deliver(from.address, received));
     }
 
-    /** A frame on a link that takes its time: whole frames, one after the other. */
-    private void schedule(SimulatedReplica from, SimulatedReplica target, Link link, int size, Object frame) {
+    /** Sends a message over a link of limited bandwidth; messages are transmitted one after the other. */
+    private void sendOverSlowLink(SimulatedReplica from, SimulatedReplica target, Link link, int size, Object frame) {
         if ((link.queueEmptyAt - now) * link.bytesPerMs > MessageSizes.MAX_PENDING_BYTES) {
             link.disconnects++;
             link.queueEmptyAt = now;
@@ -142,7 +143,7 @@
             return;
         }
         link.queueEmptyAt = Math.max(now, link.queueEmptyAt) + (double) size / link.bytesPerMs;
-        int breaks = link.disconnects;
+        int disconnects = link.disconnects;
         link.lastDeliveryAt = Math.max(link.lastDeliveryAt, (long) link.queueEmptyAt + link.delayMs);
         if (!target.isRunning()) {
             scheduleFor(
@@ -153,13 +154,13 @@
             return;
         }
         scheduleFor(target, target.processNumber, link.lastDeliveryAt, () -> {
-            if (link.disconnects == breaks) {
+            if (link.disconnects == disconnects) {
                 target.deliver(from.address, frame);
             }
         });
     }
 
-    /** Both ways between two machines: bytes a ms. */
+    /** Sets the bandwidth between two machines in both directions, in bytes per ms. */
     void setBandwidth(String a, String b, int bytes) {
         link(a, b).bytesPerMs = bytes;
         link(b, a).bytesPerMs = bytes;
@@ -199,7 +200,7 @@
                 link.loss = 0;
                 link.delayMs = 2;
                 if (link.bytesPerMs > 0) {
-                    // what waits in a slow link is lost with it
+                    // the queue of a slow link is lost when its connection closes
                     link.disconnects++;
                     link.queueEmptyAt = now;
                     link.lastDeliveryAt = now;
@@ -213,15 +214,15 @@
         }
     }
 
-    /** Plays until a time. */
-    public void runUntil(long when) {
-        while (!queue.isEmpty() && queue.peek().at <= when) {
+    /** Runs all events up to this time. */
+    public void runUntil(long untilMs) {
+        while (!queue.isEmpty() && queue.peek().at <= untilMs) {
             step();
         }
-        now = Math.max(now, when);
+        now = Math.max(now, untilMs);
     }
 
-    /** Plays the next event; false when there is none. */
+    /** Runs the next event; returns false if there is none. */
     boolean step() {
         Event event = queue.poll();
         if (event == null) {
@@ -245,18 +246,18 @@
         return true;
     }
 
-    /** What a frozen process has missed comes to it all at once, in order. */
+    /** Delivers the events deferred while the process was frozen, in order. */
     private void deliverDeferred(SimulatedReplica node) {
         if (node.frozenUntil > now) {
             schedule(node.frozenUntil, () -> deliverDeferred(node));
             return;
         }
-        List<Runnable> all = List.copyOf(node.deferred);
+        List<Runnable> deferred = List.copyOf(node.deferred);
         node.deferred.clear();
-        all.forEach(Runnable::run);
+        deferred.forEach(Runnable::run);
     }
 
-    /** Plays on until the condition holds; fails after the span. */
+    /** Runs until the condition holds and returns the time taken in ms; fails after {@code span} ms. */
     public long runUntilTrue(java.util.function.BooleanSupplier condition, long span, String what) {
         long begin = now;
         while (!condition.getAsBoolean()) {
--- a/src/test/java/brambletray/platform/replication/SteppedReplicas.java
+++ b/src/test/java/brambletray/platform/replication/SteppedReplicas.java
@@ -9,9 +9,9 @@
 import java.util.TreeMap;
 
 /**
- * Three members and one that may come later, their disks and links, moved by hand: each move is the next frame of a
- * link, the end of a sync, the impatience of a member, a loss of power or of a disk, a planned end, the start of the
- * newcomer. The same moves give the same board.
+ * Three members and a potential newcomer with their disks and links, advanced step by step: each move is the delivery
+ * of the next message on a link, the end of a sync, an election timeout of a member, a loss of power or of a disk, a
+ * planned shutdown, or the start of the newcomer. The same moves lead to the same state.
  */
 final class SteppedReplicas {
     /** Machines: the founders and the newcomer. */
@@ -22,13 +22,24 @@
     private static final String[] NAMES = {"a", "b", "c", "d"};
     private static final List<String> SEEDS = List.of("a", "b", "c");
     private static final int NEVER_MS = 1_000_000_000;
-    private static final ReplicationSettings SETTINGS =
-            new ReplicationSettings(FaultTolerance.ofMachines(1), NEVER_MS, 1, NEVER_MS, NEVER_MS, NEVER_MS, 0, 0, 0, NEVER_MS, NEVER_MS, NEVER_MS);
+    private static final ReplicationSettings SETTINGS = new ReplicationSettings(
+            FaultTolerance.ofMachines(1),
+            NEVER_MS,
+            1,
+            NEVER_MS,
+            NEVER_MS,
+            NEVER_MS,
+            0,
+            0,
+            0,
+            NEVER_MS,
+            NEVER_MS,
+            NEVER_MS);
 
-    /** What may still happen: impatience, losses of power, losses of disks, planned ends, the start of the newcomer. */
+    /** Remaining number of timeouts, power losses, disk losses, planned shutdowns and newcomer starts. */
     record EventBudget(int timeouts, int powerLosses, int diskLosses, int leaves, int newcomers) {
-        EventBudget(int impatience, int power, int disks) {
-            this(impatience, power, disks, 0, 0);
+        EventBudget(int timeouts, int powerLosses, int diskLosses) {
+            this(timeouts, powerLosses, diskLosses, 0, 0);
         }
     }
 
@@ -44,8 +55,8 @@
         final List<String> state = new ArrayList<>();
         long lastProposedView;
 
-        SteppedReplica(SteppedReplicas board, int number) {
-            this.cluster = board;
+        SteppedReplica(SteppedReplicas cluster, int number) {
+            this.cluster = cluster;
             this.number = number;
         }
 
@@ -53,14 +64,14 @@
             startCount++;
             state.clear();
             inFlight = null;
-            long fresh = 100 * (number + 1) + startCount;
+            long newIncarnation = 100 * (number + 1) + startCount;
             replica = null;
             replica = new Replica(
                     new ReplicaConfig(
                             NAMES[number],
                             NAMES[number],
                             "",
-                            fresh,
+                            newIncarnation,
                             1000 * (number + 1) + startCount,
                             SEEDS,
                             initial,
@@ -78,8 +89,8 @@
         }
 
         @Override
-        public void persist(long which, Map<String, byte[]> changes) {
-            ticket = which;
+        public void persist(long newTicket, Map<String, byte[]> changes) {
+            ticket = newTicket;
             inFlight = new HashMap<>(changes);
         }
 
@@ -146,14 +157,15 @@
         public void apply(long index, byte[] change) {
             String text = new String(change, StandardCharsets.UTF_8);
             if (state.contains(text)) {
-                throw new AssertionError(text + " twice at " + NAMES[number]);
+                throw new AssertionError(text + " applied twice at " + NAMES[number]);
             }
             state.add(text);
             String other = cluster.appliedByIndex.putIfAbsent(index, text);
             if (other == null || other.equals(text)) {
                 return;
             }
-            throw new AssertionError(NAMES[number] + " delivers " + text + " at " + index + ", before it was " + other);
+            throw new AssertionError(
+                    NAMES[number] + " applies " + text + " at index " + index + ", another member applied " + other);
         }
     }
 
@@ -165,14 +177,16 @@
     private long now = 1000;
     private EventBudget budget;
     int acknowledged;
-    /** Processes that have left; newcomers let in. */
+    /** Number of processes that have ended as planned. */
     int leftCount;
 
+    /** Whether the newcomer has become a member. */
     boolean joined;
+
     boolean verbose;
 
-    SteppedReplicas(EventBudget purse) {
-        this.budget = purse;
+    SteppedReplicas(EventBudget budget) {
+        this.budget = budget;
         for (int i = 0; i < SIZE; i++) {
             for (int j = 0; j < SIZE; j++) {
                 links.add(new ArrayDeque<>());
@@ -184,35 +198,35 @@
         }
     }
 
-    /** Founds the control plane: the first member leads, nothing is under way. */
+    /** Founds the cluster: afterwards the first member leads and no message or write is in flight. */
     void found() {
         executeAllEnabled();
         now += STEP_MS;
         replicas[0].replica.tick(now);
         executeAllEnabled();
-        // told to the others that the view is active by their leader's next beat
+        // the leader's next heartbeat tells the others that the view is active
         if (!replicas[0].replica.status().isLeader()) {
             throw new AssertionError("not founded");
         }
     }
 
     private void executeAllEnabled() {
-        boolean moved = true;
-        while (moved) {
-            moved = false;
+        boolean progressed = true;
+        while (progressed) {
+            progressed = false;
             for (int move = 0; move < SIZE * SIZE + SIZE; move++) {
                 if (!isEnabled(move)) {
                     continue;
                 }
                 execute(move);
-                moved = true;
+                progressed = true;
             }
         }
     }
 
     /**
-     * Moves: first the next frame of a link, then for each: sync, impatience, loss of power, of the disk, planned end,
-     * first start.
+     * Number of moves: the delivery of the next message for each link, then for each machine: sync, timeout, power
+     * loss, disk loss, planned shutdown, first start.
      */
     static final int MOVES = SIZE * SIZE + 6 * SIZE;
 
@@ -267,7 +281,8 @@
         if (kind == 0) {
             replica.sync();
         } else if (kind == 1) {
-            budget = new EventBudget(budget.timeouts - 1, budget.powerLosses, budget.diskLosses, budget.leaves, budget.newcomers);
+            budget = new EventBudget(
+                    budget.timeouts - 1, budget.powerLosses, budget.diskLosses, budget.leaves, budget.newcomers);
             now += STEP_MS;
             replica.replica.tick(now);
         } else if (kind == 4) {
@@ -275,11 +290,13 @@
                 endProcess(replica);
                 return;
             }
-            budget = new EventBudget(budget.timeouts, budget.powerLosses, budget.diskLosses, budget.leaves - 1, budget.newcomers);
+            budget = new EventBudget(
+                    budget.timeouts, budget.powerLosses, budget.diskLosses, budget.leaves - 1, budget.newcomers);
             now += STEP_MS;
             replica.replica.leave(now);
         } else if (kind == 5) {
-            budget = new EventBudget(budget.timeouts, budget.powerLosses, budget.diskLosses, budget.leaves, budget.newcomers - 1);
+            budget = new EventBudget(
+                    budget.timeouts, budget.powerLosses, budget.diskLosses, budget.leaves, budget.newcomers - 1);
             now += STEP_MS;
             replica.start(false);
             replica.sync();
@@ -309,16 +326,20 @@
         }
     }
 
-    /** The process has left: the others have to be able to go on without it, on more disks than may be lost. */
+    /**
+     * Ends a process after its planned shutdown. The others must be able to continue without it, with more disks than
+     * may be lost.
+     */
     private void endProcess(SteppedReplica replica) {
         View latest = views.lastEntry().getValue();
-        boolean alone = latest.members().size() == 1;
-        if (latest.contains(replica.incarnation) && !alone) {
-            throw new AssertionError(NAMES[replica.number] + " has left, and is in " + latest);
+        boolean singleMember = latest.members().size() == 1;
+        if (latest.contains(replica.incarnation) && !singleMember) {
+            throw new AssertionError(NAMES[replica.number] + " has ended as planned but is in " + latest);
         }
-        boolean one = !latest.contains(replica.incarnation) && alone && lostIncarnations.isEmpty();
-        if (one) {
-            throw new AssertionError(NAMES[replica.number] + " has left one disk: " + latest);
+        boolean leavesSingleDisk = !latest.contains(replica.incarnation) && singleMember && lostIncarnations.isEmpty();
+        if (leavesSingleDisk) {
+            throw new AssertionError(
+                    NAMES[replica.number] + " has ended as planned and left a view with one disk: " + latest);
         }
         leftCount++;
         clearLinks(replica);
@@ -326,18 +347,18 @@
         replica.replica = null;
     }
 
-    /** Holds the rules, and has each new leader propose something. */
+    /** Checks that there is one view per number, and lets each new leader propose a change. */
     private void checkView(SteppedReplica replica) {
         ReplicaStatus status = replica.replica.status();
         if (!status.active()) {
             return;
         }
         joined |= status.members().stream().anyMatch(member -> member.address().equals(NAMES[FOUNDERS]));
-        View mine =
+        View observed =
                 new View(new Ballot(status.viewNumber(), status.leader().incarnation()), status.members(), List.of());
-        View other = views.putIfAbsent(status.viewNumber(), mine);
-        if (other != null && !other.equals(mine)) {
-            throw new AssertionError("two views of number " + status.viewNumber() + ": " + other + ", " + mine);
+        View other = views.putIfAbsent(status.viewNumber(), observed);
+        if (other != null && !other.equals(observed)) {
+            throw new AssertionError("two views of number " + status.viewNumber() + ": " + other + ", " + observed);
         }
         if (status.isLeader() && replica.lastProposedView < status.viewNumber()) {
             replica.lastProposedView = status.viewNumber();
--- a/src/test/java/brambletray/platform/replication/Timeline.java
+++ b/src/test/java/brambletray/platform/replication/Timeline.java
@@ -6,33 +6,33 @@
 import java.util.Map;
 
 /**
- * A drawn timeline: one column a machine, time (ms) downwards. A row at {@code 300} is played at that time; a row at
- * {@code <900} waits until all that it says is seen, at the latest then; a row at {@code +200} comes so long after the
- * row above. Words of a cell, joined by commas:
+ * Interprets a timeline table: one column per machine, time in ms downwards. A row at {@code 300} runs at that time; a
+ * row at {@code <900} waits until all its expectations hold, at the latest at that time; a row at {@code +200} runs
+ * that long after the row above. A cell holds words separated by commas:
  * <pre>
- * ^        starts                       X        its process is killed          XX     its machine loses power
- * W        loses power and disk         z500     is frozen for 500 ms           ~  ~b  is cut from all, from b
- * ~&gt;b      its frames to b are cut       -        all its links are well again
- * bye      is about to end, as planned          left     may end now               stays  may not end yet
- * full     its disk refuses writes      hung900  its disk hangs for 900 ms      slow90 its disk takes 90 ms      well
- * its disk is well again
- * +x       proposes x                   ?        asks whether it reads the newest
- * X@Stop   is killed as it is about to send its next Stop; XX@, W@, ~b@ likewise; X&gt;Stop: once it is sent;
- * X&lt;Told: once it has
- *          heard one; bye&lt; likewise
- * =x       has x                        !x       hasn't x                       ok:x   x was acknowledged        no:x
- * x wasn't (yet)
- * L M S K  leads, is a member, has stopped, knocks; L2, M3: in a view of so many        V1       the view's number is 1
- * .        nothing
+ * ^        start the process            X        kill the process               XX     power loss
+ * W        power and disk loss          z500     freeze for 500 ms              ~  ~b  cut off from all, from b
+ * ~&gt;b      cut only the link to b       -        restore all links of the machine
+ * bye      start a planned shutdown     left     may terminate                  stays  may not terminate yet
+ * full     disk refuses writes          hung900  disk hangs for 900 ms          slow90 syncs take 90 ms
+ * well     disk works normally again
+ * +x       propose x                    ?        request a read index           ?ok    a read index was confirmed
+ * X@T      kill before sending the next message of type T; likewise XX@, W@, ~b@
+ * X&gt;T      kill after sending it
+ * X&lt;T      kill after handling a received one; likewise bye&lt;
+ * =x       has applied x                !x       has not applied x
+ * ok:x     x was acknowledged           no:x     x was not acknowledged (yet)
+ * L M S K  is leader, member, suspended, joining; L2, M3: in a view of that size
+ * V1       the view has number 1        .        nothing
  * </pre>
  */
 public final class Timeline {
-    /** Further words. */
+    /** Additional words of a test. */
     public interface AdditionalWords {
-        /** Acts on a word; false if it isn't one. */
+        /** Performs the action of a word; returns false if the word is unknown here. */
         boolean act(SimulatedReplica node, String word);
 
-        /** Whether what the word says is seen; null if it isn't a word. */
+        /** Whether the expectation of a word holds; null if the word is unknown here. */
         Boolean holds(SimulatedReplica node, String word);
     }
 
@@ -45,19 +45,19 @@
 
     private record MessageTrigger(SimulatedReplica node, String action, char when, String messageType) {}
 
-    public Timeline(SimulatedReplicas world, AdditionalWords more) {
+    public Timeline(SimulatedReplicas world, AdditionalWords additionalWords) {
         this.world = world;
-        this.additionalWords = more;
+        this.additionalWords = additionalWords;
         world.sendFilter = this::onSend;
         world.afterMessage = this::onHandled;
     }
 
-    /** Plays the rows; throws AssertionError where something isn't seen. */
-    public void run(String drawn) {
+    /** Runs the rows; throws {@link AssertionError} if an expectation does not hold in time. */
+    public void run(String table) {
         beginMs = world.now;
-        long last = 0;
+        long lastRowMs = 0;
         List<String> columns = null;
-        for (String line : drawn.split("\n")) {
+        for (String line : table.split("\n")) {
             if (line.isBlank()) {
                 continue;
             }
@@ -67,18 +67,18 @@
                 continue;
             }
             String time = cells.get(0);
-            boolean by = time.startsWith("<");
-            long at = time.startsWith("+")
-                    ? last + Long.parseLong(time.substring(1))
-                    : Long.parseLong(by ? time.substring(1) : time);
-            if (!by) {
-                world.runUntil(beginMs + at);
+            boolean isDeadline = time.startsWith("<");
+            long rowMs = time.startsWith("+")
+                    ? lastRowMs + Long.parseLong(time.substring(1))
+                    : Long.parseLong(isDeadline ? time.substring(1) : time);
+            if (!isDeadline) {
+                world.runUntil(beginMs + rowMs);
             }
             for (int i = 1; i < cells.size(); i++) {
                 act(world.nodes.get(columns.get(i - 1)), cells.get(i));
             }
-            awaitExpectations(columns, cells, by ? beginMs + at : world.now, line);
-            last = by ? world.now - beginMs : at;
+            awaitExpectations(columns, cells, isDeadline ? beginMs + rowMs : world.now, line);
+            lastRowMs = isDeadline ? world.now - beginMs : rowMs;
         }
     }
 
@@ -131,55 +131,55 @@
         return Long.parseLong(word.substring(from));
     }
 
-    private void end(SimulatedReplica node, String how) {
+    private void end(SimulatedReplica node, String word) {
         if (node.isRunning()) {
-            node.kill(how.equals("XX") || how.equals("W"));
+            node.kill(word.equals("XX") || word.equals("W"));
         }
-        if (how.equals("W")) {
+        if (word.equals("W")) {
             node.wipe();
         }
     }
 
-    private void cut(SimulatedReplica node, String from) {
-        if (from.startsWith(">")) {
-            world.setOneWayCut(node.address, from.substring(1), true);
-        } else if (!from.isEmpty()) {
-            world.setCut(node.address, from, true);
+    private void cut(SimulatedReplica node, String target) {
+        if (target.startsWith(">")) {
+            world.setOneWayCut(node.address, target.substring(1), true);
+        } else if (!target.isEmpty()) {
+            world.setCut(node.address, target, true);
         } else {
             world.nodes.keySet().forEach(other -> world.setCut(node.address, other, true));
         }
     }
 
     private boolean onSend(SimulatedReplica from, String to, Object frame) {
-        MessageTrigger trap = findTrigger(from, '@', frame);
-        if (trap != null) {
-            triggers.remove(trap);
-            act(from, trap.action, ' ');
+        MessageTrigger trigger = findTrigger(from, '@', frame);
+        if (trigger != null) {
+            triggers.remove(trigger);
+            act(from, trigger.action, ' ');
             return false;
         }
-        MessageTrigger later = findTrigger(from, '>', frame);
-        if (later != null) {
-            triggers.remove(later);
-            world.schedule(world.now, () -> act(from, later.action, ' '));
+        MessageTrigger triggerAfterSend = findTrigger(from, '>', frame);
+        if (triggerAfterSend != null) {
+            triggers.remove(triggerAfterSend);
+            world.schedule(world.now, () -> act(from, triggerAfterSend.action, ' '));
         }
         return true;
     }
 
     private void onHandled(SimulatedReplica node, Object frame) {
-        MessageTrigger trap = findTrigger(node, '<', frame);
-        if (trap == null) {
+        MessageTrigger trigger = findTrigger(node, '<', frame);
+        if (trigger == null) {
             return;
         }
-        triggers.remove(trap);
-        act(node, trap.action, ' ');
+        triggers.remove(trigger);
+        act(node, trigger.action, ' ');
     }
 
     private MessageTrigger findTrigger(SimulatedReplica node, char when, Object frame) {
-        for (MessageTrigger trap : triggers) {
-            if (trap.node == node
-                    && trap.when == when
-                    && trap.messageType.equals(frame.getClass().getSimpleName())) {
-                return trap;
+        for (MessageTrigger trigger : triggers) {
+            if (trigger.node == node
+                    && trigger.when == when
+                    && trigger.messageType.equals(frame.getClass().getSimpleName())) {
+                return trigger;
             }
         }
         return null;
@@ -187,12 +187,12 @@
 
     private void awaitExpectations(List<String> columns, List<String> cells, long limit, String line) {
         while (true) {
-            String missing = unmetExpectation(columns, cells);
-            if (missing == null) {
+            String unmet = unmetExpectation(columns, cells);
+            if (unmet == null) {
                 return;
             }
             if (world.now >= limit) {
-                world.ruleChecker.fail("not seen: " + missing + " in the row: " + line.trim());
+                world.ruleChecker.fail("expectation not met: " + unmet + " in the row: " + line.trim());
             }
             world.runUntil(world.now + 5);
         }
@@ -210,9 +210,9 @@
     }
 
     private boolean holds(SimulatedReplica node, String word) {
-        Boolean other = additionalWords.holds(node, word);
-        if (other != null) {
-            return other;
+        Boolean additional = additionalWords.holds(node, word);
+        if (additional != null) {
+            return additional;
         }
         if (word.startsWith("ok:")) {
             return world.ruleChecker.acknowledged.contains(text(word.substring(3)));
@@ -255,7 +255,7 @@
 
     private String text(String name) {
         if (!tokens.containsKey(name)) {
-            throw new IllegalArgumentException("nobody proposed " + name);
+            throw new IllegalArgumentException("no proposal named " + name);
         }
         return "c" + tokens.get(name);
     }
--- a/src/test/java/brambletray/platform/replication/TimelineSteps.java
+++ b/src/test/java/brambletray/platform/replication/TimelineSteps.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Steps of the drawn timelines. */
+/** Step definitions of the timeline scenarios. */
 public final class TimelineSteps {
     private ReplicationTestCluster core;
     private Timeline timeline;
@@ -25,8 +25,8 @@
         found(new ReplicationTestCluster(names(list), new FaultTolerance(1, 1, 0, Map.of())));
     }
 
-    private void found(ReplicationTestCluster made) {
-        core = made;
+    private void found(ReplicationTestCluster cluster) {
+        core = cluster;
         core.world.logsEvents = Boolean.getBoolean("replication.talks");
         core.found();
         timeline = new Timeline(core.world, new Timeline.AdditionalWords() {
@@ -63,9 +63,9 @@
     }
 
     @When("this happens")
-    public void happens(String drawn) {
+    public void happens(String table) {
         try {
-            timeline.run(drawn);
+            timeline.run(table);
         } finally {
             core.world.events.forEach(System.out::println);
         }
--- a/src/test/java/brambletray/platform/replication/ViewChangePauseTest.java
+++ b/src/test/java/brambletray/platform/replication/ViewChangePauseTest.java
@@ -9,11 +9,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The longest pauses of a core amid fault, as its callers meet them: eight operators, each with one order under way
- * (sent again elsewhere after a second of silence, and 100 ms after each answer the next), and a reader that asks
- * everywhere every 25 ms. {@code -Dpauses.seeds=N} plays more scenarios of each kind, {@code -Dpauses.first=S} begins
- * at that seed; the figures are printed, in simulated ms. The fault begins 1 s into the scenario and lasts 20 s;
- * pauses count from its beginning to 4 s past its end.
+ * The longest pauses that callers of a cluster observe during a fault. Eight operators have one command in flight each
+ * (retried at another member after 1 s without a response; the next one follows 100 ms after a response), and a reader
+ * requests a read index at every member every 25 ms. {@code -Dpauses.seeds=N} runs more scenarios of each kind,
+ * {@code -Dpauses.first=S} sets the first seed; the results are printed in simulated ms. The fault starts 1 s into the
+ * scenario and lasts 20 s; pauses are measured from its start to 4 s after its end.
  */
 class ViewChangePauseTest {
     private static final int SEEDS = 2;
@@ -24,7 +24,7 @@
     private static final int STEP_MS = 5;
     private static final int FAULT_MS = 20_000;
     private static final int AFTER_MS = 4_000;
-    /** The smallest ack-ms of the deployments, ms. */
+    /** The smallest ack-ms of all deployments, ms. */
     private static final int ACK_MS = 5_000;
 
     private enum Fault {
@@ -72,43 +72,43 @@
 
         Pauses run(Fault fault, boolean leader) {
             runFor(1_000, new long[2]);
-            SimulatedReplica ill = world.leader();
-            while (!leader && ill == world.leader()) {
-                ill = nodes[random.nextInt(nodes.length)];
+            SimulatedReplica faulty = world.leader();
+            while (!leader && faulty == world.leader()) {
+                faulty = nodes[random.nextInt(nodes.length)];
             }
-            setFault(ill, fault, true);
+            setFault(faulty, fault, true);
             long[] worst = new long[2];
             long[] last = runFor(FAULT_MS, worst, world.now, world.now);
-            setFault(ill, fault, false);
+            setFault(faulty, fault, false);
             runFor(AFTER_MS, worst, last[0], last[1]);
             return new Pauses(worst[0], worst[1]);
         }
 
-        private void setFault(SimulatedReplica ill, Fault fault, boolean on) {
+        private void setFault(SimulatedReplica faulty, Fault fault, boolean on) {
             switch (fault) {
                 case CUT -> {
                     for (SimulatedReplica other : nodes) {
-                        if (other != ill) {
-                            world.setCut(ill.address, other.address, on);
+                        if (other != faulty) {
+                            world.setCut(faulty.address, other.address, on);
                         }
                     }
                 }
                 case KILLED -> {
                     if (on) {
-                        ill.kill(random.nextBoolean());
+                        faulty.kill(random.nextBoolean());
                     } else {
-                        ill.start();
+                        faulty.start();
                     }
                 }
                 case FROZEN -> {
                     if (on) {
-                        ill.frozenUntil = world.now + FAULT_MS;
+                        faulty.frozenUntil = world.now + FAULT_MS;
                     }
                 }
-                default -> ill.disk.syncMs *= on ? 25 : 1;
+                default -> faulty.disk.syncMs *= on ? 25 : 1;
             }
             if (!on) {
-                ill.disk.syncMs = 5;
+                faulty.disk.syncMs = 5;
             }
         }
 
@@ -116,7 +116,7 @@
             runFor(ms, worst, world.now, world.now);
         }
 
-        /** Plays on; returns when the last acknowledgement and the last confirmed read came. */
+        /** Runs for {@code ms}; returns the times of the last acknowledgement and the last confirmed read. */
         private long[] runFor(long ms, long[] worst, long lastAck, long lastRead) {
             long end = world.now + ms;
             int acks = world.ruleChecker.acknowledged.size();
@@ -162,9 +162,9 @@
                 return;
             }
             since[i] = world.now;
-            // a caller of a process that is down or asleep hears nothing
-            boolean there = node.isRunning() && node.frozenUntil <= world.now;
-            token[i] = there ? world.ruleChecker.propose(node) : -1;
+            // a caller of a process that is down or frozen gets no response
+            boolean responsive = node.isRunning() && node.frozenUntil <= world.now;
+            token[i] = responsive ? world.ruleChecker.propose(node) : -1;
         }
     }
 
@@ -177,7 +177,7 @@
     void noPauseExceedsTheAcknowledgementTimeout() {
         int seeds = Integer.getInteger("pauses.seeds", SEEDS);
         long first = Long.getLong("pauses.first", 1);
-        List<String> broken = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         for (int machines : new int[] {3, 5}) {
             for (Fault fault : Fault.values()) {
                 for (boolean leader : new boolean[] {true, false}) {
@@ -188,18 +188,18 @@
                         acks[i] = pauses.acks;
                         reads[i] = pauses.reads;
                         if (pauses.acks >= ACK_MS) {
-                            broken.add(machines + " members, " + fault + ", leader " + leader + ", seed " + (first + i)
-                                    + ": " + pauses);
+                            violations.add(machines + " members, " + fault + ", leader " + leader + ", seed "
+                                    + (first + i) + ": " + pauses);
                         }
                     }
                     Arrays.sort(acks);
                     Arrays.sort(reads);
                     System.out.println("pauses: " + machines + " members, " + (leader ? "leader " : "follower ")
-                            + fault + ", " + seeds + " courses: acknowledgements " + percentiles(acks) + "; reads "
+                            + fault + ", " + seeds + " runs: acknowledgements " + percentiles(acks) + "; reads "
                             + percentiles(reads));
                 }
             }
         }
-        assertTrue(broken.isEmpty(), () -> "longer than ack-ms: " + broken);
+        assertTrue(violations.isEmpty(), () -> "longer than ack-ms: " + violations);
     }
 }
--- a/src/test/java/brambletray/platform/replication/ZoneWarningTest.java
+++ b/src/test/java/brambletray/platform/replication/ZoneWarningTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Zones that may be lost with half of the control plane: what is told of it, what is kept, what waits. */
+/** Zones that hold half of the control plane: the warning, the durability of changes, and the loss of availability. */
 class ZoneWarningTest {
     private SimulatedReplicas world;
 
@@ -28,19 +28,19 @@
      * <pre>
      *   ms     a/y         b/y         c/z          d/z
      *   0      view of four active; each warns that one zone holds half
-     *   100    change kept by all
+     *   100    change committed at all
      *   200                            lost         lost
-     *   5200   waits       waits
-     *          what was acknowledged is on both disks
+     *   5200   suspended   suspended
+     *          the acknowledged change is on both disks
      *   5200                           back         back
-     *          all go on
+     *          view of four active again
      * </pre>
      */
     @Test
     void lossOfAZoneWithHalfOfTheMembersIsWarnedOfAndLosesNoChange() {
         startCluster("a/y", "b/y", "c/z", "d/z");
         for (String name : List.of("a", "b", "c", "d")) {
-            assertTrue(warnings(name) >= 1, name + " doesn't warn");
+            assertTrue(warnings(name) >= 1, name + " did not warn");
             assertEquals(List.of("y"), world.nodes.get(name).replica.zonesHoldingHalf());
         }
         long token = world.ruleChecker.propose(world.leader());
@@ -59,7 +59,7 @@
                 () -> world.leader() != null
                         && world.leader().replica.status().members().size() == 4,
                 4_000,
-                "all four go on");
+                "a view of all four again");
         world.runUntil(world.now + 500);
         world.ruleChecker.checkFinalState(List.copyOf(world.nodes.values()));
     }
@@ -73,7 +73,7 @@
         }
     }
 
-    /** It is told anew for a view that has become so, here by the loss of a machine. */
+    /** The warning is logged again for a later view in which a zone holds half, here after the loss of a machine. */
     @Test
     void aLaterViewWithAZoneThatHoldsHalfIsWarnedOf() {
         startCluster("a/x", "b/y", "c/z", "d/x", "e/y");
