--- a/src/main/java/brambletray/platform/election/ElectionView.java
+++ b/src/main/java/brambletray/platform/election/ElectionView.java
@@ -17,7 +17,7 @@
     /** Since when the view before was active here: always, for a member that has seen none. */
     private long previousActiveSinceMs = Long.MIN_VALUE / 2;
 
-    private boolean followsDirectly;
+    private boolean followsPreviousViewDirectly;
     private List<ViewMembership> lineage = List.of();
 
     /**
@@ -44,7 +44,7 @@
     }
 
     /** The first member that is not this incarnation; 0 if there is none. */
-    long firstOtherThan(long incarnation) {
+    long firstMemberExcept(long incarnation) {
         for (Member member : members) {
             if (member.incarnation() != incarnation) {
                 return member.incarnation();
@@ -61,7 +61,7 @@
         if (!isMember || viewNumber == status.viewNumber()) {
             return false;
         }
-        followsDirectly = status.previousViewNumber() == viewNumber;
+        followsPreviousViewDirectly = status.previousViewNumber() == viewNumber;
         previousActiveSinceMs = activeSinceMs;
         activeSinceMs = nowMs;
         viewNumber = status.viewNumber();
@@ -112,7 +112,7 @@
      * on a view that had been active here for as long as a lease runs, and some member of this view was asked to
      * grant in that one.
      */
-    boolean knowsRunningLeases(long nowMs, int vacantMs) {
-        return followsDirectly && nowMs - previousActiveSinceMs >= vacantMs;
+    boolean knowsUnexpiredLeases(long nowMs, int vacantMs) {
+        return followsPreviousViewDirectly && nowMs - previousActiveSinceMs >= vacantMs;
     }
 }
--- a/src/main/java/brambletray/platform/election/HeldLease.java
+++ b/src/main/java/brambletray/platform/election/HeldLease.java
@@ -69,7 +69,7 @@
         }
         long incarnation = state.self().incarnation();
         release = new ElectionMessage.LeaseReleased(
-                state.role(), state.attempt().term(), incarnation, state.view().firstOtherThan(incarnation));
+                state.role(), state.attempt().term(), incarnation, state.view().firstMemberExcept(incarnation));
         releaseResendUntilMs = state.nowMs() + state.timings().holderLeaseMs();
         lose("handed over");
         sendRelease();
--- a/src/main/java/brambletray/platform/election/LeaseAttempt.java
+++ b/src/main/java/brambletray/platform/election/LeaseAttempt.java
@@ -12,11 +12,11 @@
  * when.
  */
 final class LeaseAttempt {
-    private static final int REMEMBERED_MESSAGES = 16;
+    private static final int SEND_TIME_HISTORY = 16;
 
     private final long term;
     private final boolean probe;
-    private final long[] sentAtMs = new long[REMEMBERED_MESSAGES];
+    private final long[] sentAtMs = new long[SEND_TIME_HISTORY];
     private final Map<Long, Long> grantedAtMs = new HashMap<>();
     private final Set<Long> deniedBy = new HashSet<>();
     private long lastSequence;
@@ -71,16 +71,16 @@
     /** Sequence number of the next message, which is sent now. */
     long nextSequence(long nowMs) {
         lastSentAtMs = nowMs;
-        sentAtMs[(int) (++lastSequence % REMEMBERED_MESSAGES)] = nowMs;
+        sentAtMs[(int) (++lastSequence % SEND_TIME_HISTORY)] = nowMs;
         return lastSequence;
     }
 
     /** A member has granted the message of this sequence number. */
     void onGranted(long incarnation, long number) {
-        if (number <= lastSequence - REMEMBERED_MESSAGES || number > lastSequence) {
+        if (number <= lastSequence - SEND_TIME_HISTORY || number > lastSequence) {
             return;
         }
-        grantedAtMs.merge(incarnation, sentAtMs[(int) (number % REMEMBERED_MESSAGES)], Math::max);
+        grantedAtMs.merge(incarnation, sentAtMs[(int) (number % SEND_TIME_HISTORY)], Math::max);
     }
 
     /** A member has refused; whether a majority cannot be had any more. */
--- a/src/main/java/brambletray/platform/election/LeaseCandidate.java
+++ b/src/main/java/brambletray/platform/election/LeaseCandidate.java
@@ -15,7 +15,7 @@
     private static final int RETRY_INTERVAL_MS = 150;
     private static final int MIN_RETRY_MS = 20;
     private static final int NAMED_SUCCESSOR_WAIT_MS = 600;
-    private static final int INITIAL_WAIT_MS = 300;
+    private static final int FIRST_LEASE_WAIT_MS = 300;
 
     private final ElectionState state;
     private final HeldLease heldLease;
@@ -54,7 +54,7 @@
     }
 
     /** Stands for the lease if it is free and this member's turn. */
-    void maybeStart() {
+    void startIfEligible() {
         if (!state.mayStartCandidacy()) {
             return;
         }
@@ -68,10 +68,10 @@
         }
         ElectionView view = state.view();
         int voterLeaseMs = state.timings().voterLeaseMs();
-        long freeSinceMs = view.knowsRunningLeases(state.nowMs(), voterLeaseMs)
+        long freeSinceMs = view.knowsUnexpiredLeases(state.nowMs(), voterLeaseMs)
                 ? view.activeSinceMs()
                 : view.activeSinceMs() + voterLeaseMs;
-        if (state.nowMs() - Math.max(state.voter().vacantSinceMs(), freeSinceMs) >= waitMs(rank)) {
+        if (state.nowMs() - Math.max(state.voter().leaseExpiresAtMs(), freeSinceMs) >= waitMs(rank)) {
             start(true);
         }
     }
@@ -84,7 +84,7 @@
             return successor == state.self().incarnation() ? 0 : NAMED_SUCCESSOR_WAIT_MS + rankWaitMs;
         }
         boolean firstLease = state.voter().grantedTerm() == 0;
-        return firstLease && rank > 0 ? INITIAL_WAIT_MS + rankWaitMs : rankWaitMs;
+        return firstLease && rank > 0 ? FIRST_LEASE_WAIT_MS + rankWaitMs : rankWaitMs;
     }
 
     private void start(boolean probe) {
@@ -131,7 +131,7 @@
         if (granted.viewDescends() && resumableViewNumber != 0) {
             attempt.markViewDescends();
         }
-        maybeWin();
+        evaluateGrants();
     }
 
     /**
@@ -139,7 +139,7 @@
      * must have granted, and the view must follow directly on one that was active here for as long: some member of
      * this view had then granted any lease that still runs, and would have refused.
      */
-    private void maybeWin() {
+    private void evaluateGrants() {
         if (!state.isCandidate()) {
             return;
         }
@@ -151,7 +151,7 @@
         }
         int voterLeaseMs = state.timings().voterLeaseMs();
         boolean grantedByAll = attempt.isGrantedByAll(view.members());
-        boolean knowsAllLeases = view.knowsRunningLeases(state.nowMs(), voterLeaseMs) || attempt.viewDescends();
+        boolean knowsAllLeases = view.knowsUnexpiredLeases(state.nowMs(), voterLeaseMs) || attempt.viewDescends();
         boolean earlierLeasesMayRun = state.nowMs() - view.activeSinceMs() < voterLeaseMs;
         if (earlierLeasesMayRun && !(grantedByAll && knowsAllLeases)) {
             if (grantedByAll && resumableViewNumber != 0) {
@@ -241,7 +241,7 @@
         }
         state.setNoCandidacyBefore(state.nowMs());
         if (state.attempt() == null && state.view().isMember() && wantsLease) {
-            maybeStart();
+            startIfEligible();
         }
     }
 }
--- a/src/main/java/brambletray/platform/election/LeaseElection.java
+++ b/src/main/java/brambletray/platform/election/LeaseElection.java
@@ -62,7 +62,7 @@
         } else if (state.isCandidate()) {
             candidate.request();
         } else if (state.view().isMember() && candidate.wantsLease() && !heldLease.isReleasing()) {
-            candidate.maybeStart();
+            candidate.startIfEligible();
         }
         if (heldLease.isReleasing()) {
             heldLease.sendRelease();
--- a/src/main/java/brambletray/platform/election/LeaseVoter.java
+++ b/src/main/java/brambletray/platform/election/LeaseVoter.java
@@ -10,15 +10,15 @@
 /** The voter: grants terms, writes each grant to disk before it is answered, and knows whose lease runs. */
 final class LeaseVoter {
     private static final int RETRY_INTERVAL_MS = 250;
-    private static final byte CURRENT_FORM = 2;
+    private static final byte CURRENT_FORMAT_VERSION = 2;
     /** The form before, which lacks the view in which the term was held; still read. */
-    private static final byte PREVIOUS_FORM = 1;
+    private static final byte PREVIOUS_FORMAT_VERSION = 1;
 
     private final String key;
     private final ElectionActions actions;
     private final LeaseTimings timings;
     private long grantedTerm;
-    private long grantedTo;
+    private long grantedIncarnation;
     /** Number of the last view in which the holder of that term has renewed it here; 0 where it has not. */
     private long heldInViewNumber;
     /** What is known of the grant was read from the disk, and no lease has been granted since. */
@@ -27,7 +27,7 @@
     private LeaseHolder holder;
     private long leaseExpiresAtMs;
     private long namedSuccessor;
-    private long ticket;
+    private long writeTicket;
     private boolean writeInFlight;
     private long retryAtMs = Long.MIN_VALUE / 2;
     private boolean dirty;
@@ -44,13 +44,13 @@
         }
         ByteBuffer in = ByteBuffer.wrap(stored);
         byte form = in.get();
-        if (form != CURRENT_FORM && form != PREVIOUS_FORM) {
+        if (form != CURRENT_FORMAT_VERSION && form != PREVIOUS_FORMAT_VERSION) {
             throw new ElectionException(
-                    "election.form", "stored in form " + stored[0] + ", this program reads form " + CURRENT_FORM);
+                    "election.form", "stored in form " + stored[0] + ", this program reads form " + CURRENT_FORMAT_VERSION);
         }
         grantedTerm = in.getLong();
-        grantedTo = in.getLong();
-        heldInViewNumber = form == CURRENT_FORM ? in.getLong() : 0;
+        grantedIncarnation = in.getLong();
+        heldInViewNumber = form == CURRENT_FORMAT_VERSION ? in.getLong() : 0;
         restoredFromDisk = true;
         // whose lease this member granted before its process ended is not stored: it is assumed to run
         leaseExpiresAtMs = nowMs + timings.voterLeaseMs();
@@ -74,7 +74,7 @@
         return (int) Math.max(0, leaseExpiresAtMs - nowMs);
     }
 
-    long vacantSinceMs() {
+    long leaseExpiresAtMs() {
         return leaseExpiresAtMs;
     }
 
@@ -88,7 +88,7 @@
      * knows; 0 for none.
      */
     long previouslyHeldInView(long incarnation) {
-        return restoredFromDisk && grantedTo == incarnation ? heldInViewNumber : 0;
+        return restoredFromDisk && grantedIncarnation == incarnation ? heldInViewNumber : 0;
     }
 
     /**
@@ -98,8 +98,8 @@
     boolean wouldGrant(long term, long incarnation, long nowMs) {
         boolean free = nowMs >= leaseExpiresAtMs
                 || (holder != null && holder.member().incarnation() == incarnation)
-                || (restoredFromDisk && grantedTo == incarnation);
-        return free && (term > grantedTerm || (term == grantedTerm && grantedTo == incarnation));
+                || (restoredFromDisk && grantedIncarnation == incarnation);
+        return free && (term > grantedTerm || (term == grantedTerm && grantedIncarnation == incarnation));
     }
 
     /** Grants; the callback runs once the grant is on disk. */
@@ -111,7 +111,7 @@
 
     /** Renews a lease unless a higher term was granted. */
     boolean renew(long view, long term, Member from, long nowMs, Runnable run) {
-        if (term < grantedTerm || (term == grantedTerm && grantedTo != from.incarnation())) {
+        if (term < grantedTerm || (term == grantedTerm && grantedIncarnation != from.incarnation())) {
             return false;
         }
         recordGrant(term, from.incarnation());
@@ -123,11 +123,11 @@
     }
 
     private void recordGrant(long term, long incarnation) {
-        if (term == grantedTerm && grantedTo == incarnation) {
+        if (term == grantedTerm && grantedIncarnation == incarnation) {
             return;
         }
         grantedTerm = term;
-        grantedTo = incarnation;
+        grantedIncarnation = incarnation;
         heldInViewNumber = 0;
         dirty = true;
     }
@@ -173,16 +173,16 @@
         changes.put(
                 key,
                 ByteBuffer.allocate(25)
-                        .put(CURRENT_FORM)
+                        .put(CURRENT_FORMAT_VERSION)
                         .putLong(grantedTerm)
-                        .putLong(grantedTo)
+                        .putLong(grantedIncarnation)
                         .putLong(heldInViewNumber)
                         .array());
-        actions.persist(++ticket, changes);
+        actions.persist(++writeTicket, changes);
     }
 
     void synced(long which) {
-        if (!writeInFlight || which != ticket) {
+        if (!writeInFlight || which != writeTicket) {
             return;
         }
         writeInFlight = false;
@@ -192,7 +192,7 @@
     }
 
     void syncFailed(long which, long nowMs) {
-        if (!writeInFlight || which != ticket) {
+        if (!writeInFlight || which != writeTicket) {
             return;
         }
         writeInFlight = false;
--- a/src/main/java/brambletray/platform/failuredetection/MembershipEntry.java
+++ b/src/main/java/brambletray/platform/failuredetection/MembershipEntry.java
@@ -9,7 +9,7 @@
     /** Its link to the coordinator is open. */
     boolean linked;
     /** When the link closed, or the coordinator began to list it; ms. */
-    long sinceMs;
+    long statusSinceMs;
     /** Never heard by this coordinator, only listed in a roster of another. */
     boolean onlyReported;
     /** Until then the watchers' reports alone do not remove it; ms. */
@@ -19,7 +19,7 @@
 
     private MembershipEntry(Peer peer, long nowMs) {
         this.peer = peer;
-        this.sinceMs = nowMs;
+        this.statusSinceMs = nowMs;
     }
 
     static MembershipEntry connected(Peer peer, long nowMs) {
--- a/src/main/java/brambletray/platform/failuredetection/MembershipRegistry.java
+++ b/src/main/java/brambletray/platform/failuredetection/MembershipRegistry.java
@@ -132,7 +132,7 @@
         MembershipEntry entry = entries.get(name);
         if (entry != null && entry.peer.incarnation() == incarnation && entry.linked) {
             entry.linked = false;
-            entry.sinceMs = nowMs;
+            entry.statusSinceMs = nowMs;
             needsEvaluation = true;
         }
     }
@@ -160,7 +160,7 @@
         if (nowMs - lastTickMs > MAX_TICK_DELAY_MS) {
             for (MembershipEntry entry : entries.values()) {
                 entry.suspectedBy.clear();
-                entry.sinceMs = nowMs;
+                entry.statusSinceMs = nowMs;
             }
         }
         lastTickMs = nowMs;
--- a/src/main/java/brambletray/platform/failuredetection/RemovalRule.java
+++ b/src/main/java/brambletray/platform/failuredetection/RemovalRule.java
@@ -8,7 +8,7 @@
     /** ms without a link after which a peer that nobody watches is removed. */
     private static final int UNWATCHED_TIMEOUT_MS = 1_000;
 
-    private static final String NOBODY = "";
+    private static final String NO_PEER = "";
 
     private final Map<String, MembershipEntry> entries;
     private final WatchRing ring;
@@ -40,7 +40,7 @@
             return "suspected by " + String.join(", ", suspectedBy);
         }
         String accuser = suspectedBy.iterator().next();
-        return accuser.equals(onlyHealthyWatcher(name, accuser))
+        return accuser.equals(soleHealthyWatcher(name, accuser))
                 ? "suspected by " + accuser + ", its only healthy watcher"
                 : null;
     }
@@ -52,18 +52,18 @@
         if (!entry.peer.isActive()) {
             return "left";
         }
-        return nowMs - entry.sinceMs >= UNWATCHED_TIMEOUT_MS && NOBODY.equals(onlyHealthyWatcher(name, NOBODY))
+        return nowMs - entry.statusSinceMs >= UNWATCHED_TIMEOUT_MS && NO_PEER.equals(soleHealthyWatcher(name, NO_PEER))
                 ? "link closed, and nobody watches it"
                 : null;
     }
 
     /**
-     * The only healthy watcher of a peer, {@link #NOBODY} if there is none, or null if there are several. One that
+     * The only healthy watcher of a peer, {@link #NO_PEER} if there is none, or null if there are several. One that
      * somebody suspects may be dead as well; the accuser's own report is no proof of that, as it may have lost touch
      * with all of them.
      */
-    private String onlyHealthyWatcher(String name, String accuser) {
-        String only = NOBODY;
+    private String soleHealthyWatcher(String name, String accuser) {
+        String only = NO_PEER;
         for (Peer watcher : ring.watchersOf(name)) {
             MembershipEntry entry = entries.get(watcher.name());
             if (entry == null
@@ -71,7 +71,7 @@
                     || entry.suspectedBy.size() > (entry.suspectedBy.contains(accuser) ? 1 : 0)) {
                 continue;
             }
-            if (!only.equals(NOBODY)) {
+            if (!only.equals(NO_PEER)) {
                 return null;
             }
             only = watcher.name();
--- a/src/main/java/brambletray/platform/failuredetection/StableHash.java
+++ b/src/main/java/brambletray/platform/failuredetection/StableHash.java
@@ -2,23 +2,23 @@
 
 /** Hashes that are the same in every process and every version. */
 final class StableHash {
-    private static final long BASIS = 0xcbf29ce484222325L;
-    private static final long PRIME = 0x100000001b3L;
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
 
     private StableHash() {}
 
     /** Of a name: FNV-1a, then mixed, as names that differ in one digit must lie far apart. */
     static long of(String name) {
-        long hash = BASIS;
+        long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < name.length(); i++) {
-            hash = (hash ^ name.charAt(i)) * PRIME;
+            hash = (hash ^ name.charAt(i)) * FNV_PRIME;
         }
         return mix(hash);
     }
 
     /** Of two hashes, in this order. */
     static long of(long one, long other) {
-        return mix(one * PRIME + other);
+        return mix(one * FNV_PRIME + other);
     }
 
     /** The finish of SplitMix64. */
--- a/src/main/java/brambletray/platform/failuredetection/WatchRing.java
+++ b/src/main/java/brambletray/platform/failuredetection/WatchRing.java
@@ -38,7 +38,7 @@
             return order != 0 ? order : a.name().compareTo(b.name());
         });
         for (int i = 0; i < circle.length; i++) {
-            List<Peer> chosen = next(circle, i);
+            List<Peer> chosen = chooseWatchers(circle, i);
             watchers.put(circle[i].name(), chosen);
             for (Peer watcher : chosen) {
                 watchedPeers
@@ -63,7 +63,7 @@
         return watchedPeers.getOrDefault(name, List.of());
     }
 
-    private static List<Peer> next(Peer[] circle, int at) {
+    private static List<Peer> chooseWatchers(Peer[] circle, int at) {
         String zone = circle[at].zone();
         List<Peer> chosen = new ArrayList<>(WATCHERS);
         boolean elsewhere = false;
--- a/src/main/java/brambletray/platform/storage/CommitSummary.java
+++ b/src/main/java/brambletray/platform/storage/CommitSummary.java
@@ -8,13 +8,13 @@
  * A store whose entries do not add up to its summary is torn.
  */
 record CommitSummary(long commitNumber, int entryCount, long entrySum) {
-    static final int FORMAT = 1;
+    static final int FORMAT_VERSION = 1;
     static final int BYTES = Integer.BYTES + Long.BYTES + Integer.BYTES + Long.BYTES;
     static final CommitSummary EMPTY = new CommitSummary(0, 0, 0);
 
     byte[] toBytes() {
         return ByteBuffer.allocate(BYTES)
-                .putInt(FORMAT)
+                .putInt(FORMAT_VERSION)
                 .putLong(commitNumber)
                 .putInt(entryCount)
                 .putLong(entrySum)
@@ -28,11 +28,11 @@
             return null;
         }
         int format = in.getInt();
-        if (format != FORMAT && format > 0 && format < 1 << 16) {
+        if (format != FORMAT_VERSION && format > 0 && format < 1 << 16) {
             throw new StorageException(
-                    "storage.format", "the store is of format " + format + ", expected " + FORMAT, null);
+                    "storage.format", "the store is of format " + format + ", expected " + FORMAT_VERSION, null);
         }
-        return format == FORMAT && bytes.length == BYTES
+        return format == FORMAT_VERSION && bytes.length == BYTES
                 ? new CommitSummary(in.getLong(), in.getInt(), in.getLong())
                 : null;
     }
--- a/src/main/java/brambletray/platform/storage/KeyValueStore.java
+++ b/src/main/java/brambletray/platform/storage/KeyValueStore.java
@@ -60,7 +60,7 @@
         try {
             return open(new DiskDirectory(dir));
         } catch (IOException e) {
-            throw storageException(e);
+            throw toStorageException(e);
         }
     }
 
@@ -74,7 +74,7 @@
         try {
             keyValueStore.generation = new StoreOpening(directory).open();
         } catch (IOException | RuntimeException e) {
-            throw storageException(e);
+            throw toStorageException(e);
         }
         return keyValueStore;
     }
@@ -84,7 +84,7 @@
         try {
             abandon(new DiskDirectory(dir));
         } catch (IOException e) {
-            throw storageException(e);
+            throw toStorageException(e);
         }
     }
 
@@ -97,7 +97,7 @@
             directory.remove(StoreOpening.MARKER_FILE);
             directory.sync();
         } catch (IOException e) {
-            throw storageException(e);
+            throw toStorageException(e);
         }
     }
 
@@ -144,7 +144,7 @@
             generation.commit(changes);
         } catch (IOException | RuntimeException e) {
             lastCommitFailed = true;
-            throw storageException(e);
+            throw toStorageException(e);
         }
     }
 
@@ -265,11 +265,11 @@
         try {
             return operation.run();
         } catch (RuntimeException e) {
-            throw storageException(e);
+            throw toStorageException(e);
         }
     }
 
-    private static StorageException storageException(Exception thrown) {
+    private static StorageException toStorageException(Exception thrown) {
         if (thrown instanceof StorageException fault) {
             return fault;
         }
--- a/src/main/java/brambletray/platform/storage/StoreGeneration.java
+++ b/src/main/java/brambletray/platform/storage/StoreGeneration.java
@@ -20,7 +20,7 @@
 
 /** One generation, open: a Xodus store of keys and values, with a summary written by each commit. */
 final class StoreGeneration {
-    private static final String STORE = "trove";
+    private static final String STORE_NAME = "trove";
     private static final long CACHE_BYTES = 2L << 20;
     private static final int CACHE_PAGE = 64 << 10;
     private static final ArrayByteIterable SUMMARY_KEY = new ArrayByteIterable(new byte[] {'s'});
@@ -58,7 +58,7 @@
         StoreGeneration generation = new StoreGeneration(segments);
         generation.summary = CommitSummary.EMPTY;
         generation.store = generation.environment.computeInTransaction(
-                t -> generation.environment.openStore(STORE, StoreConfig.WITHOUT_DUPLICATES, t));
+                t -> generation.environment.openStore(STORE_NAME, StoreConfig.WITHOUT_DUPLICATES, t));
         generation.recordEnd();
         return generation;
     }
@@ -103,11 +103,11 @@
     }
 
     private boolean verify() {
-        if (!environment.computeInReadonlyTransaction(t -> environment.storeExists(STORE, t))) {
+        if (!environment.computeInReadonlyTransaction(t -> environment.storeExists(STORE_NAME, t))) {
             return false;
         }
         store = environment.computeInReadonlyTransaction(
-                t -> environment.openStore(STORE, StoreConfig.USE_EXISTING, t));
+                t -> environment.openStore(STORE_NAME, StoreConfig.USE_EXISTING, t));
         return environment.computeInReadonlyTransaction(t -> {
             ByteIterable summaryBytes = store.get(t, SUMMARY_KEY);
             summary = summaryBytes == null ? null : CommitSummary.fromBytes(ValueChunks.bytes(summaryBytes));
--- a/src/test/java/brambletray/platform/election/ElectionNode.java
+++ b/src/test/java/brambletray/platform/election/ElectionNode.java
@@ -6,20 +6,20 @@
 /** The role at one process in simulated time. */
 final class ElectionNode implements SimulatedReplica.AdditionalComponent, ElectionActions {
     /** Is told of terms won and of moments at which a holder may act. */
-    interface Witness {
+    interface Observer {
         void won(SimulatedReplica node, long term);
 
         void act(SimulatedReplica node, long term);
     }
 
     private final SimulatedReplica node;
-    private final Witness witness;
+    private final Observer observer;
     final LeaseElection election;
     long term;
 
-    ElectionNode(SimulatedReplica node, Witness witness) {
+    ElectionNode(SimulatedReplica node, Observer witness) {
         this.node = node;
-        this.witness = witness;
+        this.observer = witness;
         election = new LeaseElection(
                 "helm",
                 node.replica.status().self(),
@@ -47,7 +47,7 @@
         if (term == 0) {
             node.world.ruleChecker.fail(node.address + " may act without a term");
         }
-        witness.act(node, term);
+        observer.act(node, term);
     }
 
     @Override
@@ -80,7 +80,7 @@
     @Override
     public void won(long newTerm) {
         term = newTerm;
-        witness.won(node, newTerm);
+        observer.won(node, newTerm);
     }
 
     @Override
--- a/src/test/java/brambletray/platform/election/ElectionRandomFaultsTest.java
+++ b/src/test/java/brambletray/platform/election/ElectionRandomFaultsTest.java
@@ -13,43 +13,43 @@
 class ElectionRandomFaultsTest {
 
     /** Sees who acts under which term. */
-    private static final class Witness implements ElectionNode.Witness {
-        private final RandomFaults weather;
-        private long won;
-        private long acted;
-        private SimulatedReplica actor;
-        private long actedAt;
-        private int terms;
+    private static final class TermChecker implements ElectionNode.Observer {
+        private final RandomFaults faults;
+        private long highestWonTerm;
+        private long highestUsedTerm;
+        private SimulatedReplica lastActor;
+        private long lastActedAtMs;
+        private int termsWon;
 
-        Witness(RandomFaults weather) {
-            this.weather = weather;
+        TermChecker(RandomFaults weather) {
+            this.faults = weather;
         }
 
         @Override
         public void won(SimulatedReplica node, long term) {
-            if (term <= won) {
-                weather.world().ruleChecker.fail(node.address + " won term " + term + " after " + won);
+            if (term <= highestWonTerm) {
+                faults.world().ruleChecker.fail(node.address + " won term " + term + " after " + highestWonTerm);
             }
-            won = term;
-            terms++;
+            highestWonTerm = term;
+            termsWon++;
         }
 
         @Override
         public void act(SimulatedReplica node, long term) {
-            if (term < acted) {
-                weather.world()
+            if (term < highestUsedTerm) {
+                faults.world()
                         .ruleChecker
-                        .fail(node.address + " acts under " + term + " after " + actor.address + " under " + acted);
+                        .fail(node.address + " acts under " + term + " after " + lastActor.address + " under " + highestUsedTerm);
             }
-            acted = term;
-            actor = node;
-            actedAt = weather.world().now;
+            highestUsedTerm = term;
+            lastActor = node;
+            lastActedAtMs = faults.world().now;
         }
     }
 
-    private Witness play(long seed, boolean talks) {
+    private TermChecker runSeed(long seed, boolean talks) {
         RandomFaults weather = new RandomFaults(seed, talks);
-        Witness witness = new Witness(weather);
+        TermChecker witness = new TermChecker(weather);
         weather.world().additionalComponents = node -> new ElectionNode(node, witness);
         weather.extraAction = node -> {
             ElectionNode ride = (ElectionNode) node.additionalComponent;
@@ -61,7 +61,7 @@
             if (!weather.checksSafetyOnly()) {
                 weather.world()
                         .runUntilTrue(
-                                () -> weather.world().now - witness.actedAt < 100,
+                                () -> weather.world().now - witness.lastActedAtMs < 100,
                                 3000,
                                 "somebody acts after all is calm");
             }
@@ -73,14 +73,14 @@
     }
 
     @Test
-    void termsGrowAndNobodyActsUnderAnOldOne() {
+    void termsIncreaseAndNoProcessActsUnderAnOutdatedTerm() {
         Long only = Long.getLong("election.seed");
         int seeds = Integer.getInteger("election.seeds", 300);
         long first = only != null ? only : Long.getLong("election.first", 1);
         int played = 0;
         long terms = 0;
         for (long seed = first; seed < first + seeds; seed++) {
-            terms += play(seed, only != null).terms;
+            terms += runSeed(seed, only != null).termsWon;
             played++;
             if (only != null) {
                 break;
--- a/src/test/java/brambletray/platform/election/ElectionSteps.java
+++ b/src/test/java/brambletray/platform/election/ElectionSteps.java
@@ -15,38 +15,38 @@
  * highest it has seen; yield: hands over; sees:b takes b for the holder; doubt: hears that somebody has seen a higher
  * term than its own.
  */
-public final class ElectionSteps implements Timeline.AdditionalWords, ElectionNode.Witness {
-    private ReplicationTestCluster core;
-    private long won;
-    private long fence;
-    private final Map<String, Long> checked = new HashMap<>();
-    private final Map<String, Boolean> acted = new HashMap<>();
+public final class ElectionSteps implements Timeline.AdditionalWords, ElectionNode.Observer {
+    private ReplicationTestCluster cluster;
+    private long highestWonTerm;
+    private long fencingToken;
+    private final Map<String, Long> checkedTerms = new HashMap<>();
+    private final Map<String, Boolean> accepted = new HashMap<>();
 
     @Given("a core of {string} with a holder, at rest")
-    public void aCore(String list) {
-        core = new ReplicationTestCluster(List.of(list.split("[ ,]+")));
-        core.world.logsEvents = Boolean.getBoolean("replication.talks");
-        core.world.additionalComponents = node -> new ElectionNode(node, this);
-        core.found();
-        core.world.runUntilTrue(
-                () -> core.world.nodes.values().stream()
-                        .anyMatch(node -> ride(node).election.mayAct(core.world.now)),
+    public void startCluster(String list) {
+        cluster = new ReplicationTestCluster(List.of(list.split("[ ,]+")));
+        cluster.world.logsEvents = Boolean.getBoolean("replication.talks");
+        cluster.world.additionalComponents = node -> new ElectionNode(node, this);
+        cluster.found();
+        cluster.world.runUntilTrue(
+                () -> cluster.world.nodes.values().stream()
+                        .anyMatch(node -> electionNode(node).election.mayAct(cluster.world.now)),
                 2000,
                 "a holder");
-        core.world.runUntil(core.world.now + 300);
+        cluster.world.runUntil(cluster.world.now + 300);
     }
 
     @When("this happens to the duty")
-    public void happens(String drawn) {
+    public void runTimeline(String drawn) {
         try {
-            new Timeline(core.world, this).run(drawn);
+            new Timeline(cluster.world, this).run(drawn);
         } catch (AssertionError e) {
-            core.world.events.forEach(System.out::println);
+            cluster.world.events.forEach(System.out::println);
             throw e;
         }
     }
 
-    private static ElectionNode ride(SimulatedReplica node) {
+    private static ElectionNode electionNode(SimulatedReplica node) {
         return (ElectionNode) node.additionalComponent;
     }
 
@@ -54,14 +54,14 @@
     public boolean act(SimulatedReplica node, String word) {
         switch (word) {
             case "check" ->
-                checked.put(node.address, ride(node).election.mayAct(core.world.now) ? ride(node).term : -1);
+                checkedTerms.put(node.address, electionNode(node).election.mayAct(cluster.world.now) ? electionNode(node).term : -1);
             case "act" -> {
-                long term = checked.get(node.address);
-                acted.put(node.address, term >= fence);
-                fence = Math.max(fence, term);
+                long term = checkedTerms.get(node.address);
+                accepted.put(node.address, term >= fencingToken);
+                fencingToken = Math.max(fencingToken, term);
             }
-            case "doubt" -> ride(node).election.revalidate(ride(node).term + 1, core.world.now);
-            case "yield" -> ride(node).election.handOver(core.world.now);
+            case "doubt" -> electionNode(node).election.revalidate(electionNode(node).term + 1, cluster.world.now);
+            case "yield" -> electionNode(node).election.handOver(cluster.world.now);
             default -> {
                 return false;
             }
@@ -72,31 +72,31 @@
     @Override
     public Boolean holds(SimulatedReplica node, String word) {
         if (word.startsWith("sees:")) {
-            LeaseHolder holder = ride(node).election.holder(core.world.now);
+            LeaseHolder holder = electionNode(node).election.holder(cluster.world.now);
             return word.substring(5)
                     .equals(holder == null ? "none" : holder.member().address());
         }
         return switch (word) {
-            case "H" -> node.isRunning() && ride(node).election.mayAct(core.world.now);
-            case "h" -> !node.isRunning() || !ride(node).election.mayAct(core.world.now);
-            case "done" -> acted.get(node.address);
-            case "fenced" -> !acted.get(node.address);
+            case "H" -> node.isRunning() && electionNode(node).election.mayAct(cluster.world.now);
+            case "h" -> !node.isRunning() || !electionNode(node).election.mayAct(cluster.world.now);
+            case "done" -> accepted.get(node.address);
+            case "fenced" -> !accepted.get(node.address);
             default -> null;
         };
     }
 
     @Override
     public void won(SimulatedReplica node, long term) {
-        if (term <= won) {
-            core.world.ruleChecker.fail(node.address + " won " + term + " after " + won);
+        if (term <= highestWonTerm) {
+            cluster.world.ruleChecker.fail(node.address + " won " + term + " after " + highestWonTerm);
         }
-        won = term;
+        highestWonTerm = term;
     }
 
     @Override
     public void act(SimulatedReplica node, long term) {
-        if (term < won) {
-            core.world.ruleChecker.fail(node.address + " may act under " + term + " after " + won + " was won");
+        if (term < highestWonTerm) {
+            cluster.world.ruleChecker.fail(node.address + " may act under " + term + " after " + highestWonTerm + " was won");
         }
     }
 }
--- a/src/test/java/brambletray/platform/election/ResumptionTest.java
+++ b/src/test/java/brambletray/platform/election/ResumptionTest.java
@@ -31,26 +31,26 @@
     private static final Member A = new Member("a", "a", 0xa);
     private static final Member B = new Member("b", "b", 0xb);
     private static final Member C = new Member("c", "c", 0xc);
-    private static final Member B_ANEW = new Member("b", "b", 0xbb);
-    private static final long HELD = 5L << 20 | 1;
+    private static final Member B_WIPED = new Member("b", "b", 0xbb);
+    private static final long HELD_TERM = 5L << 20 | 1;
     private static final int TICK_MS = 25;
 
-    private static final ViewMembership FIVE = roll(5, A, B, C);
+    private static final ViewMembership VIEW_5 = viewMembership(5, A, B, C);
 
     private final Map<Member, LeaseElection> elections = new HashMap<>();
     private final Map<Member, ReplicaStatus> statuses = new HashMap<>();
-    private final List<Runnable> mail = new ArrayList<>();
+    private final List<Runnable> pendingMessages = new ArrayList<>();
     private long now = 10_000;
 
-    private static ViewMembership roll(long number, Member... members) {
+    private static ViewMembership viewMembership(long number, Member... members) {
         return new ViewMembership(new Ballot(number, members[0].incarnation()), List.of(members));
     }
 
     /** What the disk has of a term that was granted to this incarnation and renewed in view 5. */
-    private static byte[] kept(Member holder) {
+    private static byte[] storedGrant(Member holder) {
         return ByteBuffer.allocate(25)
                 .put((byte) 2)
-                .putLong(HELD)
+                .putLong(HELD_TERM)
                 .putLong(holder.incarnation())
                 .putLong(5)
                 .array();
@@ -66,7 +66,7 @@
                 new ElectionActions() {
                     @Override
                     public void send(String address, ElectionMessage frame) {
-                        mail.add(() -> elections.forEach((to, election) -> {
+                        pendingMessages.add(() -> elections.forEach((to, election) -> {
                             if (to.address().equals(address)) {
                                 election.receive(self.address(), frame, now);
                             }
@@ -75,7 +75,7 @@
 
                     @Override
                     public void persist(long ticket, Map<String, byte[]> changes) {
-                        mail.add(() -> made[0].synced(ticket, now));
+                        pendingMessages.add(() -> made[0].synced(ticket, now));
                     }
 
                     @Override
@@ -91,7 +91,7 @@
         elections.put(self, made[0]);
     }
 
-    private void view(Member self, ViewMembership view, ViewMembership... lineage) {
+    private void setView(Member self, ViewMembership view, ViewMembership... lineage) {
         long before =
                 lineage.length == 0 ? -1 : lineage[lineage.length - 1].ballot().number();
         List<Member> members = view.members();
@@ -114,7 +114,7 @@
         elections.get(self).updateView(statuses.get(self), now);
     }
 
-    private void run(long ms) {
+    private void runFor(long ms) {
         for (long until = now + ms; now < until; now += TICK_MS) {
             elections.forEach((self, election) -> {
                 if (statuses.containsKey(self)) {
@@ -122,56 +122,56 @@
                 }
                 election.tick(now);
             });
-            while (!mail.isEmpty()) {
-                mail.remove(0).run();
+            while (!pendingMessages.isEmpty()) {
+                pendingMessages.remove(0).run();
             }
         }
     }
 
-    private boolean holds(Member self) {
+    private boolean holdsLease(Member self) {
         return elections.get(self).mayAct(now);
     }
 
     private void startAll() {
-        start(A, kept(A));
-        start(B, kept(A));
-        start(C, kept(A));
+        start(A, storedGrant(A));
+        start(B, storedGrant(A));
+        start(C, storedGrant(A));
     }
 
     @Test
-    void overOneViewAtOnce() {
+    void resumesAtOnceAfterOneViewChange() {
         startAll();
-        ViewMembership six = roll(6, A, B, C);
+        ViewMembership six = viewMembership(6, A, B, C);
         for (Member each : List.of(A, B, C)) {
-            view(each, six, FIVE);
+            setView(each, six, VIEW_5);
         }
-        run(200);
-        assertTrue(holds(A));
+        runFor(200);
+        assertTrue(holdsLease(A));
     }
 
     @Test
-    void overTwoViewsAtOnceWhereAllOfTheFirstAreInTheSecond() {
+    void resumesAtOnceIfAllMembersOfTheIntermediateViewArePresent() {
         startAll();
-        ViewMembership six = roll(6, A, B);
-        ViewMembership seven = roll(7, A, B, C);
-        view(A, seven, FIVE, six);
-        view(B, seven, FIVE, six);
-        view(C, seven, six);
-        run(200);
-        assertTrue(holds(A));
+        ViewMembership six = viewMembership(6, A, B);
+        ViewMembership seven = viewMembership(7, A, B, C);
+        setView(A, seven, VIEW_5, six);
+        setView(B, seven, VIEW_5, six);
+        setView(C, seven, six);
+        runFor(200);
+        assertTrue(holdsLease(A));
     }
 
     /** The former holder is the last to be back, and knows of the views since by a voter's word. */
     @Test
-    void overTwoViewsByTheWordOfAVoterWhoWasInBoth() {
+    void resumesAtOnceIfAVoterKnowsTheLineage() {
         startAll();
-        ViewMembership six = roll(6, B, C);
-        ViewMembership seven = roll(7, A, B, C);
-        view(A, seven, six);
-        view(B, seven, FIVE, six);
-        view(C, seven, FIVE, six);
-        run(200);
-        assertTrue(holds(A));
+        ViewMembership six = viewMembership(6, B, C);
+        ViewMembership seven = viewMembership(7, A, B, C);
+        setView(A, seven, six);
+        setView(B, seven, VIEW_5, six);
+        setView(C, seven, VIEW_5, six);
+        runFor(200);
+        assertTrue(holdsLease(A));
     }
 
     /**
@@ -179,80 +179,80 @@
      * remembers.
      */
     @Test
-    void notAtOnceWhereOneOfAViewBetweenIsGone() {
-        start(A, kept(A));
-        start(B_ANEW, null);
-        ViewMembership six = roll(6, A, B);
-        ViewMembership seven = roll(7, A, B_ANEW);
-        view(A, seven, FIVE, six);
-        view(B_ANEW, seven, six);
-        run(1_150);
-        assertFalse(holds(A) || holds(B_ANEW), "one acts while a lease of view 5 may run");
-        run(2_000);
-        assertTrue(holds(A) || holds(B_ANEW));
+    void waitsIfAMemberOfTheIntermediateViewWasWiped() {
+        start(A, storedGrant(A));
+        start(B_WIPED, null);
+        ViewMembership six = viewMembership(6, A, B);
+        ViewMembership seven = viewMembership(7, A, B_WIPED);
+        setView(A, seven, VIEW_5, six);
+        setView(B_WIPED, seven, six);
+        runFor(1_150);
+        assertFalse(holdsLease(A) || holdsLease(B_WIPED), "one acts while a lease of view 5 may run");
+        runFor(2_000);
+        assertTrue(holdsLease(A) || holdsLease(B_WIPED));
     }
 
     /** Nobody knows which view was before the one between. */
     @Test
-    void notAtOnceWhereTheViewsBetweenAreNotKnown() {
+    void waitsIfTheLineageIsUnknown() {
         startAll();
-        ViewMembership six = roll(6, B, C);
-        ViewMembership seven = roll(7, A, B, C);
+        ViewMembership six = viewMembership(6, B, C);
+        ViewMembership seven = viewMembership(7, A, B, C);
         for (Member each : List.of(A, B, C)) {
-            view(each, seven, six);
+            setView(each, seven, six);
         }
-        run(1_150);
-        assertFalse(holds(A) || holds(B) || holds(C));
-        run(2_000);
-        assertEquals(1, List.of(A, B, C).stream().filter(this::holds).count());
+        runFor(1_150);
+        assertFalse(holdsLease(A) || holdsLease(B) || holdsLease(C));
+        runFor(2_000);
+        assertEquals(1, List.of(A, B, C).stream().filter(this::holdsLease).count());
     }
 
     /** B granted to C after A held it in view 5: B refuses for as long as that lease may run. */
     @Test
-    void notAtOnceWhereAnotherHasWonItSince() {
-        start(A, kept(A));
-        start(B, kept(C));
-        ViewMembership six = roll(6, A, B);
-        view(A, six, FIVE);
-        view(B, six, FIVE);
-        run(1_150);
-        assertFalse(holds(A) || holds(B));
+    void waitsIfTheLeaseWasGrantedToAnotherSince() {
+        start(A, storedGrant(A));
+        start(B, storedGrant(C));
+        ViewMembership six = viewMembership(6, A, B);
+        setView(A, six, VIEW_5);
+        setView(B, six, VIEW_5);
+        runFor(1_150);
+        assertFalse(holdsLease(A) || holdsLease(B));
     }
 
     /**
      * The grants of a majority are not enough: the one that refuses may be the only one here that knows of the lease.
      */
     @Test
-    void notAtOnceWhereOneOfThreeRefuses() {
-        start(A, kept(A));
-        start(B, kept(A));
-        start(C, kept(C));
-        ViewMembership six = roll(6, A, B, C);
+    void waitsIfOneOfThreeVotersRefuses() {
+        start(A, storedGrant(A));
+        start(B, storedGrant(A));
+        start(C, storedGrant(C));
+        ViewMembership six = viewMembership(6, A, B, C);
         for (Member each : List.of(A, B, C)) {
-            view(each, six, FIVE);
+            setView(each, six, VIEW_5);
         }
-        run(1_150);
-        assertFalse(holds(A) || holds(B) || holds(C));
+        runFor(1_150);
+        assertFalse(holdsLease(A) || holdsLease(B) || holdsLease(C));
     }
 
     /** It doesn't take back what another holds in the meantime. */
     @Test
-    void notAtAllWhileAnotherHoldsIt() {
-        start(B, kept(A));
-        start(C, kept(A));
-        ViewMembership six = roll(6, B, C);
-        view(B, six, FIVE);
-        view(C, six, FIVE);
-        run(3_000);
-        assertTrue(holds(B));
-        start(A, kept(A));
-        ViewMembership seven = roll(7, A, B, C);
-        view(A, seven, six);
-        view(B, seven, FIVE, six);
-        view(C, seven, FIVE, six);
+    void doesNotResumeWhileAnotherHoldsTheLease() {
+        start(B, storedGrant(A));
+        start(C, storedGrant(A));
+        ViewMembership six = viewMembership(6, B, C);
+        setView(B, six, VIEW_5);
+        setView(C, six, VIEW_5);
+        runFor(3_000);
+        assertTrue(holdsLease(B));
+        start(A, storedGrant(A));
+        ViewMembership seven = viewMembership(7, A, B, C);
+        setView(A, seven, six);
+        setView(B, seven, VIEW_5, six);
+        setView(C, seven, VIEW_5, six);
         for (int i = 0; i < 100; i++) {
-            run(TICK_MS);
-            assertTrue(holds(B) && !holds(A));
+            runFor(TICK_MS);
+            assertTrue(holdsLease(B) && !holdsLease(A));
         }
     }
 }
--- a/src/test/java/brambletray/platform/failuredetection/FailureDetectionSteps.java
+++ b/src/test/java/brambletray/platform/failuredetection/FailureDetectionSteps.java
@@ -19,7 +19,7 @@
     private final SimulatedEdges cluster = new SimulatedEdges();
 
     @Given("edges {word} to {word}, by zones")
-    public void edges(String first, String last) {
+    public void addEdges(String first, String last) {
         for (char zone = first.charAt(0); zone <= last.charAt(0); zone++) {
             for (char place = first.charAt(1); place <= last.charAt(1); place++) {
                 cluster.add("" + zone + place);
@@ -28,24 +28,24 @@
     }
 
     @Given("no path between {word} and {word}")
-    public void noPath(String one, String other) {
-        cluster.cutBetween(one, other);
+    public void cutLink(String one, String other) {
+        cluster.cutLink(one, other);
     }
 
     @Given("no path between {word} and its first watcher")
-    public void noPathToWatcher(String one) {
+    public void cutLinkToFirstWatcher(String one) {
         List<Peer> all = new ArrayList<>();
         cluster.names().forEach(name -> all.add(new Peer(name, name.substring(0, 1), name + ":7400", 0, Peer.ACTIVE)));
-        cluster.cutBetween(
+        cluster.cutLink(
                 one, new WatchRing(Roster.of(1, 1, all)).watchersOf(one).get(0).name());
     }
 
     @Given("no path between zones {word} and {word}")
-    public void noPathBetweenZones(String one, String other) {
+    public void cutLinksBetweenZones(String one, String other) {
         for (String a : cluster.names()) {
             for (String b : cluster.names()) {
                 if (a.startsWith(one) && b.startsWith(other)) {
-                    cluster.cutBetween(a, b);
+                    cluster.cutLink(a, b);
                 }
             }
         }
@@ -53,7 +53,7 @@
 
     /** Each row holds from its ms on; what stands behind the colon is seen just before. */
     @When("time passes")
-    public void play(String picture) {
+    public void runTimeline(String picture) {
         List<String> rows = picture.lines().filter(row -> !row.isBlank()).toList();
         List<String> names = List.of(rows.get(0).trim().split("\\s+"));
         List<String> all = new ArrayList<>();
@@ -61,35 +61,35 @@
         for (String row : rows.subList(1, rows.size())) {
             int colon = row.indexOf(':');
             String[] cells = (colon < 0 ? row : row.substring(0, colon)).trim().split("\\s+");
-            int said = cluster.coordinator().said.size();
-            cluster.until(Long.parseLong(cells[0]));
+            int said = cluster.coordinator().publishedRosters.size();
+            cluster.runUntil(Long.parseLong(cells[0]));
             if (colon >= 0) {
                 for (String fact : row.substring(colon + 1).split(";")) {
-                    check(fact.trim(), all, said, row);
+                    assertFact(fact.trim(), all, said, row);
                 }
             }
             for (int i = 1; i < cells.length; i++) {
                 String name = names.get(i);
-                for (String one : name.equals("rest") ? rest(all, names) : List.of(name)) {
-                    cluster.sign(one, cells[i].charAt(0));
+                for (String one : name.equals("rest") ? otherEdges(all, names) : List.of(name)) {
+                    cluster.setState(one, cells[i].charAt(0));
                 }
             }
         }
     }
 
-    private static List<String> rest(List<String> all, List<String> names) {
+    private static List<String> otherEdges(List<String> all, List<String> names) {
         return all.stream().filter(name -> !names.contains(name)).toList();
     }
 
-    private void check(String fact, List<String> all, int said, String row) {
-        String where = row + "\n" + String.join("\n", cluster.coordinator().said);
+    private void assertFact(String fact, List<String> all, int said, String row) {
+        String where = row + "\n" + String.join("\n", cluster.coordinator().publishedRosters);
         String[] words = fact.split(" ");
         List<String> named = Arrays.asList(words).subList(1, words.length);
         TreeSet<String> in = new TreeSet<>();
         TreeSet<String> leaving = new TreeSet<>();
         cluster.coordinator().roster().peers().forEach(peer -> (peer.isActive() ? in : leaving).add(peer.name()));
         switch (words[0]) {
-            case "calm" -> assertEquals(said, cluster.coordinator().said.size(), where);
+            case "calm" -> assertEquals(said, cluster.coordinator().publishedRosters.size(), where);
             case "silent" -> assertEquals(0, cluster.coordinator().roster().number(), where);
             case "in" ->
                 assertEquals(named.equals(List.of("all")) ? new TreeSet<>(all) : new TreeSet<>(named), in, where);
@@ -100,11 +100,11 @@
                 assertEquals(new TreeSet<>(named), others, where);
             }
             case "leaving" -> assertEquals(new TreeSet<>(named), leaving, where);
-            case "slept" -> assertEquals(1, cluster.edge(words[1]).sleeps, where);
-            case "quiet" -> assertEquals(new TreeSet<>(), cluster.edge(words[1]).notified, where);
+            case "slept" -> assertEquals(1, cluster.edge(words[1]).pauses, where);
+            case "quiet" -> assertEquals(new TreeSet<>(), cluster.edge(words[1]).reportedSuspects, where);
             case "accuser" -> {
                 TreeSet<String> accusers = new TreeSet<>(all);
-                accusers.removeIf(name -> !cluster.edge(name).notified.contains(words[1]));
+                accusers.removeIf(name -> !cluster.edge(name).reportedSuspects.contains(words[1]));
                 assertEquals(1, accusers.size(), where);
             }
             default -> throw new IllegalArgumentException(fact);
@@ -112,17 +112,17 @@
     }
 
     @Then("all that run have the same roster")
-    public void same() {
+    public void allRunningEdgesHaveTheSameRoster() {
         for (String name : cluster.names()) {
-            if (cluster.edge(name).runs()) {
+            if (cluster.edge(name).isRunning()) {
                 assertEquals(cluster.coordinator().roster(), cluster.edge(name).roster(), name);
             }
         }
     }
 
     @Then("no more than {int} rosters were said")
-    public void most(int most) {
-        List<String> said = cluster.coordinator().said;
+    public void atMostRostersPublished(int most) {
+        List<String> said = cluster.coordinator().publishedRosters;
         assertTrue(said.size() <= most, String.join("\n", said));
     }
 }
--- a/src/test/java/brambletray/platform/storage/KeyValueStoreFaultsTest.java
+++ b/src/test/java/brambletray/platform/storage/KeyValueStoreFaultsTest.java
@@ -25,27 +25,27 @@
 class KeyValueStoreFaultsTest {
     private static final int SEED = 20_262;
     /** Bytes of files that a store of these tests is allowed, so that it is compacted soon. */
-    private static final long SMALL = 64 << 10;
+    private static final long SMALL_COMPACTION_BYTES = 64 << 10;
     /** Bytes of one value of these tests. */
     private static final int VALUE_BYTES = 20_000;
 
     private static final int COMMITS = 8;
-    private static final Set<String> TROUBLE = Set.of("storage.full", "storage.refused");
+    private static final Set<String> DISK_ERROR_CODES = Set.of("storage.full", "storage.refused");
 
     /** How a disk refuses. */
-    private enum Refusal {
+    private enum DiskFault {
         /** No room: nothing is written or made longer; syncs, cuts and removals go on. */
         FULL {
             @Override
             void set(SimulatedDirectory disk, boolean now) {
-                disk.full(now);
+                disk.setFull(now);
             }
         },
         /** Nothing that changes the disk is done. */
-        EVERYTHING {
+        ALL_CHANGES {
             @Override
             void set(SimulatedDirectory disk, boolean now) {
-                disk.refusing(now);
+                disk.setFailing(now);
             }
         };
 
@@ -53,11 +53,11 @@
     }
 
     private final Random random = new Random(SEED);
-    private final Set<String> notified = new TreeSet<>();
-    private int losses;
+    private final Set<String> reportedCodes = new TreeSet<>();
+    private int reopenings;
 
     @BeforeAll
-    static void quietly() {
+    static void muteLog() {
         Logger.getLogger("trove").setLevel(Level.OFF);
     }
 
@@ -67,7 +67,7 @@
         return all;
     }
 
-    private static boolean same(Map<String, byte[]> one, Map<String, byte[]> other) {
+    private static boolean sameEntries(Map<String, byte[]> one, Map<String, byte[]> other) {
         return one.keySet().equals(other.keySet())
                 && one.entrySet().stream()
                         .allMatch(entry -> Arrays.equals(entry.getValue(), other.get(entry.getKey())));
@@ -86,73 +86,73 @@
     /** Opens on a disk that may refuse; null, with the code noted, if it does. */
     private KeyValueStore tryOpen(SimulatedDirectory disk, String where) {
         try {
-            return KeyValueStore.open(disk, SMALL);
+            return KeyValueStore.open(disk, SMALL_COMPACTION_BYTES);
         } catch (StorageException fault) {
-            assertTrue(TROUBLE.contains(fault.code()), where + ": " + fault.code());
-            notified.add(fault.code());
+            assertTrue(DISK_ERROR_CODES.contains(fault.code()), where + ": " + fault.code());
+            reportedCodes.add(fault.code());
             return null;
         }
     }
 
     /** Opened with room, it holds this or that, and takes another commit that lasts. */
-    private void worksAgain(
+    private void checkReopens(
             SimulatedDirectory disk, Map<String, byte[]> kept, Map<String, byte[]> tried, String where) {
-        losses++;
-        try (KeyValueStore store = KeyValueStore.open(disk, SMALL)) {
+        reopenings++;
+        try (KeyValueStore store = KeyValueStore.open(disk, SMALL_COMPACTION_BYTES)) {
             Map<String, byte[]> found = contents(store);
-            assertTrue(same(found, kept) || same(found, tried), where + ": holds " + found.keySet());
+            assertTrue(sameEntries(found, kept) || sameEntries(found, tried), where + ": holds " + found.keySet());
             store.commit(List.of(new KeyChange("after", new byte[] {1})));
         } catch (StorageException fault) {
             throw new AssertionError(where + ": " + fault.code(), fault);
         }
-        try (KeyValueStore store = KeyValueStore.open(disk.afterLoss(random), SMALL)) {
+        try (KeyValueStore store = KeyValueStore.open(disk.afterPowerLoss(random), SMALL_COMPACTION_BYTES)) {
             assertArrayEquals(new byte[] {1}, store.get("after"), where);
         }
     }
 
-    private void worksAfterEveryEnd(
+    private void checkReopensAfterKillAndPowerLoss(
             SimulatedDirectory disk, Map<String, byte[]> kept, Map<String, byte[]> tried, String where) {
-        worksAgain(disk.afterKill(), kept, tried, where + ", killed");
-        for (SimulatedDirectory dark : disk.afterLosses(random)) {
-            worksAgain(dark, kept, tried, where + ", dark");
+        checkReopens(disk.afterKill(), kept, tried, where + ", killed");
+        for (SimulatedDirectory dark : disk.afterPowerLosses(random)) {
+            checkReopens(dark, kept, tried, where + ", dark");
         }
     }
 
     /** Opening with the disk refusing from step {@code at} on; false if there is no such step. */
-    private boolean openRefused(
-            Supplier<SimulatedDirectory> found, Map<String, byte[]> kept, Refusal refusal, int at, String name) {
+    private boolean openWithFaultFrom(
+            Supplier<SimulatedDirectory> found, Map<String, byte[]> kept, DiskFault refusal, int at, String name) {
         SimulatedDirectory disk = found.get();
         String where = name + ", " + refusal + " from step " + at;
         int[] step = new int[1];
-        disk.watch(() -> {
+        disk.setBeforeChange(() -> {
             if (step[0]++ == at) {
                 refusal.set(disk, true);
             }
         });
         KeyValueStore opened = tryOpen(disk, where);
-        disk.watch(() -> {});
+        disk.setBeforeChange(() -> {});
         if (opened != null) {
-            assertTrue(same(contents(opened), kept), where + ": reads");
+            assertTrue(sameEntries(contents(opened), kept), where + ": reads");
             opened.close();
         }
-        worksAfterEveryEnd(cleared(disk, refusal), kept, kept, where);
+        checkReopensAfterKillAndPowerLoss(copyWithoutFault(disk, refusal), kept, kept, where);
         refusal.set(disk, false);
-        worksAgain(disk, kept, kept, where + ", with room again");
+        checkReopens(disk, kept, kept, where + ", with room again");
         return step[0] > at;
     }
 
     /** The same disk as another process or a later moment finds it: it refuses nothing. */
-    private static SimulatedDirectory cleared(SimulatedDirectory disk, Refusal refusal) {
+    private static SimulatedDirectory copyWithoutFault(SimulatedDirectory disk, DiskFault refusal) {
         refusal.set(disk, false);
         SimulatedDirectory copy = disk.afterKill();
         refusal.set(disk, true);
         return copy;
     }
 
-    private int everyStepOfOpening(Supplier<SimulatedDirectory> found, Map<String, byte[]> kept, String name) {
+    private int openWithFaultAtEachStep(Supplier<SimulatedDirectory> found, Map<String, byte[]> kept, String name) {
         int steps = 0;
-        for (Refusal refusal : Refusal.values()) {
-            for (int at = 0; openRefused(found, kept, refusal, at, name); at++) {
+        for (DiskFault refusal : DiskFault.values()) {
+            for (int at = 0; openWithFaultFrom(found, kept, refusal, at, name); at++) {
                 steps++;
             }
         }
@@ -163,29 +163,29 @@
      * The first opening, on an empty disk; and that of what a kill or a loss of power left in the middle of a commit.
      */
     @Test
-    void openingThatIsRefusedAtAnyStepIsToldAndLosesNothing() {
-        int steps = everyStepOfOpening(SimulatedDirectory::new, Map.of(), "empty");
+    void openingWithAFaultAtAnyStepReportsItAndLosesNothing() {
+        int steps = openWithFaultAtEachStep(SimulatedDirectory::new, Map.of(), "empty");
         SimulatedDirectory disk = new SimulatedDirectory();
         Map<String, byte[]> kept = new TreeMap<>();
-        try (KeyValueStore store = KeyValueStore.open(disk, SMALL)) {
+        try (KeyValueStore store = KeyValueStore.open(disk, SMALL_COMPACTION_BYTES)) {
             for (int i = 0; i < 3; i++) {
                 store.commit(changes(i));
                 put(kept, changes(i));
             }
         }
-        steps += everyStepOfOpening(disk::afterKill, kept, "killed");
-        SimulatedDirectory garbage = torn(disk);
-        steps += everyStepOfOpening(garbage::afterKill, kept, "torn");
+        steps += openWithFaultAtEachStep(disk::afterKill, kept, "killed");
+        SimulatedDirectory garbage = withTornTail(disk);
+        steps += openWithFaultAtEachStep(garbage::afterKill, kept, "torn");
         System.out.println(
-                "refused while it opens: " + steps + " steps, " + losses + " openings afterwards, told " + notified);
-        assertEquals(TROUBLE, notified);
+                "refused while it opens: " + steps + " steps, " + reopenings + " openings afterwards, told " + reportedCodes);
+        assertEquals(DISK_ERROR_CODES, reportedCodes);
     }
 
     /** Bytes behind the last commit: opening has to cut them off. */
-    private static SimulatedDirectory torn(SimulatedDirectory disk) {
+    private static SimulatedDirectory withTornTail(SimulatedDirectory disk) {
         SimulatedDirectory copy = disk.afterKill();
-        byte[] bytes = copy.newest();
-        copy.newest(Arrays.copyOf(bytes, bytes.length + 777));
+        byte[] bytes = copy.newestFile();
+        copy.newestFile(Arrays.copyOf(bytes, bytes.length + 777));
         return copy;
     }
 
@@ -194,52 +194,52 @@
      * power goes.
      */
     @Test
-    void whatReturnedBeforeARefusalIsThereAtEachLaterStep() {
-        for (Refusal refusal : Refusal.values()) {
+    void commitsReturnedBeforeAFaultSurviveEachLaterStep() {
+        for (DiskFault refusal : DiskFault.values()) {
             int steps = 0;
             int generations = 0;
-            for (int generation = commitRefused(refusal, 0); generation > 0; ) {
+            for (int generation = commitWithFaultFrom(refusal, 0); generation > 0; ) {
                 generations = Math.max(generations, generation);
-                generation = commitRefused(refusal, ++steps);
+                generation = commitWithFaultFrom(refusal, ++steps);
             }
-            System.out.println("refused while it commits, " + refusal + ": " + steps + " steps, " + losses
-                    + " openings afterwards, generations " + generations + ", told " + notified);
+            System.out.println("refused while it commits, " + refusal + ": " + steps + " steps, " + reopenings
+                    + " openings afterwards, generations " + generations + ", told " + reportedCodes);
             assertTrue(generations > 1, "never compacted");
         }
-        assertEquals(TROUBLE, notified);
+        assertEquals(DISK_ERROR_CODES, reportedCodes);
     }
 
     /** Returns the generation of the store afterwards; 0 if there is no such step. */
-    private int commitRefused(Refusal refusal, int at) {
+    private int commitWithFaultFrom(DiskFault refusal, int at) {
         String where = refusal + " from step " + at;
         SimulatedDirectory disk = new SimulatedDirectory();
         Map<String, byte[]> kept = new TreeMap<>();
         Map<String, byte[]> tried = new TreeMap<>();
-        KeyValueStore store = KeyValueStore.open(disk, SMALL);
+        KeyValueStore store = KeyValueStore.open(disk, SMALL_COMPACTION_BYTES);
         int[] step = new int[1];
         AssertionError[] first = new AssertionError[1];
-        disk.watch(() -> {
+        disk.setBeforeChange(() -> {
             if (step[0] == at) {
                 refusal.set(disk, true);
             }
             if (step[0]++ >= at && step[0] < at + 6) {
-                noteFailure(first, () -> worksAgain(cleared(disk, refusal), kept, tried, where + ", killed"));
+                recordFailure(first, () -> checkReopens(copyWithoutFault(disk, refusal), kept, tried, where + ", killed"));
             }
         });
         boolean refused = false;
         int number = 0;
         for (; number < COMMITS && !refused; number++) {
             put(tried, changes(number));
-            refused = !commits(store, changes(number), where);
+            refused = !tryCommit(store, changes(number), where);
             if (!refused) {
                 put(kept, changes(number));
                 store.compact();
             }
         }
         if (refused) {
-            assertTrue(!commits(store, changes(number), where + ", once more"), where + ": taken though refused");
+            assertTrue(!tryCommit(store, changes(number), where + ", once more"), where + ": taken though refused");
         }
-        disk.watch(() -> {});
+        disk.setBeforeChange(() -> {});
         if (first[0] != null) {
             throw first[0];
         }
@@ -247,24 +247,24 @@
         put(tried, changes(number));
         store.commit(changes(number));
         put(kept, changes(number));
-        assertTrue(same(contents(store), kept), where + ": the same process reads");
-        worksAfterEveryEnd(disk, kept, kept, where + ", with room again");
+        assertTrue(sameEntries(contents(store), kept), where + ": the same process reads");
+        checkReopensAfterKillAndPowerLoss(disk, kept, kept, where + ", with room again");
         return step[0] > at ? Integer.parseInt(disk.names().get(0).substring(0, 8), 16) : 0;
     }
 
-    private boolean commits(KeyValueStore store, List<KeyChange> changes, String where) {
+    private boolean tryCommit(KeyValueStore store, List<KeyChange> changes, String where) {
         try {
             store.commit(changes);
             return true;
         } catch (StorageException fault) {
-            assertTrue(TROUBLE.contains(fault.code()), where + ": " + fault.code());
-            notified.add(fault.code());
+            assertTrue(DISK_ERROR_CODES.contains(fault.code()), where + ": " + fault.code());
+            reportedCodes.add(fault.code());
             return false;
         }
     }
 
     /** What is thrown within a step of the store would come out as a fault of the disk. */
-    private static void noteFailure(AssertionError[] first, Runnable check) {
+    private static void recordFailure(AssertionError[] first, Runnable check) {
         try {
             check.run();
         } catch (AssertionError e) {
@@ -277,44 +277,44 @@
      * empty.
      */
     @Test
-    void abandoningAtAnyStepLeavesABrokenStoreOrAnEmptyOne() {
+    void abandoningWithAFaultAtAnyStepLeavesABrokenOrAnEmptyStore() {
         int steps = 0;
-        while (abandonRefused(steps)) {
+        while (abandonWithFaultAt(steps)) {
             steps++;
         }
-        System.out.println("refused while it is abandoned: " + steps + " steps, " + losses + " openings afterwards");
+        System.out.println("refused while it is abandoned: " + steps + " steps, " + reopenings + " openings afterwards");
         assertTrue(steps >= 4, "hardly a step");
     }
 
-    private boolean abandonRefused(int at) {
+    private boolean abandonWithFaultAt(int at) {
         SimulatedDirectory disk = new SimulatedDirectory();
-        try (KeyValueStore store = KeyValueStore.open(disk, SMALL)) {
+        try (KeyValueStore store = KeyValueStore.open(disk, SMALL_COMPACTION_BYTES)) {
             store.commit(changes(1));
         }
-        disk.newest(new byte[5_000]);
+        disk.newestFile(new byte[5_000]);
         int[] step = new int[1];
-        disk.watch(() -> disk.refusing(step[0]++ == at));
+        disk.setBeforeChange(() -> disk.setFailing(step[0]++ == at));
         try {
             KeyValueStore.abandon(disk);
         } catch (StorageException fault) {
             assertEquals("storage.refused", fault.code(), "step " + at);
         }
-        disk.watch(() -> {});
-        disk.refusing(false);
-        brokenOrEmpty(disk.afterKill(), "abandoned until step " + at + ", killed");
-        for (SimulatedDirectory dark : disk.afterLosses(random)) {
-            brokenOrEmpty(dark, "abandoned until step " + at + ", dark");
+        disk.setBeforeChange(() -> {});
+        disk.setFailing(false);
+        checkBrokenOrEmpty(disk.afterKill(), "abandoned until step " + at + ", killed");
+        for (SimulatedDirectory dark : disk.afterPowerLosses(random)) {
+            checkBrokenOrEmpty(dark, "abandoned until step " + at + ", dark");
         }
         return step[0] > at;
     }
 
-    private void brokenOrEmpty(SimulatedDirectory disk, String where) {
+    private void checkBrokenOrEmpty(SimulatedDirectory disk, String where) {
         try {
-            KeyValueStore.open(disk, SMALL).close();
+            KeyValueStore.open(disk, SMALL_COMPACTION_BYTES).close();
         } catch (StorageException fault) {
             assertEquals("storage.broken", fault.code(), where);
             KeyValueStore.abandon(disk);
         }
-        worksAgain(disk, Map.of(), Map.of(), where);
+        checkReopens(disk, Map.of(), Map.of(), where);
     }
 }
--- a/src/test/java/brambletray/platform/storage/SimulatedDirectory.java
+++ b/src/test/java/brambletray/platform/storage/SimulatedDirectory.java
@@ -18,37 +18,37 @@
 final class SimulatedDirectory implements Directory {
     private record Write(int at, byte[] bytes) {}
 
-    private static final class Item {
+    private static final class SimulatedFile {
         private byte[] bytes = new byte[0];
         private int length;
         /** What was synced, or null: not even that there is such a file. */
-        private byte[] kept;
+        private byte[] syncedBytes;
 
-        private int keptLength;
-        private final List<Write> later = new ArrayList<>();
+        private int syncedLength;
+        private final List<Write> unsyncedWrites = new ArrayList<>();
 
-        private static Item of(byte[] bytes) {
-            Item item = new Item();
+        private static SimulatedFile of(byte[] bytes) {
+            SimulatedFile item = new SimulatedFile();
             item.put(0, bytes);
             item.sync();
             return item;
         }
 
         /** The same, with what is on the disk and what is not yet. */
-        private Item copy() {
-            Item item = new Item();
+        private SimulatedFile copy() {
+            SimulatedFile item = new SimulatedFile();
             item.bytes = Arrays.copyOf(bytes, length);
             item.length = length;
-            item.kept = kept == null ? null : Arrays.copyOf(kept, keptLength);
-            item.keptLength = keptLength;
-            item.later.addAll(later);
+            item.syncedBytes = syncedBytes == null ? null : Arrays.copyOf(syncedBytes, syncedLength);
+            item.syncedLength = syncedLength;
+            item.unsyncedWrites.addAll(unsyncedWrites);
             return item;
         }
 
         /** What a loss of power leaves. */
-        private byte[] left(Random random, boolean nothing) {
-            byte[] left = kept == null ? new byte[0] : Arrays.copyOf(kept, keptLength);
-            for (Write write : later) {
+        private byte[] bytesAfterPowerLoss(Random random, boolean nothing) {
+            byte[] left = syncedBytes == null ? new byte[0] : Arrays.copyOf(syncedBytes, syncedLength);
+            for (Write write : unsyncedWrites) {
                 int fate = nothing ? 1 : random.nextInt(4);
                 int cut = write.bytes.length > 1 ? 1 + random.nextInt(write.bytes.length - 1) : 0;
                 if (fate == 0) {
@@ -73,10 +73,10 @@
 
         private void write(int at, byte[] piece) {
             put(at, piece);
-            later.add(new Write(at, piece));
+            unsyncedWrites.add(new Write(at, piece));
         }
 
-        private void length(int now) {
+        private void setLength(int now) {
             if (now < length) {
                 bytes = Arrays.copyOf(bytes, now);
                 length = now;
@@ -88,44 +88,44 @@
 
         /** Bytes before {@code keptLength} never change, but by a cut, which copies them. */
         private void sync() {
-            kept = bytes;
-            keptLength = length;
-            later.clear();
+            syncedBytes = bytes;
+            syncedLength = length;
+            unsyncedWrites.clear();
         }
 
-        private byte[] now() {
+        private byte[] contents() {
             return Arrays.copyOf(bytes, length);
         }
     }
 
     /** Subsets of unsynced names that are played all, by their number; of more names as many are drawn. */
-    private static final int MOST_NAMES = 6;
+    private static final int MAX_ENUMERATED_NAMES = 6;
 
-    private final Map<String, Item> files = new TreeMap<>();
+    private final Map<String, SimulatedFile> files = new TreeMap<>();
     /** The files under their names as the folder was last synced. */
-    private final Map<String, Item> named = new TreeMap<>();
+    private final Map<String, SimulatedFile> syncedNames = new TreeMap<>();
 
-    private Runnable watcher = () -> {};
-    private long room = Long.MAX_VALUE;
-    private boolean refusing;
+    private Runnable beforeChange = () -> {};
+    private long capacityBytes = Long.MAX_VALUE;
+    private boolean failing;
     private boolean full;
 
     /** Is called before each operation that changes something. */
-    void watch(Runnable each) {
-        watcher = each;
+    void setBeforeChange(Runnable each) {
+        beforeChange = each;
     }
 
     /** Bytes for which there is room. */
-    void room(long bytes) {
-        room = bytes;
+    void setCapacity(long bytes) {
+        capacityBytes = bytes;
     }
 
-    void refusing(boolean now) {
-        refusing = now;
+    void setFailing(boolean now) {
+        failing = now;
     }
 
     /** No file may be written, made or made longer; syncs, cuts and removals go on. */
-    void full(boolean now) {
+    void setFull(boolean now) {
         full = now;
     }
 
@@ -136,17 +136,17 @@
     /** What is found after a kill: all that was written, synced or not. */
     SimulatedDirectory afterKill() {
         SimulatedDirectory next = new SimulatedDirectory();
-        Map<Item, Item> copies = new IdentityHashMap<>();
-        files.forEach((name, item) -> next.files.put(name, copies.computeIfAbsent(item, Item::copy)));
-        named.forEach((name, item) -> next.named.put(name, copies.computeIfAbsent(item, Item::copy)));
+        Map<SimulatedFile, SimulatedFile> copies = new IdentityHashMap<>();
+        files.forEach((name, item) -> next.files.put(name, copies.computeIfAbsent(item, SimulatedFile::copy)));
+        syncedNames.forEach((name, item) -> next.syncedNames.put(name, copies.computeIfAbsent(item, SimulatedFile::copy)));
         return next;
     }
 
     /** Names that were made, removed or made anew since the folder's last sync. */
-    List<String> unsynced() {
+    List<String> unsyncedNames() {
         TreeSet<String> names = new TreeSet<>(files.keySet());
-        names.addAll(named.keySet());
-        names.removeIf(name -> files.get(name) == named.get(name));
+        names.addAll(syncedNames.keySet());
+        names.removeIf(name -> files.get(name) == syncedNames.get(name));
         return List.copyOf(names);
     }
 
@@ -154,26 +154,26 @@
      * What may be found after a loss of power: with every subset of the unsynced names, and drawn fates of unsynced
      * writes.
      */
-    List<SimulatedDirectory> afterLosses(Random random) {
-        int names = unsynced().size();
+    List<SimulatedDirectory> afterPowerLosses(Random random) {
+        int names = unsyncedNames().size();
         List<SimulatedDirectory> all = new ArrayList<>();
-        for (int i = 0; i < 1 << Math.min(names, MOST_NAMES); i++) {
-            long subset = names <= MOST_NAMES ? i : random.nextLong();
-            all.add(after(random, subset, true));
-            all.add(after(random, subset, false));
+        for (int i = 0; i < 1 << Math.min(names, MAX_ENUMERATED_NAMES); i++) {
+            long subset = names <= MAX_ENUMERATED_NAMES ? i : random.nextLong();
+            all.add(powerLoss(random, subset, true));
+            all.add(powerLoss(random, subset, false));
         }
         return all;
     }
 
     /** One of them. */
-    SimulatedDirectory afterLoss(Random random) {
-        return after(random, random.nextLong(), random.nextInt(4) == 0);
+    SimulatedDirectory afterPowerLoss(Random random) {
+        return powerLoss(random, random.nextLong(), random.nextInt(4) == 0);
     }
 
-    private SimulatedDirectory after(Random random, long subset, boolean nothing) {
+    private SimulatedDirectory powerLoss(Random random, long subset, boolean nothing) {
         SimulatedDirectory next = new SimulatedDirectory();
-        Map<String, Item> found = new TreeMap<>(named);
-        List<String> unsynced = unsynced();
+        Map<String, SimulatedFile> found = new TreeMap<>(syncedNames);
+        List<String> unsynced = unsyncedNames();
         for (int i = 0; i < unsynced.size(); i++) {
             String name = unsynced.get(i);
             if ((subset >> i & 1) == 0) {
@@ -186,22 +186,22 @@
             }
         }
         found.forEach((name, item) -> {
-            Item left = Item.of(item.left(random, nothing));
+            SimulatedFile left = SimulatedFile.of(item.bytesAfterPowerLoss(random, nothing));
             next.files.put(name, left);
-            next.named.put(name, left);
+            next.syncedNames.put(name, left);
         });
         return next;
     }
 
     /** The bytes of the newest file of a store. */
-    byte[] newest() {
-        return files.get(newestName()).now();
+    byte[] newestFile() {
+        return files.get(newestName()).contents();
     }
 
-    void newest(byte[] bytes) {
-        Item item = Item.of(bytes);
+    void newestFile(byte[] bytes) {
+        SimulatedFile item = SimulatedFile.of(bytes);
         files.put(newestName(), item);
-        named.put(newestName(), item);
+        syncedNames.put(newestName(), item);
     }
 
     private String newestName() {
@@ -217,9 +217,9 @@
         return longer;
     }
 
-    private void step() throws IOException {
-        watcher.run();
-        if (refusing) {
+    private void beginChange() throws IOException {
+        beforeChange.run();
+        if (failing) {
             throw new IOException("Input/output error");
         }
     }
@@ -236,7 +236,7 @@
 
     @Override
     public int read(String name, long at, byte[] to, int offset, int count) {
-        Item item = files.get(name);
+        SimulatedFile item = files.get(name);
         int read = (int) Math.max(0, Math.min(count, item.length - at));
         System.arraycopy(item.bytes, (int) at, to, offset, read);
         return read;
@@ -244,21 +244,21 @@
 
     @Override
     public FileWriter open(String name, long length) throws IOException {
-        step();
+        beginChange();
         if (full && length(name) < Math.max(1, length)) {
             throw new IOException("No space left on device");
         }
-        Item item = files.computeIfAbsent(name, any -> new Item());
+        SimulatedFile item = files.computeIfAbsent(name, any -> new SimulatedFile());
         if (item.length != length) {
-            item.length((int) length);
+            item.setLength((int) length);
         }
         return new FileWriter() {
             private int at = (int) length;
 
             @Override
             public void write(byte[] bytes, int offset, int count) throws IOException {
-                step();
-                int fits = full ? 0 : (int) Math.min(count, Math.max(0, room - bytes()));
+                beginChange();
+                int fits = full ? 0 : (int) Math.min(count, Math.max(0, capacityBytes - bytes()));
                 item.write(at, Arrays.copyOfRange(bytes, offset, offset + fits));
                 at += fits;
                 if (fits < count) {
@@ -268,7 +268,7 @@
 
             @Override
             public void sync() throws IOException {
-                step();
+                beginChange();
                 item.sync();
             }
 
@@ -279,26 +279,26 @@
 
     @Override
     public void truncate(String name, long length) throws IOException {
-        step();
-        files.get(name).length((int) length);
+        beginChange();
+        files.get(name).setLength((int) length);
     }
 
     @Override
     public void remove(String name) throws IOException {
-        step();
+        beginChange();
         files.remove(name);
     }
 
     @Override
     public void sync(String name) throws IOException {
-        step();
+        beginChange();
         files.get(name).sync();
     }
 
     @Override
     public void sync() throws IOException {
-        step();
-        named.clear();
-        named.putAll(files);
+        beginChange();
+        syncedNames.clear();
+        syncedNames.putAll(files);
     }
 }
--- a/src/test/java/brambletray/platform/storage/SyncWriterTurnsTest.java
+++ b/src/test/java/brambletray/platform/storage/SyncWriterTurnsTest.java
@@ -23,31 +23,31 @@
     private static final long NOW_MS = 10;
 
     @BeforeAll
-    static void quietly() {
+    static void muteLog() {
         Logger.getLogger("trove").setLevel(Level.OFF);
     }
 
     /** One scenario: the disk, the loop's tasks, and what the loop has heard. */
-    private static final class Course {
+    private static final class Scenario {
         private final Turns turns;
         private final Queue<Runnable> loop = new ArrayDeque<>();
         private final Map<String, Integer> disk = new TreeMap<>();
-        private final List<String> heard = new ArrayList<>();
+        private final List<String> results = new ArrayList<>();
         private final SyncWriter writer;
-        private final int failing;
+        private final int failingWrite;
         private int writes;
 
         /** {@code failing}: which write the disk refuses. */
-        private Course(Turns turns, int failing) {
+        private Scenario(Turns turns, int failing) {
             this.turns = turns;
-            this.failing = failing;
+            this.failingWrite = failing;
             writer = new SyncWriter(this::write, this::execute, turns.lock());
             turns.thread("writer", writer::run);
         }
 
         private void write(List<KeyChange> changes) {
             turns.point();
-            if (writes++ == failing) {
+            if (writes++ == failingWrite) {
                 throw new StorageException("storage.full", "no room", null);
             }
             changes.forEach(change -> disk.put(change.key(), (int) change.value()[0]));
@@ -57,7 +57,7 @@
             loop.add(task);
         }
 
-        private void turnOfLoop() {
+        private void runLoopTasks() {
             turns.point();
             for (Runnable task = loop.poll(); task != null; task = loop.poll()) {
                 task.run();
@@ -73,37 +73,37 @@
                         public void onCommitted() {
                             assertTrue(
                                     disk.getOrDefault(key, 0) >= value, name + " is acknowledged and not on the disk");
-                            heard.add(name + " done");
+                            results.add(name + " done");
                         }
 
                         @Override
                         public void onFailed(StorageException fault) {
-                            heard.add(name + ' ' + fault.code());
+                            results.add(name + ' ' + fault.code());
                         }
                     }));
         }
 
-        private void end() {
+        private void finish() {
             turns.run();
-            turnOfLoop();
+            runLoopTasks();
             assertEquals(0, writer.pending());
             assertEquals(0, writer.oldestWaitMs(NOW_MS));
         }
     }
 
     @Test
-    void everyCommitIsAnsweredOnceInOrderAndOnlyOnceItIsDurable() {
+    void callsBackOncePerCommitInOrderAfterItIsDurable() {
         int orders = Turns.everyOrder(turns -> {
-            Course scenario = new Course(turns, NO_FAILURE);
+            Scenario scenario = new Scenario(turns, NO_FAILURE);
             turns.thread("loop", () -> {
                 scenario.commit("a", 1);
                 scenario.commit("a", 2);
-                scenario.turnOfLoop();
+                scenario.runLoopTasks();
                 scenario.commit("b", 3);
                 scenario.writer.close();
             });
-            scenario.end();
-            assertEquals(List.of("a1 done", "a2 done", "b3 done"), scenario.heard);
+            scenario.finish();
+            assertEquals(List.of("a1 done", "a2 done", "b3 done"), scenario.results);
             assertEquals(Map.of("a", 2, "b", 3), scenario.disk);
         });
         System.out.println("writer: " + orders + " orders of turns");
@@ -111,26 +111,26 @@
     }
 
     @Test
-    void aFullDiskFailsWhatWasWrittenWithItAndNothingElse() {
+    void aFullDiskFailsOnlyTheCommitsOfThatWrite() {
         int orders = 0;
         for (int failing = 0; failing < 2; failing++) {
             int refused = failing;
             orders += Turns.everyOrder(turns -> {
-                Course scenario = new Course(turns, refused);
+                Scenario scenario = new Scenario(turns, refused);
                 turns.thread("loop", () -> {
                     scenario.commit("a", 1);
                     scenario.commit("b", 2);
                     scenario.writer.close();
                 });
-                scenario.end();
-                assertEquals(2, scenario.heard.size(), scenario.heard::toString);
-                assertEquals("a1", scenario.heard.get(0).substring(0, 2));
-                assertEquals("b2", scenario.heard.get(1).substring(0, 2));
+                scenario.finish();
+                assertEquals(2, scenario.results.size(), scenario.results::toString);
+                assertEquals("a1", scenario.results.get(0).substring(0, 2));
+                assertEquals("b2", scenario.results.get(1).substring(0, 2));
                 boolean wasRefused = scenario.writes > refused;
                 assertEquals(
                         wasRefused,
-                        scenario.heard.stream().anyMatch(one -> one.endsWith("storage.full")),
-                        scenario.heard::toString);
+                        scenario.results.stream().anyMatch(one -> one.endsWith("storage.full")),
+                        scenario.results::toString);
             });
         }
         System.out.println("writer on a full disk: " + orders + " orders of turns");
@@ -138,9 +138,9 @@
     }
 
     @Test
-    void whatTheLoopReadsOfTheQueueIsNeverOfTwoMoments() {
+    void pendingCountAndWaitTimeAreConsistent() {
         int orders = Turns.everyOrder(turns -> {
-            Course scenario = new Course(turns, NO_FAILURE);
+            Scenario scenario = new Scenario(turns, NO_FAILURE);
             turns.thread("loop", () -> {
                 scenario.commit("a", 1);
                 int pending = scenario.writer.pending();
@@ -150,14 +150,14 @@
                 assertTrue(pending > 0 || wait == 0, "nothing is pending, and yet it waits " + wait);
                 scenario.writer.close();
             });
-            scenario.end();
+            scenario.finish();
         });
         assertTrue(orders > 10, "few orders: " + orders);
     }
 
     /** Between two threads stands one lock: no method of the queue goes without it. */
     @Test
-    void eachMethodOfTheQueueTakesTheLockOnce() {
+    void eachQueueMethodTakesTheLockOnce() {
         Turns.everyOrder(turns -> {
             Turns.CountingLock lock = turns.lock();
             CommitQueue queue = new CommitQueue(4, 100, lock);
@@ -188,7 +188,7 @@
      * that is seen.
      */
     @Test
-    void aRaceIsSeen() {
+    void detectsARaceOfTwoCriticalSections() {
         boolean[] lost = new boolean[1];
         Turns.everyOrder(turns -> {
             ReentrantLock lock = turns.lock();
