--- a/src/main/java/brambletray/platform/election/ElectionActions.java
+++ b/src/main/java/brambletray/platform/election/ElectionActions.java
@@ -2,20 +2,23 @@
 
 import java.util.Map;
 
-/** What a {@link LeaseElection} wants done. None of these may call back into it before they return. */
+/** Callbacks of a {@link LeaseElection}. An implementation must not call back into it before it returns. */
 public interface ElectionActions {
-    /** Sends a message; it may be lost. */
-    void send(String address, ElectionMessage frame);
+    /** Sends a message to the member at this address; delivery is not guaranteed. */
+    void send(String address, ElectionMessage message);
 
-    /** Writes this durably, then answers {@link LeaseElection#synced} or {@link LeaseElection#syncFailed}. */
+    /**
+     * Writes the changes durably, then calls {@link LeaseElection#synced} or {@link LeaseElection#syncFailed} with
+     * the ticket.
+     */
     void persist(long ticket, Map<String, byte[]> changes);
 
-    /** This process holds the lease now, under this term. It may act while {@link LeaseElection#mayAct} says so. */
+    /** This process has won the lease under this term. It may act while {@link LeaseElection#mayAct} is true. */
     void won(long term);
 
-    /** This process holds the lease no longer. */
+    /** This process no longer holds the lease. */
     void lost(long term);
 
-    /** Something to be logged. */
+    /** Receives an event for the log of this process. */
     void log(ElectionEvent event);
 }
--- a/src/main/java/brambletray/platform/election/ElectionEvent.java
+++ b/src/main/java/brambletray/platform/election/ElectionEvent.java
@@ -2,9 +2,9 @@
 
 import brambletray.platform.logging.LogEvent;
 
-/** What a member of the core logs about the lease on a role. */
+/** Log events of a core member about the lease on a role. */
 public sealed interface ElectionEvent extends LogEvent {
-    /** This process holds the lease on the role from now on. */
+    /** This process has won the lease on the role. */
     record Won(String role, long term, long view) implements ElectionEvent {
         @Override
         public String name() {
@@ -19,7 +19,7 @@
         }
     }
 
-    /** This process holds the lease no longer. */
+    /** This process no longer holds the lease. */
     record Lost(String role, long term, String reason) implements ElectionEvent {
         @Override
         public String name() {
@@ -34,7 +34,7 @@
         }
     }
 
-    /** A higher term was seen outside the core: the lease counts only once a majority has renewed it. */
+    /** A higher term was seen outside the core: the lease is valid again only once a majority has renewed it. */
     record Revalidating(String role, long term, long seenTerm) implements ElectionEvent {
         @Override
         public String name() {
--- a/src/main/java/brambletray/platform/election/ElectionException.java
+++ b/src/main/java/brambletray/platform/election/ElectionException.java
@@ -2,7 +2,7 @@
 
 import brambletray.platform.errors.PlatformException;
 
-/** The stored grant cannot be read ({@code election.form}). */
+/** The stored lease grant has an unsupported format version ({@code election.form}). */
 public final class ElectionException extends PlatformException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/brambletray/platform/election/ElectionMessage.java
+++ b/src/main/java/brambletray/platform/election/ElectionMessage.java
@@ -3,7 +3,7 @@
 import brambletray.platform.replication.Member;
 import java.util.List;
 
-/** Messages between members of the core about the lease on a role. */
+/** Messages between core members about the lease on a role. */
 public sealed interface ElectionMessage {
     /** All messages, for registration with the codec; {@link Member} is registered by the replication package. */
     List<Class<?>> TYPES = List.of(
@@ -14,12 +14,13 @@
             RenewGranted.class,
             LeaseReleased.class);
 
-    /** Name of the role. */
+    /** The role whose lease the message is about. */
     String role();
 
     /**
-     * A candidate asks for its term; with {@code probe} only whether it would be granted. {@code
-     * previouslyHeldInView}: number of the last view in which the process before held the lease, 0 for none.
+     * A candidate requests the lease under its term; a {@code probe} only asks whether it would be granted. {@code
+     * previouslyHeldInView}: number of the last view in which this member held the lease before its process restarted;
+     * 0 for none.
      */
     record LeaseRequest(
             String role,
@@ -32,27 +33,31 @@
             implements ElectionMessage {}
 
     /**
-     * Granted, on disk before it is sent, or (probe) it would be. {@code viewDescends}: this voter knows every lease
-     * of others since {@code previouslyHeldInView}.
+     * The voter grants the request, and has written the grant to disk before sending this; for a probe: it would grant
+     * it. {@code viewDescends}: any lease granted to others since {@code previouslyHeldInView} is known to a member of
+     * this view ({@link ElectionView#descendsFrom}).
      */
     record LeaseGranted(
             String role, boolean probe, long term, long sequence, long voterIncarnation, boolean viewDescends)
             implements ElectionMessage {}
 
-    /** Not granted or not renewed: a higher term was granted, or the lease of another runs for so long. */
+    /**
+     * Neither granted nor renewed: a higher term was granted, or the lease of another member is valid for {@code
+     * remainingMs} more.
+     */
     record LeaseDenied(String role, long term, long grantedTerm, int remainingMs, long voterIncarnation)
             implements ElectionMessage {}
 
-    /** The holder renews its lease. */
+    /** The holder asks for its lease to be renewed. */
     record RenewRequest(String role, long viewNumber, long term, long sequence, Member holder)
             implements ElectionMessage {}
 
-    /** The lease is renewed. */
+    /** The voter has renewed the lease. */
     record RenewGranted(String role, long term, long sequence, long voterIncarnation) implements ElectionMessage {}
 
     /**
-     * The holder has stopped acting, or a candidate has given up (there is no successor then, 0); the successor may
-     * stand at once.
+     * The holder has stopped acting, or a candidate has withdrawn its request ({@code successorIncarnation} is 0 then).
+     * The successor may request the lease at once.
      */
     record LeaseReleased(String role, long term, long holderIncarnation, long successorIncarnation)
             implements ElectionMessage {}
--- a/src/main/java/brambletray/platform/election/ElectionState.java
+++ b/src/main/java/brambletray/platform/election/ElectionState.java
@@ -3,8 +3,8 @@
 import brambletray.platform.replication.Member;
 
 /**
- * What the parts of one election share: who this member is, the view it is in, what it has granted, and its own
- * attempt, which is a candidacy until it is won and the held lease from then on. One thread only.
+ * State shared by the parts of one election: this member, its view, what it has granted as a voter, and its own
+ * attempt, which is a candidacy until it is won and the held lease from then on. Not thread-safe.
  */
 final class ElectionState {
     private final String role;
@@ -28,7 +28,6 @@
         voter = new LeaseVoter(role, stored, actions, timings, nowMs);
     }
 
-    /** Name of the role that the lease is on. */
     String role() {
         return role;
     }
@@ -53,12 +52,12 @@
         return view;
     }
 
-    /** Steady clock, ms. */
+    /** Current time of the monotonic clock, ms. */
     long nowMs() {
         return nowMs;
     }
 
-    /** Steady ms of the last tick, or of the end of the last pause of this process. */
+    /** Time of the last tick, or of the end of the last pause of this process; ms of the monotonic clock. */
     long lastTickAtMs() {
         return lastTickAtMs;
     }
@@ -67,7 +66,7 @@
         lastTickAtMs = nowMs;
     }
 
-    /** Whether the tick is so late that this process was paused; its time-outs start anew then. */
+    /** Returns true if the tick is so late that this process must have been paused; its time-outs restart then. */
     boolean advanceTo(long timeMs) {
         nowMs = Math.max(nowMs, timeMs);
         boolean paused = nowMs - lastTickAtMs > timings.maxTickDelayMs();
@@ -77,7 +76,7 @@
         return paused;
     }
 
-    /** This member's candidacy or held lease; null if it has neither. */
+    /** This member's candidacy or held lease, or null. */
     LeaseAttempt attempt() {
         return attempt;
     }
@@ -90,22 +89,22 @@
         return attempt != null && attempt.isWon();
     }
 
-    void startAttempt(LeaseAttempt next) {
-        attempt = next;
+    void startAttempt(LeaseAttempt newAttempt) {
+        attempt = newAttempt;
     }
 
     void endAttempt() {
         attempt = null;
     }
 
-    /** Drops a candidacy; a held lease stays. */
+    /** Ends a candidacy; a held lease is kept. */
     void endCandidacy() {
         if (isCandidate()) {
             attempt = null;
         }
     }
 
-    /** No candidacy of this member before this time, whatever was said before; steady ms. */
+    /** Sets the earliest time of this member's next candidacy, replacing any earlier setting; ms. */
     void setNoCandidacyBefore(long timeMs) {
         noCandidacyBeforeMs = timeMs;
     }
--- a/src/main/java/brambletray/platform/election/ElectionView.java
+++ b/src/main/java/brambletray/platform/election/ElectionView.java
@@ -8,43 +8,43 @@
 import java.util.List;
 import java.util.Set;
 
-/** What a member knows of the active view, and since when. */
+/** The active view as this member knows it, and since when it has been active here. */
 final class ElectionView {
     private boolean isMember;
     private long viewNumber;
     private List<Member> members = List.of();
     private long activeSinceMs = Long.MIN_VALUE / 2;
-    /** Since when the view before was active here: always, for a member that has seen none. */
+    /** When the previous view became active here; long ago for a member that has seen none. */
     private long previousActiveSinceMs = Long.MIN_VALUE / 2;
 
-    private boolean followsDirectly;
+    private boolean followsPreviousViewDirectly;
     private List<ViewMembership> lineage = List.of();
 
     /**
-     * Whether this member is in it now, in touch with its leader, and has applied everything that earlier views
-     * committed.
+     * Whether this member is in the active view now, is in contact with its leader, and has applied everything that
+     * earlier views committed.
      */
     boolean isMember() {
         return isMember;
     }
 
-    /** Number of the last view that it was in. */
+    /** Number of the last view that this member was in. */
     long viewNumber() {
         return viewNumber;
     }
 
-    /** Members of the last view that it was in. */
+    /** Members of the last view that this member was in. */
     List<Member> members() {
         return members;
     }
 
-    /** Since when that view is active here; ms. */
+    /** When that view became active here; ms. */
     long activeSinceMs() {
         return activeSinceMs;
     }
 
-    /** The first member that is not this incarnation; 0 if there is none. */
-    long firstOtherThan(long incarnation) {
+    /** The first member other than this incarnation; 0 if there is none. */
+    long firstMemberExcept(long incarnation) {
         for (Member member : members) {
             if (member.incarnation() != incarnation) {
                 return member.incarnation();
@@ -53,15 +53,15 @@
         return 0;
     }
 
-    /** Takes over the present status; whether the view is another one. */
+    /** Updates from the replica's status; returns true if the view has changed. */
     boolean update(ReplicaStatus status, long nowMs) {
-        // a member alone after a restart has the newest entries on disk, but cannot apply them: it must not act on
-        // the state of the snapshot
+        // After a restart, a member alone in its view has the newest entries on disk but cannot apply them yet. It
+        // must not act on the older state of its snapshot.
         isMember = status.role() == ReplicaRole.MEMBER && status.active() && status.settled();
         if (!isMember || viewNumber == status.viewNumber()) {
             return false;
         }
-        followsDirectly = status.previousViewNumber() == viewNumber;
+        followsPreviousViewDirectly = status.previousViewNumber() == viewNumber;
         previousActiveSinceMs = activeSinceMs;
         activeSinceMs = nowMs;
         viewNumber = status.viewNumber();
@@ -71,24 +71,24 @@
     }
 
     /**
-     * Whether this view came from that one by views each of which has all its members, with their disks, in this one.
-     * Then whoever held the lease in one of them, or won it in the first one last, was granted it by a member of this
-     * view, which remembers that.
+     * Whether this view descends from the given one through intermediate views whose members are all, with their disks
+     * intact, members of this view. Then whoever held the lease in an intermediate view, or was the last to win it in
+     * the given view, was granted it by a member of this view, which still knows of that grant.
      */
-    boolean descendsFrom(long number) {
-        int first = -1;
+    boolean descendsFrom(long ancestorViewNumber) {
+        int ancestorIndex = -1;
         for (int i = 0; i < lineage.size(); i++) {
-            if (lineage.get(i).ballot().number() == number) {
-                first = i;
+            if (lineage.get(i).ballot().number() == ancestorViewNumber) {
+                ancestorIndex = i;
             }
         }
-        if (first < 0) {
+        if (ancestorIndex < 0) {
             return false;
         }
         Set<Long> incarnations = new HashSet<>();
         members.forEach(member -> incarnations.add(member.incarnation()));
-        for (ViewMembership between : lineage.subList(first + 1, lineage.size())) {
-            for (Member member : between.members()) {
+        for (ViewMembership intermediate : lineage.subList(ancestorIndex + 1, lineage.size())) {
+            for (Member member : intermediate.members()) {
                 if (!incarnations.contains(member.incarnation())) {
                     return false;
                 }
@@ -97,7 +97,7 @@
         return true;
     }
 
-    /** Position in the view, the leader's being 0; -1 for no member. */
+    /** Position in the view, 0 for the leader; -1 if it is not a member. */
     int rank(long incarnation) {
         for (int i = 0; i < members.size(); i++) {
             if (members.get(i).incarnation() == incarnation) {
@@ -108,11 +108,11 @@
     }
 
     /**
-     * Whether every lease of an earlier view that still runs is known to a member of this one: it followed directly
-     * on a view that had been active here for as long as a lease runs, and some member of this view was asked to
-     * grant in that one.
+     * Whether every unexpired lease of an earlier view is known to a member of this one. This is so if the previous
+     * view directly preceded this one and had been active here for at least a lease duration: some member of this view
+     * was then asked, in that view, to grant any lease that has not expired.
      */
-    boolean knowsRunningLeases(long nowMs, int vacantMs) {
-        return followsDirectly && nowMs - previousActiveSinceMs >= vacantMs;
+    boolean knowsUnexpiredLeases(long nowMs, int leaseMs) {
+        return followsPreviousViewDirectly && nowMs - previousActiveSinceMs >= leaseMs;
     }
 }
--- a/src/main/java/brambletray/platform/election/HeldLease.java
+++ b/src/main/java/brambletray/platform/election/HeldLease.java
@@ -3,9 +3,9 @@
 import java.util.function.Consumer;
 
 /**
- * The holder's side: renews the lease that this member has won, knows whether it may act under it at this moment, and
- * hands it over. Invariant: it acts for {@link LeaseTimings#holderLeaseMs} at most from the sending of what a majority
- * has granted.
+ * The holder's side: renews the lease that this member has won, decides whether it may act under it now, and hands it
+ * over. Invariant: the holder acts for at most {@link LeaseTimings#holderLeaseMs} after sending the latest request
+ * that a majority has granted.
  */
 final class HeldLease {
     private final ElectionState state;
@@ -19,7 +19,7 @@
         this.deliverToSelf = deliverToSelf;
     }
 
-    /** Renews the lease where that is due; gives it up where it has run out. */
+    /** Renews the lease when due, and ends it once it has expired or this member is not in the view. */
     void tick() {
         LeaseAttempt attempt = state.attempt();
         ElectionView view = state.view();
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Asks all members to renew, this one included; where it is in no active view it waits for one. */
+    /** Asks all members, including this one, to renew the lease; does nothing outside an active view. */
     void renew() {
         if (!state.view().isMember()) {
             return;
@@ -62,14 +62,14 @@
         state.actions().lost(term);
     }
 
-    /** Hands the lease over, if it is held here: stops acting at once and names the successor. */
+    /** Hands over the lease, if it is held here: stops acting at once and names the successor. */
     void handOver() {
         if (!state.isHolder()) {
             return;
         }
         long incarnation = state.self().incarnation();
         release = new ElectionMessage.LeaseReleased(
-                state.role(), state.attempt().term(), incarnation, state.view().firstOtherThan(incarnation));
+                state.role(), state.attempt().term(), incarnation, state.view().firstMemberExcept(incarnation));
         releaseResendUntilMs = state.nowMs() + state.timings().holderLeaseMs();
         lose("handed over");
         sendRelease();
@@ -80,7 +80,7 @@
         return release != null;
     }
 
-    /** Sends the release again: it may be lost, or reach a member before the view that it was sent in. */
+    /** Resends the release: a message may be lost, or reach a member that has not yet entered the view. */
     void sendRelease() {
         state.voter()
                 .release(release.term(), release.holderIncarnation(), release.successorIncarnation(), state.nowMs());
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Whether this process may act under its term at this moment. */
+    /** Whether this process may act under its term at this time. */
     boolean mayAct(long timeMs) {
         if (!state.isHolder() || timeMs - state.lastTickAtMs() > state.timings().maxTickDelayMs()) {
             return false;
@@ -100,12 +100,12 @@
                 && timeMs - grantedAtMs < state.timings().holderLeaseMs();
     }
 
-    /** From now on only what is granted later counts. */
+    /** Invalidates all grants of requests sent before now. */
     void requireRevalidation() {
         revalidateSinceMs = state.nowMs();
     }
 
-    /** A higher term was seen: this one may act again only once a majority has renewed it. */
+    /** A higher term was seen: the holder may act again only once a majority has renewed its lease. */
     void revalidate(long seenTerm) {
         if (state.isHolder() && seenTerm > state.attempt().term()) {
             state.actions()
--- a/src/main/java/brambletray/platform/election/LeaseAttempt.java
+++ b/src/main/java/brambletray/platform/election/LeaseAttempt.java
@@ -8,15 +8,15 @@
 import java.util.Set;
 
 /**
- * One term at the candidate, from the first request to its end: which members have granted or renewed what was sent
- * when.
+ * One term of a candidate, from its first request until the candidacy or the won lease ends. Records when requests
+ * were sent and which members have granted or renewed them.
  */
 final class LeaseAttempt {
-    private static final int REMEMBERED_MESSAGES = 16;
+    private static final int SEND_TIME_HISTORY = 16;
 
     private final long term;
     private final boolean probe;
-    private final long[] sentAtMs = new long[REMEMBERED_MESSAGES];
+    private final long[] sentAtMs = new long[SEND_TIME_HISTORY];
     private final Map<Long, Long> grantedAtMs = new HashMap<>();
     private final Set<Long> deniedBy = new HashSet<>();
     private long lastSequence;
@@ -35,7 +35,7 @@
         return term;
     }
 
-    /** Whether voters are only asked whether they would grant. */
+    /** Whether voters are only asked if they would grant the lease. */
     boolean isProbe() {
         return probe;
     }
@@ -49,7 +49,7 @@
         won = true;
     }
 
-    /** Whether a voter knows that this view descends from the one in which the lease was held. */
+    /** Whether a voter has confirmed that this view descends from the one in which the lease was held. */
     boolean viewDescends() {
         return viewDescends;
     }
@@ -58,41 +58,41 @@
         viewDescends = true;
     }
 
-    /** When the first request was prepared; ms. */
+    /** When the attempt was created; ms. */
     long startedAtMs() {
         return startedAtMs;
     }
 
-    /** When the last message was sent; ms, long ago for none. */
+    /** When the last message was sent, or a time long ago if none was; ms. */
     long lastSentAtMs() {
         return lastSentAtMs;
     }
 
-    /** Sequence number of the next message, which is sent now. */
+    /** Returns the sequence number for a message sent at {@code nowMs}, and records that time. */
     long nextSequence(long nowMs) {
         lastSentAtMs = nowMs;
-        sentAtMs[(int) (++lastSequence % REMEMBERED_MESSAGES)] = nowMs;
+        sentAtMs[(int) (++lastSequence % SEND_TIME_HISTORY)] = nowMs;
         return lastSequence;
     }
 
-    /** A member has granted the message of this sequence number. */
-    void onGranted(long incarnation, long number) {
-        if (number <= lastSequence - REMEMBERED_MESSAGES || number > lastSequence) {
+    /** A member has granted the request with this sequence number. */
+    void onGranted(long incarnation, long sequence) {
+        if (sequence <= lastSequence - SEND_TIME_HISTORY || sequence > lastSequence) {
             return;
         }
-        grantedAtMs.merge(incarnation, sentAtMs[(int) (number % REMEMBERED_MESSAGES)], Math::max);
+        grantedAtMs.merge(incarnation, sentAtMs[(int) (sequence % SEND_TIME_HISTORY)], Math::max);
     }
 
-    /** A member has refused; whether a majority cannot be had any more. */
+    /** A member has refused. Returns true if the attempt has failed: no majority is possible, or it is a probe. */
     boolean onDenied(long incarnation, List<Member> members) {
         deniedBy.add(incarnation);
-        int against = 0;
+        int denials = 0;
         for (Member member : members) {
             if (deniedBy.contains(member.incarnation())) {
-                against++;
+                denials++;
             }
         }
-        return probe || 2 * against >= members.size();
+        return probe || 2 * denials >= members.size();
     }
 
     boolean isGrantedByAll(List<Member> members) {
@@ -104,9 +104,7 @@
         return true;
     }
 
-    /**
-     * Sending time of the latest message that a majority of these has granted; a time long ago when there is none.
-     */
+    /** Send time of the latest request that a majority of these members has granted; long ago if there is none. */
     long majorityGrantedAtMs(List<Member> members) {
         long[] times = new long[members.size()];
         int i = 0;
--- a/src/main/java/brambletray/platform/election/LeaseCandidate.java
+++ b/src/main/java/brambletray/platform/election/LeaseCandidate.java
@@ -4,9 +4,9 @@
 import java.util.function.Consumer;
 
 /**
- * The candidate's side: when this member stands for the lease, and when it has won. Members stand in the order of
- * their rank in the view, each a bit later than the one before it. A candidate first probes whether voters would grant,
- * and requests the lease only then: a probe changes nothing at them.
+ * The candidate's side: decides when this member requests the lease, and when it has won. Members become candidates in
+ * the order of their rank in the view, each a delay after the one before it. A candidate first probes whether voters
+ * would grant the lease and requests it only then, as a probe does not change the voters' state.
  */
 final class LeaseCandidate {
     /** Bits of a term below the number of its view. */
@@ -15,17 +15,17 @@
     private static final int RETRY_INTERVAL_MS = 150;
     private static final int MIN_RETRY_MS = 20;
     private static final int NAMED_SUCCESSOR_WAIT_MS = 600;
-    private static final int INITIAL_WAIT_MS = 300;
+    private static final int FIRST_LEASE_WAIT_MS = 300;
 
     private final ElectionState state;
     private final HeldLease heldLease;
     private final Consumer<ElectionMessage> deliverToSelf;
     /**
-     * Number of the last view in which this incarnation held the lease before its process ended, until it has won it
-     * again or has granted it to another; 0 for none. Its own lease ended with its process. Whoever won after it was
-     * granted by a majority, of that view or of a later one; a view that descends from it ({@link
-     * ElectionView#descendsFrom}) has a member of each such majority, which refuses until that lease is over. So once
-     * all members of such a view have granted there is nothing to wait for.
+     * Number of the last view in which this incarnation held the lease before its process ended; 0 for none, and once
+     * it has won the lease again or granted it to another member. Its own lease ended with its process. Any later
+     * holder was granted the lease by a majority of that view or of a later one. A view that descends from that view
+     * ({@link ElectionView#descendsFrom}) has a member of each such majority, which refuses until that lease has
+     * expired. So once all members of such a view have granted the lease, this member need not wait.
      */
     private long resumableViewNumber;
 
@@ -39,22 +39,22 @@
         resumableViewNumber = state.voter().previouslyHeldInView(state.self().incarnation());
     }
 
-    /** Whether this process stands for the lease; one that is about to end does not. */
-    void setWantsLease(boolean yes) {
-        wantsLease = yes;
+    /** Sets whether this process competes for the lease; one that is shutting down does not. */
+    void setWantsLease(boolean wanted) {
+        wantsLease = wanted;
     }
 
     boolean wantsLease() {
         return wantsLease;
     }
 
-    /** Another member was granted the lease: the one from before the restart cannot be resumed any more. */
+    /** Another member was granted the lease: the lease held before the restart can no longer be resumed. */
     void endResumption() {
         resumableViewNumber = 0;
     }
 
-    /** Stands for the lease if it is free and this member's turn. */
-    void maybeStart() {
+    /** Starts a candidacy if the lease is free and it is this member's turn. */
+    void startIfEligible() {
         if (!state.mayStartCandidacy()) {
             return;
         }
@@ -68,15 +68,15 @@
         }
         ElectionView view = state.view();
         int voterLeaseMs = state.timings().voterLeaseMs();
-        long freeSinceMs = view.knowsRunningLeases(state.nowMs(), voterLeaseMs)
+        long freeSinceMs = view.knowsUnexpiredLeases(state.nowMs(), voterLeaseMs)
                 ? view.activeSinceMs()
                 : view.activeSinceMs() + voterLeaseMs;
-        if (state.nowMs() - Math.max(state.voter().vacantSinceMs(), freeSinceMs) >= waitMs(rank)) {
+        if (state.nowMs() - Math.max(state.voter().leaseExpiresAtMs(), freeSinceMs) >= waitMs(rank)) {
             start(true);
         }
     }
 
-    /** ms that a member of this rank leaves to those before it, and to the successor that the last holder named. */
+    /** Delay, in ms, that gives precedence to lower ranks and to the successor named by the last holder. */
     private long waitMs(int rank) {
         long rankWaitMs = (long) rank * state.timings().rankDelayMs();
         long successor = state.voter().namedSuccessor();
@@ -84,7 +84,7 @@
             return successor == state.self().incarnation() ? 0 : NAMED_SUCCESSOR_WAIT_MS + rankWaitMs;
         }
         boolean firstLease = state.voter().grantedTerm() == 0;
-        return firstLease && rank > 0 ? INITIAL_WAIT_MS + rankWaitMs : rankWaitMs;
+        return firstLease && rank > 0 ? FIRST_LEASE_WAIT_MS + rankWaitMs : rankWaitMs;
     }
 
     private void start(boolean probe) {
@@ -98,12 +98,12 @@
         request();
     }
 
-    /** Sends the request of the present candidacy, again where it is due; gives it up after a while. */
+    /** Sends or resends the request of the current candidacy when due; abandons the candidacy once it times out. */
     void request() {
         LeaseAttempt attempt = state.attempt();
-        boolean tooLate =
+        boolean timedOut =
                 state.nowMs() - attempt.startedAtMs() > state.timings().holderLeaseMs();
-        if (!state.view().isMember() || tooLate) {
+        if (!state.view().isMember() || timedOut) {
             abandon(RETRY_INTERVAL_MS);
             return;
         }
@@ -131,15 +131,16 @@
         if (granted.viewDescends() && resumableViewNumber != 0) {
             attempt.markViewDescends();
         }
-        maybeWin();
+        evaluateGrants();
     }
 
     /**
-     * Counts grants. A majority is enough once leases of earlier views have surely ended. Before that all members
-     * must have granted, and the view must follow directly on one that was active here for as long: some member of
-     * this view had then granted any lease that still runs, and would have refused.
+     * Checks whether the attempt has enough grants. A majority suffices once all leases of earlier views must have
+     * expired. Before that, all members must have granted, and any unexpired lease must be known to one of them, which
+     * would have refused: the previous view was active here for at least a lease duration, or this view descends from
+     * the one in which this member held the lease.
      */
-    private void maybeWin() {
+    private void evaluateGrants() {
         if (!state.isCandidate()) {
             return;
         }
@@ -151,9 +152,9 @@
         }
         int voterLeaseMs = state.timings().voterLeaseMs();
         boolean grantedByAll = attempt.isGrantedByAll(view.members());
-        boolean knowsAllLeases = view.knowsRunningLeases(state.nowMs(), voterLeaseMs) || attempt.viewDescends();
-        boolean earlierLeasesMayRun = state.nowMs() - view.activeSinceMs() < voterLeaseMs;
-        if (earlierLeasesMayRun && !(grantedByAll && knowsAllLeases)) {
+        boolean knowsAllLeases = view.knowsUnexpiredLeases(state.nowMs(), voterLeaseMs) || attempt.viewDescends();
+        boolean earlierLeasesMayBeValid = state.nowMs() - view.activeSinceMs() < voterLeaseMs;
+        if (earlierLeasesMayBeValid && !(grantedByAll && knowsAllLeases)) {
             if (grantedByAll && resumableViewNumber != 0) {
                 abandonResumption();
             }
@@ -175,8 +176,8 @@
     }
 
     /**
-     * All would grant, but nobody knows that this view descends from the one in which the lease was held: the usual
-     * wait.
+     * All members would grant, but none has confirmed that this view descends from the one in which the lease was held:
+     * falls back to waiting until earlier leases have expired.
      */
     private void abandonResumption() {
         resumableViewNumber = 0;
@@ -192,21 +193,21 @@
         if (!state.isCandidate() || state.attempt().term() != denied.term()) {
             return;
         }
-        boolean majorityIsOut =
+        boolean majorityImpossible =
                 state.attempt().onDenied(denied.voterIncarnation(), state.view().members());
-        if (majorityIsOut) {
+        if (majorityImpossible) {
             abandon(Math.max(MIN_RETRY_MS, Math.min(denied.remainingMs(), RETRY_INTERVAL_MS)));
         }
     }
 
-    /** The voter of this member itself refuses. */
+    /** This member's own voter has refused. */
     void onDeniedBySelf() {
         if (state.isCandidate()) {
             abandon(RETRY_INTERVAL_MS);
         }
     }
 
-    /** Another member stands: one of a better rank goes first while this one only probes. */
+    /** Another member is a candidate: while this one is still probing, it yields to a lower rank. */
     void onOtherCandidate(Member other) {
         ElectionView view = state.view();
         boolean yields = state.attempt() != null
@@ -217,7 +218,7 @@
         }
     }
 
-    /** Gives up for now; those who granted need not wait for the lease to run out. */
+    /** Ends the candidacy for now, and releases it so that voters that granted it need not wait for it to expire. */
     private void abandon(int pauseMs) {
         LeaseAttempt attempt = state.attempt();
         long incarnation = state.self().incarnation();
@@ -232,7 +233,7 @@
         state.setNoCandidacyBefore(state.nowMs() + pauseMs + rankWaitMs);
     }
 
-    /** The holder has released its lease and named this member as its successor, if the voter knows that lease. */
+    /** The holder has released its lease; starts a candidacy at once if it named this member as its successor. */
     void onReleased(ElectionMessage.LeaseReleased released) {
         boolean known = state.voter()
                 .release(released.term(), released.holderIncarnation(), released.successorIncarnation(), state.nowMs());
@@ -241,7 +242,7 @@
         }
         state.setNoCandidacyBefore(state.nowMs());
         if (state.attempt() == null && state.view().isMember() && wantsLease) {
-            maybeStart();
+            startIfEligible();
         }
     }
 }
--- a/src/main/java/brambletray/platform/election/LeaseElection.java
+++ b/src/main/java/brambletray/platform/election/LeaseElection.java
@@ -4,20 +4,21 @@
 import brambletray.platform.replication.ReplicaStatus;
 
 /**
- * The lease on a singleton role, held by at most one member of the active view, under a term that only grows (lease:
- * Gray and Cheriton, 1989). Pure; one thread only.
+ * The lease on a singleton role, held by at most one member of the active view under a monotonically increasing term
+ * (leases: Gray and Cheriton, 1989). Does no I/O and takes the time as an argument; not thread-safe.
  *
- * <p>Why terms only grow: a term lies in the range of the view that it was requested in, {@code number << 20} and up,
- * and a voter grants it only while that view is its own and active. Numbers of active views grow over restarts and
- * lost disks (see the replication package), so terms of different views are in order. Within one view any two
- * majorities share a member, which has the highest granted term on its disk before it answers and refuses lower and
- * equal ones; a member that loses its disk is out of that view. So nothing goes through the log for it.
+ * <p>Why terms only increase: a term lies in the range of the view in which it was requested, {@code number << 20} and
+ * up, and a voter grants it only while that view is its own and active. Numbers of active views increase across
+ * restarts and lost disks (see the replication package), so terms of different views are ordered. Within one view, any
+ * two majorities share a member, which writes the highest granted term to disk before it answers and refuses lower and
+ * equal ones. A member that loses its disk is no longer in that view. The election therefore needs no entry in the
+ * replicated log.
  *
- * <p>Why the old holder has stopped before a new one starts: it acts for {@link LeaseTimings#holderLeaseMs} from the
- * sending of what a majority granted; each member that granted refuses others for {@link LeaseTimings#voterLeaseMs}
- * from receiving it. In one view the majorities share a member. After a view change some member of the new view had
- * granted in the old one, before it stopped: a candidate waits for the answers of all, or until that long after it
- * saw the view active.
+ * <p>Why the old holder has stopped before a new one starts: a holder acts for {@link LeaseTimings#holderLeaseMs} from
+ * sending a request that a majority granted, and each member that granted it refuses others for {@link
+ * LeaseTimings#voterLeaseMs} from receiving it. Within one view, the two majorities share a member. After a view
+ * change, some member of the new view granted the lease in the old one before it left that view. So a candidate waits
+ * for the answers of all members, or until that long after it saw the new view become active.
  */
 public final class LeaseElection {
     private final ElectionState state;
@@ -25,7 +26,7 @@
     private final LeaseCandidate candidate;
     private final LeaseRequestHandler requestHandler;
 
-    /** Starts without the lease; {@code stored}: what the disk has under {@link #key}, or null. */
+    /** Starts without the lease. {@code stored}: the value stored under {@link #key}, or null. */
     public LeaseElection(
             String role, Member self, byte[] stored, LeaseTimings timings, ElectionActions actions, long nowMs) {
         state = new ElectionState(role, self, stored, timings, actions, nowMs);
@@ -34,17 +35,17 @@
         requestHandler = new LeaseRequestHandler(state, candidate, this::deliverToSelf);
     }
 
-    /** Key under which the grant of a role is stored. */
+    /** Storage key of this member's lease grant for a role. */
     public static String key(String role) {
         return LeaseVoter.key(role);
     }
 
-    /** Whether this process stands for the lease; one that is about to end does not. */
-    public void setWantsLease(boolean yes) {
-        candidate.setWantsLease(yes);
+    /** Sets whether this process competes for the lease; one that is shutting down does not. */
+    public void setWantsLease(boolean wanted) {
+        candidate.setWantsLease(wanted);
     }
 
-    /** The present status of the replica; to be called at each change and at each tick. */
+    /** Passes the current status of the replica; to be called on each change and on each tick. */
     public void updateView(ReplicaStatus status, long timeMs) {
         advanceTime(timeMs);
         if (state.view().update(status, state.nowMs())) {
@@ -62,7 +63,7 @@
         } else if (state.isCandidate()) {
             candidate.request();
         } else if (state.view().isMember() && candidate.wantsLease() && !heldLease.isReleasing()) {
-            candidate.maybeStart();
+            candidate.startIfEligible();
         }
         if (heldLease.isReleasing()) {
             heldLease.sendRelease();
@@ -83,7 +84,8 @@
     }
 
     /**
-     * Hands the lease over, if it is held here: stops acting at once and names the successor, which stands at once.
+     * Hands over the lease, if it is held here: stops acting at once and names a successor, which may request the lease
+     * at once. Also sets that this process no longer competes for the lease.
      */
     public void handOver(long timeMs) {
         advanceTime(timeMs);
@@ -92,7 +94,7 @@
         flush();
     }
 
-    /** A message from the member at this address; those about another role are ignored. */
+    /** Handles a message from the member at this address; messages about other roles are ignored. */
     public void receive(String from, Object frame, long timeMs) {
         advanceTime(timeMs);
         if (frame instanceof ElectionMessage message && message.role().equals(state.role())) {
@@ -105,7 +107,7 @@
         dispatch(null, message);
     }
 
-    /** {@code from}: null for this member itself. */
+    /** {@code from}: address of the sender; null for this member itself. */
     private void dispatch(String from, ElectionMessage message) {
         if (message instanceof ElectionMessage.LeaseRequest request) {
             requestHandler.onLeaseRequest(from, request);
@@ -122,29 +124,29 @@
         }
     }
 
-    /** The grant of this ticket is on disk. */
+    /** The write with this ticket is durable. */
     public void synced(long ticket, long timeMs) {
         advanceTime(timeMs);
         state.voter().synced(ticket);
         flush();
     }
 
-    /** It could not be written; it is tried again. */
+    /** The write with this ticket has failed; it will be retried. */
     public void syncFailed(long ticket, long timeMs) {
         advanceTime(timeMs);
         state.voter().syncFailed(ticket, state.nowMs());
         flush();
     }
 
-    /** Whether this process may act under its term at this moment: to be asked right before each act. */
+    /** Whether this process may act under its term at this time; to be checked immediately before each action. */
     public boolean mayAct(long timeMs) {
         return heldLease.mayAct(timeMs);
     }
 
     /**
-     * Something outside the core has seen this term, or rejected the one that is held here (fencing token). A lower
-     * one may act again only once a majority has renewed it: a holder that was succeeded is never renewed, and a
-     * false report costs one round.
+     * A process outside the core has seen this term, or has rejected the held term as a fencing token. A holder with a
+     * lower term may act again only once a majority has renewed its lease. A superseded holder is never renewed, and a
+     * false report costs one round of messages.
      */
     public void revalidate(long seenTerm, long timeMs) {
         advanceTime(timeMs);
@@ -152,7 +154,10 @@
         flush();
     }
 
-    /** The holder as far as known here, or null. Itself only while it may act: its own grant alone is no lease. */
+    /**
+     * The holder as far as this member knows, or null. Names this member only while it may act, as its own grant alone
+     * is not a lease.
+     */
     public LeaseHolder holder(long timeMs) {
         Member self = state.self();
         if (state.isHolder()) {
--- a/src/main/java/brambletray/platform/election/LeaseHolder.java
+++ b/src/main/java/brambletray/platform/election/LeaseHolder.java
@@ -5,7 +5,7 @@
 /**
  * The holder of a lease.
  *
- * @param term fencing token: it only grows, over restarts and lost disks
- * @param member that holds the lease
+ * @param term fencing token; increases monotonically, also across restarts and lost disks
+ * @param member the member that holds the lease
  */
 public record LeaseHolder(long term, Member member) {}
--- a/src/main/java/brambletray/platform/election/LeaseRequestHandler.java
+++ b/src/main/java/brambletray/platform/election/LeaseRequestHandler.java
@@ -3,8 +3,8 @@
 import java.util.function.Consumer;
 
 /**
- * The voter's side: answers requests for the lease and for its renewal, those of this member itself included. What is
- * granted is on disk before the answer is sent ({@link LeaseVoter}). Requests from another view are not answered.
+ * The voter's side: answers requests for the lease and for its renewal, including this member's own. A grant is on disk
+ * before the answer is sent ({@link LeaseVoter}). Requests of another view are not answered.
  */
 final class LeaseRequestHandler {
     private final ElectionState state;
--- a/src/main/java/brambletray/platform/election/LeaseVoter.java
+++ b/src/main/java/brambletray/platform/election/LeaseVoter.java
@@ -7,27 +7,27 @@
 import java.util.List;
 import java.util.Map;
 
-/** The voter: grants terms, writes each grant to disk before it is answered, and knows whose lease runs. */
+/** Grants terms, writes each grant to disk before it is answered, and tracks whose lease is valid. */
 final class LeaseVoter {
     private static final int RETRY_INTERVAL_MS = 250;
-    private static final byte CURRENT_FORM = 2;
-    /** The form before, which lacks the view in which the term was held; still read. */
-    private static final byte PREVIOUS_FORM = 1;
+    private static final byte CURRENT_FORMAT_VERSION = 2;
+    /** Lacks the view in which the term was held; still readable. */
+    private static final byte PREVIOUS_FORMAT_VERSION = 1;
 
     private final String key;
     private final ElectionActions actions;
     private final LeaseTimings timings;
     private long grantedTerm;
-    private long grantedTo;
-    /** Number of the last view in which the holder of that term has renewed it here; 0 where it has not. */
+    private long grantedIncarnation;
+    /** Number of the last view in which the holder of that term renewed its lease here; 0 for none. */
     private long heldInViewNumber;
-    /** What is known of the grant was read from the disk, and no lease has been granted since. */
+    /** The grant was read from disk, and no lease has been granted since. */
     private boolean restoredFromDisk;
 
     private LeaseHolder holder;
     private long leaseExpiresAtMs;
     private long namedSuccessor;
-    private long ticket;
+    private long writeTicket;
     private boolean writeInFlight;
     private long retryAtMs = Long.MIN_VALUE / 2;
     private boolean dirty;
@@ -43,16 +43,18 @@
             return;
         }
         ByteBuffer in = ByteBuffer.wrap(stored);
-        byte form = in.get();
-        if (form != CURRENT_FORM && form != PREVIOUS_FORM) {
+        byte formatVersion = in.get();
+        if (formatVersion != CURRENT_FORMAT_VERSION && formatVersion != PREVIOUS_FORMAT_VERSION) {
             throw new ElectionException(
-                    "election.form", "stored in form " + stored[0] + ", this program reads form " + CURRENT_FORM);
+                    "election.form",
+                    "stored lease grant has format version " + stored[0] + "; supported are versions "
+                            + PREVIOUS_FORMAT_VERSION + " and " + CURRENT_FORMAT_VERSION);
         }
         grantedTerm = in.getLong();
-        grantedTo = in.getLong();
-        heldInViewNumber = form == CURRENT_FORM ? in.getLong() : 0;
+        grantedIncarnation = in.getLong();
+        heldInViewNumber = formatVersion == CURRENT_FORMAT_VERSION ? in.getLong() : 0;
         restoredFromDisk = true;
-        // whose lease this member granted before its process ended is not stored: it is assumed to run
+        // When a lease was granted or renewed before the restart is not stored, so it is assumed to be still valid.
         leaseExpiresAtMs = nowMs + timings.voterLeaseMs();
     }
 
@@ -64,83 +66,83 @@
         return grantedTerm;
     }
 
-    /** The holder whose lease runs, or null. */
+    /** The holder of an unexpired lease, or null. */
     LeaseHolder holder(long nowMs) {
         return nowMs < leaseExpiresAtMs ? holder : null;
     }
 
-    /** Milliseconds until the lease has run out as far as known here; 0 when it has. */
+    /** Milliseconds until the lease expires, as far as this voter knows; 0 if it has expired. */
     int remainingMs(long nowMs) {
         return (int) Math.max(0, leaseExpiresAtMs - nowMs);
     }
 
-    long vacantSinceMs() {
+    long leaseExpiresAtMs() {
         return leaseExpiresAtMs;
     }
 
-    /** Incarnation that the last holder named as its successor, 0 for none. */
+    /** Incarnation that the last holder named as its successor; 0 for none. */
     long namedSuccessor() {
         return namedSuccessor;
     }
 
     /**
-     * Number of the last view in which this incarnation held the lease before its process ended, as far as this disk
-     * knows; 0 for none.
+     * Number of the last view in which this incarnation held the lease before the restart, according to this member's
+     * disk; 0 for none.
      */
     long previouslyHeldInView(long incarnation) {
-        return restoredFromDisk && grantedTo == incarnation ? heldInViewNumber : 0;
+        return restoredFromDisk && grantedIncarnation == incarnation ? heldInViewNumber : 0;
     }
 
     /**
-     * Whether this term would be granted to this incarnation now. A candidate holds no lease any more, so its own
-     * former one does not stand against it.
+     * Whether this term would be granted to this incarnation now. A candidate no longer holds a lease, so its own
+     * former lease does not prevent the grant.
      */
     boolean wouldGrant(long term, long incarnation, long nowMs) {
         boolean free = nowMs >= leaseExpiresAtMs
                 || (holder != null && holder.member().incarnation() == incarnation)
-                || (restoredFromDisk && grantedTo == incarnation);
-        return free && (term > grantedTerm || (term == grantedTerm && grantedTo == incarnation));
+                || (restoredFromDisk && grantedIncarnation == incarnation);
+        return free && (term > grantedTerm || (term == grantedTerm && grantedIncarnation == incarnation));
     }
 
-    /** Grants; the callback runs once the grant is on disk. */
-    void grant(long term, Member to, long nowMs, Runnable run) {
-        recordGrant(term, to.incarnation());
-        startLease(new LeaseHolder(term, to), nowMs);
-        pendingCallbacks.add(run);
+    /** Grants the lease; the callback runs once the grant is on disk. */
+    void grant(long term, Member grantee, long nowMs, Runnable onDurable) {
+        recordGrant(term, grantee.incarnation());
+        startLease(new LeaseHolder(term, grantee), nowMs);
+        pendingCallbacks.add(onDurable);
     }
 
-    /** Renews a lease unless a higher term was granted. */
-    boolean renew(long view, long term, Member from, long nowMs, Runnable run) {
-        if (term < grantedTerm || (term == grantedTerm && grantedTo != from.incarnation())) {
+    /** Renews a lease unless a higher term, or this term to another member, was granted; returns whether it did. */
+    boolean renew(long viewNumber, long term, Member requester, long nowMs, Runnable onDurable) {
+        if (term < grantedTerm || (term == grantedTerm && grantedIncarnation != requester.incarnation())) {
             return false;
         }
-        recordGrant(term, from.incarnation());
-        dirty |= heldInViewNumber != view;
-        heldInViewNumber = view;
-        startLease(new LeaseHolder(term, from), nowMs);
-        pendingCallbacks.add(run);
+        recordGrant(term, requester.incarnation());
+        dirty |= heldInViewNumber != viewNumber;
+        heldInViewNumber = viewNumber;
+        startLease(new LeaseHolder(term, requester), nowMs);
+        pendingCallbacks.add(onDurable);
         return true;
     }
 
     private void recordGrant(long term, long incarnation) {
-        if (term == grantedTerm && grantedTo == incarnation) {
+        if (term == grantedTerm && grantedIncarnation == incarnation) {
             return;
         }
         grantedTerm = term;
-        grantedTo = incarnation;
+        grantedIncarnation = incarnation;
         heldInViewNumber = 0;
         dirty = true;
     }
 
-    private void startLease(LeaseHolder candidate, long nowMs) {
-        holder = candidate;
+    private void startLease(LeaseHolder newHolder, long nowMs) {
+        holder = newHolder;
         restoredFromDisk = false;
         leaseExpiresAtMs = nowMs + timings.voterLeaseMs();
         namedSuccessor = 0;
     }
 
-    /** The holder has stopped acting before its lease has run out. */
-    boolean release(long term, long incarnation, long next, long nowMs) {
+    /** The holder has stopped acting before its lease expired. Returns whether this voter knew that lease. */
+    boolean release(long term, long incarnation, long successor, long nowMs) {
         if (holder == null
                 || holder.term() != term
                 || holder.member().incarnation() != incarnation
@@ -148,7 +150,7 @@
             return false;
         }
         leaseExpiresAtMs = nowMs;
-        namedSuccessor = next;
+        namedSuccessor = successor;
         return true;
     }
 
@@ -157,12 +159,12 @@
             return;
         }
         if (!dirty) {
-            List<Runnable> runs = pendingCallbacks;
-            if (runs.isEmpty()) {
+            List<Runnable> callbacks = pendingCallbacks;
+            if (callbacks.isEmpty()) {
                 return;
             }
             pendingCallbacks = new ArrayList<>();
-            runs.forEach(Runnable::run);
+            callbacks.forEach(Runnable::run);
             return;
         }
         dirty = false;
@@ -173,26 +175,26 @@
         changes.put(
                 key,
                 ByteBuffer.allocate(25)
-                        .put(CURRENT_FORM)
+                        .put(CURRENT_FORMAT_VERSION)
                         .putLong(grantedTerm)
-                        .putLong(grantedTo)
+                        .putLong(grantedIncarnation)
                         .putLong(heldInViewNumber)
                         .array());
-        actions.persist(++ticket, changes);
+        actions.persist(++writeTicket, changes);
     }
 
-    void synced(long which) {
-        if (!writeInFlight || which != ticket) {
+    void synced(long completedTicket) {
+        if (!writeInFlight || completedTicket != writeTicket) {
             return;
         }
         writeInFlight = false;
-        List<Runnable> runs = inFlightCallbacks;
+        List<Runnable> callbacks = inFlightCallbacks;
         inFlightCallbacks = new ArrayList<>();
-        runs.forEach(Runnable::run);
+        callbacks.forEach(Runnable::run);
     }
 
-    void syncFailed(long which, long nowMs) {
-        if (!writeInFlight || which != ticket) {
+    void syncFailed(long failedTicket, long nowMs) {
+        if (!writeInFlight || failedTicket != writeTicket) {
             return;
         }
         writeInFlight = false;
--- a/src/test/java/brambletray/platform/election/ElectionNode.java
+++ b/src/test/java/brambletray/platform/election/ElectionNode.java
@@ -3,23 +3,23 @@
 import brambletray.platform.replication.SimulatedReplica;
 import java.util.Map;
 
-/** The role at one process in simulated time. */
+/** The election of one role at one simulated process. */
 final class ElectionNode implements SimulatedReplica.Passenger, ElectionActions {
-    /** Is told of terms won and of moments at which a holder may act. */
-    interface Witness {
+    /** Called when a term is won, and each time a holder may act. */
+    interface Observer {
         void won(SimulatedReplica node, long term);
 
         void act(SimulatedReplica node, long term);
     }
 
     private final SimulatedReplica node;
-    private final Witness witness;
+    private final Observer observer;
     final LeaseElection election;
     long term;
 
-    ElectionNode(SimulatedReplica node, Witness witness) {
+    ElectionNode(SimulatedReplica node, Observer observer) {
         this.node = node;
-        this.witness = witness;
+        this.observer = observer;
         election = new LeaseElection(
                 "helm",
                 node.replica.status().self(),
@@ -45,9 +45,9 @@
             return;
         }
         if (term == 0) {
-            node.world.ruleChecker.fail(node.address + " may act without a term");
+            node.world.ruleChecker.fail(node.address + " may act without having won a term");
         }
-        witness.act(node, term);
+        observer.act(node, term);
     }
 
     @Override
@@ -80,7 +80,7 @@
     @Override
     public void won(long newTerm) {
         term = newTerm;
-        witness.won(node, newTerm);
+        observer.won(node, newTerm);
     }
 
     @Override
--- a/src/test/java/brambletray/platform/election/ElectionRandomFaultsTest.java
+++ b/src/test/java/brambletray/platform/election/ElectionRandomFaultsTest.java
@@ -7,86 +7,87 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The role in the same weather as the views: terms only grow, and nobody acts under a term after another has acted
- * under a higher one.
+ * Runs the election under the same random faults as the view changes. Checks that terms only increase and that no
+ * process acts under a term after another has acted under a higher one.
  */
 class ElectionRandomFaultsTest {
 
-    /** Sees who acts under which term. */
-    private static final class Witness implements ElectionNode.Witness {
-        private final RandomFaults weather;
-        private long won;
-        private long acted;
-        private SimulatedReplica actor;
-        private long actedAt;
-        private int terms;
+    /** Records which process acts under which term. */
+    private static final class TermChecker implements ElectionNode.Observer {
+        private final RandomFaults faults;
+        private long highestWonTerm;
+        private long highestUsedTerm;
+        private SimulatedReplica lastActor;
+        private long lastActedAtMs;
+        private int termsWon;
 
-        Witness(RandomFaults weather) {
-            this.weather = weather;
+        TermChecker(RandomFaults faults) {
+            this.faults = faults;
         }
 
         @Override
         public void won(SimulatedReplica node, long term) {
-            if (term <= won) {
-                weather.world().ruleChecker.fail(node.address + " won term " + term + " after " + won);
+            if (term <= highestWonTerm) {
+                faults.world().ruleChecker.fail(node.address + " won term " + term + " after " + highestWonTerm);
             }
-            won = term;
-            terms++;
+            highestWonTerm = term;
+            termsWon++;
         }
 
         @Override
         public void act(SimulatedReplica node, long term) {
-            if (term < acted) {
-                weather.world()
+            if (term < highestUsedTerm) {
+                faults.world()
                         .ruleChecker
-                        .fail(node.address + " acts under " + term + " after " + actor.address + " under " + acted);
+                        .fail(node.address + " acts under term " + term + " after " + lastActor.address + " under "
+                                + highestUsedTerm);
             }
-            acted = term;
-            actor = node;
-            actedAt = weather.world().now;
+            highestUsedTerm = term;
+            lastActor = node;
+            lastActedAtMs = faults.world().now;
         }
     }
 
-    private Witness play(long seed, boolean talks) {
-        RandomFaults weather = new RandomFaults(seed, talks);
-        Witness witness = new Witness(weather);
-        weather.world().passengers = node -> new ElectionNode(node, witness);
-        weather.prank = node -> {
-            ElectionNode ride = (ElectionNode) node.passenger;
-            ride.election.handOver(node.world.now);
-            ride.election.setWantsLease(true);
+    private TermChecker runSeed(long seed, boolean logsEvents) {
+        RandomFaults faults = new RandomFaults(seed, logsEvents);
+        TermChecker checker = new TermChecker(faults);
+        faults.world().passengers = node -> new ElectionNode(node, checker);
+        faults.prank = node -> {
+            ElectionNode electionNode = (ElectionNode) node.passenger;
+            electionNode.election.handOver(node.world.now);
+            electionNode.election.setWantsLease(true);
         };
         try {
-            weather.play();
-            if (!weather.harsh()) {
-                weather.world()
+            faults.play();
+            if (!faults.harsh()) {
+                faults.world()
                         .await(
-                                () -> weather.world().now - witness.actedAt < 100,
+                                () -> faults.world().now - checker.lastActedAtMs < 100,
                                 3000,
-                                "somebody acts after all is calm");
+                                "a holder acts after the faults have ended");
             }
         } catch (AssertionError | RuntimeException e) {
-            weather.world().events.forEach(System.out::println);
+            faults.world().events.forEach(System.out::println);
             throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
         }
-        return witness;
+        return checker;
     }
 
     @Test
-    void termsGrowAndNobodyActsUnderAnOldOne() {
-        Long only = Long.getLong("election.seed");
+    void termsIncreaseAndNoProcessActsUnderAnOutdatedTerm() {
+        Long replayedSeed = Long.getLong("election.seed");
         int seeds = Integer.getInteger("election.seeds", 300);
-        long first = only != null ? only : Long.getLong("election.first", 1);
-        int played = 0;
+        long first = replayedSeed != null ? replayedSeed : Long.getLong("election.first", 1);
+        int seedsRun = 0;
         long terms = 0;
         for (long seed = first; seed < first + seeds; seed++) {
-            terms += play(seed, only != null).terms;
-            played++;
-            if (only != null) {
+            terms += runSeed(seed, replayedSeed != null).termsWon;
+            seedsRun++;
+            if (replayedSeed != null) {
                 break;
             }
         }
-        System.out.println("vow: " + played + " courses, " + terms + " terms");
-        assertTrue(terms >= played, "hardly anybody won");
+        System.out.println("election: " + seedsRun + " seeds, " + terms + " terms");
+        assertTrue(terms >= seedsRun, "fewer terms won than seeds run");
     }
 }
--- a/src/test/java/brambletray/platform/election/ElectionSteps.java
+++ b/src/test/java/brambletray/platform/election/ElectionSteps.java
@@ -10,43 +10,49 @@
 import java.util.Map;
 
 /**
- * Steps of the drawn timelines of the role. Further words: H may act; h may not; check: asks whether it may act, and
- * remembers the term; act: acts under that term; done, fenced: what the platform said, which refuses terms below the
- * highest it has seen; yield: hands over; sees:b takes b for the holder; doubt: hears that somebody has seen a higher
- * term than its own.
+ * Steps of the election timelines. In addition to the words of {@link Timeline}:
+ * <pre>
+ * H           may act                               h           may not act
+ * check       checks whether it may act, and        act         acts under the recorded term
+ *             records its term
+ * accepted    its last action was accepted by the   fenced      its last action was rejected because a higher
+ *             platform                                          term had been used
+ * handover    hands over the lease                  higherterm  is told that a term above its own was seen
+ * sees:b      takes b for the holder                sees:none   knows no holder
+ * </pre>
  */
-public final class ElectionSteps implements Timeline.Words, ElectionNode.Witness {
-    private ReplicationTestCluster core;
-    private long won;
-    private long fence;
-    private final Map<String, Long> checked = new HashMap<>();
-    private final Map<String, Boolean> acted = new HashMap<>();
+public final class ElectionSteps implements Timeline.Words, ElectionNode.Observer {
+    private ReplicationTestCluster cluster;
+    private long highestWonTerm;
+    private long fencingToken;
+    private final Map<String, Long> checkedTerms = new HashMap<>();
+    private final Map<String, Boolean> accepted = new HashMap<>();
 
-    @Given("a core of {string} with a holder, at rest")
-    public void aCore(String list) {
-        core = new ReplicationTestCluster(List.of(list.split("[ ,]+")));
-        core.world.logsEvents = Boolean.getBoolean("replication.talks");
-        core.world.passengers = node -> new ElectionNode(node, this);
-        core.found();
-        core.world.await(
-                () -> core.world.nodes.values().stream()
-                        .anyMatch(node -> ride(node).election.mayAct(core.world.now)),
+    @Given("a stable core of {string} with a lease holder")
+    public void startCluster(String members) {
+        cluster = new ReplicationTestCluster(List.of(members.split("[ ,]+")));
+        cluster.world.logsEvents = Boolean.getBoolean("replication.talks");
+        cluster.world.passengers = node -> new ElectionNode(node, this);
+        cluster.found();
+        cluster.world.await(
+                () -> cluster.world.nodes.values().stream()
+                        .anyMatch(node -> electionNode(node).election.mayAct(cluster.world.now)),
                 2000,
-                "a holder");
-        core.world.until(core.world.now + 300);
+                "a member holds the lease");
+        cluster.world.until(cluster.world.now + 300);
     }
 
-    @When("this happens to the duty")
-    public void happens(String drawn) {
+    @When("the following timeline runs")
+    public void runTimeline(String timeline) {
         try {
-            new Timeline(core.world, this).play(drawn);
+            new Timeline(cluster.world, this).play(timeline);
         } catch (AssertionError e) {
-            core.world.events.forEach(System.out::println);
+            cluster.world.events.forEach(System.out::println);
             throw e;
         }
     }
 
-    private static ElectionNode ride(SimulatedReplica node) {
+    private static ElectionNode electionNode(SimulatedReplica node) {
         return (ElectionNode) node.passenger;
     }
 
@@ -54,14 +60,16 @@
     public boolean act(SimulatedReplica node, String word) {
         switch (word) {
             case "check" ->
-                checked.put(node.address, ride(node).election.mayAct(core.world.now) ? ride(node).term : -1);
+                checkedTerms.put(
+                        node.address,
+                        electionNode(node).election.mayAct(cluster.world.now) ? electionNode(node).term : -1);
             case "act" -> {
-                long term = checked.get(node.address);
-                acted.put(node.address, term >= fence);
-                fence = Math.max(fence, term);
+                long term = checkedTerms.get(node.address);
+                accepted.put(node.address, term >= fencingToken);
+                fencingToken = Math.max(fencingToken, term);
             }
-            case "doubt" -> ride(node).election.revalidate(ride(node).term + 1, core.world.now);
-            case "yield" -> ride(node).election.handOver(core.world.now);
+            case "higherterm" -> electionNode(node).election.revalidate(electionNode(node).term + 1, cluster.world.now);
+            case "handover" -> electionNode(node).election.handOver(cluster.world.now);
             default -> {
                 return false;
             }
@@ -72,31 +80,32 @@
     @Override
     public Boolean seen(SimulatedReplica node, String word) {
         if (word.startsWith("sees:")) {
-            LeaseHolder holder = ride(node).election.holder(core.world.now);
+            LeaseHolder holder = electionNode(node).election.holder(cluster.world.now);
             return word.substring(5)
                     .equals(holder == null ? "none" : holder.member().address());
         }
         return switch (word) {
-            case "H" -> node.isRunning() && ride(node).election.mayAct(core.world.now);
-            case "h" -> !node.isRunning() || !ride(node).election.mayAct(core.world.now);
-            case "done" -> acted.get(node.address);
-            case "fenced" -> !acted.get(node.address);
+            case "H" -> node.isRunning() && electionNode(node).election.mayAct(cluster.world.now);
+            case "h" -> !node.isRunning() || !electionNode(node).election.mayAct(cluster.world.now);
+            case "accepted" -> accepted.get(node.address);
+            case "fenced" -> !accepted.get(node.address);
             default -> null;
         };
     }
 
     @Override
     public void won(SimulatedReplica node, long term) {
-        if (term <= won) {
-            core.world.ruleChecker.fail(node.address + " won " + term + " after " + won);
+        if (term <= highestWonTerm) {
+            cluster.world.ruleChecker.fail(node.address + " won term " + term + " after " + highestWonTerm);
         }
-        won = term;
+        highestWonTerm = term;
     }
 
     @Override
     public void act(SimulatedReplica node, long term) {
-        if (term < won) {
-            core.world.ruleChecker.fail(node.address + " may act under " + term + " after " + won + " was won");
+        if (term < highestWonTerm) {
+            cluster.world.ruleChecker.fail(
+                    node.address + " may act under term " + term + " after " + highestWonTerm + " was won");
         }
     }
 }
--- a/src/test/java/brambletray/platform/election/ElectionTimelinesTest.java
+++ b/src/test/java/brambletray/platform/election/ElectionTimelinesTest.java
@@ -5,7 +5,7 @@
 import org.junit.platform.suite.api.SelectPackages;
 import org.junit.platform.suite.api.Suite;
 
-/** The drawn timelines of the role. */
+/** Runs the election timelines of the .feature files. */
 @Suite
 @IncludeEngines("cucumber")
 @SelectPackages("brambletray.platform.election")
--- a/src/test/java/brambletray/platform/election/ResumptionTest.java
+++ b/src/test/java/brambletray/platform/election/ResumptionTest.java
@@ -17,48 +17,48 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All processes were killed; A held the role in view 5 and wants it back. Whether it has to wait for a lease that may
- * run depends on the views since.
+ * All processes were killed. A held the lease in view 5 and requests it again. Whether it has to wait, because a lease
+ * of another may still be valid, depends on the views since.
  *
  * <pre>
- *   view 5   A B C     A holds the role
+ *   view 5   A B C     A holds the lease
  *   (all killed)
  *   view 6   A B       or B C
- *   view 7   A B C     A has the grants of all: at once, or after 1.2 s
+ *   view 7   A B C     all grant it to A: at once, or after 1.2 s
  * </pre>
  */
 class ResumptionTest {
     private static final Member A = new Member("a", "a", 0xa);
     private static final Member B = new Member("b", "b", 0xb);
     private static final Member C = new Member("c", "c", 0xc);
-    private static final Member B_ANEW = new Member("b", "b", 0xbb);
-    private static final long HELD = 5L << 20 | 1;
+    private static final Member B_WIPED = new Member("b", "b", 0xbb);
+    private static final long HELD_TERM = 5L << 20 | 1;
     private static final int TICK_MS = 25;
 
-    private static final ViewMembership FIVE = roll(5, A, B, C);
+    private static final ViewMembership VIEW_5 = viewMembership(5, A, B, C);
 
     private final Map<Member, LeaseElection> elections = new HashMap<>();
     private final Map<Member, ReplicaStatus> statuses = new HashMap<>();
-    private final List<Runnable> mail = new ArrayList<>();
+    private final List<Runnable> pendingMessages = new ArrayList<>();
     private long now = 10_000;
 
-    private static ViewMembership roll(long number, Member... members) {
+    private static ViewMembership viewMembership(long number, Member... members) {
         return new ViewMembership(new Ballot(number, members[0].incarnation()), List.of(members));
     }
 
-    /** What the disk has of a term that was granted to this incarnation and renewed in view 5. */
-    private static byte[] kept(Member holder) {
+    /** The stored grant of a term that was granted to this incarnation and renewed in view 5. */
+    private static byte[] storedGrant(Member holder) {
         return ByteBuffer.allocate(25)
                 .put((byte) 2)
-                .putLong(HELD)
+                .putLong(HELD_TERM)
                 .putLong(holder.incarnation())
                 .putLong(5)
                 .array();
     }
 
     private void start(Member self, byte[] disk) {
-        LeaseElection[] made = new LeaseElection[1];
-        made[0] = new LeaseElection(
+        LeaseElection[] created = new LeaseElection[1];
+        created[0] = new LeaseElection(
                 "helm",
                 self,
                 disk,
@@ -66,7 +66,7 @@
                 new ElectionActions() {
                     @Override
                     public void send(String address, ElectionMessage frame) {
-                        mail.add(() -> elections.forEach((to, election) -> {
+                        pendingMessages.add(() -> elections.forEach((to, election) -> {
                             if (to.address().equals(address)) {
                                 election.receive(self.address(), frame, now);
                             }
@@ -75,7 +75,7 @@
 
                     @Override
                     public void persist(long ticket, Map<String, byte[]> changes) {
-                        mail.add(() -> made[0].synced(ticket, now));
+                        pendingMessages.add(() -> created[0].synced(ticket, now));
                     }
 
                     @Override
@@ -88,11 +88,11 @@
                     public void log(ElectionEvent event) {}
                 },
                 now);
-        elections.put(self, made[0]);
+        elections.put(self, created[0]);
     }
 
-    private void view(Member self, ViewMembership view, ViewMembership... lineage) {
-        long before =
+    private void setView(Member self, ViewMembership view, ViewMembership... lineage) {
+        long previousNumber =
                 lineage.length == 0 ? -1 : lineage[lineage.length - 1].ballot().number();
         List<Member> members = view.members();
         statuses.put(
@@ -101,7 +101,7 @@
                         ReplicaRole.MEMBER,
                         self,
                         view.ballot().number(),
-                        before,
+                        previousNumber,
                         members,
                         members.get(0),
                         members.get(0).equals(self),
@@ -114,7 +114,7 @@
         elections.get(self).updateView(statuses.get(self), now);
     }
 
-    private void run(long ms) {
+    private void runFor(long ms) {
         for (long until = now + ms; now < until; now += TICK_MS) {
             elections.forEach((self, election) -> {
                 if (statuses.containsKey(self)) {
@@ -122,137 +122,138 @@
                 }
                 election.tick(now);
             });
-            while (!mail.isEmpty()) {
-                mail.remove(0).run();
+            while (!pendingMessages.isEmpty()) {
+                pendingMessages.remove(0).run();
             }
         }
     }
 
-    private boolean holds(Member self) {
+    private boolean holdsLease(Member self) {
         return elections.get(self).mayAct(now);
     }
 
     private void startAll() {
-        start(A, kept(A));
-        start(B, kept(A));
-        start(C, kept(A));
+        start(A, storedGrant(A));
+        start(B, storedGrant(A));
+        start(C, storedGrant(A));
     }
 
     @Test
-    void overOneViewAtOnce() {
+    void resumesAtOnceAfterOneViewChange() {
         startAll();
-        ViewMembership six = roll(6, A, B, C);
-        for (Member each : List.of(A, B, C)) {
-            view(each, six, FIVE);
+        ViewMembership view6 = viewMembership(6, A, B, C);
+        for (Member member : List.of(A, B, C)) {
+            setView(member, view6, VIEW_5);
         }
-        run(200);
-        assertTrue(holds(A));
+        runFor(200);
+        assertTrue(holdsLease(A));
     }
 
     @Test
-    void overTwoViewsAtOnceWhereAllOfTheFirstAreInTheSecond() {
+    void resumesAtOnceIfAllMembersOfTheIntermediateViewArePresent() {
         startAll();
-        ViewMembership six = roll(6, A, B);
-        ViewMembership seven = roll(7, A, B, C);
-        view(A, seven, FIVE, six);
-        view(B, seven, FIVE, six);
-        view(C, seven, six);
-        run(200);
-        assertTrue(holds(A));
+        ViewMembership view6 = viewMembership(6, A, B);
+        ViewMembership view7 = viewMembership(7, A, B, C);
+        setView(A, view7, VIEW_5, view6);
+        setView(B, view7, VIEW_5, view6);
+        setView(C, view7, view6);
+        runFor(200);
+        assertTrue(holdsLease(A));
     }
 
-    /** The former holder is the last to be back, and knows of the views since by a voter's word. */
+    /** The former holder is the last to restart, and learns of the views since from a voter. */
     @Test
-    void overTwoViewsByTheWordOfAVoterWhoWasInBoth() {
+    void resumesAtOnceIfAVoterKnowsTheLineage() {
         startAll();
-        ViewMembership six = roll(6, B, C);
-        ViewMembership seven = roll(7, A, B, C);
-        view(A, seven, six);
-        view(B, seven, FIVE, six);
-        view(C, seven, FIVE, six);
-        run(200);
-        assertTrue(holds(A));
+        ViewMembership view6 = viewMembership(6, B, C);
+        ViewMembership view7 = viewMembership(7, A, B, C);
+        setView(A, view7, view6);
+        setView(B, view7, VIEW_5, view6);
+        setView(C, view7, VIEW_5, view6);
+        runFor(200);
+        assertTrue(holdsLease(A));
     }
 
     /**
-     * B has been wiped between the views: that it had granted to C in view 5, which may act for a while, nobody
-     * remembers.
+     * B's disk was wiped between the views. B may have granted the lease to C in view 5, and C may still act under it,
+     * but no member of view 7 knows of that grant.
      */
     @Test
-    void notAtOnceWhereOneOfAViewBetweenIsGone() {
-        start(A, kept(A));
-        start(B_ANEW, null);
-        ViewMembership six = roll(6, A, B);
-        ViewMembership seven = roll(7, A, B_ANEW);
-        view(A, seven, FIVE, six);
-        view(B_ANEW, seven, six);
-        run(1_150);
-        assertFalse(holds(A) || holds(B_ANEW), "one acts while a lease of view 5 may run");
-        run(2_000);
-        assertTrue(holds(A) || holds(B_ANEW));
+    void waitsIfAMemberOfTheIntermediateViewWasWiped() {
+        start(A, storedGrant(A));
+        start(B_WIPED, null);
+        ViewMembership view6 = viewMembership(6, A, B);
+        ViewMembership view7 = viewMembership(7, A, B_WIPED);
+        setView(A, view7, VIEW_5, view6);
+        setView(B_WIPED, view7, view6);
+        runFor(1_150);
+        assertFalse(holdsLease(A) || holdsLease(B_WIPED), "a member acts while a lease of view 5 may be valid");
+        runFor(2_000);
+        assertTrue(holdsLease(A) || holdsLease(B_WIPED));
     }
 
-    /** Nobody knows which view was before the one between. */
+    /** No member knows which view preceded view 6. */
     @Test
-    void notAtOnceWhereTheViewsBetweenAreNotKnown() {
+    void waitsIfTheLineageIsUnknown() {
         startAll();
-        ViewMembership six = roll(6, B, C);
-        ViewMembership seven = roll(7, A, B, C);
-        for (Member each : List.of(A, B, C)) {
-            view(each, seven, six);
+        ViewMembership view6 = viewMembership(6, B, C);
+        ViewMembership view7 = viewMembership(7, A, B, C);
+        for (Member member : List.of(A, B, C)) {
+            setView(member, view7, view6);
         }
-        run(1_150);
-        assertFalse(holds(A) || holds(B) || holds(C));
-        run(2_000);
-        assertEquals(1, List.of(A, B, C).stream().filter(this::holds).count());
+        runFor(1_150);
+        assertFalse(holdsLease(A) || holdsLease(B) || holdsLease(C));
+        runFor(2_000);
+        assertEquals(1, List.of(A, B, C).stream().filter(this::holdsLease).count());
     }
 
-    /** B granted to C after A held it in view 5: B refuses for as long as that lease may run. */
+    /** B granted the lease to C after A had held it in view 5: B refuses until that lease has expired. */
     @Test
-    void notAtOnceWhereAnotherHasWonItSince() {
-        start(A, kept(A));
-        start(B, kept(C));
-        ViewMembership six = roll(6, A, B);
-        view(A, six, FIVE);
-        view(B, six, FIVE);
-        run(1_150);
-        assertFalse(holds(A) || holds(B));
+    void waitsIfTheLeaseWasGrantedToAnotherSince() {
+        start(A, storedGrant(A));
+        start(B, storedGrant(C));
+        ViewMembership view6 = viewMembership(6, A, B);
+        setView(A, view6, VIEW_5);
+        setView(B, view6, VIEW_5);
+        runFor(1_150);
+        assertFalse(holdsLease(A) || holdsLease(B));
     }
 
     /**
-     * The grants of a majority are not enough: the one that refuses may be the only one here that knows of the lease.
+     * The grants of a majority are not enough: the member that refuses may be the only one that knows of an unexpired
+     * lease.
      */
     @Test
-    void notAtOnceWhereOneOfThreeRefuses() {
-        start(A, kept(A));
-        start(B, kept(A));
-        start(C, kept(C));
-        ViewMembership six = roll(6, A, B, C);
-        for (Member each : List.of(A, B, C)) {
-            view(each, six, FIVE);
+    void waitsIfOneOfThreeVotersRefuses() {
+        start(A, storedGrant(A));
+        start(B, storedGrant(A));
+        start(C, storedGrant(C));
+        ViewMembership view6 = viewMembership(6, A, B, C);
+        for (Member member : List.of(A, B, C)) {
+            setView(member, view6, VIEW_5);
         }
-        run(1_150);
-        assertFalse(holds(A) || holds(B) || holds(C));
+        runFor(1_150);
+        assertFalse(holdsLease(A) || holdsLease(B) || holdsLease(C));
     }
 
-    /** It doesn't take back what another holds in the meantime. */
+    /** A does not resume a lease that another member has won in the meantime. */
     @Test
-    void notAtAllWhileAnotherHoldsIt() {
-        start(B, kept(A));
-        start(C, kept(A));
-        ViewMembership six = roll(6, B, C);
-        view(B, six, FIVE);
-        view(C, six, FIVE);
-        run(3_000);
-        assertTrue(holds(B));
-        start(A, kept(A));
-        ViewMembership seven = roll(7, A, B, C);
-        view(A, seven, six);
-        view(B, seven, FIVE, six);
-        view(C, seven, FIVE, six);
+    void doesNotResumeWhileAnotherHoldsTheLease() {
+        start(B, storedGrant(A));
+        start(C, storedGrant(A));
+        ViewMembership view6 = viewMembership(6, B, C);
+        setView(B, view6, VIEW_5);
+        setView(C, view6, VIEW_5);
+        runFor(3_000);
+        assertTrue(holdsLease(B));
+        start(A, storedGrant(A));
+        ViewMembership view7 = viewMembership(7, A, B, C);
+        setView(A, view7, view6);
+        setView(B, view7, VIEW_5, view6);
+        setView(C, view7, VIEW_5, view6);
         for (int i = 0; i < 100; i++) {
-            run(TICK_MS);
-            assertTrue(holds(B) && !holds(A));
+            runFor(TICK_MS);
+            assertTrue(holdsLease(B) && !holdsLease(A));
         }
     }
 }
--- a/src/test/resources/brambletray/platform/election/lease.feature
+++ b/src/test/resources/brambletray/platform/election/lease.feature
@@ -1,19 +1,20 @@
-Feature: One holder of the duty, under a term that only grows
-  One column a machine, time in ms downwards. The words of a cell are told in Picture.java and DutySteps.java.
+Feature: One holder of the lease, under a term that only increases
+  One column per machine, time in ms from top to bottom. The words of the cells are explained in Timeline.java (replication) and
+  ElectionSteps.java.
 
   Background:
-    Given a core of "a, b, c" with a holder, at rest
+    Given a stable core of "a, b, c" with a lease holder
 
-  Scenario: the view's leader holds it, and all know
-    When this happens to the duty
+  Scenario: The leader of the view holds the lease, and all members know it
+    When the following timeline runs
       """
               a            b            c
       0       H,sees:a     sees:a       sees:a
       5000    H,sees:a     sees:a       sees:a
       """
 
-  Scenario: the holder dies; another holds it soon after the view without it, not before its lease is over
-    When this happens to the duty
+  Scenario: The holder is killed; another member holds the lease soon after the view without it, but not before the old lease has expired
+    When the following timeline runs
       """
               a            b            c
       0       X            .            .
@@ -23,20 +24,20 @@
       <4500   h,sees:b     H            sees:b
       """
 
-  Scenario: the holder is frozen between its check and its act; its act comes with an old term
-    When this happens to the duty
+  Scenario: The holder is paused between its check and its action; the action is rejected because its term is outdated
+    When the following timeline runs
       """
               a            b            c
       0       check        .            .
       1       z4000        .            .
       <2500   .            H            .
       2600    .            check        .
-      2700    .            act,done     .
+      2700    .            act,accepted .
       4100    act,fenced,h H            .
       """
 
-  Scenario: a holder that was frozen for less than its lease doubts itself until it is renewed
-    When this happens to the duty
+  Scenario: A holder that was paused for less than its lease does not act until the lease is renewed
+    When the following timeline runs
       """
               a            b            c
       0       z600         .            .
@@ -45,8 +46,8 @@
       2000    H            h            h
       """
 
-  Scenario: the holder is cut off; it has stopped before the next one starts
-    When this happens to the duty
+  Scenario: The holder is isolated; it has stopped before the next one starts
+    When the following timeline runs
       """
               a            b            c
       0       ~            .            .
@@ -56,18 +57,18 @@
       <4600   h,sees:b     H            sees:b
       """
 
-  Scenario: planned handing over; the one that is named holds it at once
-    When this happens to the duty
+  Scenario: Planned handover; the named successor holds the lease at once
+    When the following timeline runs
       """
               a            b            c
-      0       yield        .            .
+      0       handover     .            .
       1       h            .            .
       <60     h            H            sees:b
       3000    h,sees:b     H            sees:b
       """
 
-  Scenario: it stays where it is when others leave and come
-    When this happens to the duty
+  Scenario: The holder keeps the lease when other members leave and join
+    When the following timeline runs
       """
               a            b            c
       0       H            .            X
@@ -77,8 +78,8 @@
       <3600   H            sees:a       sees:a
       """
 
-  Scenario: all are killed; the next term is higher
-    When this happens to the duty
+  Scenario: All members are killed; the next term is higher
+    When the following timeline runs
       """
               a            b            c
       0       XX           XX           XX
@@ -86,8 +87,8 @@
       <2500   H            h            h
       """
 
-  Scenario: all lose power and one its disk; the next term is higher
-    When this happens to the duty
+  Scenario: All members lose power and one loses its disk; the next term is higher
+    When the following timeline runs
       """
               a            b            c
       0       W            XX           XX
@@ -96,8 +97,8 @@
       <3900   h,M3,sees:b  H            sees:b
       """
 
-  Scenario: a full disk grants nothing; the holder that is back takes it up again
-    When this happens to the duty
+  Scenario: A voter with a full disk grants nothing; a restarted holder resumes the lease
+    When the following timeline runs
       """
               a            b            c
       0       .            full         .
@@ -108,8 +109,8 @@
       <8000   H            h            h
       """
 
-  Scenario: a holder that is cut off names nobody once its lease is over, itself least
-    When this happens to the duty
+  Scenario: An isolated holder reports no holder, not even itself, once its lease has expired
+    When the following timeline runs
       """
               a            b            c
       0       ~            .            .
@@ -120,32 +121,32 @@
       3000    sees:none    .            .
       """
 
-  Scenario: a holder that hears of a higher term acts again only once a majority has agreed anew
-    When this happens to the duty
+  Scenario: A holder that learns of a higher term acts again only once a majority has renewed its lease
+    When the following timeline runs
       """
               a            b            c
       0       H            .            .
-      1       doubt        .            .
+      1       higherterm   .            .
       2       h,sees:none  .            .
       <40     H            h            h
       3000    H,sees:a     sees:a       sees:a
       """
 
-  Scenario: a holder that is cut off and hears of a higher term acts no more, though its lease would run on
-    When this happens to the duty
+  Scenario: An isolated holder that learns of a higher term stops acting before its lease expires
+    When the following timeline runs
       """
               a            b            c
       0       ~            .            .
       50      H            .            .
-      60      doubt        .            .
+      60      higherterm   .            .
       61      h            .            .
       300     h            .            .
       700     h            .            .
       3000    h            .            .
       """
 
-  Scenario: alone after a restart, with a disk proven lost, a member has the newest changes on disk but not in its state: it doesn't act on the old one
-    When this happens to the duty
+  Scenario: A member alone after a restart, the other's disk proven lost, has the newest changes on disk but not in its state, and does not act on the old state
+    When the following timeline runs
       """
               a            b            c
       0       .            .            XX
