--- a/src/main/java/brambletray/platform/storage/CommitQueue.java
+++ b/src/main/java/brambletray/platform/storage/CommitQueue.java
@@ -6,12 +6,15 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * The commits between the loop, which asks for them, and the thread that writes them. This is all that the two share:
- * each method is one
- * critical section under one lock, held for no longer than a few field accesses and never while the disk works.
+ * The queue of commits between the event loop, which requests them, and the writer thread. It is the only state that
+ * the two share: each method is one critical section under one lock, held only for a few field accesses and never
+ * during disk I/O.
  */
 final class CommitQueue {
-    /** A commit that was asked for; {@code askedAt}: ms of the steady clock, {@code bytes}: of its values. */
+    /**
+     * A requested commit. {@code requestedAtMs}: ms of the monotonic clock; {@code valueBytes}: total size of its
+     * values.
+     */
     record Entry(List<KeyChange> changes, DurableStore.CommitCallback callback, long requestedAtMs, long valueBytes) {}
 
     private static final long NOT_WRITING = -1;
@@ -27,7 +30,7 @@
     private int writingCount;
     private boolean closed;
 
-    /** {@code maxCommits}, {@code maxBytes}: what may wait; a single commit may be larger. */
+    /** {@code maxCommits}, {@code maxBytes}: limits on pending commits; a single commit may exceed {@code maxBytes}. */
     CommitQueue(int maxCommits, long maxBytes, ReentrantLock lock) {
         this.maxCommits = maxCommits;
         this.maxBytes = maxBytes;
@@ -35,7 +38,7 @@
         this.stateChanged = lock.newCondition();
     }
 
-    /** Returns false, and takes nothing, if too much waits or the queue is closed. */
+    /** Returns false, without adding the entry, if a limit is reached or the queue is closed. */
     boolean add(Entry entry) {
         lock.lock();
         try {
@@ -54,7 +57,8 @@
     }
 
     /**
-     * Takes all that waits, as what is being written from now on; waits for the first. Null: closed, and nothing waits.
+     * Waits until a commit is pending, then takes all pending commits and marks them as being written. Returns null if
+     * the queue is closed and empty.
      */
     List<Entry> take() {
         lock.lock();
@@ -71,7 +75,7 @@
         }
     }
 
-    /** The same without waiting: null if nothing waits. */
+    /** Like {@link #take}, without waiting; null if nothing is pending. */
     List<Entry> poll() {
         lock.lock();
         try {
@@ -90,7 +94,7 @@
         return taken;
     }
 
-    /** What was taken last has been written, or has failed. */
+    /** The commits taken last have been written or have failed. */
     void markFinished() {
         lock.lock();
         try {
@@ -101,7 +105,7 @@
         }
     }
 
-    /** ms that the oldest commit has waited at {@code nowMs}, on the disk or for it; 0 if there is none. */
+    /** Age in ms, at {@code nowMs}, of the oldest commit that is pending or being written; 0 if there is none. */
     long oldestWaitMs(long nowMs) {
         lock.lock();
         try {
@@ -114,7 +118,7 @@
         }
     }
 
-    /** Commits that wait or are being written. */
+    /** Number of commits that are pending or being written. */
     int size() {
         lock.lock();
         try {
@@ -124,7 +128,7 @@
         }
     }
 
-    /** Takes no more; what waits can still be taken. */
+    /** Rejects further commits; pending ones can still be taken. */
     void close() {
         lock.lock();
         try {
--- a/src/main/java/brambletray/platform/storage/Directory.java
+++ b/src/main/java/brambletray/platform/storage/Directory.java
@@ -3,14 +3,14 @@
 import java.io.IOException;
 import java.util.List;
 
-/** One folder of a disk, by the few operations that a store needs. Names have no folders in them. */
+/** The operations that a store needs on a directory. File names contain no path separators. */
 interface Directory {
-    /** The file that is written to; it is at most one at a time. */
+    /** A file open for appending; at most one is open at a time. */
     interface FileWriter {
         /** Appends. */
         void write(byte[] bytes, int offset, int count) throws IOException;
 
-        /** On return all that was written stays, whatever happens. */
+        /** On return, all written bytes are durable. */
         void sync() throws IOException;
 
         void close() throws IOException;
@@ -19,26 +19,27 @@
     /** The names of all files. */
     List<String> names() throws IOException;
 
-    /** Bytes in a file; 0 if there is none. */
+    /** Length of a file in bytes; 0 if it does not exist. */
     long length(String name);
 
-    /** Reads up to {@code count} bytes from {@code at} on; fewer only at the file's end. */
-    int read(String name, long at, byte[] to, int offset, int count) throws IOException;
+    /** Reads up to {@code count} bytes starting at {@code position}; returns fewer only at the end of the file. */
+    int read(String name, long position, byte[] buffer, int offset, int count) throws IOException;
 
-    /** Goes on with a file at this length; it is made, cut or filled up if it has another. */
+    /** Opens a file for appending at this length; it is created, truncated or extended as needed. */
     FileWriter open(String name, long length) throws IOException;
 
-    /** Cuts a file, durably. */
+    /** Truncates a file; durable on return. */
     void truncate(String name, long length) throws IOException;
 
-    /** Removes a file, if it is there. */
+    /** Removes a file if it exists. */
     void remove(String name) throws IOException;
 
-    /** On return all that is in a file stays, whatever happens; not the file's name, if that is new. */
+    /** On return, the contents of a file are durable; its name is not, if the file is new. */
     void sync(String name) throws IOException;
 
     /**
-     * On return all files that were made or removed are so, whatever happens; until then each may come or go by itself.
+     * On return, all creations and removals of files are durable. Until then, a loss of power may undo each of them
+     * independently.
      */
     void sync() throws IOException;
 }
--- a/src/main/java/brambletray/platform/storage/DiskDirectory.java
+++ b/src/main/java/brambletray/platform/storage/DiskDirectory.java
@@ -9,7 +9,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** A folder of this machine's disk. */
+/** A directory of the local file system. */
 final class DiskDirectory implements Directory {
     private final Path dir;
 
@@ -35,18 +35,18 @@
     }
 
     @Override
-    public int read(String name, long at, byte[] to, int offset, int count) throws IOException {
+    public int read(String name, long position, byte[] buffer, int offset, int count) throws IOException {
         try (RandomAccessFile file = new RandomAccessFile(file(name), "r")) {
-            file.seek(at);
-            int done = 0;
-            while (done < count) {
-                int read = file.read(to, offset + done, count - done);
+            file.seek(position);
+            int total = 0;
+            while (total < count) {
+                int read = file.read(buffer, offset + total, count - total);
                 if (read < 0) {
                     break;
                 }
-                done += read;
+                total += read;
             }
-            return done;
+            return total;
         }
     }
 
@@ -96,7 +96,7 @@
 
     @Override
     public void sync(String name) throws IOException {
-        // only reads: a full disk may refuse to open a file for writing
+        // Opened for reading only, as opening a file for writing may fail on a full disk.
         try (FileChannel file = FileChannel.open(dir.resolve(name))) {
             file.force(true);
         }
--- a/src/main/java/brambletray/platform/storage/DurableStore.java
+++ b/src/main/java/brambletray/platform/storage/DurableStore.java
@@ -2,22 +2,22 @@
 
 import java.util.List;
 
-/** Durable writes for a loop, in the order in which they were asked for. */
+/** Durable writes for an event loop, in the order in which they were requested. */
 public interface DurableStore {
-    /** How a commit went; called on the loop. */
+    /** Receives the result of a commit; called on the event loop. */
     interface CommitCallback {
-        /** Durable. */
+        /** The changes are durable. */
         void onCommitted();
 
-        /** May be there or not: {@code error} says why. */
+        /** The commit has failed with {@code error}; its changes may be stored or not. */
         void onFailed(StorageException error);
     }
 
     /**
-     * Asks for a commit, wholly there or not at all; from the loop.
+     * Requests an atomic commit; to be called on the event loop.
      *
-     * @param nowMs ms of the steady clock
-     * @return false if too much waits: nothing is taken, and no reply comes
+     * @param nowMs ms of the monotonic clock
+     * @return false if too much is pending: the commit is rejected, and the callback is not called
      */
     boolean commit(List<KeyChange> changes, long nowMs, CommitCallback callback);
 }
--- a/src/main/java/brambletray/platform/storage/KeyChange.java
+++ b/src/main/java/brambletray/platform/storage/KeyChange.java
@@ -1,4 +1,4 @@
 package brambletray.platform.storage;
 
-/** One key's new value; null removes the key. Neither key nor value is changed once it has been handed over. */
+/** A key's new value; null removes the key. The value must not be modified after the change has been passed on. */
 public record KeyChange(String key, byte[] value) {}
--- a/src/main/java/brambletray/platform/storage/KeyValueStore.java
+++ b/src/main/java/brambletray/platform/storage/KeyValueStore.java
@@ -8,25 +8,25 @@
 import java.util.Map;
 
 /**
- * The durable keys and values of one process, changed by atomic commits. A commit that has returned survives any kill
- * or loss of power. One thread commits; any may read.
+ * The durable keys and values of one process, changed by atomic commits. A commit that has returned survives process
+ * kills and loss of power. One thread commits; any thread may read.
  *
- * <p>The files are of one generation, and grow with each commit. Once they are much larger than the live values,
- * {@link #compact} writes those into a new generation and removes the old one before any other commit. So where two
- * generations are found, nothing was committed in the newer one alone, and if that one is torn the older one is
- * complete.
+ * <p>The files belong to one generation and grow with each commit. Once they are much larger than the live values,
+ * {@link #compact} copies those into a new generation and removes the old one before any other commit. So if two
+ * generations are found, the newer one contains no commit that the older one lacks, and if the newer one is torn, the
+ * older one is complete.
  */
 public final class KeyValueStore implements AutoCloseable, SyncWriter.Disk {
-    /** Bytes of a key's UTF-8, and of a value. */
+    /** Limits of a key, in UTF-8, and of a value. */
     public static final int MAX_KEY_BYTES = 1_024;
 
     public static final int MAX_VALUE_BYTES = 8 << 20;
     static final EventLog LOG = EventLog.of("storage");
-    /** Bytes of files that are always allowed, and how many times the live values. */
+    /** No compaction below this file size, or below {@link #MAX_SPACE_AMPLIFICATION} times the live values. */
     private static final long MIN_COMPACTION_BYTES = 8L << 20;
 
     private static final int MAX_SPACE_AMPLIFICATION = 4;
-    /** Bytes after which a compaction that failed is tried again. */
+    /** Bytes to be written before a failed compaction is retried. */
     private static final long COMPACTION_RETRY_BYTES = 4L << 20;
 
     private final Directory directory;
@@ -49,18 +49,18 @@
     }
 
     /**
-     * Opens the store in this folder, or creates it. The last commit that had not returned when the process or the
-     * power went may be there or not.
+     * Opens the store in this directory, or creates it. A commit that had not returned when the process was killed or
+     * the power was lost may be present or not.
      *
      * @throws StorageException {@code storage.broken}: there is no complete store, as if the disk were lost (the
      *     caller may {@link #abandon} it); {@code storage.format}; {@code storage.refused} and {@code storage.full}:
-     *     the disk is in trouble, and a later attempt may succeed
+     *     disk errors, so that a later attempt may succeed
      */
     public static KeyValueStore open(Path dir) throws StorageException {
         try {
             return open(new DiskDirectory(dir));
         } catch (IOException e) {
-            throw storageException(e);
+            throw toStorageException(e);
         }
     }
 
@@ -68,23 +68,23 @@
         return open(directory, MIN_COMPACTION_BYTES);
     }
 
-    /** {@code minCompactionBytes}: bytes of files that are always allowed. */
+    /** {@code minCompactionBytes}: file size below which the store is never compacted. */
     static KeyValueStore open(Directory directory, long minCompactionBytes) throws StorageException {
         KeyValueStore keyValueStore = new KeyValueStore(directory, minCompactionBytes);
         try {
             keyValueStore.generation = new StoreOpening(directory).open();
         } catch (IOException | RuntimeException e) {
-            throw storageException(e);
+            throw toStorageException(e);
         }
         return keyValueStore;
     }
 
-    /** Removes a store that is broken, so that an empty one can be opened in its place; none may be open. */
+    /** Removes a broken store, so that an empty one can be created in its place. The store must not be open. */
     public static void abandon(Path dir) throws StorageException {
         try {
             abandon(new DiskDirectory(dir));
         } catch (IOException e) {
-            throw storageException(e);
+            throw toStorageException(e);
         }
     }
 
@@ -97,7 +97,7 @@
             directory.remove(StoreOpening.MARKER_FILE);
             directory.sync();
         } catch (IOException e) {
-            throw storageException(e);
+            throw toStorageException(e);
         }
     }
 
@@ -106,21 +106,22 @@
         return read(() -> generation.get(key));
     }
 
-    /** All whose keys begin so, by key. */
+    /** All entries whose keys start with the prefix, sorted by key. */
     public List<Map.Entry<String, byte[]>> prefix(String prefix) {
         return read(() -> generation.prefix(prefix));
     }
 
-    /** The number of commits this store has had; after a restart at least that of the last one that returned. */
+    /** The number of commits so far; after a restart, it includes at least all commits that had returned. */
     public long commitCount() {
         return generation.commitCount();
     }
 
     /**
-     * Makes these changes, in this order and atomically; durable on return.
+     * Applies these changes in order and atomically; durable on return.
      *
-     * @throws StorageException {@code storage.full}, {@code storage.refused}: not made, unless the process ends
-     *     before the next call, which may succeed; {@code storage.too-long}: nothing was done
+     * @throws StorageException {@code storage.full}, {@code storage.refused}: the changes were not applied, although
+     *     they may be found if the process ends before the next call, which may succeed; {@code storage.too-long}:
+     *     nothing was done
      */
     @Override
     public void commit(List<KeyChange> changes) throws StorageException {
@@ -144,13 +145,13 @@
             generation.commit(changes);
         } catch (IOException | RuntimeException e) {
             lastCommitFailed = true;
-            throw storageException(e);
+            throw toStorageException(e);
         }
     }
 
     /**
-     * Begins a new generation if the files are much larger than the live values. To be called between commits, where
-     * a pause hurts least; a commit does it itself once there is twice as much.
+     * Starts a new generation if the files are much larger than the live values. To be called between commits, where a
+     * pause matters least; a commit does it itself once the files have twice the threshold size.
      */
     @Override
     public void compact() {
@@ -158,11 +159,11 @@
         if (lastCommitFailed || closed || usedBytes < compactionThresholdBytes()) {
             return;
         }
-        LogSegmentFiles next =
+        LogSegmentFiles nextSegments =
                 new LogSegmentFiles(directory, generation.segments().generation() + 1);
         StoreGeneration compacted = null;
         try {
-            compacted = StoreGeneration.create(next);
+            compacted = StoreGeneration.create(nextSegments);
             generation.copyTo(compacted);
             directory.sync();
         } catch (IOException | RuntimeException e) {
@@ -172,27 +173,27 @@
                     .with("why", e)
                     .log();
             nextCompactionBytes = usedBytes + COMPACTION_RETRY_BYTES;
-            obsoleteSegments = next;
+            obsoleteSegments = nextSegments;
             if (compacted != null) {
                 compacted.close();
             }
             tryRemoveObsolete();
             return;
         }
-        StoreGeneration before = generation;
+        StoreGeneration previous = generation;
         generation = compacted;
         nextCompactionBytes = 0;
-        before.close();
-        obsoleteSegments = before.segments();
+        previous.close();
+        obsoleteSegments = previous.segments();
         tryRemoveObsolete();
         LOG.debug("cleanup-completed")
-                .with("generation", next.generation())
+                .with("generation", nextSegments.generation())
                 .with("bytes", usedBytes)
                 .with("live", compacted.liveBytes())
                 .log();
     }
 
-    /** Bytes of the store's files. */
+    /** Total size of the store's files in bytes. */
     public long usedBytes() {
         return generation.usedBytes();
     }
@@ -206,8 +207,8 @@
     }
 
     /**
-     * After a failure: what was left of it is cut off, and the store opened again where the last commit that returned
-     * ends.
+     * After a failed commit: truncates what it has left, and reopens the store at the end of the last commit that
+     * returned.
      */
     private void recover() throws IOException {
         if (closed) {
@@ -217,24 +218,27 @@
             removeObsolete();
         }
         if (lastCommitFailed) {
-            LogSegmentFiles segment =
+            LogSegmentFiles segments =
                     new LogSegmentFiles(directory, generation.segments().generation());
             generation.close();
-            new StoreRepair(segment).truncateAfter(generation.durableEnd());
-            StoreGeneration recovered = StoreGeneration.read(segment);
+            new StoreRepair(segments).truncateAfter(generation.durableEnd());
+            StoreGeneration recovered = StoreGeneration.read(segments);
             if (recovered == null || recovered.commitCount() != generation.commitCount()) {
-                throw new StorageException("storage.refused", "the store does not read as it was written", null);
+                throw new StorageException(
+                        "storage.refused",
+                        "the store, reopened after a failed commit, does not match its last commit",
+                        null);
             }
             generation = recovered;
             lastCommitFailed = false;
             LOG.info("tail-repaired")
-                    .with("generation", segment.generation())
+                    .with("generation", segments.generation())
                     .with("commits", recovered.commitCount())
                     .log();
         }
     }
 
-    /** Bytes that the files may have before a compaction. */
+    /** File size in bytes from which the store is compacted. */
     private long compactionThresholdBytes() {
         return Math.max(
                 nextCompactionBytes, Math.max(minCompactionBytes, MAX_SPACE_AMPLIFICATION * generation.liveBytes()));
@@ -265,20 +269,20 @@
         try {
             return operation.run();
         } catch (RuntimeException e) {
-            throw storageException(e);
+            throw toStorageException(e);
         }
     }
 
-    private static StorageException storageException(Exception thrown) {
+    private static StorageException toStorageException(Exception thrown) {
         if (thrown instanceof StorageException fault) {
             return fault;
         }
         UncheckedIOException io = StoreGeneration.findIoCause(thrown);
-        String why = io == null ? thrown.toString() : io.getCause().getMessage();
-        boolean full = why != null && (why.contains("No space left") || why.contains("quota"));
+        String reason = io == null ? thrown.toString() : io.getCause().getMessage();
+        boolean full = reason != null && (reason.contains("No space left") || reason.contains("quota"));
         return new StorageException(
                 full ? "storage.full" : "storage.refused",
-                full ? "the disk is full: " + why : "the disk refuses: " + why,
+                full ? "the disk is full: " + reason : "disk error: " + reason,
                 thrown);
     }
 }
--- a/src/main/java/brambletray/platform/storage/LogSegmentFiles.java
+++ b/src/main/java/brambletray/platform/storage/LogSegmentFiles.java
@@ -11,12 +11,12 @@
 import jetbrains.exodus.io.RemoveBlockType;
 
 /**
- * One generation of a store: the files that Xodus writes its log to and reads it from, named by generation and
- * address. Replaces Xodus' own files, which lock, query the machine's beans and never sync the folder after a
+ * The files of one generation of a store, in which Xodus keeps its log, named by generation and address. Replaces
+ * Xodus' own file access, which locks files, queries the platform MBeans, and never syncs the directory after a
  * removal.
  */
 final class LogSegmentFiles extends AbstractDataWriter implements DataReader {
-    /** Bytes of a file; all but the newest have just that length. */
+    /** Size of a file in bytes; all files but the newest have exactly this size. */
     static final int FILE_BYTES = 1 << 20;
 
     private static final String FILE_EXTENSION = ".xd";
@@ -35,7 +35,7 @@
         this.generation = generation;
     }
 
-    /** The generations of which there are files, oldest first. */
+    /** The generations that have files, oldest first. */
     static List<Long> generations(Directory directory) throws IOException {
         TreeSet<Long> found = new TreeSet<>();
         for (String name : directory.names()) {
@@ -54,7 +54,7 @@
         return directory;
     }
 
-    /** The addresses of its files, in order. */
+    /** The start addresses of its files, in ascending order. */
     List<Long> addresses() throws IOException {
         String prefix = hex(generation, GENERATION_DIGITS) + '-';
         TreeSet<Long> found = new TreeSet<>();
@@ -70,14 +70,14 @@
         return hex(generation, GENERATION_DIGITS) + '-' + hex(address, ADDRESS_DIGITS) + FILE_EXTENSION;
     }
 
-    /** Removes all its files; the folder has still to be synced. */
+    /** Removes all its files; the caller has to sync the directory. */
     void remove() throws IOException {
         for (long address : addresses()) {
             directory.remove(fileName(address));
         }
     }
 
-    /** Writes nothing more: for an environment that is about to be closed. */
+    /** Rejects or ignores all further writes; called before the environment is closed. */
     void disable() {
         disabled = true;
     }
@@ -214,7 +214,6 @@
         return "0".repeat(digits - hex.length()) + hex;
     }
 
-    /** One file. */
     private final class LogBlock implements Block {
         private final long address;
 
--- a/src/main/java/brambletray/platform/storage/SimulatedStore.java
+++ b/src/main/java/brambletray/platform/storage/SimulatedStore.java
@@ -9,26 +9,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A disk in simulated time, and the production Scribe of one process on it: a sync takes its time, fails, or is cut
- * short by a loss of power.
+ * A simulated disk with the production {@link SyncWriter} of one process on top. A sync takes simulated time, and may
+ * fail or be interrupted when the process ends.
  */
 public final class SimulatedStore implements SyncWriter.Disk {
-    /** What stays when the process ends. */
+    /** The disk, which outlives the process. */
     public static final class SimulatedDisk {
         private final Map<String, byte[]> contents = new TreeMap<>();
-        /** ms a sync takes at least; half of that again at most. */
+        /** Minimum duration of a sync in ms; the maximum is one and a half times that. */
         public int syncMs;
-        /** Every write is refused. */
+        /** Whether all writes fail. */
         public boolean refusesWrites;
-        /** Steady ms; a sync that would end before ends then. */
+        /** No sync ends before this time; ms of the monotonic clock. */
         public long hungUntilMs;
 
-        /** An empty disk; {@code syncMs}: as the field says. */
+        /** An empty disk; {@code syncMs}: see {@link #syncMs}. */
         public SimulatedDisk(int syncMs) {
             this.syncMs = syncMs;
         }
 
-        /** A copy of what it holds. */
+        /** A copy of the stored entries. */
         public Map<String, byte[]> read() {
             return new HashMap<>(contents);
         }
@@ -40,7 +40,7 @@
     private final SyncWriter syncWriter;
     private Runnable batchInProgress;
 
-    /** Writes to this disk in simulated time; {@code random} draws how long a sync takes. */
+    /** Writes to this disk in simulated time; {@code random} determines the duration of each sync. */
     public SimulatedStore(SimulatedDisk disk, Machine machine, SplittableRandom random) {
         this.disk = disk;
         this.machine = machine;
@@ -48,7 +48,7 @@
         syncWriter = new SyncWriter(this, machine.loop(), () -> machine.loop().execute(this::startBatch));
     }
 
-    /** The store as a program uses it. */
+    /** The store as production code uses it. */
     public DurableStore store() {
         return syncWriter;
     }
@@ -76,7 +76,7 @@
         startBatch();
     }
 
-    /** The process is gone; what it was just writing may be there or not. */
+    /** The process has ended; the batch being written may be stored or not. */
     public void crash() {
         if (batchInProgress != null && !disk.refusesWrites && random.nextBoolean()) {
             batchInProgress.run();
@@ -86,7 +86,7 @@
     @Override
     public void commit(List<KeyChange> changes) throws StorageException {
         if (disk.refusesWrites) {
-            throw new StorageException("storage.full", "no room", null);
+            throw new StorageException("storage.full", "the simulated disk refuses writes", null);
         }
         for (KeyChange change : changes) {
             if (change.value() == null) {
--- a/src/main/java/brambletray/platform/storage/StoreGeneration.java
+++ b/src/main/java/brambletray/platform/storage/StoreGeneration.java
@@ -18,9 +18,9 @@
 import jetbrains.exodus.io.DataReaderWriterProvider;
 import jetbrains.exodus.log.LogConfig;
 
-/** One generation, open: a Xodus store of keys and values, with a summary written by each commit. */
+/** An open generation: a Xodus store of keys and values, with a summary that each commit updates. */
 final class StoreGeneration {
-    private static final String STORE = "trove";
+    private static final String STORE_NAME = "trove";
     private static final long CACHE_BYTES = 2L << 20;
     private static final int CACHE_PAGE = 64 << 10;
     private static final ArrayByteIterable SUMMARY_KEY = new ArrayByteIterable(new byte[] {'s'});
@@ -53,20 +53,20 @@
         environment = (EnvironmentImpl) Environments.newInstance(LogConfig.create(segments, segments), config);
     }
 
-    /** An empty one without a summary: until its first commit it does not count. */
+    /** Creates an empty generation without a summary; it is not valid until its first commit. */
     static StoreGeneration create(LogSegmentFiles segments) {
         StoreGeneration generation = new StoreGeneration(segments);
         generation.summary = CommitSummary.EMPTY;
         generation.store = generation.environment.computeInTransaction(
-                t -> generation.environment.openStore(STORE, StoreConfig.WITHOUT_DUPLICATES, t));
+                t -> generation.environment.openStore(STORE_NAME, StoreConfig.WITHOUT_DUPLICATES, t));
         generation.recordEnd();
         return generation;
     }
 
     /**
-     * The generation in these files; null if its entries do not add up to its summary, or it has none.
+     * Opens the generation in these files. Returns null if it has no summary or its entries do not match it.
      *
-     * @throws UncheckedIOException if the disk does not read
+     * @throws UncheckedIOException if reading fails
      */
     static StoreGeneration read(LogSegmentFiles segments) {
         StoreGeneration generation = null;
@@ -103,11 +103,11 @@
     }
 
     private boolean verify() {
-        if (!environment.computeInReadonlyTransaction(t -> environment.storeExists(STORE, t))) {
+        if (!environment.computeInReadonlyTransaction(t -> environment.storeExists(STORE_NAME, t))) {
             return false;
         }
         store = environment.computeInReadonlyTransaction(
-                t -> environment.openStore(STORE, StoreConfig.USE_EXISTING, t));
+                t -> environment.openStore(STORE_NAME, StoreConfig.USE_EXISTING, t));
         return environment.computeInReadonlyTransaction(t -> {
             ByteIterable summaryBytes = store.get(t, SUMMARY_KEY);
             summary = summaryBytes == null ? null : CommitSummary.fromBytes(ValueChunks.bytes(summaryBytes));
@@ -141,17 +141,17 @@
         return segments;
     }
 
-    /** Address at which the last successful commit ends. */
+    /** End address of the last successful commit. */
     long durableEnd() {
         return durableEnd;
     }
 
-    /** Bytes of all values. */
+    /** Total size of all values in bytes. */
     long liveBytes() {
         return liveBytes;
     }
 
-    /** Bytes of all files. */
+    /** Total size of all files in bytes. */
     long usedBytes() {
         return environment.getLog().getDiskUsage();
     }
@@ -162,13 +162,13 @@
 
     byte[] get(String key) {
         return environment.computeInReadonlyTransaction(t -> {
-            byte[] head = ValueChunks.firstChunkKey(key);
-            ByteIterable found = store.get(t, new ArrayByteIterable(head));
-            return found == null ? null : ValueChunks.readValue(store, t, head, ValueChunks.bytes(found));
+            byte[] firstKey = ValueChunks.firstChunkKey(key);
+            ByteIterable found = store.get(t, new ArrayByteIterable(firstKey));
+            return found == null ? null : ValueChunks.readValue(store, t, firstKey, ValueChunks.bytes(found));
         });
     }
 
-    /** All whose keys begin so, by key. */
+    /** All entries whose keys start with the prefix, sorted by key. */
     List<Map.Entry<String, byte[]>> prefix(String prefix) {
         return environment.computeInReadonlyTransaction(t -> {
             List<Map.Entry<String, byte[]>> found = new ArrayList<>();
@@ -190,27 +190,30 @@
         });
     }
 
-    /** Durable on return; throws what Xodus or the disk throws, and is then to be closed. */
+    /**
+     * Durable on return. Exceptions of Xodus and of the disk are passed on; the generation must be closed after one.
+     */
     void commit(List<KeyChange> changes) {
         Map<String, EntryInfo> changed = new HashMap<>();
         CommitSummary next = summary.nextCommit();
         Transaction t = environment.beginExclusiveTransaction();
         try {
             for (KeyChange change : changes) {
-                EntryInfo old =
+                EntryInfo oldEntry =
                         changed.containsKey(change.key()) ? changed.get(change.key()) : entries.get(change.key());
-                EntryInfo now = change.value() == null
+                EntryInfo newEntry = change.value() == null
                         ? null
                         : new EntryInfo(
                                 CommitSummary.entryChecksum(ValueChunks.utf8(change.key()), change.value()),
                                 change.value().length);
-                ValueChunks.put(store, t, change, old == null ? 0 : old.lengthBytes());
-                changed.put(change.key(), now);
-                next = next.withEntry(old == null ? 0 : old.checksum(), now == null ? 0 : now.checksum());
+                ValueChunks.put(store, t, change, oldEntry == null ? 0 : oldEntry.lengthBytes());
+                changed.put(change.key(), newEntry);
+                next = next.withEntry(
+                        oldEntry == null ? 0 : oldEntry.checksum(), newEntry == null ? 0 : newEntry.checksum());
             }
             store.put(t, SUMMARY_KEY, new ArrayByteIterable(next.toBytes()));
             if (!t.commit()) {
-                throw new IllegalStateException("another wrote at the same time");
+                throw new IllegalStateException("transaction conflicts with another writer");
             }
         } finally {
             if (!t.isFinished()) {
@@ -222,9 +225,9 @@
         recordEnd();
     }
 
-    private void recordChange(String key, EntryInfo now) {
-        EntryInfo old = now == null ? entries.remove(key) : entries.put(key, now);
-        liveBytes += (now == null ? 0 : now.lengthBytes()) - (old == null ? 0 : old.lengthBytes());
+    private void recordChange(String key, EntryInfo newEntry) {
+        EntryInfo oldEntry = newEntry == null ? entries.remove(key) : entries.put(key, newEntry);
+        liveBytes += (newEntry == null ? 0 : newEntry.lengthBytes()) - (oldEntry == null ? 0 : oldEntry.lengthBytes());
     }
 
     /** Copies all entries into an empty generation, in one commit. */
@@ -235,7 +238,7 @@
         other.commit(all);
     }
 
-    /** Writes nothing more. */
+    /** Closes the environment without writing anything more. */
     void close() {
         segments.disable();
         try {
--- a/src/main/java/brambletray/platform/storage/StoreOpening.java
+++ b/src/main/java/brambletray/platform/storage/StoreOpening.java
@@ -4,13 +4,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/**
- * What is done before a store can be read: finds the generation that counts, or begins the first, and cuts off what is
- * torn.
- */
+/** Opens a store: finds the newest valid generation or creates the first one, and truncates torn commits. */
 final class StoreOpening {
     /**
-     * Exists once a store has been created here: from then on what cannot be read was lost, and is not merely new.
+     * Exists once a store has been created in the directory. From then on, a missing or unreadable store means data
+     * loss, not a new directory.
      */
     static final String MARKER_FILE = "trove";
 
@@ -22,7 +20,7 @@
         this.directory = directory;
     }
 
-    /** The store as the last commit left it, or the one before if that is torn. */
+    /** Opens the store at its last commit, or at the one before if the last is torn. */
     StoreGeneration open() throws IOException {
         List<Long> generations = LogSegmentFiles.generations(directory);
         if (directory.length(MARKER_FILE) == 0) {
@@ -52,33 +50,35 @@
         StoreGeneration generation = StoreGeneration.create(new LogSegmentFiles(directory, 1));
         generation.commit(List.of());
         directory.sync();
-        Directory.FileWriter pen = directory.open(MARKER_FILE, 0);
+        Directory.FileWriter writer = directory.open(MARKER_FILE, 0);
         try {
-            pen.write(MARKER_TEXT, 0, MARKER_TEXT.length);
-            pen.sync();
+            writer.write(MARKER_TEXT, 0, MARKER_TEXT.length);
+            writer.sync();
         } finally {
-            pen.close();
+            writer.close();
         }
         directory.sync();
         return generation;
     }
 
-    /** By its last commit, or the one before if the last is torn: only one is ever on its way to the disk. */
+    /**
+     * Opens at the last commit, or at the one before if the last is torn: at most one commit is in progress at a time.
+     */
     private StoreGeneration openGeneration(LogSegmentFiles segments) throws IOException {
         StoreRepair repair = new StoreRepair(segments);
         List<Long> ends = repair.commitEnds(2);
         for (int i = 0; i < ends.size(); i++) {
-            boolean cut = repair.truncateAfter(ends.get(i));
+            boolean truncated = repair.truncateAfter(ends.get(i));
             StoreGeneration generation = StoreGeneration.read(new LogSegmentFiles(directory, segments.generation()));
             if (generation != null) {
                 syncGeneration(segments, i + 1 < ends.size() ? ends.get(i + 1) : 0);
-                if (cut) {
+                if (truncated) {
                     KeyValueStore.LOG
                             .info("torn-tail")
                             .with("generation", segments.generation())
                             .with("end", ends.get(i))
                             .with("commits", generation.commitCount())
-                            .with("why", i == 0 ? "bytes behind the last commit" : "the last commit was torn")
+                            .with("why", i == 0 ? "bytes after the last commit" : "the last commit was torn")
                             .log();
                 }
                 return generation;
@@ -88,10 +88,10 @@
     }
 
     /**
-     * Makes durable what has just been read. After a kill, a commit that had not returned may be read although it was
-     * never synced, and files may stand under names that were not synced: the process acts on both, so a loss of
-     * power must not take them back. What lies before {@code from}, the end of the commit before, had returned and is
-     * durable already.
+     * Makes durable what has just been read. After a process kill, a commit that had not returned may be read although
+     * it was never synced, and file names may not have been synced either. The process acts on both, so a loss of power
+     * must not undo them. Everything before {@code from}, the end of the previous commit, is durable already because
+     * that commit had returned.
      */
     private void syncGeneration(LogSegmentFiles segments, long from) throws IOException {
         for (long file : segments.addresses()) {
--- a/src/main/java/brambletray/platform/storage/StoreRepair.java
+++ b/src/main/java/brambletray/platform/storage/StoreRepair.java
@@ -7,14 +7,15 @@
 import java.util.List;
 
 /**
- * Finds where commits end in the files of a generation, by their bytes alone, and cuts off what follows one. Xodus
- * has no checksums in its log: it takes any last root that reads like one, even if bytes before it never reached the
- * disk. So a commit that was being synced when the power went can look complete; {@link StoreGeneration} checks its
- * entries, and has this class cut it off.
+ * Finds the ends of commits in the raw bytes of a generation's files, and truncates the files after one of them. The
+ * Xodus log has no checksums: Xodus accepts the last record that looks like a root, even if bytes before it never
+ * reached the disk. So a commit that was being synced when the power was lost can look complete. {@link
+ * StoreGeneration} detects that by checking the entries, and {@link StoreOpening} then uses this class to truncate it.
  *
- * <p>A log is a row of items: a byte of type (its highest bit turned), a number of a structure, a length, and so many
- * bytes; numbers have seven bits a byte, lowest first, the last byte marked. A zero type is padding of one byte. A
- * root (type 1) ends each commit and holds three numbers, the third the sum of the others and 199.
+ * <p>The log is a sequence of records: a type byte (with its highest bit inverted), a structure id, a length, and that
+ * many bytes. Numbers are encoded with seven bits per byte, lowest bits first, and the highest bit set in the last
+ * byte. Type 0 is one byte of padding. A root (type 1) ends each commit and contains three numbers, the third of which
+ * is the sum of the other two and 199.
  */
 final class StoreRepair {
     private static final int TYPE_FLAG = 0x80;
@@ -31,7 +32,7 @@
         this.segments = segments;
     }
 
-    /** Where the last commits end, the newest first, at most {@code maxCount}. */
+    /** End addresses of the last commits, newest first; at most {@code maxCount}. */
     List<Long> commitEnds(int maxCount) throws IOException {
         List<Long> files = contiguousFiles();
         List<Long> ends = new ArrayList<>();
@@ -44,11 +45,11 @@
         return ends;
     }
 
-    /** Cuts off all behind this address, durably; true if there was anything. */
+    /** Truncates the log at this address, durably; returns true if anything was removed. */
     boolean truncateAfter(long address) throws IOException {
         Directory directory = segments.directory();
         boolean removed = false;
-        boolean cut = false;
+        boolean truncated = false;
         List<Long> files = segments.addresses();
         for (int i = files.size() - 1; i >= 0; i--) {
             long file = files.get(i);
@@ -65,13 +66,13 @@
                     && address < file + LogSegmentFiles.FILE_BYTES
                     && directory.length(segments.fileName(file)) > address - file) {
                 directory.truncate(segments.fileName(file), address - file);
-                cut = true;
+                truncated = true;
             }
         }
-        return removed || cut;
+        return removed || truncated;
     }
 
-    /** The files up to the first that is short: what comes behind that one belongs to no commit. */
+    /** The files up to and including the first incomplete one, or up to a gap: later files belong to no commit. */
     private List<Long> contiguousFiles() throws IOException {
         List<Long> files = new ArrayList<>();
         long next = -1;
@@ -100,9 +101,9 @@
             if (type == PADDING_TYPE) {
                 continue;
             }
-            long structure = readNumber(limit);
+            long structureId = readNumber(limit);
             long size = readNumber(limit);
-            if (type >= TYPE_FLAG || structure < 0 || size < 0 || size > limit - position) {
+            if (type >= TYPE_FLAG || structureId < 0 || size < 0 || size > limit - position) {
                 break;
             }
             int next = position + (int) size;
@@ -125,13 +126,13 @@
         return tree >= 0 && structures >= 0 && sum == tree + structures + ROOT_CHECK_CONSTANT;
     }
 
-    /** The number at the position, or -1 if there is none. */
+    /** Reads the number at the current position; -1 if it is incomplete or too long. */
     private long readNumber(int limit) {
         long number = 0;
         for (int shift = 0; position < limit && shift < Long.SIZE - 1; shift += 7) {
-            byte one = bytes[position++];
-            number |= (long) (one & 0x7f) << shift;
-            if ((one & TYPE_FLAG) != 0) {
+            byte nextByte = bytes[position++];
+            number |= (long) (nextByte & 0x7f) << shift;
+            if ((nextByte & TYPE_FLAG) != 0) {
                 return number;
             }
         }
--- a/src/main/java/brambletray/platform/storage/SyncWriter.java
+++ b/src/main/java/brambletray/platform/storage/SyncWriter.java
@@ -9,21 +9,21 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * Group commit: writes for the event loop, on a thread of its own. All pending commits go into one durable commit, in
- * order; of several changes of one key only the last is written. Callbacks run on the loop, in the order of the
- * requests. A failed commit is not tried again.
+ * Group commit: performs durable writes for the event loop on a dedicated thread. All pending commits are merged into
+ * one, in order; of several changes of one key, only the last is written. Callbacks run on the event loop, in the order
+ * of the requests. Failed commits are not retried.
  */
 public final class SyncWriter implements AutoCloseable, DurableStore {
-    /** What is written to; {@link KeyValueStore#commit}, or a stand-in. */
+    /** The storage written to: a {@link KeyValueStore}, or a test double. */
     public interface Disk {
-        /** Writes and syncs the changes; they are durable when it returns. */
+        /** Writes and syncs the changes; durable on return. */
         void commit(List<KeyChange> changes) throws StorageException;
 
-        /** Nothing is pending now: time to compact. */
+        /** Called after each successful commit, as an opportunity to compact. */
         default void compact() {}
     }
 
-    /** Commits, and bytes of their values, that may wait. */
+    /** Limits on pending commits: their number, and the total size of their values. */
     public static final int MAX_PENDING_COMMITS = 4_096;
 
     public static final long MAX_PENDING_BYTES = 16L << 20;
@@ -34,10 +34,10 @@
     private final Executor loop;
     private final CommitQueue queue;
     private final Thread thread;
-    /** Called on the loop after each commit that was taken in. */
+    /** Called on the event loop after each accepted commit. */
     private final Runnable onPending;
 
-    /** Starts the thread; {@code loop} runs the replies. */
+    /** Starts the writer thread; {@code loop} runs the callbacks. */
     public SyncWriter(Disk disk, Executor loop) {
         this.disk = disk;
         this.loop = loop;
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Without a thread, for simulated time: {@code onPending} is called whenever something has come to wait, {@link
-     * #pollBatch} takes it.
+     * Creates a writer without a thread, for simulated time: {@code onPending} is called after each accepted commit,
+     * and {@link #pollBatch} takes the pending commits.
      */
     SyncWriter(Disk disk, Executor loop, Runnable onPending) {
         this.disk = disk;
@@ -60,7 +60,9 @@
         thread = null;
     }
 
-    /** Without a thread, for tests that choose the turns: {@link #run} is called on one of theirs. */
+    /**
+     * Creates a writer without a thread, for tests that control the interleaving: they call {@link #run} themselves.
+     */
     SyncWriter(Disk disk, Executor loop, ReentrantLock lock) {
         this.disk = disk;
         this.loop = loop;
@@ -73,37 +75,37 @@
         return new CommitQueue(MAX_PENDING_COMMITS, MAX_PENDING_BYTES, lock);
     }
 
-    /** {@inheritDoc} {@code nowMs}: as {@link #oldestWaitMs} will be asked with. */
+    /** {@inheritDoc} {@code nowMs}: of the same clock as the argument of {@link #oldestWaitMs}. */
     @Override
     public boolean commit(List<KeyChange> changes, long nowMs, CommitCallback callback) {
         long bytes = 0;
         for (KeyChange change : changes) {
             bytes += change.value() == null ? 0 : change.value().length;
         }
-        boolean taken = queue.add(new CommitQueue.Entry(changes, callback, nowMs, bytes));
-        if (taken) {
+        boolean accepted = queue.add(new CommitQueue.Entry(changes, callback, nowMs, bytes));
+        if (accepted) {
             onPending.run();
         }
-        return taken;
+        return accepted;
     }
 
-    /** ms that the commit which has waited longest has waited, on the disk or for it; 0 if none does. */
+    /** Age in ms of the oldest commit that is pending or being written; 0 if there is none. */
     public long oldestWaitMs(long nowMs) {
         return queue.oldestWaitMs(nowMs);
     }
 
-    /** Commits that wait or are being written. */
+    /** Number of commits that are pending or being written. */
     public int pending() {
         return queue.size();
     }
 
-    /** Takes no more; what waits is still written. Does not wait for it: a disk may hang. */
+    /** Rejects further commits; pending ones are still written. Does not wait for that, because a disk may hang. */
     @Override
     public void close() {
         queue.close();
     }
 
-    /** Waits up to so many ms for all that was asked for; true if it is done. */
+    /** Closes the writer and waits up to {@code timeoutMs} for pending commits; returns whether all are done. */
     public boolean drain(long timeoutMs) {
         close();
         try {
@@ -114,7 +116,7 @@
         return !thread.isAlive();
     }
 
-    /** Writes until the queue is closed and empty: what the thread does. */
+    /** Writes until the queue is closed and empty; the body of the writer thread. */
     void run() {
         for (List<CommitQueue.Entry> entries = queue.take(); entries != null; entries = queue.take()) {
             writeBatch(entries);
@@ -131,8 +133,8 @@
     }
 
     /**
-     * All that waits, taken as the thread would take it: the rest, to be run once, writes it and replies. Null: nothing
-     * waits.
+     * Takes all pending commits, as the writer thread would. Returns a task, to be run once, that writes them and runs
+     * their callbacks; null if nothing is pending.
      */
     Runnable pollBatch() {
         List<CommitQueue.Entry> entries = queue.poll();
@@ -171,13 +173,13 @@
     }
 
     private static List<KeyChange> mergeChanges(List<CommitQueue.Entry> entries) {
-        Map<String, KeyChange> last = new HashMap<>();
+        Map<String, KeyChange> latest = new HashMap<>();
         for (CommitQueue.Entry entry : entries) {
             for (KeyChange change : entry.changes()) {
-                last.put(change.key(), change);
+                latest.put(change.key(), change);
             }
         }
-        return new ArrayList<>(last.values());
+        return new ArrayList<>(latest.values());
     }
 
     private void notifyCallbacks(List<CommitQueue.Entry> entries, StorageException error) {
--- a/src/main/java/brambletray/platform/storage/ValueChunks.java
+++ b/src/main/java/brambletray/platform/storage/ValueChunks.java
@@ -9,11 +9,11 @@
 import jetbrains.exodus.env.Transaction;
 
 /**
- * How keys and values are laid out in a store: a long value is cut into chunks, as none may be longer than a file of
- * the log.
+ * Storage layout of keys and values. A long value is split into chunks, because a record must not be larger than a file
+ * of the log.
  */
 final class ValueChunks {
-    /** First byte of the keys of first chunks; further chunks have another. */
+    /** First byte of the storage key of a value's first chunk; the other chunks have a different one. */
     static final byte FIRST_CHUNK_PREFIX = 'k';
 
     private static final byte NEXT_CHUNK_PREFIX = 'p';
@@ -21,7 +21,7 @@
 
     private ValueChunks() {}
 
-    /** Writes a value, or removes it, and what is left of a longer one before. */
+    /** Writes or removes a value, and removes left-over chunks of a longer previous value. */
     static void put(Store store, Transaction transaction, KeyChange change, int oldLength) {
         byte[] value = change.value();
         int chunks = value == null ? 0 : Math.max(1, (value.length + CHUNK_BYTES - 1) / CHUNK_BYTES);
@@ -47,7 +47,7 @@
         }
     }
 
-    /** The value whose first chunk this is; null if a chunk is not as it was written. */
+    /** The value that starts with this first chunk; null if a chunk is missing or invalid. */
     static byte[] readValue(Store store, Transaction transaction, byte[] firstKey, byte[] first) {
         if (first.length < Integer.BYTES) {
             return null;
@@ -76,16 +76,16 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The key of a value's first chunk. */
+    /** The storage key of a value's first chunk. */
     static byte[] firstChunkKey(String key) {
-        byte[] utf = utf8(key);
-        byte[] firstKey = new byte[utf.length + 1];
+        byte[] utf8Key = utf8(key);
+        byte[] firstKey = new byte[utf8Key.length + 1];
         firstKey[0] = FIRST_CHUNK_PREFIX;
-        System.arraycopy(utf, 0, firstKey, 1, utf.length);
+        System.arraycopy(utf8Key, 0, firstKey, 1, utf8Key.length);
         return firstKey;
     }
 
-    /** The key that {@link #firstChunkKey} was made of. */
+    /** The inverse of {@link #firstChunkKey}. */
     static String keyOf(byte[] firstKey) {
         return new String(firstKey, 1, firstKey.length - 1, StandardCharsets.UTF_8);
     }
--- a/src/main/java/brambletray/platform/storage/package-info.java
+++ b/src/main/java/brambletray/platform/storage/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Durable keys and values of one process, in Xodus. Each commit carries a checksum of the store, so that a commit
- * torn by a loss of power is found and cut off. A thread of its own writes, so that a disk that hangs blocks nobody
- * else.
+ * Durable key-value storage of one process, based on Xodus. Each commit contains a checksum of the whole store, so that
+ * a commit torn by a loss of power is detected and truncated. A dedicated thread writes, so that a hanging disk does
+ * not block the event loop.
  */
 package brambletray.platform.storage;
--- a/src/test/java/brambletray/platform/storage/KeyValueStoreFaultsTest.java
+++ b/src/test/java/brambletray/platform/storage/KeyValueStoreFaultsTest.java
@@ -18,47 +18,47 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A disk that refuses from one step on, at each step of opening, of abandoning, and of commits with their compaction:
- * what the caller is
- * told, what a kill or a loss of power finds at each later step, and that the store works again once there is room.
+ * A disk that fails from one step on, at each step of opening, abandoning, committing and compacting. Checks which
+ * error the caller gets, what is found after a kill or power loss at each later step, and that the store works again
+ * once the fault has ended.
  */
 class KeyValueStoreFaultsTest {
     private static final int SEED = 20_262;
-    /** Bytes of files that a store of these tests is allowed, so that it is compacted soon. */
-    private static final long SMALL = 64 << 10;
-    /** Bytes of one value of these tests. */
+    /** Low compaction threshold in bytes, so that the store is compacted early. */
+    private static final long SMALL_COMPACTION_BYTES = 64 << 10;
+
     private static final int VALUE_BYTES = 20_000;
 
     private static final int COMMITS = 8;
-    private static final Set<String> TROUBLE = Set.of("storage.full", "storage.refused");
+    private static final Set<String> DISK_ERROR_CODES = Set.of("storage.full", "storage.refused");
 
-    /** How a disk refuses. */
-    private enum Refusal {
-        /** No room: nothing is written or made longer; syncs, cuts and removals go on. */
+    /** The way in which the disk fails. */
+    private enum DiskFault {
+        /** No space left: writing and extending fail; syncs, truncations and removals succeed. */
         FULL {
             @Override
             void set(SimulatedDirectory disk, boolean now) {
-                disk.full(now);
+                disk.setFull(now);
             }
         },
-        /** Nothing that changes the disk is done. */
-        EVERYTHING {
+        /** Every operation that changes the disk fails. */
+        ALL_CHANGES {
             @Override
             void set(SimulatedDirectory disk, boolean now) {
-                disk.refusing(now);
+                disk.setFailing(now);
             }
         };
 
-        abstract void set(SimulatedDirectory disk, boolean now);
+        abstract void set(SimulatedDirectory disk, boolean active);
     }
 
     private final Random random = new Random(SEED);
-    private final Set<String> notified = new TreeSet<>();
-    private int losses;
+    private final Set<String> reportedCodes = new TreeSet<>();
+    private int reopenings;
 
     @BeforeAll
-    static void quietly() {
-        Logger.getLogger("trove").setLevel(Level.OFF);
+    static void muteLog() {
+        Logger.getLogger("storage").setLevel(Level.OFF);
     }
 
     private static Map<String, byte[]> contents(KeyValueStore store) {
@@ -67,7 +67,7 @@
         return all;
     }
 
-    private static boolean same(Map<String, byte[]> one, Map<String, byte[]> other) {
+    private static boolean sameEntries(Map<String, byte[]> one, Map<String, byte[]> other) {
         return one.keySet().equals(other.keySet())
                 && one.entrySet().stream()
                         .allMatch(entry -> Arrays.equals(entry.getValue(), other.get(entry.getKey())));
@@ -83,76 +83,85 @@
         changes.forEach(change -> to.put(change.key(), change.value()));
     }
 
-    /** Opens on a disk that may refuse; null, with the code noted, if it does. */
+    /** Opens the store on a disk that may fail; if it does, records the error code and returns null. */
     private KeyValueStore tryOpen(SimulatedDirectory disk, String where) {
         try {
-            return KeyValueStore.open(disk, SMALL);
-        } catch (StorageException fault) {
-            assertTrue(TROUBLE.contains(fault.code()), where + ": " + fault.code());
-            notified.add(fault.code());
+            return KeyValueStore.open(disk, SMALL_COMPACTION_BYTES);
+        } catch (StorageException error) {
+            assertTrue(DISK_ERROR_CODES.contains(error.code()), where + ": " + error.code());
+            reportedCodes.add(error.code());
             return null;
         }
     }
 
-    /** Opened with room, it holds this or that, and takes another commit that lasts. */
-    private void worksAgain(
-            SimulatedDirectory disk, Map<String, byte[]> kept, Map<String, byte[]> tried, String where) {
-        losses++;
-        try (KeyValueStore store = KeyValueStore.open(disk, SMALL)) {
+    /**
+     * Opens the store without a fault, checks that it has one of the two contents, and makes another durable commit.
+     */
+    private void checkReopens(
+            SimulatedDirectory disk, Map<String, byte[]> committed, Map<String, byte[]> attempted, String where) {
+        reopenings++;
+        try (KeyValueStore store = KeyValueStore.open(disk, SMALL_COMPACTION_BYTES)) {
             Map<String, byte[]> found = contents(store);
-            assertTrue(same(found, kept) || same(found, tried), where + ": holds " + found.keySet());
+            assertTrue(
+                    sameEntries(found, committed) || sameEntries(found, attempted),
+                    where + ": found " + found.keySet());
             store.commit(List.of(new KeyChange("after", new byte[] {1})));
-        } catch (StorageException fault) {
-            throw new AssertionError(where + ": " + fault.code(), fault);
+        } catch (StorageException error) {
+            throw new AssertionError(where + ": " + error.code(), error);
         }
-        try (KeyValueStore store = KeyValueStore.open(disk.afterLoss(random), SMALL)) {
+        try (KeyValueStore store = KeyValueStore.open(disk.afterPowerLoss(random), SMALL_COMPACTION_BYTES)) {
             assertArrayEquals(new byte[] {1}, store.get("after"), where);
         }
     }
 
-    private void worksAfterEveryEnd(
-            SimulatedDirectory disk, Map<String, byte[]> kept, Map<String, byte[]> tried, String where) {
-        worksAgain(disk.afterKill(), kept, tried, where + ", killed");
-        for (SimulatedDirectory dark : disk.afterLosses(random)) {
-            worksAgain(dark, kept, tried, where + ", dark");
+    private void checkReopensAfterKillAndPowerLoss(
+            SimulatedDirectory disk, Map<String, byte[]> committed, Map<String, byte[]> attempted, String where) {
+        checkReopens(disk.afterKill(), committed, attempted, where + ", after a kill");
+        for (SimulatedDirectory afterPowerLoss : disk.afterPowerLosses(random)) {
+            checkReopens(afterPowerLoss, committed, attempted, where + ", after power loss");
         }
     }
 
-    /** Opening with the disk refusing from step {@code at} on; false if there is no such step. */
-    private boolean openRefused(
-            Supplier<SimulatedDirectory> found, Map<String, byte[]> kept, Refusal refusal, int at, String name) {
+    /** Opens the store with the disk failing from step {@code at} on; returns false if there is no such step. */
+    private boolean openWithFaultFrom(
+            Supplier<SimulatedDirectory> found,
+            Map<String, byte[]> committed,
+            DiskFault diskFault,
+            int at,
+            String name) {
         SimulatedDirectory disk = found.get();
-        String where = name + ", " + refusal + " from step " + at;
+        String where = name + ", " + diskFault + " from step " + at;
         int[] step = new int[1];
-        disk.watch(() -> {
+        disk.setBeforeChange(() -> {
             if (step[0]++ == at) {
-                refusal.set(disk, true);
+                diskFault.set(disk, true);
             }
         });
         KeyValueStore opened = tryOpen(disk, where);
-        disk.watch(() -> {});
+        disk.setBeforeChange(() -> {});
         if (opened != null) {
-            assertTrue(same(contents(opened), kept), where + ": reads");
+            assertTrue(sameEntries(contents(opened), committed), where + ": reads");
             opened.close();
         }
-        worksAfterEveryEnd(cleared(disk, refusal), kept, kept, where);
-        refusal.set(disk, false);
-        worksAgain(disk, kept, kept, where + ", with room again");
+        checkReopensAfterKillAndPowerLoss(copyWithoutFault(disk, diskFault), committed, committed, where);
+        diskFault.set(disk, false);
+        checkReopens(disk, committed, committed, where + ", after the fault");
         return step[0] > at;
     }
 
-    /** The same disk as another process or a later moment finds it: it refuses nothing. */
-    private static SimulatedDirectory cleared(SimulatedDirectory disk, Refusal refusal) {
-        refusal.set(disk, false);
+    /** A copy of the disk without the fault, as a later process would find it. */
+    private static SimulatedDirectory copyWithoutFault(SimulatedDirectory disk, DiskFault diskFault) {
+        diskFault.set(disk, false);
         SimulatedDirectory copy = disk.afterKill();
-        refusal.set(disk, true);
+        diskFault.set(disk, true);
         return copy;
     }
 
-    private int everyStepOfOpening(Supplier<SimulatedDirectory> found, Map<String, byte[]> kept, String name) {
+    private int openWithFaultAtEachStep(
+            Supplier<SimulatedDirectory> found, Map<String, byte[]> committed, String name) {
         int steps = 0;
-        for (Refusal refusal : Refusal.values()) {
-            for (int at = 0; openRefused(found, kept, refusal, at, name); at++) {
+        for (DiskFault diskFault : DiskFault.values()) {
+            for (int at = 0; openWithFaultFrom(found, committed, diskFault, at, name); at++) {
                 steps++;
             }
         }
@@ -160,161 +169,166 @@
     }
 
     /**
-     * The first opening, on an empty disk; and that of what a kill or a loss of power left in the middle of a commit.
+     * Opens an empty directory, a store whose process was killed, and a store with a torn tail.
      */
     @Test
-    void openingThatIsRefusedAtAnyStepIsToldAndLosesNothing() {
-        int steps = everyStepOfOpening(SimulatedDirectory::new, Map.of(), "empty");
+    void openingWithAFaultAtAnyStepReportsItAndLosesNothing() {
+        int steps = openWithFaultAtEachStep(SimulatedDirectory::new, Map.of(), "empty");
         SimulatedDirectory disk = new SimulatedDirectory();
-        Map<String, byte[]> kept = new TreeMap<>();
-        try (KeyValueStore store = KeyValueStore.open(disk, SMALL)) {
+        Map<String, byte[]> committed = new TreeMap<>();
+        try (KeyValueStore store = KeyValueStore.open(disk, SMALL_COMPACTION_BYTES)) {
             for (int i = 0; i < 3; i++) {
                 store.commit(changes(i));
-                put(kept, changes(i));
+                put(committed, changes(i));
             }
         }
-        steps += everyStepOfOpening(disk::afterKill, kept, "killed");
-        SimulatedDirectory garbage = torn(disk);
-        steps += everyStepOfOpening(garbage::afterKill, kept, "torn");
-        System.out.println(
-                "refused while it opens: " + steps + " steps, " + losses + " openings afterwards, told " + notified);
-        assertEquals(TROUBLE, notified);
+        steps += openWithFaultAtEachStep(disk::afterKill, committed, "killed");
+        SimulatedDirectory garbage = withTornTail(disk);
+        steps += openWithFaultAtEachStep(garbage::afterKill, committed, "torn");
+        System.out.println("faults while opening: " + steps + " steps, " + reopenings + " later openings, reported "
+                + reportedCodes);
+        assertEquals(DISK_ERROR_CODES, reportedCodes);
     }
 
-    /** Bytes behind the last commit: opening has to cut them off. */
-    private static SimulatedDirectory torn(SimulatedDirectory disk) {
+    /** Adds bytes after the last commit, which opening has to truncate. */
+    private static SimulatedDirectory withTornTail(SimulatedDirectory disk) {
         SimulatedDirectory copy = disk.afterKill();
-        byte[] bytes = copy.newest();
-        copy.newest(Arrays.copyOf(bytes, bytes.length + 777));
+        byte[] bytes = copy.newestFile();
+        copy.newestFile(Arrays.copyOf(bytes, bytes.length + 777));
         return copy;
     }
 
     /**
-     * Commits and compactions with the disk refusing from a step on; at each further step the process is killed or the
-     * power goes.
+     * Commits and compacts with the disk failing from one step on; at each of the next steps, and after the fault has
+     * ended, the store is reopened as after a kill.
      */
     @Test
-    void whatReturnedBeforeARefusalIsThereAtEachLaterStep() {
-        for (Refusal refusal : Refusal.values()) {
+    void commitsReturnedBeforeAFaultSurviveEachLaterStep() {
+        for (DiskFault diskFault : DiskFault.values()) {
             int steps = 0;
             int generations = 0;
-            for (int generation = commitRefused(refusal, 0); generation > 0; ) {
+            for (int generation = commitWithFaultFrom(diskFault, 0); generation > 0; ) {
                 generations = Math.max(generations, generation);
-                generation = commitRefused(refusal, ++steps);
+                generation = commitWithFaultFrom(diskFault, ++steps);
             }
-            System.out.println("refused while it commits, " + refusal + ": " + steps + " steps, " + losses
-                    + " openings afterwards, generations " + generations + ", told " + notified);
+            System.out.println("faults while committing, " + diskFault + ": " + steps + " steps, " + reopenings
+                    + " later openings, generations " + generations + ", reported " + reportedCodes);
             assertTrue(generations > 1, "never compacted");
         }
-        assertEquals(TROUBLE, notified);
+        assertEquals(DISK_ERROR_CODES, reportedCodes);
     }
 
     /** Returns the generation of the store afterwards; 0 if there is no such step. */
-    private int commitRefused(Refusal refusal, int at) {
-        String where = refusal + " from step " + at;
+    private int commitWithFaultFrom(DiskFault diskFault, int at) {
+        String where = diskFault + " from step " + at;
         SimulatedDirectory disk = new SimulatedDirectory();
-        Map<String, byte[]> kept = new TreeMap<>();
-        Map<String, byte[]> tried = new TreeMap<>();
-        KeyValueStore store = KeyValueStore.open(disk, SMALL);
+        Map<String, byte[]> committed = new TreeMap<>();
+        Map<String, byte[]> attempted = new TreeMap<>();
+        KeyValueStore store = KeyValueStore.open(disk, SMALL_COMPACTION_BYTES);
         int[] step = new int[1];
-        AssertionError[] first = new AssertionError[1];
-        disk.watch(() -> {
+        AssertionError[] firstFailure = new AssertionError[1];
+        disk.setBeforeChange(() -> {
             if (step[0] == at) {
-                refusal.set(disk, true);
+                diskFault.set(disk, true);
             }
             if (step[0]++ >= at && step[0] < at + 6) {
-                noteFailure(first, () -> worksAgain(cleared(disk, refusal), kept, tried, where + ", killed"));
+                recordFailure(
+                        firstFailure,
+                        () -> checkReopens(
+                                copyWithoutFault(disk, diskFault), committed, attempted, where + ", after a kill"));
             }
         });
-        boolean refused = false;
+        boolean failed = false;
         int number = 0;
-        for (; number < COMMITS && !refused; number++) {
-            put(tried, changes(number));
-            refused = !commits(store, changes(number), where);
-            if (!refused) {
-                put(kept, changes(number));
+        for (; number < COMMITS && !failed; number++) {
+            put(attempted, changes(number));
+            failed = !tryCommit(store, changes(number), where);
+            if (!failed) {
+                put(committed, changes(number));
                 store.compact();
             }
         }
-        if (refused) {
-            assertTrue(!commits(store, changes(number), where + ", once more"), where + ": taken though refused");
+        if (failed) {
+            assertTrue(
+                    !tryCommit(store, changes(number), where + ", next commit"),
+                    where + ": the next commit succeeded during the fault");
         }
-        disk.watch(() -> {});
-        if (first[0] != null) {
-            throw first[0];
+        disk.setBeforeChange(() -> {});
+        if (firstFailure[0] != null) {
+            throw firstFailure[0];
         }
-        refusal.set(disk, false);
-        put(tried, changes(number));
+        diskFault.set(disk, false);
+        put(attempted, changes(number));
         store.commit(changes(number));
-        put(kept, changes(number));
-        assertTrue(same(contents(store), kept), where + ": the same process reads");
-        worksAfterEveryEnd(disk, kept, kept, where + ", with room again");
+        put(committed, changes(number));
+        assertTrue(sameEntries(contents(store), committed), where + ": the same process reads");
+        checkReopensAfterKillAndPowerLoss(disk, committed, committed, where + ", after the fault");
         return step[0] > at ? Integer.parseInt(disk.names().get(0).substring(0, 8), 16) : 0;
     }
 
-    private boolean commits(KeyValueStore store, List<KeyChange> changes, String where) {
+    private boolean tryCommit(KeyValueStore store, List<KeyChange> changes, String where) {
         try {
             store.commit(changes);
             return true;
-        } catch (StorageException fault) {
-            assertTrue(TROUBLE.contains(fault.code()), where + ": " + fault.code());
-            notified.add(fault.code());
+        } catch (StorageException error) {
+            assertTrue(DISK_ERROR_CODES.contains(error.code()), where + ": " + error.code());
+            reportedCodes.add(error.code());
             return false;
         }
     }
 
-    /** What is thrown within a step of the store would come out as a fault of the disk. */
-    private static void noteFailure(AssertionError[] first, Runnable check) {
+    /** Keeps an assertion error, because one thrown inside a disk operation would be reported as a disk error. */
+    private static void recordFailure(AssertionError[] firstFailure, Runnable check) {
         try {
             check.run();
         } catch (AssertionError e) {
-            first[0] = first[0] == null ? e : first[0];
+            firstFailure[0] = firstFailure[0] == null ? e : firstFailure[0];
         }
     }
 
     /**
-     * A broken store is given up: refused, killed or dark at any step, the next opening finds it broken still, or
+     * Abandons a broken store with a disk error, kill or power loss at any step; it is then either still broken or
      * empty.
      */
     @Test
-    void abandoningAtAnyStepLeavesABrokenStoreOrAnEmptyOne() {
+    void abandoningWithAFaultAtAnyStepLeavesABrokenOrAnEmptyStore() {
         int steps = 0;
-        while (abandonRefused(steps)) {
+        while (abandonWithFaultAt(steps)) {
             steps++;
         }
-        System.out.println("refused while it is abandoned: " + steps + " steps, " + losses + " openings afterwards");
-        assertTrue(steps >= 4, "hardly a step");
+        System.out.println("faults while abandoning: " + steps + " steps, " + reopenings + " later openings");
+        assertTrue(steps >= 4, "too few steps: " + steps);
     }
 
-    private boolean abandonRefused(int at) {
+    private boolean abandonWithFaultAt(int at) {
         SimulatedDirectory disk = new SimulatedDirectory();
-        try (KeyValueStore store = KeyValueStore.open(disk, SMALL)) {
+        try (KeyValueStore store = KeyValueStore.open(disk, SMALL_COMPACTION_BYTES)) {
             store.commit(changes(1));
         }
-        disk.newest(new byte[5_000]);
+        disk.newestFile(new byte[5_000]);
         int[] step = new int[1];
-        disk.watch(() -> disk.refusing(step[0]++ == at));
+        disk.setBeforeChange(() -> disk.setFailing(step[0]++ == at));
         try {
             KeyValueStore.abandon(disk);
-        } catch (StorageException fault) {
-            assertEquals("storage.refused", fault.code(), "step " + at);
+        } catch (StorageException error) {
+            assertEquals("storage.refused", error.code(), "step " + at);
         }
-        disk.watch(() -> {});
-        disk.refusing(false);
-        brokenOrEmpty(disk.afterKill(), "abandoned until step " + at + ", killed");
-        for (SimulatedDirectory dark : disk.afterLosses(random)) {
-            brokenOrEmpty(dark, "abandoned until step " + at + ", dark");
+        disk.setBeforeChange(() -> {});
+        disk.setFailing(false);
+        checkBrokenOrEmpty(disk.afterKill(), "abandoned until step " + at + ", after a kill");
+        for (SimulatedDirectory afterPowerLoss : disk.afterPowerLosses(random)) {
+            checkBrokenOrEmpty(afterPowerLoss, "abandoned until step " + at + ", after power loss");
         }
         return step[0] > at;
     }
 
-    private void brokenOrEmpty(SimulatedDirectory disk, String where) {
+    private void checkBrokenOrEmpty(SimulatedDirectory disk, String where) {
         try {
-            KeyValueStore.open(disk, SMALL).close();
-        } catch (StorageException fault) {
-            assertEquals("storage.broken", fault.code(), where);
+            KeyValueStore.open(disk, SMALL_COMPACTION_BYTES).close();
+        } catch (StorageException error) {
+            assertEquals("storage.broken", error.code(), where);
             KeyValueStore.abandon(disk);
         }
-        worksAgain(disk, Map.of(), Map.of(), where);
+        checkReopens(disk, Map.of(), Map.of(), where);
     }
 }
--- a/src/test/java/brambletray/platform/storage/KeyValueStoreTest.java
+++ b/src/test/java/brambletray/platform/storage/KeyValueStoreTest.java
@@ -23,36 +23,36 @@
 
 class KeyValueStoreTest {
     private static final int SEED = 20_261;
-    /** Bytes of files that a store of these tests is allowed, so that it is compacted soon. */
-    private static final long SMALL = 512 << 10;
-    /** Steps for which a disk is full in the test of refusals. */
-    private static final int FULL_STEPS = 6;
+    /** Low compaction threshold in bytes, so that the store is compacted early. */
+    private static final long SMALL_COMPACTION_BYTES = 512 << 10;
+    /** Number of steps for which the disk is full in {@link #diskErrorAtAnyStepKeepsAllReturnedCommits}. */
+    private static final int DISK_FULL_STEPS = 6;
 
-    /** What the commits that returned have made. */
-    private final Map<String, byte[]> kept = new TreeMap<>();
-    /** The same, and the commit under way. */
-    private Map<String, byte[]> tried = new TreeMap<>();
+    /** Entries after all commits that have returned. */
+    private final Map<String, byte[]> committed = new TreeMap<>();
+    /** The same, with the commit in progress applied. */
+    private Map<String, byte[]> attempted = new TreeMap<>();
 
     @BeforeAll
-    static void quietly() {
-        Logger.getLogger("trove").setLevel(Level.OFF);
+    static void muteLog() {
+        Logger.getLogger("storage").setLevel(Level.OFF);
     }
 
     private void commit(KeyValueStore keyValueStore, KeyChange... changes) {
-        tried = new TreeMap<>(kept);
+        attempted = new TreeMap<>(committed);
         for (KeyChange change : changes) {
             if (change.value() == null) {
-                tried.remove(change.key());
+                attempted.remove(change.key());
             } else {
-                tried.put(change.key(), change.value());
+                attempted.put(change.key(), change.value());
             }
         }
         keyValueStore.commit(List.of(changes));
-        kept.clear();
-        kept.putAll(tried);
+        committed.clear();
+        committed.putAll(attempted);
     }
 
-    private static boolean holds(KeyValueStore keyValueStore, Map<String, byte[]> expected) {
+    private static boolean contains(KeyValueStore keyValueStore, Map<String, byte[]> expected) {
         List<Map.Entry<String, byte[]>> all = keyValueStore.prefix("");
         return all.size() == expected.size()
                 && all.stream().allMatch(e -> Arrays.equals(e.getValue(), expected.get(e.getKey())));
@@ -64,7 +64,7 @@
         return value;
     }
 
-    private void work(KeyValueStore keyValueStore, Random random, int commits, int longest) {
+    private void runRandomCommits(KeyValueStore keyValueStore, Random random, int commits, int longest) {
         for (int i = 0; i < commits; i++) {
             List<KeyChange> changes = new ArrayList<>();
             for (int j = random.nextInt(3); j >= 0; j--) {
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void keepsWhatWasCommittedAndNothingElse(@TempDir Path dir) {
+    void reopensWithExactlyTheCommittedEntries(@TempDir Path dir) {
         Random random = new Random(SEED);
         try (KeyValueStore keyValueStore = KeyValueStore.open(dir)) {
             commit(
@@ -99,67 +99,68 @@
                     keyValueStore.prefix("a.").stream().map(Map.Entry::getKey).toList());
         }
         try (KeyValueStore again = KeyValueStore.open(dir)) {
-            assertTrue(holds(again, kept));
+            assertTrue(contains(again, committed));
             assertEquals(4, again.commitCount());
         }
     }
 
     @Test
-    void aCopyOfTheFolderAfterACommitHasIt(@TempDir Path dir, @TempDir Path copy) throws Exception {
+    void aCopyOfTheDirectoryContainsAllCommits(@TempDir Path dir, @TempDir Path copy) throws Exception {
         try (KeyValueStore keyValueStore = KeyValueStore.open(dir)) {
-            work(keyValueStore, new Random(SEED), 30, 90_000);
+            runRandomCommits(keyValueStore, new Random(SEED), 30, 90_000);
             try (Stream<Path> files = Files.list(dir)) {
                 for (Path file : files.toList()) {
                     Files.copy(file, copy.resolve(file.getFileName()));
                 }
             }
             try (KeyValueStore other = KeyValueStore.open(copy)) {
-                assertTrue(holds(other, kept));
+                assertTrue(contains(other, committed));
             }
         }
     }
 
     @Test
-    void staysSmallUnderTenThousandCommits() {
+    void compactionBoundsDiskUseOverTenThousandCommits() {
         SimulatedDirectory disk = new SimulatedDirectory();
         Random random = new Random(SEED);
-        long most = 0;
+        long maxBytes = 0;
         try (KeyValueStore keyValueStore = KeyValueStore.open(disk)) {
             byte[] value = value(random, 20_000);
             for (int i = 0; i < 10_000; i++) {
                 value[i % value.length]++;
                 keyValueStore.commit(List.of(new KeyChange("key-" + i % 5, value.clone())));
                 keyValueStore.compact();
-                most = Math.max(most, disk.bytes());
+                maxBytes = Math.max(maxBytes, disk.bytes());
             }
             assertArrayEquals(value, keyValueStore.get("key-4"));
         }
-        assertTrue(most < 12 << 20, "most " + most);
+        assertTrue(maxBytes < 12 << 20, "disk use reached " + maxBytes);
     }
 
     /**
-     * The power goes at any step: in commits, at the edge of files, between generations, in the mending after a loss.
+     * Power loss at any step: during commits, at file boundaries, between generations, and while recovering from a
+     * power loss.
      */
     @Test
-    void aLossOfPowerTakesNothingThatReturned() {
+    void powerLossKeepsAllReturnedCommits() {
         Random random = new Random(SEED);
         SimulatedDirectory disk = new SimulatedDirectory();
         int[] steps = new int[2];
-        disk.watch(() -> {
+        disk.setBeforeChange(() -> {
             if (steps[0]++ < 24 || random.nextInt(7) == 0) {
                 steps[1]++;
                 String where = "seed " + SEED + " step " + steps[0];
-                afterwards(disk.afterKill(), random, where + " killed");
-                afterwards(disk.afterLoss(random), random, where + " dark");
+                checkReopens(disk.afterKill(), random, where + " after a kill");
+                checkReopens(disk.afterPowerLoss(random), random, where + " after power loss");
             }
         });
-        work(KeyValueStore.open(disk), new Random(SEED), 60, 400_000);
-        assertTrue(steps[1] > 60, "too few losses");
+        runRandomCommits(KeyValueStore.open(disk), new Random(SEED), 60, 400_000);
+        assertTrue(steps[1] > 60, "too few power losses: " + steps[1]);
     }
 
-    private void afterwards(SimulatedDirectory found, Random random, String where) {
+    private void checkReopens(SimulatedDirectory found, Random random, String where) {
         try (KeyValueStore again = KeyValueStore.open(found)) {
-            assertTrue(holds(again, kept) || holds(again, tried), where);
+            assertTrue(contains(again, committed) || contains(again, attempted), where);
             again.commit(List.of(new KeyChange("after", new byte[] {1})));
             assertEquals(
                     1,
@@ -172,89 +173,89 @@
         } catch (StorageException e) {
             throw new AssertionError(where, e);
         }
-        try (KeyValueStore third = KeyValueStore.open(found.afterLoss(random))) {
+        try (KeyValueStore third = KeyValueStore.open(found.afterPowerLoss(random))) {
             assertArrayEquals(new byte[] {1}, third.get("after"), where);
         }
     }
 
     /**
-     * Each step of opening, appending, rolling to a further file and compacting: the process is killed there, or the
-     * power goes with every subset of the names that the folder hasn't been synced with. What opens then is all that
-     * returned, with the commit under way or without; and once a process has opened it, a loss of power takes nothing
-     * of what it has read.
+     * At each step of opening, appending, starting a new file and compacting, the process is killed, or the power is
+     * lost with every subset of the unsynced changes of the directory. The store then opens with all commits that
+     * returned, with or without the commit in progress. Once a process has opened it, a power loss undoes nothing that
+     * it has read.
      */
     @Test
-    void atEachStepEverySubsetOfUnsyncedNamesLeavesAPrefixWithAllThatReturned() {
+    void powerLossWithAnySubsetOfUnsyncedNamesKeepsAllReturnedCommits() {
         Random random = new Random(SEED);
         SimulatedDirectory disk = new SimulatedDirectory();
-        int[] seen = new int[5];
-        // what is thrown within the store's own step would come out as a fault of the disk
-        AssertionError[] first = new AssertionError[1];
-        disk.watch(() -> {
-            String where = "seed " + SEED + " step " + seen[0]++;
-            seen[3] = Math.max(seen[3], disk.unsynced().size());
+        int[] counts = new int[5];
+        // An assertion error thrown inside a disk operation would be reported as a disk error, so it is kept for later.
+        AssertionError[] firstFailure = new AssertionError[1];
+        disk.setBeforeChange(() -> {
+            String where = "seed " + SEED + " step " + counts[0]++;
+            counts[3] = Math.max(counts[3], disk.unsyncedNames().size());
             try {
                 for (SimulatedDirectory found :
-                        first[0] != null ? List.<SimulatedDirectory>of() : disk.afterLosses(random)) {
-                    seen[1]++;
-                    prefix(found, where + " dark");
+                        firstFailure[0] != null ? List.<SimulatedDirectory>of() : disk.afterPowerLosses(random)) {
+                    counts[1]++;
+                    checkLastOrPendingCommit(found, where + " after power loss");
                 }
-                killed(disk.afterKill(), random, where + " killed", seen);
+                checkAfterKill(disk.afterKill(), random, where + " after a kill", counts);
             } catch (AssertionError e) {
-                first[0] = first[0] == null ? e : first[0];
+                firstFailure[0] = firstFailure[0] == null ? e : firstFailure[0];
             }
         });
-        try (KeyValueStore keyValueStore = KeyValueStore.open(disk, SMALL)) {
-            work(keyValueStore, new Random(SEED), 24, 100_000);
-            seen[4] = Integer.parseInt(disk.names().get(0).substring(0, 8), 16);
+        try (KeyValueStore keyValueStore = KeyValueStore.open(disk, SMALL_COMPACTION_BYTES)) {
+            runRandomCommits(keyValueStore, new Random(SEED), 24, 100_000);
+            counts[4] = Integer.parseInt(disk.names().get(0).substring(0, 8), 16);
         }
-        if (first[0] != null) {
-            throw first[0];
+        if (firstFailure[0] != null) {
+            throw firstFailure[0];
         }
-        System.out.println("trove: " + seen[0] + " steps, " + seen[1] + " losses of power, " + seen[2]
-                + " after a kill, most unsynced " + "names " + seen[3] + ", generations " + seen[4]);
-        assertTrue(seen[4] > 2, "hardly compacted");
-        assertTrue(seen[3] >= 2, "hardly a name was unsynced");
+        System.out.println("store: " + counts[0] + " steps, " + counts[1] + " losses of power, " + counts[2]
+                + " after a kill, at most " + counts[3] + " unsynced names" + ", generations " + counts[4]);
+        assertTrue(counts[4] > 2, "too few compactions: generation " + counts[4]);
+        assertTrue(counts[3] >= 2, "too few unsynced names: " + counts[3]);
     }
 
     /**
-     * The disk refuses one step, or is full for a while from there: what fails is said to fail, and losses of power
-     * find all that didn't.
+     * The disk fails at one step, or is full for several steps from there. Failed commits report an error, and after a
+     * power loss all other commits are found.
      */
     @Test
-    void aDiskThatRefusesAtAnyStepLosesNothingThatReturns() {
+    void diskErrorAtAnyStepKeepsAllReturnedCommits() {
         Random random = new Random(SEED);
         int steps = Integer.MAX_VALUE;
-        int[] seen = new int[3];
+        int[] counts = new int[3];
         for (int at = 0; at < steps; at++) {
-            for (int span = 1; span <= FULL_STEPS; span += FULL_STEPS - 1) {
-                steps = refusing(at, span, random, seen);
+            for (int faultSteps = 1; faultSteps <= DISK_FULL_STEPS; faultSteps += DISK_FULL_STEPS - 1) {
+                steps = runWithFailingSteps(at, faultSteps, random, counts);
             }
         }
-        System.out.println("trove: refused at each of " + steps + " steps, " + seen[0] + " faults told, " + seen[1]
-                + " losses of power");
-        assertTrue(seen[0] > steps, "hardly a fault was told");
-        assertTrue(seen[2] > steps, "hardly compacted");
+        System.out.println("store: failed at each of " + steps + " steps, " + counts[0] + " errors reported, "
+                + counts[1] + " losses of power");
+        assertTrue(counts[0] > steps, "too few errors reported: " + counts[0]);
+        assertTrue(counts[2] > steps, "too few compactions: " + counts[2]);
     }
 
-    private int refusing(int at, int span, Random random, int[] seen) {
-        kept.clear();
-        tried = new TreeMap<>();
+    private int runWithFailingSteps(int at, int faultSteps, Random random, int[] counts) {
+        committed.clear();
+        attempted = new TreeMap<>();
         SimulatedDirectory disk = new SimulatedDirectory();
         int[] step = new int[1];
-        KeyValueStore keyValueStore = KeyValueStore.open(disk, SMALL / 4);
-        work(keyValueStore, new Random(SEED), 7, 5_000);
-        disk.watch(() -> {
-            boolean now = step[0] >= at && step[0] < at + span;
-            disk.refusing(now && span != FULL_STEPS);
-            disk.full(now && span == FULL_STEPS);
+        KeyValueStore keyValueStore = KeyValueStore.open(disk, SMALL_COMPACTION_BYTES / 4);
+        runRandomCommits(keyValueStore, new Random(SEED), 7, 5_000);
+        disk.setBeforeChange(() -> {
+            boolean now = step[0] >= at && step[0] < at + faultSteps;
+            disk.setFailing(now && faultSteps != DISK_FULL_STEPS);
+            disk.setFull(now && faultSteps == DISK_FULL_STEPS);
             step[0]++;
         });
         Random values = new Random(SEED + 1);
         int checks = 0;
         for (int i = 0; i < 14; i++) {
-            boolean hurt = step[0] >= at && checks < 2;
-            String where = "seed " + SEED + " refused at " + at + " for " + span + ", commit " + i;
+            boolean faultActive = step[0] >= at && checks < 2;
+            String where = "seed " + SEED + " disk fault at step " + at + " for " + faultSteps + " steps, commit " + i;
             KeyChange[] changes = {
                 new KeyChange("key-0", value(values, 60_000)), new KeyChange("number", new byte[] {(byte) i})
             };
@@ -263,79 +264,79 @@
                     commit(keyValueStore, changes);
                     done = true;
                 } catch (StorageException e) {
-                    seen[0]++;
+                    counts[0]++;
                     assertTrue(e.code().equals("storage.refused") || e.code().equals("storage.full"), where + e);
-                    darkAfter(disk, random, where + " failed", seen);
+                    checkPowerLosses(disk, random, where + " failed", counts);
                 }
             }
-            assertTrue(holds(keyValueStore, kept), where);
+            assertTrue(contains(keyValueStore, committed), where);
             keyValueStore.compact();
-            if (hurt) {
+            if (faultActive) {
                 checks++;
-                darkAfter(disk, random, where, seen);
+                checkPowerLosses(disk, random, where, counts);
             }
         }
-        seen[2] += disk.names().get(0).compareTo("00000002") > 0 ? 1 : 0;
+        counts[2] += disk.names().get(0).compareTo("00000002") > 0 ? 1 : 0;
         return step[0];
     }
 
-    private void darkAfter(SimulatedDirectory disk, Random random, String where, int[] seen) {
-        for (SimulatedDirectory found : disk.afterLosses(random)) {
-            seen[1]++;
-            prefix(found, where + " dark");
+    private void checkPowerLosses(SimulatedDirectory disk, Random random, String where, int[] counts) {
+        for (SimulatedDirectory found : disk.afterPowerLosses(random)) {
+            counts[1]++;
+            checkLastOrPendingCommit(found, where + " after power loss");
         }
     }
 
-    /** Opened after a kill; the power goes at each step of that, or after it. */
-    private void killed(SimulatedDirectory found, Random random, String where, int[] seen) {
-        found.watch(() -> {
-            for (SimulatedDirectory later : found.afterLosses(random)) {
-                seen[2]++;
-                prefix(later, where + ", then dark while it opens");
+    /** Reopens the store after a kill, with a power loss at each step of that and after it. */
+    private void checkAfterKill(SimulatedDirectory found, Random random, String where, int[] counts) {
+        found.setBeforeChange(() -> {
+            for (SimulatedDirectory later : found.afterPowerLosses(random)) {
+                counts[2]++;
+                checkLastOrPendingCommit(later, where + ", then power loss while it opens");
             }
         });
         Map<String, byte[]> read = new TreeMap<>();
-        try (KeyValueStore again = KeyValueStore.open(found, SMALL)) {
-            assertTrue(holds(again, kept) || holds(again, tried), where);
+        try (KeyValueStore again = KeyValueStore.open(found, SMALL_COMPACTION_BYTES)) {
+            assertTrue(contains(again, committed) || contains(again, attempted), where);
             again.prefix("").forEach(entry -> read.put(entry.getKey(), entry.getValue()));
-            same(found, read, random, where + ", then dark: what had been read", seen);
-            found.watch(() -> {});
+            checkContentsAfterPowerLosses(found, read, random, where + ", then power loss after reading", counts);
+            found.setBeforeChange(() -> {});
             again.commit(List.of(new KeyChange("after", new byte[] {1})));
             read.put("after", new byte[] {1});
-            same(found, read, random, where + ", gone on, then dark", seen);
+            checkContentsAfterPowerLosses(found, read, random, where + ", then a commit and power loss", counts);
         } catch (StorageException e) {
             throw new AssertionError(where, e);
         }
     }
 
-    private static void same(
-            SimulatedDirectory disk, Map<String, byte[]> expected, Random random, String where, int[] seen) {
-        for (SimulatedDirectory found : disk.afterLosses(random)) {
-            seen[2]++;
-            try (KeyValueStore again = KeyValueStore.open(found, SMALL)) {
-                assertTrue(holds(again, expected), where);
+    private static void checkContentsAfterPowerLosses(
+            SimulatedDirectory disk, Map<String, byte[]> expected, Random random, String where, int[] counts) {
+        for (SimulatedDirectory found : disk.afterPowerLosses(random)) {
+            counts[2]++;
+            try (KeyValueStore again = KeyValueStore.open(found, SMALL_COMPACTION_BYTES)) {
+                assertTrue(contains(again, expected), where);
             } catch (StorageException e) {
                 throw new AssertionError(where, e);
             }
         }
     }
 
-    private void prefix(SimulatedDirectory found, String where) {
-        try (KeyValueStore again = KeyValueStore.open(found, SMALL)) {
-            assertTrue(holds(again, kept) || holds(again, tried), where);
+    private void checkLastOrPendingCommit(SimulatedDirectory found, String where) {
+        try (KeyValueStore again = KeyValueStore.open(found, SMALL_COMPACTION_BYTES)) {
+            assertTrue(contains(again, committed) || contains(again, attempted), where);
         } catch (StorageException e) {
             throw new AssertionError(where, e);
         }
     }
 
     @Test
-    void garbageAtTheEndIsCutOff() {
+    void truncatesGarbageAfterTheLastCommit() {
         Random random = new Random(SEED);
         SimulatedDirectory disk = new SimulatedDirectory();
-        work(KeyValueStore.open(disk), random, 20, 40_000);
+        runRandomCommits(KeyValueStore.open(disk), random, 20, 40_000);
         for (int i = 0; i < 90; i++) {
             SimulatedDirectory copy = disk.afterKill();
-            byte[] bytes = copy.newest();
+            byte[] bytes = copy.newestFile();
             byte[] longer = Arrays.copyOf(bytes, bytes.length + 1 + random.nextInt(30_000));
             if (i % 3 > 0) {
                 byte[] garbage = i % 3 == 1
@@ -343,62 +344,63 @@
                         : Arrays.copyOfRange(bytes, Math.max(0, 2 * bytes.length - longer.length), bytes.length);
                 System.arraycopy(garbage, 0, longer, bytes.length, garbage.length);
             }
-            copy.newest(longer);
+            copy.newestFile(longer);
             try (KeyValueStore again = KeyValueStore.open(copy)) {
-                assertTrue(holds(again, kept), "seed " + SEED + " case " + i);
+                assertTrue(contains(again, committed), "seed " + SEED + " case " + i);
             }
         }
     }
 
     @Test
-    void theLastCommitGivesWayToTheOneBeforeIfItIsTorn() {
+    void fallsBackToThePreviousCommitIfTheLastIsTorn() {
         Random random = new Random(SEED);
         SimulatedDirectory disk = new SimulatedDirectory();
         KeyValueStore keyValueStore = KeyValueStore.open(disk);
-        work(keyValueStore, random, 20, 40_000);
-        Map<String, byte[]> before = new TreeMap<>(kept);
-        int end = disk.newest().length;
+        runRandomCommits(keyValueStore, random, 20, 40_000);
+        Map<String, byte[]> before = new TreeMap<>(committed);
+        int end = disk.newestFile().length;
         commit(keyValueStore, new KeyChange("key-1", value(random, 30_000)), new KeyChange("number", new byte[1]));
-        for (int at = end; at < disk.newest().length; at += 391) {
+        for (int at = end; at < disk.newestFile().length; at += 391) {
             SimulatedDirectory copy = disk.afterKill();
-            byte[] bytes = copy.newest().clone();
+            byte[] bytes = copy.newestFile().clone();
             Arrays.fill(bytes, at, Math.min(bytes.length, at + 50), (byte) 0);
-            copy.newest(bytes);
+            copy.newestFile(bytes);
             try (KeyValueStore again = KeyValueStore.open(copy)) {
-                assertTrue(holds(again, before) || holds(again, kept), "hole at " + (at - end));
+                assertTrue(contains(again, before) || contains(again, committed), "hole at " + (at - end));
             }
         }
     }
 
     @Test
-    void aFullDiskFailsTheCommitAndNothingElse() {
+    void aFullDiskFailsOnlyTheCommit() {
         Random random = new Random(SEED);
         SimulatedDirectory disk = new SimulatedDirectory();
         KeyValueStore keyValueStore = KeyValueStore.open(disk);
-        work(keyValueStore, random, 10, 10_000);
-        disk.room(disk.bytes() + 50_000);
-        StorageException fault = assertThrows(StorageException.class, () -> work(keyValueStore, random, 100, 10_000));
+        runRandomCommits(keyValueStore, random, 10, 10_000);
+        disk.setCapacity(disk.bytes() + 50_000);
+        StorageException fault =
+                assertThrows(StorageException.class, () -> runRandomCommits(keyValueStore, random, 100, 10_000));
         assertEquals("storage.full", fault.code());
-        assertTrue(holds(keyValueStore, kept));
-        assertTrue(holds(KeyValueStore.open(disk.afterKill()), kept));
-        disk.room(Long.MAX_VALUE);
-        work(keyValueStore, random, 10, 10_000);
-        assertTrue(holds(KeyValueStore.open(disk.afterLoss(random)), kept));
+        assertTrue(contains(keyValueStore, committed));
+        assertTrue(contains(KeyValueStore.open(disk.afterKill()), committed));
+        disk.setCapacity(Long.MAX_VALUE);
+        runRandomCommits(keyValueStore, random, 10, 10_000);
+        assertTrue(contains(KeyValueStore.open(disk.afterPowerLoss(random)), committed));
     }
 
     /**
-     * A process that is started again while its disk is full reads what it had, writes nothing, and goes on once there
-     * is room.
+     * A process that is restarted while its disk is full can read its data, fails to commit, and commits again once
+     * space is freed.
      */
     @Test
-    void aFullDiskIsOpenedAndReadAndWrittenOnceThereIsRoom() {
+    void opensAndReadsOnAFullDiskAndCommitsOnceSpaceIsFreed() {
         Random random = new Random(SEED);
         SimulatedDirectory disk = new SimulatedDirectory();
-        work(KeyValueStore.open(disk), random, 30, 40_000);
-        for (SimulatedDirectory found : List.of(disk.afterKill(), disk.afterLoss(random))) {
-            found.full(true);
+        runRandomCommits(KeyValueStore.open(disk), random, 30, 40_000);
+        for (SimulatedDirectory found : List.of(disk.afterKill(), disk.afterPowerLoss(random))) {
+            found.setFull(true);
             try (KeyValueStore keyValueStore = KeyValueStore.open(found)) {
-                assertTrue(holds(keyValueStore, kept));
+                assertTrue(contains(keyValueStore, committed));
                 for (int i = 0; i < 3; i++) {
                     List<KeyChange> more = List.of(new KeyChange("x", new byte[9]));
                     assertEquals(
@@ -406,36 +408,38 @@
                             assertThrows(StorageException.class, () -> keyValueStore.commit(more))
                                     .code());
                 }
-                assertTrue(holds(keyValueStore, kept));
-                found.full(false);
+                assertTrue(contains(keyValueStore, committed));
+                found.setFull(false);
                 keyValueStore.commit(List.of(new KeyChange("x", new byte[9])));
             }
             assertArrayEquals(
-                    new byte[9], KeyValueStore.open(found.afterLoss(random)).get("x"));
+                    new byte[9],
+                    KeyValueStore.open(found.afterPowerLoss(random)).get("x"));
         }
     }
 
     @Test
-    void aDiskThatRefusesForAWhileIsWrittenAgain() {
+    void commitsAgainAfterTemporaryDiskErrors() {
         Random random = new Random(SEED);
         SimulatedDirectory disk = new SimulatedDirectory();
         KeyValueStore keyValueStore = KeyValueStore.open(disk);
-        work(keyValueStore, random, 10, 10_000);
-        disk.refusing(true);
+        runRandomCommits(keyValueStore, random, 10, 10_000);
+        disk.setFailing(true);
         for (int i = 0; i < 3; i++) {
-            StorageException fault = assertThrows(StorageException.class, () -> work(keyValueStore, random, 1, 10_000));
+            StorageException fault =
+                    assertThrows(StorageException.class, () -> runRandomCommits(keyValueStore, random, 1, 10_000));
             assertEquals("storage.refused", fault.code());
         }
-        disk.refusing(false);
-        work(keyValueStore, random, 10, 10_000);
-        assertTrue(holds(keyValueStore, kept));
-        assertTrue(holds(KeyValueStore.open(disk.afterLoss(random)), kept));
+        disk.setFailing(false);
+        runRandomCommits(keyValueStore, random, 10, 10_000);
+        assertTrue(contains(keyValueStore, committed));
+        assertTrue(contains(KeyValueStore.open(disk.afterPowerLoss(random)), committed));
     }
 
     @Test
-    void aStoreThatIsLostIsBrokenAndCanBeAbandoned(@TempDir Path dir) throws Exception {
+    void anUnreadableStoreIsBrokenAndCanBeAbandoned(@TempDir Path dir) throws Exception {
         try (KeyValueStore keyValueStore = KeyValueStore.open(dir)) {
-            work(keyValueStore, new Random(SEED), 5, 1_000);
+            runRandomCommits(keyValueStore, new Random(SEED), 5, 1_000);
         }
         try (Stream<Path> files = Files.list(dir)) {
             for (Path file : files.filter(f -> f.toString().endsWith(".xd")).toList()) {
@@ -448,7 +452,7 @@
                         .code());
         KeyValueStore.abandon(dir);
         try (KeyValueStore keyValueStore = KeyValueStore.open(dir)) {
-            assertTrue(holds(keyValueStore, Map.of()));
+            assertTrue(contains(keyValueStore, Map.of()));
         }
     }
 }
--- a/src/test/java/brambletray/platform/storage/SimulatedDirectory.java
+++ b/src/test/java/brambletray/platform/storage/SimulatedDirectory.java
@@ -11,171 +11,172 @@
 import java.util.TreeSet;
 
 /**
- * A folder in memory that loses power. Of a file stays what was synced; of what was written later each piece is there,
- * missing or torn, or all of it is gone. Each file that was made or removed since the folder's last sync is there or
- * not, by itself.
+ * An in-memory directory that simulates power loss. Synced contents of a file survive; each later write survives, is
+ * lost or is torn, or all of them are lost. Each creation or removal of a file since the directory's last sync survives
+ * or is undone, independently of the others.
  */
 final class SimulatedDirectory implements Directory {
     private record Write(int at, byte[] bytes) {}
 
-    private static final class Item {
+    private static final class SimulatedFile {
         private byte[] bytes = new byte[0];
         private int length;
-        /** What was synced, or null: not even that there is such a file. */
-        private byte[] kept;
+        /** The synced contents; null if the file was never synced. */
+        private byte[] syncedBytes;
 
-        private int keptLength;
-        private final List<Write> later = new ArrayList<>();
+        private int syncedLength;
+        private final List<Write> unsyncedWrites = new ArrayList<>();
 
-        private static Item of(byte[] bytes) {
-            Item item = new Item();
-            item.put(0, bytes);
-            item.sync();
-            return item;
+        private static SimulatedFile of(byte[] bytes) {
+            SimulatedFile file = new SimulatedFile();
+            file.put(0, bytes);
+            file.sync();
+            return file;
         }
 
-        /** The same, with what is on the disk and what is not yet. */
-        private Item copy() {
-            Item item = new Item();
-            item.bytes = Arrays.copyOf(bytes, length);
-            item.length = length;
-            item.kept = kept == null ? null : Arrays.copyOf(kept, keptLength);
-            item.keptLength = keptLength;
-            item.later.addAll(later);
-            return item;
+        /** A copy with the same synced and unsynced contents. */
+        private SimulatedFile copy() {
+            SimulatedFile file = new SimulatedFile();
+            file.bytes = Arrays.copyOf(bytes, length);
+            file.length = length;
+            file.syncedBytes = syncedBytes == null ? null : Arrays.copyOf(syncedBytes, syncedLength);
+            file.syncedLength = syncedLength;
+            file.unsyncedWrites.addAll(unsyncedWrites);
+            return file;
         }
 
-        /** What a loss of power leaves. */
-        private byte[] left(Random random, boolean nothing) {
-            byte[] left = kept == null ? new byte[0] : Arrays.copyOf(kept, keptLength);
-            for (Write write : later) {
-                int fate = nothing ? 1 : random.nextInt(4);
+        /** Random contents after a power loss. */
+        private byte[] bytesAfterPowerLoss(Random random, boolean loseAllUnsynced) {
+            byte[] result = syncedBytes == null ? new byte[0] : Arrays.copyOf(syncedBytes, syncedLength);
+            for (Write write : unsyncedWrites) {
+                int outcome = loseAllUnsynced ? 1 : random.nextInt(4);
                 int cut = write.bytes.length > 1 ? 1 + random.nextInt(write.bytes.length - 1) : 0;
-                if (fate == 0) {
-                    left = SimulatedDirectory.put(left, write.at, write.bytes);
-                } else if (fate == 2 && cut > 0) {
-                    left = SimulatedDirectory.put(left, write.at, Arrays.copyOf(write.bytes, cut));
-                } else if (fate == 3 && cut > 0) {
-                    left = SimulatedDirectory.put(
-                            left, write.at + cut, Arrays.copyOfRange(write.bytes, cut, write.bytes.length));
+                if (outcome == 0) {
+                    result = SimulatedDirectory.put(result, write.at, write.bytes);
+                } else if (outcome == 2 && cut > 0) {
+                    result = SimulatedDirectory.put(result, write.at, Arrays.copyOf(write.bytes, cut));
+                } else if (outcome == 3 && cut > 0) {
+                    result = SimulatedDirectory.put(
+                            result, write.at + cut, Arrays.copyOfRange(write.bytes, cut, write.bytes.length));
                 }
             }
-            return left;
+            return result;
         }
 
-        private void put(int at, byte[] piece) {
-            if (bytes.length < at + piece.length) {
-                bytes = Arrays.copyOf(bytes, Math.max(at + piece.length, 2 * bytes.length));
+        private void put(int at, byte[] written) {
+            if (bytes.length < at + written.length) {
+                bytes = Arrays.copyOf(bytes, Math.max(at + written.length, 2 * bytes.length));
             }
-            System.arraycopy(piece, 0, bytes, at, piece.length);
-            length = Math.max(length, at + piece.length);
+            System.arraycopy(written, 0, bytes, at, written.length);
+            length = Math.max(length, at + written.length);
         }
 
-        private void write(int at, byte[] piece) {
-            put(at, piece);
-            later.add(new Write(at, piece));
+        private void write(int at, byte[] written) {
+            put(at, written);
+            unsyncedWrites.add(new Write(at, written));
         }
 
-        private void length(int now) {
-            if (now < length) {
-                bytes = Arrays.copyOf(bytes, now);
-                length = now;
+        private void setLength(int newLength) {
+            if (newLength < length) {
+                bytes = Arrays.copyOf(bytes, newLength);
+                length = newLength;
             } else {
-                put(length, new byte[now - length]);
+                put(length, new byte[newLength - length]);
             }
             sync();
         }
 
-        /** Bytes before {@code keptLength} never change, but by a cut, which copies them. */
+        /** Shares the array: bytes before {@code syncedLength} change only by truncation, which copies them. */
         private void sync() {
-            kept = bytes;
-            keptLength = length;
-            later.clear();
+            syncedBytes = bytes;
+            syncedLength = length;
+            unsyncedWrites.clear();
         }
 
-        private byte[] now() {
+        private byte[] contents() {
             return Arrays.copyOf(bytes, length);
         }
     }
 
-    /** Subsets of unsynced names that are played all, by their number; of more names as many are drawn. */
-    private static final int MOST_NAMES = 6;
+    /** Up to this many unsynced names, all subsets are simulated; for more names, the same number of random ones. */
+    private static final int MAX_ENUMERATED_NAMES = 6;
 
-    private final Map<String, Item> files = new TreeMap<>();
-    /** The files under their names as the folder was last synced. */
-    private final Map<String, Item> named = new TreeMap<>();
+    private final Map<String, SimulatedFile> files = new TreeMap<>();
+    /** Files by name as of the directory's last sync. */
+    private final Map<String, SimulatedFile> syncedNames = new TreeMap<>();
 
-    private Runnable watcher = () -> {};
-    private long room = Long.MAX_VALUE;
-    private boolean refusing;
+    private Runnable beforeChange = () -> {};
+    private long capacityBytes = Long.MAX_VALUE;
+    private boolean failing;
     private boolean full;
 
-    /** Is called before each operation that changes something. */
-    void watch(Runnable each) {
-        watcher = each;
+    /** Sets the action that runs before each operation that changes the directory. */
+    void setBeforeChange(Runnable each) {
+        beforeChange = each;
     }
 
-    /** Bytes for which there is room. */
-    void room(long bytes) {
-        room = bytes;
+    /** Sets the total number of bytes that fit on the disk. */
+    void setCapacity(long bytes) {
+        capacityBytes = bytes;
     }
 
-    void refusing(boolean now) {
-        refusing = now;
+    void setFailing(boolean value) {
+        failing = value;
     }
 
-    /** No file may be written, made or made longer; syncs, cuts and removals go on. */
-    void full(boolean now) {
-        full = now;
+    /** While set, writing, creating and extending files fail; syncs, truncations and removals succeed. */
+    void setFull(boolean value) {
+        full = value;
     }
 
     long bytes() {
-        return files.values().stream().mapToLong(item -> item.length).sum();
+        return files.values().stream().mapToLong(file -> file.length).sum();
     }
 
-    /** What is found after a kill: all that was written, synced or not. */
+    /** The directory after a process kill: all writes survive, synced or not. */
     SimulatedDirectory afterKill() {
         SimulatedDirectory next = new SimulatedDirectory();
-        Map<Item, Item> copies = new IdentityHashMap<>();
-        files.forEach((name, item) -> next.files.put(name, copies.computeIfAbsent(item, Item::copy)));
-        named.forEach((name, item) -> next.named.put(name, copies.computeIfAbsent(item, Item::copy)));
+        Map<SimulatedFile, SimulatedFile> copies = new IdentityHashMap<>();
+        files.forEach((name, file) -> next.files.put(name, copies.computeIfAbsent(file, SimulatedFile::copy)));
+        syncedNames.forEach(
+                (name, file) -> next.syncedNames.put(name, copies.computeIfAbsent(file, SimulatedFile::copy)));
         return next;
     }
 
-    /** Names that were made, removed or made anew since the folder's last sync. */
-    List<String> unsynced() {
+    /** Names created, removed or re-created since the directory's last sync. */
+    List<String> unsyncedNames() {
         TreeSet<String> names = new TreeSet<>(files.keySet());
-        names.addAll(named.keySet());
-        names.removeIf(name -> files.get(name) == named.get(name));
+        names.addAll(syncedNames.keySet());
+        names.removeIf(name -> files.get(name) == syncedNames.get(name));
         return List.copyOf(names);
     }
 
     /**
-     * What may be found after a loss of power: with every subset of the unsynced names, and drawn fates of unsynced
+     * Possible states after a power loss: each subset of the unsynced names, with random outcomes of the unsynced
      * writes.
      */
-    List<SimulatedDirectory> afterLosses(Random random) {
-        int names = unsynced().size();
+    List<SimulatedDirectory> afterPowerLosses(Random random) {
+        int names = unsyncedNames().size();
         List<SimulatedDirectory> all = new ArrayList<>();
-        for (int i = 0; i < 1 << Math.min(names, MOST_NAMES); i++) {
-            long subset = names <= MOST_NAMES ? i : random.nextLong();
-            all.add(after(random, subset, true));
-            all.add(after(random, subset, false));
+        for (int i = 0; i < 1 << Math.min(names, MAX_ENUMERATED_NAMES); i++) {
+            long subset = names <= MAX_ENUMERATED_NAMES ? i : random.nextLong();
+            all.add(powerLoss(random, subset, true));
+            all.add(powerLoss(random, subset, false));
         }
         return all;
     }
 
-    /** One of them. */
-    SimulatedDirectory afterLoss(Random random) {
-        return after(random, random.nextLong(), random.nextInt(4) == 0);
+    /** A random state after a power loss. */
+    SimulatedDirectory afterPowerLoss(Random random) {
+        return powerLoss(random, random.nextLong(), random.nextInt(4) == 0);
     }
 
-    private SimulatedDirectory after(Random random, long subset, boolean nothing) {
+    private SimulatedDirectory powerLoss(Random random, long subset, boolean loseAllUnsynced) {
         SimulatedDirectory next = new SimulatedDirectory();
-        Map<String, Item> found = new TreeMap<>(named);
-        List<String> unsynced = unsynced();
-        for (int i = 0; i < unsynced.size(); i++) {
-            String name = unsynced.get(i);
+        Map<String, SimulatedFile> found = new TreeMap<>(syncedNames);
+        List<String> names = unsyncedNames();
+        for (int i = 0; i < names.size(); i++) {
+            String name = names.get(i);
             if ((subset >> i & 1) == 0) {
                 continue;
             }
@@ -185,23 +186,23 @@
                 found.remove(name);
             }
         }
-        found.forEach((name, item) -> {
-            Item left = Item.of(item.left(random, nothing));
+        found.forEach((name, file) -> {
+            SimulatedFile left = SimulatedFile.of(file.bytesAfterPowerLoss(random, loseAllUnsynced));
             next.files.put(name, left);
-            next.named.put(name, left);
+            next.syncedNames.put(name, left);
         });
         return next;
     }
 
-    /** The bytes of the newest file of a store. */
-    byte[] newest() {
-        return files.get(newestName()).now();
+    /** Contents of the newest file of a store. */
+    byte[] newestFile() {
+        return files.get(newestName()).contents();
     }
 
-    void newest(byte[] bytes) {
-        Item item = Item.of(bytes);
-        files.put(newestName(), item);
-        named.put(newestName(), item);
+    void newestFile(byte[] bytes) {
+        SimulatedFile file = SimulatedFile.of(bytes);
+        files.put(newestName(), file);
+        syncedNames.put(newestName(), file);
     }
 
     private String newestName() {
@@ -212,14 +213,14 @@
     }
 
     private static byte[] put(byte[] into, int at, byte[] bytes) {
-        byte[] longer = into.length >= at + bytes.length ? into : Arrays.copyOf(into, at + bytes.length);
-        System.arraycopy(bytes, 0, longer, at, bytes.length);
-        return longer;
+        byte[] result = into.length >= at + bytes.length ? into : Arrays.copyOf(into, at + bytes.length);
+        System.arraycopy(bytes, 0, result, at, bytes.length);
+        return result;
     }
 
-    private void step() throws IOException {
-        watcher.run();
-        if (refusing) {
+    private void beginChange() throws IOException {
+        beforeChange.run();
+        if (failing) {
             throw new IOException("Input/output error");
         }
     }
@@ -235,31 +236,31 @@
     }
 
     @Override
-    public int read(String name, long at, byte[] to, int offset, int count) {
-        Item item = files.get(name);
-        int read = (int) Math.max(0, Math.min(count, item.length - at));
-        System.arraycopy(item.bytes, (int) at, to, offset, read);
+    public int read(String name, long position, byte[] buffer, int offset, int count) {
+        SimulatedFile file = files.get(name);
+        int read = (int) Math.max(0, Math.min(count, file.length - position));
+        System.arraycopy(file.bytes, (int) position, buffer, offset, read);
         return read;
     }
 
     @Override
     public FileWriter open(String name, long length) throws IOException {
-        step();
+        beginChange();
         if (full && length(name) < Math.max(1, length)) {
             throw new IOException("No space left on device");
         }
-        Item item = files.computeIfAbsent(name, any -> new Item());
-        if (item.length != length) {
-            item.length((int) length);
+        SimulatedFile file = files.computeIfAbsent(name, any -> new SimulatedFile());
+        if (file.length != length) {
+            file.setLength((int) length);
         }
         return new FileWriter() {
             private int at = (int) length;
 
             @Override
             public void write(byte[] bytes, int offset, int count) throws IOException {
-                step();
-                int fits = full ? 0 : (int) Math.min(count, Math.max(0, room - bytes()));
-                item.write(at, Arrays.copyOfRange(bytes, offset, offset + fits));
+                beginChange();
+                int fits = full ? 0 : (int) Math.min(count, Math.max(0, capacityBytes - bytes()));
+                file.write(at, Arrays.copyOfRange(bytes, offset, offset + fits));
                 at += fits;
                 if (fits < count) {
                     throw new IOException("No space left on device");
@@ -268,8 +269,8 @@
 
             @Override
             public void sync() throws IOException {
-                step();
-                item.sync();
+                beginChange();
+                file.sync();
             }
 
             @Override
@@ -279,26 +280,26 @@
 
     @Override
     public void truncate(String name, long length) throws IOException {
-        step();
-        files.get(name).length((int) length);
+        beginChange();
+        files.get(name).setLength((int) length);
     }
 
     @Override
     public void remove(String name) throws IOException {
-        step();
+        beginChange();
         files.remove(name);
     }
 
     @Override
     public void sync(String name) throws IOException {
-        step();
+        beginChange();
         files.get(name).sync();
     }
 
     @Override
     public void sync() throws IOException {
-        step();
-        named.clear();
-        named.putAll(files);
+        beginChange();
+        syncedNames.clear();
+        syncedNames.putAll(files);
     }
 }
--- a/src/test/java/brambletray/platform/storage/SyncWriterTurnsTest.java
+++ b/src/test/java/brambletray/platform/storage/SyncWriterTurnsTest.java
@@ -17,38 +17,38 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** The loop and the thread that writes, under every order of their turns. */
+/** Runs the event loop and the writer thread in every interleaving of their steps. */
 class SyncWriterTurnsTest {
     private static final int NO_FAILURE = -1;
     private static final long NOW_MS = 10;
 
     @BeforeAll
-    static void quietly() {
-        Logger.getLogger("trove").setLevel(Level.OFF);
+    static void muteLog() {
+        Logger.getLogger("storage").setLevel(Level.OFF);
     }
 
-    /** One scenario: the disk, the loop's tasks, and what the loop has heard. */
-    private static final class Course {
+    /** The writer with a simulated disk, the event loop's tasks, and the results reported to the loop. */
+    private static final class Scenario {
         private final Turns turns;
         private final Queue<Runnable> loop = new ArrayDeque<>();
         private final Map<String, Integer> disk = new TreeMap<>();
-        private final List<String> heard = new ArrayList<>();
+        private final List<String> results = new ArrayList<>();
         private final SyncWriter writer;
-        private final int failing;
+        private final int failingWrite;
         private int writes;
 
-        /** {@code failing}: which write the disk refuses. */
-        private Course(Turns turns, int failing) {
+        /** {@code failingWrite}: index of the write that fails, or {@link #NO_FAILURE}. */
+        private Scenario(Turns turns, int failingWrite) {
             this.turns = turns;
-            this.failing = failing;
+            this.failingWrite = failingWrite;
             writer = new SyncWriter(this::write, this::execute, turns.lock());
             turns.thread("writer", writer::run);
         }
 
         private void write(List<KeyChange> changes) {
             turns.point();
-            if (writes++ == failing) {
-                throw new StorageException("storage.full", "no room", null);
+            if (writes++ == failingWrite) {
+                throw new StorageException("storage.full", "disk full", null);
             }
             changes.forEach(change -> disk.put(change.key(), (int) change.value()[0]));
         }
@@ -57,14 +57,14 @@
             loop.add(task);
         }
 
-        private void turnOfLoop() {
+        private void runLoopTasks() {
             turns.point();
             for (Runnable task = loop.poll(); task != null; task = loop.poll()) {
                 task.run();
             }
         }
 
-        /** Asks for key = value, values growing, and notes what is heard of it. */
+        /** Requests a commit of key = value, and records its result. The values have to increase. */
         private void commit(String key, int value) {
             String name = key + value;
             assertTrue(writer.commit(
@@ -72,92 +72,92 @@
                         @Override
                         public void onCommitted() {
                             assertTrue(
-                                    disk.getOrDefault(key, 0) >= value, name + " is acknowledged and not on the disk");
-                            heard.add(name + " done");
+                                    disk.getOrDefault(key, 0) >= value, name + " is acknowledged but not on the disk");
+                            results.add(name + " done");
                         }
 
                         @Override
                         public void onFailed(StorageException fault) {
-                            heard.add(name + ' ' + fault.code());
+                            results.add(name + ' ' + fault.code());
                         }
                     }));
         }
 
-        private void end() {
+        private void finish() {
             turns.run();
-            turnOfLoop();
+            runLoopTasks();
             assertEquals(0, writer.pending());
             assertEquals(0, writer.oldestWaitMs(NOW_MS));
         }
     }
 
     @Test
-    void everyCommitIsAnsweredOnceInOrderAndOnlyOnceItIsDurable() {
+    void callsBackOncePerCommitInOrderAfterItIsDurable() {
         int orders = Turns.everyOrder(turns -> {
-            Course scenario = new Course(turns, NO_FAILURE);
+            Scenario scenario = new Scenario(turns, NO_FAILURE);
             turns.thread("loop", () -> {
                 scenario.commit("a", 1);
                 scenario.commit("a", 2);
-                scenario.turnOfLoop();
+                scenario.runLoopTasks();
                 scenario.commit("b", 3);
                 scenario.writer.close();
             });
-            scenario.end();
-            assertEquals(List.of("a1 done", "a2 done", "b3 done"), scenario.heard);
+            scenario.finish();
+            assertEquals(List.of("a1 done", "a2 done", "b3 done"), scenario.results);
             assertEquals(Map.of("a", 2, "b", 3), scenario.disk);
         });
-        System.out.println("writer: " + orders + " orders of turns");
-        assertTrue(orders > 20, "few orders: " + orders);
+        System.out.println("writer: " + orders + " interleavings");
+        assertTrue(orders > 20, "too few interleavings: " + orders);
     }
 
     @Test
-    void aFullDiskFailsWhatWasWrittenWithItAndNothingElse() {
+    void aFullDiskFailsOnlyTheCommitsOfThatWrite() {
         int orders = 0;
         for (int failing = 0; failing < 2; failing++) {
-            int refused = failing;
+            int failingWrite = failing;
             orders += Turns.everyOrder(turns -> {
-                Course scenario = new Course(turns, refused);
+                Scenario scenario = new Scenario(turns, failingWrite);
                 turns.thread("loop", () -> {
                     scenario.commit("a", 1);
                     scenario.commit("b", 2);
                     scenario.writer.close();
                 });
-                scenario.end();
-                assertEquals(2, scenario.heard.size(), scenario.heard::toString);
-                assertEquals("a1", scenario.heard.get(0).substring(0, 2));
-                assertEquals("b2", scenario.heard.get(1).substring(0, 2));
-                boolean wasRefused = scenario.writes > refused;
+                scenario.finish();
+                assertEquals(2, scenario.results.size(), scenario.results::toString);
+                assertEquals("a1", scenario.results.get(0).substring(0, 2));
+                assertEquals("b2", scenario.results.get(1).substring(0, 2));
+                boolean writeFailed = scenario.writes > failingWrite;
                 assertEquals(
-                        wasRefused,
-                        scenario.heard.stream().anyMatch(one -> one.endsWith("storage.full")),
-                        scenario.heard::toString);
+                        writeFailed,
+                        scenario.results.stream().anyMatch(one -> one.endsWith("storage.full")),
+                        scenario.results::toString);
             });
         }
-        System.out.println("writer on a full disk: " + orders + " orders of turns");
-        assertTrue(orders > 20, "few orders: " + orders);
+        System.out.println("writer on a full disk: " + orders + " interleavings");
+        assertTrue(orders > 20, "too few interleavings: " + orders);
     }
 
     @Test
-    void whatTheLoopReadsOfTheQueueIsNeverOfTwoMoments() {
+    void pendingCountAndWaitTimeAreConsistent() {
         int orders = Turns.everyOrder(turns -> {
-            Course scenario = new Course(turns, NO_FAILURE);
+            Scenario scenario = new Scenario(turns, NO_FAILURE);
             turns.thread("loop", () -> {
                 scenario.commit("a", 1);
                 int pending = scenario.writer.pending();
                 long wait = scenario.writer.oldestWaitMs(NOW_MS + 5);
                 assertTrue(pending == 0 || pending == 1, "pending " + pending);
-                assertTrue(wait == 0 || wait == 5, "waits " + wait);
-                assertTrue(pending > 0 || wait == 0, "nothing is pending, and yet it waits " + wait);
+                assertTrue(wait == 0 || wait == 5, "oldest wait " + wait);
+                assertTrue(pending > 0 || wait == 0, "nothing is pending, but the oldest wait is " + wait);
                 scenario.writer.close();
             });
-            scenario.end();
+            scenario.finish();
         });
-        assertTrue(orders > 10, "few orders: " + orders);
+        assertTrue(orders > 10, "too few interleavings: " + orders);
     }
 
-    /** Between two threads stands one lock: no method of the queue goes without it. */
+    /** The queue is shared by two threads: each of its methods takes the lock exactly once. */
     @Test
-    void eachMethodOfTheQueueTakesTheLockOnce() {
+    void eachQueueMethodTakesTheLockOnce() {
         Turns.everyOrder(turns -> {
             Turns.CountingLock lock = turns.lock();
             CommitQueue queue = new CommitQueue(4, 100, lock);
@@ -176,7 +176,7 @@
                     int before = lock.taken();
                     methods.get(i).run();
                     assertEquals(before + 1, lock.taken(), "method " + i);
-                    assertTrue(!lock.isHeldByCurrentThread(), "method " + i + " keeps the lock");
+                    assertTrue(!lock.isHeldByCurrentThread(), "method " + i + " did not release the lock");
                 }
             });
             turns.run();
@@ -184,11 +184,11 @@
     }
 
     /**
-     * The test of the test: a queue that looks and takes in two critical sections loses a commit in some order, and
-     * that is seen.
+     * Verifies the test method itself: a queue that reads and clears in two critical sections loses a commit in some
+     * interleaving, and that is detected.
      */
     @Test
-    void aRaceIsSeen() {
+    void detectsARaceOfTwoCriticalSections() {
         boolean[] lost = new boolean[1];
         Turns.everyOrder(turns -> {
             ReentrantLock lock = turns.lock();
@@ -209,7 +209,7 @@
             turns.run();
             lost[0] |= taken.size() + waiting.size() < 2;
         });
-        assertTrue(lost[0], "the race wasn't met");
+        assertTrue(lost[0], "no interleaving showed the race");
     }
 
     private static void add(ReentrantLock lock, List<Integer> waiting, int number) {
