--- a/src/main/java/brambletray/platform/replication/LeaderState.java
+++ b/src/main/java/brambletray/platform/replication/LeaderState.java
@@ -217,7 +217,7 @@
      * Whether the view has been active for a while, so that a planned view change (a newcomer, a leave) does not follow
      * so closely on the last that callers feel both as one pause.
      */
-    boolean hasBeenActiveForAWhile() {
+    boolean hasReachedMinViewAge() {
         return state.nowMs() - activeSinceMs >= MIN_VIEW_AGE_MS;
     }
 
--- a/src/main/java/brambletray/platform/replication/MemberRemovalOrders.java
+++ b/src/main/java/brambletray/platform/replication/MemberRemovalRequests.java
@@ -9,7 +9,7 @@
  * incarnation counts like one whose disk is proven lost (see {@link Quorum}), so the removal is rejected while there
  * is any sign that the machine is alive, and while the view works without it.
  */
-final class MemberRemovalOrders {
+final class MemberRemovalRequests {
     /** The machine must not have been heard for so long, by a process that ran all the while. */
     static final int MIN_SILENCE_MS = 10_000;
     /** How long the machine has to answer the question that precedes the removal. */
@@ -23,7 +23,7 @@
     private final Map<String, Long> lastHeardAtMs = new HashMap<>();
     private PendingRemoval pending;
 
-    MemberRemovalOrders(ReplicaState state, RoleState roles) {
+    MemberRemovalRequests(ReplicaState state, RoleState roles) {
         this.state = state;
         this.roles = roles;
         startedAtMs = state.nowMs();
--- a/src/main/java/brambletray/platform/replication/Replica.java
+++ b/src/main/java/brambletray/platform/replication/Replica.java
@@ -20,7 +20,7 @@
     private final JoinAdmission joinAdmission;
     private final PendingProposals pendingProposals;
     private final ReadIndex readIndex;
-    private final MemberRemovalOrders memberRemovalOrders;
+    private final MemberRemovalRequests memberRemovalRequests;
     private final ViewChangeInitiator viewChangeInitiator;
     private final MessageDispatcher messageDispatcher;
     private boolean incarnationIsDurable;
@@ -49,7 +49,7 @@
         joinAdmission = new JoinAdmission(state, roles);
         pendingProposals = new PendingProposals(state, roles);
         readIndex = new ReadIndex(state, roles);
-        memberRemovalOrders = new MemberRemovalOrders(state, roles);
+        memberRemovalRequests = new MemberRemovalRequests(state, roles);
         viewChangeInitiator = new ViewChangeInitiator(state, roles, leaderMonitor, joinAdmission);
         messageDispatcher = new MessageDispatcher(
                 state,
@@ -149,7 +149,7 @@
             messageDispatcher.tick();
             pendingProposals.tick();
             readIndex.advance();
-            memberRemovalOrders.tick();
+            memberRemovalRequests.tick();
         }
         flush();
     }
@@ -184,7 +184,7 @@
     /** A message has come from the member at this control-plane address; other kinds of objects are ignored. */
     public void receive(String from, Object frame, long nowMs) {
         advanceTime(nowMs);
-        memberRemovalOrders.onMessage(from);
+        memberRemovalRequests.onMessage(from);
         if (incarnationIsDurable && frame instanceof ReplicationMessage message) {
             messageDispatcher.dispatch(from, message);
         }
@@ -200,7 +200,7 @@
      */
     public void removeMember(String address, long incarnation, long nowMs, Consumer<MemberRemovalOutcome> onOutcome) {
         advanceTime(nowMs);
-        memberRemovalOrders.request(address, incarnation, onOutcome);
+        memberRemovalRequests.request(address, incarnation, onOutcome);
         flush();
     }
 
--- a/src/main/java/brambletray/platform/replication/ReplicaState.java
+++ b/src/main/java/brambletray/platform/replication/ReplicaState.java
@@ -234,11 +234,11 @@
         put(DurableState.VIEW_KEY, ReplicationCodec.view(view(), true));
         actions.log(new ReplicationEvent.ViewActivated(
                 view().ballot(), names(view().members()), view().leader().name(), log().lastIndex()));
-        warnOfZonesHoldingHalf();
+        warnIfZonesHoldHalf();
         actions.statusChanged();
     }
 
-    private void warnOfZonesHoldingHalf() {
+    private void warnIfZonesHoldHalf() {
         List<String> zones = settings.tolerance().groupsHoldingHalf(view().members());
         if (!zones.isEmpty()) {
             actions.log(new ReplicationEvent.ZonesHoldHalf(
--- a/src/main/java/brambletray/platform/replication/ReplicationCodec.java
+++ b/src/main/java/brambletray/platform/replication/ReplicationCodec.java
@@ -14,7 +14,7 @@
  */
 final class ReplicationCodec {
     /** Form 1 lacks the zones of members and is still read. */
-    private static final int CURRENT_FORM = 2;
+    private static final int CURRENT_VERSION = 2;
 
     private ReplicationCodec() {}
 
@@ -29,7 +29,7 @@
     static byte[] write(Writer writing) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeByte(CURRENT_FORM);
+            out.writeByte(CURRENT_VERSION);
             writing.writeTo(out);
         } catch (IOException e) {
             throw new ReplicationException("replication.form", "cannot be written", e);
@@ -39,20 +39,20 @@
 
     /** An input, and the form that it was written in. */
     private static final class VersionedInput extends DataInputStream {
-        final int form;
+        final int version;
 
         VersionedInput(byte[] bytes) throws IOException {
             super(new ByteArrayInputStream(bytes));
-            form = readByte();
+            version = readByte();
         }
     }
 
     static <T> T read(byte[] bytes, Reader<T> reading) {
         try (VersionedInput in = new VersionedInput(bytes)) {
-            if (in.form < 1 || in.form > CURRENT_FORM) {
+            if (in.version < 1 || in.version > CURRENT_VERSION) {
                 throw new ReplicationException(
                         "replication.form",
-                        "stored in form " + in.form + ", this program reads forms up to " + CURRENT_FORM);
+                        "stored in form " + in.version + ", this program reads forms up to " + CURRENT_VERSION);
             }
             return reading.readFrom(in);
         } catch (IOException e) {
@@ -84,7 +84,7 @@
     }
 
     private static List<Member> members(DataInputStream in) throws IOException {
-        boolean zones = !(in instanceof VersionedInput input) || input.form > 1;
+        boolean zones = !(in instanceof VersionedInput input) || input.version > 1;
         int count = in.readInt();
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < count; i++) {
--- a/src/main/java/brambletray/platform/replication/RoleState.java
+++ b/src/main/java/brambletray/platform/replication/RoleState.java
@@ -59,7 +59,7 @@
 
     /** Whether this member leads a view that has been active for a while. */
     boolean hasBeenLeaderForAWhile() {
-        return leader != null && leader.hasBeenActiveForAWhile();
+        return leader != null && leader.hasReachedMinViewAge();
     }
 
     /** Whether this member leads, hears a majority of its view and is not about to end. */
--- a/src/main/java/brambletray/platform/replication/StateTransferServer.java
+++ b/src/main/java/brambletray/platform/replication/StateTransferServer.java
@@ -36,7 +36,7 @@
     }
 
     private final ReplicaState state;
-    private final Function<Ballot, ReplicatedLog> logs;
+    private final Function<Ballot, ReplicatedLog> logsByView;
     private final Map<String, Receiver> receivers = new LinkedHashMap<>();
 
     /**
@@ -45,12 +45,12 @@
      */
     StateTransferServer(ReplicaState state, Function<Ballot, ReplicatedLog> logs) {
         this.state = state;
-        this.logs = logs;
+        this.logsByView = logs;
     }
 
     void onFetchChunk(String from, ReplicationMessage.FetchChunkRequest request) {
         Receiver receiver = receivers.get(from);
-        ReplicatedLog log = logs.apply(request.viewBallot());
+        ReplicatedLog log = logsByView.apply(request.viewBallot());
         int offset = request.offset();
         if (receiver == null || receiver.transferId != request.transferId()) {
             receivers.remove(from);
@@ -150,7 +150,7 @@
     private PackedPatch selectPacked(ReplicationMessage.FetchChunkRequest request, ReplicatedLog log) {
         LogPatch patch = log.patchFor(request.lastIndex(), request.lastView(), request.commitIndex());
         if (request.viewBallot().equals(Ballot.NONE) && !patch.fitsInline()) {
-            patch = smallerOf(patch);
+            patch = patchOrCurrentState(patch);
         }
         Set<PackedPatch> cuts = new HashSet<>();
         for (Receiver other : receivers.values()) {
@@ -192,7 +192,7 @@
     }
 
     /** The present state, if that is smaller than the patch: changes replace each other. */
-    private LogPatch smallerOf(LogPatch patch) {
+    private LogPatch patchOrCurrentState(LogPatch patch) {
         ReplicatedLog log = state.log();
         List<LogEntry> rest = List.copyOf(log.entries()
                 .subList(
--- a/src/main/java/brambletray/platform/replication/ViewChange.java
+++ b/src/main/java/brambletray/platform/replication/ViewChange.java
@@ -38,7 +38,7 @@
     private long quorumAtMs = -1;
     private long phaseSinceMs;
     private StateTransferClient transfer;
-    private PrepareResponses chosen;
+    private PrepareResponses finalResponses;
     /** Set in the phase {@link Phase#INSTALLING} only. */
     private ViewInstallation installation;
 
@@ -151,12 +151,12 @@
      * count.
      */
     private void chooseLog() {
-        chosen = prepareRound.responses();
-        if (!chosen.hasQuorum()) {
+        finalResponses = prepareRound.responses();
+        if (!finalResponses.hasQuorum()) {
             phase = Phase.PREPARING;
             return;
         }
-        ReplicationMessage.PrepareResponse longest = chosen.longestLog();
+        ReplicationMessage.PrepareResponse longest = finalResponses.longestLog();
         phaseSinceMs = state.nowMs();
         if (longest.responder().incarnation() == state.self().incarnation()) {
             install(state.log());
@@ -172,7 +172,7 @@
             return;
         }
         ReplicatedLog fetched = transfer.log();
-        ReplicationMessage.PrepareResponse longest = chosen.longestLog();
+        ReplicationMessage.PrepareResponse longest = finalResponses.longestLog();
         // the member may have promised a higher ballot since, and have another log with it
         boolean asAnswered = fetched != null
                 && fetched.lastIndex() == longest.lastIndex()
@@ -185,7 +185,7 @@
     }
 
     private void install(ReplicatedLog log) {
-        List<ViewMembership> past = chosen.viewsToConsult();
+        List<ViewMembership> past = finalResponses.viewsToConsult();
         List<Member> members = nextMembers(log);
         if (past.size() > MAX_PREDECESSORS) {
             roles.abandonViewChange(
@@ -196,17 +196,17 @@
         View nextView = new View(ballot, List.copyOf(members), List.copyOf(past));
         state.actions()
                 .log(new ReplicationEvent.ViewProposed(
-                        ballot, ReplicaState.names(members), log.lastIndex(), chosen.latestView.ballot()));
-        installation = new ViewInstallation(state, roles, this, chosen, nextView, log);
+                        ballot, ReplicaState.names(members), log.lastIndex(), finalResponses.latestView.ballot()));
+        installation = new ViewInstallation(state, roles, this, finalResponses, nextView, log);
         installation.start();
     }
 
     /** Those of the last views that answered and are not excluded, and the newcomers that can join now. */
     private List<Member> nextMembers(ReplicatedLog log) {
         List<Member> members =
-                chosen.nextMembers(plan.excluded(), state.settings().tolerance());
+                finalResponses.nextMembers(plan.excluded(), state.settings().tolerance());
         for (ReplicationMessage.JoinRequest joinRequest : plan.newcomers().values()) {
-            if (members.size() < ReplicationSettings.MAX_MEMBERS && mayJoin(joinRequest, members, log)) {
+            if (members.size() < ReplicationSettings.MAX_MEMBERS && canJoin(joinRequest, members, log)) {
                 members.add(joinRequest.requester());
             }
         }
@@ -216,7 +216,7 @@
     /**
      * A newcomer that has fallen behind since its request fetches the rest outside of the view change, and asks again.
      */
-    private boolean mayJoin(ReplicationMessage.JoinRequest joinRequest, List<Member> members, ReplicatedLog log) {
+    private boolean canJoin(ReplicationMessage.JoinRequest joinRequest, List<Member> members, ReplicatedLog log) {
         Member newcomer = joinRequest.requester();
         boolean addressIsFree =
                 members.stream().noneMatch(member -> member.address().equals(newcomer.address()));
--- a/src/main/java/brambletray/platform/replication/ViewChangeInitiator.java
+++ b/src/main/java/brambletray/platform/replication/ViewChangeInitiator.java
@@ -47,27 +47,27 @@
             return;
         }
         if (leader != null) {
-            changeAsLeader(leader);
+            startAsLeader(leader);
         } else if (!state.isLeaving() && !roles.isExcluded() && leaderMonitor.electionTimeoutExpired()) {
             takeOver();
         }
     }
 
-    private void changeAsLeader(LeaderState leader) {
+    private void startAsLeader(LeaderState leader) {
         Set<Long> silent = leader.silentMembers();
         Set<Long> slow = leader.slowMembers();
         if (!silent.isEmpty() || !slow.isEmpty()) {
-            leaveOut(silent, slow);
+            excludeSuspected(silent, slow);
         } else if (leader.hasSupersededMember()) {
             roles.startViewChange(Set.of(), Set.of(), "a member has stopped");
         } else if (hasRetiredMember()) {
             roles.startViewChange(Set.of(), Set.of(), "a disk is lost");
-        } else if (leader.hasBeenActiveForAWhile()) {
-            changeAsPlanned();
+        } else if (leader.hasReachedMinViewAge()) {
+            startPlanned();
         }
     }
 
-    private void leaveOut(Set<Long> silent, Set<Long> slow) {
+    private void excludeSuspected(Set<Long> silent, Set<Long> slow) {
         Set<Long> suspected = new LinkedHashSet<>(silent);
         suspected.addAll(slow);
         for (long incarnation : suspected) {
@@ -82,8 +82,8 @@
                 .anyMatch(member -> state.retiredIncarnations().contains(member.incarnation()));
     }
 
-    private void changeAsPlanned() {
-        Set<Long> leavers = removableLeavers();
+    private void startPlanned() {
+        Set<Long> leavers = removableLeavingMembers();
         if (!joinAdmission.admitted().isEmpty()) {
             roles.startViewChange(leavers, leavers, "newcomers");
         } else if (!leavers.isEmpty() && !replacementIsCatchingUp()) {
@@ -121,7 +121,7 @@
     }
 
     /** Members that are about to end, if the rest is a quorum that tolerates the losses; else none. */
-    private Set<Long> removableLeavers() {
+    private Set<Long> removableLeavingMembers() {
         leavingSinceMs.keySet().removeIf(incarnation -> !state.view().contains(incarnation));
         if (leavingSinceMs.isEmpty()) {
             return Set.of();
--- a/src/main/java/brambletray/platform/replication/ViewInstallation.java
+++ b/src/main/java/brambletray/platform/replication/ViewInstallation.java
@@ -20,7 +20,7 @@
     private final ReplicaState state;
     private final RoleState roles;
     private final ViewChange viewChange;
-    private final PrepareResponses chosen;
+    private final PrepareResponses responses;
     private final View nextView;
     private final ReplicatedLog nextLog;
     private final Set<Long> installedBy = new HashSet<>();
@@ -39,7 +39,7 @@
         this.state = state;
         this.roles = roles;
         this.viewChange = viewChange;
-        this.chosen = chosen;
+        this.responses = chosen;
         this.nextView = nextView;
         this.nextLog = nextLog;
         startedAtMs = state.nowMs();
@@ -94,7 +94,7 @@
 
     /** What the log of this member lacks, by its answer to the prepare request, or by its join request. */
     private LogPatch patchFor(long incarnation) {
-        ReplicationMessage.PrepareResponse response = chosen.fromIncarnation(incarnation);
+        ReplicationMessage.PrepareResponse response = responses.fromIncarnation(incarnation);
         if (response != null) {
             return nextLog.patchFor(response.lastIndex(), response.lastView(), response.commitIndex());
         }
@@ -133,7 +133,7 @@
 
     void tick() {
         boolean timedOut = state.nowMs() - startedAtMs > state.settings().installTimeoutMs();
-        if (timedOut && (canDoWithoutAbsent() || state.nowMs() - chunkServedAtMs > CHUNK_SERVED_TIMEOUT_MS)) {
+        if (timedOut && (canExcludeAbsent() || state.nowMs() - chunkServedAtMs > CHUNK_SERVED_TIMEOUT_MS)) {
             roles.restartViewChange(absentMembers(), "not installed by all in time");
         } else if (state.nowMs() - sentAtMs >= RETRY_INTERVAL_MS) {
             sendInstallRequests();
@@ -141,11 +141,11 @@
     }
 
     /** Whether the view may be installed without those that do not have it yet. */
-    private boolean canDoWithoutAbsent() {
+    private boolean canExcludeAbsent() {
         Set<Long> absent = absentMembers();
         Set<Long> excluded = new HashSet<>(viewChange.plan().excluded());
         excluded.addAll(absent);
-        return chosen.nextMembers(excluded, state.settings().tolerance()).stream()
+        return responses.nextMembers(excluded, state.settings().tolerance()).stream()
                 .noneMatch(member -> absent.contains(member.incarnation()));
     }
 
--- a/src/test/java/brambletray/platform/controlplane/OperationHistory.java
+++ b/src/test/java/brambletray/platform/controlplane/OperationHistory.java
@@ -83,16 +83,16 @@
     }
 
     void play() {
-        world.later(world.now + 500, this::attemptAgain);
-        faults.play();
-        if (!faults.harsh()) {
+        world.schedule(world.now + 500, this::attemptAgain);
+        faults.run();
+        if (!faults.checksSafetyOnly()) {
             claimEachKeyAfterItsWindow();
         }
     }
 
     private void claimEachKeyAfterItsWindow() {
         over = true;
-        world.until(world.now + KEY_WINDOW_MS + 2 * SEND_WITHIN_MS);
+        world.runUntil(world.now + KEY_WINDOW_MS + 2 * SEND_WITHIN_MS);
         List<Attempt> last = new ArrayList<>();
         for (int i = 0; i < KEYS; i++) {
             Attempt attempt = new Attempt("edge-0", new ClaimId(1, ++sequence), OperationKey.of("t", "k" + i), false);
@@ -100,7 +100,7 @@
             attempt.requestAgain();
             last.add(attempt);
         }
-        world.await(() -> last.stream().allMatch(attempt -> attempt.granted), SEND_WITHIN_MS, "each key is granted");
+        world.runUntilTrue(() -> last.stream().allMatch(attempt -> attempt.granted), SEND_WITHIN_MS, "each key is granted");
     }
 
     private void attemptAgain() {
@@ -115,7 +115,7 @@
             attempts.put(attempt.claim, attempt);
             attempt.requestAgain();
         }
-        world.later(world.now + 1 + random.nextInt(2 * ATTEMPT_EVERY_MS), this::attemptAgain);
+        world.schedule(world.now + 1 + random.nextInt(2 * ATTEMPT_EVERY_MS), this::attemptAgain);
     }
 
     private void ran(Attempt attempt) {
@@ -163,7 +163,7 @@
                 return;
             }
             toAnyMember(member -> member.claims.onClaim(edge, new ClaimRequest(claim, key)));
-            world.later(world.now + RESEND_MS, this::requestAgain);
+            world.schedule(world.now + RESEND_MS, this::requestAgain);
         }
 
         private void toAnyMember(java.util.function.Consumer<SimulatedCoreMember> call) {
@@ -171,7 +171,7 @@
             if (random.nextInt(20) == 0) {
                 return;
             }
-            world.later(world.now + delayMs(), () -> {
+            world.schedule(world.now + delayMs(), () -> {
                 if (node.isRunning()) {
                     node.execute(() -> call.accept((SimulatedCoreMember) node.application));
                 }
@@ -201,7 +201,7 @@
             }
             long latest = beganAt + SEND_WITHIN_MS - 1 - world.now;
             long delay = random.nextInt(3) == 0 ? latest : Math.min(latest, random.nextInt(10));
-            world.later(world.now + delay, () -> {
+            world.schedule(world.now + delay, () -> {
                 ran(this);
                 if (planted == Planted.UNKNOWN_TREATED_AS_FREE && random.nextInt(4) == 0) {
                     release();
@@ -218,7 +218,7 @@
         private void releaseAgain() {
             if (releasing && world.now - beganAt < 10_000) {
                 toAnyMember(member -> member.claims.onRelease(edge, new ClaimRelease(claim, key)));
-                world.later(world.now + RESEND_MS, this::releaseAgain);
+                world.schedule(world.now + RESEND_MS, this::releaseAgain);
             }
         }
     }
@@ -229,7 +229,7 @@
         public void send(SimulatedCoreMember member, String edge, Object frame) {
             ClaimId claim = SimulatedCoreMember.claimOf(frame);
             if (claim != null && random.nextInt(20) > 0) {
-                world.later(world.now + delayMs(), () -> {
+                world.schedule(world.now + delayMs(), () -> {
                     Attempt attempt = attempts.get(claim);
                     if (attempt != null) {
                         attempt.receive(frame);
--- a/src/test/java/brambletray/platform/controlplane/OperationLatencyTest.java
+++ b/src/test/java/brambletray/platform/controlplane/OperationLatencyTest.java
@@ -74,14 +74,14 @@
                 nextChange += CHANGE_EVERY_MS;
                 waitingChanges.put("c" + world.ruleChecker.propose(world.leader()), world.now);
             }
-            world.until(world.now + 1);
+            world.runUntil(world.now + 1);
             collectChanges();
             if (world.now < countFrom) {
                 claimMs.clear();
                 changeMs.clear();
             }
         }
-        world.until(world.now + 1_000);
+        world.runUntil(world.now + 1_000);
         assertEquals(Map.of(), waitingClaims, "claims without an answer");
     }
 
--- a/src/test/java/brambletray/platform/controlplane/OperationLossTest.java
+++ b/src/test/java/brambletray/platform/controlplane/OperationLossTest.java
@@ -43,12 +43,12 @@
     private Object answerTo(SimulatedReplica node, ClaimId claim) {
         answers.clear();
         claim(node, claim);
-        world.await(() -> !answers.isEmpty(), 2_000, "an answer");
+        world.runUntilTrue(() -> !answers.isEmpty(), 2_000, "an answer");
         return answers.get(0);
     }
 
     private SimulatedReplica leaderAgain() {
-        world.await(
+        world.runUntilTrue(
                 () -> world.leader() != null && world.leader().replica.status().settled(), RESTART_MS, "a leader");
         return world.leader();
     }
@@ -100,10 +100,10 @@
     private boolean leaderLostAfter(int afterMs, boolean cutOff) {
         SimulatedReplica leader = world.leader();
         if (cutOff) {
-            world.nodes.keySet().forEach(other -> world.cut(leader.address, other, true));
+            world.nodes.keySet().forEach(other -> world.setCut(leader.address, other, true));
         }
         claim(leader, FIRST);
-        world.until(world.now + afterMs);
+        world.runUntil(world.now + afterMs);
         boolean granted = !answers.isEmpty();
         leader.kill(true);
         SimulatedReplica next = leaderAgain();
@@ -127,15 +127,15 @@
             OperationKey key = OperationKey.of("t", "given up " + i);
             ClaimId claim = new ClaimId(20, i);
             SimulatedCoreMember.of(survivor).claims.onClaim("edge-20", new ClaimRequest(claim, key));
-            world.until(world.now + 5);
+            world.runUntil(world.now + 5);
             SimulatedCoreMember.of(survivor).claims.onRelease("edge-20", new ClaimRelease(claim, key));
         }
         leaderAgain();
         long ledAt = world.now;
         claim(survivor, SECOND);
-        world.await(() -> answers.contains(new ClaimGranted(SECOND)), 2_000, "a grant");
+        world.runUntilTrue(() -> answers.contains(new ClaimGranted(SECOND)), 2_000, "a grant");
         System.out.println("a claim is granted " + (world.now - ledAt) + " ms after a leader is settled");
-        world.await(() -> SimulatedCoreMember.of(survivor).claims.isIdle(), 3_000, "an empty queue");
+        world.runUntilTrue(() -> SimulatedCoreMember.of(survivor).claims.isIdle(), 3_000, "an empty queue");
         assertEquals(1, SimulatedCoreMember.of(survivor).registry.standingClaims());
     }
 
@@ -150,7 +150,7 @@
                         .claims
                         .onClaim("edge-" + i, new ClaimRequest(new ClaimId(10 + i, pair), key));
             }
-            world.await(() -> answers.size() == 2, 2_000, "two answers");
+            world.runUntilTrue(() -> answers.size() == 2, 2_000, "two answers");
             long granted =
                     answers.stream().filter(ClaimGranted.class::isInstance).count();
             assertEquals(1, granted);
--- a/src/test/java/brambletray/platform/controlplane/SimulatedCoreMember.java
+++ b/src/test/java/brambletray/platform/controlplane/SimulatedCoreMember.java
@@ -187,7 +187,7 @@
                 node.world.ruleChecker.fail(node.address + " applies " + text + " twice");
             }
             node.state.add(text);
-            node.world.ruleChecker.delivered(node, index, text);
+            node.world.ruleChecker.onApplied(node, index, text);
         }
     }
 }
--- a/src/test/java/brambletray/platform/election/ElectionNode.java
+++ b/src/test/java/brambletray/platform/election/ElectionNode.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** The election of one role at one simulated process. */
-final class ElectionNode implements SimulatedReplica.Passenger, ElectionActions {
+final class ElectionNode implements SimulatedReplica.AdditionalComponent, ElectionActions {
     /** Called when a term is won, and each time a holder may act. */
     interface Observer {
         void won(SimulatedReplica node, long term);
@@ -23,7 +23,7 @@
         election = new LeaseElection(
                 "helm",
                 node.replica.status().self(),
-                node.disk.kept.get(LeaseElection.key("helm")),
+                node.disk.content.get(LeaseElection.key("helm")),
                 LeaseTimings.defaults(),
                 this,
                 now());
--- a/src/test/java/brambletray/platform/election/ElectionRandomFaultsTest.java
+++ b/src/test/java/brambletray/platform/election/ElectionRandomFaultsTest.java
@@ -51,17 +51,17 @@
     private TermChecker runSeed(long seed, boolean logsEvents) {
         RandomFaults faults = new RandomFaults(seed, logsEvents);
         TermChecker checker = new TermChecker(faults);
-        faults.world().passengers = node -> new ElectionNode(node, checker);
-        faults.prank = node -> {
-            ElectionNode electionNode = (ElectionNode) node.passenger;
+        faults.world().additionalComponents = node -> new ElectionNode(node, checker);
+        faults.extraAction = node -> {
+            ElectionNode electionNode = (ElectionNode) node.additionalComponent;
             electionNode.election.handOver(node.world.now);
             electionNode.election.setWantsLease(true);
         };
         try {
-            faults.play();
-            if (!faults.harsh()) {
+            faults.run();
+            if (!faults.checksSafetyOnly()) {
                 faults.world()
-                        .await(
+                        .runUntilTrue(
                                 () -> faults.world().now - checker.lastActedAtMs < 100,
                                 3000,
                                 "a holder acts after the faults have ended");
--- a/src/test/java/brambletray/platform/election/ElectionSteps.java
+++ b/src/test/java/brambletray/platform/election/ElectionSteps.java
@@ -21,7 +21,7 @@
  * sees:b      takes b for the holder                sees:none   knows no holder
  * </pre>
  */
-public final class ElectionSteps implements Timeline.Words, ElectionNode.Observer {
+public final class ElectionSteps implements Timeline.AdditionalWords, ElectionNode.Observer {
     private ReplicationTestCluster cluster;
     private long highestWonTerm;
     private long fencingToken;
@@ -32,20 +32,20 @@
     public void startCluster(String members) {
         cluster = new ReplicationTestCluster(List.of(members.split("[ ,]+")));
         cluster.world.logsEvents = Boolean.getBoolean("replication.talks");
-        cluster.world.passengers = node -> new ElectionNode(node, this);
+        cluster.world.additionalComponents = node -> new ElectionNode(node, this);
         cluster.found();
-        cluster.world.await(
+        cluster.world.runUntilTrue(
                 () -> cluster.world.nodes.values().stream()
                         .anyMatch(node -> electionNode(node).election.mayAct(cluster.world.now)),
                 2000,
                 "a member holds the lease");
-        cluster.world.until(cluster.world.now + 300);
+        cluster.world.runUntil(cluster.world.now + 300);
     }
 
     @When("the following timeline runs")
     public void runTimeline(String timeline) {
         try {
-            new Timeline(cluster.world, this).play(timeline);
+            new Timeline(cluster.world, this).run(timeline);
         } catch (AssertionError e) {
             cluster.world.events.forEach(System.out::println);
             throw e;
@@ -53,7 +53,7 @@
     }
 
     private static ElectionNode electionNode(SimulatedReplica node) {
-        return (ElectionNode) node.passenger;
+        return (ElectionNode) node.additionalComponent;
     }
 
     @Override
@@ -78,7 +78,7 @@
     }
 
     @Override
-    public Boolean seen(SimulatedReplica node, String word) {
+    public Boolean holds(SimulatedReplica node, String word) {
         if (word.startsWith("sees:")) {
             LeaseHolder holder = electionNode(node).election.holder(cluster.world.now);
             return word.substring(5)
--- a/src/test/java/brambletray/platform/replication/CatchUpTest.java
+++ b/src/test/java/brambletray/platform/replication/CatchUpTest.java
@@ -13,79 +13,79 @@
  * another is.
  */
 class CatchUpTest {
-    private static final int FULL = 125_000;
-    private static final int SLOW = 250;
-    private static final int PACE_MS = 20;
+    private static final int FAST_BYTES_PER_MS = 125_000;
+    private static final int SLOW_BYTES_PER_MS = 250;
+    private static final int CHANGE_INTERVAL_MS = 20;
     /** Bytes besides the state itself: what is remembered of each change, frames of the view change, knocks. */
-    private static final int SOME = 48 << 10;
+    private static final int OVERHEAD_BYTES = 48 << 10;
 
-    private record Case(int changes, int bytes, int rate, int everyMs, long mostMs) {}
+    private record Case(int changes, int changeBytes, int linkBytesPerMs, int changeIntervalMs, long maxMs) {}
 
     private static final List<Case> CASES = List.of(
-            new Case(500, 1 << 10, FULL, 0, 2_000), new Case(500, 1 << 10, SLOW, 0, 4_000),
-            new Case(500, 256 << 10, FULL, 0, 2_000), new Case(500, 256 << 10, SLOW, 0, 10_000),
-            new Case(2000, 1 << 10, FULL, 0, 2_000), new Case(2000, 1 << 10, SLOW, 0, 4_000),
-            new Case(2000, 256 << 10, FULL, 0, 2_000), new Case(2000, 256 << 10, SLOW, 0, 10_000),
-            new Case(500, 1 << 10, FULL, 500, 3_000), new Case(500, 1 << 10, SLOW, 500, 6_000),
-            new Case(500, 256 << 10, FULL, 2_500, 3_000), new Case(500, 256 << 10, SLOW, 2_500, 20_000));
+            new Case(500, 1 << 10, FAST_BYTES_PER_MS, 0, 2_000), new Case(500, 1 << 10, SLOW_BYTES_PER_MS, 0, 4_000),
+            new Case(500, 256 << 10, FAST_BYTES_PER_MS, 0, 2_000), new Case(500, 256 << 10, SLOW_BYTES_PER_MS, 0, 10_000),
+            new Case(2000, 1 << 10, FAST_BYTES_PER_MS, 0, 2_000), new Case(2000, 1 << 10, SLOW_BYTES_PER_MS, 0, 4_000),
+            new Case(2000, 256 << 10, FAST_BYTES_PER_MS, 0, 2_000), new Case(2000, 256 << 10, SLOW_BYTES_PER_MS, 0, 10_000),
+            new Case(500, 1 << 10, FAST_BYTES_PER_MS, 500, 3_000), new Case(500, 1 << 10, SLOW_BYTES_PER_MS, 500, 6_000),
+            new Case(500, 256 << 10, FAST_BYTES_PER_MS, 2_500, 3_000), new Case(500, 256 << 10, SLOW_BYTES_PER_MS, 2_500, 20_000));
 
     @Test
-    void aMemberThatWasAwayForHundredsOfChangesIsInAgainSoon() {
+    void aMemberThatMissedHundredsOfChangesRejoinsInTime() {
         System.out.println(
                 "| changes missed | bytes each | link, Mbit/s | changes meanwhile | back in the view, s | bytes to it, kB |");
         System.out.println("| ---: | ---: | ---: | --- | ---: | ---: |");
         for (Case one : CASES) {
-            play(one);
+            run(one);
         }
     }
 
-    private void play(Case one) {
+    private void run(Case one) {
         ReplicationTestCluster core = new ReplicationTestCluster(List.of("a", "b", "c"));
         SimulatedReplicas world = core.world;
         core.found();
-        world.padding = "p".repeat(one.bytes());
-        world.ballast = "b".repeat(one.bytes());
+        world.changePadding = "p".repeat(one.changeBytes());
+        world.snapshotPadding = "b".repeat(one.changeBytes());
         SimulatedReplica away = world.nodes.get("c");
         away.kill(true);
-        world.until(world.now + 1500);
+        world.runUntil(world.now + 1500);
         for (int i = 0; i < one.changes(); i++) {
             world.ruleChecker.propose(world.leader());
-            world.until(world.now + PACE_MS);
+            world.runUntil(world.now + CHANGE_INTERVAL_MS);
         }
-        world.until(world.now + 1000);
+        world.runUntil(world.now + 1000);
         assertTrue(
                 world.ruleChecker.acknowledged.size() == one.changes(),
                 "acknowledged " + world.ruleChecker.acknowledged.size());
         for (String other : List.of("a", "b")) {
-            world.rate("c", other, one.rate());
+            world.setBandwidth("c", other, one.linkBytesPerMs());
         }
-        long before = bytes(world);
+        long before = bytesSentToRestarted(world);
         long begin = world.now;
         long next = begin + 100;
         away.start();
-        while (!back(world, away)) {
-            assertTrue(world.now - begin < one.mostMs(), one + ": not back");
-            world.until(world.now + 10);
-            if (one.everyMs() > 0 && world.now >= next && world.leader() != null) {
+        while (!hasCaughtUp(world, away)) {
+            assertTrue(world.now - begin < one.maxMs(), one + ": not back");
+            world.runUntil(world.now + 10);
+            if (one.changeIntervalMs() > 0 && world.now >= next && world.leader() != null) {
                 world.ruleChecker.propose(world.leader());
-                next += one.everyMs();
+                next += one.changeIntervalMs();
             }
         }
-        long bytes = bytes(world) - before;
-        long most = one.everyMs() > 0 ? 4L * one.bytes() + SOME : one.bytes() + SOME;
+        long bytes = bytesSentToRestarted(world) - before;
+        long most = one.changeIntervalMs() > 0 ? 4L * one.changeBytes() + OVERHEAD_BYTES : one.changeBytes() + OVERHEAD_BYTES;
         assertTrue(bytes < most, one + ": bytes " + bytes);
         System.out.printf(
                 Locale.ROOT,
                 "| %d | %d kB | %d | %s | %.2f | %d |%n",
                 one.changes(),
-                one.bytes() >> 10,
-                one.rate() / 125,
-                one.everyMs() == 0 ? "none" : "every " + one.everyMs() / 1000.0 + " s",
+                one.changeBytes() >> 10,
+                one.linkBytesPerMs() / 125,
+                one.changeIntervalMs() == 0 ? "none" : "every " + one.changeIntervalMs() / 1000.0 + " s",
                 (world.now - begin) / 1000.0,
                 bytes >> 10);
     }
 
-    private static boolean back(SimulatedReplicas world, SimulatedReplica away) {
+    private static boolean hasCaughtUp(SimulatedReplicas world, SimulatedReplica away) {
         if (away.replica.status().role() != ReplicaRole.MEMBER
                 || !away.replica.status().active()) {
             return false;
@@ -93,7 +93,7 @@
         return away.state.containsAll(world.ruleChecker.acknowledged);
     }
 
-    private static long bytes(SimulatedReplicas world) {
+    private static long bytesSentToRestarted(SimulatedReplicas world) {
         return world.link("a", "c").bytes + world.link("b", "c").bytes;
     }
 }
--- a/src/test/java/brambletray/platform/replication/DiskPositionsTest.java
+++ b/src/test/java/brambletray/platform/replication/DiskPositionsTest.java
@@ -14,77 +14,77 @@
  * this member or for all at once. Nothing acknowledged is lost, and once all is calm changes are acknowledged again.
  */
 class DiskPositionsTest {
-    private static final int REFUSED_MS = 1_500;
-    private static final int DOWN_MS = 300;
-    private static final int CALM_MS = 9_000;
+    private static final int WRITE_REFUSAL_MS = 1_500;
+    private static final int RESTART_DELAY_MS = 300;
+    private static final int RECOVERY_TIMEOUT_MS = 9_000;
     /** Bytes of a change: four of them make a log be compacted. */
     private static final int CHANGE_BYTES = 300 << 10;
 
-    private enum Trouble {
-        REFUSED(false) {
+    private enum Fault {
+        WRITES_REFUSED(false) {
             @Override
-            void strike(SimulatedReplicas world, SimulatedReplica node) {
-                refuse(world, node);
+            void inject(SimulatedReplicas world, SimulatedReplica node) {
+                refuseWrites(world, node);
             }
         },
-        KILLED(false) {
+        PROCESS_KILLED(false) {
             @Override
-            void strike(SimulatedReplicas world, SimulatedReplica node) {
-                end(world, node, false);
+            void inject(SimulatedReplicas world, SimulatedReplica node) {
+                killAndRestart(world, node, false);
             }
         },
-        DARK(false) {
+        POWER_LOST(false) {
             @Override
-            void strike(SimulatedReplicas world, SimulatedReplica node) {
-                end(world, node, true);
+            void inject(SimulatedReplicas world, SimulatedReplica node) {
+                killAndRestart(world, node, true);
             }
         },
-        ALL_REFUSED(true) {
+        ALL_WRITES_REFUSED(true) {
             @Override
-            void strike(SimulatedReplicas world, SimulatedReplica node) {
-                refuse(world, node);
+            void inject(SimulatedReplicas world, SimulatedReplica node) {
+                refuseWrites(world, node);
             }
         },
-        ALL_KILLED(true) {
+        ALL_PROCESSES_KILLED(true) {
             @Override
-            void strike(SimulatedReplicas world, SimulatedReplica node) {
-                end(world, node, false);
+            void inject(SimulatedReplicas world, SimulatedReplica node) {
+                killAndRestart(world, node, false);
             }
         },
-        ALL_DARK(true) {
+        ALL_POWER_LOST(true) {
             @Override
-            void strike(SimulatedReplicas world, SimulatedReplica node) {
-                end(world, node, true);
+            void inject(SimulatedReplicas world, SimulatedReplica node) {
+                killAndRestart(world, node, true);
             }
         };
 
-        private final boolean all;
+        private final boolean affectsAllNodes;
 
-        Trouble(boolean all) {
-            this.all = all;
+        Fault(boolean all) {
+            this.affectsAllNodes = all;
         }
 
-        abstract void strike(SimulatedReplicas world, SimulatedReplica node);
+        abstract void inject(SimulatedReplicas world, SimulatedReplica node);
 
-        void strikeAt(SimulatedReplicas world, SimulatedReplica node) {
-            for (SimulatedReplica one : all ? List.copyOf(world.nodes.values()) : List.of(node)) {
-                strike(world, one);
+        void injectAt(SimulatedReplicas world, SimulatedReplica node) {
+            for (SimulatedReplica one : affectsAllNodes ? List.copyOf(world.nodes.values()) : List.of(node)) {
+                inject(world, one);
             }
         }
 
-        private static void refuse(SimulatedReplicas world, SimulatedReplica node) {
+        private static void refuseWrites(SimulatedReplicas world, SimulatedReplica node) {
             node.disk.full = true;
-            world.later(world.now + REFUSED_MS, () -> node.disk.full = false);
+            world.schedule(world.now + WRITE_REFUSAL_MS, () -> node.disk.full = false);
         }
 
         /** Ends the process, and starts it again; with {@code power}, what its disk hadn't synced is gone. */
-        private static void end(SimulatedReplicas world, SimulatedReplica node, boolean power) {
+        private static void killAndRestart(SimulatedReplicas world, SimulatedReplica node, boolean power) {
             if (!node.isRunning()) {
                 return;
             }
             node.kill(power);
             int boot = node.processNumber;
-            world.later(world.now + DOWN_MS, () -> {
+            world.schedule(world.now + RESTART_DELAY_MS, () -> {
                 if (node.processNumber == boot && node.down) {
                     node.start();
                 }
@@ -93,55 +93,55 @@
     }
 
     /** Plays the scenario with a fault at one position; returns how many positions there were. */
-    private static int play(int position, Trouble fault) {
+    private static int runScenario(int position, Fault fault) {
         ReplicationTestCluster core = new ReplicationTestCluster(List.of("a", "b", "c"));
         SimulatedReplicas world = core.world;
         int[] seen = new int[1];
         core.found();
-        world.atDisk = node -> {
+        world.onDiskWrite = node -> {
             if (seen[0]++ == position) {
-                fault.strikeAt(world, node);
+                fault.injectAt(world, node);
             }
         };
-        world.padding = "p".repeat(CHANGE_BYTES);
-        change(world, 6);
+        world.changePadding = "p".repeat(CHANGE_BYTES);
+        proposeChanges(world, 6);
         SimulatedReplica empty = world.nodes.get("c");
-        if (empty.isRunning() && world.ruleChecker.intact()) {
+        if (empty.isRunning() && world.ruleChecker.mayLoseDisk()) {
             empty.kill(true);
             empty.wipe();
-            world.until(world.now + DOWN_MS);
+            world.runUntil(world.now + RESTART_DELAY_MS);
             if (!empty.isRunning()) {
                 empty.start();
             }
         }
-        change(world, 6);
-        world.until(world.now + REFUSED_MS);
-        calm(world);
+        proposeChanges(world, 6);
+        world.runUntil(world.now + WRITE_REFUSAL_MS);
+        awaitRecovery(world);
         return seen[0];
     }
 
-    private static void change(SimulatedReplicas world, int count) {
+    private static void proposeChanges(SimulatedReplicas world, int count) {
         for (int i = 0; i < count; i++) {
             for (SimulatedReplica node : List.copyOf(world.nodes.values())) {
                 if (node.isRunning() && node.replica.status().isLeader()) {
                     world.ruleChecker.propose(node);
                 }
             }
-            world.until(world.now + 60);
+            world.runUntil(world.now + 60);
         }
     }
 
-    private static void calm(SimulatedReplicas world) {
-        world.await(() -> settled(world), CALM_MS, "all in one view");
-        world.padding = "";
+    private static void awaitRecovery(SimulatedReplicas world) {
+        world.runUntilTrue(() -> allInOneView(world), RECOVERY_TIMEOUT_MS, "all in one view");
+        world.changePadding = "";
         int before = world.ruleChecker.acknowledged.size();
-        world.await(() -> acknowledges(world, before), CALM_MS, "a change after all is calm");
-        world.await(() -> alike(world), CALM_MS, "all alike");
-        world.ruleChecker.end(new ArrayList<>(world.nodes.values()));
+        world.runUntilTrue(() -> acknowledgesNewChange(world, before), RECOVERY_TIMEOUT_MS, "a change after all is calm");
+        world.runUntilTrue(() -> statesAreEqual(world), RECOVERY_TIMEOUT_MS, "all alike");
+        world.ruleChecker.checkFinalState(new ArrayList<>(world.nodes.values()));
     }
 
     /** Proposes once more, as an operator does whose call had no clear answer. */
-    private static boolean acknowledges(SimulatedReplicas world, int before) {
+    private static boolean acknowledgesNewChange(SimulatedReplicas world, int before) {
         boolean done = world.ruleChecker.acknowledged.size() > before;
         if (!done && world.leader() != null) {
             world.ruleChecker.propose(world.leader());
@@ -149,7 +149,7 @@
         return done;
     }
 
-    private static boolean settled(SimulatedReplicas world) {
+    private static boolean allInOneView(SimulatedReplicas world) {
         SimulatedReplica leader = world.leader();
         return leader != null
                 && leader.replica.status().members().size() == world.nodes.size()
@@ -158,20 +158,20 @@
                                 node.isRunning() && node.replica.status().role() == ReplicaRole.MEMBER);
     }
 
-    private static boolean alike(SimulatedReplicas world) {
+    private static boolean statesAreEqual(SimulatedReplicas world) {
         List<String> first = world.nodes.get("a").state;
         return world.nodes.values().stream().allMatch(node -> node.state.equals(first));
     }
 
     @Test
-    void noTroubleAtAnyPositionOfADiskLosesWhatWasAcknowledged() {
+    void noFaultAtAnyDiskPositionLosesAcknowledgedChanges() {
         int plays = 0;
         int positions = 0;
-        for (Trouble fault : Trouble.values()) {
+        for (Fault fault : Fault.values()) {
             int last = 0;
             for (int position = 0; position <= last; position++) {
                 try {
-                    last = Math.max(last, play(position, fault) - 1);
+                    last = Math.max(last, runScenario(position, fault) - 1);
                 } catch (AssertionError | RuntimeException e) {
                     throw new AssertionError(fault + " at position " + position + ": " + e.getMessage(), e);
                 }
--- a/src/test/java/brambletray/platform/replication/FaultToleranceTest.java
+++ b/src/test/java/brambletray/platform/replication/FaultToleranceTest.java
@@ -16,7 +16,7 @@
     private static final Map<String, String> REGIONS = Map.of("z0", "r0", "z1", "r0", "z2", "r1", "z3", "r2");
 
     /** Whether one is left whichever so many of the groups are lost. */
-    private static boolean outlasts(List<Member> replica, int losses, Function<Member, String> group) {
+    private static boolean survivesAnyLoss(List<Member> replica, int losses, Function<Member, String> group) {
         Set<String> groups = new HashSet<>();
         replica.forEach(member -> groups.add(group.apply(member)));
         List<String> all = List.copyOf(groups);
@@ -37,7 +37,7 @@
      * turn.
      */
     @Test
-    void aChangeIsKeptWhenOneDiskIsLeftWhateverIsLost() {
+    void toleratesLossesThatLeaveAtLeastOneDisk() {
         int cases = 0;
         for (int size = 0; size <= 5; size++) {
             for (int placed = 0; placed < 1 << 2 * size; placed++) {
@@ -47,9 +47,9 @@
                 }
                 for (int all = 0; all < 64; all++) {
                     FaultTolerance tolerance = new FaultTolerance(all & 3, all >> 2 & 3, all >> 4, REGIONS);
-                    boolean expected = outlasts(replica, tolerance.machines(), Member::address)
-                            && outlasts(replica, tolerance.zones(), Member::zone)
-                            && outlasts(replica, tolerance.regions(), member -> REGIONS.get(member.zone()));
+                    boolean expected = survivesAnyLoss(replica, tolerance.machines(), Member::address)
+                            && survivesAnyLoss(replica, tolerance.zones(), Member::zone)
+                            && survivesAnyLoss(replica, tolerance.regions(), member -> REGIONS.get(member.zone()));
                     assertEquals(expected, tolerance.toleratesLossWith(replica), () -> tolerance + " " + replica);
                     cases++;
                 }
@@ -78,7 +78,7 @@
 
     /** All placements of up to five members in four zones, against losing each set of zones, or of regions, in turn. */
     @Test
-    void zonesThatMayBeLostWithHalfOfTheMembersAreNamed() {
+    void reportsZonesAndRegionsThatHoldHalfOfTheMembers() {
         int warned = 0;
         for (int size = 1; size <= 5; size++) {
             for (int placed = 0; placed < 1 << 2 * size; placed++) {
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void membersWhoseZoneIsNotKnownCountAsOfOne() {
+    void membersWithUnknownZoneCountAsOneZone() {
         List<Member> two = List.of(new Member("a", "a", 1), new Member("b", "b", 2));
         assertTrue(FaultTolerance.ofMachines(1).toleratesLossWith(two));
         assertFalse(new FaultTolerance(1, 1, 0, Map.of()).toleratesLossWith(two));
--- a/src/test/java/brambletray/platform/replication/Fingerprint.java
+++ b/src/test/java/brambletray/platform/replication/Fingerprint.java
@@ -15,19 +15,19 @@
     private static final Map<Class<?>, Field[]> FIELDS = new HashMap<>();
     private static final long PRIME = 0x100000001b3L;
 
-    private final IdentityHashMap<Object, Integer> seen = new IdentityHashMap<>();
+    private final IdentityHashMap<Object, Integer> visited = new IdentityHashMap<>();
     private long a = 0xcbf29ce484222325L;
     private long b = 0x9e3779b97f4a7c15L;
 
     /** Two hashes in one word would collide too often for millions of states: this is one of 128 bits. */
-    record Print(long a, long b) {}
+    record Hash128(long a, long b) {}
 
-    static Print of(Object... objects) {
+    static Hash128 of(Object... objects) {
         Fingerprint print = new Fingerprint();
         for (Object object : objects) {
             print.visit(object);
         }
-        return new Print(print.a, print.b);
+        return new Hash128(print.a, print.b);
     }
 
     private void add(long value) {
@@ -54,16 +54,16 @@
         } else if (object instanceof ReplicationActions || object instanceof StateMachine || object instanceof Class) {
             add(4);
         } else {
-            Integer at = seen.putIfAbsent(object, seen.size());
+            Integer at = visited.putIfAbsent(object, visited.size());
             if (at != null) {
                 add(1000 + at);
             } else {
-                enter(object, type);
+                visitContents(object, type);
             }
         }
     }
 
-    private void enter(Object object, Class<?> type) {
+    private void visitContents(Object object, Class<?> type) {
         add(type.isHidden() ? 5 : type.getName().hashCode());
         if (object instanceof Collection<?> all) {
             add(all.size());
--- a/src/test/java/brambletray/platform/replication/LeaderStateTest.java
+++ b/src/test/java/brambletray/platform/replication/LeaderStateTest.java
@@ -12,16 +12,16 @@
     private static final View VIEW = new View(new Ballot(5, 1), List.of(LEADER, FOLLOWER), List.of());
     private static final int HEARTBEAT_MS = 100;
 
-    private final RecordingReplicationActions out = new RecordingReplicationActions();
+    private final RecordingReplicationActions actions = new RecordingReplicationActions();
     private final ReplicaState state = RecordingReplicationActions.state(
-            new DurableState(1, List.of(), Ballot.NONE, VIEW, true, ReplicatedLog.empty(), List.of(), List.of()), out);
+            new DurableState(1, List.of(), Ballot.NONE, VIEW, true, ReplicatedLog.empty(), List.of(), List.of()), actions);
 
-    private LeaderState leading() {
+    private LeaderState newLeader() {
         return new LeaderState(state);
     }
 
     /** Heartbeat answers without progress, for so long. */
-    private void answersWithoutProgress(LeaderState leader, int ms) {
+    private void answerHeartbeatsWithoutProgress(LeaderState leader, int ms) {
         for (int passed = 0; passed < ms; passed += HEARTBEAT_MS) {
             state.advanceTo(state.nowMs() + HEARTBEAT_MS);
             leader.onHeartbeatResponse(new ReplicationMessage.HeartbeatResponse(
@@ -29,8 +29,8 @@
         }
     }
 
-    private long timesSent() {
-        return out.sentTo("b", ReplicationMessage.AppendRequest.class).stream()
+    private long appendsWithEntries() {
+        return actions.sentTo("b", ReplicationMessage.AppendRequest.class).stream()
                 .filter(append -> !append.entries().isEmpty())
                 .count();
     }
@@ -45,20 +45,20 @@
      * </pre>
      */
     @Test
-    void waitsForAsLongAsTheBytesTakeBeforeItSendsThemAgain() {
-        LeaderState leader = leading();
+    void waitsForTheTransferTimeBeforeRetransmitting() {
+        LeaderState leader = newLeader();
         leader.propose(77, 1, new byte[100_000]);
-        answersWithoutProgress(leader, 600);
-        assertEquals(1, timesSent(), "100 kB take 800 ms at 1 Mbit/s");
-        answersWithoutProgress(leader, 200);
-        assertEquals(2, timesSent(), "before the member is held to be slow");
+        answerHeartbeatsWithoutProgress(leader, 600);
+        assertEquals(1, appendsWithEntries(), "100 kB take 800 ms at 1 Mbit/s");
+        answerHeartbeatsWithoutProgress(leader, 200);
+        assertEquals(2, appendsWithEntries(), "before the member is held to be slow");
     }
 
     @Test
-    void sendsAFewBytesAgainSoon() {
-        LeaderState leader = leading();
+    void retransmitsSmallEntriesSoon() {
+        LeaderState leader = newLeader();
         leader.propose(77, 1, new byte[100]);
-        answersWithoutProgress(leader, 300);
-        assertEquals(2, timesSent());
+        answerHeartbeatsWithoutProgress(leader, 300);
+        assertEquals(2, appendsWithEntries());
     }
 }
--- a/src/test/java/brambletray/platform/replication/PlannedLeaveTest.java
+++ b/src/test/java/brambletray/platform/replication/PlannedLeaveTest.java
@@ -15,22 +15,22 @@
  * -Dleave.seed=S} one and tells; {@code -Dleave.measure=true} measures and holds nothing.
  */
 class PlannedLeaveTest {
-    private static final int COURSES = 20;
+    private static final int SCENARIOS = 20;
     /** ms between two calls, in turn at all members that are up. */
-    private static final int CALL_MS = 10;
+    private static final int CALL_INTERVAL_MS = 10;
     /**
      * ms from the end of a process to its next start, and from the start of a replacement to when the leaver is told:
      * at most.
      */
-    private static final int AWAY_MS = 1500;
+    private static final int MAX_ABSENCE_MS = 1500;
     /** A machine counts as lost until so long, in ms, after its return; a second loss comes right after. */
     private static final int SYNC_MS = 4000;
 
     /** A planned leave pauses for less than this, ms. */
-    private static final int PLANNED_MS = 100;
+    private static final int MAX_PLANNED_PAUSE_MS = 100;
 
     /** What happens to the first machine. */
-    private enum Trouble {
+    private enum Disruption {
         KILLED,
         LEAVES,
         REPLACED,
@@ -38,36 +38,36 @@
     }
 
     /** One scenario: machines, calls all the time, the longest stretches without an answer. */
-    private static final class Course {
+    private static final class Scenario {
         final SimulatedReplicas world;
         final Random random;
         final List<SimulatedReplica> live = new ArrayList<>();
         int calls;
-        long ackedAt;
-        long readAt;
-        int acked;
-        int read;
-        long longestAck;
-        long longestRead;
-
-        Course(long seed, int machines, boolean talks) {
+        long lastAckAtMs;
+        long lastReadAtMs;
+        int ackCount;
+        int readCount;
+        long longestAckPauseMs;
+        long longestReadPauseMs;
+
+        Scenario(long seed, int machines, boolean talks) {
             random = new Random(seed);
             world = new SimulatedReplicas(seed, ReplicationSettings.defaults(machines / 2));
             world.logsEvents = talks;
             List<String> seeds = List.of("a", "b", "c");
             for (int i = 0; i < machines; i++) {
                 SimulatedReplica node = world.node(String.valueOf((char) ('a' + i)), seeds);
-                node.initial = true;
+                node.initialStart = true;
                 live.add(node);
             }
             live.forEach(SimulatedReplica::start);
-            world.await(() -> allIn(machines), 8000, "founding");
-            live.forEach(node -> node.initial = false);
-            play(300);
-            reset();
+            world.runUntilTrue(() -> allInOneView(machines), 8000, "founding");
+            live.forEach(node -> node.initialStart = false);
+            run(300);
+            resetPauses();
         }
 
-        boolean allIn(int machines) {
+        boolean allInOneView(int machines) {
             SimulatedReplica leader = world.leader();
             return leader != null
                     && leader.replica.status().members().size() == machines
@@ -77,14 +77,14 @@
         }
 
         /** Calls for so long. */
-        void play(long span) {
+        void run(long span) {
             long end = world.now + span;
             while (world.now < end) {
-                if (world.now % CALL_MS == 0) {
+                if (world.now % CALL_INTERVAL_MS == 0) {
                     call();
                 }
-                world.until(world.now + 1);
-                look();
+                world.runUntil(world.now + 1);
+                recordPauses();
             }
         }
 
@@ -94,49 +94,49 @@
                 return;
             }
             world.ruleChecker.propose(node);
-            world.ruleChecker.confirm(node);
+            world.ruleChecker.requestReadIndex(node);
         }
 
-        private void look() {
-            if (world.ruleChecker.acknowledged.size() > acked) {
-                ackedAt = world.now;
+        private void recordPauses() {
+            if (world.ruleChecker.acknowledged.size() > ackCount) {
+                lastAckAtMs = world.now;
             }
-            if (world.ruleChecker.confirmedOk > read) {
-                readAt = world.now;
+            if (world.ruleChecker.confirmedReads > readCount) {
+                lastReadAtMs = world.now;
             }
-            acked = world.ruleChecker.acknowledged.size();
-            read = world.ruleChecker.confirmedOk;
-            longestAck = Math.max(longestAck, world.now - ackedAt);
-            longestRead = Math.max(longestRead, world.now - readAt);
+            ackCount = world.ruleChecker.acknowledged.size();
+            readCount = world.ruleChecker.confirmedReads;
+            longestAckPauseMs = Math.max(longestAckPauseMs, world.now - lastAckAtMs);
+            longestReadPauseMs = Math.max(longestReadPauseMs, world.now - lastReadAtMs);
         }
 
-        void reset() {
-            ackedAt = world.now;
-            readAt = world.now;
-            longestAck = 0;
-            longestRead = 0;
+        void resetPauses() {
+            lastAckAtMs = world.now;
+            lastReadAtMs = world.now;
+            longestAckPauseMs = 0;
+            longestReadPauseMs = 0;
         }
 
         /** SIGTERM, and the end of the process. */
         void leave(SimulatedReplica node) {
             node.replica.leave(world.now);
-            ends(node, node.processNumber);
+            killOnceItMayTerminate(node, node.processNumber);
         }
 
-        private void ends(SimulatedReplica node, int boot) {
-            world.later(world.now + 50, () -> {
+        private void killOnceItMayTerminate(SimulatedReplica node, int boot) {
+            world.schedule(world.now + 50, () -> {
                 if (node.processNumber != boot || !node.isRunning()) {
                     return;
                 }
                 if (node.replica.mayTerminate()) {
                     node.kill(false);
                 } else {
-                    ends(node, boot);
+                    killOnceItMayTerminate(node, boot);
                 }
             });
         }
 
-        SimulatedReplica victim() {
+        SimulatedReplica leaderOrOtherNode() {
             SimulatedReplica leader = world.leader();
             if (random.nextBoolean()) {
                 return leader;
@@ -144,75 +144,75 @@
             return live.stream().filter(node -> node != leader).toList().get(random.nextInt(live.size() - 1));
         }
 
-        void newcomer(int in) {
+        void addNode(int in) {
             SimulatedReplica next = world.node("n" + live.size() + world.nodes.size(), List.of("a", "b", "c"));
             live.add(next);
-            world.later(world.now + in, next::start);
+            world.schedule(world.now + in, next::start);
         }
 
         /** Stretches of the fault and of the return: acknowledgement, read, acknowledgement, read. */
-        long[] play(Trouble fault) {
+        long[] run(Disruption fault) {
             int machines = live.size();
-            SimulatedReplica first = victim();
+            SimulatedReplica first = leaderOrOtherNode();
             long[] all = new long[4];
-            if (fault == Trouble.REPLACED || fault == Trouble.REPLACED_THEN_LOSS) {
-                newcomer(0);
-                play(random.nextInt(AWAY_MS));
+            if (fault == Disruption.REPLACED || fault == Disruption.REPLACED_THEN_LOSS) {
+                addNode(0);
+                run(random.nextInt(MAX_ABSENCE_MS));
                 leave(first);
-                play(SYNC_MS);
+                run(SYNC_MS);
                 live.remove(first);
-                world.await(() -> allIn(machines), 1, "the replacement is in after sync-s");
-            } else if (fault == Trouble.LEAVES) {
+                world.runUntilTrue(() -> allInOneView(machines), 1, "the replacement is in after sync-s");
+            } else if (fault == Disruption.LEAVES) {
                 leave(first);
-                play(AWAY_MS);
+                run(MAX_ABSENCE_MS);
             } else {
                 first.kill(false);
-                play(AWAY_MS);
+                run(MAX_ABSENCE_MS);
             }
-            all[0] = longestAck;
-            all[1] = longestRead;
-            reset();
-            if (fault == Trouble.REPLACED_THEN_LOSS) {
-                SimulatedReplica second = victim();
+            all[0] = longestAckPauseMs;
+            all[1] = longestReadPauseMs;
+            resetPauses();
+            if (fault == Disruption.REPLACED_THEN_LOSS) {
+                SimulatedReplica second = leaderOrOtherNode();
                 second.kill(true);
                 second.wipe();
                 live.remove(second);
-                newcomer(1000);
-                play(SYNC_MS);
-                world.await(() -> allIn(machines), 1000, "after a second loss");
+                addNode(1000);
+                run(SYNC_MS);
+                world.runUntilTrue(() -> allInOneView(machines), 1000, "after a second loss");
             } else if (live.contains(first)) {
                 if (first.isRunning()) {
                     first.kill(false);
                 }
                 first.start();
-                play(SYNC_MS);
-                world.await(() -> allIn(machines), 1, "back after sync-s");
+                run(SYNC_MS);
+                world.runUntilTrue(() -> allInOneView(machines), 1, "back after sync-s");
             }
-            all[2] = longestAck;
-            all[3] = longestRead;
-            world.until(world.now + 500);
-            world.ruleChecker.end(live);
+            all[2] = longestAckPauseMs;
+            all[3] = longestReadPauseMs;
+            world.runUntil(world.now + 500);
+            world.ruleChecker.checkFinalState(live);
             return all;
         }
     }
 
     @Test
-    void aPlannedLeavePausesForLessThanATenthOfASecond() {
-        int scenarios = Integer.getInteger("leave.seeds", COURSES);
+    void aPlannedLeavePausesForLessThan100Ms() {
+        int scenarios = Integer.getInteger("leave.seeds", SCENARIOS);
         List<String> broken = new ArrayList<>();
         Long only = Long.getLong("leave.seed");
         for (int machines = 3; machines <= 5; machines += 2) {
-            for (Trouble fault : Trouble.values()) {
+            for (Disruption fault : Disruption.values()) {
                 List<List<Long>> stretches =
                         List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
                 for (long seed = only == null ? 1 : only; seed <= (only == null ? scenarios : only); seed++) {
-                    Course scenario = new Course(seed, machines, only != null);
+                    Scenario scenario = new Scenario(seed, machines, only != null);
                     try {
-                        long[] some = scenario.play(fault);
+                        long[] some = scenario.run(fault);
                         for (int i = 0; i < some.length; i++) {
                             stretches.get(i).add(some[i]);
                         }
-                        if (fault != Trouble.KILLED && Math.max(some[0], some[1]) >= PLANNED_MS) {
+                        if (fault != Disruption.KILLED && Math.max(some[0], some[1]) >= MAX_PLANNED_PAUSE_MS) {
                             broken.add(machines + " " + fault + " seed " + seed + ": ack " + some[0] + ", read "
                                     + some[1]);
                         }
@@ -225,10 +225,10 @@
                     }
                 }
                 System.out.println("leave: " + machines + " " + fault + " (50 %, 99 %, worst; ms): ack "
-                        + figures(stretches.get(0))
-                        + ", read " + figures(stretches.get(1)) + "; after it: ack " + figures(stretches.get(2))
+                        + percentiles(stretches.get(0))
+                        + ", read " + percentiles(stretches.get(1)) + "; after it: ack " + percentiles(stretches.get(2))
                         + ", read "
-                        + figures(stretches.get(3)));
+                        + percentiles(stretches.get(3)));
             }
         }
         if (!Boolean.getBoolean("leave.measure")) {
@@ -236,7 +236,7 @@
         }
     }
 
-    private static String figures(List<Long> all) {
+    private static String percentiles(List<Long> all) {
         Collections.sort(all);
         return all.get(all.size() / 2) + " " + all.get(Math.min(all.size() - 1, all.size() * 99 / 100)) + " "
                 + all.get(all.size() - 1);
--- a/src/test/java/brambletray/platform/replication/QuorumTest.java
+++ b/src/test/java/brambletray/platform/replication/QuorumTest.java
@@ -18,7 +18,7 @@
         return replica;
     }
 
-    private static List<Member> some(List<Member> replica, int bits) {
+    private static List<Member> subset(List<Member> replica, int bits) {
         List<Member> some = new ArrayList<>();
         for (int i = 0; i < replica.size(); i++) {
             if ((bits >> i & 1) == 1) {
@@ -28,14 +28,14 @@
         return some;
     }
 
-    private static Set<Long> lives(List<Member> replica) {
+    private static Set<Long> incarnations(List<Member> replica) {
         Set<Long> incarnations = new HashSet<>();
         replica.forEach(member -> incarnations.add(member.incarnation()));
         return incarnations;
     }
 
-    private static boolean enough(List<Member> replica, int answered, int dead) {
-        return (answered & dead) == 0 && Quorum.isReached(replica, some(replica, answered), lives(some(replica, dead)));
+    private static boolean isQuorum(List<Member> replica, int answered, int dead) {
+        return (answered & dead) == 0 && Quorum.isReached(replica, subset(replica, answered), incarnations(subset(replica, dead)));
     }
 
     /**
@@ -43,7 +43,7 @@
      * after the death of all of the other.
      */
     @Test
-    void anyTwoMeet() {
+    void anyTwoQuorumsIntersect() {
         int pairs = 0;
         for (int size = 1; size <= 6; size++) {
             List<Member> replica = members(size);
@@ -51,7 +51,7 @@
             List<int[]> quorums = new ArrayList<>();
             for (int answered = 0; answered < all; answered++) {
                 for (int dead = 0; dead < all; dead++) {
-                    if (enough(replica, answered, dead)) {
+                    if (isQuorum(replica, answered, dead)) {
                         quorums.add(new int[] {answered, dead});
                     }
                 }
@@ -70,18 +70,18 @@
     }
 
     @Test
-    void aViewOfTwoGoesOnWithOneOnlyWhenTheOtherIsProvenDead() {
+    void aViewOfTwoContinuesWithOneOnlyIfTheOtherIsRetired() {
         List<Member> two = members(2);
-        assertFalse(enough(two, 1, 0));
-        assertTrue(enough(two, 1, 2));
-        assertFalse(enough(two, 0, 3));
-        assertFalse(enough(members(3), 1, 6), "two of three dead is more than is borne");
+        assertFalse(isQuorum(two, 1, 0));
+        assertTrue(isQuorum(two, 1, 2));
+        assertFalse(isQuorum(two, 0, 3));
+        assertFalse(isQuorum(members(3), 1, 6), "two of three dead is more than is borne");
     }
 
     @Test
-    void seedsAreCountedByAddressAndNeverDead() {
+    void seedsAreCountedByAddressAndNeverRetired() {
         View seeds = View.ofSeeds(List.of("m0", "m1", "m2"));
-        assertTrue(Quorum.isReached(seeds.members(), some(members(3), 3), Set.of()));
-        assertFalse(Quorum.isReached(seeds.members(), some(members(3), 1), Set.of(2L, 3L, 0L)));
+        assertTrue(Quorum.isReached(seeds.members(), subset(members(3), 3), Set.of()));
+        assertFalse(Quorum.isReached(seeds.members(), subset(members(3), 1), Set.of(2L, 3L, 0L)));
     }
 }
--- a/src/test/java/brambletray/platform/replication/RandomFaults.java
+++ b/src/test/java/brambletray/platform/replication/RandomFaults.java
@@ -10,24 +10,24 @@
     private final Random random;
     public final List<SimulatedReplica> live = new ArrayList<>();
     private final int machines;
-    private int replaced;
+    private int replacements;
     /** What else may happen to a process at times. */
-    public java.util.function.Consumer<SimulatedReplica> prank = node -> {};
+    public java.util.function.Consumer<SimulatedReplica> extraAction = node -> {};
 
     public RandomFaults(long seed, boolean talks) {
         random = new Random(seed);
         machines = random.nextInt(4) == 0 ? 5 : 3;
         world = new SimulatedReplicas(seed, ReplicationSettings.defaults(1));
         world.logsEvents = talks;
-        world.ruleChecker.harsh = seed % 4 == 0;
+        world.ruleChecker.rapidDiskLosses = seed % 4 == 0;
         // large changes on links that take their time
         if (seed % 5 == 2) {
-            world.padding = "p".repeat(24 << 10);
+            world.changePadding = "p".repeat(24 << 10);
         }
         List<String> seeds = List.of("a", "b", "c");
         for (int i = 0; i < machines; i++) {
             SimulatedReplica node = world.node(String.valueOf((char) ('a' + i)), seeds);
-            node.initial = true;
+            node.initialStart = true;
             live.add(node);
         }
     }
@@ -37,60 +37,60 @@
     }
 
     /** Whether nothing more is expected of this scenario than that no rule is broken. */
-    public boolean harsh() {
-        return world.ruleChecker.harsh;
+    public boolean checksSafetyOnly() {
+        return world.ruleChecker.rapidDiskLosses;
     }
 
     /** Plays; returns how many changes were acknowledged. */
-    public int play() {
+    public int run() {
         for (SimulatedReplica node : live) {
-            world.later(world.now + random.nextInt(400), node::start);
+            world.schedule(world.now + random.nextInt(400), node::start);
         }
-        world.until(world.now + 500);
+        world.runUntil(world.now + 500);
         if (random.nextInt(4) > 0) {
-            settle(8000);
+            awaitOneView(8000);
         }
         for (SimulatedReplica node : live) {
-            node.initial = false;
+            node.initialStart = false;
         }
         int rounds = 3 + random.nextInt(10);
         for (int i = 0; i < rounds; i++) {
             int faults = 1 + random.nextInt(3);
             for (int f = 0; f < faults; f++) {
-                fault();
-                work(random.nextInt(400));
+                injectFault();
+                issueRequests(random.nextInt(400));
             }
-            work(random.nextInt(1500));
+            issueRequests(random.nextInt(1500));
             if (random.nextInt(3) == 0) {
-                calm();
-                if (world.ruleChecker.harsh) {
-                    work(2000);
+                endFaults();
+                if (world.ruleChecker.rapidDiskLosses) {
+                    issueRequests(2000);
                 } else {
-                    settle(9000);
+                    awaitOneView(9000);
                 }
             }
         }
-        calm();
-        if (world.ruleChecker.harsh) {
-            work(5000);
+        endFaults();
+        if (world.ruleChecker.rapidDiskLosses) {
+            issueRequests(5000);
             return world.ruleChecker.acknowledged.size();
         }
-        settle(9000);
+        awaitOneView(9000);
         long token = world.ruleChecker.propose(live.get(0));
-        world.await(() -> world.ruleChecker.acknowledged.contains("c" + token), 2000, "a change after all is calm");
-        settle(3000);
-        world.until(world.now + 300);
-        settle(3000);
-        world.await(this::alike, 4000, "all alike");
-        world.ruleChecker.end(live);
+        world.runUntilTrue(() -> world.ruleChecker.acknowledged.contains("c" + token), 2000, "a change after all is calm");
+        awaitOneView(3000);
+        world.runUntil(world.now + 300);
+        awaitOneView(3000);
+        world.runUntilTrue(this::statesAreEqual, 4000, "all alike");
+        world.ruleChecker.checkFinalState(live);
         return world.ruleChecker.acknowledged.size();
     }
 
-    private void calm() {
+    private void endFaults() {
         world.heal();
         // those that are about to end, as planned, do
-        world.until(world.now + 350);
-        world.await(
+        world.runUntil(world.now + 350);
+        world.runUntilTrue(
                 () -> live.stream().noneMatch(node -> node.isRunning() && node.replica.isLeaving()),
                 6000,
                 "those that leave have left");
@@ -101,11 +101,11 @@
         }
     }
 
-    private void settle(int span) {
-        world.await(this::settled, span, "all in one view");
+    private void awaitOneView(int span) {
+        world.runUntilTrue(this::allInOneView, span, "all in one view");
     }
 
-    private boolean settled() {
+    private boolean allInOneView() {
         SimulatedReplica leader = world.leader();
         if (leader == null) {
             return false;
@@ -123,7 +123,7 @@
         return leader.replica.status().members().size() == live.size();
     }
 
-    private boolean alike() {
+    private boolean statesAreEqual() {
         for (SimulatedReplica node : live) {
             if (!node.state.equals(live.get(0).state)) {
                 return false;
@@ -132,17 +132,17 @@
         return true;
     }
 
-    private void work(int span) {
+    private void issueRequests(int span) {
         long end = world.now + span;
         while (world.now < end) {
-            world.until(Math.min(end, world.now + 1 + random.nextInt(120)));
-            SimulatedReplica node = any();
+            world.runUntil(Math.min(end, world.now + 1 + random.nextInt(120)));
+            SimulatedReplica node = randomNode();
             if (node.isRunning() && node.frozenUntil <= world.now) {
                 if (random.nextInt(20) == 0) {
-                    prank.accept(node);
+                    extraAction.accept(node);
                 }
                 if (random.nextInt(4) == 0) {
-                    world.ruleChecker.confirm(node);
+                    world.ruleChecker.requestReadIndex(node);
                 } else {
                     world.ruleChecker.propose(node);
                 }
@@ -150,18 +150,18 @@
         }
     }
 
-    private SimulatedReplica any() {
+    private SimulatedReplica randomNode() {
         return live.get(random.nextInt(live.size()));
     }
 
     /** A process that has been told to end does so once it may, and is started again. */
-    private void ends(SimulatedReplica node, int boot) {
-        world.later(world.now + 50, () -> {
+    private void restartOnceItMayTerminate(SimulatedReplica node, int boot) {
+        world.schedule(world.now + 50, () -> {
             if (node.processNumber != boot || !node.isRunning()) {
                 return;
             }
             if (!node.replica.mayTerminate()) {
-                ends(node, boot);
+                restartOnceItMayTerminate(node, boot);
                 return;
             }
             node.kill(false);
@@ -171,16 +171,16 @@
 
     private void restart(SimulatedReplica node, int ms) {
         int boot = node.processNumber;
-        world.later(world.now + ms, () -> {
+        world.schedule(world.now + ms, () -> {
             if (node.processNumber == boot && node.down && live.contains(node)) {
                 node.start();
             }
         });
     }
 
-    private void fault() {
-        SimulatedReplica node = any();
-        SimulatedReplica other = any();
+    private void injectFault() {
+        SimulatedReplica node = randomNode();
+        SimulatedReplica other = randomNode();
         switch (random.nextInt(14)) {
             case 0, 1 -> {
                 if (node.isRunning()) {
@@ -188,11 +188,11 @@
                 }
                 restart(node, 100 + random.nextInt(3000));
             }
-            case 2 -> world.cut(node.address, other.address, true);
-            case 3 -> world.one(node.address, other.address, true);
+            case 2 -> world.setCut(node.address, other.address, true);
+            case 3 -> world.setOneWayCut(node.address, other.address, true);
             case 4 -> {
                 for (SimulatedReplica one : live) {
-                    world.cut(node.address, one.address, true);
+                    world.setCut(node.address, one.address, true);
                 }
             }
             case 5 -> node.frozenUntil = Math.max(node.frozenUntil, world.now + 200 + random.nextInt(3000));
@@ -215,14 +215,14 @@
             case 12 -> {
                 if (node.isRunning()) {
                     node.replica.leave(world.now);
-                    ends(node, node.processNumber);
+                    restartOnceItMayTerminate(node, node.processNumber);
                 }
             }
             case 11 -> {
                 world.link(node.address, other.address).loss = random.nextDouble();
                 world.link(other.address, node.address).delayMs = 2 + random.nextInt(200);
-                if (!world.padding.isEmpty()) {
-                    world.rate(node.address, other.address, 100 + random.nextInt(2000));
+                if (!world.changePadding.isEmpty()) {
+                    world.setBandwidth(node.address, other.address, 100 + random.nextInt(2000));
                 }
             }
             default -> replace(node);
@@ -233,7 +233,7 @@
     }
 
     private void wipe(SimulatedReplica node) {
-        if (!world.ruleChecker.intact()) {
+        if (!world.ruleChecker.mayLoseDisk()) {
             return;
         }
         if (node.isRunning()) {
@@ -245,17 +245,17 @@
 
     /** A machine is lost for good, another comes at a new address, before or after. */
     private void replace(SimulatedReplica node) {
-        if (replaced >= 2 || !world.ruleChecker.intact() || !settled()) {
+        if (replacements >= 2 || !world.ruleChecker.mayLoseDisk() || !allInOneView()) {
             return;
         }
-        replaced++;
+        replacements++;
         if (node.isRunning()) {
             node.kill(true);
         }
         node.wipe();
         world.ruleChecker.recovering.remove(node.address);
         live.remove(node);
-        SimulatedReplica next = world.node("r" + replaced, List.of("a", "b", "c"));
+        SimulatedReplica next = world.node("r" + replacements, List.of("a", "b", "c"));
         live.add(next);
         world.ruleChecker.recovering.add(next.address);
         restart(next, random.nextInt(2000));
--- a/src/test/java/brambletray/platform/replication/RandomFaultsTest.java
+++ b/src/test/java/brambletray/platform/replication/RandomFaultsTest.java
@@ -12,7 +12,7 @@
     private static final int SEEDS = 500;
 
     @Test
-    void nothingAcknowledgedIsLostInAnyWeather() {
+    void noAcknowledgedChangeIsLostUnderRandomFaults() {
         Long only = Long.getLong("replication.seed");
         int seeds = Integer.getInteger("replication.seeds", SEEDS);
         long first = Long.getLong("replication.first", 1);
@@ -22,12 +22,12 @@
         for (long seed = only != null ? only : first; seed < first + seeds; seed++) {
             RandomFaults weather = new RandomFaults(seed, only != null);
             try {
-                acknowledged += weather.play();
+                acknowledged += weather.run();
             } catch (AssertionError | RuntimeException e) {
                 weather.world().events.forEach(System.out::println);
                 throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
             }
-            views += weather.world().ruleChecker.views();
+            views += weather.world().ruleChecker.viewCount();
             played++;
             if (only != null) {
                 break;
--- a/src/test/java/brambletray/platform/replication/RecordingReplicationActions.java
+++ b/src/test/java/brambletray/platform/replication/RecordingReplicationActions.java
@@ -7,7 +7,7 @@
 /** Keeps the frames that one member sends; everything else that it says is dropped. */
 final class RecordingReplicationActions implements ReplicationActions {
     /** A frame and the address that it was sent to. */
-    record Sent(String address, ReplicationMessage frame) {}
+    record Sent(String address, ReplicationMessage message) {}
 
     final List<Sent> sent = new ArrayList<>();
 
@@ -19,8 +19,8 @@
     /** Frames of this type to this address. */
     <T extends ReplicationMessage> List<T> sentTo(String address, Class<T> type) {
         return sent.stream()
-                .filter(one -> one.address().equals(address) && type.isInstance(one.frame()))
-                .map(one -> type.cast(one.frame()))
+                .filter(one -> one.address().equals(address) && type.isInstance(one.message()))
+                .map(one -> type.cast(one.message()))
                 .toList();
     }
 
@@ -50,11 +50,11 @@
             @Override
             public void onSnapshotInstalled() {}
         };
-        return new ReplicaState(config, stored, actions, stateless(), nobody, 1_000);
+        return new ReplicaState(config, stored, actions, statelessMachine(), nobody, 1_000);
     }
 
     /** A state machine without a state. */
-    static StateMachine stateless() {
+    static StateMachine statelessMachine() {
         return new StateMachine() {
             @Override
             public byte[] snapshot() {
--- a/src/test/java/brambletray/platform/replication/ReplicaTest.java
+++ b/src/test/java/brambletray/platform/replication/ReplicaTest.java
@@ -16,29 +16,29 @@
     private static final Member C = new Member("c", "c", 3);
     private static final View VIEW = new View(new Ballot(5, 1), List.of(A, B, C), List.of());
 
-    private final List<Object> said = new ArrayList<>();
-    private long ticket;
+    private final List<Object> outputs = new ArrayList<>();
+    private long lastTicket;
     private long now = 1000;
 
-    private final ReplicationActions out = new ReplicationActions() {
+    private final ReplicationActions actions = new ReplicationActions() {
         @Override
         public void send(String address, ReplicationMessage frame) {
-            said.add(frame);
+            outputs.add(frame);
         }
 
         @Override
         public void persist(long which, Map<String, byte[]> changes) {
-            ticket = which;
+            lastTicket = which;
         }
 
         @Override
         public void proposalCompleted(long token, ProposalOutcome outcome) {
-            said.add(outcome);
+            outputs.add(outcome);
         }
 
         @Override
         public void readIndexCompleted(long token, boolean yes) {
-            said.add(yes);
+            outputs.add(yes);
         }
 
         @Override
@@ -64,7 +64,7 @@
 
         @Override
         public void apply(long index, byte[] change) {
-            said.add(index);
+            outputs.add(index);
         }
     };
 
@@ -75,15 +75,15 @@
         return new Replica(
                 new ReplicaConfig("b", "b", "", 9, 77, List.of("a", "b", "c"), false, ReplicationSettings.defaults(1)),
                 durableState,
-                out,
+                actions,
                 stateMachine,
                 now);
     }
 
-    private <T> T last(Class<T> type) {
-        for (int i = said.size() - 1; i >= 0; i--) {
-            if (type.isInstance(said.get(i))) {
-                return type.cast(said.get(i));
+    private <T> T lastOutput(Class<T> type) {
+        for (int i = outputs.size() - 1; i >= 0; i--) {
+            if (type.isInstance(outputs.get(i))) {
+                return type.cast(outputs.get(i));
             }
         }
         return null;
@@ -99,69 +99,69 @@
     }
 
     @Test
-    void acknowledgesOnlyWhatIsOnTheDiskAndDeliversOnlyWhatIsKept() {
+    void acknowledgesOnlyDurableAndAppliesOnlyCommittedEntries() {
         Replica b = follower();
         b.receive("a", append(0, 0), now);
-        assertNull(last(ReplicationMessage.AppendResponse.class));
-        b.synced(ticket, now);
-        assertEquals(1, last(ReplicationMessage.AppendResponse.class).durableIndex());
-        assertNull(last(Long.class));
+        assertNull(lastOutput(ReplicationMessage.AppendResponse.class));
+        b.synced(lastTicket, now);
+        assertEquals(1, lastOutput(ReplicationMessage.AppendResponse.class).durableIndex());
+        assertNull(lastOutput(Long.class));
         b.receive("a", append(1, 1), now);
-        assertEquals(1, last(Long.class));
+        assertEquals(1, lastOutput(Long.class));
     }
 
     @Test
-    void tellsOnlyAfterItsPromiseIsOnTheDiskAndThenAcknowledgesNothing() {
+    void answersPrepareOnceThePromiseIsDurableAndAcknowledgesNothingAfterIt() {
         Replica b = follower();
         b.receive("c", new ReplicationMessage.PrepareRequest(new Ballot(6, 3), C, List.of()), now + 3000);
-        assertNull(last(ReplicationMessage.PrepareResponse.class));
-        b.synced(ticket, now + 3000);
+        assertNull(lastOutput(ReplicationMessage.PrepareResponse.class));
+        b.synced(lastTicket, now + 3000);
         assertEquals(
-                new Ballot(6, 3), last(ReplicationMessage.PrepareResponse.class).ballot());
+                new Ballot(6, 3), lastOutput(ReplicationMessage.PrepareResponse.class).ballot());
         b.receive("a", append(0, 0), now + 3000);
-        b.synced(ticket, now + 3000);
-        assertNull(last(ReplicationMessage.AppendResponse.class));
+        b.synced(lastTicket, now + 3000);
+        assertNull(lastOutput(ReplicationMessage.AppendResponse.class));
         b.receive("a", new ReplicationMessage.PrepareRequest(new Ballot(6, 1), A, List.of()), now + 3000);
         assertEquals(
-                new Ballot(6, 3), last(ReplicationMessage.BallotRejected.class).promisedBallot());
+                new Ballot(6, 3), lastOutput(ReplicationMessage.BallotRejected.class).promisedBallot());
     }
 
     @Test
-    void whoHearsItsLeaderRefusesOthersAndWhoIsntInIsToldSo() {
+    void rejectsPrepareWhileTheLeaderIsHealthyAndInformsNonMembers() {
         Replica b = follower();
         b.receive("a", new ReplicationMessage.HeartbeatRequest(VIEW.ballot(), 1, 0, 0, true, false), now);
         b.receive("c", new ReplicationMessage.PrepareRequest(new Ballot(6, 3), C, List.of()), now + 100);
-        assertTrue(last(ReplicationMessage.BallotRejected.class).leaderIsHealthy());
+        assertTrue(lastOutput(ReplicationMessage.BallotRejected.class).leaderIsHealthy());
         b.receive(
                 "d",
                 new ReplicationMessage.PrepareRequest(new Ballot(7, 4), new Member("d", "d", 4), List.of()),
                 now + 3000);
-        assertEquals(VIEW, last(ReplicationMessage.NotMember.class).view());
+        assertEquals(VIEW, lastOutput(ReplicationMessage.NotMember.class).view());
     }
 
     @Test
-    void onlyTheAnswerToItsOwnQuestionProvesADiskLost() {
+    void onlyTheResponseWithTheCurrentNonceProvesADiskLost() {
         Replica b = follower();
         b.receive("c", new ReplicationMessage.IdentityResponse(1, new Member("c", "c", 33)), now);
         b.receive(
                 "c", new ReplicationMessage.JoinRequest(new Member("c", "c", 33), Ballot.NONE, 0, Ballot.NONE, 0), now);
-        long nonce = last(ReplicationMessage.IdentityRequest.class).nonce();
+        long nonce = lastOutput(ReplicationMessage.IdentityRequest.class).nonce();
         b.receive("c", new ReplicationMessage.IdentityResponse(nonce + 1, new Member("c", "c", 33)), now);
         b.receive("a", new ReplicationMessage.PrepareRequest(new Ballot(6, 1), A, List.of()), now);
-        b.synced(ticket, now);
-        assertEquals(List.of(), last(ReplicationMessage.PrepareResponse.class).retiredIncarnations());
+        b.synced(lastTicket, now);
+        assertEquals(List.of(), lastOutput(ReplicationMessage.PrepareResponse.class).retiredIncarnations());
         b.receive("c", new ReplicationMessage.IdentityResponse(nonce, new Member("c", "c", 33)), now);
-        b.synced(ticket, now);
+        b.synced(lastTicket, now);
         b.receive("a", new ReplicationMessage.PrepareRequest(new Ballot(6, 1), A, List.of()), now);
-        assertEquals(List.of(3L), last(ReplicationMessage.PrepareResponse.class).retiredIncarnations());
+        assertEquals(List.of(3L), lastOutput(ReplicationMessage.PrepareResponse.class).retiredIncarnations());
     }
 
     @Test
-    void aProposalThatWasNeverGivenToALeaderIsRefusedAndOneThatWasIsUnclear() {
+    void anUnsentProposalTimesOutAsRejectedAndASentOneAsUnknown() {
         Replica b = follower();
         b.propose(1, new byte[] {1}, now);
         assertEquals(
-                VIEW.ballot(), last(ReplicationMessage.ProposeRequest.class).viewBallot());
+                VIEW.ballot(), lastOutput(ReplicationMessage.ProposeRequest.class).viewBallot());
         b.receive("a", new ReplicationMessage.PrepareRequest(new Ballot(6, 1), A, List.of()), now);
         b.propose(2, new byte[] {2}, now);
         for (int i = 0; i < 100; i++) {
@@ -169,33 +169,33 @@
         }
         assertEquals(
                 List.of(ProposalOutcome.UNKNOWN, ProposalOutcome.REJECTED),
-                said.stream().filter(one -> one instanceof ProposalOutcome).toList());
+                outputs.stream().filter(one -> one instanceof ProposalOutcome).toList());
     }
 
     @Test
-    void aLeaderTakesProposalsOfItsOwnViewOnlyAndEachOnce() {
+    void aLeaderAcceptsOnlyProposalsOfItsOwnViewAndEachOnce() {
         View alone = new View(new Ballot(5, 2), List.of(B), List.of());
         DurableState durableState = new DurableState(
                 2, List.of(), alone.ballot(), alone, true, ReplicatedLog.empty(), List.of(), List.of());
         Replica b = new Replica(
                 new ReplicaConfig("b", "b", "", 9, 77, List.of("b"), false, ReplicationSettings.defaults(0)),
                 durableState,
-                out,
+                actions,
                 stateMachine,
                 now);
         for (int i = 0; i < 20 && !b.status().isLeader(); i++) {
             b.tick(now += 40);
-            b.synced(ticket, now);
+            b.synced(lastTicket, now);
         }
         Ballot mine = new Ballot(b.status().viewNumber(), 2);
         b.receive("a", new ReplicationMessage.ProposeRequest(alone.ballot(), 7, 1, new byte[0]), now);
-        b.synced(ticket, now);
-        assertNull(last(Long.class), "an old view's");
+        b.synced(lastTicket, now);
+        assertNull(lastOutput(Long.class), "an old view's");
         b.receive("a", new ReplicationMessage.ProposeRequest(mine, 7, 1, new byte[0]), now);
         b.receive("a", new ReplicationMessage.ProposeRequest(mine, 7, 1, new byte[0]), now);
-        b.synced(ticket, now);
-        b.synced(ticket, now);
-        assertEquals(1, last(Long.class));
+        b.synced(lastTicket, now);
+        b.synced(lastTicket, now);
+        assertEquals(1, lastOutput(Long.class));
     }
 
     /**
@@ -203,38 +203,38 @@
      * acknowledgement.
      */
     @Test
-    void whoHasStoppedAcknowledgesNoEntryThatIsSyncedLaterAndConfirmsNoRead() {
+    void aSuspendedMemberAcknowledgesNoEntrySyncedLaterAndConfirmsNoRead() {
         Replica b = follower();
         b.receive("a", append(0, 0), now);
         b.receive("a", new ReplicationMessage.PrepareRequest(new Ballot(6, 1), A, List.of()), now);
-        b.synced(ticket, now);
-        b.synced(ticket, now);
-        assertEquals(1, last(ReplicationMessage.PrepareResponse.class).lastIndex());
-        assertNull(last(ReplicationMessage.AppendResponse.class));
+        b.synced(lastTicket, now);
+        b.synced(lastTicket, now);
+        assertEquals(1, lastOutput(ReplicationMessage.PrepareResponse.class).lastIndex());
+        assertNull(lastOutput(ReplicationMessage.AppendResponse.class));
         b.receive("c", new ReplicationMessage.ReadIndexRequest(VIEW.ballot(), 1), now);
-        assertNull(last(ReplicationMessage.ReadIndexResponse.class));
+        assertNull(lastOutput(ReplicationMessage.ReadIndexResponse.class));
     }
 
     /** The source's log may have changed since it was offered: only the one that was offered is kept with the view. */
     @Test
-    void keepsNoOtherLogThanTheOneThatWasOffered() {
+    void installsOnlyTheLogThatWasOffered() {
         View next = new View(new Ballot(6, 1), List.of(A, B, C), List.of());
         Replica b = follower();
         b.receive("a", new ReplicationMessage.InstallViewOffer(next, 2, VIEW.ballot()), now);
-        b.receive("a", piece(last(ReplicationMessage.FetchChunkRequest.class), List.of(entry(1))), now);
-        b.synced(ticket, now);
-        assertNull(last(ReplicationMessage.InstallViewResponse.class), "one entry, where two were offered");
+        b.receive("a", wholeLogInOneChunk(lastOutput(ReplicationMessage.FetchChunkRequest.class), List.of(entry(1))), now);
+        b.synced(lastTicket, now);
+        assertNull(lastOutput(ReplicationMessage.InstallViewResponse.class), "one entry, where two were offered");
         assertEquals(5, b.status().viewNumber());
         b.receive("a", new ReplicationMessage.InstallViewOffer(next, 2, VIEW.ballot()), now);
-        b.receive("a", piece(last(ReplicationMessage.FetchChunkRequest.class), List.of(entry(1), entry(2))), now);
-        b.synced(ticket, now);
+        b.receive("a", wholeLogInOneChunk(lastOutput(ReplicationMessage.FetchChunkRequest.class), List.of(entry(1), entry(2))), now);
+        b.synced(lastTicket, now);
         assertEquals(
                 next.ballot(),
-                last(ReplicationMessage.InstallViewResponse.class).viewBallot());
+                lastOutput(ReplicationMessage.InstallViewResponse.class).viewBallot());
     }
 
     /** All of it in one piece. */
-    private static ReplicationMessage.FetchChunkResponse piece(
+    private static ReplicationMessage.FetchChunkResponse wholeLogInOneChunk(
             ReplicationMessage.FetchChunkRequest asked, List<LogEntry> entries) {
         LogPatch patch = new LogPatch(false, 0, Ballot.NONE, new byte[0], entries);
         byte[] bytes = ReplicationCodec.patch(patch, 0);
--- a/src/test/java/brambletray/platform/replication/ReplicatedLogTest.java
+++ b/src/test/java/brambletray/platform/replication/ReplicatedLogTest.java
@@ -10,7 +10,7 @@
 class ReplicatedLogTest {
     private static final Ballot FIRST = new Ballot(1, 1);
     private static final Ballot SECOND = new Ballot(2, 2);
-    private static final int STATE = 10_000;
+    private static final int SNAPSHOT_BYTES = 10_000;
 
     private static ReplicatedLog log(int entries, Ballot view) {
         ReplicatedLog log = ReplicatedLog.empty();
@@ -25,9 +25,9 @@
     }
 
     @Test
-    void whatACompactionTookAwayIsStillGivenToWhoLacksLittle() {
+    void patchesAShortLagFromEntriesRetainedAfterCompaction() {
         ReplicatedLog log = log(300, FIRST);
-        log.compact(300, new byte[STATE]);
+        log.compact(300, new byte[SNAPSHOT_BYTES]);
         log.append(entry(301, FIRST));
         LogPatch patch = log.patchFor(290, FIRST, 0);
         assertFalse(patch.replacesAll());
@@ -38,9 +38,9 @@
     }
 
     @Test
-    void theStateIsGivenToWhoLacksMoreThanItWeighsOrThanIsRemembered() {
+    void sendsTheSnapshotForALongLagOrOneBeyondTheRetainedEntries() {
         ReplicatedLog log = log(300, FIRST);
-        log.compact(300, new byte[STATE]);
+        log.compact(300, new byte[SNAPSHOT_BYTES]);
         assertTrue(log.patchFor(100, FIRST, 0).replacesAll());
         for (int i = 301; i <= 1000; i++) {
             log.append(entry(i, FIRST));
@@ -58,9 +58,9 @@
      * remembered.
      */
     @Test
-    void anotherEntryAtARememberedPlaceIsReplacedWithAllBehindTheSnapshot() {
+    void replacesTheWholeLogIfTheLastEntryDiffersFromTheRetainedOne() {
         ReplicatedLog log = log(300, FIRST);
-        log.compact(300, new byte[STATE]);
+        log.compact(300, new byte[SNAPSHOT_BYTES]);
         for (long end : new long[] {250, 290, 300}) {
             assertTrue(log.patchFor(end, SECOND, 0).replacesAll(), "end " + end);
         }
@@ -68,7 +68,7 @@
         for (int i = 251; i <= 300; i++) {
             later.append(entry(i, SECOND));
         }
-        later.compact(300, new byte[STATE]);
+        later.compact(300, new byte[SNAPSHOT_BYTES]);
         assertFalse(later.patchFor(251, SECOND, 0).replacesAll());
         assertTrue(later.patchFor(251, FIRST, 0).replacesAll());
         assertFalse(later.patchFor(250, FIRST, 0).replacesAll());
--- a/src/test/java/brambletray/platform/replication/ReplicationCodecTest.java
+++ b/src/test/java/brambletray/platform/replication/ReplicationCodecTest.java
@@ -18,16 +18,16 @@
 /** Frames as another process has them, and the kept state as the next process has it. */
 class ReplicationCodecTest {
     @Test
-    void everyFrameIsRegisteredAndComesAsItWent() {
+    void everyMessageTypeIsRegisteredAndRoundTrips() {
         FrameCodec speech = new FrameCodec(List.of(ReplicationMessage.TYPES));
         Set<Class<?>> seen = new HashSet<>();
         for (long seed = 1; seed <= 60; seed++) {
             RandomFaults weather = new RandomFaults(seed, false);
-            weather.world().post = frame -> {
+            weather.world().messageTransform = frame -> {
                 seen.add(frame.getClass());
                 return speech.roundTrip(frame);
             };
-            weather.play();
+            weather.run();
         }
         // hardly ever seen: a patch that doesn't fit
         seen.add(speech.roundTrip(new ReplicationMessage.PatchMismatch(new Ballot(1, 2), 3))
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aNewerFormIsRefusedInOneLine() {
+    void aNewerFormatVersionIsRejected() {
         Map<String, byte[]> map = new HashMap<>();
         map.put("view.life", new byte[] {9, 0, 0, 0, 0, 0, 0, 0, 1});
         ReplicationException fault = assertThrows(ReplicationException.class, () -> DurableState.read(map));
@@ -48,13 +48,13 @@
     }
 
     @Test
-    void anEmptyDiskIsNone() {
+    void anEmptyDiskHasNoIncarnation() {
         assertEquals(0, DurableState.read(Map.of()).incarnation());
     }
 
     /** As programs wrote it before the zones of members were kept. */
     @Test
-    void aViewOfTheFormBeforeZonesIsRead() throws IOException {
+    void aViewOfFormatVersion1IsReadWithoutZones() throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream actions = new DataOutputStream(bytes);
         actions.writeByte(1);
--- a/src/test/java/brambletray/platform/replication/ReplicationTestCluster.java
+++ b/src/test/java/brambletray/platform/replication/ReplicationTestCluster.java
@@ -19,7 +19,7 @@
                 .map(ReplicationTestCluster::address)
                 .toList();
         for (String name : names) {
-            machine(name, seeds).initial = true;
+            addMachine(name, seeds).initialStart = true;
         }
     }
 
@@ -27,7 +27,7 @@
         return name.replaceAll("/.*", "");
     }
 
-    private SimulatedReplica machine(String name, List<String> seeds) {
+    private SimulatedReplica addMachine(String name, List<String> seeds) {
         SimulatedReplica node = world.node(address(name), seeds);
         node.zone = name.substring(Math.min(name.length(), address(name).length() + 1));
         return node;
@@ -36,7 +36,7 @@
     /** Starts and waits until all are in. */
     public void found() {
         world.nodes.values().forEach(SimulatedReplica::start);
-        world.await(
+        world.runUntilTrue(
                 () -> {
                     SimulatedReplica leader = world.leader();
                     return leader != null
@@ -46,12 +46,12 @@
                 },
                 5000,
                 "founding");
-        world.nodes.values().forEach(node -> node.initial = false);
-        world.until(world.now + 500);
+        world.nodes.values().forEach(node -> node.initialStart = false);
+        world.runUntil(world.now + 500);
     }
 
     /** A machine that isn't there yet, told these seeds. */
-    public void spare(String name, List<String> seeds) {
-        machine(name, seeds);
+    public void addSpare(String name, List<String> seeds) {
+        addMachine(name, seeds);
     }
 }
--- a/src/test/java/brambletray/platform/replication/RuleChecker.java
+++ b/src/test/java/brambletray/platform/replication/RuleChecker.java
@@ -17,38 +17,38 @@
      * A second machine isn't lost so soon after the view without the first came active that only its leader knows of
      * it.
      */
-    private static final int SPREAD_MS = 300;
+    private static final int ACTIVATION_SPREAD_MS = 300;
 
     /** A machine counts as lost for so long after its return. */
-    private static final int LOST_MS = 4000;
+    private static final int RECOVERY_MS = 4000;
 
     private final SimulatedReplicas world;
     /** What was delivered anywhere, by place. */
-    final TreeMap<Long, String> order = new TreeMap<>();
+    final TreeMap<Long, String> appliedByIndex = new TreeMap<>();
 
-    private final Set<String> ordered = new HashSet<>();
+    private final Set<String> appliedTexts = new HashSet<>();
     final Set<String> acknowledged = new HashSet<>();
-    final Set<String> refused = new HashSet<>();
+    final Set<String> rejected = new HashSet<>();
     private final Map<Long, String> proposed = new HashMap<>();
     private final Map<Long, Set<String>> expected = new HashMap<>();
     private final Map<Long, View> views = new TreeMap<>();
-    private final Set<Long> lives = new HashSet<>();
-    private final Map<String, Long> lifeAt = new HashMap<>();
+    private final Set<Long> liveIncarnations = new HashSet<>();
+    private final Map<String, Long> incarnationByAddress = new HashMap<>();
     /** Machines whose disk was lost, or that take the place of one, and that aren't members yet. */
     final Set<String> recovering = new HashSet<>();
 
-    View latest;
-    private long latestAt;
-    private long troubleAt = Long.MIN_VALUE / 2;
+    View latestView;
+    private long latestViewAtMs;
+    private long recoveringAtMs = Long.MIN_VALUE / 2;
     /**
      * Whether disks are lost sooner after one another than is promised; then nobody promises that it goes on, only that
      * nothing breaks.
      */
-    boolean harsh;
+    boolean rapidDiskLosses;
 
-    int unclear;
-    int confirmedOk;
-    long tokens;
+    int unknownOutcomes;
+    int confirmedReads;
+    long lastToken;
 
     RuleChecker(SimulatedReplicas world) {
         this.world = world;
@@ -62,43 +62,43 @@
         throw new AssertionError(text.toString());
     }
 
-    void born(SimulatedReplica node, long incarnation) {
-        lifeAt.put(node.address, incarnation);
-        lives.add(incarnation);
+    void onStarted(SimulatedReplica node, long incarnation) {
+        incarnationByAddress.put(node.address, incarnation);
+        liveIncarnations.add(incarnation);
     }
 
-    void wiped(SimulatedReplica node) {
+    void onDiskWiped(SimulatedReplica node) {
         recovering.add(node.address);
         if (world.logsEvents) {
             world.events.add(world.now + " " + node.address + " wiped");
         }
-        lives.remove(lifeAt.getOrDefault(node.address, 0L));
-        lifeAt.put(node.address, 0L);
+        liveIncarnations.remove(incarnationByAddress.getOrDefault(node.address, 0L));
+        incarnationByAddress.put(node.address, 0L);
     }
 
     /** Whether one more disk may be lost without losing what is kept on more disks than one. */
-    boolean intact() {
-        if (latest == null || latest.members().size() < 2 || world.now - latestAt < SPREAD_MS) {
+    boolean mayLoseDisk() {
+        if (latestView == null || latestView.members().size() < 2 || world.now - latestViewAtMs < ACTIVATION_SPREAD_MS) {
             return false;
         }
-        recovering.removeIf(address -> latest.memberAt(address) != null
-                && latest.memberAt(address).incarnation() == lifeAt.getOrDefault(address, 0L));
+        recovering.removeIf(address -> latestView.memberAt(address) != null
+                && latestView.memberAt(address).incarnation() == incarnationByAddress.getOrDefault(address, 0L));
         if (!recovering.isEmpty()) {
-            troubleAt = world.now;
+            recoveringAtMs = world.now;
             return false;
         }
-        if (!harsh && world.now - troubleAt < LOST_MS) {
+        if (!rapidDiskLosses && world.now - recoveringAtMs < RECOVERY_MS) {
             return false;
         }
-        for (Member member : latest.members()) {
-            if (!lives.contains(member.incarnation())) {
+        for (Member member : latestView.members()) {
+            if (!liveIncarnations.contains(member.incarnation())) {
                 return false;
             }
         }
         return true;
     }
 
-    void look(SimulatedReplica node) {
+    void checkView(SimulatedReplica node) {
         ReplicaStatus status = node.replica.status();
         if (!status.active()) {
             return;
@@ -108,66 +108,66 @@
                 new View(new Ballot(status.viewNumber(), status.leader().incarnation()), status.members(), List.of());
         if (view == null) {
             views.put(status.viewNumber(), mine);
-            if (latest == null || mine.ballot().isAbove(latest.ballot())) {
-                latest = mine;
-                latestAt = world.now;
+            if (latestView == null || mine.ballot().isAbove(latestView.ballot())) {
+                latestView = mine;
+                latestViewAtMs = world.now;
             }
         } else if (!view.equals(mine)) {
             fail("two views of number " + status.viewNumber() + ": " + view + " and " + mine);
         }
     }
 
-    public void delivered(SimulatedReplica node, long index, String text) {
-        String other = order.putIfAbsent(index, text);
-        ordered.add(text);
+    public void onApplied(SimulatedReplica node, long index, String text) {
+        String other = appliedByIndex.putIfAbsent(index, text);
+        appliedTexts.add(text);
         if (other != null && !other.equals(text)) {
             fail(node.address + " delivers " + text + " at " + index + ", others " + other);
         }
-        if (refused.contains(text)) {
+        if (rejected.contains(text)) {
             fail(text + " was refused and is delivered");
         }
     }
 
     /** Proposes a text here, {@code c} and the token that this returns. */
     public long propose(SimulatedReplica node) {
-        long token = ++tokens;
+        long token = ++lastToken;
         String text = "c" + token;
         proposed.put(token, text);
-        String whole = world.padding.isEmpty() ? text : text + ' ' + world.padding;
+        String whole = world.changePadding.isEmpty() ? text : text + ' ' + world.changePadding;
         node.replica.propose(token, whole.getBytes(java.nio.charset.StandardCharsets.UTF_8), world.now);
         return token;
     }
 
-    void outcome(SimulatedReplica node, long token, ProposalOutcome outcome) {
+    void onProposalCompleted(SimulatedReplica node, long token, ProposalOutcome outcome) {
         String text = proposed.get(token);
         if (outcome == ProposalOutcome.COMMITTED) {
-            if (!ordered.contains(text)) {
+            if (!appliedTexts.contains(text)) {
                 fail(text + " acknowledged but not in the order");
             }
             acknowledged.add(text);
         } else if (outcome == ProposalOutcome.REJECTED) {
-            if (ordered.contains(text)) {
+            if (appliedTexts.contains(text)) {
                 fail(text + " refused but in the order");
             }
-            refused.add(text);
+            rejected.add(text);
         } else {
-            unclear++;
+            unknownOutcomes++;
         }
     }
 
-    long confirm(SimulatedReplica node) {
-        long token = ++tokens;
+    long requestReadIndex(SimulatedReplica node) {
+        long token = ++lastToken;
         expected.put(token, new HashSet<>(acknowledged));
         node.replica.requestReadIndex(token, world.now);
         return token;
     }
 
-    void confirmed(SimulatedReplica node, long token, boolean yes) {
+    void onReadIndexCompleted(SimulatedReplica node, long token, boolean yes) {
         Set<String> must = expected.remove(token);
         if (!yes) {
             return;
         }
-        confirmedOk++;
+        confirmedReads++;
         for (String text : must) {
             if (!node.applied.contains(text)) {
                 fail(node.address + " reads without " + text + ", acknowledged before");
@@ -176,7 +176,7 @@
     }
 
     /** At the end: all members have the same and all that was acknowledged. */
-    void end(List<SimulatedReplica> live) {
+    void checkFinalState(List<SimulatedReplica> live) {
         for (String text : acknowledged) {
             for (SimulatedReplica node : live) {
                 if (!node.applied.contains(text)) {
@@ -192,7 +192,7 @@
         }
     }
 
-    int views() {
+    int viewCount() {
         return views.size();
     }
 }
--- a/src/test/java/brambletray/platform/replication/SimulatedReplica.java
+++ b/src/test/java/brambletray/platform/replication/SimulatedReplica.java
@@ -8,7 +8,7 @@
 /** One machine of the control plane in simulated time: a disk that stays, and a process that comes and goes. */
 public final class SimulatedReplica {
     /** What else the process does besides being a member. */
-    public interface Passenger {
+    public interface AdditionalComponent {
         void tick();
 
         void receive(String from, Object frame);
@@ -32,13 +32,13 @@
     public final SimulatedReplicaDisk disk = new SimulatedReplicaDisk();
     List<String> seeds;
     public Replica replica;
-    public Passenger passenger;
+    public AdditionalComponent additionalComponent;
     /** Null for lists of texts. */
     public Application application;
     /** Counts processes; what was meant for an earlier one is dropped. */
     int processNumber;
 
-    public boolean initial;
+    public boolean initialStart;
     String zone = "";
     public long frozenUntil;
     /** What this process has delivered, by place; places before the first are in the snapshot. */
@@ -66,24 +66,24 @@
         applied.clear();
         appliedIndex = 0;
         long fresh = world.random.nextLong() | 1;
-        DurableState durableState = DurableState.read(disk.kept);
+        DurableState durableState = DurableState.read(disk.content);
         replica = null;
         long origin = world.random.nextLong() | 1;
-        application = world.applications == null ? null : world.applications.make(this, origin);
+        application = world.applications == null ? null : world.applications.create(this, origin);
         replica = new Replica(
-                new ReplicaConfig(address, address, zone, fresh, origin, seeds, initial, world.settings),
+                new ReplicaConfig(address, address, zone, fresh, origin, seeds, initialStart, world.settings),
                 durableState,
-                new Ways(processNumber),
-                application == null ? new State() : application.stateMachine(),
+                new SimulatedActions(processNumber),
+                application == null ? new TextListStateMachine() : application.stateMachine(),
                 world.now);
-        world.ruleChecker.born(this, replica.status().self().incarnation());
-        passenger = world.passengers == null ? null : world.passengers.apply(this);
-        tick(processNumber);
+        world.ruleChecker.onStarted(this, replica.status().self().incarnation());
+        additionalComponent = world.additionalComponents == null ? null : world.additionalComponents.apply(this);
+        scheduleTick(processNumber);
     }
 
     /** Runs it on this process's loop, unless the process ends before. */
     public void execute(Runnable run) {
-        world.at(this, processNumber, world.now, run);
+        world.scheduleFor(this, processNumber, world.now, run);
     }
 
     /** Keeps changes of the rider. */
@@ -92,9 +92,9 @@
     }
 
     private void write(int writer, int process, long ticket, Map<String, byte[]> changes) {
-        disk.begin(writer, changes);
-        world.later(world.now, () -> world.atDisk.accept(this));
-        world.at(
+        disk.startWrite(writer, changes);
+        world.schedule(world.now, () -> world.onDiskWrite.accept(this));
+        world.scheduleFor(
                 this,
                 process,
                 world.now + world.syncMs(disk) + disk.transferMs(writer),
@@ -103,24 +103,24 @@
 
     private void finish(int writer, int process, long ticket) {
         if (disk.hungUntil > world.now) {
-            world.at(this, process, world.now + 10, () -> finish(writer, process, ticket));
+            world.scheduleFor(this, process, world.now + 10, () -> finish(writer, process, ticket));
             return;
         }
-        world.atDisk.accept(this);
+        world.onDiskWrite.accept(this);
         if (process != processNumber) {
             return;
         }
         boolean full = disk.full;
         if (full) {
-            disk.drop(writer);
+            disk.discardWrite(writer);
         } else {
-            disk.end(writer);
+            disk.completeWrite(writer);
         }
         if (writer == 1) {
             if (full) {
-                passenger.syncFailed(ticket);
+                additionalComponent.syncFailed(ticket);
             } else {
-                passenger.synced(ticket);
+                additionalComponent.synced(ticket);
             }
         } else {
             if (full) {
@@ -129,23 +129,23 @@
                 replica.synced(ticket, world.now);
             }
             if (replica != null) {
-                world.ruleChecker.look(this);
+                world.ruleChecker.checkView(this);
             }
         }
     }
 
-    private void tick(int which) {
-        world.at(this, which, world.now + 40, () -> {
+    private void scheduleTick(int which) {
+        world.scheduleFor(this, which, world.now + 40, () -> {
             if (replica != null) {
                 replica.tick(world.now);
                 if (replica != null) {
-                    world.ruleChecker.look(this);
+                    world.ruleChecker.checkView(this);
                 }
-                if (passenger != null) {
-                    passenger.tick();
+                if (additionalComponent != null) {
+                    additionalComponent.tick();
                 }
             }
-            tick(which);
+            scheduleTick(which);
         });
     }
 
@@ -154,17 +154,17 @@
         processNumber++;
         down = true;
         replica = null;
-        passenger = null;
+        additionalComponent = null;
         application = null;
         if (power && (!world.jitter || world.random.nextBoolean())) {
-            disk.dropAll();
+            disk.discardAllWrites();
         } else {
-            disk.endAll();
+            disk.completeAllWrites();
         }
     }
 
     public void wipe() {
-        world.ruleChecker.wiped(this);
+        world.ruleChecker.onDiskWiped(this);
         disk.wipe();
         disk.full = false;
         disk.hungUntil = 0;
@@ -174,25 +174,25 @@
         return !down;
     }
 
-    void hear(String from, Object frame) {
+    void deliver(String from, Object frame) {
         if (replica == null) {
             return;
         }
         if (frame instanceof ReplicationMessage) {
             replica.receive(from, frame, world.now);
             if (replica != null) {
-                world.ruleChecker.look(this);
+                world.ruleChecker.checkView(this);
             }
-        } else if (passenger != null) {
-            passenger.receive(from, frame);
+        } else if (additionalComponent != null) {
+            additionalComponent.receive(from, frame);
         }
         world.afterMessage.accept(this, frame);
     }
 
-    private final class State implements StateMachine {
+    private final class TextListStateMachine implements StateMachine {
         @Override
         public byte[] snapshot() {
-            return (appliedIndex + " " + world.ballast + "\n" + String.join("\n", state))
+            return (appliedIndex + " " + world.snapshotPadding + "\n" + String.join("\n", state))
                     .getBytes(StandardCharsets.UTF_8);
         }
 
@@ -207,7 +207,7 @@
             for (byte[] change : changes) {
                 lines.add(new String(change, StandardCharsets.UTF_8).split(" ")[0]);
             }
-            String all = (at + changes.size()) + " " + world.ballast + "\n" + String.join("\n", lines);
+            String all = (at + changes.size()) + " " + world.snapshotPadding + "\n" + String.join("\n", lines);
             return all.getBytes(StandardCharsets.UTF_8);
         }
 
@@ -239,15 +239,15 @@
                 world.ruleChecker.fail(address + " delivers " + text + " twice");
             }
             state.add(text);
-            world.ruleChecker.delivered(SimulatedReplica.this, index, text);
+            world.ruleChecker.onApplied(SimulatedReplica.this, index, text);
         }
     }
 
-    private final class Ways implements ReplicationActions {
-        private final int mine;
+    private final class SimulatedActions implements ReplicationActions {
+        private final int process;
 
-        Ways(int mine) {
-            this.mine = mine;
+        SimulatedActions(int mine) {
+            this.process = mine;
         }
 
         @Override
@@ -257,7 +257,7 @@
 
         @Override
         public void persist(long ticket, Map<String, byte[]> changes) {
-            write(0, mine, ticket, changes);
+            write(0, process, ticket, changes);
         }
 
         @Override
@@ -266,12 +266,12 @@
                 execute(() -> application.onProposalCompleted(token, outcome));
                 return;
             }
-            world.ruleChecker.outcome(SimulatedReplica.this, token, outcome);
+            world.ruleChecker.onProposalCompleted(SimulatedReplica.this, token, outcome);
         }
 
         @Override
         public void readIndexCompleted(long token, boolean yes) {
-            world.ruleChecker.confirmed(SimulatedReplica.this, token, yes);
+            world.ruleChecker.onReadIndexCompleted(SimulatedReplica.this, token, yes);
         }
 
         @Override
--- a/src/test/java/brambletray/platform/replication/SimulatedReplicaDisk.java
+++ b/src/test/java/brambletray/platform/replication/SimulatedReplicaDisk.java
@@ -9,8 +9,8 @@
  * leave.
  */
 public final class SimulatedReplicaDisk {
-    public final Map<String, byte[]> kept = new HashMap<>();
-    private final Map<Integer, Map<String, byte[]>> flying = new TreeMap<>();
+    public final Map<String, byte[]> content = new HashMap<>();
+    private final Map<Integer, Map<String, byte[]>> inFlight = new TreeMap<>();
     int syncMs = 5;
     /** Bytes that a sync writes in a ms; 0 for a disk on which size takes no time. */
     public int bytesPerMs;
@@ -19,49 +19,49 @@
     /** Syncs begun before this end after it. */
     long hungUntil;
 
-    void begin(int writer, Map<String, byte[]> changes) {
-        flying.put(writer, new HashMap<>(changes));
+    void startWrite(int writer, Map<String, byte[]> changes) {
+        inFlight.put(writer, new HashMap<>(changes));
     }
 
     /** ms that the bytes of a writer's batch under way add to its sync. */
     int transferMs(int writer) {
         long bytes = 0;
-        for (byte[] value : flying.get(writer).values()) {
+        for (byte[] value : inFlight.get(writer).values()) {
             bytes += value == null ? 0 : value.length;
         }
         return bytesPerMs == 0 ? 0 : (int) (bytes / bytesPerMs);
     }
 
-    void end(int writer) {
-        Map<String, byte[]> changes = flying.remove(writer);
+    void completeWrite(int writer) {
+        Map<String, byte[]> changes = inFlight.remove(writer);
         if (changes == null) {
             return;
         }
         changes.forEach((key, value) -> {
             if (value == null) {
-                kept.remove(key);
+                content.remove(key);
             } else {
-                kept.put(key, value);
+                content.put(key, value);
             }
         });
     }
 
-    void endAll() {
-        for (int writer : flying.keySet().toArray(new Integer[0])) {
-            end(writer);
+    void completeAllWrites() {
+        for (int writer : inFlight.keySet().toArray(new Integer[0])) {
+            completeWrite(writer);
         }
     }
 
-    void drop(int writer) {
-        flying.remove(writer);
+    void discardWrite(int writer) {
+        inFlight.remove(writer);
     }
 
-    void dropAll() {
-        flying.clear();
+    void discardAllWrites() {
+        inFlight.clear();
     }
 
     void wipe() {
-        flying.clear();
-        kept.clear();
+        inFlight.clear();
+        content.clear();
     }
 }
--- a/src/test/java/brambletray/platform/replication/SimulatedReplicas.java
+++ b/src/test/java/brambletray/platform/replication/SimulatedReplicas.java
@@ -10,7 +10,7 @@
 
 /** Machines, links and disks in simulated time. One seed gives one scenario of events. */
 public final class SimulatedReplicas {
-    private record Event(long at, long seq, SimulatedReplica node, int boot, Runnable run) {}
+    private record Event(long at, long seq, SimulatedReplica node, int process, Runnable run) {}
 
     /** One direction of a link. */
     static final class Link {
@@ -18,13 +18,13 @@
         int delayMs = 2;
         double loss;
         /** Bytes a ms; 0 for a link that takes no time. */
-        int rate;
+        int bytesPerMs;
         /** When all that was said is out; with more than may wait by then, the link closes and that is lost. */
-        double freeAt;
+        double queueEmptyAt;
 
         long bytes;
-        int breaks;
-        long lastAt;
+        int disconnects;
+        long lastDeliveryAt;
         final List<Object> held = new ArrayList<>();
     }
 
@@ -39,34 +39,34 @@
     public boolean logsEvents;
     public boolean jitter = true;
     /** Makes what rides on a process at its start; null for nothing. */
-    public java.util.function.Function<SimulatedReplica, SimulatedReplica.Passenger> passengers;
+    public java.util.function.Function<SimulatedReplica, SimulatedReplica.AdditionalComponent> additionalComponents;
     /** Makes what a process replicates, at its start; null for lists of texts. */
-    public Applications applications;
+    public ApplicationFactory applications;
     /** Makes snapshots larger, and changes. */
-    String ballast = "";
+    String snapshotPadding = "";
 
-    String padding = "";
+    String changePadding = "";
     public long now = 1000;
     private long seq;
     /** Frames sent so far; and a chance to act on one before it goes: returns false to lose it. */
-    long frames;
+    long messageCount;
 
-    Tap tap = (from, to, frame) -> true;
+    SendFilter sendFilter = (from, to, frame) -> true;
     /** How a frame comes to the other side. */
-    java.util.function.UnaryOperator<Object> post = frame -> frame;
+    java.util.function.UnaryOperator<Object> messageTransform = frame -> frame;
     /** Told of each frame once it has been dealt with. */
     java.util.function.BiConsumer<SimulatedReplica, Object> afterMessage = (node, frame) -> {};
 
     /** Told once a write has begun, and once more when its sync is about to return. */
-    java.util.function.Consumer<SimulatedReplica> atDisk = node -> {};
+    java.util.function.Consumer<SimulatedReplica> onDiskWrite = node -> {};
 
     /** {@code origin}: of the process's proposals. */
-    public interface Applications {
-        SimulatedReplica.Application make(SimulatedReplica node, long origin);
+    public interface ApplicationFactory {
+        SimulatedReplica.Application create(SimulatedReplica node, long origin);
     }
 
-    interface Tap {
-        boolean pass(SimulatedReplica from, String to, Object frame);
+    interface SendFilter {
+        boolean maySend(SimulatedReplica from, String to, Object frame);
     }
 
     public SimulatedReplicas(long seed, ReplicationSettings settings) {
@@ -84,13 +84,13 @@
         return links.computeIfAbsent(from + ">" + to, key -> new Link());
     }
 
-    void at(SimulatedReplica node, int boot, long when, Runnable run) {
+    void scheduleFor(SimulatedReplica node, int boot, long when, Runnable run) {
         queue.add(new Event(when, ++seq, node, boot, run));
     }
 
     /** Something that is no process's doing. */
-    public void later(long when, Runnable run) {
-        at(null, 0, when, run);
+    public void schedule(long when, Runnable run) {
+        scheduleFor(null, 0, when, run);
     }
 
     int syncMs(SimulatedReplicaDisk disk) {
@@ -98,8 +98,8 @@
     }
 
     public void send(SimulatedReplica from, String to, Object frame) {
-        frames++;
-        if (!tap.pass(from, to, frame) || from.down) {
+        messageCount++;
+        if (!sendFilter.maySend(from, to, frame) || from.down) {
             return;
         }
         SimulatedReplica target = nodes.get(to);
@@ -114,63 +114,63 @@
             return;
         }
         int size = MessageSizes.bytes(frame);
-        if (size > MessageSizes.LONGEST) {
+        if (size > MessageSizes.MAX_FRAME_BYTES) {
             ruleChecker.fail(from.address + " says a frame of " + size + " bytes: "
                     + frame.getClass().getSimpleName());
         }
         link.bytes += size;
-        if (link.rate > 0) {
-            later(from, target, link, size, post.apply(frame));
+        if (link.bytesPerMs > 0) {
+            schedule(from, target, link, size, messageTransform.apply(frame));
             return;
         }
         int delay = link.delayMs + (jitter ? random.nextInt(link.delayMs + 1) : 0);
-        link.lastAt = Math.max(link.lastAt, now + delay);
+        link.lastDeliveryAt = Math.max(link.lastDeliveryAt, now + delay);
         if (!target.isRunning()) {
-            at(from, from.processNumber, now + 2L * delay, () -> from.replica.onDisconnected(to, now));
+            scheduleFor(from, from.processNumber, now + 2L * delay, () -> from.replica.onDisconnected(to, now));
             return;
         }
-        Object response = post.apply(frame);
-        at(target, target.processNumber, link.lastAt, () -> target.hear(from.address, response));
+        Object response = messageTransform.apply(frame);
+        scheduleFor(target, target.processNumber, link.lastDeliveryAt, () -> target.deliver(from.address, response));
     }
 
     /** A frame on a link that takes its time: whole frames, one after the other. */
-    private void later(SimulatedReplica from, SimulatedReplica target, Link link, int size, Object frame) {
-        if ((link.freeAt - now) * link.rate > MessageSizes.MOST_WAITING) {
-            link.breaks++;
-            link.freeAt = now;
+    private void schedule(SimulatedReplica from, SimulatedReplica target, Link link, int size, Object frame) {
+        if ((link.queueEmptyAt - now) * link.bytesPerMs > MessageSizes.MAX_PENDING_BYTES) {
+            link.disconnects++;
+            link.queueEmptyAt = now;
             from.replica.onDisconnected(target.address, now);
             return;
         }
-        link.freeAt = Math.max(now, link.freeAt) + (double) size / link.rate;
-        int breaks = link.breaks;
-        link.lastAt = Math.max(link.lastAt, (long) link.freeAt + link.delayMs);
+        link.queueEmptyAt = Math.max(now, link.queueEmptyAt) + (double) size / link.bytesPerMs;
+        int breaks = link.disconnects;
+        link.lastDeliveryAt = Math.max(link.lastDeliveryAt, (long) link.queueEmptyAt + link.delayMs);
         if (!target.isRunning()) {
-            at(
+            scheduleFor(
                     from,
                     from.processNumber,
                     now + 2L * link.delayMs,
                     () -> from.replica.onDisconnected(target.address, now));
             return;
         }
-        at(target, target.processNumber, link.lastAt, () -> {
-            if (link.breaks == breaks) {
-                target.hear(from.address, frame);
+        scheduleFor(target, target.processNumber, link.lastDeliveryAt, () -> {
+            if (link.disconnects == breaks) {
+                target.deliver(from.address, frame);
             }
         });
     }
 
     /** Both ways between two machines: bytes a ms. */
-    void rate(String a, String b, int bytes) {
-        link(a, b).rate = bytes;
-        link(b, a).rate = bytes;
+    void setBandwidth(String a, String b, int bytes) {
+        link(a, b).bytesPerMs = bytes;
+        link(b, a).bytesPerMs = bytes;
     }
 
-    public void cut(String a, String b, boolean cut) {
-        one(a, b, cut);
-        one(b, a, cut);
+    public void setCut(String a, String b, boolean cut) {
+        setOneWayCut(a, b, cut);
+        setOneWayCut(b, a, cut);
     }
 
-    void one(String from, String to, boolean cut) {
+    void setOneWayCut(String from, String to, boolean cut) {
         Link link = link(from, to);
         link.cut = cut;
         if (cut) {
@@ -179,7 +179,7 @@
         SimulatedReplica target = nodes.get(to);
         for (Object frame : link.held) {
             if (target.isRunning()) {
-                at(target, target.processNumber, now + link.delayMs, () -> target.hear(from, frame));
+                scheduleFor(target, target.processNumber, now + link.delayMs, () -> target.deliver(from, frame));
             }
         }
         link.held.clear();
@@ -188,7 +188,7 @@
     public void heal() {
         for (SimulatedReplica node : nodes.values()) {
             node.frozenUntil = Math.min(node.frozenUntil, now);
-            thaw(node);
+            deliverDeferred(node);
             node.disk.full = false;
             node.disk.hungUntil = 0;
             node.disk.syncMs = 5;
@@ -198,23 +198,23 @@
                 Link link = link(a, b);
                 link.loss = 0;
                 link.delayMs = 2;
-                if (link.rate > 0) {
+                if (link.bytesPerMs > 0) {
                     // what waits in a slow link is lost with it
-                    link.breaks++;
-                    link.freeAt = now;
-                    link.lastAt = now;
-                    link.rate = 0;
+                    link.disconnects++;
+                    link.queueEmptyAt = now;
+                    link.lastDeliveryAt = now;
+                    link.bytesPerMs = 0;
                     if (nodes.get(a).isRunning()) {
                         nodes.get(a).replica.onDisconnected(b, now);
                     }
                 }
-                one(a, b, false);
+                setOneWayCut(a, b, false);
             }
         }
     }
 
     /** Plays until a time. */
-    public void until(long when) {
+    public void runUntil(long when) {
         while (!queue.isEmpty() && queue.peek().at <= when) {
             step();
         }
@@ -230,14 +230,14 @@
         now = Math.max(now, event.at);
         SimulatedReplica node = event.node;
         if (node != null) {
-            if (node.processNumber != event.boot || node.down) {
+            if (node.processNumber != event.process || node.down) {
                 return true;
             }
             if (node.frozenUntil > now) {
                 if (node.deferred.isEmpty()) {
-                    later(node.frozenUntil, () -> thaw(node));
+                    schedule(node.frozenUntil, () -> deliverDeferred(node));
                 }
-                node.deferred.add(() -> at(node, event.boot, now, event.run));
+                node.deferred.add(() -> scheduleFor(node, event.process, now, event.run));
                 return true;
             }
         }
@@ -246,9 +246,9 @@
     }
 
     /** What a frozen process has missed comes to it all at once, in order. */
-    private void thaw(SimulatedReplica node) {
+    private void deliverDeferred(SimulatedReplica node) {
         if (node.frozenUntil > now) {
-            later(node.frozenUntil, () -> thaw(node));
+            schedule(node.frozenUntil, () -> deliverDeferred(node));
             return;
         }
         List<Runnable> all = List.copyOf(node.deferred);
@@ -257,13 +257,13 @@
     }
 
     /** Plays on until the condition holds; fails after the span. */
-    public long await(java.util.function.BooleanSupplier condition, long span, String what) {
+    public long runUntilTrue(java.util.function.BooleanSupplier condition, long span, String what) {
         long begin = now;
         while (!condition.getAsBoolean()) {
             if (now - begin > span) {
                 ruleChecker.fail("not within " + span + " ms: " + what);
             }
-            until(now + 10);
+            runUntil(now + 10);
         }
         return now - begin;
     }
--- a/src/test/java/brambletray/platform/replication/StateTransferServerTest.java
+++ b/src/test/java/brambletray/platform/replication/StateTransferServerTest.java
@@ -16,7 +16,7 @@
 
     /** The log of a view that is being installed can be had only as it is: no other cut does in its stead. */
     @Test
-    void allThatLackTheSameOfANewViewAreServedFromOneCut() {
+    void receiversWithTheSameNeedsOfANewViewShareOnePackedPatch() {
         LogEntry entry = new LogEntry(1, INSTALLING, 7, 1, new byte[2 * StateTransferClient.CHUNK_BYTES]);
         ReplicatedLog log = new ReplicatedLog(0, Ballot.NONE, new byte[0], List.of(entry));
         StateTransferServer serving = new StateTransferServer(state, view -> log);
--- a/src/test/java/brambletray/platform/replication/StateTransferTest.java
+++ b/src/test/java/brambletray/platform/replication/StateTransferTest.java
@@ -11,13 +11,13 @@
 /** Members that lack much, on links that take their time: frames of at most 8 MB, links that close when 4 MB wait. */
 class StateTransferTest {
     /** 2 Mbit/s, in bytes a ms. */
-    private static final int SLOW = 250;
+    private static final int SLOW_LINK = 250;
 
     private static final int MB = 1 << 20;
 
     private SimulatedReplicas world;
 
-    private SimulatedReplicas core(String... names) {
+    private SimulatedReplicas startCluster(String... names) {
         ReplicationTestCluster core = new ReplicationTestCluster(List.of(names));
         world = core.world;
         world.logsEvents = Boolean.getBoolean("replication.talks");
@@ -26,28 +26,28 @@
     }
 
     @AfterEach
-    void tell() {
+    void printEvents() {
         if (Boolean.getBoolean("replication.talks")) {
             world.events.forEach(System.out::println);
         }
     }
 
-    private static void around(SimulatedReplicas world, String name, int rate) {
+    private static void setBandwidthOf(SimulatedReplicas world, String name, int rate) {
         for (String other : world.nodes.keySet()) {
-            world.rate(name, other, rate);
+            world.setBandwidth(name, other, rate);
         }
     }
 
-    private static void changes(SimulatedReplicas world, int count, int everyMs) {
+    private static void proposeChanges(SimulatedReplicas world, int count, int everyMs) {
         for (int i = 0; i < count; i++) {
             if (world.leader() != null) {
                 world.ruleChecker.propose(world.leader());
             }
-            world.until(world.now + everyMs);
+            world.runUntil(world.now + everyMs);
         }
     }
 
-    private static boolean in(SimulatedReplicas world, String name) {
+    private static boolean isMember(SimulatedReplicas world, String name) {
         SimulatedReplica leader = world.leader();
         if (leader == null || !leader.replica.status().active()) {
             return false;
@@ -56,9 +56,9 @@
                 .anyMatch(member -> member.name().equals(name));
     }
 
-    private static void takes(SimulatedReplicas world, SimulatedReplica at, long span, String what) {
+    private static void assertCommits(SimulatedReplicas world, SimulatedReplica at, long span, String what) {
         long token = world.ruleChecker.propose(at);
-        world.await(() -> world.ruleChecker.acknowledged.contains("c" + token), span, what);
+        world.runUntilTrue(() -> world.ruleChecker.acknowledged.contains("c" + token), span, what);
     }
 
     /**
@@ -66,21 +66,21 @@
      * anything goes on.
      */
     @Test
-    void aViewThatNeedsAMemberThatLacksMoreThanAFrameIsInstalledInPieces() {
-        core("a", "b", "c");
-        around(world, "c", 10 * SLOW);
-        world.padding = "p".repeat(MB);
+    void aViewWithALogTooLargeForAMessageIsInstalledInChunks() {
+        startCluster("a", "b", "c");
+        setBandwidthOf(world, "c", 10 * SLOW_LINK);
+        world.changePadding = "p".repeat(MB);
         for (int i = 0; i < 12; i++) {
             world.ruleChecker.propose(world.leader());
         }
-        world.until(world.now + 50);
+        world.runUntil(world.now + 50);
         world.nodes.get("b").kill(true);
-        world.await(
+        world.runUntilTrue(
                 () -> world.nodes.get("a").state.size() == 12
                         && world.nodes.get("c").state.size() == 12,
                 12_000,
                 "twelve changes of 1 MB at two of three, 20 Mbit/s between them");
-        assertEquals(0, world.link("a", "c").breaks);
+        assertEquals(0, world.link("a", "c").disconnects);
     }
 
     /**
@@ -88,20 +88,20 @@
      * as a learner.
      */
     @Test
-    void aMemberThatLacksMuchOnASlowLinkIsLeftOutAndLetInAgain() {
-        core("a", "b", "c", "d", "e");
-        around(world, "e", SLOW);
-        world.padding = "p".repeat(MB);
+    void aLaggingMemberOnASlowLinkIsExcludedAndRejoins() {
+        startCluster("a", "b", "c", "d", "e");
+        setBandwidthOf(world, "e", SLOW_LINK);
+        world.changePadding = "p".repeat(MB);
         for (int i = 0; i < 4; i++) {
             world.ruleChecker.propose(world.leader());
         }
-        world.until(world.now + 100);
-        world.padding = "";
+        world.runUntil(world.now + 100);
+        world.changePadding = "";
         world.nodes.get("a").kill(true);
-        takes(world, world.nodes.get("b"), 4_500, "a change after the loss of the leader, with a laggard");
-        assertFalse(in(world, "e"));
-        world.await(() -> in(world, "e"), 40_000, "4 MB at 2 Mbit/s, and back in");
-        assertEquals(0, world.link("b", "e").breaks);
+        assertCommits(world, world.nodes.get("b"), 4_500, "a change after the loss of the leader, with a laggard");
+        assertFalse(isMember(world, "e"));
+        world.runUntilTrue(() -> isMember(world, "e"), 40_000, "4 MB at 2 Mbit/s, and back in");
+        assertEquals(0, world.link("b", "e").disconnects);
     }
 
     /**
@@ -109,26 +109,26 @@
      * each next view.
      */
     @Test
-    void aMemberThatAnswersButNeverKeepsTheViewIsLeftOutOfTheNext() {
-        core("a", "b", "c", "d", "e");
-        world.padding = "p".repeat(MB);
-        world.tap = (from, to, frame) -> !(to.equals("e")
+    void aMemberThatRespondsButNeverInstallsTheViewIsExcluded() {
+        startCluster("a", "b", "c", "d", "e");
+        world.changePadding = "p".repeat(MB);
+        world.sendFilter = (from, to, frame) -> !(to.equals("e")
                 && (frame instanceof ReplicationMessage.FetchChunkResponse
                         || frame instanceof ReplicationMessage.AppendRequest));
         for (int i = 0; i < 4; i++) {
             world.ruleChecker.propose(world.leader());
         }
-        world.until(world.now + 100);
-        world.padding = "";
+        world.runUntil(world.now + 100);
+        world.changePadding = "";
         world.nodes.get("a").kill(true);
-        takes(
+        assertCommits(
                 world,
                 world.nodes.get("b"),
                 4_500,
                 "a change after the loss of the leader, with one to whom no piece comes");
-        assertFalse(in(world, "e"));
-        world.tap = (from, to, frame) -> true;
-        world.await(() -> in(world, "e"), 6000, "back in");
+        assertFalse(isMember(world, "e"));
+        world.sendFilter = (from, to, frame) -> true;
+        world.runUntilTrue(() -> isMember(world, "e"), 6000, "back in");
     }
 
     /**
@@ -136,33 +136,33 @@
      * lost midway.
      */
     @Test
-    void aMemberThatWasAwayCatchesUpWhileChangesGoOnAndItsGiverIsLost() {
-        core("a", "b", "c", "d", "e");
-        world.padding = "p".repeat(MB / 4);
-        world.ballast = "b".repeat(2 * MB);
+    void aReturningMemberCatchesUpDuringChangesAndLossOfItsSource() {
+        startCluster("a", "b", "c", "d", "e");
+        world.changePadding = "p".repeat(MB / 4);
+        world.snapshotPadding = "b".repeat(2 * MB);
         world.nodes.get("e").kill(true);
-        world.await(() -> !in(world, "e"), 3000, "the view without it");
-        changes(world, 300, 20);
-        around(world, "e", SLOW);
-        world.padding = "p".repeat(1024);
+        world.runUntilTrue(() -> !isMember(world, "e"), 3000, "the view without it");
+        proposeChanges(world, 300, 20);
+        setBandwidthOf(world, "e", SLOW_LINK);
+        world.changePadding = "p".repeat(1024);
         world.nodes.get("e").start();
-        changes(world, 20, 200);
-        assertFalse(in(world, "e"));
+        proposeChanges(world, 20, 200);
+        assertFalse(isMember(world, "e"));
         world.nodes.get("a").kill(true);
         long lostIncarnations = world.now;
-        world.await(
-                () -> world.leader() != null && in(world, "b") && !in(world, "a"), 3000, "the view without the giver");
-        for (int i = 0; i < 200 && !in(world, "e"); i++) {
-            changes(world, 1, 200);
+        world.runUntilTrue(
+                () -> world.leader() != null && isMember(world, "b") && !isMember(world, "a"), 3000, "the view without the giver");
+        for (int i = 0; i < 200 && !isMember(world, "e"); i++) {
+            proposeChanges(world, 1, 200);
         }
-        assertTrue(in(world, "e"), "not back in");
+        assertTrue(isMember(world, "e"), "not back in");
         assertTrue(
                 world.now - lostIncarnations < 12_500,
                 "back only " + (world.now - lostIncarnations) + " ms after the loss of its giver");
         world.nodes.get("a").start();
-        world.await(() -> in(world, "a"), 4000, "the giver is back");
-        world.until(world.now + 1000);
-        world.ruleChecker.end(List.copyOf(world.nodes.values()));
+        world.runUntilTrue(() -> isMember(world, "a"), 4000, "the giver is back");
+        world.runUntil(world.now + 1000);
+        world.ruleChecker.checkFinalState(List.copyOf(world.nodes.values()));
     }
 
     /**
@@ -178,31 +178,31 @@
      *                  the rest                      let in
      * </pre>
      */
-    private long learnerWhoseGiverIsLost(int changesMeanwhile) {
-        core("a", "b", "c", "d", "e");
+    private long transferWithLossOfTheSource(int changesMeanwhile) {
+        startCluster("a", "b", "c", "d", "e");
         world.logsEvents = true;
-        world.ballast = "b".repeat(2 * MB);
+        world.snapshotPadding = "b".repeat(2 * MB);
         world.nodes.get("e").kill(true);
-        world.await(() -> !in(world, "e"), 3000, "the view without it");
-        changes(world, 3 * ReplicatedLog.MAX_ENTRIES_BEFORE_SNAPSHOT + 10, 12);
-        around(world, "e", SLOW);
+        world.runUntilTrue(() -> !isMember(world, "e"), 3000, "the view without it");
+        proposeChanges(world, 3 * ReplicatedLog.MAX_ENTRIES_BEFORE_SNAPSHOT + 10, 12);
+        setBandwidthOf(world, "e", SLOW_LINK);
         world.nodes.get("e").start();
-        world.await(() -> world.link("a", "e").bytes > 5 * MB / 4, 12_000, "more than half of the state");
+        world.runUntilTrue(() -> world.link("a", "e").bytes > 5 * MB / 4, 12_000, "more than half of the state");
         world.nodes.get("a").kill(true);
-        world.await(() -> world.leader() != null && in(world, "b") && !in(world, "a"), 3000, "the view without a");
+        world.runUntilTrue(() -> world.leader() != null && isMember(world, "b") && !isMember(world, "a"), 3000, "the view without a");
         for (String other : List.of("b", "c", "d")) {
-            world.cut("e", other, true);
+            world.setCut("e", other, true);
         }
-        changes(world, changesMeanwhile, 5);
+        proposeChanges(world, changesMeanwhile, 5);
         for (String other : List.of("b", "c", "d")) {
-            world.cut("e", other, false);
+            world.setCut("e", other, false);
         }
-        world.await(() -> in(world, "e"), 20_000, "the learner is let in");
+        world.runUntilTrue(() -> isMember(world, "e"), 20_000, "the learner is let in");
         long rest = world.link("b", "e").bytes;
         world.nodes.get("a").start();
-        world.await(() -> in(world, "a"), 4000, "the first giver is back");
-        world.until(world.now + 500);
-        world.ruleChecker.end(List.copyOf(world.nodes.values()));
+        world.runUntilTrue(() -> isMember(world, "a"), 4000, "the first giver is back");
+        world.runUntil(world.now + 500);
+        world.ruleChecker.checkFinalState(List.copyOf(world.nodes.values()));
         return rest;
     }
 
@@ -211,8 +211,8 @@
     }
 
     @Test
-    void aLearnerGoesOnAtTheNextGiverWhereTheFirstStopped() {
-        long rest = learnerWhoseGiverIsLost(0);
+    void aTransferIsResumedFromAnotherSource() {
+        long rest = transferWithLossOfTheSource(0);
         assertTrue(logged("replication.transfer-resumed"));
         assertFalse(logged("replication.transfer-restarted"));
         assertTrue(rest < MB, "bytes of the second giver " + rest);
@@ -220,8 +220,8 @@
 
     /** The second source has a later state by then, and makes the first one's again. */
     @Test
-    void aLearnerGoesOnAtTheNextGiverThoughTheStateHasMovedOn() {
-        long rest = learnerWhoseGiverIsLost(20);
+    void aTransferIsResumedFromASourceWithALaterState() {
+        long rest = transferWithLossOfTheSource(20);
         assertTrue(logged("replication.transfer-resumed"));
         assertFalse(logged("replication.transfer-restarted"));
         assertTrue(rest < MB, "bytes of the second giver " + rest);
@@ -229,22 +229,22 @@
 
     /** The second source has compacted what it would need for that: the learner begins anew, and says so. */
     @Test
-    void aLearnerBeginsAnewWhereTheNextGiverCannotMakeTheSameState() {
-        long rest = learnerWhoseGiverIsLost(2 * ReplicatedLog.MAX_ENTRIES_BEFORE_SNAPSHOT);
+    void aTransferRestartsIfTheNextSourceCannotReproduceTheState() {
+        long rest = transferWithLossOfTheSource(2 * ReplicatedLog.MAX_ENTRIES_BEFORE_SNAPSHOT);
         assertTrue(logged("replication.transfer-restarted"));
         assertTrue(rest > 2 * MB, "bytes of the second giver " + rest);
     }
 
     /** One bit of a piece is another on the way, which TCP doesn't see now and then. */
     @Test
-    void bytesThatAreNotThoseOfTheDigestAreNoState() {
-        core("a", "b", "c");
+    void bytesThatDoNotMatchTheDigestAreRejected() {
+        startCluster("a", "b", "c");
         world.logsEvents = true;
         world.node("d", List.of("a", "b", "c"));
-        world.ballast = "b".repeat(MB);
-        changes(world, 3 * ReplicatedLog.MAX_ENTRIES_BEFORE_SNAPSHOT + 10, 12);
+        world.snapshotPadding = "b".repeat(MB);
+        proposeChanges(world, 3 * ReplicatedLog.MAX_ENTRIES_BEFORE_SNAPSHOT + 10, 12);
         boolean[] spoil = {true};
-        world.post = frame -> {
+        world.messageTransform = frame -> {
             if (!(frame instanceof ReplicationMessage.FetchChunkResponse chunk)
                     || chunk.offset() != StateTransferClient.CHUNK_BYTES
                     || !spoil[0]) {
@@ -257,10 +257,10 @@
                     chunk.transferId(), chunk.offset(), chunk.totalBytes(), other, chunk.transfer());
         };
         world.nodes.get("d").start();
-        world.await(() -> in(world, "d"), 5000, "let in");
+        world.runUntilTrue(() -> isMember(world, "d"), 5000, "let in");
         assertTrue(logged("replication.transfer-corrupt"));
-        world.until(world.now + 500);
-        world.ruleChecker.end(List.copyOf(world.nodes.values()));
+        world.runUntil(world.now + 500);
+        world.ruleChecker.checkFinalState(List.copyOf(world.nodes.values()));
     }
 
     /**
@@ -268,18 +268,18 @@
      * same.
      */
     @Test
-    void compactionWhileALearnerFetchesDoesNotMakeItBeginAnew() {
-        core("a", "b", "c");
+    void compactionDuringATransferDoesNotRestartIt() {
+        startCluster("a", "b", "c");
         world.node("d", List.of("a", "b", "c"));
-        world.ballast = "b".repeat(2 * MB);
-        changes(world, 3 * ReplicatedLog.MAX_ENTRIES_BEFORE_SNAPSHOT + 10, 12);
-        around(world, "d", SLOW);
+        world.snapshotPadding = "b".repeat(2 * MB);
+        proposeChanges(world, 3 * ReplicatedLog.MAX_ENTRIES_BEFORE_SNAPSHOT + 10, 12);
+        setBandwidthOf(world, "d", SLOW_LINK);
         world.nodes.get("d").start();
         long begin = world.now;
-        while (!in(world, "d") && world.now - begin < 30_000) {
-            changes(world, 1, 12);
+        while (!isMember(world, "d") && world.now - begin < 30_000) {
+            proposeChanges(world, 1, 12);
         }
-        assertTrue(in(world, "d"), "not let in");
+        assertTrue(isMember(world, "d"), "not let in");
         assertTrue(world.link("a", "d").bytes < 3 * MB, "bytes " + world.link("a", "d").bytes);
     }
 
@@ -287,18 +287,18 @@
      * On a link that takes its time an entry is on its way for longer than it takes to send it again: it is sent once.
      */
     @Test
-    void whatIsOnItsWayOnASlowLinkIsNotSentAgain() {
-        core("a", "b", "c");
-        around(world, "c", 2 * SLOW);
-        world.until(world.now + 500);
+    void entriesInFlightOnASlowLinkAreNotResent() {
+        startCluster("a", "b", "c");
+        setBandwidthOf(world, "c", 2 * SLOW_LINK);
+        world.runUntil(world.now + 500);
         long before = world.link("a", "c").bytes;
-        world.padding = "p".repeat(MB / 4);
-        takes(world, world.nodes.get("b"), 2000, "256 kB at 4 Mbit/s");
-        world.until(world.now + 1000);
+        world.changePadding = "p".repeat(MB / 4);
+        assertCommits(world, world.nodes.get("b"), 2000, "256 kB at 4 Mbit/s");
+        world.runUntil(world.now + 1000);
         assertTrue(
                 world.link("a", "c").bytes - before < MB / 4 + 16_000,
                 "bytes " + (world.link("a", "c").bytes - before));
-        assertTrue(in(world, "c"));
+        assertTrue(isMember(world, "c"));
     }
 
     /**
@@ -306,36 +306,36 @@
      * stays.
      */
     @Test
-    void noMoreIsUnderWayToAMemberThanItsLinkBears() {
-        core("a", "b", "c");
-        around(world, "c", 20 * SLOW);
-        world.padding = "p".repeat(MB / 4);
+    void dataInFlightStaysBelowTheBoundOfTheSendQueue() {
+        startCluster("a", "b", "c");
+        setBandwidthOf(world, "c", 20 * SLOW_LINK);
+        world.changePadding = "p".repeat(MB / 4);
         for (int i = 0; i < 40; i++) {
             world.ruleChecker.propose(world.leader());
-            world.until(world.now + 10);
+            world.runUntil(world.now + 10);
         }
-        world.await(() -> world.ruleChecker.acknowledged.size() >= 30, 6000, "10 MB at 40 Mbit/s");
-        assertEquals(0, world.link("a", "c").breaks);
-        assertTrue(in(world, "c"));
+        world.runUntilTrue(() -> world.ruleChecker.acknowledged.size() >= 30, 6000, "10 MB at 40 Mbit/s");
+        assertEquals(0, world.link("a", "c").disconnects);
+        assertTrue(isMember(world, "c"));
     }
 
     /** Five newcomers at once, more than cuts are kept. */
     @Test
-    void fiveNewcomersAtOnceAreServedTogether() {
-        core("a", "b", "c");
+    void fiveNewcomersAreServedConcurrently() {
+        startCluster("a", "b", "c");
         for (String name : List.of("d", "e", "f", "g", "h")) {
             world.node(name, List.of("a", "b", "c"));
         }
-        world.ballast = "b".repeat(2 * MB);
-        changes(world, 3 * ReplicatedLog.MAX_ENTRIES_BEFORE_SNAPSHOT + 10, 12);
+        world.snapshotPadding = "b".repeat(2 * MB);
+        proposeChanges(world, 3 * ReplicatedLog.MAX_ENTRIES_BEFORE_SNAPSHOT + 10, 12);
         for (String name : List.of("d", "e", "f", "g", "h")) {
-            around(world, name, 2 * SLOW);
+            setBandwidthOf(world, name, 2 * SLOW_LINK);
             world.nodes.get(name).start();
-            changes(world, 8, 30);
+            proposeChanges(world, 8, 30);
         }
         long begin = world.now;
         for (String name : List.of("d", "e", "f", "g", "h")) {
-            world.await(() -> in(world, name), 9_000, name + " let in");
+            world.runUntilTrue(() -> isMember(world, name), 9_000, name + " let in");
         }
         // one takes 4.2 s; the fifth used to wait for a place
         assertTrue(world.now - begin < 7_000, "took " + (world.now - begin));
@@ -346,16 +346,16 @@
      * each is a pause.
      */
     @Test
-    void noViewIsChangedForANewcomerThatHasFallenBehindAgain() {
-        core("a", "b", "c");
+    void noViewChangeForANewcomerThatHasFallenBehindAgain() {
+        startCluster("a", "b", "c");
         world.node("d", List.of("a", "b", "c"));
-        world.padding = "p".repeat(100 << 10);
-        changes(world, 5, 20);
-        int before = world.ruleChecker.views();
+        world.changePadding = "p".repeat(100 << 10);
+        proposeChanges(world, 5, 20);
+        int before = world.ruleChecker.viewCount();
         world.nodes.get("d").start();
-        changes(world, 400, 12);
-        assertTrue(world.ruleChecker.views() - before <= 4, "views " + (world.ruleChecker.views() - before));
-        world.await(() -> in(world, "d"), 2000, "let in when it is calm");
+        proposeChanges(world, 400, 12);
+        assertTrue(world.ruleChecker.viewCount() - before <= 4, "views " + (world.ruleChecker.viewCount() - before));
+        world.runUntilTrue(() -> isMember(world, "d"), 2000, "let in when it is calm");
     }
 
     /**
@@ -363,16 +363,16 @@
      * nobody with it.
      */
     @Test
-    void aMemberOfLongAgoThatIsBackFirstDoesNotLeadWithItsOldState() {
+    void anOutdatedMemberThatRestartsFirstDoesNotLeadWithItsOldState() {
         for (boolean wiped : new boolean[] {false, true}) {
-            core("a", "b", "c");
-            world.padding = "p".repeat(8 << 10);
-            changes(world, 100, 10);
+            startCluster("a", "b", "c");
+            world.changePadding = "p".repeat(8 << 10);
+            proposeChanges(world, 100, 10);
             world.nodes.get("a").kill(true);
-            world.await(() -> world.leader() != null && in(world, "b") && !in(world, "a"), 3000, "the view without a");
-            changes(world, 600, 10);
-            world.until(world.now + 500);
-            around(world, "a", SLOW);
+            world.runUntilTrue(() -> world.leader() != null && isMember(world, "b") && !isMember(world, "a"), 3000, "the view without a");
+            proposeChanges(world, 600, 10);
+            world.runUntil(world.now + 500);
+            setBandwidthOf(world, "a", SLOW_LINK);
             for (String name : List.of("b", "c")) {
                 world.nodes.get(name).kill(true);
             }
@@ -380,12 +380,12 @@
                 world.nodes.get("c").wipe();
             }
             world.nodes.get("a").start();
-            world.until(world.now + 2000);
+            world.runUntil(world.now + 2000);
             for (String name : List.of("b", "c")) {
                 world.nodes.get(name).start();
             }
             for (int i = 0; i < 400; i++) {
-                world.until(world.now + 10);
+                world.runUntil(world.now + 10);
                 for (SimulatedReplica node : world.nodes.values()) {
                     ReplicaStatus status = node.replica.status();
                     if (!status.isLeader() || !status.settled()) {
@@ -396,13 +396,13 @@
                             node.address + " leads with old state at " + world.now);
                 }
                 if (i % 10 == 0) {
-                    world.nodes.values().forEach(world.ruleChecker::confirm);
+                    world.nodes.values().forEach(world.ruleChecker::requestReadIndex);
                 }
             }
-            assertTrue(world.ruleChecker.confirmedOk > 0, "nothing was read");
-            world.await(() -> in(world, "a") && in(world, "b") && in(world, "c"), 6000, "all are in");
-            world.until(world.now + 500);
-            world.ruleChecker.end(List.copyOf(world.nodes.values()));
+            assertTrue(world.ruleChecker.confirmedReads > 0, "nothing was read");
+            world.runUntilTrue(() -> isMember(world, "a") && isMember(world, "b") && isMember(world, "c"), 6000, "all are in");
+            world.runUntil(world.now + 500);
+            world.ruleChecker.checkFinalState(List.copyOf(world.nodes.values()));
         }
     }
 
@@ -411,27 +411,27 @@
      * there is room.
      */
     @Test
-    void aMemberWithAFullDiskIsLeftOutAndComesBackWithRoom() {
+    void aMemberWithAFullDiskIsExcludedAndRejoins() {
         for (String full : List.of("a", "b")) {
-            core("a", "b", "c");
+            startCluster("a", "b", "c");
             world.nodes.get(full).disk.full = true;
             SimulatedReplica other = world.nodes.get("c");
-            takes(world, other, 3000, "a change while the disk of " + full + " is full");
-            world.await(() -> !in(world, full), 3000, full + " left out");
+            assertCommits(world, other, 3000, "a change while the disk of " + full + " is full");
+            world.runUntilTrue(() -> !isMember(world, full), 3000, full + " left out");
             for (int i = 0; i < 30; i++) {
-                takes(world, other, 1000, "changes without " + full);
+                assertCommits(world, other, 1000, "changes without " + full);
             }
             world.nodes.get(full).kill(false);
-            world.until(world.now + 300);
+            world.runUntil(world.now + 300);
             world.nodes.get(full).start();
             for (int i = 0; i < 30; i++) {
-                takes(world, other, 1000, "changes while " + full + " is there again, its disk still full");
+                assertCommits(world, other, 1000, "changes while " + full + " is there again, its disk still full");
             }
-            assertFalse(in(world, full));
+            assertFalse(isMember(world, full));
             world.nodes.get(full).disk.full = false;
-            world.await(() -> in(world, full), 3000, full + " is back");
-            world.until(world.now + 500);
-            world.ruleChecker.end(List.copyOf(world.nodes.values()));
+            world.runUntilTrue(() -> isMember(world, full), 3000, full + " is back");
+            world.runUntil(world.now + 500);
+            world.ruleChecker.checkFinalState(List.copyOf(world.nodes.values()));
         }
     }
 }
--- a/src/test/java/brambletray/platform/replication/SteppedReplicas.java
+++ b/src/test/java/brambletray/platform/replication/SteppedReplicas.java
@@ -21,84 +21,84 @@
     private static final int STEP_MS = 400;
     private static final String[] NAMES = {"a", "b", "c", "d"};
     private static final List<String> SEEDS = List.of("a", "b", "c");
-    private static final int FAR = 1_000_000_000;
+    private static final int NEVER_MS = 1_000_000_000;
     private static final ReplicationSettings SETTINGS =
-            new ReplicationSettings(FaultTolerance.ofMachines(1), FAR, 1, FAR, FAR, FAR, 0, 0, 0, FAR, FAR, FAR);
+            new ReplicationSettings(FaultTolerance.ofMachines(1), NEVER_MS, 1, NEVER_MS, NEVER_MS, NEVER_MS, 0, 0, 0, NEVER_MS, NEVER_MS, NEVER_MS);
 
     /** What may still happen: impatience, losses of power, losses of disks, planned ends, the start of the newcomer. */
-    record Purse(int impatience, int power, int disks, int leaves, int newcomers) {
-        Purse(int impatience, int power, int disks) {
+    record EventBudget(int timeouts, int powerLosses, int diskLosses, int leaves, int newcomers) {
+        EventBudget(int impatience, int power, int disks) {
             this(impatience, power, disks, 0, 0);
         }
     }
 
     private static final class SteppedReplica implements ReplicationActions, StateMachine {
-        final SteppedReplicas board;
+        final SteppedReplicas cluster;
         final int number;
-        Map<String, byte[]> kept = new HashMap<>();
-        Map<String, byte[]> flying;
+        Map<String, byte[]> diskContent = new HashMap<>();
+        Map<String, byte[]> inFlight;
         long ticket;
-        int boot;
-        long life;
-        Replica members;
+        int startCount;
+        long incarnation;
+        Replica replica;
         final List<String> state = new ArrayList<>();
-        long proposedIn;
+        long lastProposedView;
 
         SteppedReplica(SteppedReplicas board, int number) {
-            this.board = board;
+            this.cluster = board;
             this.number = number;
         }
 
         void start(boolean initial) {
-            boot++;
+            startCount++;
             state.clear();
-            flying = null;
-            long fresh = 100 * (number + 1) + boot;
-            members = null;
-            members = new Replica(
+            inFlight = null;
+            long fresh = 100 * (number + 1) + startCount;
+            replica = null;
+            replica = new Replica(
                     new ReplicaConfig(
                             NAMES[number],
                             NAMES[number],
                             "",
                             fresh,
-                            1000 * (number + 1) + boot,
+                            1000 * (number + 1) + startCount,
                             SEEDS,
                             initial,
                             SETTINGS),
-                    DurableState.read(kept),
+                    DurableState.read(diskContent),
                     this,
                     this,
-                    board.now);
-            life = members.status().self().incarnation();
+                    cluster.now);
+            incarnation = replica.status().self().incarnation();
         }
 
         @Override
         public void send(String address, ReplicationMessage frame) {
-            board.links.get(SIZE * number + address.charAt(0) - 'a').add(frame);
+            cluster.links.get(SIZE * number + address.charAt(0) - 'a').add(frame);
         }
 
         @Override
         public void persist(long which, Map<String, byte[]> changes) {
             ticket = which;
-            flying = new HashMap<>(changes);
+            inFlight = new HashMap<>(changes);
         }
 
         void sync() {
-            flying.forEach((key, value) -> {
+            inFlight.forEach((key, value) -> {
                 if (value == null) {
-                    kept.remove(key);
+                    diskContent.remove(key);
                 } else {
-                    kept.put(key, value);
+                    diskContent.put(key, value);
                 }
             });
-            flying = null;
-            members.synced(ticket, board.now);
+            inFlight = null;
+            replica.synced(ticket, cluster.now);
         }
 
         @Override
         public void proposalCompleted(long token, ProposalOutcome outcome) {
             if (outcome == ProposalOutcome.COMMITTED) {
-                board.acknowledged++;
+                cluster.acknowledged++;
             }
         }
 
@@ -110,7 +110,7 @@
 
         @Override
         public void log(ReplicationEvent event) {
-            if (!board.talks) {
+            if (!cluster.verbose) {
                 return;
             }
             StringBuilder line = new StringBuilder(NAMES[number]).append(' ').append(event.name());
@@ -149,7 +149,7 @@
                 throw new AssertionError(text + " twice at " + NAMES[number]);
             }
             state.add(text);
-            String other = board.order.putIfAbsent(index, text);
+            String other = cluster.appliedByIndex.putIfAbsent(index, text);
             if (other == null || other.equals(text)) {
                 return;
             }
@@ -159,20 +159,20 @@
 
     private final SteppedReplica[] replicas = new SteppedReplica[SIZE];
     private final List<ArrayDeque<ReplicationMessage>> links = new ArrayList<>();
-    private final TreeMap<Long, String> order = new TreeMap<>();
+    private final TreeMap<Long, String> appliedByIndex = new TreeMap<>();
     private final TreeMap<Long, View> views = new TreeMap<>();
-    private final List<Long> lost = new ArrayList<>();
+    private final List<Long> lostIncarnations = new ArrayList<>();
     private long now = 1000;
-    private Purse purse;
+    private EventBudget budget;
     int acknowledged;
     /** Processes that have left; newcomers let in. */
-    int left;
+    int leftCount;
 
     boolean joined;
-    boolean talks;
+    boolean verbose;
 
-    SteppedReplicas(Purse purse) {
-        this.purse = purse;
+    SteppedReplicas(EventBudget purse) {
+        this.budget = purse;
         for (int i = 0; i < SIZE; i++) {
             for (int j = 0; j < SIZE; j++) {
                 links.add(new ArrayDeque<>());
@@ -186,25 +186,25 @@
 
     /** Founds the control plane: the first member leads, nothing is under way. */
     void found() {
-        drain();
+        executeAllEnabled();
         now += STEP_MS;
-        replicas[0].members.tick(now);
-        drain();
+        replicas[0].replica.tick(now);
+        executeAllEnabled();
         // told to the others that the view is active by their leader's next beat
-        if (!replicas[0].members.status().isLeader()) {
+        if (!replicas[0].replica.status().isLeader()) {
             throw new AssertionError("not founded");
         }
     }
 
-    private void drain() {
+    private void executeAllEnabled() {
         boolean moved = true;
         while (moved) {
             moved = false;
             for (int move = 0; move < SIZE * SIZE + SIZE; move++) {
-                if (!may(move)) {
+                if (!isEnabled(move)) {
                     continue;
                 }
-                play(move);
+                execute(move);
                 moved = true;
             }
         }
@@ -216,50 +216,50 @@
      */
     static final int MOVES = SIZE * SIZE + 6 * SIZE;
 
-    boolean may(int move) {
+    boolean isEnabled(int move) {
         if (move < SIZE * SIZE) {
             return !links.get(move).isEmpty();
         }
         SteppedReplica replica = replicas[move % SIZE];
         int kind = (move - SIZE * SIZE) / SIZE;
-        if (replica.members == null) {
-            return kind == 5 && purse.newcomers > 0 && replica.number >= FOUNDERS && replica.boot == 0;
+        if (replica.replica == null) {
+            return kind == 5 && budget.newcomers > 0 && replica.number >= FOUNDERS && replica.startCount == 0;
         }
         return switch (kind) {
-            case 0 -> replica.flying != null;
-            case 1 -> purse.impatience > 0;
-            case 2 -> purse.power > 0;
-            case 3 -> purse.disks > 0 && intact();
-            case 4 -> replica.members.isLeaving() ? replica.members.mayTerminate() : purse.leaves > 0;
+            case 0 -> replica.inFlight != null;
+            case 1 -> budget.timeouts > 0;
+            case 2 -> budget.powerLosses > 0;
+            case 3 -> budget.diskLosses > 0 && mayLoseDisk();
+            case 4 -> replica.replica.isLeaving() ? replica.replica.mayTerminate() : budget.leaves > 0;
             default -> false;
         };
     }
 
-    private boolean intact() {
+    private boolean mayLoseDisk() {
         if (views.isEmpty()) {
             return false;
         }
         View latest = views.lastEntry().getValue();
         return latest.members().size() > 1
-                && latest.members().stream().noneMatch(member -> lost.contains(member.incarnation()));
+                && latest.members().stream().noneMatch(member -> lostIncarnations.contains(member.incarnation()));
     }
 
-    void play(int move) {
+    void execute(int move) {
         if (move < SIZE * SIZE) {
             ReplicationMessage frame = links.get(move).poll();
-            if (replicas[move % SIZE].members == null) {
+            if (replicas[move % SIZE].replica == null) {
                 return;
             }
-            if (talks) {
+            if (verbose) {
                 System.out.println(NAMES[move / SIZE] + ">" + NAMES[move % SIZE] + " " + frame);
             }
-            replicas[move % SIZE].members.receive(NAMES[move / SIZE], frame, now);
-            look(replicas[move % SIZE]);
+            replicas[move % SIZE].replica.receive(NAMES[move / SIZE], frame, now);
+            checkView(replicas[move % SIZE]);
             return;
         }
         SteppedReplica replica = replicas[move % SIZE];
         int kind = (move - SIZE * SIZE) / SIZE;
-        if (talks) {
+        if (verbose) {
             System.out.println(NAMES[move % SIZE] + " "
                     + List.of("sync", "impatient", "power", "disk", "leaves", "comes")
                             .get(kind));
@@ -267,42 +267,42 @@
         if (kind == 0) {
             replica.sync();
         } else if (kind == 1) {
-            purse = new Purse(purse.impatience - 1, purse.power, purse.disks, purse.leaves, purse.newcomers);
+            budget = new EventBudget(budget.timeouts - 1, budget.powerLosses, budget.diskLosses, budget.leaves, budget.newcomers);
             now += STEP_MS;
-            replica.members.tick(now);
+            replica.replica.tick(now);
         } else if (kind == 4) {
-            if (replica.members.mayTerminate()) {
-                end(replica);
+            if (replica.replica.mayTerminate()) {
+                endProcess(replica);
                 return;
             }
-            purse = new Purse(purse.impatience, purse.power, purse.disks, purse.leaves - 1, purse.newcomers);
+            budget = new EventBudget(budget.timeouts, budget.powerLosses, budget.diskLosses, budget.leaves - 1, budget.newcomers);
             now += STEP_MS;
-            replica.members.leave(now);
+            replica.replica.leave(now);
         } else if (kind == 5) {
-            purse = new Purse(purse.impatience, purse.power, purse.disks, purse.leaves, purse.newcomers - 1);
+            budget = new EventBudget(budget.timeouts, budget.powerLosses, budget.diskLosses, budget.leaves, budget.newcomers - 1);
             now += STEP_MS;
             replica.start(false);
             replica.sync();
-            replica.members.tick(now);
+            replica.replica.tick(now);
         } else {
             boolean disk = kind == 3;
-            purse = new Purse(
-                    purse.impatience,
-                    purse.power - (disk ? 0 : 1),
-                    purse.disks - (disk ? 1 : 0),
-                    purse.leaves,
-                    purse.newcomers);
+            budget = new EventBudget(
+                    budget.timeouts,
+                    budget.powerLosses - (disk ? 0 : 1),
+                    budget.diskLosses - (disk ? 1 : 0),
+                    budget.leaves,
+                    budget.newcomers);
             if (disk) {
-                lost.add(replica.life);
-                replica.kept = new HashMap<>();
+                lostIncarnations.add(replica.incarnation);
+                replica.diskContent = new HashMap<>();
             }
-            cut(replica);
+            clearLinks(replica);
             replica.start(false);
         }
-        look(replica);
+        checkView(replica);
     }
 
-    private void cut(SteppedReplica replica) {
+    private void clearLinks(SteppedReplica replica) {
         for (int i = 0; i < SIZE; i++) {
             links.get(SIZE * i + replica.number).clear();
             links.get(SIZE * replica.number + i).clear();
@@ -310,25 +310,25 @@
     }
 
     /** The process has left: the others have to be able to go on without it, on more disks than may be lost. */
-    private void end(SteppedReplica replica) {
+    private void endProcess(SteppedReplica replica) {
         View latest = views.lastEntry().getValue();
         boolean alone = latest.members().size() == 1;
-        if (latest.contains(replica.life) && !alone) {
+        if (latest.contains(replica.incarnation) && !alone) {
             throw new AssertionError(NAMES[replica.number] + " has left, and is in " + latest);
         }
-        boolean one = !latest.contains(replica.life) && alone && lost.isEmpty();
+        boolean one = !latest.contains(replica.incarnation) && alone && lostIncarnations.isEmpty();
         if (one) {
             throw new AssertionError(NAMES[replica.number] + " has left one disk: " + latest);
         }
-        left++;
-        cut(replica);
-        replica.flying = null;
-        replica.members = null;
+        leftCount++;
+        clearLinks(replica);
+        replica.inFlight = null;
+        replica.replica = null;
     }
 
     /** Holds the rules, and has each new leader propose something. */
-    private void look(SteppedReplica replica) {
-        ReplicaStatus status = replica.members.status();
+    private void checkView(SteppedReplica replica) {
+        ReplicaStatus status = replica.replica.status();
         if (!status.active()) {
             return;
         }
@@ -339,26 +339,26 @@
         if (other != null && !other.equals(mine)) {
             throw new AssertionError("two views of number " + status.viewNumber() + ": " + other + ", " + mine);
         }
-        if (status.isLeader() && replica.proposedIn < status.viewNumber()) {
-            replica.proposedIn = status.viewNumber();
-            replica.members.propose(
+        if (status.isLeader() && replica.lastProposedView < status.viewNumber()) {
+            replica.lastProposedView = status.viewNumber();
+            replica.replica.propose(
                     status.viewNumber(), ("v" + status.viewNumber()).getBytes(StandardCharsets.UTF_8), now);
         }
     }
 
-    Fingerprint.Print print() {
+    Fingerprint.Hash128 fingerprint() {
         List<Object> all = new ArrayList<>();
         for (SteppedReplica replica : replicas) {
-            all.add(replica.members);
-            all.add(new TreeMap<>(replica.kept));
-            all.add(replica.flying == null ? null : new TreeMap<>(replica.flying));
+            all.add(replica.replica);
+            all.add(new TreeMap<>(replica.diskContent));
+            all.add(replica.inFlight == null ? null : new TreeMap<>(replica.inFlight));
             all.add(replica.state);
-            all.add(replica.proposedIn);
+            all.add(replica.lastProposedView);
         }
         all.addAll(links);
-        all.add(order);
+        all.add(appliedByIndex);
         all.add(views);
-        all.add(purse);
+        all.add(budget);
         return Fingerprint.of(all.toArray());
     }
 }
--- a/src/test/java/brambletray/platform/replication/Timeline.java
+++ b/src/test/java/brambletray/platform/replication/Timeline.java
@@ -28,33 +28,33 @@
  */
 public final class Timeline {
     /** Further words. */
-    public interface Words {
+    public interface AdditionalWords {
         /** Acts on a word; false if it isn't one. */
         boolean act(SimulatedReplica node, String word);
 
         /** Whether what the word says is seen; null if it isn't a word. */
-        Boolean seen(SimulatedReplica node, String word);
+        Boolean holds(SimulatedReplica node, String word);
     }
 
     private final SimulatedReplicas world;
     private final Map<String, Long> tokens = new HashMap<>();
-    private final Words more;
-    private final List<Trap> traps = new ArrayList<>();
-    private long begin;
-    private int confirms;
+    private final AdditionalWords additionalWords;
+    private final List<MessageTrigger> triggers = new ArrayList<>();
+    private long beginMs;
+    private int confirmedReadsBefore;
 
-    private record Trap(SimulatedReplica node, String how, char when, String frame) {}
+    private record MessageTrigger(SimulatedReplica node, String action, char when, String messageType) {}
 
-    public Timeline(SimulatedReplicas world, Words more) {
+    public Timeline(SimulatedReplicas world, AdditionalWords more) {
         this.world = world;
-        this.more = more;
-        world.tap = this::pass;
-        world.afterMessage = this::heard;
+        this.additionalWords = more;
+        world.sendFilter = this::onSend;
+        world.afterMessage = this::onHandled;
     }
 
     /** Plays the rows; throws AssertionError where something isn't seen. */
-    public void play(String drawn) {
-        begin = world.now;
+    public void run(String drawn) {
+        beginMs = world.now;
         long last = 0;
         List<String> columns = null;
         for (String line : drawn.split("\n")) {
@@ -72,19 +72,19 @@
                     ? last + Long.parseLong(time.substring(1))
                     : Long.parseLong(by ? time.substring(1) : time);
             if (!by) {
-                world.until(begin + at);
+                world.runUntil(beginMs + at);
             }
             for (int i = 1; i < cells.size(); i++) {
                 act(world.nodes.get(columns.get(i - 1)), cells.get(i));
             }
-            see(columns, cells, by ? begin + at : world.now, line);
-            last = by ? world.now - begin : at;
+            awaitExpectations(columns, cells, by ? beginMs + at : world.now, line);
+            last = by ? world.now - beginMs : at;
         }
     }
 
     private void act(SimulatedReplica node, String cell) {
         for (String word : cell.split(",")) {
-            if (word.equals(".") || !more.act(node, word)) {
+            if (word.equals(".") || !additionalWords.act(node, word)) {
                 act(node, word, ' ');
             }
         }
@@ -96,7 +96,7 @@
             at = Math.max(word.indexOf('>'), word.indexOf('<'));
         }
         if (at > 0) {
-            traps.add(new Trap(node, word.substring(0, at), word.charAt(at), word.substring(at + 1)));
+            triggers.add(new MessageTrigger(node, word.substring(0, at), word.charAt(at), word.substring(at + 1)));
         } else if (word.equals("^")) {
             node.start();
         } else if (word.equals("X") || word.equals("XX") || word.equals("W")) {
@@ -106,7 +106,7 @@
         } else if (word.startsWith("~")) {
             cut(node, word.substring(1));
         } else if (word.equals("-")) {
-            world.nodes.keySet().forEach(other -> world.cut(node.address, other, false));
+            world.nodes.keySet().forEach(other -> world.setCut(node.address, other, false));
         } else if (word.equals("bye")) {
             node.replica.leave(world.now);
         } else if (word.equals("full")) {
@@ -122,8 +122,8 @@
         } else if (word.startsWith("+")) {
             tokens.put(word.substring(1), world.ruleChecker.propose(node));
         } else if (word.equals("?")) {
-            confirms = world.ruleChecker.confirmedOk;
-            world.ruleChecker.confirm(node);
+            confirmedReadsBefore = world.ruleChecker.confirmedReads;
+            world.ruleChecker.requestReadIndex(node);
         }
     }
 
@@ -142,66 +142,66 @@
 
     private void cut(SimulatedReplica node, String from) {
         if (from.startsWith(">")) {
-            world.one(node.address, from.substring(1), true);
+            world.setOneWayCut(node.address, from.substring(1), true);
         } else if (!from.isEmpty()) {
-            world.cut(node.address, from, true);
+            world.setCut(node.address, from, true);
         } else {
-            world.nodes.keySet().forEach(other -> world.cut(node.address, other, true));
+            world.nodes.keySet().forEach(other -> world.setCut(node.address, other, true));
         }
     }
 
-    private boolean pass(SimulatedReplica from, String to, Object frame) {
-        Trap trap = trap(from, '@', frame);
+    private boolean onSend(SimulatedReplica from, String to, Object frame) {
+        MessageTrigger trap = findTrigger(from, '@', frame);
         if (trap != null) {
-            traps.remove(trap);
-            act(from, trap.how, ' ');
+            triggers.remove(trap);
+            act(from, trap.action, ' ');
             return false;
         }
-        Trap later = trap(from, '>', frame);
+        MessageTrigger later = findTrigger(from, '>', frame);
         if (later != null) {
-            traps.remove(later);
-            world.later(world.now, () -> act(from, later.how, ' '));
+            triggers.remove(later);
+            world.schedule(world.now, () -> act(from, later.action, ' '));
         }
         return true;
     }
 
-    private void heard(SimulatedReplica node, Object frame) {
-        Trap trap = trap(node, '<', frame);
+    private void onHandled(SimulatedReplica node, Object frame) {
+        MessageTrigger trap = findTrigger(node, '<', frame);
         if (trap == null) {
             return;
         }
-        traps.remove(trap);
-        act(node, trap.how, ' ');
+        triggers.remove(trap);
+        act(node, trap.action, ' ');
     }
 
-    private Trap trap(SimulatedReplica node, char when, Object frame) {
-        for (Trap trap : traps) {
+    private MessageTrigger findTrigger(SimulatedReplica node, char when, Object frame) {
+        for (MessageTrigger trap : triggers) {
             if (trap.node == node
                     && trap.when == when
-                    && trap.frame.equals(frame.getClass().getSimpleName())) {
+                    && trap.messageType.equals(frame.getClass().getSimpleName())) {
                 return trap;
             }
         }
         return null;
     }
 
-    private void see(List<String> columns, List<String> cells, long limit, String line) {
+    private void awaitExpectations(List<String> columns, List<String> cells, long limit, String line) {
         while (true) {
-            String missing = missing(columns, cells);
+            String missing = unmetExpectation(columns, cells);
             if (missing == null) {
                 return;
             }
             if (world.now >= limit) {
                 world.ruleChecker.fail("not seen: " + missing + " in the row: " + line.trim());
             }
-            world.until(world.now + 5);
+            world.runUntil(world.now + 5);
         }
     }
 
-    private String missing(List<String> columns, List<String> cells) {
+    private String unmetExpectation(List<String> columns, List<String> cells) {
         for (int i = 1; i < cells.size(); i++) {
             for (String word : cells.get(i).split(",")) {
-                if (!seen(world.nodes.get(columns.get(i - 1)), word)) {
+                if (!holds(world.nodes.get(columns.get(i - 1)), word)) {
                     return columns.get(i - 1) + " " + word;
                 }
             }
@@ -209,8 +209,8 @@
         return null;
     }
 
-    private boolean seen(SimulatedReplica node, String word) {
-        Boolean other = more.seen(node, word);
+    private boolean holds(SimulatedReplica node, String word) {
+        Boolean other = additionalWords.holds(node, word);
         if (other != null) {
             return other;
         }
@@ -230,7 +230,7 @@
             return node.replica.mayTerminate() == word.equals("left");
         }
         if (word.equals("?ok")) {
-            return world.ruleChecker.confirmedOk > confirms;
+            return world.ruleChecker.confirmedReads > confirmedReadsBefore;
         }
         if (!word.matches("[LMSKV]\\d?")) {
             return true;
--- a/src/test/java/brambletray/platform/replication/TimelineSteps.java
+++ b/src/test/java/brambletray/platform/replication/TimelineSteps.java
@@ -9,7 +9,7 @@
 /** Steps of the drawn timelines. */
 public final class TimelineSteps {
     private ReplicationTestCluster core;
-    private Timeline picture;
+    private Timeline timeline;
 
     private static List<String> names(String list) {
         return List.of(list.split("[ ,]+"));
@@ -29,14 +29,14 @@
         core = made;
         core.world.logsEvents = Boolean.getBoolean("replication.talks");
         core.found();
-        picture = new Timeline(core.world, new Timeline.Words() {
+        timeline = new Timeline(core.world, new Timeline.AdditionalWords() {
             @Override
             public boolean act(SimulatedReplica node, String word) {
                 return false;
             }
 
             @Override
-            public Boolean seen(SimulatedReplica node, String word) {
+            public Boolean holds(SimulatedReplica node, String word) {
                 return null;
             }
         });
@@ -44,7 +44,7 @@
 
     @Given("a spare machine {string} that is told of {string}")
     public void aSpare(String name, String seeds) {
-        core.spare(name, names(seeds));
+        core.addSpare(name, names(seeds));
     }
 
     @Given("{int} changes before")
@@ -52,20 +52,20 @@
         SimulatedReplica leader = core.world.leader();
         for (int i = 0; i < count; i++) {
             core.world.ruleChecker.propose(leader);
-            core.world.until(core.world.now + 30);
+            core.world.runUntil(core.world.now + 30);
         }
     }
 
     @Given("a state of {int} kB")
     public void state(int kb) {
-        core.world.ballast = "b".repeat(kb << 10);
+        core.world.snapshotPadding = "b".repeat(kb << 10);
         changes(ReplicatedLog.MAX_ENTRIES_BEFORE_SNAPSHOT + 10);
     }
 
     @When("this happens")
     public void happens(String drawn) {
         try {
-            picture.play(drawn);
+            timeline.run(drawn);
         } finally {
             core.world.events.forEach(System.out::println);
         }
@@ -73,8 +73,8 @@
 
     @Then("all that are up agree and have all that was acknowledged")
     public void agree() {
-        core.world.until(core.world.now + 500);
-        core.world.ruleChecker.end(core.world.nodes.values().stream()
+        core.world.runUntil(core.world.now + 500);
+        core.world.ruleChecker.checkFinalState(core.world.nodes.values().stream()
                 .filter(SimulatedReplica::isRunning)
                 .toList());
     }
--- a/src/test/java/brambletray/platform/replication/ViewChangePauseTest.java
+++ b/src/test/java/brambletray/platform/replication/ViewChangePauseTest.java
@@ -18,16 +18,16 @@
 class ViewChangePauseTest {
     private static final int SEEDS = 2;
     private static final int OPERATORS = 8;
-    private static final int SILENCE_MS = 1_000;
-    private static final int NEXT_MS = 100;
-    private static final int READ_MS = 25;
+    private static final int RETRY_TIMEOUT_MS = 1_000;
+    private static final int THINK_TIME_MS = 100;
+    private static final int READ_INTERVAL_MS = 25;
     private static final int STEP_MS = 5;
-    private static final int TROUBLE_MS = 20_000;
+    private static final int FAULT_MS = 20_000;
     private static final int AFTER_MS = 4_000;
     /** The smallest ack-ms of the deployments, ms. */
     private static final int ACK_MS = 5_000;
 
-    private enum Trouble {
+    private enum Fault {
         CUT,
         KILLED,
         FROZEN,
@@ -37,32 +37,32 @@
     /** Longest pauses of one scenario, ms: without an acknowledgement, without a confirmed read. */
     private record Pauses(long acks, long reads) {}
 
-    private final class Course {
+    private final class ScenarioRun {
         private final Random random;
         private final SimulatedReplicas world;
         private final SimulatedReplica[] nodes;
         private final long[] token = new long[OPERATORS];
         private final long[] since = new long[OPERATORS];
 
-        Course(long seed, int machines) {
+        ScenarioRun(long seed, int machines) {
             random = new Random(seed);
             world = new SimulatedReplicas(seed, ReplicationSettings.defaults(1));
             nodes = new SimulatedReplica[machines];
             for (int i = 0; i < machines; i++) {
                 nodes[i] = world.node(String.valueOf((char) ('a' + i)), List.of("a", "b", "c"));
-                nodes[i].initial = true;
+                nodes[i].initialStart = true;
             }
             for (SimulatedReplica node : nodes) {
-                world.later(world.now + random.nextInt(300), node::start);
+                world.schedule(world.now + random.nextInt(300), node::start);
             }
-            world.until(world.now + 400);
-            world.await(this::whole, 20_000, "all in one view");
+            world.runUntil(world.now + 400);
+            world.runUntilTrue(this::allAreMembers, 20_000, "all in one view");
             for (SimulatedReplica node : nodes) {
-                node.initial = false;
+                node.initialStart = false;
             }
         }
 
-        private boolean whole() {
+        private boolean allAreMembers() {
             SimulatedReplica leader = world.leader();
             if (leader == null || leader.replica.status().members().size() < nodes.length) {
                 return false;
@@ -70,26 +70,26 @@
             return Arrays.stream(nodes).allMatch(node -> node.replica.status().role() == ReplicaRole.MEMBER);
         }
 
-        Pauses play(Trouble fault, boolean leader) {
-            span(1_000, new long[2]);
+        Pauses run(Fault fault, boolean leader) {
+            runFor(1_000, new long[2]);
             SimulatedReplica ill = world.leader();
             while (!leader && ill == world.leader()) {
                 ill = nodes[random.nextInt(nodes.length)];
             }
-            strike(ill, fault, true);
+            setFault(ill, fault, true);
             long[] worst = new long[2];
-            long[] last = span(TROUBLE_MS, worst, world.now, world.now);
-            strike(ill, fault, false);
-            span(AFTER_MS, worst, last[0], last[1]);
+            long[] last = runFor(FAULT_MS, worst, world.now, world.now);
+            setFault(ill, fault, false);
+            runFor(AFTER_MS, worst, last[0], last[1]);
             return new Pauses(worst[0], worst[1]);
         }
 
-        private void strike(SimulatedReplica ill, Trouble fault, boolean on) {
+        private void setFault(SimulatedReplica ill, Fault fault, boolean on) {
             switch (fault) {
                 case CUT -> {
                     for (SimulatedReplica other : nodes) {
                         if (other != ill) {
-                            world.cut(ill.address, other.address, on);
+                            world.setCut(ill.address, other.address, on);
                         }
                     }
                 }
@@ -102,7 +102,7 @@
                 }
                 case FROZEN -> {
                     if (on) {
-                        ill.frozenUntil = world.now + TROUBLE_MS;
+                        ill.frozenUntil = world.now + FAULT_MS;
                     }
                 }
                 default -> ill.disk.syncMs *= on ? 25 : 1;
@@ -112,48 +112,48 @@
             }
         }
 
-        private void span(long ms, long[] worst) {
-            span(ms, worst, world.now, world.now);
+        private void runFor(long ms, long[] worst) {
+            runFor(ms, worst, world.now, world.now);
         }
 
         /** Plays on; returns when the last acknowledgement and the last confirmed read came. */
-        private long[] span(long ms, long[] worst, long lastAck, long lastRead) {
+        private long[] runFor(long ms, long[] worst, long lastAck, long lastRead) {
             long end = world.now + ms;
             int acks = world.ruleChecker.acknowledged.size();
-            int reads = world.ruleChecker.confirmedOk;
+            int reads = world.ruleChecker.confirmedReads;
             long ackAt = lastAck;
             long readAt = lastRead;
             while (world.now < end) {
                 for (int i = 0; i < OPERATORS; i++) {
-                    order(i);
+                    advanceOperator(i);
                 }
-                if (world.now % READ_MS < STEP_MS) {
+                if (world.now % READ_INTERVAL_MS < STEP_MS) {
                     for (SimulatedReplica node : nodes) {
                         if (node.isRunning() && node.frozenUntil <= world.now) {
-                            world.ruleChecker.confirm(node);
+                            world.ruleChecker.requestReadIndex(node);
                         }
                     }
                 }
-                world.until(world.now + STEP_MS);
+                world.runUntil(world.now + STEP_MS);
                 if (world.ruleChecker.acknowledged.size() > acks) {
                     ackAt = world.now;
                 }
-                if (world.ruleChecker.confirmedOk > reads) {
+                if (world.ruleChecker.confirmedReads > reads) {
                     readAt = world.now;
                 }
                 acks = world.ruleChecker.acknowledged.size();
-                reads = world.ruleChecker.confirmedOk;
+                reads = world.ruleChecker.confirmedReads;
                 worst[0] = Math.max(worst[0], world.now - ackAt);
                 worst[1] = Math.max(worst[1], world.now - readAt);
             }
             return new long[] {ackAt, readAt};
         }
 
-        private void order(int i) {
+        private void advanceOperator(int i) {
             if (world.ruleChecker.acknowledged.contains("c" + token[i])) {
                 token[i] = 0;
-                since[i] = world.now + NEXT_MS;
-            } else if (token[i] != 0 && world.now - since[i] > SILENCE_MS) {
+                since[i] = world.now + THINK_TIME_MS;
+            } else if (token[i] != 0 && world.now - since[i] > RETRY_TIMEOUT_MS) {
                 token[i] = 0;
                 since[i] = world.now;
             }
@@ -168,23 +168,23 @@
         }
     }
 
-    private static String spread(long[] sorted) {
+    private static String percentiles(long[] sorted) {
         int n = sorted.length;
         return "50 % " + sorted[n / 2] + ", 99 % " + sorted[Math.min(n - 1, n * 99 / 100)] + ", worst " + sorted[n - 1];
     }
 
     @Test
-    void noPauseOutlastsWhatAnOperatorIsPromised() {
+    void noPauseExceedsTheAcknowledgementTimeout() {
         int seeds = Integer.getInteger("pauses.seeds", SEEDS);
         long first = Long.getLong("pauses.first", 1);
         List<String> broken = new ArrayList<>();
         for (int machines : new int[] {3, 5}) {
-            for (Trouble fault : Trouble.values()) {
+            for (Fault fault : Fault.values()) {
                 for (boolean leader : new boolean[] {true, false}) {
                     long[] acks = new long[seeds];
                     long[] reads = new long[seeds];
                     for (int i = 0; i < seeds; i++) {
-                        Pauses pauses = new Course(first + i, machines).play(fault, leader);
+                        Pauses pauses = new ScenarioRun(first + i, machines).run(fault, leader);
                         acks[i] = pauses.acks;
                         reads[i] = pauses.reads;
                         if (pauses.acks >= ACK_MS) {
@@ -195,8 +195,8 @@
                     Arrays.sort(acks);
                     Arrays.sort(reads);
                     System.out.println("pauses: " + machines + " members, " + (leader ? "leader " : "follower ")
-                            + fault + ", " + seeds + " courses: acknowledgements " + spread(acks) + "; reads "
-                            + spread(reads));
+                            + fault + ", " + seeds + " courses: acknowledgements " + percentiles(acks) + "; reads "
+                            + percentiles(reads));
                 }
             }
         }
