--- a/src/test/java/brambletray/platform/replication/ZoneWarningTest.java
+++ b/src/test/java/brambletray/platform/replication/ZoneWarningTest.java
@@ -11,7 +11,7 @@
 class ZoneWarningTest {
     private SimulatedReplicas world;
 
-    private void core(String... names) {
+    private void startCluster(String... names) {
         ReplicationTestCluster core = new ReplicationTestCluster(List.of(names), new FaultTolerance(1, 1, 0, Map.of()));
         world = core.world;
         world.logsEvents = true;
@@ -37,36 +37,36 @@
      * </pre>
      */
     @Test
-    void aZoneWithHalfOfTheCoreIsWarnedOfAndItsLossLosesNothingButTime() {
-        core("a/y", "b/y", "c/z", "d/z");
+    void lossOfAZoneWithHalfOfTheMembersIsWarnedOfAndLosesNoChange() {
+        startCluster("a/y", "b/y", "c/z", "d/z");
         for (String name : List.of("a", "b", "c", "d")) {
             assertTrue(warnings(name) >= 1, name + " doesn't warn");
             assertEquals(List.of("y"), world.nodes.get(name).replica.zonesHoldingHalf());
         }
         long token = world.ruleChecker.propose(world.leader());
-        world.await(() -> world.ruleChecker.acknowledged.contains("c" + token), 1_000, "a change of all");
+        world.runUntilTrue(() -> world.ruleChecker.acknowledged.contains("c" + token), 1_000, "a change of all");
         for (String name : List.of("c", "d")) {
             world.nodes.get(name).kill(true);
         }
-        world.until(world.now + 5_000);
+        world.runUntil(world.now + 5_000);
         assertEquals(
                 ReplicaRole.SUSPENDED, world.nodes.get("a").replica.status().role());
         assertTrue(world.nodes.get("a").state.contains("c" + token));
         for (String name : List.of("c", "d")) {
             world.nodes.get(name).start();
         }
-        world.await(
+        world.runUntilTrue(
                 () -> world.leader() != null
                         && world.leader().replica.status().members().size() == 4,
                 4_000,
                 "all four go on");
-        world.until(world.now + 500);
-        world.ruleChecker.end(List.copyOf(world.nodes.values()));
+        world.runUntil(world.now + 500);
+        world.ruleChecker.checkFinalState(List.copyOf(world.nodes.values()));
     }
 
     @Test
-    void aCoreOfWhichNoZoneHoldsHalfIsNotWarnedOf() {
-        core("a/x", "b/y", "c/z");
+    void noWarningIfNoZoneHoldsHalf() {
+        startCluster("a/x", "b/y", "c/z");
         for (String name : List.of("a", "b", "c")) {
             assertEquals(0, warnings(name));
             assertEquals(List.of(), world.nodes.get(name).replica.zonesHoldingHalf());
@@ -75,16 +75,16 @@
 
     /** It is told anew for a view that has become so, here by the loss of a machine. */
     @Test
-    void aViewThatHasBecomeSoIsWarnedOf() {
-        core("a/x", "b/y", "c/z", "d/x", "e/y");
+    void aLaterViewWithAZoneThatHoldsHalfIsWarnedOf() {
+        startCluster("a/x", "b/y", "c/z", "d/x", "e/y");
         assertEquals(0, warnings("a"));
         world.nodes.get("c").kill(true);
-        world.await(
+        world.runUntilTrue(
                 () -> world.leader() != null
                         && world.leader().replica.status().members().size() == 4,
                 3_000,
                 "the view of four");
-        world.until(world.now + 500);
+        world.runUntil(world.now + 500);
         assertEquals(1, warnings("a"));
         assertEquals(1, warnings("b"));
     }
