--- a/src/test/java/brambletray/platform/election/ElectionNode.java
+++ b/src/test/java/brambletray/platform/election/ElectionNode.java
@@ -3,9 +3,9 @@
 import brambletray.platform.replication.SimulatedReplica;
 import java.util.Map;
 
-/** The role at one process in simulated time. */
+/** The election of one role at one simulated process. */
 final class ElectionNode implements SimulatedReplica.AdditionalComponent, ElectionActions {
-    /** Is told of terms won and of moments at which a holder may act. */
+    /** Called when a term is won, and each time a holder may act. */
     interface Observer {
         void won(SimulatedReplica node, long term);
 
@@ -17,9 +17,9 @@
     final LeaseElection election;
     long term;
 
-    ElectionNode(SimulatedReplica node, Observer witness) {
+    ElectionNode(SimulatedReplica node, Observer observer) {
         this.node = node;
-        this.observer = witness;
+        this.observer = observer;
         election = new LeaseElection(
                 "helm",
                 node.replica.status().self(),
@@ -45,7 +45,7 @@
             return;
         }
         if (term == 0) {
-            node.world.ruleChecker.fail(node.address + " may act without a term");
+            node.world.ruleChecker.fail(node.address + " may act without having won a term");
         }
         observer.act(node, term);
     }
--- a/src/test/java/brambletray/platform/election/ElectionRandomFaultsTest.java
+++ b/src/test/java/brambletray/platform/election/ElectionRandomFaultsTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The role in the same weather as the views: terms only grow, and nobody acts under a term after another has acted
- * under a higher one.
+ * Runs the election under the same random faults as the view changes. Checks that terms only increase and that no
+ * process acts under a term after another has acted under a higher one.
  */
 class ElectionRandomFaultsTest {
 
-    /** Sees who acts under which term. */
+    /** Records which process acts under which term. */
     private static final class TermChecker implements ElectionNode.Observer {
         private final RandomFaults faults;
         private long highestWonTerm;
@@ -21,8 +21,8 @@
         private long lastActedAtMs;
         private int termsWon;
 
-        TermChecker(RandomFaults weather) {
-            this.faults = weather;
+        TermChecker(RandomFaults faults) {
+            this.faults = faults;
         }
 
         @Override
@@ -39,7 +39,8 @@
             if (term < highestUsedTerm) {
                 faults.world()
                         .ruleChecker
-                        .fail(node.address + " acts under " + term + " after " + lastActor.address + " under " + highestUsedTerm);
+                        .fail(node.address + " acts under term " + term + " after " + lastActor.address + " under "
+                                + highestUsedTerm);
             }
             highestUsedTerm = term;
             lastActor = node;
@@ -47,46 +48,46 @@
         }
     }
 
-    private TermChecker runSeed(long seed, boolean talks) {
-        RandomFaults weather = new RandomFaults(seed, talks);
-        TermChecker witness = new TermChecker(weather);
-        weather.world().additionalComponents = node -> new ElectionNode(node, witness);
-        weather.extraAction = node -> {
-            ElectionNode ride = (ElectionNode) node.additionalComponent;
-            ride.election.handOver(node.world.now);
-            ride.election.setWantsLease(true);
+    private TermChecker runSeed(long seed, boolean logsEvents) {
+        RandomFaults faults = new RandomFaults(seed, logsEvents);
+        TermChecker checker = new TermChecker(faults);
+        faults.world().additionalComponents = node -> new ElectionNode(node, checker);
+        faults.extraAction = node -> {
+            ElectionNode electionNode = (ElectionNode) node.additionalComponent;
+            electionNode.election.handOver(node.world.now);
+            electionNode.election.setWantsLease(true);
         };
         try {
-            weather.run();
-            if (!weather.checksSafetyOnly()) {
-                weather.world()
+            faults.run();
+            if (!faults.checksSafetyOnly()) {
+                faults.world()
                         .runUntilTrue(
-                                () -> weather.world().now - witness.lastActedAtMs < 100,
+                                () -> faults.world().now - checker.lastActedAtMs < 100,
                                 3000,
-                                "somebody acts after all is calm");
+                                "a holder acts after the faults have ended");
             }
         } catch (AssertionError | RuntimeException e) {
-            weather.world().events.forEach(System.out::println);
+            faults.world().events.forEach(System.out::println);
             throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
         }
-        return witness;
+        return checker;
     }
 
     @Test
     void termsIncreaseAndNoProcessActsUnderAnOutdatedTerm() {
-        Long only = Long.getLong("election.seed");
+        Long replayedSeed = Long.getLong("election.seed");
         int seeds = Integer.getInteger("election.seeds", 300);
-        long first = only != null ? only : Long.getLong("election.first", 1);
-        int played = 0;
+        long first = replayedSeed != null ? replayedSeed : Long.getLong("election.first", 1);
+        int seedsRun = 0;
         long terms = 0;
         for (long seed = first; seed < first + seeds; seed++) {
-            terms += runSeed(seed, only != null).termsWon;
-            played++;
-            if (only != null) {
+            terms += runSeed(seed, replayedSeed != null).termsWon;
+            seedsRun++;
+            if (replayedSeed != null) {
                 break;
             }
         }
-        System.out.println("vow: " + played + " courses, " + terms + " terms");
-        assertTrue(terms >= played, "hardly anybody won");
+        System.out.println("election: " + seedsRun + " seeds, " + terms + " terms");
+        assertTrue(terms >= seedsRun, "fewer terms won than seeds run");
     }
 }
--- a/src/test/java/brambletray/platform/election/ElectionSteps.java
+++ b/src/test/java/brambletray/platform/election/ElectionSteps.java
@@ -10,10 +10,16 @@
 import java.util.Map;
 
 /**
- * Steps of the drawn timelines of the role. Further words: H may act; h may not; check: asks whether it may act, and
- * remembers the term; act: acts under that term; done, fenced: what the platform said, which refuses terms below the
- * highest it has seen; yield: hands over; sees:b takes b for the holder; doubt: hears that somebody has seen a higher
- * term than its own.
+ * Steps of the election timelines. In addition to the words of {@link Timeline}:
+ * <pre>
+ * H           may act                               h           may not act
+ * check       checks whether it may act, and        act         acts under the recorded term
+ *             records its term
+ * accepted    its last action was accepted by the   fenced      its last action was rejected because a higher
+ *             platform                                          term had been used
+ * handover    hands over the lease                  higherterm  is told that a term above its own was seen
+ * sees:b      takes b for the holder                sees:none   knows no holder
+ * </pre>
  */
 public final class ElectionSteps implements Timeline.AdditionalWords, ElectionNode.Observer {
     private ReplicationTestCluster cluster;
@@ -22,9 +28,9 @@
     private final Map<String, Long> checkedTerms = new HashMap<>();
     private final Map<String, Boolean> accepted = new HashMap<>();
 
-    @Given("a core of {string} with a holder, at rest")
-    public void startCluster(String list) {
-        cluster = new ReplicationTestCluster(List.of(list.split("[ ,]+")));
+    @Given("a stable core of {string} with a lease holder")
+    public void startCluster(String members) {
+        cluster = new ReplicationTestCluster(List.of(members.split("[ ,]+")));
         cluster.world.logsEvents = Boolean.getBoolean("replication.talks");
         cluster.world.additionalComponents = node -> new ElectionNode(node, this);
         cluster.found();
@@ -32,14 +38,14 @@
                 () -> cluster.world.nodes.values().stream()
                         .anyMatch(node -> electionNode(node).election.mayAct(cluster.world.now)),
                 2000,
-                "a holder");
+                "a member holds the lease");
         cluster.world.runUntil(cluster.world.now + 300);
     }
 
-    @When("this happens to the duty")
-    public void runTimeline(String drawn) {
+    @When("the following timeline runs")
+    public void runTimeline(String timeline) {
         try {
-            new Timeline(cluster.world, this).run(drawn);
+            new Timeline(cluster.world, this).run(timeline);
         } catch (AssertionError e) {
             cluster.world.events.forEach(System.out::println);
             throw e;
@@ -54,14 +60,16 @@
     public boolean act(SimulatedReplica node, String word) {
         switch (word) {
             case "check" ->
-                checkedTerms.put(node.address, electionNode(node).election.mayAct(cluster.world.now) ? electionNode(node).term : -1);
+                checkedTerms.put(
+                        node.address,
+                        electionNode(node).election.mayAct(cluster.world.now) ? electionNode(node).term : -1);
             case "act" -> {
                 long term = checkedTerms.get(node.address);
                 accepted.put(node.address, term >= fencingToken);
                 fencingToken = Math.max(fencingToken, term);
             }
-            case "doubt" -> electionNode(node).election.revalidate(electionNode(node).term + 1, cluster.world.now);
-            case "yield" -> electionNode(node).election.handOver(cluster.world.now);
+            case "higherterm" -> electionNode(node).election.revalidate(electionNode(node).term + 1, cluster.world.now);
+            case "handover" -> electionNode(node).election.handOver(cluster.world.now);
             default -> {
                 return false;
             }
@@ -79,7 +87,7 @@
         return switch (word) {
             case "H" -> node.isRunning() && electionNode(node).election.mayAct(cluster.world.now);
             case "h" -> !node.isRunning() || !electionNode(node).election.mayAct(cluster.world.now);
-            case "done" -> accepted.get(node.address);
+            case "accepted" -> accepted.get(node.address);
             case "fenced" -> !accepted.get(node.address);
             default -> null;
         };
@@ -88,7 +96,7 @@
     @Override
     public void won(SimulatedReplica node, long term) {
         if (term <= highestWonTerm) {
-            cluster.world.ruleChecker.fail(node.address + " won " + term + " after " + highestWonTerm);
+            cluster.world.ruleChecker.fail(node.address + " won term " + term + " after " + highestWonTerm);
         }
         highestWonTerm = term;
     }
@@ -96,7 +104,8 @@
     @Override
     public void act(SimulatedReplica node, long term) {
         if (term < highestWonTerm) {
-            cluster.world.ruleChecker.fail(node.address + " may act under " + term + " after " + highestWonTerm + " was won");
+            cluster.world.ruleChecker.fail(
+                    node.address + " may act under term " + term + " after " + highestWonTerm + " was won");
         }
     }
 }
--- a/src/test/java/brambletray/platform/election/ResumptionTest.java
+++ b/src/test/java/brambletray/platform/election/ResumptionTest.java
@@ -17,14 +17,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All processes were killed; A held the role in view 5 and wants it back. Whether it has to wait for a lease that may
- * run depends on the views since.
+ * All processes were killed. A held the lease in view 5 and requests it again. Whether it has to wait, because a lease
+ * of another may still be valid, depends on the views since.
  *
  * <pre>
- *   view 5   A B C     A holds the role
+ *   view 5   A B C     A holds the lease
  *   (all killed)
  *   view 6   A B       or B C
- *   view 7   A B C     A has the grants of all: at once, or after 1.2 s
+ *   view 7   A B C     all grant it to A: at once, or after 1.2 s
  * </pre>
  */
 class ResumptionTest {
@@ -46,7 +46,7 @@
         return new ViewMembership(new Ballot(number, members[0].incarnation()), List.of(members));
     }
 
-    /** What the disk has of a term that was granted to this incarnation and renewed in view 5. */
+    /** The stored grant of a term that was granted to this incarnation and renewed in view 5. */
     private static byte[] storedGrant(Member holder) {
         return ByteBuffer.allocate(25)
                 .put((byte) 2)
@@ -57,8 +57,8 @@
     }
 
     private void start(Member self, byte[] disk) {
-        LeaseElection[] made = new LeaseElection[1];
-        made[0] = new LeaseElection(
+        LeaseElection[] created = new LeaseElection[1];
+        created[0] = new LeaseElection(
                 "helm",
                 self,
                 disk,
@@ -75,7 +75,7 @@
 
                     @Override
                     public void persist(long ticket, Map<String, byte[]> changes) {
-                        pendingMessages.add(() -> made[0].synced(ticket, now));
+                        pendingMessages.add(() -> created[0].synced(ticket, now));
                     }
 
                     @Override
@@ -88,11 +88,11 @@
                     public void log(ElectionEvent event) {}
                 },
                 now);
-        elections.put(self, made[0]);
+        elections.put(self, created[0]);
     }
 
     private void setView(Member self, ViewMembership view, ViewMembership... lineage) {
-        long before =
+        long previousNumber =
                 lineage.length == 0 ? -1 : lineage[lineage.length - 1].ballot().number();
         List<Member> members = view.members();
         statuses.put(
@@ -101,7 +101,7 @@
                         ReplicaRole.MEMBER,
                         self,
                         view.ballot().number(),
-                        before,
+                        previousNumber,
                         members,
                         members.get(0),
                         members.get(0).equals(self),
@@ -141,9 +141,9 @@
     @Test
     void resumesAtOnceAfterOneViewChange() {
         startAll();
-        ViewMembership six = viewMembership(6, A, B, C);
-        for (Member each : List.of(A, B, C)) {
-            setView(each, six, VIEW_5);
+        ViewMembership view6 = viewMembership(6, A, B, C);
+        for (Member member : List.of(A, B, C)) {
+            setView(member, view6, VIEW_5);
         }
         runFor(200);
         assertTrue(holdsLease(A));
@@ -152,54 +152,54 @@
     @Test
     void resumesAtOnceIfAllMembersOfTheIntermediateViewArePresent() {
         startAll();
-        ViewMembership six = viewMembership(6, A, B);
-        ViewMembership seven = viewMembership(7, A, B, C);
-        setView(A, seven, VIEW_5, six);
-        setView(B, seven, VIEW_5, six);
-        setView(C, seven, six);
+        ViewMembership view6 = viewMembership(6, A, B);
+        ViewMembership view7 = viewMembership(7, A, B, C);
+        setView(A, view7, VIEW_5, view6);
+        setView(B, view7, VIEW_5, view6);
+        setView(C, view7, view6);
         runFor(200);
         assertTrue(holdsLease(A));
     }
 
-    /** The former holder is the last to be back, and knows of the views since by a voter's word. */
+    /** The former holder is the last to restart, and learns of the views since from a voter. */
     @Test
     void resumesAtOnceIfAVoterKnowsTheLineage() {
         startAll();
-        ViewMembership six = viewMembership(6, B, C);
-        ViewMembership seven = viewMembership(7, A, B, C);
-        setView(A, seven, six);
-        setView(B, seven, VIEW_5, six);
-        setView(C, seven, VIEW_5, six);
+        ViewMembership view6 = viewMembership(6, B, C);
+        ViewMembership view7 = viewMembership(7, A, B, C);
+        setView(A, view7, view6);
+        setView(B, view7, VIEW_5, view6);
+        setView(C, view7, VIEW_5, view6);
         runFor(200);
         assertTrue(holdsLease(A));
     }
 
     /**
-     * B has been wiped between the views: that it had granted to C in view 5, which may act for a while, nobody
-     * remembers.
+     * B's disk was wiped between the views. B may have granted the lease to C in view 5, and C may still act under it,
+     * but no member of view 7 knows of that grant.
      */
     @Test
     void waitsIfAMemberOfTheIntermediateViewWasWiped() {
         start(A, storedGrant(A));
         start(B_WIPED, null);
-        ViewMembership six = viewMembership(6, A, B);
-        ViewMembership seven = viewMembership(7, A, B_WIPED);
-        setView(A, seven, VIEW_5, six);
-        setView(B_WIPED, seven, six);
+        ViewMembership view6 = viewMembership(6, A, B);
+        ViewMembership view7 = viewMembership(7, A, B_WIPED);
+        setView(A, view7, VIEW_5, view6);
+        setView(B_WIPED, view7, view6);
         runFor(1_150);
-        assertFalse(holdsLease(A) || holdsLease(B_WIPED), "one acts while a lease of view 5 may run");
+        assertFalse(holdsLease(A) || holdsLease(B_WIPED), "a member acts while a lease of view 5 may be valid");
         runFor(2_000);
         assertTrue(holdsLease(A) || holdsLease(B_WIPED));
     }
 
-    /** Nobody knows which view was before the one between. */
+    /** No member knows which view preceded view 6. */
     @Test
     void waitsIfTheLineageIsUnknown() {
         startAll();
-        ViewMembership six = viewMembership(6, B, C);
-        ViewMembership seven = viewMembership(7, A, B, C);
-        for (Member each : List.of(A, B, C)) {
-            setView(each, seven, six);
+        ViewMembership view6 = viewMembership(6, B, C);
+        ViewMembership view7 = viewMembership(7, A, B, C);
+        for (Member member : List.of(A, B, C)) {
+            setView(member, view7, view6);
         }
         runFor(1_150);
         assertFalse(holdsLease(A) || holdsLease(B) || holdsLease(C));
@@ -207,49 +207,50 @@
         assertEquals(1, List.of(A, B, C).stream().filter(this::holdsLease).count());
     }
 
-    /** B granted to C after A held it in view 5: B refuses for as long as that lease may run. */
+    /** B granted the lease to C after A had held it in view 5: B refuses until that lease has expired. */
     @Test
     void waitsIfTheLeaseWasGrantedToAnotherSince() {
         start(A, storedGrant(A));
         start(B, storedGrant(C));
-        ViewMembership six = viewMembership(6, A, B);
-        setView(A, six, VIEW_5);
-        setView(B, six, VIEW_5);
+        ViewMembership view6 = viewMembership(6, A, B);
+        setView(A, view6, VIEW_5);
+        setView(B, view6, VIEW_5);
         runFor(1_150);
         assertFalse(holdsLease(A) || holdsLease(B));
     }
 
     /**
-     * The grants of a majority are not enough: the one that refuses may be the only one here that knows of the lease.
+     * The grants of a majority are not enough: the member that refuses may be the only one that knows of an unexpired
+     * lease.
      */
     @Test
     void waitsIfOneOfThreeVotersRefuses() {
         start(A, storedGrant(A));
         start(B, storedGrant(A));
         start(C, storedGrant(C));
-        ViewMembership six = viewMembership(6, A, B, C);
-        for (Member each : List.of(A, B, C)) {
-            setView(each, six, VIEW_5);
+        ViewMembership view6 = viewMembership(6, A, B, C);
+        for (Member member : List.of(A, B, C)) {
+            setView(member, view6, VIEW_5);
         }
         runFor(1_150);
         assertFalse(holdsLease(A) || holdsLease(B) || holdsLease(C));
     }
 
-    /** It doesn't take back what another holds in the meantime. */
+    /** A does not resume a lease that another member has won in the meantime. */
     @Test
     void doesNotResumeWhileAnotherHoldsTheLease() {
         start(B, storedGrant(A));
         start(C, storedGrant(A));
-        ViewMembership six = viewMembership(6, B, C);
-        setView(B, six, VIEW_5);
-        setView(C, six, VIEW_5);
+        ViewMembership view6 = viewMembership(6, B, C);
+        setView(B, view6, VIEW_5);
+        setView(C, view6, VIEW_5);
         runFor(3_000);
         assertTrue(holdsLease(B));
         start(A, storedGrant(A));
-        ViewMembership seven = viewMembership(7, A, B, C);
-        setView(A, seven, six);
-        setView(B, seven, VIEW_5, six);
-        setView(C, seven, VIEW_5, six);
+        ViewMembership view7 = viewMembership(7, A, B, C);
+        setView(A, view7, view6);
+        setView(B, view7, VIEW_5, view6);
+        setView(C, view7, VIEW_5, view6);
         for (int i = 0; i < 100; i++) {
             runFor(TICK_MS);
             assertTrue(holdsLease(B) && !holdsLease(A));
--- a/src/test/java/brambletray/platform/failuredetection/HeartbeatMonitorTest.java
+++ b/src/test/java/brambletray/platform/failuredetection/HeartbeatMonitorTest.java
@@ -32,29 +32,29 @@
     }
 
     @Override
-    public void sendHeartbeat(Peer watcher, Heartbeat beat) {
+    public void sendHeartbeat(Peer watcher, Heartbeat heartbeat) {
         heartbeatTargets.add(watcher.name());
     }
 
     @Override
-    public void reportSuspicion(SuspicionReport suspect) {
-        events.add("suspect " + suspect.name());
+    public void reportSuspicion(SuspicionReport report) {
+        events.add("suspect " + report.name());
     }
 
     @Override
-    public void withdrawSuspicion(SuspicionWithdrawal trust) {
-        events.add("trust " + trust.name());
+    public void withdrawSuspicion(SuspicionWithdrawal withdrawal) {
+        events.add("withdraw " + withdrawal.name());
     }
 
     @Override
-    public void onProcessPaused(long ms) {
-        events.add("slept");
+    public void onProcessPaused(long durationMs) {
+        events.add("paused");
     }
 
-    private void run(long ms, int... beating) {
+    private void run(long ms, int... heartbeatsFrom) {
         for (long until = now + ms; now < until; now += 50) {
             if (now % INTERVAL_MS == 0) {
-                for (int one : beating) {
+                for (int one : heartbeatsFrom) {
                     monitor.onHeartbeat(new Heartbeat("edge-" + one, 5, 0, 0), now);
                 }
             }
@@ -97,7 +97,7 @@
         assertEquals(List.of("suspect edge-3", "suspect edge-3"), events);
         run(50, 1, 2, 3);
         run(2_000, 1, 2, 3);
-        assertEquals("trust edge-3", events.get(2));
+        assertEquals("withdraw edge-3", events.get(2));
         assertEquals(3, events.size());
     }
 
@@ -139,7 +139,7 @@
         run(2_000, 1, 2, 3);
         now += 5_000;
         run(600);
-        assertEquals(List.of("slept"), events);
+        assertEquals(List.of("paused"), events);
         run(200);
         assertTrue(events.contains("suspect edge-1"));
     }
--- a/src/test/java/brambletray/platform/failuredetection/HomeAssignmentTest.java
+++ b/src/test/java/brambletray/platform/failuredetection/HomeAssignmentTest.java
@@ -125,7 +125,7 @@
         assertEquals(20, ring.watchedBy("far").size());
     }
 
-    /** The hashes are part of what processes agree on: they may not change from one version to the next unnoticed. */
+    /** All processes, also of different versions, must compute the same hashes, so they must not change unnoticed. */
     @Test
     void hashesAreStable() {
         assertEquals(HASH_OF_A, StableHash.of("a"));
--- a/src/test/java/brambletray/platform/failuredetection/MembershipRegistryTest.java
+++ b/src/test/java/brambletray/platform/failuredetection/MembershipRegistryTest.java
@@ -71,11 +71,11 @@
     @Test
     void aReporterOfAllOtherWatchersIsNotTheOnlyHealthyWatcher() {
         startWith(12);
-        Peer accused = peer(0);
-        List<Peer> watchers = new WatchRing(published.get(0)).watchersOf(accused.name());
-        String accuser = watchers.get(0).name();
-        for (Peer one : List.of(accused, watchers.get(1), watchers.get(2))) {
-            registry.onSuspicion(new SuspicionReport(one.name(), one.incarnation(), accuser));
+        Peer suspect = peer(0);
+        List<Peer> watchers = new WatchRing(published.get(0)).watchersOf(suspect.name());
+        String reporter = watchers.get(0).name();
+        for (Peer one : List.of(suspect, watchers.get(1), watchers.get(2))) {
+            registry.onSuspicion(new SuspicionReport(one.name(), one.incarnation(), reporter));
         }
         tickUntil(2_500, 5_000);
         assertEquals(1, published.size());
@@ -83,7 +83,9 @@
             registry.onDisconnected(dead.name(), dead.incarnation(), 5_000);
         }
         tickUntil(5_000, 5_200);
-        assertNull(published.get(published.size() - 1).find(accused.name()), "two watchers are gone, and the third misses it");
+        assertNull(
+                published.get(published.size() - 1).find(suspect.name()),
+                "two watchers are removed, and the third suspects it");
     }
 
     @Test
@@ -91,7 +93,7 @@
         startWith(6);
         for (int i = 1; i < 4; i++) {
             registry.onSuspicion(new SuspicionReport("edge-0", 99, "edge-" + i));
-            registry.onSuspicion(new SuspicionReport("edge-0", 1, "stranger-" + i));
+            registry.onSuspicion(new SuspicionReport("edge-0", 1, "unknown-" + i));
         }
         registry.onSuspicion(new SuspicionReport("edge-0", 1, "edge-0"));
         registry.onSuspicion(new SuspicionReport("edge-0", 1, "edge-1"));
--- a/src/test/java/brambletray/platform/failuredetection/SimulatedEdges.java
+++ b/src/test/java/brambletray/platform/failuredetection/SimulatedEdges.java
@@ -9,15 +9,15 @@
 import java.util.Set;
 
 /**
- * Edges and a coordinator in simulated time, each a turn every 50 ms. What is said takes 3 ms; behind a cut it waits,
- * or is lost once the link gives up.
+ * Edges and a coordinator in simulated time, each running one turn every 50 ms. Messages take 3 ms. Messages of an
+ * isolated process are delayed, and are lost once its connection times out.
  */
 final class SimulatedEdges {
-    static final String COORDINATOR = "hub";
+    static final String COORDINATOR = "coordinator";
     static final int HEARTBEAT_INTERVAL_MS = 200;
     private static final int TURN_MS = 50;
     private static final int LATENCY_MS = 3;
-    /** ms of silence after which a connection gives up. */
+    /** ms of silence after which a connection is closed. */
     private static final int CONNECTION_TIMEOUT_MS = 2_500;
 
     private static final long START_MS = 1_000_000;
@@ -58,41 +58,41 @@
         cuts.add(Set.of(one, other));
     }
 
-    /** The pictures's sign for one process, from now on. */
-    void setState(String name, char sign) {
-        TimelineColumn lane = name.equals(COORDINATOR) ? coordinator : edges.get(name);
-        char before = lane.state;
-        if (before == sign) {
+    /** Sets the state of one process, as a sign of the timeline. */
+    void setState(String name, char state) {
+        TimelineColumn column = name.equals(COORDINATOR) ? coordinator : edges.get(name);
+        char previous = column.state;
+        if (previous == state) {
             return;
         }
-        lane.state = sign;
-        switch (sign) {
-            case '|' -> resume(lane, before);
-            case 'X' -> kill(lane);
+        column.state = state;
+        switch (state) {
+            case '|' -> resume(column, previous);
+            case 'X' -> kill(column);
             case '!', '~', 'z' -> silentSince.put(name, now);
-            case 'L' -> ((TimelineColumn.Edge) lane).leave();
+            case 'L' -> ((TimelineColumn.Edge) column).leave();
             case '.' -> {}
-            default -> throw new IllegalArgumentException("no sign: " + sign);
+            default -> throw new IllegalArgumentException("unknown state: " + state);
         }
     }
 
-    private void resume(TimelineColumn lane, char before) {
-        boolean anew = before == '.' || before == 'X' || before == '!';
-        silentSince.remove(lane.name);
-        if (lane instanceof TimelineColumn.Coordinator) {
-            if (anew) {
+    private void resume(TimelineColumn column, char previous) {
+        boolean restarted = previous == '.' || previous == 'X' || previous == '!';
+        silentSince.remove(column.name);
+        if (column instanceof TimelineColumn.Coordinator) {
+            if (restarted) {
                 coordinator.start(++term, now);
                 disconnected.addAll(edges.keySet());
                 edges.values().forEach(this::connect);
             }
-        } else if (anew) {
-            ((TimelineColumn.Edge) lane).start(++lastIncarnation);
-            connect((TimelineColumn.Edge) lane);
-        } else if (disconnected.contains(lane.name)) {
-            connect((TimelineColumn.Edge) lane);
+        } else if (restarted) {
+            ((TimelineColumn.Edge) column).start(++lastIncarnation);
+            connect((TimelineColumn.Edge) column);
+        } else if (disconnected.contains(column.name)) {
+            connect((TimelineColumn.Edge) column);
         }
-        if (before == '~') {
-            deliverDelayed(lane.name);
+        if (previous == '~') {
+            deliverDelayed(column.name);
         }
     }
 
@@ -103,26 +103,28 @@
         }
     }
 
-    private void kill(TimelineColumn lane) {
-        lane.inbox.clear();
-        delayedMessages.keySet()
-                .removeIf(link -> link.from().equals(lane.name) || link.to().equals(lane.name));
-        if (lane instanceof TimelineColumn.Edge edge) {
+    private void kill(TimelineColumn column) {
+        column.inbox.clear();
+        delayedMessages
+                .keySet()
+                .removeIf(link -> link.from().equals(column.name) || link.to().equals(column.name));
+        if (column instanceof TimelineColumn.Edge edge) {
             closeLink(edge);
         }
     }
 
     private void closeLink(TimelineColumn.Edge edge) {
-        coordinator.inbox.add(new TimelineColumn.Message(now, edge.name, new TimelineColumn.LinkClosed(edge.incarnation())));
+        coordinator.inbox.add(
+                new TimelineColumn.Message(now, edge.name, new TimelineColumn.LinkClosed(edge.incarnation())));
     }
 
     private void deliverDelayed(String name) {
-        for (Map.Entry<Link, List<TimelineColumn.Message>> one : new ArrayList<>(delayedMessages.entrySet())) {
-            Link link = one.getKey();
+        for (Map.Entry<Link, List<TimelineColumn.Message>> entry : new ArrayList<>(delayedMessages.entrySet())) {
+            Link link = entry.getKey();
             if (link.from().equals(name) || link.to().equals(name)) {
-                List<TimelineColumn.Message> mails = new ArrayList<>(one.getValue());
-                one.getValue().clear();
-                mails.forEach(mail -> send(link.from(), link.to(), mail.frame()));
+                List<TimelineColumn.Message> messages = new ArrayList<>(entry.getValue());
+                entry.getValue().clear();
+                messages.forEach(mail -> send(link.from(), link.to(), mail.frame()));
             }
         }
     }
@@ -132,21 +134,22 @@
     }
 
     void send(String from, String to, Object frame) {
-        TimelineColumn other = column(to);
-        if (other == null
-                || other.state == '.'
-                || other.state == 'X'
-                || other.state == '!'
+        TimelineColumn target = column(to);
+        if (target == null
+                || target.state == '.'
+                || target.state == 'X'
+                || target.state == '!'
                 || cuts.contains(Set.of(from, to))
                 || to.equals(COORDINATOR) && disconnected.contains(from)
                 || from.equals(COORDINATOR) && disconnected.contains(to)) {
             return;
         }
-        if (column(from).isCut() || other.isCut()) {
-            delayedMessages.computeIfAbsent(new Link(from, to), link -> new ArrayList<>())
+        if (column(from).isCut() || target.isCut()) {
+            delayedMessages
+                    .computeIfAbsent(new Link(from, to), link -> new ArrayList<>())
                     .add(new TimelineColumn.Message(0, from, frame));
         } else {
-            other.inbox.add(new TimelineColumn.Message(now + LATENCY_MS, from, frame));
+            target.inbox.add(new TimelineColumn.Message(now + LATENCY_MS, from, frame));
         }
     }
 
@@ -154,17 +157,17 @@
         edges.keySet().forEach(edge -> send(COORDINATOR, edge, roster));
     }
 
-    /** Runs until so many ms after the beginning. */
+    /** Runs until {@code ms} after the start. */
     void runUntil(long ms) {
         for (; now < START_MS + ms; now++) {
             closeTimedOutLinks();
-            int place = 0;
+            int turnOffsetMs = 0;
             if (coordinator.isRunning() && now % TURN_MS == 0) {
                 coordinator.runTurn(now);
             }
             for (TimelineColumn.Edge edge : edges.values()) {
-                place += 7;
-                if (edge.isRunning() && (now + place) % TURN_MS == 0) {
+                turnOffsetMs += 7;
+                if (edge.isRunning() && (now + turnOffsetMs) % TURN_MS == 0) {
                     edge.runTurn(now);
                 }
             }
@@ -172,11 +175,14 @@
     }
 
     private void closeTimedOutLinks() {
-        for (Map.Entry<String, Long> one : silentSince.entrySet()) {
-            TimelineColumn lane = column(one.getKey());
-            if (now - one.getValue() == CONNECTION_TIMEOUT_MS && lane.state != 'z' && lane instanceof TimelineColumn.Edge edge) {
+        for (Map.Entry<String, Long> entry : silentSince.entrySet()) {
+            TimelineColumn column = column(entry.getKey());
+            if (now - entry.getValue() == CONNECTION_TIMEOUT_MS
+                    && column.state != 'z'
+                    && column instanceof TimelineColumn.Edge edge) {
                 disconnected.add(edge.name);
-                delayedMessages.keySet()
+                delayedMessages
+                        .keySet()
                         .removeIf(link ->
                                 link.from().equals(edge.name) || link.to().equals(edge.name));
                 closeLink(edge);
--- a/src/test/java/brambletray/platform/failuredetection/TimelineColumn.java
+++ b/src/test/java/brambletray/platform/failuredetection/TimelineColumn.java
@@ -7,19 +7,19 @@
 import java.util.TreeSet;
 
 /**
- * One process of a drawn timeline: an edge, with its watch, or what the coordinator's machine runs. Its inbox stands
- * for its sockets.
+ * One process of a timeline: an edge with its heartbeat monitor, or the coordinator with its registry. The inbox
+ * represents its sockets.
  */
 abstract class TimelineColumn {
-    /** A frame on its way; {@code at}: when it arrives. */
+    /** A message in transit. */
     record Message(long arrivesAtMs, String from, Object frame) {}
 
-    /** The link of this incarnation of an edge to the coordinator is closed. */
+    /** The link between this incarnation of an edge and the coordinator has closed. */
     record LinkClosed(long incarnation) {}
 
     final String name;
     final Deque<Message> inbox = new ArrayDeque<>();
-    /** What the picture shows now. */
+    /** Current sign in the timeline. */
     char state = '.';
 
     TimelineColumn(String name) {
@@ -38,23 +38,22 @@
 
     abstract void tick(long now);
 
-    /** One turn of its loop; timers come before what lies in the sockets, which is the harder order. */
+    /** One turn of the event loop. Timers run before messages are read, which is the more demanding order. */
     void runTurn(long now) {
         tick(now);
         while (!inbox.isEmpty() && inbox.peek().arrivesAtMs() <= now) {
-            Message mail = inbox.poll();
-            receive(mail.from(), mail.frame(), now);
+            Message message = inbox.poll();
+            receive(message.from(), message.frame(), now);
         }
     }
 
-    /** An edge. */
     static final class Edge extends TimelineColumn implements HeartbeatMonitor.Actions {
         private final SimulatedEdges cluster;
         private final String zone;
         private Peer self;
         private HeartbeatMonitor monitor;
         private Roster roster = Roster.NONE;
-        /** Whose suspicion it has told since it began. */
+        /** Peers that it has reported as suspected since the start of the test. */
         final TreeSet<String> reportedSuspects = new TreeSet<>();
 
         int pauses;
@@ -65,14 +64,14 @@
             this.zone = name.substring(0, 1);
         }
 
-        void start(long life) {
+        void start(long incarnation) {
             inbox.clear();
-            self = new Peer(name, zone, name + ":7400", life, Peer.ACTIVE);
+            self = new Peer(name, zone, name + ":7400", incarnation, Peer.ACTIVE);
             monitor = new HeartbeatMonitor(self, SimulatedEdges.HEARTBEAT_INTERVAL_MS, this);
             roster = Roster.NONE;
         }
 
-        /** The link to the coordinator is up, or its own state is another. */
+        /** Called when the link to the coordinator is open, or when its own state has changed. */
         void sendHello() {
             cluster.send(name, SimulatedEdges.COORDINATOR, new EdgeHello(self, roster.term(), roster.number(), 0, 0));
         }
@@ -93,8 +92,8 @@
 
         @Override
         void receive(String from, Object frame, long now) {
-            if (frame instanceof Heartbeat beat) {
-                monitor.onHeartbeat(beat, now);
+            if (frame instanceof Heartbeat heartbeat) {
+                monitor.onHeartbeat(heartbeat, now);
             } else if (frame instanceof EdgeWelcome welcome) {
                 if (welcome.lacks(roster)) {
                     cluster.send(name, SimulatedEdges.COORDINATOR, roster);
@@ -115,28 +114,28 @@
         }
 
         @Override
-        public void sendHeartbeat(Peer watcher, Heartbeat beat) {
-            cluster.send(name, watcher.name(), beat);
+        public void sendHeartbeat(Peer watcher, Heartbeat heartbeat) {
+            cluster.send(name, watcher.name(), heartbeat);
         }
 
         @Override
-        public void reportSuspicion(SuspicionReport suspect) {
-            reportedSuspects.add(suspect.name());
-            cluster.send(name, SimulatedEdges.COORDINATOR, suspect);
+        public void reportSuspicion(SuspicionReport report) {
+            reportedSuspects.add(report.name());
+            cluster.send(name, SimulatedEdges.COORDINATOR, report);
         }
 
         @Override
-        public void withdrawSuspicion(SuspicionWithdrawal trust) {
-            cluster.send(name, SimulatedEdges.COORDINATOR, trust);
+        public void withdrawSuspicion(SuspicionWithdrawal withdrawal) {
+            cluster.send(name, SimulatedEdges.COORDINATOR, withdrawal);
         }
 
         @Override
-        public void onProcessPaused(long ms) {
+        public void onProcessPaused(long durationMs) {
             pauses++;
         }
     }
 
-    /** The hub. */
+    /** The coordinator. */
     static final class Coordinator extends TimelineColumn {
         private final SimulatedEdges cluster;
         private MembershipRegistry registry;
@@ -149,8 +148,8 @@
 
         void start(long term, long now) {
             inbox.clear();
-            registry = new MembershipRegistry(term, now, (roster, why) -> {
-                publishedRosters.add(now() + " " + roster.term() + "." + roster.number() + " " + why);
+            registry = new MembershipRegistry(term, now, (roster, reason) -> {
+                publishedRosters.add(now() + " " + roster.term() + "." + roster.number() + " " + reason);
                 cluster.broadcast(roster);
             });
         }
@@ -176,14 +175,14 @@
                 if (registry.roster().number() > 0) {
                     cluster.send(name, from, registry.roster());
                 }
-            } else if (frame instanceof LinkClosed parted) {
-                registry.onDisconnected(from, parted.incarnation(), now);
-            } else if (frame instanceof Roster other) {
-                registry.onReportedRoster(other, now);
-            } else if (frame instanceof SuspicionReport suspect) {
-                registry.onSuspicion(suspect);
-            } else if (frame instanceof SuspicionWithdrawal trust) {
-                registry.onWithdrawal(trust);
+            } else if (frame instanceof LinkClosed linkClosed) {
+                registry.onDisconnected(from, linkClosed.incarnation(), now);
+            } else if (frame instanceof Roster reported) {
+                registry.onReportedRoster(reported, now);
+            } else if (frame instanceof SuspicionReport report) {
+                registry.onSuspicion(report);
+            } else if (frame instanceof SuspicionWithdrawal withdrawal) {
+                registry.onWithdrawal(withdrawal);
             }
         }
 
--- a/src/test/java/brambletray/platform/storage/KeyValueStoreFaultsTest.java
+++ b/src/test/java/brambletray/platform/storage/KeyValueStoreFaultsTest.java
@@ -18,30 +18,30 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A disk that refuses from one step on, at each step of opening, of abandoning, and of commits with their compaction:
- * what the caller is
- * told, what a kill or a loss of power finds at each later step, and that the store works again once there is room.
+ * A disk that fails from one step on, at each step of opening, abandoning, committing and compacting. Checks which
+ * error the caller gets, what is found after a kill or power loss at each later step, and that the store works again
+ * once the fault has ended.
  */
 class KeyValueStoreFaultsTest {
     private static final int SEED = 20_262;
-    /** Bytes of files that a store of these tests is allowed, so that it is compacted soon. */
+    /** Low compaction threshold in bytes, so that the store is compacted early. */
     private static final long SMALL_COMPACTION_BYTES = 64 << 10;
-    /** Bytes of one value of these tests. */
+
     private static final int VALUE_BYTES = 20_000;
 
     private static final int COMMITS = 8;
     private static final Set<String> DISK_ERROR_CODES = Set.of("storage.full", "storage.refused");
 
-    /** How a disk refuses. */
+    /** The way in which the disk fails. */
     private enum DiskFault {
-        /** No room: nothing is written or made longer; syncs, cuts and removals go on. */
+        /** No space left: writing and extending fail; syncs, truncations and removals succeed. */
         FULL {
             @Override
             void set(SimulatedDirectory disk, boolean now) {
                 disk.setFull(now);
             }
         },
-        /** Nothing that changes the disk is done. */
+        /** Every operation that changes the disk fails. */
         ALL_CHANGES {
             @Override
             void set(SimulatedDirectory disk, boolean now) {
@@ -49,7 +49,7 @@
             }
         };
 
-        abstract void set(SimulatedDirectory disk, boolean now);
+        abstract void set(SimulatedDirectory disk, boolean active);
     }
 
     private final Random random = new Random(SEED);
@@ -58,7 +58,7 @@
 
     @BeforeAll
     static void muteLog() {
-        Logger.getLogger("trove").setLevel(Level.OFF);
+        Logger.getLogger("storage").setLevel(Level.OFF);
     }
 
     private static Map<String, byte[]> contents(KeyValueStore store) {
@@ -83,27 +83,31 @@
         changes.forEach(change -> to.put(change.key(), change.value()));
     }
 
-    /** Opens on a disk that may refuse; null, with the code noted, if it does. */
+    /** Opens the store on a disk that may fail; if it does, records the error code and returns null. */
     private KeyValueStore tryOpen(SimulatedDirectory disk, String where) {
         try {
             return KeyValueStore.open(disk, SMALL_COMPACTION_BYTES);
-        } catch (StorageException fault) {
-            assertTrue(DISK_ERROR_CODES.contains(fault.code()), where + ": " + fault.code());
-            reportedCodes.add(fault.code());
+        } catch (StorageException error) {
+            assertTrue(DISK_ERROR_CODES.contains(error.code()), where + ": " + error.code());
+            reportedCodes.add(error.code());
             return null;
         }
     }
 
-    /** Opened with room, it holds this or that, and takes another commit that lasts. */
+    /**
+     * Opens the store without a fault, checks that it has one of the two contents, and makes another durable commit.
+     */
     private void checkReopens(
-            SimulatedDirectory disk, Map<String, byte[]> kept, Map<String, byte[]> tried, String where) {
+            SimulatedDirectory disk, Map<String, byte[]> committed, Map<String, byte[]> attempted, String where) {
         reopenings++;
         try (KeyValueStore store = KeyValueStore.open(disk, SMALL_COMPACTION_BYTES)) {
             Map<String, byte[]> found = contents(store);
-            assertTrue(sameEntries(found, kept) || sameEntries(found, tried), where + ": holds " + found.keySet());
+            assertTrue(
+                    sameEntries(found, committed) || sameEntries(found, attempted),
+                    where + ": found " + found.keySet());
             store.commit(List.of(new KeyChange("after", new byte[] {1})));
-        } catch (StorageException fault) {
-            throw new AssertionError(where + ": " + fault.code(), fault);
+        } catch (StorageException error) {
+            throw new AssertionError(where + ": " + error.code(), error);
         }
         try (KeyValueStore store = KeyValueStore.open(disk.afterPowerLoss(random), SMALL_COMPACTION_BYTES)) {
             assertArrayEquals(new byte[] {1}, store.get("after"), where);
@@ -111,48 +115,53 @@
     }
 
     private void checkReopensAfterKillAndPowerLoss(
-            SimulatedDirectory disk, Map<String, byte[]> kept, Map<String, byte[]> tried, String where) {
-        checkReopens(disk.afterKill(), kept, tried, where + ", killed");
-        for (SimulatedDirectory dark : disk.afterPowerLosses(random)) {
-            checkReopens(dark, kept, tried, where + ", dark");
+            SimulatedDirectory disk, Map<String, byte[]> committed, Map<String, byte[]> attempted, String where) {
+        checkReopens(disk.afterKill(), committed, attempted, where + ", after a kill");
+        for (SimulatedDirectory afterPowerLoss : disk.afterPowerLosses(random)) {
+            checkReopens(afterPowerLoss, committed, attempted, where + ", after power loss");
         }
     }
 
-    /** Opening with the disk refusing from step {@code at} on; false if there is no such step. */
+    /** Opens the store with the disk failing from step {@code at} on; returns false if there is no such step. */
     private boolean openWithFaultFrom(
-            Supplier<SimulatedDirectory> found, Map<String, byte[]> kept, DiskFault refusal, int at, String name) {
+            Supplier<SimulatedDirectory> found,
+            Map<String, byte[]> committed,
+            DiskFault diskFault,
+            int at,
+            String name) {
         SimulatedDirectory disk = found.get();
-        String where = name + ", " + refusal + " from step " + at;
+        String where = name + ", " + diskFault + " from step " + at;
         int[] step = new int[1];
         disk.setBeforeChange(() -> {
             if (step[0]++ == at) {
-                refusal.set(disk, true);
+                diskFault.set(disk, true);
             }
         });
         KeyValueStore opened = tryOpen(disk, where);
         disk.setBeforeChange(() -> {});
         if (opened != null) {
-            assertTrue(sameEntries(contents(opened), kept), where + ": reads");
+            assertTrue(sameEntries(contents(opened), committed), where + ": reads");
             opened.close();
         }
-        checkReopensAfterKillAndPowerLoss(copyWithoutFault(disk, refusal), kept, kept, where);
-        refusal.set(disk, false);
-        checkReopens(disk, kept, kept, where + ", with room again");
+        checkReopensAfterKillAndPowerLoss(copyWithoutFault(disk, diskFault), committed, committed, where);
+        diskFault.set(disk, false);
+        checkReopens(disk, committed, committed, where + ", after the fault");
         return step[0] > at;
     }
 
-    /** The same disk as another process or a later moment finds it: it refuses nothing. */
-    private static SimulatedDirectory copyWithoutFault(SimulatedDirectory disk, DiskFault refusal) {
-        refusal.set(disk, false);
+    /** A copy of the disk without the fault, as a later process would find it. */
+    private static SimulatedDirectory copyWithoutFault(SimulatedDirectory disk, DiskFault diskFault) {
+        diskFault.set(disk, false);
         SimulatedDirectory copy = disk.afterKill();
-        refusal.set(disk, true);
+        diskFault.set(disk, true);
         return copy;
     }
 
-    private int openWithFaultAtEachStep(Supplier<SimulatedDirectory> found, Map<String, byte[]> kept, String name) {
+    private int openWithFaultAtEachStep(
+            Supplier<SimulatedDirectory> found, Map<String, byte[]> committed, String name) {
         int steps = 0;
-        for (DiskFault refusal : DiskFault.values()) {
-            for (int at = 0; openWithFaultFrom(found, kept, refusal, at, name); at++) {
+        for (DiskFault diskFault : DiskFault.values()) {
+            for (int at = 0; openWithFaultFrom(found, committed, diskFault, at, name); at++) {
                 steps++;
             }
         }
@@ -160,28 +169,28 @@
     }
 
     /**
-     * The first opening, on an empty disk; and that of what a kill or a loss of power left in the middle of a commit.
+     * Opens an empty directory, a store whose process was killed, and a store with a torn tail.
      */
     @Test
     void openingWithAFaultAtAnyStepReportsItAndLosesNothing() {
         int steps = openWithFaultAtEachStep(SimulatedDirectory::new, Map.of(), "empty");
         SimulatedDirectory disk = new SimulatedDirectory();
-        Map<String, byte[]> kept = new TreeMap<>();
+        Map<String, byte[]> committed = new TreeMap<>();
         try (KeyValueStore store = KeyValueStore.open(disk, SMALL_COMPACTION_BYTES)) {
             for (int i = 0; i < 3; i++) {
                 store.commit(changes(i));
-                put(kept, changes(i));
+                put(committed, changes(i));
             }
         }
-        steps += openWithFaultAtEachStep(disk::afterKill, kept, "killed");
+        steps += openWithFaultAtEachStep(disk::afterKill, committed, "killed");
         SimulatedDirectory garbage = withTornTail(disk);
-        steps += openWithFaultAtEachStep(garbage::afterKill, kept, "torn");
-        System.out.println(
-                "refused while it opens: " + steps + " steps, " + reopenings + " openings afterwards, told " + reportedCodes);
+        steps += openWithFaultAtEachStep(garbage::afterKill, committed, "torn");
+        System.out.println("faults while opening: " + steps + " steps, " + reopenings + " later openings, reported "
+                + reportedCodes);
         assertEquals(DISK_ERROR_CODES, reportedCodes);
     }
 
-    /** Bytes behind the last commit: opening has to cut them off. */
+    /** Adds bytes after the last commit, which opening has to truncate. */
     private static SimulatedDirectory withTornTail(SimulatedDirectory disk) {
         SimulatedDirectory copy = disk.afterKill();
         byte[] bytes = copy.newestFile();
@@ -190,65 +199,70 @@
     }
 
     /**
-     * Commits and compactions with the disk refusing from a step on; at each further step the process is killed or the
-     * power goes.
+     * Commits and compacts with the disk failing from one step on; at each of the next steps, and after the fault has
+     * ended, the store is reopened as after a kill.
      */
     @Test
     void commitsReturnedBeforeAFaultSurviveEachLaterStep() {
-        for (DiskFault refusal : DiskFault.values()) {
+        for (DiskFault diskFault : DiskFault.values()) {
             int steps = 0;
             int generations = 0;
-            for (int generation = commitWithFaultFrom(refusal, 0); generation > 0; ) {
+            for (int generation = commitWithFaultFrom(diskFault, 0); generation > 0; ) {
                 generations = Math.max(generations, generation);
-                generation = commitWithFaultFrom(refusal, ++steps);
+                generation = commitWithFaultFrom(diskFault, ++steps);
             }
-            System.out.println("refused while it commits, " + refusal + ": " + steps + " steps, " + reopenings
-                    + " openings afterwards, generations " + generations + ", told " + reportedCodes);
+            System.out.println("faults while committing, " + diskFault + ": " + steps + " steps, " + reopenings
+                    + " later openings, generations " + generations + ", reported " + reportedCodes);
             assertTrue(generations > 1, "never compacted");
         }
         assertEquals(DISK_ERROR_CODES, reportedCodes);
     }
 
     /** Returns the generation of the store afterwards; 0 if there is no such step. */
-    private int commitWithFaultFrom(DiskFault refusal, int at) {
-        String where = refusal + " from step " + at;
+    private int commitWithFaultFrom(DiskFault diskFault, int at) {
+        String where = diskFault + " from step " + at;
         SimulatedDirectory disk = new SimulatedDirectory();
-        Map<String, byte[]> kept = new TreeMap<>();
-        Map<String, byte[]> tried = new TreeMap<>();
+        Map<String, byte[]> committed = new TreeMap<>();
+        Map<String, byte[]> attempted = new TreeMap<>();
         KeyValueStore store = KeyValueStore.open(disk, SMALL_COMPACTION_BYTES);
         int[] step = new int[1];
-        AssertionError[] first = new AssertionError[1];
+        AssertionError[] firstFailure = new AssertionError[1];
         disk.setBeforeChange(() -> {
             if (step[0] == at) {
-                refusal.set(disk, true);
+                diskFault.set(disk, true);
             }
             if (step[0]++ >= at && step[0] < at + 6) {
-                recordFailure(first, () -> checkReopens(copyWithoutFault(disk, refusal), kept, tried, where + ", killed"));
+                recordFailure(
+                        firstFailure,
+                        () -> checkReopens(
+                                copyWithoutFault(disk, diskFault), committed, attempted, where + ", after a kill"));
             }
         });
-        boolean refused = false;
+        boolean failed = false;
         int number = 0;
-        for (; number < COMMITS && !refused; number++) {
-            put(tried, changes(number));
-            refused = !tryCommit(store, changes(number), where);
-            if (!refused) {
-                put(kept, changes(number));
+        for (; number < COMMITS && !failed; number++) {
+            put(attempted, changes(number));
+            failed = !tryCommit(store, changes(number), where);
+            if (!failed) {
+                put(committed, changes(number));
                 store.compact();
             }
         }
-        if (refused) {
-            assertTrue(!tryCommit(store, changes(number), where + ", once more"), where + ": taken though refused");
+        if (failed) {
+            assertTrue(
+                    !tryCommit(store, changes(number), where + ", next commit"),
+                    where + ": the next commit succeeded during the fault");
         }
         disk.setBeforeChange(() -> {});
-        if (first[0] != null) {
-            throw first[0];
+        if (firstFailure[0] != null) {
+            throw firstFailure[0];
         }
-        refusal.set(disk, false);
-        put(tried, changes(number));
+        diskFault.set(disk, false);
+        put(attempted, changes(number));
         store.commit(changes(number));
-        put(kept, changes(number));
-        assertTrue(sameEntries(contents(store), kept), where + ": the same process reads");
-        checkReopensAfterKillAndPowerLoss(disk, kept, kept, where + ", with room again");
+        put(committed, changes(number));
+        assertTrue(sameEntries(contents(store), committed), where + ": the same process reads");
+        checkReopensAfterKillAndPowerLoss(disk, committed, committed, where + ", after the fault");
         return step[0] > at ? Integer.parseInt(disk.names().get(0).substring(0, 8), 16) : 0;
     }
 
@@ -256,24 +270,24 @@
         try {
             store.commit(changes);
             return true;
-        } catch (StorageException fault) {
-            assertTrue(DISK_ERROR_CODES.contains(fault.code()), where + ": " + fault.code());
-            reportedCodes.add(fault.code());
+        } catch (StorageException error) {
+            assertTrue(DISK_ERROR_CODES.contains(error.code()), where + ": " + error.code());
+            reportedCodes.add(error.code());
             return false;
         }
     }
 
-    /** What is thrown within a step of the store would come out as a fault of the disk. */
-    private static void recordFailure(AssertionError[] first, Runnable check) {
+    /** Keeps an assertion error, because one thrown inside a disk operation would be reported as a disk error. */
+    private static void recordFailure(AssertionError[] firstFailure, Runnable check) {
         try {
             check.run();
         } catch (AssertionError e) {
-            first[0] = first[0] == null ? e : first[0];
+            firstFailure[0] = firstFailure[0] == null ? e : firstFailure[0];
         }
     }
 
     /**
-     * A broken store is given up: refused, killed or dark at any step, the next opening finds it broken still, or
+     * Abandons a broken store with a disk error, kill or power loss at any step; it is then either still broken or
      * empty.
      */
     @Test
@@ -282,8 +296,8 @@
         while (abandonWithFaultAt(steps)) {
             steps++;
         }
-        System.out.println("refused while it is abandoned: " + steps + " steps, " + reopenings + " openings afterwards");
-        assertTrue(steps >= 4, "hardly a step");
+        System.out.println("faults while abandoning: " + steps + " steps, " + reopenings + " later openings");
+        assertTrue(steps >= 4, "too few steps: " + steps);
     }
 
     private boolean abandonWithFaultAt(int at) {
@@ -296,14 +310,14 @@
         disk.setBeforeChange(() -> disk.setFailing(step[0]++ == at));
         try {
             KeyValueStore.abandon(disk);
-        } catch (StorageException fault) {
-            assertEquals("storage.refused", fault.code(), "step " + at);
+        } catch (StorageException error) {
+            assertEquals("storage.refused", error.code(), "step " + at);
         }
         disk.setBeforeChange(() -> {});
         disk.setFailing(false);
-        checkBrokenOrEmpty(disk.afterKill(), "abandoned until step " + at + ", killed");
-        for (SimulatedDirectory dark : disk.afterPowerLosses(random)) {
-            checkBrokenOrEmpty(dark, "abandoned until step " + at + ", dark");
+        checkBrokenOrEmpty(disk.afterKill(), "abandoned until step " + at + ", after a kill");
+        for (SimulatedDirectory afterPowerLoss : disk.afterPowerLosses(random)) {
+            checkBrokenOrEmpty(afterPowerLoss, "abandoned until step " + at + ", after power loss");
         }
         return step[0] > at;
     }
@@ -311,8 +325,8 @@
     private void checkBrokenOrEmpty(SimulatedDirectory disk, String where) {
         try {
             KeyValueStore.open(disk, SMALL_COMPACTION_BYTES).close();
-        } catch (StorageException fault) {
-            assertEquals("storage.broken", fault.code(), where);
+        } catch (StorageException error) {
+            assertEquals("storage.broken", error.code(), where);
             KeyValueStore.abandon(disk);
         }
         checkReopens(disk, Map.of(), Map.of(), where);
--- a/src/test/java/brambletray/platform/storage/SimulatedDirectory.java
+++ b/src/test/java/brambletray/platform/storage/SimulatedDirectory.java
@@ -11,9 +11,9 @@
 import java.util.TreeSet;
 
 /**
- * A folder in memory that loses power. Of a file stays what was synced; of what was written later each piece is there,
- * missing or torn, or all of it is gone. Each file that was made or removed since the folder's last sync is there or
- * not, by itself.
+ * An in-memory directory that simulates power loss. Synced contents of a file survive; each later write survives, is
+ * lost or is torn, or all of them are lost. Each creation or removal of a file since the directory's last sync survives
+ * or is undone, independently of the others.
  */
 final class SimulatedDirectory implements Directory {
     private record Write(int at, byte[] bytes) {}
@@ -21,72 +21,72 @@
     private static final class SimulatedFile {
         private byte[] bytes = new byte[0];
         private int length;
-        /** What was synced, or null: not even that there is such a file. */
+        /** The synced contents; null if the file was never synced. */
         private byte[] syncedBytes;
 
         private int syncedLength;
         private final List<Write> unsyncedWrites = new ArrayList<>();
 
         private static SimulatedFile of(byte[] bytes) {
-            SimulatedFile item = new SimulatedFile();
-            item.put(0, bytes);
-            item.sync();
-            return item;
+            SimulatedFile file = new SimulatedFile();
+            file.put(0, bytes);
+            file.sync();
+            return file;
         }
 
-        /** The same, with what is on the disk and what is not yet. */
+        /** A copy with the same synced and unsynced contents. */
         private SimulatedFile copy() {
-            SimulatedFile item = new SimulatedFile();
-            item.bytes = Arrays.copyOf(bytes, length);
-            item.length = length;
-            item.syncedBytes = syncedBytes == null ? null : Arrays.copyOf(syncedBytes, syncedLength);
-            item.syncedLength = syncedLength;
-            item.unsyncedWrites.addAll(unsyncedWrites);
-            return item;
+            SimulatedFile file = new SimulatedFile();
+            file.bytes = Arrays.copyOf(bytes, length);
+            file.length = length;
+            file.syncedBytes = syncedBytes == null ? null : Arrays.copyOf(syncedBytes, syncedLength);
+            file.syncedLength = syncedLength;
+            file.unsyncedWrites.addAll(unsyncedWrites);
+            return file;
         }
 
-        /** What a loss of power leaves. */
-        private byte[] bytesAfterPowerLoss(Random random, boolean nothing) {
-            byte[] left = syncedBytes == null ? new byte[0] : Arrays.copyOf(syncedBytes, syncedLength);
+        /** Random contents after a power loss. */
+        private byte[] bytesAfterPowerLoss(Random random, boolean loseAllUnsynced) {
+            byte[] result = syncedBytes == null ? new byte[0] : Arrays.copyOf(syncedBytes, syncedLength);
             for (Write write : unsyncedWrites) {
-                int fate = nothing ? 1 : random.nextInt(4);
+                int outcome = loseAllUnsynced ? 1 : random.nextInt(4);
                 int cut = write.bytes.length > 1 ? 1 + random.nextInt(write.bytes.length - 1) : 0;
-                if (fate == 0) {
-                    left = SimulatedDirectory.put(left, write.at, write.bytes);
-                } else if (fate == 2 && cut > 0) {
-                    left = SimulatedDirectory.put(left, write.at, Arrays.copyOf(write.bytes, cut));
-                } else if (fate == 3 && cut > 0) {
-                    left = SimulatedDirectory.put(
-                            left, write.at + cut, Arrays.copyOfRange(write.bytes, cut, write.bytes.length));
+                if (outcome == 0) {
+                    result = SimulatedDirectory.put(result, write.at, write.bytes);
+                } else if (outcome == 2 && cut > 0) {
+                    result = SimulatedDirectory.put(result, write.at, Arrays.copyOf(write.bytes, cut));
+                } else if (outcome == 3 && cut > 0) {
+                    result = SimulatedDirectory.put(
+                            result, write.at + cut, Arrays.copyOfRange(write.bytes, cut, write.bytes.length));
                 }
             }
-            return left;
+            return result;
         }
 
-        private void put(int at, byte[] piece) {
-            if (bytes.length < at + piece.length) {
-                bytes = Arrays.copyOf(bytes, Math.max(at + piece.length, 2 * bytes.length));
+        private void put(int at, byte[] written) {
+            if (bytes.length < at + written.length) {
+                bytes = Arrays.copyOf(bytes, Math.max(at + written.length, 2 * bytes.length));
             }
-            System.arraycopy(piece, 0, bytes, at, piece.length);
-            length = Math.max(length, at + piece.length);
+            System.arraycopy(written, 0, bytes, at, written.length);
+            length = Math.max(length, at + written.length);
         }
 
-        private void write(int at, byte[] piece) {
-            put(at, piece);
-            unsyncedWrites.add(new Write(at, piece));
+        private void write(int at, byte[] written) {
+            put(at, written);
+            unsyncedWrites.add(new Write(at, written));
         }
 
-        private void setLength(int now) {
-            if (now < length) {
-                bytes = Arrays.copyOf(bytes, now);
-                length = now;
+        private void setLength(int newLength) {
+            if (newLength < length) {
+                bytes = Arrays.copyOf(bytes, newLength);
+                length = newLength;
             } else {
-                put(length, new byte[now - length]);
+                put(length, new byte[newLength - length]);
             }
             sync();
         }
 
-        /** Bytes before {@code keptLength} never change, but by a cut, which copies them. */
+        /** Shares the array: bytes before {@code syncedLength} change only by truncation, which copies them. */
         private void sync() {
             syncedBytes = bytes;
             syncedLength = length;
@@ -98,11 +98,11 @@
         }
     }
 
-    /** Subsets of unsynced names that are played all, by their number; of more names as many are drawn. */
+    /** Up to this many unsynced names, all subsets are simulated; for more names, the same number of random ones. */
     private static final int MAX_ENUMERATED_NAMES = 6;
 
     private final Map<String, SimulatedFile> files = new TreeMap<>();
-    /** The files under their names as the folder was last synced. */
+    /** Files by name as of the directory's last sync. */
     private final Map<String, SimulatedFile> syncedNames = new TreeMap<>();
 
     private Runnable beforeChange = () -> {};
@@ -110,39 +110,40 @@
     private boolean failing;
     private boolean full;
 
-    /** Is called before each operation that changes something. */
+    /** Sets the action that runs before each operation that changes the directory. */
     void setBeforeChange(Runnable each) {
         beforeChange = each;
     }
 
-    /** Bytes for which there is room. */
+    /** Sets the total number of bytes that fit on the disk. */
     void setCapacity(long bytes) {
         capacityBytes = bytes;
     }
 
-    void setFailing(boolean now) {
-        failing = now;
+    void setFailing(boolean value) {
+        failing = value;
     }
 
-    /** No file may be written, made or made longer; syncs, cuts and removals go on. */
-    void setFull(boolean now) {
-        full = now;
+    /** While set, writing, creating and extending files fail; syncs, truncations and removals succeed. */
+    void setFull(boolean value) {
+        full = value;
     }
 
     long bytes() {
-        return files.values().stream().mapToLong(item -> item.length).sum();
+        return files.values().stream().mapToLong(file -> file.length).sum();
     }
 
-    /** What is found after a kill: all that was written, synced or not. */
+    /** The directory after a process kill: all writes survive, synced or not. */
     SimulatedDirectory afterKill() {
         SimulatedDirectory next = new SimulatedDirectory();
         Map<SimulatedFile, SimulatedFile> copies = new IdentityHashMap<>();
-        files.forEach((name, item) -> next.files.put(name, copies.computeIfAbsent(item, SimulatedFile::copy)));
-        syncedNames.forEach((name, item) -> next.syncedNames.put(name, copies.computeIfAbsent(item, SimulatedFile::copy)));
+        files.forEach((name, file) -> next.files.put(name, copies.computeIfAbsent(file, SimulatedFile::copy)));
+        syncedNames.forEach(
+                (name, file) -> next.syncedNames.put(name, copies.computeIfAbsent(file, SimulatedFile::copy)));
         return next;
     }
 
-    /** Names that were made, removed or made anew since the folder's last sync. */
+    /** Names created, removed or re-created since the directory's last sync. */
     List<String> unsyncedNames() {
         TreeSet<String> names = new TreeSet<>(files.keySet());
         names.addAll(syncedNames.keySet());
@@ -151,7 +152,7 @@
     }
 
     /**
-     * What may be found after a loss of power: with every subset of the unsynced names, and drawn fates of unsynced
+     * Possible states after a power loss: each subset of the unsynced names, with random outcomes of the unsynced
      * writes.
      */
     List<SimulatedDirectory> afterPowerLosses(Random random) {
@@ -165,17 +166,17 @@
         return all;
     }
 
-    /** One of them. */
+    /** A random state after a power loss. */
     SimulatedDirectory afterPowerLoss(Random random) {
         return powerLoss(random, random.nextLong(), random.nextInt(4) == 0);
     }
 
-    private SimulatedDirectory powerLoss(Random random, long subset, boolean nothing) {
+    private SimulatedDirectory powerLoss(Random random, long subset, boolean loseAllUnsynced) {
         SimulatedDirectory next = new SimulatedDirectory();
         Map<String, SimulatedFile> found = new TreeMap<>(syncedNames);
-        List<String> unsynced = unsyncedNames();
-        for (int i = 0; i < unsynced.size(); i++) {
-            String name = unsynced.get(i);
+        List<String> names = unsyncedNames();
+        for (int i = 0; i < names.size(); i++) {
+            String name = names.get(i);
             if ((subset >> i & 1) == 0) {
                 continue;
             }
@@ -185,23 +186,23 @@
                 found.remove(name);
             }
         }
-        found.forEach((name, item) -> {
-            SimulatedFile left = SimulatedFile.of(item.bytesAfterPowerLoss(random, nothing));
+        found.forEach((name, file) -> {
+            SimulatedFile left = SimulatedFile.of(file.bytesAfterPowerLoss(random, loseAllUnsynced));
             next.files.put(name, left);
             next.syncedNames.put(name, left);
         });
         return next;
     }
 
-    /** The bytes of the newest file of a store. */
+    /** Contents of the newest file of a store. */
     byte[] newestFile() {
         return files.get(newestName()).contents();
     }
 
     void newestFile(byte[] bytes) {
-        SimulatedFile item = SimulatedFile.of(bytes);
-        files.put(newestName(), item);
-        syncedNames.put(newestName(), item);
+        SimulatedFile file = SimulatedFile.of(bytes);
+        files.put(newestName(), file);
+        syncedNames.put(newestName(), file);
     }
 
     private String newestName() {
@@ -212,9 +213,9 @@
     }
 
     private static byte[] put(byte[] into, int at, byte[] bytes) {
-        byte[] longer = into.length >= at + bytes.length ? into : Arrays.copyOf(into, at + bytes.length);
-        System.arraycopy(bytes, 0, longer, at, bytes.length);
-        return longer;
+        byte[] result = into.length >= at + bytes.length ? into : Arrays.copyOf(into, at + bytes.length);
+        System.arraycopy(bytes, 0, result, at, bytes.length);
+        return result;
     }
 
     private void beginChange() throws IOException {
@@ -235,10 +236,10 @@
     }
 
     @Override
-    public int read(String name, long at, byte[] to, int offset, int count) {
-        SimulatedFile item = files.get(name);
-        int read = (int) Math.max(0, Math.min(count, item.length - at));
-        System.arraycopy(item.bytes, (int) at, to, offset, read);
+    public int read(String name, long position, byte[] buffer, int offset, int count) {
+        SimulatedFile file = files.get(name);
+        int read = (int) Math.max(0, Math.min(count, file.length - position));
+        System.arraycopy(file.bytes, (int) position, buffer, offset, read);
         return read;
     }
 
@@ -248,9 +249,9 @@
         if (full && length(name) < Math.max(1, length)) {
             throw new IOException("No space left on device");
         }
-        SimulatedFile item = files.computeIfAbsent(name, any -> new SimulatedFile());
-        if (item.length != length) {
-            item.setLength((int) length);
+        SimulatedFile file = files.computeIfAbsent(name, any -> new SimulatedFile());
+        if (file.length != length) {
+            file.setLength((int) length);
         }
         return new FileWriter() {
             private int at = (int) length;
@@ -259,7 +260,7 @@
             public void write(byte[] bytes, int offset, int count) throws IOException {
                 beginChange();
                 int fits = full ? 0 : (int) Math.min(count, Math.max(0, capacityBytes - bytes()));
-                item.write(at, Arrays.copyOfRange(bytes, offset, offset + fits));
+                file.write(at, Arrays.copyOfRange(bytes, offset, offset + fits));
                 at += fits;
                 if (fits < count) {
                     throw new IOException("No space left on device");
@@ -269,7 +270,7 @@
             @Override
             public void sync() throws IOException {
                 beginChange();
-                item.sync();
+                file.sync();
             }
 
             @Override
--- a/src/test/java/brambletray/platform/storage/SyncWriterTest.java
+++ b/src/test/java/brambletray/platform/storage/SyncWriterTest.java
@@ -77,7 +77,7 @@
 
     @Test
     void reportsAFailureAndContinuesWithTheNextCommit() throws Exception {
-        error = new StorageException("storage.full", "no room", null);
+        error = new StorageException("storage.full", "disk full", null);
         syncWriter.commit(List.of(new KeyChange("a", new byte[1])), 0, callback("first"));
         diskPermits.release();
         runNextLoopTask();
--- a/src/test/java/brambletray/platform/storage/SyncWriterTurnsTest.java
+++ b/src/test/java/brambletray/platform/storage/SyncWriterTurnsTest.java
@@ -17,17 +17,17 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** The loop and the thread that writes, under every order of their turns. */
+/** Runs the event loop and the writer thread in every interleaving of their steps. */
 class SyncWriterTurnsTest {
     private static final int NO_FAILURE = -1;
     private static final long NOW_MS = 10;
 
     @BeforeAll
     static void muteLog() {
-        Logger.getLogger("trove").setLevel(Level.OFF);
+        Logger.getLogger("storage").setLevel(Level.OFF);
     }
 
-    /** One scenario: the disk, the loop's tasks, and what the loop has heard. */
+    /** The writer with a simulated disk, the event loop's tasks, and the results reported to the loop. */
     private static final class Scenario {
         private final Turns turns;
         private final Queue<Runnable> loop = new ArrayDeque<>();
@@ -37,10 +37,10 @@
         private final int failingWrite;
         private int writes;
 
-        /** {@code failing}: which write the disk refuses. */
-        private Scenario(Turns turns, int failing) {
+        /** {@code failingWrite}: index of the write that fails, or {@link #NO_FAILURE}. */
+        private Scenario(Turns turns, int failingWrite) {
             this.turns = turns;
-            this.failingWrite = failing;
+            this.failingWrite = failingWrite;
             writer = new SyncWriter(this::write, this::execute, turns.lock());
             turns.thread("writer", writer::run);
         }
@@ -48,7 +48,7 @@
         private void write(List<KeyChange> changes) {
             turns.point();
             if (writes++ == failingWrite) {
-                throw new StorageException("storage.full", "no room", null);
+                throw new StorageException("storage.full", "disk full", null);
             }
             changes.forEach(change -> disk.put(change.key(), (int) change.value()[0]));
         }
@@ -64,7 +64,7 @@
             }
         }
 
-        /** Asks for key = value, values growing, and notes what is heard of it. */
+        /** Requests a commit of key = value, and records its result. The values have to increase. */
         private void commit(String key, int value) {
             String name = key + value;
             assertTrue(writer.commit(
@@ -72,7 +72,7 @@
                         @Override
                         public void onCommitted() {
                             assertTrue(
-                                    disk.getOrDefault(key, 0) >= value, name + " is acknowledged and not on the disk");
+                                    disk.getOrDefault(key, 0) >= value, name + " is acknowledged but not on the disk");
                             results.add(name + " done");
                         }
 
@@ -106,17 +106,17 @@
             assertEquals(List.of("a1 done", "a2 done", "b3 done"), scenario.results);
             assertEquals(Map.of("a", 2, "b", 3), scenario.disk);
         });
-        System.out.println("writer: " + orders + " orders of turns");
-        assertTrue(orders > 20, "few orders: " + orders);
+        System.out.println("writer: " + orders + " interleavings");
+        assertTrue(orders > 20, "too few interleavings: " + orders);
     }
 
     @Test
     void aFullDiskFailsOnlyTheCommitsOfThatWrite() {
         int orders = 0;
         for (int failing = 0; failing < 2; failing++) {
-            int refused = failing;
+            int failingWrite = failing;
             orders += Turns.everyOrder(turns -> {
-                Scenario scenario = new Scenario(turns, refused);
+                Scenario scenario = new Scenario(turns, failingWrite);
                 turns.thread("loop", () -> {
                     scenario.commit("a", 1);
                     scenario.commit("b", 2);
@@ -126,15 +126,15 @@
                 assertEquals(2, scenario.results.size(), scenario.results::toString);
                 assertEquals("a1", scenario.results.get(0).substring(0, 2));
                 assertEquals("b2", scenario.results.get(1).substring(0, 2));
-                boolean wasRefused = scenario.writes > refused;
+                boolean writeFailed = scenario.writes > failingWrite;
                 assertEquals(
-                        wasRefused,
+                        writeFailed,
                         scenario.results.stream().anyMatch(one -> one.endsWith("storage.full")),
                         scenario.results::toString);
             });
         }
-        System.out.println("writer on a full disk: " + orders + " orders of turns");
-        assertTrue(orders > 20, "few orders: " + orders);
+        System.out.println("writer on a full disk: " + orders + " interleavings");
+        assertTrue(orders > 20, "too few interleavings: " + orders);
     }
 
     @Test
@@ -146,16 +146,16 @@
                 int pending = scenario.writer.pending();
                 long wait = scenario.writer.oldestWaitMs(NOW_MS + 5);
                 assertTrue(pending == 0 || pending == 1, "pending " + pending);
-                assertTrue(wait == 0 || wait == 5, "waits " + wait);
-                assertTrue(pending > 0 || wait == 0, "nothing is pending, and yet it waits " + wait);
+                assertTrue(wait == 0 || wait == 5, "oldest wait " + wait);
+                assertTrue(pending > 0 || wait == 0, "nothing is pending, but the oldest wait is " + wait);
                 scenario.writer.close();
             });
             scenario.finish();
         });
-        assertTrue(orders > 10, "few orders: " + orders);
+        assertTrue(orders > 10, "too few interleavings: " + orders);
     }
 
-    /** Between two threads stands one lock: no method of the queue goes without it. */
+    /** The queue is shared by two threads: each of its methods takes the lock exactly once. */
     @Test
     void eachQueueMethodTakesTheLockOnce() {
         Turns.everyOrder(turns -> {
@@ -176,7 +176,7 @@
                     int before = lock.taken();
                     methods.get(i).run();
                     assertEquals(before + 1, lock.taken(), "method " + i);
-                    assertTrue(!lock.isHeldByCurrentThread(), "method " + i + " keeps the lock");
+                    assertTrue(!lock.isHeldByCurrentThread(), "method " + i + " did not release the lock");
                 }
             });
             turns.run();
@@ -184,8 +184,8 @@
     }
 
     /**
-     * The test of the test: a queue that looks and takes in two critical sections loses a commit in some order, and
-     * that is seen.
+     * Verifies the test method itself: a queue that reads and clears in two critical sections loses a commit in some
+     * interleaving, and that is detected.
      */
     @Test
     void detectsARaceOfTwoCriticalSections() {
@@ -209,7 +209,7 @@
             turns.run();
             lost[0] |= taken.size() + waiting.size() < 2;
         });
-        assertTrue(lost[0], "the race wasn't met");
+        assertTrue(lost[0], "no interleaving showed the race");
     }
 
     private static void add(ReentrantLock lock, List<Integer> waiting, int number) {
