--- a/src/main/java/brambletray/relay/core/EventDispatcher.java
+++ b/src/main/java/brambletray/relay/core/EventDispatcher.java
@@ -647,7 +647,8 @@
                 .forEach(pending -> dispatcherIds.add(pending.message.id()));
         Set<String> journalIds = new TreeSet<>();
         journal.owed().stream().filter(entry -> entry.end == null).forEach(entry -> journalIds.add(entry.message.id()));
-        Set<String> controlIds = new TreeSet<>(control.memory().openMessageAttemptCounts().keySet());
+        Set<String> controlIds =
+                new TreeSet<>(control.memory().openMessageAttemptCounts().keySet());
         // A message that waits at the admission gate is stored, but not yet known to the control module.
         controlIds.addAll(waitingAtGate);
         if (dispatcherIds.equals(journalIds)
@@ -770,7 +771,10 @@
 
     /** Continues from a handover, instead of {@link #start}; {@code fullList}: the complete current host list. */
     public void resume(
-            Platform newPlatform, Relay.EndpointsListed fullList, HandoverState handoverState, RemoteCalls remoteCalls) {
+            Platform newPlatform,
+            Relay.EndpointsListed fullList,
+            HandoverState handoverState,
+            RemoteCalls remoteCalls) {
         platform = newPlatform;
         hostKnowledge.onHandedOver();
         for (Journal.Entry entry : journal.owed()) {
--- a/src/main/java/brambletray/relay/core/HostKnowledgeRecorder.java
+++ b/src/main/java/brambletray/relay/core/HostKnowledgeRecorder.java
@@ -145,7 +145,9 @@
     /** Stages the retry-after times of a turn's events, so that they are committed before the turn's sends. */
     void stageRetryAfterTimes(List<Relay.Event> events) {
         for (Relay.Event event : events) {
-            if (event instanceof Relay.AttemptEnded ended && ended.retryAfter() > 0 && hosts.host(ended.endpoint()) != null) {
+            if (event instanceof Relay.AttemptEnded ended
+                    && ended.retryAfter() > 0
+                    && hosts.host(ended.endpoint()) != null) {
                 record(hosts.host(ended.endpoint()));
             }
         }
--- a/src/test/java/brambletray/platform/controlplane/OperationHistory.java
+++ b/src/test/java/brambletray/platform/controlplane/OperationHistory.java
@@ -100,7 +100,8 @@
             attempt.requestAgain();
             last.add(attempt);
         }
-        world.runUntilTrue(() -> last.stream().allMatch(attempt -> attempt.granted), SEND_WITHIN_MS, "each key is granted");
+        world.runUntilTrue(
+                () -> last.stream().allMatch(attempt -> attempt.granted), SEND_WITHIN_MS, "each key is granted");
     }
 
     private void attemptAgain() {
--- a/src/test/java/brambletray/relay/core/HostKnowledgeRecorderTest.java
+++ b/src/test/java/brambletray/relay/core/HostKnowledgeRecorderTest.java
@@ -201,7 +201,9 @@
         try (RelayRun run = new RelayRun()) {
             run.start(run.update(1, true, "a ready"));
             run.advance(SECOND);
-            for (int i = 0; i < 20 && !run.control.endpointKnowledge(run.number("a")).isUnhealthy(); i++) {
+            for (int i = 0;
+                    i < 20 && !run.control.endpointKnowledge(run.number("a")).isUnhealthy();
+                    i++) {
                 List<Relay.Send> sends = new ArrayList<>(run.acceptMessage());
                 sends.addAll(run.advance(SECOND));
                 sends.forEach(s -> run.ended(s, Relay.Outcome.CONNECT_FAILED, 0, 0));
