--- a/src/main/java/brambletray/platform/admission/EventRate.java
+++ b/src/main/java/brambletray/platform/admission/EventRate.java
@@ -1,8 +1,8 @@
 package brambletray.platform.admission;
 
 /**
- * Events per ms, with a memory that fades by e in {@code decayMs} ms; right from the start, as the part of the memory
- * not yet filled is left out.
+ * Event rate per ms, an exponentially weighted average with time constant {@code decayMs}. Corrected for the initial
+ * bias: the part of the averaging time before the first event is left out.
  */
 final class EventRate {
     private final double decayMs;
--- a/src/main/java/brambletray/platform/admission/SlotForecast.java
+++ b/src/main/java/brambletray/platform/admission/SlotForecast.java
@@ -3,12 +3,12 @@
 import java.util.Arrays;
 
 /**
- * Estimates the time until a slot is free for a request with {@code ahead} others before it. Slots that are up are
- * released at slots / response time; each start under way adds its slots at the end of its boot. Clients that were
- * told to come back count as ahead of the requests that they will meet.
+ * Estimates the time until a slot is free for a request with {@code ahead} others before it. Slots of running instances
+ * are released at the rate of slots / response time; each pending start adds its slots at the end of its boot. Clients
+ * that were asked to retry count as ahead of the requests queued when they are due.
  */
 final class SlotForecast {
-    /** Never, ms. */
+    /** Result of {@link #waitMs} if no slot becomes free. */
     static final int NEVER = Integer.MAX_VALUE / 4;
 
     private final long[] bootEndsMs = new long[32];
@@ -27,7 +27,7 @@
         return this;
     }
 
-    /** A start under way, expected up at {@code at}. */
+    /** Adds an instance that is expected to be up at {@code at}. */
     void addBoot(long at) {
         if (starts < bootEndsMs.length) {
             bootEndsMs[starts++] = Math.max(0, at - nowMs);
@@ -35,8 +35,8 @@
     }
 
     /**
-     * ms until the slot for the request with {@code ahead} others before it; {@link #NEVER} if nothing works or
-     * boots.
+     * Time until a slot is free for the request with {@code ahead} others before it, ms; {@link #NEVER} if no instance
+     * is up or booting.
      */
     int waitMs(int ahead) {
         Arrays.sort(bootEndsMs, 0, starts);
