--- a/src/main/java/brambletray/platform/admission/FairShare.java
+++ b/src/main/java/brambletray/platform/admission/FairShare.java
@@ -95,11 +95,11 @@
     }
 
     /** A request was rejected, or its deadline passed in the queue. */
-    void onLost(SlotRequest request, long now) {
+    void onNotServed(SlotRequest request, long now) {
         if (counts(request)) {
-            classOf(request).share.countLost();
+            classOf(request).share.countNotServed();
             if (request.owner().isTenant()) {
-                tenantShare(request).countLost();
+                tenantShare(request).countNotServed();
             }
             evaluate(now);
         }
@@ -127,10 +127,10 @@
         if (now - decayedAtMs < DECAY_INTERVAL_MS) {
             return;
         }
-        double left = Math.exp((double) (decayedAtMs - now) / MEMORY_MS);
+        double factor = Math.exp((double) (decayedAtMs - now) / MEMORY_MS);
         decayedAtMs = now;
-        classShares.forEach(share -> share.decay(left));
-        tenantShares.values().forEach(share -> share.decay(left));
+        classShares.forEach(share -> share.decay(factor));
+        tenantShares.values().forEach(share -> share.decay(factor));
         tenantShares.values().removeIf(share -> share.outcomes() < MIN_OUTCOMES);
     }
 }
--- a/src/main/java/brambletray/platform/admission/InstanceSlots.java
+++ b/src/main/java/brambletray/platform/admission/InstanceSlots.java
@@ -66,7 +66,7 @@
      * An edge that counted as gone repeats a request whose slot is still closed: the slot is granted to it again. False
      * if the slot was released.
      */
-    boolean reclaimFrom(Slot slot) {
+    boolean reopenIfLost(Slot slot) {
         if (slot.closed && slot.lost) {
             reopen(slot, slot.requestEndMs);
         }
--- a/src/main/java/brambletray/platform/admission/KeepAlivePolicy.java
+++ b/src/main/java/brambletray/platform/admission/KeepAlivePolicy.java
@@ -43,7 +43,7 @@
     }
 
     /** The cost of a start including the late requests it causes, GB-seconds. */
-    double startPriceGbS(ServiceSpec spec, int bootMs) {
+    double startCostGbS(ServiceSpec spec, int bootMs) {
         double late = spec.targetMs() <= 0 ? 0 : Math.min(1, Math.max(0, 2.0 * bootMs / spec.targetMs() - 1));
         return parameters.startGbS() + parameters.lateRequestGbS() * late * late;
     }
@@ -52,11 +52,11 @@
     int breakEvenMs(ServiceSpec spec, int bootMs) {
         return (int) Math.max(
                 parameters.minIdleMs(),
-                Math.min(parameters.maxIdleMs(), startPriceGbS(spec, bootMs) * 1024_000 / spec.memoryMb()));
+                Math.min(parameters.maxIdleMs(), startCostGbS(spec, bootMs) * 1024_000 / spec.memoryMb()));
     }
 
     /** How long the last instance is kept idle, ms. */
-    int spanMs(ServiceSpec spec, int bootMs) {
+    int keepAliveMs(ServiceSpec spec, int bootMs) {
         int breakEvenMs = breakEvenMs(spec, bootMs);
         if (gapWeights == null) {
             return breakEvenMs;
--- a/src/main/java/brambletray/platform/admission/ServedShare.java
+++ b/src/main/java/brambletray/platform/admission/ServedShare.java
@@ -10,7 +10,7 @@
     private static final double MIN_SHARE = 0.5;
 
     private double served;
-    private double lost;
+    private double notServed;
     private boolean disadvantaged;
 
     /** Whether this group is served less than half as often as all. */
@@ -22,18 +22,18 @@
         served++;
     }
 
-    void countLost() {
-        lost++;
+    void countNotServed() {
+        notServed++;
     }
 
     /** The decayed number of outcomes. */
     double outcomes() {
-        return served + lost;
+        return served + notServed;
     }
 
-    void decay(double left) {
-        served *= left;
-        lost *= left;
+    void decay(double factor) {
+        served *= factor;
+        notServed *= factor;
     }
 
     /** Compares the share of each group with that of all of them together. */
--- a/src/main/java/brambletray/platform/admission/ServiceQueue.java
+++ b/src/main/java/brambletray/platform/admission/ServiceQueue.java
@@ -120,7 +120,7 @@
     void onSlotRequest(SlotRequest request, boolean serveHere, long now) {
         Slot known = slots.find(request.edge(), request.id());
         if (known != null) {
-            if (slots.reclaimFrom(known)) {
+            if (slots.reopenIfLost(known)) {
                 context.actions.grant(
                         request.edge(), new SlotGrant(request.id(), known.instance.id, known.instance.address, false));
             }
--- a/src/main/java/brambletray/platform/admission/SlotAllocator.java
+++ b/src/main/java/brambletray/platform/admission/SlotAllocator.java
@@ -111,14 +111,14 @@
     }
 
     private void refuse(SlotRequest request, int retryAfterMs, long now) {
-        fairShare.onLost(request, now);
+        fairShare.onNotServed(request, now);
         context.refuse(request, retryAfterMs);
     }
 
     /** An edge cancelled a queued request, usually because its deadline is near; counted as not served. */
     void onCancelled(RequestQueue.Waiter waiter, long now) {
         queue.remove(waiter);
-        fairShare.onLost(waiter.request, now);
+        fairShare.onNotServed(waiter.request, now);
     }
 
     /**
@@ -255,7 +255,7 @@
         }
         switch (release.outcome()) {
             case UNREACHED -> instances.onUnreachable(instance, now);
-            case WRONG_HOST -> instances.drop(instance, "wrong host", now);
+            case WRONG_HOST -> instances.drop(instance, "wrong instance", now);
             case SILENT, BROKEN -> {
                 instances.instances.onReleased(instance, release.outcome(), release.durationMs(), now);
                 instances.suspect(instance, now);
--- a/src/main/java/brambletray/platform/admission/SlotForecast.java
+++ b/src/main/java/brambletray/platform/admission/SlotForecast.java
@@ -40,28 +40,28 @@
      */
     int waitMs(int ahead) {
         Arrays.sort(bootEndsMs, 0, starts);
-        double need = ahead + 1;
-        double done = 0;
-        double speed = workingSlots / workMs;
+        double neededSlots = ahead + 1;
+        double freedSlots = 0;
+        double slotsPerMs = workingSlots / workMs;
         long at = 0;
         for (int i = 0; i <= starts; i++) {
             long until = i < starts ? bootEndsMs[i] : NEVER;
-            if (speed > 0) {
-                double when = at + (need - done) / speed;
-                if (when <= until) {
-                    return (int) Math.ceil(when);
+            if (slotsPerMs > 0) {
+                double freeAt = at + (neededSlots - freedSlots) / slotsPerMs;
+                if (freeAt <= until) {
+                    return (int) Math.ceil(freeAt);
                 }
-                done += (until - at) * speed;
+                freedSlots += (until - at) * slotsPerMs;
             }
             if (i == starts) {
                 break;
             }
             at = until;
-            done += maxConcurrency;
-            if (done >= need) {
+            freedSlots += maxConcurrency;
+            if (freedSlots >= neededSlots) {
                 return (int) at;
             }
-            speed += maxConcurrency / workMs;
+            slotsPerMs += maxConcurrency / workMs;
         }
         return NEVER;
     }
--- a/src/test/java/brambletray/platform/admission/AdmissionParametersTest.java
+++ b/src/test/java/brambletray/platform/admission/AdmissionParametersTest.java
@@ -21,7 +21,7 @@
 
     private static SlotRequest request(long id, String zone, String... excluded) {
         return new SlotRequest(
-                id, "a", zone, "s", SlotOwner.nobody(1), 1000, 300, false, false, false, List.of(excluded));
+                id, "a", zone, "s", SlotOwner.withoutTenant(1), 1000, 300, false, false, false, List.of(excluded));
     }
 
     private static PooledInstance addInstance(PooledInstances instances, String id, String zone, long ageMs) {
@@ -53,7 +53,7 @@
         Random random = new Random(5);
         RetryBudget budget = new RetryBudget(PARAMETERS.retryBudget());
         Deque<Long> requests = new ArrayDeque<>();
-        Deque<Long> extra = new ArrayDeque<>();
+        Deque<Long> retries = new ArrayDeque<>();
         int granted = 0;
         for (long now = 0; now < 60_000; now += 1 + random.nextInt(20)) {
             if ((now / 5000) % 2 == 0) {
@@ -63,18 +63,18 @@
             boolean hedge = random.nextBoolean();
             if (budget.isAllowed(hedge, now)) {
                 budget.spend(hedge, now);
-                extra.add(now);
+                retries.add(now);
                 granted++;
             }
             while (!requests.isEmpty() && requests.peek() <= now - 10_000) {
                 requests.poll();
             }
-            while (!extra.isEmpty() && extra.peek() <= now - 10_000) {
-                extra.poll();
+            while (!retries.isEmpty() && retries.peek() <= now - 10_000) {
+                retries.poll();
             }
             assertTrue(
-                    extra.size() <= 0.2 * requests.size() + 25,
-                    "at " + now + ": " + extra.size() + " of " + requests.size());
+                    retries.size() <= 0.2 * requests.size() + 25,
+                    "at " + now + ": " + retries.size() + " of " + requests.size());
         }
         assertTrue(granted > 100);
     }
@@ -87,13 +87,13 @@
             budget.spend(true, 5);
             hedges++;
         }
-        int others = 0;
+        int retries = 0;
         while (budget.isAllowed(false, 5)) {
             budget.spend(false, 5);
-            others++;
+            retries++;
         }
         assertEquals(10, hedges);
-        assertEquals(10, others);
+        assertEquals(10, retries);
     }
 
     @Test
@@ -156,13 +156,24 @@
     void lowPriorityRequestsAreServedAfterAging() {
         RequestQueue queue = new RequestQueue(PARAMETERS.queue(), new FairShare());
         queue.add(
-                new SlotRequest(1, "a", "east", "s", SlotOwner.nobody(2), 4000, 60_000, false, false, false, List.of()),
+                new SlotRequest(
+                        1, "a", "east", "s", SlotOwner.withoutTenant(2), 4000, 60_000, false, false, false, List.of()),
                 0);
         long id = 2;
         for (long now = 0; now < 20_000; now += 10) {
             queue.add(
                     new SlotRequest(
-                            id++, "a", "east", "s", SlotOwner.nobody(0), 4000, 60_000, false, false, false, List.of()),
+                            id++,
+                            "a",
+                            "east",
+                            "s",
+                            SlotOwner.withoutTenant(0),
+                            4000,
+                            60_000,
+                            false,
+                            false,
+                            false,
+                            List.of()),
                     now);
             queue.startRound();
             RequestQueue.Waiter next = queue.next(false, false, 10, now);
@@ -210,11 +221,11 @@
             rare.onArrival(true, i * 30_000L);
         }
         assertTrue(
-                frequent.spanMs(SMALL_SERVICE, 700) > 2000,
-                "kept through gaps of 2 s: " + frequent.spanMs(SMALL_SERVICE, 700));
+                frequent.keepAliveMs(SMALL_SERVICE, 700) > 2000,
+                "kept through gaps of 2 s: " + frequent.keepAliveMs(SMALL_SERVICE, 700));
         assertTrue(
-                rare.spanMs(SMALL_SERVICE, 700) <= 400,
-                "not kept through gaps of 30 s: " + rare.spanMs(SMALL_SERVICE, 700));
+                rare.keepAliveMs(SMALL_SERVICE, 700) <= 400,
+                "not kept through gaps of 30 s: " + rare.keepAliveMs(SMALL_SERVICE, 700));
     }
 
     @Test
@@ -257,7 +268,7 @@
 
     private static SlotRequest ranked(long id, int priority, boolean call) {
         return new SlotRequest(
-                id, "a", "east", "s", SlotOwner.nobody(priority), 4000, 1000, false, false, call, List.of());
+                id, "a", "east", "s", SlotOwner.withoutTenant(priority), 4000, 1000, false, false, call, List.of());
     }
 
     @Test
@@ -268,8 +279,8 @@
         }
         SlotRequest low = ranked(1000, 2, false);
         assertFalse(shares.classOf(low).isDisadvantaged(), "no outcomes yet");
-        shares.onLost(low, 1000);
-        shares.onLost(low, 1000);
+        shares.onNotServed(low, 1000);
+        shares.onNotServed(low, 1000);
         assertTrue(shares.classOf(low).isDisadvantaged());
         shares.onServed(low, 1001);
         assertTrue(shares.classOf(low).isDisadvantaged(), "one of three served");
@@ -277,7 +288,7 @@
         shares.onServed(low, 1003);
         assertFalse(shares.classOf(low).isDisadvantaged(), "three of five served");
         for (int i = 0; i < 5; i++) {
-            shares.onLost(ranked(1000, 2, true), 1100);
+            shares.onNotServed(ranked(1000, 2, true), 1100);
         }
         assertTrue(shares.classOf(ranked(1, 2, true)).isDisadvantaged(), "nested calls are a class of their own");
         assertFalse(shares.classOf(low).isDisadvantaged());
--- a/src/test/java/brambletray/platform/admission/AdmissionSteps.java
+++ b/src/test/java/brambletray/platform/admission/AdmissionSteps.java
@@ -21,7 +21,7 @@
     }
 
     @Given("the root zone is {word}")
-    public void root(String zone) {
+    public void setRootZone(String zone) {
         rootZone = zone;
     }
 
--- a/src/test/java/brambletray/platform/admission/QueueMoveTest.java
+++ b/src/test/java/brambletray/platform/admission/QueueMoveTest.java
@@ -72,7 +72,7 @@
                 "e" + edge,
                 "east",
                 "s",
-                SlotOwner.nobody(random.nextInt(3)),
+                SlotOwner.withoutTenant(random.nextInt(3)),
                 60_000,
                 60_000,
                 false,
--- a/src/test/java/brambletray/platform/admission/RetryBudgetMoveTest.java
+++ b/src/test/java/brambletray/platform/admission/RetryBudgetMoveTest.java
@@ -38,8 +38,8 @@
     List<DynamicTest> retriesStayWithinTheBudgetOfEverySlidingWindow() {
         List<DynamicTest> tests = new ArrayList<>();
         for (long seed = 1; seed <= 20; seed++) {
-            long one = seed;
-            tests.add(DynamicTest.dynamicTest("seed " + one, () -> new RetryBudgetMoveTest().simulate(one)));
+            long testSeed = seed;
+            tests.add(DynamicTest.dynamicTest("seed " + testSeed, () -> new RetryBudgetMoveTest().simulate(testSeed)));
         }
         return tests;
     }
@@ -82,8 +82,8 @@
     }
 
     private void requestSlot(boolean retry) {
-        SlotRequest request =
-                new SlotRequest(++ids, "a", "east", "s", SlotOwner.nobody(1), 50, 50, false, retry, false, List.of());
+        SlotRequest request = new SlotRequest(
+                ++ids, "a", "east", "s", SlotOwner.withoutTenant(1), 50, 50, false, retry, false, List.of());
         home.onSlotRequest(request, false, now);
     }
 
--- a/src/test/java/brambletray/platform/admission/SimulatedZones.java
+++ b/src/test/java/brambletray/platform/admission/SimulatedZones.java
@@ -42,11 +42,11 @@
                 int priority,
                 int targetMs,
                 int deadlineMs,
-                double worth,
-                double late,
+                double value,
+                double lateValue,
                 double workMs,
-                double inner) {
-            this(service, priority, targetMs, deadlineMs, worth, late, workMs, inner, "");
+                double nestedCallShare) {
+            this(service, priority, targetMs, deadlineMs, value, lateValue, workMs, nestedCallShare, "");
         }
 
         private String label() {
@@ -74,9 +74,9 @@
         boolean dead;
         int busy;
 
-        SimulatedInstance(InstanceInfo host, double bornAt) {
-            this.info = host;
-            this.startedAt = bornAt;
+        SimulatedInstance(InstanceInfo info, double startedAt) {
+            this.info = info;
+            this.startedAt = startedAt;
         }
     }
 
@@ -352,20 +352,20 @@
     }
 
     private boolean atInstanceLimit(String service) {
-        int hosts = 0;
+        int count = 0;
         for (SimulatedInstance instance : instances.values()) {
-            hosts += instance.info.service().equals(service) ? 1 : 0;
+            count += instance.info.service().equals(service) ? 1 : 0;
         }
-        return hosts >= instanceLimits.getOrDefault(service, Integer.MAX_VALUE);
+        return count >= instanceLimits.getOrDefault(service, Integer.MAX_VALUE);
     }
 
     /** Starts an instance as the platform does: a repeated nonce returns the existing one. */
     private InstanceInfo startInstance(StartRequest request, String zone) {
-        InstanceInfo known = byNonce.get(request.nonce());
-        if (known != null) {
-            return known;
+        InstanceInfo existing = byNonce.get(request.nonce());
+        if (existing != null) {
+            return existing;
         }
-        InstanceInfo host = new InstanceInfo(
+        InstanceInfo info = new InstanceInfo(
                 "h" + ++instanceIds,
                 request.service(),
                 "10.0.0.1:" + instanceIds,
@@ -375,14 +375,14 @@
                 request.nonce(),
                 InstanceInfo.BOOTING,
                 0);
-        byNonce.put(request.nonce(), host);
-        SimulatedInstance instance = new SimulatedInstance(host, now);
+        byNonce.put(request.nonce(), info);
+        SimulatedInstance instance = new SimulatedInstance(info, now);
         instance.upAt = now + lognormal(specs.get(request.service()).bootMs(), 0.3);
         at(instance.upAt, () -> instance.up = true);
-        instances.put(host.id(), instance);
+        instances.put(info.id(), instance);
         maxInstances = Math.max(maxInstances, instances.size());
         starts++;
-        return host;
+        return info;
     }
 
     void stopInstance(SimulatedInstance instance) {
@@ -506,9 +506,9 @@
 
     String figures(double priceGbS, double priceStart, double priceCross) {
         instances.values().forEach(this::addTotals);
-        StringBuilder sorts = new StringBuilder();
+        StringBuilder totals = new StringBuilder();
         totalsByPrefix.forEach(
-                (name, sum) -> sorts.append(String.format(" %s %.0f GB-s %.0f starts", name, sum[0], sum[1])));
+                (name, sum) -> totals.append(String.format(" %s %.0f GB-s %.0f starts", name, sum[0], sum[1])));
         double cost = gbSeconds() * priceGbS + starts * priceStart + crossZoneRequests * priceCross;
         return String.format(
                 "value %.3f  net %.3f  in time %.1f%%  late %.1f%%  refused %d  unserved %d  starts %d  GB-s %.0f"
@@ -526,6 +526,6 @@
                 overLimit,
                 redirects,
                 requests,
-                sorts);
+                totals);
     }
 }
--- a/src/test/java/brambletray/platform/admission/StarvationTest.java
+++ b/src/test/java/brambletray/platform/admission/StarvationTest.java
@@ -31,9 +31,9 @@
         return new SimulatedZones(seed, List.of("east"), 1, AdmissionParameters.of(0.2, 52, 10_000, 1));
     }
 
-    private static void add(SimulatedZones zones, String service, int hosts, int concurrency) {
+    private static void add(SimulatedZones zones, String service, int instanceLimit, int concurrency) {
         zones.add(new ServiceSpec(service, 128, BOOT_MS, concurrency, TARGET_MS));
-        zones.instanceLimits.put(service, hosts);
+        zones.instanceLimits.put(service, instanceLimit);
     }
 
     private static SimulatedZones.RequestKind kind(String service, int priority, double calls) {
@@ -47,15 +47,15 @@
     /** Runs to the end, and compares the share of each class in {@code counts} with that of all client requests. */
     private static void checkShares(SimulatedZones zones) {
         zones.runUntil(1_000 + OVERLOAD_MS + 2 * DEADLINE_MS);
-        int asked = 0;
+        int total = 0;
         int served = 0;
-        for (var one : zones.counts.entrySet()) {
-            if (!one.getKey().startsWith("nested call of")) {
-                asked += one.getValue().total;
-                served += one.getValue().served;
+        for (var entry : zones.counts.entrySet()) {
+            if (!entry.getKey().startsWith("nested call of")) {
+                total += entry.getValue().total;
+                served += entry.getValue().served;
             }
         }
-        double all = (double) served / asked;
+        double all = (double) served / total;
         StringBuilder figures = new StringBuilder(String.format("all %.3f", all));
         zones.counts.forEach((name, count) ->
                 figures.append(String.format("; %s: %d of %d (%.3f)", name, count.served, count.total, count.share())));
@@ -93,9 +93,9 @@
         for (int concurrency : new int[] {1, 4}) {
             tests.addAll(seeds("a chain of three services with concurrency " + concurrency, seed -> {
                 SimulatedZones zones = zones(seed);
-                int hosts = 8 / concurrency;
+                int instanceLimit = 8 / concurrency;
                 for (String service : List.of("front", "middle", "last")) {
-                    add(zones, service, hosts, concurrency);
+                    add(zones, service, instanceLimit, concurrency);
                     load(zones, kind(service, 1, service.equals("last") ? 0 : 1), 200);
                 }
                 zones.nestedCalls.put("front", kind("middle", 2, 1));
--- a/src/test/java/brambletray/platform/admission/TenantFairnessTest.java
+++ b/src/test/java/brambletray/platform/admission/TenantFairnessTest.java
@@ -77,11 +77,11 @@
         }
         queue.add(request(100, "other", 1, 2, DEADLINE_MS), 200);
         assertTrue(queue.countAhead(request(101, "third", 1, 2, DEADLINE_MS), WORK_MS, 200) <= 8);
-        int before = 0;
+        int servedBefore = 0;
         while (first(queue, 210) != 100) {
-            before++;
+            servedBefore++;
         }
-        assertTrue(before <= 8, () -> "the other tenant's request is queued behind the flood");
+        assertTrue(servedBefore <= 8, () -> "the other tenant's request is queued behind the flood");
     }
 
     @Test
@@ -106,8 +106,8 @@
         }
         SlotRequest rare = request(1000, "b", 1, 2, DEADLINE_MS);
         assertFalse(shares.isDisadvantaged(rare), "no outcomes yet");
-        shares.onLost(rare, 1_000);
-        shares.onLost(rare, 1_000);
+        shares.onNotServed(rare, 1_000);
+        shares.onNotServed(rare, 1_000);
         assertTrue(shares.isDisadvantaged(rare));
         assertFalse(shares.classOf(rare).isDisadvantaged(), "its request class is not disadvantaged");
         shares.onServed(request(1, "a", 1, 2, DEADLINE_MS), 200_000);
@@ -155,14 +155,14 @@
     }
 
     private static double served(SimulatedZones zones, String name) {
-        double asked = 0;
+        double total = 0;
         double served = 0;
         for (var entry : zones.counts.entrySet()) {
             if (entry.getKey().contains(name)) {
-                asked += entry.getValue().total;
+                total += entry.getValue().total;
                 served += entry.getValue().served;
             }
         }
-        return served / asked;
+        return served / total;
     }
 }
--- a/src/test/java/brambletray/platform/admission/Timeline.java
+++ b/src/test/java/brambletray/platform/admission/Timeline.java
@@ -84,9 +84,9 @@
         actual.get(home).clear();
     }
 
-    private void takeOver(List<String> others) {
+    private void takeOver(List<String> previousEdges) {
         homes.get(home).onServiceSpec(spec, now);
-        homes.get(home).takeOver(SERVICE, zone, others, now);
+        homes.get(home).takeOver(SERVICE, zone, previousEdges, now);
     }
 
     private void playRow(String[] cells, String line) {
@@ -233,7 +233,7 @@
                 edge,
                 zone,
                 SERVICE,
-                SlotOwner.nobody(priority),
+                SlotOwner.withoutTenant(priority),
                 remainingMs,
                 targetMs,
                 flags.contains("hedge"),
--- a/src/test/resources/brambletray/platform/admission/scaling.feature
+++ b/src/test/resources/brambletray/platform/admission/scaling.feature
@@ -100,7 +100,7 @@
       200 | release 1 served 90 |           |                       |       | b2 h1
       """
 
-  Scenario: A new home waits at most 400 ms for the report of an edge
+  Scenario: A new home waits at most 400 ms for the reports of edges, and 300 ms for the instance list
     Given a service with 128 MB, concurrency 1, boot time 500 ms and target 1000 ms
     Then the timeline is
       """
@@ -113,7 +113,7 @@
       501 |                  |        |                 |       | a1 h1
       """
 
-  Scenario: A new home without an instance list takes the instances from the reports of edges
+  Scenario: A new home that gets no instance list takes the instances from the reports of edges
     Given a service with 128 MB, concurrency 1, boot time 500 ms and target 1000 ms
     Then the timeline is
       """
--- a/src/test/resources/brambletray/platform/admission/slots.feature
+++ b/src/test/resources/brambletray/platform/admission/slots.feature
@@ -160,7 +160,7 @@
       50 | request 5       |                 | a5 h1
       """
 
-  Scenario: Retries are rejected once the budget of the sliding window is spent
+  Scenario: Retries are rejected once the budget of the sliding window of 10 s is spent
     Given a service with 8 MB, concurrency 8, boot time 500 ms and target 1000 ms
     And a retry budget with a slack of 2 and a ratio of 0
     Then the timeline is
