--- a/src/main/java/brambletray/platform/admission/HeldSlotsRecovery.java
+++ b/src/main/java/brambletray/platform/admission/HeldSlotsRecovery.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Rebuilds a new home's slots from what edges report. Reports wait until the coordinator has listed the instances;
- * where it does not in time, the instances are taken from the reports, the first ones first.
+ * Rebuilds the slots of a new home from the reports of edges. Reports are kept until the coordinator has listed the
+ * instances; if it does not in time, the instances are taken from the reports.
  */
 final class HeldSlotsRecovery {
     private static final int MAX_EARLY_REPORTS = 256;
@@ -33,12 +33,12 @@
         takeover.onReported(held.edge());
     }
 
-    /** A slot that was reported early has been released. */
-    void onReleased(String edge, long askId) {
-        earlyReports.replaceAll(held -> held.edge().equals(edge) ? held.without(askId) : held);
+    /** A slot was released; removes it from the reports that are not processed yet. */
+    void onReleased(String edge, long requestId) {
+        earlyReports.replaceAll(held -> held.edge().equals(edge) ? held.without(requestId) : held);
     }
 
-    /** The coordinator has listed the instances. */
+    /** The coordinator has listed the instances: processes the reports kept until now. */
     void onListed(long now) {
         takeover.onListed();
         restoreEarlyReports(now);
--- a/src/test/java/brambletray/platform/admission/AdmissionParametersTest.java
+++ b/src/test/java/brambletray/platform/admission/AdmissionParametersTest.java
@@ -13,67 +13,68 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Each law by itself. */
+/** Unit tests of the parts of a service queue with the default parameters. */
 class AdmissionParametersTest {
     private static final AdmissionParameters PARAMETERS = AdmissionParameters.of(0.2, 50, 10_000, 1);
     private static final ServiceSpec SMALL_SERVICE = new ServiceSpec("s", 128, 900, 1, 1500);
     private static final ServiceSpec LARGE_SERVICE = new ServiceSpec("s", 512, 1400, 4, 300);
 
-    private static SlotRequest request(long id, String zone, String... avoid) {
-        return new SlotRequest(id, "a", zone, "s", SlotOwner.withoutTenant(1), 1000, 300, false, false, false, List.of(avoid));
+    private static SlotRequest request(long id, String zone, String... excluded) {
+        return new SlotRequest(
+                id, "a", zone, "s", SlotOwner.withoutTenant(1), 1000, 300, false, false, false, List.of(excluded));
     }
 
-    private static PooledInstance addInstance(PooledInstances posts, String id, String zone, long bornAgo) {
-        PooledInstance post = new PooledInstance(
-                new InstanceInfo(id, "s", "x", zone, zone, "w", "n", InstanceInfo.UP, bornAgo), true, 10_000);
-        posts.add(post);
-        return post;
+    private static PooledInstance addInstance(PooledInstances instances, String id, String zone, long ageMs) {
+        PooledInstance instance = new PooledInstance(
+                new InstanceInfo(id, "s", "x", zone, zone, "w", "n", InstanceInfo.UP, ageMs), true, 10_000);
+        instances.add(instance);
+        return instance;
     }
 
     @Test
     void hedgeDelayIsAboveThe90thPercentileAndForgets() {
-        HedgeDelay pace = new HedgeDelay();
-        assertEquals(200, pace.delayMs());
+        HedgeDelay hedgeDelay = new HedgeDelay();
+        assertEquals(200, hedgeDelay.delayMs());
         for (int i = 1; i <= 100; i++) {
-            pace.add(i);
+            hedgeDelay.add(i);
         }
-        assertTrue(pace.delayMs() >= 90 && pace.delayMs() <= 104, "" + pace.delayMs());
+        assertTrue(hedgeDelay.delayMs() >= 90 && hedgeDelay.delayMs() <= 104, "" + hedgeDelay.delayMs());
         for (int i = 0; i < 4000; i++) {
-            pace.add(1000);
+            hedgeDelay.add(1000);
         }
-        assertTrue(pace.delayMs() >= 1000 && pace.delayMs() <= 1130, "" + pace.delayMs());
-        pace.add(Integer.MAX_VALUE);
-        assertTrue(pace.sampleCount() <= 512);
+        assertTrue(hedgeDelay.delayMs() >= 1000 && hedgeDelay.delayMs() <= 1130, "" + hedgeDelay.delayMs());
+        hedgeDelay.add(Integer.MAX_VALUE);
+        assertTrue(hedgeDelay.sampleCount() <= 512);
     }
 
-    /** Against every window of the past, counted one by one. */
+    /** Compares the budget with an exact count over the sliding window that ends at each step. */
     @Test
     void budgetHoldsInEachSlidingWindow() {
         Random random = new Random(5);
         RetryBudget budget = new RetryBudget(PARAMETERS.retryBudget());
         Deque<Long> requests = new ArrayDeque<>();
-        Deque<Long> extra = new ArrayDeque<>();
+        Deque<Long> retries = new ArrayDeque<>();
         int granted = 0;
         for (long now = 0; now < 60_000; now += 1 + random.nextInt(20)) {
             if ((now / 5000) % 2 == 0) {
                 budget.onRequest(now);
                 requests.add(now);
             }
-            boolean copy = random.nextBoolean();
-            if (budget.isAllowed(copy, now)) {
-                budget.spend(copy, now);
-                extra.add(now);
+            boolean hedge = random.nextBoolean();
+            if (budget.isAllowed(hedge, now)) {
+                budget.spend(hedge, now);
+                retries.add(now);
                 granted++;
             }
             while (!requests.isEmpty() && requests.peek() <= now - 10_000) {
                 requests.poll();
             }
-            while (!extra.isEmpty() && extra.peek() <= now - 10_000) {
-                extra.poll();
+            while (!retries.isEmpty() && retries.peek() <= now - 10_000) {
+                retries.poll();
             }
             assertTrue(
-                    extra.size() <= 0.2 * requests.size() + 25,
-                    "at " + now + ": " + extra.size() + " of " + requests.size());
+                    retries.size() <= 0.2 * requests.size() + 25,
+                    "at " + now + ": " + retries.size() + " of " + requests.size());
         }
         assertTrue(granted > 100);
     }
@@ -81,18 +82,18 @@
     @Test
     void hedgesLeaveHalfOfTheBudget() {
         RetryBudget budget = new RetryBudget(new AdmissionParameters.RetryBudgetLimits(0, 20, 10_000, 1));
-        int copies = 0;
+        int hedges = 0;
         while (budget.isAllowed(true, 5)) {
             budget.spend(true, 5);
-            copies++;
+            hedges++;
         }
-        int others = 0;
+        int retries = 0;
         while (budget.isAllowed(false, 5)) {
             budget.spend(false, 5);
-            others++;
+            retries++;
         }
-        assertEquals(10, copies);
-        assertEquals(10, others);
+        assertEquals(10, hedges);
+        assertEquals(10, retries);
     }
 
     @Test
@@ -112,66 +113,77 @@
 
     @Test
     void instancesAreChosenByZoneAgeAndHealth() {
-        PooledInstances posts = new PooledInstances(PARAMETERS.selection());
-        PooledInstance old = addInstance(posts, "old", "east", 900);
-        PooledInstance young = addInstance(posts, "young", "east", 100);
-        PooledInstance far = addInstance(posts, "far", "west", 5000);
-        assertEquals(old, posts.choose(request(1, "east"), 4, false, 10_000));
+        PooledInstances instances = new PooledInstances(PARAMETERS.selection());
+        PooledInstance old = addInstance(instances, "old", "east", 900);
+        PooledInstance young = addInstance(instances, "young", "east", 100);
+        PooledInstance far = addInstance(instances, "far", "west", 5000);
+        assertEquals(old, instances.choose(request(1, "east"), 4, false, 10_000));
         old.heldSlots = 3;
-        assertEquals(young, posts.choose(request(1, "east"), 4, false, 10_000));
-        assertEquals(old, posts.choose(request(1, "east", "young"), 4, false, 10_000));
+        assertEquals(young, instances.choose(request(1, "east"), 4, false, 10_000));
+        assertEquals(old, instances.choose(request(1, "east", "young"), 4, false, 10_000));
         young.heldSlots = 4;
         old.heldSlots = 4;
-        assertEquals(far, posts.choose(request(1, "east"), 4, false, 10_000));
+        assertEquals(far, instances.choose(request(1, "east"), 4, false, 10_000));
         old.heldSlots = 0;
-        posts.onReleased(old, AttemptOutcome.BROKEN, 10, 10_000);
-        assertEquals(old, posts.choose(request(1, "east"), 4, false, 10_000));
-        posts.onReleased(old, AttemptOutcome.BROKEN, 10, 10_000);
-        assertEquals(far, posts.choose(request(1, "east"), 4, false, 10_000));
-        assertEquals(old, posts.choose(request(1, "east"), 4, false, 10_201));
-        posts.onReleased(old, AttemptOutcome.UNREACHED, 10, 10_300);
+        instances.onReleased(old, AttemptOutcome.BROKEN, 10, 10_000);
+        assertEquals(old, instances.choose(request(1, "east"), 4, false, 10_000));
+        instances.onReleased(old, AttemptOutcome.BROKEN, 10, 10_000);
+        assertEquals(far, instances.choose(request(1, "east"), 4, false, 10_000));
+        assertEquals(old, instances.choose(request(1, "east"), 4, false, 10_201));
+        instances.onReleased(old, AttemptOutcome.UNREACHED, 10, 10_300);
         far.state = InstanceInfo.LEAVING;
-        assertEquals(null, posts.choose(request(1, "east"), 4, false, 10_300));
+        assertEquals(null, instances.choose(request(1, "east"), 4, false, 10_300));
     }
 
     @Test
     void anInstanceSlowerThanTheOthersComesLast() {
-        PooledInstances posts = new PooledInstances(PARAMETERS.selection());
-        PooledInstance slow = addInstance(posts, "slow", "east", 900);
-        PooledInstance one = addInstance(posts, "one", "east", 800);
-        PooledInstance two = addInstance(posts, "two", "east", 700);
+        PooledInstances instances = new PooledInstances(PARAMETERS.selection());
+        PooledInstance slow = addInstance(instances, "slow", "east", 900);
+        PooledInstance one = addInstance(instances, "one", "east", 800);
+        PooledInstance two = addInstance(instances, "two", "east", 700);
         for (int i = 0; i < 10; i++) {
-            posts.onReleased(slow, AttemptOutcome.SERVED, 300, 10_000);
-            posts.onReleased(one, AttemptOutcome.SERVED, 100, 10_000);
-            posts.onReleased(two, AttemptOutcome.SERVED, 110, 10_000);
+            instances.onReleased(slow, AttemptOutcome.SERVED, 300, 10_000);
+            instances.onReleased(one, AttemptOutcome.SERVED, 100, 10_000);
+            instances.onReleased(two, AttemptOutcome.SERVED, 110, 10_000);
         }
-        assertEquals(one, posts.choose(request(1, "east"), 4, false, 10_000));
+        assertEquals(one, instances.choose(request(1, "east"), 4, false, 10_000));
         one.heldSlots = 4;
         two.heldSlots = 4;
-        assertEquals(slow, posts.choose(request(1, "east"), 4, false, 10_000));
+        assertEquals(slow, instances.choose(request(1, "east"), 4, false, 10_000));
     }
 
     @Test
     void lowPriorityRequestsAreServedAfterAging() {
-        RequestQueue line = new RequestQueue(PARAMETERS.queue(), new FairShare());
-        line.add(
-                new SlotRequest(1, "a", "east", "s", SlotOwner.withoutTenant(2), 4000, 60_000, false, false, false, List.of()),
+        RequestQueue queue = new RequestQueue(PARAMETERS.queue(), new FairShare());
+        queue.add(
+                new SlotRequest(
+                        1, "a", "east", "s", SlotOwner.withoutTenant(2), 4000, 60_000, false, false, false, List.of()),
                 0);
         long id = 2;
         for (long now = 0; now < 20_000; now += 10) {
-            line.add(
+            queue.add(
                     new SlotRequest(
-                            id++, "a", "east", "s", SlotOwner.withoutTenant(0), 4000, 60_000, false, false, false, List.of()),
+                            id++,
+                            "a",
+                            "east",
+                            "s",
+                            SlotOwner.withoutTenant(0),
+                            4000,
+                            60_000,
+                            false,
+                            false,
+                            false,
+                            List.of()),
                     now);
-            line.startRound();
-            RequestQueue.Waiter next = line.next(false, false, 10, now);
-            line.remove(next);
+            queue.startRound();
+            RequestQueue.Waiter next = queue.next(false, false, 10, now);
+            queue.remove(next);
             if (next.request.id() == 1) {
                 assertTrue(now >= 3900 && now < 4100, "" + now);
                 return;
             }
         }
-        throw new AssertionError("starved");
+        throw new AssertionError("low-priority request starved");
     }
 
     @Test
@@ -195,21 +207,25 @@
         assertTrue(demand.slotsFor(demand.slowRate(now + 20_000), LARGE_SERVICE) < 0.3 * calm);
     }
 
-    /** Break-even: 0.4 GB-seconds a start. */
+    /** A start costs 0.4 GB-seconds, which 128 MB use in 3.2 s. */
     @Test
     void idleInstancesAreKeptWhileCheaperThanAStart() {
         KeepAlivePolicy keepAlive = new KeepAlivePolicy(PARAMETERS.keepAlive());
         assertEquals(3200, keepAlive.breakEvenMs(SMALL_SERVICE, 700), 100);
         assertEquals(800, keepAlive.breakEvenMs(new ServiceSpec("s", 512, 100, 4, 1000), 100), 50);
-        assertTrue(keepAlive.breakEvenMs(LARGE_SERVICE, 1400) > 1900, "a start that makes late is worth more");
+        assertTrue(keepAlive.breakEvenMs(LARGE_SERVICE, 1400) > 1900, "a start that causes late requests costs more");
         KeepAlivePolicy frequent = new KeepAlivePolicy(PARAMETERS.keepAlive());
         KeepAlivePolicy rare = new KeepAlivePolicy(PARAMETERS.keepAlive());
         for (int i = 0; i < 30; i++) {
             frequent.onArrival(true, i * 2000L);
             rare.onArrival(true, i * 30_000L);
         }
-        assertTrue(frequent.keepAliveMs(SMALL_SERVICE, 700) > 2000, "kept through gaps of 2 s: " + frequent.keepAliveMs(SMALL_SERVICE, 700));
-        assertTrue(rare.keepAliveMs(SMALL_SERVICE, 700) <= 400, "gaps of 30 s pay for nothing: " + rare.keepAliveMs(SMALL_SERVICE, 700));
+        assertTrue(
+                frequent.keepAliveMs(SMALL_SERVICE, 700) > 2000,
+                "kept through gaps of 2 s: " + frequent.keepAliveMs(SMALL_SERVICE, 700));
+        assertTrue(
+                rare.keepAliveMs(SMALL_SERVICE, 700) <= 400,
+                "not kept through gaps of 30 s: " + rare.keepAliveMs(SMALL_SERVICE, 700));
     }
 
     @Test
@@ -227,27 +243,27 @@
 
     @Test
     void slotsAreReservedOnlyAfterNestedCalls() {
-        NestedCallReserve room = new NestedCallReserve(PARAMETERS.nestedCalls());
-        assertEquals(0, room.reserved(40, 1000));
-        room.onNestedCall(1000);
-        assertEquals(0, room.reserved(3, 1001));
-        assertEquals(1, room.reserved(4, 1001));
-        assertEquals(5, room.reserved(40, 1001));
-        assertEquals(0, room.reserved(40, 12_000));
+        NestedCallReserve reserve = new NestedCallReserve(PARAMETERS.nestedCalls());
+        assertEquals(0, reserve.reserved(40, 1000));
+        reserve.onNestedCall(1000);
+        assertEquals(0, reserve.reserved(3, 1001));
+        assertEquals(1, reserve.reserved(4, 1001));
+        assertEquals(5, reserve.reserved(40, 1001));
+        assertEquals(0, reserve.reserved(40, 12_000));
     }
 
     @Test
     void afterAStallOneOfTwoSlotsIsReserved() {
-        NestedCallReserve room = new NestedCallReserve(PARAMETERS.nestedCalls());
-        room.onNestedCall(1000);
-        assertEquals(0, room.minSlots(1001));
-        room.onStalled(1100);
-        assertEquals(2, room.minSlots(1101));
-        assertEquals(1, room.reserved(2, 1101));
-        assertEquals(0, room.reserved(1, 1101), "the only place is for all");
-        room.onNestedCall(10_000);
-        assertEquals(2, room.minSlots(15_000), "as long as calls come");
-        assertEquals(0, room.minSlots(25_000));
+        NestedCallReserve reserve = new NestedCallReserve(PARAMETERS.nestedCalls());
+        reserve.onNestedCall(1000);
+        assertEquals(0, reserve.minSlots(1001));
+        reserve.onStalled(1100);
+        assertEquals(2, reserve.minSlots(1101));
+        assertEquals(1, reserve.reserved(2, 1101));
+        assertEquals(0, reserve.reserved(1, 1101), "a single slot is not reserved");
+        reserve.onNestedCall(10_000);
+        assertEquals(2, reserve.minSlots(15_000), "extended by each nested call");
+        assertEquals(0, reserve.minSlots(25_000));
     }
 
     private static SlotRequest ranked(long id, int priority, boolean call) {
@@ -262,35 +278,35 @@
             shares.onServed(ranked(i, 0, false), 10 * i);
         }
         SlotRequest low = ranked(1000, 2, false);
-        assertFalse(shares.classOf(low).isDisadvantaged(), "nothing is known of it");
+        assertFalse(shares.classOf(low).isDisadvantaged(), "no outcomes yet");
         shares.onNotServed(low, 1000);
         shares.onNotServed(low, 1000);
         assertTrue(shares.classOf(low).isDisadvantaged());
         shares.onServed(low, 1001);
-        assertTrue(shares.classOf(low).isDisadvantaged(), "one of three");
+        assertTrue(shares.classOf(low).isDisadvantaged(), "one of three served");
         shares.onServed(low, 1002);
         shares.onServed(low, 1003);
-        assertFalse(shares.classOf(low).isDisadvantaged(), "three of five");
+        assertFalse(shares.classOf(low).isDisadvantaged(), "three of five served");
         for (int i = 0; i < 5; i++) {
             shares.onNotServed(ranked(1000, 2, true), 1100);
         }
-        assertTrue(shares.classOf(ranked(1, 2, true)).isDisadvantaged(), "calls of hosts are a kind of their own");
+        assertTrue(shares.classOf(ranked(1, 2, true)).isDisadvantaged(), "nested calls are a class of their own");
         assertFalse(shares.classOf(low).isDisadvantaged());
         shares.onServed(ranked(1, 0, false), 80_000);
-        assertFalse(shares.classOf(ranked(1, 2, true)).isDisadvantaged(), "outcomes fade");
+        assertFalse(shares.classOf(ranked(1, 2, true)).isDisadvantaged(), "outcomes decay");
     }
 
     @Test
     void aFullQueueDisplacesItsLastRequestForAnEarlierOne() {
-        RequestQueue line = new RequestQueue(PARAMETERS.queue(), new FairShare());
-        while (!line.isFull()) {
-            line.add(ranked(line.size(), 1, false), line.size());
+        RequestQueue queue = new RequestQueue(PARAMETERS.queue(), new FairShare());
+        while (!queue.isFull()) {
+            queue.add(ranked(queue.size(), 1, false), queue.size());
         }
-        assertEquals(null, line.displace(ranked(1000, 2, false), 10, 300));
+        assertEquals(null, queue.displace(ranked(1000, 2, false), 10, 300));
         assertEquals(
                 PARAMETERS.queue().maxSize() - 1,
-                line.displace(ranked(1001, 1, true), 10, 300).request.id());
-        assertFalse(line.isFull());
+                queue.displace(ranked(1001, 1, true), 10, 300).request.id());
+        assertFalse(queue.isFull());
     }
 
     @Test
--- a/src/test/java/brambletray/platform/admission/QueueMoveTest.java
+++ b/src/test/java/brambletray/platform/admission/QueueMoveTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A home dies again and again with all places out and lines waiting, messages under way; whatever the order of events,
- * no host ever has more than its places in use, and all asks get their place.
+ * A home fails repeatedly while all slots are granted, requests are queued and messages are under way. Whatever the
+ * order of events, no instance may exceed its concurrency limit, and no request may be lost.
  */
 class QueueMoveTest {
     private static final int INSTANCES = 10;
@@ -40,23 +40,26 @@
     private long ids;
     private int granted;
 
-    private void schedule(int ms, int ofLife, Runnable what) {
-        events.add(new Event(now + ms, order++, ofLife, what));
+    private void schedule(int ms, int generation, Runnable action) {
+        events.add(new Event(now + ms, order++, generation, action));
     }
 
     private void moveHome() {
         homeGeneration++;
-        int mine = homeGeneration;
-        home = new ServiceQueues("east", "n" + homeGeneration, AdmissionParameters.of(0.2, 10, 10_000, 1), new EdgeActions(mine));
+        int generation = homeGeneration;
+        home = new ServiceQueues(
+                "east", "n" + homeGeneration, AdmissionParameters.of(0.2, 10, 10_000, 1), new EdgeActions(generation));
         home.onServiceSpec(new ServiceSpec("s", 512, 700, MAX_CONCURRENCY, 300), now);
         List<String> edges = new ArrayList<>();
         for (int i = 0; i < EDGES; i++) {
             edges.add("e" + i);
             int edge = i;
-            schedule(1 + random.nextInt(60), mine, () -> {
+            schedule(1 + random.nextInt(60), generation, () -> {
                 List<SlotGrant> grants = new ArrayList<>();
-                held.get(edge).forEach((id, host) -> grants.add(new SlotGrant(id, host, "", false)));
-                waiting.get(edge).values().forEach(ask -> schedule(1, mine, () -> home.onSlotRequest(ask, false, now)));
+                held.get(edge).forEach((id, instance) -> grants.add(new SlotGrant(id, instance, "", false)));
+                waiting.get(edge)
+                        .values()
+                        .forEach(request -> schedule(1, generation, () -> home.onSlotRequest(request, false, now)));
                 home.onHeldSlots(new HeldSlots("e" + edge, "s", grants), now);
             });
         }
@@ -64,7 +67,7 @@
     }
 
     private void requestSlot(int edge) {
-        SlotRequest ask = new SlotRequest(
+        SlotRequest request = new SlotRequest(
                 ++ids,
                 "e" + edge,
                 "east",
@@ -76,8 +79,8 @@
                 false,
                 random.nextInt(10) == 0,
                 List.of());
-        waiting.get(edge).put(ask.id(), ask);
-        schedule(1 + random.nextInt(3), homeGeneration, () -> home.onSlotRequest(ask, false, now));
+        waiting.get(edge).put(request.id(), request);
+        schedule(1 + random.nextInt(3), homeGeneration, () -> home.onSlotRequest(request, false, now));
     }
 
     private void onGrant(int edge, SlotGrant grant) {
@@ -85,7 +88,9 @@
         waiting.get(edge).remove(grant.requestId());
         held.get(edge).put(grant.requestId(), grant.instanceId());
         int used = inUse.merge(grant.instanceId(), 1, Integer::sum);
-        assertTrue(used <= MAX_CONCURRENCY, () -> "host " + grant.instanceId() + " has " + used + " at " + now);
+        assertTrue(
+                used <= MAX_CONCURRENCY,
+                () -> "instance " + grant.instanceId() + " has " + used + " requests at " + now + " ms");
         schedule(20 + random.nextInt(400), -1, () -> {
             held.get(edge).remove(grant.requestId());
             inUse.merge(grant.instanceId(), -1, Integer::sum);
@@ -136,29 +141,29 @@
             }
             home.tick(now);
         }
-        assertTrue(granted > 300, "seed " + seed + ": " + granted);
-        int left = 0;
+        assertTrue(granted > 300, "seed " + seed + ": granted " + granted);
+        int queuedCount = 0;
         for (Map<Long, SlotRequest> of : waiting) {
-            left += of.size();
+            queuedCount += of.size();
         }
-        int out = 0;
+        int heldCount = 0;
         for (Map<Long, String> of : held) {
-            out += of.size();
+            heldCount += of.size();
         }
-        assertEquals(60, left + out, "seed " + seed);
+        assertEquals(60, queuedCount + heldCount, "seed " + seed);
     }
 
     private final class EdgeActions implements AdmissionActions {
-        private final int mine;
+        private final int generation;
 
-        EdgeActions(int mine) {
-            this.mine = mine;
+        EdgeActions(int generation) {
+            this.generation = generation;
         }
 
         @Override
         public void grant(String edge, SlotGrant grant) {
             int of = Integer.parseInt(edge.substring(1));
-            schedule(1 + random.nextInt(3), mine, () -> {
+            schedule(1 + random.nextInt(3), generation, () -> {
                 if (waiting.get(of).containsKey(grant.requestId())) {
                     onGrant(of, grant);
                 }
@@ -166,32 +171,35 @@
         }
 
         @Override
-        public void refuse(String edge, SlotRefusal refuse) {
-            throw new AssertionError("refused: " + refuse);
+        public void refuse(String edge, SlotRefusal refusal) {
+            throw new AssertionError("refused: " + refusal);
         }
 
         @Override
-        public void redirect(String edge, SlotRedirect elsewhere) {}
+        public void redirect(String edge, SlotRedirect redirect) {}
 
         @Override
-        public void requestStart(StartRequest need) {}
+        public void requestStart(StartRequest request) {}
 
         @Override
-        public void requestStop(StopRequest quit) {}
+        public void requestStop(StopRequest request) {}
 
         @Override
-        public void reportUp(InstanceUp seen) {}
+        public void reportUp(InstanceUp instance) {}
 
         @Override
         public void claimHome(HomeClaim claim) {
-            List<InstanceInfo> hosts = new ArrayList<>();
+            List<InstanceInfo> instances = new ArrayList<>();
             for (int i = 0; i < INSTANCES; i++) {
-                hosts.add(new InstanceInfo("h" + i, "s", "a", "east", "east", "w", "n", InstanceInfo.UP, 5000));
+                instances.add(new InstanceInfo("h" + i, "s", "a", "east", "east", "w", "n", InstanceInfo.UP, 5000));
             }
-            schedule(2 + random.nextInt(80), mine, () -> home.onInstanceList(new InstanceList("s", "east", hosts), now));
+            schedule(
+                    2 + random.nextInt(80),
+                    generation,
+                    () -> home.onInstanceList(new InstanceList("s", "east", instances), now));
         }
 
         @Override
-        public void probe(String service, String hostId, String address) {}
+        public void probe(String service, String instanceId, String address) {}
     }
 }
--- a/src/test/java/brambletray/platform/admission/RetryBudgetMoveTest.java
+++ b/src/test/java/brambletray/platform/admission/RetryBudgetMoveTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Rule BUDGET across moves of a service's home: clients press with further tries all the time, and the home moves up to
- * three times in one window.
- * Virtual time; the seed is in the test's name.
+ * Rule BUDGET across moves of a service's home: an edge sends retries all the time, and the home moves up to three
+ * times within two windows. Guards against each new home granting the full slack again. Virtual time; the seed is in
+ * the test's name.
  */
 class RetryBudgetMoveTest {
     private static final double RATIO = 0.2;
@@ -38,8 +38,8 @@
     List<DynamicTest> retriesStayWithinTheBudgetOfEverySlidingWindow() {
         List<DynamicTest> tests = new ArrayList<>();
         for (long seed = 1; seed <= 20; seed++) {
-            long one = seed;
-            tests.add(DynamicTest.dynamicTest("seed " + one, () -> new RetryBudgetMoveTest().simulate(one)));
+            long testSeed = seed;
+            tests.add(DynamicTest.dynamicTest("seed " + testSeed, () -> new RetryBudgetMoveTest().simulate(testSeed)));
         }
         return tests;
     }
@@ -65,13 +65,13 @@
                 requestSlot(true);
             }
         }
-        assertTrue(retries.size() > 50, "seed " + seed + ": further tries are granted: " + retries.size());
+        assertTrue(retries.size() > 50, "seed " + seed + ": too few retries are granted: " + retries.size());
         for (long start : retries) {
-            long tries = within(retries, start);
-            double most = RATIO * within(requests, start) + SLACK;
+            long retryCount = within(retries, start);
+            double limit = RATIO * within(requests, start) + SLACK;
             assertTrue(
-                    tries <= most,
-                    () -> "seed " + seed + ": " + tries + " of " + most + " from " + start + ", moves " + moves);
+                    retryCount <= limit,
+                    () -> "seed " + seed + ": " + retryCount + " of " + limit + " from " + start + ", moves " + moves);
         }
     }
 
@@ -81,10 +81,10 @@
                 .count();
     }
 
-    private void requestSlot(boolean again) {
-        SlotRequest ask =
-                new SlotRequest(++ids, "a", "east", "s", SlotOwner.withoutTenant(1), 50, 50, false, again, false, List.of());
-        home.onSlotRequest(ask, false, now);
+    private void requestSlot(boolean retry) {
+        SlotRequest request = new SlotRequest(
+                ++ids, "a", "east", "s", SlotOwner.withoutTenant(1), 50, 50, false, retry, false, List.of());
+        home.onSlotRequest(request, false, now);
     }
 
     private void releaseSlots() {
@@ -95,19 +95,20 @@
         granted.clear();
     }
 
-    /** Another edge is home; {@code others}: edges that may hold slots given out by the one before. */
-    private void moveHome(List<String> others) {
-        home = new ServiceQueues("east", "n" + now, AdmissionParameters.of(RATIO, SLACK, WINDOW_MS, 1), new EdgeActions());
+    /** Makes another edge the home; {@code previousEdges}: edges that may hold slots granted by the previous one. */
+    private void moveHome(List<String> previousEdges) {
+        home = new ServiceQueues(
+                "east", "n" + now, AdmissionParameters.of(RATIO, SLACK, WINDOW_MS, 1), new EdgeActions());
         home.onServiceSpec(new ServiceSpec("s", 128, 500, 64, 1_000), now);
-        home.takeOver("s", "east", others, now);
-        InstanceInfo host = new InstanceInfo("h1", "s", "a:1", "east", "east", "w", "n", InstanceInfo.UP, 60_000);
-        home.onInstanceList(new InstanceList("s", "east", List.of(host)), now);
-        for (String edge : others) {
+        home.takeOver("s", "east", previousEdges, now);
+        InstanceInfo instance = new InstanceInfo("h1", "s", "a:1", "east", "east", "w", "n", InstanceInfo.UP, 60_000);
+        home.onInstanceList(new InstanceList("s", "east", List.of(instance)), now);
+        for (String edge : previousEdges) {
             home.onHeldSlots(new HeldSlots(edge, "s", List.of()), now);
         }
     }
 
-    /** Counts further tries that are granted; gives each slot back at once. */
+    /** Counts granted retries, and remembers all granted slots for release. */
     private final class EdgeActions implements AdmissionActions {
         @Override
         public void grant(String edge, SlotGrant grant) {
@@ -118,24 +119,24 @@
         }
 
         @Override
-        public void refuse(String edge, SlotRefusal refuse) {}
+        public void refuse(String edge, SlotRefusal refusal) {}
 
         @Override
-        public void redirect(String edge, SlotRedirect elsewhere) {}
+        public void redirect(String edge, SlotRedirect redirect) {}
 
         @Override
-        public void requestStart(StartRequest need) {}
+        public void requestStart(StartRequest request) {}
 
         @Override
-        public void requestStop(StopRequest quit) {}
+        public void requestStop(StopRequest request) {}
 
         @Override
-        public void reportUp(InstanceUp seen) {}
+        public void reportUp(InstanceUp instance) {}
 
         @Override
         public void claimHome(HomeClaim claim) {}
 
         @Override
-        public void probe(String service, String hostId, String address) {}
+        public void probe(String service, String instanceId, String address) {}
     }
 }
--- a/src/test/java/brambletray/platform/admission/SimulatedZones.java
+++ b/src/test/java/brambletray/platform/admission/SimulatedZones.java
@@ -20,8 +20,9 @@
 import java.util.function.Consumer;
 
 /**
- * Zones, each with one edge that is home of the zone's queues; a platform that starts hosts; clients that come by
- * chance. Simulated time, one seed. Counts what the clients and the operator would.
+ * Simulates zones, each with one edge that is the home of the zone's queues, a platform that starts instances, and
+ * clients with Poisson arrivals, in simulated time with one seed. Counts the results that clients and the operator
+ * see.
  */
 final class SimulatedZones {
     record RequestKind(
@@ -35,25 +36,25 @@
             double nestedCallShare,
             String tenant) {
 
-        /** A kind of nobody's requests. */
+        /** Requests without a tenant. */
         RequestKind(
                 String service,
                 int priority,
                 int targetMs,
                 int deadlineMs,
-                double worth,
-                double late,
+                double value,
+                double lateValue,
                 double workMs,
-                double inner) {
-            this(service, priority, targetMs, deadlineMs, worth, late, workMs, inner, "");
+                double nestedCallShare) {
+            this(service, priority, targetMs, deadlineMs, value, lateValue, workMs, nestedCallShare, "");
         }
 
         private String label() {
-            return service + " rank " + priority + (tenant.isEmpty() ? "" : " of " + tenant);
+            return service + " priority " + priority + (tenant.isEmpty() ? "" : " of " + tenant);
         }
     }
 
-    /** Requests, or calls of hosts, of one kind. */
+    /** Number of client requests, or of nested calls, of one kind. */
     static final class Count {
         int total;
         int served;
@@ -73,9 +74,9 @@
         boolean dead;
         int busy;
 
-        SimulatedInstance(InstanceInfo host, double bornAt) {
-            this.info = host;
-            this.startedAt = bornAt;
+        SimulatedInstance(InstanceInfo info, double startedAt) {
+            this.info = info;
+            this.startedAt = startedAt;
         }
     }
 
@@ -85,11 +86,11 @@
     final Map<String, ServiceSpec> specs = new HashMap<>();
     final Map<String, ServiceQueues> homes = new HashMap<>();
     final Map<String, SimulatedInstance> instances = new HashMap<>();
-    /** The call that a host of a service makes, where it is not one to the same service. */
+    /** The nested call made by instances of a service, if it does not go to the same service. */
     final Map<String, RequestKind> nestedCalls = new HashMap<>();
-    /** Hosts of a service for which the platform has room, where that is limited. */
+    /** Maximum number of instances of a service, if the platform limits it. */
     final Map<String, Integer> instanceLimits = new HashMap<>();
-    /** By kind: requests of clients, and calls of hosts, that have ended. */
+    /** Completed client requests and nested calls, by kind. */
     final Map<String, Count> counts = new TreeMap<>();
 
     private final Map<String, InstanceInfo> byNonce = new HashMap<>();
@@ -116,12 +117,12 @@
     double gbSeconds;
     int maxInstances;
 
-    SimulatedZones(long seed, List<String> zones, double crossMs, AdmissionParameters laws) {
+    SimulatedZones(long seed, List<String> zones, double crossMs, AdmissionParameters parameters) {
         random = new Random(seed);
         this.zones = zones;
         this.crossZoneMs = crossMs;
         for (String zone : zones) {
-            homes.put(zone, new ServiceQueues(zone, zone, laws, new ZoneActions(zone)));
+            homes.put(zone, new ServiceQueues(zone, zone, parameters, new ZoneActions(zone)));
         }
     }
 
@@ -138,8 +139,8 @@
         }
     }
 
-    void at(double when, Runnable what) {
-        events.add(new Event(Math.max(now, when), order++, what));
+    void at(double when, Runnable action) {
+        events.add(new Event(Math.max(now, when), order++, action));
     }
 
     void runUntil(double end) {
@@ -151,8 +152,9 @@
         now = end;
     }
 
-    /** Poisson arrivals of a kind in a zone, at a rate per second that may change with time. */
-    void arrivals(RequestKind kind, String zone, java.util.function.DoubleUnaryOperator perS, double peak, double until) {
+    /** Poisson arrivals of a kind in a zone, with a rate per second that may change over time, at most {@code peak}. */
+    void arrivals(
+            RequestKind kind, String zone, java.util.function.DoubleUnaryOperator perS, double peak, double until) {
         at(now - Math.log(1 - random.nextDouble()) * 1000 / peak, () -> {
             if (now < until) {
                 if (random.nextDouble() * peak < perS.applyAsDouble(now)) {
@@ -169,8 +171,8 @@
         new Attempt(kind, zone, now, now + kind.deadlineMs, null).start();
     }
 
-    private void deliver(String from, String to, Runnable what) {
-        at(now + (from.equals(to) ? 0.2 : crossZoneMs), what);
+    private void deliver(String from, String to, Runnable action) {
+        at(now + (from.equals(to) ? 0.2 : crossZoneMs), action);
     }
 
     private void scheduleTick(String zone) {
@@ -184,34 +186,39 @@
         }
     }
 
-    private void queues(String zone, Consumer<ServiceQueues> what) {
-        what.accept(homes.get(zone));
+    private void queues(String zone, Consumer<ServiceQueues> action) {
+        action.accept(homes.get(zone));
         scheduleTick(zone);
     }
 
-    /** One try of a client, or of a host. */
+    /** A client request or a nested call, with its retries. */
     private final class Attempt {
         final RequestKind kind;
         final String zone;
-        final double first;
-        final double end;
-        /** What the host that calls does with the outcome; null: a client asks. */
-        final Consumer<Boolean> parent;
+        final double requestedAt;
+        final double deadline;
+        /** Called with the outcome of a nested call; null for a client request. */
+        final Consumer<Boolean> onNestedCallDone;
 
         double startedAt;
         boolean retriedLater;
-        boolean counted;
+        boolean refusalCounted;
         long id;
         int hops;
         int grants;
         String home;
 
-        Attempt(RequestKind kind, String zone, double first, double end, Consumer<Boolean> parent) {
+        Attempt(
+                RequestKind kind,
+                String zone,
+                double requestedAt,
+                double deadline,
+                Consumer<Boolean> onNestedCallDone) {
             this.kind = kind;
             this.zone = zone;
-            this.first = first;
-            this.end = end;
-            this.parent = parent;
+            this.requestedAt = requestedAt;
+            this.deadline = deadline;
+            this.onNestedCallDone = onNestedCallDone;
         }
 
         void start() {
@@ -225,93 +232,94 @@
 
         void requestSlot(String to) {
             home = to;
-            SlotRequest ask = new SlotRequest(
+            SlotRequest request = new SlotRequest(
                     id,
                     zone,
                     zone,
                     kind.service,
                     new SlotOwner(kind.tenant, kind.priority, 0),
-                    (int) (end - now),
+                    (int) (deadline - now),
                     kind.targetMs,
                     false,
                     grants > 0,
-                    parent != null,
+                    onNestedCallDone != null,
                     List.of());
-            deliver(zone, to, () -> queues(to, queues -> queues.onSlotRequest(ask, false, (long) now)));
+            deliver(zone, to, () -> queues(to, queues -> queues.onSlotRequest(request, false, (long) now)));
         }
 
-        void granted(SlotGrant grant) {
-            SimulatedInstance machine = instances.get(grant.instanceId());
-            String there = machine.info.zone();
+        void onGrant(SlotGrant grant) {
+            SimulatedInstance instance = instances.get(grant.instanceId());
+            String there = instance.info.zone();
             if (!there.equals(zone)) {
                 crossZoneRequests++;
             }
             double sent = now;
             grants++;
             deliver(zone, there, () -> {
-                if (!machine.up || machine.dead) {
-                    deliver(there, zone, () -> finish(grant, AttemptOutcome.UNREACHED, sent, false));
-                } else if (machine.busy >= specs.get(kind.service).maxConcurrency()) {
+                if (!instance.up || instance.dead) {
+                    deliver(there, zone, () -> onOutcome(grant, AttemptOutcome.UNREACHED, sent, false));
+                } else if (instance.busy >= specs.get(kind.service).maxConcurrency()) {
                     overLimit++;
-                    deliver(there, zone, () -> finish(grant, AttemptOutcome.NOT_RUN, sent, false));
+                    deliver(there, zone, () -> onOutcome(grant, AttemptOutcome.NOT_RUN, sent, false));
                 } else {
-                    machine.busy++;
+                    instance.busy++;
                     double work = 3 + lognormal(kind.workMs, 0.5);
                     double at = now + work;
                     if (random.nextDouble() < kind.nestedCallShare) {
-                        RequestKind same = new RequestKind(kind.service, 2, kind.targetMs, kind.deadlineMs, 0, 0, kind.workMs, 0);
+                        RequestKind same =
+                                new RequestKind(kind.service, 2, kind.targetMs, kind.deadlineMs, 0, 0, kind.workMs, 0);
                         RequestKind call = nestedCalls.getOrDefault(kind.service, same);
-                        Consumer<Boolean> then = ok -> at(now + work / 2, () -> onWorkDone(grant, machine, sent, ok));
-                        at(now + work / 2, () -> new Attempt(call, there, now, end, then).start());
+                        Consumer<Boolean> then = ok -> at(now + work / 2, () -> onWorkDone(grant, instance, sent, ok));
+                        at(now + work / 2, () -> new Attempt(call, there, now, deadline, then).start());
                     } else {
-                        at(at, () -> onWorkDone(grant, machine, sent, true));
+                        at(at, () -> onWorkDone(grant, instance, sent, true));
                     }
                 }
             });
         }
 
-        /** The host's work is done; {@code ok}: its call was served, else it answers 500. */
-        void onWorkDone(SlotGrant grant, SimulatedInstance machine, double sent, boolean ok) {
-            if (machine.dead) {
-                finish(grant, AttemptOutcome.BROKEN, sent, false);
+        /** The instance has done its work; {@code ok}: its nested call was served, else it answers 500. */
+        void onWorkDone(SlotGrant grant, SimulatedInstance instance, double sent, boolean ok) {
+            if (instance.dead) {
+                onOutcome(grant, AttemptOutcome.BROKEN, sent, false);
                 return;
             }
-            machine.busy--;
+            instance.busy--;
             deliver(
-                    machine.info.zone(),
+                    instance.info.zone(),
                     zone,
-                    () -> finish(grant, ok ? AttemptOutcome.SERVED : AttemptOutcome.FAILED, sent, ok));
+                    () -> onOutcome(grant, ok ? AttemptOutcome.SERVED : AttemptOutcome.FAILED, sent, ok));
         }
 
-        void finish(SlotGrant grant, AttemptOutcome fate, double sent, boolean served) {
-            SlotRelease done = new SlotRelease(grant.requestId(), grant.instanceId(), fate, (int) (now - sent));
+        void onOutcome(SlotGrant grant, AttemptOutcome outcome, double sent, boolean served) {
+            SlotRelease done = new SlotRelease(grant.requestId(), grant.instanceId(), outcome, (int) (now - sent));
             String to = home;
             deliver(zone, to, () -> queues(to, queues -> queues.onSlotRelease(zone, done, (long) now)));
             if (served) {
-                end(true);
-            } else if (fate != AttemptOutcome.FAILED && now + 50 < end && grants < 3) {
+                complete(true);
+            } else if (outcome != AttemptOutcome.FAILED && now + 50 < deadline && grants < 3) {
                 start();
             } else {
-                end(false);
+                complete(false);
             }
         }
 
-        void end(boolean served) {
+        void complete(boolean served) {
             attempts.remove(id);
-            boolean ok = served && now <= end;
-            String name = (parent == null ? "" : "call of ") + kind.label();
+            boolean ok = served && now <= deadline;
+            String name = (onNestedCallDone == null ? "" : "nested call of ") + kind.label();
             Count count = counts.computeIfAbsent(name, n -> new Count());
             count.total++;
             count.served += ok ? 1 : 0;
-            if (parent != null) {
-                parent.accept(ok);
+            if (onNestedCallDone != null) {
+                onNestedCallDone.accept(ok);
                 return;
             }
-            if (!served || now > end) {
+            if (!served || now > deadline) {
                 unserved++;
                 return;
             }
-            boolean timely = now + 2 - (retriedLater ? startedAt : first) <= kind.targetMs;
+            boolean timely = now + 2 - (retriedLater ? startedAt : requestedAt) <= kind.targetMs;
             if (timely && !retriedLater) {
                 inTime++;
                 value += kind.value;
@@ -321,16 +329,16 @@
             }
         }
 
-        void refused(int comeBackMs) {
+        void onRefusal(int retryAfterMs) {
             attempts.remove(id);
-            if (!counted) {
+            if (!refusalCounted) {
                 refused++;
-                counted = true;
+                refusalCounted = true;
             }
-            double left = end - now;
-            double pause = Math.max(50, Math.min(comeBackMs < 0 ? 100 : comeBackMs, left / 3));
-            if (parent != null || ++grants > 3 || pause > left) {
-                end(false);
+            double left = deadline - now;
+            double pause = Math.max(50, Math.min(retryAfterMs < 0 ? 100 : retryAfterMs, left / 3));
+            if (onNestedCallDone != null || ++grants > 3 || pause > left) {
+                complete(false);
                 return;
             }
             retriedLater = true;
@@ -344,56 +352,56 @@
     }
 
     private boolean atInstanceLimit(String service) {
-        int hosts = 0;
-        for (SimulatedInstance machine : instances.values()) {
-            hosts += machine.info.service().equals(service) ? 1 : 0;
+        int count = 0;
+        for (SimulatedInstance instance : instances.values()) {
+            count += instance.info.service().equals(service) ? 1 : 0;
         }
-        return hosts >= instanceLimits.getOrDefault(service, Integer.MAX_VALUE);
+        return count >= instanceLimits.getOrDefault(service, Integer.MAX_VALUE);
     }
 
-    /** Starts a host as the platform does. */
-    private InstanceInfo startInstance(StartRequest need, String zone) {
-        InstanceInfo known = byNonce.get(need.nonce());
-        if (known != null) {
-            return known;
+    /** Starts an instance as the platform does: a repeated nonce returns the existing one. */
+    private InstanceInfo startInstance(StartRequest request, String zone) {
+        InstanceInfo existing = byNonce.get(request.nonce());
+        if (existing != null) {
+            return existing;
         }
-        InstanceInfo host = new InstanceInfo(
+        InstanceInfo info = new InstanceInfo(
                 "h" + ++instanceIds,
-                need.service(),
+                request.service(),
                 "10.0.0.1:" + instanceIds,
                 zone,
-                need.homeZone(),
+                request.homeZone(),
                 "w",
-                need.nonce(),
+                request.nonce(),
                 InstanceInfo.BOOTING,
                 0);
-        byNonce.put(need.nonce(), host);
-        SimulatedInstance machine = new SimulatedInstance(host, now);
-        machine.upAt = now + lognormal(specs.get(need.service()).bootMs(), 0.3);
-        at(machine.upAt, () -> machine.up = true);
-        instances.put(host.id(), machine);
+        byNonce.put(request.nonce(), info);
+        SimulatedInstance instance = new SimulatedInstance(info, now);
+        instance.upAt = now + lognormal(specs.get(request.service()).bootMs(), 0.3);
+        at(instance.upAt, () -> instance.up = true);
+        instances.put(info.id(), instance);
         maxInstances = Math.max(maxInstances, instances.size());
         starts++;
-        return host;
+        return info;
     }
 
-    void stopInstance(SimulatedInstance machine) {
-        if (instances.remove(machine.info.id()) != null) {
-            addTotals(machine);
-            gbSeconds += specs.get(machine.info.service()).memoryMb() / 1024.0 * (now - machine.startedAt) / 1000;
+    void stopInstance(SimulatedInstance instance) {
+        if (instances.remove(instance.info.id()) != null) {
+            addTotals(instance);
+            gbSeconds += specs.get(instance.info.service()).memoryMb() / 1024.0 * (now - instance.startedAt) / 1000;
         }
     }
 
-    /** All memory until now. */
+    /** Memory used by all instances until now, GB-seconds. */
     double gbSeconds() {
         double all = gbSeconds;
-        for (SimulatedInstance machine : instances.values()) {
-            all += specs.get(machine.info.service()).memoryMb() / 1024.0 * (now - machine.startedAt) / 1000;
+        for (SimulatedInstance instance : instances.values()) {
+            all += specs.get(instance.info.service()).memoryMb() / 1024.0 * (now - instance.startedAt) / 1000;
         }
         return all;
     }
 
-    /** What a zone's queues want done. */
+    /** Performs the actions of a zone's queues. */
     private final class ZoneActions implements AdmissionActions {
         final String zone;
 
@@ -403,67 +411,68 @@
 
         @Override
         public void grant(String edge, SlotGrant grant) {
-            Attempt one = attempts.get(grant.requestId());
-            deliver(zone, edge, () -> one.granted(grant));
+            Attempt attempt = attempts.get(grant.requestId());
+            deliver(zone, edge, () -> attempt.onGrant(grant));
         }
 
         @Override
-        public void refuse(String edge, SlotRefusal refuse) {
-            Attempt one = attempts.get(refuse.requestId());
-            deliver(zone, edge, () -> one.refused(refuse.retryAfterMs()));
+        public void refuse(String edge, SlotRefusal refusal) {
+            Attempt attempt = attempts.get(refusal.requestId());
+            deliver(zone, edge, () -> attempt.onRefusal(refusal.retryAfterMs()));
         }
 
         @Override
-        public void redirect(String edge, SlotRedirect word) {
+        public void redirect(String edge, SlotRedirect redirect) {
             redirects++;
-            Attempt one = attempts.get(word.requestId());
+            Attempt attempt = attempts.get(redirect.requestId());
             deliver(zone, edge, () -> {
-                redirectedTo.put(edge + word.service(), word.zone());
-                if (++one.hops > 3) {
-                    throw new IllegalStateException("sent on for ever: " + word);
+                redirectedTo.put(edge + redirect.service(), redirect.zone());
+                if (++attempt.hops > 3) {
+                    throw new IllegalStateException("redirected more than 3 times: " + redirect);
                 }
-                one.requestSlot(word.zone());
+                attempt.requestSlot(redirect.zone());
             });
         }
 
         @Override
-        public void requestStart(StartRequest need) {
+        public void requestStart(StartRequest request) {
             at(now + 8, () -> {
-                if (!byNonce.containsKey(need.nonce()) && atInstanceLimit(need.service())) {
+                if (!byNonce.containsKey(request.nonce()) && atInstanceLimit(request.service())) {
                     at(
                             now + 4,
                             () -> queues(
                                     zone,
-                                    queues -> queues.onStartRefused(new StartRefusal(need.nonce(), 500), (long) now)));
+                                    queues ->
+                                            queues.onStartRefused(new StartRefusal(request.nonce(), 500), (long) now)));
                     return;
                 }
-                InstanceInfo host = startInstance(need, zone);
+                InstanceInfo info = startInstance(request, zone);
                 at(
                         now + 4,
                         () -> queues(
                                 zone,
-                                queues ->
-                                        queues.onInstanceStarted(new InstanceStarted(need.nonce(), host), (long) now)));
+                                queues -> queues.onInstanceStarted(
+                                        new InstanceStarted(request.nonce(), info), (long) now)));
             });
         }
 
         @Override
-        public void requestStop(StopRequest quit) {
+        public void requestStop(StopRequest request) {
             at(now + 8, () -> {
-                SimulatedInstance machine = instances.get(quit.id());
-                if (machine != null) {
-                    stopInstance(machine);
+                SimulatedInstance instance = instances.get(request.id());
+                if (instance != null) {
+                    stopInstance(instance);
                 }
                 queues(
                         zone,
                         queues -> queues.onInstanceGone(
-                                new brambletray.platform.provisioning.InstanceGone(quit.id(), quit.service()),
+                                new brambletray.platform.provisioning.InstanceGone(request.id(), request.service()),
                                 (long) now));
             });
         }
 
         @Override
-        public void reportUp(InstanceUp seen) {}
+        public void reportUp(InstanceUp instance) {}
 
         @Override
         public void claimHome(HomeClaim claim) {
@@ -477,32 +486,33 @@
         }
 
         @Override
-        public void probe(String service, String hostId, String address) {
-            SimulatedInstance machine = instances.get(hostId);
+        public void probe(String service, String instanceId, String address) {
+            SimulatedInstance instance = instances.get(instanceId);
             at(now + 0.5, () -> {
-                boolean ok = machine != null && machine.up && !machine.dead;
-                queues(zone, queues -> queues.onProbed(hostId, ok, (long) now));
+                boolean ok = instance != null && instance.up && !instance.dead;
+                queues(zone, queues -> queues.onProbed(instanceId, ok, (long) now));
             });
         }
     }
 
-    /** Memory and starts by the first letters of services. */
+    /** Memory in GB-seconds and number of starts, by the first four letters of the service. */
     private final Map<String, double[]> totalsByPrefix = new TreeMap<>();
 
-    private void addTotals(SimulatedInstance machine) {
-        double[] sum = totalsByPrefix.computeIfAbsent(machine.info.service().substring(0, 4), s -> new double[2]);
-        sum[0] += specs.get(machine.info.service()).memoryMb() / 1024.0 * (now - machine.startedAt) / 1000;
+    private void addTotals(SimulatedInstance instance) {
+        double[] sum = totalsByPrefix.computeIfAbsent(instance.info.service().substring(0, 4), s -> new double[2]);
+        sum[0] += specs.get(instance.info.service()).memoryMb() / 1024.0 * (now - instance.startedAt) / 1000;
         sum[1]++;
     }
 
     String figures(double priceGbS, double priceStart, double priceCross) {
         instances.values().forEach(this::addTotals);
-        StringBuilder sorts = new StringBuilder();
-        totalsByPrefix.forEach((name, sum) -> sorts.append(String.format(" %s %.0f GB-s %.0f starts", name, sum[0], sum[1])));
+        StringBuilder totals = new StringBuilder();
+        totalsByPrefix.forEach(
+                (name, sum) -> totals.append(String.format(" %s %.0f GB-s %.0f starts", name, sum[0], sum[1])));
         double cost = gbSeconds() * priceGbS + starts * priceStart + crossZoneRequests * priceCross;
         return String.format(
-                "worth %.3f  net %.3f  in time %.1f%%  late %.1f%%  refused %d  unserved %d  starts %d  GB-s %.0f  crossed %.1f%%"
-                        + "  most hosts %d  turned away %d  sent on %d  of %d %s",
+                "value %.3f  net %.3f  in time %.1f%%  late %.1f%%  refused %d  unserved %d  starts %d  GB-s %.0f"
+                        + "  cross-zone %.1f%%  max instances %d  over limit %d  redirects %d  requests %d %s",
                 value / maxValue,
                 (value - cost) / maxValue,
                 100.0 * inTime / requests,
@@ -516,6 +526,6 @@
                 overLimit,
                 redirects,
                 requests,
-                sorts);
+                totals);
     }
 }
--- a/src/test/java/brambletray/platform/admission/TenantFairnessTest.java
+++ b/src/test/java/brambletray/platform/admission/TenantFairnessTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Rule STARVED, by tenant: no tenant is served less than a quarter as often as all, and a flood of one does not hold
- * up the others. Simulated time; the seed is in the test's name.
+ * Rule STARVED, by tenant: no tenant is served less than a quarter as often as all, and a flood of requests by one
+ * tenant does not delay the others. Simulated time; the seed is in the test's name.
  */
 class TenantFairnessTest {
     private static final AdmissionParameters PARAMETERS = AdmissionParameters.of(0.2, 52, 10_000, 1);
@@ -77,11 +77,11 @@
         }
         queue.add(request(100, "other", 1, 2, DEADLINE_MS), 200);
         assertTrue(queue.countAhead(request(101, "third", 1, 2, DEADLINE_MS), WORK_MS, 200) <= 8);
-        int before = 0;
+        int servedBefore = 0;
         while (first(queue, 210) != 100) {
-            before++;
+            servedBefore++;
         }
-        assertTrue(before <= 8, () -> "the other tenant's request waits behind the flood");
+        assertTrue(servedBefore <= 8, () -> "the other tenant's request is queued behind the flood");
     }
 
     @Test
@@ -105,13 +105,13 @@
             shares.onServed(request(i, "a", 1, 2, DEADLINE_MS), 10 * i);
         }
         SlotRequest rare = request(1000, "b", 1, 2, DEADLINE_MS);
-        assertFalse(shares.isDisadvantaged(rare), "nothing is known of it");
+        assertFalse(shares.isDisadvantaged(rare), "no outcomes yet");
         shares.onNotServed(rare, 1_000);
         shares.onNotServed(rare, 1_000);
         assertTrue(shares.isDisadvantaged(rare));
-        assertFalse(shares.classOf(rare).isDisadvantaged(), "its kind is not behind");
+        assertFalse(shares.classOf(rare).isDisadvantaged(), "its request class is not disadvantaged");
         shares.onServed(request(1, "a", 1, 2, DEADLINE_MS), 200_000);
-        assertFalse(shares.isDisadvantaged(rare), "outcomes fade");
+        assertFalse(shares.isDisadvantaged(rare), "outcomes decay");
     }
 
     @TestFactory
@@ -136,7 +136,7 @@
         return zones;
     }
 
-    /** One tenant asks for twice what the service can do, the others for half of it. */
+    /** One tenant sends twice the requests that the service has capacity for, the others together half of it. */
     private static void flood(long seed) {
         SimulatedZones zones = zones(seed);
         double capacityPerS = 1000.0 * INSTANCES / WORK_MS;
@@ -149,20 +149,20 @@
         zones.counts.forEach((name, count) -> figures.append(String.format("%s: %.3f; ", name, count.share())));
         double all = served(zones, "");
         double others = served(zones, " of t");
-        assertTrue(others >= 0.8, () -> "the others wait behind the flood: " + others + "; " + figures);
+        assertTrue(others >= 0.8, () -> "the other tenants are delayed by the flood: " + others + "; " + figures);
         zones.counts.forEach((name, count) ->
                 assertTrue(count.share() >= MIN_SHARE * all, () -> name + " is starved: " + all + "; " + figures));
     }
 
     private static double served(SimulatedZones zones, String name) {
-        double asked = 0;
+        double total = 0;
         double served = 0;
         for (var entry : zones.counts.entrySet()) {
             if (entry.getKey().contains(name)) {
-                asked += entry.getValue().total;
+                total += entry.getValue().total;
                 served += entry.getValue().served;
             }
         }
-        return served / asked;
+        return served / total;
     }
 }
