--- a/src/main/java/brambletray/platform/proxy/Attempt.java
+++ b/src/main/java/brambletray/platform/proxy/Attempt.java
@@ -2,16 +2,16 @@
 
 import brambletray.platform.admission.SlotGrant;
 
-/** One attempt of a request at one host, from the grant of its slot to its release. */
+/** One attempt to serve a request at one host, from the grant of its slot to the slot's release. */
 final class Attempt {
     final SlotGrant grant;
     final boolean hedge;
     final long grantedAtMs;
-    /** When its first byte went out, ms; -1 before: until then it cannot have run. */
+    /** When the first byte was sent, ms; -1 if nothing was sent, in which case the request cannot have run. */
     long sentAtMs = -1;
 
     boolean active = true;
-    /** For whoever carries it out. */
+    /** Opaque to the state machine; set by the component that carries out the attempt. */
     Object tag;
 
     Attempt(SlotGrant grant, boolean copy, long grantedAt) {
--- a/src/main/java/brambletray/platform/proxy/Attempts.java
+++ b/src/main/java/brambletray/platform/proxy/Attempts.java
@@ -14,7 +14,7 @@
     private int activeCount;
     private RunState endedRunState = RunState.NOT_RUN;
 
-    /** {@code deadlineMs}: when the request's time is over, ms. */
+    /** {@code deadlineMs}: the request's deadline, ms. */
     Attempts(RequestActions actions, long deadlineMs) {
         this.actions = actions;
         this.deadlineMs = deadlineMs;
@@ -32,7 +32,7 @@
         return activeCount;
     }
 
-    /** Whether the slot of this request id is in use. */
+    /** Whether the slot granted for this request id is in use. */
     boolean isActive(long requestId) {
         for (int i = 0; i < all.size(); i++) {
             if (all.get(i).active && all.get(i).grant.requestId() == requestId) {
@@ -42,7 +42,7 @@
         return false;
     }
 
-    /** What is known of whether the request ran at any host. */
+    /** What is known about whether the request ran at any host. */
     RunState runState() {
         for (int i = 0; i < all.size(); i++) {
             if (all.get(i).active && all.get(i).onSent()) {
@@ -52,7 +52,7 @@
         return endedRunState;
     }
 
-    /** All so far, used or not reached. */
+    /** All instances for which a slot was granted so far, including those that were not reached. */
     List<String> instances() {
         return List.copyOf(instances);
     }
@@ -71,7 +71,7 @@
         return true;
     }
 
-    /** Closes its connection; a slot for which nothing was sent is released as unused. */
+    /** Closes the attempt's connection and releases its slot; as unused if nothing was sent. */
     void cancel(Attempt attempt, AttemptOutcome outcome, long now) {
         actions.cancel(attempt);
         if (attempt.onSent()) {
@@ -92,13 +92,14 @@
         return true;
     }
 
-    /** The first usable answer settles: all others are called off. */
+    /** Cancels all other attempts after the first usable response. */
     void cancelOthers(Attempt winner, long now) {
         for (int i = 0; i < all.size(); i++) {
             Attempt attempt = all.get(i);
             if (attempt.active && attempt != winner) {
                 if (attempt.onSent() && !attempt.hedge) {
-                    // Guards the delay of copies against forgetting the slow: it took this long at least.
+                    // Records the time so far as a lower bound: without the cancelled slow attempts, the hedging delay
+                    // would be derived from fast responses only.
                     actions.recordResponseTime((int) (now - attempt.sentAtMs));
                 }
                 cancel(attempt, AttemptOutcome.CANCELLED, now);
@@ -107,7 +108,8 @@
     }
 
     /**
-     * Nobody waits any more: what no host has is dropped, the rest is left to finish there; true where there is such.
+     * The client has disconnected: cancels attempts of which nothing was sent and leaves the others to finish at their
+     * hosts. True if any are left.
      */
     boolean onClientGone(long now) {
         for (int i = 0; i < all.size(); i++) {
@@ -119,7 +121,7 @@
         return activeCount > 0;
     }
 
-    /** A host that has not answered by now will not. */
+    /** Cancels all active attempts; a host that has not answered by the deadline is reported as silent. */
     void giveUp(long now) {
         for (int i = 0; i < all.size(); i++) {
             Attempt attempt = all.get(i);
--- a/src/main/java/brambletray/platform/proxy/BodyFraming.java
+++ b/src/main/java/brambletray/platform/proxy/BodyFraming.java
@@ -11,17 +11,17 @@
  * How the end of a response is found (RFC 9112, 6.3). {@code length}: bytes; -1: chunked, or no body follows and no
  * length was stated.
  *
- * <p>The decoder has already rejected two lengths, and a length together with chunks.
+ * <p>The decoder has already rejected two lengths, and a length combined with chunked coding.
  */
 record BodyFraming(long length) {
     /**
-     * Its end cannot be told from a broken connection, or can be read in two ways: not a valid response (rule MIXED).
+     * The end of the body is ambiguous or cannot be told from a broken connection: not a valid response (rule MIXED).
      */
     static final BodyFraming NONE = new BodyFraming(Long.MIN_VALUE);
 
     private static final BodyFraming CHUNKS = new BodyFraming(-1);
 
-    /** {@code bare}: no body follows, whatever the headers say. */
+    /** {@code bare}: no body follows, regardless of the headers. */
     static BodyFraming of(HttpResponse head, boolean bare) {
         HttpVersion version = head.protocolVersion();
         if (!version.equals(HttpVersion.HTTP_1_1) && !version.equals(HttpVersion.HTTP_1_0)) {
--- a/src/main/java/brambletray/platform/proxy/ClientConnection.java
+++ b/src/main/java/brambletray/platform/proxy/ClientConnection.java
@@ -17,11 +17,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One connection of a client: puts one request at a time together, and writes its one answer before it looks at the
- * next.
+ * One client connection. Assembles one request at a time and writes its single response before it processes the next
+ * request.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-    /** ms; after the last answer: what still comes is thrown away, lest a reset takes the answer with it. */
+    /**
+     * ms for which input is still read and discarded after the last response: closing with unread input would cause a
+     * TCP reset, which can discard the response before the client reads it.
+     */
     private static final int LINGER_MS = 1_000;
     /** ms after which a client that has not read its whole response is disconnected. */
     private static final int MAX_WRITE_MS = 15_000;
@@ -34,25 +37,25 @@
         CLOSING
     }
 
-    /** A part of a request, and when it was read, ms of the steady clock. */
+    /** Part of a request, and when it was read, in ms of the monotonic clock. */
     private record PipelinedPart(Object part, long readAtMs) {}
 
     private final FrontEndServer front;
-    /** Those in force when the newest request began: a change amid a request does not end it. */
+    /** The limits in force when the latest request began: a later configuration change does not end that request. */
     private ClientLimits limits;
 
     private final RequestReader requestReader;
-    /** What was read while the request before it is at work. */
+    /** Parts read while the previous request was in progress. */
     private final ArrayDeque<PipelinedPart> pipelined = new ArrayDeque<>(0);
 
     private Channel channel;
     private ResponseWriter writer;
     private String clientIp;
     private State state = State.IDLE;
-    /** When the state began, ms. */
+    /** When the current state was entered, ms. */
     private long stateSinceMs;
 
-    /** Answers a request of whose body not all came with its head, once its time is over. */
+    /** Rejects a request whose body did not arrive completely with its head and is still incomplete at its deadline. */
     private Future<?> bodyTimeout;
 
     private RequestDriver driver;
@@ -78,7 +81,7 @@
         front.onConnected(this);
     }
 
-    /** Bytes are here, of whatever. */
+    /** Called for any received bytes, before they are decoded. */
     void onBytes() {
         if (state == State.IDLE) {
             limits = front.requestRouter().limits();
@@ -91,7 +94,7 @@
         if (state == State.CLOSING) {
             ReferenceCountUtil.release(part);
         } else if (state == State.BUSY || !pipelined.isEmpty()) {
-            // One request at a time: the next ones wait, and no more is read meanwhile.
+            // One request at a time: later requests are queued, and reading pauses until the current one is answered.
             pipelined.add(new PipelinedPart(part, front.now()));
             channel.config().setAutoRead(false);
         } else {
@@ -167,7 +170,7 @@
         }
     }
 
-    /** Who brings the answer to the request that was read last. */
+    /** Sets the driver that produces the response to the latest request. */
     void onDriverStarted(RequestDriver by) {
         driver = by;
     }
@@ -182,7 +185,7 @@
         return clientIp;
     }
 
-    /** The edge leaves, and no request waits here that has been read already. */
+    /** Whether the next response is the last on this connection: the edge is draining and no request is queued. */
     private boolean isLast() {
         return front.isDraining() && pipelined.isEmpty();
     }
@@ -194,13 +197,13 @@
         onResponded();
     }
 
-    /** The head of a host's answer and what has come of its body; the rest follows by {@link #writeMore}. */
+    /** Writes the head of a host's response and the body received so far; {@link #writeMore} writes the rest. */
     void startStreaming(HostResponse response) {
         closeAfterResponse |= isLast();
         writer.startStreaming(response, closeAfterResponse);
     }
 
-    /** More of it; false where the client has enough to read for now. */
+    /** Writes more of the body; false if the outbound buffer is full and reading from the host must pause. */
     boolean writeMore(ByteBuf bytes) {
         return writer.writeMore(bytes);
     }
@@ -211,14 +214,14 @@
         onResponded();
     }
 
-    /** An answer of ours. */
+    /** Writes a response generated by the edge. */
     void writeOwnResponse(int status, String code, int retryAfterMs, CharSequence id, boolean bare) {
         closeAfterResponse |= isLast();
         writer.writeOwnResponse(status, code, retryAfterMs, id, bare, closeAfterResponse);
         onResponded();
     }
 
-    /** What was written must not look complete. */
+    /** Closes the connection without a terminator, so that the partial response does not look complete. */
     void abort() {
         channel.close();
     }
@@ -246,7 +249,7 @@
         startBodyTimeout();
     }
 
-    /** The client has taken its answer: its rest begins now. */
+    /** The response has been written to the socket: the idle time starts now. */
     private void onWritten() {
         if (state == State.IDLE || state == State.CLOSING) {
             stateSinceMs = front.now();
@@ -260,7 +263,7 @@
         writer.closeAfterFlush();
     }
 
-    /** Answers what can't be read further: nothing after it on this connection is looked at. */
+    /** Rejects a request that cannot be read any further; later input on this connection is discarded. */
     private void reject(int status, String code) {
         if (state != State.CLOSING && state != State.BUSY) {
             boolean bare = requestReader.isHeadRequest();
@@ -271,7 +274,7 @@
     }
 
     // ---- Ends -----------------------------------------------------------------------------------
-    /** Handles what has become due. */
+    /** Applies the timeouts that have expired. */
     void checkTimeouts(long now) {
         long spent = now - stateSinceMs;
         switch (state) {
@@ -283,7 +286,7 @@
         }
     }
 
-    /** A client acts on the settings of its last request or newer ones: the longer time is kept. */
+    /** A client may assume the timeout in force at its last request or a newer one, so the longer one applies. */
     private int idleMs() {
         return Math.max(limits.idleTimeoutMs(), front.requestRouter().limits().idleTimeoutMs());
     }
@@ -300,19 +303,19 @@
         }
     }
 
-    /** Nothing has begun on it, and nothing is owed on it. */
+    /** Whether no request has begun and no response is still being written. */
     boolean isIdle() {
         return state == State.IDLE && pipelined.isEmpty() && !writer.isWriting();
     }
 
-    /** The process ends: the request that is at work is answered now. */
+    /** Answers the request in progress now, because the process is about to exit. */
     void answerNow() {
         if (driver != null) {
             driver.answerNow();
         }
     }
 
-    /** The edge leaves: closes the connection unless a request has begun on it; an answer under way goes out first. */
+    /** Closes the connection unless a request has begun; a response that is being written is completed first. */
     void closeIfIdle() {
         if (isIdle()) {
             channel.close();
--- a/src/main/java/brambletray/platform/proxy/ClientRequest.java
+++ b/src/main/java/brambletray/platform/proxy/ClientRequest.java
@@ -7,8 +7,10 @@
 import java.util.Iterator;
 
 /**
- * A complete request of a client. {@code at}: arrival of its head, ms of the steady clock; {@code bodied}: a body was
- * announced, even if empty.
+ * A complete request of a client.
+ *
+ * @param hasBody whether a body was announced, even if empty
+ * @param receivedAtMs arrival of the head, ms of the monotonic clock
  */
 record ClientRequest(String method, String uri, HttpHeaders headers, ByteBuf body, boolean hasBody, long receivedAtMs) {
     static final String ID = "brambletray-attempt-id";
@@ -38,7 +40,12 @@
         body.release();
     }
 
-    /** The operation of this tenant, null for nobody, that the headers name; null where they name none, or two. */
+    /**
+     * The operation identified by the headers' operation key, which is scoped to the tenant.
+     *
+     * @param tenant null if the request has no tenant
+     * @return null if the headers have no key, or more than one
+     */
     OperationKey operation(Tenant tenant) {
         Iterator<String> keys = headers.valueStringIterator(OPERATION_KEY);
         String key = keys.hasNext() ? keys.next().strip() : "";
--- a/src/main/java/brambletray/platform/proxy/ConfigurationSource.java
+++ b/src/main/java/brambletray/platform/proxy/ConfigurationSource.java
@@ -2,15 +2,16 @@
 
 import brambletray.platform.configuration.Configuration;
 
-/** Where requests find the configuration that they are served by. On the loop only. */
+/** Provides the configuration by which requests are served. To be used on the loop only. */
 @FunctionalInterface
 public interface ConfigurationSource {
-    /** The configuration that applies now. */
+    /** The configuration in force. */
     Configuration current();
 
     /**
-     * Whether a newer one may be in force elsewhere: one is announced and has not come yet, or nobody announces any. A
-     * request that {@link #current} does not allow may be allowed then. A fixed configuration is never outdated.
+     * Whether a newer configuration may be in force elsewhere: one was announced but has not arrived, or no
+     * announcements are received. In that case a request that {@link #current} denies may be allowed. A fixed
+     * configuration is never outdated.
      */
     default boolean mayBeOutdated() {
         return false;
--- a/src/main/java/brambletray/platform/proxy/FrontEndServer.java
+++ b/src/main/java/brambletray/platform/proxy/FrontEndServer.java
@@ -13,9 +13,11 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** What clients connect to (PROTOCOL, How clients arrive). The loop's. */
+/**
+ * Accepts client connections (PROTOCOL, How clients arrive) and enforces their timeouts. To be used on the loop only.
+ */
 public final class FrontEndServer {
-    /** ms between looks at connections for their time. */
+    /** ms between checks of the connections' timeouts. */
     private static final int SWEEP_MS = 250;
 
     private final Machine machine;
@@ -25,7 +27,10 @@
     private Channel listener;
     private boolean isDraining;
 
-    /** {@code maxClients}: connections at once; the rest of the descriptors is for hosts and relays. */
+    /**
+     * {@code maxClients}: maximum number of client connections; the remaining file descriptors are for hosts and
+     * relays.
+     */
     public FrontEndServer(Machine machine, RequestRouter requestRouter, int maxClients) {
         this.machine = machine;
         this.requestRouter = requestRouter;
@@ -33,7 +38,7 @@
         machine.loop().scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Listens; the future fails where the address can't be had. */
+    /** Starts to listen; the future fails if the address cannot be bound. */
     public ChannelFuture listen(Address at) {
         ChannelFuture bound = machine.listening(new ChannelInitializer<Channel>() {
                     @Override
@@ -64,12 +69,15 @@
         return machine.clock().nanos() / 1_000_000;
     }
 
-    /** From now on each answer ends its connection; new ones are still taken. */
+    /** From now on each response closes its connection; new connections are still accepted. */
     void drain() {
         isDraining = true;
     }
 
-    /** Takes no new connections, and closes those on which no request has begun, once the answer before is out. */
+    /**
+     * Stops accepting connections and closes those on which no request has begun, after the previous response has been
+     * written.
+     */
     void stopAccepting() {
         isDraining = true;
         if (listener != null) {
@@ -80,7 +88,7 @@
         }
     }
 
-    /** Answers each request that still waits, and from now on each new one at once: the process is about to end. */
+    /** Answers each waiting request, and from now on each new one immediately: the process is about to exit. */
     void answerNow() {
         requestRouter.rejectNew();
         for (ClientConnection client : List.copyOf(clients)) {
@@ -88,7 +96,7 @@
         }
     }
 
-    /** Connections of clients now. */
+    /** Number of open client connections. */
     public int connectionCount() {
         return clients.size();
     }
--- a/src/main/java/brambletray/platform/proxy/GracefulShutdown.java
+++ b/src/main/java/brambletray/platform/proxy/GracefulShutdown.java
@@ -15,15 +15,16 @@
  */
 public final class GracefulShutdown {
     private static final EventLog LOG = EventLog.of("proxy");
-    /** The part of the grace time in which new connections are still taken, in twelfths. */
+    /** Share of the grace period during which new connections are accepted, in twelfths. */
     private static final int ACCEPTING_TWELFTHS = 5;
-    /** ms before the end of the grace time: what still waits is answered then. */
+    /** ms before the end of the grace period at which all waiting requests are answered. */
     private static final int ANSWER_MARGIN_MS = 600;
-    /** ms before the end of the grace time: the process has ended by itself then. */
+    /** ms before the end of the grace period at which the process exits in any case. */
     private static final int EXIT_MARGIN_MS = 300;
-    /** ms after the last connection was taken until the process may end; between looks whether it can. */
+    /** ms from the end of accepting until the first check whether the process can exit. */
     private static final int FIRST_CHECK_MS = 100;
 
+    /** ms between these checks. */
     private static final int CHECK_INTERVAL_MS = 50;
 
     private final Machine machine;
@@ -33,7 +34,7 @@
     private boolean started;
     private boolean ended;
 
-    /** {@code exit}: ends the process with this code. */
+    /** {@code exit}: ends the process with the given exit code. */
     public GracefulShutdown(
             Machine machine, RequestRouter requestRouter, FrontEndServer frontEndServer, IntConsumer exit) {
         this.machine = machine;
@@ -42,7 +43,7 @@
         this.exit = exit;
     }
 
-    /** Begins; a second call changes nothing. {@code graceMs}: from the signal to SIGKILL. */
+    /** Starts the shutdown; later calls have no effect. {@code graceMs}: time from SIGTERM to SIGKILL. */
     public void start(long graceMs) {
         if (started) {
             return;
--- a/src/main/java/brambletray/platform/proxy/HopByHopHeaders.java
+++ b/src/main/java/brambletray/platform/proxy/HopByHopHeaders.java
@@ -3,11 +3,11 @@
 import io.netty.util.AsciiString;
 import java.util.List;
 
-/** Which headers belong to one connection only (RFC 9110, 7.6.1). */
+/** Identifies hop-by-hop headers (RFC 9110, 7.6.1) and headers that the proxy replaces. */
 final class HopByHopHeaders {
     private HopByHopHeaders() {}
 
-    /** Never passed on; lengths are among them, as they are set anew. */
+    /** Whether a header is never passed on. Includes the body's length and coding, which are set per connection. */
     static boolean ofOneConnection(CharSequence name) {
         return switch (name.length()) {
             case 2 -> is(name, "te");
@@ -22,7 +22,7 @@
         };
     }
 
-    /** In a request: said to the host by us, and 100-continue, which is done with. */
+    /** Whether a request header is not copied: the proxy sets it itself, or has handled it ({@code Expect}). */
     static boolean setAnew(CharSequence name) {
         return switch (name.length()) {
             case 6 -> is(name, "expect");
@@ -32,7 +32,10 @@
         };
     }
 
-    /** Whether Connection names this header; the system's own and Host can't be taken away so. */
+    /**
+     * Whether {@code Connection} lists this header. {@code Host} and the {@code brambletray-} headers cannot be removed
+     * this way.
+     */
     static boolean in(List<String> named, CharSequence name) {
         for (int i = 0; i < named.size(); i++) {
             if (AsciiString.contentEqualsIgnoreCase(named.get(i), name)) {
--- a/src/main/java/brambletray/platform/proxy/HostCall.java
+++ b/src/main/java/brambletray/platform/proxy/HostCall.java
@@ -4,13 +4,13 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * A request on its way to one host, as its connection sees it, with the callbacks for its progress: in this order,
- * each at most once.
+ * A request to one host, as seen by its connection, and the callbacks for its progress, in the order in which they are
+ * called.
  */
 interface HostCall {
     ClientRequest clientRequest();
 
-    /** Its id, as the client sent it. */
+    /** The attempt id sent by the client. */
     String requestId();
 
     /** {@code instance-id} and address of the host. */
@@ -18,48 +18,53 @@
 
     String address();
 
-    /** Not to run twice: only on connections that are surely open. */
+    /** Whether the request must not run twice and therefore needs a connection that is certainly open. */
     boolean requiresOpenConnection();
 
-    /** The host may still refuse connections: try on. */
+    /** Whether the host is booting: refused connections are retried. */
     boolean isBooting();
 
-    /** Connections to this host at most. */
+    /** Maximum number of connections to this host. */
     int maxConnections();
 
-    /** ms of the steady clock. */
+    /** Deadline sent to the host, ms of the monotonic clock. */
     long hostDeadlineMs();
 
     MemoryBudget memoryBudget();
 
-    /** Whether it has been on this connection before: what is still to come there may bear its id. */
+    /**
+     * Whether the request was sent on this connection before. If so, late responses on that connection may carry its
+     * id.
+     */
     boolean wasSentOn(HostConnection connection);
 
     /**
-     * False: it is not to go out now, as its time is over, or as it needs another right under its tenant's quota and
-     * comes again with it. Asked right before it does, as timers may be late where the machine stood still.
+     * Whether the request is still to be sent. False if its deadline has passed, or if it first needs another permit
+     * under its tenant's quota, after which it is sent again. Checked directly before sending, because timers may fire
+     * late after the machine was suspended.
      */
     boolean isStillWanted();
 
-    /** A connection is up, and is now at it. */
+    /** The request was assigned to this connection. */
     void onConnected(HostConnection connection);
 
-    /** That connection was closed before a byte went out; another is looked for. */
+    /** The connection was closed before a byte was sent; another one is used. */
     void onClosedUnsent();
 
-    /** The first byte is out. */
+    /** The first byte was sent. */
     void onSent();
 
     void onUnreachable();
 
-    /** True: it is given on as it comes by {@link #onContent}; false: throw away what else comes. */
+    /** True: the rest of the response is streamed to {@link #onContent}; false: it is to be discarded. */
     boolean onStreaming(HostResponse response);
 
-    /** Takes the bytes over. False: stop reading until {@link HostConnection#resume}. */
+    /** Takes ownership of the bytes. False: stop reading until {@link HostConnection#resume}. */
     boolean onContent(ByteBuf bytes);
 
     /**
-     * {@code response}: null unless SERVED or FAILED, and null if {@code withheld}; owned by the callee from now on.
+     * The call has ended. {@code response}: null unless the outcome is SERVED or FAILED, and null if {@code withheld};
+     * the callee becomes its owner.
      */
     void onEnded(AttemptOutcome outcome, boolean withheld, HostResponse response);
 }
--- a/src/main/java/brambletray/platform/proxy/HostCallContext.java
+++ b/src/main/java/brambletray/platform/proxy/HostCallContext.java
@@ -1,11 +1,11 @@
 package brambletray.platform.proxy;
 
 /**
- * What all exchanges of one request with instances have in common.
+ * State shared by all exchanges of one request with instances.
  *
- * @param id of the client's attempt
- * @param requiresOpenConnection whether it may go out only on a connection that is certainly open
- * @param maxConnections to one instance
+ * @param id attempt id sent by the client
+ * @param requiresOpenConnection whether the request may be sent only on a connection that is certainly open
+ * @param maxConnections maximum number of connections to one instance
  */
 record HostCallContext(
         ClientRequest clientRequest,
--- a/src/main/java/brambletray/platform/proxy/HostConnection.java
+++ b/src/main/java/brambletray/platform/proxy/HostConnection.java
@@ -23,22 +23,23 @@
  * it closes. Any other end of a request closes its connection.
  */
 final class HostConnection extends ChannelInboundHandlerAdapter {
-    /** Bytes of a body that travel in one piece with their head. */
+    /** Bodies of up to this many bytes are copied behind their head and written in one buffer. */
     static final int JOINED = 8 * 1024;
 
     private final HostConnectionPools pools;
     final HostConnectionPool pool;
     final ResponseDecoder decoder = new ResponseDecoder(this);
     private Channel channel;
-    /** What it is at; null while it is idle. */
+    /** Reads the response to the current call; null while the connection is idle. */
     private ResponseReader responseReader;
 
     private boolean requestWritten;
     private boolean keepAlive = true;
     private boolean neverUsed = true;
-    /** ms of the steady clock; how long it may be idle, ms, by the host's word if {@code idleTimeStated}. */
+    /** When the connection became idle, ms of the monotonic clock. */
     long idleSinceMs;
 
+    /** How long it may be idle, ms; stated by the host if {@code idleTimeStated}. */
     private int idleMs;
     private boolean idleTimeStated;
 
@@ -68,7 +69,8 @@
     }
 
     /**
-     * Bytes that come while nobody can have asked for them: not a byte of what waits has gone out, it can go elsewhere.
+     * Bytes that arrive before any byte of a request has been sent. A call that is assigned to this connection can be
+     * sent on another one.
      */
     void onUnsolicited() {
         if (responseReader != null) {
@@ -91,7 +93,7 @@
         channel.close();
     }
 
-    /** Not used again after this request. */
+    /** Closes the connection once the current request, if any, has ended. */
     void closeAfterResponse() {
         keepAlive = false;
         if (responseReader == null) {
@@ -99,7 +101,10 @@
         }
     }
 
-    /** Whether a request may go out on it now; a careful one only where the host surely hasn't closed it. */
+    /**
+     * Whether a request may be sent on this connection now. With {@code requiresOpenConnection}, only if the host has
+     * certainly not closed it for idleness.
+     */
     boolean isUsable(long now, boolean requiresOpenConnection) {
         return channel.isActive()
                 && now - idleSinceMs
@@ -137,7 +142,7 @@
         }
     }
 
-    /** Tells a request of which a byte has gone out, and may run, from one of which none has. */
+    /** Distinguishes a request of which a byte has been sent, and which may run, from one of which nothing was sent. */
     private final class WriteListener implements ChannelProgressiveFutureListener {
         private final ResponseReader of;
         private final boolean all;
@@ -170,20 +175,20 @@
         }
     }
 
-    /** Not a byte went out: it can go elsewhere. */
+    /** No byte of the request was sent: it can be sent on another connection. */
     private void onUnsent() {
         HostCall hostCall = responseReader.hostCall();
         responseReader = null;
         channel.close();
         if (neverUsed) {
-            // Guards against knocking for ever at a host that takes connections only to reset them.
+            // Avoids retrying forever at a host that accepts connections only to reset them.
             hostCall.onUnreachable();
         } else {
             pools.onStale(hostCall);
         }
     }
 
-    /** Abandons this call without a callback, if it is the current one; only the closed connection tells the host. */
+    /** Cancels this call without a callback if it is the current one; the host notices only the closed connection. */
     void cancel(HostCall hostCall) {
         if (responseReader != null && responseReader.hostCall() == hostCall) {
             cancel();
@@ -220,7 +225,7 @@
         }
     }
 
-    /** The client can take more. */
+    /** Resumes reading, as the client can take more of the response. */
     void resume() {
         channel.config().setAutoRead(true);
     }
--- a/src/main/java/brambletray/platform/proxy/HostConnectionPool.java
+++ b/src/main/java/brambletray/platform/proxy/HostConnectionPool.java
@@ -7,20 +7,23 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** The connections to one instance, by its {@code instance-id}: a new instance at an old address has its own. */
+/**
+ * The connections to one instance. Pools are keyed by {@code instance-id}, so a new instance at a reused address has
+ * its own pool.
+ */
 final class HostConnectionPool {
     final String id;
     final InetSocketAddress address;
     final List<HostConnection> connections = new ArrayList<>(2);
-    /** Newest last. */
+    /** Idle connections, the most recently used last. */
     final ArrayDeque<HostConnection> idle = new ArrayDeque<>(2);
-    /** Those that wait for a connection. */
+    /** Calls that wait for a connection. */
     final ArrayDeque<HostCall> waitingCalls = new ArrayDeque<>(2);
-    /** Those that only want to know whether it is up. */
+    /** Callbacks of pending probes, which only check whether the instance accepts connections. */
     final List<Consumer<Boolean>> probes = new ArrayList<>(0);
 
     int connecting;
-    /** It has refused so far: one connection at a time is tried. */
+    /** The instance has refused connections so far: only one connection at a time is attempted. */
     boolean notYetUp;
 
     boolean instanceGone;
--- a/src/main/java/brambletray/platform/proxy/HostConnectionPools.java
+++ b/src/main/java/brambletray/platform/proxy/HostConnectionPools.java
@@ -19,21 +19,28 @@
  * take a slot. To be used on the loop only.
  */
 public final class HostConnectionPools {
-    /** ms; a connection whose host has not said how long it keeps it is this long good for what must not run twice. */
+    /**
+     * ms for which an idle connection is used for requests that must not run twice if its host did not state a
+     * keep-alive time.
+     */
     static final int LONGEST_IDLE_MS = 500;
-    /** ms until a connection comes up; between tries at a booting host; between looks for idle ones. */
+    /** Timeout for establishing a connection, ms. */
     private static final int CONNECT_MS = 300;
 
+    /** ms between connection attempts to a booting host. */
     private static final int BOOTING_MS = 40;
+    /** ms between checks for expired idle connections. */
     private static final int SWEEP_MS = 500;
-    /** ms; a host that has answered so lately is there. */
+    /** ms; a probe succeeds without a new connection if an open one was in use this recently. */
     private static final int FRESH_MS = 1_000;
-    /** ms; more may come right behind an answer: a connection that has rested so long is preferred. */
+    /**
+     * ms; connections idle for at least this long are preferred, as surplus bytes may follow directly after a response.
+     */
     private static final int RETRY_INTERVAL_MS = 5;
 
     final RequestCounters counters;
     private final RateLimitedLog rateLimitedLog = new RateLimitedLog();
-    /** ms; for connections whose host has not said how long it keeps them. */
+    /** Idle time, in ms, of connections whose host did not state a keep-alive time. */
     final int idleMs;
 
     private final Machine machine;
@@ -49,7 +56,7 @@
         this.bootstrap = machine.dialling(CONNECT_MS, new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
-                // The log line is written with its pool, once the host is up.
+                // The handlers need the pool and are added once the connection is established.
             }
         });
     }
@@ -69,7 +76,8 @@
             connection.send(hostCall);
         } else {
             if (!pool.idle.isEmpty() && pool.connections.size() + pool.connecting >= hostCall.maxConnections()) {
-                // Guards against waiting for room that only connections not good enough take up.
+                // All idle connections are unusable for this call: closes one so that the call does not wait for
+                // capacity that they occupy.
                 pool.idle.poll().close();
             }
             pool.waitingCalls.add(hostCall);
@@ -77,7 +85,7 @@
         }
     }
 
-    /** A host's bytes were no answer. */
+    /** Logs that a host did not send a valid, complete response. */
     void onBroken(HostCall hostCall, String why) {
         rateLimitedLog
                 .info(now(), "broken")
@@ -87,7 +95,7 @@
                 .log();
     }
 
-    /** Takes back one that is waiting for a connection. */
+    /** Removes a call that is waiting for a connection. */
     void withdraw(HostCall hostCall) {
         HostConnectionPool pool = pools.get(hostCall.instanceId());
         if (pool != null) {
@@ -96,7 +104,7 @@
         }
     }
 
-    /** Nothing was sent on a pooled connection that turned out to be closed. */
+    /** Resends a call of which nothing was sent because its pooled connection turned out to be closed. */
     void onStale(HostCall hostCall) {
         counters.staleConnections++;
         hostCall.onClosedUnsent();
@@ -147,7 +155,7 @@
         }
     }
 
-    /** One for each that waits, within the bound; one at a time where the host has refused so far. */
+    /** Opens a connection for each waiting call up to the maximum; only one at a time while the host refuses them. */
     private void openConnections(HostConnectionPool pool) {
         int wanted = pool.notYetUp ? Math.min(1, pool.waitingCalls.size()) : pool.waitingCalls.size();
         while (pool.connecting < wanted
@@ -229,7 +237,7 @@
         }
     }
 
-    /** A connection is free: for who waits, or for later. */
+    /** Gives a free connection to a waiting call, or keeps it in the pool. */
     void onIdle(HostConnection connection) {
         HostCall next = sendNext(connection);
         if (next != null) {
@@ -237,7 +245,7 @@
             return;
         }
         if (!connection.pool.waitingCalls.isEmpty()) {
-            // All that wait have been here before: room for another.
+            // All waiting calls have used this connection before: closing it makes room for a new one.
             connection.close();
             return;
         }
@@ -294,7 +302,7 @@
         }
     }
 
-    /** This host is gone, or leaves: requests in flight are finished, no connection is kept. */
+    /** The host is gone or draining: requests in flight are completed, and no connection is kept. */
     public void onInstanceGone(String host) {
         HostConnectionPool pool = pools.get(host);
         if (pool != null) {
@@ -303,7 +311,7 @@
         }
     }
 
-    /** Connections open now. */
+    /** Number of open connections. */
     public int openCount() {
         int open = 0;
         for (HostConnectionPool pool : pools.values()) {
--- a/src/main/java/brambletray/platform/proxy/HostExchange.java
+++ b/src/main/java/brambletray/platform/proxy/HostExchange.java
@@ -3,20 +3,21 @@
 import brambletray.platform.admission.AttemptOutcome;
 import io.netty.buffer.ByteBuf;
 
-/** A request at one of its hosts: between its {@link RequestDriver} and the connection. */
+/** One request sent to one host; connects its {@link RequestDriver} to the host connection. */
 final class HostExchange implements HostCall {
     private final RequestDriver driver;
     private final HostCallContext context;
     private final Attempt attempt;
     private final long hostDeadlineMs;
     private final SendPermit permit;
-    /** The connection that is at it, and the last that was. */
+    /** The connection in use, or null. */
     private HostConnection connection;
 
+    /** The connection used last, kept after the exchange has ended. */
     private HostConnection lastConnection;
-    /** Whole, and not yet given to the client. */
+    /** The complete response, until it is passed to the client. */
     private HostResponse response;
-    /** Given on while it comes. */
+    /** The response that is streamed to the client while it arrives. */
     private HostResponse streamingResponse;
 
     HostExchange(RequestDriver driver, Attempt attempt, long hostDeadlineMs, SendPermit permit) {
--- a/src/main/java/brambletray/platform/proxy/HostExchanges.java
+++ b/src/main/java/brambletray/platform/proxy/HostExchanges.java
@@ -15,7 +15,7 @@
         return exchanges.size();
     }
 
-    /** Whether one of them has used this connection. */
+    /** Whether one of the exchanges has used this connection. */
     boolean used(HostConnection connection) {
         for (int i = 0; i < exchanges.size(); i++) {
             if (exchanges.get(i).usedConnection(connection)) {
@@ -25,7 +25,7 @@
         return false;
     }
 
-    /** Drops the answers that nobody will be given. */
+    /** Releases the responses that were not passed to the client. */
     void releaseResponses() {
         for (int i = 0; i < exchanges.size(); i++) {
             exchanges.get(i).releaseResponse();
--- a/src/main/java/brambletray/platform/proxy/HostResponse.java
+++ b/src/main/java/brambletray/platform/proxy/HostResponse.java
@@ -6,14 +6,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A host's answer as far as it has come. Holds its bytes until it is given to a client or dropped. */
+/** A host's response as received so far. Holds the body's bytes until they are passed to a client or released. */
 final class HostResponse {
     final int status;
     final String reason;
     final HttpHeaders headers;
-    /** What the host said of its length, bytes; -1: in chunks. */
+    /** Body length stated by the host, in bytes; -1: chunked. */
     final long length;
-    /** No body follows, whatever the headers say: an answer to HEAD, 204, 304. */
+    /** No body follows, regardless of the headers: a response to HEAD, or status 204 or 304. */
     final boolean withoutBody;
 
     private final MemoryBudget memoryBudget;
@@ -35,12 +35,12 @@
         this.memoryBudget = memoryBudget;
     }
 
-    /** Bytes of the body held. */
+    /** Number of body bytes held. */
     long size() {
         return size;
     }
 
-    /** Takes the bytes over; false, with the bytes left to the caller, where too much is held. */
+    /** Takes ownership of the bytes; false, with the caller still their owner, if that would exceed a limit. */
     boolean add(ByteBuf bytes, long maxBytes) {
         int n = bytes.readableBytes();
         if (size + n > maxBytes || !memoryBudget.tryReserve(n)) {
@@ -51,7 +51,7 @@
         return true;
     }
 
-    /** Adds a copy of these bytes; false where too much is held. */
+    /** Adds these bytes, which the caller must not change; false if that would exceed the memory budget. */
     boolean addCopy(byte[] bytes) {
         ByteBuf copy = Unpooled.wrappedBuffer(bytes);
         return add(copy, bytes.length);
@@ -70,14 +70,14 @@
         return copy;
     }
 
-    /** Hands the bytes over; whoever takes them returns {@link #size} to the hold once they are written. */
+    /** Transfers ownership of the bytes; the caller must call {@link #onWritten} once they have been written. */
     List<ByteBuf> takeBody() {
         List<ByteBuf> taken = body;
         body = List.of();
         return taken;
     }
 
-    /** The bytes taken are gone. */
+    /** Returns the bytes to the memory budget. */
     void onWritten() {
         memoryBudget.release(size);
         size = 0;
--- a/src/main/java/brambletray/platform/proxy/KeepAlive.java
+++ b/src/main/java/brambletray/platform/proxy/KeepAlive.java
@@ -1,13 +1,13 @@
 package brambletray.platform.proxy;
 
-/** Parses the time for which a host keeps an idle connection open, in whole seconds if stated. */
+/** Parses the {@code Keep-Alive} header, by which a host states how long it keeps an idle connection open. */
 final class KeepAlive {
     private static final int MAX_SECONDS = 3_600;
     private static final int MARGIN_MS = 1_000;
 
     private KeepAlive() {}
 
-    /** The seconds of {@code timeout=5, max=100}; -1: not stated. */
+    /** The timeout in seconds, 5 for {@code timeout=5, max=100}; -1 if not stated. */
     static int timeoutSeconds(String value) {
         int at = value == null ? -1 : value.indexOf("timeout=");
         if (at < 0) {
@@ -23,8 +23,8 @@
     }
 
     /**
-     * How long of these seconds a connection may be idle and used again, ms: the last quarter, a second at most, is
-     * left to the host.
+     * How long a connection may be idle and still be reused, in ms. The last quarter of the timeout, at most one
+     * second, is a safety margin because the host may close the connection around that time.
      */
     static int usableMs(int seconds) {
         int ms = Math.min(seconds, MAX_SECONDS) * 1_000;
--- a/src/main/java/brambletray/platform/proxy/LoopTimer.java
+++ b/src/main/java/brambletray/platform/proxy/LoopTimer.java
@@ -4,13 +4,13 @@
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** One timer on the event loop, for the earliest of the times that it is set to. */
+/** A single timer on the event loop that fires at the earliest of the times that it is set to. */
 final class LoopTimer {
     private final Machine machine;
     private final Runnable action;
-    /** Null while it is not set. */
+    /** Null while the timer is not set. */
     private Future<?> pending;
-    /** When it is due, ms of the steady clock. */
+    /** When the timer fires, ms of the monotonic clock. */
     private long dueMs;
 
     LoopTimer(Machine machine, Runnable action) {
@@ -18,7 +18,7 @@
         this.action = action;
     }
 
-    /** Runs the action at this time, unless it is set to an earlier one. */
+    /** Sets the timer to this time, unless it is already set to an earlier one. */
     void set(long atMs, long nowMs) {
         if (pending == null || dueMs > atMs) {
             stop();
--- a/src/main/java/brambletray/platform/proxy/MemoryBudget.java
+++ b/src/main/java/brambletray/platform/proxy/MemoryBudget.java
@@ -1,16 +1,15 @@
 package brambletray.platform.proxy;
 
-/** Bytes of requests and answers held in memory at one time, all connections together, and their bound. */
+/** Limits the bytes of requests and responses that all connections together hold in memory. */
 final class MemoryBudget {
     private final long maxBytes;
     private long heldBytes;
 
-    /** {@code maxBytes}: bytes. */
     MemoryBudget(long maxBytes) {
         this.maxBytes = maxBytes;
     }
 
-    /** False, and nothing taken, where that would be too much. */
+    /** Reserves the bytes; false, without reserving any, if that would exceed the limit. */
     boolean tryReserve(int bytes) {
         if (heldBytes + bytes > maxBytes) {
             return false;
--- a/src/main/java/brambletray/platform/proxy/OperationClaim.java
+++ b/src/main/java/brambletray/platform/proxy/OperationClaim.java
@@ -1,8 +1,11 @@
 package brambletray.platform.proxy;
 
-/** The claim of one request on its operation. One of {@link #complete}, {@link #release}, {@link #abandon} ends it. */
+/**
+ * The claim of one request on its operation. It is ended by exactly one of {@link #complete}, {@link #release} and
+ * {@link #abandon}.
+ */
 public interface OperationClaim {
-    /** Of a request whose operation nobody counts. */
+    /** The claim of a request whose operation is not tracked. */
     OperationClaim NONE = new OperationClaim() {
         @Override
         public boolean isUsable() {
@@ -11,7 +14,7 @@
 
         @Override
         public void complete(RecordedAnswer answer) {
-            // nobody asks for it
+            // Answers of untracked operations are not recorded.
         }
 
         @Override
@@ -25,15 +28,15 @@
         }
     };
 
-    /** Whether the request may still be sent under it. */
+    /** Whether the request may still be sent under this claim. */
     boolean isUsable();
 
     /** An instance has answered the request. */
     void complete(RecordedAnswer answer);
 
-    /** The request has not run and never will: another attempt may. */
+    /** The request has not run and never will: another attempt may run. */
     void release();
 
-    /** The request may have run, and its answer is not known. */
+    /** The request may have run, but its answer is not known. */
     void abandon();
 }
--- a/src/main/java/brambletray/platform/proxy/OperationGate.java
+++ b/src/main/java/brambletray/platform/proxy/OperationGate.java
@@ -3,11 +3,11 @@
 import brambletray.platform.operations.OperationKey;
 
 /**
- * Where a keyed request gets the claim on its operation, or what became of the operation's first attempt (rule TWICE).
- * On the loop only.
+ * Grants a keyed request the claim on its operation, or reports the result of the operation's first attempt (rule
+ * TWICE). To be used on the loop only.
  */
 public interface OperationGate {
-    /** Claims nothing and grants everything: for edges whose configuration has no keyed route. */
+    /** Grants every request without a claim; for edges whose configuration has no keyed route. */
     OperationGate UNCLAIMED = new OperationGate() {
         @Override
         public void claim(OperationKey operation, int maxWaitMs, Listener listener) {
@@ -20,42 +20,43 @@
         }
     };
 
-    /** How far an operation has come that one attempt waits for. */
+    /** State of an operation that an attempt is waiting for. */
     enum Progress {
-        /** The claim of this attempt is neither granted nor refused. */
+        /** The claim of this attempt has been neither granted nor refused. */
         NOT_CLAIMED,
-        /** Another attempt came first, and is in work. */
+        /** Another attempt came first and is in progress. */
         IN_WORK,
-        /** Another attempt came first; what became of it is not known. */
+        /** Another attempt came first; its result is not known. */
         UNKNOWN
     }
 
     /**
-     * Claims an operation for one attempt of a client. The listener is called once, perhaps before this returns.
+     * Claims an operation for one attempt of a client. The listener is called once, possibly before this method
+     * returns.
      *
-     * @param maxWaitMs for how long a claim that cannot be had is waited for; an attempt that is in work is waited for
-     *     until {@link #cancel}
+     * @param maxWaitMs how long to wait for a claim that cannot be obtained; an attempt in progress is waited for until
+     *     {@link #cancel}
      */
     void claim(OperationKey operation, int maxWaitMs, Listener listener);
 
     /**
-     * The attempt of this listener does not wait any more; it is not called from now on, and a claim that comes yet is
-     * released.
+     * Stops waiting for this listener's attempt: the listener is not called any more, and a claim that is granted later
+     * is released.
      */
     Progress cancel(Listener listener);
 
-    /** What one attempt hears. */
+    /** Receives the result for one attempt. */
     interface Listener {
-        /** It may run, and nothing else will under this operation. */
+        /** The attempt may run, and no other attempt of this operation will. */
         void onClaimed(OperationClaim claim);
 
-        /** An earlier attempt has this answer. */
+        /** An earlier attempt was completed with this answer. */
         void onAnswered(RecordedAnswer answer);
 
-        /** An earlier attempt may have run, and its answer is lost. */
+        /** An earlier attempt may have run, but its answer is lost. */
         void onUnknown();
 
-        /** The claim cannot be had now. */
+        /** The claim cannot be obtained now. */
         void onUnavailable(int retryAfterMs);
     }
 }
