--- a/src/main/java/brambletray/platform/proxy/Attempt.java
+++ b/src/main/java/brambletray/platform/proxy/Attempt.java
@@ -12,15 +12,15 @@
 
     boolean active = true;
     /** Opaque to the state machine; set by the component that carries out the attempt. */
-    Object tag;
+    Object attachment;
 
-    Attempt(SlotGrant grant, boolean copy, long grantedAt) {
+    Attempt(SlotGrant grant, boolean hedge, long grantedAtMs) {
         this.grant = grant;
-        this.hedge = copy;
-        this.grantedAtMs = grantedAt;
+        this.hedge = hedge;
+        this.grantedAtMs = grantedAtMs;
     }
 
-    boolean onSent() {
+    boolean isSent() {
         return sentAtMs >= 0;
     }
 }
--- a/src/main/java/brambletray/platform/proxy/Attempts.java
+++ b/src/main/java/brambletray/platform/proxy/Attempts.java
@@ -45,7 +45,7 @@
     /** What is known about whether the request ran at any host. */
     RunState runState() {
         for (int i = 0; i < all.size(); i++) {
-            if (all.get(i).active && all.get(i).onSent()) {
+            if (all.get(i).active && all.get(i).isSent()) {
                 return endedRunState.and(RunState.MAY_HAVE_RUN);
             }
         }
@@ -64,7 +64,7 @@
         }
         attempt.active = false;
         activeCount--;
-        if (attempt.onSent()) {
+        if (attempt.isSent()) {
             endedRunState = endedRunState.and(RunState.of(outcome));
         }
         actions.releaseSlot(attempt.grant, outcome, durationMs);
@@ -74,7 +74,7 @@
     /** Closes the attempt's connection and releases its slot; as unused if nothing was sent. */
     void cancel(Attempt attempt, AttemptOutcome outcome, long now) {
         actions.cancel(attempt);
-        if (attempt.onSent()) {
+        if (attempt.isSent()) {
             complete(attempt, outcome, (int) (now - attempt.sentAtMs));
         } else {
             releaseUnsent(attempt);
@@ -97,7 +97,7 @@
         for (int i = 0; i < all.size(); i++) {
             Attempt attempt = all.get(i);
             if (attempt.active && attempt != winner) {
-                if (attempt.onSent() && !attempt.hedge) {
+                if (attempt.isSent() && !attempt.hedge) {
                     // Records the time so far as a lower bound: without the cancelled slow attempts, the hedging delay
                     // would be derived from fast responses only.
                     actions.recordResponseTime((int) (now - attempt.sentAtMs));
@@ -114,7 +114,7 @@
     boolean onClientGone(long now) {
         for (int i = 0; i < all.size(); i++) {
             Attempt attempt = all.get(i);
-            if (attempt.active && !attempt.onSent()) {
+            if (attempt.active && !attempt.isSent()) {
                 cancel(attempt, AttemptOutcome.CANCELLED, now);
             }
         }
@@ -122,7 +122,7 @@
     }
 
     /** Cancels all active attempts; a host that has not answered by the deadline is reported as silent. */
-    void giveUp(long now) {
+    void cancelAll(long now) {
         for (int i = 0; i < all.size(); i++) {
             Attempt attempt = all.get(i);
             if (attempt.active) {
--- a/src/main/java/brambletray/platform/proxy/ClientReply.java
+++ b/src/main/java/brambletray/platform/proxy/ClientReply.java
@@ -30,7 +30,7 @@
     /** The client has disconnected; the rest of a streamed response is read and discarded. */
     void onClientGone() {
         router.counters().clientsGone++;
-        clientForResponse();
+        detachClient();
         onClientWritable();
     }
 
@@ -42,21 +42,21 @@
     }
 
     /** Detaches the client for its final response. */
-    private ClientConnection clientForResponse() {
-        ClientConnection to = client;
+    private ClientConnection detachClient() {
+        ClientConnection detached = client;
         client = null;
         router.onAnswered();
-        return to;
+        return detached;
     }
 
     // ---- Responses of instances -----------------------------------------------------------------
     void pass(HostResponse response) {
-        clientForResponse().writeResponse(response);
+        detachClient().writeResponse(response);
     }
 
     /** Passes on the recorded response of an earlier attempt; 503 if there is no memory for it. */
     void passRecorded(RecordedAnswer answer) {
-        HostResponse response = answer.toResponse(id, clientRequest.head(), router.memoryBudget());
+        HostResponse response = answer.toResponse(id, clientRequest.isHeadRequest(), router.memoryBudget());
         if (response == null) {
             respond(503, RequestRouter.RETRY_AFTER_MS, 0);
         } else {
@@ -82,7 +82,7 @@
     void finishStreaming() {
         streamingExchange = null;
         if (client != null) {
-            clientForResponse().finishStreaming();
+            detachClient().finishStreaming();
         }
     }
 
@@ -90,7 +90,7 @@
         streamingExchange = null;
         if (client != null) {
             router.counters().failed++;
-            clientForResponse().abort();
+            detachClient().abort();
         }
     }
 
@@ -102,13 +102,13 @@
         if (!refused) {
             logFailure(status, instances);
         }
-        clientForResponse()
+        detachClient()
                 .writeOwnResponse(
                         status,
                         code(status),
                         !refused ? -1 : retryAfterMs < 0 ? RequestRouter.RETRY_AFTER_MS : retryAfterMs,
                         id,
-                        clientRequest.head());
+                        clientRequest.isHeadRequest());
     }
 
     private void count(int status) {
--- a/src/main/java/brambletray/platform/proxy/FrontEndServer.java
+++ b/src/main/java/brambletray/platform/proxy/FrontEndServer.java
@@ -18,7 +18,7 @@
  */
 public final class FrontEndServer {
     /** ms between checks of the connections' timeouts. */
-    private static final int SWEEP_MS = 250;
+    private static final int SWEEP_INTERVAL_MS = 250;
 
     private final Machine machine;
     private final RequestRouter requestRouter;
@@ -35,7 +35,7 @@
         this.machine = machine;
         this.requestRouter = requestRouter;
         this.maxClients = maxClients;
-        machine.loop().scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        machine.loop().scheduleWithFixedDelay(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Starts to listen; the future fails if the address cannot be bound. */
--- a/src/main/java/brambletray/platform/proxy/HostConnection.java
+++ b/src/main/java/brambletray/platform/proxy/HostConnection.java
@@ -24,7 +24,7 @@
  */
 final class HostConnection extends ChannelInboundHandlerAdapter {
     /** Bodies of up to this many bytes are copied behind their head and written in one buffer. */
-    static final int JOINED = 8 * 1024;
+    static final int MAX_JOINED_BODY_BYTES = 8 * 1024;
 
     private final HostConnectionPools pools;
     final HostConnectionPool pool;
@@ -41,6 +41,7 @@
 
     /** How long it may be idle, ms; stated by the host if {@code idleTimeStated}. */
     private int idleMs;
+
     private boolean idleTimeStated;
 
     HostConnection(HostConnectionPools pools, HostConnectionPool pool) {
@@ -80,9 +81,9 @@
         }
     }
 
-    boolean atHead() {
+    boolean isHeadRequest() {
         return responseReader != null
-                && responseReader.hostCall().clientRequest().head();
+                && responseReader.hostCall().clientRequest().isHeadRequest();
     }
 
     boolean isOpen() {
@@ -109,7 +110,7 @@
         return channel.isActive()
                 && now - idleSinceMs
                         < (requiresOpenConnection && !idleTimeStated
-                                ? Math.min(idleMs, HostConnectionPools.LONGEST_IDLE_MS)
+                                ? Math.min(idleMs, HostConnectionPools.MAX_UNSTATED_IDLE_MS)
                                 : idleMs);
     }
 
@@ -119,8 +120,8 @@
 
     // ---- Writing --------------------------------------------------------------------------------
     void send(HostCall hostCall) {
-        ResponseReader begun = new ResponseReader(hostCall, pools.counters, !neverUsed);
-        responseReader = begun;
+        ResponseReader reader = new ResponseReader(hostCall, pools.counters, !neverUsed);
+        responseReader = reader;
         requestWritten = false;
         hostCall.onConnected(this);
         ByteBuf body = hostCall.clientRequest().body();
@@ -130,35 +131,35 @@
                 hostCall.instanceId(),
                 hostCall.hostDeadlineMs() - pools.now());
         ChannelProgressivePromise promise = channel.newProgressivePromise();
-        boolean joined = body.readableBytes() <= JOINED;
-        promise.addListener(new WriteListener(begun, joined));
+        boolean joined = body.readableBytes() <= MAX_JOINED_BODY_BYTES;
+        promise.addListener(new WriteListener(reader, joined));
         if (joined) {
             head.writeBytes(body, body.readerIndex(), body.readableBytes());
             channel.writeAndFlush(head, promise);
         } else {
             channel.write(head, promise);
             channel.writeAndFlush(body.retainedDuplicate())
-                    .addListener(done -> requestWritten |= done.isSuccess() && begun == responseReader);
+                    .addListener(done -> requestWritten |= done.isSuccess() && reader == responseReader);
         }
     }
 
     /** Distinguishes a request of which a byte has been sent, and which may run, from one of which nothing was sent. */
     private final class WriteListener implements ChannelProgressiveFutureListener {
-        private final ResponseReader of;
-        private final boolean all;
-        private boolean begun;
+        private final ResponseReader reader;
+        private final boolean includesBody;
+        private boolean sent;
 
-        WriteListener(ResponseReader of, boolean all) {
-            this.of = of;
-            this.all = all;
+        WriteListener(ResponseReader reader, boolean includesBody) {
+            this.reader = reader;
+            this.includesBody = includesBody;
         }
 
         @Override
         public void operationProgressed(ChannelProgressiveFuture future, long progress, long total) {
-            if (!begun && progress > 0) {
-                begun = true;
-                of.onSent();
-                of.hostCall().onSent();
+            if (!sent && progress > 0) {
+                sent = true;
+                reader.onSent();
+                reader.hostCall().onSent();
             }
         }
 
@@ -166,8 +167,8 @@
         public void operationComplete(ChannelProgressiveFuture done) {
             if (done.isSuccess()) {
                 operationProgressed(done, 1, 1);
-                requestWritten |= all && of == responseReader;
-            } else if (!begun && of == responseReader) {
+                requestWritten |= includesBody && reader == responseReader;
+            } else if (!sent && reader == responseReader) {
                 onUnsent();
             } else {
                 channel.close();
@@ -237,11 +238,11 @@
         }
     }
 
-    private void onResponseComplete(boolean again) {
+    private void onResponseComplete(boolean reusable) {
         ResponseReader ended = responseReader;
         responseReader = null;
         neverUsed = false;
-        if (again) {
+        if (reusable) {
             int seconds = KeepAlive.timeoutSeconds(ended.keepAlive());
             idleTimeStated = seconds >= 0;
             idleMs = idleTimeStated ? KeepAlive.usableMs(seconds) : pools.idleMs;
@@ -253,11 +254,11 @@
         ended.hostCall().onEnded(ended.verdict().outcome(), ended.isWithheld(), ended.response());
     }
 
-    private void onBroken(String why) {
+    private void onBroken(String reason) {
         ResponseReader ended = responseReader;
         cancel();
         if (ended != null) {
-            pools.onBroken(ended.hostCall(), why);
+            pools.onBroken(ended.hostCall(), reason);
             ended.hostCall().onEnded(AttemptOutcome.BROKEN, false, null);
         }
     }
--- a/src/main/java/brambletray/platform/proxy/HostConnectionPools.java
+++ b/src/main/java/brambletray/platform/proxy/HostConnectionPools.java
@@ -23,20 +23,20 @@
      * ms for which an idle connection is used for requests that must not run twice if its host did not state a
      * keep-alive time.
      */
-    static final int LONGEST_IDLE_MS = 500;
+    static final int MAX_UNSTATED_IDLE_MS = 500;
     /** Timeout for establishing a connection, ms. */
-    private static final int CONNECT_MS = 300;
+    private static final int CONNECT_TIMEOUT_MS = 300;
 
     /** ms between connection attempts to a booting host. */
-    private static final int BOOTING_MS = 40;
+    private static final int BOOTING_RETRY_INTERVAL_MS = 40;
     /** ms between checks for expired idle connections. */
-    private static final int SWEEP_MS = 500;
+    private static final int SWEEP_INTERVAL_MS = 500;
     /** ms; a probe succeeds without a new connection if an open one was in use this recently. */
-    private static final int FRESH_MS = 1_000;
+    private static final int PROBE_VALIDITY_MS = 1_000;
     /**
      * ms; connections idle for at least this long are preferred, as surplus bytes may follow directly after a response.
      */
-    private static final int RETRY_INTERVAL_MS = 5;
+    private static final int PREFERRED_IDLE_MS = 5;
 
     final RequestCounters counters;
     private final RateLimitedLog rateLimitedLog = new RateLimitedLog();
@@ -53,7 +53,7 @@
         this.machine = machine;
         this.idleMs = idleMs;
         this.counters = counters;
-        this.bootstrap = machine.dialling(CONNECT_MS, new ChannelInitializer<Channel>() {
+        this.bootstrap = machine.dialling(CONNECT_TIMEOUT_MS, new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
                 // The handlers need the pool and are added once the connection is established.
@@ -86,12 +86,12 @@
     }
 
     /** Logs that a host did not send a valid, complete response. */
-    void onBroken(HostCall hostCall, String why) {
+    void onBroken(HostCall hostCall, String reason) {
         rateLimitedLog
                 .info(now(), "broken")
                 .with("host", hostCall.instanceId())
                 .with("id", hostCall.requestId())
-                .with("why", why)
+                .with("why", reason)
                 .log();
     }
 
@@ -100,7 +100,7 @@
         HostConnectionPool pool = pools.get(hostCall.instanceId());
         if (pool != null) {
             pool.waitingCalls.remove(hostCall);
-            forgetIfEmpty(pool);
+            removeIfEmpty(pool);
         }
     }
 
@@ -117,7 +117,7 @@
         for (Iterator<HostConnection> idle = pool.idle.descendingIterator(); idle.hasNext(); ) {
             HostConnection connection = idle.next();
             if (connection.isUsable(now, hostCall.requiresOpenConnection()) && !hostCall.wasSentOn(connection)) {
-                if (now - connection.idleSinceMs >= RETRY_INTERVAL_MS) {
+                if (now - connection.idleSinceMs >= PREFERRED_IDLE_MS) {
                     idle.remove();
                     return connection;
                 }
@@ -142,14 +142,14 @@
 
     // ---- Connections ----------------------------------------------------------------------------
     /** Probes whether a host accepts connections; a connection that succeeds is kept for the next request. */
-    public void probe(String host, String address, Consumer<Boolean> up) {
+    public void probe(String host, String address, Consumer<Boolean> callback) {
         HostConnectionPool pool = pool(host, address);
         HostConnection last = pool.idle.peekLast();
-        if (last != null && last.isOpen() && now() - last.idleSinceMs < FRESH_MS) {
-            machine.loop().execute(() -> up.accept(true));
+        if (last != null && last.isOpen() && now() - last.idleSinceMs < PROBE_VALIDITY_MS) {
+            machine.loop().execute(() -> callback.accept(true));
             return;
         }
-        pool.probes.add(up);
+        pool.probes.add(callback);
         if (pool.connecting == 0) {
             connect(pool);
         }
@@ -176,7 +176,7 @@
                 counters.connectFailures++;
                 onConnectFailed(pool);
             }
-            forgetIfEmpty(pool);
+            removeIfEmpty(pool);
         });
     }
 
@@ -215,9 +215,9 @@
                             () -> {
                                 pool.retry = null;
                                 openConnections(pool);
-                                forgetIfEmpty(pool);
+                                removeIfEmpty(pool);
                             },
-                            BOOTING_MS,
+                            BOOTING_RETRY_INTERVAL_MS,
                             TimeUnit.MILLISECONDS);
         }
         if (refused != null) {
@@ -239,7 +239,7 @@
 
     /** Gives a free connection to a waiting call, or keeps it in the pool. */
     void onIdle(HostConnection connection) {
-        HostCall next = sendNext(connection);
+        HostCall next = takeNextCall(connection);
         if (next != null) {
             connection.send(next);
             return;
@@ -253,11 +253,11 @@
         connection.pool.idle.add(connection);
         if (!sweeping) {
             sweeping = true;
-            machine.loop().schedule(this::sweep, SWEEP_MS, TimeUnit.MILLISECONDS);
+            machine.loop().schedule(this::sweep, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private HostCall sendNext(HostConnection connection) {
+    private HostCall takeNextCall(HostConnection connection) {
         for (HostCall hostCall : List.copyOf(connection.pool.waitingCalls)) {
             if (!hostCall.wasSentOn(connection)
                     && connection.pool.waitingCalls.remove(hostCall)
@@ -272,10 +272,10 @@
         connection.pool.connections.remove(connection);
         connection.pool.idle.remove(connection);
         openConnections(connection.pool);
-        forgetIfEmpty(connection.pool);
+        removeIfEmpty(connection.pool);
     }
 
-    private void forgetIfEmpty(HostConnectionPool pool) {
+    private void removeIfEmpty(HostConnectionPool pool) {
         if (pool.isEmpty()) {
             pools.remove(pool.id, pool);
         }
@@ -298,7 +298,7 @@
         stale.forEach(HostConnection::close);
         if (more) {
             sweeping = true;
-            machine.loop().schedule(this::sweep, SWEEP_MS, TimeUnit.MILLISECONDS);
+            machine.loop().schedule(this::sweep, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
--- a/src/main/java/brambletray/platform/proxy/HostResponse.java
+++ b/src/main/java/brambletray/platform/proxy/HostResponse.java
@@ -52,7 +52,7 @@
     }
 
     /** Adds these bytes, which the caller must not change; false if that would exceed the memory budget. */
-    boolean addCopy(byte[] bytes) {
+    boolean addWrapped(byte[] bytes) {
         ByteBuf copy = Unpooled.wrappedBuffer(bytes);
         return add(copy, bytes.length);
     }
--- a/src/main/java/brambletray/platform/proxy/OperationGate.java
+++ b/src/main/java/brambletray/platform/proxy/OperationGate.java
@@ -25,7 +25,7 @@
         /** The claim of this attempt has been neither granted nor refused. */
         NOT_CLAIMED,
         /** Another attempt came first and is in progress. */
-        IN_WORK,
+        IN_PROGRESS,
         /** Another attempt came first; its result is not known. */
         UNKNOWN
     }
--- a/src/main/java/brambletray/platform/proxy/RequestLifecycle.java
+++ b/src/main/java/brambletray/platform/proxy/RequestLifecycle.java
@@ -203,7 +203,7 @@
     // ---- At hosts -------------------------------------------------------------------------------
     /** The first byte has gone out. */
     void onSent(Attempt attempt, long now) {
-        if (!attempt.active || attempt.onSent()) {
+        if (!attempt.active || attempt.isSent()) {
             return;
         }
         attempt.sentAtMs = now;
@@ -240,7 +240,7 @@
      * it was too large to be buffered.
      */
     void onEnded(Attempt attempt, AttemptOutcome outcome, boolean withheld, long now) {
-        int durationMs = (int) (now - (attempt.onSent() ? attempt.sentAtMs : attempt.grantedAtMs));
+        int durationMs = (int) (now - (attempt.isSent() ? attempt.sentAtMs : attempt.grantedAtMs));
         if (!attempts.complete(attempt, outcome, durationMs)) {
             return;
         }
@@ -336,7 +336,7 @@
     void tick(long now) {
         if (isSettled) {
             if (now >= plan.deadlineMs() + LINGER_MS) {
-                attempts.giveUp(now);
+                attempts.cancelAll(now);
                 if (streamingAttempt != null) {
                     onStreamed(AttemptOutcome.SILENT);
                 }
--- a/src/main/java/brambletray/platform/proxy/ResponseReader.java
+++ b/src/main/java/brambletray/platform/proxy/ResponseReader.java
@@ -93,9 +93,9 @@
             return status >= 100 && status != 101 && ++earlyBytes <= MAX_EARLY_BYTES;
         }
         boolean bare =
-                status == 204 || status == 304 || hostCall.clientRequest().head();
+                status == 204 || status == 304 || hostCall.clientRequest().isHeadRequest();
         BodyFraming framing = BodyFraming.of(head, bare);
-        verdict = framing == BodyFraming.NONE
+        verdict = framing == BodyFraming.INVALID
                 ? ResponseVerdict.JUNK
                 : ResponseVerdict.of(hostCall.requestId(), status, head.headers());
         if (verdict.nameless() && reused && hostCall.requiresOpenConnection()) {
@@ -104,14 +104,14 @@
         }
         reusable &= HttpUtil.isKeepAlive(head)
                 && !verdict.nameless()
-                && !hostCall.clientRequest().head();
+                && !hostCall.clientRequest().isHeadRequest();
         skipping = verdict == ResponseVerdict.SURPLUS;
         if (skipping) {
             counters.surplusResponses++;
             // Where one came, more may: no other request goes out here. And how long it is can't be told by the rules
             // of an answer to HEAD.
             reusable = false;
-            return !hostCall.clientRequest().head() && ++earlyBytes <= MAX_EARLY_BYTES;
+            return !hostCall.clientRequest().isHeadRequest() && ++earlyBytes <= MAX_EARLY_BYTES;
         }
         response = new HostResponse(
                 status, head.status().reasonPhrase(), head.headers(), framing.length(), bare, hostCall.memoryBudget());
--- a/src/test/java/brambletray/platform/proxy/Actor.java
+++ b/src/test/java/brambletray/platform/proxy/Actor.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One column of a {@link Timeline}: does what is drawn, and notes what it sees. */
+/** One column of a {@link Timeline}: performs the scripted actions and records what it observes. */
 abstract class Actor {
     private final List<String> seen = new ArrayList<>();
 
@@ -11,13 +11,13 @@
         seen.add(what);
     }
 
-    /** What was seen since the last look. */
+    /** Returns and clears the observations since the last call. */
     final List<String> look() {
         List<String> looked = List.copyOf(seen);
         seen.clear();
         return looked;
     }
 
-    /** Does it, if it is something to be done; false: it is something to be seen. */
+    /** Performs the words if they are an action; false if they are an expected observation. */
     abstract boolean act(String[] words);
 }
--- a/src/test/java/brambletray/platform/proxy/ExchangeChecker.java
+++ b/src/test/java/brambletray/platform/proxy/ExchangeChecker.java
@@ -7,152 +7,161 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Judges a scenario by what its clients and hosts saw, as RULES does: nothing of the relay's own state is asked. */
+/**
+ * Checks the rules (RULES) against what the clients and hosts of a scenario observed; the proxy's own state is not
+ * used.
+ */
 final class ExchangeChecker {
-    /** One try of a client. {@code sent}: what a host must be handed: method, path and body. */
-    static final class Try {
+    /** One attempt of a client, with the method, URI and body that a host must receive. */
+    static final class ClientAttempt {
         final String id;
         final String method;
         final String uri;
         final String body;
         final boolean repeatable;
-        /** To how many hosts it may be sent: {@code retry-count} of its route, 1 at least. */
-        final int mostHosts;
-        /** Hosts that have begun work on it. */
+        /** Maximum number of hosts it may be sent to: {@code retry-count} of its route, at least 1. */
+        final int maxHosts;
+        /** Hosts that have begun to execute it. */
         final Set<String> ranAt = new HashSet<>();
-        /** Status and body of each failure that a host gave it under its own seal. */
+        /** Status and body of each sealed failure that a host sent for it. */
         final Set<String> sealedFailures = new HashSet<>();
 
         int runs;
         int arrivals;
-        /** The status that promised that it has not run; 0: none. */
-        int promised;
-        /** Whole bodies of the host's sealed answers. */
-        final Set<String> sealed = new HashSet<>();
-        /** Statuses of the host's answers that were no success, and of such as are no answer. */
-        final Set<Integer> others = new HashSet<>();
+        /** Status of the response by which the client was told that it has not run; 0: none. */
+        int nonExecutionStatus;
+        /** Complete bodies of the hosts' sealed responses. */
+        final Set<String> sealedBodies = new HashSet<>();
+        /** Statuses of the hosts' responses that were unsuccessful or invalid. */
+        final Set<Integer> otherStatuses = new HashSet<>();
 
         boolean answered;
 
-        Try(String id, String method, String uri, String body, boolean repeatable, int mostHosts) {
+        ClientAttempt(String id, String method, String uri, String body, boolean repeatable, int maxHosts) {
             this.id = id;
             this.method = method;
             this.uri = uri;
             this.body = body;
             this.repeatable = repeatable;
-            this.mostHosts = mostHosts;
+            this.maxHosts = maxHosts;
         }
     }
 
-    private final Map<String, Try> tries = new HashMap<>();
-    private final List<String> broken = new ArrayList<>();
+    private final Map<String, ClientAttempt> attempts = new HashMap<>();
+    private final List<String> violations = new ArrayList<>();
     int successes;
-    int promises;
-    int answers;
+    int nonExecutionResponses;
+    int responses;
     int sealedFailures;
-    /** Tries that ran on more than one host. */
-    int ranAgain;
+    /** Number of times an attempt ran at a further host. */
+    int multiHostAttempts;
 
-    void breaks(String rule, String how) {
-        broken.add(rule + ": " + how);
+    void addViolation(String rule, String how) {
+        violations.add(rule + ": " + how);
     }
 
-    Try asked(Try one) {
-        tries.put(one.id, one);
-        return one;
+    ClientAttempt onRequestSent(ClientAttempt attempt) {
+        attempts.put(attempt.id, attempt);
+        return attempt;
     }
 
     // ---- At hosts -------------------------------------------------------------------------------
-    /** A whole request has come to a host. */
-    Try arrived(String id, String method, String uri, String body, String host, String target) {
-        Try one = tries.get(id);
-        if (one == null) {
-            breaks("UNASKED", "id " + id + " at " + host);
+    /** A host has received a complete request. */
+    ClientAttempt onRequestReceived(String id, String method, String uri, String body, String host, String target) {
+        ClientAttempt attempt = attempts.get(id);
+        if (attempt == null) {
+            addViolation("UNASKED", "unknown id " + id + " at " + host);
             return null;
         }
-        if (!one.method.equals(method) || !one.uri.equals(uri) || body != null && !one.body.equals(body)) {
-            breaks(
+        if (!attempt.method.equals(method) || !attempt.uri.equals(uri) || body != null && !attempt.body.equals(body)) {
+            addViolation(
                     "UNASKED",
                     id + " was changed: " + method + " " + uri + " " + (body == null ? "-" : body.length() + " bytes"));
         }
         if (!host.equals(target)) {
-            breaks("ROUTE", id + " names " + target + " at " + host);
+            addViolation("ROUTE", id + " has target instance " + target + " but was received by " + host);
         }
-        if (++one.arrivals > one.mostHosts) {
-            breaks("BUDGET", id + " came to a host more often than " + one.mostHosts + " times");
+        if (++attempt.arrivals > attempt.maxHosts) {
+            addViolation("BUDGET", id + " was received by hosts more than " + attempt.maxHosts + " times");
         }
-        return one;
+        return attempt;
     }
 
-    /** A host has begun work on it. */
-    void ran(Try one, String host) {
-        if (one.ranAt.add(host) && one.ranAt.size() > 1) {
-            ranAgain++;
+    /** A host has begun to execute the attempt. */
+    void onExecuted(ClientAttempt attempt, String host) {
+        if (attempt.ranAt.add(host) && attempt.ranAt.size() > 1) {
+            multiHostAttempts++;
         }
-        if (one.ranAt.size() > one.mostHosts) {
-            breaks("BUDGET", one.id + " ran at " + one.ranAt + ", and may at " + one.mostHosts);
+        if (attempt.ranAt.size() > attempt.maxHosts) {
+            addViolation("BUDGET", attempt.id + " ran at " + attempt.ranAt + ", allowed hosts: " + attempt.maxHosts);
         }
-        if (++one.runs > 1 && !one.repeatable) {
-            breaks("TWICE", one.id);
+        if (++attempt.runs > 1 && !attempt.repeatable) {
+            addViolation("TWICE", attempt.id);
         }
-        if (one.promised != 0 && !one.repeatable) {
-            breaks("REFUSED", one.id + " runs after " + one.promised);
+        if (attempt.nonExecutionStatus != 0 && !attempt.repeatable) {
+            addViolation("REFUSED", attempt.id + " runs after its client received " + attempt.nonExecutionStatus);
         }
     }
 
     // ---- At clients -----------------------------------------------------------------------------
-    /** A whole answer has come; {@code of}: the oldest try without one on this connection, or null. */
-    void answer(Try of, int status, String id, boolean seal, String body) {
-        if (of == null) {
-            breaks("MIXED", status + " on a connection with no request waiting");
+    /**
+     * A client has received a complete response; {@code attempt}: the oldest unanswered attempt on this connection, or
+     * null.
+     */
+    void onResponse(ClientAttempt attempt, int status, String id, boolean seal, String body) {
+        if (attempt == null) {
+            addViolation("MIXED", "response " + status + " on a connection without a pending request");
             return;
         }
-        answers++;
-        if (of.answered) {
-            breaks("MIXED", "a second answer to " + of.id);
+        responses++;
+        if (attempt.answered) {
+            addViolation("MIXED", "second response to " + attempt.id);
         }
-        of.answered = true;
-        if (!id.isEmpty() && !id.equals(of.id)) {
-            breaks("MIXED", "the answer of " + id + " to " + of.id);
+        attempt.answered = true;
+        if (!id.isEmpty() && !id.equals(attempt.id)) {
+            addViolation("MIXED", "response of " + id + " sent to " + attempt.id);
         }
         if (status < 200 || status > 599) {
-            breaks("MIXED", of.id + " has the status " + status);
+            addViolation("MIXED", attempt.id + " received invalid status " + status);
         }
         if (status / 100 != 2 && seal) {
             sealedFailures++;
-            if (!of.sealedFailures.contains(status + " " + body)) {
-                breaks("MIXED", of.id + " has a sealed " + status + " that no host gave it: " + brief(body));
+            if (!attempt.sealedFailures.contains(status + " " + body)) {
+                addViolation(
+                        "MIXED",
+                        attempt.id + " received a sealed " + status + " that no host sent: " + abbreviate(body));
             }
         }
         if (status / 100 == 2) {
             successes++;
             if (!seal) {
-                breaks("MIXED", of.id + " has a success without a seal");
+                addViolation("MIXED", attempt.id + " received a successful response without a seal");
             }
-            if (!of.sealed.contains(body)) {
-                breaks(
+            if (!attempt.sealedBodies.contains(body)) {
+                addViolation(
                         "MIXED",
-                        of.id + " has a success with a body that no host gave it: " + brief(body) + " of " + of.sealed);
+                        attempt.id + " received a success whose body no host sent: " + abbreviate(body) + "; sent: "
+                                + attempt.sealedBodies);
             }
         }
         if (status == 429 || status == 503 || status == 408 || status == 421) {
-            promises++;
-            of.promised = status;
-            if (of.runs > 0 && !of.repeatable) {
-                breaks("REFUSED", of.id + " has run, and gets " + status);
+            nonExecutionResponses++;
+            attempt.nonExecutionStatus = status;
+            if (attempt.runs > 0 && !attempt.repeatable) {
+                addViolation("REFUSED", attempt.id + " has run, but its client received " + status);
             }
         }
     }
 
-    private static String brief(String body) {
+    private static String abbreviate(String body) {
         return body.length() > 60 ? body.substring(0, 60) + "... (" + body.length() + ")" : body;
     }
 
-    List<String> broken() {
-        return broken;
+    List<String> violations() {
+        return violations;
     }
 
-    int tries() {
-        return tries.size();
+    int attemptCount() {
+        return attempts.size();
     }
 }
--- a/src/test/java/brambletray/platform/proxy/Mutant.java
+++ b/src/test/java/brambletray/platform/proxy/Mutant.java
@@ -26,45 +26,45 @@
 import javax.tools.ToolProvider;
 
 /**
- * A package with a faulty step planted in its sources, this one unless another is named, compiled in memory and loaded
- * beside the sound one: so no production class needs a switch for its own faults. A step is found by its text, which
- * must be there exactly once: who changes the line is told to look at the fault too.
+ * A package with faults planted in its sources, compiled in memory and loaded beside the original, so that production
+ * classes need no switches for faults. The code to replace is found by its text, which must occur exactly once: a
+ * change to that line makes the mutation fail until it is updated too.
  */
 public final class Mutant extends ClassLoader {
     private static final Path SOURCES = Path.of("src/main/java");
 
-    /** The package that is loaded anew, with its dot. */
+    /** Name of the reloaded package, with a trailing dot. */
     private final String prefix;
 
-    private final Map<String, byte[]> changed;
+    private final Map<String, byte[]> recompiledClasses;
 
-    private Mutant(String prefix, Map<String, byte[]> changed) {
+    private Mutant(String prefix, Map<String, byte[]> recompiledClasses) {
         super(Mutant.class.getClassLoader());
         this.prefix = prefix;
-        this.changed = changed;
+        this.recompiledClasses = recompiledClasses;
     }
 
     /**
-     * {@code edits}: of a class of this package by its simple name: what is there, and what stands there instead, in
-     * threes.
+     * Mutates classes of this package. {@code edits}: groups of three: simple name of the class, original text,
+     * replacement.
      */
     static Mutant of(String... edits) {
-        return in(Mutant.class, edits);
+        return ofPackageOf(Mutant.class, edits);
     }
 
-    /** The same for the package of another class. */
-    public static Mutant in(Class<?> neighbour, String... edits) {
-        String prefix = neighbour.getPackageName() + ".";
+    /** Mutates classes of the package of {@code member}; {@code edits} as for {@link #of}. */
+    public static Mutant ofPackageOf(Class<?> member, String... edits) {
+        String prefix = member.getPackageName() + ".";
         Map<String, String> sources = new HashMap<>();
         for (int i = 0; i < edits.length; i += 3) {
             String name = edits[i];
             String source = sources.computeIfAbsent(name, simple -> source(prefix + simple));
-            String there = edits[i + 1];
+            String original = edits[i + 1];
             assertEquals(
                     1,
-                    (source.length() - source.replace(there, "").length()) / there.length(),
-                    "times in " + name + ": " + there);
-            sources.put(name, source.replace(there, edits[i + 2]));
+                    (source.length() - source.replace(original, "").length()) / original.length(),
+                    "occurrences in " + name + " of: " + original);
+            sources.put(name, source.replace(original, edits[i + 2]));
         }
         return new Mutant(prefix, sources.isEmpty() ? Map.of() : compile(sources));
     }
@@ -79,7 +79,7 @@
 
     private static Map<String, byte[]> compile(Map<String, String> sources) {
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
-        Map<String, ByteArrayOutputStream> made = new HashMap<>();
+        Map<String, ByteArrayOutputStream> outputs = new HashMap<>();
         JavaFileManager files =
                 new ForwardingJavaFileManager<JavaFileManager>(compiler.getStandardFileManager(null, null, null)) {
                     @Override
@@ -90,7 +90,7 @@
                             @Override
                             public OutputStream openOutputStream() {
                                 ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-                                made.put(type, bytes);
+                                outputs.put(type, bytes);
                                 return bytes;
                             }
                         };
@@ -105,23 +105,23 @@
                     }
                 }));
         StringBuilder errors = new StringBuilder();
-        boolean done = compiler.getTask(
+        boolean succeeded = compiler.getTask(
                         null,
                         files,
-                        notified -> errors.append(notified).append('\n'),
+                        diagnostic -> errors.append(diagnostic).append('\n'),
                         List.of("-proc:none", "-classpath", System.getProperty("java.class.path")),
                         null,
                         units)
                 .call();
-        assertEquals(true, done, errors.toString());
+        assertEquals(true, succeeded, errors.toString());
         Map<String, byte[]> classes = new HashMap<>();
-        made.forEach((type, bytes) -> classes.put(type, bytes.toByteArray()));
+        outputs.forEach((type, bytes) -> classes.put(type, bytes.toByteArray()));
         return classes;
     }
 
     @Override
     protected Class<?> loadClass(String name, boolean resolve) throws ClassNotFoundException {
-        // The whole package, tests included: two loaders' classes of one package do not see each other.
+        // Reloads the whole package, tests included: package-private access fails between classes of two loaders.
         if (!name.startsWith(prefix)) {
             return super.loadClass(name, resolve);
         }
@@ -132,7 +132,7 @@
     }
 
     private Class<?> define(String name) throws ClassNotFoundException {
-        byte[] bytes = changed.get(name);
+        byte[] bytes = recompiledClasses.get(name);
         if (bytes == null) {
             try (InputStream in = getParent().getResourceAsStream(name.replace('.', '/') + ".class")) {
                 if (in == null) {
@@ -147,10 +147,10 @@
     }
 
     /**
-     * Runs one method of a test, on a new instance, after its {@code open} if it has one; what it asserts in vain, or
-     * null.
+     * Runs one test method on a new instance, after its {@code open} method if it has one. Returns the message of the
+     * failed assertion, or null if the test passes.
      */
-    public String fails(Class<?> test, String method) {
+    public String failureOf(Class<?> test, String method) {
         try {
             Class<?> loaded = loadClass(test.getName());
             Constructor<?> constructor = loaded.getDeclaredConstructor();
@@ -182,7 +182,7 @@
         found.invoke(on);
     }
 
-    /** What {@link RandomExchanges#hunt} finds in it, or null. */
+    /** Runs {@link RandomExchanges#hunt} on the mutated package; the violation found, or null. */
     String hunt(String rules, long from, int scenarios, int steps) {
         try {
             Method hunt = loadClass(RandomExchanges.class.getName())
--- a/src/test/java/brambletray/platform/proxy/PlantedOperationFaultsTest.java
+++ b/src/test/java/brambletray/platform/proxy/PlantedOperationFaultsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Faults of tenants, quotas and claims in a request's course, each planted, and found by the test made for it. */
+/** Plants faults in the handling of tenants, quotas and claims and checks that a dedicated test detects each one. */
 class PlantedOperationFaultsTest {
     private static Arguments fault(String what, Class<?> test, String method, String... edits) {
         return Arguments.of(what, test, method, edits);
@@ -17,35 +17,35 @@
     static Stream<Arguments> faults() {
         return Stream.of(
                 fault(
-                        "an operation whose first attempt is lost runs again",
+                        "an operation whose first answer is lost runs again",
                         KeyedRequestsTest.class,
-                        "whatIsLostIsNotAskedForAgain",
+                        "anOperationWithALostAnswerIsNotRetried",
                         "RequestPreparation",
                         "            listener.onRejected(502, -1);",
                         "            claimOperation();"),
                 fault(
-                        "what broke off is released",
+                        "the claim of a broken attempt is released",
                         KeyedRequestsTest.class,
-                        "whatWasSentIsNeverReleased",
+                        "theClaimOfASentRequestIsNeverReleased",
                         "RequestPreparation",
                         "BROKEN_OFF && plan.selfDedupe()",
                         "BROKEN_OFF"),
                 fault(
-                        "what broke off has not run",
+                        "a broken attempt counts as not run",
                         RequestLifecycleTest.class,
                         "theRulesHoldWhateverHappens",
                         "RunState",
                         "            case BROKEN -> BROKEN_OFF;",
                         "            case BROKEN -> NOT_RUN;"),
                 fault(
-                        "what may have run is released where its answer is not known",
+                        "the claim of an attempt with an unknown answer is released",
                         RequestLifecycleTest.class,
                         "theRulesHoldWhateverHappens",
                         "RequestPreparation",
                         "            ended.abandon();",
                         "            ended.release();"),
                 fault(
-                        "the first host's proof counts for all of them",
+                        "the first host's proof counts for all hosts",
                         RequestLifecycleTest.class,
                         "theRulesHoldWhateverHappens",
                         "RunState",
@@ -59,37 +59,37 @@
                         "return isSettled && pendingRequestId == 0 && attempts.activeCount() == 0;",
                         "return isSettled && pendingRequestId == 0;"),
                 fault(
-                        "a slot is asked for beside the claim",
+                        "a slot is requested before the claim is granted",
                         RequestLifecycleTest.class,
                         "theRulesHoldWhateverHappens",
                         "RequestLifecycle",
                         "            actions.prepare();\n        } else {",
                         "            actions.prepare();\n        }\n        if (true) {"),
                 fault(
-                        "a repeat that was answered runs too",
+                        "a repeat with a recorded answer also runs",
                         RequestLifecycleTest.class,
                         "theRulesHoldWhateverHappens",
                         "RequestLifecycle",
                         "            isSettled = true;\n            actions.passRecordedAnswer();",
                         "            actions.passRecordedAnswer();\n            requestSlot(false, 0);"),
                 fault(
-                        "an attempt without a right is refused though another one may have run",
+                        "an attempt without a quota permit is refused although another one may have run",
                         RequestLifecycleTest.class,
                         "theRulesHoldWhateverHappens",
                         "RequestLifecycle",
                         "        if (unproven || withheldAttempt != null) {",
                         "        if (withheldAttempt != null) {"),
                 fault(
-                        "a request that left its preparation is prepared on",
+                        "preparation continues after the request was cancelled",
                         RequestLifecycleTest.class,
                         "theRulesHoldWhateverHappens",
                         "RequestPreparation",
                         "operationGate.cancel(claimStep)",
                         "Progress.NOT_CLAIMED"),
                 fault(
-                        "a claim is used after its window",
+                        "a claim is used after it expired",
                         KeyedRequestsTest.class,
-                        "aClaimIsNotUsedAfterItsWindow",
+                        "aClaimIsNotUsedAfterItExpires",
                         "RequestPreparation",
                         "return claim == null || claim.isUsable();",
                         "return true;"),
@@ -101,7 +101,7 @@
                         "        headers.remove(ClientRequest.TENANT);\n",
                         ""),
                 fault(
-                        "a client's own tenant name stands beside ours",
+                        "a client's own tenant name is kept beside the edge's",
                         TenantRequestsTest.class,
                         "aForgedTenantNameIsReplaced",
                         "TenantAuthentication",
@@ -122,8 +122,8 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource("faults")
     void isFound(String what, Class<?> test, String method, String[] edits) {
-        assertNull(Mutant.of().fails(test, method), "it holds without the fault");
-        String found = Mutant.of(edits).fails(test, method);
+        assertNull(Mutant.of().failureOf(test, method), "the test must pass without the fault");
+        String found = Mutant.of(edits).failureOf(test, method);
         assertNotNull(found, "not found: " + what);
         System.out.println("planted: " + what + " -> " + found.substring(0, Math.min(160, found.length())));
     }
--- a/src/test/java/brambletray/platform/proxy/PlantedTimelineFaultsTest.java
+++ b/src/test/java/brambletray/platform/proxy/PlantedTimelineFaultsTest.java
@@ -8,7 +8,10 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Faults of a request's time and of planned work, each planted, and found by the timeline that is there to find it. */
+/**
+ * Plants faults in the handling of timeouts, shutdown and configuration changes and checks that a dedicated test
+ * detects each one.
+ */
 class PlantedTimelineFaultsTest {
     private static Arguments fault(String what, Class<?> test, String method, String... edits) {
         return Arguments.of(what, test, method, edits);
@@ -17,91 +20,91 @@
     static Stream<Arguments> faults() {
         return Stream.of(
                 fault(
-                        "an answer that closes its connection is cut after a second",
+                        "a response that closes its connection is cut after one second",
                         SlowReaderTest.class,
                         "theAnswerThatClosesAConnectionOfADrainingEdgeIsTakenToItsEnd",
                         "ClientConnection",
                         "writer.isWriting() ? MAX_WRITE_MS : LINGER_MS",
                         "LINGER_MS"),
                 fault(
-                        "an answer on its way counts as a rest",
+                        "a connection with a response being written counts as idle",
                         SlowReaderTest.class,
                         "anEdgeThatStopsAcceptingDoesNotCutAnAnswerOnItsWay",
                         "ClientConnection",
                         "pipelined.isEmpty() && !writer.isWriting();",
                         "pipelined.isEmpty();"),
                 fault(
-                        "the idle time begins when the answer is written",
+                        "the idle time starts before the response is written to the socket",
                         SlowReaderTest.class,
                         "theIdleTimeBeginsWhenTheAnswerIsTaken",
                         "ClientConnection",
                         "        writer.whenWritten(this::onWritten);\n",
                         ""),
                 fault(
-                        "a client that never reads is kept",
+                        "a client that never reads is not disconnected",
                         SlowReaderTest.class,
                         "aClientThatNeverReadsIsGivenUp",
                         "ClientConnection",
                         "MAX_WRITE_MS = 15_000;",
                         "MAX_WRITE_MS = 150_000;"),
                 fault(
-                        "the process ends without an answer to what waits",
+                        "the process exits without answering waiting requests",
                         GracefulShutdownTest.class,
                         "aRequestThatStillWaitsForAHostIsRefusedBeforeTheProcessEnds",
                         "GracefulShutdown",
                         "        after(graceMs - ANSWER_MARGIN_MS, frontEndServer::answerNow);\n",
                         ""),
                 fault(
-                        "a silent host ends a request as soon as the edge leaves",
+                        "a request at a silent host is answered as soon as accepting ends",
                         GracefulShutdownTest.class,
                         "aRequestAtASilentHostIsAnsweredBeforeTheProcessEndsAndNoSooner",
                         "GracefulShutdown",
                         "graceMs - ANSWER_MARGIN_MS, frontEndServer::answerNow",
                         "acceptingMs, frontEndServer::answerNow"),
                 fault(
-                        "a stream is cut when the rest is answered",
+                        "a stream is cut when waiting requests are answered",
                         GracefulShutdownTest.class,
-                        "aStreamThatIsStillComingShortlyBeforeTheEndIsNotCutForThat",
+                        "aStreamInProgressShortlyBeforeTheEndIsNotCut",
                         "ClientConnection",
                         "            driver.answerNow();",
                         "            abort();"),
                 fault(
-                        "the process ends while a request is being read",
+                        "the process exits while a request is being read",
                         GracefulShutdownTest.class,
                         "aRequestThatIsBeingReadIsServed",
                         "GracefulShutdown",
                         "requestRouter.activeRequests() == 0 && frontEndServer.connectionCount() == 0",
                         "requestRouter.activeRequests() == 0"),
                 fault(
-                        "what is read at the last moment is served",
+                        "a request completed at the last moment is served",
                         GracefulShutdownTest.class,
-                        "aRequestThatIsReadWholeAtTheLastMomentIsRefusedAtOnce",
+                        "aRequestCompletedAtTheLastMomentIsRefusedImmediately",
                         "FrontEndServer",
                         "        requestRouter.rejectNew();\n",
                         ""),
                 fault(
-                        "a second signal begins anew",
+                        "a second signal is not ignored",
                         GracefulShutdownTest.class,
                         "aSecondSignalChangesNothing",
                         "GracefulShutdown",
                         "        if (started) {\n            return;",
                         "        if (started) {\n            exit.accept(1);\n            return;"),
                 fault(
-                        "what was read ahead is dropped by an edge that leaves",
+                        "a pipelined request is dropped by a draining edge",
                         PipelinedRequestTest.class,
-                        "anEdgeThatLeavesServesItBeforeItClosesTheConnection",
+                        "aDrainingEdgeServesItBeforeItClosesTheConnection",
                         "ClientConnection",
-                        "front.isDraining() && pipelined.isEmpty();",
-                        "front.isDraining();"),
+                        "server.isDraining() && pipelined.isEmpty();",
+                        "server.isDraining();"),
                 fault(
-                        "the time of what was read ahead begins with its turn",
+                        "the deadline of a pipelined request counts from its turn",
                         PipelinedRequestTest.class,
-                        "itsTimeBeginsWhenItIsRead",
+                        "itsDeadlineCountsFromWhenItIsRead",
                         "ClientConnection",
                         "onPart(next.part(), next.readAtMs());",
-                        "onPart(next.part(), front.now());"),
+                        "onPart(next.part(), server.now());"),
                 fault(
-                        "no timer while a place is waited for",
+                        "no timer is set while a request waits for a slot",
                         RouteTimeoutTest.class,
                         "noPlaceIsEverGranted",
                         "RequestLifecycle",
@@ -110,28 +113,28 @@
                         "        return hedgeAtMs != 0 && pendingRequestId == 0 ? Math.min(hedgeAtMs, "
                                 + "lastSendMs) : attempts.activeCount() > 0 ? lastSendMs : plan.deadlineMs() + 300;"),
                 fault(
-                        "an answer that has begun at the host holds its client past the timeout",
+                        "an incomplete host response delays the client's response past the timeout",
                         RouteTimeoutTest.class,
                         "theHostsAnswerIsNotWholeYet",
                         "RequestLifecycle",
                         "        this.lastSendMs = plan.deadlineMs() - Math",
                         "        this.lastSendMs = plan.deadlineMs() + 300 - Math"),
                 fault(
-                        "a stream is waited for past the timeout",
+                        "a stalled stream is waited for past the timeout",
                         RouteTimeoutTest.class,
                         "aStreamedAnswerStops",
                         "RequestLifecycle",
                         "LINGER_MS = 150;",
                         "LINGER_MS = 400;"),
                 fault(
-                        "a stream that its client does not read is waited for past the timeout",
+                        "a stream that the client does not read is waited for past the timeout",
                         RouteTimeoutTest.class,
                         "theClientDoesNotReadAStreamedAnswer",
                         "RequestLifecycle",
                         "LINGER_MS = 150;",
                         "LINGER_MS = 400;"),
                 fault(
-                        "a body that stops has no time of its own",
+                        "a stalled request body has no timeout",
                         RouteTimeoutTest.class,
                         "theClientsBodyStops",
                         "ClientConnection",
@@ -139,22 +142,22 @@
                                 + "startBodyTimeout();",
                         "    public void channelReadComplete(ChannelHandlerContext context) {"),
                 fault(
-                        "a body that stops behind another request has no time of its own",
+                        "a stalled body of a pipelined request has no timeout",
                         RouteTimeoutTest.class,
                         "theClientsBodyStopsBehindAnotherRequest",
                         "ClientConnection",
                         "            channel.config().setAutoRead(true);\n        }\n        startBodyTimeout();",
                         "            channel.config().setAutoRead(true);\n        }"),
                 fault(
-                        "a timer of the body that outlives it",
+                        "the body timeout is not cancelled when the body is complete",
                         RouteTimeoutTest.class,
                         "aBodyThatIsWholeInTimeIsNotAnsweredForItsSlowness",
                         "ClientConnection",
                         "        stopBodyTimeout();\n",
                         "",
                         "ClientConnection",
-                        "timeOut(state == State.BODY);",
-                        "timeOut(true);",
+                        "timeOutIfDue(state == State.BODY);",
+                        "timeOutIfDue(true);",
                         "ClientConnection",
                         "if (state != State.CLOSING && state != State.BUSY) {",
                         "if (state != State.CLOSING) {"),
@@ -164,27 +167,27 @@
                         "limitsAreLoweredWhileABodyIsRead",
                         "ClientConnection",
                         "        Rejection rejection = requestReader.onBody(content);",
-                        "        Rejection rejection = front.requestRouter().limits().maxBodyBytes() < 5 "
+                        "        Rejection rejection = server.requestRouter().limits().maxBodyBytes() < 5 "
                                 + "? Rejection.TOO_LARGE : requestReader.onBody(content);"),
                 fault(
-                        "a rest allowed by the limits before is cut short",
+                        "a connection is closed although idle time remains under the earlier limits",
                         ConfigurationChangeTest.class,
-                        "aConnectionThatRestedUnderTheOldLimitsIsStillTaken",
+                        "aConnectionIdleUnderTheOldLimitsIsStillUsable",
                         "ClientConnection",
                         "        return Math.max(limits.idleTimeoutMs(), "
-                                + "front.requestRouter().limits().idleTimeoutMs());",
-                        "        return front.requestRouter().limits().idleTimeoutMs();"),
+                                + "server.requestRouter().limits().idleTimeoutMs());",
+                        "        return server.requestRouter().limits().idleTimeoutMs();"),
                 fault(
-                        "limits of when the connection was opened",
+                        "the limits of the time when the connection was opened stay in force",
                         ConfigurationChangeTest.class,
-                        "raisedLimitsHoldOnConnectionsThatAreOpenAlready",
+                        "raisedLimitsApplyToOpenConnections",
                         "ClientConnection",
-                        "            limits = front.requestRouter().limits();\n",
+                        "            limits = server.requestRouter().limits();\n",
                         ""),
                 fault(
-                        "a withdrawn route ends what waits",
+                        "removing a route aborts its waiting requests",
                         ConfigurationChangeTest.class,
-                        "theRouteIsWithdrawnWhileARequestWaits",
+                        "routeRemovedWhileARequestWaits",
                         "RequestDriver",
                         "                lifecycle.onGranted(grant, router.now());",
                         "                if (router.deadlineMs(clientRequest.headers(), "
@@ -195,9 +198,9 @@
                         "    void abort() {\n",
                         "    void cut() {\n        client.abort();\n    }\n\n    void abort() {\n"),
                 fault(
-                        "a withdrawn route ends what is streamed",
+                        "removing a route aborts its streamed responses",
                         ConfigurationChangeTest.class,
-                        "theRouteIsWithdrawnWhileAnAnswerIsStreamed",
+                        "routeRemovedWhileAResponseIsStreamed",
                         "ClientReply",
                         "        return client.writeMore(bytes);",
                         "        if (router.deadlineMs(clientRequest.headers(), clientRequest.uri(), 0) "
@@ -208,8 +211,8 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource("faults")
     void isFound(String what, Class<?> test, String method, String[] edits) {
-        assertNull(Mutant.of().fails(test, method), "it holds without the fault");
-        String found = Mutant.of(edits).fails(test, method);
+        assertNull(Mutant.of().failureOf(test, method), "the test must pass without the fault");
+        String found = Mutant.of(edits).failureOf(test, method);
         assertNotNull(found, "not found: " + what);
     }
 }
--- a/src/test/java/brambletray/platform/proxy/RandomClient.java
+++ b/src/test/java/brambletray/platform/proxy/RandomClient.java
@@ -36,7 +36,7 @@
 
     /** One connection, with the tries that wait on it, oldest first. */
     private final class Connection extends ChannelInboundHandlerAdapter {
-        final ArrayDeque<ExchangeChecker.Try> waiting = new ArrayDeque<>();
+        final ArrayDeque<ExchangeChecker.ClientAttempt> waiting = new ArrayDeque<>();
         final StringBuilder in = new StringBuilder();
         /** So many bytes must be here before the next answer can be whole. */
         int least;
@@ -80,7 +80,7 @@
             }
             String head = in.substring(0, end);
             if (!head.startsWith("HTTP/1.1 ") || head.length() < 12) {
-                ruling.breaks("MIXED", "no answer: " + head);
+                ruling.addViolation("MIXED", "no answer: " + head);
                 in.setLength(0);
                 return false;
             }
@@ -89,12 +89,12 @@
                 in.delete(0, end + 4);
                 return true;
             }
-            ExchangeChecker.Try of = waiting.peek();
+            ExchangeChecker.ClientAttempt of = waiting.peek();
             boolean bare = status == 204 || status == 304 || of != null && of.method.equals("HEAD");
             String length = ScriptedHost.header(head, "content-length");
             boolean chunked = ScriptedHost.header(head, "transfer-encoding").equals("chunked");
             if (!bare && length.isEmpty() == !chunked) {
-                ruling.breaks("MIXED", "no telling where it ends: " + head);
+                ruling.addViolation("MIXED", "no telling where it ends: " + head);
             }
             String[] body = {""};
             int to = bare ? end + 4 : chunked ? chunks(end + 4, body) : end + 4 + Integer.parseInt(length);
@@ -108,7 +108,7 @@
             in.delete(0, to);
             waiting.poll();
             over |= ScriptedHost.header(head, "connection").equals("close");
-            ruling.answer(
+            ruling.onResponse(
                     of,
                     status,
                     ScriptedHost.header(head, "brambletray-attempt-id"),
@@ -148,14 +148,14 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (!(cause instanceof java.io.IOException)) {
-                ruling.breaks("MIXED", "cannot be read: " + cause);
+                ruling.addViolation("MIXED", "cannot be read: " + cause);
             }
             context.close();
         }
     }
 
     /** Sends it, on the connection at hand or on a new one; {@code ahead}: also while others wait there. */
-    void send(ExchangeChecker.Try one, String headers, boolean ahead) {
+    void send(ExchangeChecker.ClientAttempt one, String headers, boolean ahead) {
         boolean close = random.nextInt(12) == 0;
         String head = one.method + " " + one.uri + " HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: " + one.id
                 + "\r\n" + headers + (close ? "Connection: close\r\n" : "");
--- a/src/test/java/brambletray/platform/proxy/RandomExchanges.java
+++ b/src/test/java/brambletray/platform/proxy/RandomExchanges.java
@@ -198,23 +198,23 @@
     private void back(long askId) {
         int left = held.merge(askId, -1, Integer::sum);
         if (left < 0) {
-            ruling.breaks("PLACE", "one of ask " + askId + " is given back twice");
+            ruling.addViolation("PLACE", "one of ask " + askId + " is given back twice");
         }
     }
 
     // ---- What happens ---------------------------------------------------------------------------
     /** Plays it; the rules broken, none if all hold. */
     List<String> play() {
-        for (int step = 0; step < steps && ruling.broken().isEmpty(); step++) {
+        for (int step = 0; step < steps && ruling.violations().isEmpty(); step++) {
             happens();
             run(random.nextInt(pause));
         }
         calm();
         run(12_000);
-        if (ruling.broken().isEmpty()) {
+        if (ruling.violations().isEmpty()) {
             atRest();
         }
-        return ruling.broken();
+        return ruling.violations();
     }
 
     private void happens() {
@@ -288,8 +288,8 @@
         String method = !body.isEmpty() ? "POST" : random.nextInt(8) == 0 ? "HEAD" : "GET";
         int count = random.nextInt(RETRY_COUNT_MOST + 1);
         String uri = (repeatable ? "/r" : "/n") + count + "/p" + ids + "?q=" + ids;
-        ExchangeChecker.Try one =
-                ruling.asked(new ExchangeChecker.Try("t" + ids++, method, uri, body, repeatable, Math.max(1, count)));
+        ExchangeChecker.ClientAttempt one = ruling.onRequestSent(
+                new ExchangeChecker.ClientAttempt("t" + ids++, method, uri, body, repeatable, Math.max(1, count)));
         int left = random.nextInt(4) == 0 ? 1 + random.nextInt(120) : 200 + random.nextInt(2_500);
         pick(clients).send(one, "Brambletray-Deadline-Remaining: " + left + "\r\n", random.nextInt(10) == 0);
     }
@@ -330,17 +330,18 @@
 
     private void atRest() {
         if (flow.inFlight() != 0 || flow.activeRequests() != 0) {
-            ruling.breaks("REST", flow.inFlight() + " requests in flight, " + flow.activeRequests() + " under way");
+            ruling.addViolation(
+                    "REST", flow.inFlight() + " requests in flight, " + flow.activeRequests() + " under way");
         }
         if (flow.heldBytes() != 0) {
-            ruling.breaks("REST", flow.heldBytes() + " bytes held");
+            ruling.addViolation("REST", flow.heldBytes() + " bytes held");
         }
         held.values().removeIf(places -> places == 0);
         if (!held.isEmpty() || !asks.isEmpty()) {
-            ruling.breaks("REST", "places not given back: " + held + ", asks " + asks.size());
+            ruling.addViolation("REST", "places not given back: " + held + ", asks " + asks.size());
         }
         if (lines.openCount() != 0) {
-            ruling.breaks("REST", lines.openCount() + " connections to hosts");
+            ruling.addViolation("REST", lines.openCount() + " connections to hosts");
         }
     }
 
@@ -399,9 +400,9 @@
                     e.printStackTrace();
                 }
             }
-            tries += scenario.ruling.tries();
+            tries += scenario.ruling.attemptCount();
             successes += scenario.ruling.successes;
-            promises += scenario.ruling.promises;
+            promises += scenario.ruling.nonExecutionResponses;
             all.surplusResponses += scenario.counters.surplusResponses;
             all.streamedResponses += scenario.counters.streamedResponses;
             all.staleConnections += scenario.counters.staleConnections;
--- a/src/test/java/brambletray/platform/proxy/RandomExchangesTest.java
+++ b/src/test/java/brambletray/platform/proxy/RandomExchangesTest.java
@@ -63,11 +63,11 @@
         for (long seed = 1; seed <= 150; seed++) {
             RandomExchanges scenario = new RandomExchanges(seed, STEPS);
             assertEquals(List.of(), scenario.play(), "seed " + seed);
-            tries += scenario.ruling().tries();
+            tries += scenario.ruling().attemptCount();
             successes += scenario.ruling().successes;
-            promises += scenario.ruling().promises;
+            promises += scenario.ruling().nonExecutionResponses;
             sealedFailures += scenario.ruling().sealedFailures;
-            ranAgain += scenario.ruling().ranAgain;
+            ranAgain += scenario.ruling().multiHostAttempts;
             RequestCounters of = scenario.counters();
             all.surplusResponses += of.surplusResponses;
             all.streamedResponses += of.streamedResponses;
--- a/src/test/java/brambletray/platform/proxy/RandomHost.java
+++ b/src/test/java/brambletray/platform/proxy/RandomHost.java
@@ -117,7 +117,7 @@
         private final Channel channel;
         private final StringBuilder in = new StringBuilder();
         /** What is at work here, unanswered. */
-        private ExchangeChecker.Try at;
+        private ExchangeChecker.ClientAttempt at;
         /** Bytes that are still to come of a request that was answered early. */
         private int rest;
         /** In the midst of an answer. */
@@ -182,11 +182,11 @@
         /** The first byte of a request is here. */
         private void begins() {
             if (at != null) {
-                ruling.breaks("OWED", "a request at " + name + " while " + at.id + " is owed its answer there");
+                ruling.addViolation("OWED", "a request at " + name + " while " + at.id + " is owed its answer there");
             } else if (ending) {
-                ruling.breaks("OWED", "a request at " + name + " where none may follow");
+                ruling.addViolation("OWED", "a request at " + name + " where none may follow");
             } else if (now() > surplusSeen && now() > unseeingUntil) {
-                ruling.breaks(
+                ruling.addViolation(
                         "OWED",
                         "a request at " + name + " on a connection with surplus bytes that were there long before");
             }
@@ -194,7 +194,7 @@
 
         private void work(String head, String body) {
             String[] line = head.substring(0, head.indexOf("\r\n")).split(" ");
-            ExchangeChecker.Try one = ruling.arrived(
+            ExchangeChecker.ClientAttempt one = ruling.onRequestReceived(
                     ScriptedHost.header(head, "brambletray-attempt-id"),
                     line[0],
                     line[1],
@@ -206,7 +206,7 @@
             }
             Answer answer = draw(one, body == null);
             if (answer.runs()) {
-                ruling.ran(one, name);
+                ruling.onExecuted(one, name);
             }
             if (answer.bytes() == null) {
                 at = one;
@@ -280,7 +280,7 @@
     }
 
     // ---- What it says ---------------------------------------------------------------------------
-    private Answer draw(ExchangeChecker.Try one, boolean early) {
+    private Answer draw(ExchangeChecker.ClientAttempt one, boolean early) {
         if (random.nextInt(100) >= fault) {
             return new Answer(good(one, false), true, Then.STAYS, "");
         }
@@ -299,7 +299,7 @@
         };
     }
 
-    private String body(ExchangeChecker.Try one) {
+    private String body(ExchangeChecker.ClientAttempt one) {
         int pad = random.nextInt(large) == 0 ? 3_000 + random.nextInt(9_000) : random.nextInt(3) == 0 ? 400 : 0;
         return name + ":" + one.id + ":" + one.arrivals + "/" + ".".repeat(pad);
     }
@@ -330,14 +330,14 @@
     }
 
     /** A whole, sealed answer. */
-    private String good(ExchangeChecker.Try one, boolean closing) {
+    private String good(ExchangeChecker.ClientAttempt one, boolean closing) {
         String headers = SEAL
                 + (closing
                         ? "Connection: close\r\n"
                         : random.nextInt(4) == 0 ? "Keep-Alive: timeout=" + random.nextInt(4) + "\r\n" : "");
         String before = random.nextInt(12) == 0 ? "HTTP/1.1 103 Early Hints\r\n" + SEAL + "\r\n" : "";
         if (random.nextInt(15) == 0) {
-            one.sealed.add("");
+            one.sealedBodies.add("");
             return before + head("204 No Content", one.id, headers) + "\r\n";
         }
         if (random.nextInt(25) == 0) {
@@ -352,17 +352,17 @@
         }
         String body = body(one);
         if (one.method.equals("HEAD")) {
-            one.sealed.add("");
+            one.sealedBodies.add("");
             return before + head("200 OK", one.id, headers) + "Content-Length: " + body.length() + "\r\n\r\n";
         }
-        one.sealed.add(body);
+        one.sealedBodies.add(body);
         return before
                 + (random.nextInt(3) == 0
                         ? head("200 OK", one.id, headers + "Transfer-Encoding: chunked\r\n") + "\r\n" + chunked(body)
                         : sized("200 OK", one.id, headers, body));
     }
 
-    private Answer failed(ExchangeChecker.Try one) {
+    private Answer failed(ExchangeChecker.ClientAttempt one) {
         String status = switch (random.nextInt(6)) {
             case 0 -> "504 Gateway Timeout";
             case 1 -> "503 Service Unavailable";
@@ -379,7 +379,7 @@
         return new Answer(sized(status, one.id, sealed ? SEAL : "", body), true, Then.STAYS, "");
     }
 
-    private Answer shed(ExchangeChecker.Try one) {
+    private Answer shed(ExchangeChecker.ClientAttempt one) {
         String id = random.nextBoolean() ? one.id : null;
         String surplus = switch (random.nextInt(6)) {
             case 0, 1 -> notRun(one.id);
@@ -400,7 +400,7 @@
                         "");
     }
 
-    private Answer cut(ExchangeChecker.Try one) {
+    private Answer cut(ExchangeChecker.ClientAttempt one) {
         String whole = good(one, false);
         int size = 1 + random.nextInt(Math.max(1, whole.length() - 1));
         return new Answer(
@@ -411,7 +411,7 @@
     }
 
     /** Bytes that are no answer, or not a success; none of their bodies may reach a client as one. */
-    private Answer spoilt(ExchangeChecker.Try one) {
+    private Answer spoilt(ExchangeChecker.ClientAttempt one) {
         int kind = random.nextInt(18);
         String body = "spoilt" + kind + ":" + body(one);
         String id = one.id;
--- a/src/test/java/brambletray/platform/proxy/RequestLifecycleTest.java
+++ b/src/test/java/brambletray/platform/proxy/RequestLifecycleTest.java
@@ -119,7 +119,7 @@
         public void cancel(Attempt attempt) {
             assertTrue(attempts.remove(attempt) != null, "cancelled twice");
             assertTrue(
-                    settling || now >= plan.deadlineMs() || !attempt.onSent(),
+                    settling || now >= plan.deadlineMs() || !attempt.isSent(),
                     "work broken off that nobody had to break off");
         }
 
@@ -220,7 +220,7 @@
             List<Attempt> all = new ArrayList<>(attempts.keySet());
             all.sort(java.util.Comparator.comparing(attempt -> attempt.grant.instanceId()));
             Attempt attempt = all.get(random.nextInt(all.size()));
-            if (!attempt.onSent()) {
+            if (!attempt.isSent()) {
                 int chance = random.nextInt(6);
                 if (chance < 2) {
                     attempts.remove(attempt);
--- a/src/test/resources/brambletray/platform/proxy/answers.feature
+++ b/src/test/resources/brambletray/platform/proxy/answers.feature
@@ -1,6 +1,6 @@
-Feature: Which bytes of a host are an answer
+Feature: Validation of host responses and reuse of connections
 
-  Scenario: No stamp, no name, an encoding, garbage, no end: none of these is an answer, and each may have run
+  Scenario: Responses without a seal or id, encoded, garbled or unframed are invalid, and the request may have run
     Given a route of type non_idempotent for 1 host
     When this is played
       """
@@ -18,7 +18,7 @@
       """
     Then nothing is left over
 
-  Scenario: An answer that is cut in its body never reaches the client
+  Scenario: A response truncated in its body never reaches the client
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -30,7 +30,7 @@
       """
     Then nothing is left over
 
-  Scenario: A late surplus answer, where the next one is due, is skipped whole
+  Scenario: A late surplus response that arrives before the next one is skipped completely
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -45,7 +45,7 @@
       """
     Then nothing is left over
 
-  Scenario: Blanks behind a whole answer end the connection as well: whoever sends them may send more
+  Scenario: Blanks after a complete response also end the connection, as more bytes may follow
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -55,7 +55,7 @@
       """
     Then nothing is left over
 
-  Scenario: An end that can be read in two ways, and another version: none of these is an answer
+  Scenario: Responses with ambiguous framing or another HTTP version are invalid
     Given a route of type non_idempotent for 1 host
     When this is played
       """
@@ -69,7 +69,7 @@
       """
     Then nothing is left over
 
-  Scenario: A late refusal without a name, where the next answer is due, proves nothing of the next request
+  Scenario: A late refusal without an id proves nothing about the next request
     Given a route of type non_idempotent for 2 hosts
     When this is played
       """
@@ -81,7 +81,7 @@
       """
     Then nothing is left over
 
-  Scenario: One that may be repeated goes elsewhere after it
+  Scenario: An idempotent request is sent to another host after a late refusal without an id
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -94,7 +94,7 @@
       """
     Then nothing is left over
 
-  Scenario: Bytes behind a whole answer take nothing from it, and end the connection; so do those that come while nobody waits
+  Scenario: Bytes after a complete response leave it valid but end the connection, as do bytes on an idle one
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -109,7 +109,7 @@
       """
     Then nothing is left over
 
-  Scenario: A large answer is given on as it comes; broken off, the client's connection is cut
+  Scenario: A large response is streamed; if it breaks off, the client's connection is cut
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -123,7 +123,7 @@
       """
     Then nothing is left over
 
-  Scenario: Kept connections: as long as the host says; without its word briefly, for what must not run twice
+  Scenario: Idle connections are kept as long as the host states, else briefly for requests that must not run twice
     Given a route of type non_idempotent for 2 hosts
     When this is played
       """
@@ -139,7 +139,7 @@
       """
     Then nothing is left over
 
-  Scenario: A host that is gone: what it is at ends, its connections are not kept
+  Scenario: When a host is gone, its requests are completed and its connections are not kept
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -152,7 +152,7 @@
       """
     Then nothing is left over
 
-  Scenario: One request at a time: what a client sends ahead waits for its turn, and answers come in order
+  Scenario: Pipelined requests are served one at a time, and responses are sent in order
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -163,7 +163,7 @@
       """
     Then nothing is left over
 
-  Scenario: Idle and slow clients
+  Scenario: Idle connections are closed and slow requests are rejected
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -176,7 +176,7 @@
       """
     Then nothing is left over
 
-  Scenario: A client that does not read holds a large answer up, and not in our memory
+  Scenario: A client that does not read delays a large response without buffering it in memory
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -188,7 +188,7 @@
       """
     Then nothing is left over
 
-  Scenario: A client that goes amid a large answer: the host is left to finish, and its connection is kept
+  Scenario: When a client disconnects during a large response, the host finishes and its connection is kept
     Given a route of type idempotent for 2 hosts
     When this is played
       """
--- a/src/test/resources/brambletray/platform/proxy/operations.feature
+++ b/src/test/resources/brambletray/platform/proxy/operations.feature
@@ -1,10 +1,11 @@
-Feature: Keyed requests: the claim on their operation, and what becomes of it
+Feature: Keyed requests and the claims on their operations
 
-  One column a process, time downwards in ms; hosts are a, b. The column "claims" is the edge's client of the core: "claim k1 for 80"
-  is a request that waits 80 ms for it at most, "done 200 a:r1 sealed" an answer that is recorded, "released" a claim whose request
-  has not run, "abandoned" one of which nobody knows. Rows are strict: whatever is seen and not drawn fails the timeline.
+  Each column is a process, each row a time in ms; a and b are hosts. The column "claims" is the edge's claim client of
+  the core: "claim k1 for 80" requests a claim and waits up to 80 ms for it, "done 200 a:r1 sealed" records an answer,
+  "released" ends a claim whose request has not run, "abandoned" ends one whose result is unknown. Rows are strict: an
+  observation that is not listed fails the timeline.
 
-  Scenario: The claim comes before the slot, the answer is recorded
+  Scenario: The claim is obtained before the slot, and the answer is recorded
     Given a route of type keyed for 2 hosts
     When this is played
       """
@@ -15,7 +16,7 @@
       """
     Then nothing is left over
 
-  Scenario: Without its key, or with two, it is refused
+  Scenario: A request without a key or with two keys is rejected
     Given a route of type keyed for 2 hosts
     When this is played
       """
@@ -25,7 +26,7 @@
       """
     Then nothing is left over
 
-  Scenario: A repeat has the first one's answer and asks for no slot
+  Scenario: A repeat gets the first attempt's answer and requests no slot
     Given a route of type keyed for 2 hosts
     When this is played
       """
@@ -35,7 +36,7 @@
       """
     Then nothing is left over
 
-  Scenario: A repeat of what is in work waits for its time, then 409
+  Scenario: A repeat of an operation in progress waits until its deadline, then gets 409
     Given a route of type keyed for 2 hosts
     When this is played
       """
@@ -47,7 +48,7 @@
       """
     Then nothing is left over
 
-  Scenario: A repeat of what nobody can tell of is no promise
+  Scenario: A repeat of an operation with an unknown result is not reported as not run
     Given a route of type keyed for 2 hosts
     When this is played
       """
@@ -60,7 +61,7 @@
       """
     Then nothing is left over
 
-  Scenario: No claim is to be had: 503 with a time to come back
+  Scenario: If no claim can be obtained, the response is 503 with Retry-After
     Given a route of type keyed for 2 hosts
     When this is played
       """
@@ -70,7 +71,7 @@
       """
     Then nothing is left over
 
-  Scenario: The client gives up while the claim is on its way
+  Scenario: The client disconnects while the claim is pending
     Given a route of type keyed for 2 hosts
     When this is played
       """
@@ -80,7 +81,7 @@
       """
     Then nothing is left over
 
-  Scenario: No slot: the claim is released
+  Scenario: If no slot is granted, the claim is released
     Given a route of type keyed for 2 hosts
     When this is played
       """
@@ -91,7 +92,7 @@
       """
     Then nothing is left over
 
-  Scenario: The client leaves while its slot is awaited
+  Scenario: The client disconnects while the slot request is pending
     Given a route of type keyed for 2 hosts
     When this is played
       """
@@ -102,7 +103,7 @@
       """
     Then nothing is left over
 
-  Scenario: Both hosts prove that they did not run it
+  Scenario: Both hosts prove that they did not run the request
     Given a route of type keyed for 2 hosts
     When this is played
       """
@@ -114,7 +115,7 @@
       """
     Then nothing is left over
 
-  Scenario: The host's connection breaks: nobody knows, and it is not sent again
+  Scenario: If the host's connection breaks, the result is unknown and the request is not resent
     Given a route of type keyed for 2 hosts
     When this is played
       """
@@ -125,7 +126,7 @@
       """
     Then nothing is left over
 
-  Scenario: A host's own failure is the operation's answer
+  Scenario: A host's own failure is recorded as the operation's answer
     Given a route of type keyed for 2 hosts
     When this is played
       """
@@ -136,7 +137,7 @@
       """
     Then nothing is left over
 
-  Scenario: A promise without proof is no answer, and proves nothing
+  Scenario: A refusal without proof is not a valid answer and does not release the claim
     Given a route of type keyed for 2 hosts
     When this is played
       """
@@ -147,7 +148,7 @@
       """
     Then nothing is left over
 
-  Scenario: The client is gone when the host answers: its answer is recorded
+  Scenario: The answer is recorded even if the client has disconnected
     Given a route of type keyed for 2 hosts
     When this is played
       """
@@ -159,7 +160,7 @@
       """
     Then nothing is left over
 
-  Scenario: A silent host: 504 at the deadline, and nobody knows
+  Scenario: If the host is silent, the response is 504 at the deadline and the result is unknown
     Given a route of type keyed for 2 hosts
     When this is played
       """
@@ -171,7 +172,7 @@
       """
     Then nothing is left over
 
-  Scenario: An answer too large to be recorded
+  Scenario: A response too large to be recorded abandons the claim
     Given a route of type keyed for 2 hosts
     When this is played
       """
@@ -183,7 +184,7 @@
       """
     Then nothing is left over
 
-  Scenario: A claim that is too old is not used
+  Scenario: An expired claim is not used
     Given a route of type keyed for 2 hosts
     When this is played
       """
