--- a/src/main/java/brambletray/platform/admission/AdmissionParameters.java
+++ b/src/main/java/brambletray/platform/admission/AdmissionParameters.java
@@ -28,7 +28,7 @@
      * {@code leaveMs}: how long a leaving host is still used where nothing else is free (0: not at all; must stay well
      * below {@code drain-ms}).
      */
-    public record Selection(double slowFactor, int minPauseMs, int maxPauseMs, double blame, int drainingUseMs) {}
+    public record Selection(double slowFactor, int minPauseMs, int maxPauseMs, double pauseThreshold, int drainingUseMs) {}
 
     /**
      * {@code most}: queued requests of one queue; {@code ageMs}: ms of waiting that one step of priority is worth;
@@ -44,19 +44,19 @@
             int lateRequestPenaltyMs,
             double safetyFactor,
             int marginMs,
-            double third) {}
+            double retryAfterObeyedShare) {}
 
     /**
      * Slots reserved for nested calls: one of every {@code of}, from {@code least} slots on, for {@code forMs} after
      * the last nested call.
      */
-    public record NestedCalls(int oneOf, int minSlots, int rememberMs) {}
+    public record NestedCalls(int reserveDivisor, int minSlots, int rememberMs) {}
 
     /**
      * The retry budget: {@code ratio} and {@code slack} as the deployment states them, {@code windowMs} the sliding
      * window; {@code share}: the part of the slack that one queue may use.
      */
-    public record RetryBudgetLimits(double ratio, int slack, int windowMs, double hedgeShare) {}
+    public record RetryBudgetLimits(double ratio, int slack, int windowMs, double slackShare) {}
 
     /**
      * {@code fastMs}, {@code slowMs}: time constants of the two arrival rates, the fast one counting less {@code
@@ -72,8 +72,8 @@
             int slowMemoryMs,
             double standardErrors,
             double headroomFactor,
-            double tail,
-            double burst,
+            double tailExponent,
+            double burstHeadroom,
             int maxConcurrentStarts,
             int retryIntervalMs,
             int giveUpMs,
@@ -133,7 +133,7 @@
         return new AdmissionParameters(
                 limit,
                 new Selection(
-                        selection.slowFactor(), selection.minPauseMs(), selection.maxPauseMs(), selection.blame(), ms),
+                        selection.slowFactor(), selection.minPauseMs(), selection.maxPauseMs(), selection.pauseThreshold(), ms),
                 queue,
                 nestedCalls,
                 retryBudget,
--- a/src/main/java/brambletray/platform/admission/EventRate.java
+++ b/src/main/java/brambletray/platform/admission/EventRate.java
@@ -18,7 +18,7 @@
         if (firstMs == Long.MIN_VALUE) {
             firstMs = now;
         }
-        fade(now);
+        decay(now);
         sum += 1;
     }
 
@@ -26,12 +26,12 @@
         if (firstMs == Long.MIN_VALUE) {
             return 0;
         }
-        fade(now);
+        decay(now);
         double filled = 1 - Math.exp(-Math.max(1.0, (now - firstMs) / decayMs));
         return sum / (decayMs * filled);
     }
 
-    private void fade(long now) {
+    private void decay(long now) {
         if (now > lastMs) {
             sum *= Math.exp((lastMs - now) / decayMs);
             lastMs = now;
--- a/src/main/java/brambletray/platform/admission/FairShare.java
+++ b/src/main/java/brambletray/platform/admission/FairShare.java
@@ -18,7 +18,7 @@
     /** ms between two fadings of the counts. */
     private static final int DECAY_INTERVAL_MS = 100;
     /** Request classes that are counted separately; further ones count as the last of them. */
-    private static final int MAX_KINDS = 32;
+    private static final int MAX_CLASSES = 32;
     /** A tenant with fewer remembered outcomes than this is forgotten. */
     private static final double MIN_OUTCOMES = 0.05;
 
@@ -62,8 +62,8 @@
                 return classes.get(i);
             }
         }
-        if (classes.size() == MAX_KINDS) {
-            return classes.get(MAX_KINDS - 1);
+        if (classes.size() == MAX_CLASSES) {
+            return classes.get(MAX_CLASSES - 1);
         }
         RequestClass requestClass = new RequestClass(request);
         classes.add(requestClass);
@@ -95,11 +95,11 @@
     }
 
     /** A request has been rejected, or its deadline has passed in the queue. */
-    void onLost(SlotRequest request, long now) {
+    void onNotServed(SlotRequest request, long now) {
         if (counts(request)) {
-            classOf(request).share.countLost();
+            classOf(request).share.countNotServed();
             if (request.owner().isTenant()) {
-                tenantShare(request).countLost();
+                tenantShare(request).countNotServed();
             }
             evaluate(now);
         }
--- a/src/main/java/brambletray/platform/admission/HeldSlotsRecovery.java
+++ b/src/main/java/brambletray/platform/admission/HeldSlotsRecovery.java
@@ -28,7 +28,7 @@
         if (takeover.isWaitingForList(now) && earlyReports.size() < MAX_EARLY_REPORTS) {
             earlyReports.add(held);
         } else {
-            mark(held, now);
+            restore(held, now);
         }
         takeover.onReported(held.edge());
     }
@@ -41,23 +41,23 @@
     /** The coordinator has listed the instances. */
     void onListed(long now) {
         takeover.onListed();
-        markEarly(now);
+        restoreEarlyReports(now);
     }
 
     void tick(long now) {
         if (!earlyReports.isEmpty() && !takeover.isWaitingForList(now)) {
-            markEarly(now);
+            restoreEarlyReports(now);
         }
     }
 
-    private void markEarly(long now) {
+    private void restoreEarlyReports(long now) {
         for (HeldSlots held : earlyReports) {
-            mark(held, now);
+            restore(held, now);
         }
         earlyReports.clear();
     }
 
-    private void mark(HeldSlots held, long now) {
+    private void restore(HeldSlots held, long now) {
         for (SlotGrant grant : held.slots()) {
             if (!takeover.isListed()) {
                 instances.onInstance(
--- a/src/main/java/brambletray/platform/admission/InstancePool.java
+++ b/src/main/java/brambletray/platform/admission/InstancePool.java
@@ -107,13 +107,13 @@
                 .with("held", instance.heldSlots)
                 .log();
         onLoadedInstanceLeaving(instance, now);
-        forget(instance);
+        remove(instance);
         return true;
     }
 
     /** Not used any more, and stopped. */
     void stop(PooledInstance instance, long now) {
-        forget(instance);
+        remove(instance);
         StoppingInstance other = new StoppingInstance(instance.id);
         other.nextAttemptMs = now + STOP_RETRY_MS;
         stopping.add(other);
@@ -132,7 +132,7 @@
         stop(instance, now);
     }
 
-    private void forget(PooledInstance instance) {
+    private void remove(PooledInstance instance) {
         instances.remove(instance);
         listener.onRemoved(instance.id);
         slots.drop(instance);
--- a/src/main/java/brambletray/platform/admission/InstanceSlots.java
+++ b/src/main/java/brambletray/platform/admission/InstanceSlots.java
@@ -65,7 +65,7 @@
      * An edge that counted as gone repeats its request: it never received the slot, which is still reserved for it.
      * False if the slot has been released.
      */
-    boolean reclaimFrom(Slot slot) {
+    boolean reopenIfLost(Slot slot) {
         if (slot.closed && slot.lost) {
             reopen(slot, slot.requestEndMs);
         }
--- a/src/main/java/brambletray/platform/admission/KeepAlivePolicy.java
+++ b/src/main/java/brambletray/platform/admission/KeepAlivePolicy.java
@@ -42,7 +42,7 @@
     }
 
     /** The price of a start, GB-seconds, with its share of lateness. */
-    double startPriceGbS(ServiceSpec spec, int bootMs) {
+    double startCostGbS(ServiceSpec spec, int bootMs) {
         double late = spec.targetMs() <= 0 ? 0 : Math.min(1, Math.max(0, 2.0 * bootMs / spec.targetMs() - 1));
         return parameters.startGbS() + parameters.lateRequestGbS() * late * late;
     }
@@ -51,11 +51,11 @@
     int breakEvenMs(ServiceSpec spec, int bootMs) {
         return (int) Math.max(
                 parameters.minIdleMs(),
-                Math.min(parameters.maxIdleMs(), startPriceGbS(spec, bootMs) * 1024_000 / spec.memoryMb()));
+                Math.min(parameters.maxIdleMs(), startCostGbS(spec, bootMs) * 1024_000 / spec.memoryMb()));
     }
 
     /** The span for the last host, ms. */
-    int spanMs(ServiceSpec spec, int bootMs) {
+    int keepAliveMs(ServiceSpec spec, int bootMs) {
         int even = breakEvenMs(spec, bootMs);
         if (gapWeights == null) {
             return even;
--- a/src/main/java/brambletray/platform/admission/NestedCallReserve.java
+++ b/src/main/java/brambletray/platform/admission/NestedCallReserve.java
@@ -8,7 +8,7 @@
  */
 final class NestedCallReserve {
     /** Slots of which one can be reserved: one for a parent, one for its call. */
-    private static final int MIN_STALL_MS = 2;
+    private static final int MIN_SLOTS_AFTER_STALL = 2;
 
     private final AdmissionParameters.NestedCalls parameters;
     private long nestedCallAtMs = Long.MIN_VALUE / 2;
@@ -33,7 +33,7 @@
 
     /** Places without which calls could not be served beside their parents. */
     int minSlots(long now) {
-        return now - stalledAtMs <= parameters.rememberMs() ? MIN_STALL_MS : 0;
+        return now - stalledAtMs <= parameters.rememberMs() ? MIN_SLOTS_AFTER_STALL : 0;
     }
 
     /** Places that copies leave free, of so many: a quarter (the design: copies go out while the window has room). */
@@ -43,9 +43,9 @@
 
     /** Slots reserved of so many. */
     int reserved(int slots, long now) {
-        int least = minSlots(now) > 0 ? MIN_STALL_MS : parameters.minSlots();
+        int least = minSlots(now) > 0 ? MIN_SLOTS_AFTER_STALL : parameters.minSlots();
         return now - nestedCallAtMs > parameters.rememberMs() || slots < least
                 ? 0
-                : Math.max(1, slots / parameters.oneOf());
+                : Math.max(1, slots / parameters.reserveDivisor());
     }
 }
--- a/src/main/java/brambletray/platform/admission/PendingStarts.java
+++ b/src/main/java/brambletray/platform/admission/PendingStarts.java
@@ -11,13 +11,13 @@
  * maxConcurrentStarts}.
  */
 final class PendingStarts {
-    private static final class PendingNonce {
+    private static final class PendingStart {
         final String nonce;
         final long requestedAtMs;
         long nextAttemptMs;
         int attempts;
 
-        PendingNonce(String nonce, long since) {
+        PendingStart(String nonce, long since) {
             this.nonce = nonce;
             this.requestedAtMs = since;
         }
@@ -27,7 +27,7 @@
     private final String service;
     private final String homeZone;
     private final StartNonces nonces;
-    private final List<PendingNonce> pending = new ArrayList<>();
+    private final List<PendingStart> pending = new ArrayList<>();
     private long blockedUntilMs = Long.MIN_VALUE;
     private double bootMs = -1;
 
@@ -70,7 +70,7 @@
     }
 
     void request(int urgency, AdmissionActions actions, long now) {
-        PendingNonce start = new PendingNonce(nonces.next(), now);
+        PendingStart start = new PendingStart(nonces.next(), now);
         start.nextAttemptMs = now + parameters.retryIntervalMs();
         pending.add(start);
         actions.requestStart(new StartRequest(service, homeZone, start.nonce, urgency));
@@ -90,8 +90,8 @@
 
     /** Repeats what is not answered; gives up what has been so for long. */
     void tick(int urgency, AdmissionActions actions, long now) {
-        for (Iterator<PendingNonce> each = pending.iterator(); each.hasNext(); ) {
-            PendingNonce start = each.next();
+        for (Iterator<PendingStart> each = pending.iterator(); each.hasNext(); ) {
+            PendingStart start = each.next();
             if (now - start.requestedAtMs >= parameters.giveUpMs()) {
                 each.remove();
             } else if (start.nextAttemptMs <= now) {
--- a/src/main/java/brambletray/platform/admission/PooledInstances.java
+++ b/src/main/java/brambletray/platform/admission/PooledInstances.java
@@ -184,7 +184,7 @@
             }
             case BROKEN, SILENT -> {
                 instance.failureScore += 1;
-                if (instance.failureScore >= parameters.blame()) {
+                if (instance.failureScore >= parameters.pauseThreshold()) {
                     pause(instance, now);
                     instance.failureScore = 0;
                 }
--- a/src/main/java/brambletray/platform/admission/RequestQueue.java
+++ b/src/main/java/brambletray/platform/admission/RequestQueue.java
@@ -34,9 +34,9 @@
     /** From this rank on routes are alike; all their steps together are less than one of a tenant's priority. */
     private static final int MAX_ROUTE_RANK = 3;
     /** A tenant with fewer waiting requests than this floods no queue. */
-    private static final int MIN_FLOOD = 4;
+    private static final int MIN_FLOOD_REQUESTS = 4;
     /** A tenant floods the queue that has more than one of so many waiting requests. */
-    private static final int FLOOD_ONE_OF = 4;
+    private static final int FLOOD_SHARE_DIVISOR = 4;
     /** Before any key that time alone can make, ms. */
     private static final long DISADVANTAGED_BONUS_MS = 1L << 40;
 
@@ -74,7 +74,7 @@
         for (int i = 0; i < waiters.size(); i++) {
             own += waiters.get(i).request.owner().tenant().equals(tenant) ? 1 : 0;
         }
-        return own >= MIN_FLOOD && own * FLOOD_ONE_OF > waiters.size();
+        return own >= MIN_FLOOD_REQUESTS && own * FLOOD_SHARE_DIVISOR > waiters.size();
     }
 
     int size() {
--- a/src/main/java/brambletray/platform/admission/RetryBudget.java
+++ b/src/main/java/brambletray/platform/admission/RetryBudget.java
@@ -9,7 +9,7 @@
 final class RetryBudget {
     private static final int BUCKETS = 40;
     /** Part of a home's share of the slack in its first window, where it has taken the service over. */
-    private static final double REDUCED_SHARE = 1.0 / 3;
+    private static final double TAKEOVER_SLACK_SHARE = 1.0 / 3;
 
     private final AdmissionParameters.RetryBudgetLimits limits;
     private final int bucketMs;
@@ -55,7 +55,7 @@
             hedged += hedges[bucketIndex(bucket)];
         }
         double allowed = limits.ratio() * asked
-                + limits.slack() * limits.hedgeShare() * (now < reducedUntilMs ? REDUCED_SHARE : 1);
+                + limits.slack() * limits.slackShare() * (now < reducedUntilMs ? TAKEOVER_SLACK_SHARE : 1);
         if (hedge) {
             return hedged + 1 <= (allowed - other) / 2;
         }
--- a/src/main/java/brambletray/platform/admission/Scaler.java
+++ b/src/main/java/brambletray/platform/admission/Scaler.java
@@ -152,7 +152,7 @@
                             && (n > keep || n == 1)
                             && now - takenOverAtMs
                                     >= context.parameters.keepAlive().settlingMs()
-                            && now - instance.idleSinceMs >= idleSpanMs(n)) {
+                            && now - instance.idleSinceMs >= keepAliveMs(n)) {
                 instances.stop(instance, now);
                 n--;
             }
@@ -170,9 +170,9 @@
         }
     }
 
-    private int idleSpanMs(int n) {
+    private int keepAliveMs(int n) {
         int bootMs = starts.bootMs(context.spec);
-        return n == 1 ? keepAlive.spanMs(context.spec, bootMs) : keepAlive.breakEvenMs(context.spec, bootMs);
+        return n == 1 ? keepAlive.keepAliveMs(context.spec, bootMs) : keepAlive.breakEvenMs(context.spec, bootMs);
     }
 
     /** When a host may have been idle for long enough. */
@@ -197,7 +197,7 @@
                                         + context.parameters.selection().drainingUseMs()));
             } else if (n > minInstances) {
                 long at = Math.max(
-                        instance.idleSinceMs + idleSpanMs(n),
+                        instance.idleSinceMs + keepAliveMs(n),
                         takenOverAtMs + context.parameters.keepAlive().settlingMs());
                 next = Math.min(next, at > now ? at : now + 500);
             }
--- a/src/main/java/brambletray/platform/admission/ServedShare.java
+++ b/src/main/java/brambletray/platform/admission/ServedShare.java
@@ -10,7 +10,7 @@
     private static final double MIN_SHARE = 0.5;
 
     private double served;
-    private double lost;
+    private double notServed;
     private boolean disadvantaged;
 
     /** Whether it is served less than half as often as all. */
@@ -22,18 +22,18 @@
         served++;
     }
 
-    void countLost() {
-        lost++;
+    void countNotServed() {
+        notServed++;
     }
 
     /** Outcomes that are remembered. */
     double outcomes() {
-        return served + lost;
+        return served + notServed;
     }
 
     void decay(double left) {
         served *= left;
-        lost *= left;
+        notServed *= left;
     }
 
     /** Judges each of these groups against all of them. */
@@ -45,11 +45,11 @@
             outcomesOfAll += share.outcomes();
         }
         for (ServedShare share : shares) {
-            share.judge(servedOfAll, outcomesOfAll);
+            share.updateAgainst(servedOfAll, outcomesOfAll);
         }
     }
 
-    private void judge(double servedOfAll, double outcomesOfAll) {
+    private void updateAgainst(double servedOfAll, double outcomesOfAll) {
         double own = outcomes();
         disadvantaged = own >= MIN_REQUESTS && served * outcomesOfAll < MIN_SHARE * servedOfAll * own;
     }
--- a/src/main/java/brambletray/platform/admission/ServiceQueue.java
+++ b/src/main/java/brambletray/platform/admission/ServiceQueue.java
@@ -96,7 +96,7 @@
     }
 
     /** Withdrawn, and nothing is left to end. */
-    boolean isOver() {
+    boolean isFinished() {
         return withdrawn && instances.isEmpty() && starts.count() == 0;
     }
 
@@ -120,7 +120,7 @@
     void onSlotRequest(SlotRequest request, boolean serveHere, long now) {
         Slot known = slots.find(request.edge(), request.id());
         if (known != null) {
-            if (slots.reclaimFrom(known)) {
+            if (slots.reopenIfLost(known)) {
                 context.actions.grant(
                         request.edge(), new SlotGrant(request.id(), known.instance.id, known.instance.address, false));
             }
@@ -265,7 +265,7 @@
                 || warmInstances(now) > 0
                 || instances.replacing(now)
                 || !isRootZone() && zoneQueue.isWarming(now);
-        scaler.scale(wanted ? 1 : 0, slotAllocator.pressure(now), now);
+        scaler.scale(wanted ? 1 : 0, slotAllocator.pendingRequests(now), now);
         scaler.startForStalledCalls(
                 slotAllocator.stalledCalls(now), slotAllocator.queue().size(), now);
     }
--- a/src/main/java/brambletray/platform/admission/ServiceQueues.java
+++ b/src/main/java/brambletray/platform/admission/ServiceQueues.java
@@ -34,7 +34,7 @@
     private final Map<String, ServiceQueue> queues = new HashMap<>();
     private final Map<String, ServiceQueue> queueOfInstance = new HashMap<>();
     private final Map<String, ServiceSpec> specs = new HashMap<>();
-    private final PriorityQueue<DueQueue> dues = new PriorityQueue<>((a, b) -> Long.compare(a.dueAtMs, b.dueAtMs));
+    private final PriorityQueue<DueQueue> dueQueues = new PriorityQueue<>((a, b) -> Long.compare(a.dueAtMs, b.dueAtMs));
 
     /**
      * {@code zone}: of the queues; {@code prefix}: of nonces, unique to node and incarnation, at most 48 characters.
@@ -250,12 +250,12 @@
 
     /** Does what is due. */
     public void tick(long now) {
-        for (DueQueue due = dues.peek(); due != null && due.dueAtMs <= now; due = dues.peek()) {
-            dues.poll();
+        for (DueQueue due = dueQueues.peek(); due != null && due.dueAtMs <= now; due = dueQueues.peek()) {
+            dueQueues.poll();
             if (due.queue.scheduledAtMs == due.dueAtMs) {
                 due.queue.scheduledAtMs = Long.MAX_VALUE;
                 due.queue.tick(now);
-                if (due.queue.isOver()) {
+                if (due.queue.isFinished()) {
                     queues.remove(due.queue.service());
                 } else {
                     schedule(due.queue, now);
@@ -266,7 +266,7 @@
 
     /** When {@link #tick} is due next, ms; {@link Long#MAX_VALUE}: not before something else happens. */
     public long nextDueMs() {
-        DueQueue due = dues.peek();
+        DueQueue due = dueQueues.peek();
         return due == null ? Long.MAX_VALUE : due.dueAtMs;
     }
 
@@ -274,7 +274,7 @@
         long at = Math.max(now + 1, queue.nextDueMs(now));
         if (at < queue.scheduledAtMs && at != Long.MAX_VALUE && at > Long.MIN_VALUE) {
             queue.scheduledAtMs = at;
-            dues.add(new DueQueue(at, queue));
+            dueQueues.add(new DueQueue(at, queue));
         }
     }
 }
--- a/src/main/java/brambletray/platform/admission/SlotAllocator.java
+++ b/src/main/java/brambletray/platform/admission/SlotAllocator.java
@@ -52,7 +52,7 @@
     }
 
     /** Queued requests and those that were asked to retry. */
-    int pressure(long now) {
+    int pendingRequests(long now) {
         return queue.size() + rejectedRequests.pendingCount(now);
     }
 
@@ -111,14 +111,14 @@
     }
 
     private void refuse(SlotRequest request, int retryAfterMs, long now) {
-        fairShare.onLost(request, now);
+        fairShare.onNotServed(request, now);
         context.refuse(request, retryAfterMs);
     }
 
     /** An edge no longer waits for this one, whose time is mostly over. */
     void onCancelled(RequestQueue.Waiter waiter, long now) {
         queue.remove(waiter);
-        fairShare.onLost(waiter.request, now);
+        fairShare.onNotServed(waiter.request, now);
     }
 
     /**
@@ -169,7 +169,7 @@
         boolean first = request.nestedCall() || fairShare.isDisadvantaged(request);
         boolean fits = (first ? 0 : wait) + workMs <= request.remainingMs();
         int back = wait + parameters.marginMs();
-        boolean heeded = back <= parameters.third() * request.remainingMs();
+        boolean heeded = back <= parameters.retryAfterObeyedShare() * request.remainingMs();
         boolean stays = first || furtherAttempt || !heeded || wait + workMs <= parameters.safetyFactor() * target;
         if (fits && stays && enqueue(request, now)) {
             return;
--- a/src/main/java/brambletray/platform/admission/SlotDemand.java
+++ b/src/main/java/brambletray/platform/admission/SlotDemand.java
@@ -66,7 +66,7 @@
         double work = workMs(spec);
         double load = rate * work;
         double slack = Math.max(work / 4, 0.9 * spec.targetMs() - tailMs(spec));
-        return load * (1 + parameters.burst())
-                + Math.min(parameters.headroomFactor() * Math.sqrt(load), parameters.tail() * work / slack);
+        return load * (1 + parameters.burstHeadroom())
+                + Math.min(parameters.headroomFactor() * Math.sqrt(load), parameters.tailExponent() * work / slack);
     }
 }
--- a/src/main/java/brambletray/platform/admission/SlotOwner.java
+++ b/src/main/java/brambletray/platform/admission/SlotOwner.java
@@ -10,7 +10,7 @@
 public record SlotOwner(String tenant, int priority, int routePriority) {
 
     /** Nobody's request on a route of this priority. */
-    public static SlotOwner nobody(int priority) {
+    public static SlotOwner withoutTenant(int priority) {
         return new SlotOwner("", priority, 0);
     }
 
--- a/src/test/java/brambletray/platform/admission/AdmissionParametersTest.java
+++ b/src/test/java/brambletray/platform/admission/AdmissionParametersTest.java
@@ -15,15 +15,15 @@
 
 /** Each law by itself. */
 class AdmissionParametersTest {
-    private static final AdmissionParameters LAWS = AdmissionParameters.of(0.2, 50, 10_000, 1);
-    private static final ServiceSpec QUICK = new ServiceSpec("s", 128, 900, 1, 1500);
-    private static final ServiceSpec DESK = new ServiceSpec("s", 512, 1400, 4, 300);
+    private static final AdmissionParameters PARAMETERS = AdmissionParameters.of(0.2, 50, 10_000, 1);
+    private static final ServiceSpec SMALL_SERVICE = new ServiceSpec("s", 128, 900, 1, 1500);
+    private static final ServiceSpec LARGE_SERVICE = new ServiceSpec("s", 512, 1400, 4, 300);
 
-    private static SlotRequest ask(long id, String zone, String... avoid) {
-        return new SlotRequest(id, "a", zone, "s", SlotOwner.nobody(1), 1000, 300, false, false, false, List.of(avoid));
+    private static SlotRequest request(long id, String zone, String... avoid) {
+        return new SlotRequest(id, "a", zone, "s", SlotOwner.withoutTenant(1), 1000, 300, false, false, false, List.of(avoid));
     }
 
-    private static PooledInstance post(PooledInstances posts, String id, String zone, long bornAgo) {
+    private static PooledInstance addInstance(PooledInstances posts, String id, String zone, long bornAgo) {
         PooledInstance post = new PooledInstance(
                 new InstanceInfo(id, "s", "x", zone, zone, "w", "n", InstanceInfo.UP, bornAgo), true, 10_000);
         posts.add(post);
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void paceSitsAboveNineInTenAndForgets() {
+    void hedgeDelayIsAboveThe90thPercentileAndForgets() {
         HedgeDelay pace = new HedgeDelay();
         assertEquals(200, pace.delayMs());
         for (int i = 1; i <= 100; i++) {
@@ -50,7 +50,7 @@
     @Test
     void budgetHoldsInEachSlidingWindow() {
         Random random = new Random(5);
-        RetryBudget budget = new RetryBudget(LAWS.retryBudget());
+        RetryBudget budget = new RetryBudget(PARAMETERS.retryBudget());
         Deque<Long> requests = new ArrayDeque<>();
         Deque<Long> extra = new ArrayDeque<>();
         int granted = 0;
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void copiesLeaveHalfOfTheBudget() {
+    void hedgesLeaveHalfOfTheBudget() {
         RetryBudget budget = new RetryBudget(new AdmissionParameters.RetryBudgetLimits(0, 20, 10_000, 1));
         int copies = 0;
         while (budget.isAllowed(true, 5)) {
@@ -111,57 +111,57 @@
     }
 
     @Test
-    void hostsAreChosenByZoneAgeAndHealth() {
-        PooledInstances posts = new PooledInstances(LAWS.selection());
-        PooledInstance old = post(posts, "old", "east", 900);
-        PooledInstance young = post(posts, "young", "east", 100);
-        PooledInstance far = post(posts, "far", "west", 5000);
-        assertEquals(old, posts.choose(ask(1, "east"), 4, false, 10_000));
+    void instancesAreChosenByZoneAgeAndHealth() {
+        PooledInstances posts = new PooledInstances(PARAMETERS.selection());
+        PooledInstance old = addInstance(posts, "old", "east", 900);
+        PooledInstance young = addInstance(posts, "young", "east", 100);
+        PooledInstance far = addInstance(posts, "far", "west", 5000);
+        assertEquals(old, posts.choose(request(1, "east"), 4, false, 10_000));
         old.heldSlots = 3;
-        assertEquals(young, posts.choose(ask(1, "east"), 4, false, 10_000));
-        assertEquals(old, posts.choose(ask(1, "east", "young"), 4, false, 10_000));
+        assertEquals(young, posts.choose(request(1, "east"), 4, false, 10_000));
+        assertEquals(old, posts.choose(request(1, "east", "young"), 4, false, 10_000));
         young.heldSlots = 4;
         old.heldSlots = 4;
-        assertEquals(far, posts.choose(ask(1, "east"), 4, false, 10_000));
+        assertEquals(far, posts.choose(request(1, "east"), 4, false, 10_000));
         old.heldSlots = 0;
         posts.onReleased(old, AttemptOutcome.BROKEN, 10, 10_000);
-        assertEquals(old, posts.choose(ask(1, "east"), 4, false, 10_000));
+        assertEquals(old, posts.choose(request(1, "east"), 4, false, 10_000));
         posts.onReleased(old, AttemptOutcome.BROKEN, 10, 10_000);
-        assertEquals(far, posts.choose(ask(1, "east"), 4, false, 10_000));
-        assertEquals(old, posts.choose(ask(1, "east"), 4, false, 10_201));
+        assertEquals(far, posts.choose(request(1, "east"), 4, false, 10_000));
+        assertEquals(old, posts.choose(request(1, "east"), 4, false, 10_201));
         posts.onReleased(old, AttemptOutcome.UNREACHED, 10, 10_300);
         far.state = InstanceInfo.LEAVING;
-        assertEquals(null, posts.choose(ask(1, "east"), 4, false, 10_300));
+        assertEquals(null, posts.choose(request(1, "east"), 4, false, 10_300));
     }
 
     @Test
-    void aHostSlowerThanTheOthersComesLast() {
-        PooledInstances posts = new PooledInstances(LAWS.selection());
-        PooledInstance slow = post(posts, "slow", "east", 900);
-        PooledInstance one = post(posts, "one", "east", 800);
-        PooledInstance two = post(posts, "two", "east", 700);
+    void anInstanceSlowerThanTheOthersComesLast() {
+        PooledInstances posts = new PooledInstances(PARAMETERS.selection());
+        PooledInstance slow = addInstance(posts, "slow", "east", 900);
+        PooledInstance one = addInstance(posts, "one", "east", 800);
+        PooledInstance two = addInstance(posts, "two", "east", 700);
         for (int i = 0; i < 10; i++) {
             posts.onReleased(slow, AttemptOutcome.SERVED, 300, 10_000);
             posts.onReleased(one, AttemptOutcome.SERVED, 100, 10_000);
             posts.onReleased(two, AttemptOutcome.SERVED, 110, 10_000);
         }
-        assertEquals(one, posts.choose(ask(1, "east"), 4, false, 10_000));
+        assertEquals(one, posts.choose(request(1, "east"), 4, false, 10_000));
         one.heldSlots = 4;
         two.heldSlots = 4;
-        assertEquals(slow, posts.choose(ask(1, "east"), 4, false, 10_000));
+        assertEquals(slow, posts.choose(request(1, "east"), 4, false, 10_000));
     }
 
     @Test
-    void noClassWaitsForEver() {
-        RequestQueue line = new RequestQueue(LAWS.queue(), new FairShare());
+    void lowPriorityRequestsAreServedAfterAging() {
+        RequestQueue line = new RequestQueue(PARAMETERS.queue(), new FairShare());
         line.add(
-                new SlotRequest(1, "a", "east", "s", SlotOwner.nobody(2), 4000, 60_000, false, false, false, List.of()),
+                new SlotRequest(1, "a", "east", "s", SlotOwner.withoutTenant(2), 4000, 60_000, false, false, false, List.of()),
                 0);
         long id = 2;
         for (long now = 0; now < 20_000; now += 10) {
             line.add(
                     new SlotRequest(
-                            id++, "a", "east", "s", SlotOwner.nobody(0), 4000, 60_000, false, false, false, List.of()),
+                            id++, "a", "east", "s", SlotOwner.withoutTenant(0), 4000, 60_000, false, false, false, List.of()),
                     now);
             line.startRound();
             RequestQueue.Waiter next = line.next(false, false, 10, now);
@@ -176,7 +176,7 @@
 
     @Test
     void demandRisesWithinHalfASecondAndFallsInSeconds() {
-        SlotDemand demand = new SlotDemand(LAWS.scaling());
+        SlotDemand demand = new SlotDemand(PARAMETERS.scaling());
         for (int i = 0; i < 50; i++) {
             demand.onAnswered(60);
         }
@@ -184,37 +184,37 @@
         for (; now < 10_000; now += 50) {
             demand.onArrival(now);
         }
-        double calm = demand.slotsFor(demand.rate(now), DESK);
+        double calm = demand.slotsFor(demand.rate(now), LARGE_SERVICE);
         for (; now < 10_600; now += 17) {
             demand.onArrival(now);
         }
-        double jumped = demand.slotsFor(demand.rate(now), DESK);
+        double jumped = demand.slotsFor(demand.rate(now), LARGE_SERVICE);
         assertTrue(calm > 1.2 && calm < 3, "" + calm);
         assertTrue(jumped > 1.3 * calm, calm + " to " + jumped);
-        assertTrue(demand.slotsFor(demand.slowRate(now + 2000), DESK) > 0.5 * calm);
-        assertTrue(demand.slotsFor(demand.slowRate(now + 20_000), DESK) < 0.3 * calm);
+        assertTrue(demand.slotsFor(demand.slowRate(now + 2000), LARGE_SERVICE) > 0.5 * calm);
+        assertTrue(demand.slotsFor(demand.slowRate(now + 20_000), LARGE_SERVICE) < 0.3 * calm);
     }
 
     /** Break-even: 0.4 GB-seconds a start. */
     @Test
-    void idleHostsAreKeptForTheWorthOfAStart() {
-        KeepAlivePolicy keepAlive = new KeepAlivePolicy(LAWS.keepAlive());
-        assertEquals(3200, keepAlive.breakEvenMs(QUICK, 700), 100);
+    void idleInstancesAreKeptWhileCheaperThanAStart() {
+        KeepAlivePolicy keepAlive = new KeepAlivePolicy(PARAMETERS.keepAlive());
+        assertEquals(3200, keepAlive.breakEvenMs(SMALL_SERVICE, 700), 100);
         assertEquals(800, keepAlive.breakEvenMs(new ServiceSpec("s", 512, 100, 4, 1000), 100), 50);
-        assertTrue(keepAlive.breakEvenMs(DESK, 1400) > 1900, "a start that makes late is worth more");
-        KeepAlivePolicy frequent = new KeepAlivePolicy(LAWS.keepAlive());
-        KeepAlivePolicy rare = new KeepAlivePolicy(LAWS.keepAlive());
+        assertTrue(keepAlive.breakEvenMs(LARGE_SERVICE, 1400) > 1900, "a start that makes late is worth more");
+        KeepAlivePolicy frequent = new KeepAlivePolicy(PARAMETERS.keepAlive());
+        KeepAlivePolicy rare = new KeepAlivePolicy(PARAMETERS.keepAlive());
         for (int i = 0; i < 30; i++) {
             frequent.onArrival(true, i * 2000L);
             rare.onArrival(true, i * 30_000L);
         }
-        assertTrue(frequent.spanMs(QUICK, 700) > 2000, "kept through gaps of 2 s: " + frequent.spanMs(QUICK, 700));
-        assertTrue(rare.spanMs(QUICK, 700) <= 400, "gaps of 30 s pay for nothing: " + rare.spanMs(QUICK, 700));
+        assertTrue(frequent.keepAliveMs(SMALL_SERVICE, 700) > 2000, "kept through gaps of 2 s: " + frequent.keepAliveMs(SMALL_SERVICE, 700));
+        assertTrue(rare.keepAliveMs(SMALL_SERVICE, 700) <= 400, "gaps of 30 s pay for nothing: " + rare.keepAliveMs(SMALL_SERVICE, 700));
     }
 
     @Test
     void aZoneReturnsToTheRootWhenItsDemandFalls() {
-        ZoneServiceQueue zoneQueue = new ZoneServiceQueue(LAWS.zoneSpread());
+        ZoneServiceQueue zoneQueue = new ZoneServiceQueue(PARAMETERS.zoneSpread());
         assertTrue(zoneQueue.shouldRedirect(false, 0.01, 0.005, 500, 0));
         assertTrue(zoneQueue.isWarming(100));
         assertFalse(zoneQueue.shouldRedirect(true, 0.01, 0.005, 500, 600));
@@ -226,8 +226,8 @@
     }
 
     @Test
-    void roomIsKeptOnlyWhereCallsOfHostsWereSeen() {
-        NestedCallReserve room = new NestedCallReserve(LAWS.nestedCalls());
+    void slotsAreReservedOnlyAfterNestedCalls() {
+        NestedCallReserve room = new NestedCallReserve(PARAMETERS.nestedCalls());
         assertEquals(0, room.reserved(40, 1000));
         room.onNestedCall(1000);
         assertEquals(0, room.reserved(3, 1001));
@@ -237,8 +237,8 @@
     }
 
     @Test
-    void onceCallsHaveStalledOneOfTwoPlacesIsKept() {
-        NestedCallReserve room = new NestedCallReserve(LAWS.nestedCalls());
+    void afterAStallOneOfTwoSlotsIsReserved() {
+        NestedCallReserve room = new NestedCallReserve(PARAMETERS.nestedCalls());
         room.onNestedCall(1000);
         assertEquals(0, room.minSlots(1001));
         room.onStalled(1100);
@@ -252,19 +252,19 @@
 
     private static SlotRequest ranked(long id, int priority, boolean call) {
         return new SlotRequest(
-                id, "a", "east", "s", SlotOwner.nobody(priority), 4000, 1000, false, false, call, List.of());
+                id, "a", "east", "s", SlotOwner.withoutTenant(priority), 4000, 1000, false, false, call, List.of());
     }
 
     @Test
-    void aKindIsBehindWhileItIsServedLessThanHalfAsOftenAsAll() {
+    void aRequestClassIsDisadvantagedWhileServedLessThanHalfAsOftenAsAll() {
         FairShare shares = new FairShare();
         for (int i = 0; i < 100; i++) {
             shares.onServed(ranked(i, 0, false), 10 * i);
         }
         SlotRequest low = ranked(1000, 2, false);
         assertFalse(shares.classOf(low).isDisadvantaged(), "nothing is known of it");
-        shares.onLost(low, 1000);
-        shares.onLost(low, 1000);
+        shares.onNotServed(low, 1000);
+        shares.onNotServed(low, 1000);
         assertTrue(shares.classOf(low).isDisadvantaged());
         shares.onServed(low, 1001);
         assertTrue(shares.classOf(low).isDisadvantaged(), "one of three");
@@ -272,7 +272,7 @@
         shares.onServed(low, 1003);
         assertFalse(shares.classOf(low).isDisadvantaged(), "three of five");
         for (int i = 0; i < 5; i++) {
-            shares.onLost(ranked(1000, 2, true), 1100);
+            shares.onNotServed(ranked(1000, 2, true), 1100);
         }
         assertTrue(shares.classOf(ranked(1, 2, true)).isDisadvantaged(), "calls of hosts are a kind of their own");
         assertFalse(shares.classOf(low).isDisadvantaged());
@@ -281,14 +281,14 @@
     }
 
     @Test
-    void aFullQueueTakesWhoGoesBeforeTheLast() {
-        RequestQueue line = new RequestQueue(LAWS.queue(), new FairShare());
+    void aFullQueueDisplacesItsLastRequestForAnEarlierOne() {
+        RequestQueue line = new RequestQueue(PARAMETERS.queue(), new FairShare());
         while (!line.isFull()) {
             line.add(ranked(line.size(), 1, false), line.size());
         }
         assertEquals(null, line.displace(ranked(1000, 2, false), 10, 300));
         assertEquals(
-                LAWS.queue().maxSize() - 1,
+                PARAMETERS.queue().maxSize() - 1,
                 line.displace(ranked(1001, 1, true), 10, 300).request.id());
         assertFalse(line.isFull());
     }
--- a/src/test/java/brambletray/platform/admission/QueueMoveTest.java
+++ b/src/test/java/brambletray/platform/admission/QueueMoveTest.java
@@ -21,11 +21,11 @@
  * no host ever has more than its places in use, and all asks get their place.
  */
 class QueueMoveTest {
-    private static final int HOSTS = 10;
-    private static final int MOST = 4;
+    private static final int INSTANCES = 10;
+    private static final int MAX_CONCURRENCY = 4;
     private static final int EDGES = 4;
 
-    private record Event(long at, long order, int life, Runnable what) {}
+    private record Event(long at, long order, int homeGeneration, Runnable action) {}
 
     private final java.util.PriorityQueue<Event> events = new java.util.PriorityQueue<>(
             (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
@@ -34,42 +34,42 @@
     private final Map<String, Integer> inUse = new HashMap<>();
     private Random random;
     private ServiceQueues home;
-    private int life;
+    private int homeGeneration;
     private long now;
     private long order;
     private long ids;
     private int granted;
 
-    private void later(int ms, int ofLife, Runnable what) {
+    private void schedule(int ms, int ofLife, Runnable what) {
         events.add(new Event(now + ms, order++, ofLife, what));
     }
 
-    private void move() {
-        life++;
-        int mine = life;
-        home = new ServiceQueues("east", "n" + life, AdmissionParameters.of(0.2, 10, 10_000, 1), new Shell(mine));
-        home.onServiceSpec(new ServiceSpec("s", 512, 700, MOST, 300), now);
+    private void moveHome() {
+        homeGeneration++;
+        int mine = homeGeneration;
+        home = new ServiceQueues("east", "n" + homeGeneration, AdmissionParameters.of(0.2, 10, 10_000, 1), new EdgeActions(mine));
+        home.onServiceSpec(new ServiceSpec("s", 512, 700, MAX_CONCURRENCY, 300), now);
         List<String> edges = new ArrayList<>();
         for (int i = 0; i < EDGES; i++) {
             edges.add("e" + i);
             int edge = i;
-            later(1 + random.nextInt(60), mine, () -> {
+            schedule(1 + random.nextInt(60), mine, () -> {
                 List<SlotGrant> grants = new ArrayList<>();
                 held.get(edge).forEach((id, host) -> grants.add(new SlotGrant(id, host, "", false)));
-                waiting.get(edge).values().forEach(ask -> later(1, mine, () -> home.onSlotRequest(ask, false, now)));
+                waiting.get(edge).values().forEach(ask -> schedule(1, mine, () -> home.onSlotRequest(ask, false, now)));
                 home.onHeldSlots(new HeldSlots("e" + edge, "s", grants), now);
             });
         }
         home.takeOver("s", "east", edges, now);
     }
 
-    private void ask(int edge) {
+    private void requestSlot(int edge) {
         SlotRequest ask = new SlotRequest(
                 ++ids,
                 "e" + edge,
                 "east",
                 "s",
-                SlotOwner.nobody(random.nextInt(3)),
+                SlotOwner.withoutTenant(random.nextInt(3)),
                 60_000,
                 60_000,
                 false,
@@ -77,37 +77,37 @@
                 random.nextInt(10) == 0,
                 List.of());
         waiting.get(edge).put(ask.id(), ask);
-        later(1 + random.nextInt(3), life, () -> home.onSlotRequest(ask, false, now));
+        schedule(1 + random.nextInt(3), homeGeneration, () -> home.onSlotRequest(ask, false, now));
     }
 
-    private void granted(int edge, SlotGrant grant) {
+    private void onGrant(int edge, SlotGrant grant) {
         granted++;
         waiting.get(edge).remove(grant.requestId());
         held.get(edge).put(grant.requestId(), grant.instanceId());
         int used = inUse.merge(grant.instanceId(), 1, Integer::sum);
-        assertTrue(used <= MOST, () -> "host " + grant.instanceId() + " has " + used + " at " + now);
-        later(20 + random.nextInt(400), -1, () -> {
+        assertTrue(used <= MAX_CONCURRENCY, () -> "host " + grant.instanceId() + " has " + used + " at " + now);
+        schedule(20 + random.nextInt(400), -1, () -> {
             held.get(edge).remove(grant.requestId());
             inUse.merge(grant.instanceId(), -1, Integer::sum);
-            later(
+            schedule(
                     1,
-                    life,
+                    homeGeneration,
                     () -> home.onSlotRelease(
                             "e" + edge,
                             new SlotRelease(grant.requestId(), grant.instanceId(), AttemptOutcome.SERVED, 100),
                             now));
-            ask(edge);
+            requestSlot(edge);
         });
     }
 
     @Test
-    void neverMoreThanAHostsPlaces() {
+    void noInstanceExceedsItsConcurrency() {
         for (long seed = 1; seed <= 40; seed++) {
-            play(seed);
+            simulate(seed);
         }
     }
 
-    private void play(long seed) {
+    private void simulate(long seed) {
         random = new Random(seed);
         events.clear();
         waiting.clear();
@@ -118,20 +118,20 @@
             waiting.add(new HashMap<>());
             held.add(new HashMap<>());
         }
-        move();
+        moveHome();
         for (int i = 0; i < 60; i++) {
-            ask(i % EDGES);
+            requestSlot(i % EDGES);
         }
         long nextMove = now + 600;
         for (long end = now + 6000; now < end; now++) {
             if (now == nextMove) {
-                move();
+                moveHome();
                 nextMove = now + 300 + random.nextInt(900);
             }
             while (!events.isEmpty() && events.peek().at <= now) {
                 Event event = events.poll();
-                if (event.life == -1 || event.life == life) {
-                    event.what.run();
+                if (event.homeGeneration == -1 || event.homeGeneration == homeGeneration) {
+                    event.action.run();
                 }
             }
             home.tick(now);
@@ -148,19 +148,19 @@
         assertEquals(60, left + out, "seed " + seed);
     }
 
-    private final class Shell implements AdmissionActions {
+    private final class EdgeActions implements AdmissionActions {
         private final int mine;
 
-        Shell(int mine) {
+        EdgeActions(int mine) {
             this.mine = mine;
         }
 
         @Override
         public void grant(String edge, SlotGrant grant) {
             int of = Integer.parseInt(edge.substring(1));
-            later(1 + random.nextInt(3), mine, () -> {
+            schedule(1 + random.nextInt(3), mine, () -> {
                 if (waiting.get(of).containsKey(grant.requestId())) {
-                    granted(of, grant);
+                    onGrant(of, grant);
                 }
             });
         }
@@ -185,10 +185,10 @@
         @Override
         public void claimHome(HomeClaim claim) {
             List<InstanceInfo> hosts = new ArrayList<>();
-            for (int i = 0; i < HOSTS; i++) {
+            for (int i = 0; i < INSTANCES; i++) {
                 hosts.add(new InstanceInfo("h" + i, "s", "a", "east", "east", "w", "n", InstanceInfo.UP, 5000));
             }
-            later(2 + random.nextInt(80), mine, () -> home.onInstanceList(new InstanceList("s", "east", hosts), now));
+            schedule(2 + random.nextInt(80), mine, () -> home.onInstanceList(new InstanceList("s", "east", hosts), now));
         }
 
         @Override
--- a/src/test/java/brambletray/platform/admission/RetryBudgetMoveTest.java
+++ b/src/test/java/brambletray/platform/admission/RetryBudgetMoveTest.java
@@ -25,49 +25,49 @@
     private static final int WINDOW_MS = 10_000;
     private static final int LENGTH_MS = 60_000;
     private static final int REQUEST_EVERY_MS = 100;
-    private static final int TRY_EVERY_MS = 10;
+    private static final int RETRY_EVERY_MS = 10;
 
     private final List<Long> requests = new ArrayList<>();
-    private final List<Long> furtherTries = new ArrayList<>();
-    private final List<SlotGrant> given = new ArrayList<>();
+    private final List<Long> retries = new ArrayList<>();
+    private final List<SlotGrant> granted = new ArrayList<>();
     private ServiceQueues home;
     private long now;
     private long ids;
 
     @TestFactory
-    List<DynamicTest> furtherTriesStayWithinTheBudgetOfEverySlidingWindow() {
+    List<DynamicTest> retriesStayWithinTheBudgetOfEverySlidingWindow() {
         List<DynamicTest> tests = new ArrayList<>();
         for (long seed = 1; seed <= 20; seed++) {
             long one = seed;
-            tests.add(DynamicTest.dynamicTest("seed " + one, () -> new RetryBudgetMoveTest().play(one)));
+            tests.add(DynamicTest.dynamicTest("seed " + one, () -> new RetryBudgetMoveTest().simulate(one)));
         }
         return tests;
     }
 
-    private void play(long seed) {
+    private void simulate(long seed) {
         Random random = new Random(seed);
-        move(List.of());
+        moveHome(List.of());
         List<Long> moves = new ArrayList<>();
         while (now < LENGTH_MS) {
             now++;
             home.tick(now);
-            giveBack();
+            releaseSlots();
             boolean recentEnough = moves.size() < 3 || now - moves.get(moves.size() - 3) > 2 * WINDOW_MS;
             if (recentEnough && random.nextInt(1_500) == 0) {
                 moves.add(now);
-                move(List.of("a"));
+                moveHome(List.of("a"));
             }
             if (now % REQUEST_EVERY_MS == 0) {
                 requests.add(now);
-                ask(false);
+                requestSlot(false);
             }
-            if (now % TRY_EVERY_MS == 5) {
-                ask(true);
+            if (now % RETRY_EVERY_MS == 5) {
+                requestSlot(true);
             }
         }
-        assertTrue(furtherTries.size() > 50, "seed " + seed + ": further tries are granted: " + furtherTries.size());
-        for (long start : furtherTries) {
-            long tries = within(furtherTries, start);
+        assertTrue(retries.size() > 50, "seed " + seed + ": further tries are granted: " + retries.size());
+        for (long start : retries) {
+            long tries = within(retries, start);
             double most = RATIO * within(requests, start) + SLACK;
             assertTrue(
                     tries <= most,
@@ -81,23 +81,23 @@
                 .count();
     }
 
-    private void ask(boolean again) {
+    private void requestSlot(boolean again) {
         SlotRequest ask =
-                new SlotRequest(++ids, "a", "east", "s", SlotOwner.nobody(1), 50, 50, false, again, false, List.of());
+                new SlotRequest(++ids, "a", "east", "s", SlotOwner.withoutTenant(1), 50, 50, false, again, false, List.of());
         home.onSlotRequest(ask, false, now);
     }
 
-    private void giveBack() {
-        for (SlotGrant grant : given) {
+    private void releaseSlots() {
+        for (SlotGrant grant : granted) {
             home.onSlotRelease(
                     "a", new SlotRelease(grant.requestId(), grant.instanceId(), AttemptOutcome.SERVED, 1), now);
         }
-        given.clear();
+        granted.clear();
     }
 
     /** Another edge is home; {@code others}: edges that may hold slots given out by the one before. */
-    private void move(List<String> others) {
-        home = new ServiceQueues("east", "n" + now, AdmissionParameters.of(RATIO, SLACK, WINDOW_MS, 1), new Edge());
+    private void moveHome(List<String> others) {
+        home = new ServiceQueues("east", "n" + now, AdmissionParameters.of(RATIO, SLACK, WINDOW_MS, 1), new EdgeActions());
         home.onServiceSpec(new ServiceSpec("s", 128, 500, 64, 1_000), now);
         home.takeOver("s", "east", others, now);
         InstanceInfo host = new InstanceInfo("h1", "s", "a:1", "east", "east", "w", "n", InstanceInfo.UP, 60_000);
@@ -108,13 +108,13 @@
     }
 
     /** Counts further tries that are granted; gives each slot back at once. */
-    private final class Edge implements AdmissionActions {
+    private final class EdgeActions implements AdmissionActions {
         @Override
         public void grant(String edge, SlotGrant grant) {
-            if (now % TRY_EVERY_MS == 5) {
-                furtherTries.add(now);
+            if (now % RETRY_EVERY_MS == 5) {
+                retries.add(now);
             }
-            given.add(grant);
+            granted.add(grant);
         }
 
         @Override
--- a/src/test/java/brambletray/platform/admission/SimulatedZones.java
+++ b/src/test/java/brambletray/platform/admission/SimulatedZones.java
@@ -24,19 +24,19 @@
  * chance. Simulated time, one seed. Counts what the clients and the operator would.
  */
 final class SimulatedZones {
-    record Kind(
+    record RequestKind(
             String service,
             int priority,
             int targetMs,
             int deadlineMs,
-            double worth,
-            double late,
+            double value,
+            double lateValue,
             double workMs,
-            double inner,
+            double nestedCallShare,
             String tenant) {
 
         /** A kind of nobody's requests. */
-        Kind(
+        RequestKind(
                 String service,
                 int priority,
                 int targetMs,
@@ -55,73 +55,73 @@
 
     /** Requests, or calls of hosts, of one kind. */
     static final class Count {
-        int asked;
+        int total;
         int served;
 
         double share() {
-            return asked == 0 ? 1 : (double) served / asked;
+            return total == 0 ? 1 : (double) served / total;
         }
     }
 
-    private record Event(double at, long order, Runnable what) {}
+    private record Event(double at, long order, Runnable action) {}
 
-    static final class Machine {
-        final InstanceInfo host;
-        final double bornAt;
+    static final class SimulatedInstance {
+        final InstanceInfo info;
+        final double startedAt;
         double upAt;
         boolean up;
         boolean dead;
         int busy;
 
-        Machine(InstanceInfo host, double bornAt) {
-            this.host = host;
-            this.bornAt = bornAt;
+        SimulatedInstance(InstanceInfo host, double bornAt) {
+            this.info = host;
+            this.startedAt = bornAt;
         }
     }
 
     final Random random;
     final List<String> zones;
-    final double crossMs;
+    final double crossZoneMs;
     final Map<String, ServiceSpec> specs = new HashMap<>();
     final Map<String, ServiceQueues> homes = new HashMap<>();
-    final Map<String, Machine> machines = new HashMap<>();
+    final Map<String, SimulatedInstance> instances = new HashMap<>();
     /** The call that a host of a service makes, where it is not one to the same service. */
-    final Map<String, Kind> callOf = new HashMap<>();
+    final Map<String, RequestKind> nestedCalls = new HashMap<>();
     /** Hosts of a service for which the platform has room, where that is limited. */
-    final Map<String, Integer> roomFor = new HashMap<>();
+    final Map<String, Integer> instanceLimits = new HashMap<>();
     /** By kind: requests of clients, and calls of hosts, that have ended. */
     final Map<String, Count> counts = new TreeMap<>();
 
     private final Map<String, InstanceInfo> byNonce = new HashMap<>();
-    private final Map<Long, Try> tries = new HashMap<>();
-    private final Map<String, String> elsewhere = new HashMap<>();
-    private final Set<String> planned = new HashSet<>();
+    private final Map<Long, Attempt> attempts = new HashMap<>();
+    private final Map<String, String> redirectedTo = new HashMap<>();
+    private final Set<String> scheduledTicks = new HashSet<>();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
     private long order;
     private long ids;
-    private int hostIds;
+    private int instanceIds;
     double now;
-    double worth;
-    double owed;
+    double value;
+    double maxValue;
     int requests;
     int inTime;
     int late;
     int refused;
     int unserved;
     int starts;
-    int crossed;
-    int turnedAway;
-    int sentOn;
+    int crossZoneRequests;
+    int overLimit;
+    int redirects;
     double gbSeconds;
-    int mostHosts;
+    int maxInstances;
 
     SimulatedZones(long seed, List<String> zones, double crossMs, AdmissionParameters laws) {
         random = new Random(seed);
         this.zones = zones;
-        this.crossMs = crossMs;
+        this.crossZoneMs = crossMs;
         for (String zone : zones) {
-            homes.put(zone, new ServiceQueues(zone, zone, laws, new Shell(zone)));
+            homes.put(zone, new ServiceQueues(zone, zone, laws, new ZoneActions(zone)));
         }
     }
 
@@ -134,7 +134,7 @@
         for (String zone : zones) {
             homes.get(zone).onServiceSpec(spec, (long) now);
             homes.get(zone).takeOver(spec.service(), root(spec.service()), List.of(), (long) now);
-            wake(zone);
+            scheduleTick(zone);
         }
     }
 
@@ -146,13 +146,13 @@
         while (!events.isEmpty() && events.peek().at <= end) {
             Event event = events.poll();
             now = event.at;
-            event.what.run();
+            event.action.run();
         }
         now = end;
     }
 
     /** Poisson arrivals of a kind in a zone, at a rate per second that may change with time. */
-    void arrivals(Kind kind, String zone, java.util.function.DoubleUnaryOperator perS, double peak, double until) {
+    void arrivals(RequestKind kind, String zone, java.util.function.DoubleUnaryOperator perS, double peak, double until) {
         at(now - Math.log(1 - random.nextDouble()) * 1000 / peak, () -> {
             if (now < until) {
                 if (random.nextDouble() * peak < perS.applyAsDouble(now)) {
@@ -163,50 +163,50 @@
         });
     }
 
-    void request(Kind kind, String zone) {
+    void request(RequestKind kind, String zone) {
         requests++;
-        owed += kind.worth;
-        new Try(kind, zone, now, now + kind.deadlineMs, null).start();
+        maxValue += kind.value;
+        new Attempt(kind, zone, now, now + kind.deadlineMs, null).start();
     }
 
-    private void link(String from, String to, Runnable what) {
-        at(now + (from.equals(to) ? 0.2 : crossMs), what);
+    private void deliver(String from, String to, Runnable what) {
+        at(now + (from.equals(to) ? 0.2 : crossZoneMs), what);
     }
 
-    private void wake(String zone) {
+    private void scheduleTick(String zone) {
         long due = homes.get(zone).nextDueMs();
-        if (due < Long.MAX_VALUE && planned.add(zone + due)) {
+        if (due < Long.MAX_VALUE && scheduledTicks.add(zone + due)) {
             at(due, () -> {
-                planned.remove(zone + due);
+                scheduledTicks.remove(zone + due);
                 homes.get(zone).tick((long) now);
-                wake(zone);
+                scheduleTick(zone);
             });
         }
     }
 
     private void queues(String zone, Consumer<ServiceQueues> what) {
         what.accept(homes.get(zone));
-        wake(zone);
+        scheduleTick(zone);
     }
 
     /** One try of a client, or of a host. */
-    private final class Try {
-        final Kind kind;
+    private final class Attempt {
+        final RequestKind kind;
         final String zone;
         final double first;
         final double end;
         /** What the host that calls does with the outcome; null: a client asks. */
         final Consumer<Boolean> parent;
 
-        double begun;
-        boolean back;
+        double startedAt;
+        boolean retriedLater;
         boolean counted;
         long id;
         int hops;
-        int tried;
-        String asked;
+        int grants;
+        String home;
 
-        Try(Kind kind, String zone, double first, double end, Consumer<Boolean> parent) {
+        Attempt(RequestKind kind, String zone, double first, double end, Consumer<Boolean> parent) {
             this.kind = kind;
             this.zone = zone;
             this.first = first;
@@ -215,16 +215,16 @@
         }
 
         void start() {
-            begun = now;
+            startedAt = now;
             id = ++ids;
             hops = 0;
-            tries.put(id, this);
-            String to = elsewhere.getOrDefault(zone + kind.service, root(kind.service));
-            ask(to);
+            attempts.put(id, this);
+            String to = redirectedTo.getOrDefault(zone + kind.service, root(kind.service));
+            requestSlot(to);
         }
 
-        void ask(String to) {
-            asked = to;
+        void requestSlot(String to) {
+            home = to;
             SlotRequest ask = new SlotRequest(
                     id,
                     zone,
@@ -234,62 +234,62 @@
                     (int) (end - now),
                     kind.targetMs,
                     false,
-                    tried > 0,
+                    grants > 0,
                     parent != null,
                     List.of());
-            link(zone, to, () -> queues(to, queues -> queues.onSlotRequest(ask, false, (long) now)));
+            deliver(zone, to, () -> queues(to, queues -> queues.onSlotRequest(ask, false, (long) now)));
         }
 
         void granted(SlotGrant grant) {
-            Machine machine = machines.get(grant.instanceId());
-            String there = machine.host.zone();
+            SimulatedInstance machine = instances.get(grant.instanceId());
+            String there = machine.info.zone();
             if (!there.equals(zone)) {
-                crossed++;
+                crossZoneRequests++;
             }
             double sent = now;
-            tried++;
-            link(zone, there, () -> {
+            grants++;
+            deliver(zone, there, () -> {
                 if (!machine.up || machine.dead) {
-                    link(there, zone, () -> finish(grant, AttemptOutcome.UNREACHED, sent, false));
+                    deliver(there, zone, () -> finish(grant, AttemptOutcome.UNREACHED, sent, false));
                 } else if (machine.busy >= specs.get(kind.service).maxConcurrency()) {
-                    turnedAway++;
-                    link(there, zone, () -> finish(grant, AttemptOutcome.NOT_RUN, sent, false));
+                    overLimit++;
+                    deliver(there, zone, () -> finish(grant, AttemptOutcome.NOT_RUN, sent, false));
                 } else {
                     machine.busy++;
                     double work = 3 + lognormal(kind.workMs, 0.5);
                     double at = now + work;
-                    if (random.nextDouble() < kind.inner) {
-                        Kind same = new Kind(kind.service, 2, kind.targetMs, kind.deadlineMs, 0, 0, kind.workMs, 0);
-                        Kind call = callOf.getOrDefault(kind.service, same);
-                        Consumer<Boolean> then = ok -> at(now + work / 2, () -> ready(grant, machine, sent, ok));
-                        at(now + work / 2, () -> new Try(call, there, now, end, then).start());
+                    if (random.nextDouble() < kind.nestedCallShare) {
+                        RequestKind same = new RequestKind(kind.service, 2, kind.targetMs, kind.deadlineMs, 0, 0, kind.workMs, 0);
+                        RequestKind call = nestedCalls.getOrDefault(kind.service, same);
+                        Consumer<Boolean> then = ok -> at(now + work / 2, () -> onWorkDone(grant, machine, sent, ok));
+                        at(now + work / 2, () -> new Attempt(call, there, now, end, then).start());
                     } else {
-                        at(at, () -> ready(grant, machine, sent, true));
+                        at(at, () -> onWorkDone(grant, machine, sent, true));
                     }
                 }
             });
         }
 
         /** The host's work is done; {@code ok}: its call was served, else it answers 500. */
-        void ready(SlotGrant grant, Machine machine, double sent, boolean ok) {
+        void onWorkDone(SlotGrant grant, SimulatedInstance machine, double sent, boolean ok) {
             if (machine.dead) {
                 finish(grant, AttemptOutcome.BROKEN, sent, false);
                 return;
             }
             machine.busy--;
-            link(
-                    machine.host.zone(),
+            deliver(
+                    machine.info.zone(),
                     zone,
                     () -> finish(grant, ok ? AttemptOutcome.SERVED : AttemptOutcome.FAILED, sent, ok));
         }
 
         void finish(SlotGrant grant, AttemptOutcome fate, double sent, boolean served) {
             SlotRelease done = new SlotRelease(grant.requestId(), grant.instanceId(), fate, (int) (now - sent));
-            String to = asked;
-            link(zone, to, () -> queues(to, queues -> queues.onSlotRelease(zone, done, (long) now)));
+            String to = home;
+            deliver(zone, to, () -> queues(to, queues -> queues.onSlotRelease(zone, done, (long) now)));
             if (served) {
                 end(true);
-            } else if (fate != AttemptOutcome.FAILED && now + 50 < end && tried < 3) {
+            } else if (fate != AttemptOutcome.FAILED && now + 50 < end && grants < 3) {
                 start();
             } else {
                 end(false);
@@ -297,11 +297,11 @@
         }
 
         void end(boolean served) {
-            tries.remove(id);
+            attempts.remove(id);
             boolean ok = served && now <= end;
             String name = (parent == null ? "" : "call of ") + kind.label();
             Count count = counts.computeIfAbsent(name, n -> new Count());
-            count.asked++;
+            count.total++;
             count.served += ok ? 1 : 0;
             if (parent != null) {
                 parent.accept(ok);
@@ -311,30 +311,30 @@
                 unserved++;
                 return;
             }
-            boolean timely = now + 2 - (back ? begun : first) <= kind.targetMs;
-            if (timely && !back) {
+            boolean timely = now + 2 - (retriedLater ? startedAt : first) <= kind.targetMs;
+            if (timely && !retriedLater) {
                 inTime++;
-                worth += kind.worth;
+                value += kind.value;
             } else {
                 late++;
-                worth += timely ? (kind.worth + kind.late) / 2 : kind.late;
+                value += timely ? (kind.value + kind.lateValue) / 2 : kind.lateValue;
             }
         }
 
         void refused(int comeBackMs) {
-            tries.remove(id);
+            attempts.remove(id);
             if (!counted) {
                 refused++;
                 counted = true;
             }
             double left = end - now;
             double pause = Math.max(50, Math.min(comeBackMs < 0 ? 100 : comeBackMs, left / 3));
-            if (parent != null || ++tried > 3 || pause > left) {
+            if (parent != null || ++grants > 3 || pause > left) {
                 end(false);
                 return;
             }
-            back = true;
-            tried = 0;
+            retriedLater = true;
+            grants = 0;
             at(now + pause, this::start);
         }
     }
@@ -343,24 +343,24 @@
         return mean * Math.exp(sigma * random.nextGaussian() - sigma * sigma / 2);
     }
 
-    private boolean full(String service) {
+    private boolean atInstanceLimit(String service) {
         int hosts = 0;
-        for (Machine machine : machines.values()) {
-            hosts += machine.host.service().equals(service) ? 1 : 0;
+        for (SimulatedInstance machine : instances.values()) {
+            hosts += machine.info.service().equals(service) ? 1 : 0;
         }
-        return hosts >= roomFor.getOrDefault(service, Integer.MAX_VALUE);
+        return hosts >= instanceLimits.getOrDefault(service, Integer.MAX_VALUE);
     }
 
     /** Starts a host as the platform does. */
-    private InstanceInfo begin(StartRequest need, String zone) {
+    private InstanceInfo startInstance(StartRequest need, String zone) {
         InstanceInfo known = byNonce.get(need.nonce());
         if (known != null) {
             return known;
         }
         InstanceInfo host = new InstanceInfo(
-                "h" + ++hostIds,
+                "h" + ++instanceIds,
                 need.service(),
-                "10.0.0.1:" + hostIds,
+                "10.0.0.1:" + instanceIds,
                 zone,
                 need.homeZone(),
                 "w",
@@ -368,68 +368,68 @@
                 InstanceInfo.BOOTING,
                 0);
         byNonce.put(need.nonce(), host);
-        Machine machine = new Machine(host, now);
+        SimulatedInstance machine = new SimulatedInstance(host, now);
         machine.upAt = now + lognormal(specs.get(need.service()).bootMs(), 0.3);
         at(machine.upAt, () -> machine.up = true);
-        machines.put(host.id(), machine);
-        mostHosts = Math.max(mostHosts, machines.size());
+        instances.put(host.id(), machine);
+        maxInstances = Math.max(maxInstances, instances.size());
         starts++;
         return host;
     }
 
-    void end(Machine machine) {
-        if (machines.remove(machine.host.id()) != null) {
-            counters(machine);
-            gbSeconds += specs.get(machine.host.service()).memoryMb() / 1024.0 * (now - machine.bornAt) / 1000;
+    void stopInstance(SimulatedInstance machine) {
+        if (instances.remove(machine.info.id()) != null) {
+            addTotals(machine);
+            gbSeconds += specs.get(machine.info.service()).memoryMb() / 1024.0 * (now - machine.startedAt) / 1000;
         }
     }
 
     /** All memory until now. */
     double gbSeconds() {
         double all = gbSeconds;
-        for (Machine machine : machines.values()) {
-            all += specs.get(machine.host.service()).memoryMb() / 1024.0 * (now - machine.bornAt) / 1000;
+        for (SimulatedInstance machine : instances.values()) {
+            all += specs.get(machine.info.service()).memoryMb() / 1024.0 * (now - machine.startedAt) / 1000;
         }
         return all;
     }
 
     /** What a zone's queues want done. */
-    private final class Shell implements AdmissionActions {
+    private final class ZoneActions implements AdmissionActions {
         final String zone;
 
-        Shell(String zone) {
+        ZoneActions(String zone) {
             this.zone = zone;
         }
 
         @Override
         public void grant(String edge, SlotGrant grant) {
-            Try one = tries.get(grant.requestId());
-            link(zone, edge, () -> one.granted(grant));
+            Attempt one = attempts.get(grant.requestId());
+            deliver(zone, edge, () -> one.granted(grant));
         }
 
         @Override
         public void refuse(String edge, SlotRefusal refuse) {
-            Try one = tries.get(refuse.requestId());
-            link(zone, edge, () -> one.refused(refuse.retryAfterMs()));
+            Attempt one = attempts.get(refuse.requestId());
+            deliver(zone, edge, () -> one.refused(refuse.retryAfterMs()));
         }
 
         @Override
         public void redirect(String edge, SlotRedirect word) {
-            sentOn++;
-            Try one = tries.get(word.requestId());
-            link(zone, edge, () -> {
-                elsewhere.put(edge + word.service(), word.zone());
+            redirects++;
+            Attempt one = attempts.get(word.requestId());
+            deliver(zone, edge, () -> {
+                redirectedTo.put(edge + word.service(), word.zone());
                 if (++one.hops > 3) {
                     throw new IllegalStateException("sent on for ever: " + word);
                 }
-                one.ask(word.zone());
+                one.requestSlot(word.zone());
             });
         }
 
         @Override
         public void requestStart(StartRequest need) {
             at(now + 8, () -> {
-                if (!byNonce.containsKey(need.nonce()) && full(need.service())) {
+                if (!byNonce.containsKey(need.nonce()) && atInstanceLimit(need.service())) {
                     at(
                             now + 4,
                             () -> queues(
@@ -437,7 +437,7 @@
                                     queues -> queues.onStartRefused(new StartRefusal(need.nonce(), 500), (long) now)));
                     return;
                 }
-                InstanceInfo host = begin(need, zone);
+                InstanceInfo host = startInstance(need, zone);
                 at(
                         now + 4,
                         () -> queues(
@@ -450,9 +450,9 @@
         @Override
         public void requestStop(StopRequest quit) {
             at(now + 8, () -> {
-                Machine machine = machines.get(quit.id());
+                SimulatedInstance machine = instances.get(quit.id());
                 if (machine != null) {
-                    end(machine);
+                    stopInstance(machine);
                 }
                 queues(
                         zone,
@@ -478,7 +478,7 @@
 
         @Override
         public void probe(String service, String hostId, String address) {
-            Machine machine = machines.get(hostId);
+            SimulatedInstance machine = instances.get(hostId);
             at(now + 0.5, () -> {
                 boolean ok = machine != null && machine.up && !machine.dead;
                 queues(zone, queues -> queues.onProbed(hostId, ok, (long) now));
@@ -487,34 +487,34 @@
     }
 
     /** Memory and starts by the first letters of services. */
-    private final Map<String, double[]> bySort = new TreeMap<>();
+    private final Map<String, double[]> totalsByPrefix = new TreeMap<>();
 
-    private void counters(Machine machine) {
-        double[] sum = bySort.computeIfAbsent(machine.host.service().substring(0, 4), s -> new double[2]);
-        sum[0] += specs.get(machine.host.service()).memoryMb() / 1024.0 * (now - machine.bornAt) / 1000;
+    private void addTotals(SimulatedInstance machine) {
+        double[] sum = totalsByPrefix.computeIfAbsent(machine.info.service().substring(0, 4), s -> new double[2]);
+        sum[0] += specs.get(machine.info.service()).memoryMb() / 1024.0 * (now - machine.startedAt) / 1000;
         sum[1]++;
     }
 
     String figures(double priceGbS, double priceStart, double priceCross) {
-        machines.values().forEach(this::counters);
+        instances.values().forEach(this::addTotals);
         StringBuilder sorts = new StringBuilder();
-        bySort.forEach((name, sum) -> sorts.append(String.format(" %s %.0f GB-s %.0f starts", name, sum[0], sum[1])));
-        double cost = gbSeconds() * priceGbS + starts * priceStart + crossed * priceCross;
+        totalsByPrefix.forEach((name, sum) -> sorts.append(String.format(" %s %.0f GB-s %.0f starts", name, sum[0], sum[1])));
+        double cost = gbSeconds() * priceGbS + starts * priceStart + crossZoneRequests * priceCross;
         return String.format(
                 "worth %.3f  net %.3f  in time %.1f%%  late %.1f%%  refused %d  unserved %d  starts %d  GB-s %.0f  crossed %.1f%%"
                         + "  most hosts %d  turned away %d  sent on %d  of %d %s",
-                worth / owed,
-                (worth - cost) / owed,
+                value / maxValue,
+                (value - cost) / maxValue,
                 100.0 * inTime / requests,
                 100.0 * late / requests,
                 refused,
                 unserved,
                 starts,
                 gbSeconds(),
-                100.0 * crossed / requests,
-                mostHosts,
-                turnedAway,
-                sentOn,
+                100.0 * crossZoneRequests / requests,
+                maxInstances,
+                overLimit,
+                redirects,
                 requests,
                 sorts);
     }
--- a/src/test/java/brambletray/platform/admission/SimulatedZonesMain.java
+++ b/src/test/java/brambletray/platform/admission/SimulatedZonesMain.java
@@ -27,7 +27,7 @@
     static final Site LARGE = new Site(3, 1.4, 210, 1400, 300, 4000, 60, 400, 90, 900, 1500, 8000, 1.1, 0.45, 0.075);
     static final Site FAST = new Site(4, 0.5, 210, 750, 400, 2500, 80, 500, 120, 500, 1000, 5000, 1.1, 0.15, 0.02);
 
-    static SimulatedZones play(Site site, long seed, AdmissionParameters laws, double burst, double rareBurst) {
+    static SimulatedZones simulate(Site site, long seed, AdmissionParameters laws, double burst, double rareBurst) {
         List<String> zones = new ArrayList<>();
         for (int i = 0; i < site.zones; i++) {
             zones.add("zone-" + (char) ('a' + i));
@@ -45,7 +45,7 @@
         town.at(15000, () -> {
             for (String zone : zones) {
                 double rate = site.perS / site.zones;
-                spread(
+                addArrivals(
                         town,
                         zone,
                         "desk",
@@ -60,7 +60,7 @@
                         0.3,
                         site.deskWork,
                         0.3);
-                spread(
+                addArrivals(
                         town,
                         zone,
                         "desk",
@@ -75,7 +75,7 @@
                         0.6,
                         site.claimWork,
                         0);
-                spread(
+                addArrivals(
                         town,
                         zone,
                         "rare",
@@ -96,7 +96,7 @@
         return town;
     }
 
-    private static void spread(
+    private static void addArrivals(
             SimulatedZones town,
             String zone,
             String name,
@@ -117,8 +117,8 @@
         }
         for (int i = 0; i < services; i++) {
             double rate = perS * Math.pow(i + 1, -0.9) / sum;
-            SimulatedZones.Kind kind =
-                    new SimulatedZones.Kind(name + i, priority, target, deadline, worth, late, work, inner);
+            SimulatedZones.RequestKind kind =
+                    new SimulatedZones.RequestKind(name + i, priority, target, deadline, worth, late, work, inner);
             town.arrivals(
                     kind,
                     zone,
@@ -133,14 +133,14 @@
         System.setProperty("java.util.logging.SimpleFormatter.format", "");
         java.util.logging.LogManager.getLogManager().reset();
         AdmissionParameters standard = AdmissionParameters.of(0.2, 52, 10000, 3);
-        show("standard", standard, seeds);
+        printResults("standard", standard, seeds);
         if (args.length < 2) {
             return;
         }
         String[] values = args[2].split(",");
         for (String value : values) {
             double v = Double.parseDouble(value);
-            show(
+            printResults(
                     args[1] + " " + value,
                     switch (args[1]) {
                         case "k" -> standard.withHeadroom(v, 3, 0.15);
@@ -155,19 +155,19 @@
         }
     }
 
-    private static void show(String title, AdmissionParameters laws, int seeds) {
+    private static void printResults(String title, AdmissionParameters laws, int seeds) {
         for (Site site : new Site[] {LARGE, FAST}) {
             for (double[] burst : new double[][] {{1, 1}, {2.3, 1}, {1, 2.9}}) {
                 double net = 0;
                 double worth = 0;
                 SimulatedZones last = null;
                 for (int seed = 1; seed <= seeds; seed++) {
-                    last = play(site, seed, laws, burst[0], burst[1]);
+                    last = simulate(site, seed, laws, burst[0], burst[1]);
                     double cost = last.gbSeconds() * site.priceGbS
                             + last.starts * site.priceStart
-                            + last.crossed * site.priceCross;
-                    net += (last.worth - cost) / last.owed;
-                    worth += last.worth / last.owed;
+                            + last.crossZoneRequests * site.priceCross;
+                    net += (last.value - cost) / last.maxValue;
+                    worth += last.value / last.maxValue;
                 }
                 System.out.printf(
                         "%-18s %s x%.1f x%.1f  NET %.4f WORTH %.4f | %s%n",
--- a/src/test/java/brambletray/platform/admission/StarvationTest.java
+++ b/src/test/java/brambletray/platform/admission/StarvationTest.java
@@ -15,7 +15,7 @@
  * all requests. Simulated time; the seed is in the test's name. The tests ask for a third, as a margin.
  */
 class StarvationTest {
-    private static final double LEAST = 1.0 / 3;
+    private static final double MIN_SHARE = 1.0 / 3;
     private static final double OVERLOAD_MS = 40_000;
     private static final int WORK_MS = 80;
     private static final int TARGET_MS = 400;
@@ -28,55 +28,55 @@
                 .toList();
     }
 
-    private static SimulatedZones town(long seed) {
+    private static SimulatedZones zones(long seed) {
         return new SimulatedZones(seed, List.of("east"), 1, AdmissionParameters.of(0.2, 52, 10_000, 1));
     }
 
     private static void add(SimulatedZones town, String service, int hosts, int concurrency) {
         town.add(new ServiceSpec(service, 128, BOOT_MS, concurrency, TARGET_MS));
-        town.roomFor.put(service, hosts);
+        town.instanceLimits.put(service, hosts);
     }
 
-    private static SimulatedZones.Kind kind(String service, int priority, double calls) {
-        return new SimulatedZones.Kind(service, priority, TARGET_MS, DEADLINE_MS, 1, 0.3, WORK_MS, calls);
+    private static SimulatedZones.RequestKind kind(String service, int priority, double calls) {
+        return new SimulatedZones.RequestKind(service, priority, TARGET_MS, DEADLINE_MS, 1, 0.3, WORK_MS, calls);
     }
 
-    private static void load(SimulatedZones town, SimulatedZones.Kind kind, double perS) {
+    private static void load(SimulatedZones town, SimulatedZones.RequestKind kind, double perS) {
         town.at(1_000, () -> town.arrivals(kind, "east", at -> perS, perS, 1_000 + OVERLOAD_MS));
     }
 
     /** Plays to the end, and judges each kind of {@code counts} against all requests of clients. */
-    private static void judge(SimulatedZones town) {
+    private static void checkShares(SimulatedZones town) {
         town.runUntil(1_000 + OVERLOAD_MS + 2 * DEADLINE_MS);
         int asked = 0;
         int served = 0;
         for (var one : town.counts.entrySet()) {
             if (!one.getKey().startsWith("call of")) {
-                asked += one.getValue().asked;
+                asked += one.getValue().total;
                 served += one.getValue().served;
             }
         }
         double all = (double) served / asked;
         StringBuilder figures = new StringBuilder(String.format("all %.3f", all));
         town.counts.forEach((name, count) ->
-                figures.append(String.format("; %s: %d of %d (%.3f)", name, count.served, count.asked, count.share())));
+                figures.append(String.format("; %s: %d of %d (%.3f)", name, count.served, count.total, count.share())));
         assertTrue(served > 0, () -> "nothing is served: " + figures);
         town.counts.forEach(
-                (name, count) -> assertTrue(count.share() >= LEAST * all, () -> name + " is starved: " + figures));
-        assertTrue(town.turnedAway == 0, () -> "rule LIMIT: " + town.turnedAway);
+                (name, count) -> assertTrue(count.share() >= MIN_SHARE * all, () -> name + " is starved: " + figures));
+        assertTrue(town.overLimit == 0, () -> "rule LIMIT: " + town.overLimit);
     }
 
     @TestFactory
-    List<DynamicTest> parentsThatFillAllPlacesOfTheirOwnServiceLeaveRoomForTheirCalls() {
+    List<DynamicTest> requestsThatFillTheirServiceLeaveSlotsForTheirNestedCalls() {
         List<DynamicTest> tests = new ArrayList<>();
         for (int[] size : new int[][] {{2, 1}, {8, 1}, {1, 4}, {8, 4}}) {
             String what = size[0] + " hosts of " + size[1] + " at once";
             tests.addAll(seeds(what, seed -> {
-                SimulatedZones town = town(seed);
+                SimulatedZones town = zones(seed);
                 add(town, "desk", size[0], size[1]);
                 double capacityPerS = 1000.0 * size[0] * size[1] / WORK_MS;
                 load(town, kind("desk", 1, 1), 2 * capacityPerS);
-                judge(town);
+                checkShares(town);
                 // A parent holds its slot while its call is served beside it.
                 int servedPerS = (int) (town.counts.get("desk rank 1").served * 1000 / OVERLOAD_MS);
                 double mostPerS = 1000.0 * size[0] * size[1] / (2 * WORK_MS);
@@ -89,67 +89,67 @@
     }
 
     @TestFactory
-    List<DynamicTest> parentsInAChainOfServicesLeaveRoomForTheCallsOfEach() {
+    List<DynamicTest> requestsInAChainOfServicesLeaveSlotsForNestedCalls() {
         List<DynamicTest> tests = new ArrayList<>();
         for (int concurrency : new int[] {1, 4}) {
             tests.addAll(seeds("a chain of three at " + concurrency + " at once", seed -> {
-                SimulatedZones town = town(seed);
+                SimulatedZones town = zones(seed);
                 int hosts = 8 / concurrency;
                 for (String service : List.of("front", "middle", "last")) {
                     add(town, service, hosts, concurrency);
                     load(town, kind(service, 1, service.equals("last") ? 0 : 1), 200);
                 }
-                town.callOf.put("front", kind("middle", 2, 1));
-                town.callOf.put("middle", kind("last", 2, 0));
-                judge(town);
+                town.nestedCalls.put("front", kind("middle", 2, 1));
+                town.nestedCalls.put("middle", kind("last", 2, 0));
+                checkShares(town);
             }));
         }
         return tests;
     }
 
     @TestFactory
-    List<DynamicTest> callsOfHostsThatFillAServiceLeaveRoomForItsClients() {
+    List<DynamicTest> nestedCallsThatFillAServiceLeaveSlotsForClients() {
         List<DynamicTest> tests = new ArrayList<>();
         for (int concurrency : new int[] {1, 4}) {
             tests.addAll(seeds("a leaf at " + concurrency + " at once", seed -> {
-                SimulatedZones town = town(seed);
+                SimulatedZones town = zones(seed);
                 add(town, "front", 32 / concurrency, concurrency);
                 add(town, "leaf", 4 / concurrency, concurrency);
-                town.callOf.put("front", kind("leaf", 2, 0));
+                town.nestedCalls.put("front", kind("leaf", 2, 0));
                 load(town, kind("front", 1, 1), 300);
                 load(town, kind("leaf", 1, 0), 20);
-                judge(town);
+                checkShares(town);
             }));
         }
         return tests;
     }
 
     @TestFactory
-    List<DynamicTest> urgentRequestsThatFillAServiceLeaveRoomForTheLessUrgent() {
+    List<DynamicTest> highPriorityRequestsThatFillAServiceLeaveSlotsForLowerPriorities() {
         List<DynamicTest> tests = new ArrayList<>();
         for (int concurrency : new int[] {1, 4}) {
             tests.addAll(seeds("ranks at " + concurrency + " at once", seed -> {
-                SimulatedZones town = town(seed);
+                SimulatedZones town = zones(seed);
                 add(town, "desk", 8 / concurrency, concurrency);
                 load(town, kind("desk", 0, 0), 200);
                 load(town, kind("desk", 1, 0), 20);
                 load(town, kind("desk", 2, 0.3), 20);
-                judge(town);
+                checkShares(town);
             }));
         }
         return tests;
     }
 
     @TestFactory
-    List<DynamicTest> aRequestThatFillsTheOnlyHostDoesNotWaitForItsOwnCallUntilItsDeadline() {
+    List<DynamicTest> aRequestThatFillsTheOnlyInstanceDoesNotBlockItsNestedCall() {
         return seeds("rare requests at one at once", seed -> {
-            SimulatedZones town = town(seed);
+            SimulatedZones town = zones(seed);
             town.add(new ServiceSpec("rare", 128, BOOT_MS, 1, 1_000));
-            SimulatedZones.Kind rare = new SimulatedZones.Kind("rare", 1, 1_000, 5_000, 1, 0.3, WORK_MS, 1);
+            SimulatedZones.RequestKind rare = new SimulatedZones.RequestKind("rare", 1, 1_000, 5_000, 1, 0.3, WORK_MS, 1);
             load(town, rare, 0.5);
-            judge(town);
+            checkShares(town);
             SimulatedZones.Count count = town.counts.get("rare rank 1");
-            assertTrue(count.share() > 0.95, () -> count.served + " of " + count.asked);
+            assertTrue(count.share() > 0.95, () -> count.served + " of " + count.total);
         });
     }
 }
--- a/src/test/java/brambletray/platform/admission/TenantFairnessTest.java
+++ b/src/test/java/brambletray/platform/admission/TenantFairnessTest.java
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void theRoutesRankDecidesBetweenRequestsOfOnePriority() {
+    void routePriorityOrdersRequestsOfEqualTenantPriority() {
         RequestQueue queue = queue();
         queue.add(request(1, "t", 1, 2, DEADLINE_MS), 0);
         queue.add(request(2, "t", 1, 1, DEADLINE_MS), 50);
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void theTenantsPriorityGoesBeforeAnyRank() {
+    void tenantPriorityOutranksRoutePriority() {
         RequestQueue queue = queue();
         queue.add(request(1, "b", 1, 0, DEADLINE_MS), 0);
         queue.add(request(2, "a", 0, 1_000_000, DEADLINE_MS), 0);
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void aFullQueueGivesUpTheFloodsRequest() {
+    void aFullQueueDisplacesARequestOfTheFloodingTenant() {
         RequestQueue queue = queue();
         while (!queue.isFull()) {
             queue.add(request(queue.size(), "flood", 1, 2, DEADLINE_MS), 0);
@@ -99,15 +99,15 @@
     }
 
     @Test
-    void aTenantIsBehindWhileItIsServedLessThanHalfAsOftenAsAll() {
+    void aTenantIsDisadvantagedWhileServedLessThanHalfAsOftenAsAll() {
         FairShare shares = new FairShare();
         for (int i = 0; i < 100; i++) {
             shares.onServed(request(i, "a", 1, 2, DEADLINE_MS), 10 * i);
         }
         SlotRequest rare = request(1000, "b", 1, 2, DEADLINE_MS);
         assertFalse(shares.isDisadvantaged(rare), "nothing is known of it");
-        shares.onLost(rare, 1_000);
-        shares.onLost(rare, 1_000);
+        shares.onNotServed(rare, 1_000);
+        shares.onNotServed(rare, 1_000);
         assertTrue(shares.isDisadvantaged(rare));
         assertFalse(shares.classOf(rare).isDisadvantaged(), "its kind is not behind");
         shares.onServed(request(1, "a", 1, 2, DEADLINE_MS), 200_000);
@@ -121,18 +121,18 @@
                 .toList();
     }
 
-    private static SimulatedZones.Kind kind(String tenant, int priority) {
-        return new SimulatedZones.Kind("s", priority, TARGET_MS, DEADLINE_MS, 1, 0.3, WORK_MS, 0, tenant);
+    private static SimulatedZones.RequestKind kind(String tenant, int priority) {
+        return new SimulatedZones.RequestKind("s", priority, TARGET_MS, DEADLINE_MS, 1, 0.3, WORK_MS, 0, tenant);
     }
 
-    private static void load(SimulatedZones zones, SimulatedZones.Kind kind, double perS) {
+    private static void load(SimulatedZones zones, SimulatedZones.RequestKind kind, double perS) {
         zones.at(FIRST_MS, () -> zones.arrivals(kind, "east", at -> perS, perS, FIRST_MS + LOAD_MS));
     }
 
     private static SimulatedZones zones(long seed) {
         SimulatedZones zones = new SimulatedZones(seed, List.of("east"), 1, PARAMETERS);
         zones.add(new ServiceSpec("s", 128, 500, 1, TARGET_MS));
-        zones.roomFor.put("s", INSTANCES);
+        zones.instanceLimits.put("s", INSTANCES);
         return zones;
     }
 
@@ -159,7 +159,7 @@
         double served = 0;
         for (var entry : zones.counts.entrySet()) {
             if (entry.getKey().contains(name)) {
-                asked += entry.getValue().asked;
+                asked += entry.getValue().total;
                 served += entry.getValue().served;
             }
         }
--- a/src/test/java/brambletray/platform/admission/Timeline.java
+++ b/src/test/java/brambletray/platform/admission/Timeline.java
@@ -27,25 +27,25 @@
 final class Timeline {
     private static final String SERVICE = "s";
 
-    private record Knock(long at, String host) {}
+    private record PendingProbe(long at, String instanceId) {}
 
     private final ServiceSpec spec;
-    private final AdmissionParameters laws;
+    private final AdmissionParameters parameters;
     private final Map<String, ServiceQueues> homes = new HashMap<>();
-    private final Map<String, List<String>> said = new HashMap<>();
+    private final Map<String, List<String>> actual = new HashMap<>();
     private final List<String> edges = new ArrayList<>();
     private final Map<String, String> grants = new HashMap<>();
     private final Set<String> answering = new HashSet<>();
-    private final List<String> needs = new ArrayList<>();
+    private final List<String> startNonces = new ArrayList<>();
     private final String zone;
-    private final List<Knock> joinRequests = new ArrayList<>();
+    private final List<PendingProbe> pendingProbes = new ArrayList<>();
     private String home;
     private List<String> names;
     private long now;
 
     Timeline(ServiceSpec spec, AdmissionParameters laws, String zone) {
         this.spec = spec;
-        this.laws = laws;
+        this.parameters = laws;
         this.zone = zone;
     }
 
@@ -59,19 +59,19 @@
                 cells[i] = cells[i].trim();
             }
             if (names == null) {
-                begin(cells);
+                readHeader(cells);
             } else {
-                row(cells, line);
+                playRow(cells, line);
             }
         }
     }
 
-    private void begin(String[] cells) {
+    private void readHeader(String[] cells) {
         names = List.of(cells);
         for (String name : names.subList(1, names.size())) {
             if (name.startsWith("home")) {
-                homes.put(name, new ServiceQueues("east", name, laws, new Shell(name)));
-                said.put(name, new ArrayList<>());
+                homes.put(name, new ServiceQueues("east", name, parameters, new RecordingActions(name)));
+                actual.put(name, new ArrayList<>());
                 if (home == null) {
                     home = name;
                 }
@@ -79,16 +79,16 @@
                 edges.add(name);
             }
         }
-        take(List.of());
-        said.get(home).clear();
+        takeOver(List.of());
+        actual.get(home).clear();
     }
 
-    private void take(List<String> others) {
+    private void takeOver(List<String> others) {
         homes.get(home).onServiceSpec(spec, now);
         homes.get(home).takeOver(SERVICE, zone, others, now);
     }
 
-    private void row(String[] cells, String line) {
+    private void playRow(String[] cells, String line) {
         long until = Long.parseLong(cells[0]);
         runUntil(until);
         for (int i = 1; i < cells.length; i++) {
@@ -102,7 +102,7 @@
         runUntil(until);
         for (int i = 1; i < cells.length; i++) {
             if (names.get(i).startsWith("home") && !cells[i].equals("X")) {
-                List<String> heard = said.get(names.get(i));
+                List<String> heard = actual.get(names.get(i));
                 String seen = String.join("; ", heard);
                 heard.clear();
                 if (!seen.equals(cells[i])) {
@@ -116,9 +116,9 @@
     private void runUntil(long until) {
         for (long due = nextDue(); due <= until; due = nextDue()) {
             now = Math.max(now, due);
-            if (!joinRequests.isEmpty() && joinRequests.get(0).at <= now) {
-                Knock joinRequest = joinRequests.remove(0);
-                homes.get(home).onProbed(joinRequest.host, answering.contains(joinRequest.host), now);
+            if (!pendingProbes.isEmpty() && pendingProbes.get(0).at <= now) {
+                PendingProbe joinRequest = pendingProbes.remove(0);
+                homes.get(home).onProbed(joinRequest.instanceId, answering.contains(joinRequest.instanceId), now);
             } else {
                 homes.get(home).tick(now);
             }
@@ -128,7 +128,7 @@
 
     private long nextDue() {
         long due = homes.get(home).nextDueMs();
-        return joinRequests.isEmpty() ? due : Math.min(due, joinRequests.get(0).at);
+        return pendingProbes.isEmpty() ? due : Math.min(due, pendingProbes.get(0).at);
     }
 
     private void act(String name, String[] word) {
@@ -145,8 +145,8 @@
             default -> {
                 if (name.startsWith("home")) {
                     home = "home" + (Integer.parseInt(name.substring(4)) + 1);
-                    take(edges);
-                    said.get(home).clear();
+                    takeOver(edges);
+                    actual.get(home).clear();
                 } else {
                     edge(queues, name, word);
                 }
@@ -159,30 +159,30 @@
             case "hosts" -> {
                 List<InstanceInfo> hosts = new ArrayList<>();
                 for (int i = 1; i + 1 < word.length; i += 2) {
-                    hosts.add(host(
+                    hosts.add(instanceInfo(
                             word[i], word[i + 1].equals("up") ? InstanceInfo.UP : InstanceInfo.BOOTING, "n" + word[i]));
                 }
                 queues.onInstanceList(new InstanceList(SERVICE, "east", hosts), now);
             }
             case "born" -> {
-                String nonce = needs.remove(0);
-                queues.onInstanceStarted(new InstanceStarted(nonce, host(word[1], InstanceInfo.BOOTING, nonce)), now);
+                String nonce = startNonces.remove(0);
+                queues.onInstanceStarted(new InstanceStarted(nonce, instanceInfo(word[1], InstanceInfo.BOOTING, nonce)), now);
             }
-            case "noroom" -> queues.onStartRefused(new StartRefusal(needs.remove(0), Integer.parseInt(word[1])), now);
+            case "noroom" -> queues.onStartRefused(new StartRefusal(startNonces.remove(0), Integer.parseInt(word[1])), now);
             case "leaving" -> queues.onInstanceDraining(new InstanceDraining(word[1], SERVICE), now);
             case "gone" -> queues.onInstanceGone(new InstanceGone(word[1], SERVICE), now);
             default -> throw new IllegalArgumentException(word[0]);
         }
     }
 
-    private static InstanceInfo host(String id, int state, String nonce) {
+    private static InstanceInfo instanceInfo(String id, int state, String nonce) {
         return new InstanceInfo(
                 id, SERVICE, "at-" + id, "east", "east", "w", nonce, state, state == InstanceInfo.UP ? 60_000 : 0);
     }
 
     private void edge(ServiceQueues queues, String edge, String[] word) {
         switch (word[0]) {
-            case "ask" -> queues.onSlotRequest(asked(edge, word), false, now);
+            case "ask" -> queues.onSlotRequest(slotRequest(edge, word), false, now);
             case "done" ->
                 queues.onSlotRelease(
                         edge,
@@ -206,7 +206,7 @@
         }
     }
 
-    private static SlotRequest asked(String edge, String[] word) {
+    private static SlotRequest slotRequest(String edge, String[] word) {
         int left = 4000;
         int target = 1000;
         int priority = 1;
@@ -228,7 +228,7 @@
                 edge,
                 zone,
                 SERVICE,
-                SlotOwner.nobody(priority),
+                SlotOwner.withoutTenant(priority),
                 left,
                 target,
                 flags.contains("copy"),
@@ -237,44 +237,44 @@
                 avoid);
     }
 
-    private final class Shell implements AdmissionActions {
+    private final class RecordingActions implements AdmissionActions {
         final String name;
 
-        Shell(String name) {
+        RecordingActions(String name) {
             this.name = name;
         }
 
-        private void say(String what) {
-            said.get(name).add(what);
+        private void record(String what) {
+            actual.get(name).add(what);
         }
 
         @Override
         public void grant(String edge, SlotGrant grant) {
             grants.put(edge + grant.requestId(), grant.instanceId());
-            say(edge + grant.requestId() + " " + grant.instanceId());
+            record(edge + grant.requestId() + " " + grant.instanceId());
         }
 
         @Override
         public void refuse(String edge, SlotRefusal refuse) {
-            say(edge + refuse.requestId() + " no " + refuse.retryAfterMs());
+            record(edge + refuse.requestId() + " no " + refuse.retryAfterMs());
         }
 
         @Override
         public void redirect(String edge, SlotRedirect elsewhere) {
-            say(edge + elsewhere.requestId() + " to " + elsewhere.zone());
+            record(edge + elsewhere.requestId() + " to " + elsewhere.zone());
         }
 
         @Override
         public void requestStart(StartRequest need) {
-            if (!needs.contains(need.nonce())) {
-                needs.add(need.nonce());
-                say("need");
+            if (!startNonces.contains(need.nonce())) {
+                startNonces.add(need.nonce());
+                record("need");
             }
         }
 
         @Override
         public void requestStop(StopRequest quit) {
-            say("quit " + quit.id());
+            record("quit " + quit.id());
         }
 
         @Override
@@ -282,12 +282,12 @@
 
         @Override
         public void claimHome(HomeClaim claim) {
-            say("claim");
+            record("claim");
         }
 
         @Override
         public void probe(String service, String hostId, String address) {
-            joinRequests.add(new Knock(now + 1, hostId));
+            pendingProbes.add(new PendingProbe(now + 1, hostId));
         }
     }
 }
