--- a/src/test/java/brambletray/platform/proxy/ConfigurationChangeTest.java
+++ b/src/test/java/brambletray/platform/proxy/ConfigurationChangeTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A request that an edge has begun to read gets a whole answer, whatever configuration comes meanwhile. */
+/** A request that an edge has begun to read gets a complete response even if the configuration changes meanwhile. */
 class ConfigurationChangeTest {
     private static final ClientLimits DEFAULT_LIMITS = new ClientLimits(2_048, 10_000, 3_000, 15_000);
     private static final ClientLimits LOWER_LIMITS = new ClientLimits(1_024, 4, 1_000, 2_000);
--- a/src/test/java/brambletray/platform/proxy/ForwardingTest.java
+++ b/src/test/java/brambletray/platform/proxy/ForwardingTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What passes from a client's connection to a host's, byte by byte. */
+/** How requests and responses are forwarded between client and host connections, at the level of bytes. */
 class ForwardingTest {
     private static final String HEAD = "GET /r/x HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: r1\r\n";
     private final SimulatedProxy proxy = new SimulatedProxy();
@@ -31,7 +31,7 @@
         return client.look();
     }
 
-    /** Rule UNASKED: two readings of one stream of bytes are one too many. */
+    /** Rule UNASKED: a request that two parsers could read differently (request smuggling) is rejected. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -60,7 +60,7 @@
         assertEquals(List.of(), host.look());
     }
 
-    /** The client's look, a while later: the relay closes after its last answer. */
+    /** Sends the bytes and returns what the client observes, including the close that follows the last response. */
     private List<String> sendAndAwaitClose(String bytes) {
         List<String> seen = new java.util.ArrayList<>(send(bytes));
         proxy.until(proxy.simulation.now() / 1_000_000 + 2_000);
@@ -78,7 +78,7 @@
         assertEquals("400 close", client.look().get(0));
     }
 
-    /** A head that is read while the request before it is at work is read as strictly, and answered in its turn. */
+    /** A head that is read while the previous request is in progress is checked as strictly, and answered in order. */
     @Test
     void aFoldedHeaderIsRejectedInAPipelinedRequest() {
         assertEquals(List.of(), send(HEAD + "\r\n" + HEAD.replace("r1", "r2") + "X-Folded: a\r\n b\r\n\r\n"));
@@ -89,8 +89,8 @@
     }
 
     /**
-     * Rule REFUSED: with no room to hold an answer, one that promises what nothing proves must not be given on while it
-     * comes.
+     * Rule REFUSED: a host's 503 without proof that the request did not run must not be streamed to the client if there
+     * is no memory to buffer it.
      */
     @Test
     void anUnprovenRefusalIsNotStreamed() {
@@ -115,7 +115,7 @@
         proxy.atRest();
     }
 
-    /** What comes on a connection before a byte of the request has gone out there cannot be its answer. */
+    /** Bytes that arrive on a connection before any byte of the request was sent cannot be its response. */
     @Test
     void bytesBeforeTheRequestAreNotAResponse() {
         client.act("posts r1".split(" "));
@@ -130,8 +130,8 @@
     }
 
     /**
-     * A host that has refused gets the request again on another connection: a second refusal, late on the first, would
-     * bear its id.
+     * After a refusal the same host gets the request again on another connection only: a late second refusal on the
+     * first connection would carry the same id.
      */
     @Test
     void aRequestIsNotSentTwiceOnOneConnection() {
@@ -147,12 +147,12 @@
         proxy.settle();
         assertEquals(List.of("200 a:r1"), client.look());
         send(HEAD.replace("r1", "r2") + "\r\n");
-        assertEquals(2, host.connections, "both are kept");
+        assertEquals(2, host.connections, "both connections are kept");
     }
 
     /**
-     * A kept connection that turns out closed before a byte of the request is out: that one has run nowhere, and goes
-     * out on another.
+     * A pooled connection turns out to be closed before a byte of the request was sent: the request cannot have run and
+     * is sent on another connection.
      */
     @Test
     void anUnsentRequestOnAStaleConnectionIsSentOnAnother() {
@@ -176,7 +176,8 @@
     }
 
     /**
-     * A machine that stood still past the end of a request's time: its connection comes up first, its timer after it.
+     * A machine is suspended past a request's deadline: on resume the connection is established before the deadline
+     * timer fires.
      */
     @Test
     void anExpiredRequestIsNotSentAfterAPause() {
@@ -227,7 +228,7 @@
         assertEquals(
                 "3490",
                 ScriptedHost.header(host.request, "brambletray-deadline-remaining"),
-                "of the route's timeout, which is shorter");
+                "remaining time of the route's timeout, which is shorter than the client's");
     }
 
     @Test
@@ -261,7 +262,8 @@
 
     @Test
     void requestsWithoutIdOrHostOrSupportedVersionAreRejected() {
-        assertEquals(List.of("400"), send("GET /r/x HTTP/1.1\r\nHost: h.example\r\n\r\n"), "the connection can go on");
+        assertEquals(
+                List.of("400"), send("GET /r/x HTTP/1.1\r\nHost: h.example\r\n\r\n"), "the connection stays usable");
         assertEquals(
                 "400 close",
                 send("GET /r/x HTTP/1.1\r\nBrambletray-Attempt-Id: r1\r\n\r\n").get(0));
@@ -284,7 +286,7 @@
         host.act("answers r1".split(" "));
         proxy.settle();
         assertEquals(List.of("200 a:r1 close", "closed"), client.look());
-        assertEquals(1, proxy.lines.openCount(), "the host's connection is kept");
+        assertEquals(1, proxy.lines.openCount(), "the connection to the host is kept");
     }
 
     @Test
@@ -293,7 +295,7 @@
         client.act(new String[] {"sleeps"});
         host.act("answers r1".split(" "));
         proxy.until(900);
-        assertEquals(1, proxy.front.connectionCount(), "time to read the answer");
+        assertEquals(1, proxy.front.connectionCount(), "the client has time to read the response");
         proxy.until(1_300);
         assertEquals(0, proxy.front.connectionCount());
     }
@@ -310,11 +312,11 @@
 
     @Test
     void requestsAreRefusedBeforeTheFirstConfiguration() {
-        SimulatedProxy bare = new SimulatedProxy();
-        ScriptedClient caller = (ScriptedClient) bare.actor("client");
-        caller.act("asks r1".split(" "));
-        bare.settle();
-        assertEquals(List.of("503 in 0.800"), caller.look());
+        SimulatedProxy unconfigured = new SimulatedProxy();
+        ScriptedClient unconfiguredClient = (ScriptedClient) unconfigured.actor("client");
+        unconfiguredClient.act("asks r1".split(" "));
+        unconfigured.settle();
+        assertEquals(List.of("503 in 0.800"), unconfiguredClient.look());
     }
 
     @Test
--- a/src/test/java/brambletray/platform/proxy/GracefulShutdownTest.java
+++ b/src/test/java/brambletray/platform/proxy/GracefulShutdownTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * From SIGTERM on: each request that was read whole gets a whole answer, and the process ends by itself with 0 within
- * its grace time.
+ * After SIGTERM each completely read request gets a complete response, and the process exits by itself with code 0
+ * within the grace period.
  */
 class GracefulShutdownTest {
     private static final long GRACE_MS = 6_000;
@@ -54,7 +54,8 @@
         actAt(client, 2_400, "posts r1");
         assertEquals(List.of(), observedUntil(5_390));
         assertEquals(List.of("502 close", "closed"), observedUntil(5_690));
-        assertEquals(List.of("reads r1"), host.look(), "the host works on until the process ends");
+        assertEquals(
+                List.of("reads r1"), host.look(), "the call to the host is not cancelled before the process exits");
         proxy.until(8_000);
         assertEquals(List.of("0 at 5700"), exits);
     }
--- a/src/test/java/brambletray/platform/proxy/KeyedRequestsTest.java
+++ b/src/test/java/brambletray/platform/proxy/KeyedRequestsTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A keyed request under its claim, where an edge stands still or its link to the core is slow. */
+/** Keyed requests and their claims when an edge is suspended or its link to the core is slow. */
 class KeyedRequestsTest {
     private final SimulatedProxy proxy = new SimulatedProxy();
     private ScriptedClient client;
--- a/src/test/java/brambletray/platform/proxy/OutdatedConfigurationTest.java
+++ b/src/test/java/brambletray/platform/proxy/OutdatedConfigurationTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Rule CONFIG: what an edge answers that does not know whether its configuration is the newest. */
+/** Rule CONFIG: responses of an edge that does not know whether its configuration is the newest. */
 class OutdatedConfigurationTest {
     private static final String CONFIGURATION = "{\"revision\":1,\"routes\":[{\"name\":\"r\",\"host\":\"h.example\","
             + "\"path-prefix\":\"/r/\",\"route-type\":\"idempotent\",\"timeout-ms\":4000,\"target-ms\":400,"
--- a/src/test/java/brambletray/platform/proxy/PipelinedRequestTest.java
+++ b/src/test/java/brambletray/platform/proxy/PipelinedRequestTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A request that a client sends while the one before it is at work. Routes of 4 s. */
+/** A request that a client sends while the previous one is in progress. The route's timeout is 4 s. */
 class PipelinedRequestTest {
     private final SimulatedProxy proxy = new SimulatedProxy();
     private ScriptedClient client;
