--- a/src/main/java/brambletray/platform/proxy/RequestPreparation.java
+++ b/src/main/java/brambletray/platform/proxy/RequestPreparation.java
@@ -111,7 +111,7 @@
         if (ended == null) {
             return;
         }
-        if (runState == RunState.NOT_RUN || runState == RunState.BROKEN_OFF && plan.selfDedupe()) {
+        if (runState == RunState.NOT_RUN || runState == RunState.CONNECTION_LOST && plan.selfDedupe()) {
             ended.release();
         } else if (answer != null) {
             ended.complete(answer);
--- a/src/test/java/brambletray/platform/proxy/ConfigurationChangeTest.java
+++ b/src/test/java/brambletray/platform/proxy/ConfigurationChangeTest.java
@@ -39,27 +39,27 @@
     }
 
     private void sendPartialPost() {
-        client.say(
+        client.send(
                 "POST /r/x HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: r1\r\nContent-Length: 5\r\n\r\nhe");
         proxy.settle();
     }
 
     @Test
     void limitsAreLoweredWhileABodyIsRead() {
-        actAt(proxy.places, 0, "grants a");
+        actAt(proxy.broker, 0, "grants a");
         sendPartialPost();
         proxy.route("r", "non_idempotent", 1, LOWER_LIMITS);
         proxy.until(2_500);
-        client.say("llo");
+        client.send("llo");
         actAt(host, 2_600, "answers r1");
         assertEquals(List.of("200 a:r1"), observedUntil(2_700));
-        proxy.atRest();
+        proxy.assertNothingLeft();
     }
 
     @Test
     void aConnectionIdleUnderTheOldLimitsIsStillUsable() {
-        actAt(proxy.places, 0, "grants a");
-        actAt(proxy.places, 0, "grants a");
+        actAt(proxy.broker, 0, "grants a");
+        actAt(proxy.broker, 0, "grants a");
         actAt(client, 0, "asks r1");
         actAt(host, 10, "answers r1");
         proxy.until(100);
@@ -72,8 +72,8 @@
     @Test
     void raisedLimitsApplyToOpenConnections() {
         proxy.route("r", "non_idempotent", 1, LOWER_LIMITS);
-        actAt(proxy.places, 0, "grants a");
-        actAt(proxy.places, 0, "grants a");
+        actAt(proxy.broker, 0, "grants a");
+        actAt(proxy.broker, 0, "grants a");
         actAt(client, 0, "asks r1");
         actAt(host, 10, "answers r1");
         proxy.until(100);
@@ -87,39 +87,39 @@
     void routeRemovedWhileARequestIsRead() {
         sendPartialPost();
         removeRoute();
-        client.say("llo");
+        client.send("llo");
         assertEquals(List.of("404"), observedUntil(100));
-        proxy.atRest();
+        proxy.assertNothingLeft();
     }
 
     @Test
     void routeRemovedWhileARequestWaits() {
         actAt(client, 0, "posts r1");
         removeRoute();
-        actAt(proxy.places, 100, "grants a");
+        actAt(proxy.broker, 100, "grants a");
         actAt(host, 200, "answers r1");
         assertEquals(List.of("200 a:r1"), observedUntil(300));
-        proxy.atRest();
+        proxy.assertNothingLeft();
     }
 
     @Test
     void routeRemovedWhileAHostIsWorking() {
-        actAt(proxy.places, 0, "grants a");
+        actAt(proxy.broker, 0, "grants a");
         actAt(client, 0, "posts r1");
         removeRoute();
         actAt(host, 3_900, "answers r1");
         assertEquals(List.of("200 a:r1"), observedUntil(3_950));
-        proxy.atRest();
+        proxy.assertNothingLeft();
     }
 
     @Test
     void routeRemovedWhileAResponseIsStreamed() {
-        actAt(proxy.places, 0, "grants a");
+        actAt(proxy.broker, 0, "grants a");
         actAt(client, 0, "asks r1");
         actAt(host, 100, "pours r1");
         removeRoute();
         actAt(host, 3_000, "ends r1");
         assertEquals(List.of("200 1400000"), observedUntil(3_500));
-        proxy.atRest();
+        proxy.assertNothingLeft();
     }
 }
--- a/src/test/java/brambletray/platform/proxy/ForwardingTest.java
+++ b/src/test/java/brambletray/platform/proxy/ForwardingTest.java
@@ -25,8 +25,8 @@
     }
 
     private List<String> send(String bytes) {
-        proxy.places.act(new String[] {"grants", "a"});
-        client.say(bytes);
+        proxy.broker.act(new String[] {"grants", "a"});
+        client.send(bytes);
         proxy.settle();
         return client.look();
     }
@@ -70,10 +70,10 @@
 
     @Test
     void aFoldedHeaderIsRejectedAcrossSegments() {
-        client.say("GET /r/x HTTP/1.1\r\nHost: h.example\r\nX-Folded: a\r\n");
+        client.send("GET /r/x HTTP/1.1\r\nHost: h.example\r\nX-Folded: a\r\n");
         proxy.settle();
         assertEquals(List.of(), client.look());
-        client.say(" b\r\n\r\n");
+        client.send(" b\r\n\r\n");
         proxy.settle();
         assertEquals("400 close", client.look().get(0));
     }
@@ -96,13 +96,13 @@
     void anUnprovenRefusalIsNotStreamed() {
         proxy.route("non_idempotent", 2);
         send(HEAD + "\r\n");
-        assertTrue(proxy.flow.memoryBudget().tryReserve(48 << 20));
+        assertTrue(proxy.router.memoryBudget().tryReserve(48 << 20));
         host.act("hides r1".split(" "));
         proxy.settle();
         assertEquals(List.of("502"), client.look());
-        proxy.flow.memoryBudget().release(48 << 20);
-        proxy.places.look();
-        proxy.atRest();
+        proxy.router.memoryBudget().release(48 << 20);
+        proxy.broker.look();
+        proxy.assertNothingLeft();
     }
 
     @Test
@@ -112,7 +112,7 @@
         host.act("fails-at-length r1".split(" "));
         proxy.until(200);
         assertEquals(List.of("502"), client.look());
-        proxy.atRest();
+        proxy.assertNothingLeft();
     }
 
     /** Bytes that arrive on a connection before any byte of the request was sent cannot be its response. */
@@ -121,12 +121,12 @@
         client.act("posts r1".split(" "));
         proxy.settle();
         proxy.simulation.network().window(0);
-        proxy.places.act(new String[] {"grants", "a"});
+        proxy.broker.act(new String[] {"grants", "a"});
         proxy.settle();
         proxy.simulation.network().window(65_536);
         host.act(new String[] {"blurts"});
         proxy.settle();
-        assertEquals(List.of("wants", "a UNREACHED 0", "wants but a"), proxy.places.look());
+        assertEquals(List.of("wants", "a UNREACHED 0", "wants but a"), proxy.broker.look());
     }
 
     /**
@@ -139,15 +139,15 @@
         send(HEAD + "\r\n");
         host.act("declines r1".split(" "));
         proxy.settle();
-        proxy.places.act(new String[] {"grants", "a"});
+        proxy.broker.act(new String[] {"grants", "a"});
         proxy.settle();
         assertEquals(List.of("reads r1", "reads r1"), host.look());
-        assertEquals(2, host.connections);
+        assertEquals(2, host.connectionCount);
         host.act("answers r1".split(" "));
         proxy.settle();
         assertEquals(List.of("200 a:r1"), client.look());
         send(HEAD.replace("r1", "r2") + "\r\n");
-        assertEquals(2, host.connections, "both connections are kept");
+        assertEquals(2, host.connectionCount, "both connections are kept");
     }
 
     /**
@@ -165,7 +165,7 @@
         client.act("posts r2".split(" "));
         proxy.settle();
         proxy.simulation.network().window(0);
-        proxy.places.act(new String[] {"grants", "a"});
+        proxy.broker.act(new String[] {"grants", "a"});
         proxy.settle();
         assertEquals(List.of(), host.look());
         host.act("resets r1".split(" "));
@@ -185,13 +185,13 @@
         proxy.simulation.network().usual(new brambletray.common.simulation.SimNetwork.Way(10_000_000, 0));
         client.act("posts r1 500".split(" "));
         proxy.until(25);
-        proxy.places.act(new String[] {"grants", "a"});
+        proxy.broker.act(new String[] {"grants", "a"});
         proxy.until(40);
         proxy.freeze(1_000);
         proxy.until(2_000);
         assertEquals(List.of("503 in 0.200"), client.look());
         assertEquals(List.of(), host.look());
-        assertEquals(List.of("wants", "unused a"), proxy.places.look());
+        assertEquals(List.of("wants", "unused a"), proxy.broker.look());
     }
 
     @Test
@@ -203,8 +203,8 @@
         host.act("chunks r1".split(" "));
         proxy.settle();
         assertEquals(List.of("200 a:r1"), client.look());
-        assertTrue(host.request.startsWith("POST /r/x?a=b%20c HTTP/1.1\r\n"), host.request);
-        assertTrue(host.request.endsWith("\r\nContent-Length: 4\r\n\r\nabcd"), host.request);
+        assertTrue(host.lastRequest.startsWith("POST /r/x?a=b%20c HTTP/1.1\r\n"), host.lastRequest);
+        assertTrue(host.lastRequest.endsWith("\r\nContent-Length: 4\r\n\r\nabcd"), host.lastRequest);
     }
 
     @Test
@@ -216,18 +216,18 @@
         assertEquals(
                 "GET /r/x HTTP/1.1\r\nHost: h.example:80\r\nBrambletray-Attempt-Id: r1\r\nX-Kept: \u00e9 1\r\nx-kept: 2\r\nAccept: */*\r\n"
                         + "Brambletray-Target-Instance: a\r\nBrambletray-Deadline-Remaining: 890\r\n\r\n",
-                host.request);
+                host.lastRequest);
     }
 
     @Test
     void theHostReceivesTheRemainingTime() {
         client.act("asks r1 9000".split(" "));
         proxy.until(500);
-        proxy.places.act(new String[] {"grants", "a"});
+        proxy.broker.act(new String[] {"grants", "a"});
         proxy.settle();
         assertEquals(
                 "3490",
-                ScriptedHost.header(host.request, "brambletray-deadline-remaining"),
+                ScriptedHost.header(host.lastRequest, "brambletray-deadline-remaining"),
                 "remaining time of the route's timeout, which is shorter than the client's");
     }
 
@@ -253,11 +253,11 @@
     void largeBodiesAreForwardedCompletely() {
         String body = "0123456789".repeat(1_000);
         send(HEAD.replace("GET", "PUT") + "Content-Length: 10000\r\n\r\n" + body);
-        assertTrue(host.request.endsWith("\r\nContent-Length: 10000\r\n\r\n" + body), host.request.length() + " bytes");
+        assertTrue(host.lastRequest.endsWith("\r\nContent-Length: 10000\r\n\r\n" + body), host.lastRequest.length() + " bytes");
         host.act("answers r1".split(" "));
         proxy.settle();
         assertEquals(List.of("200 a:r1"), client.look());
-        proxy.atRest();
+        proxy.assertNothingLeft();
     }
 
     @Test
@@ -286,7 +286,7 @@
         host.act("answers r1".split(" "));
         proxy.settle();
         assertEquals(List.of("200 a:r1 close", "closed"), client.look());
-        assertEquals(1, proxy.lines.openCount(), "the connection to the host is kept");
+        assertEquals(1, proxy.connectionPools.openCount(), "the connection to the host is kept");
     }
 
     @Test
@@ -295,9 +295,9 @@
         client.act(new String[] {"sleeps"});
         host.act("answers r1".split(" "));
         proxy.until(900);
-        assertEquals(1, proxy.front.connectionCount(), "the client has time to read the response");
+        assertEquals(1, proxy.frontEndServer.connectionCount(), "the client has time to read the response");
         proxy.until(1_300);
-        assertEquals(0, proxy.front.connectionCount());
+        assertEquals(0, proxy.frontEndServer.connectionCount());
     }
 
     @Test
@@ -306,8 +306,8 @@
         host.act("heads r1".split(" "));
         proxy.settle();
         assertEquals(List.of("200"), client.look());
-        assertEquals(0, proxy.lines.openCount());
-        proxy.atRest();
+        assertEquals(0, proxy.connectionPools.openCount());
+        proxy.assertNothingLeft();
     }
 
     @Test
@@ -321,11 +321,11 @@
 
     @Test
     void memoryIsBounded() {
-        assertTrue(proxy.flow.memoryBudget().tryReserve(48 << 20));
+        assertTrue(proxy.router.memoryBudget().tryReserve(48 << 20));
         assertEquals(
                 "503 in 0.200 close",
                 send(HEAD + "Content-Length: 5\r\n\r\nhello").get(0));
-        assertFalse(proxy.flow.memoryBudget().tryReserve(1));
+        assertFalse(proxy.router.memoryBudget().tryReserve(1));
     }
 
     @Test
--- a/src/test/java/brambletray/platform/proxy/GracefulShutdownTest.java
+++ b/src/test/java/brambletray/platform/proxy/GracefulShutdownTest.java
@@ -50,7 +50,7 @@
 
     @Test
     void aRequestAtASilentHostIsAnsweredBeforeTheProcessEndsAndNoSooner() {
-        actAt(proxy.places, 2_300, "grants a");
+        actAt(proxy.broker, 2_300, "grants a");
         actAt(client, 2_400, "posts r1");
         assertEquals(List.of(), observedUntil(5_390));
         assertEquals(List.of("502 close", "closed"), observedUntil(5_690));
@@ -62,7 +62,7 @@
 
     @Test
     void aLateResponseIsPassedOnAndTheProcessExitsSoonAfter() {
-        actAt(proxy.places, 2_300, "grants a");
+        actAt(proxy.broker, 2_300, "grants a");
         actAt(client, 2_400, "posts r1");
         actAt(host, 5_300, "answers r1");
         assertEquals(List.of("200 a:r1 close", "closed"), observedUntil(5_360));
@@ -71,7 +71,7 @@
 
     @Test
     void aStreamedResponseIsCompleted() {
-        actAt(proxy.places, 2_300, "grants a");
+        actAt(proxy.broker, 2_300, "grants a");
         actAt(client, 2_400, "asks r1");
         actAt(host, 2_500, "pours r1");
         actAt(host, 5_350, "ends r1");
@@ -80,7 +80,7 @@
 
     @Test
     void aStreamInProgressShortlyBeforeTheEndIsNotCut() {
-        actAt(proxy.places, 2_300, "grants a");
+        actAt(proxy.broker, 2_300, "grants a");
         actAt(client, 2_400, "asks r1");
         actAt(host, 2_500, "pours r1");
         actAt(host, 5_600, "ends r1");
@@ -89,12 +89,12 @@
 
     @Test
     void aRequestThatIsBeingReadIsServed() {
-        actAt(proxy.places, 2_300, "grants a");
+        actAt(proxy.broker, 2_300, "grants a");
         proxy.until(2_400);
-        client.say(POST + "Brambletray-Attempt-Id: r1\r\n\r\nhe");
+        client.send(POST + "Brambletray-Attempt-Id: r1\r\n\r\nhe");
         proxy.until(4_000);
         assertEquals(List.of(), exits);
-        client.say("llo");
+        client.send("llo");
         actAt(host, 4_100, "answers r1");
         assertEquals(List.of("200 a:r1 close", "closed"), observedUntil(4_200));
     }
@@ -102,16 +102,16 @@
     @Test
     void aRequestCompletedAtTheLastMomentIsRefusedImmediately() {
         proxy.until(2_400);
-        client.say(POST + "Brambletray-Attempt-Id: r1\r\n\r\nhe");
+        client.send(POST + "Brambletray-Attempt-Id: r1\r\n\r\nhe");
         proxy.until(5_500);
-        client.say("llo");
+        client.send("llo");
         assertEquals(List.of("503 in 0.200 close", "closed"), observedUntil(5_690));
         assertEquals(List.of(), host.look());
     }
 
     @Test
     void aSecondSignalChangesNothing() {
-        actAt(proxy.places, 2_300, "grants a");
+        actAt(proxy.broker, 2_300, "grants a");
         actAt(client, 2_400, "posts r1");
         proxy.until(3_000);
         shutdown.start(GRACE_MS);
--- a/src/test/java/brambletray/platform/proxy/KeyedRequestsTest.java
+++ b/src/test/java/brambletray/platform/proxy/KeyedRequestsTest.java
@@ -30,12 +30,12 @@
         actAt(client, 0, "keys r1");
         actAt(proxy.operations, 10, "grants");
         actAt(proxy.operations, 20, "outdated");
-        actAt(proxy.places, 30, "grants a");
+        actAt(proxy.broker, 30, "grants a");
         assertEquals(List.of(), host.look());
         assertEquals(List.of("503 in 0.200"), client.look());
         assertEquals(List.of("claim k1 for 80", "released"), proxy.operations.look());
-        proxy.places.look();
-        proxy.atRest();
+        proxy.broker.look();
+        proxy.assertNothingLeft();
     }
 
     @Test
@@ -44,7 +44,7 @@
         actAt(proxy.operations, 10, "grants");
         proxy.until(20);
         proxy.freeze(1_000);
-        actAt(proxy.places, 1_100, "grants a");
+        actAt(proxy.broker, 1_100, "grants a");
         assertEquals(List.of(), host.look());
         assertEquals(List.of("claim k1 for 80", "released"), proxy.operations.look());
         assertEquals(List.of("503 in 0.200"), client.look());
@@ -54,13 +54,13 @@
     void theClaimOfASentRequestIsNeverReleased() {
         actAt(client, 0, "keys r1");
         actAt(proxy.operations, 10, "grants");
-        actAt(proxy.places, 20, "grants a");
+        actAt(proxy.broker, 20, "grants a");
         assertEquals(List.of("reads r1"), host.look());
         actAt(host, 30, "resets r1");
         assertEquals(List.of("502"), client.look());
         assertEquals(List.of("claim k1 for 80", "abandoned"), proxy.operations.look());
-        proxy.places.look();
-        proxy.atRest();
+        proxy.broker.look();
+        proxy.assertNothingLeft();
     }
 
     @Test
@@ -69,7 +69,7 @@
         actAt(proxy.operations, 10, "lost");
         assertEquals(List.of("502"), client.look());
         assertEquals(List.of("claim k1 for 80"), proxy.operations.look());
-        assertEquals(List.of(), proxy.places.look());
-        proxy.atRest();
+        assertEquals(List.of(), proxy.broker.look());
+        proxy.assertNothingLeft();
     }
 }
--- a/src/test/java/brambletray/platform/proxy/OutdatedConfigurationTest.java
+++ b/src/test/java/brambletray/platform/proxy/OutdatedConfigurationTest.java
@@ -25,7 +25,7 @@
     }
 
     private List<String> responseTo(String path, String key) {
-        client.say("GET " + path + " HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: r1\r\n"
+        client.send("GET " + path + " HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: r1\r\n"
                 + "Brambletray-Credential: " + key + "\r\n\r\n");
         proxy.settle();
         return client.look();
@@ -34,29 +34,29 @@
     @Test
     void anUnknownKeyIsDeniedOnlyByTheNewestConfiguration() {
         assertEquals(List.of("401"), responseTo("/r/x", "unknown"));
-        proxy.outdated = true;
+        proxy.mayBeOutdated = true;
         assertEquals(List.of("503 in 0.400"), responseTo("/r/x", "unknown"));
-        proxy.outdated = false;
+        proxy.mayBeOutdated = false;
         assertEquals(List.of("401"), responseTo("/r/x", "unknown"));
         assertEquals(2, proxy.counters.unauthenticated);
         assertEquals(1, proxy.counters.unavailable);
-        proxy.atRest();
+        proxy.assertNothingLeft();
     }
 
     @Test
     void anUnknownRouteIsDeniedOnlyByTheNewestConfiguration() {
         assertEquals(List.of("404"), responseTo("/none", "known"));
-        proxy.outdated = true;
+        proxy.mayBeOutdated = true;
         assertEquals(List.of("503 in 0.400"), responseTo("/none", "known"));
         assertEquals(1, proxy.counters.unrouted);
         assertEquals(1, proxy.counters.unavailable);
-        proxy.atRest();
+        proxy.assertNothingLeft();
     }
 
     @Test
     void requestsAllowedByTheKnownConfigurationAreServed() {
-        proxy.outdated = true;
+        proxy.mayBeOutdated = true;
         responseTo("/r/x", "known");
-        assertEquals(List.of("wants"), proxy.places.look());
+        assertEquals(List.of("wants"), proxy.broker.look());
     }
 }
--- a/src/test/java/brambletray/platform/proxy/PipelinedRequestTest.java
+++ b/src/test/java/brambletray/platform/proxy/PipelinedRequestTest.java
@@ -17,7 +17,7 @@
         proxy.route("non_idempotent", 1);
         client = (ScriptedClient) proxy.actor("client");
         host = (ScriptedHost) proxy.actor("a");
-        proxy.places.act("grants a".split(" "));
+        proxy.broker.act("grants a".split(" "));
         client.act("asks-twice r1 r2".split(" "));
         proxy.settle();
     }
@@ -34,8 +34,8 @@
 
     @Test
     void aDrainingEdgeServesItBeforeItClosesTheConnection() {
-        proxy.front.drain();
-        proxy.places.act("grants a".split(" "));
+        proxy.frontEndServer.drain();
+        proxy.broker.act("grants a".split(" "));
         host.act("answers r1".split(" "));
         proxy.settle();
         host.act("answers r2".split(" "));
@@ -45,8 +45,8 @@
 
     @Test
     void anEdgeThatStopsAcceptingServesItBeforeItClosesTheConnection() {
-        proxy.front.stopAccepting();
-        proxy.places.act("grants a".split(" "));
+        proxy.frontEndServer.stopAccepting();
+        proxy.broker.act("grants a".split(" "));
         host.act("answers r1".split(" "));
         proxy.settle();
         host.act("answers r2".split(" "));
--- a/src/test/java/brambletray/platform/proxy/PlantedFaultsTest.java
+++ b/src/test/java/brambletray/platform/proxy/PlantedFaultsTest.java
@@ -235,12 +235,12 @@
 
     @BeforeAll
     static void disableLogging() {
-        RandomExchangesTest.hush();
+        RandomExchangesTest.disableLogging();
     }
 
     @AfterAll
     static void restoreLogging() {
-        RandomExchangesTest.unhush();
+        RandomExchangesTest.restoreLogging();
     }
 
     @ParameterizedTest(name = "{0}")
