--- a/src/main/java/brambletray/platform/proxy/Attempts.java
+++ b/src/main/java/brambletray/platform/proxy/Attempts.java
@@ -46,7 +46,7 @@
     RunState runState() {
         for (int i = 0; i < all.size(); i++) {
             if (all.get(i).active && all.get(i).onSent()) {
-                return endedRunState.and(RunState.MAY_HAVE_RUN);
+                return endedRunState.combine(RunState.MAY_HAVE_RUN);
             }
         }
         return endedRunState;
@@ -65,7 +65,7 @@
         attempt.active = false;
         activeCount--;
         if (attempt.onSent()) {
-            endedRunState = endedRunState.and(RunState.of(outcome));
+            endedRunState = endedRunState.combine(RunState.of(outcome));
         }
         actions.releaseSlot(attempt.grant, outcome, durationMs);
         return true;
--- a/src/main/java/brambletray/platform/proxy/HostConnection.java
+++ b/src/main/java/brambletray/platform/proxy/HostConnection.java
@@ -211,7 +211,7 @@
             } else if (((HttpObject) part).decoderResult().isFailure()) {
                 onBroken("garbled");
             } else if (part instanceof HttpResponse head && !responseReader.onHead(head)) {
-                onBroken(ResponseVerdict.traits(head.status().code(), head.headers()));
+                onBroken(ResponseVerdict.describe(head.status().code(), head.headers()));
             } else if (part instanceof HttpContent content && !responseReader.onContent(content)) {
                 channel.config().setAutoRead(false);
             }
--- a/src/main/java/brambletray/platform/proxy/QuotaGate.java
+++ b/src/main/java/brambletray/platform/proxy/QuotaGate.java
@@ -2,7 +2,10 @@
 
 import brambletray.platform.configuration.Tenant;
 
-/** Where a request gets the right to run under its tenant's quota, which counts over all edges. On the loop only. */
+/**
+ * Grants requests the right to run under their tenant's quota, which applies across all edges. Used on the event loop
+ * only.
+ */
 public interface QuotaGate {
     /** Admits everything: for deployments without tenants. */
     QuotaGate UNLIMITED = new QuotaGate() {
@@ -16,7 +19,7 @@
 
                 @Override
                 public void spend() {
-                    // there is nothing to count
+                    // nothing to count
                 }
             });
         }
@@ -27,30 +30,30 @@
         }
     };
 
-    /** Requests the right for one request. The listener is called once, perhaps before this returns. */
+    /** Acquires the right to send one request. The listener is called once, possibly before this returns. */
     void acquire(Tenant tenant, Listener listener);
 
-    /** The request of this listener does not wait any more; it is not called from now on. */
+    /** Cancels the acquisition of this listener, which is not called from now on. */
     void cancel(Listener listener);
 
     /** The right to send one request once, within a short time. */
     interface Right {
-        /** Whether it may still be spent. */
+        /** Whether the right may still be spent. */
         boolean isValid();
 
-        /** The request is sent by it now. What is not spent in time goes back to the tenant. */
+        /** Spends the right, as the request is sent now. A right that is not spent in time returns to the tenant. */
         void spend();
     }
 
-    /** What one request hears. */
+    /** Receives the result for one request. */
     interface Listener {
-        /** It may be sent once, soon. */
+        /** The request may be sent once, within a short time. */
         void onAcquired(Right right);
 
-        /** The tenant is beyond its limit. */
+        /** The tenant has exceeded its quota. */
         void onExceeded(int retryAfterMs);
 
-        /** Nobody can tell now. */
+        /** The quota cannot be checked now. */
         void onUnavailable(int retryAfterMs);
     }
 }
--- a/src/main/java/brambletray/platform/proxy/Readiness.java
+++ b/src/main/java/brambletray/platform/proxy/Readiness.java
@@ -17,7 +17,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * {@code GET /brambletray/readiness}: 200 while this edge calls itself ready, 503 else (PROTOCOL, How clients arrive).
+ * Serves {@code GET /brambletray/readiness}: 200 while this edge is ready, otherwise 503 (PROTOCOL, How clients
+ * arrive).
  */
 public final class Readiness {
     private static final String PATH = "/brambletray/readiness";
@@ -35,8 +36,8 @@
         this.isReady = isReady;
     }
 
-    /** Listens; the future fails where the address can't be had. */
-    public ChannelFuture listen(Address at) {
+    /** Listens on the address; the future fails if it cannot be bound. */
+    public ChannelFuture listen(Address address) {
         return machine.listening(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -53,7 +54,7 @@
                                         new Probe());
                     }
                 })
-                .bind(new InetSocketAddress(at.host(), at.port()));
+                .bind(new InetSocketAddress(address.host(), address.port()));
     }
 
     private final class Probe extends SimpleChannelInboundHandler<HttpObject> {
--- a/src/main/java/brambletray/platform/proxy/RecordedAnswer.java
+++ b/src/main/java/brambletray/platform/proxy/RecordedAnswer.java
@@ -5,15 +5,15 @@
 import java.util.List;
 
 /**
- * An instance's complete answer to the first attempt of an operation, for the attempts that repeat it.
+ * An instance's complete response to the first attempt of an operation, for the attempts that repeat it.
  *
- * @param headers the end-to-end headers: names and values in turns
+ * @param headers the end-to-end headers as alternating names and values
  */
 public record RecordedAnswer(int status, String reason, List<String> headers, byte[] body) {
-    /** Bytes of a body beyond which an answer is not recorded. */
+    /** Maximum size of the body of a recorded response. */
     static final int MAX_BODY_BYTES = 256 * 1024;
 
-    /** Bytes that it takes in memory, about. */
+    /** Approximate size in memory, in bytes. */
     public int size() {
         int size = 64 + body.length;
         for (int i = 0; i < headers.size(); i++) {
@@ -22,7 +22,7 @@
         return size;
     }
 
-    /** A copy of a complete answer; null where it is too large. */
+    /** Copies a complete response; null if it is too large. */
     static RecordedAnswer of(HostResponse response) {
         if (response.size() > MAX_BODY_BYTES) {
             return null;
@@ -31,15 +31,15 @@
                 response.status, response.reason, HeaderWriter.endToEnd(response.headers), response.copyBody());
     }
 
-    /** The answer for the attempt of this id; null where no memory is left for it. */
+    /** The response to the attempt with this id; null if the memory budget is exhausted. */
     HostResponse toResponse(String attemptId, boolean withoutBody, MemoryBudget memoryBudget) {
-        HttpHeaders own = new DefaultHttpHeaders(false);
+        HttpHeaders responseHeaders = new DefaultHttpHeaders(false);
         for (int i = 0; i + 1 < headers.size(); i += 2) {
-            own.add(headers.get(i), headers.get(i + 1));
+            responseHeaders.add(headers.get(i), headers.get(i + 1));
         }
-        own.set(ClientRequest.ID, attemptId);
+        responseHeaders.set(ClientRequest.ID, attemptId);
         boolean bare = withoutBody || status == 204 || status == 304;
-        HostResponse response = new HostResponse(status, reason, own, body.length, bare, memoryBudget);
+        HostResponse response = new HostResponse(status, reason, responseHeaders, body.length, bare, memoryBudget);
         return bare || response.addCopy(body) ? response : null;
     }
 }
--- a/src/main/java/brambletray/platform/proxy/RequestActions.java
+++ b/src/main/java/brambletray/platform/proxy/RequestActions.java
@@ -5,56 +5,57 @@
 import brambletray.platform.admission.SlotRequest;
 
 /**
- * What a {@link RequestLifecycle} wants done. The first word to the client ({@link #passResponse}, {@link
- * #startStreaming}, {@link #respond}) is the only one.
+ * Actions that a {@link RequestLifecycle} issues. At most one response is started for the client ({@link
+ * #passResponse}, {@link #passRecordedAnswer}, {@link #startStreaming} or {@link #respond}).
  */
 interface RequestActions {
     /**
-     * Gets what has to come before a slot; {@link RequestLifecycle#onPrepared} or {@link
-     * RequestLifecycle#onPreparationRejected} follows, perhaps before this returns.
+     * Starts the preparation that precedes the slot request. {@link RequestLifecycle#onPrepared}, {@link
+     * RequestLifecycle#onPreparationRejected} or {@link RequestLifecycle#onRepeatAnswered} follows, possibly before
+     * this returns.
      */
     void prepare();
 
     /**
-     * The preparation is not wanted any more; no callback follows. Returns the status for a client that still waits:
-     * 503, 409 where an earlier attempt of its operation is in work, 504 where nobody knows what became of that one.
+     * Cancels the preparation; no callback follows. Returns the status for a client that still waits: 503, 409 if an
+     * earlier attempt of its operation is in progress, 504 if the state of that attempt is unknown.
      */
     int cancelPreparation();
 
-    /** Answers with what an earlier attempt of the operation was answered. */
+    /** Responds with the recorded response of an earlier attempt of the operation. */
     void passRecordedAnswer();
 
-    /** Requests a slot; the callback may come before this returns. */
+    /** Requests a slot; the callback may be invoked before this returns. */
     void requestSlot(SlotRequest request);
 
     void cancelSlotRequest(long requestId);
 
     /**
-     * Sends on a pooled connection, or a new one; {@code hostDeadlineMs}: when the host is to stop, ms of the steady
-     * clock.
+     * Sends the request on a pooled connection or a new one; {@code hostDeadlineMs}: when the instance is to stop, in
+     * ms of the steady clock.
      */
     void sendToInstance(Attempt attempt, long hostDeadlineMs);
 
-    /** Closes its connection, or stops waiting for one; no callback follows. */
+    /** Closes the attempt's connection, or stops waiting for one; no callback follows. */
     void cancel(Attempt attempt);
 
     void releaseSlot(SlotGrant grant, AttemptOutcome outcome, int durationMs);
 
-    /** How long this service's answers take, ms. */
+    /** Records a response time of this service, in ms. */
     void recordResponseTime(int ms);
 
-    /** Sends this host's complete response to the client. */
+    /** Sends the attempt's complete response to the client. */
     void passResponse(Attempt attempt);
 
-    /** So is this answer, of which more is still to come. */
+    /** Starts to send the attempt's response to the client while it is still being received. */
     void startStreaming(Attempt attempt);
 
     /** The response begun by {@link #startStreaming} is complete. */
     void finishStreaming();
 
-    /** The client's connection ends: what it was given of an answer must not look complete. */
+    /** Aborts the client's connection, so that a partial response does not look complete. */
     void abortClient();
 
-    /** An answer of ours; {@code retryAfterMs} for a 503, ms; -1: not known. */
+    /** Sends a response of the proxy's own; {@code retryAfterMs}: for a 503, in ms, or -1 if unknown. */
     void respond(int status, int retryAfterMs);
 }
--- a/src/main/java/brambletray/platform/proxy/RequestCounters.java
+++ b/src/main/java/brambletray/platform/proxy/RequestCounters.java
@@ -5,50 +5,56 @@
 import java.util.function.ObjLongConsumer;
 
 /**
- * Counts of the requests of this edge since its start, for a log line every few seconds. To be used on the loop only.
+ * Counts of the requests of this edge since its start, for a log line every few seconds. Used on the event loop only.
  */
 public final class RequestCounters {
     private static final AttemptOutcome[] OUTCOMES = AttemptOutcome.values();
 
-    /**
-     * Complete requests read; answered by an instance; 404; 401; 429; 503 of this edge; 502; 504; other 4xx of this
-     * edge; clients gone before their answer.
-     */
+    /** Complete requests read. */
     public long requests;
-
+    /** Responses of an instance passed to a client. */
     public long answeredByInstances;
+    /** Responses 404 of this edge. */
     public long unrouted;
+    /** Responses 401. */
     public long unauthenticated;
+    /** Responses 429. */
     public long overQuota;
+    /** Responses 503 of this edge. */
     public long unavailable;
+    /** Responses 502. */
     public long failed;
+    /** Responses 504. */
     public long timedOut;
+    /** Other 4xx responses of this edge. */
     public long clientErrors;
+    /** Clients that disconnected before their response. */
     public long clientsGone;
-    /** Repeats of an operation that had the first attempt's answer; 409. */
+    /** Repeats of an operation that got the response of its first attempt. */
     public long repeatsAnswered;
-
+    /** Responses 409: repeats of an operation whose first attempt was still in progress. */
     public long repeatsInWork;
-    /**
-     * Slot requests; requests sent to hosts; hedged ones among them; hedged ones that answered first; retries;
-     * copies refused.
-     */
+    /** Slot requests. */
     public long slotRequests;
-
+    /** Requests sent to instances. */
     public long sends;
+    /** Hedged requests among those sent. */
     public long hedges;
+    /** Hedged requests whose response came first. */
     public long hedgesWon;
+    /** Slot requests for retries. */
     public long retries;
+    /** Refused slot requests for hedged requests. */
     public long hedgesRefused;
-    /**
-     * Connections opened to hosts; failed connection attempts; pooled ones found closed before a byte was sent;
-     * surplus responses skipped; responses streamed.
-     */
+    /** Connections opened to instances. */
     public long connectionsOpened;
-
+    /** Failed connection attempts. */
     public long connectFailures;
+    /** Pooled connections found closed before a byte was sent. */
     public long staleConnections;
+    /** Surplus responses skipped. */
     public long surplusResponses;
+    /** Responses streamed. */
     public long streamedResponses;
 
     private final long[] outcomes = new long[OUTCOMES.length];
@@ -57,12 +63,12 @@
         outcomes[outcome.ordinal()]++;
     }
 
-    /** How often a request at a host had this end. */
+    /** Number of attempts with this outcome. */
     public long outcomeCount(AttemptOutcome outcome) {
         return outcomes[outcome.ordinal()];
     }
 
-    /** Hands over each counter that is not 0, by its name in the log. */
+    /** Passes each nonzero counter to {@code consumer}, under its name in the log. */
     public void forEachNonZero(ObjLongConsumer<String> consumer) {
         accept(consumer, "requests", requests);
         accept(consumer, "passed", answeredByInstances);
--- a/src/main/java/brambletray/platform/proxy/RequestDecoder.java
+++ b/src/main/java/brambletray/platform/proxy/RequestDecoder.java
@@ -16,21 +16,21 @@
 import java.util.List;
 
 /**
- * Decodes requests strictly: two lengths, or a header continued on the next line, allow request smuggling (rule
- * UNASKED) and are rejected as malformed.
+ * Decodes requests strictly: conflicting body lengths, or a header continued on the next line, allow request smuggling
+ * (rule UNASKED) and are rejected as malformed.
  */
 final class RequestDecoder extends HttpRequestDecoder {
     private static final int MAX_CHUNK_BYTES = 64 * 1024;
 
     private final ClientConnection client;
-    /** Of the bytes inspected so far: the last one, and how many are beyond the reader index. */
+    /** The last byte inspected for folded headers. */
     private byte lastByte;
-
+    /** Number of inspected bytes beyond the reader index. */
     private int scannedBytes;
-    /** What comes next belongs to a head; nothing more is looked at. */
+    /** Whether the next bytes belong to a request's head. */
     private boolean inHead = true;
-
-    private boolean malformedSeen;
+    /** A malformed request was found: all further bytes are discarded. */
+    private boolean isMalformed;
 
     RequestDecoder(ClientConnection client, int headerBytes) {
         super(new HttpDecoderConfig()
@@ -49,13 +49,13 @@
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) throws Exception {
-        if (malformedSeen) {
+        if (isMalformed) {
             in.skipBytes(in.readableBytes());
             return;
         }
         int before = in.readerIndex();
         if (inHead && hasFoldedHeader(in)) {
-            malformedSeen = true;
+            isMalformed = true;
             in.skipBytes(in.readableBytes());
             out.add(malformed());
             return;
@@ -63,18 +63,18 @@
         super.decode(context, in, out);
         scannedBytes = Math.max(0, scannedBytes - (in.readerIndex() - before));
         if (!out.isEmpty()) {
-            // What follows is another part: a body, or the next head.
+            // The following bytes belong to another part: a body or the next head.
             scannedBytes = 0;
             lastByte = 0;
             inHead = out.get(out.size() - 1) instanceof LastHttpContent;
         }
     }
 
-    /** In the order of what was read: the requests before it have their turn first. */
+    /** Stands for the malformed request in the pipeline's order, so that earlier requests are processed first. */
     private static HttpObject malformed() {
         HttpRequest request = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/");
         request.setDecoderResult(
-                DecoderResult.failure(new IllegalArgumentException("a header that goes on in the next line")));
+                DecoderResult.failure(new IllegalArgumentException("header continued on the next line")));
         return request;
     }
 
@@ -89,7 +89,7 @@
                     return true;
                 }
                 if (next == '\r' || next == '\n') {
-                    // The head's end: what follows is no header.
+                    // End of the head: no header follows.
                     lastByte = 0;
                     scannedBytes = at - in.readerIndex();
                     return false;
--- a/src/main/java/brambletray/platform/proxy/RequestDriver.java
+++ b/src/main/java/brambletray/platform/proxy/RequestDriver.java
@@ -7,7 +7,7 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Carries out what a {@link RequestLifecycle} wants, and passes events to it: between one client, the slot broker and
+ * Performs the actions of one {@link RequestLifecycle} and passes events to it, from the client, the slot broker and
  * the connections to instances.
  */
 final class RequestDriver implements RequestActions {
@@ -20,7 +20,7 @@
     private final HostCallContext hostCallContext;
     private final LoopTimer timer;
     private final ClientReply clientReply;
-    /** Of an earlier attempt of the operation; null: none. */
+    /** Response recorded for an earlier attempt of the operation; null for none. */
     private RecordedAnswer recordedAnswer;
 
     private boolean bodyHeld = true;
@@ -51,8 +51,8 @@
         afterEvent();
     }
 
-    // ---- From the client ------------------------------------------------------------------------
-    /** The client is gone; nobody reads what still comes. */
+    // ---- Client events --------------------------------------------------------------------------
+    /** The client has disconnected; no response can be delivered any more. */
     void onClientGone() {
         if (clientReply.isOpen()) {
             clientReply.onClientGone();
@@ -61,19 +61,19 @@
         }
     }
 
-    /** The process ends: the client is answered now unless its answer has begun. */
+    /** Responds to the client now, as the process ends, unless its response has begun. */
     void answerNow() {
         lifecycle.answerNow(router.now());
         afterEvent();
     }
 
-    /** The client can take more of an answer. */
+    /** The client's connection is writable again. */
     void onClientWritable() {
         clientReply.onClientWritable();
     }
 
-    // ---- Time -----------------------------------------------------------------------------------
-    /** After each event: the next timer, and what is to be let go of. */
+    // ---- Timer ----------------------------------------------------------------------------------
+    /** Runs after each event: sets the next timer, and releases what is no longer needed. */
     private void afterEvent() {
         if (lifecycle.isSettled()) {
             releaseBody();
@@ -238,7 +238,7 @@
         clientReply.respond(status, retryAfterMs, exchanges.count());
     }
 
-    // ---- From hosts -----------------------------------------------------------------------------
+    // ---- Instance events ------------------------------------------------------------------------
     HostCallContext hostCallContext() {
         return hostCallContext;
     }
@@ -275,7 +275,7 @@
         return exchanges.used(connection);
     }
 
-    /** Whether its byte may still go out now. */
+    /** Whether the attempt may still be sent now. */
     boolean isStillWanted(Attempt attempt) {
         if (lifecycle.nextDueMs() <= router.now()) {
             lifecycle.tick(router.now());
@@ -286,7 +286,7 @@
         return attempt.active;
     }
 
-    /** {@code response}: null where there is none that may be passed on. */
+    /** {@code response}: null if there is none that may be passed on. */
     void onEnded(Attempt attempt, AttemptOutcome outcome, boolean withheld, HostResponse response) {
         if (response != null) {
             preparation.onHostAnswer(response);
--- a/src/main/java/brambletray/platform/proxy/RequestLifecycle.java
+++ b/src/main/java/brambletray/platform/proxy/RequestLifecycle.java
@@ -8,27 +8,27 @@
 
 /**
  * The state machine of one request, from its arrival to its single response and the end of its attempts. Does no I/O:
- * events come in with their time, actions go out through {@link RequestActions}.
+ * each event is passed in with its time, and actions are issued through {@link RequestActions}.
  *
- * <p>A repeatable request may be sent to at most {@code mostHosts} hosts; any other to the next host only with proof
- * that it did not run (rule TWICE). When no response has come after the service's hedging delay, a hedged request
- * goes to another host if a slot is free; the first response is used and the others are cancelled. A request that is
- * abandoned is answered at once: 503 if it provably did not run (rule REFUSED), 504 at its deadline, 502 otherwise.
+ * <p>A repeatable request may be sent to at most {@code maxInstances} instances; any other is sent to another instance
+ * only with proof that it did not run (rule TWICE). When no response has come after the service's hedging delay, a
+ * hedged request goes to another instance if a slot is free; the first response is used and the others are cancelled.
+ * A request that is given up gets a response at once: 503 if it provably did not run (rule REFUSED), 504 at its
+ * deadline, 502 otherwise.
  */
 final class RequestLifecycle {
-    /** ms before the end: our own answer has to reach the client; and so much sooner does a host stop. */
+    /** Time in ms before the deadline at which the proxy sends its own response, so that it arrives in time. */
     private static final int RESPONSE_MARGIN_MS = 20;
 
+    /** Time in ms before the deadline at which an instance is told to stop. */
     private static final int HOST_MARGIN_MS = 10;
-    /** ms after the deadline within which a host must have answered. */
-    private static final int LINGER_MS = 150;
-    /**
-     * ms until a hedged request that found no slot asks again, at least; how often it asks; hosts that may be
-     * unreachable.
-     */
+    /** Time in ms after the deadline within which an instance must have responded. */
+    private static final int HOST_ANSWER_GRACE_MS = 150;
+    /** Minimum time in ms before a slot is requested again for a hedged request. */
     private static final int HEDGE_RETRY_MS = 50;
-
+    /** Slot requests for hedged requests, at most. */
     private static final int MAX_HEDGE_REQUESTS = 4;
+    /** Unreachable instances after which the request is given up. */
     private static final int MAX_UNREACHABLE = 4;
 
     private final RequestPlan plan;
@@ -46,18 +46,18 @@
     private int sentInstances;
     private int unreachableCount;
     private int hedgeRequests;
-    /** ms; 0: no copy is due. */
+    /** Time in ms at which a hedged request is due; 0 for none. */
     private long hedgeAtMs;
-    /** A host has or may have run it, and its answer was not one. */
+    /** An instance has or may have run the request without returning a usable response. */
     private boolean unproven;
 
     private int retryAfterMs = -1;
-    /** A host's own failure: the answer if nothing better comes. */
-    private Attempt withheldAttempt;
+    /** Attempt whose error response is passed on if no instance returns a better one. */
+    private Attempt failedAttempt;
 
     private Attempt streamingAttempt;
     private boolean isSettled;
-    /** Waits for its right under the tenant's quota or the claim on its operation, and holds no slot yet. */
+    /** Waits for a right under the tenant's quota or for the claim on its operation; no slot is requested yet. */
     private boolean isPreparing;
 
     RequestLifecycle(
@@ -89,7 +89,7 @@
         }
     }
 
-    /** All that has to come before a slot has come. */
+    /** The preparation is complete: a slot can be requested. */
     void onPrepared(long now) {
         if (!isPreparing) {
             return;
@@ -102,16 +102,19 @@
         }
     }
 
-    /** It may not run, and has not: 429, 503, or 502 where an earlier attempt may have run. */
-    void onPreparationRejected(int status, int refusedForMs) {
+    /**
+     * The request must not run and has not been sent: 429, 503, or 502 if an earlier attempt of its operation may have
+     * run.
+     */
+    void onPreparationRejected(int status, int retryAfterMs) {
         if (isPreparing) {
             isPreparing = false;
             isSettled = true;
-            actions.respond(status, refusedForMs);
+            actions.respond(status, retryAfterMs);
         }
     }
 
-    /** An earlier attempt of its operation has an answer, which is this one's too. */
+    /** An earlier attempt of its operation has a recorded response, which answers this request too. */
     void onRepeatAnswered() {
         if (isPreparing) {
             isPreparing = false;
@@ -120,25 +123,25 @@
         }
     }
 
-    /** What is known of whether it ran; final once it {@link #isOver}. */
+    /** What is known about whether the request ran; final once {@link #isOver} is true. */
     RunState runState() {
         return attempts.runState();
     }
 
-    /** The client has its answer, or is gone. */
+    /** Whether the client has its response or has disconnected. */
     boolean isSettled() {
         return isSettled;
     }
 
-    /** Nothing more will happen. */
+    /** Whether the request is complete: settled, with no slot request pending and no active attempt. */
     boolean isOver() {
         return isSettled && pendingRequestId == 0 && attempts.activeCount() == 0;
     }
 
-    /** When {@link #tick} is next needed, ms; {@link Long#MAX_VALUE}: never. */
+    /** Time in ms at which {@link #tick} is next due; {@link Long#MAX_VALUE} for never. */
     long nextDueMs() {
         if (isSettled) {
-            return attempts.activeCount() == 0 ? Long.MAX_VALUE : plan.deadlineMs() + LINGER_MS;
+            return attempts.activeCount() == 0 ? Long.MAX_VALUE : plan.deadlineMs() + HOST_ANSWER_GRACE_MS;
         }
         return hedgeAtMs != 0 && pendingRequestId == 0 ? Math.min(hedgeAtMs, lastSendMs) : lastSendMs;
     }
@@ -164,8 +167,8 @@
 
     void onGranted(SlotGrant grant, long now) {
         if (grant.requestId() != pendingRequestId) {
-            // Prevents a slot leak: this request was cancelled while its grant was under way. A grant that comes twice
-            // is in use.
+            // Prevents a slot leak: the slot request was cancelled while its grant was in transit. A duplicate grant is
+            // not cancelled, as its slot is in use.
             if (!attempts.isActive(grant.requestId())) {
                 actions.cancelSlotRequest(grant.requestId());
             }
@@ -185,23 +188,23 @@
         actions.sendToInstance(attempts.add(grant, pendingIsHedge, now), plan.deadlineMs() - HOST_MARGIN_MS);
     }
 
-    void onRefused(long requestId, int refusedForMs, long now) {
+    void onRefused(long requestId, int retryAfterMs, long now) {
         if (requestId != pendingRequestId) {
             return;
         }
         pendingRequestId = 0;
         if (pendingIsHedge && attempts.activeCount() > 0) {
-            hedgeAtMs = hedgeRequests < MAX_HEDGE_REQUESTS ? now + Math.max(HEDGE_RETRY_MS, refusedForMs) : 0;
+            hedgeAtMs = hedgeRequests < MAX_HEDGE_REQUESTS ? now + Math.max(HEDGE_RETRY_MS, retryAfterMs) : 0;
         } else if (pendingIsHedge) {
             nextStep(now);
         } else {
-            this.retryAfterMs = refusedForMs;
+            this.retryAfterMs = retryAfterMs;
             conclude(now);
         }
     }
 
-    // ---- At hosts -------------------------------------------------------------------------------
-    /** The first byte has gone out. */
+    // ---- Attempts -------------------------------------------------------------------------------
+    /** The first byte of the request was written to the instance. */
     void onSent(Attempt attempt, long now) {
         if (!attempt.active || attempt.onSent()) {
             return;
@@ -211,7 +214,7 @@
         hedgeAtMs = isHedgeWanted() ? now + Math.max(1, hedgeDelayMs.getAsInt()) : 0;
     }
 
-    /** No connection came up: it did not run, and did not arrive. */
+    /** No connection was established: the request did not arrive and did not run. */
     void onUnreachable(Attempt attempt, long now) {
         if (attempts.complete(attempt, AttemptOutcome.UNREACHED, (int) (now - attempt.grantedAtMs))) {
             unreachableCount++;
@@ -220,17 +223,17 @@
         }
     }
 
-    /** Nothing was sent: the tenant's quota has no right for it, or nobody can tell now. */
-    void onSendRejected(Attempt attempt, int status, int refusedForMs, long now) {
+    /** The attempt was not sent: the tenant's quota is exceeded, or the quota cannot be checked now. */
+    void onSendRejected(Attempt attempt, int status, int retryAfterMs, long now) {
         if (!attempts.releaseUnsent(attempt) || isSettled || pendingRequestId != 0 || attempts.activeCount() > 0) {
             return;
         }
-        if (unproven || withheldAttempt != null) {
+        if (unproven || failedAttempt != null) {
             conclude(now);
         } else {
             isSettled = true;
             hedgeAtMs = 0;
-            actions.respond(status, refusedForMs);
+            actions.respond(status, retryAfterMs);
         }
     }
 
@@ -258,7 +261,7 @@
         }
         unproven |= outcome == AttemptOutcome.FAILED || outcome == AttemptOutcome.BROKEN;
         if (outcome == AttemptOutcome.FAILED && !withheld) {
-            withheldAttempt = attempt;
+            failedAttempt = attempt;
         }
         nextStep(now);
     }
@@ -272,7 +275,7 @@
         }
     }
 
-    /** An answer too large to be held back is coming: true if it is the client's. */
+    /** A response too large to be buffered is arriving; returns whether it is to be streamed to the client. */
     boolean onStreaming(Attempt attempt, long now) {
         if (isSettled || !attempt.active) {
             return false;
@@ -283,13 +286,13 @@
         return true;
     }
 
-    /** The first usable answer settles; what else is out is called off. */
+    /** The first usable response settles the request; its other attempts and slot requests are cancelled. */
     private void settleOn(Attempt winner, long now) {
         cancelPendingRequest();
         attempts.cancelOthers(winner, now);
     }
 
-    /** No more is asked for. */
+    /** Settles the request and cancels its pending slot request. */
     private void cancelPendingRequest() {
         isSettled = true;
         hedgeAtMs = 0;
@@ -300,8 +303,8 @@
         }
     }
 
-    // ---- What next ------------------------------------------------------------------------------
-    /** After an end that is no answer: wait for what is out, go to another host, or give up. */
+    // ---- Decisions ------------------------------------------------------------------------------
+    /** After an attempt without a usable response: waits for the others, tries another instance, or gives up. */
     private void nextStep(long now) {
         if (isSettled || pendingRequestId != 0 || attempts.activeCount() > 0) {
             return;
@@ -320,8 +323,8 @@
     private void conclude(long now) {
         isSettled = true;
         hedgeAtMs = 0;
-        if (withheldAttempt != null) {
-            actions.passResponse(withheldAttempt);
+        if (failedAttempt != null) {
+            actions.passResponse(failedAttempt);
         } else if (!unproven) {
             actions.respond(503, retryAfterMs);
         } else {
@@ -335,7 +338,7 @@
 
     void tick(long now) {
         if (isSettled) {
-            if (now >= plan.deadlineMs() + LINGER_MS) {
+            if (now >= plan.deadlineMs() + HOST_ANSWER_GRACE_MS) {
                 attempts.giveUp(now);
                 if (streamingAttempt != null) {
                     onStreamed(AttemptOutcome.SILENT);
@@ -351,7 +354,7 @@
         }
     }
 
-    /** The client is answered; what is at a host is left to finish there. */
+    /** Responds to the client; attempts that were sent are left to finish at their instances. */
     private void onTimeout(long now) {
         if (isPreparing) {
             isPreparing = false;
@@ -365,7 +368,7 @@
     }
 
     /**
-     * No time is left, though the request's own is not over: the client is answered now unless its answer has begun.
+     * Responds to the client now, although the request's deadline has not passed, unless its response has begun.
      */
     void answerNow(long now) {
         if (!isSettled) {
@@ -373,7 +376,10 @@
         }
     }
 
-    /** The client has gone: what no host has is dropped, the rest is left to finish (breaking off is priced). */
+    /**
+     * The client has disconnected: attempts that were not sent are dropped, the others are left to finish at their
+     * instances, since interrupting an instance has a cost.
+     */
     void onClientGone(long now) {
         if (!isSettled) {
             if (isPreparing) {
--- a/src/main/java/brambletray/platform/proxy/RequestPlan.java
+++ b/src/main/java/brambletray/platform/proxy/RequestPlan.java
@@ -6,16 +6,16 @@
 import brambletray.platform.operations.OperationKey;
 
 /**
- * What one request asks for.
+ * Parameters of one request.
  *
- * @param maxInstances to how many instances it may be sent ({@code retry-count}, 1 at least)
- * @param owner whose it is for the queues, and how urgent
- * @param targetMs its latency target, ms
- * @param nestedCall whether an instance of ours calls
- * @param tenant whose request it is; null: nobody's
- * @param operation which operation it is an attempt of; null: of none
- * @param selfDedupe whether the service's instances recognise attempts of one operation
- * @param deadlineMs when its time is over, ms of the steady clock
+ * @param maxInstances the number of instances to which it may be sent ({@code retry-count}, at least 1)
+ * @param owner its owner and priority for the queues
+ * @param targetMs its latency target, in ms
+ * @param nestedCall whether the caller is itself an instance
+ * @param tenant the tenant that sent it; null for an anonymous request
+ * @param operation the operation that it is an attempt of; null for none
+ * @param selfDedupe whether the service's instances recognise attempts of the same operation
+ * @param deadlineMs its deadline, in ms of the steady clock
  */
 record RequestPlan(
         String service,
@@ -30,26 +30,26 @@
         long deadlineMs) {
     private static final int MIN_CLAIM_WAIT_MS = 40;
 
-    /** Whose a request on this route is for the queues; {@code tenant} is null for nobody's. */
+    /** Owner of a request on this route for the queues; {@code tenant} is null for an anonymous request. */
     static SlotOwner owner(Tenant tenant, Route route) {
         return tenant == null
                 ? SlotOwner.nobody(route.priority())
                 : new SlotOwner(tenant.name(), tenant.priorityOn(route), route.priority());
     }
 
-    /** Whether it needs a right under its tenant's quota. */
+    /** Whether the request needs a right under its tenant's quota. */
     boolean isLimited() {
         return tenant != null && tenant.isLimited();
     }
 
-    /** Whether something has to come before its slot: a right under a quota, a claim on an operation. */
+    /** Whether a right under a quota or a claim on an operation is needed before the slot request. */
     boolean needsPreparation() {
         return isLimited() || operation != null;
     }
 
     /**
-     * For how long a claim on its operation is waited for, ms: a request that is refused within a quarter of its target
-     * can still come again in time.
+     * Maximum wait in ms for a claim on its operation: a request that is refused within a quarter of its latency target
+     * can still be retried in time.
      */
     int maxClaimWaitMs() {
         return Math.max(MIN_CLAIM_WAIT_MS, targetMs / 5);
--- a/src/main/java/brambletray/platform/proxy/RequestPreparation.java
+++ b/src/main/java/brambletray/platform/proxy/RequestPreparation.java
@@ -3,18 +3,18 @@
 import brambletray.platform.proxy.OperationGate.Progress;
 
 /**
- * What a request needs before it asks for a slot, step by step: the right under its tenant's quota, then the claim on
+ * Acquires what a request needs before it requests a slot: first a right under its tenant's quota, then the claim on
  * its operation. Ends the claim once the request is over.
  */
 final class RequestPreparation {
-    /** What the request hears; one of these, once, perhaps before {@link #start} returns. */
+    /** Exactly one of these is called, once, possibly before {@link #start} returns. */
     interface Listener {
         void onPrepared();
 
-        /** {@code retryAfterMs}: -1 where there is no point in a retry. */
+        /** {@code retryAfterMs}: -1 if a retry is pointless. */
         void onRejected(int status, int retryAfterMs);
 
-        /** An earlier attempt of the operation has this answer. */
+        /** An earlier attempt of the operation has this recorded response. */
         void onRepeatAnswered(RecordedAnswer answer);
     }
 
@@ -31,11 +31,11 @@
     private final QuotaStep quotaStep = new QuotaStep();
     private final ClaimStep claimStep = new ClaimStep();
     private Step step = Step.NONE;
-    /** Until an attempt has it; null: none. */
+    /** The right until an attempt takes it; null for none. */
     private QuotaGate.Right right;
-    /** Null before it is granted, and for a request of no operation. */
+    /** Null until it is granted, and for a request without an operation. */
     private OperationClaim claim;
-    /** What an instance has answered; null: nothing that can be recorded. */
+    /** Response of an instance; null for none that can be recorded. */
     private RecordedAnswer answer;
 
     RequestPreparation(RequestPlan plan, QuotaGate quotaGate, OperationGate operationGate, Listener listener) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /** No callback follows; the status for a client that still waits. */
+    /** Cancels the current step; no callback follows. Returns the status for a client that still waits. */
     int cancel() {
         Step cancelled = step;
         step = Step.NONE;
@@ -82,7 +82,7 @@
         };
     }
 
-    /** The permit of the next attempt; the right that was acquired is the first one's. */
+    /** The permit of the next attempt; the first attempt takes the right acquired here. */
     SendPermit permit(SendPermit.Events events) {
         if (!plan.isLimited()) {
             return SendPermit.UNLIMITED;
@@ -97,21 +97,24 @@
         return claim == null || claim.isUsable();
     }
 
-    /** A complete answer of an instance, whether or not a client still waits; its bytes stay the caller's. */
+    /**
+     * Records a complete response of an instance, whether or not a client still waits. The caller keeps ownership of
+     * its bytes.
+     */
     void onHostAnswer(HostResponse response) {
         if (claim != null) {
             answer = RecordedAnswer.of(response);
         }
     }
 
-    /** Nothing more will happen to the request: its claim ends accordingly. */
+    /** The request is over: ends its claim according to whether it ran. */
     void onOver(RunState runState) {
         OperationClaim ended = claim;
         claim = null;
         if (ended == null) {
             return;
         }
-        if (runState == RunState.NOT_RUN || runState == RunState.BROKEN_OFF && plan.selfDedupe()) {
+        if (runState == RunState.NOT_RUN || runState == RunState.CONNECTION_LOST && plan.selfDedupe()) {
             ended.release();
         } else if (answer != null) {
             ended.complete(answer);
--- a/src/main/java/brambletray/platform/proxy/RequestReader.java
+++ b/src/main/java/brambletray/platform/proxy/RequestReader.java
@@ -11,10 +11,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The request that is being read on one connection: its head, and its body as far as it has come. */
+/** Collects the request that is being read on one connection: its head and the body parts received so far. */
 final class RequestReader {
     private final MemoryBudget memoryBudget;
-    /** Those in force when the request began. */
+    /** Limits in force when the request began. */
     private ClientLimits limits;
 
     private final List<ByteBuf> bodyParts = new ArrayList<>(1);
@@ -26,7 +26,7 @@
         this.memoryBudget = memoryBudget;
     }
 
-    /** Null: go on; else why it is turned away. */
+    /** Returns the reason to reject the request, or null to continue. */
     Rejection onHead(HttpRequest request, long now, ClientLimits currentLimits) {
         head = request;
         limits = currentLimits;
@@ -34,7 +34,7 @@
         return Rejection.of(request, limits);
     }
 
-    /** When the time of the request that is being read is over, ms of the steady clock. */
+    /** Deadline of the request that is being read, in ms of the steady clock. */
     long deadlineMs(RequestRouter router) {
         return head == null ? Long.MAX_VALUE : router.deadlineMs(head.headers(), head.uri(), receivedAtMs);
     }
@@ -43,7 +43,7 @@
         return head != null && head.method().equals(HttpMethod.HEAD);
     }
 
-    /** Null: go on; else why it is turned away. */
+    /** Returns the reason to reject the request, or null to continue. */
     Rejection onBody(HttpContent content) {
         int n = content.content().readableBytes();
         if (n == 0) {
@@ -53,14 +53,14 @@
             return Rejection.TOO_LARGE;
         }
         if (!memoryBudget.tryReserve(n)) {
-            return Rejection.FULL;
+            return Rejection.MEMORY_FULL;
         }
         bodyBytes += n;
         bodyParts.add(content.content().retain());
         return null;
     }
 
-    /** The request is complete: the caller returns its bytes to the memory limit. */
+    /** Returns the complete request; the caller releases its bytes to the memory budget. */
     ClientRequest takeRequest() {
         HttpHeaders headers = head.headers();
         HttpMethod method = head.method();
@@ -69,7 +69,7 @@
                 || headers.contains(HttpHeaderNames.TRANSFER_ENCODING)
                 || method.equals(HttpMethod.POST)
                 || method.equals(HttpMethod.PUT);
-        // A copy, lest a small body keep the large buffer that it was read into.
+        // Copied, so that a small body does not retain the large buffer that it was read into.
         ByteBuf body = bodyBytes == 0 ? Unpooled.EMPTY_BUFFER : Unpooled.buffer(bodyBytes, bodyBytes);
         for (int i = 0; i < bodyParts.size(); i++) {
             body.writeBytes(bodyParts.get(i));
--- a/src/main/java/brambletray/platform/proxy/RequestRouter.java
+++ b/src/main/java/brambletray/platform/proxy/RequestRouter.java
@@ -17,15 +17,15 @@
 import java.util.SplittableRandom;
 import java.util.function.Predicate;
 
-/** Finds each request's route and starts its {@link RequestLifecycle}. The loop's. */
+/** Finds each request's route and starts its {@link RequestLifecycle}. Used on the event loop only. */
 public final class RequestRouter {
-    /** Time to retry in ms where nobody knows better. */
+    /** Retry-After in ms if no better estimate is known. */
     static final int RETRY_AFTER_MS = 200;
-    /** Time to retry in ms while there is no configuration yet. */
+    /** Retry-After in ms while there is no configuration yet. */
     private static final int NO_CONFIGURATION_RETRY_MS = 800;
-    /** Time to retry in ms where the configuration here may be outdated: about what a change takes to arrive. */
+    /** Retry-After in ms if the configuration here may be outdated: about the time that a change takes to arrive. */
     private static final int OUTDATED_RETRY_MS = 400;
-    /** Requests under way at one time. */
+    /** Maximum number of concurrent requests. */
     private static final int MAX_REQUESTS = 8_000;
 
     private final Machine machine;
@@ -40,18 +40,18 @@
     private final RequestCounters counters;
     private final MemoryBudget memoryBudget;
     private final RateLimitedLog rateLimitedLog = new RateLimitedLog();
-    private final SplittableRandom shares;
+    private final SplittableRandom serviceRandom;
     private final Map<String, HedgeDelay> hedgeDelays = new HashMap<>();
     private long lastRequestId;
     private int waitingClients;
     private int activeRequests;
-    /** The process is about to end: each new request is refused. */
+    /** The process is shutting down: each new request is rejected. */
     private boolean rejectingNew;
 
     /**
-     * {@code edge}, {@code zone}: this machine's, for slot requests; {@code isInstanceIp}: whether an IP address is
-     * that of a known host, whose calls are nested ones; {@code maxBytes}: of requests and responses buffered at one
-     * time, above which new requests are rejected; {@code seed}: for the weighted routes.
+     * {@code edge}, {@code zone}: name and zone of this machine, for slot requests; {@code isInstanceIp}: whether an IP
+     * address is that of a known instance, whose calls are nested ones; {@code maxBytes}: limit of buffered requests
+     * and responses, above which new requests are rejected; {@code seed}: for the weighted routes.
      */
     public RequestRouter(
             Machine machine,
@@ -77,22 +77,22 @@
         this.connectionPools = connectionPools;
         this.counters = counters;
         this.memoryBudget = new MemoryBudget(maxBytes);
-        this.shares = new SplittableRandom(seed);
-        // Avoids the ids of the previous process, whose slot requests homes may still know.
+        this.serviceRandom = new SplittableRandom(seed);
+        // Avoids the ids used by the previous process, whose slot requests the services' home edges may still have.
         this.lastRequestId = (seed & 0x3fffffffL) << 32;
     }
 
-    /** Requests that clients wait for. */
+    /** Number of requests whose clients wait for a response. */
     public int inFlight() {
         return waitingClients;
     }
 
-    /** Those, and those whose work at a host goes on though nobody waits. */
+    /** Number of requests in flight, including those that an instance still works on although no client waits. */
     public int activeRequests() {
         return activeRequests;
     }
 
-    /** Bytes of requests and answers held. */
+    /** Bytes of buffered requests and responses. */
     public long heldBytes() {
         return memoryBudget.heldBytes();
     }
@@ -109,18 +109,18 @@
         return memoryBudget;
     }
 
-    /** From now on each new request is refused: nothing is left of the time in which it could be served. */
+    /** Rejects each new request from now on, as no time is left to serve it before the process ends. */
     void rejectNew() {
         rejectingNew = true;
     }
 
-    /** A request that could not be read. */
+    /** Counts a request that was rejected while it was read. */
     void countRejected(int status) {
         counters.clientErrors += status == 503 ? 0 : 1;
         counters.unavailable += status == 503 ? 1 : 0;
     }
 
-    /** Starts a request on its way, or answers it. */
+    /** Starts the lifecycle of a request, or responds to it directly. */
     void serve(ClientConnection client, ClientRequest clientRequest) {
         counters.requests++;
         HttpHeaders headers = clientRequest.headers();
@@ -131,13 +131,13 @@
             respond(client, clientRequest, 400, "proxy.no-id", -1, null);
             return;
         }
-        Configuration now = configuration.current();
-        if (now == Configuration.NONE) {
+        Configuration currentConfiguration = configuration.current();
+        if (currentConfiguration == Configuration.NONE) {
             counters.unavailable++;
             respond(client, clientRequest, 503, "proxy.no-configuration", NO_CONFIGURATION_RETRY_MS, id);
             return;
         }
-        Route route = now.match(headers.get(HttpHeaderNames.HOST), clientRequest.path());
+        Route route = currentConfiguration.match(headers.get(HttpHeaderNames.HOST), clientRequest.path());
         if (route == null) {
             deny(client, clientRequest, 404, "proxy.no-route", id);
             return;
@@ -147,7 +147,7 @@
             respond(client, clientRequest, 503, rejectingNew ? "proxy.ending" : "proxy.full", RETRY_AFTER_MS, id);
             return;
         }
-        TenantAuthentication authentication = TenantAuthentication.of(headers, now, route);
+        TenantAuthentication authentication = TenantAuthentication.of(headers, currentConfiguration, route);
         if (!authentication.accepted()) {
             deny(client, clientRequest, 401, "proxy.unknown-key", id);
             return;
@@ -160,10 +160,10 @@
             respond(client, clientRequest, 400, "proxy.no-operation-key", -1, id);
             return;
         }
-        String service = route.selectService(shares.nextDouble());
-        Service known = now.services().get(service);
+        String serviceName = route.selectService(serviceRandom.nextDouble());
+        Service service = currentConfiguration.services().get(serviceName);
         RequestPlan plan = new RequestPlan(
-                service,
+                serviceName,
                 route.idempotent(),
                 Math.max(1, route.retryCount()),
                 RequestPlan.owner(tenant, route),
@@ -171,17 +171,17 @@
                 isInstanceIp.test(client.clientIp()),
                 tenant,
                 operation,
-                known != null && known.selfDedupe(),
+                service != null && service.selfDedupe(),
                 deadlineMs(headers, route, clientRequest.receivedAtMs()));
         RequestDriver driver = new RequestDriver(
-                this, client, clientRequest, id, plan, known == null ? 4 : Math.max(4, known.maxConnections() / 4));
+                this, client, clientRequest, id, plan, service == null ? 4 : Math.max(4, service.maxConnections() / 4));
         activeRequests++;
         waitingClients++;
         client.onDriverStarted(driver);
         driver.start();
     }
 
-    /** Answers a request that the configuration here does not allow; a newer one may allow it. */
+    /** Rejects a request that the configuration here does not allow; with 503 if a newer one may allow it. */
     private void deny(ClientConnection client, ClientRequest clientRequest, int status, String code, String id) {
         if (configuration.mayBeOutdated()) {
             counters.unavailable++;
@@ -207,7 +207,7 @@
         client.writeOwnResponse(status, code, retryAfterMs, id, withoutBody);
     }
 
-    /** When the time of a request with this head is over, ms; {@link Long#MAX_VALUE} where it has no route. */
+    /** Deadline of a request with these headers, in ms; {@link Long#MAX_VALUE} if no route matches. */
     long deadlineMs(HttpHeaders headers, String uri, long receivedAtMs) {
         Route route = configuration.current().match(headers.get(HttpHeaderNames.HOST), ClientRequest.path(uri));
         return route == null ? Long.MAX_VALUE : deadlineMs(headers, route, receivedAtMs);
@@ -218,7 +218,7 @@
         return receivedAtMs + Math.min(remainingMs(headers.get(ClientRequest.REMAINING), defaultMs), defaultMs);
     }
 
-    /** ms; what is not a number counts as untold. */
+    /** Remaining time in ms stated by the client, or {@code defaultMs} if it is missing or not a number. */
     private static long remainingMs(String stated, int defaultMs) {
         if (stated == null || stated.isEmpty() || stated.length() > 9) {
             return defaultMs;
@@ -275,7 +275,7 @@
         return ++lastRequestId;
     }
 
-    /** The delay of copies to this service. Bounded by the services in force. */
+    /** Hedging delay of this service. The map is bounded by the number of configured services. */
     HedgeDelay hedgeDelay(String service) {
         HedgeDelay delay = hedgeDelays.get(service);
         if (delay == null) {
--- a/src/main/java/brambletray/platform/proxy/ResponseDecoder.java
+++ b/src/main/java/brambletray/platform/proxy/ResponseDecoder.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * Reads answers of hosts. Bytes that no request waits for are not looked at: they end the connection (connection
- * poisoning).
+ * Decodes responses of instances. Bytes that arrive while no request waits are discarded and close the connection, to
+ * prevent connection poisoning.
  */
 final class ResponseDecoder extends HttpResponseDecoder {
     private static final int MAX_HEADER_BYTES = 16 * 1024;
@@ -33,7 +33,7 @@
         if (connection.isWaiting()) {
             super.channelRead(context, bytes);
         } else {
-            // Guards the next request against an answer that is not its own.
+            // Guards the next request against a response that is not its own.
             ReferenceCountUtil.release(bytes);
             connection.onUnsolicited();
         }
@@ -42,7 +42,7 @@
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) throws Exception {
         if (connection.isAnswered()) {
-            // After a complete response: any byte, even white space that the decoder would skip.
+            // After a complete response any byte is surplus, even white space that the decoder would skip.
             in.skipBytes(in.readableBytes());
             connection.onSurplus();
         } else {
--- a/src/main/java/brambletray/platform/proxy/ResponseReader.java
+++ b/src/main/java/brambletray/platform/proxy/ResponseReader.java
@@ -8,18 +8,18 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * Follows the response to one request on one connection: skipped, buffered until complete, or streamed. Only a
- * success is streamed; any other response that is too large to be buffered is read to its end and counts as a failure
- * without a response.
+ * Reads the response to one request on one connection: skips it, buffers it until it is complete, or streams it. Only
+ * a successful response is streamed; any other that is too large to be buffered is read to its end and counts as a
+ * failure without a response.
  */
 final class ResponseReader {
     /**
-     * Bytes of a response that are buffered until it is complete: a truncated one never reaches a client and can be
-     * retried.
+     * Maximum size of a response that is buffered until it is complete, so that a truncated one never reaches a client
+     * and its request can be retried.
      */
-    static final int MAX_HELD_BYTES = 512 * 1024;
-    /** Answers ahead of ours that are skipped: 1xx, or surplus. */
-    private static final int MAX_EARLY_BYTES = 8;
+    static final int MAX_BUFFERED_BYTES = 512 * 1024;
+    /** Maximum number of 1xx and surplus responses skipped before the response to this request. */
+    private static final int MAX_SKIPPED_RESPONSES = 8;
 
     private final HostCall hostCall;
     private final RequestCounters counters;
@@ -33,16 +33,16 @@
     private boolean withheld;
     private boolean complete;
     private boolean reusable = true;
-    private int earlyBytes;
+    private int skippedResponses;
 
-    /** {@code reused}: its connection has carried another request before, whose late bytes may still come. */
+    /** {@code reused}: the connection has carried another request before, of which late bytes may still arrive. */
     ResponseReader(HostCall hostCall, RequestCounters counters, boolean reused) {
         this.hostCall = hostCall;
         this.counters = counters;
         this.reused = reused;
     }
 
-    /** The request's first byte is out: from now on an answer may come. */
+    /** The first byte of the request was written: a response is possible from now on. */
     void onSent() {
         sent = true;
     }
@@ -59,7 +59,7 @@
         return complete;
     }
 
-    /** Whether its connection may serve another request. */
+    /** Whether the connection may carry another request. */
     boolean isReusable() {
         return reusable;
     }
@@ -68,60 +68,64 @@
         return verdict;
     }
 
-    /** It must not be passed on: its status promises what is not proven, or it was too large to be held. */
+    /**
+     * Whether the response must not be passed on: its status claims without proof that the request did not run, or it
+     * was too large to be buffered.
+     */
     boolean isWithheld() {
         return withheld;
     }
 
-    /** The complete response if it may be passed to a client; its bytes are the caller's. */
+    /** The complete response if it may be passed to a client; the caller takes ownership of its bytes. */
     HostResponse response() {
         return !withheld && (verdict.outcome() == AttemptOutcome.SERVED || verdict.outcome() == AttemptOutcome.FAILED)
                 ? response
                 : null;
     }
 
-    /** What the host says of how long it keeps the connection; null: nothing. */
+    /** Value of the Keep-Alive header; null if absent. */
     String keepAlive() {
         return response.headers.get("keep-alive");
     }
 
-    /** False: this is no answer. */
+    /** Returns false if this is not a valid response. */
     boolean onHead(HttpResponse head) {
         int status = head.status().code();
         if (status < 200) {
             skipping = true;
-            return status >= 100 && status != 101 && ++earlyBytes <= MAX_EARLY_BYTES;
+            return status >= 100 && status != 101 && ++skippedResponses <= MAX_SKIPPED_RESPONSES;
         }
         boolean bare =
                 status == 204 || status == 304 || hostCall.clientRequest().head();
         BodyFraming framing = BodyFraming.of(head, bare);
         verdict = framing == BodyFraming.NONE
-                ? ResponseVerdict.JUNK
+                ? ResponseVerdict.INVALID
                 : ResponseVerdict.of(hostCall.requestId(), status, head.headers());
-        if (verdict.nameless() && reused && hostCall.requiresOpenConnection()) {
-            // Guards rule TWICE: a late one of the request before looks the same, and proves nothing of this one.
-            verdict = ResponseVerdict.JUNK;
+        if (verdict.withoutId() && reused && hostCall.requiresOpenConnection()) {
+            // Guards rule TWICE: a late response to the previous request looks the same and proves nothing about this
+            // one.
+            verdict = ResponseVerdict.INVALID;
         }
         reusable &= HttpUtil.isKeepAlive(head)
-                && !verdict.nameless()
+                && !verdict.withoutId()
                 && !hostCall.clientRequest().head();
         skipping = verdict == ResponseVerdict.SURPLUS;
         if (skipping) {
             counters.surplusResponses++;
-            // Where one came, more may: no other request goes out here. And how long it is can't be told by the rules
-            // of an answer to HEAD.
+            // More surplus responses may follow, so no other request is sent on this connection. After a HEAD request
+            // the length of a surplus response cannot be determined.
             reusable = false;
-            return !hostCall.clientRequest().head() && ++earlyBytes <= MAX_EARLY_BYTES;
+            return !hostCall.clientRequest().head() && ++skippedResponses <= MAX_SKIPPED_RESPONSES;
         }
         response = new HostResponse(
                 status, head.status().reasonPhrase(), head.headers(), framing.length(), bare, hostCall.memoryBudget());
-        withheld = verdict.promise();
+        withheld = verdict.unprovenRefusal();
         discarding =
                 withheld || verdict.outcome() != AttemptOutcome.SERVED && verdict.outcome() != AttemptOutcome.FAILED;
-        return verdict != ResponseVerdict.JUNK;
+        return verdict != ResponseVerdict.INVALID;
     }
 
-    /** False: stop reading until the client has room again. */
+    /** Returns false if reading must pause until the client's connection is writable again. */
     boolean onContent(HttpContent content) {
         boolean more = true;
         if (!skipping && !discarding && content.content().isReadable()) {
@@ -136,12 +140,13 @@
 
     private boolean addBytes(ByteBuf bytes) {
         if (!streaming) {
-            if (response.add(bytes, MAX_HELD_BYTES)) {
+            if (response.add(bytes, MAX_BUFFERED_BYTES)) {
                 return true;
             }
             streaming = verdict.outcome() == AttemptOutcome.SERVED && hostCall.onStreaming(response);
             if (!streaming) {
-                // Nobody waits for it any more, or it is a failure; but to break the host's work off has a price.
+                // No client waits for it, or it is a failure; it is read to its end, since interrupting an instance has
+                // a cost.
                 discarding = true;
                 withheld = true;
                 bytes.release();
--- a/src/main/java/brambletray/platform/proxy/ResponseWriter.java
+++ b/src/main/java/brambletray/platform/proxy/ResponseWriter.java
@@ -7,27 +7,27 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Writes answers on a client's connection. */
+/** Writes responses to a client's connection. */
 final class ResponseWriter {
     private static final byte[] LAST_CHUNK = "0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
     private final Channel channel;
     private boolean chunked;
-    /** Of the newest bytes: done once they and all before them are out. */
+    /** Future of the last write: done once it and all earlier writes are done. */
     private ChannelFuture lastWrite;
 
     ResponseWriter(Channel channel) {
         this.channel = channel;
     }
 
-    /** Writes a complete response of a host. */
+    /** Writes a complete response of an instance. */
     void writeResponse(HostResponse response, boolean close) {
         chunked = false;
         lastWrite = channel.write(HeaderWriter.response(channel.alloc(), response, true, close));
         writeBody(response);
     }
 
-    /** The head of a host's answer and what has come of its body. */
+    /** Writes the head of an instance's response and the part of its body received so far. */
     void startStreaming(HostResponse response, boolean close) {
         chunked = response.length < 0;
         lastWrite = channel.write(HeaderWriter.response(channel.alloc(), response, false, close));
@@ -59,7 +59,7 @@
         return channel.write(channel.alloc().buffer(2).writeByte('\r').writeByte('\n'));
     }
 
-    /** False where the client has enough to read for now. */
+    /** Returns false if the connection is not writable for now. */
     boolean writeMore(ByteBuf bytes) {
         writePart(bytes);
         channel.flush();
@@ -82,12 +82,14 @@
         channel.writeAndFlush(HeaderWriter.continueResponse(channel.alloc()));
     }
 
-    /** Whether bytes wait here because the client does not take them yet. */
+    /** Whether bytes are still queued because the client has not read them yet. */
     boolean isWriting() {
         return lastWrite != null && !lastWrite.isDone();
     }
 
-    /** Runs {@code then} once all that has been written so far is out, or can't go out any more. */
+    /**
+     * Runs {@code then} once all writes so far have completed or failed; does nothing if none are pending.
+     */
     void whenWritten(Runnable then) {
         if (isWriting()) {
             lastWrite.addListener(done -> then.run());
@@ -95,7 +97,7 @@
     }
 
     /**
-     * Nothing more will be written; to close at once could reset the connection, and the last answer be lost with it.
+     * Closes the output after all writes. Closing the connection at once could reset it and lose the last response.
      */
     void closeAfterFlush() {
         ChannelFuture written = channel.writeAndFlush(io.netty.buffer.Unpooled.EMPTY_BUFFER);
--- a/src/main/java/brambletray/platform/proxy/SendPermit.java
+++ b/src/main/java/brambletray/platform/proxy/SendPermit.java
@@ -3,8 +3,8 @@
 import brambletray.platform.configuration.Tenant;
 
 /**
- * The right of one attempt under its tenant's quota. Rights are good for a short time, so that requests that waited
- * for a slot or a connection do not arrive in a bunch: one that has run out is replaced right before the send.
+ * The right of one attempt under its tenant's quota. Rights are valid for a short time only, so that requests that
+ * waited for a slot or a connection do not arrive in a burst: an expired right is replaced right before sending.
  */
 class SendPermit {
     /** For requests that need no right. */
@@ -16,16 +16,16 @@
 
         @Override
         void spend() {
-            // there is nothing to count
+            // nothing to count
         }
     };
 
-    /** What an attempt hears. */
+    /** Receives the result of a right that {@link #isReady} could not get at once. */
     interface Events {
-        /** It has a right now, and may try again to go out. */
+        /** The attempt has a right now; sending can be tried again. */
         void onPermitted();
 
-        /** It is not to go out. */
+        /** The attempt must not be sent. */
         void onRejected(int status, int retryAfterMs);
     }
 
@@ -35,10 +35,10 @@
     private final Listener listener = new Listener();
     private QuotaGate.Right right;
     private boolean isPending;
-    /** Within {@link #isReady}, which answers itself. */
-    private boolean isAsking;
+    /** Within {@link #isReady}, whose return value reports a right that is acquired at once. */
+    private boolean isAcquiring;
 
-    /** {@code right}: one that was acquired before, or null. */
+    /** {@code right}: a right acquired earlier, or null. */
     SendPermit(QuotaGate gate, Tenant tenant, QuotaGate.Right right, Events events) {
         this.gate = gate;
         this.tenant = tenant;
@@ -46,13 +46,13 @@
         this.events = events;
     }
 
-    /** Whether it may go out now; if not, a right is acquired and an event follows. */
+    /** Whether the attempt may be sent now; if not, a right is requested and an event follows. */
     boolean isReady() {
         if (!hasRight() && !isPending) {
             isPending = true;
-            isAsking = true;
+            isAcquiring = true;
             gate.acquire(tenant, listener);
-            isAsking = false;
+            isAcquiring = false;
         }
         return hasRight();
     }
@@ -61,13 +61,13 @@
         return right != null && right.isValid();
     }
 
-    /** It goes out now. */
+    /** Spends the right, as the attempt is sent now. */
     void spend() {
         right.spend();
         right = null;
     }
 
-    /** It does not wait any more. */
+    /** Cancels a pending request for a right. */
     void cancel() {
         if (isPending) {
             isPending = false;
@@ -80,7 +80,7 @@
         public void onAcquired(QuotaGate.Right acquired) {
             isPending = false;
             right = acquired;
-            if (!isAsking) {
+            if (!isAcquiring) {
                 events.onPermitted();
             }
         }
--- a/src/main/java/brambletray/platform/proxy/SlotBroker.java
+++ b/src/main/java/brambletray/platform/proxy/SlotBroker.java
@@ -5,7 +5,7 @@
 import brambletray.platform.admission.SlotRequest;
 
 /**
- * Requests and releases slots, at whichever edge is the home of the service. May call back from inside {@link
+ * Requests and releases slots at the edge that is the home of the service. May call back from inside {@link
  * #requestSlot}.
  */
 public interface SlotBroker {
@@ -15,9 +15,9 @@
     /** Releases a slot and reports the outcome of its request; {@code durationMs}: from sending to the end, ms. */
     void releaseSlot(SlotGrant grant, AttemptOutcome outcome, int durationMs);
 
-    /** Cancels a slot request; a slot that was granted already has not been used and is released. */
+    /** Cancels a slot request; a slot that was already granted is released as unused. */
     void cancelRequest(long requestId);
 
-    /** A connection to this host is up: a booting one has started. */
+    /** A connection to this instance was established, so an instance that was booting is up. */
     default void onInstanceUp(SlotGrant grant) {}
 }
--- a/src/main/java/brambletray/platform/proxy/SlotRequester.java
+++ b/src/main/java/brambletray/platform/proxy/SlotRequester.java
@@ -7,6 +7,6 @@
     /** The slot is granted until it is released. */
     void onGranted(SlotGrant grant);
 
-    /** The slot is refused; {@code retryAfterMs}: ms after which to ask again; -1: not known. */
+    /** The slot is refused; {@code retryAfterMs}: time in ms after which to retry, or -1 if unknown. */
     void onRefused(int retryAfterMs);
 }
--- a/src/main/java/brambletray/platform/proxy/TenantAuthentication.java
+++ b/src/main/java/brambletray/platform/proxy/TenantAuthentication.java
@@ -7,17 +7,17 @@
 import java.util.List;
 
 /**
- * Finds the tenant of a request by its key, and prepares the headers for the instance: it never sees the key, and the
- * tenant's name is always ours (rule UNASKED).
+ * Finds the tenant of a request by its key, and prepares the headers for the instance: the key is removed, and the
+ * tenant name is always set by the proxy (rule UNASKED).
  *
- * @param accepted whether the request may go on
- * @param tenant whose request it is; null: nobody's
+ * @param accepted whether the request may proceed
+ * @param tenant the tenant of the request; null for an anonymous request
  */
 record TenantAuthentication(boolean accepted, Tenant tenant) {
     private static final TenantAuthentication ANONYMOUS = new TenantAuthentication(true, null);
     private static final TenantAuthentication REJECTED = new TenantAuthentication(false, null);
 
-    /** Takes keys and tenant names out of the headers. Without tenants in the configuration no key is asked for. */
+    /** Removes keys and tenant names from the headers. Without configured tenants no key is required. */
     static TenantAuthentication of(HttpHeaders headers, Configuration configuration, Route route) {
         List<String> keys = headers.getAll(ClientRequest.CREDENTIAL);
         headers.remove(ClientRequest.CREDENTIAL);
--- a/src/test/java/brambletray/platform/proxy/ConfigurationChangeTest.java
+++ b/src/test/java/brambletray/platform/proxy/ConfigurationChangeTest.java
@@ -39,27 +39,27 @@
     }
 
     private void beginsToPost() {
-        client.say(
+        client.send(
                 "POST /r/x HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: r1\r\nContent-Length: 5\r\n\r\nhe");
         street.settle();
     }
 
     @Test
     void limitsAreLoweredWhileABodyIsRead() {
-        does(street.places, 0, "grants a");
+        does(street.broker, 0, "grants a");
         beginsToPost();
         street.route("r", "non_idempotent", 1, LOWER);
         street.until(2_500);
-        client.say("llo");
+        client.send("llo");
         does(host, 2_600, "answers r1");
         assertEquals(List.of("200 a:r1"), seenUntil(2_700));
-        street.atRest();
+        street.assertNothingLeft();
     }
 
     @Test
     void aConnectionThatRestedUnderTheOldLimitsIsStillTaken() {
-        does(street.places, 0, "grants a");
-        does(street.places, 0, "grants a");
+        does(street.broker, 0, "grants a");
+        does(street.broker, 0, "grants a");
         does(client, 0, "asks r1");
         does(host, 10, "answers r1");
         street.until(100);
@@ -72,8 +72,8 @@
     @Test
     void raisedLimitsHoldOnConnectionsThatAreOpenAlready() {
         street.route("r", "non_idempotent", 1, LOWER);
-        does(street.places, 0, "grants a");
-        does(street.places, 0, "grants a");
+        does(street.broker, 0, "grants a");
+        does(street.broker, 0, "grants a");
         does(client, 0, "asks r1");
         does(host, 10, "answers r1");
         street.until(100);
@@ -87,39 +87,39 @@
     void theRouteIsWithdrawnWhileARequestIsRead() {
         beginsToPost();
         withdrawTheRoute();
-        client.say("llo");
+        client.send("llo");
         assertEquals(List.of("404"), seenUntil(100));
-        street.atRest();
+        street.assertNothingLeft();
     }
 
     @Test
     void theRouteIsWithdrawnWhileARequestWaits() {
         does(client, 0, "posts r1");
         withdrawTheRoute();
-        does(street.places, 100, "grants a");
+        does(street.broker, 100, "grants a");
         does(host, 200, "answers r1");
         assertEquals(List.of("200 a:r1"), seenUntil(300));
-        street.atRest();
+        street.assertNothingLeft();
     }
 
     @Test
     void theRouteIsWithdrawnWhileAHostIsAtWork() {
-        does(street.places, 0, "grants a");
+        does(street.broker, 0, "grants a");
         does(client, 0, "posts r1");
         withdrawTheRoute();
         does(host, 3_900, "answers r1");
         assertEquals(List.of("200 a:r1"), seenUntil(3_950));
-        street.atRest();
+        street.assertNothingLeft();
     }
 
     @Test
     void theRouteIsWithdrawnWhileAnAnswerIsStreamed() {
-        does(street.places, 0, "grants a");
+        does(street.broker, 0, "grants a");
         does(client, 0, "asks r1");
         does(host, 100, "pours r1");
         withdrawTheRoute();
         does(host, 3_000, "ends r1");
         assertEquals(List.of("200 1400000"), seenUntil(3_500));
-        street.atRest();
+        street.assertNothingLeft();
     }
 }
--- a/src/test/java/brambletray/platform/proxy/ForwardingTest.java
+++ b/src/test/java/brambletray/platform/proxy/ForwardingTest.java
@@ -25,8 +25,8 @@
     }
 
     private List<String> says(String bytes) {
-        street.places.act(new String[] {"grants", "a"});
-        client.say(bytes);
+        street.broker.act(new String[] {"grants", "a"});
+        client.send(bytes);
         street.settle();
         return client.look();
     }
@@ -70,10 +70,10 @@
 
     @Test
     void aFoldIsSeenAcrossPieces() {
-        client.say("GET /r/x HTTP/1.1\r\nHost: h.example\r\nX-Folded: a\r\n");
+        client.send("GET /r/x HTTP/1.1\r\nHost: h.example\r\nX-Folded: a\r\n");
         street.settle();
         assertEquals(List.of(), client.look());
-        client.say(" b\r\n\r\n");
+        client.send(" b\r\n\r\n");
         street.settle();
         assertEquals("400 close", client.look().get(0));
     }
@@ -96,13 +96,13 @@
     void aPromiseIsNotGivenOnAsItComes() {
         street.route("non_idempotent", 2);
         says(HEAD + "\r\n");
-        assertTrue(street.flow.memoryBudget().tryReserve(48 << 20));
+        assertTrue(street.router.memoryBudget().tryReserve(48 << 20));
         host.act("hides r1".split(" "));
         street.settle();
         assertEquals(List.of("502"), client.look());
-        street.flow.memoryBudget().release(48 << 20);
-        street.places.look();
-        street.atRest();
+        street.router.memoryBudget().release(48 << 20);
+        street.broker.look();
+        street.assertNothingLeft();
     }
 
     @Test
@@ -112,7 +112,7 @@
         host.act("fails-at-length r1".split(" "));
         street.until(200);
         assertEquals(List.of("502"), client.look());
-        street.atRest();
+        street.assertNothingLeft();
     }
 
     /** What comes on a connection before a byte of the request has gone out there cannot be its answer. */
@@ -121,12 +121,12 @@
         client.act("posts r1".split(" "));
         street.settle();
         street.simulation.network().window(0);
-        street.places.act(new String[] {"grants", "a"});
+        street.broker.act(new String[] {"grants", "a"});
         street.settle();
         street.simulation.network().window(65_536);
         host.act(new String[] {"blurts"});
         street.settle();
-        assertEquals(List.of("wants", "a UNREACHED 0", "wants but a"), street.places.look());
+        assertEquals(List.of("wants", "a UNREACHED 0", "wants but a"), street.broker.look());
     }
 
     /**
@@ -139,15 +139,15 @@
         says(HEAD + "\r\n");
         host.act("declines r1".split(" "));
         street.settle();
-        street.places.act(new String[] {"grants", "a"});
+        street.broker.act(new String[] {"grants", "a"});
         street.settle();
         assertEquals(List.of("reads r1", "reads r1"), host.look());
-        assertEquals(2, host.connections);
+        assertEquals(2, host.connectionCount);
         host.act("answers r1".split(" "));
         street.settle();
         assertEquals(List.of("200 a:r1"), client.look());
         says(HEAD.replace("r1", "r2") + "\r\n");
-        assertEquals(2, host.connections, "both are kept");
+        assertEquals(2, host.connectionCount, "both are kept");
     }
 
     /**
@@ -165,7 +165,7 @@
         client.act("posts r2".split(" "));
         street.settle();
         street.simulation.network().window(0);
-        street.places.act(new String[] {"grants", "a"});
+        street.broker.act(new String[] {"grants", "a"});
         street.settle();
         assertEquals(List.of(), host.look());
         host.act("resets r1".split(" "));
@@ -184,13 +184,13 @@
         street.simulation.network().usual(new brambletray.common.simulation.SimNetwork.Way(10_000_000, 0));
         client.act("posts r1 500".split(" "));
         street.until(25);
-        street.places.act(new String[] {"grants", "a"});
+        street.broker.act(new String[] {"grants", "a"});
         street.until(40);
         street.freeze(1_000);
         street.until(2_000);
         assertEquals(List.of("503 in 0.200"), client.look());
         assertEquals(List.of(), host.look());
-        assertEquals(List.of("wants", "unused a"), street.places.look());
+        assertEquals(List.of("wants", "unused a"), street.broker.look());
     }
 
     @Test
@@ -202,8 +202,8 @@
         host.act("chunks r1".split(" "));
         street.settle();
         assertEquals(List.of("200 a:r1"), client.look());
-        assertTrue(host.request.startsWith("POST /r/x?a=b%20c HTTP/1.1\r\n"), host.request);
-        assertTrue(host.request.endsWith("\r\nContent-Length: 4\r\n\r\nabcd"), host.request);
+        assertTrue(host.lastRequest.startsWith("POST /r/x?a=b%20c HTTP/1.1\r\n"), host.lastRequest);
+        assertTrue(host.lastRequest.endsWith("\r\nContent-Length: 4\r\n\r\nabcd"), host.lastRequest);
     }
 
     @Test
@@ -215,18 +215,18 @@
         assertEquals(
                 "GET /r/x HTTP/1.1\r\nHost: h.example:80\r\nBrambletray-Attempt-Id: r1\r\nX-Kept: \u00e9 1\r\nx-kept: 2\r\nAccept: */*\r\n"
                         + "Brambletray-Target-Instance: a\r\nBrambletray-Deadline-Remaining: 890\r\n\r\n",
-                host.request);
+                host.lastRequest);
     }
 
     @Test
     void theHostIsToldWhatIsLeft() {
         client.act("asks r1 9000".split(" "));
         street.until(500);
-        street.places.act(new String[] {"grants", "a"});
+        street.broker.act(new String[] {"grants", "a"});
         street.settle();
         assertEquals(
                 "3490",
-                ScriptedHost.header(host.request, "brambletray-deadline-remaining"),
+                ScriptedHost.header(host.lastRequest, "brambletray-deadline-remaining"),
                 "of the route's timeout, which is shorter");
     }
 
@@ -252,11 +252,13 @@
     void largeBodiesTravelWhole() {
         String body = "0123456789".repeat(1_000);
         says(HEAD.replace("GET", "PUT") + "Content-Length: 10000\r\n\r\n" + body);
-        assertTrue(host.request.endsWith("\r\nContent-Length: 10000\r\n\r\n" + body), host.request.length() + " bytes");
+        assertTrue(
+                host.lastRequest.endsWith("\r\nContent-Length: 10000\r\n\r\n" + body),
+                host.lastRequest.length() + " bytes");
         host.act("answers r1".split(" "));
         street.settle();
         assertEquals(List.of("200 a:r1"), client.look());
-        street.atRest();
+        street.assertNothingLeft();
     }
 
     @Test
@@ -284,7 +286,7 @@
         host.act("answers r1".split(" "));
         street.settle();
         assertEquals(List.of("200 a:r1 close", "closed"), client.look());
-        assertEquals(1, street.lines.openCount(), "the host's connection is kept");
+        assertEquals(1, street.connectionPools.openCount(), "the host's connection is kept");
     }
 
     @Test
@@ -293,9 +295,9 @@
         client.act(new String[] {"sleeps"});
         host.act("answers r1".split(" "));
         street.until(900);
-        assertEquals(1, street.front.connectionCount(), "time to read the answer");
+        assertEquals(1, street.frontEndServer.connectionCount(), "time to read the answer");
         street.until(1_300);
-        assertEquals(0, street.front.connectionCount());
+        assertEquals(0, street.frontEndServer.connectionCount());
     }
 
     @Test
@@ -304,8 +306,8 @@
         host.act("heads r1".split(" "));
         street.settle();
         assertEquals(List.of("200"), client.look());
-        assertEquals(0, street.lines.openCount());
-        street.atRest();
+        assertEquals(0, street.connectionPools.openCount());
+        street.assertNothingLeft();
     }
 
     @Test
@@ -319,11 +321,11 @@
 
     @Test
     void memoryIsBounded() {
-        assertTrue(street.flow.memoryBudget().tryReserve(48 << 20));
+        assertTrue(street.router.memoryBudget().tryReserve(48 << 20));
         assertEquals(
                 "503 in 0.200 close",
                 says(HEAD + "Content-Length: 5\r\n\r\nhello").get(0));
-        assertFalse(street.flow.memoryBudget().tryReserve(1));
+        assertFalse(street.router.memoryBudget().tryReserve(1));
     }
 
     @Test
--- a/src/test/java/brambletray/platform/proxy/GracefulShutdownTest.java
+++ b/src/test/java/brambletray/platform/proxy/GracefulShutdownTest.java
@@ -50,7 +50,7 @@
 
     @Test
     void aRequestAtASilentHostIsAnsweredBeforeTheProcessEndsAndNoSooner() {
-        does(street.places, 2_300, "grants a");
+        does(street.broker, 2_300, "grants a");
         does(client, 2_400, "posts r1");
         assertEquals(List.of(), seenUntil(5_390));
         assertEquals(List.of("502 close", "closed"), seenUntil(5_690));
@@ -61,7 +61,7 @@
 
     @Test
     void aLateAnswerIsPassedOnAndTheProcessEndsSoonAfterIt() {
-        does(street.places, 2_300, "grants a");
+        does(street.broker, 2_300, "grants a");
         does(client, 2_400, "posts r1");
         does(host, 5_300, "answers r1");
         assertEquals(List.of("200 a:r1 close", "closed"), seenUntil(5_360));
@@ -70,7 +70,7 @@
 
     @Test
     void aStreamedAnswerGoesOnToItsEnd() {
-        does(street.places, 2_300, "grants a");
+        does(street.broker, 2_300, "grants a");
         does(client, 2_400, "asks r1");
         does(host, 2_500, "pours r1");
         does(host, 5_350, "ends r1");
@@ -79,7 +79,7 @@
 
     @Test
     void aStreamThatIsStillComingShortlyBeforeTheEndIsNotCutForThat() {
-        does(street.places, 2_300, "grants a");
+        does(street.broker, 2_300, "grants a");
         does(client, 2_400, "asks r1");
         does(host, 2_500, "pours r1");
         does(host, 5_600, "ends r1");
@@ -88,12 +88,12 @@
 
     @Test
     void aRequestThatIsBeingReadIsServed() {
-        does(street.places, 2_300, "grants a");
+        does(street.broker, 2_300, "grants a");
         street.until(2_400);
-        client.say(POST + "Brambletray-Attempt-Id: r1\r\n\r\nhe");
+        client.send(POST + "Brambletray-Attempt-Id: r1\r\n\r\nhe");
         street.until(4_000);
         assertEquals(List.of(), exits);
-        client.say("llo");
+        client.send("llo");
         does(host, 4_100, "answers r1");
         assertEquals(List.of("200 a:r1 close", "closed"), seenUntil(4_200));
     }
@@ -101,16 +101,16 @@
     @Test
     void aRequestThatIsReadWholeAtTheLastMomentIsRefusedAtOnce() {
         street.until(2_400);
-        client.say(POST + "Brambletray-Attempt-Id: r1\r\n\r\nhe");
+        client.send(POST + "Brambletray-Attempt-Id: r1\r\n\r\nhe");
         street.until(5_500);
-        client.say("llo");
+        client.send("llo");
         assertEquals(List.of("503 in 0.200 close", "closed"), seenUntil(5_690));
         assertEquals(List.of(), host.look());
     }
 
     @Test
     void aSecondSignalChangesNothing() {
-        does(street.places, 2_300, "grants a");
+        does(street.broker, 2_300, "grants a");
         does(client, 2_400, "posts r1");
         street.until(3_000);
         shutdown.start(GRACE_MS);
--- a/src/test/java/brambletray/platform/proxy/KeyedRequestsTest.java
+++ b/src/test/java/brambletray/platform/proxy/KeyedRequestsTest.java
@@ -30,12 +30,12 @@
         does(client, 0, "keys r1");
         does(street.operations, 10, "grants");
         does(street.operations, 20, "outdated");
-        does(street.places, 30, "grants a");
+        does(street.broker, 30, "grants a");
         assertEquals(List.of(), host.look());
         assertEquals(List.of("503 in 0.200"), client.look());
         assertEquals(List.of("claim k1 for 80", "released"), street.operations.look());
-        street.places.look();
-        street.atRest();
+        street.broker.look();
+        street.assertNothingLeft();
     }
 
     @Test
@@ -44,7 +44,7 @@
         does(street.operations, 10, "grants");
         street.until(20);
         street.freeze(1_000);
-        does(street.places, 1_100, "grants a");
+        does(street.broker, 1_100, "grants a");
         assertEquals(List.of(), host.look());
         assertEquals(List.of("claim k1 for 80", "released"), street.operations.look());
         assertEquals(List.of("503 in 0.200"), client.look());
@@ -54,13 +54,13 @@
     void whatWasSentIsNeverReleased() {
         does(client, 0, "keys r1");
         does(street.operations, 10, "grants");
-        does(street.places, 20, "grants a");
+        does(street.broker, 20, "grants a");
         assertEquals(List.of("reads r1"), host.look());
         does(host, 30, "resets r1");
         assertEquals(List.of("502"), client.look());
         assertEquals(List.of("claim k1 for 80", "abandoned"), street.operations.look());
-        street.places.look();
-        street.atRest();
+        street.broker.look();
+        street.assertNothingLeft();
     }
 
     @Test
@@ -69,7 +69,7 @@
         does(street.operations, 10, "lost");
         assertEquals(List.of("502"), client.look());
         assertEquals(List.of("claim k1 for 80"), street.operations.look());
-        assertEquals(List.of(), street.places.look());
-        street.atRest();
+        assertEquals(List.of(), street.broker.look());
+        street.assertNothingLeft();
     }
 }
--- a/src/test/java/brambletray/platform/proxy/OutdatedConfigurationTest.java
+++ b/src/test/java/brambletray/platform/proxy/OutdatedConfigurationTest.java
@@ -25,7 +25,7 @@
     }
 
     private List<String> answerTo(String path, String key) {
-        client.say("GET " + path + " HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: r1\r\n"
+        client.send("GET " + path + " HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: r1\r\n"
                 + "Brambletray-Credential: " + key + "\r\n\r\n");
         proxy.settle();
         return client.look();
@@ -34,29 +34,29 @@
     @Test
     void anUnknownKeyIsDeniedOnlyByTheNewestConfiguration() {
         assertEquals(List.of("401"), answerTo("/r/x", "unknown"));
-        proxy.outdated = true;
+        proxy.mayBeOutdated = true;
         assertEquals(List.of("503 in 0.400"), answerTo("/r/x", "unknown"));
-        proxy.outdated = false;
+        proxy.mayBeOutdated = false;
         assertEquals(List.of("401"), answerTo("/r/x", "unknown"));
         assertEquals(2, proxy.counters.unauthenticated);
         assertEquals(1, proxy.counters.unavailable);
-        proxy.atRest();
+        proxy.assertNothingLeft();
     }
 
     @Test
     void anUnknownRouteIsDeniedOnlyByTheNewestConfiguration() {
         assertEquals(List.of("404"), answerTo("/none", "known"));
-        proxy.outdated = true;
+        proxy.mayBeOutdated = true;
         assertEquals(List.of("503 in 0.400"), answerTo("/none", "known"));
         assertEquals(1, proxy.counters.unrouted);
         assertEquals(1, proxy.counters.unavailable);
-        proxy.atRest();
+        proxy.assertNothingLeft();
     }
 
     @Test
     void whatTheKnownConfigurationAllowsIsServedMeanwhile() {
-        proxy.outdated = true;
+        proxy.mayBeOutdated = true;
         answerTo("/r/x", "known");
-        assertEquals(List.of("wants"), proxy.places.look());
+        assertEquals(List.of("wants"), proxy.broker.look());
     }
 }
--- a/src/test/java/brambletray/platform/proxy/PipelinedRequestTest.java
+++ b/src/test/java/brambletray/platform/proxy/PipelinedRequestTest.java
@@ -17,7 +17,7 @@
         street.route("non_idempotent", 1);
         client = (ScriptedClient) street.actor("client");
         host = (ScriptedHost) street.actor("a");
-        street.places.act("grants a".split(" "));
+        street.broker.act("grants a".split(" "));
         client.act("asks-twice r1 r2".split(" "));
         street.settle();
     }
@@ -34,8 +34,8 @@
 
     @Test
     void anEdgeThatLeavesServesItBeforeItClosesTheConnection() {
-        street.front.drain();
-        street.places.act("grants a".split(" "));
+        street.frontEndServer.drain();
+        street.broker.act("grants a".split(" "));
         host.act("answers r1".split(" "));
         street.settle();
         host.act("answers r2".split(" "));
@@ -45,8 +45,8 @@
 
     @Test
     void anEdgeThatStopsAcceptingServesItBeforeItClosesTheConnection() {
-        street.front.stopAccepting();
-        street.places.act("grants a".split(" "));
+        street.frontEndServer.stopAccepting();
+        street.broker.act("grants a".split(" "));
         host.act("answers r1".split(" "));
         street.settle();
         host.act("answers r2".split(" "));
--- a/src/test/java/brambletray/platform/proxy/PlantedFaultsTest.java
+++ b/src/test/java/brambletray/platform/proxy/PlantedFaultsTest.java
@@ -61,8 +61,8 @@
                         "an answer without an id is one",
                         "MIXED",
                         "ResponseVerdict",
-                        "        if (nameless) {\n            return JUNK;",
-                        "        if (nameless && status >= 300) {\n            return JUNK;"),
+                        "        if (withoutId) {\n            return INVALID;",
+                        "        if (withoutId && status >= 300) {\n            return INVALID;"),
                 fault(
                         "a success without a seal",
                         "MIXED",
@@ -73,7 +73,7 @@
                         "a refusal without a name proves that the next request did not run",
                         "TWICE|REFUSED",
                         "ResponseReader",
-                        "if (verdict.nameless() && reused && hostCall.requiresOpenConnection()) {",
+                        "if (verdict.withoutId() && reused && hostCall.requiresOpenConnection()) {",
                         "if (false) {"),
                 fault(
                         "a request sent again on a line that may still bear its first refusal",
@@ -131,7 +131,7 @@
                         "a host's promise without proof is passed on",
                         "REFUSED",
                         "ResponseVerdict",
-                        "            return PROMISED;",
+                        "            return UNPROVEN_REFUSAL;",
                         "            return FAILED;"),
                 fault(
                         "a promise is given on as it comes",
@@ -234,12 +234,12 @@
 
     @BeforeAll
     static void hush() {
-        RandomExchangesTest.hush();
+        RandomExchangesTest.disableLogging();
     }
 
     @AfterAll
     static void unhush() {
-        RandomExchangesTest.unhush();
+        RandomExchangesTest.restoreLogging();
     }
 
     @ParameterizedTest(name = "{0}")
--- a/src/test/java/brambletray/platform/proxy/ProxyTimelinesTest.java
+++ b/src/test/java/brambletray/platform/proxy/ProxyTimelinesTest.java
@@ -5,7 +5,7 @@
 import org.junit.platform.suite.api.SelectPackages;
 import org.junit.platform.suite.api.Suite;
 
-/** Plays the drawn timelines of requests through an edge. */
+/** Plays the timelines in the proxy's feature files. */
 @Suite
 @IncludeEngines("cucumber")
 @SelectPackages("brambletray/platform/proxy")
--- a/src/test/java/brambletray/platform/proxy/RandomClient.java
+++ b/src/test/java/brambletray/platform/proxy/RandomClient.java
@@ -16,36 +16,36 @@
 import java.util.SplittableRandom;
 
 /**
- * A client of a {@link RandomExchanges}: keeps a connection, sends ahead at times, hangs up at times, and reads what
- * comes to the letter.
+ * A client of a {@link RandomExchanges}: keeps a connection, at times pipelines requests or disconnects, and parses
+ * responses strictly.
  */
 final class RandomClient {
     private final Machine machine;
-    private final InetSocketAddress front;
-    private final ExchangeChecker ruling;
+    private final InetSocketAddress frontEnd;
+    private final ExchangeChecker checker;
     private final SplittableRandom random;
-    private final List<Channel> asleep = new ArrayList<>();
+    private final List<Channel> pausedChannels = new ArrayList<>();
     private Connection connection;
 
-    RandomClient(Machine machine, InetSocketAddress front, ExchangeChecker ruling, SplittableRandom random) {
+    RandomClient(Machine machine, InetSocketAddress frontEnd, ExchangeChecker checker, SplittableRandom random) {
         this.machine = machine;
-        this.front = front;
-        this.ruling = ruling;
+        this.frontEnd = frontEnd;
+        this.checker = checker;
         this.random = random;
     }
 
-    /** One connection, with the tries that wait on it, oldest first. */
+    /** One connection with its outstanding requests, oldest first. */
     private final class Connection extends ChannelInboundHandlerAdapter {
         final ArrayDeque<ExchangeChecker.Try> waiting = new ArrayDeque<>();
         final StringBuilder in = new StringBuilder();
-        /** So many bytes must be here before the next answer can be whole. */
-        int least;
-        /** Until it is up. */
+        /** Number of bytes without which the next response cannot be complete. */
+        int minBytes;
+        /** Requests to be sent once the connection is established. */
         final ArrayDeque<ByteBuf> unsent = new ArrayDeque<>(1);
 
         Channel channel;
-        /** Nothing more is sent on it. */
-        boolean over;
+        /** No further request is sent on this connection. */
+        boolean noMoreRequests;
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
@@ -67,20 +67,20 @@
             ByteBuf read = (ByteBuf) bytes;
             in.append(read.toString(StandardCharsets.ISO_8859_1));
             read.release();
-            while (in.length() > 0 && in.length() >= least && next()) {
-                least = 0;
+            while (in.length() > 0 && in.length() >= minBytes && readResponse()) {
+                minBytes = 0;
             }
         }
 
-        /** False: the next answer is not whole yet. */
-        private boolean next() {
+        /** Returns false if the next response is not complete yet. */
+        private boolean readResponse() {
             int end = in.indexOf("\r\n\r\n");
             if (end < 0) {
                 return false;
             }
             String head = in.substring(0, end);
             if (!head.startsWith("HTTP/1.1 ") || head.length() < 12) {
-                ruling.breaks("MIXED", "no answer: " + head);
+                checker.breaks("MIXED", "not an HTTP response: " + head);
                 in.setLength(0);
                 return false;
             }
@@ -89,17 +89,17 @@
                 in.delete(0, end + 4);
                 return true;
             }
-            ExchangeChecker.Try of = waiting.peek();
-            boolean bare = status == 204 || status == 304 || of != null && of.method.equals("HEAD");
+            ExchangeChecker.Try exchange = waiting.peek();
+            boolean bare = status == 204 || status == 304 || exchange != null && exchange.method.equals("HEAD");
             String length = ScriptedHost.header(head, "content-length");
             boolean chunked = ScriptedHost.header(head, "transfer-encoding").equals("chunked");
             if (!bare && length.isEmpty() == !chunked) {
-                ruling.breaks("MIXED", "no telling where it ends: " + head);
+                checker.breaks("MIXED", "response without a valid body length: " + head);
             }
             String[] body = {""};
-            int to = bare ? end + 4 : chunked ? chunks(end + 4, body) : end + 4 + Integer.parseInt(length);
+            int to = bare ? end + 4 : chunked ? readChunks(end + 4, body) : end + 4 + Integer.parseInt(length);
             if (to < 0 || in.length() < to) {
-                least = Math.max(least, to);
+                minBytes = Math.max(minBytes, to);
                 return false;
             }
             if (!bare && !chunked) {
@@ -107,9 +107,9 @@
             }
             in.delete(0, to);
             waiting.poll();
-            over |= ScriptedHost.header(head, "connection").equals("close");
-            ruling.answer(
-                    of,
+            noMoreRequests |= ScriptedHost.header(head, "connection").equals("close");
+            checker.answer(
+                    exchange,
                     status,
                     ScriptedHost.header(head, "brambletray-attempt-id"),
                     !ScriptedHost.header(head, "brambletray-response-seal").isEmpty(),
@@ -117,8 +117,8 @@
             return true;
         }
 
-        /** Where it ends; -1: not yet. */
-        private int chunks(int from, String[] body) {
+        /** Index of the end of the body, or -1 if it is not complete yet. */
+        private int readChunks(int from, String[] body) {
             StringBuilder all = new StringBuilder();
             for (int at = from; ; ) {
                 int line = in.indexOf("\r\n", at);
@@ -128,7 +128,7 @@
                 int size = Integer.parseInt(in.substring(at, line), 16);
                 int data = line + 2;
                 if (in.length() < data + size + 2) {
-                    least = data + size + 2;
+                    minBytes = data + size + 2;
                     return -1;
                 }
                 all.append(in, data, data + size);
@@ -142,72 +142,72 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            over = true;
+            noMoreRequests = true;
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (!(cause instanceof java.io.IOException)) {
-                ruling.breaks("MIXED", "cannot be read: " + cause);
+                checker.breaks("MIXED", "unexpected exception: " + cause);
             }
             context.close();
         }
     }
 
-    /** Sends it, on the connection at hand or on a new one; {@code ahead}: also while others wait there. */
-    void send(ExchangeChecker.Try one, String headers, boolean ahead) {
+    /** Sends a request on the current or a new connection; {@code pipelined}: also while others are outstanding. */
+    void send(ExchangeChecker.Try exchange, String headers, boolean pipelined) {
         boolean close = random.nextInt(12) == 0;
-        String head = one.method + " " + one.uri + " HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: " + one.id
-                + "\r\n" + headers + (close ? "Connection: close\r\n" : "");
+        String head = exchange.method + " " + exchange.uri + " HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: "
+                + exchange.id + "\r\n" + headers + (close ? "Connection: close\r\n" : "");
         String bytes;
-        if (one.body.isEmpty()) {
+        if (exchange.body.isEmpty()) {
             bytes = head + "\r\n";
         } else if (random.nextBoolean()) {
-            bytes = head + "Content-Length: " + one.body.length() + "\r\n\r\n" + one.body;
+            bytes = head + "Content-Length: " + exchange.body.length() + "\r\n\r\n" + exchange.body;
         } else {
-            int first = 1 + random.nextInt(one.body.length());
+            int first = 1 + random.nextInt(exchange.body.length());
             bytes = head + "Transfer-Encoding: chunked\r\n\r\n"
-                    + Integer.toHexString(first) + "\r\n" + one.body.substring(0, first) + "\r\n"
-                    + (first < one.body.length()
-                            ? Integer.toHexString(one.body.length() - first) + "\r\n" + one.body.substring(first)
-                                    + "\r\n"
+                    + Integer.toHexString(first) + "\r\n" + exchange.body.substring(0, first) + "\r\n"
+                    + (first < exchange.body.length()
+                            ? Integer.toHexString(exchange.body.length() - first) + "\r\n"
+                                    + exchange.body.substring(first) + "\r\n"
                             : "")
                     + "0\r\n\r\n";
         }
         Connection at = connection;
         ByteBuf out = Unpooled.copiedBuffer(bytes, StandardCharsets.ISO_8859_1);
-        if (at == null || at.over || !at.waiting.isEmpty() && !ahead) {
-            Connection made = new Connection();
-            connection = made;
-            made.waiting.add(one);
-            made.channel = machine.dialling(1_000, new ChannelInitializer<Channel>() {
+        if (at == null || at.noMoreRequests || !at.waiting.isEmpty() && !pipelined) {
+            Connection opened = new Connection();
+            connection = opened;
+            opened.waiting.add(exchange);
+            opened.channel = machine.dialling(1_000, new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel channel) {
-                            channel.pipeline().addLast(made);
+                            channel.pipeline().addLast(opened);
                         }
                     })
-                    .connect(front)
+                    .connect(frontEnd)
                     .channel();
-            made.write(out);
+            opened.write(out);
         } else {
-            at.waiting.add(one);
+            at.waiting.add(exchange);
             at.write(out);
         }
-        // What was told to close after its answer answers nothing that comes behind it.
-        connection.over |= close;
+        // A connection that closes after this response serves no later request.
+        connection.noMoreRequests |= close;
     }
 
-    /** It reads nothing that comes on its present connection. */
-    void sleeps() {
+    /** Stops reading from the current connection. */
+    void pauseReading() {
         if (connection != null) {
             connection.channel.config().setAutoRead(false);
-            asleep.add(connection.channel);
+            pausedChannels.add(connection.channel);
         }
     }
 
-    void wakes() {
-        asleep.forEach(channel -> channel.config().setAutoRead(true));
-        asleep.clear();
+    void resumeReading() {
+        pausedChannels.forEach(channel -> channel.config().setAutoRead(true));
+        pausedChannels.clear();
     }
 
     void hangUp(boolean hard) {
--- a/src/test/java/brambletray/platform/proxy/RandomExchangesTest.java
+++ b/src/test/java/brambletray/platform/proxy/RandomExchangesTest.java
@@ -13,24 +13,23 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random exchanges through the production classes, judged by what clients and hosts saw (rules MIXED, UNASKED, TWICE,
- * REFUSED, BUDGET, and that no
- * connection carries a request while anything is owed on it). {@code -Dbrambletray.courses=N} plays more, {@code
- * -Dbrambletray.seed=N}
- * begins elsewhere.
+ * Random exchanges through the production classes, checked by what clients and hosts saw: rules MIXED, UNASKED, TWICE,
+ * REFUSED and BUDGET, and that no connection carries a request while a response is outstanding on it. {@code
+ * -Dbrambletray.courses=N} sets the number of scenarios, {@code -Dbrambletray.seed=N} the first seed.
  */
 class RandomExchangesTest {
-    private static final int COURSES = Integer.getInteger("brambletray.courses", 2_000);
-    private static final int STEPS = 40;
+    private static final int SCENARIOS = Integer.getInteger("brambletray.courses", 2_000);
+    private static final int STEPS_PER_SCENARIO = 40;
     private static final int PARTS = 4;
     private static final long SEED = Long.getLong("brambletray.seed", 1);
 
     @Test
-    void noRuleIsBrokenWhateverHappens() {
-        // A scenario is one thread's from its making to its end.
+    void randomExchangesBreakNoRule() {
+        // Each scenario is created and run by a single thread.
         List<String> broken = IntStream.range(0, PARTS)
                 .parallel()
-                .mapToObj(i -> RandomExchanges.hunt(".*", SEED + (long) i * COURSES / PARTS, COURSES / PARTS, STEPS))
+                .mapToObj(i -> RandomExchanges.hunt(
+                        ".*", SEED + (long) i * SCENARIOS / PARTS, SCENARIOS / PARTS, STEPS_PER_SCENARIO))
                 .filter(Objects::nonNull)
                 .toList();
         assertEquals(List.of(), broken);
@@ -39,21 +38,21 @@
     private static final Logger ROOT = Logger.getLogger("");
     private static Level level;
 
-    /** What goes wrong here is meant to, and would be told thousands of times. */
+    /** Faults are injected on purpose here and would be logged thousands of times. */
     @BeforeAll
-    static void hush() {
+    static void disableLogging() {
         level = ROOT.getLevel();
         ROOT.setLevel(Level.OFF);
     }
 
     @AfterAll
-    static void unhush() {
+    static void restoreLogging() {
         ROOT.setLevel(level);
     }
 
-    /** Guards against a test that proves nothing: all that is to be judged does happen. */
+    /** Guards against a vacuous test: the cases to be checked must occur. */
     @Test
-    void theCoursesBringAboutWhatTheyAreFor() {
+    void randomExchangesCoverWhatTheyCheck() {
         RequestCounters all = new RequestCounters();
         int tries = 0;
         int successes = 0;
@@ -61,25 +60,25 @@
         int sealedFailures = 0;
         int ranAgain = 0;
         for (long seed = 1; seed <= 150; seed++) {
-            RandomExchanges scenario = new RandomExchanges(seed, STEPS);
+            RandomExchanges scenario = new RandomExchanges(seed, STEPS_PER_SCENARIO);
             assertEquals(List.of(), scenario.play(), "seed " + seed);
-            tries += scenario.ruling().tries();
-            successes += scenario.ruling().successes;
-            promises += scenario.ruling().promises;
-            sealedFailures += scenario.ruling().sealedFailures;
-            ranAgain += scenario.ruling().ranAgain;
-            RequestCounters of = scenario.counters();
-            all.surplusResponses += of.surplusResponses;
-            all.streamedResponses += of.streamedResponses;
-            all.hedgesWon += of.hedgesWon;
-            all.failed += of.failed;
-            all.timedOut += of.timedOut;
+            tries += scenario.checker().tries();
+            successes += scenario.checker().successes;
+            promises += scenario.checker().promises;
+            sealedFailures += scenario.checker().sealedFailures;
+            ranAgain += scenario.checker().ranAgain;
+            RequestCounters counters = scenario.counters();
+            all.surplusResponses += counters.surplusResponses;
+            all.streamedResponses += counters.streamedResponses;
+            all.hedgesWon += counters.hedgesWon;
+            all.failed += counters.failed;
+            all.timedOut += counters.timedOut;
         }
         String seen =
-                tries + " tries, " + successes + " successes, " + promises + " promises " + RandomExchanges.shown(all);
+                tries + " tries, " + successes + " successes, " + promises + " promises " + RandomExchanges.format(all);
         assertTrue(
                 sealedFailures > 20 && ranAgain > 20,
-                sealedFailures + " sealed failures, " + ranAgain + " at another host again; " + seen);
+                sealedFailures + " sealed failures, " + ranAgain + " run on more than one host; " + seen);
         assertTrue(successes > tries / 3 && promises > tries / 20, seen);
         assertTrue(
                 all.surplusResponses > 10
--- a/src/test/java/brambletray/platform/proxy/RandomHost.java
+++ b/src/test/java/brambletray/platform/proxy/RandomHost.java
@@ -18,51 +18,52 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A host of a {@link RandomExchanges}, drawn byte by byte: it answers, fails, sheds, dies, answers early, cuts off,
- * spoils, and
- * adds (PROTOCOL, Hosts), and tells the {@link ExchangeChecker} what it runs.
+ * A host of a {@link RandomExchanges}, simulated byte by byte: it sends successes, failures, refusals, and early,
+ * truncated, invalid and surplus responses (PROTOCOL, Hosts), crashes, and reports to the {@link ExchangeChecker} what
+ * it runs.
  */
 final class RandomHost {
-    /** ms; what was sent is read at the other end by then, unless that stands still. */
-    private static final int SURELY_THERE = 60;
+    /** Time in ms within which sent data is read at the other end, unless that end is paused. */
+    private static final int MAX_DELIVERY_MS = 60;
 
     private static final String SEAL = "Brambletray-Response-Seal: s\r\n";
-    private static final String SHED = "Brambletray-Not-Executed: 1\r\n";
+    private static final String NOT_EXECUTED = "Brambletray-Not-Executed: 1\r\n";
 
     final String name;
     private final Machine machine;
     private final InetSocketAddress address;
-    private final ExchangeChecker ruling;
+    private final ExchangeChecker checker;
     private final SplittableRandom random;
-    private final int fault;
-    private final int large;
+    private final int faultPercent;
+    private final int largeBodyOneIn;
     private final Set<Channel> open = new LinkedHashSet<>();
     private Channel listener;
     /**
-     * ms: the relay stood still or was cut off until then; what comes from it before may have been written unseeing.
+     * Time in ms until which the edge is paused or partitioned: requests that arrive before may have been written
+     * without having read what this host sent.
      */
-    private long unseeingUntil;
+    private long proxyUnawareUntilMs;
 
-    /** {@code trouble}: percent of answers that are not plain; {@code large}: of so many bodies one is. */
+    /** {@code faultPercent}: percentage of faulty responses; {@code largeBodyOneIn}: one body in this many is large. */
     RandomHost(
             String name,
             Machine machine,
             InetSocketAddress address,
-            ExchangeChecker ruling,
+            ExchangeChecker checker,
             SplittableRandom random,
-            int fault,
-            int large) {
+            int faultPercent,
+            int largeBodyOneIn) {
         this.name = name;
         this.machine = machine;
         this.address = address;
-        this.ruling = ruling;
+        this.checker = checker;
         this.random = random;
-        this.fault = fault;
-        this.large = large;
-        rise();
+        this.faultPercent = faultPercent;
+        this.largeBodyOneIn = largeBodyOneIn;
+        start();
     }
 
-    void rise() {
+    void start() {
         if (listener == null) {
             listener = machine.listening(new ChannelInitializer<Channel>() {
                         @Override
@@ -75,8 +76,8 @@
         }
     }
 
-    /** Refuses connections; {@code hard}: and resets those that are open. */
-    void fall(boolean hard) {
+    /** Refuses new connections; {@code hard}: also resets those that are open. */
+    void stop(boolean hard) {
         if (listener != null) {
             listener.close();
             listener = null;
@@ -86,12 +87,12 @@
         }
     }
 
-    void unseeing(long untilMs) {
-        unseeingUntil = untilMs;
+    void proxyUnawareUntil(long untilMs) {
+        proxyUnawareUntilMs = untilMs;
     }
 
-    long unseeing() {
-        return unseeingUntil;
+    long proxyUnawareUntil() {
+        return proxyUnawareUntilMs;
     }
 
     private long now() {
@@ -103,7 +104,7 @@
         channel.close();
     }
 
-    /** {@code runs}: whether that is work; {@code then}: what becomes of the connection. */
+    /** {@code runs}: whether the request runs; {@code then}: what happens to the connection afterwards. */
     private record Answer(String bytes, boolean runs, Then then, String surplus) {}
 
     private enum Then {
@@ -116,16 +117,16 @@
     private final class Connection extends ChannelInboundHandlerAdapter {
         private final Channel channel;
         private final StringBuilder in = new StringBuilder();
-        /** What is at work here, unanswered. */
-        private ExchangeChecker.Try at;
-        /** Bytes that are still to come of a request that was answered early. */
-        private int rest;
-        /** In the midst of an answer. */
-        private boolean pouring;
-        /** It has been said, or is plain, that no request may follow here. */
-        private boolean ending;
-        /** ms; from then on, what is sent here was sent with surplus bytes before one's eyes. */
-        private long surplusSeen = Long.MAX_VALUE;
+        /** The request in progress, without a response so far. */
+        private ExchangeChecker.Try current;
+        /** Bytes still to be received of a request that was answered early. */
+        private int unreadBodyBytes;
+        /** A response is partly sent. */
+        private boolean responding;
+        /** The host announced, or made evident, that no further request may be sent on this connection. */
+        private boolean noMoreRequests;
+        /** Time in ms from which the edge must have read the surplus bytes before it sends a request here. */
+        private long surplusDeliveredMs = Long.MAX_VALUE;
 
         Connection(Channel channel) {
             this.channel = channel;
@@ -134,11 +135,12 @@
         @Override
         public void channelActive(ChannelHandlerContext context) {
             open.add(channel);
-            if (random.nextInt(200) < fault / 20) {
-                // Speaks before it is spoken to; but a refusal says there that what follows does not run.
+            if (random.nextInt(200) < faultPercent / 20) {
+                // Unsolicited bytes before any request; not a refusal, which would state that the next request does not
+                // run.
                 String bytes = surplus("none", "");
                 send(bytes.contains("Brambletray-Attempt-Id") || !bytes.startsWith("HTTP") ? bytes : "surplus")
-                        .addListener(out -> seen());
+                        .addListener(out -> onSurplusSent());
             }
         }
 
@@ -155,96 +157,100 @@
         @Override
         public void channelRead(ChannelHandlerContext context, Object bytes) {
             ByteBuf read = (ByteBuf) bytes;
-            int skipped = Math.min(rest, read.readableBytes());
-            rest -= skipped;
+            int skipped = Math.min(unreadBodyBytes, read.readableBytes());
+            unreadBodyBytes -= skipped;
             read.skipBytes(skipped);
             boolean first = in.length() == 0 && read.isReadable();
             in.append(read.toString(StandardCharsets.ISO_8859_1));
             read.release();
             if (first) {
-                begins();
+                onRequestStart();
             }
             int end = in.indexOf("\r\n\r\n");
-            if (end < 0 || at != null) {
+            if (end < 0 || current != null) {
                 return;
             }
             String head = in.substring(0, end);
             int length = Integer.parseInt("0" + ScriptedHost.header(head, "content-length"));
-            boolean whole = in.length() >= end + 4 + length;
-            if (whole || random.nextInt(200) < fault) {
-                String body = whole ? in.substring(end + 4, end + 4 + length) : null;
-                rest = Math.max(0, end + 4 + length - in.length());
+            boolean isComplete = in.length() >= end + 4 + length;
+            if (isComplete || random.nextInt(200) < faultPercent) {
+                String body = isComplete ? in.substring(end + 4, end + 4 + length) : null;
+                unreadBodyBytes = Math.max(0, end + 4 + length - in.length());
                 in.delete(0, end + 4 + length);
-                work(head, body);
+                handle(head, body);
             }
         }
 
-        /** The first byte of a request is here. */
-        private void begins() {
-            if (at != null) {
-                ruling.breaks("OWED", "a request at " + name + " while " + at.id + " is owed its answer there");
-            } else if (ending) {
-                ruling.breaks("OWED", "a request at " + name + " where none may follow");
-            } else if (now() > surplusSeen && now() > unseeingUntil) {
-                ruling.breaks(
+        /** The first byte of a request has arrived. */
+        private void onRequestStart() {
+            if (current != null) {
+                checker.breaks(
                         "OWED",
-                        "a request at " + name + " on a connection with surplus bytes that were there long before");
+                        "a request at " + name + " while " + current.id + " has no response yet on its connection");
+            } else if (noMoreRequests) {
+                checker.breaks("OWED", "a request at " + name + " on a connection that allows no further request");
+            } else if (now() > surplusDeliveredMs && now() > proxyUnawareUntilMs) {
+                checker.breaks(
+                        "OWED", "a request at " + name + " on a connection with surplus bytes that had arrived before");
             }
         }
 
-        private void work(String head, String body) {
+        private void handle(String head, String body) {
             String[] line = head.substring(0, head.indexOf("\r\n")).split(" ");
-            ExchangeChecker.Try one = ruling.arrived(
+            ExchangeChecker.Try exchange = checker.arrived(
                     ScriptedHost.header(head, "brambletray-attempt-id"),
                     line[0],
                     line[1],
                     body,
                     name,
                     ScriptedHost.header(head, "brambletray-target-instance"));
-            if (one == null) {
+            if (exchange == null) {
                 return;
             }
-            Answer answer = draw(one, body == null);
+            Answer answer = randomAnswer(exchange, body == null);
             if (answer.runs()) {
-                ruling.ran(one, name);
+                checker.ran(exchange, name);
             }
             if (answer.bytes() == null) {
-                at = one;
+                current = exchange;
                 return;
             }
-            at = one;
+            current = exchange;
             int dice = random.nextInt(100);
             int delay = dice < 30
                     ? 0
                     : dice < 85 ? random.nextInt(30) : dice < 95 ? random.nextInt(300) : random.nextInt(2_500);
-            machine.loop().schedule(() -> pour(answer, answer.bytes()), delay, TimeUnit.MILLISECONDS);
+            machine.loop().schedule(() -> sendAnswer(answer, answer.bytes()), delay, TimeUnit.MILLISECONDS);
         }
 
-        /** In one piece, or in several with pauses between. */
-        private void pour(Answer answer, String rest) {
-            pouring = true;
+        /** Sends the response in one part, or in several with pauses. */
+        private void sendAnswer(Answer answer, String rest) {
+            responding = true;
             int size =
                     rest.length() > 1 && random.nextInt(4) == 0 ? 1 + random.nextInt(rest.length() - 1) : rest.length();
             boolean last = size == rest.length();
             if (last) {
-                pouring = false;
-                at = null;
-                ending |= answer.then() != Then.STAYS;
+                responding = false;
+                current = null;
+                noMoreRequests |= answer.then() != Then.STAYS;
             }
             boolean together = last && random.nextBoolean();
             ChannelFuture sent = send(rest.substring(0, size) + (together ? answer.surplus() : ""));
             if (!last) {
                 machine.loop()
-                        .schedule(() -> pour(answer, rest.substring(size)), random.nextInt(20), TimeUnit.MILLISECONDS);
+                        .schedule(
+                                () -> sendAnswer(answer, rest.substring(size)),
+                                random.nextInt(20),
+                                TimeUnit.MILLISECONDS);
                 return;
             }
             if (!answer.surplus().isEmpty()) {
                 if (together) {
-                    sent.addListener(out -> seen());
+                    sent.addListener(out -> onSurplusSent());
                 } else {
                     machine.loop()
                             .schedule(
-                                    () -> late(answer.surplus()),
+                                    () -> sendSurplus(answer.surplus()),
                                     random.nextInt(random.nextBoolean() ? 8 : 120),
                                     TimeUnit.MILLISECONDS);
                 }
@@ -262,16 +268,16 @@
             }
         }
 
-        private void late(String surplus) {
-            if (channel.isActive() && !pouring) {
+        private void sendSurplus(String surplus) {
+            if (channel.isActive() && !responding) {
                 ChannelFuture sent = send(surplus);
-                sent.addListener(out -> seen());
+                sent.addListener(out -> onSurplusSent());
             }
         }
 
-        /** Surplus bytes are on the way. */
-        private void seen() {
-            surplusSeen = Math.min(surplusSeen, now() + SURELY_THERE);
+        /** Surplus bytes were sent. */
+        private void onSurplusSent() {
+            surplusDeliveredMs = Math.min(surplusDeliveredMs, now() + MAX_DELIVERY_MS);
         }
 
         private ChannelFuture send(String bytes) {
@@ -279,29 +285,30 @@
         }
     }
 
-    // ---- What it says ---------------------------------------------------------------------------
-    private Answer draw(ExchangeChecker.Try one, boolean early) {
-        if (random.nextInt(100) >= fault) {
-            return new Answer(good(one, false), true, Then.STAYS, "");
+    // ---- Responses ------------------------------------------------------------------------------
+    private Answer randomAnswer(ExchangeChecker.Try exchange, boolean early) {
+        if (random.nextInt(100) >= faultPercent) {
+            return new Answer(sealedSuccess(exchange, false), true, Then.STAYS, "");
         }
         return switch (random.nextInt(12)) {
-            case 0 -> new Answer(good(one, true), true, Then.CLOSING, "");
-            case 1, 2 -> new Answer(good(one, false), true, Then.STAYS, surplus(one.id, "x"));
-            case 3 -> failed(one);
-            case 4, 5 -> shed(one);
+            case 0 -> new Answer(sealedSuccess(exchange, true), true, Then.CLOSING, "");
+            case 1, 2 -> new Answer(sealedSuccess(exchange, false), true, Then.STAYS, surplus(exchange.id, "x"));
+            case 3 -> failed(exchange);
+            case 4, 5 -> unexecuted(exchange);
             case 6 -> new Answer("", random.nextInt(4) > 0, random.nextBoolean() ? Then.FIN : Then.RESET, "");
-            case 7 -> cut(one);
-            case 8, 9, 10 -> spoilt(one);
+            case 7 -> truncated(exchange);
+            case 8, 9, 10 -> invalid(exchange);
             default ->
                 random.nextInt(4) == 0
                         ? new Answer(null, true, Then.STAYS, "")
-                        : new Answer(good(one, false), true, Then.STAYS, "");
+                        : new Answer(sealedSuccess(exchange, false), true, Then.STAYS, "");
         };
     }
 
-    private String body(ExchangeChecker.Try one) {
-        int pad = random.nextInt(large) == 0 ? 3_000 + random.nextInt(9_000) : random.nextInt(3) == 0 ? 400 : 0;
-        return name + ":" + one.id + ":" + one.arrivals + "/" + ".".repeat(pad);
+    private String body(ExchangeChecker.Try exchange) {
+        int pad =
+                random.nextInt(largeBodyOneIn) == 0 ? 3_000 + random.nextInt(9_000) : random.nextInt(3) == 0 ? 400 : 0;
+        return name + ":" + exchange.id + ":" + exchange.arrivals + "/" + ".".repeat(pad);
     }
 
     private static String head(String status, String id, String headers) {
@@ -329,40 +336,41 @@
                 .toString();
     }
 
-    /** A whole, sealed answer. */
-    private String good(ExchangeChecker.Try one, boolean closing) {
+    /** A complete, sealed response. */
+    private String sealedSuccess(ExchangeChecker.Try exchange, boolean closing) {
         String headers = SEAL
                 + (closing
                         ? "Connection: close\r\n"
                         : random.nextInt(4) == 0 ? "Keep-Alive: timeout=" + random.nextInt(4) + "\r\n" : "");
         String before = random.nextInt(12) == 0 ? "HTTP/1.1 103 Early Hints\r\n" + SEAL + "\r\n" : "";
         if (random.nextInt(15) == 0) {
-            one.sealed.add("");
-            return before + head("204 No Content", one.id, headers) + "\r\n";
+            exchange.sealed.add("");
+            return before + head("204 No Content", exchange.id, headers) + "\r\n";
         }
         if (random.nextInt(25) == 0) {
-            // No body follows, whatever length it names.
-            one.sealedFailures.add("304 ");
+            // No body follows, whatever length the headers state.
+            exchange.sealedFailures.add("304 ");
             return before
                     + head(
                             "304 Not Modified",
-                            one.id,
+                            exchange.id,
                             headers + (random.nextBoolean() ? "Content-Length: 500\r\n" : ""))
                     + "\r\n";
         }
-        String body = body(one);
-        if (one.method.equals("HEAD")) {
-            one.sealed.add("");
-            return before + head("200 OK", one.id, headers) + "Content-Length: " + body.length() + "\r\n\r\n";
+        String body = body(exchange);
+        if (exchange.method.equals("HEAD")) {
+            exchange.sealed.add("");
+            return before + head("200 OK", exchange.id, headers) + "Content-Length: " + body.length() + "\r\n\r\n";
         }
-        one.sealed.add(body);
+        exchange.sealed.add(body);
         return before
                 + (random.nextInt(3) == 0
-                        ? head("200 OK", one.id, headers + "Transfer-Encoding: chunked\r\n") + "\r\n" + chunked(body)
-                        : sized("200 OK", one.id, headers, body));
+                        ? head("200 OK", exchange.id, headers + "Transfer-Encoding: chunked\r\n") + "\r\n"
+                                + chunked(body)
+                        : sized("200 OK", exchange.id, headers, body));
     }
 
-    private Answer failed(ExchangeChecker.Try one) {
+    private Answer failed(ExchangeChecker.Try exchange) {
         String status = switch (random.nextInt(6)) {
             case 0 -> "504 Gateway Timeout";
             case 1 -> "503 Service Unavailable";
@@ -371,19 +379,19 @@
             case 4 -> "404 Not Found";
             default -> "500 Internal Server Error";
         };
-        String body = one.method.equals("HEAD") ? "" : body(one);
+        String body = exchange.method.equals("HEAD") ? "" : body(exchange);
         boolean sealed = random.nextInt(4) > 0;
         if (sealed) {
-            one.sealedFailures.add(status.substring(0, 3) + " " + body);
+            exchange.sealedFailures.add(status.substring(0, 3) + " " + body);
         }
-        return new Answer(sized(status, one.id, sealed ? SEAL : "", body), true, Then.STAYS, "");
+        return new Answer(sized(status, exchange.id, sealed ? SEAL : "", body), true, Then.STAYS, "");
     }
 
-    private Answer shed(ExchangeChecker.Try one) {
-        String id = random.nextBoolean() ? one.id : null;
+    private Answer unexecuted(ExchangeChecker.Try exchange) {
+        String id = random.nextBoolean() ? exchange.id : null;
         String surplus = switch (random.nextInt(6)) {
-            case 0, 1 -> notRun(one.id);
-            case 2 -> surplus(one.id, "x");
+            case 0, 1 -> notRun(exchange.id);
+            case 2 -> surplus(exchange.id, "x");
             default -> "";
         };
         return new Answer(notRun(id), false, Then.STAYS, surplus);
@@ -396,12 +404,12 @@
                 : sized(
                         random.nextBoolean() ? "503 Service Unavailable" : "429 Too Many Requests",
                         id,
-                        SHED + seal,
+                        NOT_EXECUTED + seal,
                         "");
     }
 
-    private Answer cut(ExchangeChecker.Try one) {
-        String whole = good(one, false);
+    private Answer truncated(ExchangeChecker.Try exchange) {
+        String whole = sealedSuccess(exchange, false);
         int size = 1 + random.nextInt(Math.max(1, whole.length() - 1));
         return new Answer(
                 whole.substring(0, Math.min(size, whole.length() - 1)),
@@ -410,51 +418,53 @@
                 "");
     }
 
-    /** Bytes that are no answer, or not a success; none of their bodies may reach a client as one. */
-    private Answer spoilt(ExchangeChecker.Try one) {
+    /** Bytes that are not a valid response, or not a success; their body must never reach a client as a success. */
+    private Answer invalid(ExchangeChecker.Try exchange) {
         int kind = random.nextInt(18);
-        String body = "spoilt" + kind + ":" + body(one);
-        String id = one.id;
-        // Where no body follows, how its end is told is no fault.
-        String bytes = switch (one.method.equals("HEAD") && kind >= 4 && kind != 8 && kind != 13 ? kind % 4 : kind) {
-            case 0 -> sized("200 OK", id, "", body);
-            case 1 -> sized("200 OK", null, SEAL, body);
-            case 2 -> sized("200 OK", id, SEAL + "Content-Encoding: br\r\n", body);
-            case 3 -> sized("200 OK", id, SEAL + "Brambletray-Attempt-Id: other\r\n", body);
-            case 4 -> sized("200 OK", id, SEAL + "Content-Length: " + (body.length() - 2) + "\r\n", body);
-            case 5 -> sized("200 OK", id, SEAL + "Content-Length: " + body.length() + "\r\n", body);
-            case 6 -> sized("200 OK", id, SEAL + "Transfer-Encoding: chunked\r\n", chunked(body));
-            case 7 -> head("200 OK", id, SEAL) + "\r\n" + body;
-            case 8 -> "\u0001\u0002 nothing of this is an answer\r\n\r\n";
-            case 9 -> head("101 Switching Protocols", id, "Upgrade: x\r\n") + "\r\n" + body;
-            case 10 ->
-                sized("200 OK", id, SEAL + "Transfer-Encoding: gzip, chunked\r\n", "")
-                                .replace("Content-Length: 0\r\n", "")
-                        + chunked(body);
-            case 11 ->
-                head("200 OK", id, SEAL + "Transfer-Encoding: chunked\r\n") + "\r\n2\r\n" + body + "\r\n0\r\n\r\n";
-            case 12 -> sized("200 OK", id, SEAL, body).replace("HTTP/1.1", "HTTP/2.0");
-            case 13 -> sized("200 OK", id, SEAL + SHED, body);
-            case 14 -> sized("200 OK", id, SEAL + "Transfer-Encoding: identity\r\n", body);
-            case 16 -> sized("799 Beyond", id, SEAL, body);
-            case 17 -> sized("1000 Beyond", id, SEAL, body);
-            default -> sized("200 OK", id, SEAL + "X-Cut: a\u0000\r\n", body);
-        };
+        String body = "spoilt" + kind + ":" + body(exchange);
+        String id = exchange.id;
+        // Without a body, a faulty body length is no fault.
+        String bytes =
+                switch (exchange.method.equals("HEAD") && kind >= 4 && kind != 8 && kind != 13 ? kind % 4 : kind) {
+                    case 0 -> sized("200 OK", id, "", body);
+                    case 1 -> sized("200 OK", null, SEAL, body);
+                    case 2 -> sized("200 OK", id, SEAL + "Content-Encoding: br\r\n", body);
+                    case 3 -> sized("200 OK", id, SEAL + "Brambletray-Attempt-Id: other\r\n", body);
+                    case 4 -> sized("200 OK", id, SEAL + "Content-Length: " + (body.length() - 2) + "\r\n", body);
+                    case 5 -> sized("200 OK", id, SEAL + "Content-Length: " + body.length() + "\r\n", body);
+                    case 6 -> sized("200 OK", id, SEAL + "Transfer-Encoding: chunked\r\n", chunked(body));
+                    case 7 -> head("200 OK", id, SEAL) + "\r\n" + body;
+                    case 8 -> "\u0001\u0002 nothing of this is an answer\r\n\r\n";
+                    case 9 -> head("101 Switching Protocols", id, "Upgrade: x\r\n") + "\r\n" + body;
+                    case 10 ->
+                        sized("200 OK", id, SEAL + "Transfer-Encoding: gzip, chunked\r\n", "")
+                                        .replace("Content-Length: 0\r\n", "")
+                                + chunked(body);
+                    case 11 ->
+                        head("200 OK", id, SEAL + "Transfer-Encoding: chunked\r\n") + "\r\n2\r\n" + body
+                                + "\r\n0\r\n\r\n";
+                    case 12 -> sized("200 OK", id, SEAL, body).replace("HTTP/1.1", "HTTP/2.0");
+                    case 13 -> sized("200 OK", id, SEAL + NOT_EXECUTED, body);
+                    case 14 -> sized("200 OK", id, SEAL + "Transfer-Encoding: identity\r\n", body);
+                    case 16 -> sized("799 Beyond", id, SEAL, body);
+                    case 17 -> sized("1000 Beyond", id, SEAL, body);
+                    default -> sized("200 OK", id, SEAL + "X-Cut: a\u0000\r\n", body);
+                };
         boolean ends = bytes.startsWith("\u0001") || bytes.contains("\r\n\r\nspoilt") && random.nextBoolean();
         return new Answer(bytes, true, ends ? Then.FIN : Then.STAYS, "");
     }
 
-    /** What belongs to no request; {@code id}: of the one that was answered last. */
+    /** Bytes that belong to no request; {@code id}: the id of the last request answered. */
     private String surplus(String id, String body) {
         return switch (random.nextInt(10)) {
             case 0 -> sized("200 OK", id, SEAL, "surplus:" + body);
-            case 1 -> sized("503 Service Unavailable", null, SHED, "");
+            case 1 -> sized("503 Service Unavailable", null, NOT_EXECUTED, "");
             case 2 -> sized("421 Misdirected Request", null, "", "");
-            case 3 -> sized("503 Service Unavailable", id, SHED, "");
+            case 3 -> sized("503 Service Unavailable", id, NOT_EXECUTED, "");
             case 4 -> sized("200 OK", null, SEAL, "surplus:" + body);
             case 5 -> "\r\n\u0000 \r\n";
             case 6 -> "HTTP/1.1 200 OK\r\nBrambletray-Attempt-Id: " + id + "\r\nContent-Le";
-            case 7 -> sized("429 Too Many Requests", id, SHED, "");
+            case 7 -> sized("429 Too Many Requests", id, NOT_EXECUTED, "");
             case 8 -> head("200 OK", id, SEAL + "Transfer-Encoding: chunked\r\n") + "\r\n" + chunked("surplus:" + body);
             default -> "surplus bytes";
         };
--- a/src/test/java/brambletray/platform/proxy/RealSocketsTest.java
+++ b/src/test/java/brambletray/platform/proxy/RealSocketsTest.java
@@ -25,9 +25,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The same classes on real sockets of this machine. */
+/** The production classes on real sockets of the local machine. */
 class RealSocketsTest {
-    private static final String CREED =
+    private static final String CONFIGURATION =
             "{'revision':1,'routes':[{'name':'r','host':'h.example','path-prefix':'/r/','route-type':'idempotent',"
                     + "'timeout-ms':4000,'target-ms':400,'priority':1,'service':'s','retry-count':2}],'services':[{'name':'s','health-path':null,"
                     + "'max-connections':8,'protocol':'h1','tls-mode':false,'memory-mb':128,'boot-ms':500,'max-concurrency':4}],'limits':"
@@ -35,15 +35,15 @@
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Machine machine = Machine.real(group.next());
-    private final CompletableFuture<AttemptOutcome> fate = new CompletableFuture<>();
+    private final CompletableFuture<AttemptOutcome> outcome = new CompletableFuture<>();
     private HttpServer host;
-    private String notified = "";
+    private String receivedRequest = "";
 
     @BeforeEach
     void open() throws IOException {
         host = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 8);
         host.createContext("/", exchange -> {
-            notified = exchange.getRequestMethod() + " " + exchange.getRequestURI() + " "
+            receivedRequest = exchange.getRequestMethod() + " " + exchange.getRequestURI() + " "
                     + exchange.getRequestHeaders().getFirst("Brambletray-Target-Instance") + " "
                     + new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.US_ASCII);
             exchange.getResponseHeaders()
@@ -75,33 +75,33 @@
     }
 
     @Test
-    void aRequestThroughAllOfIt() throws Exception {
+    void aRequestThroughTheWholeProxy() throws Exception {
         Configuration configuration =
-                Configuration.read(CREED.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
+                Configuration.read(CONFIGURATION.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
         SlotBroker broker = new SlotBroker() {
             @Override
-            public void requestSlot(SlotRequest ask, SlotRequester taker) {
+            public void requestSlot(SlotRequest request, SlotRequester requester) {
                 machine.loop()
-                        .execute(() -> taker.onGranted(new SlotGrant(
-                                ask.id(),
+                        .execute(() -> requester.onGranted(new SlotGrant(
+                                request.id(),
                                 "i-1",
                                 "127.0.0.1:" + host.getAddress().getPort(),
                                 false)));
             }
 
             @Override
-            public void releaseSlot(SlotGrant grant, AttemptOutcome with, int tookMs) {
-                fate.complete(with);
+            public void releaseSlot(SlotGrant grant, AttemptOutcome reported, int durationMs) {
+                outcome.complete(reported);
             }
 
             @Override
-            public void cancelRequest(long askId) {
-                fate.completeExceptionally(new AssertionError("forgotten"));
+            public void cancelRequest(long requestId) {
+                outcome.completeExceptionally(new AssertionError("the slot request was cancelled"));
             }
         };
-        InetSocketAddress at = onLoop(() -> {
+        InetSocketAddress address = onLoop(() -> {
                                     RequestCounters counters = new RequestCounters();
-                                    RequestRouter flow = new RequestRouter(
+                                    RequestRouter router = new RequestRouter(
                                             machine,
                                             "e",
                                             "z",
@@ -114,7 +114,7 @@
                                             counters,
                                             48 << 20,
                                             1);
-                                    return new FrontEndServer(machine, flow, 100).listen(new Address("127.0.0.1", 0));
+                                    return new FrontEndServer(machine, router, 100).listen(new Address("127.0.0.1", 0));
                                 })
                                 .sync()
                                 .channel()
@@ -123,7 +123,7 @@
                 ? bound
                 : null;
         String answer = exchange(
-                at,
+                address,
                 "POST /r/x?q=1 HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: r1\r\nConnection: close\r\n"
                         + "Content-Length: 3\r\n\r\nabc");
         assertTrue(answer.startsWith("HTTP/1.1 200 OK\r\n") && answer.endsWith("\r\n\r\nhello"), answer);
@@ -131,29 +131,29 @@
                 answer.contains("\r\nBrambletray-Response-Seal: s\r\n")
                         || answer.toLowerCase().contains("brambletray-response-seal: s"),
                 answer);
-        assertEquals("POST /r/x?q=1 i-1 abc", notified);
-        assertEquals(AttemptOutcome.SERVED, fate.get(5, TimeUnit.SECONDS));
+        assertEquals("POST /r/x?q=1 i-1 abc", receivedRequest);
+        assertEquals(AttemptOutcome.SERVED, outcome.get(5, TimeUnit.SECONDS));
     }
 
     @Test
     void readiness() throws Exception {
         AtomicBoolean ready = new AtomicBoolean();
-        InetSocketAddress at =
+        InetSocketAddress address =
                 (InetSocketAddress) onLoop(() -> new Readiness(machine, ready::get).listen(new Address("127.0.0.1", 0)))
                         .sync()
                         .channel()
                         .localAddress();
         String probe = "GET /brambletray/readiness HTTP/1.1\r\nHost: x\r\n";
-        assertTrue(exchange(at, probe + "Connection: close\r\n\r\n").startsWith("HTTP/1.1 503 "));
+        assertTrue(exchange(address, probe + "Connection: close\r\n\r\n").startsWith("HTTP/1.1 503 "));
         ready.set(true);
-        String answers = exchange(at, probe + "\r\n" + probe + "Connection: close\r\n\r\n");
+        String answers = exchange(address, probe + "\r\n" + probe + "Connection: close\r\n\r\n");
         assertEquals(
                 2,
                 Arrays.stream(answers.split("\r\n"))
                         .filter("HTTP/1.1 200 OK"::equals)
                         .count(),
                 answers);
-        assertTrue(exchange(at, "GET /else HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+        assertTrue(exchange(address, "GET /else HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
                 .startsWith("HTTP/1.1 404 "));
     }
 }
--- a/src/test/java/brambletray/platform/proxy/ScriptedOperations.java
+++ b/src/test/java/brambletray/platform/proxy/ScriptedOperations.java
@@ -5,12 +5,12 @@
 import java.util.ArrayDeque;
 import java.util.List;
 
-/** The claims of a drawn timeline: what is asked for, and what becomes of it. */
+/** The operation gate of a {@link Timeline}: records claims and how they end. */
 final class ScriptedOperations extends Actor implements OperationGate {
     private final ArrayDeque<Listener> waiting = new ArrayDeque<>();
     private Progress progress = Progress.NOT_CLAIMED;
     private boolean usable = true;
-    private int standing;
+    private int activeClaims;
 
     @Override
     public void claim(OperationKey operation, int maxWaitMs, Listener listener) {
@@ -47,21 +47,21 @@
         }
 
         private void ended(String how) {
-            standing--;
+            activeClaims--;
             sees(how);
         }
     }
 
-    /** Claims that are asked for, or granted and not ended. */
-    int open() {
-        return waiting.size() + standing;
+    /** Number of claims that are pending, or granted and not ended. */
+    int openCount() {
+        return waiting.size() + activeClaims;
     }
 
     @Override
     boolean act(String[] words) {
         switch (words[0]) {
             case "grants" -> {
-                standing++;
+                activeClaims++;
                 waiting.remove().onClaimed(new Granted());
             }
             case "repeats" ->
--- a/src/test/java/brambletray/platform/proxy/ScriptedPreparation.java
+++ b/src/test/java/brambletray/platform/proxy/ScriptedPreparation.java
@@ -10,31 +10,31 @@
 import java.util.List;
 
 /**
- * The preparation steps of one walk of {@link RequestLifecycleTest}: the production class between a quota and a claim
- * that are drawn at random. Checks that each step comes in its order, and how the claim ends.
+ * The preparation of one run of {@link RequestLifecycleTest}: the production class with a quota gate and an operation
+ * gate that respond at random. Checks the order of the steps and how the claim ends.
  */
 final class ScriptedPreparation {
     private static final RecordedAnswer RECORDED = new RecordedAnswer(200, "OK", List.of(), new byte[0]);
 
-    private final RequestLifecycleTest.World world;
+    private final RequestLifecycleTest.Environment environment;
     private final RequestPreparation preparation;
     private QuotaGate.Listener quotaListener;
     private OperationGate.Listener claimListener;
     private boolean isPrepared;
     private boolean hasRight;
     private boolean hasAnswer;
-    private boolean isOutdated;
+    private boolean isClaimOutdated;
     private boolean isOver;
-    private OperationClaim standing;
-    /** The status with which the client must be refused; 0: the request's own course decides. */
-    int ownStatus;
+    private OperationClaim claim;
+    /** Status with which the client must be rejected; 0 if the attempts determine the status. */
+    int expectedStatus;
 
     boolean isRepeatAnswered;
-    int claimEnds;
+    int endedClaims;
 
-    ScriptedPreparation(RequestLifecycleTest.World world) {
-        this.world = world;
-        preparation = new RequestPreparation(world.plan, new Quota(), new Operations(), new Listener());
+    ScriptedPreparation(RequestLifecycleTest.Environment environment) {
+        this.environment = environment;
+        preparation = new RequestPreparation(environment.plan, new Quota(), new Operations(), new Listener());
     }
 
     void start() {
@@ -43,8 +43,8 @@
 
     int cancel() {
         int status = preparation.cancel();
-        ownStatus = status;
-        assertTrue(quotaListener == null && claimListener == null, "cancelled, and still waiting");
+        expectedStatus = status;
+        assertTrue(quotaListener == null && claimListener == null, "still pending after being cancelled");
         return status;
     }
 
@@ -52,36 +52,36 @@
         return preparation.allowsSending();
     }
 
-    /** A slot is asked for, or a byte sent: all that has to come before has come. */
+    /** Checks, before a slot is requested or a byte is sent, that the preparation is complete. */
     void assertPrepared() {
-        assertTrue(isPrepared || !world.plan.needsPreparation(), "before its preparation was over");
-        assertTrue(hasRight || !world.plan.isLimited(), "without a right under the quota");
-        assertTrue(standing != null || world.plan.operation() == null, "without its claim (rule TWICE)");
-        assertTrue(!isOver, "after its end");
+        assertTrue(isPrepared || !environment.plan.needsPreparation(), "the preparation is not complete");
+        assertTrue(hasRight || !environment.plan.isLimited(), "no right under the quota");
+        assertTrue(claim != null || environment.plan.operation() == null, "no claim on the operation (rule TWICE)");
+        assertTrue(!isOver, "the request is already over");
     }
 
-    /** The next step comes, whichever is waited for. */
-    void act() {
+    /** Completes the pending step, or outdates the claim at random. */
+    void step() {
         if (quotaListener != null) {
-            actQuota();
+            stepQuota();
         } else if (claimListener != null) {
-            actClaim();
-        } else if (standing != null && world.random.nextInt(12) == 0) {
-            isOutdated = true;
+            stepClaim();
+        } else if (claim != null && environment.random.nextInt(12) == 0) {
+            isClaimOutdated = true;
         }
     }
 
-    private void actQuota() {
+    private void stepQuota() {
         QuotaGate.Listener listener = quotaListener;
         quotaListener = null;
-        switch (world.random.nextInt(6)) {
+        switch (environment.random.nextInt(6)) {
             case 0 -> {
-                ownStatus = 429;
-                listener.onExceeded(world.random.nextInt(300) - 1);
+                expectedStatus = 429;
+                listener.onExceeded(environment.random.nextInt(300) - 1);
             }
             case 1 -> {
-                ownStatus = 503;
-                listener.onUnavailable(world.random.nextInt(300) - 1);
+                expectedStatus = 503;
+                listener.onUnavailable(environment.random.nextInt(300) - 1);
             }
             default -> {
                 hasRight = true;
@@ -90,43 +90,43 @@
         }
     }
 
-    private void actClaim() {
+    private void stepClaim() {
         OperationGate.Listener listener = claimListener;
         claimListener = null;
-        switch (world.random.nextInt(8)) {
+        switch (environment.random.nextInt(8)) {
             case 0 -> {
                 isRepeatAnswered = true;
                 listener.onAnswered(RECORDED);
             }
             case 1 -> {
-                ownStatus = 502;
+                expectedStatus = 502;
                 listener.onUnknown();
             }
             case 2 -> {
-                ownStatus = 503;
-                listener.onUnavailable(world.random.nextInt(300) - 1);
+                expectedStatus = 503;
+                listener.onUnavailable(environment.random.nextInt(300) - 1);
             }
             default -> {
-                standing = new Claim();
-                listener.onClaimed(standing);
+                claim = new Claim();
+                listener.onClaimed(claim);
             }
         }
     }
 
-    /** As the driver does after each event. */
+    /** Ends the claim once the request is over, as the driver does after each event. */
     void endIfOver() {
-        if (!isOver && world.lifecycle.isOver()) {
+        if (!isOver && environment.lifecycle.isOver()) {
             isOver = true;
-            preparation.onOver(world.lifecycle.runState());
+            preparation.onOver(environment.lifecycle.runState());
         }
     }
 
     void assertNothingLeft() {
-        assertTrue(quotaListener == null && claimListener == null, "a preparation that nobody waits for");
-        assertNull(standing, "a claim that was not ended");
+        assertTrue(quotaListener == null && claimListener == null, "a preparation step is still pending");
+        assertNull(claim, "the claim was not ended");
     }
 
-    /** An instance has answered it completely. */
+    /** An instance has responded completely. */
     void onHostAnswer() {
         hasAnswer = true;
         preparation.onHostAnswer(
@@ -137,39 +137,41 @@
         @Override
         public void onPrepared() {
             isPrepared = true;
-            world.lifecycle.onPrepared(world.now);
+            environment.lifecycle.onPrepared(environment.now);
         }
 
         @Override
         public void onRejected(int status, int retryAfterMs) {
-            assertEquals(ownStatus, status, "the status of this refusal");
-            world.lifecycle.onPreparationRejected(status, retryAfterMs);
+            assertEquals(expectedStatus, status, "status of the rejection");
+            environment.lifecycle.onPreparationRejected(status, retryAfterMs);
         }
 
         @Override
         public void onRepeatAnswered(RecordedAnswer answer) {
-            world.lifecycle.onRepeatAnswered();
+            environment.lifecycle.onRepeatAnswered();
         }
     }
 
     private final class Quota implements QuotaGate {
         @Override
         public void acquire(Tenant tenant, Listener listener) {
-            assertTrue(tenant.isLimited() && quotaListener == null && !hasRight, "one right, of who is limited");
+            assertTrue(
+                    tenant.isLimited() && quotaListener == null && !hasRight,
+                    "a second right, or a tenant without a limit");
             quotaListener = listener;
-            actSoon();
+            stepAtRandom();
         }
 
         @Override
         public void cancel(Listener listener) {
-            assertTrue(quotaListener == listener, "cancelled what does not wait");
+            assertTrue(quotaListener == listener, "cancelled a listener that is not pending");
             quotaListener = null;
         }
     }
 
-    private void actSoon() {
-        if (world.random.nextInt(4) == 0) {
-            act();
+    private void stepAtRandom() {
+        if (environment.random.nextInt(4) == 0) {
+            step();
         }
     }
 
@@ -181,60 +183,61 @@
 
         @Override
         public void spend() {
-            // counted by the gate
+            // nothing to count
         }
     }
 
     private final class Operations implements OperationGate {
         @Override
         public void claim(OperationKey operation, int maxWaitMs, Listener listener) {
-            assertTrue(hasRight || !world.plan.isLimited(), "a claim before the right");
-            assertTrue(claimListener == null && standing == null, "one claim");
+            assertTrue(hasRight || !environment.plan.isLimited(), "claimed before the right was acquired");
+            assertTrue(claimListener == null && claim == null, "claimed twice");
             claimListener = listener;
-            actSoon();
+            stepAtRandom();
         }
 
         @Override
         public Progress cancel(Listener listener) {
-            assertTrue(claimListener == listener, "cancelled what does not wait");
+            assertTrue(claimListener == listener, "cancelled a listener that is not pending");
             claimListener = null;
-            return Progress.values()[world.random.nextInt(3)];
+            return Progress.values()[environment.random.nextInt(3)];
         }
     }
 
     private final class Claim implements OperationClaim {
         @Override
         public boolean isUsable() {
-            return !isOutdated;
+            return !isClaimOutdated;
         }
 
         @Override
         public void complete(RecordedAnswer answer) {
             end();
-            assertTrue(hasAnswer && world.mayHaveRun > 0, "an answer of nobody");
+            assertTrue(hasAnswer && environment.mayHaveRun > 0, "completed with a response that no instance sent");
         }
 
         @Override
         public void release() {
             end();
             assertTrue(
-                    world.mayHaveRun == 0 || world.plan.selfDedupe() && world.mayHaveRun == world.brokenOff,
-                    "released, and may have run (rule TWICE)");
+                    environment.mayHaveRun == 0
+                            || environment.plan.selfDedupe() && environment.mayHaveRun == environment.lostConnections,
+                    "released although it may have run (rule TWICE)");
         }
 
         @Override
         public void abandon() {
             end();
-            assertTrue(world.mayHaveRun > 0, "abandoned, and has not run");
-            assertTrue(!hasAnswer, "an answer that is not recorded");
+            assertTrue(environment.mayHaveRun > 0, "abandoned although it has not run");
+            assertTrue(!hasAnswer, "abandoned although there is a response to record");
         }
 
         private void end() {
-            assertTrue(isOver, "ended while the request goes on");
-            assertTrue(world.attempts.isEmpty(), "ended while an instance has the request");
-            assertTrue(standing == this, "ended twice");
-            standing = null;
-            claimEnds++;
+            assertTrue(isOver, "claim ended before the request was over");
+            assertTrue(environment.activeAttempts.isEmpty(), "claim ended while an attempt is active");
+            assertTrue(claim == this, "claim ended twice");
+            claim = null;
+            endedClaims++;
         }
     }
 }
--- a/src/test/java/brambletray/platform/proxy/SendPermitTest.java
+++ b/src/test/java/brambletray/platform/proxy/SendPermitTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The right of one attempt, from the gate to the send. */
+/** The right of one attempt, from the gate until it is sent. */
 class SendPermitTest {
     private static final Tenant TENANT = new Tenant("a", List.of(), 0, 10, 0);
 
@@ -30,12 +30,12 @@
 
     private static final class TestGate implements QuotaGate {
         private final List<Listener> waiting = new ArrayList<>();
-        private Right atOnce;
+        private Right immediateRight;
 
         @Override
         public void acquire(Tenant tenant, Listener listener) {
-            if (atOnce != null) {
-                listener.onAcquired(atOnce);
+            if (immediateRight != null) {
+                listener.onAcquired(immediateRight);
             } else {
                 waiting.add(listener);
             }
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aRightThatWasPreparedIsSpentWithTheSend() {
+    void anAcquiredRightIsSpentBySending() {
         TestRight right = new TestRight();
         SendPermit permit = permit(right);
         assertTrue(permit.isReady());
@@ -75,24 +75,24 @@
     }
 
     @Test
-    void aRightThatRanOutWhileTheRequestWaitedIsReplacedBeforeTheSend() {
+    void anExpiredRightIsReplacedBeforeSending() {
         TestRight right = new TestRight();
         SendPermit permit = permit(right);
         right.isValid = false;
         assertFalse(permit.isReady());
         assertFalse(permit.isReady());
-        assertEquals(1, gate.waiting.size(), "asked for once");
+        assertEquals(1, gate.waiting.size(), "requested once");
         gate.waiting.remove(0).onAcquired(new TestRight());
         assertEquals(List.of("permitted"), events);
         assertTrue(permit.isReady());
     }
 
     @Test
-    void anAttemptWithoutARightOfItsOwnAsksForOne() {
+    void anAttemptWithoutARightAcquiresOne() {
         SendPermit permit = permit(null);
-        gate.atOnce = new TestRight();
+        gate.immediateRight = new TestRight();
         assertTrue(permit.isReady());
-        assertEquals(List.of(), events, "it goes out in this step already");
+        assertEquals(List.of(), events, "no event, as isReady reports the right");
     }
 
     @Test
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void whoIsCancelledWaitsNoLonger() {
+    void aCancelledPermitIsNoLongerPending() {
         SendPermit permit = permit(null);
         assertFalse(permit.isReady());
         permit.cancel();
--- a/src/test/java/brambletray/platform/proxy/SimulatedProxy.java
+++ b/src/test/java/brambletray/platform/proxy/SimulatedProxy.java
@@ -18,61 +18,61 @@
 import java.util.function.IntConsumer;
 
 /**
- * An edge's front in simulated time, on a simulated network: the production classes between scripted clients, broker
- * and hosts.
+ * An edge's proxy on a simulated clock and network: the production classes between scripted clients, broker and
+ * hosts.
  */
 final class SimulatedProxy {
     static final Address FRONT = new Address("10.0.0.1", 8241);
 
     final Simulation simulation = new Simulation(1, 1_900_000_000_000L);
     final RequestCounters counters = new RequestCounters();
-    final ScriptedBroker places = new ScriptedBroker(this);
+    final ScriptedBroker broker = new ScriptedBroker(this);
     final ScriptedOperations operations = new ScriptedOperations();
     final Map<String, Actor> actors = new LinkedHashMap<>();
     private final Machine edge;
-    final HostConnectionPools lines;
-    final RequestRouter flow;
-    final FrontEndServer front;
+    final HostConnectionPools connectionPools;
+    final RequestRouter router;
+    final FrontEndServer frontEndServer;
     private Configuration configuration = Configuration.NONE;
-    /** A newer configuration may be in force elsewhere. */
-    boolean outdated;
+    /** Whether a newer configuration may be in force elsewhere. */
+    boolean mayBeOutdated;
 
-    private int machines;
+    private int clientCount;
 
     SimulatedProxy() {
         edge = machine(FRONT.host());
-        lines = new HostConnectionPools(edge, 4_000, counters);
-        flow = new RequestRouter(
+        connectionPools = new HostConnectionPools(edge, 4_000, counters);
+        router = new RequestRouter(
                 edge,
                 "edge-1",
                 "zone-1",
                 new Source(),
-                places,
+                broker,
                 QuotaGate.UNLIMITED,
                 operations,
                 ip -> ip.startsWith("10.0.1."),
-                lines,
+                connectionPools,
                 counters,
                 48 << 20,
                 1);
-        front = new FrontEndServer(edge, flow, 100);
-        front.listen(FRONT);
-        actors.put("broker", places);
+        frontEndServer = new FrontEndServer(edge, router, 100);
+        frontEndServer.listen(FRONT);
+        actors.put("broker", broker);
         actors.put("claims", operations);
         settle();
     }
 
-    void route(String type, int hosts) {
-        route("r", type, hosts, new ClientLimits(2_048, 10_000, 3_000, 15_000));
+    void route(String type, int retryCount) {
+        route("r", type, retryCount, new ClientLimits(2_048, 10_000, 3_000, 15_000));
     }
 
-    /** The only route there is: of this name, and for the paths below it. */
-    void route(String name, String type, int hosts, ClientLimits limits) {
+    /** Configures a single route with this name, for the paths below it. */
+    void route(String name, String type, int retryCount, ClientLimits limits) {
         configuration = Configuration.read(("{\"revision\":1,\"routes\":[{\"name\":\""
                         + name + "\",\"host\":\"h.example\",\"path-prefix\":\"/" + name + "/\",\"route-type\":\""
                         + type
                         + "\",\"timeout-ms\":4000,\"target-ms\":400,\"priority\":1,\"service\":\"s\",\"retry-count\":"
-                        + hosts
+                        + retryCount
                         + "}],\"services\":[{\"name\":\"s\",\"health-path\":null,\"max-connections\":8,\"protocol\":\"h1\",\"tls-mode\":false,\"memory-mb\":128,"
                         + "\"boot-ms\":500,\"max-concurrency\":4}],\"limits\":{\"max-header-bytes\":"
                         + limits.maxHeaderBytes()
@@ -93,7 +93,7 @@
 
         @Override
         public boolean mayBeOutdated() {
-            return outdated;
+            return mayBeOutdated;
         }
     }
 
@@ -109,15 +109,15 @@
         }
     }
 
-    /** Of a host by its name. */
+    /** Address of the host with this name. */
     String address(String name) {
         actor(name);
         return "10.0.1." + (name.charAt(0) - 'a' + 1) + ":8080";
     }
 
     /**
-     * By the name: {@code client...} is one, one {@code -at-} a host calls from there, {@code edge} is told to drain;
-     * every other a host.
+     * The actor with this name: {@code client...} is a client, with {@code -at-} one that calls from a host's address;
+     * {@code edge} is the edge itself; every other is a host.
      */
     Actor actor(String name) {
         Actor actor = actors.get(name);
@@ -126,7 +126,7 @@
                     ? new Edge()
                     : name.startsWith("client")
                             ? new ScriptedClient(
-                                    machine(name.contains("-at-") ? "10.0.1.200" : "10.0.2." + ++machines),
+                                    machine(name.contains("-at-") ? "10.0.1.200" : "10.0.2." + ++clientCount),
                                     new InetSocketAddress(FRONT.host(), FRONT.port()))
                             : new ScriptedHost(
                                     name,
@@ -142,9 +142,9 @@
         @Override
         boolean act(String[] words) {
             switch (words[0]) {
-                case "drains" -> front.drain();
-                case "shuts" -> front.stopAccepting();
-                case "loses" -> lines.onInstanceGone(words[1]);
+                case "drains" -> frontEndServer.drain();
+                case "shuts" -> frontEndServer.stopAccepting();
+                case "loses" -> connectionPools.onInstanceGone(words[1]);
                 default -> {
                     return false;
                 }
@@ -153,16 +153,16 @@
         }
     }
 
-    /** The orderly end of the edge's process. */
+    /** The graceful shutdown of the edge's process. */
     GracefulShutdown shutdown(IntConsumer exit) {
-        return new GracefulShutdown(edge, flow, front, exit);
+        return new GracefulShutdown(edge, router, frontEndServer, exit);
     }
 
     void until(long ms) {
         simulation.runUntil(TimeUnit.MILLISECONDS.toNanos(ms));
     }
 
-    /** The edge's machine stands still, ms. */
+    /** Pauses the edge's machine for {@code ms}. */
     void freeze(long ms) {
         simulation.freeze(edge);
         until(TimeUnit.NANOSECONDS.toMillis(simulation.now()) + ms);
@@ -174,40 +174,40 @@
     }
 
     /**
-     * Each row: time passes, then what is drawn is done from left to right; then what was seen must be what is drawn,
-     * and nothing else.
+     * Plays a timeline. For each row the clock advances to its time and its actions run from left to right; then the
+     * events observed must be exactly those in the row.
      */
     void play(String drawn) {
-        Timeline sheet = Timeline.read(drawn);
-        sheet.names().forEach(this::actor);
-        for (Timeline.Row row : sheet.rows()) {
+        Timeline timeline = Timeline.read(drawn);
+        timeline.names().forEach(this::actor);
+        for (Timeline.Row row : timeline.rows()) {
             until(row.at());
             Map<String, List<String>> expected = new LinkedHashMap<>();
-            for (int i = 0; i < sheet.names().size(); i++) {
-                String name = sheet.names().get(i);
-                List<String> sights = new java.util.ArrayList<>();
+            for (int i = 0; i < timeline.names().size(); i++) {
+                String name = timeline.names().get(i);
+                List<String> events = new java.util.ArrayList<>();
                 for (String item : row.cells().get(i)) {
                     if (actor(name).act(item.split(" +"))) {
                         settle();
                     } else {
-                        sights.add(item);
+                        events.add(item);
                     }
                 }
-                expected.put(name, sights);
+                expected.put(name, events);
             }
             Map<String, List<String>> seen = new LinkedHashMap<>();
-            sheet.names().forEach(name -> seen.put(name, actor(name).look()));
+            timeline.names().forEach(name -> seen.put(name, actor(name).look()));
             assertEquals(expected.toString(), seen.toString(), row.drawn());
         }
     }
 
-    /** Nothing is left over: no request, no place, no byte. */
-    void atRest() {
+    /** Checks that no request, slot, claim or buffered byte is left. */
+    void assertNothingLeft() {
         until(TimeUnit.NANOSECONDS.toMillis(simulation.now()) + 6_000);
-        assertEquals(0, flow.inFlight(), "requests in flight");
-        assertEquals(0, flow.activeRequests(), "requests under way");
-        assertEquals(0, flow.heldBytes(), "bytes held");
-        assertEquals(0, places.open(), "places not given back");
-        assertEquals(0, operations.open(), "claims not ended");
+        assertEquals(0, router.inFlight(), "requests in flight");
+        assertEquals(0, router.activeRequests(), "active requests");
+        assertEquals(0, router.heldBytes(), "bytes buffered");
+        assertEquals(0, broker.openCount(), "slots not released");
+        assertEquals(0, operations.openCount(), "active claims");
     }
 }
--- a/src/test/java/brambletray/platform/proxy/TenantAuthenticationTest.java
+++ b/src/test/java/brambletray/platform/proxy/TenantAuthenticationTest.java
@@ -10,10 +10,10 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** What instances see of keys and tenants. */
+/** What instances receive of keys and tenant names. */
 class TenantAuthenticationTest {
     @Test
-    void keysAndTenantNamesDoNotPassWithoutTenantsEither() {
+    void keysAndTenantNamesAreRemovedEvenWithoutConfiguredTenants() {
         String body = "{'revision':1,'routes':[{'name':'r','host':'h','path-prefix':'/','route-type':'idempotent',"
                 + "'service':'s'}],'services':[{'name':'s'}]}";
         Configuration configuration = Configuration.read(body.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/brambletray/platform/proxy/Timeline.java
+++ b/src/test/java/brambletray/platform/proxy/Timeline.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * A drawn timeline: a line of names, then lines of ms and, in each column, what is done and what is seen, with commas
- * between.
+ * A timeline in text form: a line of actor names, then rows with a time in ms and, for each actor, its actions and
+ * observed events, separated by commas.
  */
 record Timeline(List<String> names, List<Row> rows) {
-    /** {@code cells}: one a name. */
+    /** {@code cells}: one for each name. */
     record Row(long at, List<List<String>> cells, String drawn) {}
 
     static Timeline read(String drawn) {
--- a/src/test/resources/brambletray/platform/proxy/requests.feature
+++ b/src/test/resources/brambletray/platform/proxy/requests.feature
@@ -1,10 +1,11 @@
-Feature: One request's way through an edge
+Feature: Requests through an edge
 
-  One column a process, time downwards in ms; hosts are a, b, c. Rows are strict: whatever is seen and not drawn fails the timeline.
-  In the broker's column "wants" is an ask, "wants again but a" one that has reached a, "a SERVED 20" a place given back after 20 ms,
-  "unused a" one that was never used. X dies.
+  Each column is a process, each row a time in ms; hosts are a, b and c. Rows are strict: an observed event that is not listed fails the timeline.
+  In the broker's column "wants" is a slot request, "copy" marks a hedged one, "again" one after the request was sent to a host, "but a" one
+  that excludes host a; "a SERVED 20" is a slot of host a released 20 ms after the send, "unused a" one released unused, and "forgets" a
+  cancelled slot request. "X" crashes a host.
 
-  Scenario: The ordinary path, on a connection that is kept
+  Scenario: Requests succeed on a kept-alive connection
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -18,7 +19,7 @@
       """
     Then nothing is left over
 
-  Scenario: A copy goes out after the delay, and answers first; the other is called off
+  Scenario: A hedged request is sent after the delay and answers first; the original is cancelled
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -30,7 +31,7 @@
       """
     Then nothing is left over
 
-  Scenario: The original answers first, the copy is called off
+  Scenario: The original answers first; the hedged request is cancelled
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -41,7 +42,7 @@
       """
     Then nothing is left over
 
-  Scenario: A copy that finds no place asks again a few times, then no more; the answer ends it
+  Scenario: A hedged request that gets no slot requests one again; the response cancels the last slot request
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -54,7 +55,7 @@
       """
     Then nothing is left over
 
-  Scenario: Requests that must not run twice are never copied
+  Scenario: Requests that must not run twice are never hedged
     Given a route of type non_idempotent for 2 hosts
     When this is played
       """
@@ -64,7 +65,7 @@
       """
     Then nothing is left over
 
-  Scenario: A host dies with a whole request that may be repeated
+  Scenario: A host crashes with a complete request that may be repeated
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -75,7 +76,7 @@
       """
     Then nothing is left over
 
-  Scenario: A host dies with a whole request that must not run twice
+  Scenario: A host crashes with a complete request that must not run twice
     Given a route of type non_idempotent for 2 hosts
     When this is played
       """
@@ -85,7 +86,7 @@
       """
     Then nothing is left over
 
-  Scenario: One that fails while the other is out: wait for that
+  Scenario: The hedged request fails while the original is active; its response is awaited
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -97,7 +98,7 @@
       """
     Then nothing is left over
 
-  Scenario: A host that proves that it did not run; so another may, for any kind
+  Scenario: A host proves that it did not run the request; another host may run it, whatever its route type
     Given a route of type non_idempotent for 2 hosts
     When this is played
       """
@@ -111,7 +112,7 @@
       """
     Then nothing is left over
 
-  Scenario: As many hosts as the route allows, and no more
+  Scenario: A request is sent to no more hosts than the route allows
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -122,7 +123,7 @@
       """
     Then nothing is left over
 
-  Scenario: A host's own failure is tried elsewhere once, and passed on where that fails too
+  Scenario: A host's failure is retried on another host, and passed on if that fails too
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -133,7 +134,7 @@
       """
     Then nothing is left over
 
-  Scenario: The failure of a host is the answer where it must not run twice; a promise without proof is not passed on
+  Scenario: A host's failure is passed on if the request must not run twice; an unproven refusal is not
     Given a route of type non_idempotent for 2 hosts
     When this is played
       """
@@ -145,7 +146,7 @@
       """
     Then nothing is left over
 
-  Scenario: No connection comes up: it did not run and did not arrive, the next ask is not a further one
+  Scenario: No connection is established; the request did not run, and the next slot request is not a retry
     Given a route of type non_idempotent for 1 host
     When this is played
       """
@@ -156,7 +157,7 @@
       """
     Then nothing is left over
 
-  Scenario: A host that is still starting is tried until it is up
+  Scenario: A booting host is tried until it is up
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -170,7 +171,7 @@
       """
     Then nothing is left over
 
-  Scenario: A host that does not start in time has run nothing
+  Scenario: A host that does not boot in time has not run the request
     Given a route of type non_idempotent for 2 hosts
     When this is played
       """
@@ -182,7 +183,7 @@
       """
     Then nothing is left over
 
-  Scenario: Out of time in line, refused in line, and told when to come back
+  Scenario: Timed out or refused while waiting for a slot; the response has a retry time
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -194,7 +195,7 @@
       """
     Then nothing is left over
 
-  Scenario: Out of time at a host: 504 a little before the end, and the host is left to finish
+  Scenario: Timed out at a host; the client gets 504 shortly before the deadline, and the host is left to finish
     Given a route of type non_idempotent for 2 hosts
     When this is played
       """
@@ -210,7 +211,7 @@
       """
     Then nothing is left over
 
-  Scenario: A client that is gone: in line it is forgotten, at a host it is left to finish there
+  Scenario: A client disconnects; a pending slot request is cancelled, a request at a host is left to finish
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -225,7 +226,7 @@
       """
     Then nothing is left over
 
-  Scenario: No route, no configuration for it: told at once
+  Scenario: A request without a route is rejected at once
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -236,7 +237,7 @@
       """
     Then nothing is left over
 
-  Scenario: A call made by a host is told apart
+  Scenario: A call made by a host is marked as nested
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -246,7 +247,7 @@
       """
     Then nothing is left over
 
-  Scenario: Draining, each answer ends its connection; shut, the idle ones end
+  Scenario: A draining edge closes each connection after its response; one that stops accepting closes the idle ones
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -262,7 +263,7 @@
       """
     Then nothing is left over
 
-  Scenario: A copy whose host is out of reach goes elsewhere a little later
+  Scenario: A hedged request whose host is unreachable goes to another host shortly after
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -274,7 +275,7 @@
       """
     Then nothing is left over
 
-  Scenario: A host that is gone before it was up is not waited for
+  Scenario: A booting host that is lost is no longer waited for
     Given a route of type idempotent for 2 hosts
     When this is played
       """
@@ -287,7 +288,7 @@
       """
     Then nothing is left over
 
-  Scenario: Several wait for one host that is starting: one knocks
+  Scenario: Several requests wait for one booting host; one connection attempt at a time is made for all
     Given a route of type idempotent for 2 hosts
     When this is played
       """
