--- a/src/main/java/brambletray/platform/edge/OperationClient.java
+++ b/src/main/java/brambletray/platform/edge/OperationClient.java
@@ -204,7 +204,7 @@
             boolean inWork = inWorkHere || queries.isRunning(queryId);
             boolean unanswered = queryId != 0;
             queries.cancel(queryId);
-            return inWork ? Progress.IN_WORK : unanswered ? Progress.UNKNOWN : Progress.NOT_CLAIMED;
+            return inWork ? Progress.IN_PROGRESS : unanswered ? Progress.UNKNOWN : Progress.NOT_CLAIMED;
         }
 
         void tick(long now) {
--- a/src/main/java/brambletray/platform/proxy/RequestLifecycle.java
+++ b/src/main/java/brambletray/platform/proxy/RequestLifecycle.java
@@ -206,7 +206,7 @@
     // ---- Attempts -------------------------------------------------------------------------------
     /** The first byte of the request was written to the instance. */
     void onSent(Attempt attempt, long now) {
-        if (!attempt.active || attempt.onSent()) {
+        if (!attempt.active || attempt.isSent()) {
             return;
         }
         attempt.sentAtMs = now;
@@ -243,7 +243,7 @@
      * it was too large to be buffered.
      */
     void onEnded(Attempt attempt, AttemptOutcome outcome, boolean withheld, long now) {
-        int durationMs = (int) (now - (attempt.onSent() ? attempt.sentAtMs : attempt.grantedAtMs));
+        int durationMs = (int) (now - (attempt.isSent() ? attempt.sentAtMs : attempt.grantedAtMs));
         if (!attempts.complete(attempt, outcome, durationMs)) {
             return;
         }
@@ -339,7 +339,7 @@
     void tick(long now) {
         if (isSettled) {
             if (now >= plan.deadlineMs() + HOST_ANSWER_GRACE_MS) {
-                attempts.giveUp(now);
+                attempts.cancelAll(now);
                 if (streamingAttempt != null) {
                     onStreamed(AttemptOutcome.SILENT);
                 }
--- a/src/main/java/brambletray/platform/proxy/RequestPreparation.java
+++ b/src/main/java/brambletray/platform/proxy/RequestPreparation.java
@@ -77,7 +77,7 @@
     private static int status(Progress progress) {
         return switch (progress) {
             case NOT_CLAIMED -> 503;
-            case IN_WORK -> 409;
+            case IN_PROGRESS -> 409;
             case UNKNOWN -> 504;
         };
     }
--- a/src/main/java/brambletray/platform/proxy/RequestRouter.java
+++ b/src/main/java/brambletray/platform/proxy/RequestRouter.java
@@ -201,7 +201,7 @@
             int retryAfterMs,
             String id) {
         int bytes = clientRequest.body().readableBytes();
-        boolean withoutBody = clientRequest.head();
+        boolean withoutBody = clientRequest.isHeadRequest();
         clientRequest.release();
         memoryBudget.release(bytes);
         client.writeOwnResponse(status, code, retryAfterMs, id, withoutBody);
--- a/src/main/java/brambletray/platform/proxy/ResponseReader.java
+++ b/src/main/java/brambletray/platform/proxy/ResponseReader.java
@@ -96,9 +96,9 @@
             return status >= 100 && status != 101 && ++skippedResponses <= MAX_SKIPPED_RESPONSES;
         }
         boolean bare =
-                status == 204 || status == 304 || hostCall.clientRequest().head();
+                status == 204 || status == 304 || hostCall.clientRequest().isHeadRequest();
         BodyFraming framing = BodyFraming.of(head, bare);
-        verdict = framing == BodyFraming.NONE
+        verdict = framing == BodyFraming.INVALID
                 ? ResponseVerdict.INVALID
                 : ResponseVerdict.of(hostCall.requestId(), status, head.headers());
         if (verdict.withoutId() && reused && hostCall.requiresOpenConnection()) {
@@ -108,14 +108,14 @@
         }
         reusable &= HttpUtil.isKeepAlive(head)
                 && !verdict.withoutId()
-                && !hostCall.clientRequest().head();
+                && !hostCall.clientRequest().isHeadRequest();
         skipping = verdict == ResponseVerdict.SURPLUS;
         if (skipping) {
             counters.surplusResponses++;
             // More surplus responses may follow, so no other request is sent on this connection. After a HEAD request
             // the length of a surplus response cannot be determined.
             reusable = false;
-            return !hostCall.clientRequest().head() && ++skippedResponses <= MAX_SKIPPED_RESPONSES;
+            return !hostCall.clientRequest().isHeadRequest() && ++skippedResponses <= MAX_SKIPPED_RESPONSES;
         }
         response = new HostResponse(
                 status, head.status().reasonPhrase(), head.headers(), framing.length(), bare, hostCall.memoryBudget());
--- a/src/test/java/brambletray/platform/edge/OperationClientTest.java
+++ b/src/test/java/brambletray/platform/edge/OperationClientTest.java
@@ -334,8 +334,8 @@
         edge("a").claim("r2");
         edge("b").claim("r3");
         until(500);
-        assertEquals(OperationGate.Progress.IN_WORK, edge("a").cancel("r2"));
-        assertEquals(OperationGate.Progress.IN_WORK, edge("b").cancel("r3"));
+        assertEquals(OperationGate.Progress.IN_PROGRESS, edge("a").cancel("r2"));
+        assertEquals(OperationGate.Progress.IN_PROGRESS, edge("b").cancel("r3"));
         edge("a").completes("r1", "first");
         until(600);
         assertEquals("nothing nothing", edge("a").hears("r2") + " " + edge("b").hears("r3"));
--- a/src/test/java/brambletray/platform/edge/PlantedOperationClientFaultsTest.java
+++ b/src/test/java/brambletray/platform/edge/PlantedOperationClientFaultsTest.java
@@ -121,8 +121,8 @@
     @MethodSource("faults")
     void isFound(String what, String method, String[] edits) {
         Class<?> test = OperationClientTest.class;
-        assertNull(Mutant.in(test).fails(test, method), "it holds without the fault");
-        String found = Mutant.in(test, edits).fails(test, method);
+        assertNull(Mutant.ofPackageOf(test).failureOf(test, method), "it holds without the fault");
+        String found = Mutant.ofPackageOf(test, edits).failureOf(test, method);
         assertNotNull(found, "not found: " + what);
         System.out.println("planted: " + what + " -> " + found.replace('\n', ' '));
     }
--- a/src/test/java/brambletray/platform/proxy/OutdatedConfigurationTest.java
+++ b/src/test/java/brambletray/platform/proxy/OutdatedConfigurationTest.java
@@ -24,7 +24,7 @@
         proxy.actor("a");
     }
 
-    private List<String> answerTo(String path, String key) {
+    private List<String> responseTo(String path, String key) {
         client.send("GET " + path + " HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: r1\r\n"
                 + "Brambletray-Credential: " + key + "\r\n\r\n");
         proxy.settle();
@@ -33,11 +33,11 @@
 
     @Test
     void anUnknownKeyIsDeniedOnlyByTheNewestConfiguration() {
-        assertEquals(List.of("401"), answerTo("/r/x", "unknown"));
+        assertEquals(List.of("401"), responseTo("/r/x", "unknown"));
         proxy.mayBeOutdated = true;
-        assertEquals(List.of("503 in 0.400"), answerTo("/r/x", "unknown"));
+        assertEquals(List.of("503 in 0.400"), responseTo("/r/x", "unknown"));
         proxy.mayBeOutdated = false;
-        assertEquals(List.of("401"), answerTo("/r/x", "unknown"));
+        assertEquals(List.of("401"), responseTo("/r/x", "unknown"));
         assertEquals(2, proxy.counters.unauthenticated);
         assertEquals(1, proxy.counters.unavailable);
         proxy.assertNothingLeft();
@@ -45,18 +45,18 @@
 
     @Test
     void anUnknownRouteIsDeniedOnlyByTheNewestConfiguration() {
-        assertEquals(List.of("404"), answerTo("/none", "known"));
+        assertEquals(List.of("404"), responseTo("/none", "known"));
         proxy.mayBeOutdated = true;
-        assertEquals(List.of("503 in 0.400"), answerTo("/none", "known"));
+        assertEquals(List.of("503 in 0.400"), responseTo("/none", "known"));
         assertEquals(1, proxy.counters.unrouted);
         assertEquals(1, proxy.counters.unavailable);
         proxy.assertNothingLeft();
     }
 
     @Test
-    void whatTheKnownConfigurationAllowsIsServedMeanwhile() {
+    void requestsAllowedByTheKnownConfigurationAreServed() {
         proxy.mayBeOutdated = true;
-        answerTo("/r/x", "known");
+        responseTo("/r/x", "known");
         assertEquals(List.of("wants"), proxy.broker.look());
     }
 }
--- a/src/test/java/brambletray/platform/proxy/RandomClient.java
+++ b/src/test/java/brambletray/platform/proxy/RandomClient.java
@@ -36,7 +36,7 @@
 
     /** One connection with its outstanding requests, oldest first. */
     private final class Connection extends ChannelInboundHandlerAdapter {
-        final ArrayDeque<ExchangeChecker.Try> waiting = new ArrayDeque<>();
+        final ArrayDeque<ExchangeChecker.ClientAttempt> waiting = new ArrayDeque<>();
         final StringBuilder in = new StringBuilder();
         /** Number of bytes without which the next response cannot be complete. */
         int minBytes;
@@ -80,7 +80,7 @@
             }
             String head = in.substring(0, end);
             if (!head.startsWith("HTTP/1.1 ") || head.length() < 12) {
-                checker.breaks("MIXED", "not an HTTP response: " + head);
+                checker.addViolation("MIXED", "not an HTTP response: " + head);
                 in.setLength(0);
                 return false;
             }
@@ -89,12 +89,12 @@
                 in.delete(0, end + 4);
                 return true;
             }
-            ExchangeChecker.Try exchange = waiting.peek();
+            ExchangeChecker.ClientAttempt exchange = waiting.peek();
             boolean bare = status == 204 || status == 304 || exchange != null && exchange.method.equals("HEAD");
             String length = ScriptedHost.header(head, "content-length");
             boolean chunked = ScriptedHost.header(head, "transfer-encoding").equals("chunked");
             if (!bare && length.isEmpty() == !chunked) {
-                checker.breaks("MIXED", "response without a valid body length: " + head);
+                checker.addViolation("MIXED", "response without a valid body length: " + head);
             }
             String[] body = {""};
             int to = bare ? end + 4 : chunked ? readChunks(end + 4, body) : end + 4 + Integer.parseInt(length);
@@ -108,7 +108,7 @@
             in.delete(0, to);
             waiting.poll();
             noMoreRequests |= ScriptedHost.header(head, "connection").equals("close");
-            checker.answer(
+            checker.onResponse(
                     exchange,
                     status,
                     ScriptedHost.header(head, "brambletray-attempt-id"),
@@ -148,14 +148,14 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (!(cause instanceof java.io.IOException)) {
-                checker.breaks("MIXED", "unexpected exception: " + cause);
+                checker.addViolation("MIXED", "unexpected exception: " + cause);
             }
             context.close();
         }
     }
 
     /** Sends a request on the current or a new connection; {@code pipelined}: also while others are outstanding. */
-    void send(ExchangeChecker.Try exchange, String headers, boolean pipelined) {
+    void send(ExchangeChecker.ClientAttempt exchange, String headers, boolean pipelined) {
         boolean close = random.nextInt(12) == 0;
         String head = exchange.method + " " + exchange.uri + " HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: "
                 + exchange.id + "\r\n" + headers + (close ? "Connection: close\r\n" : "");
--- a/src/test/java/brambletray/platform/proxy/RandomExchanges.java
+++ b/src/test/java/brambletray/platform/proxy/RandomExchanges.java
@@ -198,23 +198,23 @@
     private void returnSlot(long requestId) {
         int left = heldSlots.merge(requestId, -1, Integer::sum);
         if (left < 0) {
-            checker.breaks("PLACE", "the slot of request " + requestId + " is released twice");
+            checker.addViolation("PLACE", "the slot of request " + requestId + " is released twice");
         }
     }
 
     // ---- Random events --------------------------------------------------------------------------
     /** Runs the scenario; returns the violations, none if all rules hold. */
     List<String> play() {
-        for (int step = 0; step < steps && checker.broken().isEmpty(); step++) {
+        for (int step = 0; step < steps && checker.violations().isEmpty(); step++) {
             randomEvent();
             run(random.nextInt(maxPauseMs));
         }
         endFaults();
         run(12_000);
-        if (checker.broken().isEmpty()) {
+        if (checker.violations().isEmpty()) {
             checkNothingLeft();
         }
-        return checker.broken();
+        return checker.violations();
     }
 
     private void randomEvent() {
@@ -288,8 +288,8 @@
         String method = !body.isEmpty() ? "POST" : random.nextInt(8) == 0 ? "HEAD" : "GET";
         int count = random.nextInt(MAX_RETRY_COUNT + 1);
         String uri = (repeatable ? "/r" : "/n") + count + "/p" + requestCount + "?q=" + requestCount;
-        ExchangeChecker.Try exchange = checker.asked(
-                new ExchangeChecker.Try("t" + requestCount++, method, uri, body, repeatable, Math.max(1, count)));
+        ExchangeChecker.ClientAttempt exchange = checker.onRequestSent(
+                new ExchangeChecker.ClientAttempt("t" + requestCount++, method, uri, body, repeatable, Math.max(1, count)));
         int remainingMs = random.nextInt(4) == 0 ? 1 + random.nextInt(120) : 200 + random.nextInt(2_500);
         pick(clients)
                 .send(exchange, "Brambletray-Deadline-Remaining: " + remainingMs + "\r\n", random.nextInt(10) == 0);
@@ -331,18 +331,18 @@
 
     private void checkNothingLeft() {
         if (router.inFlight() != 0 || router.activeRequests() != 0) {
-            checker.breaks("REST", router.inFlight() + " requests in flight, " + router.activeRequests() + " active");
+            checker.addViolation("REST", router.inFlight() + " requests in flight, " + router.activeRequests() + " active");
         }
         if (router.heldBytes() != 0) {
-            checker.breaks("REST", router.heldBytes() + " bytes buffered");
+            checker.addViolation("REST", router.heldBytes() + " bytes buffered");
         }
         heldSlots.values().removeIf(places -> places == 0);
         if (!heldSlots.isEmpty() || !pendingRequests.isEmpty()) {
-            checker.breaks(
+            checker.addViolation(
                     "REST", "slots not released: " + heldSlots + ", pending slot requests " + pendingRequests.size());
         }
         if (connectionPools.openCount() != 0) {
-            checker.breaks("REST", connectionPools.openCount() + " open connections to hosts");
+            checker.addViolation("REST", connectionPools.openCount() + " open connections to hosts");
         }
     }
 
@@ -401,9 +401,9 @@
                     e.printStackTrace();
                 }
             }
-            tries += scenario.checker.tries();
+            tries += scenario.checker.attemptCount();
             successes += scenario.checker.successes;
-            promises += scenario.checker.promises;
+            promises += scenario.checker.nonExecutionResponses;
             all.surplusResponses += scenario.counters.surplusResponses;
             all.streamedResponses += scenario.counters.streamedResponses;
             all.staleConnections += scenario.counters.staleConnections;
--- a/src/test/java/brambletray/platform/proxy/RandomExchangesTest.java
+++ b/src/test/java/brambletray/platform/proxy/RandomExchangesTest.java
@@ -62,11 +62,11 @@
         for (long seed = 1; seed <= 150; seed++) {
             RandomExchanges scenario = new RandomExchanges(seed, STEPS_PER_SCENARIO);
             assertEquals(List.of(), scenario.play(), "seed " + seed);
-            tries += scenario.checker().tries();
+            tries += scenario.checker().attemptCount();
             successes += scenario.checker().successes;
-            promises += scenario.checker().promises;
+            promises += scenario.checker().nonExecutionResponses;
             sealedFailures += scenario.checker().sealedFailures;
-            ranAgain += scenario.checker().ranAgain;
+            ranAgain += scenario.checker().multiHostAttempts;
             RequestCounters counters = scenario.counters();
             all.surplusResponses += counters.surplusResponses;
             all.streamedResponses += counters.streamedResponses;
--- a/src/test/java/brambletray/platform/proxy/RandomHost.java
+++ b/src/test/java/brambletray/platform/proxy/RandomHost.java
@@ -118,7 +118,7 @@
         private final Channel channel;
         private final StringBuilder in = new StringBuilder();
         /** The request in progress, without a response so far. */
-        private ExchangeChecker.Try current;
+        private ExchangeChecker.ClientAttempt current;
         /** Bytes still to be received of a request that was answered early. */
         private int unreadBodyBytes;
         /** A response is partly sent. */
@@ -184,20 +184,20 @@
         /** The first byte of a request has arrived. */
         private void onRequestStart() {
             if (current != null) {
-                checker.breaks(
+                checker.addViolation(
                         "OWED",
                         "a request at " + name + " while " + current.id + " has no response yet on its connection");
             } else if (noMoreRequests) {
-                checker.breaks("OWED", "a request at " + name + " on a connection that allows no further request");
+                checker.addViolation("OWED", "a request at " + name + " on a connection that allows no further request");
             } else if (now() > surplusDeliveredMs && now() > proxyUnawareUntilMs) {
-                checker.breaks(
+                checker.addViolation(
                         "OWED", "a request at " + name + " on a connection with surplus bytes that had arrived before");
             }
         }
 
         private void handle(String head, String body) {
             String[] line = head.substring(0, head.indexOf("\r\n")).split(" ");
-            ExchangeChecker.Try exchange = checker.arrived(
+            ExchangeChecker.ClientAttempt exchange = checker.onRequestReceived(
                     ScriptedHost.header(head, "brambletray-attempt-id"),
                     line[0],
                     line[1],
@@ -209,7 +209,7 @@
             }
             Answer answer = randomAnswer(exchange, body == null);
             if (answer.runs()) {
-                checker.ran(exchange, name);
+                checker.onExecuted(exchange, name);
             }
             if (answer.bytes() == null) {
                 current = exchange;
@@ -286,7 +286,7 @@
     }
 
     // ---- Responses ------------------------------------------------------------------------------
-    private Answer randomAnswer(ExchangeChecker.Try exchange, boolean early) {
+    private Answer randomAnswer(ExchangeChecker.ClientAttempt exchange, boolean early) {
         if (random.nextInt(100) >= faultPercent) {
             return new Answer(sealedSuccess(exchange, false), true, Then.STAYS, "");
         }
@@ -305,7 +305,7 @@
         };
     }
 
-    private String body(ExchangeChecker.Try exchange) {
+    private String body(ExchangeChecker.ClientAttempt exchange) {
         int pad =
                 random.nextInt(largeBodyOneIn) == 0 ? 3_000 + random.nextInt(9_000) : random.nextInt(3) == 0 ? 400 : 0;
         return name + ":" + exchange.id + ":" + exchange.arrivals + "/" + ".".repeat(pad);
@@ -337,14 +337,14 @@
     }
 
     /** A complete, sealed response. */
-    private String sealedSuccess(ExchangeChecker.Try exchange, boolean closing) {
+    private String sealedSuccess(ExchangeChecker.ClientAttempt exchange, boolean closing) {
         String headers = SEAL
                 + (closing
                         ? "Connection: close\r\n"
                         : random.nextInt(4) == 0 ? "Keep-Alive: timeout=" + random.nextInt(4) + "\r\n" : "");
         String before = random.nextInt(12) == 0 ? "HTTP/1.1 103 Early Hints\r\n" + SEAL + "\r\n" : "";
         if (random.nextInt(15) == 0) {
-            exchange.sealed.add("");
+            exchange.sealedBodies.add("");
             return before + head("204 No Content", exchange.id, headers) + "\r\n";
         }
         if (random.nextInt(25) == 0) {
@@ -359,10 +359,10 @@
         }
         String body = body(exchange);
         if (exchange.method.equals("HEAD")) {
-            exchange.sealed.add("");
+            exchange.sealedBodies.add("");
             return before + head("200 OK", exchange.id, headers) + "Content-Length: " + body.length() + "\r\n\r\n";
         }
-        exchange.sealed.add(body);
+        exchange.sealedBodies.add(body);
         return before
                 + (random.nextInt(3) == 0
                         ? head("200 OK", exchange.id, headers + "Transfer-Encoding: chunked\r\n") + "\r\n"
@@ -370,7 +370,7 @@
                         : sized("200 OK", exchange.id, headers, body));
     }
 
-    private Answer failed(ExchangeChecker.Try exchange) {
+    private Answer failed(ExchangeChecker.ClientAttempt exchange) {
         String status = switch (random.nextInt(6)) {
             case 0 -> "504 Gateway Timeout";
             case 1 -> "503 Service Unavailable";
@@ -387,7 +387,7 @@
         return new Answer(sized(status, exchange.id, sealed ? SEAL : "", body), true, Then.STAYS, "");
     }
 
-    private Answer unexecuted(ExchangeChecker.Try exchange) {
+    private Answer unexecuted(ExchangeChecker.ClientAttempt exchange) {
         String id = random.nextBoolean() ? exchange.id : null;
         String surplus = switch (random.nextInt(6)) {
             case 0, 1 -> notRun(exchange.id);
@@ -408,7 +408,7 @@
                         "");
     }
 
-    private Answer truncated(ExchangeChecker.Try exchange) {
+    private Answer truncated(ExchangeChecker.ClientAttempt exchange) {
         String whole = sealedSuccess(exchange, false);
         int size = 1 + random.nextInt(Math.max(1, whole.length() - 1));
         return new Answer(
@@ -419,7 +419,7 @@
     }
 
     /** Bytes that are not a valid response, or not a success; their body must never reach a client as a success. */
-    private Answer invalid(ExchangeChecker.Try exchange) {
+    private Answer invalid(ExchangeChecker.ClientAttempt exchange) {
         int kind = random.nextInt(18);
         String body = "spoilt" + kind + ":" + body(exchange);
         String id = exchange.id;
--- a/src/test/java/brambletray/platform/proxy/RequestLifecycleTest.java
+++ b/src/test/java/brambletray/platform/proxy/RequestLifecycleTest.java
@@ -120,7 +120,7 @@
         public void cancel(Attempt attempt) {
             assertTrue(activeAttempts.remove(attempt) != null, "cancelled twice");
             assertTrue(
-                    settling || now >= plan.deadlineMs() || !attempt.onSent(),
+                    settling || now >= plan.deadlineMs() || !attempt.isSent(),
                     "a sent attempt was cancelled without need");
         }
 
@@ -223,7 +223,7 @@
             List<Attempt> all = new ArrayList<>(activeAttempts.keySet());
             all.sort(java.util.Comparator.comparing(attempt -> attempt.grant.instanceId()));
             Attempt attempt = all.get(random.nextInt(all.size()));
-            if (!attempt.onSent()) {
+            if (!attempt.isSent()) {
                 int chance = random.nextInt(6);
                 if (chance < 2) {
                     activeAttempts.remove(attempt);
--- a/src/test/java/brambletray/platform/proxy/ScriptedOperations.java
+++ b/src/test/java/brambletray/platform/proxy/ScriptedOperations.java
@@ -73,7 +73,7 @@
                                 words[2].getBytes(StandardCharsets.ISO_8859_1)));
             case "lost" -> waiting.remove().onUnknown();
             case "refuses" -> waiting.remove().onUnavailable(Integer.parseInt(words[1]));
-            case "in-work" -> progress = Progress.IN_WORK;
+            case "in-work" -> progress = Progress.IN_PROGRESS;
             case "unheard" -> progress = Progress.UNKNOWN;
             case "outdated" -> usable = false;
             default -> {
