--- a/src/main/java/brambletray/platform/proxy/RateLimitedLog.java
+++ b/src/main/java/brambletray/platform/proxy/RateLimitedLog.java
@@ -3,7 +3,7 @@
 import brambletray.platform.logging.EventLog;
 import brambletray.platform.logging.LogEventBuilder;
 
-/** Logs a few lines a second at most: what goes wrong with one request may go wrong with thousands. */
+/** Logs at most a few lines per second, since a fault may affect thousands of requests at once. */
 final class RateLimitedLog {
     private static final int MAX_LINES_PER_SECOND = 3;
     private static final int MS_PER_SECOND = 1_000;
--- a/src/main/java/brambletray/platform/proxy/Rejection.java
+++ b/src/main/java/brambletray/platform/proxy/Rejection.java
@@ -12,8 +12,9 @@
 import java.util.Iterator;
 
 /**
- * Why a request is turned away before any route is looked for; its connection ends with the answer. {@code code}: as in
- * answers' bodies.
+ * Reason to reject a request before it is routed; the connection is closed after the response.
+ *
+ * @param code error code in the response body
  */
 record Rejection(int status, String code) {
     static final Rejection TOO_LARGE = new Rejection(413, "proxy.body-too-large");
@@ -25,14 +26,17 @@
     private static final Rejection UNSUPPORTED_VERSION = new Rejection(505, "proxy.version");
     private static final Rejection INVALID_PATH = new Rejection(400, "proxy.path");
 
-    /** What the decoder could not read. */
+    /** The rejection for a failure of the decoder. */
     static Rejection of(Throwable cause) {
         return cause instanceof TooLongHttpHeaderException || cause instanceof TooLongHttpLineException
                 ? HEAD_TOO_LARGE
                 : MALFORMED;
     }
 
-    /** A head that could be read; null: go on. Guards rule UNASKED: hosts must see the same request that we do. */
+    /**
+     * Checks a decoded head; null if it is accepted. Guards rule UNASKED: instances must see the same request as the
+     * proxy.
+     */
     static Rejection of(HttpRequest request, ClientLimits limits) {
         if (!request.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
             return UNSUPPORTED_VERSION;
--- a/src/main/java/brambletray/platform/proxy/ResponseVerdict.java
+++ b/src/main/java/brambletray/platform/proxy/ResponseVerdict.java
@@ -6,11 +6,12 @@
 import java.util.Iterator;
 
 /**
- * What the head of a response means once the response is complete (rules MIXED, TWICE, REFUSED).
+ * Meaning of a response according to its head, valid once the response is complete (rules MIXED, TWICE, REFUSED).
  *
- * <p>{@code fate}: null for a surplus response, which belongs to another request and is skipped. {@code promise}: the
- * status promises that the request did not run, without proof. {@code nameless}: it carries no request id, so further
- * responses on its connection cannot be told apart.
+ * @param outcome null for a surplus response, which belongs to another request and is skipped
+ * @param unprovenRefusal whether the status claims, without proof, that the request did not run
+ * @param withoutId whether the response has no request id, so that further responses on its connection cannot be told
+ *     apart
  */
 record ResponseVerdict(AttemptOutcome outcome, boolean unprovenRefusal, boolean withoutId) {
     static final ResponseVerdict SURPLUS = new ResponseVerdict(null, false, false);
@@ -24,10 +25,10 @@
     private static final ResponseVerdict WRONG_HOST_WITHOUT_ID =
             new ResponseVerdict(AttemptOutcome.WRONG_HOST, false, true);
 
-    /** The highest status that HTTP has. */
+    /** The highest HTTP status. */
     private static final int MAX_STATUS = 599;
 
-    /** For a log line: the id that an invalid response carries. */
+    /** Describes an invalid response for a log line. */
     static String describe(int status, HttpHeaders headers) {
         return "status " + status + (headers.contains(ClientRequest.ID) ? "" : ", no id")
                 + (headers.contains(ClientRequest.SEAL) ? "" : ", no seal")
@@ -39,11 +40,11 @@
                         : ", no length");
     }
 
-    /** {@code requestId}: of the request that the connection is at. */
+    /** {@code requestId}: the id of the request in progress on the connection. */
     static ResponseVerdict of(String requestId, int status, HttpHeaders headers) {
         Iterator<? extends CharSequence> ids = headers.valueCharSequenceIterator(ClientRequest.ID);
-        boolean nameless = !ids.hasNext();
-        if (!nameless) {
+        boolean withoutId = !ids.hasNext();
+        if (!withoutId) {
             if (!requestId.contentEquals(ids.next())) {
                 return SURPLUS;
             }
@@ -52,16 +53,16 @@
             }
         }
         if (status > MAX_STATUS) {
-            // Guards clients against a status that is none: of four digits they may read three.
+            // Guards clients against an invalid status: of one with four digits they may read only three.
             return INVALID;
         }
         if (status == 421) {
-            return nameless ? WRONG_HOST_WITHOUT_ID : WRONG_HOST;
+            return withoutId ? WRONG_HOST_WITHOUT_ID : WRONG_HOST;
         }
         if (headers.contains(ClientRequest.NOT_EXECUTED)) {
-            return status < 400 ? INVALID : nameless ? NOT_RUN_WITHOUT_ID : NOT_RUN;
+            return status < 400 ? INVALID : withoutId ? NOT_RUN_WITHOUT_ID : NOT_RUN;
         }
-        if (nameless) {
+        if (withoutId) {
             return INVALID;
         }
         if (status / 100 == 2) {
--- a/src/test/java/brambletray/platform/proxy/ProxySteps.java
+++ b/src/test/java/brambletray/platform/proxy/ProxySteps.java
@@ -4,7 +4,7 @@
 import io.cucumber.java.en.Then;
 import io.cucumber.java.en.When;
 
-/** The sentences of the features of this plane. */
+/** Step definitions of the proxy's features. */
 public final class ProxySteps {
     private final SimulatedProxy proxy = new SimulatedProxy();
 
--- a/src/test/java/brambletray/platform/proxy/RandomClient.java
+++ b/src/test/java/brambletray/platform/proxy/RandomClient.java
@@ -16,8 +16,8 @@
 import java.util.SplittableRandom;
 
 /**
- * A client of a {@link RandomExchanges}: keeps a connection, sends ahead at times, hangs up at times, and reads what
- * comes to the letter.
+ * A client of a {@link RandomExchanges}: keeps a connection, at times pipelines requests or disconnects, and parses
+ * responses strictly.
  */
 final class RandomClient {
     private final Machine machine;
@@ -27,24 +27,24 @@
     private final List<Channel> pausedChannels = new ArrayList<>();
     private Connection connection;
 
-    RandomClient(Machine machine, InetSocketAddress front, ExchangeChecker ruling, SplittableRandom random) {
+    RandomClient(Machine machine, InetSocketAddress frontEnd, ExchangeChecker checker, SplittableRandom random) {
         this.machine = machine;
-        this.frontEnd = front;
-        this.checker = ruling;
+        this.frontEnd = frontEnd;
+        this.checker = checker;
         this.random = random;
     }
 
-    /** One connection, with the tries that wait on it, oldest first. */
+    /** One connection with its outstanding requests, oldest first. */
     private final class Connection extends ChannelInboundHandlerAdapter {
         final ArrayDeque<ExchangeChecker.ClientAttempt> waiting = new ArrayDeque<>();
         final StringBuilder in = new StringBuilder();
-        /** So many bytes must be here before the next answer can be whole. */
+        /** Number of bytes without which the next response cannot be complete. */
         int minBytes;
-        /** Until it is up. */
+        /** Requests to be sent once the connection is established. */
         final ArrayDeque<ByteBuf> unsent = new ArrayDeque<>(1);
 
         Channel channel;
-        /** Nothing more is sent on it. */
+        /** No further request is sent on this connection. */
         boolean noMoreRequests;
 
         @Override
@@ -72,7 +72,7 @@
             }
         }
 
-        /** False: the next answer is not whole yet. */
+        /** Returns false if the next response is not complete yet. */
         private boolean readResponse() {
             int end = in.indexOf("\r\n\r\n");
             if (end < 0) {
@@ -80,7 +80,7 @@
             }
             String head = in.substring(0, end);
             if (!head.startsWith("HTTP/1.1 ") || head.length() < 12) {
-                checker.addViolation("MIXED", "no answer: " + head);
+                checker.addViolation("MIXED", "not an HTTP response: " + head);
                 in.setLength(0);
                 return false;
             }
@@ -89,12 +89,12 @@
                 in.delete(0, end + 4);
                 return true;
             }
-            ExchangeChecker.ClientAttempt of = waiting.peek();
-            boolean bare = status == 204 || status == 304 || of != null && of.method.equals("HEAD");
+            ExchangeChecker.ClientAttempt exchange = waiting.peek();
+            boolean bare = status == 204 || status == 304 || exchange != null && exchange.method.equals("HEAD");
             String length = ScriptedHost.header(head, "content-length");
             boolean chunked = ScriptedHost.header(head, "transfer-encoding").equals("chunked");
             if (!bare && length.isEmpty() == !chunked) {
-                checker.addViolation("MIXED", "no telling where it ends: " + head);
+                checker.addViolation("MIXED", "response without a valid body length: " + head);
             }
             String[] body = {""};
             int to = bare ? end + 4 : chunked ? readChunks(end + 4, body) : end + 4 + Integer.parseInt(length);
@@ -109,7 +109,7 @@
             waiting.poll();
             noMoreRequests |= ScriptedHost.header(head, "connection").equals("close");
             checker.onResponse(
-                    of,
+                    exchange,
                     status,
                     ScriptedHost.header(head, "brambletray-attempt-id"),
                     !ScriptedHost.header(head, "brambletray-response-seal").isEmpty(),
@@ -117,7 +117,7 @@
             return true;
         }
 
-        /** Where it ends; -1: not yet. */
+        /** Index of the end of the body, or -1 if it is not complete yet. */
         private int readChunks(int from, String[] body) {
             StringBuilder all = new StringBuilder();
             for (int at = from; ; ) {
@@ -148,56 +148,56 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (!(cause instanceof java.io.IOException)) {
-                checker.addViolation("MIXED", "cannot be read: " + cause);
+                checker.addViolation("MIXED", "unexpected exception: " + cause);
             }
             context.close();
         }
     }
 
-    /** Sends it, on the connection at hand or on a new one; {@code ahead}: also while others wait there. */
-    void send(ExchangeChecker.ClientAttempt one, String headers, boolean ahead) {
+    /** Sends a request on the current or a new connection; {@code pipelined}: also while others are outstanding. */
+    void send(ExchangeChecker.ClientAttempt exchange, String headers, boolean pipelined) {
         boolean close = random.nextInt(12) == 0;
-        String head = one.method + " " + one.uri + " HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: " + one.id
-                + "\r\n" + headers + (close ? "Connection: close\r\n" : "");
+        String head = exchange.method + " " + exchange.uri + " HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: "
+                + exchange.id + "\r\n" + headers + (close ? "Connection: close\r\n" : "");
         String bytes;
-        if (one.body.isEmpty()) {
+        if (exchange.body.isEmpty()) {
             bytes = head + "\r\n";
         } else if (random.nextBoolean()) {
-            bytes = head + "Content-Length: " + one.body.length() + "\r\n\r\n" + one.body;
+            bytes = head + "Content-Length: " + exchange.body.length() + "\r\n\r\n" + exchange.body;
         } else {
-            int first = 1 + random.nextInt(one.body.length());
+            int first = 1 + random.nextInt(exchange.body.length());
             bytes = head + "Transfer-Encoding: chunked\r\n\r\n"
-                    + Integer.toHexString(first) + "\r\n" + one.body.substring(0, first) + "\r\n"
-                    + (first < one.body.length()
-                            ? Integer.toHexString(one.body.length() - first) + "\r\n" + one.body.substring(first)
-                                    + "\r\n"
+                    + Integer.toHexString(first) + "\r\n" + exchange.body.substring(0, first) + "\r\n"
+                    + (first < exchange.body.length()
+                            ? Integer.toHexString(exchange.body.length() - first) + "\r\n"
+                                    + exchange.body.substring(first) + "\r\n"
                             : "")
                     + "0\r\n\r\n";
         }
         Connection at = connection;
         ByteBuf out = Unpooled.copiedBuffer(bytes, StandardCharsets.ISO_8859_1);
-        if (at == null || at.noMoreRequests || !at.waiting.isEmpty() && !ahead) {
-            Connection made = new Connection();
-            connection = made;
-            made.waiting.add(one);
-            made.channel = machine.dialling(1_000, new ChannelInitializer<Channel>() {
+        if (at == null || at.noMoreRequests || !at.waiting.isEmpty() && !pipelined) {
+            Connection opened = new Connection();
+            connection = opened;
+            opened.waiting.add(exchange);
+            opened.channel = machine.dialling(1_000, new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel channel) {
-                            channel.pipeline().addLast(made);
+                            channel.pipeline().addLast(opened);
                         }
                     })
                     .connect(frontEnd)
                     .channel();
-            made.write(out);
+            opened.write(out);
         } else {
-            at.waiting.add(one);
+            at.waiting.add(exchange);
             at.write(out);
         }
-        // What was told to close after its answer answers nothing that comes behind it.
+        // A connection that closes after this response serves no later request.
         connection.noMoreRequests |= close;
     }
 
-    /** It reads nothing that comes on its present connection. */
+    /** Stops reading from the current connection. */
     void pauseReading() {
         if (connection != null) {
             connection.channel.config().setAutoRead(false);
--- a/src/test/java/brambletray/platform/proxy/RandomExchanges.java
+++ b/src/test/java/brambletray/platform/proxy/RandomExchanges.java
@@ -22,14 +22,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One random scenario of an edge's front: the production classes from the client's socket to the host's on a simulated
- * network and clock, between clients, a broker and hosts that do at random what the pages allow and what fault does.
- * The same seed gives the same scenario.
+ * One random scenario of an edge's proxy: the production classes from the client's socket to the host's on a simulated
+ * network and clock. Clients, the broker and hosts act at random within the documented protocol and inject faults. The
+ * same seed gives the same scenario.
  */
 final class RandomExchanges implements SlotBroker {
     private static final Address FRONT_END = new Address("10.0.0.1", 8241);
     private static final int MAX_HOSTS = 3;
-    /** The {@code retry-count} of a route goes from 0 to this. */
+    /** Routes have a {@code retry-count} from 0 to this. */
     private static final int MAX_RETRY_COUNT = 3;
 
     private record PendingRequest(SlotRequest request, SlotRequester requester) {}
@@ -44,7 +44,7 @@
     private final List<RandomClient> clients = new ArrayList<>();
     private final List<RandomHost> hosts = new ArrayList<>();
     private final ArrayDeque<PendingRequest> pendingRequests = new ArrayDeque<>();
-    /** Places out, by ask. */
+    /** Number of held slots by request id. */
     private final Map<Long, Integer> heldSlots = new HashMap<>();
 
     private final int steps;
@@ -67,7 +67,7 @@
         duplicateGrantPercent = random.nextInt(20);
         edge = machine(FRONT_END.host());
         connectionPools = new HostConnectionPools(edge, 4_000, counters);
-        // A small memory brings answers on the way that are given on while they come.
+        // With a small memory budget some responses are streamed.
         boolean small = random.nextInt(3) == 0;
         long memory = small ? 4_000 + random.nextInt(8_000) : 48 << 20;
         Configuration configuration = configuration();
@@ -85,7 +85,7 @@
                 memory,
                 seed);
         new FrontEndServer(edge, router, 100).listen(FRONT_END);
-        int fault = 10 + random.nextInt(70);
+        int faultPercent = 10 + random.nextInt(70);
         int count = 2 + random.nextInt(MAX_HOSTS - 1);
         for (int i = 0; i < count; i++) {
             String ip = "10.0.1." + (i + 1);
@@ -95,7 +95,7 @@
                     new InetSocketAddress(ip, 8080),
                     checker,
                     random.split(),
-                    fault,
+                    faultPercent,
                     small ? 2 : 6));
         }
         for (int i = 0; i < 2; i++) {
@@ -138,72 +138,72 @@
 
     // ---- The broker -----------------------------------------------------------------------------
     @Override
-    public void requestSlot(SlotRequest ask, SlotRequester taker) {
-        PendingRequest one = new PendingRequest(ask, taker);
-        pendingRequests.add(one);
+    public void requestSlot(SlotRequest request, SlotRequester requester) {
+        PendingRequest pending = new PendingRequest(request, requester);
+        pendingRequests.add(pending);
         if (random.nextInt(3) > 0) {
-            answer(one);
+            answer(pending);
         } else {
             edge.loop()
                     .schedule(
-                            () -> answer(one),
+                            () -> answer(pending),
                             random.nextInt(random.nextInt(8) == 0 ? 900 : 30),
                             TimeUnit.MILLISECONDS);
         }
     }
 
-    private void answer(PendingRequest one) {
-        if (!pendingRequests.remove(one)) {
+    private void answer(PendingRequest pending) {
+        if (!pendingRequests.remove(pending)) {
             return;
         }
         if (random.nextInt(15) == 0) {
-            one.requester().onRefused(random.nextInt(300) - 1);
+            pending.requester().onRefused(random.nextInt(300) - 1);
             return;
         }
-        grant(one);
+        grant(pending);
         if (random.nextInt(100) < duplicateGrantPercent) {
-            // The home lost its memory of the first, or the ask was made anew: a grant comes twice.
-            edge.loop().schedule(() -> grant(one), random.nextInt(40), TimeUnit.MILLISECONDS);
+            // A duplicate grant: the home edge lost its state, or the slot was requested again.
+            edge.loop().schedule(() -> grant(pending), random.nextInt(40), TimeUnit.MILLISECONDS);
         }
     }
 
-    private void grant(PendingRequest one) {
-        // At times the one that has had it: it may be the only one left.
-        String had = one.request().excludedInstances().isEmpty() || random.nextBoolean()
+    private void grant(PendingRequest pending) {
+        // At times an instance that had the request before: it may be the only one left.
+        String previousInstance = pending.request().excludedInstances().isEmpty() || random.nextBoolean()
                 ? null
-                : one.request().excludedInstances().get(0);
-        RandomHost host = had == null ? pick(hosts) : hosts.get(had.charAt(1) - '0');
-        // The home knows one place an ask, however often it says so.
-        heldSlots.put(one.request().id(), 1);
-        one.requester()
+                : pending.request().excludedInstances().get(0);
+        RandomHost host = previousInstance == null ? pick(hosts) : hosts.get(previousInstance.charAt(1) - '0');
+        // The home edge holds one slot per request, however often it grants it.
+        heldSlots.put(pending.request().id(), 1);
+        pending.requester()
                 .onGranted(new SlotGrant(
-                        one.request().id(),
+                        pending.request().id(),
                         host.name,
                         "10.0.1." + (host.name.charAt(1) - '0' + 1) + ":8080",
                         random.nextInt(6) == 0));
     }
 
     @Override
-    public void releaseSlot(SlotGrant grant, AttemptOutcome fate, int tookMs) {
+    public void releaseSlot(SlotGrant grant, AttemptOutcome outcome, int durationMs) {
         returnSlot(grant.requestId());
     }
 
     @Override
-    public void cancelRequest(long askId) {
-        if (!pendingRequests.removeIf(one -> one.request().id() == askId)) {
-            returnSlot(askId);
+    public void cancelRequest(long requestId) {
+        if (!pendingRequests.removeIf(pending -> pending.request().id() == requestId)) {
+            returnSlot(requestId);
         }
     }
 
-    private void returnSlot(long askId) {
-        int left = heldSlots.merge(askId, -1, Integer::sum);
+    private void returnSlot(long requestId) {
+        int left = heldSlots.merge(requestId, -1, Integer::sum);
         if (left < 0) {
-            checker.addViolation("PLACE", "one of ask " + askId + " is given back twice");
+            checker.addViolation("PLACE", "the slot of request " + requestId + " is released twice");
         }
     }
 
-    // ---- What happens ---------------------------------------------------------------------------
-    /** Plays it; the rules broken, none if all hold. */
+    // ---- Random events --------------------------------------------------------------------------
+    /** Runs the scenario; returns the violations, none if all rules hold. */
     List<String> play() {
         for (int step = 0; step < steps && checker.violations().isEmpty(); step++) {
             randomEvent();
@@ -239,11 +239,11 @@
         } else if (dice < 93) {
             breakConnection();
         } else if (dice < 95) {
-            // Not a byte more passes until the machine is back, which resets what was open.
+            // The machine is unreachable until it comes back, which resets its open connections.
             simulation.network().vanish(inet("10.0.1." + (1 + random.nextInt(hosts.size()))));
         } else if (dice < 97) {
-            // A partition, in one direction or both: what is sent waits, and comes once it heals, whoever has been told
-            // what meanwhile.
+            // A partition, in one direction or both: data is held back and delivered after it heals, whatever was
+            // reported meanwhile.
             int at = random.nextInt(hosts.size());
             InetAddress host = inet("10.0.1." + (at + 1));
             hosts.get(at).proxyUnawareUntil(Long.MAX_VALUE);
@@ -288,13 +288,14 @@
         String method = !body.isEmpty() ? "POST" : random.nextInt(8) == 0 ? "HEAD" : "GET";
         int count = random.nextInt(MAX_RETRY_COUNT + 1);
         String uri = (repeatable ? "/r" : "/n") + count + "/p" + requestCount + "?q=" + requestCount;
-        ExchangeChecker.ClientAttempt one =
-                checker.onRequestSent(new ExchangeChecker.ClientAttempt("t" + requestCount++, method, uri, body, repeatable, Math.max(1, count)));
-        int left = random.nextInt(4) == 0 ? 1 + random.nextInt(120) : 200 + random.nextInt(2_500);
-        pick(clients).send(one, "Brambletray-Deadline-Remaining: " + left + "\r\n", random.nextInt(10) == 0);
+        ExchangeChecker.ClientAttempt exchange = checker.onRequestSent(
+                new ExchangeChecker.ClientAttempt("t" + requestCount++, method, uri, body, repeatable, Math.max(1, count)));
+        int remainingMs = random.nextInt(4) == 0 ? 1 + random.nextInt(120) : 200 + random.nextInt(2_500);
+        pick(clients)
+                .send(exchange, "Brambletray-Deadline-Remaining: " + remainingMs + "\r\n", random.nextInt(10) == 0);
     }
 
-    /** The relay stands still, at times longer than any of its timers. */
+    /** Pauses the edge, at times for longer than any of its timers. */
     private void freeze() {
         int ms = random.nextInt(random.nextBoolean() ? 60 : 3_000);
         simulation.freeze(edge);
@@ -307,7 +308,7 @@
         simulation.thaw(edge);
     }
 
-    /** A connection between the relay and a host is reset, now or in the midst of what is sent next. */
+    /** Resets a connection between the edge and a host, now or in the middle of the next data. */
     private void breakConnection() {
         String ip = random.nextBoolean() ? FRONT_END.host() : "10.0.1." + (1 + random.nextInt(hosts.size()));
         List<SimChannel> ends = simulation.network().at(inet(ip));
@@ -321,7 +322,7 @@
         }
     }
 
-    /** Trouble ends, and clients read. */
+    /** Ends all faults; clients read again. */
     private void endFaults() {
         heal();
         hosts.forEach(RandomHost::start);
@@ -330,17 +331,18 @@
 
     private void checkNothingLeft() {
         if (router.inFlight() != 0 || router.activeRequests() != 0) {
-            checker.addViolation("REST", router.inFlight() + " requests in flight, " + router.activeRequests() + " under way");
+            checker.addViolation("REST", router.inFlight() + " requests in flight, " + router.activeRequests() + " active");
         }
         if (router.heldBytes() != 0) {
-            checker.addViolation("REST", router.heldBytes() + " bytes held");
+            checker.addViolation("REST", router.heldBytes() + " bytes buffered");
         }
         heldSlots.values().removeIf(places -> places == 0);
         if (!heldSlots.isEmpty() || !pendingRequests.isEmpty()) {
-            checker.addViolation("REST", "places not given back: " + heldSlots + ", asks " + pendingRequests.size());
+            checker.addViolation(
+                    "REST", "slots not released: " + heldSlots + ", pending slot requests " + pendingRequests.size());
         }
         if (connectionPools.openCount() != 0) {
-            checker.addViolation("REST", connectionPools.openCount() + " connections to hosts");
+            checker.addViolation("REST", connectionPools.openCount() + " open connections to hosts");
         }
     }
 
@@ -357,8 +359,8 @@
     }
 
     /**
-     * Plays so many scenarios from this seed on; what the first one broke that broke one of these rules (a regular
-     * expression), or null.
+     * Runs {@code scenarios} scenarios starting with seed {@code from}; returns the first violation of one of the
+     * rules (a regular expression), or null.
      */
     static String hunt(String rules, long from, int scenarios, int steps) {
         for (long seed = from; seed < from + scenarios; seed++) {
@@ -378,7 +380,7 @@
         return null;
     }
 
-    /** By hand: seeds from, scenarios, steps; prints every bad one. */
+    /** For manual runs; arguments: first seed, scenarios, steps. Prints every scenario with violations. */
     public static void main(String[] args) {
         java.util.logging.LogManager.getLogManager().reset();
         long from = Long.parseLong(args[0]);
@@ -417,7 +419,7 @@
                 + " s " + (System.nanoTime() - began) / 1e9);
     }
 
-    /** The counters that are not 0, for messages. */
+    /** Formats the nonzero counters for messages. */
     static String format(RequestCounters counters) {
         StringBuilder shown = new StringBuilder();
         counters.forEachNonZero(
--- a/src/test/java/brambletray/platform/proxy/RandomExchangesTest.java
+++ b/src/test/java/brambletray/platform/proxy/RandomExchangesTest.java
@@ -13,11 +13,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random exchanges through the production classes, judged by what clients and hosts saw (rules MIXED, UNASKED, TWICE,
- * REFUSED, BUDGET, and that no
- * connection carries a request while anything is owed on it). {@code -Dbrambletray.courses=N} plays more, {@code
- * -Dbrambletray.seed=N}
- * begins elsewhere.
+ * Random exchanges through the production classes, checked by what clients and hosts saw: rules MIXED, UNASKED, TWICE,
+ * REFUSED and BUDGET, and that no connection carries a request while a response is outstanding on it. {@code
+ * -Dbrambletray.courses=N} sets the number of scenarios, {@code -Dbrambletray.seed=N} the first seed.
  */
 class RandomExchangesTest {
     private static final int SCENARIOS = Integer.getInteger("brambletray.courses", 2_000);
@@ -27,10 +25,11 @@
 
     @Test
     void randomExchangesBreakNoRule() {
-        // A scenario is one thread's from its making to its end.
+        // Each scenario is created and run by a single thread.
         List<String> broken = IntStream.range(0, PARTS)
                 .parallel()
-                .mapToObj(i -> RandomExchanges.hunt(".*", SEED + (long) i * SCENARIOS / PARTS, SCENARIOS / PARTS, STEPS_PER_SCENARIO))
+                .mapToObj(i -> RandomExchanges.hunt(
+                        ".*", SEED + (long) i * SCENARIOS / PARTS, SCENARIOS / PARTS, STEPS_PER_SCENARIO))
                 .filter(Objects::nonNull)
                 .toList();
         assertEquals(List.of(), broken);
@@ -39,7 +38,7 @@
     private static final Logger ROOT = Logger.getLogger("");
     private static Level level;
 
-    /** What goes wrong here is meant to, and would be told thousands of times. */
+    /** Faults are injected on purpose here and would be logged thousands of times. */
     @BeforeAll
     static void disableLogging() {
         level = ROOT.getLevel();
@@ -51,7 +50,7 @@
         ROOT.setLevel(level);
     }
 
-    /** Guards against a test that proves nothing: all that is to be judged does happen. */
+    /** Guards against a vacuous test: the cases to be checked must occur. */
     @Test
     void randomExchangesCoverWhatTheyCheck() {
         RequestCounters all = new RequestCounters();
@@ -68,18 +67,18 @@
             promises += scenario.checker().nonExecutionResponses;
             sealedFailures += scenario.checker().sealedFailures;
             ranAgain += scenario.checker().multiHostAttempts;
-            RequestCounters of = scenario.counters();
-            all.surplusResponses += of.surplusResponses;
-            all.streamedResponses += of.streamedResponses;
-            all.hedgesWon += of.hedgesWon;
-            all.failed += of.failed;
-            all.timedOut += of.timedOut;
+            RequestCounters counters = scenario.counters();
+            all.surplusResponses += counters.surplusResponses;
+            all.streamedResponses += counters.streamedResponses;
+            all.hedgesWon += counters.hedgesWon;
+            all.failed += counters.failed;
+            all.timedOut += counters.timedOut;
         }
         String seen =
                 tries + " tries, " + successes + " successes, " + promises + " promises " + RandomExchanges.format(all);
         assertTrue(
                 sealedFailures > 20 && ranAgain > 20,
-                sealedFailures + " sealed failures, " + ranAgain + " at another host again; " + seen);
+                sealedFailures + " sealed failures, " + ranAgain + " run on more than one host; " + seen);
         assertTrue(successes > tries / 3 && promises > tries / 20, seen);
         assertTrue(
                 all.surplusResponses > 10
--- a/src/test/java/brambletray/platform/proxy/RandomHost.java
+++ b/src/test/java/brambletray/platform/proxy/RandomHost.java
@@ -18,12 +18,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A host of a {@link RandomExchanges}, drawn byte by byte: it answers, fails, sheds, dies, answers early, cuts off,
- * spoils, and
- * adds (PROTOCOL, Hosts), and tells the {@link ExchangeChecker} what it runs.
+ * A host of a {@link RandomExchanges}, simulated byte by byte: it sends successes, failures, refusals, and early,
+ * truncated, invalid and surplus responses (PROTOCOL, Hosts), crashes, and reports to the {@link ExchangeChecker} what
+ * it runs.
  */
 final class RandomHost {
-    /** ms; what was sent is read at the other end by then, unless that stands still. */
+    /** Time in ms within which sent data is read at the other end, unless that end is paused. */
     private static final int MAX_DELIVERY_MS = 60;
 
     private static final String SEAL = "Brambletray-Response-Seal: s\r\n";
@@ -39,26 +39,27 @@
     private final Set<Channel> open = new LinkedHashSet<>();
     private Channel listener;
     /**
-     * ms: the relay stood still or was cut off until then; what comes from it before may have been written unseeing.
+     * Time in ms until which the edge is paused or partitioned: requests that arrive before may have been written
+     * without having read what this host sent.
      */
     private long proxyUnawareUntilMs;
 
-    /** {@code trouble}: percent of answers that are not plain; {@code large}: of so many bodies one is. */
+    /** {@code faultPercent}: percentage of faulty responses; {@code largeBodyOneIn}: one body in this many is large. */
     RandomHost(
             String name,
             Machine machine,
             InetSocketAddress address,
-            ExchangeChecker ruling,
+            ExchangeChecker checker,
             SplittableRandom random,
-            int fault,
-            int large) {
+            int faultPercent,
+            int largeBodyOneIn) {
         this.name = name;
         this.machine = machine;
         this.address = address;
-        this.checker = ruling;
+        this.checker = checker;
         this.random = random;
-        this.faultPercent = fault;
-        this.largeBodyOneIn = large;
+        this.faultPercent = faultPercent;
+        this.largeBodyOneIn = largeBodyOneIn;
         start();
     }
 
@@ -75,7 +76,7 @@
         }
     }
 
-    /** Refuses connections; {@code hard}: and resets those that are open. */
+    /** Refuses new connections; {@code hard}: also resets those that are open. */
     void stop(boolean hard) {
         if (listener != null) {
             listener.close();
@@ -103,7 +104,7 @@
         channel.close();
     }
 
-    /** {@code runs}: whether that is work; {@code then}: what becomes of the connection. */
+    /** {@code runs}: whether the request runs; {@code then}: what happens to the connection afterwards. */
     private record Answer(String bytes, boolean runs, Then then, String surplus) {}
 
     private enum Then {
@@ -116,15 +117,15 @@
     private final class Connection extends ChannelInboundHandlerAdapter {
         private final Channel channel;
         private final StringBuilder in = new StringBuilder();
-        /** What is at work here, unanswered. */
+        /** The request in progress, without a response so far. */
         private ExchangeChecker.ClientAttempt current;
-        /** Bytes that are still to come of a request that was answered early. */
+        /** Bytes still to be received of a request that was answered early. */
         private int unreadBodyBytes;
-        /** In the midst of an answer. */
+        /** A response is partly sent. */
         private boolean responding;
-        /** It has been said, or is plain, that no request may follow here. */
+        /** The host announced, or made evident, that no further request may be sent on this connection. */
         private boolean noMoreRequests;
-        /** ms; from then on, what is sent here was sent with surplus bytes before one's eyes. */
+        /** Time in ms from which the edge must have read the surplus bytes before it sends a request here. */
         private long surplusDeliveredMs = Long.MAX_VALUE;
 
         Connection(Channel channel) {
@@ -135,7 +136,8 @@
         public void channelActive(ChannelHandlerContext context) {
             open.add(channel);
             if (random.nextInt(200) < faultPercent / 20) {
-                // Speaks before it is spoken to; but a refusal says there that what follows does not run.
+                // Unsolicited bytes before any request; not a refusal, which would state that the next request does not
+                // run.
                 String bytes = surplus("none", "");
                 send(bytes.contains("Brambletray-Attempt-Id") || !bytes.startsWith("HTTP") ? bytes : "surplus")
                         .addListener(out -> onSurplusSent());
@@ -170,49 +172,50 @@
             }
             String head = in.substring(0, end);
             int length = Integer.parseInt("0" + ScriptedHost.header(head, "content-length"));
-            boolean whole = in.length() >= end + 4 + length;
-            if (whole || random.nextInt(200) < faultPercent) {
-                String body = whole ? in.substring(end + 4, end + 4 + length) : null;
+            boolean isComplete = in.length() >= end + 4 + length;
+            if (isComplete || random.nextInt(200) < faultPercent) {
+                String body = isComplete ? in.substring(end + 4, end + 4 + length) : null;
                 unreadBodyBytes = Math.max(0, end + 4 + length - in.length());
                 in.delete(0, end + 4 + length);
                 handle(head, body);
             }
         }
 
-        /** The first byte of a request is here. */
+        /** The first byte of a request has arrived. */
         private void onRequestStart() {
             if (current != null) {
-                checker.addViolation("OWED", "a request at " + name + " while " + current.id + " is owed its answer there");
+                checker.addViolation(
+                        "OWED",
+                        "a request at " + name + " while " + current.id + " has no response yet on its connection");
             } else if (noMoreRequests) {
-                checker.addViolation("OWED", "a request at " + name + " where none may follow");
+                checker.addViolation("OWED", "a request at " + name + " on a connection that allows no further request");
             } else if (now() > surplusDeliveredMs && now() > proxyUnawareUntilMs) {
                 checker.addViolation(
-                        "OWED",
-                        "a request at " + name + " on a connection with surplus bytes that were there long before");
+                        "OWED", "a request at " + name + " on a connection with surplus bytes that had arrived before");
             }
         }
 
         private void handle(String head, String body) {
             String[] line = head.substring(0, head.indexOf("\r\n")).split(" ");
-            ExchangeChecker.ClientAttempt one = checker.onRequestReceived(
+            ExchangeChecker.ClientAttempt exchange = checker.onRequestReceived(
                     ScriptedHost.header(head, "brambletray-attempt-id"),
                     line[0],
                     line[1],
                     body,
                     name,
                     ScriptedHost.header(head, "brambletray-target-instance"));
-            if (one == null) {
+            if (exchange == null) {
                 return;
             }
-            Answer answer = randomAnswer(one, body == null);
+            Answer answer = randomAnswer(exchange, body == null);
             if (answer.runs()) {
-                checker.onExecuted(one, name);
+                checker.onExecuted(exchange, name);
             }
             if (answer.bytes() == null) {
-                current = one;
+                current = exchange;
                 return;
             }
-            current = one;
+            current = exchange;
             int dice = random.nextInt(100);
             int delay = dice < 30
                     ? 0
@@ -220,7 +223,7 @@
             machine.loop().schedule(() -> sendAnswer(answer, answer.bytes()), delay, TimeUnit.MILLISECONDS);
         }
 
-        /** In one piece, or in several with pauses between. */
+        /** Sends the response in one part, or in several with pauses. */
         private void sendAnswer(Answer answer, String rest) {
             responding = true;
             int size =
@@ -235,7 +238,10 @@
             ChannelFuture sent = send(rest.substring(0, size) + (together ? answer.surplus() : ""));
             if (!last) {
                 machine.loop()
-                        .schedule(() -> sendAnswer(answer, rest.substring(size)), random.nextInt(20), TimeUnit.MILLISECONDS);
+                        .schedule(
+                                () -> sendAnswer(answer, rest.substring(size)),
+                                random.nextInt(20),
+                                TimeUnit.MILLISECONDS);
                 return;
             }
             if (!answer.surplus().isEmpty()) {
@@ -269,7 +275,7 @@
             }
         }
 
-        /** Surplus bytes are on the way. */
+        /** Surplus bytes were sent. */
         private void onSurplusSent() {
             surplusDeliveredMs = Math.min(surplusDeliveredMs, now() + MAX_DELIVERY_MS);
         }
@@ -279,29 +285,30 @@
         }
     }
 
-    // ---- What it says ---------------------------------------------------------------------------
-    private Answer randomAnswer(ExchangeChecker.ClientAttempt one, boolean early) {
+    // ---- Responses ------------------------------------------------------------------------------
+    private Answer randomAnswer(ExchangeChecker.ClientAttempt exchange, boolean early) {
         if (random.nextInt(100) >= faultPercent) {
-            return new Answer(sealedSuccess(one, false), true, Then.STAYS, "");
+            return new Answer(sealedSuccess(exchange, false), true, Then.STAYS, "");
         }
         return switch (random.nextInt(12)) {
-            case 0 -> new Answer(sealedSuccess(one, true), true, Then.CLOSING, "");
-            case 1, 2 -> new Answer(sealedSuccess(one, false), true, Then.STAYS, surplus(one.id, "x"));
-            case 3 -> failed(one);
-            case 4, 5 -> unexecuted(one);
+            case 0 -> new Answer(sealedSuccess(exchange, true), true, Then.CLOSING, "");
+            case 1, 2 -> new Answer(sealedSuccess(exchange, false), true, Then.STAYS, surplus(exchange.id, "x"));
+            case 3 -> failed(exchange);
+            case 4, 5 -> unexecuted(exchange);
             case 6 -> new Answer("", random.nextInt(4) > 0, random.nextBoolean() ? Then.FIN : Then.RESET, "");
-            case 7 -> truncated(one);
-            case 8, 9, 10 -> invalid(one);
+            case 7 -> truncated(exchange);
+            case 8, 9, 10 -> invalid(exchange);
             default ->
                 random.nextInt(4) == 0
                         ? new Answer(null, true, Then.STAYS, "")
-                        : new Answer(sealedSuccess(one, false), true, Then.STAYS, "");
+                        : new Answer(sealedSuccess(exchange, false), true, Then.STAYS, "");
         };
     }
 
-    private String body(ExchangeChecker.ClientAttempt one) {
-        int pad = random.nextInt(largeBodyOneIn) == 0 ? 3_000 + random.nextInt(9_000) : random.nextInt(3) == 0 ? 400 : 0;
-        return name + ":" + one.id + ":" + one.arrivals + "/" + ".".repeat(pad);
+    private String body(ExchangeChecker.ClientAttempt exchange) {
+        int pad =
+                random.nextInt(largeBodyOneIn) == 0 ? 3_000 + random.nextInt(9_000) : random.nextInt(3) == 0 ? 400 : 0;
+        return name + ":" + exchange.id + ":" + exchange.arrivals + "/" + ".".repeat(pad);
     }
 
     private static String head(String status, String id, String headers) {
@@ -329,40 +336,41 @@
                 .toString();
     }
 
-    /** A whole, sealed answer. */
-    private String sealedSuccess(ExchangeChecker.ClientAttempt one, boolean closing) {
+    /** A complete, sealed response. */
+    private String sealedSuccess(ExchangeChecker.ClientAttempt exchange, boolean closing) {
         String headers = SEAL
                 + (closing
                         ? "Connection: close\r\n"
                         : random.nextInt(4) == 0 ? "Keep-Alive: timeout=" + random.nextInt(4) + "\r\n" : "");
         String before = random.nextInt(12) == 0 ? "HTTP/1.1 103 Early Hints\r\n" + SEAL + "\r\n" : "";
         if (random.nextInt(15) == 0) {
-            one.sealedBodies.add("");
-            return before + head("204 No Content", one.id, headers) + "\r\n";
+            exchange.sealedBodies.add("");
+            return before + head("204 No Content", exchange.id, headers) + "\r\n";
         }
         if (random.nextInt(25) == 0) {
-            // No body follows, whatever length it names.
-            one.sealedFailures.add("304 ");
+            // No body follows, whatever length the headers state.
+            exchange.sealedFailures.add("304 ");
             return before
                     + head(
                             "304 Not Modified",
-                            one.id,
+                            exchange.id,
                             headers + (random.nextBoolean() ? "Content-Length: 500\r\n" : ""))
                     + "\r\n";
         }
-        String body = body(one);
-        if (one.method.equals("HEAD")) {
-            one.sealedBodies.add("");
-            return before + head("200 OK", one.id, headers) + "Content-Length: " + body.length() + "\r\n\r\n";
+        String body = body(exchange);
+        if (exchange.method.equals("HEAD")) {
+            exchange.sealedBodies.add("");
+            return before + head("200 OK", exchange.id, headers) + "Content-Length: " + body.length() + "\r\n\r\n";
         }
-        one.sealedBodies.add(body);
+        exchange.sealedBodies.add(body);
         return before
                 + (random.nextInt(3) == 0
-                        ? head("200 OK", one.id, headers + "Transfer-Encoding: chunked\r\n") + "\r\n" + chunked(body)
-                        : sized("200 OK", one.id, headers, body));
+                        ? head("200 OK", exchange.id, headers + "Transfer-Encoding: chunked\r\n") + "\r\n"
+                                + chunked(body)
+                        : sized("200 OK", exchange.id, headers, body));
     }
 
-    private Answer failed(ExchangeChecker.ClientAttempt one) {
+    private Answer failed(ExchangeChecker.ClientAttempt exchange) {
         String status = switch (random.nextInt(6)) {
             case 0 -> "504 Gateway Timeout";
             case 1 -> "503 Service Unavailable";
@@ -371,19 +379,19 @@
             case 4 -> "404 Not Found";
             default -> "500 Internal Server Error";
         };
-        String body = one.method.equals("HEAD") ? "" : body(one);
+        String body = exchange.method.equals("HEAD") ? "" : body(exchange);
         boolean sealed = random.nextInt(4) > 0;
         if (sealed) {
-            one.sealedFailures.add(status.substring(0, 3) + " " + body);
+            exchange.sealedFailures.add(status.substring(0, 3) + " " + body);
         }
-        return new Answer(sized(status, one.id, sealed ? SEAL : "", body), true, Then.STAYS, "");
+        return new Answer(sized(status, exchange.id, sealed ? SEAL : "", body), true, Then.STAYS, "");
     }
 
-    private Answer unexecuted(ExchangeChecker.ClientAttempt one) {
-        String id = random.nextBoolean() ? one.id : null;
+    private Answer unexecuted(ExchangeChecker.ClientAttempt exchange) {
+        String id = random.nextBoolean() ? exchange.id : null;
         String surplus = switch (random.nextInt(6)) {
-            case 0, 1 -> notRun(one.id);
-            case 2 -> surplus(one.id, "x");
+            case 0, 1 -> notRun(exchange.id);
+            case 2 -> surplus(exchange.id, "x");
             default -> "";
         };
         return new Answer(notRun(id), false, Then.STAYS, surplus);
@@ -400,8 +408,8 @@
                         "");
     }
 
-    private Answer truncated(ExchangeChecker.ClientAttempt one) {
-        String whole = sealedSuccess(one, false);
+    private Answer truncated(ExchangeChecker.ClientAttempt exchange) {
+        String whole = sealedSuccess(exchange, false);
         int size = 1 + random.nextInt(Math.max(1, whole.length() - 1));
         return new Answer(
                 whole.substring(0, Math.min(size, whole.length() - 1)),
@@ -410,41 +418,43 @@
                 "");
     }
 
-    /** Bytes that are no answer, or not a success; none of their bodies may reach a client as one. */
-    private Answer invalid(ExchangeChecker.ClientAttempt one) {
+    /** Bytes that are not a valid response, or not a success; their body must never reach a client as a success. */
+    private Answer invalid(ExchangeChecker.ClientAttempt exchange) {
         int kind = random.nextInt(18);
-        String body = "spoilt" + kind + ":" + body(one);
-        String id = one.id;
-        // Where no body follows, how its end is told is no fault.
-        String bytes = switch (one.method.equals("HEAD") && kind >= 4 && kind != 8 && kind != 13 ? kind % 4 : kind) {
-            case 0 -> sized("200 OK", id, "", body);
-            case 1 -> sized("200 OK", null, SEAL, body);
-            case 2 -> sized("200 OK", id, SEAL + "Content-Encoding: br\r\n", body);
-            case 3 -> sized("200 OK", id, SEAL + "Brambletray-Attempt-Id: other\r\n", body);
-            case 4 -> sized("200 OK", id, SEAL + "Content-Length: " + (body.length() - 2) + "\r\n", body);
-            case 5 -> sized("200 OK", id, SEAL + "Content-Length: " + body.length() + "\r\n", body);
-            case 6 -> sized("200 OK", id, SEAL + "Transfer-Encoding: chunked\r\n", chunked(body));
-            case 7 -> head("200 OK", id, SEAL) + "\r\n" + body;
-            case 8 -> "\u0001\u0002 nothing of this is an answer\r\n\r\n";
-            case 9 -> head("101 Switching Protocols", id, "Upgrade: x\r\n") + "\r\n" + body;
-            case 10 ->
-                sized("200 OK", id, SEAL + "Transfer-Encoding: gzip, chunked\r\n", "")
-                                .replace("Content-Length: 0\r\n", "")
-                        + chunked(body);
-            case 11 ->
-                head("200 OK", id, SEAL + "Transfer-Encoding: chunked\r\n") + "\r\n2\r\n" + body + "\r\n0\r\n\r\n";
-            case 12 -> sized("200 OK", id, SEAL, body).replace("HTTP/1.1", "HTTP/2.0");
-            case 13 -> sized("200 OK", id, SEAL + NOT_EXECUTED, body);
-            case 14 -> sized("200 OK", id, SEAL + "Transfer-Encoding: identity\r\n", body);
-            case 16 -> sized("799 Beyond", id, SEAL, body);
-            case 17 -> sized("1000 Beyond", id, SEAL, body);
-            default -> sized("200 OK", id, SEAL + "X-Cut: a\u0000\r\n", body);
-        };
+        String body = "spoilt" + kind + ":" + body(exchange);
+        String id = exchange.id;
+        // Without a body, a faulty body length is no fault.
+        String bytes =
+                switch (exchange.method.equals("HEAD") && kind >= 4 && kind != 8 && kind != 13 ? kind % 4 : kind) {
+                    case 0 -> sized("200 OK", id, "", body);
+                    case 1 -> sized("200 OK", null, SEAL, body);
+                    case 2 -> sized("200 OK", id, SEAL + "Content-Encoding: br\r\n", body);
+                    case 3 -> sized("200 OK", id, SEAL + "Brambletray-Attempt-Id: other\r\n", body);
+                    case 4 -> sized("200 OK", id, SEAL + "Content-Length: " + (body.length() - 2) + "\r\n", body);
+                    case 5 -> sized("200 OK", id, SEAL + "Content-Length: " + body.length() + "\r\n", body);
+                    case 6 -> sized("200 OK", id, SEAL + "Transfer-Encoding: chunked\r\n", chunked(body));
+                    case 7 -> head("200 OK", id, SEAL) + "\r\n" + body;
+                    case 8 -> "\u0001\u0002 nothing of this is an answer\r\n\r\n";
+                    case 9 -> head("101 Switching Protocols", id, "Upgrade: x\r\n") + "\r\n" + body;
+                    case 10 ->
+                        sized("200 OK", id, SEAL + "Transfer-Encoding: gzip, chunked\r\n", "")
+                                        .replace("Content-Length: 0\r\n", "")
+                                + chunked(body);
+                    case 11 ->
+                        head("200 OK", id, SEAL + "Transfer-Encoding: chunked\r\n") + "\r\n2\r\n" + body
+                                + "\r\n0\r\n\r\n";
+                    case 12 -> sized("200 OK", id, SEAL, body).replace("HTTP/1.1", "HTTP/2.0");
+                    case 13 -> sized("200 OK", id, SEAL + NOT_EXECUTED, body);
+                    case 14 -> sized("200 OK", id, SEAL + "Transfer-Encoding: identity\r\n", body);
+                    case 16 -> sized("799 Beyond", id, SEAL, body);
+                    case 17 -> sized("1000 Beyond", id, SEAL, body);
+                    default -> sized("200 OK", id, SEAL + "X-Cut: a\u0000\r\n", body);
+                };
         boolean ends = bytes.startsWith("\u0001") || bytes.contains("\r\n\r\nspoilt") && random.nextBoolean();
         return new Answer(bytes, true, ends ? Then.FIN : Then.STAYS, "");
     }
 
-    /** What belongs to no request; {@code id}: of the one that was answered last. */
+    /** Bytes that belong to no request; {@code id}: the id of the last request answered. */
     private String surplus(String id, String body) {
         return switch (random.nextInt(10)) {
             case 0 -> sized("200 OK", id, SEAL, "surplus:" + body);
--- a/src/test/java/brambletray/platform/proxy/RequestLifecycleTest.java
+++ b/src/test/java/brambletray/platform/proxy/RequestLifecycleTest.java
@@ -18,14 +18,14 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Walks at random through what may happen to a request, and holds the rules at each step. A failure names its seed. */
+/** Drives a request with random events and checks the rules at each step. A failure message names the seed. */
 class RequestLifecycleTest {
     private static final int RUNS = 30_000;
     private static final int STEPS_PER_RUN = 60;
     private static final Tenant LIMITED = new Tenant("t", List.of(), 1, 10, 5);
     private static final Tenant UNLIMITED = new Tenant("u", List.of(), 1, 0, 0);
 
-    /** The world of one walk: the broker, hosts and the client. */
+    /** Environment of one run: the broker, the instances and the client. */
     static final class Environment implements RequestActions {
         final SplittableRandom random;
         final RequestPlan plan;
@@ -55,7 +55,7 @@
                     "s",
                     !keyed && random.nextBoolean(),
                     1 + random.nextInt(3),
-                    SlotOwner.withoutTenant(1),
+                    SlotOwner.nobody(1),
                     400,
                     false,
                     random.nextBoolean() ? null : random.nextBoolean() ? LIMITED : UNLIMITED,
@@ -63,7 +63,8 @@
                     random.nextBoolean(),
                     now + 1 + random.nextInt(600));
             preparation = new ScriptedPreparation(this);
-            lifecycle = new RequestLifecycle(plan, this, () -> 1 + random.nextInt(200), () -> ++lastRequestId, "e", "z", now);
+            lifecycle = new RequestLifecycle(
+                    plan, this, () -> 1 + random.nextInt(200), () -> ++lastRequestId, "e", "z", now);
         }
 
         @Override
@@ -80,38 +81,38 @@
         @Override
         public void passRecordedAnswer() {
             assertTrue(preparation.isRepeatAnswered, "nothing is recorded");
-            assertTrue(mayHaveRun == 0 && sentTo.isEmpty(), "a repeat that ran");
+            assertTrue(mayHaveRun == 0 && sentTo.isEmpty(), "a repeat that was sent to an instance");
             recordResponse();
         }
 
         @Override
-        public void requestSlot(SlotRequest ask) {
-            assertTrue(slotRequests.isEmpty(), "one ask at a time");
+        public void requestSlot(SlotRequest request) {
+            assertTrue(slotRequests.isEmpty(), "more than one slot request at a time");
             preparation.assertPrepared();
             assertTrue(
-                    !ask.hedge() || plan.idempotent() && !activeAttempts.isEmpty(),
-                    "a copy only of what is out and may be repeated");
-            assertEquals(!sentTo.isEmpty(), ask.retry(), "again: it has reached a host");
-            assertTrue(ask.remainingMs() > 0, "time is left");
-            slotRequests.add(ask);
+                    !request.hedge() || plan.idempotent() && !activeAttempts.isEmpty(),
+                    "hedged without an active attempt, or not repeatable");
+            assertEquals(!sentTo.isEmpty(), request.retry(), "retry flag: whether it was sent to an instance");
+            assertTrue(request.remainingMs() > 0, "no time left for the request");
+            slotRequests.add(request);
             if (random.nextInt(4) == 0) {
                 answerSlotRequest();
             }
         }
 
         @Override
-        public void cancelSlotRequest(long askId) {
-            if (slotRequests.removeIf(ask -> ask.id() == askId && cancelledRequests.add(ask))) {
+        public void cancelSlotRequest(long requestId) {
+            if (slotRequests.removeIf(request -> request.id() == requestId && cancelledRequests.add(request))) {
                 return;
             }
-            assertTrue(heldSlots.remove(askId), "a place given back twice, or never had");
+            assertTrue(heldSlots.remove(requestId), "slot released twice or never held");
         }
 
         @Override
-        public void sendToInstance(Attempt attempt, long hostEnd) {
+        public void sendToInstance(Attempt attempt, long hostDeadlineMs) {
             assertTrue(
-                    hostEnd < plan.deadlineMs() && activeAttempts.size() < plan.maxInstances(),
-                    "sent to more hosts than allowed");
+                    hostDeadlineMs < plan.deadlineMs() && activeAttempts.size() < plan.maxInstances(),
+                    "sent to more instances than allowed");
             activeAttempts.put(attempt, false);
         }
 
@@ -120,23 +121,23 @@
             assertTrue(activeAttempts.remove(attempt) != null, "cancelled twice");
             assertTrue(
                     settling || now >= plan.deadlineMs() || !attempt.isSent(),
-                    "work broken off that nobody had to break off");
+                    "a sent attempt was cancelled without need");
         }
 
         @Override
-        public void releaseSlot(SlotGrant grant, AttemptOutcome fate, int tookMs) {
-            assertTrue(heldSlots.remove(grant.requestId()), "a place given back twice, or never had");
-            assertTrue(tookMs >= 0, "a time");
+        public void releaseSlot(SlotGrant grant, AttemptOutcome outcome, int durationMs) {
+            assertTrue(heldSlots.remove(grant.requestId()), "slot released twice or never held");
+            assertTrue(durationMs >= 0, "negative duration");
         }
 
         @Override
         public void recordResponseTime(int ms) {
-            assertTrue(ms >= 0, "a time");
+            assertTrue(ms >= 0, "negative response time");
         }
 
         private void recordResponse() {
-            assertEquals(0, responses++, "one answer");
-            assertTrue(!clientGone, "nobody to answer");
+            assertEquals(0, responses++, "more than one response");
+            assertTrue(!clientGone, "response to a disconnected client");
             respondedAtMs = now;
         }
 
@@ -162,44 +163,46 @@
         }
 
         @Override
-        public void respond(int status, int comeBackMs) {
+        public void respond(int status, int retryAfterMs) {
             recordResponse();
-            assertTrue(status != 503 || mayHaveRun == 0, "503 promises that it never ran (rule REFUSED)");
-            assertTrue(status != 429 || mayHaveRun == 0, "429 promises that it never ran (rule REFUSED)");
+            assertTrue(status != 503 || mayHaveRun == 0, "503 although it may have run (rule REFUSED)");
+            assertTrue(status != 429 || mayHaveRun == 0, "429 although it may have run (rule REFUSED)");
             if (preparation.expectedStatus != 0) {
-                assertEquals(preparation.expectedStatus, status, "what the preparation or the send was refused with");
-                assertEquals(0, mayHaveRun, "refused before it was sent");
+                assertEquals(preparation.expectedStatus, status, "status of the rejected preparation or send");
+                assertEquals(0, mayHaveRun, "rejected although it may have run");
                 return;
             }
-            assertTrue(status == 503 || mayHaveRun > 0, "a request that provably never ran is refused: " + status);
+            assertTrue(
+                    status == 503 || mayHaveRun > 0, "not refused with 503 although it provably never ran: " + status);
         }
 
-        // ---- What may happen ----
+        // ---- Random events ----
         void answerSlotRequest() {
             if (slotRequests.isEmpty()) {
                 return;
             }
-            SlotRequest ask = slotRequests.remove(0);
+            SlotRequest request = slotRequests.remove(0);
             if (random.nextInt(4) == 0) {
-                lifecycle.onRefused(ask.id(), random.nextInt(300) - 1, now);
+                lifecycle.onRefused(request.id(), random.nextInt(300) - 1, now);
             } else {
-                grant(ask);
+                grant(request);
             }
         }
 
-        private void grant(SlotRequest ask) {
-            heldSlots.add(ask.id());
-            lifecycle.onGranted(new SlotGrant(ask.id(), "h" + ++hostCount, "10.0.0.1:1", random.nextBoolean()), now);
+        private void grant(SlotRequest request) {
+            heldSlots.add(request.id());
+            lifecycle.onGranted(
+                    new SlotGrant(request.id(), "h" + ++hostCount, "10.0.0.1:1", random.nextBoolean()), now);
         }
 
-        /** A grant that was under way while its ask was forgotten. */
+        /** A grant that was in transit when its slot request was cancelled. */
         void lateGrant() {
             if (!cancelledRequests.isEmpty()) {
                 grant(cancelledRequests.remove(0));
             }
         }
 
-        /** One that is in use comes once more; at another host, if the home forgot. */
+        /** A duplicate of a grant in use; for another instance if the home edge lost its state. */
         void duplicateGrant() {
             List<Attempt> all = new ArrayList<>(activeAttempts.keySet());
             all.sort(java.util.Comparator.comparing(attempt -> attempt.grant.instanceId()));
@@ -208,8 +211,8 @@
                 int sent = activeAttempts.size();
                 String host = random.nextBoolean() ? attempt.grant.instanceId() : "h" + ++hostCount;
                 lifecycle.onGranted(new SlotGrant(attempt.grant.requestId(), host, "10.0.0.1:1", false), now);
-                assertEquals(sent, activeAttempts.size(), "a grant that came twice was used twice");
-                assertTrue(heldSlots.contains(attempt.grant.requestId()), "a place in use was given back");
+                assertEquals(sent, activeAttempts.size(), "a duplicate grant was used");
+                assertTrue(heldSlots.contains(attempt.grant.requestId()), "a slot in use was released");
             }
         }
 
@@ -229,7 +232,7 @@
                     rejectSend(attempt);
                 } else if (!preparation.allowsSending()) {
                     lifecycle.answerNow(now);
-                    assertTrue(!attempt.active, "sent under a claim that is too old (rule TWICE)");
+                    assertTrue(!attempt.active, "sent under an outdated claim (rule TWICE)");
                 } else {
                     sendFirstByte(attempt);
                 }
@@ -241,42 +244,42 @@
                 settling = false;
                 return;
             }
-            boolean flows = activeAttempts.remove(attempt);
-            AttemptOutcome fate = switch (random.nextInt(5)) {
-                case 0 -> flows ? AttemptOutcome.BROKEN : AttemptOutcome.NOT_RUN;
-                case 1 -> flows ? AttemptOutcome.BROKEN : AttemptOutcome.WRONG_HOST;
-                case 2 -> flows ? AttemptOutcome.SERVED : AttemptOutcome.FAILED;
+            boolean isStreaming = activeAttempts.remove(attempt);
+            AttemptOutcome outcome = switch (random.nextInt(5)) {
+                case 0 -> isStreaming ? AttemptOutcome.BROKEN : AttemptOutcome.NOT_RUN;
+                case 1 -> isStreaming ? AttemptOutcome.BROKEN : AttemptOutcome.WRONG_HOST;
+                case 2 -> isStreaming ? AttemptOutcome.SERVED : AttemptOutcome.FAILED;
                 case 3 -> AttemptOutcome.BROKEN;
                 default -> AttemptOutcome.SERVED;
             };
-            mayHaveRun -= fate == AttemptOutcome.NOT_RUN || fate == AttemptOutcome.WRONG_HOST ? 1 : 0;
-            lostConnections += fate == AttemptOutcome.BROKEN ? 1 : 0;
+            mayHaveRun -= outcome == AttemptOutcome.NOT_RUN || outcome == AttemptOutcome.WRONG_HOST ? 1 : 0;
+            lostConnections += outcome == AttemptOutcome.BROKEN ? 1 : 0;
             boolean withheld = random.nextBoolean();
-            if (!flows && (fate == AttemptOutcome.SERVED || fate == AttemptOutcome.FAILED && !withheld)) {
+            if (!isStreaming && (outcome == AttemptOutcome.SERVED || outcome == AttemptOutcome.FAILED && !withheld)) {
                 preparation.onHostAnswer();
             }
-            settling = fate == AttemptOutcome.SERVED;
-            lifecycle.onEnded(attempt, fate, withheld, now);
+            settling = outcome == AttemptOutcome.SERVED;
+            lifecycle.onEnded(attempt, outcome, withheld, now);
             settling = false;
         }
 
-        /** The tenant's quota has no right for this attempt any more, or nobody can tell. */
+        /** The tenant's quota is exceeded when the attempt is sent, or cannot be checked. */
         private void rejectSend(Attempt attempt) {
             activeAttempts.remove(attempt);
-            boolean ranNowhere = mayHaveRun == 0;
-            boolean lastOne = activeAttempts.isEmpty() && slotRequests.isEmpty();
+            boolean neverRan = mayHaveRun == 0;
+            boolean isLast = activeAttempts.isEmpty() && slotRequests.isEmpty();
             int status = random.nextBoolean() ? 429 : 503;
-            preparation.expectedStatus = ranNowhere && lastOne ? status : 0;
+            preparation.expectedStatus = neverRan && isLast ? status : 0;
             lifecycle.onSendRejected(attempt, status, random.nextInt(300) - 1, now);
-            assertTrue(!heldSlots.contains(attempt.grant.requestId()), "a place for nothing is kept");
-            assertTrue(!lastOne || lifecycle.isSettled(), "answered, as nothing else is out");
+            assertTrue(!heldSlots.contains(attempt.grant.requestId()), "the slot of an unsent attempt is still held");
+            assertTrue(!isLast || lifecycle.isSettled(), "not settled although nothing else is active");
         }
 
         private void sendFirstByte(Attempt attempt) {
-            assertTrue(plan.idempotent() || mayHaveRun == 0, "must not run twice (rule TWICE)");
+            assertTrue(plan.idempotent() || mayHaveRun == 0, "sent again although it may have run (rule TWICE)");
             assertTrue(
                     sentTo.add(attempt.grant.instanceId()) && sentTo.size() <= plan.maxInstances(),
-                    "to another host each time, as many as allowed");
+                    "sent to the same instance again, or to too many");
             preparation.assertPrepared();
             mayHaveRun++;
             lifecycle.onSent(attempt, now);
@@ -287,7 +290,7 @@
             while (lifecycle.nextDueMs() <= to) {
                 now = Math.max(now, lifecycle.nextDueMs());
                 lifecycle.tick(now);
-                assertTrue(lifecycle.nextDueMs() > now || lifecycle.isOver(), "time stands still");
+                assertTrue(lifecycle.nextDueMs() > now || lifecycle.isOver(), "the next due time does not advance");
             }
             now = to;
         }
@@ -306,54 +309,58 @@
         int claimed = 0;
         int repeats = 0;
         for (long seed = 1; seed <= RUNS; seed++) {
-            Environment world = new Environment(seed);
+            Environment environment = new Environment(seed);
             try {
-                run(world);
+                run(environment);
             } catch (AssertionError | RuntimeException e) {
                 throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
             }
-            answered += world.responses;
-            claimed += world.preparation.endedClaims;
-            repeats += world.preparation.isRepeatAnswered ? 1 : 0;
+            answered += environment.responses;
+            claimed += environment.preparation.endedClaims;
+            repeats += environment.preparation.isRepeatAnswered ? 1 : 0;
         }
-        assertTrue(answered > RUNS / 2, "walks end with an answer");
-        assertTrue(claimed > RUNS / 20, "walks claim their operation: " + claimed);
-        assertTrue(repeats > RUNS / 100, "walks are repeats: " + repeats);
+        assertTrue(answered > RUNS / 2, "too few runs end with a response: " + answered);
+        assertTrue(claimed > RUNS / 20, "too few runs claim their operation: " + claimed);
+        assertTrue(repeats > RUNS / 100, "too few runs are repeats: " + repeats);
     }
 
-    private static void run(Environment world) {
-        world.lifecycle.start(world.now);
-        world.preparation.endIfOver();
-        for (int step = 0; step < STEPS_PER_RUN && !world.lifecycle.isOver(); step++) {
-            switch (world.random.nextInt(12)) {
+    private static void run(Environment environment) {
+        environment.lifecycle.start(environment.now);
+        environment.preparation.endIfOver();
+        for (int step = 0; step < STEPS_PER_RUN && !environment.lifecycle.isOver(); step++) {
+            switch (environment.random.nextInt(12)) {
                 case 0, 1, 2 -> {
-                    world.preparation.step();
-                    world.answerSlotRequest();
+                    environment.preparation.step();
+                    environment.answerSlotRequest();
                 }
-                case 3, 4, 5, 6 -> world.hostEvent();
+                case 3, 4, 5, 6 -> environment.hostEvent();
                 case 7 -> {
-                    world.lateGrant();
-                    world.duplicateGrant();
+                    environment.lateGrant();
+                    environment.duplicateGrant();
                 }
                 case 8 -> {
-                    if (world.random.nextInt(6) == 0) {
-                        world.disconnectClient();
+                    if (environment.random.nextInt(6) == 0) {
+                        environment.disconnectClient();
                     }
                 }
-                default -> world.advance(world.random.nextInt(60));
+                default -> environment.advance(environment.random.nextInt(60));
             }
-            world.preparation.endIfOver();
+            environment.preparation.endIfOver();
         }
-        world.advance(2_000);
-        while (!world.cancelledRequests.isEmpty()) {
-            world.lateGrant();
+        environment.advance(2_000);
+        while (!environment.cancelledRequests.isEmpty()) {
+            environment.lateGrant();
         }
-        assertTrue(world.lifecycle.isOver(), "it ends");
-        assertEquals(world.clientGone ? 0 : 1, world.responses, "one answer, unless nobody waits");
-        assertTrue(world.respondedAtMs <= world.plan.deadlineMs(), "in time");
-        assertEquals(world.streamingStarted, world.streamingEnded, "what flows ends");
-        world.preparation.endIfOver();
-        world.preparation.assertNothingLeft();
-        assertTrue(world.heldSlots.isEmpty() && world.activeAttempts.isEmpty() && world.slotRequests.isEmpty(), "nothing is left over");
+        assertTrue(environment.lifecycle.isOver(), "the request did not end");
+        assertEquals(environment.clientGone ? 0 : 1, environment.responses, "responses to the client");
+        assertTrue(environment.respondedAtMs <= environment.plan.deadlineMs(), "responded after the deadline");
+        assertEquals(environment.streamingStarted, environment.streamingEnded, "streaming that started must end");
+        environment.preparation.endIfOver();
+        environment.preparation.assertNothingLeft();
+        assertTrue(
+                environment.heldSlots.isEmpty()
+                        && environment.activeAttempts.isEmpty()
+                        && environment.slotRequests.isEmpty(),
+                "slots, attempts or slot requests are left");
     }
 }
--- a/src/test/java/brambletray/platform/proxy/RouteTimeoutTest.java
+++ b/src/test/java/brambletray/platform/proxy/RouteTimeoutTest.java
@@ -7,12 +7,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Whatever holds a request up, its client is answered at its route's timeout: 4 s here, where the client itself would
- * wait for 9 s.
+ * Whatever delays a request, its client gets a response at the route's timeout: 4 s here, although the client itself
+ * would wait for 9 s.
  */
 class RouteTimeoutTest {
     private static final long TIMEOUT_MS = 4_000;
-    /** ms past the timeout at which an answer that is still coming is ended: less than a quarter of a second. */
+    /**
+     * Time in ms after the timeout within which a response that is still streamed must be aborted: less than a quarter
+     * of a second.
+     */
     private static final long STREAM_MARGIN_MS = 200;
 
     private final SimulatedProxy proxy = new SimulatedProxy();
--- a/src/test/java/brambletray/platform/proxy/ScriptedClient.java
+++ b/src/test/java/brambletray/platform/proxy/ScriptedClient.java
@@ -10,7 +10,7 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 
-/** A client of a drawn timeline, on one connection as long as that lasts. */
+/** A client of a {@link Timeline}, which reuses one connection as long as it is open. */
 final class ScriptedClient extends Actor {
     private final Machine machine;
     private final InetSocketAddress front;
@@ -56,12 +56,12 @@
             }
             String status = head.substring(9, 12);
             String body = in.substring(end + 4, end + 4 + length);
-            String comeBack = ScriptedHost.header(head, "retry-after");
-            boolean ours = body.startsWith("{\"code\"");
+            String retryAfter = ScriptedHost.header(head, "retry-after");
+            boolean isOwnResponse = body.startsWith("{\"code\"");
             sees(status
-                    + (!comeBack.isEmpty()
-                            ? " in " + comeBack
-                            : ours || length == 0 ? "" : length > 100 ? " " + length : " " + body)
+                    + (!retryAfter.isEmpty()
+                            ? " in " + retryAfter
+                            : isOwnResponse || length == 0 ? "" : length > 100 ? " " + length : " " + body)
                     + (ScriptedHost.header(head, "connection").equals("close") ? " close" : ""));
             in.delete(0, end + 4 + length);
         }
@@ -80,8 +80,8 @@
                 send("POST /r/x HTTP/1.1\r\n" + commonHeaders(id, ms) + "Brambletray-Operation-Key: k1\r\n"
                         + "Brambletray-Operation-Key: k2\r\nContent-Length: 0\r\n\r\n");
             case "asks-twice" ->
-                send("GET /r/x HTTP/1.1\r\n" + commonHeaders(id, "4000") + "\r\nGET /r/x HTTP/1.1\r\n" + commonHeaders(ms, "4000")
-                        + "\r\n");
+                send("GET /r/x HTTP/1.1\r\n" + commonHeaders(id, "4000") + "\r\nGET /r/x HTTP/1.1\r\n"
+                        + commonHeaders(ms, "4000") + "\r\n");
             case "posts" -> send("POST /r/x HTTP/1.1\r\n" + commonHeaders(id, ms) + "Content-Length: 5\r\n\r\nhello");
             case "trickles" ->
                 send("POST /r/x HTTP/1.1\r\n" + commonHeaders(id, ms)
--- a/src/test/java/brambletray/platform/proxy/ScriptedHost.java
+++ b/src/test/java/brambletray/platform/proxy/ScriptedHost.java
@@ -18,7 +18,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A host of a drawn timeline, byte by byte: it answers as it is told. */
+/** A host of a {@link Timeline}, simulated byte by byte: it responds as scripted. */
 final class ScriptedHost extends Actor {
     private static final int LARGE = 700_000;
     private static final int MEDIUM = 100_000;
@@ -28,7 +28,7 @@
     private final InetSocketAddress address;
     private final Map<String, Channel> channels = new LinkedHashMap<>();
     private final Set<Channel> open = new LinkedHashSet<>();
-    /** The last request, as it came. */
+    /** The last request as received. */
     String lastRequest = "";
 
     int connectionCount;
@@ -121,7 +121,8 @@
         String body = name + ":" + id;
         switch (words[0]) {
             case "answers" -> respond(id, id, "200 OK", "Brambletray-Response-Seal: s\r\n", body);
-            case "answers-at-length" -> respond(id, id, "200 OK", "Brambletray-Response-Seal: s\r\n", "x".repeat(MEDIUM));
+            case "answers-at-length" ->
+                respond(id, id, "200 OK", "Brambletray-Response-Seal: s\r\n", "x".repeat(MEDIUM));
             case "echoes" -> respond(words[3], id, "200 OK", "Brambletray-Response-Seal: s\r\n", body);
             case "fails" -> respond(id, id, "500 Internal Server Error", "", body);
             case "expires" -> respond(id, id, "504 Gateway Timeout", "", body);
@@ -140,7 +141,8 @@
                         body);
             case "unsealed" -> respond(id, id, "200 OK", "", body);
             case "unnamed" -> respond(id, null, "200 OK", "Brambletray-Response-Seal: s\r\n", body);
-            case "encodes" -> respond(id, id, "200 OK", "Content-Encoding: br\r\nBrambletray-Response-Seal: s\r\n", body);
+            case "encodes" ->
+                respond(id, id, "200 OK", "Content-Encoding: br\r\nBrambletray-Response-Seal: s\r\n", body);
             case "endless" -> send(id, head(id, "200 OK", "Brambletray-Response-Seal: s\r\n") + "\r\n" + body);
             case "chunks" ->
                 send(
--- a/src/test/java/brambletray/platform/proxy/ScriptedOperations.java
+++ b/src/test/java/brambletray/platform/proxy/ScriptedOperations.java
@@ -5,7 +5,7 @@
 import java.util.ArrayDeque;
 import java.util.List;
 
-/** The claims of a drawn timeline: what is asked for, and what becomes of it. */
+/** The operation gate of a {@link Timeline}: records claims and how they end. */
 final class ScriptedOperations extends Actor implements OperationGate {
     private final ArrayDeque<Listener> waiting = new ArrayDeque<>();
     private Progress progress = Progress.NOT_CLAIMED;
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Claims that are asked for, or granted and not ended. */
+    /** Number of claims that are pending, or granted and not ended. */
     int openCount() {
         return waiting.size() + activeClaims;
     }
--- a/src/test/java/brambletray/platform/proxy/ScriptedPreparation.java
+++ b/src/test/java/brambletray/platform/proxy/ScriptedPreparation.java
@@ -10,8 +10,8 @@
 import java.util.List;
 
 /**
- * The preparation steps of one walk of {@link RequestLifecycleTest}: the production class between a quota and a claim
- * that are drawn at random. Checks that each step comes in its order, and how the claim ends.
+ * The preparation of one run of {@link RequestLifecycleTest}: the production class with a quota gate and an operation
+ * gate that respond at random. Checks the order of the steps and how the claim ends.
  */
 final class ScriptedPreparation {
     private static final RecordedAnswer RECORDED = new RecordedAnswer(200, "OK", List.of(), new byte[0]);
@@ -26,15 +26,15 @@
     private boolean isClaimOutdated;
     private boolean isOver;
     private OperationClaim claim;
-    /** The status with which the client must be refused; 0: the request's own course decides. */
+    /** Status with which the client must be rejected; 0 if the attempts determine the status. */
     int expectedStatus;
 
     boolean isRepeatAnswered;
     int endedClaims;
 
-    ScriptedPreparation(RequestLifecycleTest.Environment world) {
-        this.environment = world;
-        preparation = new RequestPreparation(world.plan, new Quota(), new Operations(), new Listener());
+    ScriptedPreparation(RequestLifecycleTest.Environment environment) {
+        this.environment = environment;
+        preparation = new RequestPreparation(environment.plan, new Quota(), new Operations(), new Listener());
     }
 
     void start() {
@@ -44,7 +44,7 @@
     int cancel() {
         int status = preparation.cancel();
         expectedStatus = status;
-        assertTrue(quotaListener == null && claimListener == null, "cancelled, and still waiting");
+        assertTrue(quotaListener == null && claimListener == null, "still pending after being cancelled");
         return status;
     }
 
@@ -52,15 +52,15 @@
         return preparation.allowsSending();
     }
 
-    /** A slot is asked for, or a byte sent: all that has to come before has come. */
+    /** Checks, before a slot is requested or a byte is sent, that the preparation is complete. */
     void assertPrepared() {
-        assertTrue(isPrepared || !environment.plan.needsPreparation(), "before its preparation was over");
-        assertTrue(hasRight || !environment.plan.isLimited(), "without a right under the quota");
-        assertTrue(claim != null || environment.plan.operation() == null, "without its claim (rule TWICE)");
-        assertTrue(!isOver, "after its end");
+        assertTrue(isPrepared || !environment.plan.needsPreparation(), "the preparation is not complete");
+        assertTrue(hasRight || !environment.plan.isLimited(), "no right under the quota");
+        assertTrue(claim != null || environment.plan.operation() == null, "no claim on the operation (rule TWICE)");
+        assertTrue(!isOver, "the request is already over");
     }
 
-    /** The next step comes, whichever is waited for. */
+    /** Completes the pending step, or outdates the claim at random. */
     void step() {
         if (quotaListener != null) {
             stepQuota();
@@ -113,7 +113,7 @@
         }
     }
 
-    /** As the driver does after each event. */
+    /** Ends the claim once the request is over, as the driver does after each event. */
     void endIfOver() {
         if (!isOver && environment.lifecycle.isOver()) {
             isOver = true;
@@ -122,11 +122,11 @@
     }
 
     void assertNothingLeft() {
-        assertTrue(quotaListener == null && claimListener == null, "a preparation that nobody waits for");
-        assertNull(claim, "a claim that was not ended");
+        assertTrue(quotaListener == null && claimListener == null, "a preparation step is still pending");
+        assertNull(claim, "the claim was not ended");
     }
 
-    /** An instance has answered it completely. */
+    /** An instance has responded completely. */
     void onHostAnswer() {
         hasAnswer = true;
         preparation.onHostAnswer(
@@ -142,7 +142,7 @@
 
         @Override
         public void onRejected(int status, int retryAfterMs) {
-            assertEquals(expectedStatus, status, "the status of this refusal");
+            assertEquals(expectedStatus, status, "status of the rejection");
             environment.lifecycle.onPreparationRejected(status, retryAfterMs);
         }
 
@@ -155,14 +155,16 @@
     private final class Quota implements QuotaGate {
         @Override
         public void acquire(Tenant tenant, Listener listener) {
-            assertTrue(tenant.isLimited() && quotaListener == null && !hasRight, "one right, of who is limited");
+            assertTrue(
+                    tenant.isLimited() && quotaListener == null && !hasRight,
+                    "a second right, or a tenant without a limit");
             quotaListener = listener;
             stepAtRandom();
         }
 
         @Override
         public void cancel(Listener listener) {
-            assertTrue(quotaListener == listener, "cancelled what does not wait");
+            assertTrue(quotaListener == listener, "cancelled a listener that is not pending");
             quotaListener = null;
         }
     }
@@ -181,22 +183,22 @@
 
         @Override
         public void spend() {
-            // counted by the gate
+            // nothing to count
         }
     }
 
     private final class Operations implements OperationGate {
         @Override
         public void claim(OperationKey operation, int maxWaitMs, Listener listener) {
-            assertTrue(hasRight || !environment.plan.isLimited(), "a claim before the right");
-            assertTrue(claimListener == null && claim == null, "one claim");
+            assertTrue(hasRight || !environment.plan.isLimited(), "claimed before the right was acquired");
+            assertTrue(claimListener == null && claim == null, "claimed twice");
             claimListener = listener;
             stepAtRandom();
         }
 
         @Override
         public Progress cancel(Listener listener) {
-            assertTrue(claimListener == listener, "cancelled what does not wait");
+            assertTrue(claimListener == listener, "cancelled a listener that is not pending");
             claimListener = null;
             return Progress.values()[environment.random.nextInt(3)];
         }
@@ -211,28 +213,29 @@
         @Override
         public void complete(RecordedAnswer answer) {
             end();
-            assertTrue(hasAnswer && environment.mayHaveRun > 0, "an answer of nobody");
+            assertTrue(hasAnswer && environment.mayHaveRun > 0, "completed with a response that no instance sent");
         }
 
         @Override
         public void release() {
             end();
             assertTrue(
-                    environment.mayHaveRun == 0 || environment.plan.selfDedupe() && environment.mayHaveRun == environment.lostConnections,
-                    "released, and may have run (rule TWICE)");
+                    environment.mayHaveRun == 0
+                            || environment.plan.selfDedupe() && environment.mayHaveRun == environment.lostConnections,
+                    "released although it may have run (rule TWICE)");
         }
 
         @Override
         public void abandon() {
             end();
-            assertTrue(environment.mayHaveRun > 0, "abandoned, and has not run");
-            assertTrue(!hasAnswer, "an answer that is not recorded");
+            assertTrue(environment.mayHaveRun > 0, "abandoned although it has not run");
+            assertTrue(!hasAnswer, "abandoned although there is a response to record");
         }
 
         private void end() {
-            assertTrue(isOver, "ended while the request goes on");
-            assertTrue(environment.activeAttempts.isEmpty(), "ended while an instance has the request");
-            assertTrue(claim == this, "ended twice");
+            assertTrue(isOver, "claim ended before the request was over");
+            assertTrue(environment.activeAttempts.isEmpty(), "claim ended while an attempt is active");
+            assertTrue(claim == this, "claim ended twice");
             claim = null;
             endedClaims++;
         }
--- a/src/test/java/brambletray/platform/proxy/SendPermitTest.java
+++ b/src/test/java/brambletray/platform/proxy/SendPermitTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The right of one attempt, from the gate to the send. */
+/** The right of one attempt, from the gate until it is sent. */
 class SendPermitTest {
     private static final Tenant TENANT = new Tenant("a", List.of(), 0, 10, 0);
 
@@ -81,7 +81,7 @@
         right.isValid = false;
         assertFalse(permit.isReady());
         assertFalse(permit.isReady());
-        assertEquals(1, gate.waiting.size(), "asked for once");
+        assertEquals(1, gate.waiting.size(), "requested once");
         gate.waiting.remove(0).onAcquired(new TestRight());
         assertEquals(List.of("permitted"), events);
         assertTrue(permit.isReady());
@@ -92,7 +92,7 @@
         SendPermit permit = permit(null);
         gate.immediateRight = new TestRight();
         assertTrue(permit.isReady());
-        assertEquals(List.of(), events, "it goes out in this step already");
+        assertEquals(List.of(), events, "no event, as isReady reports the right");
     }
 
     @Test
--- a/src/test/java/brambletray/platform/proxy/SlowReaderTest.java
+++ b/src/test/java/brambletray/platform/proxy/SlowReaderTest.java
@@ -7,11 +7,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * An answer that was given to a client is whole, however slowly the client takes it and whatever the edge does
- * meanwhile.
+ * A client receives its response completely, however slowly it reads and whatever the edge does meanwhile.
  */
 class SlowReaderTest {
-    /** Bytes that a connection holds while nobody reads: a fraction of an answer. */
+    /** Bytes that a connection buffers while nobody reads: a fraction of a response. */
     private static final int WINDOW_BYTES = 10_000;
 
     private final SimulatedProxy proxy = new SimulatedProxy();
@@ -26,7 +25,7 @@
         host = (ScriptedHost) proxy.actor("a");
     }
 
-    /** A request whose answer of 100,000 bytes is here while its client reads nothing. */
+    /** A request whose response of 100,000 bytes arrives at the edge while its client does not read. */
     private void respondWhileClientDoesNotRead() {
         proxy.actor("edge");
         proxy.broker.act(new String[] {"grants", "a"});
@@ -35,7 +34,7 @@
         client.act("sleeps".split(" "));
         host.act("answers-at-length r1".split(" "));
         proxy.until(100);
-        assertEquals(0, proxy.router.activeRequests(), "the host's work is done");
+        assertEquals(0, proxy.router.activeRequests(), "requests still active after the host responded");
         assertEquals(List.of(), client.look());
     }
 
@@ -66,7 +65,7 @@
         respondWhileClientDoesNotRead();
         assertEquals(List.of("200 100000"), seenAfterReadingResumesAt(14_000));
         proxy.until(28_000);
-        assertEquals(List.of(), client.look(), "14 s of rest are allowed");
+        assertEquals(List.of(), client.look(), "closed after 14 s, before the idle timeout");
         proxy.until(31_000);
         assertEquals(List.of("closed"), client.look());
     }
--- a/src/test/java/brambletray/platform/proxy/TenantAuthenticationTest.java
+++ b/src/test/java/brambletray/platform/proxy/TenantAuthenticationTest.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** What instances see of keys and tenants. */
+/** What instances receive of keys and tenant names. */
 class TenantAuthenticationTest {
     @Test
     void keysAndTenantNamesAreRemovedEvenWithoutConfiguredTenants() {
--- a/src/test/java/brambletray/platform/proxy/TenantPriorityTest.java
+++ b/src/test/java/brambletray/platform/proxy/TenantPriorityTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The priority with which a request of a tenant asks for its slot. */
+/** The priority of a tenant's slot request. */
 class TenantPriorityTest {
     private static final String CONFIGURATION = "{\"revision\":1,\"routes\":[{\"name\":\"r\",\"host\":\"h.example\","
             + "\"path-prefix\":\"/r/\",\"route-type\":\"idempotent\",\"timeout-ms\":4000,\"target-ms\":400,"
--- a/src/test/java/brambletray/platform/proxy/TenantRequestsTest.java
+++ b/src/test/java/brambletray/platform/proxy/TenantRequestsTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Whose request it is: what the instance hears of the tenant is ours, and what the client says of it is not. */
+/** Tenant headers: the instance gets the tenant name set by the edge, never the one sent by the client. */
 class TenantRequestsTest {
     private final SimulatedProxy proxy = new SimulatedProxy();
     private ScriptedClient client;
@@ -19,7 +19,7 @@
         host = (ScriptedHost) proxy.actor("a");
     }
 
-    /** A route for tenants, a public one, and one tenant with this key. */
+    /** Configures a route for tenants, a public route, and one tenant with this key. */
     private void configure(String key, String type) {
         proxy.configuration(("{'revision':1,'routes':[" + route("r", type, false) + ',' + route("p", type, true) + "],"
                         + "'tenants':[{'name':'acme','api-keys':['" + key + "'],'priority':1}],"
@@ -87,7 +87,7 @@
         proxy.assertNothingLeft();
     }
 
-    /** It was the tenant's when it was read; what comes later with this key is nobody's. */
+    /** The key is checked when the request is read: only later requests with the withdrawn key are rejected. */
     @Test
     void aKeyIsWithdrawnWhileItsRequestQueues() {
         sendRequest("r", "r1", "Brambletray-Credential: k1\r\n");
