--- a/src/main/java/brambletray/platform/proxy/RequestPlan.java
+++ b/src/main/java/brambletray/platform/proxy/RequestPlan.java
@@ -33,7 +33,7 @@
     /** Owner of a request on this route for the queues; {@code tenant} is null for an anonymous request. */
     static SlotOwner owner(Tenant tenant, Route route) {
         return tenant == null
-                ? SlotOwner.nobody(route.priority())
+                ? SlotOwner.withoutTenant(route.priority())
                 : new SlotOwner(tenant.name(), tenant.priorityOn(route), route.priority());
     }
 
--- a/src/test/java/brambletray/platform/proxy/PlantedFaultsTest.java
+++ b/src/test/java/brambletray/platform/proxy/PlantedFaultsTest.java
@@ -61,8 +61,8 @@
                         "a response without an id is accepted",
                         "MIXED",
                         "ResponseVerdict",
-                        "        if (nameless) {\n            return JUNK;",
-                        "        if (nameless && status >= 300) {\n            return JUNK;"),
+                        "        if (withoutId) {\n            return INVALID;",
+                        "        if (withoutId && status >= 300) {\n            return INVALID;"),
                 fault(
                         "a success without a seal is accepted",
                         "MIXED",
@@ -73,7 +73,7 @@
                         "a refusal without an id proves that the next request did not run",
                         "TWICE|REFUSED",
                         "ResponseReader",
-                        "if (verdict.nameless() && reused && hostCall.requiresOpenConnection()) {",
+                        "if (verdict.withoutId() && reused && hostCall.requiresOpenConnection()) {",
                         "if (false) {"),
                 fault(
                         "a request is resent on a connection that may still deliver its first refusal",
@@ -131,7 +131,7 @@
                         "a host's refusal without proof is passed on",
                         "REFUSED",
                         "ResponseVerdict",
-                        "            return PROMISED;",
+                        "            return UNPROVEN_REFUSAL;",
                         "            return FAILED;"),
                 fault(
                         "a refusal without proof is streamed",
--- a/src/test/java/brambletray/platform/proxy/RequestLifecycleTest.java
+++ b/src/test/java/brambletray/platform/proxy/RequestLifecycleTest.java
@@ -55,7 +55,7 @@
                     "s",
                     !keyed && random.nextBoolean(),
                     1 + random.nextInt(3),
-                    SlotOwner.nobody(1),
+                    SlotOwner.withoutTenant(1),
                     400,
                     false,
                     random.nextBoolean() ? null : random.nextBoolean() ? LIMITED : UNLIMITED,
