--- a/src/main/java/brambletray/platform/edge/CoordinatorClient.java
+++ b/src/main/java/brambletray/platform/edge/CoordinatorClient.java
@@ -145,9 +145,9 @@
         lastTickMs = now;
         if (isAttached && now - heartbeatAtMs > HEARTBEAT_TIMEOUT_MS) {
             onCoordinatorLost("no pulse for " + (now - heartbeatAtMs) + " ms", now);
-            tryNext(now);
+            connectToNext(now);
         } else if (!isAttached && (dialer == null || now - connectingSinceMs > timeoutMs)) {
-            tryNext(now);
+            connectToNext(now);
         }
     }
 
@@ -170,7 +170,7 @@
                 .log();
     }
 
-    private void tryNext(long now) {
+    private void connectToNext(long now) {
         Address next = candidates.next(dialer == null ? null : dialer.target());
         if (next != null) {
             connectTo(next, now);
@@ -178,7 +178,7 @@
     }
 
     private void connectTo(Address member, long now) {
-        waitFor(CONNECT_TIMEOUT_MS, now);
+        startTimeout(CONNECT_TIMEOUT_MS, now);
         if (dialer != null && dialer.target().equals(member)) {
             dialer.dialNow();
             if (dialer.isUp()) {
@@ -192,7 +192,7 @@
         dialer = new LinkDialer(machine, codec, member, this, now ^ member.hashCode());
     }
 
-    private void waitFor(int ms, long now) {
+    private void startTimeout(int ms, long now) {
         connectingSinceMs = now;
         timeoutMs = ms;
         listener.onTimeoutChanged();
@@ -267,13 +267,13 @@
             onCoordinatorLost(named ? "it names another coordinator" : "its lease has expired", now);
         }
         if (here) {
-            waitFor(CONNECT_TIMEOUT_MS, now);
+            startTimeout(CONNECT_TIMEOUT_MS, now);
         } else if (!named) {
-            waitFor(welcome.inActiveView() ? WELCOME_TIMEOUT_MS : RETRY_INTERVAL_MS, now);
+            startTimeout(welcome.inActiveView() ? WELCOME_TIMEOUT_MS : RETRY_INTERVAL_MS, now);
         } else if (coordinator.equals(avoided.coordinator())
                 && welcome.term() == avoided.term()
                 && now < avoided.untilMs()) {
-            waitFor((int) (avoided.untilMs() - now), now);
+            startTimeout((int) (avoided.untilMs() - now), now);
         } else {
             connectTo(coordinator, now);
         }
@@ -316,7 +316,7 @@
     public void onLinkDown(Link link, String reason) {
         if (isAttached && dialer.link() == null) {
             onCoordinatorLost(reason, now());
-            waitFor(RETRY_INTERVAL_MS, now());
+            startTimeout(RETRY_INTERVAL_MS, now());
         }
     }
 }
--- a/src/main/java/brambletray/platform/edge/EdgeLinks.java
+++ b/src/main/java/brambletray/platform/edge/EdgeLinks.java
@@ -117,11 +117,11 @@
 
     private final class OutboundHandler implements LinkHandler {
         private final String name;
-        private final DialedLink spoke;
+        private final DialedLink dialedLink;
 
         OutboundHandler(String name, DialedLink dialedLink) {
             this.name = name;
-            this.spoke = dialedLink;
+            this.dialedLink = dialedLink;
         }
 
         @Override
@@ -137,8 +137,8 @@
 
         @Override
         public void onLinkDown(Link link, String why) {
-            spoke.downSinceMs = now();
-            if (dialedLinks.get(name) == spoke) {
+            dialedLink.downSinceMs = now();
+            if (dialedLinks.get(name) == dialedLink) {
                 listener.onLinkDown(name);
             }
         }
--- a/src/main/java/brambletray/platform/edge/EdgeProgram.java
+++ b/src/main/java/brambletray/platform/edge/EdgeProgram.java
@@ -235,7 +235,7 @@
             admissionTimer.recover(now);
             if (now - metricsLoggedAtMs > METRICS_INTERVAL_MS) {
                 metricsLoggedAtMs = now;
-                operationClient.forgetOld();
+                operationClient.removeExpired();
                 LogEventBuilder line = LOG.info("figures")
                         .with("waiting", slotClient.pendingCount())
                         .with("held", slotClient.heldCount())
@@ -521,7 +521,7 @@
         }
 
         @Override
-        public void onHeldHere(HeldSlots held) {
+        public void onHeldLocally(HeldSlots held) {
             localAdmission.onHeldSlots(held);
         }
     }
@@ -538,17 +538,17 @@
         }
 
         @Override
-        public void requestHere(SlotRequest request, boolean serveHere) {
+        public void requestLocally(SlotRequest request, boolean serveHere) {
             localAdmission.onSlotRequest(request, serveHere);
         }
 
         @Override
-        public void releaseHere(SlotRelease release) {
+        public void releaseLocally(SlotRelease release) {
             localAdmission.onSlotRelease(self.name(), release);
         }
 
         @Override
-        public void cancelHere(SlotRequestCancel cancel) {
+        public void cancelLocally(SlotRequestCancel cancel) {
             localAdmission.onCancel(self.name(), cancel);
         }
 
--- a/src/main/java/brambletray/platform/edge/HeldRights.java
+++ b/src/main/java/brambletray/platform/edge/HeldRights.java
@@ -2,7 +2,7 @@
 
 import brambletray.platform.proxy.QuotaGate;
 import brambletray.platform.quota.QuotaReturn;
-import brambletray.platform.quota.QuotaTerms;
+import brambletray.platform.quota.QuotaParameters;
 import brambletray.platform.quota.RunAheadAllowances;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -26,15 +26,15 @@
     /** One right, valid by the steady clock from when it was asked for. */
     final class HeldRight implements QuotaGate.Right {
         private final String tenant;
-        private final long askedAtMs;
+        private final long requestedAtMs;
         private final long validUntilMs;
         private boolean isSpent;
         private boolean isReturned;
 
         private HeldRight(String tenant, long askedAtMs) {
             this.tenant = tenant;
-            this.askedAtMs = askedAtMs;
-            validUntilMs = askedAtMs + QuotaTerms.RIGHT_VALIDITY_MS;
+            this.requestedAtMs = askedAtMs;
+            validUntilMs = askedAtMs + QuotaParameters.RIGHT_VALIDITY_MS;
         }
 
         @Override
@@ -63,7 +63,7 @@
     }
 
     /** For a request that is sent ahead of its right, and is counted already. */
-    QuotaGate.Right sentAhead(long nowMs) {
+    QuotaGate.Right runAheadRight(long nowMs) {
         HeldRight right = new HeldRight(null, nowMs);
         right.isSpent = true;
         return right;
@@ -85,7 +85,7 @@
             if (!right.isSpent) {
                 right.isReturned = true;
             }
-            if (!right.isSpent && nowMs - right.askedAtMs <= QuotaTerms.MAX_RETURN_AGE_MS) {
+            if (!right.isSpent && nowMs - right.requestedAtMs <= QuotaParameters.MAX_RETURN_AGE_MS) {
                 unspent.merge(right.tenant, 1, Integer::sum);
             }
         }
--- a/src/main/java/brambletray/platform/edge/LocalAdmission.java
+++ b/src/main/java/brambletray/platform/edge/LocalAdmission.java
@@ -50,7 +50,7 @@
      * ms for which reported slots of a service are remembered of which this edge is not the home yet: rosters reach
      * edges at different moments.
      */
-    private static final int EARLY_MS = 2_000;
+    private static final int EARLY_REPORT_TTL_MS = 2_000;
     /** Of these words, remembered at a time. */
     private static final int MAX_EARLY_REPORTS = 1_024;
 
@@ -136,15 +136,15 @@
             return;
         }
         for (EarlyReport one : earlyReports) {
-            if (one.held.service().equals(service) && now() - one.reportedAtMs <= EARLY_MS) {
+            if (one.held.service().equals(service) && now() - one.reportedAtMs <= EARLY_REPORT_TTL_MS) {
                 queues.onHeldSlots(one.held, now());
             }
         }
         earlyReports.removeIf(one -> one.held.service().equals(service));
     }
 
-    private void rememberEarly(HeldSlots held) {
-        earlyReports.removeIf(one -> now() - one.reportedAtMs > EARLY_MS
+    private void storeEarlyReport(HeldSlots held) {
+        earlyReports.removeIf(one -> now() - one.reportedAtMs > EARLY_REPORT_TTL_MS
                 || one.held.edge().equals(held.edge()) && one.held.service().equals(held.service()));
         if (earlyReports.size() < MAX_EARLY_REPORTS) {
             earlyReports.add(new EarlyReport(held, now()));
@@ -152,7 +152,7 @@
     }
 
     /** A slot that was reported early has been released, or will not be used. */
-    private void dropEarly(String edge, long requestId) {
+    private void removeFromEarlyReports(String edge, long requestId) {
         earlyReports.replaceAll(one ->
                 one.held.edge().equals(edge) ? new EarlyReport(one.held.without(requestId), one.reportedAtMs) : one);
     }
@@ -168,13 +168,13 @@
     }
 
     void onSlotRelease(String edge, SlotRelease release) {
-        dropEarly(edge, release.requestId());
+        removeFromEarlyReports(edge, release.requestId());
         queues.onSlotRelease(edge, release, now());
         runDeferred();
     }
 
     void onCancel(String edge, SlotRequestCancel cancel) {
-        dropEarly(edge, cancel.requestId());
+        removeFromEarlyReports(edge, cancel.requestId());
         queues.onCancel(edge, cancel, now());
         runDeferred();
     }
@@ -183,7 +183,7 @@
         if (queues.isHomeOf(held.service())) {
             queues.onHeldSlots(held, now());
         } else {
-            rememberEarly(held);
+            storeEarlyReport(held);
             if (isHome(held.service())) {
                 takeOver(held.service(), homeAssignment.rootZone(held.service()));
             }
--- a/src/main/java/brambletray/platform/edge/OperationClient.java
+++ b/src/main/java/brambletray/platform/edge/OperationClient.java
@@ -95,7 +95,7 @@
             if (known == Result.NOT_RUN) {
                 request();
             } else {
-                follow(here, known);
+                awaitResult(here, known);
             }
         }
 
@@ -110,7 +110,7 @@
         }
 
         /** An attempt at this edge came first. */
-        private void follow(ClaimId holder, Result known) {
+        private void awaitResult(ClaimId holder, Result known) {
             if (known == Result.RUNNING) {
                 watched = holder;
                 results.watch(holder, this::onResult);
@@ -155,17 +155,17 @@
 
         private GrantedClaim grantedClaim(ClaimId claim, long claimedAtMs) {
             return new GrantedClaim(
-                    claim, operation, claimedAtMs + ClaimWindow.SEND_WITHIN_MS, results, claimClient, clock);
+                    claim, operation, claimedAtMs + ClaimWindow.MAX_SEND_DELAY_MS, results, claimClient, clock);
         }
 
         @Override
         public void onHeld(ClaimId holder, String holderEdge) {
             endRequested();
             if (holder.incarnation() == incarnation) {
-                follow(holder, findHere(holder, operation));
+                awaitResult(holder, findLocal(holder, operation));
             } else if (!holderEdge.equals(transport.self())
                     && transport.isReachable(holderEdge, holder.incarnation())) {
-                queryId = queries.ask(holder, holderEdge, this::onResult);
+                queryId = queries.send(holder, holderEdge, this::onResult);
                 transport.scheduleTick(clock.getAsLong() + QUERY_CHECK_MS);
             } else {
                 onResult(Result.UNKNOWN);
@@ -215,7 +215,7 @@
     }
 
     /** What is known of a claim of this process; one that will not run is released, as its release may be lost. */
-    private Result findHere(ClaimId claim, OperationKey operation) {
+    private Result findLocal(ClaimId claim, OperationKey operation) {
         Result known = results.find(claim);
         OperationKey key = operation == null ? results.key(claim) : operation;
         if (known == Result.NOT_RUN && key != null) {
@@ -248,7 +248,7 @@
 
     private void onQuery(String edge, ResultQuery query) {
         ClaimId holder = query.holder();
-        Result known = holder.incarnation() == incarnation ? findHere(holder, null) : Result.UNKNOWN;
+        Result known = holder.incarnation() == incarnation ? findLocal(holder, null) : Result.UNKNOWN;
         if (known == Result.RUNNING) {
             results.watch(
                     holder, result -> transport.respondToEdge(edge, ResultQueries.response(query.queryId(), result)));
@@ -273,7 +273,7 @@
     }
 
     /** Forgets results that nobody can ask for any more; to be called every few seconds. */
-    void forgetOld() {
-        results.forgetOld(clock.getAsLong());
+    void removeExpired() {
+        results.removeExpired(clock.getAsLong());
     }
 }
--- a/src/main/java/brambletray/platform/edge/OperationResults.java
+++ b/src/main/java/brambletray/platform/edge/OperationResults.java
@@ -58,7 +58,7 @@
 
     private long bytes;
     /** The highest sequence of a forgotten claim. */
-    private long forgottenUpTo;
+    private long highestRemovedSequence;
 
     /**
      * {@code retentionMs}: how long claims are remembered, counted from their request; {@code maxBytes}: of answers.
@@ -94,7 +94,7 @@
         if (entry != null) {
             return entry.result;
         }
-        return claim.sequence() <= forgottenUpTo ? Result.UNKNOWN : Result.NOT_RUN;
+        return claim.sequence() <= highestRemovedSequence ? Result.UNKNOWN : Result.NOT_RUN;
     }
 
     /** Calls the watcher once, when this claim ends; only for one that is running. */
@@ -112,14 +112,14 @@
         if (result.answer() != null) {
             bytes += result.size();
             answered.add(claim);
-            dropAnswers();
+            evictAnswers();
         }
         List<Consumer<Result>> watchers = List.copyOf(entry.watchers);
         entry.watchers.clear();
         watchers.forEach(watcher -> watcher.accept(result));
     }
 
-    private void dropAnswers() {
+    private void evictAnswers() {
         while (bytes > maxBytes && answered.size() > 1) {
             Entry oldest = entries.get(answered.poll());
             if (oldest != null) {
@@ -130,7 +130,7 @@
     }
 
     /** Forgets what is older than the retention, and the oldest beyond the bound; never what is running. */
-    void forgetOld(long nowMs) {
+    void removeExpired(long nowMs) {
         Iterator<Map.Entry<ClaimId, Entry>> oldest = entries.entrySet().iterator();
         while (oldest.hasNext()) {
             Map.Entry<ClaimId, Entry> next = oldest.next();
@@ -142,7 +142,7 @@
             oldest.remove();
             claims.remove(entry.key, next.getKey());
             bytes -= entry.result.size();
-            forgottenUpTo = Math.max(forgottenUpTo, next.getKey().sequence());
+            highestRemovedSequence = Math.max(highestRemovedSequence, next.getKey().sequence());
         }
         while (!answered.isEmpty() && !entries.containsKey(answered.peek())) {
             answered.poll();
--- a/src/main/java/brambletray/platform/edge/QuotaClient.java
+++ b/src/main/java/brambletray/platform/edge/QuotaClient.java
@@ -41,13 +41,13 @@
         private final String tenant;
         private final long sinceMs;
         private Listener listener;
-        private long askedAtMs;
+        private long requestedAtMs;
 
         private Pending(String tenant, Listener listener, long nowMs) {
             this.tenant = tenant;
             this.listener = listener;
             sinceMs = nowMs;
-            askedAtMs = nowMs;
+            requestedAtMs = nowMs;
         }
     }
 
@@ -73,8 +73,8 @@
     public void acquire(Tenant tenant, Listener listener) {
         long nowMs = clock.getAsLong();
         Pending added = new Pending(tenant.name(), listener, nowMs);
-        if (!ask(added, nowMs) && allowances.trySpend(added.tenant, nowMs)) {
-            listener.onAcquired(heldRights.sentAhead(nowMs));
+        if (!sendRequest(added, nowMs) && allowances.trySpend(added.tenant, nowMs)) {
+            listener.onAcquired(heldRights.runAheadRight(nowMs));
             return;
         }
         pending.put(nextId, added);
@@ -83,8 +83,8 @@
     }
 
     /** Asks under the next id. */
-    private boolean ask(Pending request, long nowMs) {
-        request.askedAtMs = nowMs;
+    private boolean sendRequest(Pending request, long nowMs) {
+        request.requestedAtMs = nowMs;
         return transport.send(new QuotaRequest(nextId, request.tenant));
     }
 
@@ -115,8 +115,8 @@
     }
 
     private void onGrant(Pending request, QuotaGrant grant, Listener listener) {
-        allowances.onGrant(request.tenant, grant.runAhead(), request.askedAtMs);
-        HeldRights.HeldRight right = heldRights.add(request.tenant, request.askedAtMs);
+        allowances.onGrant(request.tenant, grant.runAhead(), request.requestedAtMs);
+        HeldRights.HeldRight right = heldRights.add(request.tenant, request.requestedAtMs);
         if (listener == null) {
             return;
         }
@@ -130,7 +130,7 @@
     /** Once more, as the right came too late. */
     private void acquire(Pending late, Listener listener) {
         Pending next = new Pending(late.tenant, listener, late.sinceMs);
-        ask(next, clock.getAsLong());
+        sendRequest(next, clock.getAsLong());
         pending.put(nextId, next);
         idsByListener.put(listener, nextId);
         nextId++;
@@ -155,7 +155,7 @@
         pending = new LinkedHashMap<>();
         for (Pending request : former.values()) {
             if (request.listener != null) {
-                ask(request, nowMs);
+                sendRequest(request, nowMs);
                 pending.put(nextId, request);
                 idsByListener.put(request.listener, nextId);
                 nextId++;
@@ -186,7 +186,7 @@
         }
         allowances.removeExpired(nowMs);
         pending.values()
-                .removeIf(request -> request.listener == null && nowMs - request.askedAtMs > ABANDONED_TIMEOUT_MS);
+                .removeIf(request -> request.listener == null && nowMs - request.requestedAtMs > ABANDONED_TIMEOUT_MS);
         for (Pending request : List.copyOf(pending.values())) {
             if (request.listener != null) {
                 endWaitIfOverdue(request, nowMs);
@@ -198,7 +198,7 @@
     private void endWaitIfOverdue(Pending request, long nowMs) {
         long waitedMs = nowMs - request.sinceMs;
         if (waitedMs >= ANSWER_TIMEOUT_MS && allowances.trySpend(request.tenant, nowMs)) {
-            takeListener(request).onAcquired(heldRights.sentAhead(nowMs));
+            takeListener(request).onAcquired(heldRights.runAheadRight(nowMs));
         } else if (waitedMs >= (isAttached ? MAX_WAIT_MS : COORDINATOR_TIMEOUT_MS)) {
             takeListener(request).onUnavailable(RETRY_AFTER_MS);
         }
--- a/src/main/java/brambletray/platform/edge/ResultQueries.java
+++ b/src/main/java/brambletray/platform/edge/ResultQueries.java
@@ -49,7 +49,7 @@
     }
 
     /** Asks for the end of a claim, and returns the id of the query; the listener is not called before this returns. */
-    long ask(ClaimId holder, String edge, Consumer<Result> listener) {
+    long send(ClaimId holder, String edge, Consumer<Result> listener) {
         long id = ++lastId;
         pending.put(id, new PendingQuery(holder, edge, listener));
         transport.sendToEdge(edge, new ResultQuery(id, holder));
--- a/src/main/java/brambletray/platform/edge/SimulatedEdge.java
+++ b/src/main/java/brambletray/platform/edge/SimulatedEdge.java
@@ -26,7 +26,7 @@
     }
 
     /** SIGHUP. */
-    void hangUp() {
+    void reloadSettings() {
         program.reloadSettings();
     }
 
--- a/src/main/java/brambletray/platform/edge/SlotClient.java
+++ b/src/main/java/brambletray/platform/edge/SlotClient.java
@@ -32,7 +32,7 @@
  */
 final class SlotClient implements SlotBroker {
     /** Times that one request is redirected by closed queues, before the root is made to serve it. */
-    private static final int MAX_REDIRECTS_BEFORE_STAY = 2;
+    private static final int MAX_REDIRECTS_BEFORE_SERVING = 2;
 
     private static final int MAX_REDIRECTS = 5;
     /** Time to retry in ms where no home can be reached. */
@@ -45,11 +45,11 @@
         String self();
 
         /** A request for this edge's own queue; {@code serveHere}: not to be redirected again. */
-        void requestHere(SlotRequest request, boolean serveHere);
+        void requestLocally(SlotRequest request, boolean serveHere);
 
-        void releaseHere(SlotRelease release);
+        void releaseLocally(SlotRelease release);
 
-        void cancelHere(SlotRequestCancel forget);
+        void cancelLocally(SlotRequestCancel forget);
 
         boolean send(String edge, Object frame);
 
@@ -126,9 +126,9 @@
             return;
         }
         pendingRequest.home = home.name();
-        boolean serveHere = pendingRequest.redirects >= MAX_REDIRECTS_BEFORE_STAY;
+        boolean serveHere = pendingRequest.redirects >= MAX_REDIRECTS_BEFORE_SERVING;
         if (pendingRequest.home.equals(transport.self())) {
-            transport.requestHere(pendingRequest.request, serveHere);
+            transport.requestLocally(pendingRequest.request, serveHere);
         } else {
             transport.send(pendingRequest.home, pendingRequest.request);
         }
@@ -164,7 +164,7 @@
         String home = pendingRequest != null ? pendingRequest.home : slot != null ? slot.home : null;
         if (home != null) {
             if (home.equals(transport.self())) {
-                transport.cancelHere(new SlotRequestCancel(requestId, service));
+                transport.cancelLocally(new SlotRequestCancel(requestId, service));
             } else {
                 transport.send(home, new SlotRequestCancel(requestId, service));
             }
@@ -175,7 +175,7 @@
     void onGranted(String home, SlotGrant grant) {
         PendingRequest pendingRequest = pending.get(grant.requestId());
         if (pendingRequest == null || !home.equals(pendingRequest.home)) {
-            releaseSurplus(home, grant);
+            releaseSurplusGrant(home, grant);
             return;
         }
         pending.remove(grant.requestId());
@@ -184,7 +184,7 @@
         pendingRequest.requester.onGranted(grant);
     }
 
-    private void releaseSurplus(String home, SlotGrant grant) {
+    private void releaseSurplusGrant(String home, SlotGrant grant) {
         HeldSlot slot = slots.get(grant.requestId());
         boolean ours = slot != null && home.equals(slot.home);
         if (ours && slot.grant.instanceId().equals(grant.instanceId())) {
@@ -193,19 +193,19 @@
         sendRelease(home, new SlotRelease(grant.requestId(), grant.instanceId(), AttemptOutcome.UNUSED, 0));
         if (ours) {
             // The home knows one slot for each request: it counts this one as ours and has to learn which one is.
-            reportHeld(home, heldAt(home, slot.service));
+            reportHeld(home, heldSlotsAt(home, slot.service));
         }
     }
 
     private void sendRelease(String home, SlotRelease release) {
         if (home.equals(transport.self())) {
-            transport.releaseHere(release);
+            transport.releaseLocally(release);
         } else {
             transport.send(home, release);
         }
     }
 
-    private HeldSlots heldAt(String home, String service) {
+    private HeldSlots heldSlotsAt(String home, String service) {
         List<SlotGrant> grants = new ArrayList<>();
         for (HeldSlot slot : slots.values()) {
             if (home.equals(slot.home) && service.equals(slot.service)) {
@@ -262,7 +262,7 @@
 
     private void reportHeld(String home, HeldSlots held) {
         if (home.equals(transport.self())) {
-            instanceTracking.onHeldHere(held);
+            instanceTracking.onHeldLocally(held);
         } else {
             transport.send(home, held);
         }
@@ -298,7 +298,7 @@
             }
         }
         for (String service : services) {
-            transport.send(home, heldAt(home, service));
+            transport.send(home, heldSlotsAt(home, service));
         }
     }
 
@@ -319,6 +319,6 @@
         /** A host's address, which its own calls come from. */
         void onInstanceAddress(String address);
 
-        void onHeldHere(HeldSlots held);
+        void onHeldLocally(HeldSlots held);
     }
 }
--- a/src/test/java/brambletray/platform/edge/EdgeHelloTest.java
+++ b/src/test/java/brambletray/platform/edge/EdgeHelloTest.java
@@ -29,7 +29,7 @@
                     + "seed-peers=10.0.0.1:8248\n";
 
     @Test
-    void itsHelloTellsTheHighestTermThatItHasSeenInThisLifeOnEveryLink() throws UnknownHostException {
+    void helloCarriesTheHighestTermSeenByThisProcess() throws UnknownHostException {
         Simulation simulation = new Simulation(2, 0);
         Machine core = simulation.machine(InetAddress.getByName("10.0.0.1"));
         Machine edge = simulation.machine(InetAddress.getByName("10.0.0.2"));
--- a/src/test/java/brambletray/platform/edge/QuotaHistoriesTest.java
+++ b/src/test/java/brambletray/platform/edge/QuotaHistoriesTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brambletray.platform.edge.QuotaHistory.Fault;
-import brambletray.platform.edge.QuotaHistory.Planted;
+import brambletray.platform.edge.QuotaHistory.FleetEvent;
+import brambletray.platform.edge.QuotaHistory.InjectedFault;
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
@@ -21,7 +21,7 @@
     private static final int SEEDS_WITH_A_FAULT = 10;
 
     @Test
-    void noWindowHoldsMoreThanIsAllowed() {
+    void noWindowExceedsTheLimit() {
         long first = Long.getLong("quotas.first", 1);
         int seeds = Integer.getInteger("quotas.seeds", SEEDS);
         int cutMs = Integer.getInteger("quotas.cut-ms", QuotaHistory.CUT_MS);
@@ -31,7 +31,7 @@
         long exceeded = 0;
         long unavailable = 0;
         for (long seed = first; seed < first + seeds; seed++) {
-            QuotaHistory history = new QuotaHistory(seed, Planted.NONE, cutMs);
+            QuotaHistory history = new QuotaHistory(seed, InjectedFault.NONE, cutMs);
             history.play();
             double overshoot = history.overshoot();
             assertTrue(overshoot <= 0, "seed " + seed + ": " + overshoot + " beyond the bound; " + history.faults());
@@ -57,27 +57,27 @@
     }
 
     /** For each fault that is built in, what happens to the fleet at which ms. */
-    private static Map<Integer, Fault> timeline(Planted planted) {
+    private static Map<Integer, FleetEvent> timeline(InjectedFault planted) {
         return switch (planted) {
-            case SECOND_GIVER -> Map.of(20_000, Fault.ALL_TENANTS_FLOOD, 21_000, Fault.COORDINATOR_IS_CUT_OFF);
-            case EXPIRED_RIGHTS_SPENT -> Map.of(20_000, Fault.ALL_TENANTS_FLOOD, 22_000, Fault.INSTANCES_STALL);
-            case NEW_GIVER_WITH_FULL_BUCKET -> Map.of(20_000, Fault.ALL_TENANTS_FLOOD, 20_800, Fault.COORDINATOR_DIES);
+            case SECOND_ISSUER -> Map.of(20_000, FleetEvent.ALL_TENANTS_FLOOD, 21_000, FleetEvent.COORDINATOR_IS_CUT_OFF);
+            case EXPIRED_RIGHTS_SPENT -> Map.of(20_000, FleetEvent.ALL_TENANTS_FLOOD, 22_000, FleetEvent.INSTANCES_STALL);
+            case NEW_ISSUER_WITH_FULL_BUCKET -> Map.of(20_000, FleetEvent.ALL_TENANTS_FLOOD, 20_800, FleetEvent.COORDINATOR_DIES);
             case FORMER_RIGHTS_AFTER_RESTART -> crashLoopOfCutOffEdges();
-            case NONE, RETRIES_NOT_COUNTED -> Map.of(20_000, Fault.ALL_TENANTS_FLOOD);
+            case NONE, RETRIES_NOT_COUNTED -> Map.of(20_000, FleetEvent.ALL_TENANTS_FLOOD);
         };
     }
 
-    private static Map<Integer, Fault> crashLoopOfCutOffEdges() {
-        Map<Integer, Fault> timeline = new TreeMap<>();
-        timeline.put(20_000, Fault.ALL_TENANTS_FLOOD);
-        timeline.put(20_500, Fault.EDGES_ARE_CUT_OFF);
+    private static Map<Integer, FleetEvent> crashLoopOfCutOffEdges() {
+        Map<Integer, FleetEvent> timeline = new TreeMap<>();
+        timeline.put(20_000, FleetEvent.ALL_TENANTS_FLOOD);
+        timeline.put(20_500, FleetEvent.EDGES_ARE_CUT_OFF);
         for (int timeMs = 21_000; timeMs < 25_000; timeMs += 400) {
-            timeline.put(timeMs, Fault.CUT_OFF_EDGES_RESTART);
+            timeline.put(timeMs, FleetEvent.CUT_OFF_EDGES_RESTART);
         }
         return timeline;
     }
 
-    private static double overshoot(long seed, Planted planted, Map<Integer, Fault> timeline) {
+    private static double overshoot(long seed, InjectedFault planted, Map<Integer, FleetEvent> timeline) {
         QuotaHistory history = new QuotaHistory(seed, planted, QuotaHistory.CUT_MS, QuotaHistory.Fleet.SMALL);
         history.play(timeline);
         return history.overshoot();
@@ -85,13 +85,13 @@
 
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-    void aFaultThatIsBuiltInIsSeen(Planted planted) {
-        Map<Integer, Fault> timeline = timeline(planted);
+    void injectedFaultIsDetected(InjectedFault planted) {
+        Map<Integer, FleetEvent> timeline = timeline(planted);
         double with = Double.NEGATIVE_INFINITY;
         double without = Double.NEGATIVE_INFINITY;
         for (long seed = 1; seed <= SEEDS_WITH_A_FAULT; seed++) {
             with = Math.max(with, overshoot(seed, planted, timeline));
-            without = Math.max(without, overshoot(seed, Planted.NONE, timeline));
+            without = Math.max(without, overshoot(seed, InjectedFault.NONE, timeline));
         }
         System.out.printf(
                 Locale.ROOT,
@@ -106,13 +106,13 @@
 
     /** Requests within the limit that are refused because the coordinator changes; the pause is drawn. */
     @Test
-    void fewAreRefusedWhenTheCoordinatorChanges() {
+    void refusalsDuringACoordinatorChangeAreMeasured() {
         long exceeded = 0;
         long unavailable = 0;
         long within = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            QuotaHistory history = new QuotaHistory(seed, Planted.NONE, QuotaHistory.CUT_MS);
-            history.play(Map.of(20_000, Fault.COORDINATOR_DIES));
+            QuotaHistory history = new QuotaHistory(seed, InjectedFault.NONE, QuotaHistory.CUT_MS);
+            history.play(Map.of(20_000, FleetEvent.COORDINATOR_DIES));
             assertTrue(history.overshoot() <= 0, "seed " + seed);
             exceeded += history.falselyExceeded();
             unavailable += history.falselyUnavailable();
