--- a/src/main/java/brambletray/platform/edge/ClaimClient.java
+++ b/src/main/java/brambletray/platform/edge/ClaimClient.java
@@ -15,29 +15,29 @@
 
 /**
  * Requests claims at the coordinator and releases them. Requests that the former coordinator has not answered are sent
- * to the next one under the same id; releases until they are acknowledged. A claim that nobody waits for any more is
- * released, as it may have been committed. Times are steady ms. For the event loop only.
+ * to the next one under the same id; releases are repeated until they are acknowledged. A cancelled claim is released,
+ * because it may have been committed. Times are monotonic ms. Confined to the event loop.
  */
 final class ClaimClient {
-    /** ms after which a release that was not acknowledged is sent again. */
+    /** Time in ms after which an unacknowledged release is sent again. */
     private static final int RELEASE_RETRY_MS = 1_000;
-    /** Claims that wait at one time. */
+    /** Maximum number of pending claims. */
     private static final int MAX_PENDING = 8_192;
-    /** Time to retry in ms while no coordinator is found: about as long as the next one takes. */
+    /** Retry delay in ms if there is no coordinator: about the time until the next one acts. */
     private static final int NO_COORDINATOR_RETRY_MS = 800;
-    /** Time to retry in ms where a coordinator does not answer in time. */
+    /** Retry delay in ms if the coordinator does not answer in time. */
     private static final int SLOW_COORDINATOR_RETRY_MS = 300;
 
-    /** How it reaches the coordinator. */
+    /** Delivers frames to the coordinator and schedules ticks. */
     interface Transport {
-        /** False where there is none; the frame is lost. */
+        /** Returns false if there is none; the frame is lost. */
         boolean sendToCoordinator(Object frame);
 
-        /** Requests {@link #tick} at this time, steady ms; only the earliest request is remembered. */
+        /** Requests {@link #tick} at this time, monotonic ms; only the earliest requested time is kept. */
         void scheduleTick(long atMs);
     }
 
-    /** What a claim hears: one of these, once. */
+    /** Exactly one of these methods is called, once; none after {@link #cancel}. */
     interface Listener {
         void onGranted(ClaimId claim, long claimedAtMs);
 
@@ -73,7 +73,7 @@
     private long releasesSentAtMs;
     private boolean coordinatorMissing = true;
 
-    /** {@code windowMs}: for how long a claim stands at the coordinator, and a release is worth sending. */
+    /** {@code windowMs}: time for which the coordinator keeps a claim; releases are repeated no longer than that. */
     ClaimClient(long incarnation, int windowMs, Transport transport, LongSupplier clock) {
         this.incarnation = incarnation;
         this.windowMs = windowMs;
@@ -81,7 +81,7 @@
         this.clock = clock;
     }
 
-    /** Requests a claim and returns its id; the listener is not called before this returns. Null: too many wait. */
+    /** Requests a claim and returns its id, or null if too many are pending; calls the listener only afterwards. */
     ClaimId claim(OperationKey key, int maxWaitMs, Listener listener) {
         if (pending.size() >= MAX_PENDING) {
             return null;
@@ -94,12 +94,12 @@
         return claim;
     }
 
-    /** Whether this claim was requested, and is neither granted nor refused yet. */
+    /** Whether this claim was requested and is not answered yet. */
     boolean isPending(ClaimId claim) {
         return pending.containsKey(claim);
     }
 
-    /** Nobody waits for this claim any more. */
+    /** Cancels a pending claim and releases it. */
     void cancel(ClaimId claim) {
         PendingClaim cancelled = pending.remove(claim);
         if (cancelled != null) {
@@ -107,7 +107,7 @@
         }
     }
 
-    /** The request of this claim has not run and never will. */
+    /** Releases a claim whose request has not run and never will. */
     void release(ClaimId claim, OperationKey key) {
         if (releases.isEmpty()) {
             releasesSentAtMs = clock.getAsLong();
@@ -121,7 +121,7 @@
         coordinatorMissing = !transport.sendToCoordinator(frame);
     }
 
-    /** A coordinator has been found: all that the former one has not answered is sent again. */
+    /** Sends the new coordinator everything that the former one has not answered. */
     void onAttached() {
         pending.forEach((claim, waiting) -> {
             waiting.isRepeated = true;
@@ -135,7 +135,7 @@
         releases.forEach((claim, release) -> send(new ClaimRelease(claim, release.key())));
     }
 
-    /** A frame of the coordinator; false: not for this class. */
+    /** Handles a frame of the coordinator; returns false if it is not for this class. */
     boolean onFrame(Object frame) {
         if (frame instanceof ClaimGranted granted) {
             PendingClaim waiting = pending.remove(granted.claim());
@@ -146,7 +146,7 @@
             PendingClaim waiting = pending.remove(held.claim());
             if (waiting != null) {
                 if (waiting.isRepeated) {
-                    // Its other request may be granted yet, once the holder's claim is released.
+                    // The other copy of the request may still be granted once the holder's claim is released.
                     release(held.claim(), waiting.key);
                 }
                 waiting.listener.onHeld(held.holder(), held.holderEdge());
@@ -181,8 +181,8 @@
     void tick() {
         long now = clock.getAsLong();
         Map<ClaimId, PendingClaim> waiting = new HashMap<>(pending);
-        waiting.forEach((claim, one) -> {
-            if (now >= one.giveUpAtMs) {
+        waiting.forEach((claim, pendingClaim) -> {
+            if (now >= pendingClaim.giveUpAtMs) {
                 giveUp(claim, coordinatorMissing ? NO_COORDINATOR_RETRY_MS : SLOW_COORDINATOR_RETRY_MS);
             }
         });
@@ -196,7 +196,7 @@
         }
     }
 
-    /** Releases that are not acknowledged yet. */
+    /** Number of unacknowledged releases. */
     int releaseCount() {
         return releases.size();
     }
--- a/src/main/java/brambletray/platform/edge/CoordinatorCandidates.java
+++ b/src/main/java/brambletray/platform/edge/CoordinatorCandidates.java
@@ -7,12 +7,12 @@
 import java.util.Set;
 
 /**
- * The members of the control plane that an edge may ask for the coordinator, in order: those of the newest view that it
- * has received, then those that its settings have named, which may all be outdated by then. Each process starts at
- * another position, so that not all ask the same member. Does no I/O.
+ * The control plane members that an edge tries when it looks for the coordinator, in order: those of the newest view
+ * that it has received, then those named by its settings, which may all be outdated by then. Each process starts at a
+ * different offset, so that not all edges try the same member. Does no I/O.
  */
 final class CoordinatorCandidates {
-    /** Addresses of the settings that are remembered. */
+    /** Maximum number of addresses from settings that are kept. */
     private static final int MAX_CANDIDATES = 16;
 
     private final int startOffset;
@@ -22,12 +22,12 @@
     private List<Address> order = List.of();
     private int position;
 
-    /** {@code startOffset}: any number, another in each process. */
+    /** {@code startOffset}: any number, different in each process. */
     CoordinatorCandidates(int startOffset) {
         this.startOffset = startOffset;
     }
 
-    /** Sets the members that the settings name now; those named before are kept after them. */
+    /** Sets the members that the settings name now; previously named ones are kept after them. */
     void onSeeds(List<Address> named) {
         Set<Address> all = new LinkedHashSet<>(named);
         all.addAll(seeds);
@@ -35,9 +35,7 @@
         rebuildOrder();
     }
 
-    /**
-     * A member reports the members of an active view, of this number; an older view than the known one is ignored.
-     */
+    /** Sets the members of the active view with this number; ignored unless it is newer than the known view. */
     void onViewMembers(long reportedView, List<Address> reported) {
         if (reportedView > viewNumber && !reported.isEmpty()) {
             viewNumber = reportedView;
@@ -57,12 +55,12 @@
         position = 0;
     }
 
-    /** A new search begins: at the members of the newest view. */
+    /** Starts a new search, at the members of the newest view. */
     void restart() {
         position = 0;
     }
 
-    /** The next to ask, in turn, but not this one (null: any) if there is another; null: none is known. */
+    /** The next member in turn, skipping {@code excluded} (may be null) if there is another; null: none is known. */
     Address next(Address excluded) {
         if (order.isEmpty()) {
             return null;
--- a/src/main/java/brambletray/platform/edge/CoordinatorClient.java
+++ b/src/main/java/brambletray/platform/edge/CoordinatorClient.java
@@ -18,69 +18,70 @@
 
 /**
  * An edge's connection to the coordinator. Any member of the control plane answers with the coordinator's address and
- * repeats it as soon as it changes; a coordinator that sends no heartbeat, or says that its lease has expired, is
- * left for the next member that answers. To be used on the loop only.
+ * sends it again as soon as it changes. If the coordinator sends no heartbeat, or reports that its lease has expired,
+ * the edge detaches and tries the other members. Confined to the event loop.
  *
- * <p>Terms fence it: the highest term seen by this process is kept across connections and sent in each {@code Hello}.
- * An edge does not attach to a coordinator of a lower term and does not follow a redirect to one; a coordinator's
- * messages count only on a connection on which it has sent a heartbeat, and only under the term of that heartbeat.
+ * <p>Terms provide fencing: the highest term seen by this process is kept across connections and sent in each
+ * {@code Hello}. An edge does not attach to a coordinator of a lower term and does not follow a redirect to one; a
+ * coordinator's messages are accepted only on a connection on which it has sent a heartbeat, and only under the term of
+ * that heartbeat.
  */
 final class CoordinatorClient implements LinkHandler {
     private static final EventLog LOG = EventLog.of("edge");
     /**
-     * ms without a message after which the coordinator is looked for elsewhere; it sends four heartbeats in that
-     * time.
+     * Time in ms without a message after which the edge detaches from the coordinator, which sends four heartbeats in
+     * that time.
      */
     private static final int HEARTBEAT_TIMEOUT_MS = 1_000;
     /**
-     * ms between two ticks from which on this process itself was paused, and messages of the coordinator may lie
-     * unread.
+     * If more ms than this pass between two ticks, this process itself was paused, and messages of the coordinator may
+     * still be unread.
      */
     private static final int MAX_TICK_DELAY_MS = 500;
-    /** ms after which a roster that was asked for is asked for again. */
+    /** Time in ms after which an unanswered roster request is repeated. */
     private static final int ROSTER_RETRY_MS = 1_000;
 
     private static final long NEVER = Long.MIN_VALUE / 2;
-    /** ms for a member to connect and name the coordinator, and for the coordinator to send a heartbeat. */
+    /** Time limit in ms to connect and learn the coordinator's address, and for the coordinator's first heartbeat. */
     private static final int CONNECT_TIMEOUT_MS = 400;
     /**
-     * ms to stay with a member that is in touch with the others and knows no coordinator: it reports one as soon as
-     * there is one.
+     * Time in ms to stay connected to a member that is in an active view but knows no coordinator: it reports one as
+     * soon as there is one.
      */
     private static final int WELCOME_TIMEOUT_MS = 1_000;
     /**
-     * ms to stay with a member that is out of touch: it may be cut off from the rest for long, or a view may be about
-     * to begin.
+     * Time in ms to stay connected to a member that is in no active view: it may be partitioned from the others for
+     * long, or a view may be about to begin.
      */
     private static final int RETRY_INTERVAL_MS = 150;
     /**
-     * ms for which a coordinator that sent no heartbeat, or released this edge, is not tried again on the word of
-     * others, which may be as old as its lease.
+     * Time in ms for which redirects to a coordinator that sent no heartbeat or gave up its lease are not followed:
+     * until its lease expires, other members may still name it.
      */
     private static final int AVOID_MS = 600;
 
-    /** What an edge does with what it hears. */
+    /** Receives the coordinator's messages and supplies the edge's state. */
     interface Listener {
-        /** What to say first on each link, and again when not listed as it is. */
+        /** The hello sent on each new link, and again when a tried member is the one already connected. */
         Object helloFrame();
 
         Roster currentRoster();
 
         void onRoster(Roster roster);
 
-        /** {@link #nextDueMs} may be earlier than before. */
+        /** Called when {@link #nextDueMs} may have become earlier. */
         void onTimeoutChanged();
 
-        /** The coordinator has announced the newest configuration. */
+        /** The coordinator has announced the newest configuration revision. */
         void onNewestRevision(long revision);
 
-        /** A part of it, as was fetched. */
+        /** A chunk of a requested configuration delta. */
         void onChunk(DeltaChunk chunk);
 
-        /** Every other message of the coordinator. */
+        /** Any other message of the coordinator. */
         void onFrame(Object frame);
 
-        /** A coordinator of this term has been found; nothing was sent to it yet. */
+        /** The edge has attached to a coordinator of this term; nothing but the hello was sent to it yet. */
         void onAttached(long term);
     }
 
@@ -93,7 +94,7 @@
     private final CoordinatorCandidates candidates;
     private LinkDialer dialer;
     private long connectingSinceMs;
-    /** ms from {@link #connectingSinceMs} until the next member is asked. */
+    /** Time in ms from {@link #connectingSinceMs} until the next member is tried. */
     private int timeoutMs = CONNECT_TIMEOUT_MS;
 
     private Avoided avoided = new Avoided(null, 0, Long.MIN_VALUE / 2);
@@ -101,7 +102,7 @@
     private long term;
     private boolean isAttached;
     private long lastTickMs = Long.MIN_VALUE / 2;
-    /** When the roster was asked for, and hasn't come; ms. */
+    /** When the pending roster request was sent, ms; {@link #NEVER}: none is pending. */
     private long rosterRequestedAtMs = NEVER;
 
     CoordinatorClient(
@@ -119,7 +120,7 @@
         onMembers(members);
     }
 
-    /** Members of the core, as the settings name them now. */
+    /** Sets the control plane members that the settings name now. */
     void onMembers(List<Address> members) {
         candidates.onSeeds(members);
     }
@@ -128,12 +129,12 @@
         return isAttached;
     }
 
-    /** The highest term of any coordinator that has spoken to this process; 0: none yet. */
+    /** The highest term of any coordinator heartbeat that this process has received; 0: none yet. */
     long term() {
         return term;
     }
 
-    /** Sends to the coordinator; lost where there is none. */
+    /** Sends a frame to the coordinator; drops it and returns false if the edge is not attached. */
     boolean send(Object frame) {
         return isAttached && dialer != null && dialer.send(frame);
     }
@@ -144,14 +145,14 @@
         }
         lastTickMs = now;
         if (isAttached && now - heartbeatAtMs > HEARTBEAT_TIMEOUT_MS) {
-            onCoordinatorLost("no pulse for " + (now - heartbeatAtMs) + " ms", now);
-            tryNext(now);
+            onCoordinatorLost("no heartbeat for " + (now - heartbeatAtMs) + " ms", now);
+            connectToNext(now);
         } else if (!isAttached && (dialer == null || now - connectingSinceMs > timeoutMs)) {
-            tryNext(now);
+            connectToNext(now);
         }
     }
 
-    /** When {@link #tick} has something to do, unless a message comes before; steady ms. */
+    /** When {@link #tick} is next needed if no message arrives before; monotonic ms. */
     long nextDueMs() {
         if (isAttached) {
             return heartbeatAtMs + HEARTBEAT_TIMEOUT_MS + 1;
@@ -170,7 +171,7 @@
                 .log();
     }
 
-    private void tryNext(long now) {
+    private void connectToNext(long now) {
         Address next = candidates.next(dialer == null ? null : dialer.target());
         if (next != null) {
             connectTo(next, now);
@@ -178,7 +179,7 @@
     }
 
     private void connectTo(Address member, long now) {
-        waitFor(CONNECT_TIMEOUT_MS, now);
+        startTimeout(CONNECT_TIMEOUT_MS, now);
         if (dialer != null && dialer.target().equals(member)) {
             dialer.dialNow();
             if (dialer.isUp()) {
@@ -192,7 +193,7 @@
         dialer = new LinkDialer(machine, codec, member, this, now ^ member.hashCode());
     }
 
-    private void waitFor(int ms, long now) {
+    private void startTimeout(int ms, long now) {
         connectingSinceMs = now;
         timeoutMs = ms;
         listener.onTimeoutChanged();
@@ -226,7 +227,7 @@
             }
         } else if (frame instanceof DeltaChunk chunk) {
             if (hasAuthority(chunk.term(), frame)) {
-                // Sent by a coordinator that may act, like a heartbeat.
+                // Counts as a heartbeat: only a coordinator that holds its lease sends it.
                 heartbeatAtMs = now;
                 listener.onChunk(chunk);
             }
@@ -235,7 +236,7 @@
         }
     }
 
-    /** Whether a frame under this term has authority here and now. */
+    /** Whether a frame of this term is from the coordinator that the edge is attached to; logs rejected frames. */
     private boolean hasAuthority(long frameTerm, Object frame) {
         boolean authoritative = isAttached && frameTerm == term;
         if (!authoritative) {
@@ -254,26 +255,27 @@
         List<Address> members = new ArrayList<>();
         welcome.members().forEach(member -> members.add(Address.parse(member)));
         candidates.onViewMembers(welcome.viewNumber(), members);
-        boolean named = !welcome.coordinatorAddress().isEmpty() && welcome.term() >= term;
-        Address coordinator = named ? Address.parse(welcome.coordinatorAddress()) : null;
-        boolean here = named && coordinator.equals(dialer.target());
-        if (here && welcome.isMissing(listener.currentRoster())) {
+        boolean namesCoordinator = !welcome.coordinatorAddress().isEmpty() && welcome.term() >= term;
+        Address coordinator = namesCoordinator ? Address.parse(welcome.coordinatorAddress()) : null;
+        boolean isNamedMember = namesCoordinator && coordinator.equals(dialer.target());
+        if (isNamedMember && welcome.isMissing(listener.currentRoster())) {
             dialer.send(listener.currentRoster());
         }
-        if (isAttached && named && welcome.term() == term) {
+        if (isAttached && namesCoordinator && welcome.term() == term) {
             return;
         }
         if (isAttached) {
-            onCoordinatorLost(named ? "it names another coordinator" : "its lease has expired", now);
+            onCoordinatorLost(
+                    namesCoordinator ? "member names another coordinator" : "coordinator lease has expired", now);
         }
-        if (here) {
-            waitFor(CONNECT_TIMEOUT_MS, now);
-        } else if (!named) {
-            waitFor(welcome.inActiveView() ? WELCOME_TIMEOUT_MS : RETRY_INTERVAL_MS, now);
+        if (isNamedMember) {
+            startTimeout(CONNECT_TIMEOUT_MS, now);
+        } else if (!namesCoordinator) {
+            startTimeout(welcome.inActiveView() ? WELCOME_TIMEOUT_MS : RETRY_INTERVAL_MS, now);
         } else if (coordinator.equals(avoided.coordinator())
                 && welcome.term() == avoided.term()
                 && now < avoided.untilMs()) {
-            waitFor((int) (avoided.untilMs() - now), now);
+            startTimeout((int) (avoided.untilMs() - now), now);
         } else {
             connectTo(coordinator, now);
         }
@@ -290,11 +292,11 @@
                     .log();
             return;
         }
-        boolean fresh = !isAttached || heartbeat.term() > term;
+        boolean isNewTerm = !isAttached || heartbeat.term() > term;
         heartbeatAtMs = now;
         term = heartbeat.term();
         isAttached = true;
-        if (fresh) {
+        if (isNewTerm) {
             LOG.info("coordinator-attached")
                     .with("coordinator", dialer.target())
                     .with("term", term)
@@ -304,9 +306,9 @@
         }
         listener.onNewestRevision(heartbeat.revision());
         Roster roster = listener.currentRoster();
-        boolean behind = heartbeat.rosterNumber() > 0
+        boolean isRosterOutdated = heartbeat.rosterNumber() > 0
                 && (roster.term() != heartbeat.term() || roster.number() < heartbeat.rosterNumber());
-        if (behind && now - rosterRequestedAtMs > ROSTER_RETRY_MS) {
+        if (isRosterOutdated && now - rosterRequestedAtMs > ROSTER_RETRY_MS) {
             rosterRequestedAtMs = now;
             dialer.send(new RosterRequest(roster.term(), roster.number()));
         }
@@ -316,7 +318,7 @@
     public void onLinkDown(Link link, String reason) {
         if (isAttached && dialer.link() == null) {
             onCoordinatorLost(reason, now());
-            waitFor(RETRY_INTERVAL_MS, now());
+            startTimeout(RETRY_INTERVAL_MS, now());
         }
     }
 }
--- a/src/main/java/brambletray/platform/edge/EarliestTimer.java
+++ b/src/main/java/brambletray/platform/edge/EarliestTimer.java
@@ -5,13 +5,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Runs one task at the earliest time that was requested since it last ran, and no more often: a time that an earlier
- * one replaces is taken off the loop, as each timer that fires is a wake-up of the process. For the event loop only;
- * times are steady ms.
+ * Runs one task at the earliest time that was requested since it last ran, and only then: a later timer that is
+ * replaced by an earlier one is cancelled, because each timer that fires wakes the process up. Confined to the event
+ * loop; times are monotonic ms.
  */
 final class EarliestTimer {
     private static final long NOT_SCHEDULED = Long.MAX_VALUE;
-    /** ms past its time after which a run counts as lost. */
+    /** Time in ms past its due time after which a run counts as lost. */
     private static final int MAX_DELAY_MS = 200;
 
     private final Machine machine;
@@ -24,7 +24,7 @@
         this.task = task;
     }
 
-    /** Requests a run at this time, or earlier. */
+    /** Requests a run at this time at the latest. */
     void schedule(long atMs) {
         if (atMs < dueMs) {
             cancel();
@@ -34,7 +34,7 @@
         }
     }
 
-    /** Schedules a run where a former one failed before it could request the next. */
+    /** Schedules a run now if none is pending, for example because the last run failed before scheduling the next. */
     void recover(long nowMs) {
         if (dueMs == NOT_SCHEDULED || nowMs - dueMs > MAX_DELAY_MS) {
             dueMs = NOT_SCHEDULED;
--- a/src/main/java/brambletray/platform/edge/EdgeLinks.java
+++ b/src/main/java/brambletray/platform/edge/EdgeLinks.java
@@ -15,21 +15,21 @@
 import java.util.Map;
 
 /**
- * Links among edges. Each dials those that it has something to say to first; answers go back on the link on which the
- * question came. Links to peers that have left the roster are closed. For the loop only.
+ * Links between edges. An edge dials a peer when it first sends to it; responses go back on the link on which the
+ * request arrived. Links to peers that have left the roster are closed. Confined to the event loop.
  */
 final class EdgeLinks {
-    /** ms for which a link must be down before its peer is passed over. */
+    /** Time in ms for which a link must be down before its peer counts as unreachable. */
     private static final int UNREACHABLE_AFTER_MS = 120;
 
-    /** Who hears what peers say. */
+    /** Receives the frames of peers and the state of dialled links. */
     interface Listener {
         void onFrame(String peer, Object frame);
 
-        /** A link that we dialled is up: what was said before it may be lost. */
+        /** A dialled link is up; frames sent before may be lost. */
         void onLinkUp(String peer);
 
-        /** A link that we dialled is down; the peer may be gone. */
+        /** A dialled link is down; the peer may have ended. */
         void onLinkDown(String peer);
     }
 
@@ -57,17 +57,17 @@
 
     void onRoster(Roster next) {
         roster = next;
-        for (Iterator<Map.Entry<String, DialedLink>> each =
+        for (Iterator<Map.Entry<String, DialedLink>> entries =
                         dialedLinks.entrySet().iterator();
-                each.hasNext(); ) {
-            Map.Entry<String, DialedLink> one = each.next();
-            Peer peer = next.find(one.getKey());
-            if (peer == null || !peer.address().equals(one.getValue().peer.address())) {
-                each.remove();
-                one.getValue().dialer.close();
-            } else if (peer.incarnation() != one.getValue().peer.incarnation()) {
-                one.getValue().peer = peer;
-                one.getValue().dialer.dialNow();
+                entries.hasNext(); ) {
+            Map.Entry<String, DialedLink> entry = entries.next();
+            Peer peer = next.find(entry.getKey());
+            if (peer == null || !peer.address().equals(entry.getValue().peer.address())) {
+                entries.remove();
+                entry.getValue().dialer.close();
+            } else if (peer.incarnation() != entry.getValue().peer.incarnation()) {
+                entry.getValue().peer = peer;
+                entry.getValue().dialer.dialNow();
             }
         }
     }
@@ -99,13 +99,13 @@
         return dialedLink;
     }
 
-    /** Whether a link to it has been down for too long to wait for. */
+    /** Whether the dialled link to this peer has been down for longer than the limit. */
     boolean isUnreachable(String name) {
         DialedLink dialedLink = dialedLinks.get(name);
         return dialedLink != null && !dialedLink.dialer.isUp() && now() - dialedLink.downSinceMs > UNREACHABLE_AFTER_MS;
     }
 
-    /** Answers a peer on the link on which it calls. */
+    /** Sends a response to a peer on the link that the peer has dialled. */
     boolean respond(String name, Object frame) {
         Link link = acceptedLinks.get(name);
         return link != null && link.send(frame);
@@ -117,11 +117,11 @@
 
     private final class OutboundHandler implements LinkHandler {
         private final String name;
-        private final DialedLink spoke;
+        private final DialedLink dialedLink;
 
         OutboundHandler(String name, DialedLink dialedLink) {
             this.name = name;
-            this.spoke = dialedLink;
+            this.dialedLink = dialedLink;
         }
 
         @Override
@@ -136,9 +136,9 @@
         }
 
         @Override
-        public void onLinkDown(Link link, String why) {
-            spoke.downSinceMs = now();
-            if (dialedLinks.get(name) == spoke) {
+        public void onLinkDown(Link link, String reason) {
+            dialedLink.downSinceMs = now();
+            if (dialedLinks.get(name) == dialedLink) {
                 listener.onLinkDown(name);
             }
         }
@@ -156,12 +156,12 @@
             } else if (link.tag() instanceof String name) {
                 listener.onFrame(name, frame);
             } else {
-                link.close("said something before its name");
+                link.close("peer sent a frame before its introduction");
             }
         }
 
         @Override
-        public void onLinkDown(Link link, String why) {
+        public void onLinkDown(Link link, String reason) {
             if (link.tag() instanceof String name) {
                 acceptedLinks.remove(name, link);
             }
--- a/src/main/java/brambletray/platform/edge/EdgeProgram.java
+++ b/src/main/java/brambletray/platform/edge/EdgeProgram.java
@@ -47,23 +47,23 @@
 import java.util.function.IntConsumer;
 
 /**
- * The program of an edge machine: connects the packages to sockets, and decides nothing. For the event loop only,
- * once {@link #run} has started it.
+ * The program of an edge machine: connects the components to sockets and to each other, and contains no decision logic
+ * of its own. Confined to the event loop once {@link #run} has started it.
  */
 public final class EdgeProgram {
     private static final EventLog LOG = EventLog.of("edge");
     /**
-     * ms: between ticks at most, and at least. Each tick costs a wake-up, so that one is run when something is due; the
-     * shorter bound holds where what is due cannot be done yet.
+     * Longest and shortest interval between ticks, in ms. Each tick costs a wake-up, so a tick is scheduled for the
+     * time at which something is due; the shorter interval applies if what is due cannot be done yet.
      */
     private static final int MAX_TICK_INTERVAL_MS = 200;
 
     private static final int MIN_TICK_INTERVAL_MS = 50;
-    /** ms between figures in the log. */
+    /** Interval in ms between log lines with metrics. */
     private static final int METRICS_INTERVAL_MS = 5_000;
 
     private static final int HEARTBEAT_INTERVAL_MS = 200;
-    /** Connections of clients; the rest of the descriptors is for hosts, relays and files. */
+    /** Client connections; the remaining file descriptors are left for instances, links and files. */
     private static final int MAX_CLIENTS = 2_000;
 
     private final NodeSettings nodeSettings;
@@ -96,15 +96,16 @@
     private long metricsLoggedAtMs;
 
     /**
-     * On the loop; {@link #open} follows. {@code newIncarnation}: drawn at random; {@code exit}: ends the process
-     * with this code.
+     * Call on the event loop, then call {@link #open}. {@code newIncarnation} is a random number; {@code exit} ends
+     * the process with the given code.
      */
     EdgeProgram(NodeSettings nodeSettings, Machine machine, long newIncarnation, IntConsumer exit) {
         this.exit = exit;
         this.nodeSettings = nodeSettings;
         this.machine = machine;
-        Address inner = new Address(nodeSettings.ip(), nodeSettings.internalPortLow());
-        self = new Peer(nodeSettings.node(), nodeSettings.zone(), inner.toString(), newIncarnation, Peer.ACTIVE);
+        Address internalAddress = new Address(nodeSettings.ip(), nodeSettings.internalPortLow());
+        self = new Peer(
+                nodeSettings.node(), nodeSettings.zone(), internalAddress.toString(), newIncarnation, Peer.ACTIVE);
         introduction = new LinkIntroduction(self.name(), self.address(), false);
         connectionPools = new HostConnectionPools(machine, 4_000, counters);
         admissionTimer = new EarliestTimer(machine, this::tickAdmission);
@@ -135,7 +136,7 @@
                 newIncarnation);
         frontEndServer = new FrontEndServer(machine, requestRouter, MAX_CLIENTS);
         shutdown = new GracefulShutdown(machine, requestRouter, frontEndServer, exit);
-        edgeLinks = new EdgeLinks(machine, codec, inner, introduction, new PeerListener());
+        edgeLinks = new EdgeLinks(machine, codec, internalAddress, introduction, new PeerListener());
         coordinatorClient = coordinatorClient(newIncarnation);
         heartbeatMonitor = new HeartbeatMonitor(self, HEARTBEAT_INTERVAL_MS, new MonitorActions());
     }
@@ -155,7 +156,7 @@
                 incarnation, EdgeSettings.keyWindowMs(nodeSettings), new OperationLinks(), this::now);
     }
 
-    /** Runs the program until SIGTERM; returns the process's exit code. {@code newIncarnation}: drawn at random. */
+    /** Starts the program, which runs until SIGTERM. {@code newIncarnation} is a random number. */
     public static void run(NodeSettings nodeSettings, long newIncarnation) {
         Machine machine = Sockets.machine();
         Address frontEnd = nodeSettings.require("bind-addresses.front-end", nodeSettings.frontEnd());
@@ -195,18 +196,18 @@
                 .log();
     }
 
-    private void onListening(String what, Address at, Throwable cause) {
+    private void onListening(String listenerName, Address address, Throwable cause) {
         if (cause != null) {
             LOG.warn("listen-failed")
-                    .with("field", "bind-addresses." + what)
-                    .with("address", at)
+                    .with("field", "bind-addresses." + listenerName)
+                    .with("address", address)
                     .with("why", cause)
                     .log();
             exit.accept(2);
         }
     }
 
-    /** The configuration that requests are served by. */
+    /** The configuration under which requests are served. */
     Configuration configuration() {
         return configuration;
     }
@@ -215,7 +216,7 @@
         return !leaving && configuration != Configuration.NONE && roster.find(self.name()) != null;
     }
 
-    /** A request of a tenant waits for its right from now on, and the next tick looks after it. */
+    /** Sends a quota frame and schedules a tick, which handles requests whose wait for a right is overdue. */
     private boolean sendForQuota(Object frame) {
         tickTimer.schedule(now() + MIN_TICK_INTERVAL_MS);
         return coordinatorClient.send(frame);
@@ -235,7 +236,7 @@
             admissionTimer.recover(now);
             if (now - metricsLoggedAtMs > METRICS_INTERVAL_MS) {
                 metricsLoggedAtMs = now;
-                operationClient.forgetOld();
+                operationClient.removeExpired();
                 LogEventBuilder line = LOG.info("figures")
                         .with("waiting", slotClient.pendingCount())
                         .with("held", slotClient.heldCount())
@@ -251,7 +252,7 @@
         scheduleTick();
     }
 
-    /** At the earliest time at which a part of the program has something to do. */
+    /** Schedules the tick for the earliest time at which a component has something to do. */
     private void scheduleTick() {
         long now = now();
         long dueMs = Math.min(coordinatorClient.nextDueMs(), subscriber.nextDueMs());
@@ -278,18 +279,18 @@
                 nodeSettings, current -> coordinatorClient.onMembers(EdgeSettings.coreMembers(current)), LOG);
     }
 
-    /** Says so first, serves on until clients have been sent elsewhere, then ends with nothing under way. */
+    /** Announces the shutdown, serves until clients have moved elsewhere, and exits once no request is in flight. */
     void leave() {
         if (leaving) {
             return;
         }
         leaving = true;
-        long grace = (long) (nodeSettings.bounds().graceS() * 1_000);
+        long graceMs = (long) (nodeSettings.bounds().graceS() * 1_000);
         LOG.info("shutdown-started")
-                .with("grace-ms", grace)
+                .with("grace-ms", graceMs)
                 .with("in-flight", requestRouter.inFlight())
                 .log();
-        shutdown.start(grace);
+        shutdown.start(graceMs);
         self = self.asLeaving();
         heartbeatMonitor.updateSelf(self, configuration.revision());
         coordinatorClient.send(hello());
@@ -349,8 +350,8 @@
         }
         List<String> gone = new ArrayList<>();
         for (Peer peer : roster.peers()) {
-            Peer now = next.find(peer.name());
-            if (now == null || now.incarnation() != peer.incarnation()) {
+            Peer newPeer = next.find(peer.name());
+            if (newPeer == null || newPeer.incarnation() != peer.incarnation()) {
                 gone.add(peer.name());
             }
         }
@@ -521,7 +522,7 @@
         }
 
         @Override
-        public void onHeldHere(HeldSlots held) {
+        public void onHeldLocally(HeldSlots held) {
             localAdmission.onHeldSlots(held);
         }
     }
@@ -538,17 +539,17 @@
         }
 
         @Override
-        public void requestHere(SlotRequest request, boolean serveHere) {
+        public void requestLocally(SlotRequest request, boolean serveHere) {
             localAdmission.onSlotRequest(request, serveHere);
         }
 
         @Override
-        public void releaseHere(SlotRelease release) {
+        public void releaseLocally(SlotRelease release) {
             localAdmission.onSlotRelease(self.name(), release);
         }
 
         @Override
-        public void cancelHere(SlotRequestCancel cancel) {
+        public void cancelLocally(SlotRequestCancel cancel) {
             localAdmission.onCancel(self.name(), cancel);
         }
 
--- a/src/main/java/brambletray/platform/edge/EdgeSettings.java
+++ b/src/main/java/brambletray/platform/edge/EdgeSettings.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What an edge derives from the settings of its machine. */
+/** Values that an edge derives from the settings of its machine. */
 final class EdgeSettings {
     private static final int MS_PER_S = 1_000;
 
@@ -20,7 +20,7 @@
                 Math.max(1, nodeSettings.zones().size()));
     }
 
-    /** Where members of the core listen to edges. */
+    /** The addresses on which control plane members accept links from edges. */
     static List<Address> coreMembers(NodeSettings nodeSettings) {
         List<Address> members = new ArrayList<>();
         for (Address seed : nodeSettings.seeds()) {
@@ -34,12 +34,12 @@
         return (long) (nodeSettings.bounds().quotaWindowS() * MS_PER_S);
     }
 
-    /** For how long an operation runs at most once. */
+    /** The time within which an operation runs at most once. */
     static int keyWindowMs(NodeSettings nodeSettings) {
         return (int) (nodeSettings.bounds().keyWindowS() * MS_PER_S);
     }
 
-    /** Bytes of requests and answers that are buffered at one time. */
+    /** Maximum number of bytes of requests and answers that are buffered at a time. */
     static long maxBufferedBytes(NodeSettings nodeSettings) {
         return Math.min(48L << 20, (long) nodeSettings.limits().memoryMb() << 17);
     }
--- a/src/main/java/brambletray/platform/edge/GrantedClaim.java
+++ b/src/main/java/brambletray/platform/edge/GrantedClaim.java
@@ -7,7 +7,7 @@
 import brambletray.platform.proxy.RecordedAnswer;
 import java.util.function.LongSupplier;
 
-/** A claim of this edge, as its request uses it. */
+/** A claim granted to this edge, as seen by the request that holds it. */
 final class GrantedClaim implements OperationClaim {
     private final ClaimId claim;
     private final OperationKey operation;
@@ -16,7 +16,7 @@
     private final ClaimClient claimClient;
     private final LongSupplier clock;
 
-    /** {@code usableUntilMs}: until when its request may be sent, steady ms; well before the claim expires. */
+    /** {@code usableUntilMs}: until when the request may be sent, monotonic ms; well before the claim expires. */
     GrantedClaim(
             ClaimId claim,
             OperationKey operation,
--- a/src/main/java/brambletray/platform/edge/HeldRights.java
+++ b/src/main/java/brambletray/platform/edge/HeldRights.java
@@ -11,11 +11,11 @@
 import java.util.Map;
 import java.util.function.LongSupplier;
 
-/** The rights that were granted to this edge, until they are spent or go back. For the event loop only. */
+/** The rights granted to this edge until they are spent or returned. Confined to the event loop. */
 final class HeldRights {
     private final LongSupplier clock;
     private final RunAheadAllowances allowances;
-    /** In the order in which they came. */
+    /** In the order of their grants. */
     private final ArrayDeque<HeldRight> rights = new ArrayDeque<>();
 
     HeldRights(LongSupplier clock, RunAheadAllowances allowances) {
@@ -23,18 +23,18 @@
         this.allowances = allowances;
     }
 
-    /** One right, valid by the steady clock from when it was asked for. */
+    /** A right; its validity is counted from its request, by the monotonic clock. */
     final class HeldRight implements QuotaGate.Right {
         private final String tenant;
-        private final long askedAtMs;
+        private final long requestedAtMs;
         private final long validUntilMs;
         private boolean isSpent;
         private boolean isReturned;
 
-        private HeldRight(String tenant, long askedAtMs) {
+        private HeldRight(String tenant, long requestedAtMs) {
             this.tenant = tenant;
-            this.askedAtMs = askedAtMs;
-            validUntilMs = askedAtMs + QuotaTerms.RIGHT_VALIDITY_MS;
+            this.requestedAtMs = requestedAtMs;
+            validUntilMs = requestedAtMs + QuotaTerms.RIGHT_VALIDITY_MS;
         }
 
         @Override
@@ -51,9 +51,9 @@
         }
     }
 
-    /** A right was granted that was asked for at this time. */
-    HeldRight add(String tenant, long askedAtMs) {
-        HeldRight right = new HeldRight(tenant, askedAtMs);
+    /** Adds a granted right that was requested at this time. */
+    HeldRight add(String tenant, long requestedAtMs) {
+        HeldRight right = new HeldRight(tenant, requestedAtMs);
         rights.add(right);
         return right;
     }
@@ -62,21 +62,22 @@
         return rights.isEmpty();
     }
 
-    /** For a request that is sent ahead of its right, and is counted already. */
-    QuotaGate.Right sentAhead(long nowMs) {
+    /** A right for a request sent on the run-ahead allowance, where it is counted already. */
+    QuotaGate.Right runAheadRight(long nowMs) {
         HeldRight right = new HeldRight(null, nowMs);
         right.isSpent = true;
         return right;
     }
 
-    /** Rights of another coordinator than this term's go back to nobody. */
+    /** Drops all rights: those of a former coordinator are not returned to the next. */
     void onTerm(long term) {
         rights.clear();
     }
 
     /**
-     * What goes back, as it was not spent in time. Rights that are older, as this process was frozen, are lost: the
-     * giver would take them for newer ones that may be spent still.
+     * Removes rights that were not spent in time, and returns them by tenant. Rights beyond the maximum age for a
+     * return, which occur after a pause of this process, are lost: the coordinator would take them for newer ones that
+     * may still be spent.
      */
     List<QuotaReturn> takeReturns(long nowMs) {
         Map<String, Integer> unspent = new HashMap<>();
@@ -85,7 +86,7 @@
             if (!right.isSpent) {
                 right.isReturned = true;
             }
-            if (!right.isSpent && nowMs - right.askedAtMs <= QuotaTerms.MAX_RETURN_AGE_MS) {
+            if (!right.isSpent && nowMs - right.requestedAtMs <= QuotaTerms.MAX_RETURN_AGE_MS) {
                 unspent.merge(right.tenant, 1, Integer::sum);
             }
         }
--- a/src/main/java/brambletray/platform/edge/InstanceAddresses.java
+++ b/src/main/java/brambletray/platform/edge/InstanceAddresses.java
@@ -5,7 +5,7 @@
 
 /**
  * IP addresses of the most recently used instances, {@value #MAX_ENTRIES} at most; requests from one of them are
- * nested calls. For the event loop only.
+ * nested calls. Confined to the event loop.
  */
 final class InstanceAddresses {
     private static final int MAX_ENTRIES = 4_096;
@@ -19,7 +19,7 @@
         }
     };
 
-    /** Remembers an instance's {@code ip:port}. */
+    /** Adds the address {@code ip:port} of an instance. */
     void add(String address) {
         ips.put(address.substring(0, address.lastIndexOf(':')), Boolean.TRUE);
     }
--- a/src/main/java/brambletray/platform/edge/LocalAdmission.java
+++ b/src/main/java/brambletray/platform/edge/LocalAdmission.java
@@ -39,25 +39,25 @@
 import java.util.function.LongSupplier;
 
 /**
- * The service queues of which this edge is the home, and their messages. What the queues want done is done after they
- * have returned, as they must not be called back from within. For the event loop only.
+ * The service queues of which this edge is the home, and their messages. Actions that the queues request are run after
+ * the call into the queues has returned, because the queues are not reentrant. Confined to the event loop.
  */
 final class LocalAdmission {
-    /** ms between two checks for queues that belong to another edge by now. */
+    /** Interval in ms between checks for queues whose home is another edge by now. */
     private static final int SWEEP_INTERVAL_MS = 1_000;
 
     /**
-     * ms for which reported slots of a service are remembered of which this edge is not the home yet: rosters reach
-     * edges at different moments.
+     * Time in ms for which held slots are kept that were reported for a service of which this edge is not the home yet:
+     * rosters reach edges at different times.
      */
-    private static final int EARLY_MS = 2_000;
-    /** Of these words, remembered at a time. */
+    private static final int EARLY_REPORT_TTL_MS = 2_000;
+    /** Maximum number of early reports kept at a time. */
     private static final int MAX_EARLY_REPORTS = 1_024;
 
-    /** What an edge has reported of the slots it holds, before this edge knew that it is the home. */
+    /** Held slots that an edge has reported before this edge knew that it is the home of their service. */
     private record EarlyReport(HeldSlots held, long reportedAtMs) {}
 
-    /** Where its words go. */
+    /** Delivers messages of the queues. */
     interface Transport {
         void grant(String edge, SlotGrant grant);
 
@@ -67,7 +67,7 @@
 
         void sendToCoordinator(Object frame);
 
-        /** {@link #tick} is to be called then, ms; said at each change. */
+        /** Requests a call of {@link #tick} at this time, ms; called whenever the time changes. */
         void scheduleTick(long at);
 
         void probe(String service, String host, String address);
@@ -103,7 +103,7 @@
         return clock.getAsLong();
     }
 
-    /** Does what the queues wanted during the call that has just returned. */
+    /** Runs the actions that the queues requested during the call that has just returned. */
     private void runDeferred() {
         if (runningActions) {
             return;
@@ -129,32 +129,34 @@
         runDeferred();
     }
 
-    /** Becomes the home of a service, and passes on what edges have reported of its slots already. */
+    /** Becomes the home of a service, and applies the early reports of its held slots. */
     private void takeOver(String service, String rootZone) {
         queues.takeOver(service, rootZone, otherEdges(), now());
         if (!queues.isHomeOf(service)) {
             return;
         }
-        for (EarlyReport one : earlyReports) {
-            if (one.held.service().equals(service) && now() - one.reportedAtMs <= EARLY_MS) {
-                queues.onHeldSlots(one.held, now());
+        for (EarlyReport report : earlyReports) {
+            if (report.held.service().equals(service) && now() - report.reportedAtMs <= EARLY_REPORT_TTL_MS) {
+                queues.onHeldSlots(report.held, now());
             }
         }
-        earlyReports.removeIf(one -> one.held.service().equals(service));
+        earlyReports.removeIf(report -> report.held.service().equals(service));
     }
 
-    private void rememberEarly(HeldSlots held) {
-        earlyReports.removeIf(one -> now() - one.reportedAtMs > EARLY_MS
-                || one.held.edge().equals(held.edge()) && one.held.service().equals(held.service()));
+    private void storeEarlyReport(HeldSlots held) {
+        earlyReports.removeIf(report -> now() - report.reportedAtMs > EARLY_REPORT_TTL_MS
+                || report.held.edge().equals(held.edge())
+                        && report.held.service().equals(held.service()));
         if (earlyReports.size() < MAX_EARLY_REPORTS) {
             earlyReports.add(new EarlyReport(held, now()));
         }
     }
 
-    /** A slot that was reported early has been released, or will not be used. */
-    private void dropEarly(String edge, long requestId) {
-        earlyReports.replaceAll(one ->
-                one.held.edge().equals(edge) ? new EarlyReport(one.held.without(requestId), one.reportedAtMs) : one);
+    /** Removes a slot from early reports, because it was released or its request was cancelled. */
+    private void removeFromEarlyReports(String edge, long requestId) {
+        earlyReports.replaceAll(report -> report.held.edge().equals(edge)
+                ? new EarlyReport(report.held.without(requestId), report.reportedAtMs)
+                : report);
     }
 
     private List<String> otherEdges() {
@@ -168,13 +170,13 @@
     }
 
     void onSlotRelease(String edge, SlotRelease release) {
-        dropEarly(edge, release.requestId());
+        removeFromEarlyReports(edge, release.requestId());
         queues.onSlotRelease(edge, release, now());
         runDeferred();
     }
 
     void onCancel(String edge, SlotRequestCancel cancel) {
-        dropEarly(edge, cancel.requestId());
+        removeFromEarlyReports(edge, cancel.requestId());
         queues.onCancel(edge, cancel, now());
         runDeferred();
     }
@@ -183,7 +185,7 @@
         if (queues.isHomeOf(held.service())) {
             queues.onHeldSlots(held, now());
         } else {
-            rememberEarly(held);
+            storeEarlyReport(held);
             if (isHome(held.service())) {
                 takeOver(held.service(), homeAssignment.rootZone(held.service()));
             }
@@ -201,13 +203,13 @@
         return home != null && home.name().equals(self);
     }
 
-    /** A message of the coordinator. */
+    /** Handles a message of the coordinator. */
     void onCoordinatorFrame(Object frame) {
         long now = now();
         if (frame instanceof InstanceStarted started) {
             queues.onInstanceStarted(started, now);
-        } else if (frame instanceof InstanceList hosts) {
-            queues.onInstanceList(hosts, now);
+        } else if (frame instanceof InstanceList instances) {
+            queues.onInstanceList(instances, now);
         } else if (frame instanceof StartRefusal refusal) {
             queues.onStartRefused(refusal, now);
         } else if (frame instanceof InstanceDraining draining) {
@@ -220,7 +222,7 @@
         runDeferred();
     }
 
-    /** Another configuration. */
+    /** Applies a new configuration. */
     void onConfiguration(Configuration configuration) {
         Map<String, Integer> targets = new HashMap<>();
         for (Route route : configuration.routes().values()) {
@@ -228,7 +230,7 @@
                 targets.merge(share.service(), route.latencyTargetMs(), Math::min);
             }
         }
-        Set<String> before = new HashSet<>(specs.keySet());
+        Set<String> removed = new HashSet<>(specs.keySet());
         specs.clear();
         long now = now();
         for (Service service : configuration.services().values()) {
@@ -240,18 +242,18 @@
                     targets.getOrDefault(service.name(), 0));
             specs.put(service.name(), spec);
             queues.onServiceSpec(spec, now);
-            before.remove(service.name());
+            removed.remove(service.name());
         }
-        for (String gone : before) {
-            queues.withdraw(gone, now);
+        for (String removedService : removed) {
+            queues.withdraw(removedService, now);
         }
         startWarmInstances();
         runDeferred();
     }
 
     /**
-     * Services whose start cannot be hidden behind their target have one warm host at their root, from the
-     * configuration on.
+     * Keeps one warm instance in the root zone of each service whose boot time exceeds its latency target: a cold start
+     * would miss the target.
      */
     private void startWarmInstances() {
         for (ServiceSpec spec : specs.values()) {
@@ -265,11 +267,11 @@
         }
     }
 
-    /** Another roster: {@code gone} are those that are no longer the process they were. */
+    /** Applies a new roster; {@code gone} lists edges that have left or restarted as another incarnation. */
     void onRoster(HomeAssignment next, List<String> gone) {
         homeAssignment = next;
         for (String edge : gone) {
-            earlyReports.removeIf(one -> one.held.edge().equals(edge));
+            earlyReports.removeIf(report -> report.held.edge().equals(edge));
             queues.onEdgeGone(edge, now());
         }
         sweep();
--- a/src/main/java/brambletray/platform/edge/OperationClient.java
+++ b/src/main/java/brambletray/platform/edge/OperationClient.java
@@ -13,23 +13,23 @@
 import java.util.function.LongSupplier;
 
 /**
- * Operations at this edge (rule TWICE): claims them at the coordinator for requests of this edge, remembers what became
- * of each claim, and gives the first attempt's answer to the attempts that repeat it here or at other edges. For the
- * event loop only.
+ * Runs each operation at most once (rule TWICE): claims operations at the coordinator for requests of this edge,
+ * records the result of each claim, and returns the first attempt's answer to repeated attempts at this and other
+ * edges. Confined to the event loop.
  */
 final class OperationClient implements OperationGate {
-    /** ms until an operation whose former claim has not run is claimed again; how often. */
+    /** Delay in ms before an operation is claimed again after its holder released it without running it. */
     private static final int RECLAIM_DELAY_MS = 40;
 
     private static final int MAX_RECLAIMS = 5;
-    /** ms between two checks whether other edges can still answer. */
+    /** Interval in ms between checks whether queried edges can still answer. */
     private static final int QUERY_CHECK_MS = 50;
-    /** ms beyond the window for which results are remembered: the log's time is behind the steady clock. */
+    /** Time in ms beyond the window for which results are kept: the log's time lags behind the monotonic clock. */
     private static final int RETENTION_MARGIN_MS = 15_000;
 
     private static final int MAX_RESULTS = 50_000;
     private static final long MAX_RESULT_BYTES = 16L << 20;
-    /** Time to retry in ms where nothing better is known. */
+    /** Default retry delay in ms. */
     private static final int RETRY_AFTER_MS = 300;
 
     private final long incarnation;
@@ -41,7 +41,7 @@
     private final ResultQueries queries;
     private final Map<Listener, Waiter> waiters = new HashMap<>();
 
-    /** {@code windowMs}: for how long an operation runs at most once. */
+    /** {@code windowMs}: time within which an operation runs at most once. */
     OperationClient(long incarnation, int windowMs, OperationTransport transport, LongSupplier clock) {
         this.incarnation = incarnation;
         this.windowMs = windowMs;
@@ -52,7 +52,7 @@
         queries = new ResultQueries(transport);
     }
 
-    // ---- Attempts of clients here -------------------------------------------------------------------
+    // ---- Attempts at this edge ----------------------------------------------------------------------
     @Override
     public void claim(OperationKey operation, int maxWaitMs, Listener listener) {
         Waiter waiter = new Waiter(operation, maxWaitMs, listener);
@@ -66,21 +66,20 @@
         return waiter == null ? Progress.NOT_CLAIMED : waiter.cancel();
     }
 
-    /** One attempt that waits for its claim, or for the end of the attempt that came first. */
+    /** An attempt that waits for its claim, or for the result of the attempt that holds the claim. */
     private final class Waiter implements ClaimClient.Listener {
         private final OperationKey operation;
         private final int maxWaitMs;
         private final Listener listener;
-        /** Requested for this attempt and not answered; null: none. */
+        /** The claim requested for this attempt and not answered yet; null: none. */
         private ClaimId requested;
-        /** Whether an attempt at this edge came first and is running. */
-        /** The claim of this edge whose end is waited for; null: none. */
+        /** The running claim of this edge whose result this attempt waits for; null: none. */
         private ClaimId watched;
-        /** The query to the edge of the attempt that came first; 0: none. */
+        /** The id of the query to the edge that holds the claim; 0: none. */
         private long queryId;
 
         private int reclaims;
-        /** When the operation is claimed again, steady ms; 0: not due. */
+        /** When the operation is to be claimed again, monotonic ms; 0: not scheduled. */
         private long reclaimAtMs;
 
         Waiter(OperationKey operation, int maxWaitMs, Listener listener) {
@@ -90,12 +89,12 @@
         }
 
         void start() {
-            ClaimId here = results.claimSince(operation, clock.getAsLong() - windowMs);
-            Result known = here == null ? Result.NOT_RUN : results.find(here);
+            ClaimId localClaim = results.claimSince(operation, clock.getAsLong() - windowMs);
+            Result known = localClaim == null ? Result.NOT_RUN : results.find(localClaim);
             if (known == Result.NOT_RUN) {
                 request();
             } else {
-                follow(here, known);
+                awaitResult(localClaim, known);
             }
         }
 
@@ -109,8 +108,8 @@
             }
         }
 
-        /** An attempt at this edge came first. */
-        private void follow(ClaimId holder, Result known) {
+        /** Waits for the result of an earlier attempt at this edge. */
+        private void awaitResult(ClaimId holder, Result known) {
             if (known == Result.RUNNING) {
                 watched = holder;
                 results.watch(holder, this::onResult);
@@ -162,10 +161,10 @@
         public void onHeld(ClaimId holder, String holderEdge) {
             endRequested();
             if (holder.incarnation() == incarnation) {
-                follow(holder, findHere(holder, operation));
+                awaitResult(holder, findLocal(holder, operation));
             } else if (!holderEdge.equals(transport.self())
                     && transport.isReachable(holderEdge, holder.incarnation())) {
-                queryId = queries.ask(holder, holderEdge, this::onResult);
+                queryId = queries.send(holder, holderEdge, this::onResult);
                 transport.scheduleTick(clock.getAsLong() + QUERY_CHECK_MS);
             } else {
                 onResult(Result.UNKNOWN);
@@ -200,11 +199,11 @@
                 endRequested();
                 return Progress.NOT_CLAIMED;
             }
-            boolean inWorkHere = watched != null && !claimClient.isPending(watched);
-            boolean inWork = inWorkHere || queries.isRunning(queryId);
-            boolean unanswered = queryId != 0;
+            boolean isRunningLocally = watched != null && !claimClient.isPending(watched);
+            boolean isRunning = isRunningLocally || queries.isRunning(queryId);
+            boolean isUnanswered = queryId != 0;
             queries.cancel(queryId);
-            return inWork ? Progress.IN_WORK : unanswered ? Progress.UNKNOWN : Progress.NOT_CLAIMED;
+            return isRunning ? Progress.IN_WORK : isUnanswered ? Progress.UNKNOWN : Progress.NOT_CLAIMED;
         }
 
         void tick(long now) {
@@ -214,8 +213,8 @@
         }
     }
 
-    /** What is known of a claim of this process; one that will not run is released, as its release may be lost. */
-    private Result findHere(ClaimId claim, OperationKey operation) {
+    /** The result of a claim of this process. Releases a claim that will not run again: its release may be lost. */
+    private Result findLocal(ClaimId claim, OperationKey operation) {
         Result known = results.find(claim);
         OperationKey key = operation == null ? results.key(claim) : operation;
         if (known == Result.NOT_RUN && key != null) {
@@ -224,8 +223,8 @@
         return known;
     }
 
-    // ---- Other programs -----------------------------------------------------------------------------
-    /** A frame of the coordinator; false: not for this class. */
+    // ---- Frames of other processes ------------------------------------------------------------------
+    /** Handles a frame of the coordinator; returns false if it is not for this class. */
     boolean onCoordinatorFrame(Object frame) {
         return claimClient.onFrame(frame);
     }
@@ -234,7 +233,7 @@
         claimClient.onAttached();
     }
 
-    /** A frame of another edge; false: not for this class. */
+    /** Handles a frame of another edge; returns false if it is not for this class. */
     boolean onEdgeFrame(String edge, Object frame) {
         if (frame instanceof ResultQuery query) {
             onQuery(edge, query);
@@ -248,7 +247,7 @@
 
     private void onQuery(String edge, ResultQuery query) {
         ClaimId holder = query.holder();
-        Result known = holder.incarnation() == incarnation ? findHere(holder, null) : Result.UNKNOWN;
+        Result known = holder.incarnation() == incarnation ? findLocal(holder, null) : Result.UNKNOWN;
         if (known == Result.RUNNING) {
             results.watch(
                     holder, result -> transport.respondToEdge(edge, ResultQueries.response(query.queryId(), result)));
@@ -260,7 +259,7 @@
         queries.onLinkUp(edge);
     }
 
-    // ---- Time ---------------------------------------------------------------------------------------
+    // ---- Timers -------------------------------------------------------------------------------------
     void tick() {
         long now = clock.getAsLong();
         claimClient.tick();
@@ -272,8 +271,8 @@
         waiters.values().forEach(Waiter::scheduleReclaim);
     }
 
-    /** Forgets results that nobody can ask for any more; to be called every few seconds. */
-    void forgetOld() {
-        results.forgetOld(clock.getAsLong());
+    /** Removes results that no attempt can ask for any more; to be called every few seconds. */
+    void removeExpired() {
+        results.removeExpired(clock.getAsLong());
     }
 }
--- a/src/main/java/brambletray/platform/edge/OperationResults.java
+++ b/src/main/java/brambletray/platform/edge/OperationResults.java
@@ -14,12 +14,12 @@
 import java.util.function.Consumer;
 
 /**
- * What became of the claims that this edge has requested, and the answers of instances, for attempts that repeat an
- * operation. Bounded: the oldest answers are dropped first, and their claims are {@link OperationState#UNKNOWN} from
- * then on. Times are steady ms. For the event loop only.
+ * The results of the claims that this edge has requested, with the answers of instances, for repeated attempts of an
+ * operation. Bounded: the oldest answers are evicted first, and their claims are {@link OperationState#UNKNOWN} from
+ * then on. Times are monotonic ms. Confined to the event loop.
  */
 final class OperationResults {
-    /** What is known of a claim; {@code answer}: null unless DONE. */
+    /** The result of a claim; {@code answer} is null unless the state is DONE. */
     record Result(OperationState state, RecordedAnswer answer) {
         static final Result RUNNING = new Result(OperationState.RUNNING, null);
         static final Result NOT_RUN = new Result(OperationState.NOT_RUN, null);
@@ -49,60 +49,58 @@
     private final int retentionMs;
     private final int maxEntries;
     private final long maxBytes;
-    /** In the order in which they were claimed. */
+    /** In the order of their requests. */
     private final LinkedHashMap<ClaimId, Entry> entries = new LinkedHashMap<>();
     /** The newest claim of each operation. */
     private final Map<OperationKey, ClaimId> claims = new HashMap<>();
-    /** Claims with an answer, oldest first; some of them have been forgotten since. */
+    /** Claims with an answer, oldest first; may contain claims that were removed since. */
     private final ArrayDeque<ClaimId> answered = new ArrayDeque<>();
 
     private long bytes;
-    /** The highest sequence of a forgotten claim. */
-    private long forgottenUpTo;
+    /** The highest sequence number of a removed claim. */
+    private long highestRemovedSequence;
 
-    /**
-     * {@code retentionMs}: how long claims are remembered, counted from their request; {@code maxBytes}: of answers.
-     */
+    /** {@code retentionMs}: time for which claims are kept after their request; {@code maxBytes}: limit for answers. */
     OperationResults(int retentionMs, int maxEntries, long maxBytes) {
         this.retentionMs = retentionMs;
         this.maxEntries = maxEntries;
         this.maxBytes = maxBytes;
     }
 
-    /** A claim is requested at this time: its request is running until {@link #end}. */
+    /** Adds a claim requested at this time; it is RUNNING until {@link #end}. */
     void onRequested(ClaimId claim, OperationKey key, long claimedAtMs) {
         entries.put(claim, new Entry(key, claimedAtMs));
         claims.put(key, claim);
     }
 
-    /** The claim of this operation, if it was requested at or after this time; null: none. */
+    /** The newest claim of this operation if it was requested at or after this time, otherwise null. */
     ClaimId claimSince(OperationKey key, long sinceMs) {
         ClaimId claim = claims.get(key);
         Entry entry = claim == null ? null : entries.get(claim);
         return entry == null || entry.claimedAtMs < sinceMs ? null : claim;
     }
 
-    /** The operation of a remembered claim; null for others. */
+    /** The operation of a claim that is still kept; null for others. */
     OperationKey key(ClaimId claim) {
         Entry entry = entries.get(claim);
         return entry == null ? null : entry.key;
     }
 
-    /** What is known of a claim of this process. One that it has never requested will not run. */
+    /** The result of a claim of this process. A claim that was never requested is NOT_RUN; a removed one UNKNOWN. */
     Result find(ClaimId claim) {
         Entry entry = entries.get(claim);
         if (entry != null) {
             return entry.result;
         }
-        return claim.sequence() <= forgottenUpTo ? Result.UNKNOWN : Result.NOT_RUN;
+        return claim.sequence() <= highestRemovedSequence ? Result.UNKNOWN : Result.NOT_RUN;
     }
 
-    /** Calls the watcher once, when this claim ends; only for one that is running. */
+    /** Calls the watcher once, when this claim ends; the claim must be RUNNING. */
     void watch(ClaimId claim, Consumer<Result> watcher) {
         entries.get(claim).watchers.add(watcher);
     }
 
-    /** The claim has ended so. Only the first end of a claim counts. */
+    /** Records the result of a claim; only the first result counts. */
     void end(ClaimId claim, Result result) {
         Entry entry = entries.get(claim);
         if (entry == null || entry.result != Result.RUNNING) {
@@ -112,14 +110,14 @@
         if (result.answer() != null) {
             bytes += result.size();
             answered.add(claim);
-            dropAnswers();
+            evictAnswers();
         }
         List<Consumer<Result>> watchers = List.copyOf(entry.watchers);
         entry.watchers.clear();
         watchers.forEach(watcher -> watcher.accept(result));
     }
 
-    private void dropAnswers() {
+    private void evictAnswers() {
         while (bytes > maxBytes && answered.size() > 1) {
             Entry oldest = entries.get(answered.poll());
             if (oldest != null) {
@@ -129,27 +127,28 @@
         }
     }
 
-    /** Forgets what is older than the retention, and the oldest beyond the bound; never what is running. */
-    void forgetOld(long nowMs) {
+    /** Removes claims past the retention time and the oldest beyond the limit; stops at one that is RUNNING. */
+    void removeExpired(long nowMs) {
         Iterator<Map.Entry<ClaimId, Entry>> oldest = entries.entrySet().iterator();
         while (oldest.hasNext()) {
             Map.Entry<ClaimId, Entry> next = oldest.next();
             Entry entry = next.getValue();
-            boolean old = nowMs - entry.claimedAtMs > retentionMs || entries.size() > maxEntries;
-            if (!old || entry.result == Result.RUNNING) {
+            boolean isExpired = nowMs - entry.claimedAtMs > retentionMs || entries.size() > maxEntries;
+            if (!isExpired || entry.result == Result.RUNNING) {
                 return;
             }
             oldest.remove();
             claims.remove(entry.key, next.getKey());
             bytes -= entry.result.size();
-            forgottenUpTo = Math.max(forgottenUpTo, next.getKey().sequence());
+            highestRemovedSequence =
+                    Math.max(highestRemovedSequence, next.getKey().sequence());
         }
         while (!answered.isEmpty() && !entries.containsKey(answered.peek())) {
             answered.poll();
         }
     }
 
-    /** Bytes of answers. */
+    /** Total size of the kept answers. */
     long bytes() {
         return bytes;
     }
--- a/src/main/java/brambletray/platform/edge/OperationTransport.java
+++ b/src/main/java/brambletray/platform/edge/OperationTransport.java
@@ -2,11 +2,11 @@
 
 import brambletray.platform.operations.ResultResponse;
 
-/** How an {@link OperationClient} reaches the coordinator and other edges, and when it is called again. */
+/** Delivers the frames of an {@link OperationClient} to the coordinator and other edges, and schedules its ticks. */
 interface OperationTransport extends ClaimClient.Transport, ResultQueries.Transport {
     /** Name of this edge. */
     String self();
 
-    /** Answers an edge on the link on which it calls. */
+    /** Sends a response to an edge on the link that the edge has dialled. */
     void respondToEdge(String edge, ResultResponse response);
 }
--- a/src/main/java/brambletray/platform/edge/QuotaClient.java
+++ b/src/main/java/brambletray/platform/edge/QuotaClient.java
@@ -15,39 +15,40 @@
 import java.util.function.LongSupplier;
 
 /**
- * Gets this edge's requests their rights from the coordinator. Without it requests are sent ahead as far as its last
- * grants allow, and are refused beyond. For the event loop only.
+ * Acquires rights from the coordinator for this edge's requests. While no coordinator answers, requests are sent
+ * without a right (run ahead) up to the allowance of its last grants, and refused beyond it. Confined to the event
+ * loop.
  */
 final class QuotaClient implements QuotaGate {
-    /** ms for which a request waits for an answer before it is sent ahead, if it may be. */
+    /** Time in ms for which a request waits for an answer before it may use the run-ahead allowance. */
     private static final int ANSWER_TIMEOUT_MS = 100;
-    /** ms for which a request waits for a coordinator where none is connected. */
+    /** Time in ms for which a request waits for a coordinator if none is attached. */
     private static final int COORDINATOR_TIMEOUT_MS = 50;
-    /** ms for which a request waits for the answer of a coordinator that is connected. */
+    /** Time in ms for which a request waits for the answer of an attached coordinator. */
     private static final int MAX_WAIT_MS = 500;
-    /** ms for which an answer that nobody waits for is expected still: its right goes back. */
+    /** Time in ms for which the answer to a cancelled request is still expected, so that its right is returned. */
     private static final int ABANDONED_TIMEOUT_MS = 2_000;
-    /** Time until the next coordinator that a client is told, ms. */
+    /** Retry delay in ms reported to clients: the expected time until the next coordinator. */
     private static final int RETRY_AFTER_MS = 1_000;
 
-    /** How messages get to the coordinator. */
+    /** Delivers messages to the coordinator. */
     interface Transport {
-        /** False where there is none. */
+        /** Returns false if there is none. */
         boolean send(Object frame);
     }
 
-    /** One request that waits for its right; the listener is null once it does not. */
+    /** A request that waits for its right; the listener is null once it no longer does. */
     private static final class Pending {
         private final String tenant;
         private final long sinceMs;
         private Listener listener;
-        private long askedAtMs;
+        private long requestedAtMs;
 
         private Pending(String tenant, Listener listener, long nowMs) {
             this.tenant = tenant;
             this.listener = listener;
             sinceMs = nowMs;
-            askedAtMs = nowMs;
+            requestedAtMs = nowMs;
         }
     }
 
@@ -56,7 +57,7 @@
     private final RunAheadAllowances allowances;
     private final HeldRights heldRights;
     private final Map<Listener, Long> idsByListener = new IdentityHashMap<>();
-    /** In the order in which they were asked for. */
+    /** In request order. */
     private Map<Long, Pending> pending = new LinkedHashMap<>();
 
     private boolean isAttached;
@@ -72,19 +73,19 @@
     @Override
     public void acquire(Tenant tenant, Listener listener) {
         long nowMs = clock.getAsLong();
-        Pending added = new Pending(tenant.name(), listener, nowMs);
-        if (!ask(added, nowMs) && allowances.trySpend(added.tenant, nowMs)) {
-            listener.onAcquired(heldRights.sentAhead(nowMs));
+        Pending request = new Pending(tenant.name(), listener, nowMs);
+        if (!sendRequest(request, nowMs) && allowances.trySpend(request.tenant, nowMs)) {
+            listener.onAcquired(heldRights.runAheadRight(nowMs));
             return;
         }
-        pending.put(nextId, added);
+        pending.put(nextId, request);
         idsByListener.put(listener, nextId);
         nextId++;
     }
 
-    /** Asks under the next id. */
-    private boolean ask(Pending request, long nowMs) {
-        request.askedAtMs = nowMs;
+    /** Requests a right under the next id. */
+    private boolean sendRequest(Pending request, long nowMs) {
+        request.requestedAtMs = nowMs;
         return transport.send(new QuotaRequest(nextId, request.tenant));
     }
 
@@ -100,7 +101,7 @@
         return idsByListener.size();
     }
 
-    /** From the coordinator that this edge is attached to. */
+    /** Handles a response of the coordinator to which this edge is attached. */
     void onResponse(QuotaResponse response) {
         Pending request = pending.remove(response.id());
         if (request == null) {
@@ -115,8 +116,8 @@
     }
 
     private void onGrant(Pending request, QuotaGrant grant, Listener listener) {
-        allowances.onGrant(request.tenant, grant.runAhead(), request.askedAtMs);
-        HeldRights.HeldRight right = heldRights.add(request.tenant, request.askedAtMs);
+        allowances.onGrant(request.tenant, grant.runAhead(), request.requestedAtMs);
+        HeldRights.HeldRight right = heldRights.add(request.tenant, request.requestedAtMs);
         if (listener == null) {
             return;
         }
@@ -127,11 +128,11 @@
         }
     }
 
-    /** Once more, as the right came too late. */
-    private void acquire(Pending late, Listener listener) {
-        Pending next = new Pending(late.tenant, listener, late.sinceMs);
-        ask(next, clock.getAsLong());
-        pending.put(nextId, next);
+    /** Requests a right again because the previous one arrived after it had expired. */
+    private void acquire(Pending expired, Listener listener) {
+        Pending retry = new Pending(expired.tenant, listener, expired.sinceMs);
+        sendRequest(retry, clock.getAsLong());
+        pending.put(nextId, retry);
         idsByListener.put(listener, nextId);
         nextId++;
     }
@@ -145,7 +146,7 @@
         return listener;
     }
 
-    /** A coordinator was found: it learns first what was sent without rights; then everything is asked again. */
+    /** Reports to the new coordinator what was sent without rights, then repeats all pending requests. */
     void onAttached(long term) {
         isAttached = true;
         heldRights.onTerm(term);
@@ -155,7 +156,7 @@
         pending = new LinkedHashMap<>();
         for (Pending request : former.values()) {
             if (request.listener != null) {
-                ask(request, nowMs);
+                sendRequest(request, nowMs);
                 pending.put(nextId, request);
                 idsByListener.put(request.listener, nextId);
                 nextId++;
@@ -171,12 +172,12 @@
         });
     }
 
-    /** Whether {@link #tick} has nothing to do until a request is asked for. */
+    /** Whether {@link #tick} has nothing to do until the next right is requested. */
     boolean isIdle() {
         return pending.isEmpty() && heldRights.isEmpty() && !allowances.hasUnreported();
     }
 
-    /** To be called every 50 ms unless it is idle. */
+    /** To be called every 50 ms unless {@link #isIdle}. */
     void tick(boolean attached) {
         isAttached = attached;
         long nowMs = clock.getAsLong();
@@ -186,7 +187,7 @@
         }
         allowances.removeExpired(nowMs);
         pending.values()
-                .removeIf(request -> request.listener == null && nowMs - request.askedAtMs > ABANDONED_TIMEOUT_MS);
+                .removeIf(request -> request.listener == null && nowMs - request.requestedAtMs > ABANDONED_TIMEOUT_MS);
         for (Pending request : List.copyOf(pending.values())) {
             if (request.listener != null) {
                 endWaitIfOverdue(request, nowMs);
@@ -194,11 +195,11 @@
         }
     }
 
-    /** Sends it ahead if it may, or gives it up; the answer may still come. */
+    /** Ends an overdue wait with the run-ahead allowance or as unavailable; the answer may still arrive. */
     private void endWaitIfOverdue(Pending request, long nowMs) {
         long waitedMs = nowMs - request.sinceMs;
         if (waitedMs >= ANSWER_TIMEOUT_MS && allowances.trySpend(request.tenant, nowMs)) {
-            takeListener(request).onAcquired(heldRights.sentAhead(nowMs));
+            takeListener(request).onAcquired(heldRights.runAheadRight(nowMs));
         } else if (waitedMs >= (isAttached ? MAX_WAIT_MS : COORDINATOR_TIMEOUT_MS)) {
             takeListener(request).onUnavailable(RETRY_AFTER_MS);
         }
--- a/src/main/java/brambletray/platform/edge/ResultQueries.java
+++ b/src/main/java/brambletray/platform/edge/ResultQueries.java
@@ -13,17 +13,17 @@
 import java.util.function.Consumer;
 
 /**
- * Questions to other edges: what became of a claim that one of them holds. An edge that cannot be reached, has left the
- * roster or runs as another incarnation gives no answer any more: the claim is {@link OperationState#UNKNOWN}. For the
- * event loop only.
+ * Queries to other edges for the result of a claim that one of them holds. An edge that cannot be reached, has left the
+ * roster or runs as another incarnation can no longer answer: the claim is {@link OperationState#UNKNOWN}. Confined to
+ * the event loop.
  */
 final class ResultQueries {
-    /** How it reaches other edges. */
+    /** Delivers frames to other edges. */
     interface Transport {
-        /** Whether this incarnation of an edge is in the roster, and its link not down for long. */
+        /** Whether this incarnation of an edge is in the roster and its link has not been down for too long. */
         boolean isReachable(String edge, long incarnation);
 
-        /** Lost where the link is not up yet. */
+        /** The frame is lost if the link is not up. */
         void sendToEdge(String edge, Object frame);
     }
 
@@ -48,26 +48,26 @@
         this.transport = transport;
     }
 
-    /** Asks for the end of a claim, and returns the id of the query; the listener is not called before this returns. */
-    long ask(ClaimId holder, String edge, Consumer<Result> listener) {
+    /** Queries the result of a claim and returns the query's id; calls the listener only afterwards. */
+    long send(ClaimId holder, String edge, Consumer<Result> listener) {
         long id = ++lastId;
         pending.put(id, new PendingQuery(holder, edge, listener));
         transport.sendToEdge(edge, new ResultQuery(id, holder));
         return id;
     }
 
-    /** Nobody waits for it any more. */
+    /** Drops a query without calling its listener. */
     void cancel(long id) {
         pending.remove(id);
     }
 
-    /** Whether the holder's edge has said that the claim's request is in work. */
+    /** Whether the holder's edge has reported the claim as RUNNING. */
     boolean isRunning(long id) {
         PendingQuery query = pending.get(id);
         return query != null && query.isRunning;
     }
 
-    /** The link to this edge is up: what was sent before may be lost. */
+    /** Repeats queries once the link to this edge is up: frames sent before may be lost. */
     void onLinkUp(String edge) {
         pending.forEach((id, query) -> {
             if (query.edge.equals(edge)) {
@@ -100,7 +100,7 @@
         };
     }
 
-    /** The answer to a query about a claim that has come so far. */
+    /** The response to a query for a claim with this result. */
     static ResultResponse response(long queryId, Result result) {
         RecordedAnswer answer = result.answer();
         return answer == null
@@ -118,7 +118,7 @@
         return pending.isEmpty();
     }
 
-    /** Gives up queries to edges that cannot answer any more. */
+    /** Ends queries to edges that can no longer answer. */
     void tick() {
         for (Map.Entry<Long, PendingQuery> entry : List.copyOf(pending.entrySet())) {
             PendingQuery query = entry.getValue();
--- a/src/main/java/brambletray/platform/edge/SimulatedEdge.java
+++ b/src/main/java/brambletray/platform/edge/SimulatedEdge.java
@@ -20,17 +20,17 @@
         return new SimulatedEdge(program);
     }
 
-    /** The configuration that it serves by. */
+    /** The configuration under which it serves requests. */
     public Configuration configuration() {
         return program.configuration();
     }
 
-    /** SIGHUP. */
-    void hangUp() {
+    /** Simulates SIGHUP. */
+    void reloadSettings() {
         program.reloadSettings();
     }
 
-    /** SIGTERM. */
+    /** Simulates SIGTERM. */
     void terminate() {
         program.leave();
     }
--- a/src/main/java/brambletray/platform/edge/SlotClient.java
+++ b/src/main/java/brambletray/platform/edge/SlotClient.java
@@ -22,38 +22,38 @@
 import java.util.function.LongSupplier;
 
 /**
- * Requests slots for an edge's requests at the home of the service, which is this edge or another. Requests that a
- * home has not answered when it leaves are repeated at the next home, and the slots held there are reported to it. To
- * be used on the loop only.
+ * Requests slots for an edge's requests from the home of the service, which is this edge or another one. When the home
+ * changes, unanswered requests are repeated at the new home, and the slots granted by the former one are reported to
+ * it. Confined to the event loop.
  *
- * <p>Slot requests are idempotent: the same one on a new connection gets the same slot. A grant counts once, and only
- * from the current home (fencing); any other is released at once as {@link AttemptOutcome#UNUSED}, as its slot would
- * otherwise stay taken until the deadline of its request.
+ * <p>Slot requests are idempotent: a request repeated on a new connection gets the same slot. A grant is accepted once,
+ * and only from the current home (fencing); any other grant is released at once as {@link AttemptOutcome#UNUSED},
+ * because its slot would otherwise stay occupied until the deadline of its request.
  */
 final class SlotClient implements SlotBroker {
-    /** Times that one request is redirected by closed queues, before the root is made to serve it. */
-    private static final int MAX_REDIRECTS_BEFORE_STAY = 2;
+    /** Redirects by closed queues after which the next queue has to serve the request. */
+    private static final int MAX_REDIRECTS_BEFORE_SERVING = 2;
 
     private static final int MAX_REDIRECTS = 5;
-    /** Time to retry in ms where no home can be reached. */
+    /** Retry delay in ms that is reported if no home can be reached. */
     private static final int RETRY_AFTER_MS = 800;
-    /** Asks that wait. */
+    /** Maximum number of pending requests. */
     private static final int MAX_PENDING = 8_192;
 
-    /** How it reaches homes. */
+    /** Delivers messages to the homes of services. */
     interface Transport {
         String self();
 
-        /** A request for this edge's own queue; {@code serveHere}: not to be redirected again. */
-        void requestHere(SlotRequest request, boolean serveHere);
+        /** Requests a slot from this edge's own queue; {@code serveHere}: it must not redirect the request again. */
+        void requestLocally(SlotRequest request, boolean serveHere);
 
-        void releaseHere(SlotRelease release);
+        void releaseLocally(SlotRelease release);
 
-        void cancelHere(SlotRequestCancel forget);
+        void cancelLocally(SlotRequestCancel cancel);
 
         boolean send(String edge, Object frame);
 
-        /** It cannot be reached now. */
+        /** Whether {@code edge} cannot be reached now. */
         boolean isUnreachable(String edge);
 
         String zone();
@@ -91,7 +91,7 @@
     private final LongSupplier clock;
     private final Map<Long, PendingRequest> pending = new HashMap<>();
     private final Map<Long, HeldSlot> slots = new HashMap<>();
-    /** Services that another zone's queue than the root's serves for this edge. */
+    /** For services whose requests go to a zone other than their root zone: that zone. */
     private final Map<String, String> zoneByService = new HashMap<>();
 
     private HomeAssignment homeAssignment = new HomeAssignment(Roster.NONE);
@@ -126,15 +126,15 @@
             return;
         }
         pendingRequest.home = home.name();
-        boolean serveHere = pendingRequest.redirects >= MAX_REDIRECTS_BEFORE_STAY;
+        boolean serveHere = pendingRequest.redirects >= MAX_REDIRECTS_BEFORE_SERVING;
         if (pendingRequest.home.equals(transport.self())) {
-            transport.requestHere(pendingRequest.request, serveHere);
+            transport.requestLocally(pendingRequest.request, serveHere);
         } else {
             transport.send(pendingRequest.home, pendingRequest.request);
         }
     }
 
-    /** The home, or the next best where it cannot be reached. */
+    /** The home of a service, or the next candidate if it cannot be reached. */
     private Peer home(String service, String zone) {
         Peer home = homeAssignment.homeOf(service, zone);
         if (home == null || home.name().equals(transport.self()) || !transport.isUnreachable(home.name())) {
@@ -164,18 +164,18 @@
         String home = pendingRequest != null ? pendingRequest.home : slot != null ? slot.home : null;
         if (home != null) {
             if (home.equals(transport.self())) {
-                transport.cancelHere(new SlotRequestCancel(requestId, service));
+                transport.cancelLocally(new SlotRequestCancel(requestId, service));
             } else {
                 transport.send(home, new SlotRequestCancel(requestId, service));
             }
         }
     }
 
-    /** A home's answer. */
+    /** Handles a grant by a home. */
     void onGranted(String home, SlotGrant grant) {
         PendingRequest pendingRequest = pending.get(grant.requestId());
         if (pendingRequest == null || !home.equals(pendingRequest.home)) {
-            releaseSurplus(home, grant);
+            releaseSurplusGrant(home, grant);
             return;
         }
         pending.remove(grant.requestId());
@@ -184,28 +184,28 @@
         pendingRequest.requester.onGranted(grant);
     }
 
-    private void releaseSurplus(String home, SlotGrant grant) {
+    private void releaseSurplusGrant(String home, SlotGrant grant) {
         HeldSlot slot = slots.get(grant.requestId());
-        boolean ours = slot != null && home.equals(slot.home);
-        if (ours && slot.grant.instanceId().equals(grant.instanceId())) {
+        boolean isHeldFromHome = slot != null && home.equals(slot.home);
+        if (isHeldFromHome && slot.grant.instanceId().equals(grant.instanceId())) {
             return;
         }
         sendRelease(home, new SlotRelease(grant.requestId(), grant.instanceId(), AttemptOutcome.UNUSED, 0));
-        if (ours) {
-            // The home knows one slot for each request: it counts this one as ours and has to learn which one is.
-            reportHeld(home, heldAt(home, slot.service));
+        if (isHeldFromHome) {
+            // The home records one slot per request: it has recorded this grant and must learn which slot is in use.
+            reportHeld(home, heldSlotsAt(home, slot.service));
         }
     }
 
     private void sendRelease(String home, SlotRelease release) {
         if (home.equals(transport.self())) {
-            transport.releaseHere(release);
+            transport.releaseLocally(release);
         } else {
             transport.send(home, release);
         }
     }
 
-    private HeldSlots heldAt(String home, String service) {
+    private HeldSlots heldSlotsAt(String home, String service) {
         List<SlotGrant> grants = new ArrayList<>();
         for (HeldSlot slot : slots.values()) {
             if (home.equals(slot.home) && service.equals(slot.service)) {
@@ -223,7 +223,7 @@
         }
     }
 
-    /** A queue is closed: the request goes on to another zone's, and so do the next ones. */
+    /** Handles a redirect by a closed queue: this request and later ones go to the queue of another zone. */
     void onRedirect(String home, SlotRedirect redirect) {
         if (redirect.zone().equals(homeAssignment.rootZone(redirect.service()))) {
             zoneByService.remove(redirect.service());
@@ -242,33 +242,33 @@
         }
     }
 
-    /** Another roster applies: requests go to homes that have changed, and held slots are reported to them. */
+    /** Applies a new roster: reports held slots to homes that have changed, and repeats pending requests there. */
     void onRoster(HomeAssignment next) {
         homeAssignment = next;
-        Map<String, Map<String, List<SlotGrant>>> reported = new HashMap<>();
+        Map<String, Map<String, List<SlotGrant>>> reports = new HashMap<>();
         for (HeldSlot slot : slots.values()) {
             Peer home = homeAssignment.homeOf(slot.service, slot.zone);
             if (home != null && !home.name().equals(slot.home)) {
                 slot.home = home.name();
-                reported.computeIfAbsent(home.name(), name -> new HashMap<>())
+                reports.computeIfAbsent(home.name(), name -> new HashMap<>())
                         .computeIfAbsent(slot.service, service -> new ArrayList<>())
                         .add(slot.grant);
             }
         }
-        reported.forEach((home, services) -> services.forEach(
+        reports.forEach((home, services) -> services.forEach(
                 (service, grants) -> reportHeld(home, new HeldSlots(transport.self(), service, grants))));
         reroute();
     }
 
     private void reportHeld(String home, HeldSlots held) {
         if (home.equals(transport.self())) {
-            instanceTracking.onHeldHere(held);
+            instanceTracking.onHeldLocally(held);
         } else {
             transport.send(home, held);
         }
     }
 
-    /** Asks whose home is another now, or cannot be reached, go to the one that can. */
+    /** Repeats pending requests whose home has changed or cannot be reached at the current home. */
     void reroute() {
         for (PendingRequest pendingRequest : new ArrayList<>(pending.values())) {
             Peer home =
@@ -283,11 +283,11 @@
         }
     }
 
-    /** A link to a home is up (anew): what was asked on the one before may be lost. */
+    /** Repeats requests and reports once a link to a home is up again: frames on the previous one may be lost. */
     void onHomeReconnected(String home) {
         for (PendingRequest pendingRequest : new ArrayList<>(pending.values())) {
             if (home.equals(pendingRequest.home)) {
-                // Not removed first: the grant may be on its way, and its slot must not be free while it is in use.
+                // Not cancelled first: the grant may be in transit, and its slot must not become free while it is used.
                 transport.send(home, pendingRequest.request);
             }
         }
@@ -298,7 +298,7 @@
             }
         }
         for (String service : services) {
-            transport.send(home, heldAt(home, service));
+            transport.send(home, heldSlotsAt(home, service));
         }
     }
 
@@ -314,11 +314,11 @@
         return clock.getAsLong();
     }
 
-    /** Further fields of the slot counters. */
+    /** Observes instance addresses, and receives reports if this edge is the home. */
     interface InstanceTracking {
-        /** A host's address, which its own calls come from. */
+        /** The address of an instance; its nested calls come from there. */
         void onInstanceAddress(String address);
 
-        void onHeldHere(HeldSlots held);
+        void onHeldLocally(HeldSlots held);
     }
 }
--- a/src/main/java/brambletray/platform/edge/package-info.java
+++ b/src/main/java/brambletray/platform/edge/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The program of an edge machine: it connects proxy, admission and failure detection to sockets, and follows the
+ * The program of an edge machine: connects proxy, admission and failure detection to sockets, and follows the
  * coordinator.
  */
 package brambletray.platform.edge;
--- a/src/test/java/brambletray/platform/edge/CoordinatorCandidatesTest.java
+++ b/src/test/java/brambletray/platform/edge/CoordinatorCandidatesTest.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Whom an edge asks for the coordinator, in which order. */
+/** The order in which an edge tries control plane members. */
 class CoordinatorCandidatesTest {
-    private static List<Address> all(String names) {
+    private static List<Address> addresses(String names) {
         List<Address> all = new ArrayList<>();
         for (char name : names.toCharArray()) {
             all.add(new Address("10.0.0." + (name - 'a' + 1), 90));
@@ -18,8 +18,8 @@
         return all;
     }
 
-    private static Address one(char name) {
-        return all(String.valueOf(name)).get(0);
+    private static Address address(char name) {
+        return addresses(String.valueOf(name)).get(0);
     }
 
     private static String next(CoordinatorCandidates candidates, int times) {
@@ -32,41 +32,41 @@
     }
 
     @Test
-    void seedsInTurnFromThePlaceOfThisProcess() {
+    void seedsAreTriedInTurnFromTheStartOffset() {
         CoordinatorCandidates candidates = new CoordinatorCandidates(-2);
         assertNull(candidates.next(null));
-        candidates.onSeeds(all("abc"));
+        candidates.onSeeds(addresses("abc"));
         assertEquals("bcabca", next(candidates, 6));
     }
 
     @Test
-    void theNewestViewGoesBeforeTheSettingsAndAnOlderOneIsPassedOver() {
+    void newestViewPrecedesTheSeedsAndOlderViewsAreIgnored() {
         CoordinatorCandidates candidates = new CoordinatorCandidates(0);
-        candidates.onSeeds(all("abc"));
-        candidates.onViewMembers(4, all("de"));
-        candidates.onViewMembers(3, all("xyz"));
+        candidates.onSeeds(addresses("abc"));
+        candidates.onViewMembers(4, addresses("de"));
+        candidates.onViewMembers(3, addresses("xyz"));
         candidates.onViewMembers(5, List.of());
         assertEquals("deabcd", next(candidates, 6));
         candidates.restart();
         assertEquals("d", next(candidates, 1));
-        candidates.onViewMembers(6, all("fa"));
+        candidates.onViewMembers(6, addresses("fa"));
         assertEquals("fabcf", next(candidates, 5));
     }
 
     @Test
-    void theOneThatHasJustBeenAskedIsPassedOverUnlessItIsTheOnlyOne() {
+    void excludedMemberIsSkippedUnlessItIsTheOnlyOne() {
         CoordinatorCandidates candidates = new CoordinatorCandidates(0);
-        candidates.onSeeds(all("a"));
-        assertEquals(one('a'), candidates.next(one('a')));
-        candidates.onSeeds(all("ab"));
-        assertEquals(one('b'), candidates.next(one('a')));
+        candidates.onSeeds(addresses("a"));
+        assertEquals(address('a'), candidates.next(address('a')));
+        candidates.onSeeds(addresses("ab"));
+        assertEquals(address('b'), candidates.next(address('a')));
     }
 
     @Test
-    void theLatestSettingsGoFirstAndNoMoreThanSixteenAreKept() {
+    void latestSeedsGoFirstAndAtMostSixteenAreKept() {
         CoordinatorCandidates candidates = new CoordinatorCandidates(0);
-        candidates.onSeeds(all("abcdefghijklmno"));
-        candidates.onSeeds(all("xyz"));
+        candidates.onSeeds(addresses("abcdefghijklmno"));
+        candidates.onSeeds(addresses("xyz"));
         assertEquals("xyzabcdefghijklmx", next(candidates, 17));
     }
 }
--- a/src/test/java/brambletray/platform/edge/CoordinatorClientTest.java
+++ b/src/test/java/brambletray/platform/edge/CoordinatorClientTest.java
@@ -33,18 +33,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How an edge finds the coordinator and keeps to it, against members of the control plane that say what the test has
- * them say, on a simulated network.
+ * How an edge finds the coordinator and stays attached to it, with scripted control plane members on a simulated
+ * network.
  */
 class CoordinatorClientTest {
     private static final int PORT = 7_400;
 
     private final Simulation simulation = new Simulation(3, 0);
     private final Machine machine = simulation.machine(ip("10.0.1.1"));
-    private final Map<String, Core> cores = new TreeMap<>();
-    private final Heard heard = new Heard();
+    private final Map<String, Member> members = new TreeMap<>();
+    private final RecordingListener listener = new RecordingListener();
     private CoordinatorClient coordinatorClient;
-    private boolean asleep;
+    private boolean isPaused;
 
     CoordinatorClientTest() {
         simulation.network().usual(new SimNetwork.Way(TimeUnit.MILLISECONDS.toNanos(2), 0));
@@ -62,31 +62,31 @@
         simulation.runUntil(simulation.now() + TimeUnit.MILLISECONDS.toNanos(millis));
     }
 
-    /** Runs until the edge is attached under this term, at most so long; ms that it took. */
-    private long untilAttached(long term, long most) {
+    /** Runs until the edge is attached under this term and returns the elapsed ms; fails after the time-out. */
+    private long untilAttached(long term, long timeoutMs) {
         long from = simulation.now();
         assertTrue(
                 simulation.runUntil(
-                        from + TimeUnit.MILLISECONDS.toNanos(most),
+                        from + TimeUnit.MILLISECONDS.toNanos(timeoutMs),
                         () -> coordinatorClient.isAttached() && coordinatorClient.term() == term),
-                "not attached under term " + term + " after " + most + " ms: " + heard);
+                "not attached under term " + term + " after " + timeoutMs + " ms: " + listener);
         return TimeUnit.NANOSECONDS.toMillis(simulation.now() - from);
     }
 
     /** Members a, b, c... at 10.0.0.1, 10.0.0.2, 10.0.0.3... */
-    private Core core(String name) {
-        return cores.computeIfAbsent(name, Core::new);
+    private Member member(String name) {
+        return members.computeIfAbsent(name, Member::new);
     }
 
-    private static String at(String name) {
+    private static String addressOf(String name) {
         return "10.0.0." + (name.charAt(0) - 'a' + 1) + ":" + PORT;
     }
 
-    /** The edge starts with these seeds; the first is asked first. */
+    /** Starts the edge with these seeds; it tries them in this order. */
     private void start(String... seeds) {
         List<Address> addresses = new ArrayList<>();
         for (String seed : seeds) {
-            addresses.add(Address.parse(at(seed)));
+            addresses.add(Address.parse(addressOf(seed)));
         }
         coordinatorClient = new CoordinatorClient(
                 machine,
@@ -94,11 +94,11 @@
                 new LinkIntroduction("edge-1", "10.0.1.1:" + PORT, false),
                 addresses,
                 0,
-                heard);
+                listener);
         machine.loop()
                 .scheduleWithFixedDelay(
                         () -> {
-                            if (!asleep) {
+                            if (!isPaused) {
                                 coordinatorClient.tick(machine.clock().nanos() / 1_000_000);
                             }
                         },
@@ -107,25 +107,25 @@
                         TimeUnit.MILLISECONDS);
     }
 
-    /** A member of the control plane that welcomes edges as it is told, and pulses while it is the coordinator. */
-    private final class Core implements LinkHandler {
+    /** A control plane member with scripted welcomes, which sends heartbeats while it is the coordinator. */
+    private final class Member implements LinkHandler {
         private final String name;
         private final List<Link> links = new ArrayList<>();
         private final List<EdgeHello> hellos = new ArrayList<>();
-        private final List<RosterRequest> rosterFetches = new ArrayList<>();
+        private final List<RosterRequest> rosterRequests = new ArrayList<>();
         private long roster;
         private EdgeWelcome welcome = new EdgeWelcome("", 0, true, 0, List.of(), 0, 0);
         private long term;
 
-        Core(String name) {
+        Member(String name) {
             this.name = name;
-            Machine here = simulation.machine(ip(Address.parse(at(name)).host()));
-            new LinkListener(here, new FrameCodec(FrameTypes.ALL), Address.parse(at(name)), this);
+            Machine here = simulation.machine(ip(Address.parse(addressOf(name)).host()));
+            new LinkListener(here, new FrameCodec(FrameTypes.ALL), Address.parse(addressOf(name)), this);
             here.loop()
                     .scheduleWithFixedDelay(
                             () -> {
                                 if (term > 0) {
-                                    say(new CoordinatorHeartbeat(term, 0, roster));
+                                    sendToAll(new CoordinatorHeartbeat(term, 0, roster));
                                 }
                             },
                             250,
@@ -133,11 +133,11 @@
                             TimeUnit.MILLISECONDS);
         }
 
-        /** Names this one as the coordinator from now on, and says so to who waits here. */
-        Core names(String coordinator, long under) {
-            return welcomes(new EdgeWelcome(
-                    coordinator.isEmpty() ? "" : at(coordinator),
-                    under,
+        /** Names this coordinator from now on, and notifies the edges connected to this member. */
+        Member announceCoordinator(String coordinator, long coordinatorTerm) {
+            return updateWelcome(new EdgeWelcome(
+                    coordinator.isEmpty() ? "" : addressOf(coordinator),
+                    coordinatorTerm,
                     true,
                     welcome.viewNumber(),
                     welcome.members(),
@@ -145,42 +145,42 @@
                     0));
         }
 
-        /** Is out of touch with the others from now on, names nobody and holds nothing. */
-        Core cutOff() {
+        /** Is in no active view from now on: names no coordinator and sends no heartbeats. */
+        Member isolate() {
             term = 0;
-            return welcomes(new EdgeWelcome("", 0, false, welcome.viewNumber(), welcome.members(), 0, 0));
+            return updateWelcome(new EdgeWelcome("", 0, false, welcome.viewNumber(), welcome.members(), 0, 0));
         }
 
-        /** Tells a view of these members. */
-        Core view(long number, String... members) {
+        /** Reports a view with these members. */
+        Member setView(long number, String... members) {
             List<String> all = new ArrayList<>();
             for (String member : members) {
-                all.add(at(member));
+                all.add(addressOf(member));
             }
-            return welcomes(new EdgeWelcome(
+            return updateWelcome(new EdgeWelcome(
                     welcome.coordinatorAddress(), welcome.term(), welcome.inActiveView(), number, all, 0, 0));
         }
 
-        private Core welcomes(EdgeWelcome next) {
+        private Member updateWelcome(EdgeWelcome next) {
             welcome = next;
             if (!hellos.isEmpty()) {
-                say(welcome);
+                sendToAll(welcome);
             }
             return this;
         }
 
-        /** Holds the coordinator from now on. */
-        Core coordinator(long under) {
-            term = under;
-            return names(name, under);
+        /** Is the coordinator from now on. */
+        Member becomeCoordinator(long newTerm) {
+            term = newTerm;
+            return announceCoordinator(name, newTerm);
         }
 
-        void say(Object frame) {
+        void sendToAll(Object frame) {
             links.forEach(link -> link.send(frame));
         }
 
         void vanish() {
-            simulation.network().vanish(ip(Address.parse(at(name)).host()));
+            simulation.network().vanish(ip(Address.parse(addressOf(name)).host()));
         }
 
         @Override
@@ -197,19 +197,19 @@
                     link.send(new CoordinatorHeartbeat(term, 0, 0));
                 }
             } else if (frame instanceof RosterRequest fetch) {
-                rosterFetches.add(fetch);
+                rosterRequests.add(fetch);
             }
         }
 
         @Override
-        public void onLinkDown(Link link, String why) {
+        public void onLinkDown(Link link, String reason) {
             links.remove(link);
         }
     }
 
-    /** What the edge takes. */
-    private final class Heard implements CoordinatorClient.Listener {
-        private final List<Object> taken = new ArrayList<>();
+    /** Records what the client passes on. */
+    private final class RecordingListener implements CoordinatorClient.Listener {
+        private final List<Object> received = new ArrayList<>();
         private long newest;
         private Roster roster = Roster.NONE;
         private final Map<Long, Long> attachedAt = new LinkedHashMap<>();
@@ -228,7 +228,7 @@
         @Override
         public void onRoster(Roster next) {
             roster = next;
-            taken.add(next);
+            received.add(next);
         }
 
         @Override
@@ -241,12 +241,12 @@
 
         @Override
         public void onChunk(DeltaChunk chunk) {
-            taken.add(chunk.revision());
+            received.add(chunk.revision());
         }
 
         @Override
         public void onFrame(Object frame) {
-            taken.add(frame);
+            received.add(frame);
         }
 
         @Override
@@ -256,7 +256,7 @@
 
         @Override
         public String toString() {
-            return "attached " + attachedAt + ", took " + taken;
+            return "attached " + attachedAt + ", took " + received;
         }
     }
 
@@ -265,212 +265,213 @@
     }
 
     @Test
-    void chunksOfItsTermAreASignOfLifeOfACoordinatorAndOthersAreNot() {
-        core("a").coordinator(9);
+    void chunksOfTheCurrentTermCountAsHeartbeats() {
+        member("a").becomeCoordinator(9);
         start("a");
         untilAttached(9, 300);
-        core("a").term = 0;
+        member("a").term = 0;
         for (int i = 0; i < 8; i++) {
             run(400);
-            core("a").say(chunk(9, i));
+            member("a").sendToAll(chunk(9, i));
         }
-        assertTrue(coordinatorClient.isAttached(), "the link brings what it can: " + heard);
+        assertTrue(coordinatorClient.isAttached(), "chunks count as heartbeats: " + listener);
         for (int i = 0; i < 4; i++) {
             run(400);
-            core("a").say(chunk(8, i));
+            member("a").sendToAll(chunk(8, i));
         }
         assertFalse(coordinatorClient.isAttached());
     }
 
     @Test
-    void aRosterIsAskedForOnceUntilItComes() {
-        core("a").coordinator(9);
+    void rosterIsRequestedOnceUntilTheRetryInterval() {
+        member("a").becomeCoordinator(9);
         start("a");
         untilAttached(9, 300);
-        core("a").roster = 4;
+        member("a").roster = 4;
         run(900);
-        assertEquals(List.of(new RosterRequest(0, 0)), core("a").rosterFetches);
+        assertEquals(List.of(new RosterRequest(0, 0)), member("a").rosterRequests);
         run(700);
-        assertEquals(2, core("a").rosterFetches.size(), "it may have been lost");
-        core("a").say(new Roster(9, 4, List.of()));
-        core("a").roster = 5;
+        assertEquals(2, member("a").rosterRequests.size(), "the request is repeated, as it may have been lost");
+        member("a").sendToAll(new Roster(9, 4, List.of()));
+        member("a").roster = 5;
         run(300);
-        assertEquals(new RosterRequest(9, 4), core("a").rosterFetches.get(2));
-        core("a").say(new Roster(9, 5, List.of()));
+        assertEquals(new RosterRequest(9, 4), member("a").rosterRequests.get(2));
+        member("a").sendToAll(new Roster(9, 5, List.of()));
         run(2_000);
-        assertEquals(3, core("a").rosterFetches.size());
+        assertEquals(3, member("a").rosterRequests.size());
     }
 
     @Test
-    void whoHasSleptReadsWhatHasComeBeforeItLeaves() {
-        core("a").coordinator(9);
+    void pausedEdgeReadsPendingMessagesBeforeItDetaches() {
+        member("a").becomeCoordinator(9);
         start("a");
         untilAttached(9, 300);
-        core("a").term = 0;
-        asleep = true;
+        member("a").term = 0;
+        isPaused = true;
         run(1_500);
-        asleep = false;
+        isPaused = false;
         run(400);
-        assertTrue(coordinatorClient.isAttached(), "its own pause says nothing of the helm");
+        assertTrue(coordinatorClient.isAttached(), "a pause of the edge itself is no failure of the coordinator");
         run(300);
-        assertFalse(coordinatorClient.isAttached(), "and it doesn't wait for ever: " + heard);
+        assertFalse(coordinatorClient.isAttached(), "the heartbeat time-out applies after the pause: " + listener);
     }
 
     @Test
-    void whatIsSaidBeforeAPulseOrUnderAnotherTermIsNotTaken() {
-        core("a");
+    void messagesBeforeAHeartbeatOrOfAnotherTermAreRejected() {
+        member("a");
         start("a");
         run(100);
-        core("a").say(chunk(9, 3));
-        core("a").say(new Roster(9, 1, List.of()));
-        core("a").say(new InstanceGone("i-1", "tea"));
+        member("a").sendToAll(chunk(9, 3));
+        member("a").sendToAll(new Roster(9, 1, List.of()));
+        member("a").sendToAll(new InstanceGone("i-1", "tea"));
         run(20);
-        assertEquals(List.of(), heard.taken, "it has not pulsed");
-        core("a").coordinator(9);
+        assertEquals(List.of(), listener.received, "frames before the first heartbeat");
+        member("a").becomeCoordinator(9);
         untilAttached(9, 300);
-        core("a").say(chunk(8, 4));
-        core("a").say(new Roster(8, 7, List.of()));
-        core("a").say(chunk(9, 5));
-        core("a").say(new InstanceGone("i-2", "tea"));
+        member("a").sendToAll(chunk(8, 4));
+        member("a").sendToAll(new Roster(8, 7, List.of()));
+        member("a").sendToAll(chunk(9, 5));
+        member("a").sendToAll(new InstanceGone("i-2", "tea"));
         run(20);
-        assertEquals(List.of(5L, new InstanceGone("i-2", "tea")), heard.taken);
+        assertEquals(List.of(5L, new InstanceGone("i-2", "tea")), listener.received);
     }
 
     @Test
-    void anOldCoordinatorIsNotTakenForTheCoordinatorOnAnotherLink() {
-        core("b").coordinator(9).view(2, "a", "b", "c");
-        core("a").names("b", 9);
-        core("c").names("b", 9);
+    void formerCoordinatorOfALowerTermIsNotAccepted() {
+        member("b").becomeCoordinator(9).setView(2, "a", "b", "c");
+        member("a").announceCoordinator("b", 9);
+        member("c").announceCoordinator("b", 9);
         start("a", "c", "b");
         untilAttached(9, 300);
-        // b is gone; a was the coordinator before, wakes, and knows of nothing.
-        core("b").vanish();
-        core("a").coordinator(8);
-        core("c").names("", 0);
+        // b has failed; a, the coordinator before it, resumes and still considers itself the coordinator.
+        member("b").vanish();
+        member("a").becomeCoordinator(8);
+        member("c").announceCoordinator("", 0);
         run(1_600);
         assertFalse(coordinatorClient.isAttached());
-        EdgeHello last = core("a").hellos.get(core("a").hellos.size() - 1);
-        assertEquals(9, last.term(), "the helm that is asked hears that it has been succeeded");
-        core("a").say(chunk(8, 3));
-        core("a").say(new Roster(8, 40, List.of()));
-        core("a").say(new InstanceGone("i-1", "tea"));
+        EdgeHello last = member("a").hellos.get(member("a").hellos.size() - 1);
+        assertEquals(9, last.term(), "the hello tells the former coordinator the higher term");
+        member("a").sendToAll(chunk(8, 3));
+        member("a").sendToAll(new Roster(8, 40, List.of()));
+        member("a").sendToAll(new InstanceGone("i-1", "tea"));
         run(1_000);
         assertFalse(coordinatorClient.isAttached());
-        assertEquals(List.of(), heard.taken);
-        core("c").coordinator(10);
+        assertEquals(List.of(), listener.received);
+        member("c").becomeCoordinator(10);
         untilAttached(10, 1_500);
     }
 
     @Test
-    void aHintToACoordinatorOfALowerTermIsNotFollowed() {
-        core("b").coordinator(9);
-        core("a").names("b", 9);
+    void redirectToACoordinatorOfALowerTermIsNotFollowed() {
+        member("b").becomeCoordinator(9);
+        member("a").announceCoordinator("b", 9);
         start("a");
         untilAttached(9, 300);
-        core("c").coordinator(8);
-        core("b").names("c", 8);
+        member("c").becomeCoordinator(8);
+        member("b").announceCoordinator("c", 8);
         run(500);
-        assertEquals(0, core("c").hellos.size());
+        assertEquals(0, member("c").hellos.size());
     }
 
     @Test
-    void whenItsLeaseRunsOutItsEdgesGoOnAtOnce() {
-        core("a").coordinator(9).view(2, "a", "b");
-        core("b").names("a", 9);
+    void edgesDetachAtOnceWhenTheLeaseExpires() {
+        member("a").becomeCoordinator(9).setView(2, "a", "b");
+        member("b").announceCoordinator("a", 9);
         start("a");
         untilAttached(9, 300);
-        core("a").cutOff();
+        member("a").isolate();
         run(10);
         assertFalse(coordinatorClient.isAttached());
-        assertFalse(coordinatorClient.send(new InstanceGone("i-1", "tea")), "nothing more is asked of it");
-        core("b").names("", 0);
+        assertFalse(coordinatorClient.send(new InstanceGone("i-1", "tea")), "frames are no longer sent to it");
+        member("b").announceCoordinator("", 0);
         run(300);
-        assertEquals(1, core("b").hellos.size());
-        core("b").coordinator(10);
-        assertTrue(untilAttached(10, 300) <= 260, "a waiting edge is told");
+        assertEquals(1, member("b").hellos.size());
+        member("b").becomeCoordinator(10);
+        assertTrue(untilAttached(10, 300) <= 260, "a waiting edge is notified");
     }
 
     @Test
-    void aWaitingEdgeIsToldOfTheNextCoordinatorAndFollowsWithinMilliseconds() {
-        core("a");
-        core("b").coordinator(9);
+    void waitingEdgeFollowsARedirectWithinMilliseconds() {
+        member("a");
+        member("b").becomeCoordinator(9);
         start("a");
         run(700);
-        assertEquals(1, core("a").hellos.size(), "it waits at a member that is in touch");
-        core("a").names("b", 9);
+        assertEquals(1, member("a").hellos.size(), "the edge stays with a member that is in an active view");
+        member("a").announceCoordinator("b", 9);
         assertTrue(untilAttached(9, 100) < 20);
     }
 
     @Test
-    void itDoesNotReturnToACoordinatorThatHasLetItGoOnTheWordOfOneWhoDoesNotKnowYet() {
-        core("a").coordinator(9).view(2, "a", "b", "c");
-        core("b").names("a", 9);
-        core("c").names("a", 9);
+    void outdatedRedirectToAFormerCoordinatorIsNotFollowed() {
+        member("a").becomeCoordinator(9).setView(2, "a", "b", "c");
+        member("b").announceCoordinator("a", 9);
+        member("c").announceCoordinator("a", 9);
         start("a");
         untilAttached(9, 300);
-        int before = core("a").hellos.size();
-        core("a").cutOff();
+        int before = member("a").hellos.size();
+        member("a").isolate();
         run(500);
-        assertEquals(before, core("a").hellos.size(), "b and c still name it");
-        core("b").names("c", 10);
-        core("c").coordinator(10);
+        assertEquals(before, member("a").hellos.size(), "the edge followed an outdated redirect by b or c");
+        member("b").announceCoordinator("c", 10);
+        member("c").becomeCoordinator(10);
         untilAttached(10, 900);
     }
 
     @Test
-    void membersThatAreNotInTheSettingsAreKnownFromTheView() {
-        core("a").coordinator(9).view(4, "a", "d", "e");
-        core("d").names("", 0);
-        core("e").names("", 0);
+    void membersMissingFromTheSettingsAreLearnedFromTheView() {
+        member("a").becomeCoordinator(9).setView(4, "a", "d", "e");
+        member("d").announceCoordinator("", 0);
+        member("e").announceCoordinator("", 0);
         start("a", "b", "c");
         untilAttached(9, 300);
-        core("a").vanish();
+        member("a").vanish();
         run(1_100);
-        core("e").coordinator(10);
-        core("d").names("e", 10);
+        member("e").becomeCoordinator(10);
+        member("d").announceCoordinator("e", 10);
         untilAttached(10, 1_000);
     }
 
     /**
-     * The worst way from an isolated coordinator to the real one: five members, of which two are away, one silent and
-     * one cut off with the edge's own helm still pulsing until its lease is over; seeds that are all stale by then.
+     * The worst case for moving from an isolated coordinator to its successor: of five members two are unavailable, one
+     * silent and one isolated, the edge's own coordinator, which sends heartbeats until its lease expires; the other
+     * seeds are all outdated.
      */
     @Test
-    void theWorstWayIsShorterThanAConfigurationMayTake() {
+    void worstCaseReattachmentTakesLessThanThreeSeconds() {
         long worst = 0;
         for (String first : List.of("b,c,d,e", "b,c,e,d", "b,d,c,e", "c,b,d,e", "d,e,b,c", "e,d,c,b")) {
             CoordinatorClientTest one = new CoordinatorClientTest();
-            worst = Math.max(worst, one.worstWay(first.split(",")));
+            worst = Math.max(worst, one.worstCaseReattachMs(first.split(",")));
         }
-        System.out.println("tether: worst way from an isolated helm to the real one " + worst + " ms");
+        System.out.println("edge: worst case from an isolated coordinator to its successor " + worst + " ms");
         assertTrue(worst < 3_000, worst + " ms");
     }
 
-    /** ms from the cut to the new coordinator's first word. */
-    private long worstWay(String... order) {
+    /** ms from the partition until the edge is attached to the new coordinator. */
+    private long worstCaseReattachMs(String... order) {
         String[] view = {"a", order[0], order[1], order[2], order[3]};
-        core("a").coordinator(9).view(5, view);
+        member("a").becomeCoordinator(9).setView(5, view);
         for (String other : List.of("c", "d", "e")) {
-            core(other).names("a", 9).view(5, view);
+            member(other).announceCoordinator("a", 9).setView(5, view);
         }
-        // Stale seeds: x, y and z are gone for long; b is away.
+        // Outdated seeds: x, y and z no longer exist; b is unavailable.
         start("a", "x", "y", "z");
         untilAttached(9, 300);
         long cut = simulation.now();
-        core("c").names("a", 9);
-        // a's lease: the last agreement was sent right before the cut, so it acts for 800 ms more; out of touch it is
-        // after 350.
+        member("c").announceCoordinator("a", 9);
+        // Lease of a: the last renewal was sent right before the partition, so a acts for 800 ms more; it notices the
+        // partition after 350 ms.
         run(800);
-        core("a").cutOff();
-        // The others hold the lease of a to run for 1,200 ms; the next is chosen 250 ms later.
+        member("a").isolate();
+        // The others consider the lease of a valid for 1,200 ms; the next coordinator is elected 250 ms later.
         run(400);
-        core("c").names("", 0);
-        core("d").names("", 0);
-        core("e").names("", 0);
+        member("c").announceCoordinator("", 0);
+        member("d").announceCoordinator("", 0);
+        member("e").announceCoordinator("", 0);
         run(250);
-        core("e").coordinator(10);
-        core("c").names("e", 10);
-        core("d").names("e", 10);
+        member("e").becomeCoordinator(10);
+        member("c").announceCoordinator("e", 10);
+        member("d").announceCoordinator("e", 10);
         untilAttached(10, 10_000);
         return TimeUnit.NANOSECONDS.toMillis(simulation.now() - cut);
     }
--- a/src/test/java/brambletray/platform/edge/EarliestTimerTest.java
+++ b/src/test/java/brambletray/platform/edge/EarliestTimerTest.java
@@ -31,7 +31,7 @@
         return machine.clock().nanos() / 1_000_000;
     }
 
-    /** Runs until then and counts the instants at which the machine does something. */
+    /** Runs until this time and counts the events of the machine. */
     private void runUntil(long ms) {
         wakeUps = -1;
         simulation.runUntil(TimeUnit.MILLISECONDS.toNanos(ms), () -> {
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void timeThatAnEarlierOneReplacedDoesNotWakeTheProcess() {
+    void replacedTimerDoesNotWakeTheProcess() {
         runUntil(100);
         timer.schedule(startMs + 300);
         runUntil(200);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void runThatRequestsTheNextIsRunAgain() {
+    void taskThatSchedulesItselfRunsAgain() {
         EarliestTimer[] again = new EarliestTimer[1];
         again[0] = new EarliestTimer(machine, () -> {
             runs.add(nowMs() - startMs);
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void runThatFailedBeforeItRequestedTheNextIsRecovered() {
+    void failedTaskIsRescheduledByRecover() {
         timer.schedule(startMs + 100);
         runUntil(150);
         timer.recover(startMs + 150);
--- a/src/test/java/brambletray/platform/edge/EdgeHelloTest.java
+++ b/src/test/java/brambletray/platform/edge/EdgeHelloTest.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** What the whole program of an edge says of itself, on each link to a member of the control plane. */
+/** The hello that the edge program sends on each link to a control plane member. */
 class EdgeHelloTest {
     private static final String SETTINGS =
             "node-name=edge-1\nrole=carry\nip-address=10.0.0.2\nzone=za\nzones.za=south\n"
@@ -29,7 +29,7 @@
                     + "seed-peers=10.0.0.1:8248\n";
 
     @Test
-    void itsHelloTellsTheHighestTermThatItHasSeenInThisLifeOnEveryLink() throws UnknownHostException {
+    void helloCarriesTheHighestTermSeenByThisProcess() throws UnknownHostException {
         Simulation simulation = new Simulation(2, 0);
         Machine core = simulation.machine(InetAddress.getByName("10.0.0.1"));
         Machine edge = simulation.machine(InetAddress.getByName("10.0.0.2"));
@@ -50,10 +50,12 @@
             @Override
             public void onLinkDown(Link link, String why) {}
         });
-        SimulatedEdge[] carry = new SimulatedEdge[1];
-        edge.loop().execute(() -> carry[0] = SimulatedEdge.start(SimulatedSettings.of(SETTINGS), edge, 1, code -> {}));
+        SimulatedEdge[] simulatedEdge = new SimulatedEdge[1];
+        edge.loop()
+                .execute(() ->
+                        simulatedEdge[0] = SimulatedEdge.start(SimulatedSettings.of(SETTINGS), edge, 1, code -> {}));
         simulation.runUntil(TimeUnit.SECONDS.toNanos(3));
         assertEquals(List.of(0L, 8L, 8L), terms.subList(0, 3));
-        assertFalse(carry[0].isReady(), "no configuration has come");
+        assertFalse(simulatedEdge[0].isReady(), "no configuration was received");
     }
 }
--- a/src/test/java/brambletray/platform/edge/EdgeProgramSignalsTest.java
+++ b/src/test/java/brambletray/platform/edge/EdgeProgramSignalsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What the whole program of an edge makes of signals, in simulated time. */
+/** How the edge program handles signals, in simulated time. */
 class EdgeProgramSignalsTest {
     private static final String SETTINGS =
             "node-name=edge-1\nrole=carry\nip-address=10.0.0.2\nzone=za\nzones.za=south\n"
@@ -23,53 +23,53 @@
 
     private final Simulation simulation = new Simulation(3, 0);
     private final List<String> exits = new ArrayList<>();
-    private final SimulatedEdge[] carry = new SimulatedEdge[1];
+    private final SimulatedEdge[] simulatedEdge = new SimulatedEdge[1];
     private Machine edge;
 
     @BeforeEach
     void start() throws UnknownHostException {
         edge = simulation.machine(InetAddress.getByName("10.0.0.2"));
         edge.loop()
-                .execute(() -> carry[0] = SimulatedEdge.start(
+                .execute(() -> simulatedEdge[0] = SimulatedEdge.start(
                         SimulatedSettings.of(SETTINGS),
                         edge,
                         1,
                         code -> exits.add(code + " at " + TimeUnit.NANOSECONDS.toMillis(simulation.now()))));
-        until(1_000);
+        runUntil(1_000);
     }
 
-    private void until(long ms) {
+    private void runUntil(long ms) {
         simulation.runUntil(TimeUnit.MILLISECONDS.toNanos(ms));
     }
 
-    private void signals(long ms, Runnable signal) {
-        until(ms);
+    private void signalAt(long ms, Runnable signal) {
+        runUntil(ms);
         edge.loop().execute(signal);
     }
 
     @Test
-    void aSecondTermChangesNothing() {
-        signals(1_000, carry[0]::terminate);
-        signals(1_500, carry[0]::terminate);
-        signals(3_000, carry[0]::terminate);
-        until(20_000);
+    void repeatedTerminateSignalIsIgnored() {
+        signalAt(1_000, simulatedEdge[0]::terminate);
+        signalAt(1_500, simulatedEdge[0]::terminate);
+        signalAt(3_000, simulatedEdge[0]::terminate);
+        runUntil(20_000);
         assertEquals(List.of("0 at 3600"), exits);
     }
 
     @Test
-    void aHangupIsNotTheEndOfTheProcess() {
-        signals(1_000, carry[0]::hangUp);
-        signals(1_010, carry[0]::hangUp);
-        until(20_000);
+    void hangupDoesNotEndTheProcess() {
+        signalAt(1_000, simulatedEdge[0]::reloadSettings);
+        signalAt(1_010, simulatedEdge[0]::reloadSettings);
+        runUntil(20_000);
         assertEquals(List.of(), exits);
     }
 
     @Test
-    void aHangupWhileTheProcessLeavesChangesNothing() {
-        signals(1_000, carry[0]::terminate);
-        signals(1_500, carry[0]::hangUp);
-        until(20_000);
+    void hangupDuringShutdownIsIgnored() {
+        signalAt(1_000, simulatedEdge[0]::terminate);
+        signalAt(1_500, simulatedEdge[0]::reloadSettings);
+        runUntil(20_000);
         assertEquals(List.of("0 at 3600"), exits);
-        assertFalse(carry[0].isReady());
+        assertFalse(simulatedEdge[0].isReady());
     }
 }
--- a/src/test/java/brambletray/platform/edge/EdgeAtRestTest.java
+++ b/src/test/java/brambletray/platform/edge/IdleEdgeTest.java
@@ -23,7 +23,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * An edge with a coordinator and no requests. What it costs is paid by each of many edges all day long.
+ * Wake-ups of an edge with a coordinator and no requests. Guards against needless timers, whose cost every idle edge
+ * pays all the time.
  *
  * <pre>
  *   ms           0      200    250    400    500    600
@@ -31,17 +32,17 @@
  *   edge         tick   tick   read   tick   read   tick   each 200 ms, and at each heartbeat
  * </pre>
  */
-class EdgeAtRestTest {
+class IdleEdgeTest {
     private static final String CORE = "10.0.0.1:7400";
     private static final int COORDINATOR_HEARTBEATS_PER_S = 4;
     private static final int EDGE_INTERVALS_PER_S = 5;
     private static final int SECONDS = 10;
-    /** Lines of figures, and what the start leaves over. */
-    private static final int FEW = 5;
+    /** Allows for log lines with metrics and for events left over from the start. */
+    private static final int TOLERANCE = 5;
 
     private final Simulation simulation = new Simulation(7, 0);
     private final List<Link> edges = new ArrayList<>();
-    private int instants;
+    private int eventCount;
 
     private static InetAddress ip(String text) {
         try {
@@ -52,18 +53,19 @@
     }
 
     @Test
-    void edgeAtRestWakesUpForItsIntervalsAndTheCoordinatorOnly() {
+    void idleEdgeWakesUpForItsTicksAndHeartbeatsOnly() {
         simulation.network().usual(new SimNetwork.Way(TimeUnit.MILLISECONDS.toNanos(2), 0));
         startCoordinator();
         startEdge();
         simulation.runUntil(TimeUnit.SECONDS.toNanos(2));
         simulation.runUntil(TimeUnit.SECONDS.toNanos(2 + SECONDS), () -> {
-            instants++;
+            eventCount++;
             return false;
         });
-        // each heartbeat is three instants: the coordinator sends it, the edge reads it, its acknowledgement is back
+        // Each heartbeat takes three events: the coordinator sends it, the edge reads it, the acknowledgement returns.
         int needed = (3 * COORDINATOR_HEARTBEATS_PER_S + EDGE_INTERVALS_PER_S) * SECONDS;
-        assertTrue(instants <= needed + FEW, instants + " instants in " + SECONDS + " s, " + needed + " needed");
+        assertTrue(
+                eventCount <= needed + TOLERANCE, eventCount + " events in " + SECONDS + " s, " + needed + " needed");
     }
 
     private void startEdge() {
--- a/src/test/java/brambletray/platform/edge/OperationClientTest.java
+++ b/src/test/java/brambletray/platform/edge/OperationClientTest.java
@@ -29,7 +29,7 @@
 import java.util.PriorityQueue;
 import org.junit.jupiter.api.Test;
 
-/** Edges and a coordinator in virtual time: repeats of one operation here and at other edges, through losses. */
+/** Repeated attempts of one operation at several edges, with lost frames, restarts and pauses. Virtual time. */
 class OperationClientTest {
     private static final int WINDOW_MS = 60_000;
     private static final int LINK_MS = 2;
@@ -51,7 +51,7 @@
         events.add(new Event(now + ms, ++eventCount, action));
     }
 
-    private void until(long ms) {
+    private void runUntil(long ms) {
         while (!events.isEmpty() && events.peek().atMs() <= ms) {
             Event next = events.poll();
             now = next.atMs();
@@ -64,24 +64,24 @@
         return edges.computeIfAbsent(name, Edge::new);
     }
 
-    /** One edge process; requests here are named, and what they hear is noted under their name. */
+    /** An edge process; its attempts have names, under which their outcomes are recorded. */
     private final class Edge implements OperationTransport {
         private final String name;
         private long incarnation = ++lastIncarnation;
         private boolean alive = true;
-        /** The earliest tick that was asked for: no other is remembered. */
+        /** The earliest requested tick; later ones are not kept. */
         private long tickAtMs = Long.MAX_VALUE;
 
         private boolean linksUp = true;
-        /** Its links to other edges are being made: frames are lost, and nobody is unreachable yet. */
-        private boolean linksAreMade;
-        /** What comes while it stands still; null while it runs. */
-        private List<Runnable> missed;
+        /** Its links to other edges are being established: frames are lost, but no edge counts as unreachable yet. */
+        private boolean isConnecting;
+        /** Events that arrive while the process is frozen; null while it runs. */
+        private List<Runnable> deferredEvents;
 
         private OperationClient client;
         private final Map<String, OperationGate.Listener> listeners = new HashMap<>();
         private final Map<String, OperationClaim> claims = new HashMap<>();
-        private final Map<String, String> heard = new HashMap<>();
+        private final Map<String, String> outcomes = new HashMap<>();
 
         Edge(String name) {
             this.name = name;
@@ -97,26 +97,26 @@
                 @Override
                 public void onClaimed(OperationClaim claim) {
                     claims.put(attempt, claim);
-                    hears("claimed");
+                    recordOutcome("claimed");
                 }
 
                 @Override
                 public void onAnswered(RecordedAnswer answer) {
-                    hears("answered " + new String(answer.body(), StandardCharsets.UTF_8));
+                    recordOutcome("answered " + new String(answer.body(), StandardCharsets.UTF_8));
                 }
 
                 @Override
                 public void onUnknown() {
-                    hears("unknown");
+                    recordOutcome("unknown");
                 }
 
                 @Override
                 public void onUnavailable(int retryAfterMs) {
-                    hears("unavailable " + retryAfterMs);
+                    recordOutcome("unavailable " + retryAfterMs);
                 }
 
-                private void hears(String what) {
-                    heard.merge(attempt, what, (before, next) -> before + ", " + next);
+                private void recordOutcome(String what) {
+                    outcomes.merge(attempt, what, (before, next) -> before + ", " + next);
                 }
             };
             listeners.put(attempt, listener);
@@ -127,38 +127,38 @@
             return client.cancel(listeners.get(attempt));
         }
 
-        void completes(String attempt, String body) {
+        void complete(String attempt, String body) {
             claims.get(attempt).complete(answer(body));
         }
 
-        String hears(String attempt) {
-            return heard.getOrDefault(attempt, "nothing");
+        String outcome(String attempt) {
+            return outcomes.getOrDefault(attempt, "nothing");
         }
 
-        /** The process stands still; its links stay up. */
-        void freezes() {
-            missed = new ArrayList<>();
+        /** Freezes the process; its links stay up. */
+        void freeze() {
+            deferredEvents = new ArrayList<>();
         }
 
-        void thaws() {
-            List<Runnable> late = missed;
-            missed = null;
+        void resume() {
+            List<Runnable> late = deferredEvents;
+            deferredEvents = null;
             late.forEach(Runnable::run);
         }
 
-        private void happens(Runnable event) {
-            if (missed != null) {
-                missed.add(event);
+        private void runOrDefer(Runnable event) {
+            if (deferredEvents != null) {
+                deferredEvents.add(event);
             } else if (alive) {
                 event.run();
             }
         }
 
-        void dies() {
+        void kill() {
             alive = false;
         }
 
-        void restarts() {
+        void restart() {
             alive = true;
             tickAtMs = Long.MAX_VALUE;
             incarnation = ++lastIncarnation;
@@ -195,8 +195,8 @@
         }
 
         private void deliver(Edge to, Object frame) {
-            if (to.linksUp && linksUp && !to.linksAreMade && !linksAreMade) {
-                after(LINK_MS, () -> to.happens(() -> to.client.onEdgeFrame(name, frame)));
+            if (to.linksUp && linksUp && !to.isConnecting && !isConnecting) {
+                after(LINK_MS, () -> to.runOrDefer(() -> to.client.onEdgeFrame(name, frame)));
             }
         }
 
@@ -209,7 +209,7 @@
             OperationClient ticked = client;
             after(
                     Math.max(1, atMs - now),
-                    () -> happens(() -> {
+                    () -> runOrDefer(() -> {
                         if (client == ticked && tickAtMs == atMs) {
                             tickAtMs = Long.MAX_VALUE;
                             client.tick();
@@ -223,7 +223,7 @@
                 200, "OK", List.of("Brambletray-Response-Seal", "s"), body.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** A coordinator whose batches are one command each. */
+    /** A coordinator that applies one command per batch. */
     private void coordinate(Edge edge, Object frame) {
         if (!coordinatorUp) {
             return;
@@ -254,316 +254,319 @@
     private void answer(Edge edge, Object frame) {
         after(LINK_MS, () -> {
             if (coordinatorUp) {
-                edge.happens(() -> edge.client.onCoordinatorFrame(frame));
+                edge.runOrDefer(() -> edge.client.onCoordinatorFrame(frame));
             }
         });
     }
 
     // ---- Timelines --------------------------------------------------------------------------------
     @Test
-    void repeatsAtTheSameEdgeWaitForTheFirstOneAndHaveItsAnswer() {
+    void repeatsAtTheSameEdgeReceiveTheFirstAnswer() {
         Edge a = edge("a");
         a.claim("r1");
-        until(10);
-        assertEquals("claimed", a.hears("r1"));
+        runUntil(10);
+        assertEquals("claimed", a.outcome("r1"));
         a.claim("r2");
-        until(200);
-        assertEquals("nothing", a.hears("r2"));
-        a.completes("r1", "first");
-        assertEquals("answered first", a.hears("r2"));
+        runUntil(200);
+        assertEquals("nothing", a.outcome("r2"));
+        a.complete("r1", "first");
+        assertEquals("answered first", a.outcome("r2"));
         a.claim("r3");
-        assertEquals("answered first", a.hears("r3"));
+        assertEquals("answered first", a.outcome("r3"));
     }
 
     @Test
-    void aClaimIsNotUsedLaterThanItsWindowAtTheCoreCovers() {
+    void claimIsNotUsableAfterTheSendDeadline() {
         Edge a = edge("a");
         a.claim("r1");
-        until(ClaimWindow.SEND_WITHIN_MS - 1);
+        runUntil(ClaimWindow.SEND_WITHIN_MS - 1);
         assertTrue(a.claims.get("r1").isUsable());
-        until(ClaimWindow.SEND_WITHIN_MS);
+        runUntil(ClaimWindow.SEND_WITHIN_MS);
         assertFalse(a.claims.get("r1").isUsable());
     }
 
     @Test
-    void twoAttemptsInTheSameMomentAreOne() {
+    void concurrentAttemptsRunOnce() {
         Edge a = edge("a");
         a.claim("r1");
         a.claim("r2");
         edge("b").claim("r3");
-        until(20);
+        runUntil(20);
         assertEquals(
                 "claimed nothing nothing",
-                a.hears("r1") + " " + a.hears("r2") + " " + edge("b").hears("r3"));
-        a.completes("r1", "first");
-        until(30);
-        assertEquals("answered first", a.hears("r2"));
-        assertEquals("answered first", edge("b").hears("r3"));
+                a.outcome("r1") + " " + a.outcome("r2") + " " + edge("b").outcome("r3"));
+        a.complete("r1", "first");
+        runUntil(30);
+        assertEquals("answered first", a.outcome("r2"));
+        assertEquals("answered first", edge("b").outcome("r3"));
     }
 
     @Test
-    void aRepeatAtAnotherEdgeWaitsForTheFirstOne() {
+    void repeatAtAnotherEdgeReceivesTheFirstAnswer() {
         edge("a").claim("r1");
-        until(10);
+        runUntil(10);
         Edge b = edge("b");
         b.claim("r2");
-        until(300);
-        assertEquals("nothing", b.hears("r2"));
-        edge("a").completes("r1", "first");
-        until(310);
-        assertEquals("answered first", b.hears("r2"));
+        runUntil(300);
+        assertEquals("nothing", b.outcome("r2"));
+        edge("a").complete("r1", "first");
+        runUntil(310);
+        assertEquals("answered first", b.outcome("r2"));
         b.claim("r3");
-        until(330);
-        assertEquals("answered first", b.hears("r3"));
+        runUntil(330);
+        assertEquals("answered first", b.outcome("r3"));
     }
 
     @Test
-    void aFirstOneThatHasNoClaimYetIsNotInWork() {
+    void firstAttemptWithoutAClaimIsNotInProgress() {
         coordinatorUp = false;
         Edge a = edge("a");
         a.claim("r1");
         a.claim("r2");
-        until(50);
+        runUntil(50);
         assertEquals(OperationGate.Progress.NOT_CLAIMED, a.cancel("r2"));
     }
 
     @Test
-    void atTheEndOfItsTimeARepeatKnowsThatTheFirstOneIsInWork() {
+    void cancelledRepeatReportsThatTheFirstAttemptIsInProgress() {
         edge("a").claim("r1");
-        until(10);
+        runUntil(10);
         edge("a").claim("r2");
         edge("b").claim("r3");
-        until(500);
+        runUntil(500);
         assertEquals(OperationGate.Progress.IN_WORK, edge("a").cancel("r2"));
         assertEquals(OperationGate.Progress.IN_WORK, edge("b").cancel("r3"));
-        edge("a").completes("r1", "first");
-        until(600);
-        assertEquals("nothing nothing", edge("a").hears("r2") + " " + edge("b").hears("r3"));
+        edge("a").complete("r1", "first");
+        runUntil(600);
+        assertEquals(
+                "nothing nothing", edge("a").outcome("r2") + " " + edge("b").outcome("r3"));
     }
 
     @Test
-    void whatHasNotRunIsReleasedAndRunsAtAnotherEdge() {
+    void releasedOperationRunsAtAnotherEdge() {
         edge("a").claim("r1");
-        until(10);
+        runUntil(10);
         edge("b").claim("r2");
-        until(50);
+        runUntil(50);
         edge("a").claims.get("r1").release();
-        until(120);
-        assertEquals("claimed", edge("b").hears("r2"));
+        runUntil(120);
+        assertEquals("claimed", edge("b").outcome("r2"));
     }
 
     @Test
-    void whatMayHaveRunIsUnknownEverywhere() {
+    void abandonedOperationIsUnknownAtAllEdges() {
         edge("a").claim("r1");
-        until(10);
+        runUntil(10);
         edge("b").claim("r2");
-        until(50);
+        runUntil(50);
         edge("a").claims.get("r1").abandon();
         edge("a").claim("r3");
-        until(60);
-        assertEquals("unknown unknown", edge("b").hears("r2") + " " + edge("a").hears("r3"));
+        runUntil(60);
+        assertEquals(
+                "unknown unknown", edge("b").outcome("r2") + " " + edge("a").outcome("r3"));
     }
 
     @Test
-    void theEndOfAnEdgeLeavesItsOperationsUnknown() {
+    void operationsOfARestartedEdgeAreUnknown() {
         edge("a").claim("r1");
-        until(10);
+        runUntil(10);
         edge("b").claim("r2");
-        until(30);
-        edge("a").dies();
-        until(100);
-        assertEquals("unknown", edge("b").hears("r2"));
-        edge("a").restarts();
+        runUntil(30);
+        edge("a").kill();
+        runUntil(100);
+        assertEquals("unknown", edge("b").outcome("r2"));
+        edge("a").restart();
         edge("a").claim("r3");
         edge("b").claim("r4");
-        until(120);
-        assertEquals("unknown unknown", edge("a").hears("r3") + " " + edge("b").hears("r4"));
+        runUntil(120);
+        assertEquals(
+                "unknown unknown", edge("a").outcome("r3") + " " + edge("b").outcome("r4"));
     }
 
     @Test
-    void aClaimWhoseClientGaveUpIsReleased() {
+    void cancelledClaimIsReleased() {
         edge("a").claim("r1");
         assertEquals(OperationGate.Progress.NOT_CLAIMED, edge("a").cancel("r1"));
-        until(20);
-        assertEquals("nothing", edge("a").hears("r1"));
+        runUntil(20);
+        assertEquals("nothing", edge("a").outcome("r1"));
         edge("b").claim("r2");
-        until(40);
-        assertEquals("claimed", edge("b").hears("r2"));
+        runUntil(40);
+        assertEquals("claimed", edge("b").outcome("r2"));
     }
 
     @Test
-    void withoutACoordinatorAClaimIsRefusedInTime() {
+    void claimWithoutACoordinatorIsRefusedAtItsDeadline() {
         coordinatorUp = false;
         edge("a").claim("r1");
-        until(99);
-        assertEquals("nothing", edge("a").hears("r1"));
-        until(101);
-        assertEquals("unavailable 800", edge("a").hears("r1"));
+        runUntil(99);
+        assertEquals("nothing", edge("a").outcome("r1"));
+        runUntil(101);
+        assertEquals("unavailable 800", edge("a").outcome("r1"));
     }
 
     @Test
-    void theNextCoordinatorHearsWhatTheFormerHasNotAnswered() {
+    void unansweredFramesAreResentToTheNextCoordinator() {
         Edge a = edge("a");
         a.claim("r1");
         coordinatorUp = false;
-        until(50);
+        runUntil(50);
         coordinatorUp = true;
         a.client.onAttached();
-        until(60);
-        assertEquals("claimed", a.hears("r1"));
+        runUntil(60);
+        assertEquals("claimed", a.outcome("r1"));
         coordinatorUp = false;
         a.claims.get("r1").release();
-        until(80);
+        runUntil(80);
         coordinatorUp = true;
         a.client.onAttached();
-        until(90);
+        runUntil(90);
         edge("b").claim("r2");
-        until(100);
-        assertEquals("claimed", edge("b").hears("r2"));
+        runUntil(100);
+        assertEquals("claimed", edge("b").outcome("r2"));
     }
 
     @Test
-    void aClaimThatCannotBeCommittedIsRefusedAndReleased() {
+    void claimThatCannotBeCommittedIsRefusedAndReleased() {
         coordinatorBusy = true;
         edge("a").claim("r1");
-        until(20);
-        assertEquals("unavailable 300", edge("a").hears("r1"));
+        runUntil(20);
+        assertEquals("unavailable 300", edge("a").outcome("r1"));
         coordinatorBusy = false;
         edge("a").claim("r2");
-        until(40);
-        assertEquals("claimed", edge("a").hears("r2"));
+        runUntil(40);
+        assertEquals("claimed", edge("a").outcome("r2"));
     }
 
     @Test
-    void aKeyIsFreeAfterItsWindowAndNotBefore() {
+    void keyIsFreeAfterItsWindowAndNotBefore() {
         edge("a").claim("r1");
-        until(10);
-        edge("a").completes("r1", "first");
-        until(WINDOW_MS - 100);
+        runUntil(10);
+        edge("a").complete("r1", "first");
+        runUntil(WINDOW_MS - 100);
         edge("b").claim("r2");
         edge("a").claim("r3");
-        until(WINDOW_MS - 50);
-        assertEquals("answered first", edge("b").hears("r2"));
-        assertEquals("answered first", edge("a").hears("r3"));
-        until(WINDOW_MS + 100);
+        runUntil(WINDOW_MS - 50);
+        assertEquals("answered first", edge("b").outcome("r2"));
+        assertEquals("answered first", edge("a").outcome("r3"));
+        runUntil(WINDOW_MS + 100);
         edge("a").claim("r4");
-        until(WINDOW_MS + 200);
-        assertEquals("claimed", edge("a").hears("r4"));
+        runUntil(WINDOW_MS + 200);
+        assertEquals("claimed", edge("a").outcome("r4"));
     }
 
     @Test
-    void anAnswerThatWasLostOnABrokenLinkComesAgain() {
+    void queryIsRepeatedAfterABrokenLink() {
         edge("a").claim("r1");
-        until(10);
+        runUntil(10);
         edge("b").claim("r2");
-        until(30);
-        List<String> heard = new ArrayList<>();
+        runUntil(30);
+        List<String> outcomes = new ArrayList<>();
         edge("b").linksUp = false;
-        edge("a").completes("r1", "first");
-        until(40);
-        heard.add(edge("b").hears("r2"));
+        edge("a").complete("r1", "first");
+        runUntil(40);
+        outcomes.add(edge("b").outcome("r2"));
         edge("b").linksUp = true;
         edge("b").client.onLinkUp("a");
-        until(50);
-        heard.add(edge("b").hears("r2"));
-        assertEquals(List.of("nothing", "answered first"), heard);
+        runUntil(50);
+        outcomes.add(edge("b").outcome("r2"));
+        assertEquals(List.of("nothing", "answered first"), outcomes);
     }
 
-    // ---- Holders that stand still, links that are made, answers that are dropped ----------------------
+    // ---- Frozen holders, links being established, evicted answers ------------------------------------
     @Test
-    void aHolderThatStandsStillIsWaitedForAndNobodyCanTell() {
+    void progressIsUnknownWhileTheHolderIsFrozen() {
         edge("a").claim("r1");
-        until(10);
-        edge("a").freezes();
+        runUntil(10);
+        edge("a").freeze();
         edge("b").claim("r2");
         edge("b").claim("r3");
-        until(600);
-        assertEquals("nothing", edge("b").hears("r2"));
+        runUntil(600);
+        assertEquals("nothing", edge("b").outcome("r2"));
         assertEquals(OperationGate.Progress.UNKNOWN, edge("b").cancel("r2"));
-        edge("a").thaws();
-        until(620);
-        edge("a").completes("r1", "first");
-        until(630);
+        edge("a").resume();
+        runUntil(620);
+        edge("a").complete("r1", "first");
+        runUntil(630);
         assertEquals(
                 "nothing answered first",
-                edge("b").hears("r2") + " " + edge("b").hears("r3"));
+                edge("b").outcome("r2") + " " + edge("b").outcome("r3"));
     }
 
     @Test
-    void aClaimOfAnEdgeThatStoodStillIsNotUsedLate() {
+    void claimIsNotUsableAfterALongFreeze() {
         edge("a").claim("r1");
-        until(10);
+        runUntil(10);
         assertTrue(edge("a").claims.get("r1").isUsable());
-        edge("a").freezes();
-        until(WINDOW_MS);
-        edge("a").thaws();
+        edge("a").freeze();
+        runUntil(WINDOW_MS);
+        edge("a").resume();
         assertFalse(edge("a").claims.get("r1").isUsable());
     }
 
     @Test
-    void aGrantThatCameWhileTheEdgeStoodStillIsAsOldAsItsRequest() {
+    void grantReadAfterAFreezeIsAsOldAsItsRequest() {
         edge("a").claim("r1");
-        edge("a").freezes();
-        until(WINDOW_MS);
-        edge("a").thaws();
+        edge("a").freeze();
+        runUntil(WINDOW_MS);
+        edge("a").resume();
         OperationClaim late = edge("a").claims.get("r1");
         assertTrue(late == null || !late.isUsable());
     }
 
     @Test
-    void anAnswerThatWasDroppedIsUnknownEverywhere() {
+    void evictedAnswerIsUnknownAtAllEdges() {
         Edge a = edge("a");
         a.claim("r1");
-        until(10);
-        a.completes("r1", "first");
+        runUntil(10);
+        a.complete("r1", "first");
         for (int i = 0; i < 80; i++) {
             a.claim("more" + i, OperationKey.of("t", "more" + i));
         }
-        until(20);
+        runUntil(20);
         for (int i = 0; i < 80; i++) {
-            a.completes("more" + i, "x".repeat(250_000));
+            a.complete("more" + i, "x".repeat(250_000));
         }
         a.claim("r2");
         edge("b").claim("r3");
-        until(40);
-        assertEquals("unknown unknown", a.hears("r2") + " " + edge("b").hears("r3"));
+        runUntil(40);
+        assertEquals("unknown unknown", a.outcome("r2") + " " + edge("b").outcome("r3"));
         a.claim("r4", OperationKey.of("t", "more79"));
-        assertEquals("answered x", a.hears("r4").substring(0, 10));
+        assertEquals("answered x", a.outcome("r4").substring(0, 10));
     }
 
     @Test
-    void whatIsForgottenIsUnknown() {
+    void removedResultIsUnknown() {
         Edge a = edge("a");
         a.claim("r1");
-        until(10);
-        a.completes("r1", "first");
+        runUntil(10);
+        a.complete("r1", "first");
         edge("b").claim("r2");
-        edge("b").linksAreMade = true;
-        until(WINDOW_MS + 20_000);
-        a.client.forgetOld();
-        edge("b").linksAreMade = false;
+        edge("b").isConnecting = true;
+        runUntil(WINDOW_MS + 20_000);
+        a.client.removeExpired();
+        edge("b").isConnecting = false;
         edge("b").client.onLinkUp("a");
-        until(WINDOW_MS + 20_100);
-        assertEquals("unknown", edge("b").hears("r2"));
+        runUntil(WINDOW_MS + 20_100);
+        assertEquals("unknown", edge("b").outcome("r2"));
     }
 
     @Test
-    void queriesWaitUntilTheLinkIsUp() {
+    void queriesAreResentWhenTheLinkIsUp() {
         edge("a").claim("r1");
-        until(10);
+        runUntil(10);
         Edge b = edge("b");
-        b.linksAreMade = true;
+        b.isConnecting = true;
         b.claim("r2");
         b.claim("r3");
-        until(200);
-        assertEquals("nothing", b.hears("r2"));
+        runUntil(200);
+        assertEquals("nothing", b.outcome("r2"));
         assertEquals(OperationGate.Progress.UNKNOWN, b.cancel("r3"));
-        b.linksAreMade = false;
+        b.isConnecting = false;
         b.client.onLinkUp("a");
-        until(210);
-        edge("a").completes("r1", "first");
-        until(220);
-        assertEquals("answered first nothing", b.hears("r2") + " " + b.hears("r3"));
+        runUntil(210);
+        edge("a").complete("r1", "first");
+        runUntil(220);
+        assertEquals("answered first nothing", b.outcome("r2") + " " + b.outcome("r3"));
     }
 
     @Test
@@ -571,35 +574,36 @@
         OperationKey other = OperationKey.of("t", "other");
         edge("a").claim("r1");
         edge("a").claim("r2", other);
-        until(10);
-        assertEquals("claimed claimed", edge("a").hears("r1") + " " + edge("a").hears("r2"));
-        edge("a").completes("r1", "first");
-        edge("a").completes("r2", "second");
+        runUntil(10);
+        assertEquals(
+                "claimed claimed", edge("a").outcome("r1") + " " + edge("a").outcome("r2"));
+        edge("a").complete("r1", "first");
+        edge("a").complete("r2", "second");
         edge("b").claim("r3");
         edge("b").claim("r4", other);
         edge("a").claim("r5");
         edge("a").claim("r6", other);
-        until(30);
-        assertEquals("answered first", edge("b").hears("r3"));
-        assertEquals("answered second", edge("b").hears("r4"));
-        assertEquals("answered first", edge("a").hears("r5"));
-        assertEquals("answered second", edge("a").hears("r6"));
+        runUntil(30);
+        assertEquals("answered first", edge("b").outcome("r3"));
+        assertEquals("answered second", edge("b").outcome("r4"));
+        assertEquals("answered first", edge("a").outcome("r5"));
+        assertEquals("answered second", edge("a").outcome("r6"));
     }
 
     @Test
-    void onlyTheEdgeThatWasAskedAnswers() {
+    void responsesOfOtherEdgesAreIgnored() {
         edge("a").claim("r1");
-        until(10);
+        runUntil(10);
         edge("b").claim("r2");
-        until(20);
+        runUntil(20);
         for (long queryId = 0; queryId < 10; queryId++) {
             byte[] forged = "forged".getBytes(StandardCharsets.UTF_8);
             edge("b")
                     .client
                     .onEdgeFrame("c", new ResultResponse(queryId, OperationState.DONE, 200, "OK", List.of(), forged));
         }
-        edge("a").completes("r1", "first");
-        until(30);
-        assertEquals("answered first", edge("b").hears("r2"));
+        edge("a").complete("r1", "first");
+        runUntil(30);
+        assertEquals("answered first", edge("b").outcome("r2"));
     }
 }
--- a/src/test/java/brambletray/platform/edge/PlantedOperationClientFaultsTest.java
+++ b/src/test/java/brambletray/platform/edge/PlantedOperationClientFaultsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Faults of an edge's claims and answers, each planted, and found by the timeline that is there to find it. */
+/** Mutation tests: each fault injected into the handling of claims and answers must make its test fail. */
 class PlantedOperationClientFaultsTest {
     private static Arguments fault(String what, String method, String... edits) {
         return Arguments.of(what, method, edits);
@@ -18,100 +18,100 @@
     static Stream<Arguments> faults() {
         return Stream.of(
                 fault(
-                        "an operation of which nobody knows is claimed again",
-                        "whatMayHaveRunIsUnknownEverywhere",
+                        "an operation with an unknown result is claimed again",
+                        "abandonedOperationIsUnknownAtAllEdges",
                         "OperationClient",
                         "                case UNKNOWN -> finish(listener::onUnknown);\n",
                         ""),
                 fault(
-                        "what may have run is remembered as not run",
-                        "whatMayHaveRunIsUnknownEverywhere",
+                        "an abandoned claim is recorded as not run",
+                        "abandonedOperationIsUnknownAtAllEdges",
                         "GrantedClaim",
                         "        results.end(claim, Result.UNKNOWN);",
                         "        release();"),
                 fault(
-                        "the operations of an edge that has ended run again",
-                        "theEndOfAnEdgeLeavesItsOperationsUnknown",
+                        "operations held by a failed edge run again",
+                        "operationsOfARestartedEdgeAreUnknown",
                         "ResultQueries",
                         "                query.listener.accept(Result.UNKNOWN);",
                         "                query.listener.accept(Result.NOT_RUN);"),
                 fault(
-                        "a claim of the edge's last incarnation has not run",
-                        "theEndOfAnEdgeLeavesItsOperationsUnknown",
+                        "a claim of the edge's previous incarnation counts as not run",
+                        "operationsOfARestartedEdgeAreUnknown",
                         "OperationClient",
                         "                onResult(Result.UNKNOWN);",
                         "                onResult(Result.NOT_RUN);"),
                 fault(
-                        "a dropped answer has not run",
-                        "anAnswerThatWasDroppedIsUnknownEverywhere",
+                        "an evicted answer counts as not run",
+                        "evictedAnswerIsUnknownAtAllEdges",
                         "OperationResults",
                         "                oldest.result = Result.UNKNOWN;",
                         "                oldest.result = Result.NOT_RUN;"),
                 fault(
-                        "a forgotten claim has not run",
-                        "whatIsForgottenIsUnknown",
+                        "a removed claim counts as not run",
+                        "removedResultIsUnknown",
                         "OperationResults",
-                        "return claim.sequence() <= forgottenUpTo ? Result.UNKNOWN : Result.NOT_RUN;",
+                        "return claim.sequence() <= highestRemovedSequence ? Result.UNKNOWN : Result.NOT_RUN;",
                         "return Result.NOT_RUN;"),
                 fault(
-                        "what has run is released",
-                        "aRepeatAtAnotherEdgeWaitsForTheFirstOne",
+                        "a completed claim is released",
+                        "repeatAtAnotherEdgeReceivesTheFirstAnswer",
                         "GrantedClaim",
                         "        results.end(claim, Result.done(answer));",
                         "        claimClient.release(claim, operation);\n"
                                 + "        results.end(claim, Result.done(answer));"),
                 fault(
-                        "a claim in work is released when its holder is asked for",
-                        "aRepeatAtAnotherEdgeWaitsForTheFirstOne",
+                        "a running claim is released when its result is queried",
+                        "repeatAtAnotherEdgeReceivesTheFirstAnswer",
                         "OperationClient",
                         "        if (known == Result.NOT_RUN && key != null) {",
                         "        if (known != Result.UNKNOWN && key != null) {"),
                 fault(
-                        "the answer of another operation",
+                        "an attempt gets the answer of another operation",
                         "eachOperationHasItsOwnAnswer",
                         "OperationResults",
                         "        ClaimId claim = claims.get(key);",
                         "        ClaimId claim = claims.isEmpty() ? null : claims.values().iterator().next();"),
                 fault(
-                        "the answer of another claim of this edge",
+                        "a query gets the answer of another claim of this edge",
                         "eachOperationHasItsOwnAnswer",
                         "OperationClient",
-                        "        Result known = holder.incarnation() == incarnation ? findHere(holder, null)",
+                        "        Result known = holder.incarnation() == incarnation ? findLocal(holder, null)",
                         "        Result known = holder.incarnation() == incarnation "
-                                + "? findHere(new ClaimId(incarnation, 1), null)"),
+                                + "? findLocal(new ClaimId(incarnation, 1), null)"),
                 fault(
-                        "the answer of an edge that was not asked",
-                        "onlyTheEdgeThatWasAskedAnswers",
+                        "a response of an edge that was not queried is accepted",
+                        "responsesOfOtherEdgesAreIgnored",
                         "ResultQueries",
                         "        if (query == null || !query.edge.equals(edge)) {",
                         "        if (query == null) {"),
                 fault(
-                        "the answer of the window before",
-                        "aKeyIsFreeAfterItsWindowAndNotBefore",
+                        "an answer of the previous window is returned",
+                        "keyIsFreeAfterItsWindowAndNotBefore",
                         "OperationResults",
                         "return entry == null || entry.claimedAtMs < sinceMs ? null : claim;",
                         "return entry == null ? null : claim;"),
                 fault(
-                        "a claim is used after its window",
-                        "aClaimOfAnEdgeThatStoodStillIsNotUsedLate",
+                        "a claim is usable after its deadline",
+                        "claimIsNotUsableAfterALongFreeze",
                         "GrantedClaim",
                         "return clock.getAsLong() < usableUntilMs;",
                         "return true;"),
                 fault(
-                        "a claim is as old as its grant",
-                        "aGrantThatCameWhileTheEdgeStoodStillIsAsOldAsItsRequest",
+                        "the age of a claim is counted from its grant",
+                        "grantReadAfterAFreezeIsAsOldAsItsRequest",
                         "ClaimClient",
                         "waiting.listener.onGranted(granted.claim(), waiting.claimedAtMs);",
                         "waiting.listener.onGranted(granted.claim(), clock.getAsLong());"),
                 fault(
-                        "an operation that waits for a silent edge counts as in work",
-                        "queriesWaitUntilTheLinkIsUp",
+                        "an operation held by a silent edge counts as in progress",
+                        "queriesAreResentWhenTheLinkIsUp",
                         "ResultQueries",
                         "return query != null && query.isRunning;",
                         "return query != null;"),
                 fault(
                         "a query is not repeated when the link is up",
-                        "queriesWaitUntilTheLinkIsUp",
+                        "queriesAreResentWhenTheLinkIsUp",
                         "ResultQueries",
                         "            if (query.edge.equals(edge)) {",
                         "            if (false) {"));
@@ -121,9 +121,9 @@
     @MethodSource("faults")
     void isFound(String what, String method, String[] edits) {
         Class<?> test = OperationClientTest.class;
-        assertNull(Mutant.in(test).fails(test, method), "it holds without the fault");
+        assertNull(Mutant.in(test).fails(test, method), "the test fails without the fault");
         String found = Mutant.in(test, edits).fails(test, method);
-        assertNotNull(found, "not found: " + what);
+        assertNotNull(found, "fault not detected: " + what);
         System.out.println("planted: " + what + " -> " + found.replace('\n', ' '));
     }
 }
--- a/src/test/java/brambletray/platform/edge/QuotaClientTest.java
+++ b/src/test/java/brambletray/platform/edge/QuotaClientTest.java
@@ -16,13 +16,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** An edge that asks for rights, with a coordinator that answers as the test has it. Virtual time. */
+/** A quota client with a scripted coordinator. Virtual time. */
 class QuotaClientTest {
     private static final Tenant TENANT = new Tenant("a", List.of(), 0, 10, 0);
     private static final int TICK_MS = 50;
     private static final int WINDOW_MS = 5_000;
 
-    private static final class Waiting implements QuotaGate.Listener {
+    private static final class RecordingListener implements QuotaGate.Listener {
         private QuotaGate.Right right;
         private String refusal = "";
 
@@ -51,10 +51,10 @@
         return isAttached && sent.add(frame);
     }
 
-    private Waiting acquire() {
-        Waiting waiting = new Waiting();
-        client.acquire(TENANT, waiting);
-        return waiting;
+    private RecordingListener acquire() {
+        RecordingListener listener = new RecordingListener();
+        client.acquire(TENANT, listener);
+        return listener;
     }
 
     private void run(int ms) {
@@ -64,7 +64,7 @@
         }
     }
 
-    private long lastAsked() {
+    private long lastRequestId() {
         return sent.stream()
                 .filter(QuotaRequest.class::isInstance)
                 .map(QuotaRequest.class::cast)
@@ -77,10 +77,10 @@
         return sent.stream().filter(type::isInstance).map(type::cast).toList();
     }
 
-    /** The coordinator is lost after a grant that allows so many requests ahead. */
+    /** Detaches from the coordinator after a grant with this run-ahead allowance. */
     private void loseAfterGrant(int runAhead) {
         acquire();
-        client.onResponse(new QuotaGrant(lastAsked(), runAhead));
+        client.onResponse(new QuotaGrant(lastRequestId(), runAhead));
         isAttached = false;
         client.tick(false);
     }
@@ -91,27 +91,27 @@
     }
 
     @Test
-    void aGrantedRequestMayBeSentForAShortTime() {
-        Waiting waiting = acquire();
+    void rightIsValidForALimitedTime() {
+        RecordingListener waiting = acquire();
         assertEquals(List.of(new QuotaRequest(1, "a")), sent);
         nowMs += 1;
         client.onResponse(new QuotaGrant(1, 0));
         assertTrue(waiting.right.isValid());
         nowMs += QuotaTerms.RIGHT_VALIDITY_MS;
-        assertFalse(waiting.right.isValid(), "counted from when it was asked for");
+        assertFalse(waiting.right.isValid(), "validity is counted from the request");
     }
 
     @Test
-    void aRefusalIsPassedOn() {
-        Waiting waiting = acquire();
+    void refusalIsPassedToTheListener() {
+        RecordingListener waiting = acquire();
         client.onResponse(new QuotaRefusal(1, 70));
         assertEquals("exceeded 70", waiting.refusal);
         assertEquals(0, client.pendingCount());
     }
 
     @Test
-    void aRightThatComesTooLateIsAskedForAgain() {
-        Waiting waiting = acquire();
+    void rightThatArrivesTooLateIsRequestedAgain() {
+        RecordingListener waiting = acquire();
         nowMs += QuotaTerms.RIGHT_VALIDITY_MS;
         client.onResponse(new QuotaGrant(1, 0));
         assertEquals(null, waiting.right);
@@ -121,8 +121,8 @@
     }
 
     @Test
-    void rightsThatAreNotSpentInTimeGoBackAndSpentOnesDoNot() {
-        Waiting spent = acquire();
+    void onlyUnspentRightsAreReturned() {
+        RecordingListener spent = acquire();
         client.onResponse(new QuotaGrant(1, 0));
         acquire();
         client.onResponse(new QuotaGrant(2, 0));
@@ -134,8 +134,8 @@
     }
 
     @Test
-    void whoHasGoneIsNotCalledAndItsRightGoesBack() {
-        Waiting waiting = acquire();
+    void cancelledListenerIsNotCalledAndItsRightIsReturned() {
+        RecordingListener waiting = acquire();
         client.cancel(waiting);
         assertEquals(0, client.pendingCount());
         client.onResponse(new QuotaGrant(1, 0));
@@ -145,38 +145,38 @@
     }
 
     @Test
-    void withoutACoordinatorAsManyAreSentAheadAsTheLastGrantAllows() {
+    void withoutACoordinatorRequestsUseTheRunAheadAllowance() {
         loseAfterGrant(2);
         assertTrue(acquire().right.isValid());
         assertTrue(acquire().right.isValid());
-        Waiting third = acquire();
+        RecordingListener third = acquire();
         assertEquals(null, third.right);
         run(100);
         assertEquals("unavailable 1000", third.refusal);
     }
 
     @Test
-    void anAllowanceExpires() {
+    void runAheadAllowanceExpires() {
         loseAfterGrant(2);
         nowMs += QuotaTerms.RUN_AHEAD_VALIDITY_MS;
         assertEquals(null, acquire().right);
     }
 
     @Test
-    void theNextCoordinatorLearnsWhatWasSentAheadBeforeItIsAsked() {
+    void runAheadIsReportedToTheNextCoordinatorBeforeNewRequests() {
         loseAfterGrant(2);
         acquire();
         acquire();
-        Waiting waiting = acquire();
+        RecordingListener waiting = acquire();
         sent.clear();
         attach(2);
-        assertEquals(List.of(new QuotaDebit("a", 2), new QuotaRequest(lastAsked(), "a")), sent);
-        client.onResponse(new QuotaGrant(lastAsked(), 0));
+        assertEquals(List.of(new QuotaDebit("a", 2), new QuotaRequest(lastRequestId(), "a")), sent);
+        client.onResponse(new QuotaGrant(lastRequestId(), 0));
         assertTrue(waiting.right.isValid());
     }
 
     @Test
-    void theSameAllowanceIsNotSpentTwiceInAWindow() {
+    void allowanceIsNotSpentTwiceInAWindow() {
         loseAfterGrant(2);
         acquire();
         acquire();
@@ -190,11 +190,11 @@
     }
 
     @Test
-    void anAnswerThatDoesNotComeIsNotWaitedForWhereARequestMayBeSentAhead() {
+    void missingAnswerIsReplacedByTheRunAheadAllowance() {
         acquire();
         client.onResponse(new QuotaGrant(1, 1));
-        Waiting waiting = acquire();
-        Waiting other = acquire();
+        RecordingListener waiting = acquire();
+        RecordingListener other = acquire();
         run(100);
         assertTrue(waiting.right.isValid());
         assertEquals("", other.refusal);
@@ -204,7 +204,7 @@
     }
 
     @Test
-    void rightsOfAFormerCoordinatorAreNotReturnedToTheNext() {
+    void rightsOfAFormerCoordinatorAreNotReturned() {
         acquire();
         client.onResponse(new QuotaGrant(1, 0));
         isAttached = false;
@@ -215,8 +215,8 @@
     }
 
     @Test
-    void aRightThatIsSpentAfterItWentBackIsReported() {
-        Waiting waiting = acquire();
+    void rightSpentAfterItsReturnIsReported() {
+        RecordingListener waiting = acquire();
         client.onResponse(new QuotaGrant(1, 0));
         run(200);
         assertEquals(1, all(QuotaReturn.class).size());
@@ -226,7 +226,7 @@
     }
 
     @Test
-    void aRightThatIsFoundUnspentTooLateIsLost() {
+    void rightThatIsTooOldIsNotReturned() {
         acquire();
         client.onResponse(new QuotaGrant(1, 0));
         nowMs += QuotaTerms.MAX_RETURN_AGE_MS + 1;
--- a/src/test/java/brambletray/platform/edge/QuotaHistory.java
+++ b/src/test/java/brambletray/platform/edge/QuotaHistory.java
@@ -18,22 +18,22 @@
 import java.util.Random;
 
 /**
- * One simulated history: givers of rights in succession, edges that ask them, and instances that count what arrives.
- * Everything follows from the seed; time is virtual.
+ * A simulated history: successive coordinators that issue rights, edges that request them, and a count of the requests
+ * that arrive at instances. Deterministic for a seed; time is virtual.
  */
 final class QuotaHistory {
-    /** Faults that are built in to see whether the count notices. */
-    enum Planted {
+    /** Faults injected into the implementation to show that the check detects them. */
+    enum InjectedFault {
         NONE,
-        SECOND_GIVER,
+        SECOND_ISSUER,
         EXPIRED_RIGHTS_SPENT,
         FORMER_RIGHTS_AFTER_RESTART,
-        NEW_GIVER_WITH_FULL_BUCKET,
+        NEW_ISSUER_WITH_FULL_BUCKET,
         RETRIES_NOT_COUNTED
     }
 
-    /** What happens to the fleet. */
-    enum Fault {
+    /** Failures and load changes in the fleet. */
+    enum FleetEvent {
         HALF_OF_THE_EDGES_DIE,
         EDGES_ARE_CUT_OFF,
         EDGES_FREEZE,
@@ -55,48 +55,48 @@
 
     private static final int STEP_MS = 10;
     private static final int TICK_MS = 50;
-    private static final int LOSS_NOTICED_MS = 1_000;
+    private static final int LINK_LOSS_DETECTION_MS = 1_000;
     private static final int FLOOD_FACTOR = 8;
     private static final int FLOOD_MS = 15_000;
     private static final int GENERAL_FLOOD_FACTOR = 8;
-    /** One edge in so many is cut off. */
-    private static final int CUT_OFF_ONE_IN = 3;
+    /** A partition affects one in this many edges. */
+    private static final int CUT_OFF_INVERSE_RATIO = 3;
 
     private static final int STALL_MS = 3_000;
     private static final int CRASH_RESTART_MS = 100;
-    /** Limits are so many times the usual demand. */
+    /** Ratio of a tenant's limit to its usual demand. */
     private static final double LIMIT_FACTOR = 1.6;
 
     private static final double RETRY_SHARE = 0.05;
     private static final double WAIT_SHARE = 0.1;
     private static final int MAX_WAIT_MS = 600;
-    /** ms by which the clock of a giver that begins with full buckets is set back. */
-    private static final long FILLED_MS = 60_000;
+    /** Time in ms by which the clock of an issuer that starts with full buckets is set back. */
+    private static final long FULL_BUCKET_MS = 60_000;
 
     private record Event(long atMs, long order, Runnable action) {}
 
-    /** One term of the coordinator. */
-    private final class Giver {
+    /** The coordinator of one term. */
+    private final class Issuer {
         private final long term;
         private final TenantQuotas quotas = new TenantQuotas(new QuotaTerms(WINDOW_MS, OVERAGE, SLACK));
         private boolean isStopped;
         private boolean isCutOff;
 
-        private Giver(long term) {
+        private Issuer(long term) {
             this.term = term;
-            boolean full = planted == Planted.NEW_GIVER_WITH_FULL_BUCKET && term > 1;
-            quotas.updateTenants(tenants, nowMs - (full ? FILLED_MS : 0));
+            boolean full = injectedFault == InjectedFault.NEW_ISSUER_WITH_FULL_BUCKET && term > 1;
+            quotas.updateTenants(tenants, nowMs - (full ? FULL_BUCKET_MS : 0));
         }
 
-        private void receive(Process edge, Object frame) {
+        private void receive(EdgeProcess edge, Object frame) {
             if (frame instanceof QuotaRequest request) {
                 QuotaResponse response =
                         quotas.onRequest(new EdgeIncarnation(edge.name, edge.incarnation), request, nowMs);
                 if (response instanceof QuotaGrant grant) {
-                    edge.runAheads.put(request.tenant(), grant.runAhead());
+                    edge.lastRunAheads.put(request.tenant(), grant.runAhead());
                 }
                 edge.after(edge.delayMs, () -> {
-                    if (edge.giver == this && edge.reaches(this)) {
+                    if (edge.issuer == this && edge.canReach(this)) {
                         edge.client.onResponse(response);
                     }
                 });
@@ -108,34 +108,34 @@
         }
     }
 
-    /** One process of an edge. */
-    private final class Process {
+    /** A process of an edge. */
+    private final class EdgeProcess {
         private final String name;
         private final long incarnation;
         private final int delayMs = 1 + random.nextInt(20);
-        private final boolean isOnGiversSide = random.nextBoolean();
-        /** What its steady clock is behind of the virtual time. */
+        private final boolean isOnIssuersSide = random.nextBoolean();
+        /** How far its monotonic clock is behind the virtual time, ms. */
         private final long clockOffsetMs = random.nextInt(1_000_000) - 500_000;
 
         private final QuotaClient client;
-        /** What it was granted last, by tenant. */
-        private final Map<String, Integer> runAheads = new HashMap<>();
+        /** The run-ahead allowance of the last grant, by tenant. */
+        private final Map<String, Integer> lastRunAheads = new HashMap<>();
 
-        private long lastAskedId;
+        private long lastRequestId;
         private boolean isDead;
         private long frozenUntilMs;
         private long cutUntilMs;
-        private Giver giver;
-        private long unreachedSinceMs = -1;
+        private Issuer issuer;
+        private long unreachableSinceMs = -1;
 
-        private Process(String name, long incarnation) {
+        private EdgeProcess(String name, long incarnation) {
             this.name = name;
             this.incarnation = incarnation;
             client = new QuotaClient(this::send, () -> nowMs - clockOffsetMs, WINDOW_MS);
             after(random.nextInt(TICK_MS), this::tick);
         }
 
-        /** Later, and not before it thaws. */
+        /** Runs the action after this delay, but not while the process is frozen. */
         private void after(long delay, Runnable action) {
             at(nowMs + delay, () -> {
                 if (isDead) {
@@ -149,64 +149,64 @@
             });
         }
 
-        private boolean reaches(Giver other) {
-            return !other.isStopped && nowMs >= cutUntilMs && (!other.isCutOff || isOnGiversSide);
+        private boolean canReach(Issuer other) {
+            return !other.isStopped && nowMs >= cutUntilMs && (!other.isCutOff || isOnIssuersSide);
         }
 
         private boolean send(Object frame) {
             if (frame instanceof QuotaRequest request) {
-                lastAskedId = request.id();
+                lastRequestId = request.id();
             }
-            if (giver == null) {
+            if (issuer == null) {
                 return false;
             }
-            Giver to = giver;
-            boolean sent = reaches(to);
+            Issuer to = issuer;
+            boolean sent = canReach(to);
             at(nowMs + delayMs, () -> {
-                if (sent && reaches(to)) {
+                if (sent && canReach(to)) {
                     to.receive(this, frame);
                 }
             });
             return true;
         }
 
-        /** As if a former process had left on disk what it was granted. */
+        /** Restores the allowances of the previous process, as if they had been stored on disk. */
         private void restore(Map<String, Integer> former) {
             former.forEach((tenant, runAhead) -> {
                 client.acquire(
                         originalTenants.get(tenant), new Request(this, originalTenants.get(tenant), false, true));
-                client.onResponse(new QuotaGrant(lastAskedId, runAhead));
-                runAheads.put(tenant, runAhead);
+                client.onResponse(new QuotaGrant(lastRequestId, runAhead));
+                lastRunAheads.put(tenant, runAhead);
             });
         }
 
         private void tick() {
-            if (giver != null && reaches(giver)) {
-                unreachedSinceMs = -1;
-            } else if (giver != null) {
-                unreachedSinceMs = unreachedSinceMs < 0 ? nowMs : unreachedSinceMs;
-                boolean isNoticed = giver.isStopped && nowMs >= cutUntilMs;
-                giver = isNoticed || nowMs - unreachedSinceMs >= LOSS_NOTICED_MS ? null : giver;
+            if (issuer != null && canReach(issuer)) {
+                unreachableSinceMs = -1;
+            } else if (issuer != null) {
+                unreachableSinceMs = unreachableSinceMs < 0 ? nowMs : unreachableSinceMs;
+                boolean isNoticed = issuer.isStopped && nowMs >= cutUntilMs;
+                issuer = isNoticed || nowMs - unreachableSinceMs >= LINK_LOSS_DETECTION_MS ? null : issuer;
             }
-            if (giver == null && current != null && reaches(current)) {
-                giver = current;
-                unreachedSinceMs = -1;
+            if (issuer == null && current != null && canReach(current)) {
+                issuer = current;
+                unreachableSinceMs = -1;
                 client.onAttached(current.term);
             }
-            client.tick(giver != null);
+            client.tick(issuer != null);
             after(TICK_MS, this::tick);
         }
     }
 
-    /** One request, over its attempts. */
+    /** A request with its retry, if any. */
     private final class Request implements QuotaGate.Listener {
-        private final Process edge;
+        private final EdgeProcess edge;
         private final Tenant tenant;
         private final boolean isWithinLimit;
         private final boolean isUnused;
         private boolean isRetry;
 
-        private Request(Process edge, Tenant tenant, boolean isWithinLimit, boolean isUnused) {
+        private Request(EdgeProcess edge, Tenant tenant, boolean isWithinLimit, boolean isUnused) {
             this.isUnused = isUnused;
             this.edge = edge;
             this.tenant = tenant;
@@ -232,20 +232,21 @@
         }
 
         private void useRight(QuotaGate.Right right) {
-            if (!right.isValid() && planted != Planted.EXPIRED_RIGHTS_SPENT) {
+            if (!right.isValid() && injectedFault != InjectedFault.EXPIRED_RIGHTS_SPENT) {
                 acquire();
                 return;
             }
             right.spend();
             arrive();
-            if (random.nextDouble() < RETRY_SHARE * (planted == Planted.RETRIES_NOT_COUNTED ? 6 : 1) && !isRetry) {
+            if (random.nextDouble() < RETRY_SHARE * (injectedFault == InjectedFault.RETRIES_NOT_COUNTED ? 6 : 1)
+                    && !isRetry) {
                 isRetry = true;
                 retry();
             }
         }
 
         private void retry() {
-            if (planted == Planted.RETRIES_NOT_COUNTED) {
+            if (injectedFault == InjectedFault.RETRIES_NOT_COUNTED) {
                 arrive();
             } else {
                 acquire();
@@ -272,17 +273,17 @@
     }
 
     private final Random random;
-    private final Planted planted;
+    private final InjectedFault injectedFault;
     private final PriorityQueue<Event> events = new PriorityQueue<>(
             (a, b) -> a.atMs() != b.atMs() ? Long.compare(a.atMs(), b.atMs()) : Long.compare(a.order(), b.order()));
     private final Map<String, Tenant> tenants = new HashMap<>();
     private final Map<String, Tenant> originalTenants = new HashMap<>();
-    private final List<Process> edges = new ArrayList<>();
+    private final List<EdgeProcess> edges = new ArrayList<>();
     private final Map<String, List<Long>> arrivals = new HashMap<>();
     private final Map<String, List<Long>> demands = new HashMap<>();
     private final List<String> faults = new ArrayList<>();
     private final int cutMs;
-    private Giver current;
+    private Issuer current;
     private String floodingTenant;
     private long floodUntilMs;
     private long generalFloodUntilMs;
@@ -295,27 +296,27 @@
     private long falselyExceeded;
     private long falselyUnavailable;
 
-    /** How many edges and tenants there are. */
+    /** Number of edges and tenants. */
     record Fleet(int edges, int tenants) {
         static final Fleet LARGE = new Fleet(89, 87);
         static final Fleet MEDIUM = new Fleet(61, 73);
         static final Fleet SMALL = new Fleet(6, 12);
     }
 
-    /** In a fleet that the seed draws. */
-    QuotaHistory(long seed, Planted planted, int cutMs) {
-        this(seed, planted, cutMs, seed % 2 == 0 ? Fleet.LARGE : Fleet.MEDIUM);
+    /** Selects the fleet by the seed. */
+    QuotaHistory(long seed, InjectedFault injectedFault, int cutMs) {
+        this(seed, injectedFault, cutMs, seed % 2 == 0 ? Fleet.LARGE : Fleet.MEDIUM);
     }
 
-    QuotaHistory(long seed, Planted planted, int cutMs, Fleet fleet) {
+    QuotaHistory(long seed, InjectedFault injectedFault, int cutMs, Fleet fleet) {
         this.random = new Random(seed);
-        this.planted = planted;
+        this.injectedFault = injectedFault;
         this.cutMs = cutMs;
         addTenants(fleet.tenants());
         for (int i = 0; i < fleet.edges(); i++) {
-            edges.add(new Process("edge-" + i, 1));
+            edges.add(new EdgeProcess("edge-" + i, 1));
         }
-        current = new Giver(1);
+        current = new Issuer(1);
     }
 
     private void addTenants(int count) {
@@ -334,18 +335,18 @@
         events.add(new Event(timeMs, order++, action));
     }
 
-    /** With faults that the seed draws. */
+    /** Runs with random events. */
     void play() {
         int count = 3 + random.nextInt(5);
         for (int i = 0; i < count; i++) {
-            Fault fault = Fault.values()[random.nextInt(Fault.values().length)];
+            FleetEvent fault = FleetEvent.values()[random.nextInt(FleetEvent.values().length)];
             at(10_000 + random.nextInt(40_000), () -> inject(fault));
         }
         run(END_MS);
     }
 
-    /** With these faults, which come at these times. */
-    void play(Map<Integer, Fault> timeline) {
+    /** Runs with these events at these times. */
+    void play(Map<Integer, FleetEvent> timeline) {
         timeline.forEach((timeMs, fault) -> at(timeMs, () -> inject(fault)));
         run(TIMELINE_END_MS);
     }
@@ -381,7 +382,7 @@
     }
 
     private void arriveAtEdge(Tenant tenant) {
-        Process edge = edges.get(random.nextInt(edges.size()));
+        EdgeProcess edge = edges.get(random.nextInt(edges.size()));
         if (edge.isDead || nowMs < edge.frozenUntilMs) {
             return;
         }
@@ -397,13 +398,13 @@
         new Request(edge, tenant, isWithinLimit, false).acquire();
     }
 
-    private void inject(Fault fault) {
+    private void inject(FleetEvent fault) {
         faults.add(nowMs + " ms: " + fault);
         switch (fault) {
-            case HALF_OF_THE_EDGES_DIE -> killHalf();
+            case HALF_OF_THE_EDGES_DIE -> killHalfOfTheEdges();
             case EDGES_ARE_CUT_OFF ->
                 edges.forEach(edge -> {
-                    edge.cutUntilMs = random.nextInt(CUT_OFF_ONE_IN) == 0 ? nowMs + cutMs : edge.cutUntilMs;
+                    edge.cutUntilMs = random.nextInt(CUT_OFF_INVERSE_RATIO) == 0 ? nowMs + cutMs : edge.cutUntilMs;
                 });
             case EDGES_FREEZE ->
                 edges.forEach(edge -> {
@@ -423,10 +424,10 @@
         }
     }
 
-    private void killHalf() {
+    private void killHalfOfTheEdges() {
         for (int i = 0; i < edges.size(); i++) {
             if (random.nextBoolean() && !edges.get(i).isDead) {
-                Process dead = edges.get(i);
+                EdgeProcess dead = edges.get(i);
                 dead.isDead = true;
                 int index = i;
                 at(nowMs + 500 + random.nextInt(6_000), () -> edges.set(index, restarted(dead)));
@@ -436,7 +437,7 @@
 
     private void restartCutOffEdges() {
         for (int i = 0; i < edges.size(); i++) {
-            Process dead = edges.get(i);
+            EdgeProcess dead = edges.get(i);
             if (nowMs < dead.cutUntilMs && !dead.isDead) {
                 dead.isDead = true;
                 int index = i;
@@ -445,29 +446,29 @@
         }
     }
 
-    private Process restarted(Process dead) {
-        Process next = new Process(dead.name, dead.incarnation + 1);
+    private EdgeProcess restarted(EdgeProcess dead) {
+        EdgeProcess next = new EdgeProcess(dead.name, dead.incarnation + 1);
         next.cutUntilMs = dead.cutUntilMs;
-        if (planted == Planted.FORMER_RIGHTS_AFTER_RESTART) {
-            next.restore(dead.runAheads);
+        if (injectedFault == InjectedFault.FORMER_RIGHTS_AFTER_RESTART) {
+            next.restore(dead.lastRunAheads);
         }
         return next;
     }
 
-    /** The next one begins once the lease of this one has provably ended. */
+    /** Stops or partitions the coordinator; the next one starts once its lease has certainly expired. */
     private void loseCoordinator(boolean isCutOff) {
         if (current == null) {
             return;
         }
-        Giver lost = current;
+        Issuer lost = current;
         current = null;
         lost.isCutOff = isCutOff;
         lost.isStopped = !isCutOff;
         long pauseMs = 1_000 + random.nextInt(1_500);
-        if (planted != Planted.SECOND_GIVER) {
+        if (injectedFault != InjectedFault.SECOND_ISSUER) {
             at(nowMs + random.nextInt(1_000), () -> lost.isStopped = true);
         }
-        at(nowMs + pauseMs, () -> current = new Giver(lost.term + 1));
+        at(nowMs + pauseMs, () -> current = new Issuer(lost.term + 1));
     }
 
     private void lowerLimits() {
@@ -481,7 +482,7 @@
         }
     }
 
-    /** Arrivals in any window beyond what is allowed, of the tenant that came nearest; above 0 a fault. */
+    /** The largest excess of arrivals over the limit, over all windows and tenants; above 0: a fault. */
     double overshoot() {
         double largest = Double.NEGATIVE_INFINITY;
         for (Map.Entry<String, List<Long>> each : arrivals.entrySet()) {
@@ -497,13 +498,13 @@
             while (times.get(last) - times.get(first) > WINDOW_MS) {
                 first++;
             }
-            largest = Math.max(largest, last - first + 1 - allowed(tenant, times.get(first)));
+            largest = Math.max(largest, last - first + 1 - allowedArrivals(tenant, times.get(first)));
         }
         return largest;
     }
 
-    /** A lowered limit takes hold a window after it is known. */
-    private double allowed(String tenant, long fromMs) {
+    /** A lowered limit applies one window after the change. */
+    private double allowedArrivals(String tenant, long fromMs) {
         boolean isLowered = loweredAtMs != Long.MAX_VALUE && fromMs >= loweredAtMs + WINDOW_MS;
         Tenant limits = (isLowered ? tenants : originalTenants).get(tenant);
         return (limits.ratePerS() * WINDOW_MS / 1_000 + limits.burstSize()) * (1 + OVERAGE) + SLACK;
