--- a/src/test/java/brambletray/platform/edge/SlotClientTest.java
+++ b/src/test/java/brambletray/platform/edge/SlotClientTest.java
@@ -37,54 +37,55 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * An edge and the home of a service, between which words come twice, late, or not at all: each ask has one place, and
- * none is lost.
+ * Frames between an edge and the home of a service are repeated, delayed or lost: each request must get one slot, and
+ * no slot may be leaked.
  */
 class SlotClientTest {
     private static final String EDGE = "e1";
     private static final String HOME = "h1";
     private static final String SERVICE = "s";
 
-    // ---- Word by word ---------------------------------------------------------------------------
-    private final List<String> said = new ArrayList<>();
-    private final List<String> taken = new ArrayList<>();
-    private final SlotClient slotClient = new SlotClient(new Said(), new Nothing(), () -> 0);
+    // ---- Single frames --------------------------------------------------------------------------
+    private final List<String> sentMessages = new ArrayList<>();
+    private final List<String> outcomes = new ArrayList<>();
+    private final SlotClient slotClient = new SlotClient(new RecordingTransport(), new NoInstanceTracking(), () -> 0);
 
-    private final class Said implements SlotClient.Transport {
+    private final class RecordingTransport implements SlotClient.Transport {
         @Override
         public String self() {
             return EDGE;
         }
 
         @Override
-        public void requestHere(SlotRequest ask, boolean stay) {
-            said.add("here " + ask.id());
+        public void requestLocally(SlotRequest request, boolean serveHere) {
+            sentMessages.add("here " + request.id());
         }
 
         @Override
-        public void releaseHere(SlotRelease done) {
-            said.add("here " + done);
+        public void releaseLocally(SlotRelease release) {
+            sentMessages.add("here " + release);
         }
 
         @Override
-        public void cancelHere(SlotRequestCancel forget) {
-            said.add("here " + forget);
+        public void cancelLocally(SlotRequestCancel cancel) {
+            sentMessages.add("here " + cancel);
         }
 
         @Override
         public boolean send(String edge, Object frame) {
-            said.add(edge + " "
-                    + (frame instanceof SlotRequest ask
-                            ? "ask " + ask.id()
-                            : frame instanceof SlotRelease done
-                                    ? "done " + done.requestId() + " " + done.instanceId() + " " + done.outcome()
+            sentMessages.add(edge + " "
+                    + (frame instanceof SlotRequest request
+                            ? "request " + request.id()
+                            : frame instanceof SlotRelease release
+                                    ? "release " + release.requestId() + " " + release.instanceId() + " "
+                                            + release.outcome()
                                     : frame instanceof HeldSlots held
                                             ? "held "
                                                     + held.slots().stream()
                                                             .map(SlotGrant::instanceId)
                                                             .toList()
-                                            : frame instanceof SlotRequestCancel forget
-                                                    ? "forget " + forget.requestId()
+                                            : frame instanceof SlotRequestCancel cancel
+                                                    ? "cancel " + cancel.requestId()
                                                     : frame.toString()));
             return true;
         }
@@ -100,12 +101,12 @@
         }
     }
 
-    private static final class Nothing implements SlotClient.InstanceTracking {
+    private static final class NoInstanceTracking implements SlotClient.InstanceTracking {
         @Override
         public void onInstanceAddress(String address) {}
 
         @Override
-        public void onHeldHere(HeldSlots held) {}
+        public void onHeldLocally(HeldSlots held) {}
     }
 
     static HomeAssignment homes(long number, String... names) {
@@ -116,7 +117,7 @@
         return new HomeAssignment(new Roster(1, number, peers));
     }
 
-    private static SlotRequest ask(long id) {
+    private static SlotRequest slotRequest(long id) {
         return new SlotRequest(
                 id, EDGE, "z", SERVICE, SlotOwner.nobody(1), 60_000, 60_000, false, false, false, List.of());
     }
@@ -125,136 +126,137 @@
         return new SlotGrant(id, host, "10.0.1.1:80", false);
     }
 
-    private void asks(long id) {
-        slotClient.requestSlot(ask(id), new SlotRequester() {
+    private void requestSlot(long id) {
+        slotClient.requestSlot(slotRequest(id), new SlotRequester() {
             @Override
             public void onGranted(SlotGrant grant) {
-                taken.add(id + " at " + grant.instanceId());
+                outcomes.add(id + " at " + grant.instanceId());
             }
 
             @Override
-            public void onRefused(int comeBackMs) {
-                taken.add(id + " refused");
+            public void onRefused(int retryAfterMs) {
+                outcomes.add(id + " refused");
             }
         });
     }
 
-    private List<String> said() {
-        List<String> now = List.copyOf(said);
-        said.clear();
+    private List<String> takeSentMessages() {
+        List<String> now = List.copyOf(sentMessages);
+        sentMessages.clear();
         return now;
     }
 
     @Test
-    void aGrantThatComesTwiceIsOnePlace() {
+    void repeatedGrantCountsAsOneSlot() {
         slotClient.onRoster(homes(1, HOME));
-        asks(7);
+        requestSlot(7);
         slotClient.onGranted(HOME, grant(7, "a"));
-        said();
+        takeSentMessages();
         slotClient.onGranted(HOME, grant(7, "a"));
-        assertEquals(List.of(), said());
-        assertEquals(List.of("7 at a"), taken);
+        assertEquals(List.of(), takeSentMessages());
+        assertEquals(List.of("7 at a"), outcomes);
         assertEquals(1, slotClient.heldCount());
     }
 
     /**
-     * The home lost its memory of the first and has granted another: that is free again, and the home knows which is in
-     * use.
+     * The home has lost its state and grants a second slot for the request: the edge releases it and reports the slot
+     * in use.
      */
     @Test
-    void aSecondGrantAtAnotherHostIsGivenBack() {
+    void secondGrantAtAnotherInstanceIsReleased() {
         slotClient.onRoster(homes(1, HOME));
-        asks(7);
+        requestSlot(7);
         slotClient.onGranted(HOME, grant(7, "a"));
-        said();
+        takeSentMessages();
         slotClient.onGranted(HOME, grant(7, "b"));
-        assertEquals(List.of("h1 done 7 b UNUSED", "h1 held [a]"), said());
-        assertEquals(List.of("7 at a"), taken);
+        assertEquals(List.of("h1 release 7 b UNUSED", "h1 held [a]"), takeSentMessages());
+        assertEquals(List.of("7 at a"), outcomes);
     }
 
     @Test
-    void aGrantForWhatIsOverIsGivenBack() {
+    void grantForACancelledRequestIsReleased() {
         slotClient.onRoster(homes(1, HOME));
-        asks(7);
+        requestSlot(7);
         slotClient.cancelRequest(7);
-        said();
+        takeSentMessages();
         slotClient.onGranted(HOME, grant(7, "a"));
-        assertEquals(List.of("h1 done 7 a UNUSED"), said());
-        assertEquals(List.of(), taken);
+        assertEquals(List.of("h1 release 7 a UNUSED"), takeSentMessages());
+        assertEquals(List.of(), outcomes);
     }
 
-    /** Fencing: the home that was asked before has gone from the roster, but its grant is still on its way. */
+    /** Fencing: the former home has left the roster while its grant is in transit. */
     @Test
-    void onlyTheHomeThatIsAskedNowGrants() {
+    void grantOfAFormerHomeIsReleased() {
         slotClient.onRoster(homes(1, HOME));
-        asks(7);
+        requestSlot(7);
         slotClient.onRoster(homes(2, "h2"));
-        assertEquals(List.of("h1 ask 7", "h2 ask 7"), said());
+        assertEquals(List.of("h1 request 7", "h2 request 7"), takeSentMessages());
         slotClient.onGranted(HOME, grant(7, "a"));
-        assertEquals(List.of("h1 done 7 a UNUSED"), said());
+        assertEquals(List.of("h1 release 7 a UNUSED"), takeSentMessages());
         slotClient.onGranted("h2", grant(7, "b"));
-        assertEquals(List.of("7 at b"), taken);
+        assertEquals(List.of("7 at b"), outcomes);
         slotClient.releaseSlot(grant(7, "b"), AttemptOutcome.SERVED, 5);
-        assertEquals(List.of("h2 done 7 b SERVED"), said());
+        assertEquals(List.of("h2 release 7 b SERVED"), takeSentMessages());
     }
 
-    /** Between the grant and the request's end the home goes: the next one is told of the place, and gets it back. */
+    /** The home changes while a slot is held: the slot is reported to the next home and released there. */
     @Test
-    void aHomeLostBetweenGrantAndSend() {
+    void heldSlotIsReportedToTheNextHome() {
         slotClient.onRoster(homes(1, HOME));
-        asks(7);
+        requestSlot(7);
         slotClient.onGranted(HOME, grant(7, "a"));
-        said();
+        takeSentMessages();
         slotClient.onRoster(homes(2, "h2"));
-        assertEquals(List.of("h2 held [a]"), said());
+        assertEquals(List.of("h2 held [a]"), takeSentMessages());
         slotClient.releaseSlot(grant(7, "a"), AttemptOutcome.SERVED, 5);
-        assertEquals(List.of("h2 done 7 a SERVED"), said());
+        assertEquals(List.of("h2 release 7 a SERVED"), takeSentMessages());
         assertEquals(0, slotClient.heldCount());
     }
 
-    /** On a new link the same ask is said again, and not forgotten first: its grant may be on its way. */
+    /** The request is repeated on a new link without a cancel before it: its grant may be in transit. */
     @Test
-    void anAskIsSaidAgainAsItWas() {
+    void pendingRequestIsResentUnchangedAfterReconnect() {
         slotClient.onRoster(homes(1, HOME));
-        asks(7);
-        said();
+        requestSlot(7);
+        takeSentMessages();
         slotClient.onHomeReconnected(HOME);
-        assertEquals(List.of("h1 ask 7"), said());
+        assertEquals(List.of("h1 request 7"), takeSentMessages());
     }
 
-    // ---- At random ------------------------------------------------------------------------------
+    // ---- Random scenarios -----------------------------------------------------------------------
     private static final int HOSTS = 3;
-    private static final int MOST = 2;
+    private static final int MAX_CONCURRENCY = 2;
 
-    /** One scenario: this edge's steward and a home's queues, over links that break while words are on their way. */
-    private static final class Walk implements SlotClient.Transport, SlotClient.InstanceTracking, AdmissionActions {
-        private record Event(long at, long order, Runnable what) {}
+    /** A random scenario: a slot client and a home's queues, over links that break while frames are in transit. */
+    private static final class RandomScenario
+            implements SlotClient.Transport, SlotClient.InstanceTracking, AdmissionActions {
+        private record Event(long atMs, long order, Runnable action) {}
 
-        private final PriorityQueue<Event> events =
-                new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+        private final PriorityQueue<Event> events = new PriorityQueue<>(
+                (a, b) -> a.atMs != b.atMs ? Long.compare(a.atMs, b.atMs) : Long.compare(a.order, b.order));
         private final SplittableRandom random;
         private final SlotClient slotClient = new SlotClient(this, this, () -> this.now);
         private final ServiceQueues queues =
                 new ServiceQueues("z", "n", AdmissionParameters.of(0.2, 100, 10_000, 1), this);
         private final Map<String, Integer> inUse = new HashMap<>();
         private final Set<Long> granted = new HashSet<>();
-        private final Set<Long> over = new HashSet<>();
+        private final Set<Long> ended = new HashSet<>();
         private long now = 1_000;
         private long order;
-        private long ids;
+        private long lastId;
         private long lastToHome;
         private long lastToEdge;
-        private int twice;
+        private int repeatedGrants;
 
-        Walk(long seed) {
+        RandomScenario(long seed) {
             random = new SplittableRandom(seed);
             slotClient.onRoster(homes(1, HOME));
-            queues.onServiceSpec(new ServiceSpec(SERVICE, 512, 700, MOST, 60_000), now);
+            queues.onServiceSpec(new ServiceSpec(SERVICE, 512, 700, MAX_CONCURRENCY, 60_000), now);
             queues.takeOver(SERVICE, "z", List.of(), now);
         }
 
-        private void at(long when, Runnable what) {
-            events.add(new Event(when, order++, what));
+        private void schedule(long atMs, Runnable action) {
+            events.add(new Event(atMs, order++, action));
         }
 
         @Override
@@ -263,46 +265,44 @@
         }
 
         @Override
-        public void requestHere(SlotRequest ask, boolean stay) {
-            throw new AssertionError("not home");
+        public void requestLocally(SlotRequest request, boolean serveHere) {
+            throw new AssertionError("this edge is not the home");
         }
 
         @Override
-        public void releaseHere(SlotRelease done) {
-            throw new AssertionError("not home");
+        public void releaseLocally(SlotRelease release) {
+            throw new AssertionError("this edge is not the home");
         }
 
         @Override
-        public void cancelHere(SlotRequestCancel forget) {
-            throw new AssertionError("not home");
+        public void cancelLocally(SlotRequestCancel cancel) {
+            throw new AssertionError("this edge is not the home");
         }
 
-        /**
-         * Asks are lost at times, or come late on a link that is down already; what gives a place back is not, here.
-         */
+        /** Slot requests may be lost, or delayed on a link that is down already; all other frames arrive in order. */
         @Override
         public boolean send(String edge, Object frame) {
-            boolean ask = frame instanceof SlotRequest;
-            if (ask && random.nextInt(10) == 0) {
+            boolean isRequest = frame instanceof SlotRequest;
+            if (isRequest && random.nextInt(10) == 0) {
                 return true;
             }
             long when = Math.max(lastToHome, now + 1 + random.nextInt(4));
-            if (ask && random.nextInt(6) == 0) {
-                at(when + random.nextInt(80), () -> hears(frame));
+            if (isRequest && random.nextInt(6) == 0) {
+                schedule(when + random.nextInt(80), () -> deliverToHome(frame));
             } else {
                 lastToHome = when;
-                at(when, () -> hears(frame));
+                schedule(when, () -> deliverToHome(frame));
             }
             return true;
         }
 
-        private void hears(Object frame) {
-            if (frame instanceof SlotRequest ask) {
-                queues.onSlotRequest(ask, true, now);
-            } else if (frame instanceof SlotRelease done) {
-                queues.onSlotRelease(EDGE, done, now);
-            } else if (frame instanceof SlotRequestCancel forget) {
-                queues.onCancel(EDGE, forget, now);
+        private void deliverToHome(Object frame) {
+            if (frame instanceof SlotRequest request) {
+                queues.onSlotRequest(request, true, now);
+            } else if (frame instanceof SlotRelease release) {
+                queues.onSlotRelease(EDGE, release, now);
+            } else if (frame instanceof SlotRequestCancel cancel) {
+                queues.onCancel(EDGE, cancel, now);
             } else if (frame instanceof HeldSlots held) {
                 queues.onHeldSlots(held, now);
             }
@@ -322,40 +322,40 @@
         public void onInstanceAddress(String address) {}
 
         @Override
-        public void onHeldHere(HeldSlots held) {}
+        public void onHeldLocally(HeldSlots held) {}
 
-        /** Lost while it is waited for, late, or twice. */
+        /** Grants may be delayed or repeated, and lost while they are awaited. */
         @Override
         public void grant(String edge, SlotGrant grant) {
-            boolean waitedFor = !granted.contains(grant.requestId()) && !over.contains(grant.requestId());
-            if (waitedFor && random.nextInt(10) == 0) {
-                at(now + 30 + random.nextInt(60), () -> slotClient.onHomeReconnected(HOME));
+            boolean isAwaited = !granted.contains(grant.requestId()) && !ended.contains(grant.requestId());
+            if (isAwaited && random.nextInt(10) == 0) {
+                schedule(now + 30 + random.nextInt(60), () -> slotClient.onHomeReconnected(HOME));
                 return;
             }
             lastToEdge = Math.max(lastToEdge, now + 1 + random.nextInt(4));
-            at(lastToEdge, () -> slotClient.onGranted(HOME, grant));
+            schedule(lastToEdge, () -> slotClient.onGranted(HOME, grant));
             if (random.nextInt(10) == 0) {
-                twice++;
-                at(lastToEdge + random.nextInt(60), () -> slotClient.onGranted(HOME, grant));
+                repeatedGrants++;
+                schedule(lastToEdge + random.nextInt(60), () -> slotClient.onGranted(HOME, grant));
             }
         }
 
         @Override
-        public void refuse(String edge, SlotRefusal refuse) {
-            at(now + 1, () -> slotClient.onRefused(HOME, refuse));
+        public void refuse(String edge, SlotRefusal refusal) {
+            schedule(now + 1, () -> slotClient.onRefused(HOME, refusal));
         }
 
         @Override
-        public void redirect(String edge, SlotRedirect elsewhere) {}
+        public void redirect(String edge, SlotRedirect redirect) {}
 
         @Override
-        public void requestStart(StartRequest need) {}
+        public void requestStart(StartRequest startRequest) {}
 
         @Override
-        public void requestStop(StopRequest quit) {}
+        public void requestStop(StopRequest stopRequest) {}
 
         @Override
-        public void reportUp(InstanceUp seen) {}
+        public void reportUp(InstanceUp instanceUp) {}
 
         @Override
         public void claimHome(HomeClaim claim) {
@@ -364,99 +364,104 @@
                 hosts.add(new InstanceInfo(
                         "h" + i, SERVICE, "10.0.1." + i + ":80", "z", "z", "w", "n", InstanceInfo.UP, 5_000));
             }
-            at(now + 3, () -> queues.onInstanceList(new InstanceList(SERVICE, "z", hosts), now));
+            schedule(now + 3, () -> queues.onInstanceList(new InstanceList(SERVICE, "z", hosts), now));
         }
 
         @Override
         public void probe(String service, String hostId, String address) {
-            at(now + 1, () -> queues.onProbed(hostId, true, now));
+            schedule(now + 1, () -> queues.onProbed(hostId, true, now));
         }
 
-        void asks(int holdMs) {
-            long id = ++ids;
-            slotClient.requestSlot(ask(id), new SlotRequester() {
+        void requestSlot(int holdMs) {
+            long id = ++lastId;
+            slotClient.requestSlot(slotRequest(id), new SlotRequester() {
                 @Override
                 public void onGranted(SlotGrant grant) {
                     assertTrue(
-                            granted.add(id) && !over.contains(id), "one word to an ask, and none to one that is over");
+                            granted.add(id) && !ended.contains(id),
+                            "a request has more than one answer, or one after its end");
                     int used = inUse.merge(grant.instanceId(), 1, Integer::sum);
-                    assertTrue(used <= MOST, "host " + grant.instanceId() + " has " + used);
-                    at(now + holdMs, () -> {
-                        over.add(id);
+                    assertTrue(
+                            used <= MAX_CONCURRENCY,
+                            "host " + grant.instanceId() + " has concurrent requests: " + used);
+                    schedule(now + holdMs, () -> {
+                        ended.add(id);
                         inUse.merge(grant.instanceId(), -1, Integer::sum);
                         slotClient.releaseSlot(grant, AttemptOutcome.SERVED, holdMs);
                     });
                 }
 
                 @Override
-                public void onRefused(int comeBackMs) {
-                    assertTrue(!granted.contains(id) && over.add(id), "one word to an ask");
+                public void onRefused(int retryAfterMs) {
+                    assertTrue(!granted.contains(id) && ended.add(id), "a request has more than one answer");
                 }
             });
             if (random.nextInt(12) == 0) {
-                at(now + random.nextInt(20), () -> {
-                    if (!granted.contains(id) && over.add(id)) {
+                schedule(now + random.nextInt(20), () -> {
+                    if (!granted.contains(id) && ended.add(id)) {
                         slotClient.cancelRequest(id);
                     }
                 });
             }
         }
 
-        void until(long when) {
+        void runUntil(long when) {
             for (; now < when; now++) {
-                while (!events.isEmpty() && events.peek().at <= now) {
-                    events.poll().what.run();
+                while (!events.isEmpty() && events.peek().atMs <= now) {
+                    events.poll().action.run();
                 }
                 queues.tick(now);
             }
         }
 
-        void play() {
-            until(now + 20);
+        void run() {
+            runUntil(now + 20);
             for (int i = 0; i < 60; i++) {
                 if (random.nextInt(3) == 0) {
-                    asks(1 + random.nextInt(60));
+                    requestSlot(1 + random.nextInt(60));
                 }
                 if (random.nextInt(15) == 0) {
                     slotClient.onHomeReconnected(HOME);
                 }
-                until(now + random.nextInt(20));
+                runUntil(now + random.nextInt(20));
             }
             for (int i = 0; i < 20 && slotClient.pendingCount() > 0; i++) {
-                until(now + 200);
+                runUntil(now + 200);
                 slotClient.onHomeReconnected(HOME);
             }
-            assertEquals(0, slotClient.pendingCount(), "asks that wait");
-            until(now + 400);
-            assertEquals(0, slotClient.heldCount(), "places held");
+            assertEquals(0, slotClient.pendingCount(), "pending requests");
+            runUntil(now + 400);
+            assertEquals(0, slotClient.heldCount(), "held slots");
             int before = granted.size();
-            for (int i = 0; i < HOSTS * MOST; i++) {
-                asks(1_000);
+            for (int i = 0; i < HOSTS * MAX_CONCURRENCY; i++) {
+                requestSlot(1_000);
             }
             for (int i = 0; i < 6; i++) {
-                until(now + 100);
+                runUntil(now + 100);
                 slotClient.onHomeReconnected(HOME);
             }
-            int late = (int) over.stream()
-                    .filter(id -> id > ids - HOSTS * MOST && !granted.contains(id))
+            int late = (int) ended.stream()
+                    .filter(id -> id > lastId - HOSTS * MAX_CONCURRENCY && !granted.contains(id))
                     .count();
             assertEquals(
-                    HOSTS * MOST, granted.size() - before + late, "places that are not free though nobody holds them");
+                    HOSTS * MAX_CONCURRENCY,
+                    granted.size() - before + late,
+                    "granted or refused requests, one for each free slot");
         }
     }
 
     @Test
-    void noPlaceIsUsedTwiceOrLost() {
-        int twice = 0;
+    void noSlotIsUsedTwiceOrLeaked() {
+        int repeatedGrants = 0;
         for (long seed = 1; seed <= 400; seed++) {
-            Walk walk = new Walk(seed);
+            RandomScenario scenario = new RandomScenario(seed);
             try {
-                walk.play();
+                scenario.run();
             } catch (AssertionError | RuntimeException e) {
                 throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
             }
-            twice += walk.twice;
+            repeatedGrants += scenario.repeatedGrants;
         }
-        assertTrue(twice > 400, "grants that came twice: " + twice);
+        assertTrue(repeatedGrants > 400, "repeated grants: " + repeatedGrants);
     }
 }
