--- a/src/main/java/brambletray/platform/admission/AdmissionActions.java
+++ b/src/main/java/brambletray/platform/admission/AdmissionActions.java
@@ -6,31 +6,31 @@
 import brambletray.platform.provisioning.StopRequest;
 
 /**
- * What service queues want done. Called from within the calls to {@link ServiceQueues}; an implementation must not
- * call back into them.
+ * The effects of service queues. Called from within calls to {@link ServiceQueues}; an implementation must not call
+ * back into them.
  */
 public interface AdmissionActions {
-    /** To an edge: a slot. */
+    /** Sends an edge the grant of a slot. */
     void grant(String edge, SlotGrant grant);
 
-    /** To an edge: no slot. */
-    void refuse(String edge, SlotRefusal refuse);
+    /** Tells an edge that its request gets no slot. */
+    void refuse(String edge, SlotRefusal refusal);
 
-    /** To an edge: ask the home of another zone. */
-    void redirect(String edge, SlotRedirect elsewhere);
+    /** Tells an edge to repeat its request at the home in another zone. */
+    void redirect(String edge, SlotRedirect redirect);
 
-    /** To the coordinator: one more instance. */
-    void requestStart(StartRequest need);
+    /** Requests the start of an instance from the coordinator. */
+    void requestStart(StartRequest request);
 
-    /** To the coordinator: stop a drained instance. Repeated until it is reported gone. */
-    void requestStop(StopRequest quit);
+    /** Requests the stop of an instance from the coordinator. Repeated until it is reported gone, at most 20 times. */
+    void requestStop(StopRequest request);
 
-    /** To the coordinator: an instance is up. */
-    void reportUp(InstanceUp seen);
+    /** Reports to the coordinator that an instance is up. */
+    void reportUp(InstanceUp instance);
 
-    /** To the coordinator: this edge is the home of the service; which instances has it? */
+    /** Tells the coordinator that this edge is the home of the service, and requests the list of its instances. */
     void claimHome(HomeClaim claim);
 
-    /** Try a TCP connection to a host, and report by {@link ServiceQueues#onProbed}. */
-    void probe(String service, String hostId, String address);
+    /** Tries a TCP connection to an instance; the result comes by {@link ServiceQueues#onProbed}. */
+    void probe(String service, String instanceId, String address);
 }
--- a/src/main/java/brambletray/platform/admission/AdmissionException.java
+++ b/src/main/java/brambletray/platform/admission/AdmissionException.java
@@ -2,7 +2,7 @@
 
 import brambletray.platform.errors.PlatformException;
 
-/** What this plane cannot take: codes {@code home.*}. */
+/** Thrown for invalid input to admission; codes {@code admission.*}. */
 public final class AdmissionException extends PlatformException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/brambletray/platform/admission/AdmissionMessages.java
+++ b/src/main/java/brambletray/platform/admission/AdmissionMessages.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The plane's frames, in the order in which Kryo registers them. */
+/** The message types of admission, in the order of their Kryo registration, which the wire format depends on. */
 public final class AdmissionMessages {
     public static final List<Class<?>> ALL = List.of(
             SlotRequest.class,
--- a/src/main/java/brambletray/platform/admission/AdmissionParameters.java
+++ b/src/main/java/brambletray/platform/admission/AdmissionParameters.java
@@ -1,8 +1,8 @@
 package brambletray.platform.admission;
 
 /**
- * The parameters of admission; nothing here belongs to a site. Times in ms, memory prices in GB-seconds of an
- * instance's memory.
+ * The parameters of admission control; none is specific to a deployment. Times are in ms, costs in GB-seconds of
+ * instance memory.
  */
 public record AdmissionParameters(
         Limit limit,
@@ -16,26 +16,28 @@
         Spread zoneSpread) {
 
     /**
-     * {@code lostMs}: ms after the deadline of its request after which a slot counts as lost; {@code goneMs}: ms for
-     * which the slots of an edge that left the membership stay closed, at most; {@code fullMs}: ms for which an
-     * instance that rejected a request is counted as having one slot less.
+     * {@code lostAfterMs}: time after the deadline of its request after which a slot counts as lost; {@code
+     * edgeGoneGraceMs}: maximum time for which the slots of an edge that left the membership stay closed; {@code
+     * fullInstancePauseMs}: time for which an instance that rejected a request as full is counted as having one slot
+     * less.
      */
     public record Limit(int lostAfterMs, int edgeGoneGraceMs, int fullInstancePauseMs) {}
 
     /**
-     * {@code slow}: a host whose answers take this many times the others' is used last; {@code pauseMs},
-     * {@code pauseMostMs}: pause of a failing host, doubled each time; {@code blame}: failures that earn one;
-     * {@code leaveMs}: how long a leaving host is still used where nothing else is free (0: not at all; must stay well
-     * below {@code drain-ms}).
+     * {@code slowFactor}: an instance whose mean response time exceeds this multiple of the median is used last; {@code
+     * minPauseMs}, {@code maxPauseMs}: pause of a failing instance, doubled each time; {@code pauseThreshold}: decayed
+     * number of failures that causes a pause; {@code drainingUseMs}: how long a draining instance is still used if no
+     * other slot is free (0: not at all; must stay well below {@code drain-ms}).
      */
-    public record Selection(double slowFactor, int minPauseMs, int maxPauseMs, double blame, int drainingUseMs) {}
+    public record Selection(
+            double slowFactor, int minPauseMs, int maxPauseMs, double pauseThreshold, int drainingUseMs) {}
 
     /**
-     * {@code most}: queued requests of one queue; {@code ageMs}: ms of waiting that one step of priority is worth;
-     * {@code innerMs}: ms that a nested call is moved forward; {@code lateMs}: ms that a request which will miss its
-     * target is moved back; {@code safe}: share of the target that an estimated wait may use; {@code marginMs}: ms
-     * added to a {@code Retry-After}; {@code third}: share of its remaining time for which a client obeys {@code
-     * Retry-After}.
+     * {@code maxSize}: maximum of queued requests; {@code priorityRankMs}: waiting time that outweighs one step of
+     * priority; {@code nestedCallBonusMs}: time by which a nested call is moved forward; {@code lateRequestPenaltyMs}:
+     * time by which a request that will miss its target is moved back; {@code safetyFactor}: share of the target that
+     * an estimated wait may use; {@code marginMs}: time added to a {@code Retry-After}; {@code
+     * retryAfterObeyedShare}: share of its remaining time for which a client obeys {@code Retry-After}.
      */
     public record Queue(
             int maxSize,
@@ -44,63 +46,64 @@
             int lateRequestPenaltyMs,
             double safetyFactor,
             int marginMs,
-            double third) {}
+            double retryAfterObeyedShare) {}
 
     /**
-     * Slots reserved for nested calls: one of every {@code of}, from {@code least} slots on, for {@code forMs} after
-     * the last nested call.
+     * Slots reserved for nested calls: one of every {@code reserveDivisor}, if there are at least {@code minSlots}, for
+     * {@code rememberMs} after the last nested call.
      */
-    public record NestedCalls(int oneOf, int minSlots, int rememberMs) {}
+    public record NestedCalls(int reserveDivisor, int minSlots, int rememberMs) {}
 
     /**
-     * The retry budget: {@code ratio} and {@code slack} as the deployment states them, {@code windowMs} the sliding
-     * window; {@code share}: the part of the slack that one queue may use.
+     * The retry budget: {@code ratio} of retries to requests, {@code slack} of retries allowed beyond it, {@code
+     * windowMs} the sliding window; {@code slackShare}: the part of the slack that one queue may use.
      */
-    public record RetryBudgetLimits(double ratio, int slack, int windowMs, double hedgeShare) {}
+    public record RetryBudgetLimits(double ratio, int slack, int windowMs, double slackShare) {}
 
     /**
-     * {@code fastMs}, {@code slowMs}: time constants of the two arrival rates, the fast one counting less {@code
-     * sure} standard errors; {@code k}: headroom in square roots of the load; {@code tail}: ln(1/share of requests
-     * that may find the wait too long); {@code burst}: headroom as a share of the load; {@code atOnce}: concurrent
-     * starts of one queue, plus two for each working instance; {@code againMs}: ms after which an unanswered start
-     * request is repeated; {@code dropMs}: ms after which it is abandoned; {@code knockMs}: ms between readiness
-     * probes of a booting instance, at least; otherwise 1/25 of the boot time while requests wait, 1/8 while none
-     * does.
+     * {@code fastMemoryMs}, {@code slowMemoryMs}: time constants of the two arrival rates, the fast one reduced by
+     * {@code standardErrors} standard errors; {@code headroomFactor}: headroom in square roots of the load; {@code
+     * tailExponent}: ln(1/share of requests that may find the wait too long); {@code burstHeadroom}: headroom as a
+     * share of the load; {@code maxConcurrentStarts}: concurrent starts of one queue, plus two for each working
+     * instance; {@code retryIntervalMs}: time after which an unanswered start request is repeated; {@code giveUpMs}:
+     * time after which it is abandoned; {@code probeIntervalMs}: minimum interval of readiness probes of a booting
+     * instance, otherwise 1/25 of the boot time while requests wait, 1/8 while none does.
      */
     public record Scaling(
             int fastMemoryMs,
             int slowMemoryMs,
             double standardErrors,
             double headroomFactor,
-            double tail,
-            double burst,
+            double tailExponent,
+            double burstHeadroom,
             int maxConcurrentStarts,
             int retryIntervalMs,
             int giveUpMs,
             int probeIntervalMs) {}
 
     /**
-     * Costs in GB seconds and times in ms. {@code startGbS}: cost of a start; {@code lateGbS}: cost of a late
-     * request; {@code leastMs}: no idle instance is stopped sooner; {@code settleMs}: none is stopped this soon after
-     * a home took the service over; {@code mostMs}: none is kept idle longer, except the warm one.
+     * {@code startGbS}: cost of a start; {@code lateRequestGbS}: cost of a late request; {@code minIdleMs}: no idle
+     * instance is stopped sooner; {@code settlingMs}: none is stopped this soon after a home took the service over;
+     * {@code maxIdleMs}: none is kept idle longer, except the warm one.
      */
     public record KeepAlive(double startGbS, double lateRequestGbS, int minIdleMs, int settlingMs, int maxIdleMs) {}
 
     /**
-     * Times of a takeover, ms. {@code hostsMs}: wait for the coordinator's list; {@code heldMs}: wait for the edges
-     * to report the slots that they hold; {@code againMs}: interval at which the claim is repeated; {@code
-     * requestMs}: assumed remaining time of a request whose slot an edge reports, as the report does not carry it.
+     * Times of a takeover. {@code instanceListWaitMs}: maximum wait for the coordinator's list; {@code
+     * heldSlotsWaitMs}: maximum wait for the edges to report the slots that they hold; {@code retryIntervalMs}:
+     * interval at which the claim is repeated; {@code requestMs}: assumed remaining time of a request whose slot an
+     * edge reports, as the report does not carry it.
      */
     public record Takeover(int instanceListWaitMs, int heldSlotsWaitMs, int retryIntervalMs, int requestMs) {}
 
     /**
-     * {@code crossGbS}: cost in GB seconds of one request and response across zones; {@code openMs}: ms for which
-     * demand must have justified a zone's own queue before it opens; {@code closeShare}, {@code closeMs}: it closes
-     * when demand has been below that share of the threshold for so many ms.
+     * {@code crossZoneGbS}: cost of one request and response across zones; {@code openAfterMs}: time for which demand
+     * must have justified a zone's own queue before it opens; {@code closeShare}, {@code closeAfterMs}: the queue
+     * closes when demand has been below that share of the threshold for that time.
      */
     public record Spread(double crossZoneGbS, int openAfterMs, double closeShare, int closeAfterMs) {}
 
-    /** The laws as they stand, with the site's budget of further tries and its number of zones. */
+    /** The default parameters, with the deployment's retry budget and number of zones. */
     public static AdmissionParameters of(double budgetRatio, int budgetSlack, int windowMs, int zones) {
         return new AdmissionParameters(
                 new Limit(500, 1500, 300),
@@ -114,7 +117,7 @@
                 new Spread(0.04, 1000, 0.5, 4000));
     }
 
-    /** The same with another price of crossing zones, GB-seconds a request. */
+    /** A copy with another cost of cross-zone traffic, GB-seconds per request. */
     public AdmissionParameters withCrossZonePrice(double gbS) {
         return new AdmissionParameters(
                 limit,
@@ -128,12 +131,16 @@
                 new Spread(gbS, zoneSpread.openAfterMs(), zoneSpread.closeShare(), zoneSpread.closeAfterMs()));
     }
 
-    /** The same, with leaving hosts used for {@code ms} more where nothing else is free. */
+    /** A copy in which draining instances are used for {@code ms} more if no other slot is free. */
     public AdmissionParameters withDrainingUse(int ms) {
         return new AdmissionParameters(
                 limit,
                 new Selection(
-                        selection.slowFactor(), selection.minPauseMs(), selection.maxPauseMs(), selection.blame(), ms),
+                        selection.slowFactor(),
+                        selection.minPauseMs(),
+                        selection.maxPauseMs(),
+                        selection.pauseThreshold(),
+                        ms),
                 queue,
                 nestedCalls,
                 retryBudget,
@@ -143,8 +150,8 @@
                 zoneSpread);
     }
 
-    /** The same with other prices of keeping, GB-seconds. */
-    public AdmissionParameters withKeepAlivePrices(double startGbS, double lateGbS) {
+    /** A copy with other costs of a start and of a late request, GB-seconds. */
+    public AdmissionParameters withKeepAlivePrices(double startGbS, double lateRequestGbS) {
         return new AdmissionParameters(
                 limit,
                 selection,
@@ -152,13 +159,14 @@
                 nestedCalls,
                 retryBudget,
                 scaling,
-                new KeepAlive(startGbS, lateGbS, keepAlive.minIdleMs(), keepAlive.settlingMs(), keepAlive.maxIdleMs()),
+                new KeepAlive(
+                        startGbS, lateRequestGbS, keepAlive.minIdleMs(), keepAlive.settlingMs(), keepAlive.maxIdleMs()),
                 takeover,
                 zoneSpread);
     }
 
-    /** The same with other headroom. */
-    public AdmissionParameters withHeadroom(double k, double tail, double burst) {
+    /** A copy with other headroom. */
+    public AdmissionParameters withHeadroom(double headroomFactor, double tailExponent, double burstHeadroom) {
         return new AdmissionParameters(
                 limit,
                 selection,
@@ -169,9 +177,9 @@
                         scaling.fastMemoryMs(),
                         scaling.slowMemoryMs(),
                         scaling.standardErrors(),
-                        k,
-                        tail,
-                        burst,
+                        headroomFactor,
+                        tailExponent,
+                        burstHeadroom,
                         scaling.maxConcurrentStarts(),
                         scaling.retryIntervalMs(),
                         scaling.giveUpMs(),
--- a/src/main/java/brambletray/platform/admission/AttemptOutcome.java
+++ b/src/main/java/brambletray/platform/admission/AttemptOutcome.java
@@ -1,23 +1,23 @@
 package brambletray.platform.admission;
 
-/** What became of a request at a host. */
+/** The outcome of a request at an instance. */
 public enum AttemptOutcome {
-    /** A complete answer came. */
+    /** A complete response was received. */
     SERVED,
-    /** The host turned it away as full, and has said that it did not run. */
+    /** The instance rejected the request as full and stated that it did not run. */
     NOT_RUN,
-    /** 421: another host has the address now. */
+    /** Status 421: another instance has the address now. */
     WRONG_HOST,
-    /** The host's own failure (500, 504): it ran. */
+    /** The instance answered with a failure (500, 504): the request ran. */
     FAILED,
-    /** Reset, cut off, or bytes that are no answer: it may have run. */
+    /** The connection was reset, or the response was truncated or malformed: the request may have run. */
     BROKEN,
-    /** No connection came up: it did not run. */
+    /** No connection could be established: the request did not run. */
     UNREACHED,
-    /** The connection was closed by us; the host may still work on it. */
+    /** The edge closed the connection; the instance may still be working on the request. */
     CANCELLED,
-    /** No answer by the end of its time. */
+    /** No response before the deadline. */
     SILENT,
-    /** Nothing was sent: the grant came twice, or from a home that is not the one asked, or too late. */
+    /** Nothing was sent: the grant was a duplicate, too late, or from another home than the one asked. */
     UNUSED
 }
--- a/src/main/java/brambletray/platform/admission/EventRate.java
+++ b/src/main/java/brambletray/platform/admission/EventRate.java
@@ -1,8 +1,8 @@
 package brambletray.platform.admission;
 
 /**
- * Events per ms, with a memory that fades by e in {@code decayMs} ms; right from the start, as the part of the memory
- * not yet filled is left out.
+ * Event rate per ms, an exponentially weighted average with time constant {@code decayMs}. Corrected for the initial
+ * bias: the part of the averaging time before the first event is left out.
  */
 final class EventRate {
     private final double decayMs;
@@ -10,15 +10,15 @@
     private long lastMs;
     private long firstMs = Long.MIN_VALUE;
 
-    EventRate(int tauMs) {
-        decayMs = tauMs;
+    EventRate(int decayMs) {
+        this.decayMs = decayMs;
     }
 
     void add(long now) {
         if (firstMs == Long.MIN_VALUE) {
             firstMs = now;
         }
-        fade(now);
+        decay(now);
         sum += 1;
     }
 
@@ -26,12 +26,12 @@
         if (firstMs == Long.MIN_VALUE) {
             return 0;
         }
-        fade(now);
+        decay(now);
         double filled = 1 - Math.exp(-Math.max(1.0, (now - firstMs) / decayMs));
         return sum / (decayMs * filled);
     }
 
-    private void fade(long now) {
+    private void decay(long now) {
         if (now > lastMs) {
             sum *= Math.exp((lastMs - now) / decayMs);
             lastMs = now;
--- a/src/main/java/brambletray/platform/admission/FairShare.java
+++ b/src/main/java/brambletray/platform/admission/FairShare.java
@@ -6,23 +6,23 @@
 import java.util.Map;
 
 /**
- * How often each kind of request of one service, and each tenant, is served, against all of them. The queue orders by
- * urgency; where urgent kinds alone fill the service, the others would never be served. A kind or a tenant that is
- * served less than half as often as all is <em>behind</em>, and goes first until it no longer is: weighted fair
- * queueing with a guaranteed minimum. Only outcomes count, and older ones fade, so an idle or a cold service has none
- * that is behind. One thread.
+ * Compares how often each request class of one service, and each tenant, is served with the average of all. The queue
+ * orders by urgency; if urgent classes alone filled the service, the others would never be served. A class or tenant
+ * served less than half as often as all is <em>disadvantaged</em>, and goes first until it no longer is: weighted fair
+ * queueing with a guaranteed minimum. Only outcomes count, with exponential decay, so an idle or newly started service
+ * has no disadvantaged class. Not thread-safe.
  */
 final class FairShare {
-    /** Memory of outcomes, ms. */
+    /** Time constant of the decay of outcomes, ms. */
     private static final int MEMORY_MS = 10_000;
-    /** ms between two fadings of the counts. */
+    /** Interval at which the decay is applied, ms. */
     private static final int DECAY_INTERVAL_MS = 100;
-    /** Request classes that are counted separately; further ones count as the last of them. */
-    private static final int MAX_KINDS = 32;
-    /** A tenant with fewer remembered outcomes than this is forgotten. */
+    /** Maximum of request classes that are counted separately; further ones count as the last of them. */
+    private static final int MAX_CLASSES = 32;
+    /** A tenant whose decayed number of outcomes is below this is removed. */
     private static final double MIN_OUTCOMES = 0.05;
 
-    /** What is counted together: calls of hosts or requests of clients, of one priority and one target. */
+    /** Requests that are counted together: nested calls or client requests with the same priorities and target. */
     static final class RequestClass {
         private final boolean nestedCall;
         private final int priority;
@@ -44,7 +44,7 @@
                     && targetMs == request.targetMs();
         }
 
-        /** Whether it is served less than half as often as all. */
+        /** Whether this class is served less than half as often as all. */
         boolean isDisadvantaged() {
             return share.isDisadvantaged();
         }
@@ -55,15 +55,15 @@
     private final Map<String, ServedShare> tenantShares = new HashMap<>();
     private long decayedAtMs = Long.MIN_VALUE;
 
-    /** The kind of a slot request. */
+    /** The class of a slot request. */
     RequestClass classOf(SlotRequest request) {
         for (int i = 0; i < classes.size(); i++) {
             if (classes.get(i).includes(request)) {
                 return classes.get(i);
             }
         }
-        if (classes.size() == MAX_KINDS) {
-            return classes.get(MAX_KINDS - 1);
+        if (classes.size() == MAX_CLASSES) {
+            return classes.get(MAX_CLASSES - 1);
         }
         RequestClass requestClass = new RequestClass(request);
         classes.add(requestClass);
@@ -71,7 +71,7 @@
         return requestClass;
     }
 
-    /** Whether the request's kind or its tenant is served less than half as often as all. */
+    /** Whether the request's class or its tenant is served less than half as often as all. */
     boolean isDisadvantaged(SlotRequest request) {
         return classOf(request).isDisadvantaged()
                 || isTenantDisadvantaged(request.owner().tenant());
@@ -83,7 +83,7 @@
         return share != null && share.isDisadvantaged();
     }
 
-    /** A request has been granted a slot. */
+    /** A request was granted a slot. */
     void onServed(SlotRequest request, long now) {
         if (counts(request)) {
             classOf(request).share.countServed();
@@ -94,18 +94,18 @@
         }
     }
 
-    /** A request has been rejected, or its deadline has passed in the queue. */
-    void onLost(SlotRequest request, long now) {
+    /** A request was rejected, or its deadline passed in the queue. */
+    void onNotServed(SlotRequest request, long now) {
         if (counts(request)) {
-            classOf(request).share.countLost();
+            classOf(request).share.countNotServed();
             if (request.owner().isTenant()) {
-                tenantShare(request).countLost();
+                tenantShare(request).countNotServed();
             }
             evaluate(now);
         }
     }
 
-    /** Further tries and copies are bounded by their budget, whatever their kind. */
+    /** Retries and hedged requests do not count: the retry budget bounds them whatever their class. */
     private static boolean counts(SlotRequest request) {
         return !request.retry() && !request.hedge();
     }
@@ -127,10 +127,10 @@
         if (now - decayedAtMs < DECAY_INTERVAL_MS) {
             return;
         }
-        double left = Math.exp((double) (decayedAtMs - now) / MEMORY_MS);
+        double factor = Math.exp((double) (decayedAtMs - now) / MEMORY_MS);
         decayedAtMs = now;
-        classShares.forEach(share -> share.decay(left));
-        tenantShares.values().forEach(share -> share.decay(left));
+        classShares.forEach(share -> share.decay(factor));
+        tenantShares.values().forEach(share -> share.decay(factor));
         tenantShares.values().removeIf(share -> share.outcomes() < MIN_OUTCOMES);
     }
 }
--- a/src/main/java/brambletray/platform/admission/HedgeDelay.java
+++ b/src/main/java/brambletray/platform/admission/HedgeDelay.java
@@ -1,12 +1,13 @@
 package brambletray.platform.admission;
 
 /**
- * The delay of the delayed copy (the design, SimpleSpeculativeExecution with our percentile): above about nine in ten
- * of a service's recent answers, 200 ms before any are known. Answer times are counted in classes an eighth of an
- * octave wide; when {@value #MAX_SAMPLES} are held, all counts are halved, so that old ones fade. Bounded: 136 counts.
+ * The delay of a hedged request: the 90th percentile of a service's recent response times, rounded up, or {@value
+ * #FIRST_MS} ms until enough are known. Response times are counted in a histogram with eight buckets per octave; at
+ * {@value #MAX_SAMPLES} samples all counts are halved, so that old samples fade. Memory is bounded: {@value #BUCKETS}
+ * counts.
  */
 public final class HedgeDelay {
-    /** ms, before any answer is known. */
+    /** The delay until {@value #MIN_SAMPLES} response times are known, ms. */
     public static final int FIRST_MS = 200;
 
     private static final int MAX_SAMPLES = 512;
@@ -16,7 +17,7 @@
     private int[] counts;
     private int total;
 
-    /** An answer that took so long, ms. */
+    /** Adds a response time, ms. */
     public void add(int durationMs) {
         if (counts == null) {
             counts = new int[BUCKETS];
@@ -31,12 +32,12 @@
         }
     }
 
-    /** After how long a copy may go out, ms. */
+    /** The time after which a hedged request may be sent, ms. */
     public int delayMs() {
         return total < MIN_SAMPLES ? FIRST_MS : percentile(0.9, FIRST_MS);
     }
 
-    /** The time within which this share of recent answers came, ms; {@code unknown} where none did. */
+    /** The percentile {@code share} of recent response times, ms; {@code unknown} if there are none. */
     public int percentile(double share, int unknown) {
         if (total == 0) {
             return unknown;
@@ -52,7 +53,7 @@
         return upperBoundMs(BUCKETS - 1);
     }
 
-    /** Answers held. */
+    /** Number of samples held. */
     public int sampleCount() {
         return total;
     }
--- a/src/main/java/brambletray/platform/admission/HeldSlotsRecovery.java
+++ b/src/main/java/brambletray/platform/admission/HeldSlotsRecovery.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Rebuilds a new home's slots from what edges report. Reports wait until the coordinator has listed the instances;
- * where it does not in time, the instances are taken from the reports, the first ones first.
+ * Rebuilds the slots of a new home from the reports of edges. Reports are kept until the coordinator has listed the
+ * instances; if it does not in time, the instances are taken from the reports.
  */
 final class HeldSlotsRecovery {
     private static final int MAX_EARLY_REPORTS = 256;
@@ -28,36 +28,36 @@
         if (takeover.isWaitingForList(now) && earlyReports.size() < MAX_EARLY_REPORTS) {
             earlyReports.add(held);
         } else {
-            mark(held, now);
+            restore(held, now);
         }
         takeover.onReported(held.edge());
     }
 
-    /** A slot that was reported early has been released. */
-    void onReleased(String edge, long askId) {
-        earlyReports.replaceAll(held -> held.edge().equals(edge) ? held.without(askId) : held);
+    /** A slot was released; removes it from the reports that are not processed yet. */
+    void onReleased(String edge, long requestId) {
+        earlyReports.replaceAll(held -> held.edge().equals(edge) ? held.without(requestId) : held);
     }
 
-    /** The coordinator has listed the instances. */
+    /** The coordinator has listed the instances: processes the reports kept until now. */
     void onListed(long now) {
         takeover.onListed();
-        markEarly(now);
+        restoreEarlyReports(now);
     }
 
     void tick(long now) {
         if (!earlyReports.isEmpty() && !takeover.isWaitingForList(now)) {
-            markEarly(now);
+            restoreEarlyReports(now);
         }
     }
 
-    private void markEarly(long now) {
+    private void restoreEarlyReports(long now) {
         for (HeldSlots held : earlyReports) {
-            mark(held, now);
+            restore(held, now);
         }
         earlyReports.clear();
     }
 
-    private void mark(HeldSlots held, long now) {
+    private void restore(HeldSlots held, long now) {
         for (SlotGrant grant : held.slots()) {
             if (!takeover.isListed()) {
                 instances.onInstance(
--- a/src/main/java/brambletray/platform/admission/InstancePool.java
+++ b/src/main/java/brambletray/platform/admission/InstancePool.java
@@ -12,14 +12,14 @@
     private static final EventLog LOG = EventLog.of("admission");
     private static final int STOP_RETRY_MS = 1000;
     private static final int MAX_STOP_ATTEMPTS = 20;
-    /** A probe without an answer by then is lost. */
+    /** A probe without a result after this time counts as lost. */
     private static final int PROBE_TIMEOUT_MS = 1000;
 
-    /** Told which instances are in the pool. */
+    /** Notified of instances that enter or leave the pool. */
     interface Listener {
-        void onAdded(String host);
+        void onAdded(String id);
 
-        void onRemoved(String host);
+        void onRemoved(String id);
     }
 
     private static final class StoppingInstance {
@@ -49,22 +49,22 @@
     }
 
     /**
-     * An instance from the coordinator; new ones are added. {@code own}: started under this home, so that all its
-     * slots are known here.
+     * Adds an instance reported by the coordinator, or updates its state. {@code startedHere}: started under this
+     * home, so that all its slots are known here.
      */
-    void onInstance(InstanceInfo host, boolean own, long now) {
-        PooledInstance instance = instances.find(host.id());
+    void onInstance(InstanceInfo info, boolean startedHere, long now) {
+        PooledInstance instance = instances.find(info.id());
         if (instance == null) {
-            if (host.state() != InstanceInfo.LEAVING && !isStopping(host.id())) {
-                instance = new PooledInstance(host, own, now);
+            if (info.state() != InstanceInfo.LEAVING && !isStopping(info.id())) {
+                instance = new PooledInstance(info, startedHere, now);
                 instance.nextProbeMs = instance.startedAtMs + starts.bootMs(context.spec) / 2;
                 instances.add(instance);
                 listener.onAdded(instance.id);
             }
-        } else if (instance.isBooting() && host.state() == InstanceInfo.UP) {
+        } else if (instance.isBooting() && info.state() == InstanceInfo.UP) {
             onUp(instance, now);
-        } else if (host.state() == InstanceInfo.LEAVING) {
-            onDraining(host.id(), now);
+        } else if (info.state() == InstanceInfo.LEAVING) {
+            onDraining(info.id(), now);
         }
     }
 
@@ -84,7 +84,7 @@
         return true;
     }
 
-    /** An instance that carried load leaves: another is wanted, whether any request is queued yet or not. */
+    /** An instance that carried load is leaving: requests a replacement, even if no request is queued yet. */
     private void onLoadedInstanceLeaving(PooledInstance instance, long now) {
         if (instance.isUp() && (instance.heldSlots > 0 || now - instance.idleSinceMs < 1000)) {
             replaceUntilMs = now + 2L * starts.bootMs(context.spec);
@@ -107,32 +107,32 @@
                 .with("held", instance.heldSlots)
                 .log();
         onLoadedInstanceLeaving(instance, now);
-        forget(instance);
+        remove(instance);
         return true;
     }
 
-    /** Not used any more, and stopped. */
+    /** Removes an instance from the pool and stops it. */
     void stop(PooledInstance instance, long now) {
-        forget(instance);
+        remove(instance);
         StoppingInstance other = new StoppingInstance(instance.id);
         other.nextAttemptMs = now + STOP_RETRY_MS;
         stopping.add(other);
         context.actions.requestStop(new StopRequest(instance.id, context.service()));
     }
 
-    /** Given up: not used any more, and stopped lest it cost on. */
-    void drop(PooledInstance instance, String why, long now) {
+    /** Gives up an instance that does not work: removes it, and stops it so that it causes no further cost. */
+    void drop(PooledInstance instance, String reason, long now) {
         LOG.info("instance-dropped")
                 .with("service", context.service())
                 .with("host", instance.id)
-                .with("why", why)
+                .with("why", reason)
                 .with("held", instance.heldSlots)
                 .log();
         onLoadedInstanceLeaving(instance, now);
         stop(instance, now);
     }
 
-    private void forget(PooledInstance instance) {
+    private void remove(PooledInstance instance) {
         instances.remove(instance);
         listener.onRemoved(instance.id);
         slots.drop(instance);
@@ -147,7 +147,7 @@
         return false;
     }
 
-    /** No host, and none to be stopped. */
+    /** Whether there is no instance, and none whose stop is still to be confirmed. */
     boolean isEmpty() {
         return instances.all().isEmpty() && stopping.isEmpty();
     }
@@ -185,7 +185,7 @@
             }
             context.actions.reportUp(new InstanceUp(instance.id, context.service()));
         } else if (now - instance.startedAtMs > 6L * starts.bootMs(context.spec) + 2000) {
-            drop(instance, "never came up", now);
+            drop(instance, "did not become ready in time", now);
         } else {
             instance.nextProbeMs = now
                     + Math.max(
@@ -194,7 +194,7 @@
         }
     }
 
-    /** A response was cut off or never came: a probe finds out whether the instance is still there. */
+    /** A response was cut off or never came: probes whether the instance is still reachable. */
     void suspect(PooledInstance instance, long now) {
         if (instance.isUp() && !instance.suspected) {
             instance.suspected = true;
@@ -203,8 +203,8 @@
     }
 
     /**
-     * An attempt that found no instance, by an edge or by a probe. The second in a row drops it, unless most
-     * instances do not answer: then the fault may be on this side.
+     * An edge or a probe could not connect to the instance. The second failure in a row drops it, unless most
+     * instances are suspected: then the fault may be on this side.
      */
     void onUnreachable(PooledInstance instance, long now) {
         instances.onReleased(instance, AttemptOutcome.UNREACHED, 0, now);
--- a/src/main/java/brambletray/platform/admission/InstanceSlots.java
+++ b/src/main/java/brambletray/platform/admission/InstanceSlots.java
@@ -7,9 +7,10 @@
 import java.util.Map;
 
 /**
- * Rule LIMIT: an instance never has more than {@code max-concurrency} slots granted and not released. A slot is
- * released by {@link SlotRelease}; stays closed for a while where the instance may still be at work; and is lost when
- * its edge is gone (closed for at most {@code edgeGoneGraceMs}) or {@code lostAfterMs} after the end of its request.
+ * The granted slots of a service's instances. Rule LIMIT: an instance never has more than {@code max-concurrency} slots
+ * that are granted and not released. A slot is freed by {@link SlotRelease}; is closed (not granted again) for a while
+ * if the instance may still be working on the request; and is reclaimed when its edge left the membership (after at
+ * most {@code edgeGoneGraceMs}) or {@code lostAfterMs} after the deadline of its request.
  */
 final class InstanceSlots {
     private final AdmissionParameters.Limit limits;
@@ -29,15 +30,15 @@
     }
 
     /** Takes a slot of an instance for a request that has {@code remainingMs} ms left. */
-    Slot take(SlotRequest requestId, PooledInstance instance, long remainingMs, long now) {
-        return take(requestId.edge(), requestId.id(), requestId.nestedCall(), instance, remainingMs, now);
+    Slot take(SlotRequest request, PooledInstance instance, long remainingMs, long now) {
+        return take(request.edge(), request.id(), request.nestedCall(), instance, remainingMs, now);
     }
 
     private Slot take(
-            String edge, long requestId, boolean nestedCall, PooledInstance instance, long remainingMs, long now) {
+            String edge, long request, boolean nestedCall, PooledInstance instance, long remainingMs, long now) {
         long requestEnd = now + remainingMs;
-        Slot slot = new Slot(edge, requestId, nestedCall, instance, requestEnd, requestEnd + limits.lostAfterMs());
-        byEdge.computeIfAbsent(edge, e -> new HashMap<>()).put(requestId, slot);
+        Slot slot = new Slot(edge, request, nestedCall, instance, requestEnd, requestEnd + limits.lostAfterMs());
+        byEdge.computeIfAbsent(edge, e -> new HashMap<>()).put(request, slot);
         instance.heldSlots++;
         nestedCalls += nestedCall ? 1 : 0;
         size++;
@@ -45,7 +46,7 @@
         return slot;
     }
 
-    /** An edge reports a slot that was granted before, or counted as lost. */
+    /** An edge reports a slot that a previous home granted, or that counted as lost here. */
     void onReported(String edge, long requestId, PooledInstance instance, long remainingMs, long now) {
         Slot known = find(edge, requestId);
         if (known == null) {
@@ -62,17 +63,17 @@
     }
 
     /**
-     * An edge that counted as gone repeats its request: it never received the slot, which is still reserved for it.
-     * False if the slot has been released.
+     * An edge that counted as gone repeats a request whose slot is still closed: the slot is granted to it again. False
+     * if the slot was released.
      */
-    boolean reclaimFrom(Slot slot) {
+    boolean reopenIfLost(Slot slot) {
         if (slot.closed && slot.lost) {
             reopen(slot, slot.requestEndMs);
         }
         return !slot.closed;
     }
 
-    /** Frees it at once. */
+    /** Frees a slot at once. */
     void free(Slot slot, long now) {
         Map<Long, Slot> slots = byEdge.get(slot.edge);
         if (slots != null && slots.remove(slot.requestId, slot)) {
@@ -83,7 +84,7 @@
         }
     }
 
-    /** Keeps it closed for {@code spanMs}, no longer than its request's time: the host may still be at work. */
+    /** Keeps a slot closed for {@code spanMs}, as the instance may still be at work; not beyond the slot's own end. */
     void close(Slot slot, long spanMs, long now) {
         slot.closed = true;
         slot.endsAtMs = Math.max(
@@ -105,7 +106,7 @@
         }
     }
 
-    /** Forgets the slots of an instance that no longer exists. */
+    /** Removes the slots of an instance that no longer exists. */
     void drop(PooledInstance instance) {
         for (Iterator<Map<Long, Slot>> edges = byEdge.values().iterator(); edges.hasNext(); ) {
             Map<Long, Slot> slots = edges.next();
@@ -122,26 +123,26 @@
         instance.heldSlots = 0;
     }
 
-    /** Frees what has run out; true if anything did. */
+    /** Frees the slots that have expired; true if there were any. */
     boolean expire(long now) {
         if (nextEndMs > now) {
             return false;
         }
-        List<Slot> over = new ArrayList<>();
+        List<Slot> expired = new ArrayList<>();
         nextEndMs = Long.MAX_VALUE;
         for (Map<Long, Slot> slots : byEdge.values()) {
             for (Slot slot : slots.values()) {
                 if (slot.endsAtMs <= now) {
-                    over.add(slot);
+                    expired.add(slot);
                 } else {
                     nextEndMs = Math.min(nextEndMs, slot.endsAtMs);
                 }
             }
         }
-        for (Slot slot : over) {
+        for (Slot slot : expired) {
             free(slot, now);
         }
-        return !over.isEmpty();
+        return !expired.isEmpty();
     }
 
     long nextEndMs() {
@@ -152,7 +153,7 @@
         return size;
     }
 
-    /** Slots held by requests of clients, including those whose slot requests are not known. */
+    /** Number of slots held by client requests; slots reported by edges count as such, as their kind is not known. */
     int clientSlots() {
         return size - nestedCalls;
     }
--- a/src/main/java/brambletray/platform/admission/KeepAlivePolicy.java
+++ b/src/main/java/brambletray/platform/admission/KeepAlivePolicy.java
@@ -1,13 +1,14 @@
 package brambletray.platform.admission;
 
 /**
- * How long the last instance of a service is kept idle. Each interval without a request is a gap: keeping an instance
- * through it costs memory, stopping it earlier costs a start and the lateness that comes with it. The chosen time is
- * the one that would have been cheapest over the observed gaps, with a few gaps of every length as a prior.
+ * Decides how long the last instance of a service is kept idle. Each interval without a request is a gap: keeping an
+ * instance through it costs memory, stopping it earlier costs a start and the late requests it causes. The chosen time
+ * is the one that would have been cheapest over the observed gaps (a decaying histogram), with a small weight in every
+ * bucket as a prior.
  */
 final class KeepAlivePolicy {
     private static final int BUCKETS = 18;
-    /** Upper ends of the classes, ms: from 100 ms on, each half as long again. */
+    /** Upper bounds of the buckets, ms: from 100 ms on, each 1.5 times the one before. */
     private static final int[] BUCKET_ENDS_MS = new int[BUCKETS];
 
     static {
@@ -26,7 +27,7 @@
         this.parameters = parameters;
     }
 
-    /** A request has come; {@code idle}: none was at work or waiting. */
+    /** A request arrived; {@code idle}: no other was being served or queued. */
     void onArrival(boolean idle, long now) {
         if (idle && lastArrivalMs != Long.MIN_VALUE) {
             long gap = now - lastArrivalMs;
@@ -41,38 +42,38 @@
         lastArrivalMs = now;
     }
 
-    /** The price of a start, GB-seconds, with its share of lateness. */
-    double startPriceGbS(ServiceSpec spec, int bootMs) {
+    /** The cost of a start including the late requests it causes, GB-seconds. */
+    double startCostGbS(ServiceSpec spec, int bootMs) {
         double late = spec.targetMs() <= 0 ? 0 : Math.min(1, Math.max(0, 2.0 * bootMs / spec.targetMs() - 1));
         return parameters.startGbS() + parameters.lateRequestGbS() * late * late;
     }
 
-    /** The break-even of a start against memory, ms. */
+    /** The idle time whose memory costs as much as a start, ms, within the configured bounds. */
     int breakEvenMs(ServiceSpec spec, int bootMs) {
         return (int) Math.max(
                 parameters.minIdleMs(),
-                Math.min(parameters.maxIdleMs(), startPriceGbS(spec, bootMs) * 1024_000 / spec.memoryMb()));
+                Math.min(parameters.maxIdleMs(), startCostGbS(spec, bootMs) * 1024_000 / spec.memoryMb()));
     }
 
-    /** The span for the last host, ms. */
-    int spanMs(ServiceSpec spec, int bootMs) {
-        int even = breakEvenMs(spec, bootMs);
+    /** How long the last instance is kept idle, ms. */
+    int keepAliveMs(ServiceSpec spec, int bootMs) {
+        int breakEvenMs = breakEvenMs(spec, bootMs);
         if (gapWeights == null) {
-            return even;
+            return breakEvenMs;
         }
         double prior = 2.0 / (BUCKETS + 1);
-        double more = 0;
+        double remainingWeight = 0;
         for (int i = 0; i <= BUCKETS; i++) {
-            more += gapWeights[i] + prior;
+            remainingWeight += gapWeights[i] + prior;
         }
         double idleCost = 0;
-        double best = more * even;
+        double best = remainingWeight * breakEvenMs;
         int span = parameters.minIdleMs();
         for (int i = 0; i < BUCKETS; i++) {
-            double here = gapWeights[i] + prior;
-            idleCost += here * (i == 0 ? BUCKET_ENDS_MS[0] / 2.0 : (BUCKET_ENDS_MS[i] + BUCKET_ENDS_MS[i - 1]) / 2.0);
-            more -= here;
-            double cost = idleCost + more * ((double) BUCKET_ENDS_MS[i] + even);
+            double weight = gapWeights[i] + prior;
+            idleCost += weight * (i == 0 ? BUCKET_ENDS_MS[0] / 2.0 : (BUCKET_ENDS_MS[i] + BUCKET_ENDS_MS[i - 1]) / 2.0);
+            remainingWeight -= weight;
+            double cost = idleCost + remainingWeight * ((double) BUCKET_ENDS_MS[i] + breakEvenMs);
             if (cost < best) {
                 best = cost;
                 span = BUCKET_ENDS_MS[i];
--- a/src/main/java/brambletray/platform/admission/NestedCallReserve.java
+++ b/src/main/java/brambletray/platform/admission/NestedCallReserve.java
@@ -1,14 +1,15 @@
 package brambletray.platform.admission;
 
 /**
- * Slots reserved for calls of instances: they need a slot while their parent holds one, so a service full of parents
- * would wait for itself. Where such calls were seen lately, one of every {@code oneOf} slots is reserved for them,
- * from {@code minSlots} on. A service whose parents were seen to hold all slots while their calls waited is given
- * enough instances for both.
+ * Slots reserved for nested calls, that is, requests made by instances while they serve a request. A nested call needs
+ * a slot while its parent holds one, so a service whose slots are all held by parents would wait for itself. After
+ * recent nested calls, one of every {@code reserveDivisor} slots is reserved for them if there are at least {@code
+ * minSlots}. After a stall (parents held all slots while their nested calls waited) the service gets enough instances
+ * for both.
  */
 final class NestedCallReserve {
-    /** Slots of which one can be reserved: one for a parent, one for its call. */
-    private static final int MIN_STALL_MS = 2;
+    /** Minimum of slots after a stall: one for a parent, one for its nested call. */
+    private static final int MIN_SLOTS_AFTER_STALL = 2;
 
     private final AdmissionParameters.NestedCalls parameters;
     private long nestedCallAtMs = Long.MIN_VALUE / 2;
@@ -18,7 +19,7 @@
         this.parameters = parameters;
     }
 
-    /** A call of a host. */
+    /** A nested call arrived. */
     void onNestedCall(long now) {
         nestedCallAtMs = now;
         if (now - stalledAtMs <= parameters.rememberMs()) {
@@ -31,21 +32,21 @@
         stalledAtMs = now;
     }
 
-    /** Places without which calls could not be served beside their parents. */
+    /** Minimum of slots with which nested calls can be served beside their parents; 0 without a recent stall. */
     int minSlots(long now) {
-        return now - stalledAtMs <= parameters.rememberMs() ? MIN_STALL_MS : 0;
+        return now - stalledAtMs <= parameters.rememberMs() ? MIN_SLOTS_AFTER_STALL : 0;
     }
 
-    /** Places that copies leave free, of so many: a quarter (the design: copies go out while the window has room). */
+    /** Slots of {@code slots} that hedged requests leave free: a quarter, so that they use spare capacity only. */
     int reservedFromHedges(int slots) {
         return slots / 4;
     }
 
-    /** Slots reserved of so many. */
+    /** Number of slots of {@code slots} that are reserved for nested calls. */
     int reserved(int slots, long now) {
-        int least = minSlots(now) > 0 ? MIN_STALL_MS : parameters.minSlots();
+        int least = minSlots(now) > 0 ? MIN_SLOTS_AFTER_STALL : parameters.minSlots();
         return now - nestedCallAtMs > parameters.rememberMs() || slots < least
                 ? 0
-                : Math.max(1, slots / parameters.oneOf());
+                : Math.max(1, slots / parameters.reserveDivisor());
     }
 }
--- a/src/main/java/brambletray/platform/admission/PendingStarts.java
+++ b/src/main/java/brambletray/platform/admission/PendingStarts.java
@@ -6,20 +6,20 @@
 import java.util.List;
 
 /**
- * The starts that a service queue has requested and that are not answered yet. A nonce is made once per start and
- * repeated until it is answered, so that it makes one instance whoever carries it out. Bounded by {@code
- * maxConcurrentStarts}.
+ * The instance starts that a service queue has requested and that are not answered yet. Each start has a nonce, which
+ * is repeated with every attempt, so that it creates one instance only, whichever coordinator performs it. Bounded by
+ * {@code maxConcurrentStarts}.
  */
 final class PendingStarts {
-    private static final class PendingNonce {
+    private static final class PendingStart {
         final String nonce;
         final long requestedAtMs;
         long nextAttemptMs;
         int attempts;
 
-        PendingNonce(String nonce, long since) {
+        PendingStart(String nonce, long requestedAtMs) {
             this.nonce = nonce;
-            this.requestedAtMs = since;
+            this.requestedAtMs = requestedAtMs;
         }
     }
 
@@ -27,7 +27,7 @@
     private final String service;
     private final String homeZone;
     private final StartNonces nonces;
-    private final List<PendingNonce> pending = new ArrayList<>();
+    private final List<PendingStart> pending = new ArrayList<>();
     private long blockedUntilMs = Long.MIN_VALUE;
     private double bootMs = -1;
 
@@ -38,7 +38,7 @@
         this.nonces = nonces;
     }
 
-    /** How long a start takes here: as measured, as configured until then, ms. */
+    /** Boot time, ms: the measured average, or the configured time until one is measured. */
     int bootMs(ServiceSpec spec) {
         return bootMs < 0 ? Math.max(1, spec.bootMs()) : (int) bootMs;
     }
@@ -59,18 +59,18 @@
         return pending.get(i).requestedAtMs;
     }
 
-    /** For how long the platform has no room, ms; 0 where it has. */
+    /** Time for which no start may be requested because the platform refused one, ms; 0: none. */
     int blockedMs(long now) {
         return blockedUntilMs > now ? (int) Math.min(SlotForecast.NEVER / 2, blockedUntilMs - now) : 0;
     }
 
-    /** Whether one more may be under way: {@code atOnce}, and two for each host that works. */
+    /** Whether another start may be requested: {@code maxConcurrentStarts}, plus two for each working instance. */
     boolean mayRequest(int booting, int working, long now) {
         return now >= blockedUntilMs && pending.size() + booting < parameters.maxConcurrentStarts() + 2 * working;
     }
 
     void request(int urgency, AdmissionActions actions, long now) {
-        PendingNonce start = new PendingNonce(nonces.next(), now);
+        PendingStart start = new PendingStart(nonces.next(), now);
         start.nextAttemptMs = now + parameters.retryIntervalMs();
         pending.add(start);
         actions.requestStart(new StartRequest(service, homeZone, start.nonce, urgency));
@@ -88,10 +88,10 @@
         return true;
     }
 
-    /** Repeats what is not answered; gives up what has been so for long. */
+    /** Repeats unanswered starts with backoff, and abandons those unanswered for {@code giveUpMs}. */
     void tick(int urgency, AdmissionActions actions, long now) {
-        for (Iterator<PendingNonce> each = pending.iterator(); each.hasNext(); ) {
-            PendingNonce start = each.next();
+        for (Iterator<PendingStart> each = pending.iterator(); each.hasNext(); ) {
+            PendingStart start = each.next();
             if (now - start.requestedAtMs >= parameters.giveUpMs()) {
                 each.remove();
             } else if (start.nextAttemptMs <= now) {
--- a/src/main/java/brambletray/platform/admission/PooledInstance.java
+++ b/src/main/java/brambletray/platform/admission/PooledInstance.java
@@ -2,7 +2,7 @@
 
 import brambletray.platform.provisioning.InstanceInfo;
 
-/** An instance as its service queue sees it: its slots, and how it has behaved lately. */
+/** An instance as its service queue sees it: its slots and its recent behaviour. */
 final class PooledInstance {
     final String id;
     final String address;
@@ -10,19 +10,19 @@
     final String worker;
     final String nonce;
     final long startedAtMs;
-    /** Started under this home: all its slots are known here. */
+    /** Started under this home, so that all its slots are known here. */
     final boolean startedHere;
 
     int state;
-    /** Slots granted and not released, those that stay closed included. */
+    /** Number of slots granted and not released, including closed ones. */
     int heldSlots;
 
     long fullUntilMs;
     long pausedUntilMs;
     int pauseCount;
-    /** UNREACHED attempts or failed probes in a row, at an instance that was up. */
+    /** Consecutive UNREACHED attempts or failed probes while the instance was up. */
     int unreachableCount;
-    /** A response from it was cut off or never came; a probe will find out. */
+    /** A response was cut off or never came; a probe will check whether the instance is reachable. */
     boolean suspected;
 
     double failureScore;
@@ -34,14 +34,14 @@
     long nextProbeMs;
     long probedAtMs = Long.MIN_VALUE;
 
-    PooledInstance(InstanceInfo host, boolean startedHere, long now) {
-        this.id = host.id();
-        this.address = host.address();
-        this.zone = host.zone();
-        this.worker = host.worker();
-        this.nonce = host.nonce();
-        this.state = host.state();
-        this.startedAtMs = now - Math.max(0, host.ageMs());
+    PooledInstance(InstanceInfo info, boolean startedHere, long now) {
+        this.id = info.id();
+        this.address = info.address();
+        this.zone = info.zone();
+        this.worker = info.worker();
+        this.nonce = info.nonce();
+        this.state = info.state();
+        this.startedAtMs = now - Math.max(0, info.ageMs());
         this.startedHere = startedHere;
         this.idleSinceMs = now;
         this.drainingSinceMs = now;
@@ -59,12 +59,12 @@
         return state == InstanceInfo.LEAVING;
     }
 
-    /** Free slots, as far as this queue can know. */
+    /** Number of free slots as known to this queue; an instance marked full has one less. */
     int freeSlots(int maxConcurrency, long now) {
         return maxConcurrency - heldSlots - (fullUntilMs > now ? 1 : 0);
     }
 
-    /** Whether it is suspected of being dead: not used at all until a probe is answered or the pause is over. */
+    /** Whether the instance is suspected to be dead: not used until a probe succeeds or the pause is over. */
     boolean isSuspect(long now) {
         return unreachableCount > 0 && pausedUntilMs > now;
     }
--- a/src/main/java/brambletray/platform/admission/PooledInstances.java
+++ b/src/main/java/brambletray/platform/admission/PooledInstances.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * The instances of a service queue, oldest first, and the choice among them: a healthy one that the request does not
- * exclude; in the requester's zone; not its last slot; the oldest, so that superfluous ones become idle. Slow and
- * failing ones come last, suspects not at all.
+ * The instances of a service queue, oldest first, and the selection among them. Preferred are, in this order, instances
+ * that the request does not exclude, that are healthy, in the requester's zone, with more than one free slot, and the
+ * oldest, so that surplus instances become idle. Slow and failing ones come last; suspected ones are not used.
  */
 final class PooledInstances {
     private final AdmissionParameters.Selection parameters;
@@ -64,7 +64,7 @@
         return n;
     }
 
-    /** Hosts that are up and not suspect. */
+    /** Number of instances that are up and not suspected. */
     int healthyCount(long now) {
         int n = 0;
         for (int i = 0; i < instances.size(); i++) {
@@ -75,7 +75,7 @@
         return n;
     }
 
-    /** The instance for a request, or null. {@code onlyStartedHere}: only those whose slot holders are all known. */
+    /** The instance for a request, or null. {@code onlyStartedHere}: only instances whose held slots are all known. */
     PooledInstance choose(SlotRequest request, int maxConcurrency, boolean onlyStartedHere, long now) {
         double medianMs = medianResponseMs();
         PooledInstance best = null;
@@ -132,7 +132,7 @@
         return rank;
     }
 
-    /** Whether there is another host that works, or soon will. */
+    /** Whether there is another instance that is up or booting and not suspected. */
     private boolean hasOthers(PooledInstance one, long now) {
         for (int i = 0; i < instances.size(); i++) {
             PooledInstance instance = instances.get(i);
@@ -143,7 +143,7 @@
         return false;
     }
 
-    /** The median of the hosts' answer times, ms; 0 where fewer than three are known. */
+    /** The median of the instances' mean response times, ms; 0 if fewer than three are known. */
     private double medianResponseMs() {
         if (instances.size() < 3) {
             return 0;
@@ -167,7 +167,7 @@
         return n < 3 ? 0 : known[(n - 1) / 2];
     }
 
-    /** What a host did with a request: its record, and a pause where it fails again and again. */
+    /** Records the outcome of a request at an instance, and pauses the instance after repeated failures. */
     void onReleased(PooledInstance instance, AttemptOutcome outcome, int durationMs, long now) {
         instance.failureScore *= Math.exp((instance.failureScoreAtMs - now) / 1000.0);
         instance.failureScoreAtMs = now;
@@ -184,7 +184,7 @@
             }
             case BROKEN, SILENT -> {
                 instance.failureScore += 1;
-                if (instance.failureScore >= parameters.blame()) {
+                if (instance.failureScore >= parameters.pauseThreshold()) {
                     pause(instance, now);
                     instance.failureScore = 0;
                 }
@@ -204,7 +204,7 @@
         instance.pausedUntilMs = Math.max(instance.pausedUntilMs, now + span);
     }
 
-    /** The first moment after now at which a pause, or a mark of a full host, ends. */
+    /** When the next pause, or the next mark of an instance as full, ends, ms. */
     long nextPauseEndMs(long now) {
         long next = Long.MAX_VALUE;
         for (int i = 0; i < instances.size(); i++) {
@@ -219,7 +219,7 @@
         return next;
     }
 
-    /** Instances started under another home: edges have to report who holds slots there. */
+    /** Whether any instance was started under another home, so that edges have to report the slots they hold there. */
     boolean hasInheritedInstances() {
         for (int i = 0; i < instances.size(); i++) {
             if (!instances.get(i).startedHere) {
--- a/src/main/java/brambletray/platform/admission/QueueContext.java
+++ b/src/main/java/brambletray/platform/admission/QueueContext.java
@@ -1,6 +1,6 @@
 package brambletray.platform.admission;
 
-/** What all parts of one service queue share. */
+/** State shared by all parts of one service queue. */
 final class QueueContext {
     final String zone;
     final AdmissionParameters parameters;
--- a/src/main/java/brambletray/platform/admission/QueueTakeover.java
+++ b/src/main/java/brambletray/platform/admission/QueueTakeover.java
@@ -7,9 +7,9 @@
 
 /**
  * The takeover of a service by a new home. The coordinator is asked for the instances; requests wait until it answers
- * ({@code instanceListWaitMs} at most, then the queue behaves as one without instances). The edges report which slots
- * they hold; until all have, or {@code heldSlotsWaitMs} are over, only instances started under this home are given
- * out.
+ * ({@code instanceListWaitMs} at most, after which the queue acts as one without instances). Edges report the slots
+ * they hold; until all have, or {@code heldSlotsWaitMs} have passed, slots are granted only at instances started under
+ * this home.
  */
 final class QueueTakeover {
     private final AdmissionParameters.Takeover parameters;
@@ -44,17 +44,17 @@
         return listed;
     }
 
-    /** The hosts are not known yet. */
+    /** Whether the instances are not known yet. */
     boolean isWaitingForList(long now) {
         return !listed && now - startedAtMs < parameters.instanceListWaitMs();
     }
 
-    /** Not all edges have reported what they hold. */
+    /** Whether some edges have not reported yet which slots they hold. */
     boolean isWaitingForReports(long now) {
         return !awaited.isEmpty() && now - startedAtMs < parameters.heldSlotsWaitMs();
     }
 
-    /** ms until list and reports are there. */
+    /** Maximum time until the list and the reports have arrived, ms. */
     int waitMs(long now) {
         int wait = isWaitingForList(now) ? (int) (startedAtMs + parameters.instanceListWaitMs() - now) : 0;
         return isWaitingForReports(now)
--- a/src/main/java/brambletray/platform/admission/RejectedRequests.java
+++ b/src/main/java/brambletray/platform/admission/RejectedRequests.java
@@ -1,8 +1,8 @@
 package brambletray.platform.admission;
 
 /**
- * Requests that were rejected with a time to retry: each counts as ahead of whoever is rejected after it, so that
- * they are asked to retry one after the other and not all at once. Remembers the last 256 until they are due.
+ * Requests that were rejected with a {@code Retry-After}: each counts as ahead of those rejected after it, so that
+ * their retries are spread over time. Remembers the last {@value #MAX_REMEMBERED} until they are due.
  */
 final class RejectedRequests {
     private static final int MAX_REMEMBERED = 256;
@@ -10,7 +10,7 @@
     private int head;
     private int size;
 
-    /** A request was rejected with this time to retry. */
+    /** A request was rejected and asked to retry after this time. */
     void onRejected(int retryAfterMs, long now) {
         if (size == MAX_REMEMBERED) {
             head = (head + 1) % MAX_REMEMBERED;
@@ -19,7 +19,7 @@
         dueAtMs[(head + size++) % MAX_REMEMBERED] = now + retryAfterMs;
     }
 
-    /** Promised and not yet due. */
+    /** Number of retries that are not due yet. */
     int pendingCount(long now) {
         while (size > 0 && dueAtMs[head] <= now) {
             head = (head + 1) % MAX_REMEMBERED;
@@ -28,7 +28,7 @@
         return size;
     }
 
-    /** Promised to be back within {@code ms}. */
+    /** Number of retries that are due within {@code ms}. */
     int dueWithin(int ms, long now) {
         int open = pendingCount(now);
         int n = 0;
--- a/src/main/java/brambletray/platform/admission/RequestQueue.java
+++ b/src/main/java/brambletray/platform/admission/RequestQueue.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * The queue of requests that wait for a slot, a priority queue bounded by {@code maxSize}. The key is the request's
- * deadline, plus {@code priorityRankMs} for each step of priority and a quarter of it for each step of the route's
- * priority, less {@code nestedCallBonusMs} for nested calls, plus one step of priority for requests of a tenant that
- * has more than its part of the queue, plus {@code lateRequestPenaltyMs} once the target will be missed; the smallest
- * is first. Before all of these go request kinds and tenants that are below their fair share ({@link FairShare}). When
- * the queue is full, the request that would be last gives way to one that would be before it.
+ * A bounded priority queue ({@code maxSize}) of requests that wait for a slot. The key is the request's deadline, plus
+ * {@code priorityRankMs} for each step of priority and a quarter of it for each step of the route's priority, less
+ * {@code nestedCallBonusMs} for nested calls, plus one step of priority for requests of a tenant that floods the
+ * queue, plus {@code lateRequestPenaltyMs} once the target will be missed; the smallest key is served first. Request
+ * classes and tenants below their fair share ({@link FairShare}) go before all others. When the queue is full, a new
+ * request displaces the last one if it would go before it.
  */
 final class RequestQueue {
     static final class Waiter {
@@ -31,13 +31,13 @@
         }
     }
 
-    /** From this rank on routes are alike; all their steps together are less than one of a tenant's priority. */
+    /** Route priorities are capped at this; all their steps together are less than one step of tenant priority. */
     private static final int MAX_ROUTE_RANK = 3;
-    /** A tenant with fewer waiting requests than this floods no queue. */
-    private static final int MIN_FLOOD = 4;
-    /** A tenant floods the queue that has more than one of so many waiting requests. */
-    private static final int FLOOD_ONE_OF = 4;
-    /** Before any key that time alone can make, ms. */
+    /** A tenant with fewer queued requests than this does not count as flooding. */
+    private static final int MIN_FLOOD_REQUESTS = 4;
+    /** A tenant floods the queue if it has more than one in this many of the queued requests. */
+    private static final int FLOOD_SHARE_DIVISOR = 4;
+    /** Larger than any difference of keys that deadlines can cause, ms. */
     private static final long DISADVANTAGED_BONUS_MS = 1L << 40;
 
     private final AdmissionParameters.Queue parameters;
@@ -54,7 +54,7 @@
         return new Waiter(request, fairShare.classOf(request), penaltyMs(request), now);
     }
 
-    /** For how long later deadlines go before this request's, ms. */
+    /** The amount added to the request's deadline in its key, ms. */
     private long penaltyMs(SlotRequest request) {
         int rankMs = parameters.priorityRankMs();
         long penaltyMs = (long) request.owner().priority() * rankMs
@@ -65,7 +65,7 @@
         return isFlooding(request.owner().tenant()) ? penaltyMs + rankMs : penaltyMs;
     }
 
-    /** Whether a tenant has so much of the queue that its further requests go behind those of the others. */
+    /** Whether a tenant has so many queued requests that its further ones lose a step of priority. */
     private boolean isFlooding(String tenant) {
         if (tenant.isEmpty()) {
             return false;
@@ -74,7 +74,7 @@
         for (int i = 0; i < waiters.size(); i++) {
             own += waiters.get(i).request.owner().tenant().equals(tenant) ? 1 : 0;
         }
-        return own >= MIN_FLOOD && own * FLOOD_ONE_OF > waiters.size();
+        return own >= MIN_FLOOD_REQUESTS && own * FLOOD_SHARE_DIVISOR > waiters.size();
     }
 
     int size() {
@@ -113,15 +113,14 @@
         waiters.removeIf(waiter -> waiter.request.edge().equals(edge));
     }
 
-    /** A new round of {@link #next}: those passed over are looked at again. */
+    /** Starts a new round of {@link #next}, in which skipped requests are considered again. */
     void startRound() {
         round++;
     }
 
     /**
-     * The one whose turn it is, of those not passed over in this round; null where there is none. {@code
-     * onlyNestedCalls}: requests of clients may not have what is free, but for kinds that are behind where {@code
-     * includeDisadvantaged}.
+     * The first request that was not skipped in this round, or null. {@code onlyNestedCalls}: excludes client requests,
+     * except, with {@code includeDisadvantaged}, those of classes below their fair share.
      */
     Waiter next(boolean onlyNestedCalls, boolean includeDisadvantaged, int workMs, long now) {
         Waiter best = null;
@@ -143,7 +142,7 @@
         return best;
     }
 
-    /** No host suits this one now. */
+    /** Skips a request for the rest of this round: no instance suits it now. */
     void skip(Waiter waiter) {
         waiter.skippedInRound = round;
     }
@@ -155,7 +154,7 @@
         return waiter.key + late - (disadvantaged ? DISADVANTAGED_BONUS_MS : 0);
     }
 
-    /** How many queued requests would go before such a request. */
+    /** Number of queued requests that would go before this request. */
     int countAhead(SlotRequest request, int workMs, long now) {
         long key = key(waiter(request, now), workMs, now);
         int n = 0;
@@ -168,8 +167,8 @@
     }
 
     /**
-     * Makes room in a full queue: removes and returns the last request, if such a request would go before it;
-     * else null.
+     * Makes room in a full queue: removes and returns the last request if {@code request} would go before it, else
+     * returns null.
      */
     Waiter displace(SlotRequest request, int workMs, long now) {
         long key = key(waiter(request, now), workMs, now);
@@ -185,7 +184,7 @@
         return last;
     }
 
-    /** Calls of hosts that have waited since before {@code moment}. */
+    /** Number of nested calls queued before {@code moment}. */
     int nestedCallsQueuedBefore(long moment) {
         int n = 0;
         for (int i = 0; i < waiters.size(); i++) {
@@ -195,7 +194,7 @@
         return n;
     }
 
-    /** Removes and returns one whose time no longer suffices; null where there is none. */
+    /** Removes and returns a request whose remaining time is shorter than the work, or null. */
     Waiter pollExpired(int workMs, long now) {
         for (int i = 0; i < waiters.size(); i++) {
             if (waiters.get(i).deadlineMs - workMs <= now) {
@@ -205,7 +204,7 @@
         return null;
     }
 
-    /** When the next one's time no longer suffices. */
+    /** When the next request's remaining time becomes shorter than the work, ms. */
     long nextExpiryMs(int workMs) {
         long next = Long.MAX_VALUE;
         for (int i = 0; i < waiters.size(); i++) {
--- a/src/main/java/brambletray/platform/admission/RetryBudget.java
+++ b/src/main/java/brambletray/platform/admission/RetryBudget.java
@@ -2,14 +2,14 @@
 
 /**
  * Limits attempts beyond the first: in any sliding window they stay within ratio x requests + this queue's share of
- * the slack (rule BUDGET). Requests are undercounted (first requests of clients only, only buckets entirely inside
- * the window), retries overcounted (every bucket that touches it). Hedged requests get at most half of what the other
- * retries leave.
+ * the slack (rule BUDGET). To be on the safe side, requests are undercounted (first attempts of client requests only,
+ * in buckets entirely inside the window) and retries overcounted (every bucket that overlaps it). Hedged requests get
+ * at most half of what the other retries leave.
  */
 final class RetryBudget {
     private static final int BUCKETS = 40;
-    /** Part of a home's share of the slack in its first window, where it has taken the service over. */
-    private static final double REDUCED_SHARE = 1.0 / 3;
+    /** Factor on this queue's share of the slack in the first window after a takeover from another home. */
+    private static final double TAKEOVER_SLACK_SHARE = 1.0 / 3;
 
     private final AdmissionParameters.RetryBudgetLimits limits;
     private final int bucketMs;
@@ -24,42 +24,42 @@
         this.bucketMs = Math.max(1, limits.windowMs() / BUCKETS);
     }
 
-    /** Another edge was home until now, as far as is known. */
+    /** Another edge may have been the home until now and may have spent part of the budget. */
     void onTakenOver(long now) {
         reducedUntilMs = now + limits.windowMs() + bucketMs;
     }
 
-    /** No other edge was home. */
+    /** No other edge was the home before: the whole share of the slack is available. */
     void onFirstHome() {
         reducedUntilMs = Long.MIN_VALUE;
     }
 
-    /** A first slot request for a client's request. */
+    /** Counts the first attempt of a client request. */
     void onRequest(long now) {
         roll(now);
         requests[bucketIndex(head)]++;
     }
 
-    /** Whether a further arrival may go now; {@link #spend} counts it. */
+    /** Whether a retry or hedged request is allowed now; {@link #spend} counts it. */
     boolean isAllowed(boolean hedge, long now) {
         roll(now);
-        int asked = 0;
-        int other = 0;
-        int hedged = 0;
+        int requestCount = 0;
+        int retryCount = 0;
+        int hedgeCount = 0;
         for (int i = 0; i <= BUCKETS; i++) {
             long bucket = head - i;
             if (i < BUCKETS) {
-                asked += requests[bucketIndex(bucket)];
+                requestCount += requests[bucketIndex(bucket)];
             }
-            other += retries[bucketIndex(bucket)];
-            hedged += hedges[bucketIndex(bucket)];
+            retryCount += retries[bucketIndex(bucket)];
+            hedgeCount += hedges[bucketIndex(bucket)];
         }
-        double allowed = limits.ratio() * asked
-                + limits.slack() * limits.hedgeShare() * (now < reducedUntilMs ? REDUCED_SHARE : 1);
+        double allowed = limits.ratio() * requestCount
+                + limits.slack() * limits.slackShare() * (now < reducedUntilMs ? TAKEOVER_SLACK_SHARE : 1);
         if (hedge) {
-            return hedged + 1 <= (allowed - other) / 2;
+            return hedgeCount + 1 <= (allowed - retryCount) / 2;
         }
-        return other + hedged + 1 <= allowed;
+        return retryCount + hedgeCount + 1 <= allowed;
     }
 
     void spend(boolean hedge, long now) {
--- a/src/main/java/brambletray/platform/admission/Scaler.java
+++ b/src/main/java/brambletray/platform/admission/Scaler.java
@@ -4,9 +4,10 @@
 import java.util.List;
 
 /**
- * Decides how many instances a service has. Up: slots by Little's law with headroom ({@link SlotDemand}), a reserve
- * for nested calls, and starts until the estimated wait of the last queued request is acceptable; booting instances
- * are counted. Down: instances that are empty, not needed, and idle for longer than a start is worth.
+ * Scales the instances of a service. Up: to the slots given by Little's law with headroom ({@link SlotDemand}) and a
+ * reserve for nested calls, then further until the estimated wait of the last queued request is acceptable; booting
+ * instances are counted. Down: stops instances that are empty, not needed, and idle for so long that a new start would
+ * cost less than keeping them.
  */
 final class Scaler {
     final SlotDemand demand;
@@ -35,12 +36,12 @@
         keepAlive = new KeepAlivePolicy(context.parameters.keepAlive());
     }
 
-    /** Places at hosts that work. */
+    /** Number of slots of healthy instances. */
     int workingSlots(long now) {
         return instances.instances.healthyCount(now) * context.maxConcurrency();
     }
 
-    /** Slots that are up or booting, less {@code reservedSlots}. */
+    /** A forecast over the slots that are up or booting, less {@code reservedSlots}. */
     SlotForecast forecast(int reservedSlots, long now) {
         forecast.reset(
                 Math.max(0, workingSlots(now) - reservedSlots),
@@ -62,22 +63,22 @@
     }
 
     /** Estimated ms until a slot is free for a request with {@code ahead} others before it. */
-    int waitMs(int ahead, RejectedRequests herd, long now) {
-        SlotForecast sight = forecast(nestedCallReserve.reserved(workingSlots(now), now), now);
-        int wait = sight.waitMs(ahead);
+    int waitMs(int ahead, RejectedRequests rejectedRequests, long now) {
+        SlotForecast estimate = forecast(nestedCallReserve.reserved(workingSlots(now), now), now);
+        int wait = estimate.waitMs(ahead);
         if (wait < SlotForecast.NEVER) {
-            return sight.waitMs(ahead + herd.dueWithin(wait, now));
+            return estimate.waitMs(ahead + rejectedRequests.dueWithin(wait, now));
         }
         return starts.bootMs(context.spec) + starts.blockedMs(now);
     }
 
-    /** Hosts that a rate of requests needs, with room for calls of hosts. */
+    /** Number of instances that a request rate needs, including the reserve for nested calls. */
     private int wantedInstances(double rate, long now) {
         double need = demand.slotsFor(rate, context.spec);
         int n = (int) Math.ceil(need / context.maxConcurrency() - 1e-9);
-        int minInstances = nestedCallReserve.minSlots(now);
+        int minSlots = nestedCallReserve.minSlots(now);
         while (n > 0
-                && (n * context.maxConcurrency() < minInstances
+                && (n * context.maxConcurrency() < minSlots
                         || n * context.maxConcurrency() - nestedCallReserve.reserved(n * context.maxConcurrency(), now)
                                 < need)) {
             n++;
@@ -86,8 +87,8 @@
     }
 
     /**
-     * Starts the missing instances. {@code minInstances}: kept whatever the demand; {@code waiting}: requests that
-     * are queued or were told to come back.
+     * Starts the missing instances. {@code minInstances}: kept whatever the demand; {@code waiting}: number of requests
+     * that are queued or were asked to retry.
      */
     void scale(int minInstances, int waiting, long now) {
         int booting = instances.instances.count(InstanceInfo.BOOTING);
@@ -102,18 +103,18 @@
             int bootMs = starts.bootMs(context.spec);
             int slack = (int) (context.parameters.queue().safetyFactor() * context.spec.targetMs())
                     - demand.tailMs(context.spec);
-            int bearable = Math.max(slack, bootMs + bootMs / 2);
-            SlotForecast sight = forecast(0, now);
-            while (starts.mayRequest(booting, healthy, now) && sight.waitMs(waiting - 1) > bearable) {
+            int maxWaitMs = Math.max(slack, bootMs + bootMs / 2);
+            SlotForecast estimate = forecast(0, now);
+            while (starts.mayRequest(booting, healthy, now) && estimate.waitMs(waiting - 1) > maxWaitMs) {
                 starts.request(waiting, context.actions, now);
-                sight.addBoot(now + bootMs);
+                estimate.addBoot(now + bootMs);
             }
         }
     }
 
     /**
-     * Starts instances for nested calls whose callers hold all slots, unless enough are booting: no slot would be
-     * released otherwise.
+     * Starts instances for nested calls whose callers hold all slots, unless enough are booting. Without them no
+     * slot would be released until the callers' deadlines.
      */
     void startForStalledCalls(int stalledCalls, int waiting, long now) {
         if (stalledCalls == 0) {
@@ -122,7 +123,7 @@
         nestedCallReserve.onStalled(now);
         int booting = instances.instances.count(InstanceInfo.BOOTING);
         int wanted = (stalledCalls + context.maxConcurrency() - 1) / context.maxConcurrency();
-        for (int under = booting + starts.count(); under < wanted; under++) {
+        for (int starting = booting + starts.count(); starting < wanted; starting++) {
             if (starts.mayRequest(booting, instances.instances.healthyCount(now), now)) {
                 starts.request(waiting, context.actions, now);
             }
@@ -130,8 +131,8 @@
     }
 
     /**
-     * Stops instances that are empty and cost more memory than a start. {@code minInstances}: kept in any case;
-     * {@code closing}: none is kept.
+     * Stops empty instances that are cheaper to start again than to keep. {@code minInstances}: always kept; {@code
+     * closing}: none is kept.
      */
     void stopIdle(int minInstances, boolean closing, long now) {
         List<PooledInstance> all = instances.instances.all();
@@ -152,14 +153,14 @@
                             && (n > keep || n == 1)
                             && now - takenOverAtMs
                                     >= context.parameters.keepAlive().settlingMs()
-                            && now - instance.idleSinceMs >= idleSpanMs(n)) {
+                            && now - instance.idleSinceMs >= keepAliveMs(n)) {
                 instances.stop(instance, now);
                 n--;
             }
         }
     }
 
-    /** Ends hosts that have been idle for so long, for others that need their memory. */
+    /** Stops instances that have been idle for {@code idleMs}, to free memory for other services. */
     void reclaim(int idleMs, long now) {
         List<PooledInstance> all = instances.instances.all();
         for (int i = all.size() - 1; i >= 0; i--) {
@@ -170,12 +171,12 @@
         }
     }
 
-    private int idleSpanMs(int n) {
+    private int keepAliveMs(int n) {
         int bootMs = starts.bootMs(context.spec);
-        return n == 1 ? keepAlive.spanMs(context.spec, bootMs) : keepAlive.breakEvenMs(context.spec, bootMs);
+        return n == 1 ? keepAlive.keepAliveMs(context.spec, bootMs) : keepAlive.breakEvenMs(context.spec, bootMs);
     }
 
-    /** When a host may have been idle for long enough. */
+    /** When the next instance may have been idle for long enough to be stopped, ms. */
     long nextDueMs(int minInstances, boolean closing, long now) {
         long next = Long.MAX_VALUE;
         int n = instances.instances.healthyCount(now);
@@ -197,7 +198,7 @@
                                         + context.parameters.selection().drainingUseMs()));
             } else if (n > minInstances) {
                 long at = Math.max(
-                        instance.idleSinceMs + idleSpanMs(n),
+                        instance.idleSinceMs + keepAliveMs(n),
                         takenOverAtMs + context.parameters.keepAlive().settlingMs());
                 next = Math.min(next, at > now ? at : now + 500);
             }
--- a/src/main/java/brambletray/platform/admission/ServedShare.java
+++ b/src/main/java/brambletray/platform/admission/ServedShare.java
@@ -2,18 +2,18 @@
 
 import java.util.Collection;
 
-/** How often the requests of one group are served: outcomes, of which older ones fade. One thread. */
+/** The share of served requests of one class or tenant, with exponential decay. Not thread-safe. */
 final class ServedShare {
-    /** Outcomes of a group that are needed to judge it. */
+    /** Minimum of decayed outcomes before a group can count as disadvantaged. */
     private static final double MIN_REQUESTS = 1.5;
-    /** A group is behind below this share of the rate at which all are served. */
+    /** A group is disadvantaged if its share of served requests is below this fraction of the overall share. */
     private static final double MIN_SHARE = 0.5;
 
     private double served;
-    private double lost;
+    private double notServed;
     private boolean disadvantaged;
 
-    /** Whether it is served less than half as often as all. */
+    /** Whether this group is served less than half as often as all. */
     boolean isDisadvantaged() {
         return disadvantaged;
     }
@@ -22,21 +22,21 @@
         served++;
     }
 
-    void countLost() {
-        lost++;
+    void countNotServed() {
+        notServed++;
     }
 
-    /** Outcomes that are remembered. */
+    /** The decayed number of outcomes. */
     double outcomes() {
-        return served + lost;
+        return served + notServed;
     }
 
-    void decay(double left) {
-        served *= left;
-        lost *= left;
+    void decay(double factor) {
+        served *= factor;
+        notServed *= factor;
     }
 
-    /** Judges each of these groups against all of them. */
+    /** Compares the share of each group with that of all of them together. */
     static void evaluate(Collection<ServedShare> shares) {
         double servedOfAll = 0;
         double outcomesOfAll = 0;
@@ -45,12 +45,12 @@
             outcomesOfAll += share.outcomes();
         }
         for (ServedShare share : shares) {
-            share.judge(servedOfAll, outcomesOfAll);
+            share.updateAgainst(servedOfAll, outcomesOfAll);
         }
     }
 
-    private void judge(double servedOfAll, double outcomesOfAll) {
-        double own = outcomes();
-        disadvantaged = own >= MIN_REQUESTS && served * outcomesOfAll < MIN_SHARE * servedOfAll * own;
+    private void updateAgainst(double servedOfAll, double outcomesOfAll) {
+        double ownOutcomes = outcomes();
+        disadvantaged = ownOutcomes >= MIN_REQUESTS && served * outcomesOfAll < MIN_SHARE * servedOfAll * ownOutcomes;
     }
 }
--- a/src/main/java/brambletray/platform/admission/ServiceQueue.java
+++ b/src/main/java/brambletray/platform/admission/ServiceQueue.java
@@ -10,15 +10,15 @@
 import java.util.Map;
 
 /**
- * The queue of one service in one zone, at its home: grants slots at the instances of the service to edges, and keeps
- * as many instances as the demand needs. Events come in with their time; what is to be done goes out through {@link
+ * The queue of one service in one zone, run by the edge that is its home: grants slots of the service's instances to
+ * edges and scales the number of instances with demand. Events come in with their time; effects go out through {@link
  * AdmissionActions}.
  */
 final class ServiceQueue {
-    /** ms after a lack of memory for which no instance is kept or started without demand. */
+    /** Time after a memory shortage during which no instance is kept or started without demand, ms. */
     private static final int NO_WARM_INSTANCE_MS = 10_000;
 
-    /** Where the heap of {@link ServiceQueues} has it. */
+    /** The due time under which the heap of {@link ServiceQueues} holds this queue, ms. */
     long scheduledAtMs = Long.MAX_VALUE;
 
     private final QueueContext context;
@@ -95,8 +95,8 @@
         tick(now);
     }
 
-    /** Withdrawn, and nothing is left to end. */
-    boolean isOver() {
+    /** Whether the service was removed and all its instances and pending starts have ended. */
+    boolean isFinished() {
         return withdrawn && instances.isEmpty() && starts.count() == 0;
     }
 
@@ -105,8 +105,8 @@
     }
 
     /**
-     * Instances that are kept in any case: one in the root zone if a cold start would miss the target, unless other
-     * services lack its memory.
+     * Number of instances kept without demand: one in the root zone if a cold start would miss the target, unless
+     * other services lack the memory.
      */
     private int warmInstances(long now) {
         return !withdrawn && isRootZone() && context.spec.slowToStart() && now >= noWarmInstanceUntilMs ? 1 : 0;
@@ -116,11 +116,11 @@
         return withdrawn || !isRootZone() && zoneQueue.isClosed(now);
     }
 
-    /** An edge requests a slot. Idempotent. {@code serveHere}: to be served here whatever the demand. */
+    /** An edge requests a slot. Idempotent. {@code serveHere}: the request must not be redirected to another zone. */
     void onSlotRequest(SlotRequest request, boolean serveHere, long now) {
         Slot known = slots.find(request.edge(), request.id());
         if (known != null) {
-            if (slots.reclaimFrom(known)) {
+            if (slots.reopenIfLost(known)) {
                 context.actions.grant(
                         request.edge(), new SlotGrant(request.id(), known.instance.id, known.instance.address, false));
             }
@@ -151,9 +151,9 @@
                 return false;
             }
         } else {
-            double pays = ZoneSpread.breakEvenRate(context.parameters.zoneSpread(), context.spec, work);
+            double breakEvenRate = ZoneSpread.breakEvenRate(context.parameters.zoneSpread(), context.spec, work);
             if (!zoneQueue.shouldRedirect(
-                    instances.instances.hasUpInstance(), scaler.demand.slowRate(now), pays, boot, now)) {
+                    instances.instances.hasUpInstance(), scaler.demand.slowRate(now), breakEvenRate, boot, now)) {
                 return false;
             }
             to = rootZone;
@@ -170,7 +170,7 @@
         }
     }
 
-    /** A slot of an instance that is not known here (yet) has been released. */
+    /** A slot of an instance that this queue does not know (yet) was released. */
     void onEarlyRelease(String edge, SlotRelease release) {
         heldSlotsRecovery.onReleased(edge, release.requestId());
     }
@@ -225,8 +225,8 @@
     }
 
     /**
-     * No worker has free memory: instances that have been idle for so many ms are stopped, and none is kept warm for
-     * a while.
+     * No worker has free memory: stops instances that have been idle for {@code idleMs}, and keeps none warm for
+     * {@value #NO_WARM_INSTANCE_MS} ms.
      */
     void reclaim(int idleMs, long now) {
         noWarmInstanceUntilMs = now + NO_WARM_INSTANCE_MS;
@@ -265,7 +265,7 @@
                 || warmInstances(now) > 0
                 || instances.replacing(now)
                 || !isRootZone() && zoneQueue.isWarming(now);
-        scaler.scale(wanted ? 1 : 0, slotAllocator.pressure(now), now);
+        scaler.scale(wanted ? 1 : 0, slotAllocator.pendingRequests(now), now);
         scaler.startForStalledCalls(
                 slotAllocator.stalledCalls(now), slotAllocator.queue().size(), now);
     }
--- a/src/main/java/brambletray/platform/admission/ServiceQueues.java
+++ b/src/main/java/brambletray/platform/admission/ServiceQueues.java
@@ -17,9 +17,9 @@
 import java.util.PriorityQueue;
 
 /**
- * All service queues of which an edge is the home, in one zone. Pure: {@code now} is in ms of a steady clock and
- * never goes back. One thread. Queues without anything to do cost nothing: {@link #tick} touches only those that are
- * due, {@link #nextDueMs} returns when the next one is.
+ * All service queues in one zone of which an edge is the home. No I/O and no clock: {@code now} is passed in, in ms of
+ * a monotonic clock. Not thread-safe. Idle queues cost nothing: {@link #tick} visits only queues that are due, {@link
+ * #nextDueMs} returns when the next one is.
  */
 public final class ServiceQueues {
     private static final EventLog LOG = EventLog.of("admission");
@@ -34,10 +34,11 @@
     private final Map<String, ServiceQueue> queues = new HashMap<>();
     private final Map<String, ServiceQueue> queueOfInstance = new HashMap<>();
     private final Map<String, ServiceSpec> specs = new HashMap<>();
-    private final PriorityQueue<DueQueue> dues = new PriorityQueue<>((a, b) -> Long.compare(a.dueAtMs, b.dueAtMs));
+    private final PriorityQueue<DueQueue> dueQueues = new PriorityQueue<>((a, b) -> Long.compare(a.dueAtMs, b.dueAtMs));
 
     /**
-     * {@code zone}: of the queues; {@code prefix}: of nonces, unique to node and incarnation, at most 48 characters.
+     * {@code zone}: the zone of the queues; {@code prefix}: the prefix of start nonces, unique to node and
+     * incarnation, at most 48 characters.
      */
     public ServiceQueues(String zone, String prefix, AdmissionParameters parameters, AdmissionActions actions) {
         this.zone = zone;
@@ -46,7 +47,7 @@
         this.actions = actions;
     }
 
-    /** A service was added or has changed. Its queue, where this edge has it, uses the new parameters from now on. */
+    /** A service was added or changed. If this edge has its queue, the queue uses the new parameters from now on. */
     public void onServiceSpec(ServiceSpec spec, long now) {
         ServiceSpec before = specs.put(spec.service(), spec);
         ServiceQueue queue = queues.get(spec.service());
@@ -57,7 +58,7 @@
         }
     }
 
-    /** A service was removed: its queue stops the instances as they become empty, and then ends. */
+    /** A service was removed: its queue stops the instances as they become empty, and is then deleted. */
     public void withdraw(String service, long now) {
         specs.remove(service);
         ServiceQueue queue = queues.get(service);
@@ -68,9 +69,9 @@
     }
 
     /**
-     * This edge is the home of a service in this zone from now on. {@code rootZone}: the zone of the service's root
-     * queue; {@code edges}: those that may hold slots granted by a previous home, empty if there was none. A queue
-     * that exists already only learns the root zone. Services unknown to {@link #onServiceSpec} are ignored.
+     * Makes this edge the home of a service in this zone. {@code rootZone}: the zone of the service's root queue;
+     * {@code edges}: edges that may hold slots granted by a previous home, empty if there was none. For an existing
+     * queue, only the root zone is updated. Services not announced by {@link #onServiceSpec} are ignored.
      */
     public void takeOver(String service, String rootZone, Collection<String> edges, long now) {
         ServiceSpec spec = specs.get(service);
@@ -97,7 +98,7 @@
         schedule(queue, now);
     }
 
-    /** Another edge is the home now: nothing more is sent; the edges repeat the queued requests there. */
+    /** Another edge is the home now: drops the queue silently; edges repeat their queued requests there. */
     public void handOver(String service, long now) {
         ServiceQueue queue = queues.remove(service);
         if (queue != null) {
@@ -124,8 +125,8 @@
     }
 
     /**
-     * An edge requests a slot; false if this edge is not the home of the service. {@code serveHere}: to be served
-     * here although another zone's queue might be better, as that one cannot be reached.
+     * An edge requests a slot; false if this edge is not the home of the service. {@code serveHere}: serve the request
+     * here even if another zone's queue suits it better, because the edge cannot reach that zone.
      */
     public boolean onSlotRequest(SlotRequest request, boolean serveHere, long now) {
         ServiceQueue queue = queues.get(request.service());
@@ -148,7 +149,7 @@
         }
     }
 
-    /** An edge no longer waits for a slot, and will not use a grant that is on its way. */
+    /** An edge no longer waits for a slot, and will not use a grant that is already under way. */
     public void onCancel(String edge, SlotRequestCancel cancel, long now) {
         ServiceQueue queue = queues.get(cancel.service());
         if (queue != null) {
@@ -166,7 +167,7 @@
         }
     }
 
-    /** An edge left the roster: its slots are closed for a while, its requests leave the queues. */
+    /** An edge left the membership: its slots are closed for a while, its requests leave the queues. */
     public void onEdgeGone(String edge, long now) {
         for (ServiceQueue queue : queues.values()) {
             queue.onEdgeGone(edge, now);
@@ -174,7 +175,7 @@
         }
     }
 
-    /** The coordinator's list of a service's instances, which a home has claimed. */
+    /** The coordinator's list of a service's instances, in answer to {@link AdmissionActions#claimHome}. */
     public void onInstanceList(InstanceList list, long now) {
         ServiceQueue queue = zone.equals(list.homeZone()) ? queues.get(list.service()) : null;
         if (queue != null) {
@@ -183,7 +184,7 @@
         }
     }
 
-    /** The coordinator has started an instance that a home had requested. */
+    /** The coordinator started an instance that a home requested. */
     public void onInstanceStarted(InstanceStarted started, long now) {
         ServiceQueue queue = zone.equals(started.instance().homeZone())
                 ? queues.get(started.instance().service())
@@ -194,7 +195,7 @@
         }
     }
 
-    /** The coordinator has refused a start. */
+    /** The coordinator refused a start. */
     public void onStartRefused(StartRefusal answer, long now) {
         for (ServiceQueue queue : queues.values()) {
             if (queue.onStartRefused(answer, now)) {
@@ -204,7 +205,7 @@
         }
     }
 
-    /** No worker has room: instances that have been idle for so long end, that others may start. */
+    /** No worker has free memory: stops instances that have been idle for the given time, so that others can start. */
     public void reclaim(ReclaimIdleInstances reclaim, long now) {
         for (ServiceQueue queue : queues.values()) {
             queue.reclaim(reclaim.idleMs(), now);
@@ -230,16 +231,16 @@
         }
     }
 
-    /** The answer to {@link AdmissionActions#probe}: whether a connection came up. */
-    public void onProbed(String hostId, boolean ok, long now) {
-        ServiceQueue queue = queueOfInstance.get(hostId);
+    /** The result of {@link AdmissionActions#probe}: whether a connection was established. */
+    public void onProbed(String instanceId, boolean ok, long now) {
+        ServiceQueue queue = queueOfInstance.get(instanceId);
         if (queue != null) {
-            queue.onProbed(hostId, ok, now);
+            queue.onProbed(instanceId, ok, now);
             schedule(queue, now);
         }
     }
 
-    /** All instances that these queues know, for a new coordinator. */
+    /** All instances known to these queues, reported to a new coordinator. */
     public KnownInstances knownInstances(long now) {
         List<InstanceInfo> all = new ArrayList<>();
         for (ServiceQueue queue : queues.values()) {
@@ -248,14 +249,14 @@
         return new KnownInstances(all);
     }
 
-    /** Does what is due. */
+    /** Runs the timers that are due. */
     public void tick(long now) {
-        for (DueQueue due = dues.peek(); due != null && due.dueAtMs <= now; due = dues.peek()) {
-            dues.poll();
+        for (DueQueue due = dueQueues.peek(); due != null && due.dueAtMs <= now; due = dueQueues.peek()) {
+            dueQueues.poll();
             if (due.queue.scheduledAtMs == due.dueAtMs) {
                 due.queue.scheduledAtMs = Long.MAX_VALUE;
                 due.queue.tick(now);
-                if (due.queue.isOver()) {
+                if (due.queue.isFinished()) {
                     queues.remove(due.queue.service());
                 } else {
                     schedule(due.queue, now);
@@ -264,9 +265,9 @@
         }
     }
 
-    /** When {@link #tick} is due next, ms; {@link Long#MAX_VALUE}: not before something else happens. */
+    /** When {@link #tick} is due next, ms; {@link Long#MAX_VALUE}: not before the next event. */
     public long nextDueMs() {
-        DueQueue due = dues.peek();
+        DueQueue due = dueQueues.peek();
         return due == null ? Long.MAX_VALUE : due.dueAtMs;
     }
 
@@ -274,7 +275,7 @@
         long at = Math.max(now + 1, queue.nextDueMs(now));
         if (at < queue.scheduledAtMs && at != Long.MAX_VALUE && at > Long.MIN_VALUE) {
             queue.scheduledAtMs = at;
-            dues.add(new DueQueue(at, queue));
+            dueQueues.add(new DueQueue(at, queue));
         }
     }
 }
--- a/src/main/java/brambletray/platform/admission/Slot.java
+++ b/src/main/java/brambletray/platform/admission/Slot.java
@@ -4,17 +4,17 @@
 final class Slot {
     final String edge;
     final long requestId;
-    /** Held by a call of a host, as far as is known. */
+    /** Whether it is held by a nested call; false if an edge reported the slot. */
     final boolean nestedCall;
 
     final PooledInstance instance;
-    /** The end of the request's time, ms of the steady clock. */
+    /** The deadline of the request, ms of the monotonic clock. */
     final long requestEndMs;
-    /** Time at which the slot is free again in any case, ms. */
+    /** When the slot is freed without a release, ms. */
     long endsAtMs;
-    /** Given back, but the host may still be at work. */
+    /** Not held any more, but not granted again yet, as the instance may still be at work. */
     boolean closed;
-    /** Closed because its edge was taken for gone, which has not given it back. */
+    /** Closed because its edge left the membership without releasing it. */
     boolean lost;
 
     Slot(String edge, long requestId, boolean nestedCall, PooledInstance instance, long requestEnd, long ends) {
--- a/src/main/java/brambletray/platform/admission/SlotAllocator.java
+++ b/src/main/java/brambletray/platform/admission/SlotAllocator.java
@@ -1,12 +1,12 @@
 package brambletray.platform.admission;
 
 /**
- * Answers slot requests of one queue: grants, queues or rejects. With P the estimated wait, a request that finds no
- * free slot (a) is queued if P + work is within the safe share of its target; (b) is rejected at once with a {@code
- * Retry-After} if P is within the time for which a client obeys one (served within its target afterwards it earns
- * more than a late response); (c) is queued if P + work is within its remaining time; (d) is rejected at once
- * otherwise. Nested calls, retries, and kinds and tenants below their fair share are not rejected while they can be
- * queued: their callers do not come back, or would find the same state.
+ * Grants, queues or rejects the slot requests of one queue. With P the estimated wait, a request that finds no free
+ * slot (a) is queued if P + work is within {@code safetyFactor} of its target; (b) is rejected at once with a {@code
+ * Retry-After} if P is within the time for which a client obeys one (a retry that meets its target is worth more than
+ * a late response); (c) is queued if P + work is within its remaining time; (d) is rejected at once otherwise. Nested
+ * calls, retries, and request classes and tenants below their fair share are not rejected while they can be queued:
+ * their callers do not retry, or would find the same state.
  */
 final class SlotAllocator {
     private final QueueContext context;
@@ -41,22 +41,22 @@
         return queue;
     }
 
-    /** The service may have had another home, which has spent of the budget what is not known here. */
+    /** The service may have had another home, whose spending of the retry budget is not known here. */
     void onTakenOver(long now) {
         retryBudget.onTakenOver(now);
     }
 
-    /** The service has no hosts: it has had no home whose further tries reached any of late. */
+    /** The service has no instances, so no previous home can have sent retries to one recently. */
     void onFirstHome() {
         retryBudget.onFirstHome();
     }
 
-    /** Queued requests and those that were asked to retry. */
-    int pressure(long now) {
+    /** Number of queued requests and of rejected ones that were asked to retry and are not due yet. */
+    int pendingRequests(long now) {
         return queue.size() + rejectedRequests.pendingCount(now);
     }
 
-    /** A slot request that is to be answered here. */
+    /** Answers a slot request that is not redirected to another zone. */
     void onRequest(SlotRequest request, long now) {
         boolean furtherAttempt = request.retry() || request.hedge();
         countRequest(request, furtherAttempt, now);
@@ -111,21 +111,21 @@
     }
 
     private void refuse(SlotRequest request, int retryAfterMs, long now) {
-        fairShare.onLost(request, now);
+        fairShare.onNotServed(request, now);
         context.refuse(request, retryAfterMs);
     }
 
-    /** An edge no longer waits for this one, whose time is mostly over. */
+    /** An edge cancelled a queued request, usually because its deadline is near; counted as not served. */
     void onCancelled(RequestQueue.Waiter waiter, long now) {
         queue.remove(waiter);
-        fairShare.onLost(waiter.request, now);
+        fairShare.onNotServed(waiter.request, now);
     }
 
     /**
-     * The instance for a request that can be granted now, or null. Plain requests leave the slots reserved for nested
-     * calls free, hedged requests a quarter of all slots. A request kind below its fair share has to leave the
-     * reserve free only as a whole, whether nested calls use it at the moment or not: nested calls may fill the
-     * service.
+     * The instance for a request that can be granted now, or null. Client requests leave the slots reserved for nested
+     * calls free, hedged requests a quarter of all slots. For a request class below its fair share it is enough that
+     * client requests hold fewer slots than there are outside the reserve, whether nested calls use the reserve now or
+     * not: otherwise nested calls that fill the service would starve the class.
      */
     private PooledInstance findInstance(SlotRequest request, long now) {
         int total = scaler.workingSlots(now);
@@ -144,7 +144,7 @@
         return instances.instances.choose(request, context.maxConcurrency(), takeover.isWaitingForReports(now), now);
     }
 
-    /** Whether requests of clients hold so few slots that those reserved for calls would remain. */
+    /** Whether client requests hold fewer slots than there are outside the reserve for nested calls. */
     private boolean disadvantagedMayUseReserve(int total, int reservedSlots) {
         return slots.clientSlots() < total - reservedSlots;
     }
@@ -165,24 +165,25 @@
                 instances.instances.hasInheritedInstances() ? takeover.waitMs(now) : 0,
                 scaler.waitMs(queue.countAhead(request, workMs, now), rejectedRequests, now));
         int target = request.targetMs() > 0 ? request.targetMs() : request.remainingMs();
-        // A request that goes before all others waits for a single slot, whatever the estimate says.
-        boolean first = request.nestedCall() || fairShare.isDisadvantaged(request);
-        boolean fits = (first ? 0 : wait) + workMs <= request.remainingMs();
-        int back = wait + parameters.marginMs();
-        boolean heeded = back <= parameters.third() * request.remainingMs();
-        boolean stays = first || furtherAttempt || !heeded || wait + workMs <= parameters.safetyFactor() * target;
-        if (fits && stays && enqueue(request, now)) {
+        // A request at the head of the queue waits for a single slot only, so the estimate does not apply to it.
+        boolean goesFirst = request.nestedCall() || fairShare.isDisadvantaged(request);
+        boolean fits = (goesFirst ? 0 : wait) + workMs <= request.remainingMs();
+        int retryAfterMs = wait + parameters.marginMs();
+        boolean obeysRetryAfter = retryAfterMs <= parameters.retryAfterObeyedShare() * request.remainingMs();
+        boolean mayQueue =
+                goesFirst || furtherAttempt || !obeysRetryAfter || wait + workMs <= parameters.safetyFactor() * target;
+        if (fits && mayQueue && enqueue(request, now)) {
             return;
         }
-        if (heeded) {
+        if (obeysRetryAfter) {
             rejectedRequests.onRejected(wait, now);
         }
-        refuse(request, furtherAttempt ? -1 : back, now);
+        refuse(request, furtherAttempt ? -1 : retryAfterMs, now);
     }
 
     /**
-     * Nested calls that have waited for longer than a request takes while no slot was released: their callers may
-     * hold all slots.
+     * Number of nested calls that have waited for longer than a request takes while no slot was released: their
+     * callers may hold all slots.
      */
     int stalledCalls(long now) {
         int workMs = scaler.demand.workMs(context.spec);
@@ -195,10 +196,10 @@
             return;
         }
         int workMs = scaler.demand.workMs(context.spec);
-        for (RequestQueue.Waiter over = queue.pollExpired(workMs, now);
-                over != null;
-                over = queue.pollExpired(workMs, now)) {
-            refuse(over.request, -1, now);
+        for (RequestQueue.Waiter expired = queue.pollExpired(workMs, now);
+                expired != null;
+                expired = queue.pollExpired(workMs, now)) {
+            refuse(expired.request, -1, now);
         }
         if (takeover.isWaitingForList(now)) {
             return;
@@ -233,7 +234,7 @@
         }
     }
 
-    /** A slot is released; false if it was not granted any more. */
+    /** An edge releases a slot; false if the slot is unknown or was closed before. */
     boolean onRelease(String edge, SlotRelease release, long now) {
         Slot slot = slots.find(edge, release.requestId());
         if (slot == null || slot.closed || !slot.instance.id.equals(release.instanceId())) {
@@ -254,7 +255,7 @@
         }
         switch (release.outcome()) {
             case UNREACHED -> instances.onUnreachable(instance, now);
-            case WRONG_HOST -> instances.drop(instance, "wrong host", now);
+            case WRONG_HOST -> instances.drop(instance, "wrong instance", now);
             case SILENT, BROKEN -> {
                 instances.instances.onReleased(instance, release.outcome(), release.durationMs(), now);
                 instances.suspect(instance, now);
@@ -264,7 +265,7 @@
         return true;
     }
 
-    /** Nothing will be served here any more. */
+    /** Rejects all queued requests; called when the service is removed. */
     void refuseAll() {
         for (RequestQueue.Waiter waiter : queue.all()) {
             context.refuse(waiter.request, -1);
--- a/src/main/java/brambletray/platform/admission/SlotDemand.java
+++ b/src/main/java/brambletray/platform/admission/SlotDemand.java
@@ -2,9 +2,9 @@
 
 /**
  * Estimates how many slots the traffic of one queue needs. Little's law: arrival rate x response time, where the rate
- * rises quickly (the fast rate less {@code sure} standard errors) and falls slowly. Headroom: enough that a share
- * e^-tail of the requests waits longer than the slack of the target, at most k square roots of the load, and {@code
- * burst} of the load besides.
+ * rises quickly (the fast rate less {@code standardErrors} standard errors) and falls slowly. Headroom: enough that
+ * only a share of e^-{@code tailExponent} of the requests waits longer than the slack of the target, but at most {@code
+ * headroomFactor} square roots of the load; plus {@code burstHeadroom} x the load.
  */
 final class SlotDemand {
     private final AdmissionParameters.Scaling parameters;
@@ -32,7 +32,8 @@
     }
 
     /**
-     * Mean time for which a request holds a slot, ms; a quarter of the target, 100 ms at most, until one is known.
+     * Mean time for which a request holds a slot, ms; until one is known a quarter of the target, between 5 and 100 ms,
+     * or 50 ms without a target.
      */
     int workMs(ServiceSpec spec) {
         if (responseCount > 0) {
@@ -41,24 +42,24 @@
         return spec.targetMs() > 0 ? Math.max(5, Math.min(100, spec.targetMs() / 4)) : 50;
     }
 
-    /** The time within which nine in ten answers come, ms. */
+    /** The 90th percentile of response times, ms. */
     int tailMs(ServiceSpec spec) {
         return responseTimes.percentile(0.9, 2 * workMs(spec));
     }
 
-    /** Requests per ms. */
+    /** Arrival rate used to scale up, requests per ms. */
     double rate(long now) {
         double f = fastRate.perMs(now);
         return Math.max(
                 slowRate.perMs(now), f - parameters.standardErrors() * Math.sqrt(f / (2 * parameters.fastMemoryMs())));
     }
 
-    /** The same, slowly: for what may go away. */
+    /** Slowly averaged arrival rate used to scale down, requests per ms. */
     double slowRate(long now) {
         return slowRate.perMs(now);
     }
 
-    /** Places needed at a rate. */
+    /** Number of slots needed at a rate of requests per ms. */
     double slotsFor(double rate, ServiceSpec spec) {
         if (rate <= 0) {
             return 0;
@@ -66,7 +67,7 @@
         double work = workMs(spec);
         double load = rate * work;
         double slack = Math.max(work / 4, 0.9 * spec.targetMs() - tailMs(spec));
-        return load * (1 + parameters.burst())
-                + Math.min(parameters.headroomFactor() * Math.sqrt(load), parameters.tail() * work / slack);
+        return load * (1 + parameters.burstHeadroom())
+                + Math.min(parameters.headroomFactor() * Math.sqrt(load), parameters.tailExponent() * work / slack);
     }
 }
--- a/src/main/java/brambletray/platform/admission/SlotForecast.java
+++ b/src/main/java/brambletray/platform/admission/SlotForecast.java
@@ -3,12 +3,12 @@
 import java.util.Arrays;
 
 /**
- * Estimates the time until a slot is free for a request with {@code ahead} others before it. Slots that are up are
- * released at slots / response time; each start under way adds its slots at the end of its boot. Clients that were
- * told to come back count as ahead of the requests that they will meet.
+ * Estimates the time until a slot is free for a request with {@code ahead} others before it. Slots of running instances
+ * are released at the rate of slots / response time; each pending start adds its slots at the end of its boot. Clients
+ * that were asked to retry count as ahead of the requests queued when they are due.
  */
 final class SlotForecast {
-    /** Never, ms. */
+    /** Result of {@link #waitMs} if no slot becomes free. */
     static final int NEVER = Integer.MAX_VALUE / 4;
 
     private final long[] bootEndsMs = new long[32];
@@ -27,7 +27,7 @@
         return this;
     }
 
-    /** A start under way, expected up at {@code at}. */
+    /** Adds an instance that is expected to be up at {@code at}. */
     void addBoot(long at) {
         if (starts < bootEndsMs.length) {
             bootEndsMs[starts++] = Math.max(0, at - nowMs);
@@ -35,33 +35,33 @@
     }
 
     /**
-     * ms until the slot for the request with {@code ahead} others before it; {@link #NEVER} if nothing works or
-     * boots.
+     * Time until a slot is free for the request with {@code ahead} others before it, ms; {@link #NEVER} if no instance
+     * is up or booting.
      */
     int waitMs(int ahead) {
         Arrays.sort(bootEndsMs, 0, starts);
-        double need = ahead + 1;
-        double done = 0;
-        double speed = workingSlots / workMs;
+        double neededSlots = ahead + 1;
+        double freedSlots = 0;
+        double slotsPerMs = workingSlots / workMs;
         long at = 0;
         for (int i = 0; i <= starts; i++) {
             long until = i < starts ? bootEndsMs[i] : NEVER;
-            if (speed > 0) {
-                double when = at + (need - done) / speed;
-                if (when <= until) {
-                    return (int) Math.ceil(when);
+            if (slotsPerMs > 0) {
+                double freeAt = at + (neededSlots - freedSlots) / slotsPerMs;
+                if (freeAt <= until) {
+                    return (int) Math.ceil(freeAt);
                 }
-                done += (until - at) * speed;
+                freedSlots += (until - at) * slotsPerMs;
             }
             if (i == starts) {
                 break;
             }
             at = until;
-            done += maxConcurrency;
-            if (done >= need) {
+            freedSlots += maxConcurrency;
+            if (freedSlots >= neededSlots) {
                 return (int) at;
             }
-            speed += maxConcurrency / workMs;
+            slotsPerMs += maxConcurrency / workMs;
         }
         return NEVER;
     }
--- a/src/main/java/brambletray/platform/admission/SlotOwner.java
+++ b/src/main/java/brambletray/platform/admission/SlotOwner.java
@@ -1,20 +1,20 @@
 package brambletray.platform.admission;
 
 /**
- * Whose request asks for a slot, and how urgent it is.
+ * The tenant and the priority of a slot request.
  *
- * @param tenant its name; empty: nobody's
- * @param priority 0 is the highest rank: the tenant's, or the route's where the tenant names none
- * @param routePriority the route's; decides between equal priorities of tenants; 0 for nobody's requests
+ * @param tenant the tenant's name; empty: no tenant
+ * @param priority 0 is the highest; the tenant's, or the route's if the tenant has none
+ * @param routePriority the route's priority, which orders requests of equal tenant priority; 0 without a tenant
  */
 public record SlotOwner(String tenant, int priority, int routePriority) {
 
-    /** Nobody's request on a route of this priority. */
-    public static SlotOwner nobody(int priority) {
+    /** The owner of requests without a tenant on a route of this priority. */
+    public static SlotOwner withoutTenant(int priority) {
         return new SlotOwner("", priority, 0);
     }
 
-    /** Whether it is a tenant's request. */
+    /** Whether the request belongs to a tenant. */
     boolean isTenant() {
         return !tenant.isEmpty();
     }
--- a/src/main/java/brambletray/platform/admission/SlotRequest.java
+++ b/src/main/java/brambletray/platform/admission/SlotRequest.java
@@ -3,9 +3,10 @@
 import java.util.List;
 
 /**
- * From an edge to a home: requests a slot of a service. {@code remainingMs} and {@code targetMs}: ms; {@code retry}:
- * the request has reached an instance already and draws on the retry budget; {@code hedge}: a hedged request, granted
- * only if a slot is free now; {@code excludedInstances}: instances that had it.
+ * From an edge to a home: requests a slot of a service. {@code remainingMs}: time until the deadline; {@code targetMs}:
+ * latency target; {@code retry}: the request was sent to an instance before and uses the retry budget; {@code hedge}:
+ * a hedged request, granted only if a slot is free now; {@code nestedCall}: made by an instance while it serves another
+ * request; {@code excludedInstances}: instances to which the request was sent before.
  */
 public record SlotRequest(
         long id,
--- a/src/main/java/brambletray/platform/admission/StartNonces.java
+++ b/src/main/java/brambletray/platform/admission/StartNonces.java
@@ -1,8 +1,8 @@
 package brambletray.platform.admission;
 
 /**
- * Nonces of starts, unique by their prefix (node and incarnation, given from outside) and a counter. At most 64
- * bytes, as the platform requires.
+ * Generates the nonces of instance starts, unique by a prefix (node and incarnation, passed in) and a counter. At most
+ * 64 bytes long, as the platform requires.
  */
 final class StartNonces {
     private final String prefix;
@@ -10,8 +10,7 @@
 
     StartNonces(String prefix) {
         if (prefix.length() > 48) {
-            throw new AdmissionException(
-                    "admission.nonce", "a prefix of nonces has at most 48 characters: " + prefix, null);
+            throw new AdmissionException("admission.nonce", "nonce prefix longer than 48 characters: " + prefix, null);
         }
         this.prefix = prefix;
     }
--- a/src/main/java/brambletray/platform/admission/ZoneServiceQueue.java
+++ b/src/main/java/brambletray/platform/admission/ZoneServiceQueue.java
@@ -41,12 +41,12 @@
         return false;
     }
 
-    /** Its hosts end as they become empty. */
+    /** Whether the queue is closed: its instances are stopped as they become empty. */
     boolean isClosed(long now) {
         return now < closedUntilMs;
     }
 
-    /** A first host is wanted though none waits here. */
+    /** Whether a first instance is needed although no request is queued here. */
     boolean isWarming(long now) {
         return now < warmUntilMs && !isClosed(now);
     }
--- a/src/main/java/brambletray/platform/admission/ZoneSpread.java
+++ b/src/main/java/brambletray/platform/admission/ZoneSpread.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 
 /**
- * Decides, in the root zone, which zones have a queue of their own. One opens if for {@code openMs} the zone's demand
- * justified an instance (saved cross-zone traffic against its memory) or filled one. An opening queue is sent one
- * request, and boots; the root zone serves the others until the boot must have ended. A request that comes back from
- * a zone shows that its queue is not open (any more).
+ * Decides, in the root zone, which zones have a queue of their own. A zone's queue opens if for {@code openAfterMs} the
+ * zone's demand justified an instance (saved cross-zone traffic outweighs its memory) or filled one. An opening queue
+ * is sent one request, which makes it start an instance; the root zone serves the others until the boot should have
+ * ended. A request that comes back from a zone shows that its queue is not open (any more).
  */
 final class ZoneSpread {
     private static final int MAX_REMEMBERED_REDIRECTS = 32;
@@ -28,7 +28,7 @@
         this.parameters = parameters;
     }
 
-    /** Requests per ms above which a zone pays for hosts of its own. */
+    /** Request rate per ms above which instances in a zone of its own cost less than cross-zone traffic. */
     static double breakEvenRate(AdmissionParameters.Spread parameters, ServiceSpec spec, int workMs) {
         double byPrice = parameters.crossZoneGbS() <= 0
                 ? Double.MAX_VALUE
@@ -36,7 +36,7 @@
         return Math.min(byPrice, (double) spec.maxConcurrency() / Math.max(1, workMs));
     }
 
-    /** Whether a request from {@code zone} is sent to that zone's queue. */
+    /** Whether a request is redirected to the queue of the requester's zone. */
     boolean shouldRedirect(SlotRequest request, ServiceSpec spec, int workMs, int bootMs, long now) {
         Zone zone = zones.computeIfAbsent(request.zone(), z -> new Zone());
         if (!request.hedge() && !request.retry()) {
--- a/src/main/java/brambletray/platform/edge/CoordinatorClient.java
+++ b/src/main/java/brambletray/platform/edge/CoordinatorClient.java
@@ -258,7 +258,7 @@
         boolean namesCoordinator = !welcome.coordinatorAddress().isEmpty() && welcome.term() >= term;
         Address coordinator = namesCoordinator ? Address.parse(welcome.coordinatorAddress()) : null;
         boolean isNamedMember = namesCoordinator && coordinator.equals(dialer.target());
-        if (isNamedMember && welcome.isMissing(listener.currentRoster())) {
+        if (isNamedMember && welcome.lacks(listener.currentRoster())) {
             dialer.send(listener.currentRoster());
         }
         if (isAttached && namesCoordinator && welcome.term() == term) {
--- a/src/main/java/brambletray/platform/edge/HeldRights.java
+++ b/src/main/java/brambletray/platform/edge/HeldRights.java
@@ -2,7 +2,7 @@
 
 import brambletray.platform.proxy.QuotaGate;
 import brambletray.platform.quota.QuotaReturn;
-import brambletray.platform.quota.QuotaTerms;
+import brambletray.platform.quota.QuotaParameters;
 import brambletray.platform.quota.RunAheadAllowances;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -34,7 +34,7 @@
         private HeldRight(String tenant, long requestedAtMs) {
             this.tenant = tenant;
             this.requestedAtMs = requestedAtMs;
-            validUntilMs = requestedAtMs + QuotaTerms.RIGHT_VALIDITY_MS;
+            validUntilMs = requestedAtMs + QuotaParameters.RIGHT_VALIDITY_MS;
         }
 
         @Override
@@ -86,7 +86,7 @@
             if (!right.isSpent) {
                 right.isReturned = true;
             }
-            if (!right.isSpent && nowMs - right.requestedAtMs <= QuotaTerms.MAX_RETURN_AGE_MS) {
+            if (!right.isSpent && nowMs - right.requestedAtMs <= QuotaParameters.MAX_RETURN_AGE_MS) {
                 unspent.merge(right.tenant, 1, Integer::sum);
             }
         }
--- a/src/main/java/brambletray/platform/edge/OperationClient.java
+++ b/src/main/java/brambletray/platform/edge/OperationClient.java
@@ -154,7 +154,7 @@
 
         private GrantedClaim grantedClaim(ClaimId claim, long claimedAtMs) {
             return new GrantedClaim(
-                    claim, operation, claimedAtMs + ClaimWindow.SEND_WITHIN_MS, results, claimClient, clock);
+                    claim, operation, claimedAtMs + ClaimWindow.MAX_SEND_DELAY_MS, results, claimClient, clock);
         }
 
         @Override
@@ -203,7 +203,7 @@
             boolean isRunning = isRunningLocally || queries.isRunning(queryId);
             boolean isUnanswered = queryId != 0;
             queries.cancel(queryId);
-            return isRunning ? Progress.IN_WORK : isUnanswered ? Progress.UNKNOWN : Progress.NOT_CLAIMED;
+            return isRunning ? Progress.IN_PROGRESS : isUnanswered ? Progress.UNKNOWN : Progress.NOT_CLAIMED;
         }
 
         void tick(long now) {
--- a/src/main/java/brambletray/platform/failuredetection/EdgeWelcome.java
+++ b/src/main/java/brambletray/platform/failuredetection/EdgeWelcome.java
@@ -18,7 +18,7 @@
         long rosterTerm,
         long rosterNumber) {
     /** Whether the edge should report this roster to the member that has sent the welcome. */
-    public boolean isMissing(Roster roster) {
+    public boolean lacks(Roster roster) {
         return Roster.isNewer(roster.term(), roster.number(), rosterTerm, rosterNumber);
     }
 
--- a/src/main/java/brambletray/platform/proxy/Attempt.java
+++ b/src/main/java/brambletray/platform/proxy/Attempt.java
@@ -12,7 +12,7 @@
 
     boolean active = true;
     /** For whoever carries it out. */
-    Object tag;
+    Object attachment;
 
     Attempt(SlotGrant grant, boolean copy, long grantedAt) {
         this.grant = grant;
@@ -20,7 +20,7 @@
         this.grantedAtMs = grantedAt;
     }
 
-    boolean onSent() {
+    boolean isSent() {
         return sentAtMs >= 0;
     }
 }
--- a/src/main/java/brambletray/platform/proxy/Attempts.java
+++ b/src/main/java/brambletray/platform/proxy/Attempts.java
@@ -45,8 +45,8 @@
     /** What is known of whether the request ran at any host. */
     RunState runState() {
         for (int i = 0; i < all.size(); i++) {
-            if (all.get(i).active && all.get(i).onSent()) {
-                return endedRunState.and(RunState.MAY_HAVE_RUN);
+            if (all.get(i).active && all.get(i).isSent()) {
+                return endedRunState.combine(RunState.MAY_HAVE_RUN);
             }
         }
         return endedRunState;
@@ -64,8 +64,8 @@
         }
         attempt.active = false;
         activeCount--;
-        if (attempt.onSent()) {
-            endedRunState = endedRunState.and(RunState.of(outcome));
+        if (attempt.isSent()) {
+            endedRunState = endedRunState.combine(RunState.of(outcome));
         }
         actions.releaseSlot(attempt.grant, outcome, durationMs);
         return true;
@@ -74,7 +74,7 @@
     /** Closes its connection; a slot for which nothing was sent is released as unused. */
     void cancel(Attempt attempt, AttemptOutcome outcome, long now) {
         actions.cancel(attempt);
-        if (attempt.onSent()) {
+        if (attempt.isSent()) {
             complete(attempt, outcome, (int) (now - attempt.sentAtMs));
         } else {
             releaseUnsent(attempt);
@@ -97,7 +97,7 @@
         for (int i = 0; i < all.size(); i++) {
             Attempt attempt = all.get(i);
             if (attempt.active && attempt != winner) {
-                if (attempt.onSent() && !attempt.hedge) {
+                if (attempt.isSent() && !attempt.hedge) {
                     // Guards the delay of copies against forgetting the slow: it took this long at least.
                     actions.recordResponseTime((int) (now - attempt.sentAtMs));
                 }
@@ -112,7 +112,7 @@
     boolean onClientGone(long now) {
         for (int i = 0; i < all.size(); i++) {
             Attempt attempt = all.get(i);
-            if (attempt.active && !attempt.onSent()) {
+            if (attempt.active && !attempt.isSent()) {
                 cancel(attempt, AttemptOutcome.CANCELLED, now);
             }
         }
@@ -120,7 +120,7 @@
     }
 
     /** A host that has not answered by now will not. */
-    void giveUp(long now) {
+    void cancelAll(long now) {
         for (int i = 0; i < all.size(); i++) {
             Attempt attempt = all.get(i);
             if (attempt.active) {
--- a/src/main/java/brambletray/platform/proxy/BodyFraming.java
+++ b/src/main/java/brambletray/platform/proxy/BodyFraming.java
@@ -17,23 +17,23 @@
     /**
      * Its end cannot be told from a broken connection, or can be read in two ways: not a valid response (rule MIXED).
      */
-    static final BodyFraming NONE = new BodyFraming(Long.MIN_VALUE);
+    static final BodyFraming INVALID = new BodyFraming(Long.MIN_VALUE);
 
-    private static final BodyFraming CHUNKS = new BodyFraming(-1);
+    private static final BodyFraming CHUNKED = new BodyFraming(-1);
 
     /** {@code bare}: no body follows, whatever the headers say. */
     static BodyFraming of(HttpResponse head, boolean bare) {
         HttpVersion version = head.protocolVersion();
         if (!version.equals(HttpVersion.HTTP_1_1) && !version.equals(HttpVersion.HTTP_1_0)) {
-            return NONE;
+            return INVALID;
         }
         HttpHeaders headers = head.headers();
         Iterator<? extends CharSequence> codings = headers.valueCharSequenceIterator(HttpHeaderNames.TRANSFER_ENCODING);
         if (codings.hasNext()) {
             boolean chunks = codings.next().toString().strip().equalsIgnoreCase("chunked") && !codings.hasNext();
-            return chunks && version.equals(HttpVersion.HTTP_1_1) ? CHUNKS : NONE;
+            return chunks && version.equals(HttpVersion.HTTP_1_1) ? CHUNKED : INVALID;
         }
         long length = HttpUtil.getContentLength(head, -1L);
-        return length < 0 && !bare ? NONE : new BodyFraming(length);
+        return length < 0 && !bare ? INVALID : new BodyFraming(length);
     }
 }
--- a/src/main/java/brambletray/platform/proxy/ClientConnection.java
+++ b/src/main/java/brambletray/platform/proxy/ClientConnection.java
@@ -37,7 +37,7 @@
     /** A part of a request, and when it was read, ms of the steady clock. */
     private record PipelinedPart(Object part, long readAtMs) {}
 
-    private final FrontEndServer front;
+    private final FrontEndServer server;
     /** Those in force when the newest request began: a change amid a request does not end it. */
     private ClientLimits limits;
 
@@ -60,7 +60,7 @@
     private boolean processingPipelined;
 
     ClientConnection(FrontEndServer front, ClientLimits limits) {
-        this.front = front;
+        this.server = front;
         this.limits = limits;
         this.requestReader = new RequestReader(front.memoryBudget());
         this.stateSinceMs = front.now();
@@ -75,13 +75,13 @@
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        front.onConnected(this);
+        server.onConnected(this);
     }
 
     /** Bytes are here, of whatever. */
     void onBytes() {
         if (state == State.IDLE) {
-            limits = front.requestRouter().limits();
+            limits = server.requestRouter().limits();
             enterState(State.HEAD);
         }
     }
@@ -92,10 +92,10 @@
             ReferenceCountUtil.release(part);
         } else if (state == State.BUSY || !pipelined.isEmpty()) {
             // One request at a time: the next ones wait, and no more is read meanwhile.
-            pipelined.add(new PipelinedPart(part, front.now()));
+            pipelined.add(new PipelinedPart(part, server.now()));
             channel.config().setAutoRead(false);
         } else {
-            onPart(part, front.now());
+            onPart(part, server.now());
         }
     }
 
@@ -134,7 +134,7 @@
         if (rejection == null && content instanceof LastHttpContent) {
             ClientRequest clientRequest = requestReader.takeRequest();
             enterState(State.BUSY);
-            front.requestRouter().serve(this, clientRequest);
+            server.requestRouter().serve(this, clientRequest);
         }
         return rejection;
     }
@@ -148,16 +148,16 @@
         if (state != State.BODY || bodyTimeout != null) {
             return;
         }
-        long end = requestReader.deadlineMs(front.requestRouter());
+        long end = requestReader.deadlineMs(server.requestRouter());
         if (end != Long.MAX_VALUE) {
             bodyTimeout = channel.eventLoop()
-                    .schedule(this::onBodyTimeout, Math.max(0, end - front.now()), TimeUnit.MILLISECONDS);
+                    .schedule(this::onBodyTimeout, Math.max(0, end - server.now()), TimeUnit.MILLISECONDS);
         }
     }
 
     private void onBodyTimeout() {
         bodyTimeout = null;
-        timeOut(state == State.BODY);
+        timeOutIfDue(state == State.BODY);
     }
 
     private void stopBodyTimeout() {
@@ -184,7 +184,7 @@
 
     /** The edge leaves, and no request waits here that has been read already. */
     private boolean isLast() {
-        return front.isDraining() && pipelined.isEmpty();
+        return server.isDraining() && pipelined.isEmpty();
     }
 
     /** Writes a complete response of a host. */
@@ -249,7 +249,7 @@
     /** The client has taken its answer: its rest begins now. */
     private void onWritten() {
         if (state == State.IDLE || state == State.CLOSING) {
-            stateSinceMs = front.now();
+            stateSinceMs = server.now();
         }
     }
 
@@ -265,7 +265,7 @@
         if (state != State.CLOSING && state != State.BUSY) {
             boolean bare = requestReader.isHeadRequest();
             closeAfterResponse = true;
-            front.requestRouter().countRejected(status);
+            server.requestRouter().countRejected(status);
             writeOwnResponse(status, code, status == 503 ? RequestRouter.RETRY_AFTER_MS : -1, null, bare);
         }
     }
@@ -275,26 +275,26 @@
     void checkTimeouts(long now) {
         long spent = now - stateSinceMs;
         switch (state) {
-            case IDLE -> closeIf(spent >= (writer.isWriting() ? MAX_WRITE_MS : idleMs()));
-            case HEAD -> timeOut(spent >= limits.headerTimeoutMs());
-            case BODY -> timeOut(spent >= limits.idleTimeoutMs());
-            case CLOSING -> closeIf(spent >= (writer.isWriting() ? MAX_WRITE_MS : LINGER_MS));
+            case IDLE -> closeIfDue(spent >= (writer.isWriting() ? MAX_WRITE_MS : idleMs()));
+            case HEAD -> timeOutIfDue(spent >= limits.headerTimeoutMs());
+            case BODY -> timeOutIfDue(spent >= limits.idleTimeoutMs());
+            case CLOSING -> closeIfDue(spent >= (writer.isWriting() ? MAX_WRITE_MS : LINGER_MS));
             default -> {}
         }
     }
 
     /** A client acts on the settings of its last request or newer ones: the longer time is kept. */
     private int idleMs() {
-        return Math.max(limits.idleTimeoutMs(), front.requestRouter().limits().idleTimeoutMs());
+        return Math.max(limits.idleTimeoutMs(), server.requestRouter().limits().idleTimeoutMs());
     }
 
-    private void closeIf(boolean due) {
+    private void closeIfDue(boolean due) {
         if (due) {
             channel.close();
         }
     }
 
-    private void timeOut(boolean due) {
+    private void timeOutIfDue(boolean due) {
         if (due) {
             reject(408, "proxy.slow-request");
         }
@@ -328,7 +328,7 @@
     private void enterState(State next) {
         stopBodyTimeout();
         state = next;
-        stateSinceMs = front.now();
+        stateSinceMs = server.now();
     }
 
     private void releaseAll() {
@@ -346,7 +346,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        front.onDisconnected(this);
+        server.onDisconnected(this);
         enterState(State.CLOSING);
         releaseAll();
         RequestDriver left = driver;
--- a/src/main/java/brambletray/platform/proxy/ClientReply.java
+++ b/src/main/java/brambletray/platform/proxy/ClientReply.java
@@ -30,7 +30,7 @@
     /** The client is gone; nobody reads what still comes. */
     void onClientGone() {
         router.counters().clientsGone++;
-        clientForResponse();
+        detachClient();
         onClientWritable();
     }
 
@@ -42,7 +42,7 @@
     }
 
     /** The client, for its last word. */
-    private ClientConnection clientForResponse() {
+    private ClientConnection detachClient() {
         ClientConnection to = client;
         client = null;
         router.onAnswered();
@@ -51,12 +51,12 @@
 
     // ---- Answers of instances -------------------------------------------------------------------
     void pass(HostResponse response) {
-        clientForResponse().writeResponse(response);
+        detachClient().writeResponse(response);
     }
 
     /** What an earlier attempt of the operation was answered; 503 where no memory is left for it. */
     void passRecorded(RecordedAnswer answer) {
-        HostResponse response = answer.toResponse(id, clientRequest.head(), router.memoryBudget());
+        HostResponse response = answer.toResponse(id, clientRequest.isHeadRequest(), router.memoryBudget());
         if (response == null) {
             respond(503, RequestRouter.RETRY_AFTER_MS, 0);
         } else {
@@ -82,7 +82,7 @@
     void finishStreaming() {
         streamingExchange = null;
         if (client != null) {
-            clientForResponse().finishStreaming();
+            detachClient().finishStreaming();
         }
     }
 
@@ -90,7 +90,7 @@
         streamingExchange = null;
         if (client != null) {
             router.counters().failed++;
-            clientForResponse().abort();
+            detachClient().abort();
         }
     }
 
@@ -102,13 +102,13 @@
         if (!refused) {
             logFailure(status, instances);
         }
-        clientForResponse()
+        detachClient()
                 .writeOwnResponse(
                         status,
                         code(status),
                         !refused ? -1 : retryAfterMs < 0 ? RequestRouter.RETRY_AFTER_MS : retryAfterMs,
                         id,
-                        clientRequest.head());
+                        clientRequest.isHeadRequest());
     }
 
     private void count(int status) {
--- a/src/main/java/brambletray/platform/proxy/ClientRequest.java
+++ b/src/main/java/brambletray/platform/proxy/ClientRequest.java
@@ -20,7 +20,7 @@
     static final String SEAL = "brambletray-response-seal";
     static final String NOT_EXECUTED = "brambletray-not-executed";
 
-    boolean head() {
+    boolean isHeadRequest() {
         return method.equals("HEAD");
     }
 
--- a/src/main/java/brambletray/platform/proxy/FrontEndServer.java
+++ b/src/main/java/brambletray/platform/proxy/FrontEndServer.java
@@ -16,7 +16,7 @@
 /** What clients connect to (PROTOCOL, How clients arrive). The loop's. */
 public final class FrontEndServer {
     /** ms between looks at connections for their time. */
-    private static final int SWEEP_MS = 250;
+    private static final int SWEEP_INTERVAL_MS = 250;
 
     private final Machine machine;
     private final RequestRouter requestRouter;
@@ -30,7 +30,7 @@
         this.machine = machine;
         this.requestRouter = requestRouter;
         this.maxClients = maxClients;
-        machine.loop().scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        machine.loop().scheduleWithFixedDelay(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Listens; the future fails where the address can't be had. */
--- a/src/main/java/brambletray/platform/proxy/HeaderWriter.java
+++ b/src/main/java/brambletray/platform/proxy/HeaderWriter.java
@@ -25,39 +25,39 @@
     /** {@code remainingMs}: the remaining time that is sent to the host, ms. */
     static ByteBuf request(ByteBufAllocator allocator, ClientRequest clientRequest, String host, long remainingMs) {
         ByteBuf out = allocator.buffer(INITIAL_BYTES
-                + (clientRequest.body().readableBytes() <= HostConnection.JOINED
+                + (clientRequest.body().readableBytes() <= HostConnection.MAX_JOINED_BODY_BYTES
                         ? clientRequest.body().readableBytes()
                         : 0));
-        ascii(out, clientRequest.method());
+        writeAscii(out, clientRequest.method());
         out.writeByte(' ');
-        ascii(out, clientRequest.uri());
-        ascii(out, " HTTP/1.1\r\n");
-        headers(out, clientRequest.headers(), true);
-        header(out, "Brambletray-Target-Instance", host);
-        header(out, "Brambletray-Deadline-Remaining", Long.toString(Math.max(1, remainingMs)));
+        writeAscii(out, clientRequest.uri());
+        writeAscii(out, " HTTP/1.1\r\n");
+        writeHeaders(out, clientRequest.headers(), true);
+        writeHeader(out, "Brambletray-Target-Instance", host);
+        writeHeader(out, "Brambletray-Deadline-Remaining", Long.toString(Math.max(1, remainingMs)));
         if (clientRequest.hasBody()) {
-            header(out, "Content-Length", Integer.toString(clientRequest.body().readableBytes()));
+            writeHeader(out, "Content-Length", Integer.toString(clientRequest.body().readableBytes()));
         }
-        return end(out);
+        return endHead(out);
     }
 
     /** {@code complete}: all of the body is here; else it comes by the host's length, or in chunks. */
     static ByteBuf response(ByteBufAllocator allocator, HostResponse response, boolean complete, boolean close) {
-        ByteBuf out = status(allocator, response.status, response.reason);
-        headers(out, response.headers, false);
+        ByteBuf out = startResponse(allocator, response.status, response.reason);
+        writeHeaders(out, response.headers, false);
         if (response.withoutBody) {
             if (response.status != 204 && response.length >= 0) {
-                header(out, "Content-Length", Long.toString(response.length));
+                writeHeader(out, "Content-Length", Long.toString(response.length));
             }
         } else if (complete || response.length >= 0) {
-            header(out, "Content-Length", Long.toString(complete ? response.size() : response.length));
+            writeHeader(out, "Content-Length", Long.toString(complete ? response.size() : response.length));
         } else {
-            header(out, "Transfer-Encoding", "chunked");
+            writeHeader(out, "Transfer-Encoding", "chunked");
         }
         if (close) {
-            header(out, "Connection", "close");
+            writeHeader(out, "Connection", "close");
         }
-        return end(out);
+        return endHead(out);
     }
 
     /**
@@ -73,34 +73,34 @@
             CharSequence id,
             boolean withoutBody,
             boolean close) {
-        ByteBuf out = status(allocator, status, reason);
+        ByteBuf out = startResponse(allocator, status, reason);
         if (id != null) {
-            header(out, "Brambletray-Attempt-Id", id);
+            writeHeader(out, "Brambletray-Attempt-Id", id);
         }
         if (retryAfterMs >= 0) {
-            header(out, "Retry-After", secondsOf(retryAfterMs));
+            writeHeader(out, "Retry-After", formatSeconds(retryAfterMs));
         }
         if (close) {
-            header(out, "Connection", "close");
+            writeHeader(out, "Connection", "close");
         }
-        header(out, "Content-Type", "application/json");
-        header(out, "Content-Length", Integer.toString(code.length() + 11));
-        end(out);
+        writeHeader(out, "Content-Type", "application/json");
+        writeHeader(out, "Content-Length", Integer.toString(code.length() + 11));
+        endHead(out);
         if (!withoutBody) {
-            ascii(out, "{\"code\":\"");
-            ascii(out, code);
-            ascii(out, "\"}");
+            writeAscii(out, "{\"code\":\"");
+            writeAscii(out, code);
+            writeAscii(out, "\"}");
         }
         return out;
     }
 
     static ByteBuf emptyResponse(ByteBufAllocator allocator, int status, boolean close) {
-        ByteBuf out = status(allocator, status, Rejection.reason(status));
+        ByteBuf out = startResponse(allocator, status, Rejection.reason(status));
         if (close) {
-            header(out, "Connection", "close");
+            writeHeader(out, "Connection", "close");
         }
-        header(out, "Content-Length", "0");
-        return end(out);
+        writeHeader(out, "Content-Length", "0");
+        return endHead(out);
     }
 
     static ByteBuf continueResponse(ByteBufAllocator allocator) {
@@ -108,22 +108,22 @@
     }
 
     /** 1250 ms: 1.250. */
-    static String secondsOf(int ms) {
+    static String formatSeconds(int ms) {
         String rest = Integer.toString(1000 + ms % 1000);
         return ms / 1000 + "." + rest.substring(1);
     }
 
-    private static ByteBuf status(ByteBufAllocator allocator, int status, String reason) {
+    private static ByteBuf startResponse(ByteBufAllocator allocator, int status, String reason) {
         ByteBuf out = allocator.buffer(INITIAL_BYTES);
-        ascii(out, "HTTP/1.1 ");
-        ascii(out, Integer.toString(status));
+        writeAscii(out, "HTTP/1.1 ");
+        writeAscii(out, Integer.toString(status));
         out.writeByte(' ');
-        ascii(out, reason);
+        writeAscii(out, reason);
         ByteBufUtil.writeShortBE(out, '\r' << 8 | '\n');
         return out;
     }
 
-    private static ByteBuf end(ByteBuf out) {
+    private static ByteBuf endHead(ByteBuf out) {
         return ByteBufUtil.writeShortBE(out, '\r' << 8 | '\n');
     }
 
@@ -143,21 +143,21 @@
     }
 
     private static boolean isEndToEnd(CharSequence name, List<String> named) {
-        return !HopByHopHeaders.ofOneConnection(name) && (named.isEmpty() || !HopByHopHeaders.in(named, name));
+        return !HopByHopHeaders.isHopByHop(name) && (named.isEmpty() || !HopByHopHeaders.isNamedByConnection(named, name));
     }
 
     private static List<String> namedByConnection(HttpHeaders headers) {
         return headers.contains(HttpHeaderNames.CONNECTION) ? connectionHeaders(headers) : List.of();
     }
 
-    private static void headers(ByteBuf out, HttpHeaders headers, boolean toHost) {
+    private static void writeHeaders(ByteBuf out, HttpHeaders headers, boolean toHost) {
         List<String> named = namedByConnection(headers);
         Iterator<Map.Entry<CharSequence, CharSequence>> entries = headers.iteratorCharSequence();
         while (entries.hasNext()) {
             Map.Entry<CharSequence, CharSequence> entry = entries.next();
             CharSequence name = entry.getKey();
-            if (isEndToEnd(name, named) && !(toHost && HopByHopHeaders.setAnew(name))) {
-                header(out, name, entry.getValue());
+            if (isEndToEnd(name, named) && !(toHost && HopByHopHeaders.isReplaced(name))) {
+                writeHeader(out, name, entry.getValue());
             }
         }
     }
@@ -179,14 +179,14 @@
         return names;
     }
 
-    private static void header(ByteBuf out, CharSequence name, CharSequence value) {
-        ascii(out, name);
+    private static void writeHeader(ByteBuf out, CharSequence name, CharSequence value) {
+        writeAscii(out, name);
         ByteBufUtil.writeShortBE(out, ':' << 8 | ' ');
-        ascii(out, value);
+        writeAscii(out, value);
         ByteBufUtil.writeShortBE(out, '\r' << 8 | '\n');
     }
 
-    private static void ascii(ByteBuf out, CharSequence text) {
+    private static void writeAscii(ByteBuf out, CharSequence text) {
         if (text instanceof AsciiString bytes) {
             out.writeBytes(bytes.array(), bytes.arrayOffset(), bytes.length());
         } else {
--- a/src/main/java/brambletray/platform/proxy/HostConnection.java
+++ b/src/main/java/brambletray/platform/proxy/HostConnection.java
@@ -24,7 +24,7 @@
  */
 final class HostConnection extends ChannelInboundHandlerAdapter {
     /** Bytes of a body that travel in one piece with their head. */
-    static final int JOINED = 8 * 1024;
+    static final int MAX_JOINED_BODY_BYTES = 8 * 1024;
 
     private final HostConnectionPools pools;
     final HostConnectionPool pool;
@@ -78,9 +78,9 @@
         }
     }
 
-    boolean atHead() {
+    boolean isHeadRequest() {
         return responseReader != null
-                && responseReader.hostCall().clientRequest().head();
+                && responseReader.hostCall().clientRequest().isHeadRequest();
     }
 
     boolean isOpen() {
@@ -104,7 +104,7 @@
         return channel.isActive()
                 && now - idleSinceMs
                         < (requiresOpenConnection && !idleTimeStated
-                                ? Math.min(idleMs, HostConnectionPools.LONGEST_IDLE_MS)
+                                ? Math.min(idleMs, HostConnectionPools.MAX_UNSTATED_IDLE_MS)
                                 : idleMs);
     }
 
@@ -125,7 +125,7 @@
                 hostCall.instanceId(),
                 hostCall.hostDeadlineMs() - pools.now());
         ChannelProgressivePromise promise = channel.newProgressivePromise();
-        boolean joined = body.readableBytes() <= JOINED;
+        boolean joined = body.readableBytes() <= MAX_JOINED_BODY_BYTES;
         promise.addListener(new WriteListener(begun, joined));
         if (joined) {
             head.writeBytes(body, body.readerIndex(), body.readableBytes());
@@ -139,21 +139,21 @@
 
     /** Tells a request of which a byte has gone out, and may run, from one of which none has. */
     private final class WriteListener implements ChannelProgressiveFutureListener {
-        private final ResponseReader of;
-        private final boolean all;
-        private boolean begun;
+        private final ResponseReader reader;
+        private final boolean includesBody;
+        private boolean sent;
 
         WriteListener(ResponseReader of, boolean all) {
-            this.of = of;
-            this.all = all;
+            this.reader = of;
+            this.includesBody = all;
         }
 
         @Override
         public void operationProgressed(ChannelProgressiveFuture future, long progress, long total) {
-            if (!begun && progress > 0) {
-                begun = true;
-                of.onSent();
-                of.hostCall().onSent();
+            if (!sent && progress > 0) {
+                sent = true;
+                reader.onSent();
+                reader.hostCall().onSent();
             }
         }
 
@@ -161,8 +161,8 @@
         public void operationComplete(ChannelProgressiveFuture done) {
             if (done.isSuccess()) {
                 operationProgressed(done, 1, 1);
-                requestWritten |= all && of == responseReader;
-            } else if (!begun && of == responseReader) {
+                requestWritten |= includesBody && reader == responseReader;
+            } else if (!sent && reader == responseReader) {
                 onUnsent();
             } else {
                 channel.close();
@@ -211,7 +211,7 @@
             } else if (((HttpObject) part).decoderResult().isFailure()) {
                 onBroken("garbled");
             } else if (part instanceof HttpResponse head && !responseReader.onHead(head)) {
-                onBroken(ResponseVerdict.traits(head.status().code(), head.headers()));
+                onBroken(ResponseVerdict.describe(head.status().code(), head.headers()));
             } else if (part instanceof HttpContent content && !responseReader.onContent(content)) {
                 channel.config().setAutoRead(false);
             }
--- a/src/main/java/brambletray/platform/proxy/HostConnectionPools.java
+++ b/src/main/java/brambletray/platform/proxy/HostConnectionPools.java
@@ -20,16 +20,16 @@
  */
 public final class HostConnectionPools {
     /** ms; a connection whose host has not said how long it keeps it is this long good for what must not run twice. */
-    static final int LONGEST_IDLE_MS = 500;
+    static final int MAX_UNSTATED_IDLE_MS = 500;
     /** ms until a connection comes up; between tries at a booting host; between looks for idle ones. */
-    private static final int CONNECT_MS = 300;
+    private static final int CONNECT_TIMEOUT_MS = 300;
 
-    private static final int BOOTING_MS = 40;
-    private static final int SWEEP_MS = 500;
+    private static final int BOOTING_RETRY_INTERVAL_MS = 40;
+    private static final int SWEEP_INTERVAL_MS = 500;
     /** ms; a host that has answered so lately is there. */
-    private static final int FRESH_MS = 1_000;
+    private static final int PROBE_VALIDITY_MS = 1_000;
     /** ms; more may come right behind an answer: a connection that has rested so long is preferred. */
-    private static final int RETRY_INTERVAL_MS = 5;
+    private static final int PREFERRED_IDLE_MS = 5;
 
     final RequestCounters counters;
     private final RateLimitedLog rateLimitedLog = new RateLimitedLog();
@@ -46,7 +46,7 @@
         this.machine = machine;
         this.idleMs = idleMs;
         this.counters = counters;
-        this.bootstrap = machine.dialling(CONNECT_MS, new ChannelInitializer<Channel>() {
+        this.bootstrap = machine.dialling(CONNECT_TIMEOUT_MS, new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
                 // The log line is written with its pool, once the host is up.
@@ -92,7 +92,7 @@
         HostConnectionPool pool = pools.get(hostCall.instanceId());
         if (pool != null) {
             pool.waitingCalls.remove(hostCall);
-            forgetIfEmpty(pool);
+            removeIfEmpty(pool);
         }
     }
 
@@ -109,7 +109,7 @@
         for (Iterator<HostConnection> idle = pool.idle.descendingIterator(); idle.hasNext(); ) {
             HostConnection connection = idle.next();
             if (connection.isUsable(now, hostCall.requiresOpenConnection()) && !hostCall.wasSentOn(connection)) {
-                if (now - connection.idleSinceMs >= RETRY_INTERVAL_MS) {
+                if (now - connection.idleSinceMs >= PREFERRED_IDLE_MS) {
                     idle.remove();
                     return connection;
                 }
@@ -137,7 +137,7 @@
     public void probe(String host, String address, Consumer<Boolean> up) {
         HostConnectionPool pool = pool(host, address);
         HostConnection last = pool.idle.peekLast();
-        if (last != null && last.isOpen() && now() - last.idleSinceMs < FRESH_MS) {
+        if (last != null && last.isOpen() && now() - last.idleSinceMs < PROBE_VALIDITY_MS) {
             machine.loop().execute(() -> up.accept(true));
             return;
         }
@@ -168,7 +168,7 @@
                 counters.connectFailures++;
                 onConnectFailed(pool);
             }
-            forgetIfEmpty(pool);
+            removeIfEmpty(pool);
         });
     }
 
@@ -207,9 +207,9 @@
                             () -> {
                                 pool.retry = null;
                                 openConnections(pool);
-                                forgetIfEmpty(pool);
+                                removeIfEmpty(pool);
                             },
-                            BOOTING_MS,
+                            BOOTING_RETRY_INTERVAL_MS,
                             TimeUnit.MILLISECONDS);
         }
         if (refused != null) {
@@ -231,7 +231,7 @@
 
     /** A connection is free: for who waits, or for later. */
     void onIdle(HostConnection connection) {
-        HostCall next = sendNext(connection);
+        HostCall next = takeNextCall(connection);
         if (next != null) {
             connection.send(next);
             return;
@@ -245,11 +245,11 @@
         connection.pool.idle.add(connection);
         if (!sweeping) {
             sweeping = true;
-            machine.loop().schedule(this::sweep, SWEEP_MS, TimeUnit.MILLISECONDS);
+            machine.loop().schedule(this::sweep, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private HostCall sendNext(HostConnection connection) {
+    private HostCall takeNextCall(HostConnection connection) {
         for (HostCall hostCall : List.copyOf(connection.pool.waitingCalls)) {
             if (!hostCall.wasSentOn(connection)
                     && connection.pool.waitingCalls.remove(hostCall)
@@ -264,10 +264,10 @@
         connection.pool.connections.remove(connection);
         connection.pool.idle.remove(connection);
         openConnections(connection.pool);
-        forgetIfEmpty(connection.pool);
+        removeIfEmpty(connection.pool);
     }
 
-    private void forgetIfEmpty(HostConnectionPool pool) {
+    private void removeIfEmpty(HostConnectionPool pool) {
         if (pool.isEmpty()) {
             pools.remove(pool.id, pool);
         }
@@ -290,7 +290,7 @@
         stale.forEach(HostConnection::close);
         if (more) {
             sweeping = true;
-            machine.loop().schedule(this::sweep, SWEEP_MS, TimeUnit.MILLISECONDS);
+            machine.loop().schedule(this::sweep, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
--- a/src/main/java/brambletray/platform/proxy/HostResponse.java
+++ b/src/main/java/brambletray/platform/proxy/HostResponse.java
@@ -52,7 +52,7 @@
     }
 
     /** Adds a copy of these bytes; false where too much is held. */
-    boolean addCopy(byte[] bytes) {
+    boolean addWrapped(byte[] bytes) {
         ByteBuf copy = Unpooled.wrappedBuffer(bytes);
         return add(copy, bytes.length);
     }
--- a/src/main/java/brambletray/platform/proxy/OperationGate.java
+++ b/src/main/java/brambletray/platform/proxy/OperationGate.java
@@ -25,7 +25,7 @@
         /** The claim of this attempt is neither granted nor refused. */
         NOT_CLAIMED,
         /** Another attempt came first, and is in work. */
-        IN_WORK,
+        IN_PROGRESS,
         /** Another attempt came first; what became of it is not known. */
         UNKNOWN
     }
--- a/src/main/java/brambletray/platform/proxy/RateLimitedLog.java
+++ b/src/main/java/brambletray/platform/proxy/RateLimitedLog.java
@@ -9,15 +9,15 @@
     private static final int MS_PER_SECOND = 1_000;
 
     private final EventLog log = EventLog.of("proxy");
-    private long second;
+    private long currentSecond;
     private int linesThisSecond;
 
     /**
      * Begins a log line, which is dropped if this second's limit is reached; {@code nowMs}: ms of the steady clock.
      */
     LogEventBuilder info(long nowMs, String event) {
-        if (nowMs / MS_PER_SECOND != second) {
-            second = nowMs / MS_PER_SECOND;
+        if (nowMs / MS_PER_SECOND != currentSecond) {
+            currentSecond = nowMs / MS_PER_SECOND;
             linesThisSecond = 0;
         }
         return linesThisSecond++ < MAX_LINES_PER_SECOND ? log.info(event) : LogEventBuilder.disabled();
--- a/src/main/java/brambletray/platform/proxy/RecordedAnswer.java
+++ b/src/main/java/brambletray/platform/proxy/RecordedAnswer.java
@@ -40,6 +40,6 @@
         own.set(ClientRequest.ID, attemptId);
         boolean bare = withoutBody || status == 204 || status == 304;
         HostResponse response = new HostResponse(status, reason, own, body.length, bare, memoryBudget);
-        return bare || response.addCopy(body) ? response : null;
+        return bare || response.addWrapped(body) ? response : null;
     }
 }
--- a/src/main/java/brambletray/platform/proxy/Rejection.java
+++ b/src/main/java/brambletray/platform/proxy/Rejection.java
@@ -17,13 +17,13 @@
  */
 record Rejection(int status, String code) {
     static final Rejection TOO_LARGE = new Rejection(413, "proxy.body-too-large");
-    static final Rejection FULL = new Rejection(503, "proxy.memory-full");
+    static final Rejection MEMORY_FULL = new Rejection(503, "proxy.memory-full");
     private static final Rejection MALFORMED = new Rejection(400, "proxy.malformed");
     private static final Rejection HEAD_TOO_LARGE = new Rejection(431, "proxy.head-too-large");
-    private static final Rejection LENGTHS = new Rejection(400, "proxy.lengths");
-    private static final Rejection HOST = new Rejection(400, "proxy.host");
-    private static final Rejection VERSION = new Rejection(505, "proxy.version");
-    private static final Rejection FORM = new Rejection(400, "proxy.path");
+    private static final Rejection INVALID_BODY_LENGTH = new Rejection(400, "proxy.lengths");
+    private static final Rejection INVALID_HOST = new Rejection(400, "proxy.host");
+    private static final Rejection UNSUPPORTED_VERSION = new Rejection(505, "proxy.version");
+    private static final Rejection INVALID_PATH = new Rejection(400, "proxy.path");
 
     /** What the decoder could not read. */
     static Rejection of(Throwable cause) {
@@ -35,12 +35,12 @@
     /** A head that could be read; null: go on. Guards rule UNASKED: hosts must see the same request that we do. */
     static Rejection of(HttpRequest request, ClientLimits limits) {
         if (!request.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
-            return VERSION;
+            return UNSUPPORTED_VERSION;
         }
         HttpHeaders headers = request.headers();
         Iterator<?> hosts = headers.valueCharSequenceIterator(HttpHeaderNames.HOST);
         if (!hosts.hasNext() || ((CharSequence) hosts.next()).length() == 0 || hosts.hasNext()) {
-            return HOST;
+            return INVALID_HOST;
         }
         Iterator<? extends CharSequence> encodings =
                 headers.valueCharSequenceIterator(HttpHeaderNames.TRANSFER_ENCODING);
@@ -48,12 +48,12 @@
             if (!"chunked".contentEquals(lower(encodings.next()))
                     || encodings.hasNext()
                     || headers.contains(HttpHeaderNames.CONTENT_LENGTH)) {
-                return LENGTHS;
+                return INVALID_BODY_LENGTH;
             }
         } else if (HttpUtil.getContentLength(request, 0L) > limits.maxBodyBytes()) {
             return TOO_LARGE;
         }
-        return request.uri().startsWith("/") ? null : FORM;
+        return request.uri().startsWith("/") ? null : INVALID_PATH;
     }
 
     private static String lower(CharSequence text) {
--- a/src/main/java/brambletray/platform/proxy/RequestDecoder.java
+++ b/src/main/java/brambletray/platform/proxy/RequestDecoder.java
@@ -30,7 +30,7 @@
     /** What comes next belongs to a head; nothing more is looked at. */
     private boolean inHead = true;
 
-    private boolean malformedSeen;
+    private boolean isMalformed;
 
     RequestDecoder(ClientConnection client, int headerBytes) {
         super(new HttpDecoderConfig()
@@ -49,13 +49,13 @@
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) throws Exception {
-        if (malformedSeen) {
+        if (isMalformed) {
             in.skipBytes(in.readableBytes());
             return;
         }
         int before = in.readerIndex();
         if (inHead && hasFoldedHeader(in)) {
-            malformedSeen = true;
+            isMalformed = true;
             in.skipBytes(in.readableBytes());
             out.add(malformed());
             return;
--- a/src/main/java/brambletray/platform/proxy/RequestDriver.java
+++ b/src/main/java/brambletray/platform/proxy/RequestDriver.java
@@ -170,7 +170,7 @@
     @Override
     public void sendToInstance(Attempt attempt, long hostDeadlineMs) {
         HostExchange exchange = new HostExchange(this, attempt, hostDeadlineMs, permit(attempt));
-        attempt.tag = exchange;
+        attempt.attachment = exchange;
         exchanges.add(exchange);
         router.connectionPools().send(exchange);
     }
@@ -179,7 +179,7 @@
         return preparation.permit(new SendPermit.Events() {
             @Override
             public void onPermitted() {
-                router.connectionPools().send((HostExchange) attempt.tag);
+                router.connectionPools().send((HostExchange) attempt.attachment);
             }
 
             @Override
@@ -192,7 +192,7 @@
 
     @Override
     public void cancel(Attempt attempt) {
-        ((HostExchange) attempt.tag).cancel(router.connectionPools());
+        ((HostExchange) attempt.attachment).cancel(router.connectionPools());
     }
 
     @Override
@@ -209,13 +209,13 @@
     @Override
     public void passResponse(Attempt attempt) {
         countPassed(attempt);
-        clientReply.pass(((HostExchange) attempt.tag).takeResponse());
+        clientReply.pass(((HostExchange) attempt.attachment).takeResponse());
     }
 
     @Override
     public void startStreaming(Attempt attempt) {
         countPassed(attempt);
-        clientReply.startStreaming((HostExchange) attempt.tag);
+        clientReply.startStreaming((HostExchange) attempt.attachment);
     }
 
     private void countPassed(Attempt attempt) {
--- a/src/main/java/brambletray/platform/proxy/RequestLifecycle.java
+++ b/src/main/java/brambletray/platform/proxy/RequestLifecycle.java
@@ -21,7 +21,7 @@
 
     private static final int HOST_MARGIN_MS = 10;
     /** ms after the deadline within which a host must have answered. */
-    private static final int LINGER_MS = 150;
+    private static final int HOST_ANSWER_GRACE_MS = 150;
     /**
      * ms until a hedged request that found no slot asks again, at least; how often it asks; hosts that may be
      * unreachable.
@@ -53,7 +53,7 @@
 
     private int retryAfterMs = -1;
     /** A host's own failure: the answer if nothing better comes. */
-    private Attempt withheldAttempt;
+    private Attempt failedAttempt;
 
     private Attempt streamingAttempt;
     private boolean isSettled;
@@ -138,7 +138,7 @@
     /** When {@link #tick} is next needed, ms; {@link Long#MAX_VALUE}: never. */
     long nextDueMs() {
         if (isSettled) {
-            return attempts.activeCount() == 0 ? Long.MAX_VALUE : plan.deadlineMs() + LINGER_MS;
+            return attempts.activeCount() == 0 ? Long.MAX_VALUE : plan.deadlineMs() + HOST_ANSWER_GRACE_MS;
         }
         return hedgeAtMs != 0 && pendingRequestId == 0 ? Math.min(hedgeAtMs, lastSendMs) : lastSendMs;
     }
@@ -203,7 +203,7 @@
     // ---- At hosts -------------------------------------------------------------------------------
     /** The first byte has gone out. */
     void onSent(Attempt attempt, long now) {
-        if (!attempt.active || attempt.onSent()) {
+        if (!attempt.active || attempt.isSent()) {
             return;
         }
         attempt.sentAtMs = now;
@@ -225,7 +225,7 @@
         if (!attempts.releaseUnsent(attempt) || isSettled || pendingRequestId != 0 || attempts.activeCount() > 0) {
             return;
         }
-        if (unproven || withheldAttempt != null) {
+        if (unproven || failedAttempt != null) {
             conclude(now);
         } else {
             isSettled = true;
@@ -240,7 +240,7 @@
      * it was too large to be buffered.
      */
     void onEnded(Attempt attempt, AttemptOutcome outcome, boolean withheld, long now) {
-        int durationMs = (int) (now - (attempt.onSent() ? attempt.sentAtMs : attempt.grantedAtMs));
+        int durationMs = (int) (now - (attempt.isSent() ? attempt.sentAtMs : attempt.grantedAtMs));
         if (!attempts.complete(attempt, outcome, durationMs)) {
             return;
         }
@@ -258,7 +258,7 @@
         }
         unproven |= outcome == AttemptOutcome.FAILED || outcome == AttemptOutcome.BROKEN;
         if (outcome == AttemptOutcome.FAILED && !withheld) {
-            withheldAttempt = attempt;
+            failedAttempt = attempt;
         }
         nextStep(now);
     }
@@ -320,8 +320,8 @@
     private void conclude(long now) {
         isSettled = true;
         hedgeAtMs = 0;
-        if (withheldAttempt != null) {
-            actions.passResponse(withheldAttempt);
+        if (failedAttempt != null) {
+            actions.passResponse(failedAttempt);
         } else if (!unproven) {
             actions.respond(503, retryAfterMs);
         } else {
@@ -335,8 +335,8 @@
 
     void tick(long now) {
         if (isSettled) {
-            if (now >= plan.deadlineMs() + LINGER_MS) {
-                attempts.giveUp(now);
+            if (now >= plan.deadlineMs() + HOST_ANSWER_GRACE_MS) {
+                attempts.cancelAll(now);
                 if (streamingAttempt != null) {
                     onStreamed(AttemptOutcome.SILENT);
                 }
--- a/src/main/java/brambletray/platform/proxy/RequestPlan.java
+++ b/src/main/java/brambletray/platform/proxy/RequestPlan.java
@@ -33,7 +33,7 @@
     /** Whose a request on this route is for the queues; {@code tenant} is null for nobody's. */
     static SlotOwner owner(Tenant tenant, Route route) {
         return tenant == null
-                ? SlotOwner.nobody(route.priority())
+                ? SlotOwner.withoutTenant(route.priority())
                 : new SlotOwner(tenant.name(), tenant.priorityOn(route), route.priority());
     }
 
--- a/src/main/java/brambletray/platform/proxy/RequestPreparation.java
+++ b/src/main/java/brambletray/platform/proxy/RequestPreparation.java
@@ -77,7 +77,7 @@
     private static int status(Progress progress) {
         return switch (progress) {
             case NOT_CLAIMED -> 503;
-            case IN_WORK -> 409;
+            case IN_PROGRESS -> 409;
             case UNKNOWN -> 504;
         };
     }
@@ -111,7 +111,7 @@
         if (ended == null) {
             return;
         }
-        if (runState == RunState.NOT_RUN || runState == RunState.BROKEN_OFF && plan.selfDedupe()) {
+        if (runState == RunState.NOT_RUN || runState == RunState.CONNECTION_LOST && plan.selfDedupe()) {
             ended.release();
         } else if (answer != null) {
             ended.complete(answer);
--- a/src/main/java/brambletray/platform/proxy/RequestReader.java
+++ b/src/main/java/brambletray/platform/proxy/RequestReader.java
@@ -53,7 +53,7 @@
             return Rejection.TOO_LARGE;
         }
         if (!memoryBudget.tryReserve(n)) {
-            return Rejection.FULL;
+            return Rejection.MEMORY_FULL;
         }
         bodyBytes += n;
         bodyParts.add(content.content().retain());
--- a/src/main/java/brambletray/platform/proxy/RequestRouter.java
+++ b/src/main/java/brambletray/platform/proxy/RequestRouter.java
@@ -40,7 +40,7 @@
     private final RequestCounters counters;
     private final MemoryBudget memoryBudget;
     private final RateLimitedLog rateLimitedLog = new RateLimitedLog();
-    private final SplittableRandom shares;
+    private final SplittableRandom serviceRandom;
     private final Map<String, HedgeDelay> hedgeDelays = new HashMap<>();
     private long lastRequestId;
     private int waitingClients;
@@ -77,7 +77,7 @@
         this.connectionPools = connectionPools;
         this.counters = counters;
         this.memoryBudget = new MemoryBudget(maxBytes);
-        this.shares = new SplittableRandom(seed);
+        this.serviceRandom = new SplittableRandom(seed);
         // Avoids the ids of the previous process, whose slot requests homes may still know.
         this.lastRequestId = (seed & 0x3fffffffL) << 32;
     }
@@ -160,7 +160,7 @@
             respond(client, clientRequest, 400, "proxy.no-operation-key", -1, id);
             return;
         }
-        String service = route.selectService(shares.nextDouble());
+        String service = route.selectService(serviceRandom.nextDouble());
         Service known = now.services().get(service);
         RequestPlan plan = new RequestPlan(
                 service,
@@ -201,7 +201,7 @@
             int retryAfterMs,
             String id) {
         int bytes = clientRequest.body().readableBytes();
-        boolean withoutBody = clientRequest.head();
+        boolean withoutBody = clientRequest.isHeadRequest();
         clientRequest.release();
         memoryBudget.release(bytes);
         client.writeOwnResponse(status, code, retryAfterMs, id, withoutBody);
--- a/src/main/java/brambletray/platform/proxy/ResponseDecoder.java
+++ b/src/main/java/brambletray/platform/proxy/ResponseDecoder.java
@@ -52,7 +52,7 @@
 
     @Override
     protected boolean isContentAlwaysEmpty(HttpMessage message) {
-        return connection.atHead() || super.isContentAlwaysEmpty(message);
+        return connection.isHeadRequest() || super.isContentAlwaysEmpty(message);
     }
 
     @Override
--- a/src/main/java/brambletray/platform/proxy/ResponseReader.java
+++ b/src/main/java/brambletray/platform/proxy/ResponseReader.java
@@ -17,9 +17,9 @@
      * Bytes of a response that are buffered until it is complete: a truncated one never reaches a client and can be
      * retried.
      */
-    static final int MAX_HELD_BYTES = 512 * 1024;
+    static final int MAX_BUFFERED_BYTES = 512 * 1024;
     /** Answers ahead of ours that are skipped: 1xx, or surplus. */
-    private static final int MAX_EARLY_BYTES = 8;
+    private static final int MAX_SKIPPED_RESPONSES = 8;
 
     private final HostCall hostCall;
     private final RequestCounters counters;
@@ -33,7 +33,7 @@
     private boolean withheld;
     private boolean complete;
     private boolean reusable = true;
-    private int earlyBytes;
+    private int skippedResponses;
 
     /** {@code reused}: its connection has carried another request before, whose late bytes may still come. */
     ResponseReader(HostCall hostCall, RequestCounters counters, boolean reused) {
@@ -90,35 +90,35 @@
         int status = head.status().code();
         if (status < 200) {
             skipping = true;
-            return status >= 100 && status != 101 && ++earlyBytes <= MAX_EARLY_BYTES;
+            return status >= 100 && status != 101 && ++skippedResponses <= MAX_SKIPPED_RESPONSES;
         }
         boolean bare =
-                status == 204 || status == 304 || hostCall.clientRequest().head();
+                status == 204 || status == 304 || hostCall.clientRequest().isHeadRequest();
         BodyFraming framing = BodyFraming.of(head, bare);
-        verdict = framing == BodyFraming.NONE
-                ? ResponseVerdict.JUNK
+        verdict = framing == BodyFraming.INVALID
+                ? ResponseVerdict.INVALID
                 : ResponseVerdict.of(hostCall.requestId(), status, head.headers());
-        if (verdict.nameless() && reused && hostCall.requiresOpenConnection()) {
+        if (verdict.withoutId() && reused && hostCall.requiresOpenConnection()) {
             // Guards rule TWICE: a late one of the request before looks the same, and proves nothing of this one.
-            verdict = ResponseVerdict.JUNK;
+            verdict = ResponseVerdict.INVALID;
         }
         reusable &= HttpUtil.isKeepAlive(head)
-                && !verdict.nameless()
-                && !hostCall.clientRequest().head();
+                && !verdict.withoutId()
+                && !hostCall.clientRequest().isHeadRequest();
         skipping = verdict == ResponseVerdict.SURPLUS;
         if (skipping) {
             counters.surplusResponses++;
             // Where one came, more may: no other request goes out here. And how long it is can't be told by the rules
             // of an answer to HEAD.
             reusable = false;
-            return !hostCall.clientRequest().head() && ++earlyBytes <= MAX_EARLY_BYTES;
+            return !hostCall.clientRequest().isHeadRequest() && ++skippedResponses <= MAX_SKIPPED_RESPONSES;
         }
         response = new HostResponse(
                 status, head.status().reasonPhrase(), head.headers(), framing.length(), bare, hostCall.memoryBudget());
-        withheld = verdict.promise();
+        withheld = verdict.unprovenRefusal();
         discarding =
                 withheld || verdict.outcome() != AttemptOutcome.SERVED && verdict.outcome() != AttemptOutcome.FAILED;
-        return verdict != ResponseVerdict.JUNK;
+        return verdict != ResponseVerdict.INVALID;
     }
 
     /** False: stop reading until the client has room again. */
@@ -136,7 +136,7 @@
 
     private boolean addBytes(ByteBuf bytes) {
         if (!streaming) {
-            if (response.add(bytes, MAX_HELD_BYTES)) {
+            if (response.add(bytes, MAX_BUFFERED_BYTES)) {
                 return true;
             }
             streaming = verdict.outcome() == AttemptOutcome.SERVED && hostCall.onStreaming(response);
--- a/src/main/java/brambletray/platform/proxy/RunState.java
+++ b/src/main/java/brambletray/platform/proxy/RunState.java
@@ -7,7 +7,7 @@
     /** It provably ran nowhere. */
     NOT_RUN,
     /** The connection of the instance that had it broke. */
-    BROKEN_OFF,
+    CONNECTION_LOST,
     /** An instance has or may have run it to its end. */
     MAY_HAVE_RUN;
 
@@ -15,12 +15,12 @@
     static RunState of(AttemptOutcome outcome) {
         return switch (outcome) {
             case NOT_RUN, WRONG_HOST, UNREACHED, UNUSED -> NOT_RUN;
-            case BROKEN -> BROKEN_OFF;
+            case BROKEN -> CONNECTION_LOST;
             case SERVED, FAILED, SILENT, CANCELLED -> MAY_HAVE_RUN;
         };
     }
 
-    RunState and(RunState other) {
+    RunState combine(RunState other) {
         return compareTo(other) >= 0 ? this : other;
     }
 }
--- a/src/main/java/brambletray/platform/proxy/SendPermit.java
+++ b/src/main/java/brambletray/platform/proxy/SendPermit.java
@@ -36,7 +36,7 @@
     private QuotaGate.Right right;
     private boolean isPending;
     /** Within {@link #isReady}, which answers itself. */
-    private boolean isAsking;
+    private boolean isAcquiring;
 
     /** {@code right}: one that was acquired before, or null. */
     SendPermit(QuotaGate gate, Tenant tenant, QuotaGate.Right right, Events events) {
@@ -50,9 +50,9 @@
     boolean isReady() {
         if (!hasRight() && !isPending) {
             isPending = true;
-            isAsking = true;
+            isAcquiring = true;
             gate.acquire(tenant, listener);
-            isAsking = false;
+            isAcquiring = false;
         }
         return hasRight();
     }
@@ -80,7 +80,7 @@
         public void onAcquired(QuotaGate.Right acquired) {
             isPending = false;
             right = acquired;
-            if (!isAsking) {
+            if (!isAcquiring) {
                 events.onPermitted();
             }
         }
--- a/src/main/java/brambletray/platform/quota/QuotaTerms.java
+++ b/src/main/java/brambletray/platform/quota/QuotaParameters.java
@@ -11,7 +11,7 @@
  * @param overage what may be exceeded, as a share of the limit
  * @param slack what may be exceeded besides, requests
  */
-public record QuotaTerms(long windowMs, double overage, double slack) {
+public record QuotaParameters(long windowMs, double overage, double slack) {
     /** For how long after it was asked for a right may be spent, ms. */
     public static final int RIGHT_VALIDITY_MS = 150;
     /** For how long after it was asked for an unspent right may be returned, ms. */
@@ -29,12 +29,12 @@
     private static final double MIN_CAPACITY = 1;
 
     /** The terms of this deployment. */
-    public static QuotaTerms from(DeploymentBounds bounds) {
-        return new QuotaTerms((long) (bounds.quotaWindowS() * 1_000), bounds.quotaOverage(), bounds.quotaSlack());
+    public static QuotaParameters from(DeploymentBounds bounds) {
+        return new QuotaParameters((long) (bounds.quotaWindowS() * 1_000), bounds.quotaOverage(), bounds.quotaSlack());
     }
 
     /** What is left of overage and slack once rights that are spent or returned late are paid for; requests. */
-    private double excess(double ratePerS, double burst) {
+    private double overageBudget(double ratePerS, double burst) {
         double allowed = overage * (ratePerS * windowMs / 1_000 + burst) + slack;
         double late = ratePerS * (RIGHT_VALIDITY_MS + RETURN_VALIDITY_MS) / 1_000;
         return Math.max(0, allowed - late);
@@ -42,12 +42,12 @@
 
     /** The depth of a tenant's bucket, requests. */
     double capacity(double ratePerS, double burst) {
-        return Math.max(MIN_CAPACITY, burst + CAPACITY_SHARE * excess(ratePerS, burst));
+        return Math.max(MIN_CAPACITY, burst + CAPACITY_SHARE * overageBudget(ratePerS, burst));
     }
 
     /** What all edges together may send without rights while they have no coordinator, requests. */
     int runAhead(double ratePerS, double burst) {
-        return (int) (RUN_AHEAD_SHARE * excess(ratePerS, burst));
+        return (int) (RUN_AHEAD_SHARE * overageBudget(ratePerS, burst));
     }
 
     /**
--- a/src/main/java/brambletray/platform/quota/RecentGrants.java
+++ b/src/main/java/brambletray/platform/quota/RecentGrants.java
@@ -11,11 +11,11 @@
     private static final int SLICE_MS = 25;
 
     private static final class Slice {
-        private final long beganAtMs;
+        private final long startedAtMs;
         private int count;
 
         private Slice(long beganAtMs) {
-            this.beganAtMs = beganAtMs;
+            this.startedAtMs = beganAtMs;
         }
     }
 
@@ -25,7 +25,7 @@
     void onGranted(long nowMs) {
         removeOld(nowMs);
         Slice newest = slices.peekLast();
-        if (newest == null || nowMs - newest.beganAtMs >= SLICE_MS) {
+        if (newest == null || nowMs - newest.startedAtMs >= SLICE_MS) {
             newest = new Slice(nowMs);
             slices.add(newest);
         }
@@ -34,7 +34,7 @@
     }
 
     /** Takes back at most so many; how many were. */
-    int takeBack(int rights, long nowMs) {
+    int reclaim(int rights, long nowMs) {
         removeOld(nowMs);
         int left = Math.min(rights, total);
         int taken = left;
@@ -58,7 +58,7 @@
     }
 
     private void removeOld(long nowMs) {
-        while (!slices.isEmpty() && nowMs - slices.peekFirst().beganAtMs > QuotaTerms.RETURN_VALIDITY_MS) {
+        while (!slices.isEmpty() && nowMs - slices.peekFirst().startedAtMs > QuotaParameters.RETURN_VALIDITY_MS) {
             total -= slices.removeFirst().count;
         }
     }
--- a/src/main/java/brambletray/platform/quota/RunAheadAllowances.java
+++ b/src/main/java/brambletray/platform/quota/RunAheadAllowances.java
@@ -12,10 +12,10 @@
  */
 public final class RunAheadAllowances {
     private static final class Allowance {
-        private int amount;
+        private int limit;
         private long validUntilMs;
         private int spent;
-        private long spentAtMs;
+        private long lastSpentAtMs;
     }
 
     private final long windowMs;
@@ -30,32 +30,32 @@
     /** A grant allows so many, in place of what was allowed before; {@code askedAtMs}: when it was asked for. */
     public void onGrant(String tenant, int runAhead, long askedAtMs) {
         Allowance allowance = allowances.computeIfAbsent(tenant, none -> new Allowance());
-        allowance.amount = runAhead;
-        allowance.validUntilMs = askedAtMs + QuotaTerms.RUN_AHEAD_VALIDITY_MS;
+        allowance.limit = runAhead;
+        allowance.validUntilMs = askedAtMs + QuotaParameters.RUN_AHEAD_VALIDITY_MS;
     }
 
     /** Whether one request may be sent now; if so it counts as sent, and is to be reported. */
     public boolean trySpend(String tenant, long nowMs) {
-        if (!has(tenant, nowMs)) {
+        if (!canSpend(tenant, nowMs)) {
             return false;
         }
         Allowance allowance = allowances.get(tenant);
         allowance.spent++;
-        allowance.spentAtMs = nowMs;
+        allowance.lastSpentAtMs = nowMs;
         addUnreported(tenant, 1);
         return true;
     }
 
     /** Whether a request of this tenant may be sent without a right now. */
-    private boolean has(String tenant, long nowMs) {
+    private boolean canSpend(String tenant, long nowMs) {
         Allowance allowance = allowances.get(tenant);
         if (allowance == null || nowMs >= allowance.validUntilMs) {
             return false;
         }
-        if (nowMs - allowance.spentAtMs > windowMs) {
+        if (nowMs - allowance.lastSpentAtMs > windowMs) {
             allowance.spent = 0;
         }
-        return allowance.spent < allowance.amount;
+        return allowance.spent < allowance.limit;
     }
 
     /** Requests that were sent without rights, or whose report could not be sent. */
@@ -79,6 +79,6 @@
     public void removeExpired(long nowMs) {
         allowances
                 .values()
-                .removeIf(allowance -> nowMs >= allowance.validUntilMs && nowMs - allowance.spentAtMs > windowMs);
+                .removeIf(allowance -> nowMs >= allowance.validUntilMs && nowMs - allowance.lastSpentAtMs > windowMs);
     }
 }
--- a/src/main/java/brambletray/platform/quota/RunAheadShares.java
+++ b/src/main/java/brambletray/platform/quota/RunAheadShares.java
@@ -13,18 +13,18 @@
 final class RunAheadShares {
     /** What one edge may hold: by its newest grant, and by a larger one before that it may not have seen replaced. */
     /** What an edge was told it may send ahead, until when that counts. */
-    private record Allowance(int amount, long heldUntilMs) {}
+    private record Allowance(int amount, long expiresAtMs) {}
 
     /** The allowances of one edge that still count; each is smaller than those before it, and ends later. */
     private static final class Share {
         private final ArrayDeque<Allowance> allowances = new ArrayDeque<>();
 
-        int counted(long nowMs) {
+        int reservedAmount(long nowMs) {
             removeExpired(nowMs);
             return allowances.isEmpty() ? 0 : allowances.peekFirst().amount();
         }
 
-        void replace(int amount, long untilMs, long nowMs) {
+        void add(int amount, long untilMs, long nowMs) {
             removeExpired(nowMs);
             while (!allowances.isEmpty() && allowances.peekLast().amount() <= amount) {
                 allowances.removeLast();
@@ -33,7 +33,7 @@
         }
 
         private void removeExpired(long nowMs) {
-            while (!allowances.isEmpty() && nowMs >= allowances.peekFirst().heldUntilMs()) {
+            while (!allowances.isEmpty() && nowMs >= allowances.peekFirst().expiresAtMs()) {
                 allowances.removeFirst();
             }
         }
@@ -45,11 +45,11 @@
     }
 
     private final Map<EdgeIncarnation, Share> shares = new HashMap<>();
-    private final long noneBeforeMs;
+    private final long noSharesBeforeMs;
 
     /** {@code noneBeforeMs}: until then shares of a former giver may be in use, and none are given. */
     RunAheadShares(long noneBeforeMs) {
-        this.noneBeforeMs = noneBeforeMs;
+        this.noSharesBeforeMs = noneBeforeMs;
     }
 
     /**
@@ -59,15 +59,15 @@
      * @param heldUntilMs until when it counts
      */
     int renew(EdgeIncarnation edge, int available, long heldUntilMs, long nowMs) {
-        if (nowMs < noneBeforeMs) {
+        if (nowMs < noSharesBeforeMs) {
             return 0;
         }
         removeExpired(nowMs);
         Share share = shares.computeIfAbsent(edge, none -> new Share());
-        int others = total(nowMs) - share.counted(nowMs);
+        int others = total(nowMs) - share.reservedAmount(nowMs);
         int even = Math.max(1, available / shares.size());
         int amount = Math.max(0, Math.min(even, available - others));
-        share.replace(amount, heldUntilMs, nowMs);
+        share.add(amount, heldUntilMs, nowMs);
         return amount;
     }
 
@@ -75,7 +75,7 @@
     int total(long nowMs) {
         int total = 0;
         for (Share share : shares.values()) {
-            total += share.isExpired(nowMs) ? 0 : share.counted(nowMs);
+            total += share.isExpired(nowMs) ? 0 : share.reservedAmount(nowMs);
         }
         return total;
     }
--- a/src/main/java/brambletray/platform/quota/TenantQuota.java
+++ b/src/main/java/brambletray/platform/quota/TenantQuota.java
@@ -4,7 +4,7 @@
 
 /** The rights of one limited tenant at their giver. */
 final class TenantQuota {
-    private final QuotaTerms terms;
+    private final QuotaParameters parameters;
     private final TokenBucket bucket;
     private final RunAheadShares shares;
     private final RecentGrants recentGrants = new RecentGrants();
@@ -15,15 +15,15 @@
     private long returned;
 
     /** Begins as a giver that knows nothing of what was given before: with an empty bucket, and without run-ahead. */
-    TenantQuota(Tenant tenant, QuotaTerms terms, long nowMs) {
+    TenantQuota(Tenant tenant, QuotaParameters terms, long nowMs) {
         this.tenant = tenant;
-        this.terms = terms;
+        this.parameters = terms;
         bucket = new TokenBucket(tenant.ratePerS(), capacity(), nowMs);
         shares = new RunAheadShares(nowMs + terms.runAheadHoldMs());
     }
 
     private double capacity() {
-        return terms.capacity(tenant.ratePerS(), tenant.burstSize());
+        return parameters.capacity(tenant.ratePerS(), tenant.burstSize());
     }
 
     void updateLimits(Tenant changed, long nowMs) {
@@ -38,13 +38,13 @@
         }
         granted++;
         recentGrants.onGranted(nowMs);
-        return new QuotaGrant(id, shares.renew(edge, availableRunAhead(nowMs), nowMs + terms.runAheadHoldMs(), nowMs));
+        return new QuotaGrant(id, shares.renew(edge, availableRunAhead(nowMs), nowMs + parameters.runAheadHoldMs(), nowMs));
     }
 
     /** Less than the terms bear while the bucket is in debt. */
     private int availableRunAhead(long nowMs) {
         double debt = Math.max(0, -bucket.tokens(nowMs));
-        return (int) Math.max(0, terms.runAhead(tenant.ratePerS(), tenant.burstSize()) - Math.ceil(debt));
+        return (int) Math.max(0, parameters.runAhead(tenant.ratePerS(), tenant.burstSize()) - Math.ceil(debt));
     }
 
     void onDebit(int requests, long nowMs) {
@@ -53,7 +53,7 @@
     }
 
     void onReturn(int rights, long nowMs) {
-        int taken = recentGrants.takeBack(rights, nowMs);
+        int taken = recentGrants.reclaim(rights, nowMs);
         returned += taken;
         bucket.credit(taken, creditLimit(nowMs), nowMs);
     }
@@ -64,7 +64,7 @@
      * and all be spent at once.
      */
     private double creditLimit(long nowMs) {
-        double spentLate = tenant.ratePerS() * QuotaTerms.RIGHT_VALIDITY_MS / 1_000;
+        double spentLate = tenant.ratePerS() * QuotaParameters.RIGHT_VALIDITY_MS / 1_000;
         return bucket.capacity() + spentLate - recentGrants.outstanding(nowMs);
     }
 
--- a/src/main/java/brambletray/platform/quota/TenantQuotas.java
+++ b/src/main/java/brambletray/platform/quota/TenantQuotas.java
@@ -12,18 +12,18 @@
  */
 public final class TenantQuotas {
     /** What a tenant that is not known is told to wait, ms. */
-    private static final int UNKNOWN_RETRY_AFTER_MS = 1_000;
+    private static final int UNKNOWN_TENANT_RETRY_AFTER_MS = 1_000;
     /** An unlimited tenant's request needs no right, and none when the coordinator is lost. */
     private static final int UNLIMITED_RUN_AHEAD = 1_000;
 
-    private final QuotaTerms terms;
+    private final QuotaParameters parameters;
     private Map<String, Tenant> tenants = Map.of();
     /** Of the limited tenants. */
     private final Map<String, TenantQuota> quotas = new HashMap<>();
 
     /** Knows no tenant yet. */
-    public TenantQuotas(QuotaTerms terms) {
-        this.terms = terms;
+    public TenantQuotas(QuotaParameters terms) {
+        this.parameters = terms;
     }
 
     /**
@@ -37,7 +37,7 @@
             if (tenant.isLimited()) {
                 TenantQuota quota = quotas.get(tenant.name());
                 if (quota == null) {
-                    quotas.put(tenant.name(), new TenantQuota(tenant, terms, nowMs));
+                    quotas.put(tenant.name(), new TenantQuota(tenant, parameters, nowMs));
                 } else {
                     quota.updateLimits(tenant, nowMs);
                 }
@@ -58,7 +58,7 @@
         }
         return tenants.containsKey(request.tenant())
                 ? new QuotaGrant(request.id(), UNLIMITED_RUN_AHEAD)
-                : new QuotaRefusal(request.id(), UNKNOWN_RETRY_AFTER_MS);
+                : new QuotaRefusal(request.id(), UNKNOWN_TENANT_RETRY_AFTER_MS);
     }
 
     /** An edge has sent requests without rights. */
