--- a/src/test/java/brambletray/platform/admission/AdmissionParametersTest.java
+++ b/src/test/java/brambletray/platform/admission/AdmissionParametersTest.java
@@ -13,86 +13,87 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Each law by itself. */
+/** Unit tests of the parts of a service queue with the default parameters. */
 class AdmissionParametersTest {
-    private static final AdmissionParameters LAWS = AdmissionParameters.of(0.2, 50, 10_000, 1);
-    private static final ServiceSpec QUICK = new ServiceSpec("s", 128, 900, 1, 1500);
-    private static final ServiceSpec DESK = new ServiceSpec("s", 512, 1400, 4, 300);
+    private static final AdmissionParameters PARAMETERS = AdmissionParameters.of(0.2, 50, 10_000, 1);
+    private static final ServiceSpec SMALL_SERVICE = new ServiceSpec("s", 128, 900, 1, 1500);
+    private static final ServiceSpec LARGE_SERVICE = new ServiceSpec("s", 512, 1400, 4, 300);
 
-    private static SlotRequest ask(long id, String zone, String... avoid) {
-        return new SlotRequest(id, "a", zone, "s", SlotOwner.nobody(1), 1000, 300, false, false, false, List.of(avoid));
+    private static SlotRequest request(long id, String zone, String... excluded) {
+        return new SlotRequest(
+                id, "a", zone, "s", SlotOwner.withoutTenant(1), 1000, 300, false, false, false, List.of(excluded));
     }
 
-    private static PooledInstance post(PooledInstances posts, String id, String zone, long bornAgo) {
-        PooledInstance post = new PooledInstance(
-                new InstanceInfo(id, "s", "x", zone, zone, "w", "n", InstanceInfo.UP, bornAgo), true, 10_000);
-        posts.add(post);
-        return post;
+    private static PooledInstance addInstance(PooledInstances instances, String id, String zone, long ageMs) {
+        PooledInstance instance = new PooledInstance(
+                new InstanceInfo(id, "s", "x", zone, zone, "w", "n", InstanceInfo.UP, ageMs), true, 10_000);
+        instances.add(instance);
+        return instance;
     }
 
     @Test
-    void paceSitsAboveNineInTenAndForgets() {
-        HedgeDelay pace = new HedgeDelay();
-        assertEquals(200, pace.delayMs());
+    void hedgeDelayIsAboveThe90thPercentileAndForgets() {
+        HedgeDelay hedgeDelay = new HedgeDelay();
+        assertEquals(200, hedgeDelay.delayMs());
         for (int i = 1; i <= 100; i++) {
-            pace.add(i);
+            hedgeDelay.add(i);
         }
-        assertTrue(pace.delayMs() >= 90 && pace.delayMs() <= 104, "" + pace.delayMs());
+        assertTrue(hedgeDelay.delayMs() >= 90 && hedgeDelay.delayMs() <= 104, "" + hedgeDelay.delayMs());
         for (int i = 0; i < 4000; i++) {
-            pace.add(1000);
+            hedgeDelay.add(1000);
         }
-        assertTrue(pace.delayMs() >= 1000 && pace.delayMs() <= 1130, "" + pace.delayMs());
-        pace.add(Integer.MAX_VALUE);
-        assertTrue(pace.sampleCount() <= 512);
+        assertTrue(hedgeDelay.delayMs() >= 1000 && hedgeDelay.delayMs() <= 1130, "" + hedgeDelay.delayMs());
+        hedgeDelay.add(Integer.MAX_VALUE);
+        assertTrue(hedgeDelay.sampleCount() <= 512);
     }
 
-    /** Against every window of the past, counted one by one. */
+    /** Compares the budget with an exact count over the sliding window that ends at each step. */
     @Test
     void budgetHoldsInEachSlidingWindow() {
         Random random = new Random(5);
-        RetryBudget budget = new RetryBudget(LAWS.retryBudget());
+        RetryBudget budget = new RetryBudget(PARAMETERS.retryBudget());
         Deque<Long> requests = new ArrayDeque<>();
-        Deque<Long> extra = new ArrayDeque<>();
+        Deque<Long> retries = new ArrayDeque<>();
         int granted = 0;
         for (long now = 0; now < 60_000; now += 1 + random.nextInt(20)) {
             if ((now / 5000) % 2 == 0) {
                 budget.onRequest(now);
                 requests.add(now);
             }
-            boolean copy = random.nextBoolean();
-            if (budget.isAllowed(copy, now)) {
-                budget.spend(copy, now);
-                extra.add(now);
+            boolean hedge = random.nextBoolean();
+            if (budget.isAllowed(hedge, now)) {
+                budget.spend(hedge, now);
+                retries.add(now);
                 granted++;
             }
             while (!requests.isEmpty() && requests.peek() <= now - 10_000) {
                 requests.poll();
             }
-            while (!extra.isEmpty() && extra.peek() <= now - 10_000) {
-                extra.poll();
+            while (!retries.isEmpty() && retries.peek() <= now - 10_000) {
+                retries.poll();
             }
             assertTrue(
-                    extra.size() <= 0.2 * requests.size() + 25,
-                    "at " + now + ": " + extra.size() + " of " + requests.size());
+                    retries.size() <= 0.2 * requests.size() + 25,
+                    "at " + now + ": " + retries.size() + " of " + requests.size());
         }
         assertTrue(granted > 100);
     }
 
     @Test
-    void copiesLeaveHalfOfTheBudget() {
+    void hedgesLeaveHalfOfTheBudget() {
         RetryBudget budget = new RetryBudget(new AdmissionParameters.RetryBudgetLimits(0, 20, 10_000, 1));
-        int copies = 0;
+        int hedges = 0;
         while (budget.isAllowed(true, 5)) {
             budget.spend(true, 5);
-            copies++;
+            hedges++;
         }
-        int others = 0;
+        int retries = 0;
         while (budget.isAllowed(false, 5)) {
             budget.spend(false, 5);
-            others++;
+            retries++;
         }
-        assertEquals(10, copies);
-        assertEquals(10, others);
+        assertEquals(10, hedges);
+        assertEquals(10, retries);
     }
 
     @Test
@@ -111,72 +112,83 @@
     }
 
     @Test
-    void hostsAreChosenByZoneAgeAndHealth() {
-        PooledInstances posts = new PooledInstances(LAWS.selection());
-        PooledInstance old = post(posts, "old", "east", 900);
-        PooledInstance young = post(posts, "young", "east", 100);
-        PooledInstance far = post(posts, "far", "west", 5000);
-        assertEquals(old, posts.choose(ask(1, "east"), 4, false, 10_000));
+    void instancesAreChosenByZoneAgeAndHealth() {
+        PooledInstances instances = new PooledInstances(PARAMETERS.selection());
+        PooledInstance old = addInstance(instances, "old", "east", 900);
+        PooledInstance young = addInstance(instances, "young", "east", 100);
+        PooledInstance far = addInstance(instances, "far", "west", 5000);
+        assertEquals(old, instances.choose(request(1, "east"), 4, false, 10_000));
         old.heldSlots = 3;
-        assertEquals(young, posts.choose(ask(1, "east"), 4, false, 10_000));
-        assertEquals(old, posts.choose(ask(1, "east", "young"), 4, false, 10_000));
+        assertEquals(young, instances.choose(request(1, "east"), 4, false, 10_000));
+        assertEquals(old, instances.choose(request(1, "east", "young"), 4, false, 10_000));
         young.heldSlots = 4;
         old.heldSlots = 4;
-        assertEquals(far, posts.choose(ask(1, "east"), 4, false, 10_000));
+        assertEquals(far, instances.choose(request(1, "east"), 4, false, 10_000));
         old.heldSlots = 0;
-        posts.onReleased(old, AttemptOutcome.BROKEN, 10, 10_000);
-        assertEquals(old, posts.choose(ask(1, "east"), 4, false, 10_000));
-        posts.onReleased(old, AttemptOutcome.BROKEN, 10, 10_000);
-        assertEquals(far, posts.choose(ask(1, "east"), 4, false, 10_000));
-        assertEquals(old, posts.choose(ask(1, "east"), 4, false, 10_201));
-        posts.onReleased(old, AttemptOutcome.UNREACHED, 10, 10_300);
+        instances.onReleased(old, AttemptOutcome.BROKEN, 10, 10_000);
+        assertEquals(old, instances.choose(request(1, "east"), 4, false, 10_000));
+        instances.onReleased(old, AttemptOutcome.BROKEN, 10, 10_000);
+        assertEquals(far, instances.choose(request(1, "east"), 4, false, 10_000));
+        assertEquals(old, instances.choose(request(1, "east"), 4, false, 10_201));
+        instances.onReleased(old, AttemptOutcome.UNREACHED, 10, 10_300);
         far.state = InstanceInfo.LEAVING;
-        assertEquals(null, posts.choose(ask(1, "east"), 4, false, 10_300));
+        assertEquals(null, instances.choose(request(1, "east"), 4, false, 10_300));
     }
 
     @Test
-    void aHostSlowerThanTheOthersComesLast() {
-        PooledInstances posts = new PooledInstances(LAWS.selection());
-        PooledInstance slow = post(posts, "slow", "east", 900);
-        PooledInstance one = post(posts, "one", "east", 800);
-        PooledInstance two = post(posts, "two", "east", 700);
+    void anInstanceSlowerThanTheOthersComesLast() {
+        PooledInstances instances = new PooledInstances(PARAMETERS.selection());
+        PooledInstance slow = addInstance(instances, "slow", "east", 900);
+        PooledInstance one = addInstance(instances, "one", "east", 800);
+        PooledInstance two = addInstance(instances, "two", "east", 700);
         for (int i = 0; i < 10; i++) {
-            posts.onReleased(slow, AttemptOutcome.SERVED, 300, 10_000);
-            posts.onReleased(one, AttemptOutcome.SERVED, 100, 10_000);
-            posts.onReleased(two, AttemptOutcome.SERVED, 110, 10_000);
+            instances.onReleased(slow, AttemptOutcome.SERVED, 300, 10_000);
+            instances.onReleased(one, AttemptOutcome.SERVED, 100, 10_000);
+            instances.onReleased(two, AttemptOutcome.SERVED, 110, 10_000);
         }
-        assertEquals(one, posts.choose(ask(1, "east"), 4, false, 10_000));
+        assertEquals(one, instances.choose(request(1, "east"), 4, false, 10_000));
         one.heldSlots = 4;
         two.heldSlots = 4;
-        assertEquals(slow, posts.choose(ask(1, "east"), 4, false, 10_000));
+        assertEquals(slow, instances.choose(request(1, "east"), 4, false, 10_000));
     }
 
     @Test
-    void noClassWaitsForEver() {
-        RequestQueue line = new RequestQueue(LAWS.queue(), new FairShare());
-        line.add(
-                new SlotRequest(1, "a", "east", "s", SlotOwner.nobody(2), 4000, 60_000, false, false, false, List.of()),
+    void lowPriorityRequestsAreServedAfterAging() {
+        RequestQueue queue = new RequestQueue(PARAMETERS.queue(), new FairShare());
+        queue.add(
+                new SlotRequest(
+                        1, "a", "east", "s", SlotOwner.withoutTenant(2), 4000, 60_000, false, false, false, List.of()),
                 0);
         long id = 2;
         for (long now = 0; now < 20_000; now += 10) {
-            line.add(
+            queue.add(
                     new SlotRequest(
-                            id++, "a", "east", "s", SlotOwner.nobody(0), 4000, 60_000, false, false, false, List.of()),
+                            id++,
+                            "a",
+                            "east",
+                            "s",
+                            SlotOwner.withoutTenant(0),
+                            4000,
+                            60_000,
+                            false,
+                            false,
+                            false,
+                            List.of()),
                     now);
-            line.startRound();
-            RequestQueue.Waiter next = line.next(false, false, 10, now);
-            line.remove(next);
+            queue.startRound();
+            RequestQueue.Waiter next = queue.next(false, false, 10, now);
+            queue.remove(next);
             if (next.request.id() == 1) {
                 assertTrue(now >= 3900 && now < 4100, "" + now);
                 return;
             }
         }
-        throw new AssertionError("starved");
+        throw new AssertionError("low-priority request starved");
     }
 
     @Test
     void demandRisesWithinHalfASecondAndFallsInSeconds() {
-        SlotDemand demand = new SlotDemand(LAWS.scaling());
+        SlotDemand demand = new SlotDemand(PARAMETERS.scaling());
         for (int i = 0; i < 50; i++) {
             demand.onAnswered(60);
         }
@@ -184,37 +196,41 @@
         for (; now < 10_000; now += 50) {
             demand.onArrival(now);
         }
-        double calm = demand.slotsFor(demand.rate(now), DESK);
+        double calm = demand.slotsFor(demand.rate(now), LARGE_SERVICE);
         for (; now < 10_600; now += 17) {
             demand.onArrival(now);
         }
-        double jumped = demand.slotsFor(demand.rate(now), DESK);
+        double jumped = demand.slotsFor(demand.rate(now), LARGE_SERVICE);
         assertTrue(calm > 1.2 && calm < 3, "" + calm);
         assertTrue(jumped > 1.3 * calm, calm + " to " + jumped);
-        assertTrue(demand.slotsFor(demand.slowRate(now + 2000), DESK) > 0.5 * calm);
-        assertTrue(demand.slotsFor(demand.slowRate(now + 20_000), DESK) < 0.3 * calm);
+        assertTrue(demand.slotsFor(demand.slowRate(now + 2000), LARGE_SERVICE) > 0.5 * calm);
+        assertTrue(demand.slotsFor(demand.slowRate(now + 20_000), LARGE_SERVICE) < 0.3 * calm);
     }
 
-    /** Break-even: 0.4 GB-seconds a start. */
+    /** A start costs 0.4 GB-seconds, which 128 MB use in 3.2 s. */
     @Test
-    void idleHostsAreKeptForTheWorthOfAStart() {
-        KeepAlivePolicy keepAlive = new KeepAlivePolicy(LAWS.keepAlive());
-        assertEquals(3200, keepAlive.breakEvenMs(QUICK, 700), 100);
+    void idleInstancesAreKeptWhileCheaperThanAStart() {
+        KeepAlivePolicy keepAlive = new KeepAlivePolicy(PARAMETERS.keepAlive());
+        assertEquals(3200, keepAlive.breakEvenMs(SMALL_SERVICE, 700), 100);
         assertEquals(800, keepAlive.breakEvenMs(new ServiceSpec("s", 512, 100, 4, 1000), 100), 50);
-        assertTrue(keepAlive.breakEvenMs(DESK, 1400) > 1900, "a start that makes late is worth more");
-        KeepAlivePolicy frequent = new KeepAlivePolicy(LAWS.keepAlive());
-        KeepAlivePolicy rare = new KeepAlivePolicy(LAWS.keepAlive());
+        assertTrue(keepAlive.breakEvenMs(LARGE_SERVICE, 1400) > 1900, "a start that causes late requests costs more");
+        KeepAlivePolicy frequent = new KeepAlivePolicy(PARAMETERS.keepAlive());
+        KeepAlivePolicy rare = new KeepAlivePolicy(PARAMETERS.keepAlive());
         for (int i = 0; i < 30; i++) {
             frequent.onArrival(true, i * 2000L);
             rare.onArrival(true, i * 30_000L);
         }
-        assertTrue(frequent.spanMs(QUICK, 700) > 2000, "kept through gaps of 2 s: " + frequent.spanMs(QUICK, 700));
-        assertTrue(rare.spanMs(QUICK, 700) <= 400, "gaps of 30 s pay for nothing: " + rare.spanMs(QUICK, 700));
+        assertTrue(
+                frequent.keepAliveMs(SMALL_SERVICE, 700) > 2000,
+                "kept through gaps of 2 s: " + frequent.keepAliveMs(SMALL_SERVICE, 700));
+        assertTrue(
+                rare.keepAliveMs(SMALL_SERVICE, 700) <= 400,
+                "not kept through gaps of 30 s: " + rare.keepAliveMs(SMALL_SERVICE, 700));
     }
 
     @Test
     void aZoneReturnsToTheRootWhenItsDemandFalls() {
-        ZoneServiceQueue zoneQueue = new ZoneServiceQueue(LAWS.zoneSpread());
+        ZoneServiceQueue zoneQueue = new ZoneServiceQueue(PARAMETERS.zoneSpread());
         assertTrue(zoneQueue.shouldRedirect(false, 0.01, 0.005, 500, 0));
         assertTrue(zoneQueue.isWarming(100));
         assertFalse(zoneQueue.shouldRedirect(true, 0.01, 0.005, 500, 600));
@@ -226,71 +242,71 @@
     }
 
     @Test
-    void roomIsKeptOnlyWhereCallsOfHostsWereSeen() {
-        NestedCallReserve room = new NestedCallReserve(LAWS.nestedCalls());
-        assertEquals(0, room.reserved(40, 1000));
-        room.onNestedCall(1000);
-        assertEquals(0, room.reserved(3, 1001));
-        assertEquals(1, room.reserved(4, 1001));
-        assertEquals(5, room.reserved(40, 1001));
-        assertEquals(0, room.reserved(40, 12_000));
+    void slotsAreReservedOnlyAfterNestedCalls() {
+        NestedCallReserve reserve = new NestedCallReserve(PARAMETERS.nestedCalls());
+        assertEquals(0, reserve.reserved(40, 1000));
+        reserve.onNestedCall(1000);
+        assertEquals(0, reserve.reserved(3, 1001));
+        assertEquals(1, reserve.reserved(4, 1001));
+        assertEquals(5, reserve.reserved(40, 1001));
+        assertEquals(0, reserve.reserved(40, 12_000));
     }
 
     @Test
-    void onceCallsHaveStalledOneOfTwoPlacesIsKept() {
-        NestedCallReserve room = new NestedCallReserve(LAWS.nestedCalls());
-        room.onNestedCall(1000);
-        assertEquals(0, room.minSlots(1001));
-        room.onStalled(1100);
-        assertEquals(2, room.minSlots(1101));
-        assertEquals(1, room.reserved(2, 1101));
-        assertEquals(0, room.reserved(1, 1101), "the only place is for all");
-        room.onNestedCall(10_000);
-        assertEquals(2, room.minSlots(15_000), "as long as calls come");
-        assertEquals(0, room.minSlots(25_000));
+    void afterAStallOneOfTwoSlotsIsReserved() {
+        NestedCallReserve reserve = new NestedCallReserve(PARAMETERS.nestedCalls());
+        reserve.onNestedCall(1000);
+        assertEquals(0, reserve.minSlots(1001));
+        reserve.onStalled(1100);
+        assertEquals(2, reserve.minSlots(1101));
+        assertEquals(1, reserve.reserved(2, 1101));
+        assertEquals(0, reserve.reserved(1, 1101), "a single slot is not reserved");
+        reserve.onNestedCall(10_000);
+        assertEquals(2, reserve.minSlots(15_000), "extended by each nested call");
+        assertEquals(0, reserve.minSlots(25_000));
     }
 
     private static SlotRequest ranked(long id, int priority, boolean call) {
         return new SlotRequest(
-                id, "a", "east", "s", SlotOwner.nobody(priority), 4000, 1000, false, false, call, List.of());
+                id, "a", "east", "s", SlotOwner.withoutTenant(priority), 4000, 1000, false, false, call, List.of());
     }
 
     @Test
-    void aKindIsBehindWhileItIsServedLessThanHalfAsOftenAsAll() {
+    void aRequestClassIsDisadvantagedWhileServedLessThanHalfAsOftenAsAll() {
         FairShare shares = new FairShare();
         for (int i = 0; i < 100; i++) {
             shares.onServed(ranked(i, 0, false), 10 * i);
         }
         SlotRequest low = ranked(1000, 2, false);
-        assertFalse(shares.classOf(low).isDisadvantaged(), "nothing is known of it");
-        shares.onLost(low, 1000);
-        shares.onLost(low, 1000);
+        assertFalse(shares.classOf(low).isDisadvantaged(), "no outcomes yet");
+        shares.onNotServed(low, 1000);
+        shares.onNotServed(low, 1000);
         assertTrue(shares.classOf(low).isDisadvantaged());
         shares.onServed(low, 1001);
-        assertTrue(shares.classOf(low).isDisadvantaged(), "one of three");
+        assertTrue(shares.classOf(low).isDisadvantaged(), "one of three served");
         shares.onServed(low, 1002);
         shares.onServed(low, 1003);
-        assertFalse(shares.classOf(low).isDisadvantaged(), "three of five");
+        assertFalse(shares.classOf(low).isDisadvantaged(), "three of five served");
         for (int i = 0; i < 5; i++) {
-            shares.onLost(ranked(1000, 2, true), 1100);
+            shares.onNotServed(ranked(1000, 2, true), 1100);
         }
-        assertTrue(shares.classOf(ranked(1, 2, true)).isDisadvantaged(), "calls of hosts are a kind of their own");
+        assertTrue(shares.classOf(ranked(1, 2, true)).isDisadvantaged(), "nested calls are a class of their own");
         assertFalse(shares.classOf(low).isDisadvantaged());
         shares.onServed(ranked(1, 0, false), 80_000);
-        assertFalse(shares.classOf(ranked(1, 2, true)).isDisadvantaged(), "outcomes fade");
+        assertFalse(shares.classOf(ranked(1, 2, true)).isDisadvantaged(), "outcomes decay");
     }
 
     @Test
-    void aFullQueueTakesWhoGoesBeforeTheLast() {
-        RequestQueue line = new RequestQueue(LAWS.queue(), new FairShare());
-        while (!line.isFull()) {
-            line.add(ranked(line.size(), 1, false), line.size());
+    void aFullQueueDisplacesItsLastRequestForAnEarlierOne() {
+        RequestQueue queue = new RequestQueue(PARAMETERS.queue(), new FairShare());
+        while (!queue.isFull()) {
+            queue.add(ranked(queue.size(), 1, false), queue.size());
         }
-        assertEquals(null, line.displace(ranked(1000, 2, false), 10, 300));
+        assertEquals(null, queue.displace(ranked(1000, 2, false), 10, 300));
         assertEquals(
-                LAWS.queue().maxSize() - 1,
-                line.displace(ranked(1001, 1, true), 10, 300).request.id());
-        assertFalse(line.isFull());
+                PARAMETERS.queue().maxSize() - 1,
+                queue.displace(ranked(1001, 1, true), 10, 300).request.id());
+        assertFalse(queue.isFull());
     }
 
     @Test
--- a/src/test/java/brambletray/platform/admission/AdmissionSteps.java
+++ b/src/test/java/brambletray/platform/admission/AdmissionSteps.java
@@ -8,66 +8,66 @@
 import io.cucumber.java.en.When;
 import java.util.List;
 
-/** The words of this plane's features. */
+/** Cucumber steps of the admission features. */
 public class AdmissionSteps {
     private ServiceSpec spec;
-    private String root = "east";
-    private AdmissionParameters laws = AdmissionParameters.of(0.2, 12, 10_000, 1);
-    private SimulatedZones town;
+    private String rootZone = "east";
+    private AdmissionParameters parameters = AdmissionParameters.of(0.2, 12, 10_000, 1);
+    private SimulatedZones simulation;
 
-    @Given("a service of {int} MB, {int} at once, {int} ms to start, its target {int} ms")
-    public void service(int memoryMb, int most, int bootMs, int targetMs) {
-        spec = new ServiceSpec("s", memoryMb, bootMs, most, targetMs);
+    @Given("a service with {int} MB, concurrency {int}, boot time {int} ms and target {int} ms")
+    public void service(int memoryMb, int maxConcurrency, int bootMs, int targetMs) {
+        spec = new ServiceSpec("s", memoryMb, bootMs, maxConcurrency, targetMs);
     }
 
-    @Given("its root seat is in zone {word}")
-    public void root(String zone) {
-        root = zone;
+    @Given("the root zone is {word}")
+    public void setRootZone(String zone) {
+        rootZone = zone;
     }
 
-    @Given("a zone pays for a seat of its own from {int} requests a second on")
-    public void pays(int perS) {
-        laws = laws.withCrossZonePrice(spec.memoryMb() / 1024.0 / perS);
+    @Given("a zone justifies its own instances from {int} requests per second")
+    public void breakEvenRate(int requestsPerSecond) {
+        parameters = parameters.withCrossZonePrice(spec.memoryMb() / 1024.0 / requestsPerSecond);
     }
 
-    @Given("a slack of {int} further tries, and none for each request")
-    public void slack(int tries) {
-        laws = AdmissionParameters.of(0, 2 * tries, 10_000, 1);
+    @Given("a retry budget with a slack of {int} and a ratio of 0")
+    public void slack(int retries) {
+        parameters = AdmissionParameters.of(0, 2 * retries, 10_000, 1);
     }
 
-    @Then("it goes")
-    public void goes(String drawing) {
-        new Timeline(spec, laws, root).play(drawing);
+    @Then("the timeline is")
+    public void timeline(String timeline) {
+        new Timeline(spec, parameters, rootZone).play(timeline);
     }
 
-    @Given("a town of {int} services like it in {int} zone(s)")
-    public void town(int services, int zones) {
-        List<String> names = List.of("east", "west", "north").subList(0, zones);
-        town = new SimulatedZones(7, names, 1, laws);
+    @Given("{int} such services in {int} zone(s)")
+    public void simulateServices(int services, int zoneCount) {
+        List<String> names = List.of("east", "west", "north").subList(0, zoneCount);
+        simulation = new SimulatedZones(7, names, 1, parameters);
         for (int i = 0; i < services; i++) {
-            town.add(new ServiceSpec(
+            simulation.add(new ServiceSpec(
                     "rare" + i, spec.memoryMb(), spec.bootMs(), spec.maxConcurrency(), spec.targetMs()));
         }
     }
 
-    @When("each of them is called {int} times within a second, {int} ms of work each")
-    public void called(int times, int workMs) {
-        town.runUntil(1000);
-        for (String service : town.specs.keySet()) {
+    @When("each of them receives {int} requests within a second, with {int} ms of work each")
+    public void requestEachService(int times, int workMs) {
+        simulation.runUntil(1000);
+        for (String service : simulation.specs.keySet()) {
             for (int i = 0; i < times; i++) {
-                SimulatedZones.Kind kind =
-                        new SimulatedZones.Kind(service, 2, spec.targetMs(), 8000, 1, 0.3, workMs, 0);
-                town.at(1000 + town.random.nextInt(1000), () -> town.request(kind, "east"));
+                SimulatedZones.RequestKind kind =
+                        new SimulatedZones.RequestKind(service, 2, spec.targetMs(), 8000, 1, 0.3, workMs, 0);
+                simulation.at(1000 + simulation.random.nextInt(1000), () -> simulation.request(kind, "east"));
             }
         }
-        town.runUntil(12_000);
+        simulation.runUntil(12_000);
     }
 
-    @Then("all are served, {int} in a hundred of them in time, by {int} starts at most")
+    @Then("all are served, {int} percent of them in time, with {int} starts at most")
     public void served(int inTime, int starts) {
-        assertEquals(0, town.unserved, town.figures(1, 1, 1));
-        assertEquals(0, town.turnedAway);
-        assertTrue(town.inTime * 100 >= inTime * town.requests, town.figures(1, 1, 1));
-        assertTrue(town.starts <= starts, town.figures(1, 1, 1));
+        assertEquals(0, simulation.unserved, simulation.figures(1, 1, 1));
+        assertEquals(0, simulation.overLimit);
+        assertTrue(simulation.inTime * 100 >= inTime * simulation.requests, simulation.figures(1, 1, 1));
+        assertTrue(simulation.starts <= starts, simulation.figures(1, 1, 1));
     }
 }
--- a/src/test/java/brambletray/platform/admission/AdmissionTimelinesTest.java
+++ b/src/test/java/brambletray/platform/admission/AdmissionTimelinesTest.java
@@ -8,7 +8,7 @@
 import org.junit.platform.suite.api.SelectPackages;
 import org.junit.platform.suite.api.Suite;
 
-/** The drawn timelines of this plane. */
+/** Runs the timelines of the admission features. */
 @Suite
 @IncludeEngines("cucumber")
 @SelectPackages("brambletray.platform.admission")
--- a/src/test/java/brambletray/platform/admission/QueueMoveTest.java
+++ b/src/test/java/brambletray/platform/admission/QueueMoveTest.java
@@ -17,15 +17,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A home dies again and again with all places out and lines waiting, messages under way; whatever the order of events,
- * no host ever has more than its places in use, and all asks get their place.
+ * A home fails repeatedly while all slots are granted, requests are queued and messages are under way. Whatever the
+ * order of events, no instance may exceed its concurrency limit, and no request may be lost.
  */
 class QueueMoveTest {
-    private static final int HOSTS = 10;
-    private static final int MOST = 4;
+    private static final int INSTANCES = 10;
+    private static final int MAX_CONCURRENCY = 4;
     private static final int EDGES = 4;
 
-    private record Event(long at, long order, int life, Runnable what) {}
+    private record Event(long at, long order, int homeGeneration, Runnable action) {}
 
     private final java.util.PriorityQueue<Event> events = new java.util.PriorityQueue<>(
             (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
@@ -34,80 +34,85 @@
     private final Map<String, Integer> inUse = new HashMap<>();
     private Random random;
     private ServiceQueues home;
-    private int life;
+    private int homeGeneration;
     private long now;
     private long order;
     private long ids;
     private int granted;
 
-    private void later(int ms, int ofLife, Runnable what) {
-        events.add(new Event(now + ms, order++, ofLife, what));
+    private void schedule(int ms, int generation, Runnable action) {
+        events.add(new Event(now + ms, order++, generation, action));
     }
 
-    private void move() {
-        life++;
-        int mine = life;
-        home = new ServiceQueues("east", "n" + life, AdmissionParameters.of(0.2, 10, 10_000, 1), new Shell(mine));
-        home.onServiceSpec(new ServiceSpec("s", 512, 700, MOST, 300), now);
+    private void moveHome() {
+        homeGeneration++;
+        int generation = homeGeneration;
+        home = new ServiceQueues(
+                "east", "n" + homeGeneration, AdmissionParameters.of(0.2, 10, 10_000, 1), new EdgeActions(generation));
+        home.onServiceSpec(new ServiceSpec("s", 512, 700, MAX_CONCURRENCY, 300), now);
         List<String> edges = new ArrayList<>();
         for (int i = 0; i < EDGES; i++) {
             edges.add("e" + i);
             int edge = i;
-            later(1 + random.nextInt(60), mine, () -> {
+            schedule(1 + random.nextInt(60), generation, () -> {
                 List<SlotGrant> grants = new ArrayList<>();
-                held.get(edge).forEach((id, host) -> grants.add(new SlotGrant(id, host, "", false)));
-                waiting.get(edge).values().forEach(ask -> later(1, mine, () -> home.onSlotRequest(ask, false, now)));
+                held.get(edge).forEach((id, instance) -> grants.add(new SlotGrant(id, instance, "", false)));
+                waiting.get(edge)
+                        .values()
+                        .forEach(request -> schedule(1, generation, () -> home.onSlotRequest(request, false, now)));
                 home.onHeldSlots(new HeldSlots("e" + edge, "s", grants), now);
             });
         }
         home.takeOver("s", "east", edges, now);
     }
 
-    private void ask(int edge) {
-        SlotRequest ask = new SlotRequest(
+    private void requestSlot(int edge) {
+        SlotRequest request = new SlotRequest(
                 ++ids,
                 "e" + edge,
                 "east",
                 "s",
-                SlotOwner.nobody(random.nextInt(3)),
+                SlotOwner.withoutTenant(random.nextInt(3)),
                 60_000,
                 60_000,
                 false,
                 false,
                 random.nextInt(10) == 0,
                 List.of());
-        waiting.get(edge).put(ask.id(), ask);
-        later(1 + random.nextInt(3), life, () -> home.onSlotRequest(ask, false, now));
+        waiting.get(edge).put(request.id(), request);
+        schedule(1 + random.nextInt(3), homeGeneration, () -> home.onSlotRequest(request, false, now));
     }
 
-    private void granted(int edge, SlotGrant grant) {
+    private void onGrant(int edge, SlotGrant grant) {
         granted++;
         waiting.get(edge).remove(grant.requestId());
         held.get(edge).put(grant.requestId(), grant.instanceId());
         int used = inUse.merge(grant.instanceId(), 1, Integer::sum);
-        assertTrue(used <= MOST, () -> "host " + grant.instanceId() + " has " + used + " at " + now);
-        later(20 + random.nextInt(400), -1, () -> {
+        assertTrue(
+                used <= MAX_CONCURRENCY,
+                () -> "instance " + grant.instanceId() + " has " + used + " requests at " + now + " ms");
+        schedule(20 + random.nextInt(400), -1, () -> {
             held.get(edge).remove(grant.requestId());
             inUse.merge(grant.instanceId(), -1, Integer::sum);
-            later(
+            schedule(
                     1,
-                    life,
+                    homeGeneration,
                     () -> home.onSlotRelease(
                             "e" + edge,
                             new SlotRelease(grant.requestId(), grant.instanceId(), AttemptOutcome.SERVED, 100),
                             now));
-            ask(edge);
+            requestSlot(edge);
         });
     }
 
     @Test
-    void neverMoreThanAHostsPlaces() {
+    void noInstanceExceedsItsConcurrency() {
         for (long seed = 1; seed <= 40; seed++) {
-            play(seed);
+            simulate(seed);
         }
     }
 
-    private void play(long seed) {
+    private void simulate(long seed) {
         random = new Random(seed);
         events.clear();
         waiting.clear();
@@ -118,80 +123,83 @@
             waiting.add(new HashMap<>());
             held.add(new HashMap<>());
         }
-        move();
+        moveHome();
         for (int i = 0; i < 60; i++) {
-            ask(i % EDGES);
+            requestSlot(i % EDGES);
         }
         long nextMove = now + 600;
         for (long end = now + 6000; now < end; now++) {
             if (now == nextMove) {
-                move();
+                moveHome();
                 nextMove = now + 300 + random.nextInt(900);
             }
             while (!events.isEmpty() && events.peek().at <= now) {
                 Event event = events.poll();
-                if (event.life == -1 || event.life == life) {
-                    event.what.run();
+                if (event.homeGeneration == -1 || event.homeGeneration == homeGeneration) {
+                    event.action.run();
                 }
             }
             home.tick(now);
         }
-        assertTrue(granted > 300, "seed " + seed + ": " + granted);
-        int left = 0;
+        assertTrue(granted > 300, "seed " + seed + ": granted " + granted);
+        int queuedCount = 0;
         for (Map<Long, SlotRequest> of : waiting) {
-            left += of.size();
+            queuedCount += of.size();
         }
-        int out = 0;
+        int heldCount = 0;
         for (Map<Long, String> of : held) {
-            out += of.size();
+            heldCount += of.size();
         }
-        assertEquals(60, left + out, "seed " + seed);
+        assertEquals(60, queuedCount + heldCount, "seed " + seed);
     }
 
-    private final class Shell implements AdmissionActions {
-        private final int mine;
+    private final class EdgeActions implements AdmissionActions {
+        private final int generation;
 
-        Shell(int mine) {
-            this.mine = mine;
+        EdgeActions(int generation) {
+            this.generation = generation;
         }
 
         @Override
         public void grant(String edge, SlotGrant grant) {
             int of = Integer.parseInt(edge.substring(1));
-            later(1 + random.nextInt(3), mine, () -> {
+            schedule(1 + random.nextInt(3), generation, () -> {
                 if (waiting.get(of).containsKey(grant.requestId())) {
-                    granted(of, grant);
+                    onGrant(of, grant);
                 }
             });
         }
 
         @Override
-        public void refuse(String edge, SlotRefusal refuse) {
-            throw new AssertionError("refused: " + refuse);
+        public void refuse(String edge, SlotRefusal refusal) {
+            throw new AssertionError("refused: " + refusal);
         }
 
         @Override
-        public void redirect(String edge, SlotRedirect elsewhere) {}
+        public void redirect(String edge, SlotRedirect redirect) {}
 
         @Override
-        public void requestStart(StartRequest need) {}
+        public void requestStart(StartRequest request) {}
 
         @Override
-        public void requestStop(StopRequest quit) {}
+        public void requestStop(StopRequest request) {}
 
         @Override
-        public void reportUp(InstanceUp seen) {}
+        public void reportUp(InstanceUp instance) {}
 
         @Override
         public void claimHome(HomeClaim claim) {
-            List<InstanceInfo> hosts = new ArrayList<>();
-            for (int i = 0; i < HOSTS; i++) {
-                hosts.add(new InstanceInfo("h" + i, "s", "a", "east", "east", "w", "n", InstanceInfo.UP, 5000));
+            List<InstanceInfo> instances = new ArrayList<>();
+            for (int i = 0; i < INSTANCES; i++) {
+                instances.add(new InstanceInfo("h" + i, "s", "a", "east", "east", "w", "n", InstanceInfo.UP, 5000));
             }
-            later(2 + random.nextInt(80), mine, () -> home.onInstanceList(new InstanceList("s", "east", hosts), now));
+            schedule(
+                    2 + random.nextInt(80),
+                    generation,
+                    () -> home.onInstanceList(new InstanceList("s", "east", instances), now));
         }
 
         @Override
-        public void probe(String service, String hostId, String address) {}
+        public void probe(String service, String instanceId, String address) {}
     }
 }
--- a/src/test/java/brambletray/platform/admission/RetryBudgetMoveTest.java
+++ b/src/test/java/brambletray/platform/admission/RetryBudgetMoveTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Rule BUDGET across moves of a service's home: clients press with further tries all the time, and the home moves up to
- * three times in one window.
- * Virtual time; the seed is in the test's name.
+ * Rule BUDGET across moves of a service's home: an edge sends retries all the time, and the home moves up to three
+ * times within two windows. Guards against each new home granting the full slack again. Virtual time; the seed is in
+ * the test's name.
  */
 class RetryBudgetMoveTest {
     private static final double RATIO = 0.2;
@@ -25,53 +25,53 @@
     private static final int WINDOW_MS = 10_000;
     private static final int LENGTH_MS = 60_000;
     private static final int REQUEST_EVERY_MS = 100;
-    private static final int TRY_EVERY_MS = 10;
+    private static final int RETRY_EVERY_MS = 10;
 
     private final List<Long> requests = new ArrayList<>();
-    private final List<Long> furtherTries = new ArrayList<>();
-    private final List<SlotGrant> given = new ArrayList<>();
+    private final List<Long> retries = new ArrayList<>();
+    private final List<SlotGrant> granted = new ArrayList<>();
     private ServiceQueues home;
     private long now;
     private long ids;
 
     @TestFactory
-    List<DynamicTest> furtherTriesStayWithinTheBudgetOfEverySlidingWindow() {
+    List<DynamicTest> retriesStayWithinTheBudgetOfEverySlidingWindow() {
         List<DynamicTest> tests = new ArrayList<>();
         for (long seed = 1; seed <= 20; seed++) {
-            long one = seed;
-            tests.add(DynamicTest.dynamicTest("seed " + one, () -> new RetryBudgetMoveTest().play(one)));
+            long testSeed = seed;
+            tests.add(DynamicTest.dynamicTest("seed " + testSeed, () -> new RetryBudgetMoveTest().simulate(testSeed)));
         }
         return tests;
     }
 
-    private void play(long seed) {
+    private void simulate(long seed) {
         Random random = new Random(seed);
-        move(List.of());
+        moveHome(List.of());
         List<Long> moves = new ArrayList<>();
         while (now < LENGTH_MS) {
             now++;
             home.tick(now);
-            giveBack();
+            releaseSlots();
             boolean recentEnough = moves.size() < 3 || now - moves.get(moves.size() - 3) > 2 * WINDOW_MS;
             if (recentEnough && random.nextInt(1_500) == 0) {
                 moves.add(now);
-                move(List.of("a"));
+                moveHome(List.of("a"));
             }
             if (now % REQUEST_EVERY_MS == 0) {
                 requests.add(now);
-                ask(false);
+                requestSlot(false);
             }
-            if (now % TRY_EVERY_MS == 5) {
-                ask(true);
+            if (now % RETRY_EVERY_MS == 5) {
+                requestSlot(true);
             }
         }
-        assertTrue(furtherTries.size() > 50, "seed " + seed + ": further tries are granted: " + furtherTries.size());
-        for (long start : furtherTries) {
-            long tries = within(furtherTries, start);
-            double most = RATIO * within(requests, start) + SLACK;
+        assertTrue(retries.size() > 50, "seed " + seed + ": too few retries are granted: " + retries.size());
+        for (long start : retries) {
+            long retryCount = within(retries, start);
+            double limit = RATIO * within(requests, start) + SLACK;
             assertTrue(
-                    tries <= most,
-                    () -> "seed " + seed + ": " + tries + " of " + most + " from " + start + ", moves " + moves);
+                    retryCount <= limit,
+                    () -> "seed " + seed + ": " + retryCount + " of " + limit + " from " + start + ", moves " + moves);
         }
     }
 
@@ -81,61 +81,62 @@
                 .count();
     }
 
-    private void ask(boolean again) {
-        SlotRequest ask =
-                new SlotRequest(++ids, "a", "east", "s", SlotOwner.nobody(1), 50, 50, false, again, false, List.of());
-        home.onSlotRequest(ask, false, now);
+    private void requestSlot(boolean retry) {
+        SlotRequest request = new SlotRequest(
+                ++ids, "a", "east", "s", SlotOwner.withoutTenant(1), 50, 50, false, retry, false, List.of());
+        home.onSlotRequest(request, false, now);
     }
 
-    private void giveBack() {
-        for (SlotGrant grant : given) {
+    private void releaseSlots() {
+        for (SlotGrant grant : granted) {
             home.onSlotRelease(
                     "a", new SlotRelease(grant.requestId(), grant.instanceId(), AttemptOutcome.SERVED, 1), now);
         }
-        given.clear();
+        granted.clear();
     }
 
-    /** Another edge is home; {@code others}: edges that may hold slots given out by the one before. */
-    private void move(List<String> others) {
-        home = new ServiceQueues("east", "n" + now, AdmissionParameters.of(RATIO, SLACK, WINDOW_MS, 1), new Edge());
+    /** Makes another edge the home; {@code previousEdges}: edges that may hold slots granted by the previous one. */
+    private void moveHome(List<String> previousEdges) {
+        home = new ServiceQueues(
+                "east", "n" + now, AdmissionParameters.of(RATIO, SLACK, WINDOW_MS, 1), new EdgeActions());
         home.onServiceSpec(new ServiceSpec("s", 128, 500, 64, 1_000), now);
-        home.takeOver("s", "east", others, now);
-        InstanceInfo host = new InstanceInfo("h1", "s", "a:1", "east", "east", "w", "n", InstanceInfo.UP, 60_000);
-        home.onInstanceList(new InstanceList("s", "east", List.of(host)), now);
-        for (String edge : others) {
+        home.takeOver("s", "east", previousEdges, now);
+        InstanceInfo instance = new InstanceInfo("h1", "s", "a:1", "east", "east", "w", "n", InstanceInfo.UP, 60_000);
+        home.onInstanceList(new InstanceList("s", "east", List.of(instance)), now);
+        for (String edge : previousEdges) {
             home.onHeldSlots(new HeldSlots(edge, "s", List.of()), now);
         }
     }
 
-    /** Counts further tries that are granted; gives each slot back at once. */
-    private final class Edge implements AdmissionActions {
+    /** Counts granted retries, and remembers all granted slots for release. */
+    private final class EdgeActions implements AdmissionActions {
         @Override
         public void grant(String edge, SlotGrant grant) {
-            if (now % TRY_EVERY_MS == 5) {
-                furtherTries.add(now);
+            if (now % RETRY_EVERY_MS == 5) {
+                retries.add(now);
             }
-            given.add(grant);
+            granted.add(grant);
         }
 
         @Override
-        public void refuse(String edge, SlotRefusal refuse) {}
+        public void refuse(String edge, SlotRefusal refusal) {}
 
         @Override
-        public void redirect(String edge, SlotRedirect elsewhere) {}
+        public void redirect(String edge, SlotRedirect redirect) {}
 
         @Override
-        public void requestStart(StartRequest need) {}
+        public void requestStart(StartRequest request) {}
 
         @Override
-        public void requestStop(StopRequest quit) {}
+        public void requestStop(StopRequest request) {}
 
         @Override
-        public void reportUp(InstanceUp seen) {}
+        public void reportUp(InstanceUp instance) {}
 
         @Override
         public void claimHome(HomeClaim claim) {}
 
         @Override
-        public void probe(String service, String hostId, String address) {}
+        public void probe(String service, String instanceId, String address) {}
     }
 }
--- a/src/test/java/brambletray/platform/admission/SimulatedZones.java
+++ b/src/test/java/brambletray/platform/admission/SimulatedZones.java
@@ -20,108 +20,109 @@
 import java.util.function.Consumer;
 
 /**
- * Zones, each with one edge that is home of the zone's queues; a platform that starts hosts; clients that come by
- * chance. Simulated time, one seed. Counts what the clients and the operator would.
+ * Simulates zones, each with one edge that is the home of the zone's queues, a platform that starts instances, and
+ * clients with Poisson arrivals, in simulated time with one seed. Counts the results that clients and the operator
+ * see.
  */
 final class SimulatedZones {
-    record Kind(
+    record RequestKind(
             String service,
             int priority,
             int targetMs,
             int deadlineMs,
-            double worth,
-            double late,
+            double value,
+            double lateValue,
             double workMs,
-            double inner,
+            double nestedCallShare,
             String tenant) {
 
-        /** A kind of nobody's requests. */
-        Kind(
+        /** Requests without a tenant. */
+        RequestKind(
                 String service,
                 int priority,
                 int targetMs,
                 int deadlineMs,
-                double worth,
-                double late,
+                double value,
+                double lateValue,
                 double workMs,
-                double inner) {
-            this(service, priority, targetMs, deadlineMs, worth, late, workMs, inner, "");
+                double nestedCallShare) {
+            this(service, priority, targetMs, deadlineMs, value, lateValue, workMs, nestedCallShare, "");
         }
 
         private String label() {
-            return service + " rank " + priority + (tenant.isEmpty() ? "" : " of " + tenant);
+            return service + " priority " + priority + (tenant.isEmpty() ? "" : " of " + tenant);
         }
     }
 
-    /** Requests, or calls of hosts, of one kind. */
+    /** Number of client requests, or of nested calls, of one kind. */
     static final class Count {
-        int asked;
+        int total;
         int served;
 
         double share() {
-            return asked == 0 ? 1 : (double) served / asked;
+            return total == 0 ? 1 : (double) served / total;
         }
     }
 
-    private record Event(double at, long order, Runnable what) {}
+    private record Event(double at, long order, Runnable action) {}
 
-    static final class Machine {
-        final InstanceInfo host;
-        final double bornAt;
+    static final class SimulatedInstance {
+        final InstanceInfo info;
+        final double startedAt;
         double upAt;
         boolean up;
         boolean dead;
         int busy;
 
-        Machine(InstanceInfo host, double bornAt) {
-            this.host = host;
-            this.bornAt = bornAt;
+        SimulatedInstance(InstanceInfo info, double startedAt) {
+            this.info = info;
+            this.startedAt = startedAt;
         }
     }
 
     final Random random;
     final List<String> zones;
-    final double crossMs;
+    final double crossZoneMs;
     final Map<String, ServiceSpec> specs = new HashMap<>();
     final Map<String, ServiceQueues> homes = new HashMap<>();
-    final Map<String, Machine> machines = new HashMap<>();
-    /** The call that a host of a service makes, where it is not one to the same service. */
-    final Map<String, Kind> callOf = new HashMap<>();
-    /** Hosts of a service for which the platform has room, where that is limited. */
-    final Map<String, Integer> roomFor = new HashMap<>();
-    /** By kind: requests of clients, and calls of hosts, that have ended. */
+    final Map<String, SimulatedInstance> instances = new HashMap<>();
+    /** The nested call made by instances of a service, if it does not go to the same service. */
+    final Map<String, RequestKind> nestedCalls = new HashMap<>();
+    /** Maximum number of instances of a service, if the platform limits it. */
+    final Map<String, Integer> instanceLimits = new HashMap<>();
+    /** Completed client requests and nested calls, by kind. */
     final Map<String, Count> counts = new TreeMap<>();
 
     private final Map<String, InstanceInfo> byNonce = new HashMap<>();
-    private final Map<Long, Try> tries = new HashMap<>();
-    private final Map<String, String> elsewhere = new HashMap<>();
-    private final Set<String> planned = new HashSet<>();
+    private final Map<Long, Attempt> attempts = new HashMap<>();
+    private final Map<String, String> redirectedTo = new HashMap<>();
+    private final Set<String> scheduledTicks = new HashSet<>();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
     private long order;
     private long ids;
-    private int hostIds;
+    private int instanceIds;
     double now;
-    double worth;
-    double owed;
+    double value;
+    double maxValue;
     int requests;
     int inTime;
     int late;
     int refused;
     int unserved;
     int starts;
-    int crossed;
-    int turnedAway;
-    int sentOn;
+    int crossZoneRequests;
+    int overLimit;
+    int redirects;
     double gbSeconds;
-    int mostHosts;
+    int maxInstances;
 
-    SimulatedZones(long seed, List<String> zones, double crossMs, AdmissionParameters laws) {
+    SimulatedZones(long seed, List<String> zones, double crossMs, AdmissionParameters parameters) {
         random = new Random(seed);
         this.zones = zones;
-        this.crossMs = crossMs;
+        this.crossZoneMs = crossMs;
         for (String zone : zones) {
-            homes.put(zone, new ServiceQueues(zone, zone, laws, new Shell(zone)));
+            homes.put(zone, new ServiceQueues(zone, zone, parameters, new ZoneActions(zone)));
         }
     }
 
@@ -134,25 +135,26 @@
         for (String zone : zones) {
             homes.get(zone).onServiceSpec(spec, (long) now);
             homes.get(zone).takeOver(spec.service(), root(spec.service()), List.of(), (long) now);
-            wake(zone);
+            scheduleTick(zone);
         }
     }
 
-    void at(double when, Runnable what) {
-        events.add(new Event(Math.max(now, when), order++, what));
+    void at(double when, Runnable action) {
+        events.add(new Event(Math.max(now, when), order++, action));
     }
 
     void runUntil(double end) {
         while (!events.isEmpty() && events.peek().at <= end) {
             Event event = events.poll();
             now = event.at;
-            event.what.run();
+            event.action.run();
         }
         now = end;
     }
 
-    /** Poisson arrivals of a kind in a zone, at a rate per second that may change with time. */
-    void arrivals(Kind kind, String zone, java.util.function.DoubleUnaryOperator perS, double peak, double until) {
+    /** Poisson arrivals of a kind in a zone, with a rate per second that may change over time, at most {@code peak}. */
+    void arrivals(
+            RequestKind kind, String zone, java.util.function.DoubleUnaryOperator perS, double peak, double until) {
         at(now - Math.log(1 - random.nextDouble()) * 1000 / peak, () -> {
             if (now < until) {
                 if (random.nextDouble() * peak < perS.applyAsDouble(now)) {
@@ -163,178 +165,184 @@
         });
     }
 
-    void request(Kind kind, String zone) {
+    void request(RequestKind kind, String zone) {
         requests++;
-        owed += kind.worth;
-        new Try(kind, zone, now, now + kind.deadlineMs, null).start();
+        maxValue += kind.value;
+        new Attempt(kind, zone, now, now + kind.deadlineMs, null).start();
     }
 
-    private void link(String from, String to, Runnable what) {
-        at(now + (from.equals(to) ? 0.2 : crossMs), what);
+    private void deliver(String from, String to, Runnable action) {
+        at(now + (from.equals(to) ? 0.2 : crossZoneMs), action);
     }
 
-    private void wake(String zone) {
+    private void scheduleTick(String zone) {
         long due = homes.get(zone).nextDueMs();
-        if (due < Long.MAX_VALUE && planned.add(zone + due)) {
+        if (due < Long.MAX_VALUE && scheduledTicks.add(zone + due)) {
             at(due, () -> {
-                planned.remove(zone + due);
+                scheduledTicks.remove(zone + due);
                 homes.get(zone).tick((long) now);
-                wake(zone);
+                scheduleTick(zone);
             });
         }
     }
 
-    private void queues(String zone, Consumer<ServiceQueues> what) {
-        what.accept(homes.get(zone));
-        wake(zone);
+    private void queues(String zone, Consumer<ServiceQueues> action) {
+        action.accept(homes.get(zone));
+        scheduleTick(zone);
     }
 
-    /** One try of a client, or of a host. */
-    private final class Try {
-        final Kind kind;
+    /** A client request or a nested call, with its retries. */
+    private final class Attempt {
+        final RequestKind kind;
         final String zone;
-        final double first;
-        final double end;
-        /** What the host that calls does with the outcome; null: a client asks. */
-        final Consumer<Boolean> parent;
-
-        double begun;
-        boolean back;
-        boolean counted;
+        final double requestedAt;
+        final double deadline;
+        /** Called with the outcome of a nested call; null for a client request. */
+        final Consumer<Boolean> onNestedCallDone;
+
+        double startedAt;
+        boolean retriedLater;
+        boolean refusalCounted;
         long id;
         int hops;
-        int tried;
-        String asked;
-
-        Try(Kind kind, String zone, double first, double end, Consumer<Boolean> parent) {
+        int grants;
+        String home;
+
+        Attempt(
+                RequestKind kind,
+                String zone,
+                double requestedAt,
+                double deadline,
+                Consumer<Boolean> onNestedCallDone) {
             this.kind = kind;
             this.zone = zone;
-            this.first = first;
-            this.end = end;
-            this.parent = parent;
+            this.requestedAt = requestedAt;
+            this.deadline = deadline;
+            this.onNestedCallDone = onNestedCallDone;
         }
 
         void start() {
-            begun = now;
+            startedAt = now;
             id = ++ids;
             hops = 0;
-            tries.put(id, this);
-            String to = elsewhere.getOrDefault(zone + kind.service, root(kind.service));
-            ask(to);
+            attempts.put(id, this);
+            String to = redirectedTo.getOrDefault(zone + kind.service, root(kind.service));
+            requestSlot(to);
         }
 
-        void ask(String to) {
-            asked = to;
-            SlotRequest ask = new SlotRequest(
+        void requestSlot(String to) {
+            home = to;
+            SlotRequest request = new SlotRequest(
                     id,
                     zone,
                     zone,
                     kind.service,
                     new SlotOwner(kind.tenant, kind.priority, 0),
-                    (int) (end - now),
+                    (int) (deadline - now),
                     kind.targetMs,
                     false,
-                    tried > 0,
-                    parent != null,
+                    grants > 0,
+                    onNestedCallDone != null,
                     List.of());
-            link(zone, to, () -> queues(to, queues -> queues.onSlotRequest(ask, false, (long) now)));
+            deliver(zone, to, () -> queues(to, queues -> queues.onSlotRequest(request, false, (long) now)));
         }
 
-        void granted(SlotGrant grant) {
-            Machine machine = machines.get(grant.instanceId());
-            String there = machine.host.zone();
+        void onGrant(SlotGrant grant) {
+            SimulatedInstance instance = instances.get(grant.instanceId());
+            String there = instance.info.zone();
             if (!there.equals(zone)) {
-                crossed++;
+                crossZoneRequests++;
             }
             double sent = now;
-            tried++;
-            link(zone, there, () -> {
-                if (!machine.up || machine.dead) {
-                    link(there, zone, () -> finish(grant, AttemptOutcome.UNREACHED, sent, false));
-                } else if (machine.busy >= specs.get(kind.service).maxConcurrency()) {
-                    turnedAway++;
-                    link(there, zone, () -> finish(grant, AttemptOutcome.NOT_RUN, sent, false));
+            grants++;
+            deliver(zone, there, () -> {
+                if (!instance.up || instance.dead) {
+                    deliver(there, zone, () -> onOutcome(grant, AttemptOutcome.UNREACHED, sent, false));
+                } else if (instance.busy >= specs.get(kind.service).maxConcurrency()) {
+                    overLimit++;
+                    deliver(there, zone, () -> onOutcome(grant, AttemptOutcome.NOT_RUN, sent, false));
                 } else {
-                    machine.busy++;
+                    instance.busy++;
                     double work = 3 + lognormal(kind.workMs, 0.5);
                     double at = now + work;
-                    if (random.nextDouble() < kind.inner) {
-                        Kind same = new Kind(kind.service, 2, kind.targetMs, kind.deadlineMs, 0, 0, kind.workMs, 0);
-                        Kind call = callOf.getOrDefault(kind.service, same);
-                        Consumer<Boolean> then = ok -> at(now + work / 2, () -> ready(grant, machine, sent, ok));
-                        at(now + work / 2, () -> new Try(call, there, now, end, then).start());
+                    if (random.nextDouble() < kind.nestedCallShare) {
+                        RequestKind same =
+                                new RequestKind(kind.service, 2, kind.targetMs, kind.deadlineMs, 0, 0, kind.workMs, 0);
+                        RequestKind call = nestedCalls.getOrDefault(kind.service, same);
+                        Consumer<Boolean> then = ok -> at(now + work / 2, () -> onWorkDone(grant, instance, sent, ok));
+                        at(now + work / 2, () -> new Attempt(call, there, now, deadline, then).start());
                     } else {
-                        at(at, () -> ready(grant, machine, sent, true));
+                        at(at, () -> onWorkDone(grant, instance, sent, true));
                     }
                 }
             });
         }
 
-        /** The host's work is done; {@code ok}: its call was served, else it answers 500. */
-        void ready(SlotGrant grant, Machine machine, double sent, boolean ok) {
-            if (machine.dead) {
-                finish(grant, AttemptOutcome.BROKEN, sent, false);
+        /** The instance has done its work; {@code ok}: its nested call was served, else it answers 500. */
+        void onWorkDone(SlotGrant grant, SimulatedInstance instance, double sent, boolean ok) {
+            if (instance.dead) {
+                onOutcome(grant, AttemptOutcome.BROKEN, sent, false);
                 return;
             }
-            machine.busy--;
-            link(
-                    machine.host.zone(),
+            instance.busy--;
+            deliver(
+                    instance.info.zone(),
                     zone,
-                    () -> finish(grant, ok ? AttemptOutcome.SERVED : AttemptOutcome.FAILED, sent, ok));
+                    () -> onOutcome(grant, ok ? AttemptOutcome.SERVED : AttemptOutcome.FAILED, sent, ok));
         }
 
-        void finish(SlotGrant grant, AttemptOutcome fate, double sent, boolean served) {
-            SlotRelease done = new SlotRelease(grant.requestId(), grant.instanceId(), fate, (int) (now - sent));
-            String to = asked;
-            link(zone, to, () -> queues(to, queues -> queues.onSlotRelease(zone, done, (long) now)));
+        void onOutcome(SlotGrant grant, AttemptOutcome outcome, double sent, boolean served) {
+            SlotRelease done = new SlotRelease(grant.requestId(), grant.instanceId(), outcome, (int) (now - sent));
+            String to = home;
+            deliver(zone, to, () -> queues(to, queues -> queues.onSlotRelease(zone, done, (long) now)));
             if (served) {
-                end(true);
-            } else if (fate != AttemptOutcome.FAILED && now + 50 < end && tried < 3) {
+                complete(true);
+            } else if (outcome != AttemptOutcome.FAILED && now + 50 < deadline && grants < 3) {
                 start();
             } else {
-                end(false);
+                complete(false);
             }
         }
 
-        void end(boolean served) {
-            tries.remove(id);
-            boolean ok = served && now <= end;
-            String name = (parent == null ? "" : "call of ") + kind.label();
+        void complete(boolean served) {
+            attempts.remove(id);
+            boolean ok = served && now <= deadline;
+            String name = (onNestedCallDone == null ? "" : "nested call of ") + kind.label();
             Count count = counts.computeIfAbsent(name, n -> new Count());
-            count.asked++;
+            count.total++;
             count.served += ok ? 1 : 0;
-            if (parent != null) {
-                parent.accept(ok);
+            if (onNestedCallDone != null) {
+                onNestedCallDone.accept(ok);
                 return;
             }
-            if (!served || now > end) {
+            if (!served || now > deadline) {
                 unserved++;
                 return;
             }
-            boolean timely = now + 2 - (back ? begun : first) <= kind.targetMs;
-            if (timely && !back) {
+            boolean timely = now + 2 - (retriedLater ? startedAt : requestedAt) <= kind.targetMs;
+            if (timely && !retriedLater) {
                 inTime++;
-                worth += kind.worth;
+                value += kind.value;
             } else {
                 late++;
-                worth += timely ? (kind.worth + kind.late) / 2 : kind.late;
+                value += timely ? (kind.value + kind.lateValue) / 2 : kind.lateValue;
             }
         }
 
-        void refused(int comeBackMs) {
-            tries.remove(id);
-            if (!counted) {
+        void onRefusal(int retryAfterMs) {
+            attempts.remove(id);
+            if (!refusalCounted) {
                 refused++;
-                counted = true;
+                refusalCounted = true;
             }
-            double left = end - now;
-            double pause = Math.max(50, Math.min(comeBackMs < 0 ? 100 : comeBackMs, left / 3));
-            if (parent != null || ++tried > 3 || pause > left) {
-                end(false);
+            double left = deadline - now;
+            double pause = Math.max(50, Math.min(retryAfterMs < 0 ? 100 : retryAfterMs, left / 3));
+            if (onNestedCallDone != null || ++grants > 3 || pause > left) {
+                complete(false);
                 return;
             }
-            back = true;
-            tried = 0;
+            retriedLater = true;
+            grants = 0;
             at(now + pause, this::start);
         }
     }
@@ -343,127 +351,128 @@
         return mean * Math.exp(sigma * random.nextGaussian() - sigma * sigma / 2);
     }
 
-    private boolean full(String service) {
-        int hosts = 0;
-        for (Machine machine : machines.values()) {
-            hosts += machine.host.service().equals(service) ? 1 : 0;
+    private boolean atInstanceLimit(String service) {
+        int count = 0;
+        for (SimulatedInstance instance : instances.values()) {
+            count += instance.info.service().equals(service) ? 1 : 0;
         }
-        return hosts >= roomFor.getOrDefault(service, Integer.MAX_VALUE);
+        return count >= instanceLimits.getOrDefault(service, Integer.MAX_VALUE);
     }
 
-    /** Starts a host as the platform does. */
-    private InstanceInfo begin(StartRequest need, String zone) {
-        InstanceInfo known = byNonce.get(need.nonce());
-        if (known != null) {
-            return known;
+    /** Starts an instance as the platform does: a repeated nonce returns the existing one. */
+    private InstanceInfo startInstance(StartRequest request, String zone) {
+        InstanceInfo existing = byNonce.get(request.nonce());
+        if (existing != null) {
+            return existing;
         }
-        InstanceInfo host = new InstanceInfo(
-                "h" + ++hostIds,
-                need.service(),
-                "10.0.0.1:" + hostIds,
+        InstanceInfo info = new InstanceInfo(
+                "h" + ++instanceIds,
+                request.service(),
+                "10.0.0.1:" + instanceIds,
                 zone,
-                need.homeZone(),
+                request.homeZone(),
                 "w",
-                need.nonce(),
+                request.nonce(),
                 InstanceInfo.BOOTING,
                 0);
-        byNonce.put(need.nonce(), host);
-        Machine machine = new Machine(host, now);
-        machine.upAt = now + lognormal(specs.get(need.service()).bootMs(), 0.3);
-        at(machine.upAt, () -> machine.up = true);
-        machines.put(host.id(), machine);
-        mostHosts = Math.max(mostHosts, machines.size());
+        byNonce.put(request.nonce(), info);
+        SimulatedInstance instance = new SimulatedInstance(info, now);
+        instance.upAt = now + lognormal(specs.get(request.service()).bootMs(), 0.3);
+        at(instance.upAt, () -> instance.up = true);
+        instances.put(info.id(), instance);
+        maxInstances = Math.max(maxInstances, instances.size());
         starts++;
-        return host;
+        return info;
     }
 
-    void end(Machine machine) {
-        if (machines.remove(machine.host.id()) != null) {
-            counters(machine);
-            gbSeconds += specs.get(machine.host.service()).memoryMb() / 1024.0 * (now - machine.bornAt) / 1000;
+    void stopInstance(SimulatedInstance instance) {
+        if (instances.remove(instance.info.id()) != null) {
+            addTotals(instance);
+            gbSeconds += specs.get(instance.info.service()).memoryMb() / 1024.0 * (now - instance.startedAt) / 1000;
         }
     }
 
-    /** All memory until now. */
+    /** Memory used by all instances until now, GB-seconds. */
     double gbSeconds() {
         double all = gbSeconds;
-        for (Machine machine : machines.values()) {
-            all += specs.get(machine.host.service()).memoryMb() / 1024.0 * (now - machine.bornAt) / 1000;
+        for (SimulatedInstance instance : instances.values()) {
+            all += specs.get(instance.info.service()).memoryMb() / 1024.0 * (now - instance.startedAt) / 1000;
         }
         return all;
     }
 
-    /** What a zone's queues want done. */
-    private final class Shell implements AdmissionActions {
+    /** Performs the actions of a zone's queues. */
+    private final class ZoneActions implements AdmissionActions {
         final String zone;
 
-        Shell(String zone) {
+        ZoneActions(String zone) {
             this.zone = zone;
         }
 
         @Override
         public void grant(String edge, SlotGrant grant) {
-            Try one = tries.get(grant.requestId());
-            link(zone, edge, () -> one.granted(grant));
+            Attempt attempt = attempts.get(grant.requestId());
+            deliver(zone, edge, () -> attempt.onGrant(grant));
         }
 
         @Override
-        public void refuse(String edge, SlotRefusal refuse) {
-            Try one = tries.get(refuse.requestId());
-            link(zone, edge, () -> one.refused(refuse.retryAfterMs()));
+        public void refuse(String edge, SlotRefusal refusal) {
+            Attempt attempt = attempts.get(refusal.requestId());
+            deliver(zone, edge, () -> attempt.onRefusal(refusal.retryAfterMs()));
         }
 
         @Override
-        public void redirect(String edge, SlotRedirect word) {
-            sentOn++;
-            Try one = tries.get(word.requestId());
-            link(zone, edge, () -> {
-                elsewhere.put(edge + word.service(), word.zone());
-                if (++one.hops > 3) {
-                    throw new IllegalStateException("sent on for ever: " + word);
+        public void redirect(String edge, SlotRedirect redirect) {
+            redirects++;
+            Attempt attempt = attempts.get(redirect.requestId());
+            deliver(zone, edge, () -> {
+                redirectedTo.put(edge + redirect.service(), redirect.zone());
+                if (++attempt.hops > 3) {
+                    throw new IllegalStateException("redirected more than 3 times: " + redirect);
                 }
-                one.ask(word.zone());
+                attempt.requestSlot(redirect.zone());
             });
         }
 
         @Override
-        public void requestStart(StartRequest need) {
+        public void requestStart(StartRequest request) {
             at(now + 8, () -> {
-                if (!byNonce.containsKey(need.nonce()) && full(need.service())) {
+                if (!byNonce.containsKey(request.nonce()) && atInstanceLimit(request.service())) {
                     at(
                             now + 4,
                             () -> queues(
                                     zone,
-                                    queues -> queues.onStartRefused(new StartRefusal(need.nonce(), 500), (long) now)));
+                                    queues ->
+                                            queues.onStartRefused(new StartRefusal(request.nonce(), 500), (long) now)));
                     return;
                 }
-                InstanceInfo host = begin(need, zone);
+                InstanceInfo info = startInstance(request, zone);
                 at(
                         now + 4,
                         () -> queues(
                                 zone,
-                                queues ->
-                                        queues.onInstanceStarted(new InstanceStarted(need.nonce(), host), (long) now)));
+                                queues -> queues.onInstanceStarted(
+                                        new InstanceStarted(request.nonce(), info), (long) now)));
             });
         }
 
         @Override
-        public void requestStop(StopRequest quit) {
+        public void requestStop(StopRequest request) {
             at(now + 8, () -> {
-                Machine machine = machines.get(quit.id());
-                if (machine != null) {
-                    end(machine);
+                SimulatedInstance instance = instances.get(request.id());
+                if (instance != null) {
+                    stopInstance(instance);
                 }
                 queues(
                         zone,
                         queues -> queues.onInstanceGone(
-                                new brambletray.platform.provisioning.InstanceGone(quit.id(), quit.service()),
+                                new brambletray.platform.provisioning.InstanceGone(request.id(), request.service()),
                                 (long) now));
             });
         }
 
         @Override
-        public void reportUp(InstanceUp seen) {}
+        public void reportUp(InstanceUp instance) {}
 
         @Override
         public void claimHome(HomeClaim claim) {
@@ -477,45 +486,46 @@
         }
 
         @Override
-        public void probe(String service, String hostId, String address) {
-            Machine machine = machines.get(hostId);
+        public void probe(String service, String instanceId, String address) {
+            SimulatedInstance instance = instances.get(instanceId);
             at(now + 0.5, () -> {
-                boolean ok = machine != null && machine.up && !machine.dead;
-                queues(zone, queues -> queues.onProbed(hostId, ok, (long) now));
+                boolean ok = instance != null && instance.up && !instance.dead;
+                queues(zone, queues -> queues.onProbed(instanceId, ok, (long) now));
             });
         }
     }
 
-    /** Memory and starts by the first letters of services. */
-    private final Map<String, double[]> bySort = new TreeMap<>();
+    /** Memory in GB-seconds and number of starts, by the first four letters of the service. */
+    private final Map<String, double[]> totalsByPrefix = new TreeMap<>();
 
-    private void counters(Machine machine) {
-        double[] sum = bySort.computeIfAbsent(machine.host.service().substring(0, 4), s -> new double[2]);
-        sum[0] += specs.get(machine.host.service()).memoryMb() / 1024.0 * (now - machine.bornAt) / 1000;
+    private void addTotals(SimulatedInstance instance) {
+        double[] sum = totalsByPrefix.computeIfAbsent(instance.info.service().substring(0, 4), s -> new double[2]);
+        sum[0] += specs.get(instance.info.service()).memoryMb() / 1024.0 * (now - instance.startedAt) / 1000;
         sum[1]++;
     }
 
     String figures(double priceGbS, double priceStart, double priceCross) {
-        machines.values().forEach(this::counters);
-        StringBuilder sorts = new StringBuilder();
-        bySort.forEach((name, sum) -> sorts.append(String.format(" %s %.0f GB-s %.0f starts", name, sum[0], sum[1])));
-        double cost = gbSeconds() * priceGbS + starts * priceStart + crossed * priceCross;
+        instances.values().forEach(this::addTotals);
+        StringBuilder totals = new StringBuilder();
+        totalsByPrefix.forEach(
+                (name, sum) -> totals.append(String.format(" %s %.0f GB-s %.0f starts", name, sum[0], sum[1])));
+        double cost = gbSeconds() * priceGbS + starts * priceStart + crossZoneRequests * priceCross;
         return String.format(
-                "worth %.3f  net %.3f  in time %.1f%%  late %.1f%%  refused %d  unserved %d  starts %d  GB-s %.0f  crossed %.1f%%"
-                        + "  most hosts %d  turned away %d  sent on %d  of %d %s",
-                worth / owed,
-                (worth - cost) / owed,
+                "value %.3f  net %.3f  in time %.1f%%  late %.1f%%  refused %d  unserved %d  starts %d  GB-s %.0f"
+                        + "  cross-zone %.1f%%  max instances %d  over limit %d  redirects %d  requests %d %s",
+                value / maxValue,
+                (value - cost) / maxValue,
                 100.0 * inTime / requests,
                 100.0 * late / requests,
                 refused,
                 unserved,
                 starts,
                 gbSeconds(),
-                100.0 * crossed / requests,
-                mostHosts,
-                turnedAway,
-                sentOn,
+                100.0 * crossZoneRequests / requests,
+                maxInstances,
+                overLimit,
+                redirects,
                 requests,
-                sorts);
+                totals);
     }
 }
--- a/src/test/java/brambletray/platform/admission/SimulatedZonesMain.java
+++ b/src/test/java/brambletray/platform/admission/SimulatedZonesMain.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Prints waits, hosts and starts of a town under different laws: {@code SimulatedZonesMain [seeds]}. */
+/**
+ * Prints the results of {@link SimulatedZones} for different parameters: {@code SimulatedZonesMain [seeds [parameter
+ * value,...]]}.
+ */
 public final class SimulatedZonesMain {
     private SimulatedZonesMain() {}
 
@@ -27,31 +30,32 @@
     static final Site LARGE = new Site(3, 1.4, 210, 1400, 300, 4000, 60, 400, 90, 900, 1500, 8000, 1.1, 0.45, 0.075);
     static final Site FAST = new Site(4, 0.5, 210, 750, 400, 2500, 80, 500, 120, 500, 1000, 5000, 1.1, 0.15, 0.02);
 
-    static SimulatedZones play(Site site, long seed, AdmissionParameters laws, double burst, double rareBurst) {
+    static SimulatedZones simulate(
+            Site site, long seed, AdmissionParameters parameters, double burstFactor, double rareBurstFactor) {
         List<String> zones = new ArrayList<>();
         for (int i = 0; i < site.zones; i++) {
             zones.add("zone-" + (char) ('a' + i));
         }
-        SimulatedZones town = new SimulatedZones(seed, zones, site.crossMs, laws);
+        SimulatedZones simulation = new SimulatedZones(seed, zones, site.crossMs, parameters);
         double length = 49000;
-        town.at(100, () -> {
+        simulation.at(100, () -> {
             for (int i = 0; i < 6; i++) {
-                town.add(new ServiceSpec("desk" + i, 512, site.deskBootMs, 4, site.deskTarget));
+                simulation.add(new ServiceSpec("desk" + i, 512, site.deskBootMs, 4, site.deskTarget));
             }
             for (int i = 0; i < 105; i++) {
-                town.add(new ServiceSpec("rare" + i, 128, site.rareBootMs, 1, site.rareTarget));
+                simulation.add(new ServiceSpec("rare" + i, 128, site.rareBootMs, 1, site.rareTarget));
             }
         });
-        town.at(15000, () -> {
+        simulation.at(15000, () -> {
             for (String zone : zones) {
                 double rate = site.perS / site.zones;
-                spread(
-                        town,
+                addArrivals(
+                        simulation,
                         zone,
                         "desk",
                         6,
                         rate * 0.6,
-                        burst,
+                        burstFactor,
                         length,
                         2,
                         site.deskTarget,
@@ -60,8 +64,8 @@
                         0.3,
                         site.deskWork,
                         0.3);
-                spread(
-                        town,
+                addArrivals(
+                        simulation,
                         zone,
                         "desk",
                         6,
@@ -75,13 +79,13 @@
                         0.6,
                         site.claimWork,
                         0);
-                spread(
-                        town,
+                addArrivals(
+                        simulation,
                         zone,
                         "rare",
                         105,
                         rate * 0.2,
-                        rareBurst,
+                        rareBurstFactor,
                         length,
                         2,
                         site.rareTarget,
@@ -92,12 +96,12 @@
                         0);
             }
         });
-        town.runUntil(length);
-        return town;
+        simulation.runUntil(length);
+        return simulation;
     }
 
-    private static void spread(
-            SimulatedZones town,
+    private static void addArrivals(
+            SimulatedZones simulation,
             String zone,
             String name,
             int services,
@@ -107,19 +111,19 @@
             int priority,
             int target,
             int deadline,
-            double worth,
-            double late,
+            double value,
+            double lateValue,
             double work,
-            double inner) {
+            double nestedCallShare) {
         double sum = 0;
         for (int i = 0; i < services; i++) {
             sum += Math.pow(i + 1, -0.9);
         }
         for (int i = 0; i < services; i++) {
             double rate = perS * Math.pow(i + 1, -0.9) / sum;
-            SimulatedZones.Kind kind =
-                    new SimulatedZones.Kind(name + i, priority, target, deadline, worth, late, work, inner);
-            town.arrivals(
+            SimulatedZones.RequestKind kind = new SimulatedZones.RequestKind(
+                    name + i, priority, target, deadline, value, lateValue, work, nestedCallShare);
+            simulation.arrivals(
                     kind,
                     zone,
                     now -> now > 26500 && now < 30000 ? rate * burst : rate,
@@ -133,14 +137,14 @@
         System.setProperty("java.util.logging.SimpleFormatter.format", "");
         java.util.logging.LogManager.getLogManager().reset();
         AdmissionParameters standard = AdmissionParameters.of(0.2, 52, 10000, 3);
-        show("standard", standard, seeds);
+        printResults("standard", standard, seeds);
         if (args.length < 2) {
             return;
         }
         String[] values = args[2].split(",");
         for (String value : values) {
             double v = Double.parseDouble(value);
-            show(
+            printResults(
                     args[1] + " " + value,
                     switch (args[1]) {
                         case "k" -> standard.withHeadroom(v, 3, 0.15);
@@ -155,28 +159,28 @@
         }
     }
 
-    private static void show(String title, AdmissionParameters laws, int seeds) {
+    private static void printResults(String title, AdmissionParameters parameters, int seeds) {
         for (Site site : new Site[] {LARGE, FAST}) {
             for (double[] burst : new double[][] {{1, 1}, {2.3, 1}, {1, 2.9}}) {
                 double net = 0;
-                double worth = 0;
+                double value = 0;
                 SimulatedZones last = null;
                 for (int seed = 1; seed <= seeds; seed++) {
-                    last = play(site, seed, laws, burst[0], burst[1]);
+                    last = simulate(site, seed, parameters, burst[0], burst[1]);
                     double cost = last.gbSeconds() * site.priceGbS
                             + last.starts * site.priceStart
-                            + last.crossed * site.priceCross;
-                    net += (last.worth - cost) / last.owed;
-                    worth += last.worth / last.owed;
+                            + last.crossZoneRequests * site.priceCross;
+                    net += (last.value - cost) / last.maxValue;
+                    value += last.value / last.maxValue;
                 }
                 System.out.printf(
-                        "%-18s %s x%.1f x%.1f  NET %.4f WORTH %.4f | %s%n",
+                        "%-18s %s x%.1f x%.1f  NET %.4f VALUE %.4f | %s%n",
                         title,
                         site == LARGE ? "large" : "fast ",
                         burst[0],
                         burst[1],
                         net / seeds,
-                        worth / seeds,
+                        value / seeds,
                         last.figures(site.priceGbS, site.priceStart, site.priceCross));
             }
         }
--- a/src/test/java/brambletray/platform/admission/TenantFairnessTest.java
+++ b/src/test/java/brambletray/platform/admission/TenantFairnessTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Rule STARVED, by tenant: no tenant is served less than a quarter as often as all, and a flood of one does not hold
- * up the others. Simulated time; the seed is in the test's name.
+ * Rule STARVED, by tenant: no tenant is served less than a quarter as often as all, and a flood of requests by one
+ * tenant does not delay the others. Simulated time; the seed is in the test's name.
  */
 class TenantFairnessTest {
     private static final AdmissionParameters PARAMETERS = AdmissionParameters.of(0.2, 52, 10_000, 1);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void theRoutesRankDecidesBetweenRequestsOfOnePriority() {
+    void routePriorityOrdersRequestsOfEqualTenantPriority() {
         RequestQueue queue = queue();
         queue.add(request(1, "t", 1, 2, DEADLINE_MS), 0);
         queue.add(request(2, "t", 1, 1, DEADLINE_MS), 50);
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void theTenantsPriorityGoesBeforeAnyRank() {
+    void tenantPriorityOutranksRoutePriority() {
         RequestQueue queue = queue();
         queue.add(request(1, "b", 1, 0, DEADLINE_MS), 0);
         queue.add(request(2, "a", 0, 1_000_000, DEADLINE_MS), 0);
@@ -77,15 +77,15 @@
         }
         queue.add(request(100, "other", 1, 2, DEADLINE_MS), 200);
         assertTrue(queue.countAhead(request(101, "third", 1, 2, DEADLINE_MS), WORK_MS, 200) <= 8);
-        int before = 0;
+        int servedBefore = 0;
         while (first(queue, 210) != 100) {
-            before++;
+            servedBefore++;
         }
-        assertTrue(before <= 8, () -> "the other tenant's request waits behind the flood");
+        assertTrue(servedBefore <= 8, () -> "the other tenant's request is queued behind the flood");
     }
 
     @Test
-    void aFullQueueGivesUpTheFloodsRequest() {
+    void aFullQueueDisplacesARequestOfTheFloodingTenant() {
         RequestQueue queue = queue();
         while (!queue.isFull()) {
             queue.add(request(queue.size(), "flood", 1, 2, DEADLINE_MS), 0);
@@ -99,19 +99,19 @@
     }
 
     @Test
-    void aTenantIsBehindWhileItIsServedLessThanHalfAsOftenAsAll() {
+    void aTenantIsDisadvantagedWhileServedLessThanHalfAsOftenAsAll() {
         FairShare shares = new FairShare();
         for (int i = 0; i < 100; i++) {
             shares.onServed(request(i, "a", 1, 2, DEADLINE_MS), 10 * i);
         }
         SlotRequest rare = request(1000, "b", 1, 2, DEADLINE_MS);
-        assertFalse(shares.isDisadvantaged(rare), "nothing is known of it");
-        shares.onLost(rare, 1_000);
-        shares.onLost(rare, 1_000);
+        assertFalse(shares.isDisadvantaged(rare), "no outcomes yet");
+        shares.onNotServed(rare, 1_000);
+        shares.onNotServed(rare, 1_000);
         assertTrue(shares.isDisadvantaged(rare));
-        assertFalse(shares.classOf(rare).isDisadvantaged(), "its kind is not behind");
+        assertFalse(shares.classOf(rare).isDisadvantaged(), "its request class is not disadvantaged");
         shares.onServed(request(1, "a", 1, 2, DEADLINE_MS), 200_000);
-        assertFalse(shares.isDisadvantaged(rare), "outcomes fade");
+        assertFalse(shares.isDisadvantaged(rare), "outcomes decay");
     }
 
     @TestFactory
@@ -121,22 +121,22 @@
                 .toList();
     }
 
-    private static SimulatedZones.Kind kind(String tenant, int priority) {
-        return new SimulatedZones.Kind("s", priority, TARGET_MS, DEADLINE_MS, 1, 0.3, WORK_MS, 0, tenant);
+    private static SimulatedZones.RequestKind kind(String tenant, int priority) {
+        return new SimulatedZones.RequestKind("s", priority, TARGET_MS, DEADLINE_MS, 1, 0.3, WORK_MS, 0, tenant);
     }
 
-    private static void load(SimulatedZones zones, SimulatedZones.Kind kind, double perS) {
+    private static void load(SimulatedZones zones, SimulatedZones.RequestKind kind, double perS) {
         zones.at(FIRST_MS, () -> zones.arrivals(kind, "east", at -> perS, perS, FIRST_MS + LOAD_MS));
     }
 
     private static SimulatedZones zones(long seed) {
         SimulatedZones zones = new SimulatedZones(seed, List.of("east"), 1, PARAMETERS);
         zones.add(new ServiceSpec("s", 128, 500, 1, TARGET_MS));
-        zones.roomFor.put("s", INSTANCES);
+        zones.instanceLimits.put("s", INSTANCES);
         return zones;
     }
 
-    /** One tenant asks for twice what the service can do, the others for half of it. */
+    /** One tenant sends twice the requests that the service has capacity for, the others together half of it. */
     private static void flood(long seed) {
         SimulatedZones zones = zones(seed);
         double capacityPerS = 1000.0 * INSTANCES / WORK_MS;
@@ -149,20 +149,20 @@
         zones.counts.forEach((name, count) -> figures.append(String.format("%s: %.3f; ", name, count.share())));
         double all = served(zones, "");
         double others = served(zones, " of t");
-        assertTrue(others >= 0.8, () -> "the others wait behind the flood: " + others + "; " + figures);
+        assertTrue(others >= 0.8, () -> "the other tenants are delayed by the flood: " + others + "; " + figures);
         zones.counts.forEach((name, count) ->
                 assertTrue(count.share() >= MIN_SHARE * all, () -> name + " is starved: " + all + "; " + figures));
     }
 
     private static double served(SimulatedZones zones, String name) {
-        double asked = 0;
+        double total = 0;
         double served = 0;
         for (var entry : zones.counts.entrySet()) {
             if (entry.getKey().contains(name)) {
-                asked += entry.getValue().asked;
+                total += entry.getValue().total;
                 served += entry.getValue().served;
             }
         }
-        return served / asked;
+        return served / total;
     }
 }
--- a/src/test/java/brambletray/platform/admission/Timeline.java
+++ b/src/test/java/brambletray/platform/admission/Timeline.java
@@ -19,38 +19,39 @@
 import java.util.Set;
 
 /**
- * Plays a drawn timeline: time downwards in ms, one column a relay. Cells of edges are what they do ({@code ask 1},
- * {@code done 1 served 60}, {@code forget 1}, {@code held 1 h1, 2 h2}; X: it dies; ~ and z: nothing is heard of it),
- * those of {@code hub} what it says, those of {@code hosts} which answer knocks from then on. Cells of homes are what
- * must have been said there since the row before; X: it dies and the next home takes over.
+ * Runs a timeline table: a row per time in ms, a column per participant. Cells of edges are their messages ({@code
+ * request 1}, {@code release 1 served 60}, {@code cancel 1}, {@code held 1 h1, 2 h2}; {@code gone}: it leaves the
+ * membership; {@code silent}: nothing is received from it), those of {@code coordinator} its messages, those of {@code
+ * instances} which of them answer probes from then on. Cells of homes are the actions expected there since the row
+ * before, in full; {@code fails}: the home fails and the next one takes over.
  */
 final class Timeline {
     private static final String SERVICE = "s";
 
-    private record Knock(long at, String host) {}
+    private record PendingProbe(long at, String instanceId) {}
 
     private final ServiceSpec spec;
-    private final AdmissionParameters laws;
+    private final AdmissionParameters parameters;
     private final Map<String, ServiceQueues> homes = new HashMap<>();
-    private final Map<String, List<String>> said = new HashMap<>();
+    private final Map<String, List<String>> actual = new HashMap<>();
     private final List<String> edges = new ArrayList<>();
     private final Map<String, String> grants = new HashMap<>();
     private final Set<String> answering = new HashSet<>();
-    private final List<String> needs = new ArrayList<>();
+    private final List<String> startNonces = new ArrayList<>();
     private final String zone;
-    private final List<Knock> joinRequests = new ArrayList<>();
+    private final List<PendingProbe> pendingProbes = new ArrayList<>();
     private String home;
     private List<String> names;
     private long now;
 
-    Timeline(ServiceSpec spec, AdmissionParameters laws, String zone) {
+    Timeline(ServiceSpec spec, AdmissionParameters parameters, String zone) {
         this.spec = spec;
-        this.laws = laws;
+        this.parameters = parameters;
         this.zone = zone;
     }
 
-    void play(String drawing) {
-        for (String line : drawing.split("\n")) {
+    void play(String timeline) {
+        for (String line : timeline.split("\n")) {
             if (line.isBlank()) {
                 continue;
             }
@@ -59,55 +60,55 @@
                 cells[i] = cells[i].trim();
             }
             if (names == null) {
-                begin(cells);
+                readHeader(cells);
             } else {
-                row(cells, line);
+                playRow(cells, line);
             }
         }
     }
 
-    private void begin(String[] cells) {
+    private void readHeader(String[] cells) {
         names = List.of(cells);
         for (String name : names.subList(1, names.size())) {
             if (name.startsWith("home")) {
-                homes.put(name, new ServiceQueues("east", name, laws, new Shell(name)));
-                said.put(name, new ArrayList<>());
+                homes.put(name, new ServiceQueues("east", name, parameters, new RecordingActions(name)));
+                actual.put(name, new ArrayList<>());
                 if (home == null) {
                     home = name;
                 }
-            } else if (!name.equals("hub") && !name.equals("hosts")) {
+            } else if (!name.equals("coordinator") && !name.equals("instances")) {
                 edges.add(name);
             }
         }
-        take(List.of());
-        said.get(home).clear();
+        takeOver(List.of());
+        actual.get(home).clear();
     }
 
-    private void take(List<String> others) {
+    private void takeOver(List<String> previousEdges) {
         homes.get(home).onServiceSpec(spec, now);
-        homes.get(home).takeOver(SERVICE, zone, others, now);
+        homes.get(home).takeOver(SERVICE, zone, previousEdges, now);
     }
 
-    private void row(String[] cells, String line) {
+    private void playRow(String[] cells, String line) {
         long until = Long.parseLong(cells[0]);
         runUntil(until);
         for (int i = 1; i < cells.length; i++) {
             String name = names.get(i);
-            if (!cells[i].isEmpty() && (name.startsWith("home") ? cells[i].equals("X") : true)) {
-                for (String word : cells[i].split(";")) {
-                    act(name, word.trim().split("[ ,]+"));
+            if (!cells[i].isEmpty() && (name.startsWith("home") ? cells[i].equals("fails") : true)) {
+                for (String words : cells[i].split(";")) {
+                    act(name, words.trim().split("[ ,]+"));
                 }
             }
         }
         runUntil(until);
         for (int i = 1; i < cells.length; i++) {
-            if (names.get(i).startsWith("home") && !cells[i].equals("X")) {
-                List<String> heard = said.get(names.get(i));
-                String seen = String.join("; ", heard);
-                heard.clear();
-                if (!seen.equals(cells[i])) {
-                    throw new AssertionError(names.get(i) + " at " + until + " ms: drawn '" + cells[i] + "', seen '"
-                            + seen + "' in\n" + line);
+            if (names.get(i).startsWith("home") && !cells[i].equals("fails")) {
+                List<String> events = actual.get(names.get(i));
+                String observed = String.join("; ", events);
+                events.clear();
+                if (!observed.equals(cells[i])) {
+                    throw new AssertionError(names.get(i) + " at " + until + " ms: expected '" + cells[i]
+                            + "', but was '" + observed + "' in\n" + line);
                 }
             }
         }
@@ -116,9 +117,9 @@
     private void runUntil(long until) {
         for (long due = nextDue(); due <= until; due = nextDue()) {
             now = Math.max(now, due);
-            if (!joinRequests.isEmpty() && joinRequests.get(0).at <= now) {
-                Knock joinRequest = joinRequests.remove(0);
-                homes.get(home).onProbed(joinRequest.host, answering.contains(joinRequest.host), now);
+            if (!pendingProbes.isEmpty() && pendingProbes.get(0).at <= now) {
+                PendingProbe probe = pendingProbes.remove(0);
+                homes.get(home).onProbed(probe.instanceId, answering.contains(probe.instanceId), now);
             } else {
                 homes.get(home).tick(now);
             }
@@ -128,166 +129,170 @@
 
     private long nextDue() {
         long due = homes.get(home).nextDueMs();
-        return joinRequests.isEmpty() ? due : Math.min(due, joinRequests.get(0).at);
+        return pendingProbes.isEmpty() ? due : Math.min(due, pendingProbes.get(0).at);
     }
 
-    private void act(String name, String[] word) {
+    private void act(String name, String[] words) {
         ServiceQueues queues = homes.get(home);
         switch (name) {
-            case "hub" -> coordinator(queues, word);
-            case "hosts" -> {
-                if (word[1].equals("answers")) {
-                    answering.add(word[0]);
+            case "coordinator" -> coordinator(queues, words);
+            case "instances" -> {
+                if (words[1].equals("answers")) {
+                    answering.add(words[0]);
                 } else {
-                    answering.remove(word[0]);
+                    answering.remove(words[0]);
                 }
             }
             default -> {
                 if (name.startsWith("home")) {
                     home = "home" + (Integer.parseInt(name.substring(4)) + 1);
-                    take(edges);
-                    said.get(home).clear();
+                    takeOver(edges);
+                    actual.get(home).clear();
                 } else {
-                    edge(queues, name, word);
+                    edge(queues, name, words);
                 }
             }
         }
     }
 
-    private void coordinator(ServiceQueues queues, String[] word) {
-        switch (word[0]) {
-            case "hosts" -> {
-                List<InstanceInfo> hosts = new ArrayList<>();
-                for (int i = 1; i + 1 < word.length; i += 2) {
-                    hosts.add(host(
-                            word[i], word[i + 1].equals("up") ? InstanceInfo.UP : InstanceInfo.BOOTING, "n" + word[i]));
+    private void coordinator(ServiceQueues queues, String[] words) {
+        switch (words[0]) {
+            case "instances" -> {
+                List<InstanceInfo> instances = new ArrayList<>();
+                for (int i = 1; i + 1 < words.length; i += 2) {
+                    instances.add(instanceInfo(
+                            words[i],
+                            words[i + 1].equals("up") ? InstanceInfo.UP : InstanceInfo.BOOTING,
+                            "n" + words[i]));
                 }
-                queues.onInstanceList(new InstanceList(SERVICE, "east", hosts), now);
+                queues.onInstanceList(new InstanceList(SERVICE, "east", instances), now);
             }
-            case "born" -> {
-                String nonce = needs.remove(0);
-                queues.onInstanceStarted(new InstanceStarted(nonce, host(word[1], InstanceInfo.BOOTING, nonce)), now);
+            case "started" -> {
+                String nonce = startNonces.remove(0);
+                queues.onInstanceStarted(
+                        new InstanceStarted(nonce, instanceInfo(words[1], InstanceInfo.BOOTING, nonce)), now);
             }
-            case "noroom" -> queues.onStartRefused(new StartRefusal(needs.remove(0), Integer.parseInt(word[1])), now);
-            case "leaving" -> queues.onInstanceDraining(new InstanceDraining(word[1], SERVICE), now);
-            case "gone" -> queues.onInstanceGone(new InstanceGone(word[1], SERVICE), now);
-            default -> throw new IllegalArgumentException(word[0]);
+            case "refused" ->
+                queues.onStartRefused(new StartRefusal(startNonces.remove(0), Integer.parseInt(words[1])), now);
+            case "draining" -> queues.onInstanceDraining(new InstanceDraining(words[1], SERVICE), now);
+            case "gone" -> queues.onInstanceGone(new InstanceGone(words[1], SERVICE), now);
+            default -> throw new IllegalArgumentException(words[0]);
         }
     }
 
-    private static InstanceInfo host(String id, int state, String nonce) {
+    private static InstanceInfo instanceInfo(String id, int state, String nonce) {
         return new InstanceInfo(
                 id, SERVICE, "at-" + id, "east", "east", "w", nonce, state, state == InstanceInfo.UP ? 60_000 : 0);
     }
 
-    private void edge(ServiceQueues queues, String edge, String[] word) {
-        switch (word[0]) {
-            case "ask" -> queues.onSlotRequest(asked(edge, word), false, now);
-            case "done" ->
+    private void edge(ServiceQueues queues, String edge, String[] words) {
+        switch (words[0]) {
+            case "request" -> queues.onSlotRequest(slotRequest(edge, words), false, now);
+            case "release" ->
                 queues.onSlotRelease(
                         edge,
                         new SlotRelease(
-                                Long.parseLong(word[1]),
-                                grants.get(edge + word[1]),
-                                AttemptOutcome.valueOf(word[2].toUpperCase(Locale.ROOT)),
-                                Integer.parseInt(word[3])),
+                                Long.parseLong(words[1]),
+                                grants.get(edge + words[1]),
+                                AttemptOutcome.valueOf(words[2].toUpperCase(Locale.ROOT)),
+                                Integer.parseInt(words[3])),
                         now);
-            case "forget" -> queues.onCancel(edge, new SlotRequestCancel(Long.parseLong(word[1]), SERVICE), now);
+            case "cancel" -> queues.onCancel(edge, new SlotRequestCancel(Long.parseLong(words[1]), SERVICE), now);
             case "held" -> {
                 List<SlotGrant> held = new ArrayList<>();
-                for (int i = 1; i + 1 < word.length; i += 2) {
-                    held.add(new SlotGrant(Long.parseLong(word[i]), word[i + 1], "at-" + word[i + 1], false));
+                for (int i = 1; i + 1 < words.length; i += 2) {
+                    held.add(new SlotGrant(Long.parseLong(words[i]), words[i + 1], "at-" + words[i + 1], false));
                 }
                 queues.onHeldSlots(new HeldSlots(edge, SERVICE, held), now);
             }
-            case "X" -> queues.onEdgeGone(edge, now);
-            case "z", "~" -> {}
-            default -> throw new IllegalArgumentException(word[0]);
+            case "gone" -> queues.onEdgeGone(edge, now);
+            case "silent" -> {}
+            default -> throw new IllegalArgumentException(words[0]);
         }
     }
 
-    private static SlotRequest asked(String edge, String[] word) {
-        int left = 4000;
-        int target = 1000;
+    private static SlotRequest slotRequest(String edge, String[] words) {
+        int remainingMs = 4000;
+        int targetMs = 1000;
         int priority = 1;
         String zone = "east";
-        List<String> avoid = new ArrayList<>();
+        List<String> excluded = new ArrayList<>();
         Set<String> flags = new HashSet<>();
-        for (int i = 2; i < word.length; i++) {
-            switch (word[i]) {
-                case "left" -> left = Integer.parseInt(word[++i]);
-                case "target" -> target = Integer.parseInt(word[++i]);
-                case "priority" -> priority = Integer.parseInt(word[++i]);
-                case "zone" -> zone = word[++i];
-                case "avoid" -> avoid.add(word[++i]);
-                default -> flags.add(word[i]);
+        for (int i = 2; i < words.length; i++) {
+            switch (words[i]) {
+                case "remaining" -> remainingMs = Integer.parseInt(words[++i]);
+                case "target" -> targetMs = Integer.parseInt(words[++i]);
+                case "priority" -> priority = Integer.parseInt(words[++i]);
+                case "zone" -> zone = words[++i];
+                case "exclude" -> excluded.add(words[++i]);
+                default -> flags.add(words[i]);
             }
         }
         return new SlotRequest(
-                Long.parseLong(word[1]),
+                Long.parseLong(words[1]),
                 edge,
                 zone,
                 SERVICE,
-                SlotOwner.nobody(priority),
-                left,
-                target,
-                flags.contains("copy"),
-                flags.contains("again"),
-                flags.contains("inner"),
-                avoid);
+                SlotOwner.withoutTenant(priority),
+                remainingMs,
+                targetMs,
+                flags.contains("hedge"),
+                flags.contains("retry"),
+                flags.contains("nested"),
+                excluded);
     }
 
-    private final class Shell implements AdmissionActions {
+    private final class RecordingActions implements AdmissionActions {
         final String name;
 
-        Shell(String name) {
+        RecordingActions(String name) {
             this.name = name;
         }
 
-        private void say(String what) {
-            said.get(name).add(what);
+        private void record(String event) {
+            actual.get(name).add(event);
         }
 
         @Override
         public void grant(String edge, SlotGrant grant) {
             grants.put(edge + grant.requestId(), grant.instanceId());
-            say(edge + grant.requestId() + " " + grant.instanceId());
+            record(edge + grant.requestId() + " " + grant.instanceId());
         }
 
         @Override
-        public void refuse(String edge, SlotRefusal refuse) {
-            say(edge + refuse.requestId() + " no " + refuse.retryAfterMs());
+        public void refuse(String edge, SlotRefusal refusal) {
+            record(edge + refusal.requestId() + " rejected " + refusal.retryAfterMs());
         }
 
         @Override
-        public void redirect(String edge, SlotRedirect elsewhere) {
-            say(edge + elsewhere.requestId() + " to " + elsewhere.zone());
+        public void redirect(String edge, SlotRedirect redirect) {
+            record(edge + redirect.requestId() + " redirect " + redirect.zone());
         }
 
         @Override
-        public void requestStart(StartRequest need) {
-            if (!needs.contains(need.nonce())) {
-                needs.add(need.nonce());
-                say("need");
+        public void requestStart(StartRequest request) {
+            if (!startNonces.contains(request.nonce())) {
+                startNonces.add(request.nonce());
+                record("start");
             }
         }
 
         @Override
-        public void requestStop(StopRequest quit) {
-            say("quit " + quit.id());
+        public void requestStop(StopRequest request) {
+            record("stop " + request.id());
         }
 
         @Override
-        public void reportUp(InstanceUp seen) {}
+        public void reportUp(InstanceUp instance) {}
 
         @Override
         public void claimHome(HomeClaim claim) {
-            say("claim");
+            record("claim");
         }
 
         @Override
-        public void probe(String service, String hostId, String address) {
-            joinRequests.add(new Knock(now + 1, hostId));
+        public void probe(String service, String instanceId, String address) {
+            pendingProbes.add(new PendingProbe(now + 1, instanceId));
         }
     }
 }
--- a/src/test/java/brambletray/platform/edge/LocalAdmissionTest.java
+++ b/src/test/java/brambletray/platform/edge/LocalAdmissionTest.java
@@ -68,7 +68,7 @@
 
     private SlotRequest slotRequest(long id) {
         return new SlotRequest(
-                id, "e1", ZONE, service, SlotOwner.nobody(1), 4_000, 4_000, false, false, false, List.of());
+                id, "e1", ZONE, service, SlotOwner.withoutTenant(1), 4_000, 4_000, false, false, false, List.of());
     }
 
     private void deliverInstanceList() {
--- a/src/test/java/brambletray/platform/edge/OperationClientTest.java
+++ b/src/test/java/brambletray/platform/edge/OperationClientTest.java
@@ -279,9 +279,9 @@
     void claimIsNotUsableAfterTheSendDeadline() {
         Edge a = edge("a");
         a.claim("r1");
-        runUntil(ClaimWindow.SEND_WITHIN_MS - 1);
+        runUntil(ClaimWindow.MAX_SEND_DELAY_MS - 1);
         assertTrue(a.claims.get("r1").isUsable());
-        runUntil(ClaimWindow.SEND_WITHIN_MS);
+        runUntil(ClaimWindow.MAX_SEND_DELAY_MS);
         assertFalse(a.claims.get("r1").isUsable());
     }
 
@@ -334,8 +334,8 @@
         edge("a").claim("r2");
         edge("b").claim("r3");
         runUntil(500);
-        assertEquals(OperationGate.Progress.IN_WORK, edge("a").cancel("r2"));
-        assertEquals(OperationGate.Progress.IN_WORK, edge("b").cancel("r3"));
+        assertEquals(OperationGate.Progress.IN_PROGRESS, edge("a").cancel("r2"));
+        assertEquals(OperationGate.Progress.IN_PROGRESS, edge("b").cancel("r3"));
         edge("a").complete("r1", "first");
         runUntil(600);
         assertEquals(
--- a/src/test/java/brambletray/platform/edge/PlantedOperationClientFaultsTest.java
+++ b/src/test/java/brambletray/platform/edge/PlantedOperationClientFaultsTest.java
@@ -121,8 +121,8 @@
     @MethodSource("faults")
     void isFound(String what, String method, String[] edits) {
         Class<?> test = OperationClientTest.class;
-        assertNull(Mutant.in(test).fails(test, method), "the test fails without the fault");
-        String found = Mutant.in(test, edits).fails(test, method);
+        assertNull(Mutant.ofPackageOf(test).failureOf(test, method), "the test fails without the fault");
+        String found = Mutant.ofPackageOf(test, edits).failureOf(test, method);
         assertNotNull(found, "fault not detected: " + what);
         System.out.println("planted: " + what + " -> " + found.replace('\n', ' '));
     }
--- a/src/test/java/brambletray/platform/edge/SlotClientTest.java
+++ b/src/test/java/brambletray/platform/edge/SlotClientTest.java
@@ -119,7 +119,7 @@
 
     private static SlotRequest slotRequest(long id) {
         return new SlotRequest(
-                id, EDGE, "z", SERVICE, SlotOwner.nobody(1), 60_000, 60_000, false, false, false, List.of());
+                id, EDGE, "z", SERVICE, SlotOwner.withoutTenant(1), 60_000, 60_000, false, false, false, List.of());
     }
 
     private static SlotGrant grant(long id, String host) {
--- a/src/test/java/brambletray/platform/failuredetection/TimelineColumn.java
+++ b/src/test/java/brambletray/platform/failuredetection/TimelineColumn.java
@@ -96,7 +96,7 @@
             if (frame instanceof Heartbeat beat) {
                 watch.onHeartbeat(beat, now);
             } else if (frame instanceof EdgeWelcome welcome) {
-                if (welcome.isMissing(roster)) {
+                if (welcome.lacks(roster)) {
                     cluster.send(name, SimulatedEdges.HUB, roster);
                 }
                 watch.onCoordinatorConnected();
--- a/src/test/java/brambletray/platform/operations/LogClockTest.java
+++ b/src/test/java/brambletray/platform/operations/LogClockTest.java
@@ -14,7 +14,7 @@
     private static final int STEPS = 400;
 
     @Test
-    void batchesOfOneProposerThatFollowCloselyLoseNoTime() {
+    void consecutiveBatchesOfOneProposerLoseNoTime() {
         LogClock clock = new LogClock(1, 0);
         BatchStamp first = clock.stamp(10);
         for (long madeAt = 10; madeAt < 60_000; madeAt += 5) {
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aRestartOfAllCountsNothingOfTheTimeBetween() {
+    void downtimeOfAllProcessesIsNotCounted() {
         LogClock before = new LogClock(1, 0);
         before.advance(before.stamp(5_000), 5_005);
         long stopped = before.timeMs();
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aBatchMadeBeforeAnothersWasAppliedCountsNothing() {
+    void aBatchCreatedBeforeAnotherProposersWasAppliedAddsNoTime() {
         LogClock slow = new LogClock(1, 0);
         LogClock other = new LogClock(2, 0);
         BatchStamp late = slow.stamp(50_000);
@@ -77,32 +77,32 @@
         }
     }
 
-    private record Made(BatchStamp stamp, long atMs) {}
+    private record CreatedBatch(BatchStamp stamp, long createdAtMs) {}
 
     /** Several proposers, each behind by a part of the log, batches in flight that are overtaken or lost, restarts. */
     @Test
-    void timeNeverAdvancesFasterThanBatchesWereMade() {
+    void logTimeNeverAdvancesFasterThanRealTime() {
         long first = Long.getLong("operations.first", 1);
         int seeds = Integer.getInteger("operations.seeds", SEEDS);
         long advanced = 0;
         for (long seed = first; seed < first + seeds; seed++) {
-            advanced += play(seed);
+            advanced += simulate(seed);
         }
         System.out.println("log clock: seeds " + first + " to " + (first + seeds - 1) + ", " + advanced + " ms");
         assertTrue(advanced > seeds * 100L, "hardly any time was counted");
     }
 
-    private static long play(long seed) {
+    private static long simulate(long seed) {
         Random random = new Random(seed);
         List<Process> processes = new ArrayList<>();
         long nextSelf = 1;
         for (int i = 0; i < 3; i++) {
             processes.add(new Process(random, nextSelf++));
         }
-        List<Made> log = new ArrayList<>();
+        List<CreatedBatch> log = new ArrayList<>();
         List<Long> times = new ArrayList<>();
         LogClock reference = new LogClock(99, 0);
-        ArrayDeque<Made> inFlight = new ArrayDeque<>();
+        ArrayDeque<CreatedBatch> inFlight = new ArrayDeque<>();
         long nowMs = 0;
         int busy = 0;
         for (int step = 0; step < STEPS; step++) {
@@ -110,10 +110,10 @@
             busy = random.nextInt(10) == 0 ? random.nextInt(3) : busy;
             Process process = processes.get(random.nextInt(3) == 0 ? random.nextInt(3) : busy);
             switch (random.nextInt(6)) {
-                case 0, 1 -> inFlight.add(new Made(process.clock.stamp(process.clockMs(nowMs)), nowMs));
+                case 0, 1 -> inFlight.add(new CreatedBatch(process.clock.stamp(process.clockMs(nowMs)), nowMs));
                 case 2, 3 -> {
                     if (!inFlight.isEmpty()) {
-                        Made made = random.nextInt(4) == 0 ? inFlight.pollLast() : inFlight.poll();
+                        CreatedBatch made = random.nextInt(4) == 0 ? inFlight.pollLast() : inFlight.poll();
                         reference.advance(made.stamp, nowMs);
                         log.add(made);
                         times.add(reference.timeMs());
@@ -139,11 +139,11 @@
         return reference.timeMs();
     }
 
-    private static void check(long seed, List<Made> log, List<Long> times) {
+    private static void check(long seed, List<CreatedBatch> log, List<Long> times) {
         long[] madeBy = new long[log.size()];
         long latest = Long.MIN_VALUE;
         for (int i = 0; i < log.size(); i++) {
-            latest = Math.max(latest, log.get(i).atMs);
+            latest = Math.max(latest, log.get(i).createdAtMs);
             madeBy[i] = latest;
         }
         for (int i = 0; i < log.size(); i++) {
--- a/src/test/java/brambletray/platform/provisioning/LateConfigurationTest.java
+++ b/src/test/java/brambletray/platform/provisioning/LateConfigurationTest.java
@@ -213,7 +213,7 @@
                     name,
                     "north",
                     request.service,
-                    SlotOwner.nobody(1),
+                    SlotOwner.withoutTenant(1),
                     request.left(),
                     TARGET_MS,
                     false,
--- a/src/test/java/brambletray/platform/proxy/ForwardingTest.java
+++ b/src/test/java/brambletray/platform/proxy/ForwardingTest.java
@@ -13,21 +13,21 @@
 /** What passes from a client's connection to a host's, byte by byte. */
 class ForwardingTest {
     private static final String HEAD = "GET /r/x HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: r1\r\n";
-    private final SimulatedProxy street = new SimulatedProxy();
+    private final SimulatedProxy proxy = new SimulatedProxy();
     private ScriptedClient client;
     private ScriptedHost host;
 
     @BeforeEach
     void open() {
-        street.route("idempotent", 2);
-        client = (ScriptedClient) street.actor("client");
-        host = (ScriptedHost) street.actor("a");
+        proxy.route("idempotent", 2);
+        client = (ScriptedClient) proxy.actor("client");
+        host = (ScriptedHost) proxy.actor("a");
     }
 
-    private List<String> says(String bytes) {
-        street.places.act(new String[] {"grants", "a"});
-        client.say(bytes);
-        street.settle();
+    private List<String> send(String bytes) {
+        proxy.broker.act(new String[] {"grants", "a"});
+        client.send(bytes);
+        proxy.settle();
         return client.look();
     }
 
@@ -55,35 +55,35 @@
                 "Transfer-Encoding: chunked\r\n\r\nzz\r\n",
                 "Transfer-Encoding: chunked\r\n\r\n-1\r\n\r\n",
             })
-    void whatCanBeReadInTwoWaysIsTurnedAway(String rest) {
-        assertEquals(List.of("400 close", "closed"), saysSlowly(HEAD + rest));
+    void ambiguousRequestsAreRejected(String rest) {
+        assertEquals(List.of("400 close", "closed"), sendAndAwaitClose(HEAD + rest));
         assertEquals(List.of(), host.look());
     }
 
     /** The client's look, a while later: the relay closes after its last answer. */
-    private List<String> saysSlowly(String bytes) {
-        List<String> seen = new java.util.ArrayList<>(says(bytes));
-        street.until(street.simulation.now() / 1_000_000 + 2_000);
+    private List<String> sendAndAwaitClose(String bytes) {
+        List<String> seen = new java.util.ArrayList<>(send(bytes));
+        proxy.until(proxy.simulation.now() / 1_000_000 + 2_000);
         seen.addAll(client.look());
         return seen;
     }
 
     @Test
-    void aFoldIsSeenAcrossPieces() {
-        client.say("GET /r/x HTTP/1.1\r\nHost: h.example\r\nX-Folded: a\r\n");
-        street.settle();
+    void aFoldedHeaderIsRejectedAcrossSegments() {
+        client.send("GET /r/x HTTP/1.1\r\nHost: h.example\r\nX-Folded: a\r\n");
+        proxy.settle();
         assertEquals(List.of(), client.look());
-        client.say(" b\r\n\r\n");
-        street.settle();
+        client.send(" b\r\n\r\n");
+        proxy.settle();
         assertEquals("400 close", client.look().get(0));
     }
 
     /** A head that is read while the request before it is at work is read as strictly, and answered in its turn. */
     @Test
-    void aFoldIsSeenBehindAnotherRequest() {
-        assertEquals(List.of(), says(HEAD + "\r\n" + HEAD.replace("r1", "r2") + "X-Folded: a\r\n b\r\n\r\n"));
+    void aFoldedHeaderIsRejectedInAPipelinedRequest() {
+        assertEquals(List.of(), send(HEAD + "\r\n" + HEAD.replace("r1", "r2") + "X-Folded: a\r\n b\r\n\r\n"));
         host.act("answers r1".split(" "));
-        street.settle();
+        proxy.settle();
         assertEquals(List.of("200 a:r1", "400 close", "closed"), client.look());
         assertEquals(List.of("reads r1"), host.look());
     }
@@ -93,40 +93,40 @@
      * comes.
      */
     @Test
-    void aPromiseIsNotGivenOnAsItComes() {
-        street.route("non_idempotent", 2);
-        says(HEAD + "\r\n");
-        assertTrue(street.flow.memoryBudget().tryReserve(48 << 20));
+    void anUnprovenRefusalIsNotStreamed() {
+        proxy.route("non_idempotent", 2);
+        send(HEAD + "\r\n");
+        assertTrue(proxy.router.memoryBudget().tryReserve(48 << 20));
         host.act("hides r1".split(" "));
-        street.settle();
+        proxy.settle();
         assertEquals(List.of("502"), client.look());
-        street.flow.memoryBudget().release(48 << 20);
-        street.places.look();
-        street.atRest();
+        proxy.router.memoryBudget().release(48 << 20);
+        proxy.broker.look();
+        proxy.assertNothingLeft();
     }
 
     @Test
-    void aFailureTooLargeToBeHeldIsOurs() {
-        street.route("non_idempotent", 2);
-        says(HEAD + "\r\n");
+    void aFailureTooLargeToBufferBecomesA502() {
+        proxy.route("non_idempotent", 2);
+        send(HEAD + "\r\n");
         host.act("fails-at-length r1".split(" "));
-        street.until(200);
+        proxy.until(200);
         assertEquals(List.of("502"), client.look());
-        street.atRest();
+        proxy.assertNothingLeft();
     }
 
     /** What comes on a connection before a byte of the request has gone out there cannot be its answer. */
     @Test
-    void bytesBeforeTheRequestAreNoAnswer() {
+    void bytesBeforeTheRequestAreNotAResponse() {
         client.act("posts r1".split(" "));
-        street.settle();
-        street.simulation.network().window(0);
-        street.places.act(new String[] {"grants", "a"});
-        street.settle();
-        street.simulation.network().window(65_536);
+        proxy.settle();
+        proxy.simulation.network().window(0);
+        proxy.broker.act(new String[] {"grants", "a"});
+        proxy.settle();
+        proxy.simulation.network().window(65_536);
         host.act(new String[] {"blurts"});
-        street.settle();
-        assertEquals(List.of("wants", "a UNREACHED 0", "wants but a"), street.places.look());
+        proxy.settle();
+        assertEquals(List.of("wants", "a UNREACHED 0", "wants but a"), proxy.broker.look());
     }
 
     /**
@@ -134,20 +134,20 @@
      * bear its id.
      */
     @Test
-    void aRequestIsOnOneConnectionOnce() {
-        street.route("non_idempotent", 3);
-        says(HEAD + "\r\n");
+    void aRequestIsNotSentTwiceOnOneConnection() {
+        proxy.route("non_idempotent", 3);
+        send(HEAD + "\r\n");
         host.act("declines r1".split(" "));
-        street.settle();
-        street.places.act(new String[] {"grants", "a"});
-        street.settle();
+        proxy.settle();
+        proxy.broker.act(new String[] {"grants", "a"});
+        proxy.settle();
         assertEquals(List.of("reads r1", "reads r1"), host.look());
-        assertEquals(2, host.connections);
+        assertEquals(2, host.connectionCount);
         host.act("answers r1".split(" "));
-        street.settle();
+        proxy.settle();
         assertEquals(List.of("200 a:r1"), client.look());
-        says(HEAD.replace("r1", "r2") + "\r\n");
-        assertEquals(2, host.connections, "both are kept");
+        send(HEAD.replace("r1", "r2") + "\r\n");
+        assertEquals(2, host.connectionCount, "both are kept");
     }
 
     /**
@@ -155,161 +155,161 @@
      * out on another.
      */
     @Test
-    void whatNeverWentOutOnAKeptConnectionGoesOutOnAnother() {
-        street.route("non_idempotent", 1);
-        says(HEAD + "\r\n");
+    void anUnsentRequestOnAStaleConnectionIsSentOnAnother() {
+        proxy.route("non_idempotent", 1);
+        send(HEAD + "\r\n");
         host.act("answers r1".split(" "));
-        street.settle();
+        proxy.settle();
         client.look();
         host.look();
         client.act("posts r2".split(" "));
-        street.settle();
-        street.simulation.network().window(0);
-        street.places.act(new String[] {"grants", "a"});
-        street.settle();
+        proxy.settle();
+        proxy.simulation.network().window(0);
+        proxy.broker.act(new String[] {"grants", "a"});
+        proxy.settle();
         assertEquals(List.of(), host.look());
         host.act("resets r1".split(" "));
-        street.simulation.network().window(65_536);
-        street.settle();
+        proxy.simulation.network().window(65_536);
+        proxy.settle();
         assertEquals(List.of("reads r2"), host.look());
-        assertEquals(1, street.counters.staleConnections);
+        assertEquals(1, proxy.counters.staleConnections);
     }
 
     /**
      * A machine that stood still past the end of a request's time: its connection comes up first, its timer after it.
      */
     @Test
-    void whatIsOverIsNotSentWhenTheMachineWakes() {
-        street.route("non_idempotent", 2);
-        street.simulation.network().usual(new brambletray.common.simulation.SimNetwork.Way(10_000_000, 0));
+    void anExpiredRequestIsNotSentAfterAPause() {
+        proxy.route("non_idempotent", 2);
+        proxy.simulation.network().usual(new brambletray.common.simulation.SimNetwork.Way(10_000_000, 0));
         client.act("posts r1 500".split(" "));
-        street.until(25);
-        street.places.act(new String[] {"grants", "a"});
-        street.until(40);
-        street.freeze(1_000);
-        street.until(2_000);
+        proxy.until(25);
+        proxy.broker.act(new String[] {"grants", "a"});
+        proxy.until(40);
+        proxy.freeze(1_000);
+        proxy.until(2_000);
         assertEquals(List.of("503 in 0.200"), client.look());
         assertEquals(List.of(), host.look());
-        assertEquals(List.of("wants", "unused a"), street.places.look());
+        assertEquals(List.of("wants", "unused a"), proxy.broker.look());
     }
 
     @Test
-    void everyByteByItself() {
-        street.simulation.network().segment(1);
-        says(
+    void aRequestSentByteByByteIsForwarded() {
+        proxy.simulation.network().segment(1);
+        send(
                 "POST /r/x?a=b%20c HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: r1\r\nTransfer-Encoding: chunked\r\n\r\n"
                         + "3\r\nabc\r\n1\r\nd\r\n0\r\nX-Trailer: t\r\n\r\n");
         host.act("chunks r1".split(" "));
-        street.settle();
+        proxy.settle();
         assertEquals(List.of("200 a:r1"), client.look());
-        assertTrue(host.request.startsWith("POST /r/x?a=b%20c HTTP/1.1\r\n"), host.request);
-        assertTrue(host.request.endsWith("\r\nContent-Length: 4\r\n\r\nabcd"), host.request);
+        assertTrue(host.lastRequest.startsWith("POST /r/x?a=b%20c HTTP/1.1\r\n"), host.lastRequest);
+        assertTrue(host.lastRequest.endsWith("\r\nContent-Length: 4\r\n\r\nabcd"), host.lastRequest);
     }
 
     @Test
-    void headersOfOneConnectionStayBehind() {
-        says(
+    void hopByHopHeadersAreNotForwarded() {
+        send(
                 "GET /r/x HTTP/1.1\r\nHost: h.example:80\r\nBrambletray-Attempt-Id: r1\r\nBrambletray-Deadline-Remaining: 900\r\n"
                         + "Brambletray-Target-Instance: forged\r\nConnection: keep-alive, X-Hop, Host, Brambletray-Attempt-Id\r\nX-Hop: 1\r\nKeep-Alive: 5\r\n"
                         + "TE: trailers\r\nUpgrade: h2c\r\nProxy-Authorization: x\r\nX-Kept: \u00e9 1\r\nx-kept: 2\r\nAccept: */*\r\n\r\n");
         assertEquals(
                 "GET /r/x HTTP/1.1\r\nHost: h.example:80\r\nBrambletray-Attempt-Id: r1\r\nX-Kept: \u00e9 1\r\nx-kept: 2\r\nAccept: */*\r\n"
                         + "Brambletray-Target-Instance: a\r\nBrambletray-Deadline-Remaining: 890\r\n\r\n",
-                host.request);
+                host.lastRequest);
     }
 
     @Test
-    void theHostIsToldWhatIsLeft() {
+    void theHostReceivesTheRemainingTime() {
         client.act("asks r1 9000".split(" "));
-        street.until(500);
-        street.places.act(new String[] {"grants", "a"});
-        street.settle();
+        proxy.until(500);
+        proxy.broker.act(new String[] {"grants", "a"});
+        proxy.settle();
         assertEquals(
                 "3490",
-                ScriptedHost.header(host.request, "brambletray-deadline-remaining"),
+                ScriptedHost.header(host.lastRequest, "brambletray-deadline-remaining"),
                 "of the route's timeout, which is shorter");
     }
 
     @Test
-    void tooMuch() {
+    void oversizedRequestsAreRejected() {
         assertEquals(
-                "431 close", says(HEAD + "X: " + "y".repeat(3_000) + "\r\n\r\n").get(0));
-        client = (ScriptedClient) street.actor("client2");
+                "431 close", send(HEAD + "X: " + "y".repeat(3_000) + "\r\n\r\n").get(0));
+        client = (ScriptedClient) proxy.actor("client2");
         assertEquals(
                 "431 close",
-                says("GET /r/" + "y".repeat(3_000) + " HTTP/1.1\r\n").get(0));
-        client = (ScriptedClient) street.actor("client3");
-        assertEquals("413 close", says(HEAD + "Content-Length: 10001\r\n\r\n").get(0));
-        client = (ScriptedClient) street.actor("client4");
+                send("GET /r/" + "y".repeat(3_000) + " HTTP/1.1\r\n").get(0));
+        client = (ScriptedClient) proxy.actor("client3");
+        assertEquals("413 close", send(HEAD + "Content-Length: 10001\r\n\r\n").get(0));
+        client = (ScriptedClient) proxy.actor("client4");
         assertEquals(
                 "413 close",
-                says(HEAD + "Transfer-Encoding: chunked\r\n\r\n2711\r\n" + "x".repeat(10_001))
+                send(HEAD + "Transfer-Encoding: chunked\r\n\r\n2711\r\n" + "x".repeat(10_001))
                         .get(0));
         assertEquals(List.of(), host.look());
     }
 
     @Test
-    void largeBodiesTravelWhole() {
+    void largeBodiesAreForwardedCompletely() {
         String body = "0123456789".repeat(1_000);
-        says(HEAD.replace("GET", "PUT") + "Content-Length: 10000\r\n\r\n" + body);
-        assertTrue(host.request.endsWith("\r\nContent-Length: 10000\r\n\r\n" + body), host.request.length() + " bytes");
+        send(HEAD.replace("GET", "PUT") + "Content-Length: 10000\r\n\r\n" + body);
+        assertTrue(host.lastRequest.endsWith("\r\nContent-Length: 10000\r\n\r\n" + body), host.lastRequest.length() + " bytes");
         host.act("answers r1".split(" "));
-        street.settle();
+        proxy.settle();
         assertEquals(List.of("200 a:r1"), client.look());
-        street.atRest();
+        proxy.assertNothingLeft();
     }
 
     @Test
-    void noIdNoHostNoVersion() {
-        assertEquals(List.of("400"), says("GET /r/x HTTP/1.1\r\nHost: h.example\r\n\r\n"), "the connection can go on");
+    void requestsWithoutIdOrHostOrSupportedVersionAreRejected() {
+        assertEquals(List.of("400"), send("GET /r/x HTTP/1.1\r\nHost: h.example\r\n\r\n"), "the connection can go on");
         assertEquals(
                 "400 close",
-                says("GET /r/x HTTP/1.1\r\nBrambletray-Attempt-Id: r1\r\n\r\n").get(0));
-        client = (ScriptedClient) street.actor("client2");
+                send("GET /r/x HTTP/1.1\r\nBrambletray-Attempt-Id: r1\r\n\r\n").get(0));
+        client = (ScriptedClient) proxy.actor("client2");
         assertEquals(
                 "505 close",
-                says("GET /r/x HTTP/1.0\r\nHost: h.example\r\nBrambletray-Attempt-Id: r1\r\n\r\n")
+                send("GET /r/x HTTP/1.0\r\nHost: h.example\r\nBrambletray-Attempt-Id: r1\r\n\r\n")
                         .get(0));
-        client = (ScriptedClient) street.actor("client3");
+        client = (ScriptedClient) proxy.actor("client3");
         assertEquals(
                 "400 close",
-                says("GET http://h.example/r/x HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: r1\r\n\r\n")
+                send("GET http://h.example/r/x HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: r1\r\n\r\n")
                         .get(0));
         assertEquals(List.of(), host.look());
     }
 
     @Test
-    void theClientsWishToCloseIsHeeded() {
-        says(HEAD + "Connection: close\r\n\r\n");
+    void connectionCloseOfTheClientIsRespected() {
+        send(HEAD + "Connection: close\r\n\r\n");
         host.act("answers r1".split(" "));
-        street.settle();
+        proxy.settle();
         assertEquals(List.of("200 a:r1 close", "closed"), client.look());
-        assertEquals(1, street.lines.openCount(), "the host's connection is kept");
+        assertEquals(1, proxy.connectionPools.openCount(), "the host's connection is kept");
     }
 
     @Test
     void aClientThatDoesNotCloseIsClosed() {
-        says(HEAD + "Connection: close\r\n\r\n");
+        send(HEAD + "Connection: close\r\n\r\n");
         client.act(new String[] {"sleeps"});
         host.act("answers r1".split(" "));
-        street.until(900);
-        assertEquals(1, street.front.connectionCount(), "time to read the answer");
-        street.until(1_300);
-        assertEquals(0, street.front.connectionCount());
+        proxy.until(900);
+        assertEquals(1, proxy.frontEndServer.connectionCount(), "time to read the answer");
+        proxy.until(1_300);
+        assertEquals(0, proxy.frontEndServer.connectionCount());
     }
 
     @Test
-    void answersToHeadHaveNoBody() {
-        says(HEAD.replace("GET", "HEAD") + "\r\n");
+    void responsesToHeadHaveNoBody() {
+        send(HEAD.replace("GET", "HEAD") + "\r\n");
         host.act("heads r1".split(" "));
-        street.settle();
+        proxy.settle();
         assertEquals(List.of("200"), client.look());
-        assertEquals(0, street.lines.openCount());
-        street.atRest();
+        assertEquals(0, proxy.connectionPools.openCount());
+        proxy.assertNothingLeft();
     }
 
     @Test
-    void noConfigurationYet() {
+    void requestsAreRefusedBeforeTheFirstConfiguration() {
         SimulatedProxy bare = new SimulatedProxy();
         ScriptedClient caller = (ScriptedClient) bare.actor("client");
         caller.act("asks r1".split(" "));
@@ -319,21 +319,21 @@
 
     @Test
     void memoryIsBounded() {
-        assertTrue(street.flow.memoryBudget().tryReserve(48 << 20));
+        assertTrue(proxy.router.memoryBudget().tryReserve(48 << 20));
         assertEquals(
                 "503 in 0.200 close",
-                says(HEAD + "Content-Length: 5\r\n\r\nhello").get(0));
-        assertFalse(street.flow.memoryBudget().tryReserve(1));
+                send(HEAD + "Content-Length: 5\r\n\r\nhello").get(0));
+        assertFalse(proxy.router.memoryBudget().tryReserve(1));
     }
 
     @Test
-    void comingBackIsToldInSeconds() {
-        assertEquals("0.007", HeaderWriter.secondsOf(7));
-        assertEquals("12.050", HeaderWriter.secondsOf(12_050));
+    void retryAfterIsFormattedInSeconds() {
+        assertEquals("0.007", HeaderWriter.formatSeconds(7));
+        assertEquals("12.050", HeaderWriter.formatSeconds(12_050));
     }
 
     @Test
-    void howLongHostsKeepConnections() {
+    void keepAliveTimeoutsAreParsed() {
         assertEquals(5, KeepAlive.timeoutSeconds("timeout=5, max=100"));
         assertEquals(-1, KeepAlive.timeoutSeconds("max=100"));
         assertEquals(-1, KeepAlive.timeoutSeconds("timeout=x"));
--- a/src/test/java/brambletray/platform/proxy/KeyedRequestsTest.java
+++ b/src/test/java/brambletray/platform/proxy/KeyedRequestsTest.java
@@ -8,68 +8,68 @@
 
 /** A keyed request under its claim, where an edge stands still or its link to the core is slow. */
 class KeyedRequestsTest {
-    private final SimulatedProxy street = new SimulatedProxy();
+    private final SimulatedProxy proxy = new SimulatedProxy();
     private ScriptedClient client;
     private ScriptedHost host;
 
     @BeforeEach
     void open() {
-        street.route("keyed", 2);
-        client = (ScriptedClient) street.actor("client");
-        host = (ScriptedHost) street.actor("a");
+        proxy.route("keyed", 2);
+        client = (ScriptedClient) proxy.actor("client");
+        host = (ScriptedHost) proxy.actor("a");
     }
 
-    private void does(Actor actor, long ms, String what) {
-        street.until(ms);
+    private void actAt(Actor actor, long ms, String what) {
+        proxy.until(ms);
         actor.act(what.split(" "));
-        street.settle();
+        proxy.settle();
     }
 
     @Test
-    void aClaimIsNotUsedAfterItsWindow() {
-        does(client, 0, "keys r1");
-        does(street.operations, 10, "grants");
-        does(street.operations, 20, "outdated");
-        does(street.places, 30, "grants a");
+    void aClaimIsNotUsedAfterItExpires() {
+        actAt(client, 0, "keys r1");
+        actAt(proxy.operations, 10, "grants");
+        actAt(proxy.operations, 20, "outdated");
+        actAt(proxy.broker, 30, "grants a");
         assertEquals(List.of(), host.look());
         assertEquals(List.of("503 in 0.200"), client.look());
-        assertEquals(List.of("claim k1 for 80", "released"), street.operations.look());
-        street.places.look();
-        street.atRest();
+        assertEquals(List.of("claim k1 for 80", "released"), proxy.operations.look());
+        proxy.broker.look();
+        proxy.assertNothingLeft();
     }
 
     @Test
-    void anEdgeThatStoodStillWithItsClaimSendsNothingLate() {
-        does(client, 0, "keys r1 500");
-        does(street.operations, 10, "grants");
-        street.until(20);
-        street.freeze(1_000);
-        does(street.places, 1_100, "grants a");
+    void anEdgePausedWithAClaimSendsNothingLate() {
+        actAt(client, 0, "keys r1 500");
+        actAt(proxy.operations, 10, "grants");
+        proxy.until(20);
+        proxy.freeze(1_000);
+        actAt(proxy.broker, 1_100, "grants a");
         assertEquals(List.of(), host.look());
-        assertEquals(List.of("claim k1 for 80", "released"), street.operations.look());
+        assertEquals(List.of("claim k1 for 80", "released"), proxy.operations.look());
         assertEquals(List.of("503 in 0.200"), client.look());
     }
 
     @Test
-    void whatWasSentIsNeverReleased() {
-        does(client, 0, "keys r1");
-        does(street.operations, 10, "grants");
-        does(street.places, 20, "grants a");
+    void theClaimOfASentRequestIsNeverReleased() {
+        actAt(client, 0, "keys r1");
+        actAt(proxy.operations, 10, "grants");
+        actAt(proxy.broker, 20, "grants a");
         assertEquals(List.of("reads r1"), host.look());
-        does(host, 30, "resets r1");
+        actAt(host, 30, "resets r1");
         assertEquals(List.of("502"), client.look());
-        assertEquals(List.of("claim k1 for 80", "abandoned"), street.operations.look());
-        street.places.look();
-        street.atRest();
+        assertEquals(List.of("claim k1 for 80", "abandoned"), proxy.operations.look());
+        proxy.broker.look();
+        proxy.assertNothingLeft();
     }
 
     @Test
-    void whatIsLostIsNotAskedForAgain() {
-        does(client, 0, "keys r1");
-        does(street.operations, 10, "lost");
+    void anOperationWithALostAnswerIsNotRetried() {
+        actAt(client, 0, "keys r1");
+        actAt(proxy.operations, 10, "lost");
         assertEquals(List.of("502"), client.look());
-        assertEquals(List.of("claim k1 for 80"), street.operations.look());
-        assertEquals(List.of(), street.places.look());
-        street.atRest();
+        assertEquals(List.of("claim k1 for 80"), proxy.operations.look());
+        assertEquals(List.of(), proxy.broker.look());
+        proxy.assertNothingLeft();
     }
 }
--- a/src/test/java/brambletray/platform/proxy/Mutant.java
+++ b/src/test/java/brambletray/platform/proxy/Mutant.java
@@ -36,12 +36,12 @@
     /** The package that is loaded anew, with its dot. */
     private final String prefix;
 
-    private final Map<String, byte[]> changed;
+    private final Map<String, byte[]> recompiledClasses;
 
     private Mutant(String prefix, Map<String, byte[]> changed) {
         super(Mutant.class.getClassLoader());
         this.prefix = prefix;
-        this.changed = changed;
+        this.recompiledClasses = changed;
     }
 
     /**
@@ -49,11 +49,11 @@
      * threes.
      */
     static Mutant of(String... edits) {
-        return in(Mutant.class, edits);
+        return ofPackageOf(Mutant.class, edits);
     }
 
     /** The same for the package of another class. */
-    public static Mutant in(Class<?> neighbour, String... edits) {
+    public static Mutant ofPackageOf(Class<?> neighbour, String... edits) {
         String prefix = neighbour.getPackageName() + ".";
         Map<String, String> sources = new HashMap<>();
         for (int i = 0; i < edits.length; i += 3) {
@@ -132,7 +132,7 @@
     }
 
     private Class<?> define(String name) throws ClassNotFoundException {
-        byte[] bytes = changed.get(name);
+        byte[] bytes = recompiledClasses.get(name);
         if (bytes == null) {
             try (InputStream in = getParent().getResourceAsStream(name.replace('.', '/') + ".class")) {
                 if (in == null) {
@@ -150,7 +150,7 @@
      * Runs one method of a test, on a new instance, after its {@code open} if it has one; what it asserts in vain, or
      * null.
      */
-    public String fails(Class<?> test, String method) {
+    public String failureOf(Class<?> test, String method) {
         try {
             Class<?> loaded = loadClass(test.getName());
             Constructor<?> constructor = loaded.getDeclaredConstructor();
--- a/src/test/java/brambletray/platform/proxy/OutdatedConfigurationTest.java
+++ b/src/test/java/brambletray/platform/proxy/OutdatedConfigurationTest.java
@@ -24,8 +24,8 @@
         proxy.actor("a");
     }
 
-    private List<String> answerTo(String path, String key) {
-        client.say("GET " + path + " HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: r1\r\n"
+    private List<String> responseTo(String path, String key) {
+        client.send("GET " + path + " HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: r1\r\n"
                 + "Brambletray-Credential: " + key + "\r\n\r\n");
         proxy.settle();
         return client.look();
@@ -33,30 +33,30 @@
 
     @Test
     void anUnknownKeyIsDeniedOnlyByTheNewestConfiguration() {
-        assertEquals(List.of("401"), answerTo("/r/x", "unknown"));
-        proxy.outdated = true;
-        assertEquals(List.of("503 in 0.400"), answerTo("/r/x", "unknown"));
-        proxy.outdated = false;
-        assertEquals(List.of("401"), answerTo("/r/x", "unknown"));
+        assertEquals(List.of("401"), responseTo("/r/x", "unknown"));
+        proxy.mayBeOutdated = true;
+        assertEquals(List.of("503 in 0.400"), responseTo("/r/x", "unknown"));
+        proxy.mayBeOutdated = false;
+        assertEquals(List.of("401"), responseTo("/r/x", "unknown"));
         assertEquals(2, proxy.counters.unauthenticated);
         assertEquals(1, proxy.counters.unavailable);
-        proxy.atRest();
+        proxy.assertNothingLeft();
     }
 
     @Test
     void anUnknownRouteIsDeniedOnlyByTheNewestConfiguration() {
-        assertEquals(List.of("404"), answerTo("/none", "known"));
-        proxy.outdated = true;
-        assertEquals(List.of("503 in 0.400"), answerTo("/none", "known"));
+        assertEquals(List.of("404"), responseTo("/none", "known"));
+        proxy.mayBeOutdated = true;
+        assertEquals(List.of("503 in 0.400"), responseTo("/none", "known"));
         assertEquals(1, proxy.counters.unrouted);
         assertEquals(1, proxy.counters.unavailable);
-        proxy.atRest();
+        proxy.assertNothingLeft();
     }
 
     @Test
-    void whatTheKnownConfigurationAllowsIsServedMeanwhile() {
-        proxy.outdated = true;
-        answerTo("/r/x", "known");
-        assertEquals(List.of("wants"), proxy.places.look());
+    void requestsAllowedByTheKnownConfigurationAreServed() {
+        proxy.mayBeOutdated = true;
+        responseTo("/r/x", "known");
+        assertEquals(List.of("wants"), proxy.broker.look());
     }
 }
--- a/src/test/java/brambletray/platform/proxy/PlantedFaultsTest.java
+++ b/src/test/java/brambletray/platform/proxy/PlantedFaultsTest.java
@@ -11,7 +11,7 @@
 
 /** Each fault that {@link RandomExchangesTest} is there to find, planted, and found by the rule that it breaks. */
 class PlantedFaultsTest {
-    private static final int COURSES = Integer.getInteger("brambletray.planted", 4_000);
+    private static final int SCENARIOS = Integer.getInteger("brambletray.planted", 4_000);
     private static final int STEPS = 40;
 
     private static Arguments fault(String what, String rule, String... edits) {
@@ -233,19 +233,19 @@
     }
 
     @BeforeAll
-    static void hush() {
-        RandomExchangesTest.hush();
+    static void disableLogging() {
+        RandomExchangesTest.disableLogging();
     }
 
     @AfterAll
-    static void unhush() {
-        RandomExchangesTest.unhush();
+    static void restoreLogging() {
+        RandomExchangesTest.restoreLogging();
     }
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("faults")
     void isFound(String what, String rules, String[] edits) {
-        String found = Mutant.of(edits).hunt(rules, 1, COURSES, STEPS);
+        String found = Mutant.of(edits).hunt(rules, 1, SCENARIOS, STEPS);
         assertNotNull(found, "not found: " + what);
         System.out.println("planted: " + what + " -> "
                 + found.replaceAll("[^ -~]", " ").substring(0, Math.min(160, found.length())));
--- a/src/test/java/brambletray/platform/proxy/PlantedOperationFaultsTest.java
+++ b/src/test/java/brambletray/platform/proxy/PlantedOperationFaultsTest.java
@@ -122,8 +122,8 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource("faults")
     void isFound(String what, Class<?> test, String method, String[] edits) {
-        assertNull(Mutant.of().fails(test, method), "it holds without the fault");
-        String found = Mutant.of(edits).fails(test, method);
+        assertNull(Mutant.of().failureOf(test, method), "it holds without the fault");
+        String found = Mutant.of(edits).failureOf(test, method);
         assertNotNull(found, "not found: " + what);
         System.out.println("planted: " + what + " -> " + found.substring(0, Math.min(160, found.length())));
     }
--- a/src/test/java/brambletray/platform/proxy/PlantedTimelineFaultsTest.java
+++ b/src/test/java/brambletray/platform/proxy/PlantedTimelineFaultsTest.java
@@ -208,8 +208,8 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource("faults")
     void isFound(String what, Class<?> test, String method, String[] edits) {
-        assertNull(Mutant.of().fails(test, method), "it holds without the fault");
-        String found = Mutant.of(edits).fails(test, method);
+        assertNull(Mutant.of().failureOf(test, method), "it holds without the fault");
+        String found = Mutant.of(edits).failureOf(test, method);
         assertNotNull(found, "not found: " + what);
     }
 }
--- a/src/test/java/brambletray/platform/proxy/RandomClient.java
+++ b/src/test/java/brambletray/platform/proxy/RandomClient.java
@@ -21,31 +21,31 @@
  */
 final class RandomClient {
     private final Machine machine;
-    private final InetSocketAddress front;
-    private final ExchangeChecker ruling;
+    private final InetSocketAddress frontEnd;
+    private final ExchangeChecker checker;
     private final SplittableRandom random;
-    private final List<Channel> asleep = new ArrayList<>();
+    private final List<Channel> pausedChannels = new ArrayList<>();
     private Connection connection;
 
     RandomClient(Machine machine, InetSocketAddress front, ExchangeChecker ruling, SplittableRandom random) {
         this.machine = machine;
-        this.front = front;
-        this.ruling = ruling;
+        this.frontEnd = front;
+        this.checker = ruling;
         this.random = random;
     }
 
     /** One connection, with the tries that wait on it, oldest first. */
     private final class Connection extends ChannelInboundHandlerAdapter {
-        final ArrayDeque<ExchangeChecker.Try> waiting = new ArrayDeque<>();
+        final ArrayDeque<ExchangeChecker.ClientAttempt> waiting = new ArrayDeque<>();
         final StringBuilder in = new StringBuilder();
         /** So many bytes must be here before the next answer can be whole. */
-        int least;
+        int minBytes;
         /** Until it is up. */
         final ArrayDeque<ByteBuf> unsent = new ArrayDeque<>(1);
 
         Channel channel;
         /** Nothing more is sent on it. */
-        boolean over;
+        boolean noMoreRequests;
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
@@ -67,20 +67,20 @@
             ByteBuf read = (ByteBuf) bytes;
             in.append(read.toString(StandardCharsets.ISO_8859_1));
             read.release();
-            while (in.length() > 0 && in.length() >= least && next()) {
-                least = 0;
+            while (in.length() > 0 && in.length() >= minBytes && readResponse()) {
+                minBytes = 0;
             }
         }
 
         /** False: the next answer is not whole yet. */
-        private boolean next() {
+        private boolean readResponse() {
             int end = in.indexOf("\r\n\r\n");
             if (end < 0) {
                 return false;
             }
             String head = in.substring(0, end);
             if (!head.startsWith("HTTP/1.1 ") || head.length() < 12) {
-                ruling.breaks("MIXED", "no answer: " + head);
+                checker.addViolation("MIXED", "no answer: " + head);
                 in.setLength(0);
                 return false;
             }
@@ -89,17 +89,17 @@
                 in.delete(0, end + 4);
                 return true;
             }
-            ExchangeChecker.Try of = waiting.peek();
+            ExchangeChecker.ClientAttempt of = waiting.peek();
             boolean bare = status == 204 || status == 304 || of != null && of.method.equals("HEAD");
             String length = ScriptedHost.header(head, "content-length");
             boolean chunked = ScriptedHost.header(head, "transfer-encoding").equals("chunked");
             if (!bare && length.isEmpty() == !chunked) {
-                ruling.breaks("MIXED", "no telling where it ends: " + head);
+                checker.addViolation("MIXED", "no telling where it ends: " + head);
             }
             String[] body = {""};
-            int to = bare ? end + 4 : chunked ? chunks(end + 4, body) : end + 4 + Integer.parseInt(length);
+            int to = bare ? end + 4 : chunked ? readChunks(end + 4, body) : end + 4 + Integer.parseInt(length);
             if (to < 0 || in.length() < to) {
-                least = Math.max(least, to);
+                minBytes = Math.max(minBytes, to);
                 return false;
             }
             if (!bare && !chunked) {
@@ -107,8 +107,8 @@
             }
             in.delete(0, to);
             waiting.poll();
-            over |= ScriptedHost.header(head, "connection").equals("close");
-            ruling.answer(
+            noMoreRequests |= ScriptedHost.header(head, "connection").equals("close");
+            checker.onResponse(
                     of,
                     status,
                     ScriptedHost.header(head, "brambletray-attempt-id"),
@@ -118,7 +118,7 @@
         }
 
         /** Where it ends; -1: not yet. */
-        private int chunks(int from, String[] body) {
+        private int readChunks(int from, String[] body) {
             StringBuilder all = new StringBuilder();
             for (int at = from; ; ) {
                 int line = in.indexOf("\r\n", at);
@@ -128,7 +128,7 @@
                 int size = Integer.parseInt(in.substring(at, line), 16);
                 int data = line + 2;
                 if (in.length() < data + size + 2) {
-                    least = data + size + 2;
+                    minBytes = data + size + 2;
                     return -1;
                 }
                 all.append(in, data, data + size);
@@ -142,20 +142,20 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            over = true;
+            noMoreRequests = true;
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (!(cause instanceof java.io.IOException)) {
-                ruling.breaks("MIXED", "cannot be read: " + cause);
+                checker.addViolation("MIXED", "cannot be read: " + cause);
             }
             context.close();
         }
     }
 
     /** Sends it, on the connection at hand or on a new one; {@code ahead}: also while others wait there. */
-    void send(ExchangeChecker.Try one, String headers, boolean ahead) {
+    void send(ExchangeChecker.ClientAttempt one, String headers, boolean ahead) {
         boolean close = random.nextInt(12) == 0;
         String head = one.method + " " + one.uri + " HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: " + one.id
                 + "\r\n" + headers + (close ? "Connection: close\r\n" : "");
@@ -176,7 +176,7 @@
         }
         Connection at = connection;
         ByteBuf out = Unpooled.copiedBuffer(bytes, StandardCharsets.ISO_8859_1);
-        if (at == null || at.over || !at.waiting.isEmpty() && !ahead) {
+        if (at == null || at.noMoreRequests || !at.waiting.isEmpty() && !ahead) {
             Connection made = new Connection();
             connection = made;
             made.waiting.add(one);
@@ -186,7 +186,7 @@
                             channel.pipeline().addLast(made);
                         }
                     })
-                    .connect(front)
+                    .connect(frontEnd)
                     .channel();
             made.write(out);
         } else {
@@ -194,20 +194,20 @@
             at.write(out);
         }
         // What was told to close after its answer answers nothing that comes behind it.
-        connection.over |= close;
+        connection.noMoreRequests |= close;
     }
 
     /** It reads nothing that comes on its present connection. */
-    void sleeps() {
+    void pauseReading() {
         if (connection != null) {
             connection.channel.config().setAutoRead(false);
-            asleep.add(connection.channel);
+            pausedChannels.add(connection.channel);
         }
     }
 
-    void wakes() {
-        asleep.forEach(channel -> channel.config().setAutoRead(true));
-        asleep.clear();
+    void resumeReading() {
+        pausedChannels.forEach(channel -> channel.config().setAutoRead(true));
+        pausedChannels.clear();
     }
 
     void hangUp(boolean hard) {
--- a/src/test/java/brambletray/platform/proxy/RandomExchanges.java
+++ b/src/test/java/brambletray/platform/proxy/RandomExchanges.java
@@ -27,30 +27,30 @@
  * The same seed gives the same scenario.
  */
 final class RandomExchanges implements SlotBroker {
-    private static final Address FRONT = new Address("10.0.0.1", 8241);
-    private static final int HOSTS_MOST = 3;
+    private static final Address FRONT_END = new Address("10.0.0.1", 8241);
+    private static final int MAX_HOSTS = 3;
     /** The {@code retry-count} of a route goes from 0 to this. */
-    private static final int RETRY_COUNT_MOST = 3;
+    private static final int MAX_RETRY_COUNT = 3;
 
-    private record Waiting(SlotRequest ask, SlotRequester taker) {}
+    private record PendingRequest(SlotRequest request, SlotRequester requester) {}
 
     private final SplittableRandom random;
     private final Simulation simulation;
     private final Machine edge;
-    private final RequestRouter flow;
-    private final HostConnectionPools lines;
+    private final RequestRouter router;
+    private final HostConnectionPools connectionPools;
     private final RequestCounters counters = new RequestCounters();
-    private final ExchangeChecker ruling = new ExchangeChecker();
+    private final ExchangeChecker checker = new ExchangeChecker();
     private final List<RandomClient> clients = new ArrayList<>();
     private final List<RandomHost> hosts = new ArrayList<>();
-    private final ArrayDeque<Waiting> asks = new ArrayDeque<>();
+    private final ArrayDeque<PendingRequest> pendingRequests = new ArrayDeque<>();
     /** Places out, by ask. */
-    private final Map<Long, Integer> held = new HashMap<>();
+    private final Map<Long, Integer> heldSlots = new HashMap<>();
 
     private final int steps;
-    private final int pause;
-    private final int twice;
-    private int ids;
+    private final int maxPauseMs;
+    private final int duplicateGrantPercent;
+    private int requestCount;
 
     RandomExchanges(long seed, int steps) {
         this.steps = steps;
@@ -63,15 +63,15 @@
         if (random.nextInt(4) == 0) {
             simulation.network().window(200 + random.nextInt(2_000));
         }
-        pause = 5 + random.nextInt(60);
-        twice = random.nextInt(20);
-        edge = machine(FRONT.host());
-        lines = new HostConnectionPools(edge, 4_000, counters);
+        maxPauseMs = 5 + random.nextInt(60);
+        duplicateGrantPercent = random.nextInt(20);
+        edge = machine(FRONT_END.host());
+        connectionPools = new HostConnectionPools(edge, 4_000, counters);
         // A small memory brings answers on the way that are given on while they come.
         boolean small = random.nextInt(3) == 0;
         long memory = small ? 4_000 + random.nextInt(8_000) : 48 << 20;
         Configuration configuration = configuration();
-        flow = new RequestRouter(
+        router = new RequestRouter(
                 edge,
                 "edge-1",
                 "zone-1",
@@ -80,20 +80,20 @@
                 QuotaGate.UNLIMITED,
                 OperationGate.UNCLAIMED,
                 ip -> false,
-                lines,
+                connectionPools,
                 counters,
                 memory,
                 seed);
-        new FrontEndServer(edge, flow, 100).listen(FRONT);
+        new FrontEndServer(edge, router, 100).listen(FRONT_END);
         int fault = 10 + random.nextInt(70);
-        int count = 2 + random.nextInt(HOSTS_MOST - 1);
+        int count = 2 + random.nextInt(MAX_HOSTS - 1);
         for (int i = 0; i < count; i++) {
             String ip = "10.0.1." + (i + 1);
             hosts.add(new RandomHost(
                     "h" + i,
                     machine(ip),
                     new InetSocketAddress(ip, 8080),
-                    ruling,
+                    checker,
                     random.split(),
                     fault,
                     small ? 2 : 6));
@@ -101,8 +101,8 @@
         for (int i = 0; i < 2; i++) {
             clients.add(new RandomClient(
                     machine("10.0.2." + (i + 1)),
-                    new InetSocketAddress(FRONT.host(), FRONT.port()),
-                    ruling,
+                    new InetSocketAddress(FRONT_END.host(), FRONT_END.port()),
+                    checker,
                     random.split()));
         }
     }
@@ -124,7 +124,7 @@
                 "{'name':'%1$s','host':'h.example','path-prefix':'/%1$s/','route-type':'%2$s','timeout-ms':2000,'target-ms':400,"
                         + "'priority':1,'service':'s','retry-count':%3$d}";
         List<String> routes = new ArrayList<>();
-        for (int count = 0; count <= RETRY_COUNT_MOST; count++) {
+        for (int count = 0; count <= MAX_RETRY_COUNT; count++) {
             routes.add(route.formatted("r" + count, "idempotent", count));
             routes.add(route.formatted("n" + count, "non_idempotent", count));
         }
@@ -139,8 +139,8 @@
     // ---- The broker -----------------------------------------------------------------------------
     @Override
     public void requestSlot(SlotRequest ask, SlotRequester taker) {
-        Waiting one = new Waiting(ask, taker);
-        asks.add(one);
+        PendingRequest one = new PendingRequest(ask, taker);
+        pendingRequests.add(one);
         if (random.nextInt(3) > 0) {
             answer(one);
         } else {
@@ -152,32 +152,32 @@
         }
     }
 
-    private void answer(Waiting one) {
-        if (!asks.remove(one)) {
+    private void answer(PendingRequest one) {
+        if (!pendingRequests.remove(one)) {
             return;
         }
         if (random.nextInt(15) == 0) {
-            one.taker().onRefused(random.nextInt(300) - 1);
+            one.requester().onRefused(random.nextInt(300) - 1);
             return;
         }
         grant(one);
-        if (random.nextInt(100) < twice) {
+        if (random.nextInt(100) < duplicateGrantPercent) {
             // The home lost its memory of the first, or the ask was made anew: a grant comes twice.
             edge.loop().schedule(() -> grant(one), random.nextInt(40), TimeUnit.MILLISECONDS);
         }
     }
 
-    private void grant(Waiting one) {
+    private void grant(PendingRequest one) {
         // At times the one that has had it: it may be the only one left.
-        String had = one.ask().excludedInstances().isEmpty() || random.nextBoolean()
+        String had = one.request().excludedInstances().isEmpty() || random.nextBoolean()
                 ? null
-                : one.ask().excludedInstances().get(0);
+                : one.request().excludedInstances().get(0);
         RandomHost host = had == null ? pick(hosts) : hosts.get(had.charAt(1) - '0');
         // The home knows one place an ask, however often it says so.
-        held.put(one.ask().id(), 1);
-        one.taker()
+        heldSlots.put(one.request().id(), 1);
+        one.requester()
                 .onGranted(new SlotGrant(
-                        one.ask().id(),
+                        one.request().id(),
                         host.name,
                         "10.0.1." + (host.name.charAt(1) - '0' + 1) + ":8080",
                         random.nextInt(6) == 0));
@@ -185,59 +185,59 @@
 
     @Override
     public void releaseSlot(SlotGrant grant, AttemptOutcome fate, int tookMs) {
-        back(grant.requestId());
+        returnSlot(grant.requestId());
     }
 
     @Override
     public void cancelRequest(long askId) {
-        if (!asks.removeIf(one -> one.ask().id() == askId)) {
-            back(askId);
+        if (!pendingRequests.removeIf(one -> one.request().id() == askId)) {
+            returnSlot(askId);
         }
     }
 
-    private void back(long askId) {
-        int left = held.merge(askId, -1, Integer::sum);
+    private void returnSlot(long askId) {
+        int left = heldSlots.merge(askId, -1, Integer::sum);
         if (left < 0) {
-            ruling.breaks("PLACE", "one of ask " + askId + " is given back twice");
+            checker.addViolation("PLACE", "one of ask " + askId + " is given back twice");
         }
     }
 
     // ---- What happens ---------------------------------------------------------------------------
     /** Plays it; the rules broken, none if all hold. */
     List<String> play() {
-        for (int step = 0; step < steps && ruling.broken().isEmpty(); step++) {
-            happens();
-            run(random.nextInt(pause));
+        for (int step = 0; step < steps && checker.violations().isEmpty(); step++) {
+            randomEvent();
+            run(random.nextInt(maxPauseMs));
         }
-        calm();
+        endFaults();
         run(12_000);
-        if (ruling.broken().isEmpty()) {
-            atRest();
+        if (checker.violations().isEmpty()) {
+            checkNothingLeft();
         }
-        return ruling.broken();
+        return checker.violations();
     }
 
-    private void happens() {
+    private void randomEvent() {
         int dice = random.nextInt(100);
         if (dice < 62) {
-            request();
+            sendRequest();
         } else if (dice < 66) {
             pick(clients).hangUp(random.nextBoolean());
         } else if (dice < 70) {
             RandomClient client = pick(clients);
             if (random.nextInt(3) == 0) {
-                client.sleeps();
+                client.pauseReading();
             } else {
-                client.wakes();
+                client.resumeReading();
             }
         } else if (dice < 75) {
-            pick(hosts).fall(random.nextBoolean());
+            pick(hosts).stop(random.nextBoolean());
         } else if (dice < 82) {
-            pick(hosts).rise();
+            pick(hosts).start();
         } else if (dice < 87) {
             freeze();
         } else if (dice < 93) {
-            breakOne();
+            breakConnection();
         } else if (dice < 95) {
             // Not a byte more passes until the machine is back, which resets what was open.
             simulation.network().vanish(inet("10.0.1." + (1 + random.nextInt(hosts.size()))));
@@ -246,12 +246,12 @@
             // what meanwhile.
             int at = random.nextInt(hosts.size());
             InetAddress host = inet("10.0.1." + (at + 1));
-            hosts.get(at).unseeing(Long.MAX_VALUE);
+            hosts.get(at).proxyUnawareUntil(Long.MAX_VALUE);
             if (random.nextInt(3) > 0) {
-                simulation.network().cut(inet(FRONT.host()), host);
+                simulation.network().cut(inet(FRONT_END.host()), host);
             }
             if (random.nextInt(3) > 0) {
-                simulation.network().cut(host, inet(FRONT.host()));
+                simulation.network().cut(host, inet(FRONT_END.host()));
             }
         } else {
             heal();
@@ -262,22 +262,22 @@
         for (int i = 1; i <= hosts.size(); i++) {
             InetAddress host = inet("10.0.1." + i);
             simulation.network().comeBack(host);
-            simulation.network().join(inet(FRONT.host()), host);
-            simulation.network().join(host, inet(FRONT.host()));
+            simulation.network().join(inet(FRONT_END.host()), host);
+            simulation.network().join(host, inet(FRONT_END.host()));
         }
         long until = edge.clock().nanos() / 1_000_000 + 60;
-        hosts.forEach(host -> host.unseeing(until));
+        hosts.forEach(host -> host.proxyUnawareUntil(until));
     }
 
     private <T> T pick(List<T> all) {
         return all.get(random.nextInt(all.size()));
     }
 
-    private void request() {
+    private void sendRequest() {
         boolean repeatable = random.nextInt(3) == 0;
         String body = random.nextInt(3) > 0
                 ? ""
-                : "b" + ids
+                : "b" + requestCount
                         + "x"
                                 .repeat(
                                         random.nextInt(4) == 0
@@ -286,10 +286,10 @@
                                                         ? 500 + random.nextInt(5_000)
                                                         : random.nextInt(40));
         String method = !body.isEmpty() ? "POST" : random.nextInt(8) == 0 ? "HEAD" : "GET";
-        int count = random.nextInt(RETRY_COUNT_MOST + 1);
-        String uri = (repeatable ? "/r" : "/n") + count + "/p" + ids + "?q=" + ids;
-        ExchangeChecker.Try one =
-                ruling.asked(new ExchangeChecker.Try("t" + ids++, method, uri, body, repeatable, Math.max(1, count)));
+        int count = random.nextInt(MAX_RETRY_COUNT + 1);
+        String uri = (repeatable ? "/r" : "/n") + count + "/p" + requestCount + "?q=" + requestCount;
+        ExchangeChecker.ClientAttempt one =
+                checker.onRequestSent(new ExchangeChecker.ClientAttempt("t" + requestCount++, method, uri, body, repeatable, Math.max(1, count)));
         int left = random.nextInt(4) == 0 ? 1 + random.nextInt(120) : 200 + random.nextInt(2_500);
         pick(clients).send(one, "Brambletray-Deadline-Remaining: " + left + "\r\n", random.nextInt(10) == 0);
     }
@@ -299,17 +299,17 @@
         int ms = random.nextInt(random.nextBoolean() ? 60 : 3_000);
         simulation.freeze(edge);
         long until = edge.clock().nanos() / 1_000_000 + ms + 60;
-        hosts.forEach(host -> host.unseeing(Math.max(host.unseeing(), until)));
+        hosts.forEach(host -> host.proxyUnawareUntil(Math.max(host.proxyUnawareUntil(), until)));
         if (random.nextBoolean()) {
-            request();
+            sendRequest();
         }
         run(ms);
         simulation.thaw(edge);
     }
 
     /** A connection between the relay and a host is reset, now or in the midst of what is sent next. */
-    private void breakOne() {
-        String ip = random.nextBoolean() ? FRONT.host() : "10.0.1." + (1 + random.nextInt(hosts.size()));
+    private void breakConnection() {
+        String ip = random.nextBoolean() ? FRONT_END.host() : "10.0.1." + (1 + random.nextInt(hosts.size()));
         List<SimChannel> ends = simulation.network().at(inet(ip));
         if (!ends.isEmpty()) {
             SimChannel end = pick(ends);
@@ -322,25 +322,25 @@
     }
 
     /** Trouble ends, and clients read. */
-    private void calm() {
+    private void endFaults() {
         heal();
-        hosts.forEach(RandomHost::rise);
-        clients.forEach(RandomClient::wakes);
+        hosts.forEach(RandomHost::start);
+        clients.forEach(RandomClient::resumeReading);
     }
 
-    private void atRest() {
-        if (flow.inFlight() != 0 || flow.activeRequests() != 0) {
-            ruling.breaks("REST", flow.inFlight() + " requests in flight, " + flow.activeRequests() + " under way");
+    private void checkNothingLeft() {
+        if (router.inFlight() != 0 || router.activeRequests() != 0) {
+            checker.addViolation("REST", router.inFlight() + " requests in flight, " + router.activeRequests() + " under way");
         }
-        if (flow.heldBytes() != 0) {
-            ruling.breaks("REST", flow.heldBytes() + " bytes held");
+        if (router.heldBytes() != 0) {
+            checker.addViolation("REST", router.heldBytes() + " bytes held");
         }
-        held.values().removeIf(places -> places == 0);
-        if (!held.isEmpty() || !asks.isEmpty()) {
-            ruling.breaks("REST", "places not given back: " + held + ", asks " + asks.size());
+        heldSlots.values().removeIf(places -> places == 0);
+        if (!heldSlots.isEmpty() || !pendingRequests.isEmpty()) {
+            checker.addViolation("REST", "places not given back: " + heldSlots + ", asks " + pendingRequests.size());
         }
-        if (lines.openCount() != 0) {
-            ruling.breaks("REST", lines.openCount() + " connections to hosts");
+        if (connectionPools.openCount() != 0) {
+            checker.addViolation("REST", connectionPools.openCount() + " connections to hosts");
         }
     }
 
@@ -348,8 +348,8 @@
         simulation.runUntil(simulation.now() + TimeUnit.MILLISECONDS.toNanos(ms));
     }
 
-    ExchangeChecker ruling() {
-        return ruling;
+    ExchangeChecker checker() {
+        return checker;
     }
 
     RequestCounters counters() {
@@ -399,9 +399,9 @@
                     e.printStackTrace();
                 }
             }
-            tries += scenario.ruling.tries();
-            successes += scenario.ruling.successes;
-            promises += scenario.ruling.promises;
+            tries += scenario.checker.attemptCount();
+            successes += scenario.checker.successes;
+            promises += scenario.checker.nonExecutionResponses;
             all.surplusResponses += scenario.counters.surplusResponses;
             all.streamedResponses += scenario.counters.streamedResponses;
             all.staleConnections += scenario.counters.staleConnections;
@@ -413,12 +413,12 @@
             }
         }
         System.out.println(bad + " bad; tries " + tries + " successes " + successes + " promises " + promises + " "
-                + shown(all)
+                + format(all)
                 + " s " + (System.nanoTime() - began) / 1e9);
     }
 
     /** The counters that are not 0, for messages. */
-    static String shown(RequestCounters counters) {
+    static String format(RequestCounters counters) {
         StringBuilder shown = new StringBuilder();
         counters.forEachNonZero(
                 (name, count) -> shown.append(name).append('=').append(count).append(' '));
--- a/src/test/java/brambletray/platform/proxy/RandomExchangesTest.java
+++ b/src/test/java/brambletray/platform/proxy/RandomExchangesTest.java
@@ -20,17 +20,17 @@
  * begins elsewhere.
  */
 class RandomExchangesTest {
-    private static final int COURSES = Integer.getInteger("brambletray.courses", 2_000);
-    private static final int STEPS = 40;
+    private static final int SCENARIOS = Integer.getInteger("brambletray.courses", 2_000);
+    private static final int STEPS_PER_SCENARIO = 40;
     private static final int PARTS = 4;
     private static final long SEED = Long.getLong("brambletray.seed", 1);
 
     @Test
-    void noRuleIsBrokenWhateverHappens() {
+    void randomExchangesBreakNoRule() {
         // A scenario is one thread's from its making to its end.
         List<String> broken = IntStream.range(0, PARTS)
                 .parallel()
-                .mapToObj(i -> RandomExchanges.hunt(".*", SEED + (long) i * COURSES / PARTS, COURSES / PARTS, STEPS))
+                .mapToObj(i -> RandomExchanges.hunt(".*", SEED + (long) i * SCENARIOS / PARTS, SCENARIOS / PARTS, STEPS_PER_SCENARIO))
                 .filter(Objects::nonNull)
                 .toList();
         assertEquals(List.of(), broken);
@@ -41,19 +41,19 @@
 
     /** What goes wrong here is meant to, and would be told thousands of times. */
     @BeforeAll
-    static void hush() {
+    static void disableLogging() {
         level = ROOT.getLevel();
         ROOT.setLevel(Level.OFF);
     }
 
     @AfterAll
-    static void unhush() {
+    static void restoreLogging() {
         ROOT.setLevel(level);
     }
 
     /** Guards against a test that proves nothing: all that is to be judged does happen. */
     @Test
-    void theCoursesBringAboutWhatTheyAreFor() {
+    void randomExchangesCoverWhatTheyCheck() {
         RequestCounters all = new RequestCounters();
         int tries = 0;
         int successes = 0;
@@ -61,13 +61,13 @@
         int sealedFailures = 0;
         int ranAgain = 0;
         for (long seed = 1; seed <= 150; seed++) {
-            RandomExchanges scenario = new RandomExchanges(seed, STEPS);
+            RandomExchanges scenario = new RandomExchanges(seed, STEPS_PER_SCENARIO);
             assertEquals(List.of(), scenario.play(), "seed " + seed);
-            tries += scenario.ruling().tries();
-            successes += scenario.ruling().successes;
-            promises += scenario.ruling().promises;
-            sealedFailures += scenario.ruling().sealedFailures;
-            ranAgain += scenario.ruling().ranAgain;
+            tries += scenario.checker().attemptCount();
+            successes += scenario.checker().successes;
+            promises += scenario.checker().nonExecutionResponses;
+            sealedFailures += scenario.checker().sealedFailures;
+            ranAgain += scenario.checker().multiHostAttempts;
             RequestCounters of = scenario.counters();
             all.surplusResponses += of.surplusResponses;
             all.streamedResponses += of.streamedResponses;
@@ -76,7 +76,7 @@
             all.timedOut += of.timedOut;
         }
         String seen =
-                tries + " tries, " + successes + " successes, " + promises + " promises " + RandomExchanges.shown(all);
+                tries + " tries, " + successes + " successes, " + promises + " promises " + RandomExchanges.format(all);
         assertTrue(
                 sealedFailures > 20 && ranAgain > 20,
                 sealedFailures + " sealed failures, " + ranAgain + " at another host again; " + seen);
--- a/src/test/java/brambletray/platform/proxy/RandomHost.java
+++ b/src/test/java/brambletray/platform/proxy/RandomHost.java
@@ -24,24 +24,24 @@
  */
 final class RandomHost {
     /** ms; what was sent is read at the other end by then, unless that stands still. */
-    private static final int SURELY_THERE = 60;
+    private static final int MAX_DELIVERY_MS = 60;
 
     private static final String SEAL = "Brambletray-Response-Seal: s\r\n";
-    private static final String SHED = "Brambletray-Not-Executed: 1\r\n";
+    private static final String NOT_EXECUTED = "Brambletray-Not-Executed: 1\r\n";
 
     final String name;
     private final Machine machine;
     private final InetSocketAddress address;
-    private final ExchangeChecker ruling;
+    private final ExchangeChecker checker;
     private final SplittableRandom random;
-    private final int fault;
-    private final int large;
+    private final int faultPercent;
+    private final int largeBodyOneIn;
     private final Set<Channel> open = new LinkedHashSet<>();
     private Channel listener;
     /**
      * ms: the relay stood still or was cut off until then; what comes from it before may have been written unseeing.
      */
-    private long unseeingUntil;
+    private long proxyUnawareUntilMs;
 
     /** {@code trouble}: percent of answers that are not plain; {@code large}: of so many bodies one is. */
     RandomHost(
@@ -55,14 +55,14 @@
         this.name = name;
         this.machine = machine;
         this.address = address;
-        this.ruling = ruling;
+        this.checker = ruling;
         this.random = random;
-        this.fault = fault;
-        this.large = large;
-        rise();
+        this.faultPercent = fault;
+        this.largeBodyOneIn = large;
+        start();
     }
 
-    void rise() {
+    void start() {
         if (listener == null) {
             listener = machine.listening(new ChannelInitializer<Channel>() {
                         @Override
@@ -76,7 +76,7 @@
     }
 
     /** Refuses connections; {@code hard}: and resets those that are open. */
-    void fall(boolean hard) {
+    void stop(boolean hard) {
         if (listener != null) {
             listener.close();
             listener = null;
@@ -86,12 +86,12 @@
         }
     }
 
-    void unseeing(long untilMs) {
-        unseeingUntil = untilMs;
+    void proxyUnawareUntil(long untilMs) {
+        proxyUnawareUntilMs = untilMs;
     }
 
-    long unseeing() {
-        return unseeingUntil;
+    long proxyUnawareUntil() {
+        return proxyUnawareUntilMs;
     }
 
     private long now() {
@@ -117,15 +117,15 @@
         private final Channel channel;
         private final StringBuilder in = new StringBuilder();
         /** What is at work here, unanswered. */
-        private ExchangeChecker.Try at;
+        private ExchangeChecker.ClientAttempt current;
         /** Bytes that are still to come of a request that was answered early. */
-        private int rest;
+        private int unreadBodyBytes;
         /** In the midst of an answer. */
-        private boolean pouring;
+        private boolean responding;
         /** It has been said, or is plain, that no request may follow here. */
-        private boolean ending;
+        private boolean noMoreRequests;
         /** ms; from then on, what is sent here was sent with surplus bytes before one's eyes. */
-        private long surplusSeen = Long.MAX_VALUE;
+        private long surplusDeliveredMs = Long.MAX_VALUE;
 
         Connection(Channel channel) {
             this.channel = channel;
@@ -134,11 +134,11 @@
         @Override
         public void channelActive(ChannelHandlerContext context) {
             open.add(channel);
-            if (random.nextInt(200) < fault / 20) {
+            if (random.nextInt(200) < faultPercent / 20) {
                 // Speaks before it is spoken to; but a refusal says there that what follows does not run.
                 String bytes = surplus("none", "");
                 send(bytes.contains("Brambletray-Attempt-Id") || !bytes.startsWith("HTTP") ? bytes : "surplus")
-                        .addListener(out -> seen());
+                        .addListener(out -> onSurplusSent());
             }
         }
 
@@ -155,46 +155,46 @@
         @Override
         public void channelRead(ChannelHandlerContext context, Object bytes) {
             ByteBuf read = (ByteBuf) bytes;
-            int skipped = Math.min(rest, read.readableBytes());
-            rest -= skipped;
+            int skipped = Math.min(unreadBodyBytes, read.readableBytes());
+            unreadBodyBytes -= skipped;
             read.skipBytes(skipped);
             boolean first = in.length() == 0 && read.isReadable();
             in.append(read.toString(StandardCharsets.ISO_8859_1));
             read.release();
             if (first) {
-                begins();
+                onRequestStart();
             }
             int end = in.indexOf("\r\n\r\n");
-            if (end < 0 || at != null) {
+            if (end < 0 || current != null) {
                 return;
             }
             String head = in.substring(0, end);
             int length = Integer.parseInt("0" + ScriptedHost.header(head, "content-length"));
             boolean whole = in.length() >= end + 4 + length;
-            if (whole || random.nextInt(200) < fault) {
+            if (whole || random.nextInt(200) < faultPercent) {
                 String body = whole ? in.substring(end + 4, end + 4 + length) : null;
-                rest = Math.max(0, end + 4 + length - in.length());
+                unreadBodyBytes = Math.max(0, end + 4 + length - in.length());
                 in.delete(0, end + 4 + length);
-                work(head, body);
+                handle(head, body);
             }
         }
 
         /** The first byte of a request is here. */
-        private void begins() {
-            if (at != null) {
-                ruling.breaks("OWED", "a request at " + name + " while " + at.id + " is owed its answer there");
-            } else if (ending) {
-                ruling.breaks("OWED", "a request at " + name + " where none may follow");
-            } else if (now() > surplusSeen && now() > unseeingUntil) {
-                ruling.breaks(
+        private void onRequestStart() {
+            if (current != null) {
+                checker.addViolation("OWED", "a request at " + name + " while " + current.id + " is owed its answer there");
+            } else if (noMoreRequests) {
+                checker.addViolation("OWED", "a request at " + name + " where none may follow");
+            } else if (now() > surplusDeliveredMs && now() > proxyUnawareUntilMs) {
+                checker.addViolation(
                         "OWED",
                         "a request at " + name + " on a connection with surplus bytes that were there long before");
             }
         }
 
-        private void work(String head, String body) {
+        private void handle(String head, String body) {
             String[] line = head.substring(0, head.indexOf("\r\n")).split(" ");
-            ExchangeChecker.Try one = ruling.arrived(
+            ExchangeChecker.ClientAttempt one = checker.onRequestReceived(
                     ScriptedHost.header(head, "brambletray-attempt-id"),
                     line[0],
                     line[1],
@@ -204,47 +204,47 @@
             if (one == null) {
                 return;
             }
-            Answer answer = draw(one, body == null);
+            Answer answer = randomAnswer(one, body == null);
             if (answer.runs()) {
-                ruling.ran(one, name);
+                checker.onExecuted(one, name);
             }
             if (answer.bytes() == null) {
-                at = one;
+                current = one;
                 return;
             }
-            at = one;
+            current = one;
             int dice = random.nextInt(100);
             int delay = dice < 30
                     ? 0
                     : dice < 85 ? random.nextInt(30) : dice < 95 ? random.nextInt(300) : random.nextInt(2_500);
-            machine.loop().schedule(() -> pour(answer, answer.bytes()), delay, TimeUnit.MILLISECONDS);
+            machine.loop().schedule(() -> sendAnswer(answer, answer.bytes()), delay, TimeUnit.MILLISECONDS);
         }
 
         /** In one piece, or in several with pauses between. */
-        private void pour(Answer answer, String rest) {
-            pouring = true;
+        private void sendAnswer(Answer answer, String rest) {
+            responding = true;
             int size =
                     rest.length() > 1 && random.nextInt(4) == 0 ? 1 + random.nextInt(rest.length() - 1) : rest.length();
             boolean last = size == rest.length();
             if (last) {
-                pouring = false;
-                at = null;
-                ending |= answer.then() != Then.STAYS;
+                responding = false;
+                current = null;
+                noMoreRequests |= answer.then() != Then.STAYS;
             }
             boolean together = last && random.nextBoolean();
             ChannelFuture sent = send(rest.substring(0, size) + (together ? answer.surplus() : ""));
             if (!last) {
                 machine.loop()
-                        .schedule(() -> pour(answer, rest.substring(size)), random.nextInt(20), TimeUnit.MILLISECONDS);
+                        .schedule(() -> sendAnswer(answer, rest.substring(size)), random.nextInt(20), TimeUnit.MILLISECONDS);
                 return;
             }
             if (!answer.surplus().isEmpty()) {
                 if (together) {
-                    sent.addListener(out -> seen());
+                    sent.addListener(out -> onSurplusSent());
                 } else {
                     machine.loop()
                             .schedule(
-                                    () -> late(answer.surplus()),
+                                    () -> sendSurplus(answer.surplus()),
                                     random.nextInt(random.nextBoolean() ? 8 : 120),
                                     TimeUnit.MILLISECONDS);
                 }
@@ -262,16 +262,16 @@
             }
         }
 
-        private void late(String surplus) {
-            if (channel.isActive() && !pouring) {
+        private void sendSurplus(String surplus) {
+            if (channel.isActive() && !responding) {
                 ChannelFuture sent = send(surplus);
-                sent.addListener(out -> seen());
+                sent.addListener(out -> onSurplusSent());
             }
         }
 
         /** Surplus bytes are on the way. */
-        private void seen() {
-            surplusSeen = Math.min(surplusSeen, now() + SURELY_THERE);
+        private void onSurplusSent() {
+            surplusDeliveredMs = Math.min(surplusDeliveredMs, now() + MAX_DELIVERY_MS);
         }
 
         private ChannelFuture send(String bytes) {
@@ -280,27 +280,27 @@
     }
 
     // ---- What it says ---------------------------------------------------------------------------
-    private Answer draw(ExchangeChecker.Try one, boolean early) {
-        if (random.nextInt(100) >= fault) {
-            return new Answer(good(one, false), true, Then.STAYS, "");
+    private Answer randomAnswer(ExchangeChecker.ClientAttempt one, boolean early) {
+        if (random.nextInt(100) >= faultPercent) {
+            return new Answer(sealedSuccess(one, false), true, Then.STAYS, "");
         }
         return switch (random.nextInt(12)) {
-            case 0 -> new Answer(good(one, true), true, Then.CLOSING, "");
-            case 1, 2 -> new Answer(good(one, false), true, Then.STAYS, surplus(one.id, "x"));
+            case 0 -> new Answer(sealedSuccess(one, true), true, Then.CLOSING, "");
+            case 1, 2 -> new Answer(sealedSuccess(one, false), true, Then.STAYS, surplus(one.id, "x"));
             case 3 -> failed(one);
-            case 4, 5 -> shed(one);
+            case 4, 5 -> unexecuted(one);
             case 6 -> new Answer("", random.nextInt(4) > 0, random.nextBoolean() ? Then.FIN : Then.RESET, "");
-            case 7 -> cut(one);
-            case 8, 9, 10 -> spoilt(one);
+            case 7 -> truncated(one);
+            case 8, 9, 10 -> invalid(one);
             default ->
                 random.nextInt(4) == 0
                         ? new Answer(null, true, Then.STAYS, "")
-                        : new Answer(good(one, false), true, Then.STAYS, "");
+                        : new Answer(sealedSuccess(one, false), true, Then.STAYS, "");
         };
     }
 
-    private String body(ExchangeChecker.Try one) {
-        int pad = random.nextInt(large) == 0 ? 3_000 + random.nextInt(9_000) : random.nextInt(3) == 0 ? 400 : 0;
+    private String body(ExchangeChecker.ClientAttempt one) {
+        int pad = random.nextInt(largeBodyOneIn) == 0 ? 3_000 + random.nextInt(9_000) : random.nextInt(3) == 0 ? 400 : 0;
         return name + ":" + one.id + ":" + one.arrivals + "/" + ".".repeat(pad);
     }
 
@@ -330,14 +330,14 @@
     }
 
     /** A whole, sealed answer. */
-    private String good(ExchangeChecker.Try one, boolean closing) {
+    private String sealedSuccess(ExchangeChecker.ClientAttempt one, boolean closing) {
         String headers = SEAL
                 + (closing
                         ? "Connection: close\r\n"
                         : random.nextInt(4) == 0 ? "Keep-Alive: timeout=" + random.nextInt(4) + "\r\n" : "");
         String before = random.nextInt(12) == 0 ? "HTTP/1.1 103 Early Hints\r\n" + SEAL + "\r\n" : "";
         if (random.nextInt(15) == 0) {
-            one.sealed.add("");
+            one.sealedBodies.add("");
             return before + head("204 No Content", one.id, headers) + "\r\n";
         }
         if (random.nextInt(25) == 0) {
@@ -352,17 +352,17 @@
         }
         String body = body(one);
         if (one.method.equals("HEAD")) {
-            one.sealed.add("");
+            one.sealedBodies.add("");
             return before + head("200 OK", one.id, headers) + "Content-Length: " + body.length() + "\r\n\r\n";
         }
-        one.sealed.add(body);
+        one.sealedBodies.add(body);
         return before
                 + (random.nextInt(3) == 0
                         ? head("200 OK", one.id, headers + "Transfer-Encoding: chunked\r\n") + "\r\n" + chunked(body)
                         : sized("200 OK", one.id, headers, body));
     }
 
-    private Answer failed(ExchangeChecker.Try one) {
+    private Answer failed(ExchangeChecker.ClientAttempt one) {
         String status = switch (random.nextInt(6)) {
             case 0 -> "504 Gateway Timeout";
             case 1 -> "503 Service Unavailable";
@@ -379,7 +379,7 @@
         return new Answer(sized(status, one.id, sealed ? SEAL : "", body), true, Then.STAYS, "");
     }
 
-    private Answer shed(ExchangeChecker.Try one) {
+    private Answer unexecuted(ExchangeChecker.ClientAttempt one) {
         String id = random.nextBoolean() ? one.id : null;
         String surplus = switch (random.nextInt(6)) {
             case 0, 1 -> notRun(one.id);
@@ -396,12 +396,12 @@
                 : sized(
                         random.nextBoolean() ? "503 Service Unavailable" : "429 Too Many Requests",
                         id,
-                        SHED + seal,
+                        NOT_EXECUTED + seal,
                         "");
     }
 
-    private Answer cut(ExchangeChecker.Try one) {
-        String whole = good(one, false);
+    private Answer truncated(ExchangeChecker.ClientAttempt one) {
+        String whole = sealedSuccess(one, false);
         int size = 1 + random.nextInt(Math.max(1, whole.length() - 1));
         return new Answer(
                 whole.substring(0, Math.min(size, whole.length() - 1)),
@@ -411,7 +411,7 @@
     }
 
     /** Bytes that are no answer, or not a success; none of their bodies may reach a client as one. */
-    private Answer spoilt(ExchangeChecker.Try one) {
+    private Answer invalid(ExchangeChecker.ClientAttempt one) {
         int kind = random.nextInt(18);
         String body = "spoilt" + kind + ":" + body(one);
         String id = one.id;
@@ -434,7 +434,7 @@
             case 11 ->
                 head("200 OK", id, SEAL + "Transfer-Encoding: chunked\r\n") + "\r\n2\r\n" + body + "\r\n0\r\n\r\n";
             case 12 -> sized("200 OK", id, SEAL, body).replace("HTTP/1.1", "HTTP/2.0");
-            case 13 -> sized("200 OK", id, SEAL + SHED, body);
+            case 13 -> sized("200 OK", id, SEAL + NOT_EXECUTED, body);
             case 14 -> sized("200 OK", id, SEAL + "Transfer-Encoding: identity\r\n", body);
             case 16 -> sized("799 Beyond", id, SEAL, body);
             case 17 -> sized("1000 Beyond", id, SEAL, body);
@@ -448,13 +448,13 @@
     private String surplus(String id, String body) {
         return switch (random.nextInt(10)) {
             case 0 -> sized("200 OK", id, SEAL, "surplus:" + body);
-            case 1 -> sized("503 Service Unavailable", null, SHED, "");
+            case 1 -> sized("503 Service Unavailable", null, NOT_EXECUTED, "");
             case 2 -> sized("421 Misdirected Request", null, "", "");
-            case 3 -> sized("503 Service Unavailable", id, SHED, "");
+            case 3 -> sized("503 Service Unavailable", id, NOT_EXECUTED, "");
             case 4 -> sized("200 OK", null, SEAL, "surplus:" + body);
             case 5 -> "\r\n\u0000 \r\n";
             case 6 -> "HTTP/1.1 200 OK\r\nBrambletray-Attempt-Id: " + id + "\r\nContent-Le";
-            case 7 -> sized("429 Too Many Requests", id, SHED, "");
+            case 7 -> sized("429 Too Many Requests", id, NOT_EXECUTED, "");
             case 8 -> head("200 OK", id, SEAL + "Transfer-Encoding: chunked\r\n") + "\r\n" + chunked("surplus:" + body);
             default -> "surplus bytes";
         };
--- a/src/test/java/brambletray/platform/proxy/RealSocketsTest.java
+++ b/src/test/java/brambletray/platform/proxy/RealSocketsTest.java
@@ -27,7 +27,7 @@
 
 /** The same classes on real sockets of this machine. */
 class RealSocketsTest {
-    private static final String CREED =
+    private static final String CONFIGURATION =
             "{'revision':1,'routes':[{'name':'r','host':'h.example','path-prefix':'/r/','route-type':'idempotent',"
                     + "'timeout-ms':4000,'target-ms':400,'priority':1,'service':'s','retry-count':2}],'services':[{'name':'s','health-path':null,"
                     + "'max-connections':8,'protocol':'h1','tls-mode':false,'memory-mb':128,'boot-ms':500,'max-concurrency':4}],'limits':"
@@ -35,15 +35,15 @@
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Machine machine = Machine.real(group.next());
-    private final CompletableFuture<AttemptOutcome> fate = new CompletableFuture<>();
+    private final CompletableFuture<AttemptOutcome> outcome = new CompletableFuture<>();
     private HttpServer host;
-    private String notified = "";
+    private String receivedRequest = "";
 
     @BeforeEach
     void open() throws IOException {
         host = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 8);
         host.createContext("/", exchange -> {
-            notified = exchange.getRequestMethod() + " " + exchange.getRequestURI() + " "
+            receivedRequest = exchange.getRequestMethod() + " " + exchange.getRequestURI() + " "
                     + exchange.getRequestHeaders().getFirst("Brambletray-Target-Instance") + " "
                     + new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.US_ASCII);
             exchange.getResponseHeaders()
@@ -75,9 +75,9 @@
     }
 
     @Test
-    void aRequestThroughAllOfIt() throws Exception {
+    void aRequestThroughTheWholeProxy() throws Exception {
         Configuration configuration =
-                Configuration.read(CREED.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
+                Configuration.read(CONFIGURATION.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
         SlotBroker broker = new SlotBroker() {
             @Override
             public void requestSlot(SlotRequest ask, SlotRequester taker) {
@@ -91,12 +91,12 @@
 
             @Override
             public void releaseSlot(SlotGrant grant, AttemptOutcome with, int tookMs) {
-                fate.complete(with);
+                outcome.complete(with);
             }
 
             @Override
             public void cancelRequest(long askId) {
-                fate.completeExceptionally(new AssertionError("forgotten"));
+                outcome.completeExceptionally(new AssertionError("forgotten"));
             }
         };
         InetSocketAddress at = onLoop(() -> {
@@ -131,8 +131,8 @@
                 answer.contains("\r\nBrambletray-Response-Seal: s\r\n")
                         || answer.toLowerCase().contains("brambletray-response-seal: s"),
                 answer);
-        assertEquals("POST /r/x?q=1 i-1 abc", notified);
-        assertEquals(AttemptOutcome.SERVED, fate.get(5, TimeUnit.SECONDS));
+        assertEquals("POST /r/x?q=1 i-1 abc", receivedRequest);
+        assertEquals(AttemptOutcome.SERVED, outcome.get(5, TimeUnit.SECONDS));
     }
 
     @Test
