--- a/src/test/java/brambletray/platform/proxy/ScriptedBroker.java
+++ b/src/test/java/brambletray/platform/proxy/ScriptedBroker.java
@@ -9,41 +9,41 @@
 
 /** The broker of a drawn timeline. */
 final class ScriptedBroker extends Actor implements SlotBroker {
-    private record Waiting(SlotRequest ask, SlotRequester taker) {}
+    private record PendingRequest(SlotRequest request, SlotRequester requester) {}
 
-    private final ArrayDeque<Waiting> asks = new ArrayDeque<>();
+    private final ArrayDeque<PendingRequest> pendingRequests = new ArrayDeque<>();
     /** Granted before it is asked for. */
-    private final ArrayDeque<String[]> ready = new ArrayDeque<>();
+    private final ArrayDeque<String[]> preparedGrants = new ArrayDeque<>();
 
-    private final Map<Long, String> held = new HashMap<>();
-    private final SimulatedProxy street;
+    private final Map<Long, String> heldSlots = new HashMap<>();
+    private final SimulatedProxy proxy;
 
     ScriptedBroker(SimulatedProxy street) {
-        this.street = street;
+        this.proxy = street;
     }
 
     @Override
     public void requestSlot(SlotRequest ask, SlotRequester taker) {
-        asks.add(new Waiting(ask, taker));
+        pendingRequests.add(new PendingRequest(ask, taker));
         sees("wants" + (ask.hedge() ? " copy" : ask.retry() ? " again" : "") + (ask.nestedCall() ? " inner" : "")
                 + (ask.excludedInstances().isEmpty() ? "" : " but " + String.join(" ", ask.excludedInstances())));
-        if (!ready.isEmpty()) {
-            grant(ready.remove());
+        if (!preparedGrants.isEmpty()) {
+            grant(preparedGrants.remove());
         }
     }
 
     @Override
     public void releaseSlot(SlotGrant grant, AttemptOutcome fate, int tookMs) {
-        held.remove(grant.requestId());
+        heldSlots.remove(grant.requestId());
         sees(grant.instanceId() + " " + fate + " " + tookMs);
     }
 
     @Override
     public void cancelRequest(long askId) {
-        if (asks.removeIf(waiting -> waiting.ask().id() == askId)) {
+        if (pendingRequests.removeIf(waiting -> waiting.request().id() == askId)) {
             sees("forgets");
         } else {
-            sees("unused " + held.remove(askId));
+            sees("unused " + heldSlots.remove(askId));
         }
     }
 
@@ -53,32 +53,32 @@
     }
 
     private void grant(String[] words) {
-        Waiting next = asks.remove();
-        held.put(next.ask().id(), words[1]);
-        next.taker().onGranted(new SlotGrant(next.ask().id(), words[1], street.address(words[1]), words.length > 2));
+        PendingRequest next = pendingRequests.remove();
+        heldSlots.put(next.request().id(), words[1]);
+        next.requester().onGranted(new SlotGrant(next.request().id(), words[1], proxy.address(words[1]), words.length > 2));
     }
 
     /** The oldest request that waits for its answer. */
     SlotRequest oldest() {
-        return asks.element().ask();
+        return pendingRequests.element().request();
     }
 
     /** Places out, or asked for. */
-    int open() {
-        return held.size() + asks.size();
+    int openCount() {
+        return heldSlots.size() + pendingRequests.size();
     }
 
     @Override
     boolean act(String[] words) {
         switch (words[0]) {
             case "grants" -> {
-                if (asks.isEmpty()) {
-                    ready.add(words);
+                if (pendingRequests.isEmpty()) {
+                    preparedGrants.add(words);
                 } else {
                     grant(words);
                 }
             }
-            case "refuses" -> asks.remove().taker().onRefused(words.length > 1 ? Integer.parseInt(words[1]) : -1);
+            case "refuses" -> pendingRequests.remove().requester().onRefused(words.length > 1 ? Integer.parseInt(words[1]) : -1);
             default -> {
                 return false;
             }
--- a/src/test/java/brambletray/platform/proxy/ScriptedClient.java
+++ b/src/test/java/brambletray/platform/proxy/ScriptedClient.java
@@ -15,7 +15,7 @@
     private final Machine machine;
     private final InetSocketAddress front;
     private Channel channel;
-    private boolean bare;
+    private boolean isHeadRequest;
     private final StringBuilder in = new StringBuilder();
 
     ScriptedClient(Machine machine, InetSocketAddress front) {
@@ -29,7 +29,7 @@
             ByteBuf read = (ByteBuf) bytes;
             in.append(read.toString(StandardCharsets.ISO_8859_1));
             read.release();
-            answers();
+            readResponses();
         }
 
         @Override
@@ -47,10 +47,10 @@
         }
     }
 
-    private void answers() {
+    private void readResponses() {
         for (int end = in.indexOf("\r\n\r\n"); end >= 0; end = in.indexOf("\r\n\r\n")) {
             String head = in.substring(0, end);
-            int length = bare ? 0 : Integer.parseInt("0" + ScriptedHost.header(head, "content-length"));
+            int length = isHeadRequest ? 0 : Integer.parseInt("0" + ScriptedHost.header(head, "content-length"));
             if (in.length() < end + 4 + length) {
                 return;
             }
@@ -72,22 +72,22 @@
         String id = words.length > 1 ? words[1] : "";
         String ms = words.length > 2 ? words[2] : "4000";
         switch (words[0]) {
-            case "asks" -> say("GET /r/x?q=1 HTTP/1.1\r\n" + rest(id, ms) + "\r\n");
+            case "asks" -> send("GET /r/x?q=1 HTTP/1.1\r\n" + commonHeaders(id, ms) + "\r\n");
             case "keys" ->
-                say("POST /r/x HTTP/1.1\r\n" + rest(id, ms) + "Brambletray-Operation-Key: k1\r\n"
+                send("POST /r/x HTTP/1.1\r\n" + commonHeaders(id, ms) + "Brambletray-Operation-Key: k1\r\n"
                         + "Content-Length: 5\r\n\r\nhello");
             case "keys-twice" ->
-                say("POST /r/x HTTP/1.1\r\n" + rest(id, ms) + "Brambletray-Operation-Key: k1\r\n"
+                send("POST /r/x HTTP/1.1\r\n" + commonHeaders(id, ms) + "Brambletray-Operation-Key: k1\r\n"
                         + "Brambletray-Operation-Key: k2\r\nContent-Length: 0\r\n\r\n");
             case "asks-twice" ->
-                say("GET /r/x HTTP/1.1\r\n" + rest(id, "4000") + "\r\nGET /r/x HTTP/1.1\r\n" + rest(ms, "4000")
+                send("GET /r/x HTTP/1.1\r\n" + commonHeaders(id, "4000") + "\r\nGET /r/x HTTP/1.1\r\n" + commonHeaders(ms, "4000")
                         + "\r\n");
-            case "posts" -> say("POST /r/x HTTP/1.1\r\n" + rest(id, ms) + "Content-Length: 5\r\n\r\nhello");
+            case "posts" -> send("POST /r/x HTTP/1.1\r\n" + commonHeaders(id, ms) + "Content-Length: 5\r\n\r\nhello");
             case "trickles" ->
-                say("POST /r/x HTTP/1.1\r\n" + rest(id, ms)
+                send("POST /r/x HTTP/1.1\r\n" + commonHeaders(id, ms)
                         + "Transfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\n\r\n");
-            case "begins" -> say("GET /r/x HTTP/1.1\r\nHost: h.example\r\n");
-            case "nowhere" -> say("GET /none HTTP/1.1\r\n" + rest(id, ms) + "\r\n");
+            case "begins" -> send("GET /r/x HTTP/1.1\r\nHost: h.example\r\n");
+            case "nowhere" -> send("GET /none HTTP/1.1\r\n" + commonHeaders(id, ms) + "\r\n");
             case "sleeps" -> channel.config().setAutoRead(false);
             case "wakes" -> channel.config().setAutoRead(true);
             case "hangs-up" -> {
@@ -102,13 +102,13 @@
         return true;
     }
 
-    private static String rest(String id, String ms) {
+    private static String commonHeaders(String id, String ms) {
         return "Host: h.example\r\nBrambletray-Attempt-Id: " + id + "\r\nBrambletray-Deadline-Remaining: " + ms
                 + "\r\n";
     }
 
-    void say(String bytes) {
-        bare = bytes.startsWith("HEAD");
+    void send(String bytes) {
+        isHeadRequest = bytes.startsWith("HEAD");
         ByteBuf out = Unpooled.copiedBuffer(bytes, StandardCharsets.ISO_8859_1);
         if (channel != null && channel.isActive()) {
             channel.writeAndFlush(out);
--- a/src/test/java/brambletray/platform/proxy/ScriptedHost.java
+++ b/src/test/java/brambletray/platform/proxy/ScriptedHost.java
@@ -26,23 +26,23 @@
     private final String name;
     private final Machine machine;
     private final InetSocketAddress address;
-    private final Map<String, Channel> at = new LinkedHashMap<>();
+    private final Map<String, Channel> channels = new LinkedHashMap<>();
     private final Set<Channel> open = new LinkedHashSet<>();
     /** The last request, as it came. */
-    String request = "";
+    String lastRequest = "";
 
-    int connections;
+    int connectionCount;
     private Channel listener;
-    private String extra = "";
+    private String surplusBytes = "";
 
     ScriptedHost(String name, Machine machine, InetSocketAddress address) {
         this.name = name;
         this.machine = machine;
         this.address = address;
-        rise();
+        start();
     }
 
-    private void rise() {
+    private void start() {
         listener = machine.listening(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -58,7 +58,7 @@
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            connections++;
+            connectionCount++;
             open.add(context.channel());
         }
 
@@ -73,12 +73,12 @@
                 if (in.length() < end + 4 + length) {
                     return;
                 }
-                request = in.substring(0, end + 4 + length);
+                lastRequest = in.substring(0, end + 4 + length);
                 in.delete(0, end + 4 + length);
-                String id = header(request, "brambletray-attempt-id");
-                at.put(id, context.channel());
+                String id = header(lastRequest, "brambletray-attempt-id");
+                channels.put(id, context.channel());
                 sees("reads " + id
-                        + (name.equals(header(request, "brambletray-target-instance")) ? "" : " of another"));
+                        + (name.equals(header(lastRequest, "brambletray-target-instance")) ? "" : " of another"));
                 end = in.indexOf("\r\n\r\n");
             }
         }
@@ -87,11 +87,11 @@
         public void channelInactive(ChannelHandlerContext context) {
             if (open.remove(context.channel())) {
                 String latest = "";
-                for (Map.Entry<String, Channel> entry : at.entrySet()) {
+                for (Map.Entry<String, Channel> entry : channels.entrySet()) {
                     latest = entry.getValue() == context.channel() ? entry.getKey() : latest;
                 }
                 sees("loses " + latest);
-                at.values().removeIf(channel -> channel == context.channel());
+                channels.values().removeIf(channel -> channel == context.channel());
             }
         }
 
@@ -120,58 +120,58 @@
         String id = words.length > 1 ? words[1] : "";
         String body = name + ":" + id;
         switch (words[0]) {
-            case "answers" -> whole(id, id, "200 OK", "Brambletray-Response-Seal: s\r\n", body);
-            case "answers-at-length" -> whole(id, id, "200 OK", "Brambletray-Response-Seal: s\r\n", "x".repeat(MEDIUM));
-            case "echoes" -> whole(words[3], id, "200 OK", "Brambletray-Response-Seal: s\r\n", body);
-            case "fails" -> whole(id, id, "500 Internal Server Error", "", body);
-            case "expires" -> whole(id, id, "504 Gateway Timeout", "", body);
-            case "hides" -> whole(id, id, "503 Service Unavailable", "", body);
-            case "finds-nothing" -> whole(id, id, "404 Not Found", "", body);
-            case "sheds" -> whole(id, null, "503 Service Unavailable", "Brambletray-Not-Executed: 1\r\n", "");
-            case "declines" -> whole(id, id, "503 Service Unavailable", "Brambletray-Not-Executed: 1\r\n", "");
-            case "misdirects" -> whole(id, null, "421 Misdirected Request", "", "");
-            case "leaves" -> whole(id, id, "200 OK", "Connection: close\r\nBrambletray-Response-Seal: s\r\n", body);
+            case "answers" -> respond(id, id, "200 OK", "Brambletray-Response-Seal: s\r\n", body);
+            case "answers-at-length" -> respond(id, id, "200 OK", "Brambletray-Response-Seal: s\r\n", "x".repeat(MEDIUM));
+            case "echoes" -> respond(words[3], id, "200 OK", "Brambletray-Response-Seal: s\r\n", body);
+            case "fails" -> respond(id, id, "500 Internal Server Error", "", body);
+            case "expires" -> respond(id, id, "504 Gateway Timeout", "", body);
+            case "hides" -> respond(id, id, "503 Service Unavailable", "", body);
+            case "finds-nothing" -> respond(id, id, "404 Not Found", "", body);
+            case "sheds" -> respond(id, null, "503 Service Unavailable", "Brambletray-Not-Executed: 1\r\n", "");
+            case "declines" -> respond(id, id, "503 Service Unavailable", "Brambletray-Not-Executed: 1\r\n", "");
+            case "misdirects" -> respond(id, null, "421 Misdirected Request", "", "");
+            case "leaves" -> respond(id, id, "200 OK", "Connection: close\r\nBrambletray-Response-Seal: s\r\n", body);
             case "keeps" ->
-                whole(
+                respond(
                         id,
                         id,
                         "200 OK",
                         "Keep-Alive: timeout=" + words[2] + "\r\nBrambletray-Response-Seal: s\r\n",
                         body);
-            case "unsealed" -> whole(id, id, "200 OK", "", body);
-            case "unnamed" -> whole(id, null, "200 OK", "Brambletray-Response-Seal: s\r\n", body);
-            case "encodes" -> whole(id, id, "200 OK", "Content-Encoding: br\r\nBrambletray-Response-Seal: s\r\n", body);
-            case "endless" -> say(id, head(id, "200 OK", "Brambletray-Response-Seal: s\r\n") + "\r\n" + body);
+            case "unsealed" -> respond(id, id, "200 OK", "", body);
+            case "unnamed" -> respond(id, null, "200 OK", "Brambletray-Response-Seal: s\r\n", body);
+            case "encodes" -> respond(id, id, "200 OK", "Content-Encoding: br\r\nBrambletray-Response-Seal: s\r\n", body);
+            case "endless" -> send(id, head(id, "200 OK", "Brambletray-Response-Seal: s\r\n") + "\r\n" + body);
             case "chunks" ->
-                say(
+                send(
                         id,
                         head(id, "200 OK", "Transfer-Encoding: chunked\r\nBrambletray-Response-Seal: s\r\n")
                                 + "\r\n2\r\n" + body.substring(0, 2) + "\r\n" + Integer.toHexString(body.length() - 2)
                                 + "\r\n" + body.substring(2) + "\r\n0\r\n\r\n");
             case "heads" ->
-                say(id, head(id, "200 OK", "Content-Length: 100\r\nBrambletray-Response-Seal: s\r\n") + "\r\n");
+                send(id, head(id, "200 OK", "Content-Length: 100\r\nBrambletray-Response-Seal: s\r\n") + "\r\n");
             case "begins" ->
-                say(id, head(id, "200 OK", "Content-Length: 100\r\nBrambletray-Response-Seal: s\r\n") + "\r\n" + body);
+                send(id, head(id, "200 OK", "Content-Length: 100\r\nBrambletray-Response-Seal: s\r\n") + "\r\n" + body);
             case "pours" ->
-                say(
+                send(
                         id,
                         head(id, "200 OK", "Content-Length: " + 2 * LARGE + "\r\nBrambletray-Response-Seal: s\r\n")
                                 + "\r\n" + "x".repeat(LARGE));
-            case "ends" -> say(id, "x".repeat(LARGE));
+            case "ends" -> send(id, "x".repeat(LARGE));
             case "codes" ->
-                say(
+                send(
                         id,
                         head(id, "200 OK", "Transfer-Encoding: gzip, chunked\r\nBrambletray-Response-Seal: s\r\n")
                                 + "\r\n2\r\nxy\r\n0\r\n\r\n");
             case "codes-nothing" ->
-                whole(id, id, "200 OK", "Transfer-Encoding: identity\r\nBrambletray-Response-Seal: s\r\n", body);
+                respond(id, id, "200 OK", "Transfer-Encoding: identity\r\nBrambletray-Response-Seal: s\r\n", body);
             case "is-of-another-version" ->
-                say(
+                send(
                         id,
                         head(id, "200 OK", "Content-Length: 2\r\nBrambletray-Response-Seal: s\r\n")
                                         .replace("/1.1", "/2.0")
                                 + "\r\nxy");
-            case "fails-at-length" -> whole(id, id, "500 Internal Server Error", "", "x".repeat(LARGE));
+            case "fails-at-length" -> respond(id, id, "500 Internal Server Error", "", "x".repeat(LARGE));
             case "blurts" ->
                 open.iterator()
                         .next()
@@ -182,16 +182,16 @@
                                                 "Brambletray-Not-Executed: 1\r\nContent-Length: 0\r\n")
                                         + "\r\n",
                                 StandardCharsets.ISO_8859_1));
-            case "garbles" -> say(id, "\u0001\u0002\u0003 nothing of this is an answer\r\n\r\n");
-            case "adds-blanks" -> extra = "\r\n \u0000";
-            case "adds" -> extra = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
-            case "cuts" -> ((DuplexChannel) at.get(id)).shutdownOutput();
-            case "resets" -> reset(at.get(id));
+            case "garbles" -> send(id, "\u0001\u0002\u0003 nothing of this is an answer\r\n\r\n");
+            case "adds-blanks" -> surplusBytes = "\r\n \u0000";
+            case "adds" -> surplusBytes = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
+            case "cuts" -> ((DuplexChannel) channels.get(id)).shutdownOutput();
+            case "resets" -> reset(channels.get(id));
             case "X" -> {
                 listener.close();
                 Set.copyOf(open).forEach(this::reset);
             }
-            case "rises" -> rise();
+            case "rises" -> start();
             default -> {
                 return false;
             }
@@ -201,23 +201,23 @@
 
     private void reset(Channel channel) {
         open.remove(channel);
-        at.values().removeIf(other -> other == channel);
+        channels.values().removeIf(other -> other == channel);
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
         channel.close();
     }
 
-    private void whole(String on, String id, String status, String headers, String body) {
-        say(on, head(id, status, headers + "Content-Length: " + body.length() + "\r\n") + "\r\n" + body);
+    private void respond(String on, String id, String status, String headers, String body) {
+        send(on, head(id, status, headers + "Content-Length: " + body.length() + "\r\n") + "\r\n" + body);
     }
 
     private static String head(String id, String status, String headers) {
         return "HTTP/1.1 " + status + "\r\n" + (id == null ? "" : "Brambletray-Attempt-Id: " + id + "\r\n") + headers;
     }
 
-    private void say(String id, String bytes) {
-        Channel on = at.get(id);
+    private void send(String id, String bytes) {
+        Channel on = channels.get(id);
         assertNotNull(on, id + " is not at " + name);
-        on.writeAndFlush(Unpooled.copiedBuffer(bytes + extra, StandardCharsets.ISO_8859_1));
-        extra = "";
+        on.writeAndFlush(Unpooled.copiedBuffer(bytes + surplusBytes, StandardCharsets.ISO_8859_1));
+        surplusBytes = "";
     }
 }
--- a/src/test/java/brambletray/platform/proxy/ScriptedOperations.java
+++ b/src/test/java/brambletray/platform/proxy/ScriptedOperations.java
@@ -10,7 +10,7 @@
     private final ArrayDeque<Listener> waiting = new ArrayDeque<>();
     private Progress progress = Progress.NOT_CLAIMED;
     private boolean usable = true;
-    private int standing;
+    private int activeClaims;
 
     @Override
     public void claim(OperationKey operation, int maxWaitMs, Listener listener) {
@@ -47,21 +47,21 @@
         }
 
         private void ended(String how) {
-            standing--;
+            activeClaims--;
             sees(how);
         }
     }
 
     /** Claims that are asked for, or granted and not ended. */
-    int open() {
-        return waiting.size() + standing;
+    int openCount() {
+        return waiting.size() + activeClaims;
     }
 
     @Override
     boolean act(String[] words) {
         switch (words[0]) {
             case "grants" -> {
-                standing++;
+                activeClaims++;
                 waiting.remove().onClaimed(new Granted());
             }
             case "repeats" ->
@@ -73,7 +73,7 @@
                                 words[2].getBytes(StandardCharsets.ISO_8859_1)));
             case "lost" -> waiting.remove().onUnknown();
             case "refuses" -> waiting.remove().onUnavailable(Integer.parseInt(words[1]));
-            case "in-work" -> progress = Progress.IN_WORK;
+            case "in-work" -> progress = Progress.IN_PROGRESS;
             case "unheard" -> progress = Progress.UNKNOWN;
             case "outdated" -> usable = false;
             default -> {
--- a/src/test/java/brambletray/platform/proxy/ScriptedPreparation.java
+++ b/src/test/java/brambletray/platform/proxy/ScriptedPreparation.java
@@ -16,24 +16,24 @@
 final class ScriptedPreparation {
     private static final RecordedAnswer RECORDED = new RecordedAnswer(200, "OK", List.of(), new byte[0]);
 
-    private final RequestLifecycleTest.World world;
+    private final RequestLifecycleTest.Environment environment;
     private final RequestPreparation preparation;
     private QuotaGate.Listener quotaListener;
     private OperationGate.Listener claimListener;
     private boolean isPrepared;
     private boolean hasRight;
     private boolean hasAnswer;
-    private boolean isOutdated;
+    private boolean isClaimOutdated;
     private boolean isOver;
-    private OperationClaim standing;
+    private OperationClaim claim;
     /** The status with which the client must be refused; 0: the request's own course decides. */
-    int ownStatus;
+    int expectedStatus;
 
     boolean isRepeatAnswered;
-    int claimEnds;
+    int endedClaims;
 
-    ScriptedPreparation(RequestLifecycleTest.World world) {
-        this.world = world;
+    ScriptedPreparation(RequestLifecycleTest.Environment world) {
+        this.environment = world;
         preparation = new RequestPreparation(world.plan, new Quota(), new Operations(), new Listener());
     }
 
@@ -43,7 +43,7 @@
 
     int cancel() {
         int status = preparation.cancel();
-        ownStatus = status;
+        expectedStatus = status;
         assertTrue(quotaListener == null && claimListener == null, "cancelled, and still waiting");
         return status;
     }
@@ -54,34 +54,34 @@
 
     /** A slot is asked for, or a byte sent: all that has to come before has come. */
     void assertPrepared() {
-        assertTrue(isPrepared || !world.plan.needsPreparation(), "before its preparation was over");
-        assertTrue(hasRight || !world.plan.isLimited(), "without a right under the quota");
-        assertTrue(standing != null || world.plan.operation() == null, "without its claim (rule TWICE)");
+        assertTrue(isPrepared || !environment.plan.needsPreparation(), "before its preparation was over");
+        assertTrue(hasRight || !environment.plan.isLimited(), "without a right under the quota");
+        assertTrue(claim != null || environment.plan.operation() == null, "without its claim (rule TWICE)");
         assertTrue(!isOver, "after its end");
     }
 
     /** The next step comes, whichever is waited for. */
-    void act() {
+    void step() {
         if (quotaListener != null) {
-            actQuota();
+            stepQuota();
         } else if (claimListener != null) {
-            actClaim();
-        } else if (standing != null && world.random.nextInt(12) == 0) {
-            isOutdated = true;
+            stepClaim();
+        } else if (claim != null && environment.random.nextInt(12) == 0) {
+            isClaimOutdated = true;
         }
     }
 
-    private void actQuota() {
+    private void stepQuota() {
         QuotaGate.Listener listener = quotaListener;
         quotaListener = null;
-        switch (world.random.nextInt(6)) {
+        switch (environment.random.nextInt(6)) {
             case 0 -> {
-                ownStatus = 429;
-                listener.onExceeded(world.random.nextInt(300) - 1);
+                expectedStatus = 429;
+                listener.onExceeded(environment.random.nextInt(300) - 1);
             }
             case 1 -> {
-                ownStatus = 503;
-                listener.onUnavailable(world.random.nextInt(300) - 1);
+                expectedStatus = 503;
+                listener.onUnavailable(environment.random.nextInt(300) - 1);
             }
             default -> {
                 hasRight = true;
@@ -90,40 +90,40 @@
         }
     }
 
-    private void actClaim() {
+    private void stepClaim() {
         OperationGate.Listener listener = claimListener;
         claimListener = null;
-        switch (world.random.nextInt(8)) {
+        switch (environment.random.nextInt(8)) {
             case 0 -> {
                 isRepeatAnswered = true;
                 listener.onAnswered(RECORDED);
             }
             case 1 -> {
-                ownStatus = 502;
+                expectedStatus = 502;
                 listener.onUnknown();
             }
             case 2 -> {
-                ownStatus = 503;
-                listener.onUnavailable(world.random.nextInt(300) - 1);
+                expectedStatus = 503;
+                listener.onUnavailable(environment.random.nextInt(300) - 1);
             }
             default -> {
-                standing = new Claim();
-                listener.onClaimed(standing);
+                claim = new Claim();
+                listener.onClaimed(claim);
             }
         }
     }
 
     /** As the driver does after each event. */
     void endIfOver() {
-        if (!isOver && world.lifecycle.isOver()) {
+        if (!isOver && environment.lifecycle.isOver()) {
             isOver = true;
-            preparation.onOver(world.lifecycle.runState());
+            preparation.onOver(environment.lifecycle.runState());
         }
     }
 
     void assertNothingLeft() {
         assertTrue(quotaListener == null && claimListener == null, "a preparation that nobody waits for");
-        assertNull(standing, "a claim that was not ended");
+        assertNull(claim, "a claim that was not ended");
     }
 
     /** An instance has answered it completely. */
@@ -137,18 +137,18 @@
         @Override
         public void onPrepared() {
             isPrepared = true;
-            world.lifecycle.onPrepared(world.now);
+            environment.lifecycle.onPrepared(environment.now);
         }
 
         @Override
         public void onRejected(int status, int retryAfterMs) {
-            assertEquals(ownStatus, status, "the status of this refusal");
-            world.lifecycle.onPreparationRejected(status, retryAfterMs);
+            assertEquals(expectedStatus, status, "the status of this refusal");
+            environment.lifecycle.onPreparationRejected(status, retryAfterMs);
         }
 
         @Override
         public void onRepeatAnswered(RecordedAnswer answer) {
-            world.lifecycle.onRepeatAnswered();
+            environment.lifecycle.onRepeatAnswered();
         }
     }
 
@@ -157,7 +157,7 @@
         public void acquire(Tenant tenant, Listener listener) {
             assertTrue(tenant.isLimited() && quotaListener == null && !hasRight, "one right, of who is limited");
             quotaListener = listener;
-            actSoon();
+            stepAtRandom();
         }
 
         @Override
@@ -167,9 +167,9 @@
         }
     }
 
-    private void actSoon() {
-        if (world.random.nextInt(4) == 0) {
-            act();
+    private void stepAtRandom() {
+        if (environment.random.nextInt(4) == 0) {
+            step();
         }
     }
 
@@ -188,53 +188,53 @@
     private final class Operations implements OperationGate {
         @Override
         public void claim(OperationKey operation, int maxWaitMs, Listener listener) {
-            assertTrue(hasRight || !world.plan.isLimited(), "a claim before the right");
-            assertTrue(claimListener == null && standing == null, "one claim");
+            assertTrue(hasRight || !environment.plan.isLimited(), "a claim before the right");
+            assertTrue(claimListener == null && claim == null, "one claim");
             claimListener = listener;
-            actSoon();
+            stepAtRandom();
         }
 
         @Override
         public Progress cancel(Listener listener) {
             assertTrue(claimListener == listener, "cancelled what does not wait");
             claimListener = null;
-            return Progress.values()[world.random.nextInt(3)];
+            return Progress.values()[environment.random.nextInt(3)];
         }
     }
 
     private final class Claim implements OperationClaim {
         @Override
         public boolean isUsable() {
-            return !isOutdated;
+            return !isClaimOutdated;
         }
 
         @Override
         public void complete(RecordedAnswer answer) {
             end();
-            assertTrue(hasAnswer && world.mayHaveRun > 0, "an answer of nobody");
+            assertTrue(hasAnswer && environment.mayHaveRun > 0, "an answer of nobody");
         }
 
         @Override
         public void release() {
             end();
             assertTrue(
-                    world.mayHaveRun == 0 || world.plan.selfDedupe() && world.mayHaveRun == world.brokenOff,
+                    environment.mayHaveRun == 0 || environment.plan.selfDedupe() && environment.mayHaveRun == environment.lostConnections,
                     "released, and may have run (rule TWICE)");
         }
 
         @Override
         public void abandon() {
             end();
-            assertTrue(world.mayHaveRun > 0, "abandoned, and has not run");
+            assertTrue(environment.mayHaveRun > 0, "abandoned, and has not run");
             assertTrue(!hasAnswer, "an answer that is not recorded");
         }
 
         private void end() {
             assertTrue(isOver, "ended while the request goes on");
-            assertTrue(world.attempts.isEmpty(), "ended while an instance has the request");
-            assertTrue(standing == this, "ended twice");
-            standing = null;
-            claimEnds++;
+            assertTrue(environment.activeAttempts.isEmpty(), "ended while an instance has the request");
+            assertTrue(claim == this, "ended twice");
+            claim = null;
+            endedClaims++;
         }
     }
 }
--- a/src/test/java/brambletray/platform/proxy/SendPermitTest.java
+++ b/src/test/java/brambletray/platform/proxy/SendPermitTest.java
@@ -30,12 +30,12 @@
 
     private static final class TestGate implements QuotaGate {
         private final List<Listener> waiting = new ArrayList<>();
-        private Right atOnce;
+        private Right immediateRight;
 
         @Override
         public void acquire(Tenant tenant, Listener listener) {
-            if (atOnce != null) {
-                listener.onAcquired(atOnce);
+            if (immediateRight != null) {
+                listener.onAcquired(immediateRight);
             } else {
                 waiting.add(listener);
             }
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aRightThatWasPreparedIsSpentWithTheSend() {
+    void anAcquiredRightIsSpentBySending() {
         TestRight right = new TestRight();
         SendPermit permit = permit(right);
         assertTrue(permit.isReady());
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aRightThatRanOutWhileTheRequestWaitedIsReplacedBeforeTheSend() {
+    void anExpiredRightIsReplacedBeforeSending() {
         TestRight right = new TestRight();
         SendPermit permit = permit(right);
         right.isValid = false;
@@ -88,9 +88,9 @@
     }
 
     @Test
-    void anAttemptWithoutARightOfItsOwnAsksForOne() {
+    void anAttemptWithoutARightAcquiresOne() {
         SendPermit permit = permit(null);
-        gate.atOnce = new TestRight();
+        gate.immediateRight = new TestRight();
         assertTrue(permit.isReady());
         assertEquals(List.of(), events, "it goes out in this step already");
     }
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void whoIsCancelledWaitsNoLonger() {
+    void aCancelledPermitIsNoLongerPending() {
         SendPermit permit = permit(null);
         assertFalse(permit.isReady());
         permit.cancel();
--- a/src/test/java/brambletray/platform/proxy/SimulatedProxy.java
+++ b/src/test/java/brambletray/platform/proxy/SimulatedProxy.java
@@ -26,38 +26,38 @@
 
     final Simulation simulation = new Simulation(1, 1_900_000_000_000L);
     final RequestCounters counters = new RequestCounters();
-    final ScriptedBroker places = new ScriptedBroker(this);
+    final ScriptedBroker broker = new ScriptedBroker(this);
     final ScriptedOperations operations = new ScriptedOperations();
     final Map<String, Actor> actors = new LinkedHashMap<>();
     private final Machine edge;
-    final HostConnectionPools lines;
-    final RequestRouter flow;
-    final FrontEndServer front;
+    final HostConnectionPools connectionPools;
+    final RequestRouter router;
+    final FrontEndServer frontEndServer;
     private Configuration configuration = Configuration.NONE;
     /** A newer configuration may be in force elsewhere. */
-    boolean outdated;
+    boolean mayBeOutdated;
 
-    private int machines;
+    private int clientCount;
 
     SimulatedProxy() {
         edge = machine(FRONT.host());
-        lines = new HostConnectionPools(edge, 4_000, counters);
-        flow = new RequestRouter(
+        connectionPools = new HostConnectionPools(edge, 4_000, counters);
+        router = new RequestRouter(
                 edge,
                 "edge-1",
                 "zone-1",
                 new Source(),
-                places,
+                broker,
                 QuotaGate.UNLIMITED,
                 operations,
                 ip -> ip.startsWith("10.0.1."),
-                lines,
+                connectionPools,
                 counters,
                 48 << 20,
                 1);
-        front = new FrontEndServer(edge, flow, 100);
-        front.listen(FRONT);
-        actors.put("broker", places);
+        frontEndServer = new FrontEndServer(edge, router, 100);
+        frontEndServer.listen(FRONT);
+        actors.put("broker", broker);
         actors.put("claims", operations);
         settle();
     }
@@ -93,7 +93,7 @@
 
         @Override
         public boolean mayBeOutdated() {
-            return outdated;
+            return mayBeOutdated;
         }
     }
 
@@ -126,7 +126,7 @@
                     ? new Edge()
                     : name.startsWith("client")
                             ? new ScriptedClient(
-                                    machine(name.contains("-at-") ? "10.0.1.200" : "10.0.2." + ++machines),
+                                    machine(name.contains("-at-") ? "10.0.1.200" : "10.0.2." + ++clientCount),
                                     new InetSocketAddress(FRONT.host(), FRONT.port()))
                             : new ScriptedHost(
                                     name,
@@ -142,9 +142,9 @@
         @Override
         boolean act(String[] words) {
             switch (words[0]) {
-                case "drains" -> front.drain();
-                case "shuts" -> front.stopAccepting();
-                case "loses" -> lines.onInstanceGone(words[1]);
+                case "drains" -> frontEndServer.drain();
+                case "shuts" -> frontEndServer.stopAccepting();
+                case "loses" -> connectionPools.onInstanceGone(words[1]);
                 default -> {
                     return false;
                 }
@@ -155,7 +155,7 @@
 
     /** The orderly end of the edge's process. */
     GracefulShutdown shutdown(IntConsumer exit) {
-        return new GracefulShutdown(edge, flow, front, exit);
+        return new GracefulShutdown(edge, router, frontEndServer, exit);
     }
 
     void until(long ms) {
@@ -202,12 +202,12 @@
     }
 
     /** Nothing is left over: no request, no place, no byte. */
-    void atRest() {
+    void assertNothingLeft() {
         until(TimeUnit.NANOSECONDS.toMillis(simulation.now()) + 6_000);
-        assertEquals(0, flow.inFlight(), "requests in flight");
-        assertEquals(0, flow.activeRequests(), "requests under way");
-        assertEquals(0, flow.heldBytes(), "bytes held");
-        assertEquals(0, places.open(), "places not given back");
-        assertEquals(0, operations.open(), "claims not ended");
+        assertEquals(0, router.inFlight(), "requests in flight");
+        assertEquals(0, router.activeRequests(), "requests under way");
+        assertEquals(0, router.heldBytes(), "bytes held");
+        assertEquals(0, broker.openCount(), "places not given back");
+        assertEquals(0, operations.openCount(), "claims not ended");
     }
 }
--- a/src/test/java/brambletray/platform/proxy/SlowReaderTest.java
+++ b/src/test/java/brambletray/platform/proxy/SlowReaderTest.java
@@ -12,70 +12,70 @@
  */
 class SlowReaderTest {
     /** Bytes that a connection holds while nobody reads: a fraction of an answer. */
-    private static final int WINDOW = 10_000;
+    private static final int WINDOW_BYTES = 10_000;
 
-    private final SimulatedProxy street = new SimulatedProxy();
+    private final SimulatedProxy proxy = new SimulatedProxy();
     private ScriptedClient client;
     private ScriptedHost host;
 
     @BeforeEach
     void open() {
-        street.route("non_idempotent", 1);
-        street.simulation.network().window(WINDOW);
-        client = (ScriptedClient) street.actor("client");
-        host = (ScriptedHost) street.actor("a");
+        proxy.route("non_idempotent", 1);
+        proxy.simulation.network().window(WINDOW_BYTES);
+        client = (ScriptedClient) proxy.actor("client");
+        host = (ScriptedHost) proxy.actor("a");
     }
 
     /** A request whose answer of 100,000 bytes is here while its client reads nothing. */
-    private void answeredWhileTheClientSleeps() {
-        street.actor("edge");
-        street.places.act(new String[] {"grants", "a"});
+    private void respondWhileClientDoesNotRead() {
+        proxy.actor("edge");
+        proxy.broker.act(new String[] {"grants", "a"});
         client.act("asks r1".split(" "));
-        street.settle();
+        proxy.settle();
         client.act("sleeps".split(" "));
         host.act("answers-at-length r1".split(" "));
-        street.until(100);
-        assertEquals(0, street.flow.activeRequests(), "the host's work is done");
+        proxy.until(100);
+        assertEquals(0, proxy.router.activeRequests(), "the host's work is done");
         assertEquals(List.of(), client.look());
     }
 
-    private List<String> seenAfterWakingAt(long ms) {
-        street.until(ms);
+    private List<String> seenAfterReadingResumesAt(long ms) {
+        proxy.until(ms);
         client.act("wakes".split(" "));
-        street.until(ms + 1_500);
+        proxy.until(ms + 1_500);
         return client.look();
     }
 
     @Test
-    void theAnswerThatClosesAConnectionOfADrainingEdgeIsTakenToItsEnd() {
-        street.front.drain();
-        answeredWhileTheClientSleeps();
-        assertEquals(List.of("200 100000 close", "closed"), seenAfterWakingAt(3_000));
+    void aDrainingEdgeWritesItsLastResponseCompletely() {
+        proxy.frontEndServer.drain();
+        respondWhileClientDoesNotRead();
+        assertEquals(List.of("200 100000 close", "closed"), seenAfterReadingResumesAt(3_000));
     }
 
     @Test
-    void anEdgeThatStopsAcceptingDoesNotCutAnAnswerOnItsWay() {
-        answeredWhileTheClientSleeps();
-        street.until(500);
-        street.front.stopAccepting();
-        assertEquals(List.of("200 100000", "closed"), seenAfterWakingAt(3_000));
+    void stoppingToAcceptDoesNotTruncateAResponse() {
+        respondWhileClientDoesNotRead();
+        proxy.until(500);
+        proxy.frontEndServer.stopAccepting();
+        assertEquals(List.of("200 100000", "closed"), seenAfterReadingResumesAt(3_000));
     }
 
     @Test
-    void theIdleTimeBeginsWhenTheAnswerIsTaken() {
-        answeredWhileTheClientSleeps();
-        assertEquals(List.of("200 100000"), seenAfterWakingAt(14_000));
-        street.until(28_000);
+    void theIdleTimeoutStartsOnceTheResponseIsWritten() {
+        respondWhileClientDoesNotRead();
+        assertEquals(List.of("200 100000"), seenAfterReadingResumesAt(14_000));
+        proxy.until(28_000);
         assertEquals(List.of(), client.look(), "14 s of rest are allowed");
-        street.until(31_000);
+        proxy.until(31_000);
         assertEquals(List.of("closed"), client.look());
     }
 
     @Test
-    void aClientThatNeverReadsIsGivenUp() {
-        answeredWhileTheClientSleeps();
-        street.until(16_000);
-        assertEquals(0, street.front.connectionCount());
-        assertEquals(0, street.flow.heldBytes());
+    void aClientThatNeverReadsIsDisconnected() {
+        respondWhileClientDoesNotRead();
+        proxy.until(16_000);
+        assertEquals(0, proxy.frontEndServer.connectionCount());
+        assertEquals(0, proxy.router.heldBytes());
     }
 }
--- a/src/test/java/brambletray/platform/proxy/TenantAuthenticationTest.java
+++ b/src/test/java/brambletray/platform/proxy/TenantAuthenticationTest.java
@@ -13,7 +13,7 @@
 /** What instances see of keys and tenants. */
 class TenantAuthenticationTest {
     @Test
-    void keysAndTenantNamesDoNotPassWithoutTenantsEither() {
+    void keysAndTenantNamesAreRemovedEvenWithoutConfiguredTenants() {
         String body = "{'revision':1,'routes':[{'name':'r','host':'h','path-prefix':'/','route-type':'idempotent',"
                 + "'service':'s'}],'services':[{'name':'s'}]}";
         Configuration configuration = Configuration.read(body.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/brambletray/platform/proxy/TenantPriorityTest.java
+++ b/src/test/java/brambletray/platform/proxy/TenantPriorityTest.java
@@ -28,36 +28,36 @@
     }
 
     private SlotOwner ownerOf(String key) {
-        client.say("GET /r/x HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: r1\r\n"
+        client.send("GET /r/x HTTP/1.1\r\nHost: h.example\r\nBrambletray-Attempt-Id: r1\r\n"
                 + (key.isEmpty() ? "" : "Brambletray-Credential: " + key + "\r\n") + "\r\n");
         proxy.settle();
-        return proxy.places.oldest().owner();
+        return proxy.broker.oldest().owner();
     }
 
     @Test
-    void aTenantThatNamesNoPriorityHasTheRoutes() {
+    void aTenantWithoutAPriorityGetsThatOfTheRoute() {
         assertEquals(2, ownerOf("k1").priority());
     }
 
     @Test
-    void aTenantsPriorityTakesThePlaceOfTheRoutes() {
+    void aTenantsPriorityOverridesThatOfTheRoute() {
         assertEquals(1, ownerOf("k2").priority());
     }
 
     @Test
-    void theHighestPriorityIsNoMissingOne() {
+    void priorityZeroIsNotTakenForAMissingOne() {
         assertEquals(0, ownerOf("k3").priority());
     }
 
     @Test
-    void theRequestNamesItsTenantAndTheRoutesRank() {
+    void theSlotRequestHasTheTenantAndTheRoutePriority() {
         SlotOwner owner = ownerOf("k2");
         assertEquals("ranked", owner.tenant());
         assertEquals(2, owner.routePriority());
     }
 
     @Test
-    void nobodysRequestHasTheRoutesPriority() {
+    void anAnonymousRequestHasTheRoutePriority() {
         SlotOwner owner = ownerOf("");
         assertEquals("", owner.tenant());
         assertEquals(2, owner.priority());
--- a/src/test/java/brambletray/platform/quota/RunAheadSharesTest.java
+++ b/src/test/java/brambletray/platform/quota/RunAheadSharesTest.java
@@ -10,7 +10,7 @@
     private static final EdgeIncarnation SECOND = new EdgeIncarnation("b", 1);
 
     @Test
-    void eachAmountOfAShrinkingShareCountsUntilItsOwnEnd() {
+    void eachAmountOfAShrinkingShareIsReservedUntilItsOwnExpiry() {
         RunAheadShares shares = new RunAheadShares(0);
         assertEquals(10, shares.renew(FIRST, 10, 1_000, 0));
         assertEquals(8, shares.renew(FIRST, 8, 2_000, 500));
