--- a/src/test/java/brambletray/platform/edge/CoordinatorCandidatesTest.java
+++ b/src/test/java/brambletray/platform/edge/CoordinatorCandidatesTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Whom an edge asks for the coordinator, in which order. */
+/** The order in which an edge tries control plane members. */
 class CoordinatorCandidatesTest {
     private static List<Address> addresses(String names) {
         List<Address> all = new ArrayList<>();
--- a/src/test/java/brambletray/platform/edge/CoordinatorClientTest.java
+++ b/src/test/java/brambletray/platform/edge/CoordinatorClientTest.java
@@ -33,8 +33,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How an edge finds the coordinator and keeps to it, against members of the control plane that say what the test has
- * them say, on a simulated network.
+ * How an edge finds the coordinator and stays attached to it, with scripted control plane members on a simulated
+ * network.
  */
 class CoordinatorClientTest {
     private static final int PORT = 7_400;
@@ -62,14 +62,14 @@
         simulation.runUntil(simulation.now() + TimeUnit.MILLISECONDS.toNanos(millis));
     }
 
-    /** Runs until the edge is attached under this term, at most so long; ms that it took. */
-    private long untilAttached(long term, long most) {
+    /** Runs until the edge is attached under this term and returns the elapsed ms; fails after the time-out. */
+    private long untilAttached(long term, long timeoutMs) {
         long from = simulation.now();
         assertTrue(
                 simulation.runUntil(
-                        from + TimeUnit.MILLISECONDS.toNanos(most),
+                        from + TimeUnit.MILLISECONDS.toNanos(timeoutMs),
                         () -> coordinatorClient.isAttached() && coordinatorClient.term() == term),
-                "not attached under term " + term + " after " + most + " ms: " + listener);
+                "not attached under term " + term + " after " + timeoutMs + " ms: " + listener);
         return TimeUnit.NANOSECONDS.toMillis(simulation.now() - from);
     }
 
@@ -82,7 +82,7 @@
         return "10.0.0." + (name.charAt(0) - 'a' + 1) + ":" + PORT;
     }
 
-    /** The edge starts with these seeds; the first is asked first. */
+    /** Starts the edge with these seeds; it tries them in this order. */
     private void start(String... seeds) {
         List<Address> addresses = new ArrayList<>();
         for (String seed : seeds) {
@@ -107,7 +107,7 @@
                         TimeUnit.MILLISECONDS);
     }
 
-    /** A member of the control plane that welcomes edges as it is told, and pulses while it is the coordinator. */
+    /** A control plane member with scripted welcomes, which sends heartbeats while it is the coordinator. */
     private final class Member implements LinkHandler {
         private final String name;
         private final List<Link> links = new ArrayList<>();
@@ -133,11 +133,11 @@
                             TimeUnit.MILLISECONDS);
         }
 
-        /** Names this one as the coordinator from now on, and says so to who waits here. */
-        Member announceCoordinator(String coordinator, long under) {
+        /** Names this coordinator from now on, and notifies the edges connected to this member. */
+        Member announceCoordinator(String coordinator, long coordinatorTerm) {
             return updateWelcome(new EdgeWelcome(
                     coordinator.isEmpty() ? "" : addressOf(coordinator),
-                    under,
+                    coordinatorTerm,
                     true,
                     welcome.viewNumber(),
                     welcome.members(),
@@ -145,13 +145,13 @@
                     0));
         }
 
-        /** Is out of touch with the others from now on, names nobody and holds nothing. */
+        /** Is in no active view from now on: names no coordinator and sends no heartbeats. */
         Member isolate() {
             term = 0;
             return updateWelcome(new EdgeWelcome("", 0, false, welcome.viewNumber(), welcome.members(), 0, 0));
         }
 
-        /** Tells a view of these members. */
+        /** Reports a view with these members. */
         Member setView(long number, String... members) {
             List<String> all = new ArrayList<>();
             for (String member : members) {
@@ -169,10 +169,10 @@
             return this;
         }
 
-        /** Holds the coordinator from now on. */
-        Member becomeCoordinator(long under) {
-            term = under;
-            return announceCoordinator(name, under);
+        /** Is the coordinator from now on. */
+        Member becomeCoordinator(long newTerm) {
+            term = newTerm;
+            return announceCoordinator(name, newTerm);
         }
 
         void sendToAll(Object frame) {
@@ -202,12 +202,12 @@
         }
 
         @Override
-        public void onLinkDown(Link link, String why) {
+        public void onLinkDown(Link link, String reason) {
             links.remove(link);
         }
     }
 
-    /** What the edge takes. */
+    /** Records what the client passes on. */
     private final class RecordingListener implements CoordinatorClient.Listener {
         private final List<Object> received = new ArrayList<>();
         private long newest;
@@ -274,7 +274,7 @@
             run(400);
             member("a").sendToAll(chunk(9, i));
         }
-        assertTrue(coordinatorClient.isAttached(), "the link brings what it can: " + listener);
+        assertTrue(coordinatorClient.isAttached(), "chunks count as heartbeats: " + listener);
         for (int i = 0; i < 4; i++) {
             run(400);
             member("a").sendToAll(chunk(8, i));
@@ -291,7 +291,7 @@
         run(900);
         assertEquals(List.of(new RosterRequest(0, 0)), member("a").rosterRequests);
         run(700);
-        assertEquals(2, member("a").rosterRequests.size(), "it may have been lost");
+        assertEquals(2, member("a").rosterRequests.size(), "the request is repeated, as it may have been lost");
         member("a").sendToAll(new Roster(9, 4, List.of()));
         member("a").roster = 5;
         run(300);
@@ -311,9 +311,9 @@
         run(1_500);
         isPaused = false;
         run(400);
-        assertTrue(coordinatorClient.isAttached(), "its own pause says nothing of the helm");
+        assertTrue(coordinatorClient.isAttached(), "a pause of the edge itself is no failure of the coordinator");
         run(300);
-        assertFalse(coordinatorClient.isAttached(), "and it doesn't wait for ever: " + listener);
+        assertFalse(coordinatorClient.isAttached(), "the heartbeat time-out applies after the pause: " + listener);
     }
 
     @Test
@@ -325,7 +325,7 @@
         member("a").sendToAll(new Roster(9, 1, List.of()));
         member("a").sendToAll(new InstanceGone("i-1", "tea"));
         run(20);
-        assertEquals(List.of(), listener.received, "it has not pulsed");
+        assertEquals(List.of(), listener.received, "frames before the first heartbeat");
         member("a").becomeCoordinator(9);
         untilAttached(9, 300);
         member("a").sendToAll(chunk(8, 4));
@@ -343,14 +343,14 @@
         member("c").announceCoordinator("b", 9);
         start("a", "c", "b");
         untilAttached(9, 300);
-        // b is gone; a was the coordinator before, wakes, and knows of nothing.
+        // b has failed; a, the coordinator before it, resumes and still considers itself the coordinator.
         member("b").vanish();
         member("a").becomeCoordinator(8);
         member("c").announceCoordinator("", 0);
         run(1_600);
         assertFalse(coordinatorClient.isAttached());
         EdgeHello last = member("a").hellos.get(member("a").hellos.size() - 1);
-        assertEquals(9, last.term(), "the helm that is asked hears that it has been succeeded");
+        assertEquals(9, last.term(), "the hello tells the former coordinator the higher term");
         member("a").sendToAll(chunk(8, 3));
         member("a").sendToAll(new Roster(8, 40, List.of()));
         member("a").sendToAll(new InstanceGone("i-1", "tea"));
@@ -382,12 +382,12 @@
         member("a").isolate();
         run(10);
         assertFalse(coordinatorClient.isAttached());
-        assertFalse(coordinatorClient.send(new InstanceGone("i-1", "tea")), "nothing more is asked of it");
+        assertFalse(coordinatorClient.send(new InstanceGone("i-1", "tea")), "frames are no longer sent to it");
         member("b").announceCoordinator("", 0);
         run(300);
         assertEquals(1, member("b").hellos.size());
         member("b").becomeCoordinator(10);
-        assertTrue(untilAttached(10, 300) <= 260, "a waiting edge is told");
+        assertTrue(untilAttached(10, 300) <= 260, "a waiting edge is notified");
     }
 
     @Test
@@ -396,7 +396,7 @@
         member("b").becomeCoordinator(9);
         start("a");
         run(700);
-        assertEquals(1, member("a").hellos.size(), "it waits at a member that is in touch");
+        assertEquals(1, member("a").hellos.size(), "the edge stays with a member that is in an active view");
         member("a").announceCoordinator("b", 9);
         assertTrue(untilAttached(9, 100) < 20);
     }
@@ -411,7 +411,7 @@
         int before = member("a").hellos.size();
         member("a").isolate();
         run(500);
-        assertEquals(before, member("a").hellos.size(), "b and c still name it");
+        assertEquals(before, member("a").hellos.size(), "the edge followed an outdated redirect by b or c");
         member("b").announceCoordinator("c", 10);
         member("c").becomeCoordinator(10);
         untilAttached(10, 900);
@@ -432,8 +432,9 @@
     }
 
     /**
-     * The worst way from an isolated coordinator to the real one: five members, of which two are away, one silent and
-     * one cut off with the edge's own helm still pulsing until its lease is over; seeds that are all stale by then.
+     * The worst case for moving from an isolated coordinator to its successor: of five members two are unavailable, one
+     * silent and one isolated, the edge's own coordinator, which sends heartbeats until its lease expires; the other
+     * seeds are all outdated.
      */
     @Test
     void worstCaseReattachmentTakesLessThanThreeSeconds() {
@@ -442,27 +443,27 @@
             CoordinatorClientTest one = new CoordinatorClientTest();
             worst = Math.max(worst, one.worstCaseReattachMs(first.split(",")));
         }
-        System.out.println("tether: worst way from an isolated helm to the real one " + worst + " ms");
+        System.out.println("edge: worst case from an isolated coordinator to its successor " + worst + " ms");
         assertTrue(worst < 3_000, worst + " ms");
     }
 
-    /** ms from the cut to the new coordinator's first word. */
+    /** ms from the partition until the edge is attached to the new coordinator. */
     private long worstCaseReattachMs(String... order) {
         String[] view = {"a", order[0], order[1], order[2], order[3]};
         member("a").becomeCoordinator(9).setView(5, view);
         for (String other : List.of("c", "d", "e")) {
             member(other).announceCoordinator("a", 9).setView(5, view);
         }
-        // Stale seeds: x, y and z are gone for long; b is away.
+        // Outdated seeds: x, y and z no longer exist; b is unavailable.
         start("a", "x", "y", "z");
         untilAttached(9, 300);
         long cut = simulation.now();
         member("c").announceCoordinator("a", 9);
-        // a's lease: the last agreement was sent right before the cut, so it acts for 800 ms more; out of touch it is
-        // after 350.
+        // Lease of a: the last renewal was sent right before the partition, so a acts for 800 ms more; it notices the
+        // partition after 350 ms.
         run(800);
         member("a").isolate();
-        // The others hold the lease of a to run for 1,200 ms; the next is chosen 250 ms later.
+        // The others consider the lease of a valid for 1,200 ms; the next coordinator is elected 250 ms later.
         run(400);
         member("c").announceCoordinator("", 0);
         member("d").announceCoordinator("", 0);
--- a/src/test/java/brambletray/platform/edge/EarliestTimerTest.java
+++ b/src/test/java/brambletray/platform/edge/EarliestTimerTest.java
@@ -31,7 +31,7 @@
         return machine.clock().nanos() / 1_000_000;
     }
 
-    /** Runs until then and counts the instants at which the machine does something. */
+    /** Runs until this time and counts the events of the machine. */
     private void runUntil(long ms) {
         wakeUps = -1;
         simulation.runUntil(TimeUnit.MILLISECONDS.toNanos(ms), () -> {
--- a/src/test/java/brambletray/platform/edge/EdgeProgramSignalsTest.java
+++ b/src/test/java/brambletray/platform/edge/EdgeProgramSignalsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What the whole program of an edge makes of signals, in simulated time. */
+/** How the edge program handles signals, in simulated time. */
 class EdgeProgramSignalsTest {
     private static final String SETTINGS =
             "node-name=edge-1\nrole=carry\nip-address=10.0.0.2\nzone=za\nzones.za=south\n"
--- a/src/test/java/brambletray/platform/edge/IdleEdgeTest.java
+++ b/src/test/java/brambletray/platform/edge/IdleEdgeTest.java
@@ -23,7 +23,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * An edge with a coordinator and no requests. What it costs is paid by each of many edges all day long.
+ * Wake-ups of an edge with a coordinator and no requests. Guards against needless timers, whose cost every idle edge
+ * pays all the time.
  *
  * <pre>
  *   ms           0      200    250    400    500    600
@@ -36,7 +37,7 @@
     private static final int COORDINATOR_HEARTBEATS_PER_S = 4;
     private static final int EDGE_INTERVALS_PER_S = 5;
     private static final int SECONDS = 10;
-    /** Lines of figures, and what the start leaves over. */
+    /** Allows for log lines with metrics and for events left over from the start. */
     private static final int TOLERANCE = 5;
 
     private final Simulation simulation = new Simulation(7, 0);
@@ -61,9 +62,10 @@
             eventCount++;
             return false;
         });
-        // each heartbeat is three instants: the coordinator sends it, the edge reads it, its acknowledgement is back
+        // Each heartbeat takes three events: the coordinator sends it, the edge reads it, the acknowledgement returns.
         int needed = (3 * COORDINATOR_HEARTBEATS_PER_S + EDGE_INTERVALS_PER_S) * SECONDS;
-        assertTrue(eventCount <= needed + TOLERANCE, eventCount + " instants in " + SECONDS + " s, " + needed + " needed");
+        assertTrue(
+                eventCount <= needed + TOLERANCE, eventCount + " events in " + SECONDS + " s, " + needed + " needed");
     }
 
     private void startEdge() {
--- a/src/test/java/brambletray/platform/edge/LocalAdmissionTest.java
+++ b/src/test/java/brambletray/platform/edge/LocalAdmissionTest.java
@@ -22,10 +22,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Rule LIMIT where a service's home moves to this edge: rosters, slots that are held, and slots given back reach it in
- * any order. Times are virtual,
- * ms. Columns of the timelines: the edge e0 that dies, e1 (this one, home after it), e2 (holds a slot given out by e0),
- * the coordinator.
+ * Rule LIMIT when the home of a service moves to this edge: the roster, reports of held slots and releases arrive in
+ * any order, and no slot may be granted twice or leaked. Times are virtual ms. Columns of the timelines: edge e0, which
+ * fails; e1, this edge, the next home; e2, which holds a slot granted by e0; the coordinator.
  */
 class LocalAdmissionTest {
     private static final String ZONE = "z";
@@ -33,13 +32,13 @@
 
     private long now = 10_000;
     private final List<String> sentMessages = new ArrayList<>();
-    private final LocalAdmission localAdmission =
-            new LocalAdmission("e1", ZONE, "n", AdmissionParameters.of(0.2, 50, 10_000, 1), new RecordingTransport(), () -> now);
+    private final LocalAdmission localAdmission = new LocalAdmission(
+            "e1", ZONE, "n", AdmissionParameters.of(0.2, 50, 10_000, 1), new RecordingTransport(), () -> now);
     private final HomeAssignment before = SlotClientTest.homes(1, "e0", "e1", "e2");
     private final HomeAssignment after = SlotClientTest.homes(2, "e1", "e2");
     private final String service = findServiceThatMovesToThisEdge();
 
-    /** A service whose home is e0 while that lives, and e1 after it. */
+    /** A service whose home is e0 in the first roster and e1 in the second. */
     private String findServiceThatMovesToThisEdge() {
         for (int i = 0; ; i++) {
             String name = "s" + i;
@@ -59,10 +58,10 @@
         localAdmission.onRoster(before, List.of());
     }
 
-    private HeldSlots heldSlots(long... asks) {
+    private HeldSlots heldSlots(long... requestIds) {
         List<SlotGrant> grants = new ArrayList<>();
-        for (long ask : asks) {
-            grants.add(new SlotGrant(ask, HOST, "10.0.1.1:80", false));
+        for (long requestId : requestIds) {
+            grants.add(new SlotGrant(requestId, HOST, "10.0.1.1:80", false));
         }
         return new HeldSlots("e2", service, grants);
     }
@@ -87,11 +86,10 @@
 
     /**
      * <pre>
-     * ms   | e0 | e1 (home after e0)      | e2                        | hub
+     * ms   | e0 | e1 (next home)          | e2                        | coordinator
      * 0    | X  |                         | new roster: holds 7 at h1 |
-     * 30   |    | new roster              |                           |
-     * 40   |    | asks 8                  |                           | h1 is up
-     * 2040 |    |                         | gives 7 back              |
+     * 30   |    | new roster, request 8   |                           | h1 is up
+     * 2030 |    |                         | releases 7                |
      *      |    | 8 is granted            |                           |
      * </pre>
      */
@@ -104,18 +102,17 @@
         localAdmission.onSlotRequest(slotRequest(8), false);
         deliverInstanceList();
         advance(2_000);
-        assertEquals(List.of(), sentMessages, "the only slot is held by e2");
+        assertEquals(List.of(), sentMessages, "the only slot is still held by e2");
         localAdmission.onSlotRelease("e2", new SlotRelease(7, HOST, AttemptOutcome.SERVED, 100));
         assertEquals(List.of("grant 8"), sentMessages);
     }
 
     /**
      * <pre>
-     * ms   | e0 | e1 (home after e0)      | e2                        | hub
+     * ms   | e0 | e1 (next home)          | e2                        | coordinator
      * 0    | X  |                         | new roster: holds 7 at h1 |
-     * 10   |    |                         | gives 7 back              |
-     * 30   |    | new roster              |                           |
-     * 40   |    | asks 8                  |                           | h1 is up
+     * 10   |    |                         | releases 7                |
+     * 30   |    | new roster, request 8   |                           | h1 is up
      *      |    | 8 is granted            |                           |
      * </pre>
      */
@@ -134,9 +131,9 @@
 
     /**
      * <pre>
-     * ms   | e0 | e1 (home after e0)      | e2                        | hub
-     * 0    | X  | new roster, asks 8      | holds 7 at h1             |
-     * 50   |    |                         | gives 7 back              |
+     * ms   | e0 | e1 (next home)          | e2                        | coordinator
+     * 0    | X  | new roster, request 8   | holds 7 at h1             |
+     * 50   |    |                         | releases 7                |
      * 100  |    |                         |                           | h1 is up
      *      |    | 8 is granted            |                           |
      * </pre>
@@ -161,13 +158,13 @@
         }
 
         @Override
-        public void refuse(String edge, SlotRefusal refuse) {
-            sentMessages.add("refuse " + refuse.requestId());
+        public void refuse(String edge, SlotRefusal refusal) {
+            sentMessages.add("refuse " + refusal.requestId());
         }
 
         @Override
-        public void redirect(String edge, SlotRedirect elsewhere) {
-            sentMessages.add("elsewhere " + elsewhere.requestId());
+        public void redirect(String edge, SlotRedirect redirect) {
+            sentMessages.add("redirect " + redirect.requestId());
         }
 
         @Override
--- a/src/test/java/brambletray/platform/edge/OperationClientTest.java
+++ b/src/test/java/brambletray/platform/edge/OperationClientTest.java
@@ -29,7 +29,7 @@
 import java.util.PriorityQueue;
 import org.junit.jupiter.api.Test;
 
-/** Edges and a coordinator in virtual time: repeats of one operation here and at other edges, through losses. */
+/** Repeated attempts of one operation at several edges, with lost frames, restarts and pauses. Virtual time. */
 class OperationClientTest {
     private static final int WINDOW_MS = 60_000;
     private static final int LINK_MS = 2;
@@ -64,18 +64,18 @@
         return edges.computeIfAbsent(name, Edge::new);
     }
 
-    /** One edge process; requests here are named, and what they hear is noted under their name. */
+    /** An edge process; its attempts have names, under which their outcomes are recorded. */
     private final class Edge implements OperationTransport {
         private final String name;
         private long incarnation = ++lastIncarnation;
         private boolean alive = true;
-        /** The earliest tick that was asked for: no other is remembered. */
+        /** The earliest requested tick; later ones are not kept. */
         private long tickAtMs = Long.MAX_VALUE;
 
         private boolean linksUp = true;
-        /** Its links to other edges are being made: frames are lost, and nobody is unreachable yet. */
+        /** Its links to other edges are being established: frames are lost, but no edge counts as unreachable yet. */
         private boolean isConnecting;
-        /** What comes while it stands still; null while it runs. */
+        /** Events that arrive while the process is frozen; null while it runs. */
         private List<Runnable> deferredEvents;
 
         private OperationClient client;
@@ -97,25 +97,25 @@
                 @Override
                 public void onClaimed(OperationClaim claim) {
                     claims.put(attempt, claim);
-                    hears("claimed");
+                    recordOutcome("claimed");
                 }
 
                 @Override
                 public void onAnswered(RecordedAnswer answer) {
-                    hears("answered " + new String(answer.body(), StandardCharsets.UTF_8));
+                    recordOutcome("answered " + new String(answer.body(), StandardCharsets.UTF_8));
                 }
 
                 @Override
                 public void onUnknown() {
-                    hears("unknown");
+                    recordOutcome("unknown");
                 }
 
                 @Override
                 public void onUnavailable(int retryAfterMs) {
-                    hears("unavailable " + retryAfterMs);
+                    recordOutcome("unavailable " + retryAfterMs);
                 }
 
-                private void hears(String what) {
+                private void recordOutcome(String what) {
                     outcomes.merge(attempt, what, (before, next) -> before + ", " + next);
                 }
             };
@@ -135,7 +135,7 @@
             return outcomes.getOrDefault(attempt, "nothing");
         }
 
-        /** The process stands still; its links stay up. */
+        /** Freezes the process; its links stay up. */
         void freeze() {
             deferredEvents = new ArrayList<>();
         }
@@ -223,7 +223,7 @@
                 200, "OK", List.of("Brambletray-Response-Seal", "s"), body.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** A coordinator whose batches are one command each. */
+    /** A coordinator that applies one command per batch. */
     private void coordinate(Edge edge, Object frame) {
         if (!coordinatorUp) {
             return;
@@ -338,7 +338,8 @@
         assertEquals(OperationGate.Progress.IN_PROGRESS, edge("b").cancel("r3"));
         edge("a").complete("r1", "first");
         runUntil(600);
-        assertEquals("nothing nothing", edge("a").outcome("r2") + " " + edge("b").outcome("r3"));
+        assertEquals(
+                "nothing nothing", edge("a").outcome("r2") + " " + edge("b").outcome("r3"));
     }
 
     @Test
@@ -361,7 +362,8 @@
         edge("a").claims.get("r1").abandon();
         edge("a").claim("r3");
         runUntil(60);
-        assertEquals("unknown unknown", edge("b").outcome("r2") + " " + edge("a").outcome("r3"));
+        assertEquals(
+                "unknown unknown", edge("b").outcome("r2") + " " + edge("a").outcome("r3"));
     }
 
     @Test
@@ -377,7 +379,8 @@
         edge("a").claim("r3");
         edge("b").claim("r4");
         runUntil(120);
-        assertEquals("unknown unknown", edge("a").outcome("r3") + " " + edge("b").outcome("r4"));
+        assertEquals(
+                "unknown unknown", edge("a").outcome("r3") + " " + edge("b").outcome("r4"));
     }
 
     @Test
@@ -457,19 +460,19 @@
         runUntil(10);
         edge("b").claim("r2");
         runUntil(30);
-        List<String> heard = new ArrayList<>();
+        List<String> outcomes = new ArrayList<>();
         edge("b").linksUp = false;
         edge("a").complete("r1", "first");
         runUntil(40);
-        heard.add(edge("b").outcome("r2"));
+        outcomes.add(edge("b").outcome("r2"));
         edge("b").linksUp = true;
         edge("b").client.onLinkUp("a");
         runUntil(50);
-        heard.add(edge("b").outcome("r2"));
-        assertEquals(List.of("nothing", "answered first"), heard);
+        outcomes.add(edge("b").outcome("r2"));
+        assertEquals(List.of("nothing", "answered first"), outcomes);
     }
 
-    // ---- Holders that stand still, links that are made, answers that are dropped ----------------------
+    // ---- Frozen holders, links being established, evicted answers ------------------------------------
     @Test
     void progressIsUnknownWhileTheHolderIsFrozen() {
         edge("a").claim("r1");
@@ -572,7 +575,8 @@
         edge("a").claim("r1");
         edge("a").claim("r2", other);
         runUntil(10);
-        assertEquals("claimed claimed", edge("a").outcome("r1") + " " + edge("a").outcome("r2"));
+        assertEquals(
+                "claimed claimed", edge("a").outcome("r1") + " " + edge("a").outcome("r2"));
         edge("a").complete("r1", "first");
         edge("a").complete("r2", "second");
         edge("b").claim("r3");
--- a/src/test/java/brambletray/platform/edge/QuotaClientTest.java
+++ b/src/test/java/brambletray/platform/edge/QuotaClientTest.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** An edge that asks for rights, with a coordinator that answers as the test has it. Virtual time. */
+/** A quota client with a scripted coordinator. Virtual time. */
 class QuotaClientTest {
     private static final Tenant TENANT = new Tenant("a", List.of(), 0, 10, 0);
     private static final int TICK_MS = 50;
@@ -52,9 +52,9 @@
     }
 
     private RecordingListener acquire() {
-        RecordingListener waiting = new RecordingListener();
-        client.acquire(TENANT, waiting);
-        return waiting;
+        RecordingListener listener = new RecordingListener();
+        client.acquire(TENANT, listener);
+        return listener;
     }
 
     private void run(int ms) {
@@ -77,7 +77,7 @@
         return sent.stream().filter(type::isInstance).map(type::cast).toList();
     }
 
-    /** The coordinator is lost after a grant that allows so many requests ahead. */
+    /** Detaches from the coordinator after a grant with this run-ahead allowance. */
     private void loseAfterGrant(int runAhead) {
         acquire();
         client.onResponse(new QuotaGrant(lastRequestId(), runAhead));
@@ -98,7 +98,7 @@
         client.onResponse(new QuotaGrant(1, 0));
         assertTrue(waiting.right.isValid());
         nowMs += QuotaParameters.RIGHT_VALIDITY_MS;
-        assertFalse(waiting.right.isValid(), "counted from when it was asked for");
+        assertFalse(waiting.right.isValid(), "validity is counted from the request");
     }
 
     @Test
--- a/src/test/java/brambletray/platform/edge/QuotaHistory.java
+++ b/src/test/java/brambletray/platform/edge/QuotaHistory.java
@@ -18,11 +18,11 @@
 import java.util.Random;
 
 /**
- * One simulated history: givers of rights in succession, edges that ask them, and instances that count what arrives.
- * Everything follows from the seed; time is virtual.
+ * A simulated history: successive coordinators that issue rights, edges that request them, and a count of the requests
+ * that arrive at instances. Deterministic for a seed; time is virtual.
  */
 final class QuotaHistory {
-    /** Faults that are built in to see whether the count notices. */
+    /** Faults injected into the implementation to show that the check detects them. */
     enum InjectedFault {
         NONE,
         SECOND_ISSUER,
@@ -32,7 +32,7 @@
         RETRIES_NOT_COUNTED
     }
 
-    /** What happens to the fleet. */
+    /** Failures and load changes in the fleet. */
     enum FleetEvent {
         HALF_OF_THE_EDGES_DIE,
         EDGES_ARE_CUT_OFF,
@@ -59,23 +59,23 @@
     private static final int FLOOD_FACTOR = 8;
     private static final int FLOOD_MS = 15_000;
     private static final int GENERAL_FLOOD_FACTOR = 8;
-    /** One edge in so many is cut off. */
+    /** A partition affects one in this many edges. */
     private static final int CUT_OFF_INVERSE_RATIO = 3;
 
     private static final int STALL_MS = 3_000;
     private static final int CRASH_RESTART_MS = 100;
-    /** Limits are so many times the usual demand. */
+    /** Ratio of a tenant's limit to its usual demand. */
     private static final double LIMIT_FACTOR = 1.6;
 
     private static final double RETRY_SHARE = 0.05;
     private static final double WAIT_SHARE = 0.1;
     private static final int MAX_WAIT_MS = 600;
-    /** ms by which the clock of a giver that begins with full buckets is set back. */
+    /** Time in ms by which the clock of an issuer that starts with full buckets is set back. */
     private static final long FULL_BUCKET_MS = 60_000;
 
     private record Event(long atMs, long order, Runnable action) {}
 
-    /** One term of the coordinator. */
+    /** The coordinator of one term. */
     private final class Issuer {
         private final long term;
         private final TenantQuotas quotas = new TenantQuotas(new QuotaParameters(WINDOW_MS, OVERAGE, SLACK));
@@ -108,17 +108,17 @@
         }
     }
 
-    /** One process of an edge. */
+    /** A process of an edge. */
     private final class EdgeProcess {
         private final String name;
         private final long incarnation;
         private final int delayMs = 1 + random.nextInt(20);
         private final boolean isOnIssuersSide = random.nextBoolean();
-        /** What its steady clock is behind of the virtual time. */
+        /** How far its monotonic clock is behind the virtual time, ms. */
         private final long clockOffsetMs = random.nextInt(1_000_000) - 500_000;
 
         private final QuotaClient client;
-        /** What it was granted last, by tenant. */
+        /** The run-ahead allowance of the last grant, by tenant. */
         private final Map<String, Integer> lastRunAheads = new HashMap<>();
 
         private long lastRequestId;
@@ -135,7 +135,7 @@
             after(random.nextInt(TICK_MS), this::tick);
         }
 
-        /** Later, and not before it thaws. */
+        /** Runs the action after this delay, but not while the process is frozen. */
         private void after(long delay, Runnable action) {
             at(nowMs + delay, () -> {
                 if (isDead) {
@@ -170,7 +170,7 @@
             return true;
         }
 
-        /** As if a former process had left on disk what it was granted. */
+        /** Restores the allowances of the previous process, as if they had been stored on disk. */
         private void restore(Map<String, Integer> former) {
             former.forEach((tenant, runAhead) -> {
                 client.acquire(
@@ -198,7 +198,7 @@
         }
     }
 
-    /** One request, over its attempts. */
+    /** A request with its retry, if any. */
     private final class Request implements QuotaGate.Listener {
         private final EdgeProcess edge;
         private final Tenant tenant;
@@ -238,7 +238,8 @@
             }
             right.spend();
             arrive();
-            if (random.nextDouble() < RETRY_SHARE * (injectedFault == InjectedFault.RETRIES_NOT_COUNTED ? 6 : 1) && !isRetry) {
+            if (random.nextDouble() < RETRY_SHARE * (injectedFault == InjectedFault.RETRIES_NOT_COUNTED ? 6 : 1)
+                    && !isRetry) {
                 isRetry = true;
                 retry();
             }
@@ -295,21 +296,21 @@
     private long falselyExceeded;
     private long falselyUnavailable;
 
-    /** How many edges and tenants there are. */
+    /** Number of edges and tenants. */
     record Fleet(int edges, int tenants) {
         static final Fleet LARGE = new Fleet(89, 87);
         static final Fleet MEDIUM = new Fleet(61, 73);
         static final Fleet SMALL = new Fleet(6, 12);
     }
 
-    /** In a fleet that the seed draws. */
-    QuotaHistory(long seed, InjectedFault planted, int cutMs) {
-        this(seed, planted, cutMs, seed % 2 == 0 ? Fleet.LARGE : Fleet.MEDIUM);
+    /** Selects the fleet by the seed. */
+    QuotaHistory(long seed, InjectedFault injectedFault, int cutMs) {
+        this(seed, injectedFault, cutMs, seed % 2 == 0 ? Fleet.LARGE : Fleet.MEDIUM);
     }
 
-    QuotaHistory(long seed, InjectedFault planted, int cutMs, Fleet fleet) {
+    QuotaHistory(long seed, InjectedFault injectedFault, int cutMs, Fleet fleet) {
         this.random = new Random(seed);
-        this.injectedFault = planted;
+        this.injectedFault = injectedFault;
         this.cutMs = cutMs;
         addTenants(fleet.tenants());
         for (int i = 0; i < fleet.edges(); i++) {
@@ -334,7 +335,7 @@
         events.add(new Event(timeMs, order++, action));
     }
 
-    /** With faults that the seed draws. */
+    /** Runs with random events. */
     void play() {
         int count = 3 + random.nextInt(5);
         for (int i = 0; i < count; i++) {
@@ -344,7 +345,7 @@
         run(END_MS);
     }
 
-    /** With these faults, which come at these times. */
+    /** Runs with these events at these times. */
     void play(Map<Integer, FleetEvent> timeline) {
         timeline.forEach((timeMs, fault) -> at(timeMs, () -> inject(fault)));
         run(TIMELINE_END_MS);
@@ -454,7 +455,7 @@
         return next;
     }
 
-    /** The next one begins once the lease of this one has provably ended. */
+    /** Stops or partitions the coordinator; the next one starts once its lease has certainly expired. */
     private void loseCoordinator(boolean isCutOff) {
         if (current == null) {
             return;
@@ -481,7 +482,7 @@
         }
     }
 
-    /** Arrivals in any window beyond what is allowed, of the tenant that came nearest; above 0 a fault. */
+    /** The largest excess of arrivals over the limit, over all windows and tenants; above 0: a fault. */
     double overshoot() {
         double largest = Double.NEGATIVE_INFINITY;
         for (Map.Entry<String, List<Long>> each : arrivals.entrySet()) {
@@ -502,7 +503,7 @@
         return largest;
     }
 
-    /** A lowered limit takes hold a window after it is known. */
+    /** A lowered limit applies one window after the change. */
     private double allowedArrivals(String tenant, long fromMs) {
         boolean isLowered = loweredAtMs != Long.MAX_VALUE && fromMs >= loweredAtMs + WINDOW_MS;
         Tenant limits = (isLowered ? tenants : originalTenants).get(tenant);
--- a/src/test/java/brambletray/platform/edge/SlotClientTest.java
+++ b/src/test/java/brambletray/platform/edge/SlotClientTest.java
@@ -37,15 +37,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * An edge and the home of a service, between which words come twice, late, or not at all: each ask has one place, and
- * none is lost.
+ * Frames between an edge and the home of a service are repeated, delayed or lost: each request must get one slot, and
+ * no slot may be leaked.
  */
 class SlotClientTest {
     private static final String EDGE = "e1";
     private static final String HOME = "h1";
     private static final String SERVICE = "s";
 
-    // ---- Word by word ---------------------------------------------------------------------------
+    // ---- Single frames --------------------------------------------------------------------------
     private final List<String> sentMessages = new ArrayList<>();
     private final List<String> outcomes = new ArrayList<>();
     private final SlotClient slotClient = new SlotClient(new RecordingTransport(), new NoInstanceTracking(), () -> 0);
@@ -57,34 +57,35 @@
         }
 
         @Override
-        public void requestLocally(SlotRequest ask, boolean stay) {
-            sentMessages.add("here " + ask.id());
+        public void requestLocally(SlotRequest request, boolean serveHere) {
+            sentMessages.add("here " + request.id());
         }
 
         @Override
-        public void releaseLocally(SlotRelease done) {
-            sentMessages.add("here " + done);
+        public void releaseLocally(SlotRelease release) {
+            sentMessages.add("here " + release);
         }
 
         @Override
-        public void cancelLocally(SlotRequestCancel forget) {
-            sentMessages.add("here " + forget);
+        public void cancelLocally(SlotRequestCancel cancel) {
+            sentMessages.add("here " + cancel);
         }
 
         @Override
         public boolean send(String edge, Object frame) {
             sentMessages.add(edge + " "
-                    + (frame instanceof SlotRequest ask
-                            ? "ask " + ask.id()
-                            : frame instanceof SlotRelease done
-                                    ? "done " + done.requestId() + " " + done.instanceId() + " " + done.outcome()
+                    + (frame instanceof SlotRequest request
+                            ? "request " + request.id()
+                            : frame instanceof SlotRelease release
+                                    ? "release " + release.requestId() + " " + release.instanceId() + " "
+                                            + release.outcome()
                                     : frame instanceof HeldSlots held
                                             ? "held "
                                                     + held.slots().stream()
                                                             .map(SlotGrant::instanceId)
                                                             .toList()
-                                            : frame instanceof SlotRequestCancel forget
-                                                    ? "forget " + forget.requestId()
+                                            : frame instanceof SlotRequestCancel cancel
+                                                    ? "cancel " + cancel.requestId()
                                                     : frame.toString()));
             return true;
         }
@@ -133,7 +134,7 @@
             }
 
             @Override
-            public void onRefused(int comeBackMs) {
+            public void onRefused(int retryAfterMs) {
                 outcomes.add(id + " refused");
             }
         });
@@ -158,8 +159,8 @@
     }
 
     /**
-     * The home lost its memory of the first and has granted another: that is free again, and the home knows which is in
-     * use.
+     * The home has lost its state and grants a second slot for the request: the edge releases it and reports the slot
+     * in use.
      */
     @Test
     void secondGrantAtAnotherInstanceIsReleased() {
@@ -168,7 +169,7 @@
         slotClient.onGranted(HOME, grant(7, "a"));
         takeSentMessages();
         slotClient.onGranted(HOME, grant(7, "b"));
-        assertEquals(List.of("h1 done 7 b UNUSED", "h1 held [a]"), takeSentMessages());
+        assertEquals(List.of("h1 release 7 b UNUSED", "h1 held [a]"), takeSentMessages());
         assertEquals(List.of("7 at a"), outcomes);
     }
 
@@ -179,26 +180,26 @@
         slotClient.cancelRequest(7);
         takeSentMessages();
         slotClient.onGranted(HOME, grant(7, "a"));
-        assertEquals(List.of("h1 done 7 a UNUSED"), takeSentMessages());
+        assertEquals(List.of("h1 release 7 a UNUSED"), takeSentMessages());
         assertEquals(List.of(), outcomes);
     }
 
-    /** Fencing: the home that was asked before has gone from the roster, but its grant is still on its way. */
+    /** Fencing: the former home has left the roster while its grant is in transit. */
     @Test
     void grantOfAFormerHomeIsReleased() {
         slotClient.onRoster(homes(1, HOME));
         requestSlot(7);
         slotClient.onRoster(homes(2, "h2"));
-        assertEquals(List.of("h1 ask 7", "h2 ask 7"), takeSentMessages());
+        assertEquals(List.of("h1 request 7", "h2 request 7"), takeSentMessages());
         slotClient.onGranted(HOME, grant(7, "a"));
-        assertEquals(List.of("h1 done 7 a UNUSED"), takeSentMessages());
+        assertEquals(List.of("h1 release 7 a UNUSED"), takeSentMessages());
         slotClient.onGranted("h2", grant(7, "b"));
         assertEquals(List.of("7 at b"), outcomes);
         slotClient.releaseSlot(grant(7, "b"), AttemptOutcome.SERVED, 5);
-        assertEquals(List.of("h2 done 7 b SERVED"), takeSentMessages());
+        assertEquals(List.of("h2 release 7 b SERVED"), takeSentMessages());
     }
 
-    /** Between the grant and the request's end the home goes: the next one is told of the place, and gets it back. */
+    /** The home changes while a slot is held: the slot is reported to the next home and released there. */
     @Test
     void heldSlotIsReportedToTheNextHome() {
         slotClient.onRoster(homes(1, HOME));
@@ -208,30 +209,31 @@
         slotClient.onRoster(homes(2, "h2"));
         assertEquals(List.of("h2 held [a]"), takeSentMessages());
         slotClient.releaseSlot(grant(7, "a"), AttemptOutcome.SERVED, 5);
-        assertEquals(List.of("h2 done 7 a SERVED"), takeSentMessages());
+        assertEquals(List.of("h2 release 7 a SERVED"), takeSentMessages());
         assertEquals(0, slotClient.heldCount());
     }
 
-    /** On a new link the same ask is said again, and not forgotten first: its grant may be on its way. */
+    /** The request is repeated on a new link without a cancel before it: its grant may be in transit. */
     @Test
     void pendingRequestIsResentUnchangedAfterReconnect() {
         slotClient.onRoster(homes(1, HOME));
         requestSlot(7);
         takeSentMessages();
         slotClient.onHomeReconnected(HOME);
-        assertEquals(List.of("h1 ask 7"), takeSentMessages());
+        assertEquals(List.of("h1 request 7"), takeSentMessages());
     }
 
-    // ---- At random ------------------------------------------------------------------------------
+    // ---- Random scenarios -----------------------------------------------------------------------
     private static final int HOSTS = 3;
     private static final int MAX_CONCURRENCY = 2;
 
-    /** One scenario: this edge's steward and a home's queues, over links that break while words are on their way. */
-    private static final class RandomScenario implements SlotClient.Transport, SlotClient.InstanceTracking, AdmissionActions {
-        private record Event(long at, long order, Runnable what) {}
+    /** A random scenario: a slot client and a home's queues, over links that break while frames are in transit. */
+    private static final class RandomScenario
+            implements SlotClient.Transport, SlotClient.InstanceTracking, AdmissionActions {
+        private record Event(long atMs, long order, Runnable action) {}
 
-        private final PriorityQueue<Event> events =
-                new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+        private final PriorityQueue<Event> events = new PriorityQueue<>(
+                (a, b) -> a.atMs != b.atMs ? Long.compare(a.atMs, b.atMs) : Long.compare(a.order, b.order));
         private final SplittableRandom random;
         private final SlotClient slotClient = new SlotClient(this, this, () -> this.now);
         private final ServiceQueues queues =
@@ -253,8 +255,8 @@
             queues.takeOver(SERVICE, "z", List.of(), now);
         }
 
-        private void schedule(long when, Runnable what) {
-            events.add(new Event(when, order++, what));
+        private void schedule(long atMs, Runnable action) {
+            events.add(new Event(atMs, order++, action));
         }
 
         @Override
@@ -263,31 +265,29 @@
         }
 
         @Override
-        public void requestLocally(SlotRequest ask, boolean stay) {
-            throw new AssertionError("not home");
+        public void requestLocally(SlotRequest request, boolean serveHere) {
+            throw new AssertionError("this edge is not the home");
         }
 
         @Override
-        public void releaseLocally(SlotRelease done) {
-            throw new AssertionError("not home");
+        public void releaseLocally(SlotRelease release) {
+            throw new AssertionError("this edge is not the home");
         }
 
         @Override
-        public void cancelLocally(SlotRequestCancel forget) {
-            throw new AssertionError("not home");
+        public void cancelLocally(SlotRequestCancel cancel) {
+            throw new AssertionError("this edge is not the home");
         }
 
-        /**
-         * Asks are lost at times, or come late on a link that is down already; what gives a place back is not, here.
-         */
+        /** Slot requests may be lost, or delayed on a link that is down already; all other frames arrive in order. */
         @Override
         public boolean send(String edge, Object frame) {
-            boolean ask = frame instanceof SlotRequest;
-            if (ask && random.nextInt(10) == 0) {
+            boolean isRequest = frame instanceof SlotRequest;
+            if (isRequest && random.nextInt(10) == 0) {
                 return true;
             }
             long when = Math.max(lastToHome, now + 1 + random.nextInt(4));
-            if (ask && random.nextInt(6) == 0) {
+            if (isRequest && random.nextInt(6) == 0) {
                 schedule(when + random.nextInt(80), () -> deliverToHome(frame));
             } else {
                 lastToHome = when;
@@ -297,12 +297,12 @@
         }
 
         private void deliverToHome(Object frame) {
-            if (frame instanceof SlotRequest ask) {
-                queues.onSlotRequest(ask, true, now);
-            } else if (frame instanceof SlotRelease done) {
-                queues.onSlotRelease(EDGE, done, now);
-            } else if (frame instanceof SlotRequestCancel forget) {
-                queues.onCancel(EDGE, forget, now);
+            if (frame instanceof SlotRequest request) {
+                queues.onSlotRequest(request, true, now);
+            } else if (frame instanceof SlotRelease release) {
+                queues.onSlotRelease(EDGE, release, now);
+            } else if (frame instanceof SlotRequestCancel cancel) {
+                queues.onCancel(EDGE, cancel, now);
             } else if (frame instanceof HeldSlots held) {
                 queues.onHeldSlots(held, now);
             }
@@ -324,11 +324,11 @@
         @Override
         public void onHeldLocally(HeldSlots held) {}
 
-        /** Lost while it is waited for, late, or twice. */
+        /** Grants may be delayed or repeated, and lost while they are awaited. */
         @Override
         public void grant(String edge, SlotGrant grant) {
-            boolean waitedFor = !granted.contains(grant.requestId()) && !ended.contains(grant.requestId());
-            if (waitedFor && random.nextInt(10) == 0) {
+            boolean isAwaited = !granted.contains(grant.requestId()) && !ended.contains(grant.requestId());
+            if (isAwaited && random.nextInt(10) == 0) {
                 schedule(now + 30 + random.nextInt(60), () -> slotClient.onHomeReconnected(HOME));
                 return;
             }
@@ -341,21 +341,21 @@
         }
 
         @Override
-        public void refuse(String edge, SlotRefusal refuse) {
-            schedule(now + 1, () -> slotClient.onRefused(HOME, refuse));
+        public void refuse(String edge, SlotRefusal refusal) {
+            schedule(now + 1, () -> slotClient.onRefused(HOME, refusal));
         }
 
         @Override
-        public void redirect(String edge, SlotRedirect elsewhere) {}
+        public void redirect(String edge, SlotRedirect redirect) {}
 
         @Override
-        public void requestStart(StartRequest need) {}
+        public void requestStart(StartRequest startRequest) {}
 
         @Override
-        public void requestStop(StopRequest quit) {}
+        public void requestStop(StopRequest stopRequest) {}
 
         @Override
-        public void reportUp(InstanceUp seen) {}
+        public void reportUp(InstanceUp instanceUp) {}
 
         @Override
         public void claimHome(HomeClaim claim) {
@@ -378,9 +378,12 @@
                 @Override
                 public void onGranted(SlotGrant grant) {
                     assertTrue(
-                            granted.add(id) && !ended.contains(id), "one word to an ask, and none to one that is over");
+                            granted.add(id) && !ended.contains(id),
+                            "a request has more than one answer, or one after its end");
                     int used = inUse.merge(grant.instanceId(), 1, Integer::sum);
-                    assertTrue(used <= MAX_CONCURRENCY, "host " + grant.instanceId() + " has " + used);
+                    assertTrue(
+                            used <= MAX_CONCURRENCY,
+                            "host " + grant.instanceId() + " has concurrent requests: " + used);
                     schedule(now + holdMs, () -> {
                         ended.add(id);
                         inUse.merge(grant.instanceId(), -1, Integer::sum);
@@ -389,8 +392,8 @@
                 }
 
                 @Override
-                public void onRefused(int comeBackMs) {
-                    assertTrue(!granted.contains(id) && ended.add(id), "one word to an ask");
+                public void onRefused(int retryAfterMs) {
+                    assertTrue(!granted.contains(id) && ended.add(id), "a request has more than one answer");
                 }
             });
             if (random.nextInt(12) == 0) {
@@ -404,8 +407,8 @@
 
         void runUntil(long when) {
             for (; now < when; now++) {
-                while (!events.isEmpty() && events.peek().at <= now) {
-                    events.poll().what.run();
+                while (!events.isEmpty() && events.peek().atMs <= now) {
+                    events.poll().action.run();
                 }
                 queues.tick(now);
             }
@@ -426,9 +429,9 @@
                 runUntil(now + 200);
                 slotClient.onHomeReconnected(HOME);
             }
-            assertEquals(0, slotClient.pendingCount(), "asks that wait");
+            assertEquals(0, slotClient.pendingCount(), "pending requests");
             runUntil(now + 400);
-            assertEquals(0, slotClient.heldCount(), "places held");
+            assertEquals(0, slotClient.heldCount(), "held slots");
             int before = granted.size();
             for (int i = 0; i < HOSTS * MAX_CONCURRENCY; i++) {
                 requestSlot(1_000);
@@ -441,22 +444,24 @@
                     .filter(id -> id > lastId - HOSTS * MAX_CONCURRENCY && !granted.contains(id))
                     .count();
             assertEquals(
-                    HOSTS * MAX_CONCURRENCY, granted.size() - before + late, "places that are not free though nobody holds them");
+                    HOSTS * MAX_CONCURRENCY,
+                    granted.size() - before + late,
+                    "granted or refused requests, one for each free slot");
         }
     }
 
     @Test
     void noSlotIsUsedTwiceOrLeaked() {
-        int twice = 0;
+        int repeatedGrants = 0;
         for (long seed = 1; seed <= 400; seed++) {
-            RandomScenario walk = new RandomScenario(seed);
+            RandomScenario scenario = new RandomScenario(seed);
             try {
-                walk.run();
+                scenario.run();
             } catch (AssertionError | RuntimeException e) {
                 throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
             }
-            twice += walk.repeatedGrants;
+            repeatedGrants += scenario.repeatedGrants;
         }
-        assertTrue(twice > 400, "grants that came twice: " + twice);
+        assertTrue(repeatedGrants > 400, "repeated grants: " + repeatedGrants);
     }
 }
