--- a/src/main/java/brambletray/platform/configuration/ChangeHistory.java
+++ b/src/main/java/brambletray/platform/configuration/ChangeHistory.java
@@ -19,7 +19,7 @@
 
     static final int MAX_NAMES = 65_536;
 
-    private record VersionChange(long fromRevision, Set<ConfigurationDocument.Key> touchedEntries) {}
+    private record VersionChange(long fromRevision, Set<ConfigurationDocument.Key> changedKeys) {}
 
     private final ArrayDeque<VersionChange> versions = new ArrayDeque<>();
     private int nameCount;
@@ -38,9 +38,9 @@
         if (current != Configuration.NONE) {
             VersionChange version = new VersionChange(current.revision(), next.changedSince(current));
             versions.add(version);
-            nameCount += version.touchedEntries.size();
+            nameCount += version.changedKeys.size();
             while (versions.size() > MAX_VERSIONS || nameCount > MAX_NAMES) {
-                nameCount -= versions.remove().touchedEntries.size();
+                nameCount -= versions.remove().changedKeys.size();
             }
         }
         current = next;
@@ -62,7 +62,7 @@
         long from = current.revision();
         for (Iterator<VersionChange> back = versions.descendingIterator(); from != baseRevision && back.hasNext(); ) {
             VersionChange version = back.next();
-            touched.addAll(version.touchedEntries);
+            touched.addAll(version.changedKeys);
             from = version.fromRevision;
         }
         if (from != baseRevision
--- a/src/main/java/brambletray/platform/configuration/Configuration.java
+++ b/src/main/java/brambletray/platform/configuration/Configuration.java
@@ -26,7 +26,7 @@
     private final TenantTable tenantTable;
     private final ConfigurationDocument document;
     /** Over all entries; 0: not counted yet. Two threads that count it at once find the same. */
-    private long entrySum;
+    private long entryDigestSum;
 
     private Configuration(
             long revision, ConfigurationItems items, ClientLimits limits, ConfigurationDocument document) {
@@ -34,8 +34,8 @@
         this.items = items;
         this.limits = limits;
         this.document = document;
-        if (document.size() > ConfigurationJson.MAX_BODY_BYTES) {
-            throw ConfigurationJson.tooLarge(document.size());
+        if (document.maxJsonBytes() > ConfigurationJson.MAX_BODY_BYTES) {
+            throw ConfigurationJson.tooLarge(document.maxJsonBytes());
         }
         requireKnownServices(items);
         routeTable = new RouteTable(items.routes().values());
@@ -61,7 +61,7 @@
      * compares its revision.
      */
     public static Configuration read(byte[] body) {
-        JsonFields in = JsonFields.from("", ConfigurationJson.read(body).content());
+        JsonFields in = JsonFields.from("", ConfigurationJson.parse(body).content());
         long revision = in.requiredLong(REVISION, 1, Long.MAX_VALUE);
         for (String table : List.of(ConfigurationDocument.ROUTES, ConfigurationDocument.SERVICES)) {
             if (!in.has(table)) {
@@ -69,7 +69,7 @@
             }
         }
         ConfigurationDocument document = new ConfigurationDocument();
-        for (String field : in.names()) {
+        for (String field : in.fieldNames()) {
             if (!field.equals(REVISION)) {
                 document.put(field, in.rawValue(field), body);
             }
@@ -101,7 +101,7 @@
      * it.
      */
     public Configuration modify(byte[] body) {
-        JsonFields in = JsonFields.from("", ConfigurationJson.read(body).content());
+        JsonFields in = JsonFields.from("", ConfigurationJson.parse(body).content());
         long next = in.requiredLong(REVISION, 1, Long.MAX_VALUE);
         ConfigurationDocument changed = document.copy();
         ConfigurationItems nextItems = items.copy();
@@ -110,15 +110,15 @@
         if (in.has("upsert")) {
             JsonFields upsert = in.object("upsert");
             nextItems.putAll(upsert);
-            for (String field : upsert.names()) {
+            for (String field : upsert.fieldNames()) {
                 if (upsert.has(field)) {
                     changed.put(field, upsert.rawValue(field), body);
-                    set.addAll(ConfigurationDocument.names(field, upsert.value(field)));
+                    set.addAll(ConfigurationDocument.namedItemPaths(field, upsert.value(field)));
                 }
             }
             if (upsert.has(LIMITS)) {
                 nextLimits = ClientLimits.from(JsonFields.from(
-                        LIMITS, ConfigurationJson.read(changed.field(LIMITS)).content()));
+                        LIMITS, ConfigurationJson.parse(changed.field(LIMITS)).content()));
             }
         }
         if (in.has("withdraw")) {
@@ -129,7 +129,7 @@
 
     private static void withdraw(
             JsonFields in, Set<String> set, ConfigurationDocument changed, ConfigurationItems items) {
-        for (String table : in.names()) {
+        for (String table : in.fieldNames()) {
             List<ConfigurationJson.Value> names = in.list(table);
             for (int i = 0; names != null && i < names.size(); i++) {
                 if (!(names.get(i).content() instanceof String name)) {
@@ -158,12 +158,12 @@
 
     /** {@link #json} packed, for a slow or dear link. */
     public byte[] toCompressedBytes() {
-        return DeltaCompression.pack(json());
+        return DeltaCompression.compress(json());
     }
 
     /** From {@link #toCompressedBytes}; {@link ConfigurationException}. */
     public static Configuration fromCompressedBytes(byte[] packed) {
-        return read(DeltaCompression.unpack(packed));
+        return read(DeltaCompression.decompress(packed));
     }
 
     /**
@@ -181,7 +181,7 @@
             throw new ConfigurationException(
                     "not-newer", "", "expected a revision above " + revision + ", found " + delta.revision());
         }
-        Configuration next = delta.baseRevision() == 0 ? NONE.with(delta) : with(delta);
+        Configuration next = delta.baseRevision() == 0 ? NONE.applyEntries(delta) : applyEntries(delta);
         if (next.digest() != delta.digest()) {
             throw new ConfigurationException(
                     "digest",
@@ -192,10 +192,10 @@
         return next;
     }
 
-    private Configuration with(ConfigurationDelta delta) {
+    private Configuration applyEntries(ConfigurationDelta delta) {
         ConfigurationDocument changed = document.copy();
         ConfigurationItems nextItems = items.copy();
-        long nextSum = computeEntrySum();
+        long nextSum = computeEntryDigestSum();
         for (ConfigurationDelta.Entry entry : delta.entries()) {
             nextSum += ConfigurationDigest.of(entry)
                     - ConfigurationDigest.of(entry.table(), entry.name(), document.entry(entry.table(), entry.name()));
@@ -205,7 +205,7 @@
         ClientLimits nextLimits =
                 changed.field(LIMITS) == document.field(LIMITS) ? limits : limits(changed.field(LIMITS));
         Configuration next = new Configuration(delta.revision(), nextItems, nextLimits, changed);
-        next.entrySum = nextSum;
+        next.entryDigestSum = nextSum;
         return next;
     }
 
@@ -213,7 +213,7 @@
         return field == null || field[0] != '{'
                 ? ClientLimits.DEFAULTS
                 : ClientLimits.from(
-                        JsonFields.from(LIMITS, ConfigurationJson.read(field).content()));
+                        JsonFields.from(LIMITS, ConfigurationJson.parse(field).content()));
     }
 
     /**
@@ -221,18 +221,18 @@
      * entries.
      */
     public long digest() {
-        return ConfigurationDigest.of(revision, computeEntrySum());
+        return ConfigurationDigest.of(revision, computeEntryDigestSum());
     }
 
-    private long computeEntrySum() {
-        long known = entrySum;
+    private long computeEntryDigestSum() {
+        long known = entryDigestSum;
         if (known == 0) {
             for (Map.Entry<ConfigurationDocument.Key, byte[]> one :
                     document.entries().entrySet()) {
                 known += ConfigurationDigest.of(
                         one.getKey().table(), one.getKey().name(), one.getValue());
             }
-            entrySum = known;
+            entryDigestSum = known;
         }
         return known;
     }
@@ -243,13 +243,13 @@
      */
     Set<ConfigurationDocument.Key> changedSince(Configuration before) {
         Set<ConfigurationDocument.Key> changed = document.changedSince(before.document);
-        if (entrySum == 0 && before.entrySum != 0) {
-            long next = before.entrySum;
+        if (entryDigestSum == 0 && before.entryDigestSum != 0) {
+            long next = before.entryDigestSum;
             for (ConfigurationDocument.Key key : changed) {
                 next += ConfigurationDigest.of(key.table(), key.name(), entry(key))
                         - ConfigurationDigest.of(key.table(), key.name(), before.entry(key));
             }
-            entrySum = next;
+            entryDigestSum = next;
         }
         return changed;
     }
@@ -297,7 +297,7 @@
     }
 
     /** The tenant that holds this API key; null: nobody does. */
-    public Tenant tenantOf(String key) {
+    public Tenant tenantForKey(String key) {
         return tenantTable.find(key);
     }
 
--- a/src/main/java/brambletray/platform/configuration/ConfigurationDelta.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationDelta.java
@@ -34,14 +34,14 @@
             out.writeLong(digest);
             out.writeInt(entries.size());
             for (Entry entry : entries) {
-                write(out, entry.table.getBytes(StandardCharsets.UTF_8));
-                write(out, entry.name.getBytes(StandardCharsets.UTF_8));
-                write(out, entry.body);
+                writeBytes(out, entry.table.getBytes(StandardCharsets.UTF_8));
+                writeBytes(out, entry.name.getBytes(StandardCharsets.UTF_8));
+                writeBytes(out, entry.body);
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return DeltaCompression.pack(bytes.toByteArray());
+        return DeltaCompression.compress(bytes.toByteArray());
     }
 
     /** A number for these bytes, never 0: the same for the same, so that a transfer is known again. */
@@ -50,7 +50,7 @@
         return id == 0 ? 1 : id;
     }
 
-    private static void write(DataOutputStream out, byte[] bytes) throws IOException {
+    private static void writeBytes(DataOutputStream out, byte[] bytes) throws IOException {
         out.writeInt(bytes == null ? REMOVED : bytes.length);
         if (bytes != null) {
             out.write(bytes);
@@ -62,7 +62,7 @@
      * configuration.bad-delta}.
      */
     public static ConfigurationDelta fromCompressedBytes(byte[] packed) {
-        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(DeltaCompression.unpack(packed)))) {
+        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(DeltaCompression.decompress(packed)))) {
             byte format = in.readByte();
             if (format != FORMAT) {
                 throw malformed("a difference of format " + FORMAT + ", found " + format, null);
@@ -73,9 +73,9 @@
             int count = in.readInt();
             List<Entry> entries = new ArrayList<>();
             for (int i = 0; i < count; i++) {
-                String table = text(in);
-                String name = text(in);
-                entries.add(new Entry(table, name, read(in)));
+                String table = readText(in);
+                String name = readText(in);
+                entries.add(new Entry(table, name, readBytes(in)));
             }
             if (in.available() > 0) {
                 throw malformed("nothing after its entries", null);
@@ -86,15 +86,15 @@
         }
     }
 
-    private static String text(DataInputStream in) throws IOException {
-        byte[] bytes = read(in);
+    private static String readText(DataInputStream in) throws IOException {
+        byte[] bytes = readBytes(in);
         if (bytes == null) {
             throw malformed("a name", null);
         }
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    private static byte[] read(DataInputStream in) throws IOException {
+    private static byte[] readBytes(DataInputStream in) throws IOException {
         int length = in.readInt();
         if (length == REMOVED) {
             return null;
--- a/src/main/java/brambletray/platform/configuration/ConfigurationDigest.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationDigest.java
@@ -9,8 +9,8 @@
  * collide, as only members of the core write them.
  */
 final class ConfigurationDigest {
-    private static final long BASIS = 0xcbf29ce484222325L;
-    private static final long PRIME = 0x100000001b3L;
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
 
     private ConfigurationDigest() {}
 
@@ -23,30 +23,30 @@
         if (body == null) {
             return 0;
         }
-        long hash = mix(BASIS, table.getBytes(StandardCharsets.UTF_8));
-        hash = mix((hash ^ 0xff) * PRIME, name.getBytes(StandardCharsets.UTF_8));
-        return spread(mix((hash ^ 0xff) * PRIME, body));
+        long hash = fnv1a(FNV_OFFSET_BASIS, table.getBytes(StandardCharsets.UTF_8));
+        hash = fnv1a((hash ^ 0xff) * FNV_PRIME, name.getBytes(StandardCharsets.UTF_8));
+        return finalMix(fnv1a((hash ^ 0xff) * FNV_PRIME, body));
     }
 
     /** Of a configuration of this revision whose entries add up to {@code sum}. */
     static long of(long revision, long sum) {
-        return spread(sum ^ spread(revision));
+        return finalMix(sum ^ finalMix(revision));
     }
 
     /** Of bytes as such. */
     static long of(byte[] bytes) {
-        return spread(mix(BASIS, bytes));
+        return finalMix(fnv1a(FNV_OFFSET_BASIS, bytes));
     }
 
-    private static long mix(long from, byte[] bytes) {
+    private static long fnv1a(long from, byte[] bytes) {
         long hash = from;
         for (byte b : bytes) {
-            hash = (hash ^ b & 0xff) * PRIME;
+            hash = (hash ^ b & 0xff) * FNV_PRIME;
         }
         return hash;
     }
 
-    private static long spread(long value) {
+    private static long finalMix(long value) {
         long z = (value ^ value >>> 33) * 0xff51afd7ed558ccdL;
         z = (z ^ z >>> 33) * 0xc4ceb9fe1a85ec53L;
         return z ^ z >>> 33;
--- a/src/main/java/brambletray/platform/configuration/ConfigurationDocument.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationDocument.java
@@ -46,37 +46,37 @@
 
     /** Adds a field, or replaces it; in a table, items by their names, and in an object its fields. */
     void put(String name, ConfigurationJson.Value value, byte[] body) {
-        Map<String, byte[]> items = items(value, body);
+        Map<String, byte[]> items = parseNamedItems(value, body);
         byte[] former = fields.get(name);
         if (items != null) {
             fields.remove(name);
             tables.computeIfAbsent(name, n -> new LinkedHashMap<>()).putAll(items);
         } else if (value.content() instanceof Map && former != null && former[0] == '{') {
-            fields.put(name, overlay(former, value, body));
-        } else if (!tables.containsKey(name) || !empty(value)) {
+            fields.put(name, mergeObject(former, value, body));
+        } else if (!tables.containsKey(name) || !isEmptyList(value)) {
             tables.remove(name);
             fields.put(name, value.bytesIn(body));
         }
     }
 
-    private static byte[] overlay(byte[] former, ConfigurationJson.Value value, byte[] body) {
+    private static byte[] mergeObject(byte[] former, ConfigurationJson.Value value, byte[] body) {
         Map<String, byte[]> merged = new LinkedHashMap<>();
-        ((Map<?, ?>) ConfigurationJson.read(former).content())
+        ((Map<?, ?>) ConfigurationJson.parse(former).content())
                 .forEach((field, old) -> merged.put((String) field, ((ConfigurationJson.Value) old).bytesIn(former)));
         ((Map<?, ?>) value.content())
                 .forEach((field, now) -> merged.put((String) field, ((ConfigurationJson.Value) now).bytesIn(body)));
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         merged.forEach((field, raw) -> {
             out.write(out.size() == 0 ? '{' : ',');
-            key(out, field);
+            writeKey(out, field);
             out.writeBytes(raw);
         });
-        text(out, merged.isEmpty() ? "{}" : "}");
+        writeAscii(out, merged.isEmpty() ? "{}" : "}");
         return out.toByteArray();
     }
 
     /** The names of the items of a list, each behind its table's. */
-    static Set<String> names(String table, Object content) {
+    static Set<String> namedItemPaths(String table, Object content) {
         Set<String> names = new HashSet<>();
         if (content instanceof List<?> list) {
             for (Object entry : list) {
@@ -103,7 +103,7 @@
             return tables.getOrDefault(table, Map.of()).get(name);
         }
         byte[] field = fields.get(name);
-        return field == null || empty(field) ? null : field;
+        return field == null || isEmptyList(field) ? null : field;
     }
 
     /** All that {@link #entry} gives, in the order in which it is shown. */
@@ -111,7 +111,7 @@
         Map<Key, byte[]> all = new LinkedHashMap<>();
         tables.forEach((table, items) -> items.forEach((name, body) -> all.put(new Key(table, name), body)));
         fields.forEach((name, body) -> {
-            if (!empty(body)) {
+            if (!isEmptyList(body)) {
                 all.put(new Key(TOP_LEVEL, name), body);
             }
         });
@@ -156,7 +156,7 @@
         }
     }
 
-    private static boolean empty(byte[] raw) {
+    private static boolean isEmptyList(byte[] raw) {
         if (raw[0] != '[') {
             return false;
         }
@@ -167,12 +167,12 @@
         return raw[at] == ']';
     }
 
-    private static boolean empty(ConfigurationJson.Value value) {
+    private static boolean isEmptyList(ConfigurationJson.Value value) {
         return value.content() instanceof List<?> list && list.isEmpty();
     }
 
     /** The items of a list of objects with names of their own; null: it is something else. */
-    private static Map<String, byte[]> items(ConfigurationJson.Value value, byte[] body) {
+    private static Map<String, byte[]> parseNamedItems(ConfigurationJson.Value value, byte[] body) {
         if (!(value.content() instanceof List<?> list) || list.isEmpty()) {
             return null;
         }
@@ -190,7 +190,7 @@
     }
 
     /** Bytes that {@link #json} has at most. */
-    long size() {
+    long maxJsonBytes() {
         long size = 32;
         for (Map.Entry<String, Map<String, byte[]>> table : tables.entrySet()) {
             size += 6L * table.getKey().length() + 6;
@@ -207,28 +207,28 @@
     /** One object: the revision, routes, services, and the rest as it came. */
     byte[] json(long revision) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(4_096);
-        text(out, "{\"revision\":" + revision);
+        writeAscii(out, "{\"revision\":" + revision);
         tables.forEach((name, items) -> {
             out.write(',');
-            key(out, name);
+            writeKey(out, name);
             char between = '[';
             for (byte[] item : items.values()) {
                 out.write(between);
                 out.writeBytes(item);
                 between = ',';
             }
-            text(out, items.isEmpty() ? "[]" : "]");
+            writeAscii(out, items.isEmpty() ? "[]" : "]");
         });
         fields.forEach((name, value) -> {
             out.write(',');
-            key(out, name);
+            writeKey(out, name);
             out.writeBytes(value);
         });
         out.write('}');
         return out.toByteArray();
     }
 
-    private static void key(ByteArrayOutputStream out, String name) {
+    private static void writeKey(ByteArrayOutputStream out, String name) {
         StringBuilder key = new StringBuilder(name.length() + 4).append('"');
         for (int i = 0; i < name.length(); i++) {
             char c = name.charAt(i);
@@ -244,10 +244,10 @@
                 key.append(c);
             }
         }
-        text(out, key.append("\":").toString());
+        writeAscii(out, key.append("\":").toString());
     }
 
-    private static void text(ByteArrayOutputStream out, String text) {
+    private static void writeAscii(ByteArrayOutputStream out, String text) {
         out.writeBytes(text.getBytes(StandardCharsets.US_ASCII));
     }
 }
--- a/src/main/java/brambletray/platform/configuration/ConfigurationJson.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationJson.java
@@ -29,9 +29,9 @@
      * A value: {@code Map<String, Value>}, {@code List<Value>}, String, Long, BigDecimal, Boolean or null; from and to
      * in the body.
      */
-    record Value(Object content, int from, int to) {
+    record Value(Object content, int start, int end) {
         byte[] bytesIn(byte[] body) {
-            return Arrays.copyOfRange(body, from, to);
+            return Arrays.copyOfRange(body, start, end);
         }
     }
 
@@ -44,19 +44,19 @@
     }
 
     /** Parses the body as one object; {@link ConfigurationException} where it is not exactly one. */
-    static Value read(byte[] body) {
+    static Value parse(byte[] body) {
         if (body.length > MAX_BODY_BYTES) {
             throw tooLarge(body.length);
         }
-        JsonTextValidator.check(body);
+        JsonTextValidator.validate(body);
         ConfigurationJson json = new ConfigurationJson(body);
         try {
             json.reader.getNextToken();
-            Value value = json.value("");
+            Value value = json.parseValue("");
             if (!(value.content instanceof Map)) {
                 throw new ConfigurationException("wrong-type", "", "expected an object");
             }
-            for (int i = value.to; i < body.length; i++) {
+            for (int i = value.end; i < body.length; i++) {
                 if (body[i] > ' ') {
                     throw new ConfigurationException(
                             "unreadable", "", "expected nothing after the object, found more at byte " + i);
@@ -77,15 +77,15 @@
                 "too-large", "", "expected at most " + MAX_BODY_BYTES + " bytes, found " + found);
     }
 
-    private Value value(String path) throws IOException {
+    private Value parseValue(String path) throws IOException {
         int from = reader.getCurrentIndex() - 1;
         Object content = switch (reader.last()) {
-            case '{' -> object(path);
-            case '[' -> list(path);
+            case '{' -> parseObject(path);
+            case '[' -> parseList(path);
             case '"' -> reader.readString();
-            case 't' -> constant(reader.wasTrue(), Boolean.TRUE);
-            case 'f' -> constant(reader.wasFalse(), Boolean.FALSE);
-            case 'n' -> constant(reader.wasNull(), null);
+            case 't' -> parseLiteral(reader.wasTrue(), Boolean.TRUE);
+            case 'f' -> parseLiteral(reader.wasFalse(), Boolean.FALSE);
+            case 'n' -> parseLiteral(reader.wasNull(), null);
             default -> NumberConverter.deserializeNumber(reader);
         };
         int to = reader.getCurrentIndex();
@@ -93,19 +93,19 @@
             to--;
         }
         if (content instanceof Number) {
-            JsonTextValidator.checkNumber(body, from, to);
+            JsonTextValidator.validateNumber(body, from, to);
         }
         return new Value(content, from, to);
     }
 
-    private Boolean constant(boolean was, Boolean value) throws IOException {
+    private Boolean parseLiteral(boolean was, Boolean value) throws IOException {
         if (!was) {
             throw reader.newParseError("Expected a value");
         }
         return value;
     }
 
-    private Map<String, Value> object(String path) throws IOException {
+    private Map<String, Value> parseObject(String path) throws IOException {
         Map<String, Value> fields = new LinkedHashMap<>();
         if (reader.getNextToken() == '}') {
             return fields;
@@ -120,7 +120,7 @@
             }
             reader.getNextToken();
             String field = path.isEmpty() ? abbreviate(name) : path;
-            if (fields.put(name, value(field)) != null) {
+            if (fields.put(name, parseValue(field)) != null) {
                 throw new ConfigurationException(
                         "duplicate-field",
                         field,
@@ -138,13 +138,13 @@
         }
     }
 
-    private List<Value> list(String path) throws IOException {
+    private List<Value> parseList(String path) throws IOException {
         List<Value> items = new ArrayList<>();
         if (reader.getNextToken() == ']') {
             return items;
         }
         while (true) {
-            items.add(value(path));
+            items.add(parseValue(path));
             byte next = reader.getNextToken();
             if (next == ']') {
                 return items;
--- a/src/main/java/brambletray/platform/configuration/ConfigurationStateMachine.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationStateMachine.java
@@ -23,7 +23,7 @@
      */
     static final int MAX_REMEMBERED_CHANGES = 2_000;
 
-    private static final byte FORMAT = 1;
+    private static final byte SNAPSHOT_FORMAT = 1;
     /** Of a change's fingerprint, bytes. */
     private static final int FINGERPRINT_BYTES = 16;
 
@@ -93,7 +93,7 @@
         ChangeDecision decision = evaluateEncoded(change);
         if (decision instanceof ChangeDecision.Applied applied) {
             configuration = applied.configuration();
-            remember(new AppliedChange(configuration.revision(), lastEvaluated));
+            recordApplied(new AppliedChange(configuration.revision(), lastEvaluated));
         }
         return decision;
     }
@@ -126,7 +126,7 @@
         return history.size() >= MAX_REMEMBERED_CHANGES && baseRevision < history.peek().revision;
     }
 
-    private void remember(AppliedChange change) {
+    private void recordApplied(AppliedChange change) {
         history.add(change);
         appliedRevisions.put(change.fingerprint, change.revision);
         while (history.size() > MAX_REMEMBERED_CHANGES) {
@@ -148,7 +148,7 @@
     public byte[] snapshot() {
         byte[] json = configuration == Configuration.NONE ? new byte[0] : configuration.json();
         ByteBuffer out = ByteBuffer.allocate(1 + 4 + history.size() * (8 + FINGERPRINT_BYTES) + json.length);
-        out.put(FORMAT).putInt(history.size());
+        out.put(SNAPSHOT_FORMAT).putInt(history.size());
         for (AppliedChange change : history) {
             out.putLong(change.revision).putLong(change.fingerprint.high).putLong(change.fingerprint.low);
         }
@@ -169,9 +169,9 @@
         Configuration current;
         try {
             byte format = in.get();
-            if (format != FORMAT) {
+            if (format != SNAPSHOT_FORMAT) {
                 throw new ConfigurationException(
-                        "bad-snapshot", "", "expected a snapshot of format " + FORMAT + ", found " + format);
+                        "bad-snapshot", "", "expected a snapshot of format " + SNAPSHOT_FORMAT + ", found " + format);
             }
             int count = in.getInt();
             for (int i = 0; i < count; i++) {
@@ -192,6 +192,6 @@
         lastResult = null;
         history.clear();
         appliedRevisions.clear();
-        read.forEach(this::remember);
+        read.forEach(this::recordApplied);
     }
 }
--- a/src/main/java/brambletray/platform/configuration/DeltaCompression.java
+++ b/src/main/java/brambletray/platform/configuration/DeltaCompression.java
@@ -10,9 +10,9 @@
     private DeltaCompression() {}
 
     /** Bytes unpacked: twice the largest configuration, as names and lengths come on top of an entry's own bytes. */
-    private static final int MAX_UNPACKED_BYTES = 2 * ConfigurationJson.MAX_BODY_BYTES;
+    private static final int MAX_DECOMPRESSED_BYTES = 2 * ConfigurationJson.MAX_BODY_BYTES;
 
-    static byte[] pack(byte[] json) {
+    static byte[] compress(byte[] json) {
         Deflater deflater = new Deflater();
         try {
             deflater.setInput(json);
@@ -28,17 +28,17 @@
         }
     }
 
-    static byte[] unpack(byte[] packed) {
+    static byte[] decompress(byte[] packed) {
         Inflater inflater = new Inflater();
         try {
             inflater.setInput(packed);
             ByteArrayOutputStream out = new ByteArrayOutputStream(
-                    Math.min(MAX_UNPACKED_BYTES, 8 * Math.min(packed.length, MAX_UNPACKED_BYTES)));
+                    Math.min(MAX_DECOMPRESSED_BYTES, 8 * Math.min(packed.length, MAX_DECOMPRESSED_BYTES)));
             byte[] part = new byte[8_192];
             while (!inflater.finished()) {
                 int count = inflater.inflate(part);
                 out.write(part, 0, count);
-                if (count == 0 && !inflater.finished() || out.size() > MAX_UNPACKED_BYTES) {
+                if (count == 0 && !inflater.finished() || out.size() > MAX_DECOMPRESSED_BYTES) {
                     throw new ConfigurationException(
                             "bad-packing", "", "expected a complete configuration, compressed");
                 }
--- a/src/main/java/brambletray/platform/configuration/ItemTable.java
+++ b/src/main/java/brambletray/platform/configuration/ItemTable.java
@@ -48,7 +48,7 @@
             JsonFields fields =
                     JsonFields.from(table + '[' + i + ']', listed.get(i).content());
             T item = reader.apply(fields);
-            String name = fields.name();
+            String name = fields.requiredName();
             if (!seen.add(name)) {
                 throw new ConfigurationException(
                         "duplicate-name",
@@ -72,7 +72,7 @@
         }
         JsonFields fields = JsonFields.from(
                 table + '[' + ConfigurationJson.abbreviate(entry.name()) + ']',
-                ConfigurationJson.read(entry.body()).content());
+                ConfigurationJson.parse(entry.body()).content());
         items.put(entry.name(), reader.apply(fields));
     }
 }
--- a/src/main/java/brambletray/platform/configuration/JsonFields.java
+++ b/src/main/java/brambletray/platform/configuration/JsonFields.java
@@ -37,7 +37,7 @@
         return objectAt(field, value(field));
     }
 
-    Set<String> names() {
+    Set<String> fieldNames() {
         return map.keySet();
     }
 
@@ -63,7 +63,7 @@
         return new ConfigurationException(code, pathOf(field), reason);
     }
 
-    String name() {
+    String requiredName() {
         return requiredText("name");
     }
 
--- a/src/main/java/brambletray/platform/configuration/JsonTextValidator.java
+++ b/src/main/java/brambletray/platform/configuration/JsonTextValidator.java
@@ -17,7 +17,7 @@
 
     private JsonTextValidator() {}
 
-    static void check(byte[] body) {
+    static void validate(byte[] body) {
         boolean high = false;
         boolean quoted = false;
         int depth = 0;
@@ -49,11 +49,11 @@
             throw unreadable("its end too early or too late", body.length);
         }
         if (high) {
-            decode(body);
+            requireUtf8(body);
         }
     }
 
-    private static void decode(byte[] body) {
+    private static void requireUtf8(byte[] body) {
         CharsetDecoder decoder = StandardCharsets.UTF_8
                 .newDecoder()
                 .onMalformedInput(CodingErrorAction.REPORT)
@@ -74,20 +74,20 @@
      * A number as JSON writes it: the library takes {@code +1}, {@code 05.1} and {@code 1.}, too, and they would be
      * shown as they came.
      */
-    static void checkNumber(byte[] body, int from, int to) {
+    static void validateNumber(byte[] body, int from, int to) {
         int position = body[from] == '-' ? from + 1 : from;
-        int digitsEnd = digits(body, position, to);
+        int digitsEnd = skipDigits(body, position, to);
         boolean good = digitsEnd == position + 1 || digitsEnd > position && body[position] != '0';
         position = digitsEnd;
         if (good && position < to && body[position] == '.') {
-            int end = digits(body, position + 1, to);
+            int end = skipDigits(body, position + 1, to);
             good = end > position + 1;
             position = end;
         }
         if (good && position < to && (body[position] | ' ') == 'e') {
             position++;
             position += position < to && (body[position] == '+' || body[position] == '-') ? 1 : 0;
-            int end = digits(body, position, to);
+            int end = skipDigits(body, position, to);
             good = end > position;
             position = end;
         }
@@ -96,7 +96,7 @@
         }
     }
 
-    private static int digits(byte[] body, int from, int to) {
+    private static int skipDigits(byte[] body, int from, int to) {
         int position = from;
         while (position < to && body[position] >= '0' && body[position] <= '9') {
             position++;
--- a/src/main/java/brambletray/platform/configuration/Route.java
+++ b/src/main/java/brambletray/platform/configuration/Route.java
@@ -58,7 +58,7 @@
     }
 
     static Route from(JsonFields in) {
-        String name = in.name();
+        String name = in.requiredName();
         JsonFields at = in.withPath("routes[" + ConfigurationJson.abbreviate(name) + ']');
         String host = RouteTable.normalizeHost(at.requiredText("host"));
         if (host.isEmpty()) {
@@ -117,11 +117,11 @@
         Object value = in.value(under);
         if (value instanceof List<?> list) {
             for (int i = 0; i < list.size(); i++) {
-                shares.add(share(in, under + '[' + i + ']', ((ConfigurationJson.Value) list.get(i)).content()));
+                shares.add(parseShare(in, under + '[' + i + ']', ((ConfigurationJson.Value) list.get(i)).content()));
             }
         } else if (value instanceof java.util.Map<?, ?>) {
             JsonFields weights = in.object(under);
-            for (String service : weights.names()) {
+            for (String service : weights.fieldNames()) {
                 shares.add(new ServiceShare(service, weights.nonNegativeDouble(service, 1)));
             }
         } else {
@@ -137,7 +137,7 @@
         return List.copyOf(shares);
     }
 
-    private static ServiceShare share(JsonFields in, String at, Object value) {
+    private static ServiceShare parseShare(JsonFields in, String at, Object value) {
         if (value instanceof String service && !service.isEmpty()) {
             return new ServiceShare(service, 1);
         }
--- a/src/main/java/brambletray/platform/configuration/RouteKind.java
+++ b/src/main/java/brambletray/platform/configuration/RouteKind.java
@@ -9,16 +9,16 @@
     /** All attempts of a tenant that bear the same operation key run at most once together. */
     KEYED("keyed");
 
-    private final String word;
+    private final String configurationValue;
 
     RouteKind(String word) {
-        this.word = word;
+        this.configurationValue = word;
     }
 
     /** The kind of this word of a configuration; null: there is none. */
     static RouteKind of(String word) {
         for (RouteKind kind : values()) {
-            if (kind.word.equals(word)) {
+            if (kind.configurationValue.equals(word)) {
                 return kind;
             }
         }
--- a/src/main/java/brambletray/platform/configuration/Service.java
+++ b/src/main/java/brambletray/platform/configuration/Service.java
@@ -20,7 +20,7 @@
         String healthPath,
         boolean selfDedupe) {
     static Service from(JsonFields in) {
-        String name = in.name();
+        String name = in.requiredName();
         JsonFields at = in.withPath("services[" + ConfigurationJson.abbreviate(name) + ']');
         return new Service(
                 name,
--- a/src/main/java/brambletray/platform/configuration/Tenant.java
+++ b/src/main/java/brambletray/platform/configuration/Tenant.java
@@ -29,7 +29,7 @@
     }
 
     static Tenant from(JsonFields in) {
-        String name = in.name();
+        String name = in.requiredName();
         JsonFields at = in.withPath("tenants[" + ConfigurationJson.abbreviate(name) + ']');
         return new Tenant(
                 name,
