--- a/src/main/java/brambletray/platform/configuration/ChangeDecision.java
+++ b/src/main/java/brambletray/platform/configuration/ChangeDecision.java
@@ -2,24 +2,24 @@
 
 /** The result of evaluating a change by a {@link ConfigurationStateMachine}. */
 public sealed interface ChangeDecision {
-    /** It may be proposed; {@link ConfigurationStateMachine#apply} gives its result once it is committed. */
+    /** The change may be proposed; {@link ConfigurationStateMachine#apply} returns its result once it is committed. */
     record Proposable(byte[] encodedChange) implements ChangeDecision {}
 
-    /** Applied: this is the configuration from here on. */
+    /** The change was applied; {@code configuration} is the new current configuration. */
     record Applied(Configuration configuration) implements ChangeDecision {}
 
-    /** This very change was applied as that revision, and its answer was lost: 200. */
+    /** Exactly this change was already applied as this revision, but its answer was lost; answered with 200. */
     record AlreadyApplied(long revision) implements ChangeDecision {}
 
-    /** Another revision is the current one: 412. */
+    /** The change builds on a revision that is not the current one; answered with 412. */
     record Stale(long currentRevision) implements ChangeDecision {}
 
     /**
-     * It builds on a revision before those that are remembered, the oldest of which is this: it may have been applied
-     * then or not, so there is no clear answer: 503.
+     * The change builds on a revision older than the oldest remembered one, so it is unknown whether it was applied;
+     * answered with 503.
      */
     record HistoryExpired(long oldestRevision) implements ChangeDecision {}
 
-    /** Invalid: 400, with the code and message of the error. */
+    /** The change is invalid; answered with 400 and the code and message of the error. */
     record Invalid(ConfigurationException error) implements ChangeDecision {}
 }
--- a/src/main/java/brambletray/platform/configuration/ChangeKind.java
+++ b/src/main/java/brambletray/platform/configuration/ChangeKind.java
@@ -4,6 +4,6 @@
 public enum ChangeKind {
     /** The body is the complete next configuration. */
     REPLACE,
-    /** The body names items to set and to remove. */
+    /** The body lists items to set and to remove. */
     MODIFY
 }
--- a/src/main/java/brambletray/platform/configuration/ClientLimits.java
+++ b/src/main/java/brambletray/platform/configuration/ClientLimits.java
@@ -1,15 +1,15 @@
 package brambletray.platform.configuration;
 
 /**
- * What a client may send and how long it may take.
+ * Limits for the size of client requests and for the time that clients may take.
  *
- * @param maxHeaderBytes of the request line and the headers
- * @param maxBodyBytes of the body
- * @param headerTimeoutMs until the headers have come
- * @param idleTimeoutMs without a request
+ * @param maxHeaderBytes maximum size of the request line and headers
+ * @param maxBodyBytes maximum size of the body
+ * @param headerTimeoutMs maximum time until the headers are received
+ * @param idleTimeoutMs maximum time without a request
  */
 public record ClientLimits(int maxHeaderBytes, int maxBodyBytes, int headerTimeoutMs, int idleTimeoutMs) {
-    /** Where a configuration states none. */
+    /** The limits of a configuration that specifies none. */
     static final ClientLimits DEFAULTS = new ClientLimits(16_384, 262_144, 3_000, 15_000);
 
     static ClientLimits from(JsonFields in) {
--- a/src/main/java/brambletray/platform/configuration/Configuration.java
+++ b/src/main/java/brambletray/platform/configuration/Configuration.java
@@ -6,11 +6,11 @@
 import java.util.Set;
 
 /**
- * One revision of the operators' configuration (page PROTOCOL, The operator): valid and immutable. Fields that are
- * not understood are stored and shown. Thread-safe.
+ * One revision of the operators' configuration (page PROTOCOL, The operator). Instances are valid and immutable.
+ * Unknown fields are preserved and included in {@link #json}. Thread-safe.
  */
 public final class Configuration {
-    /** Revision 0: nothing is routed. The first configuration builds on it. */
+    /** The empty configuration, revision 0, without routes: the base of the first configuration. */
     public static final Configuration NONE =
             new Configuration(0, new ConfigurationItems(), ClientLimits.DEFAULTS, new ConfigurationDocument());
 
@@ -18,15 +18,18 @@
     private static final String LIMITS = "limits";
 
     private final long revision;
-    /** Not changed any more. */
+    /** Not modified after construction. */
     private final ConfigurationItems items;
 
     private final ClientLimits limits;
     private final RouteTable routeTable;
     private final TenantTable tenantTable;
     private final ConfigurationDocument document;
-    /** Over all entries; 0: not counted yet. Two threads that count it at once find the same. */
-    private long entrySum;
+    /**
+     * Sum of the digests of all entries; 0 if not computed yet. The race between threads that compute it at the same
+     * time is benign, as they get the same value.
+     */
+    private long entryDigestSum;
 
     private Configuration(
             long revision, ConfigurationItems items, ClientLimits limits, ConfigurationDocument document) {
@@ -34,8 +37,8 @@
         this.items = items;
         this.limits = limits;
         this.document = document;
-        if (document.size() > ConfigurationJson.MAX_BODY_BYTES) {
-            throw ConfigurationJson.tooLarge(document.size());
+        if (document.maxJsonBytes() > ConfigurationJson.MAX_BODY_BYTES) {
+            throw ConfigurationJson.tooLarge(document.maxJsonBytes());
         }
         requireKnownServices(items);
         routeTable = new RouteTable(items.routes().values());
@@ -57,11 +60,11 @@
     }
 
     /**
-     * Reads the body of a replacement; {@link ConfigurationException} where it is invalid. {@link #requireNewerThan}
-     * compares its revision.
+     * Parses the body of a complete replacement. Throws {@link ConfigurationException} if it is invalid. The revision
+     * is compared with the current one by {@link #requireNewerThan}.
      */
     public static Configuration read(byte[] body) {
-        JsonFields in = JsonFields.from("", ConfigurationJson.read(body).content());
+        JsonFields in = JsonFields.from("", ConfigurationJson.parse(body).content());
         long revision = in.requiredLong(REVISION, 1, Long.MAX_VALUE);
         for (String table : List.of(ConfigurationDocument.ROUTES, ConfigurationDocument.SERVICES)) {
             if (!in.has(table)) {
@@ -69,7 +72,7 @@
             }
         }
         ConfigurationDocument document = new ConfigurationDocument();
-        for (String field : in.names()) {
+        for (String field : in.fieldNames()) {
             if (!field.equals(REVISION)) {
                 document.put(field, in.rawValue(field), body);
             }
@@ -83,7 +86,10 @@
                 document);
     }
 
-    /** This one, if its revision is above the current one's; else {@link ConfigurationException}. */
+    /**
+     * Returns this configuration. Throws {@link ConfigurationException} unless its revision is above that of {@code
+     * current}.
+     */
     public Configuration requireNewerThan(Configuration current) {
         if (revision <= current.revision) {
             throw new ConfigurationException(
@@ -95,47 +101,47 @@
     }
 
     /**
-     * This one with named items added, replaced ({@code upsert}) and removed ({@code withdraw}); fields of
-     * {@code upsert} without items, as limits, are replaced, those of an object one by one. A name to remove that
-     * isn't there is gone already. {@link ConfigurationException} where the change is invalid, or what would become of
-     * it.
+     * Returns a copy with named items added or replaced ({@code upsert}) and removed ({@code withdraw}). Fields of
+     * {@code upsert} that hold no named items, such as limits, are replaced; if both the old and the new value are
+     * objects, they are merged field by field. Removing a name that does not exist has no effect. Throws {@link
+     * ConfigurationException} if the change or the resulting configuration is invalid.
      */
     public Configuration modify(byte[] body) {
-        JsonFields in = JsonFields.from("", ConfigurationJson.read(body).content());
+        JsonFields in = JsonFields.from("", ConfigurationJson.parse(body).content());
         long next = in.requiredLong(REVISION, 1, Long.MAX_VALUE);
         ConfigurationDocument changed = document.copy();
         ConfigurationItems nextItems = items.copy();
         ClientLimits nextLimits = limits;
-        Set<String> set = new HashSet<>();
+        Set<String> upsertedItems = new HashSet<>();
         if (in.has("upsert")) {
             JsonFields upsert = in.object("upsert");
             nextItems.putAll(upsert);
-            for (String field : upsert.names()) {
+            for (String field : upsert.fieldNames()) {
                 if (upsert.has(field)) {
                     changed.put(field, upsert.rawValue(field), body);
-                    set.addAll(ConfigurationDocument.names(field, upsert.value(field)));
+                    upsertedItems.addAll(ConfigurationDocument.namedItemPaths(field, upsert.value(field)));
                 }
             }
             if (upsert.has(LIMITS)) {
                 nextLimits = ClientLimits.from(JsonFields.from(
-                        LIMITS, ConfigurationJson.read(changed.field(LIMITS)).content()));
+                        LIMITS, ConfigurationJson.parse(changed.field(LIMITS)).content()));
             }
         }
         if (in.has("withdraw")) {
-            withdraw(in.object("withdraw"), set, changed, nextItems);
+            withdraw(in.object("withdraw"), upsertedItems, changed, nextItems);
         }
         return new Configuration(next, nextItems, nextLimits, changed).requireNewerThan(this);
     }
 
     private static void withdraw(
-            JsonFields in, Set<String> set, ConfigurationDocument changed, ConfigurationItems items) {
-        for (String table : in.names()) {
+            JsonFields in, Set<String> upsertedItems, ConfigurationDocument changed, ConfigurationItems items) {
+        for (String table : in.fieldNames()) {
             List<ConfigurationJson.Value> names = in.list(table);
             for (int i = 0; names != null && i < names.size(); i++) {
                 if (!(names.get(i).content() instanceof String name)) {
                     throw in.error("wrong-type", table + '[' + i + ']', "expected a name");
                 }
-                if (set.contains(table + '/' + name)) {
+                if (upsertedItems.contains(table + '/' + name)) {
                     throw in.error(
                             "ambiguous",
                             table + '[' + i + ']',
@@ -148,40 +154,43 @@
     }
 
     /**
-     * Applies a change ({@link ChangeDecision.Proposable#encodedChange}), which is far smaller than the
-     * configuration. {@link ConfigurationException} {@code configuration.stale} where the change builds on another
-     * revision: ask for the full configuration then.
+     * Applies an encoded change ({@link ChangeDecision.Proposable#encodedChange}), which is far smaller than the
+     * configuration. Throws {@link ConfigurationException} with code {@code configuration.stale} if the change builds
+     * on another revision; the caller then has to request the full configuration.
      */
     public Configuration apply(byte[] change) {
         return ConfigurationChange.decode(change).applyTo(this);
     }
 
-    /** {@link #json} packed, for a slow or dear link. */
+    /** Returns {@link #json} compressed, for a slow or expensive link. */
     public byte[] toCompressedBytes() {
-        return DeltaCompression.pack(json());
+        return DeltaCompression.compress(json());
     }
 
-    /** From {@link #toCompressedBytes}; {@link ConfigurationException}. */
-    public static Configuration fromCompressedBytes(byte[] packed) {
-        return read(DeltaCompression.unpack(packed));
+    /** Parses the result of {@link #toCompressedBytes}. Throws {@link ConfigurationException} if it is invalid. */
+    public static Configuration fromCompressedBytes(byte[] compressed) {
+        return read(DeltaCompression.decompress(compressed));
     }
 
     /**
-     * Applies a delta, entry by entry; one with base 0 holds a full configuration and is applied to nothing. {@link
-     * ConfigurationException} {@code configuration.stale} where it builds on another revision, {@code
-     * configuration.not-newer} where it leads to no later one, {@code configuration.digest} where the result is not
-     * what the sender has, and the other codes where an entry cannot be read: ask for the full configuration then.
+     * Applies a delta entry by entry. A delta with base revision 0 holds a full configuration and is applied to {@link
+     * #NONE}. Throws {@link ConfigurationException} with code {@code configuration.stale} if the delta builds on
+     * another revision, {@code configuration.not-newer} if its revision is not above this one, {@code
+     * configuration.digest} if the digest of the result differs from the sender's, or another code if an entry is
+     * invalid; the caller then has to request the full configuration.
      */
     public Configuration apply(ConfigurationDelta delta) {
         if (delta.baseRevision() != 0 && delta.baseRevision() != revision) {
             throw new ConfigurationException(
-                    "stale", "", "expected a difference from " + revision + ", found one from " + delta.baseRevision());
+                    "stale",
+                    "",
+                    "expected a delta from revision " + revision + ", found one from revision " + delta.baseRevision());
         }
         if (delta.revision() <= revision) {
             throw new ConfigurationException(
                     "not-newer", "", "expected a revision above " + revision + ", found " + delta.revision());
         }
-        Configuration next = delta.baseRevision() == 0 ? NONE.with(delta) : with(delta);
+        Configuration next = delta.baseRevision() == 0 ? NONE.applyEntries(delta) : applyEntries(delta);
         if (next.digest() != delta.digest()) {
             throw new ConfigurationException(
                     "digest",
@@ -192,12 +201,12 @@
         return next;
     }
 
-    private Configuration with(ConfigurationDelta delta) {
+    private Configuration applyEntries(ConfigurationDelta delta) {
         ConfigurationDocument changed = document.copy();
         ConfigurationItems nextItems = items.copy();
-        long nextSum = computeEntrySum();
+        long nextDigestSum = computeEntryDigestSum();
         for (ConfigurationDelta.Entry entry : delta.entries()) {
-            nextSum += ConfigurationDigest.of(entry)
+            nextDigestSum += ConfigurationDigest.of(entry)
                     - ConfigurationDigest.of(entry.table(), entry.name(), document.entry(entry.table(), entry.name()));
             changed.set(entry.table(), entry.name(), entry.body());
             nextItems.apply(entry);
@@ -205,7 +214,7 @@
         ClientLimits nextLimits =
                 changed.field(LIMITS) == document.field(LIMITS) ? limits : limits(changed.field(LIMITS));
         Configuration next = new Configuration(delta.revision(), nextItems, nextLimits, changed);
-        next.entrySum = nextSum;
+        next.entryDigestSum = nextDigestSum;
         return next;
     }
 
@@ -213,48 +222,49 @@
         return field == null || field[0] != '{'
                 ? ClientLimits.DEFAULTS
                 : ClientLimits.from(
-                        JsonFields.from(LIMITS, ConfigurationJson.read(field).content()));
+                        JsonFields.from(LIMITS, ConfigurationJson.parse(field).content()));
     }
 
     /**
-     * The same for the same content, whatever the order of its entries: 64 bits over the revision and the sum over all
+     * A 64-bit digest of the revision and the sum of the entries' digests. It does not depend on the order of the
      * entries.
      */
     public long digest() {
-        return ConfigurationDigest.of(revision, computeEntrySum());
+        return ConfigurationDigest.of(revision, computeEntryDigestSum());
     }
 
-    private long computeEntrySum() {
-        long known = entrySum;
-        if (known == 0) {
-            for (Map.Entry<ConfigurationDocument.Key, byte[]> one :
+    private long computeEntryDigestSum() {
+        long sum = entryDigestSum;
+        if (sum == 0) {
+            for (Map.Entry<ConfigurationDocument.Key, byte[]> entry :
                     document.entries().entrySet()) {
-                known += ConfigurationDigest.of(
-                        one.getKey().table(), one.getKey().name(), one.getValue());
+                sum += ConfigurationDigest.of(
+                        entry.getKey().table(), entry.getKey().name(), entry.getValue());
             }
-            entrySum = known;
+            entryDigestSum = sum;
         }
-        return known;
+        return sum;
     }
 
     /**
-     * Names of entries in which this one differs from {@code before}, byte for byte; what is known of that one's digest
-     * is used here.
+     * The keys of entries that are not byte-for-byte equal in this configuration and {@code before}. If the digest sum
+     * of {@code before} is known, the sum of this configuration is derived from it, at the cost of the changed entries
+     * only.
      */
     Set<ConfigurationDocument.Key> changedSince(Configuration before) {
         Set<ConfigurationDocument.Key> changed = document.changedSince(before.document);
-        if (entrySum == 0 && before.entrySum != 0) {
-            long next = before.entrySum;
+        if (entryDigestSum == 0 && before.entryDigestSum != 0) {
+            long next = before.entryDigestSum;
             for (ConfigurationDocument.Key key : changed) {
                 next += ConfigurationDigest.of(key.table(), key.name(), entry(key))
                         - ConfigurationDigest.of(key.table(), key.name(), before.entry(key));
             }
-            entrySum = next;
+            entryDigestSum = next;
         }
         return changed;
     }
 
-    /** As bytes, or null: it isn't there. */
+    /** The entry's bytes, or null if it does not exist. */
     byte[] entry(ConfigurationDocument.Key key) {
         return document.entry(key.table(), key.name());
     }
@@ -264,44 +274,44 @@
     }
 
     /**
-     * The route for a request: of those of its host (any case, with or without port) the one with the longest prefix;
-     * null: 404.
+     * The route for a request: the one with the longest matching prefix among those of its host (case-insensitive, with
+     * or without port). Null if there is none, which is answered with 404.
      */
     public Route match(CharSequence host, String path) {
         return routeTable.match(host, path);
     }
 
-    /** The configuration as JSON, with fields that are not understood; made anew at each call. */
+    /** The configuration as JSON, including unknown fields. Serialized anew at each call. */
     public byte[] json() {
         return document.json(revision);
     }
 
-    /** Its revision; 0 for {@link #NONE}. */
+    /** The revision; 0 for {@link #NONE}. */
     public long revision() {
         return revision;
     }
 
-    /** By name, in the order in which they came. */
+    /** Routes by name, in insertion order. */
     public Map<String, Route> routes() {
         return items.routes();
     }
 
-    /** By name, in the order in which they came. */
+    /** Services by name, in insertion order. */
     public Map<String, Service> services() {
         return items.services();
     }
 
-    /** By name, in the order in which they came; empty: no request needs a key. */
+    /** Tenants by name, in insertion order. If there are none, no request needs an API key. */
     public Map<String, Tenant> tenants() {
         return items.tenants();
     }
 
-    /** The tenant that holds this API key; null: nobody does. */
-    public Tenant tenantOf(String key) {
+    /** The tenant that holds this API key, or null if none does. */
+    public Tenant tenantForKey(String key) {
         return tenantTable.find(key);
     }
 
-    /** What clients may send. */
+    /** Limits for client requests and connections. */
     public ClientLimits limits() {
         return limits;
     }
--- a/src/main/java/brambletray/platform/configuration/ConfigurationChange.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationChange.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** A change as it goes through the order: format, verb, base and body. */
+/** A change as it is proposed and replicated: encoded as format, kind, base revision and body. */
 record ConfigurationChange(ChangeKind kind, long baseRevision, byte[] body) {
     private static final byte FORMAT = 1;
     private static final int HEADER_BYTES = 10;
@@ -30,13 +30,13 @@
                 Arrays.copyOfRange(bytes, HEADER_BYTES, bytes.length));
     }
 
-    /** What becomes of this configuration, which has to be the base. */
+    /** Applies the change; throws {@link ConfigurationException} if this configuration is not its base. */
     Configuration applyTo(Configuration configuration) {
         if (configuration.revision() != baseRevision) {
             throw new ConfigurationException(
                     "stale",
                     "Brambletray-Base-Revision",
-                    "expected " + configuration.revision() + ", which is current, found " + baseRevision);
+                    "expected the current revision " + configuration.revision() + ", found " + baseRevision);
         }
         return kind == ChangeKind.REPLACE
                 ? Configuration.read(body).requireNewerThan(configuration)
--- a/src/main/java/brambletray/platform/configuration/ConfigurationDelta.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationDelta.java
@@ -11,20 +11,19 @@
 import java.util.List;
 
 /**
- * The difference from one revision of the configuration to a later one: the entries that were set and removed between
- * them.
+ * The difference between one revision of the configuration and a later one: the entries that were set or removed.
  *
- * @param baseRevision the revision that it is applied to; 0: it holds a full configuration
- * @param digest of the result ({@link Configuration#digest})
+ * @param baseRevision the revision that the delta applies to; 0 if it holds a full configuration
+ * @param digest digest of the resulting configuration ({@link Configuration#digest})
  */
 public record ConfigurationDelta(long baseRevision, long revision, long digest, List<Entry> entries) {
     private static final byte FORMAT = 1;
     private static final int REMOVED = -1;
 
-    /** One entry: {@code table} empty: a field that holds no named items; {@code body} null: withdrawn. */
+    /** A changed entry. {@code table} is empty for a field without named items; {@code body} is null if removed. */
     public record Entry(String table, String name, byte[] body) {}
 
-    /** As it goes over a slow link: deflated. The same content gives the same bytes. */
+    /** Serializes and deflates the delta for a slow link. The same content always gives the same bytes. */
     public byte[] toCompressedBytes() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
@@ -34,23 +33,23 @@
             out.writeLong(digest);
             out.writeInt(entries.size());
             for (Entry entry : entries) {
-                write(out, entry.table.getBytes(StandardCharsets.UTF_8));
-                write(out, entry.name.getBytes(StandardCharsets.UTF_8));
-                write(out, entry.body);
+                writeBytes(out, entry.table.getBytes(StandardCharsets.UTF_8));
+                writeBytes(out, entry.name.getBytes(StandardCharsets.UTF_8));
+                writeBytes(out, entry.body);
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return DeltaCompression.pack(bytes.toByteArray());
+        return DeltaCompression.compress(bytes.toByteArray());
     }
 
-    /** A number for these bytes, never 0: the same for the same, so that a transfer is known again. */
-    public static long transferId(byte[] packed) {
-        long id = ConfigurationDigest.of(packed);
+    /** An ID derived from the bytes alone, never 0, by which a transfer of the same bytes is recognized. */
+    public static long transferId(byte[] compressed) {
+        long id = ConfigurationDigest.of(compressed);
         return id == 0 ? 1 : id;
     }
 
-    private static void write(DataOutputStream out, byte[] bytes) throws IOException {
+    private static void writeBytes(DataOutputStream out, byte[] bytes) throws IOException {
         out.writeInt(bytes == null ? REMOVED : bytes.length);
         if (bytes != null) {
             out.write(bytes);
@@ -58,14 +57,15 @@
     }
 
     /**
-     * From {@link #toCompressedBytes}; {@link ConfigurationException} {@code configuration.bad-packing} or {@code
-     * configuration.bad-delta}.
+     * Parses the result of {@link #toCompressedBytes}. Throws {@link ConfigurationException} with code {@code
+     * configuration.bad-packing} or {@code configuration.bad-delta} if it is malformed.
      */
-    public static ConfigurationDelta fromCompressedBytes(byte[] packed) {
-        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(DeltaCompression.unpack(packed)))) {
+    public static ConfigurationDelta fromCompressedBytes(byte[] compressed) {
+        try (DataInputStream in =
+                new DataInputStream(new ByteArrayInputStream(DeltaCompression.decompress(compressed)))) {
             byte format = in.readByte();
             if (format != FORMAT) {
-                throw malformed("a difference of format " + FORMAT + ", found " + format, null);
+                throw malformed("a delta of format " + FORMAT + ", found " + format, null);
             }
             long baseRevision = in.readLong();
             long revision = in.readLong();
@@ -73,9 +73,9 @@
             int count = in.readInt();
             List<Entry> entries = new ArrayList<>();
             for (int i = 0; i < count; i++) {
-                String table = text(in);
-                String name = text(in);
-                entries.add(new Entry(table, name, read(in)));
+                String table = readText(in);
+                String name = readText(in);
+                entries.add(new Entry(table, name, readBytes(in)));
             }
             if (in.available() > 0) {
                 throw malformed("nothing after its entries", null);
@@ -86,15 +86,15 @@
         }
     }
 
-    private static String text(DataInputStream in) throws IOException {
-        byte[] bytes = read(in);
+    private static String readText(DataInputStream in) throws IOException {
+        byte[] bytes = readBytes(in);
         if (bytes == null) {
             throw malformed("a name", null);
         }
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    private static byte[] read(DataInputStream in) throws IOException {
+    private static byte[] readBytes(DataInputStream in) throws IOException {
         int length = in.readInt();
         if (length == REMOVED) {
             return null;
--- a/src/main/java/brambletray/platform/configuration/ConfigurationDigest.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationDigest.java
@@ -3,14 +3,14 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Digests of configurations that are updated entry by entry: each entry has a 64-bit digest (FNV-1a over table, name
- * and bytes, then mixed), and these are added up, so that an update costs as much as it changes. They guard against a
- * wrong base, a missing or surplus entry, and faults of this program; not against an attacker that makes entries
- * collide, as only members of the core write them.
+ * Incremental digests of configurations: each entry has a 64-bit digest (FNV-1a over table, name and bytes, followed by
+ * a final mix), and the digests are summed, so that the cost of an update depends only on the changed entries. They
+ * detect a wrong base, a missing or surplus entry and bugs in this program. They do not protect against deliberate
+ * collisions, which is acceptable because only core members write entries.
  */
 final class ConfigurationDigest {
-    private static final long BASIS = 0xcbf29ce484222325L;
-    private static final long PRIME = 0x100000001b3L;
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
 
     private ConfigurationDigest() {}
 
@@ -18,35 +18,35 @@
         return of(entry.table(), entry.name(), entry.body());
     }
 
-    /** Of one entry; 0 for one that isn't there. */
+    /** The digest of one entry; 0 for an entry that does not exist. */
     static long of(String table, String name, byte[] body) {
         if (body == null) {
             return 0;
         }
-        long hash = mix(BASIS, table.getBytes(StandardCharsets.UTF_8));
-        hash = mix((hash ^ 0xff) * PRIME, name.getBytes(StandardCharsets.UTF_8));
-        return spread(mix((hash ^ 0xff) * PRIME, body));
+        long hash = fnv1a(FNV_OFFSET_BASIS, table.getBytes(StandardCharsets.UTF_8));
+        hash = fnv1a((hash ^ 0xff) * FNV_PRIME, name.getBytes(StandardCharsets.UTF_8));
+        return finalMix(fnv1a((hash ^ 0xff) * FNV_PRIME, body));
     }
 
-    /** Of a configuration of this revision whose entries add up to {@code sum}. */
+    /** The digest of a configuration with this revision and this sum of entry digests. */
     static long of(long revision, long sum) {
-        return spread(sum ^ spread(revision));
+        return finalMix(sum ^ finalMix(revision));
     }
 
-    /** Of bytes as such. */
+    /** The digest of a byte array. */
     static long of(byte[] bytes) {
-        return spread(mix(BASIS, bytes));
+        return finalMix(fnv1a(FNV_OFFSET_BASIS, bytes));
     }
 
-    private static long mix(long from, byte[] bytes) {
+    private static long fnv1a(long from, byte[] bytes) {
         long hash = from;
         for (byte b : bytes) {
-            hash = (hash ^ b & 0xff) * PRIME;
+            hash = (hash ^ b & 0xff) * FNV_PRIME;
         }
         return hash;
     }
 
-    private static long spread(long value) {
+    private static long finalMix(long value) {
         long z = (value ^ value >>> 33) * 0xff51afd7ed558ccdL;
         z = (z ^ z >>> 33) * 0xc4ceb9fe1a85ec53L;
         return z ^ z >>> 33;
--- a/src/main/java/brambletray/platform/configuration/ConfigurationDocument.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationDocument.java
@@ -11,16 +11,16 @@
 import java.util.Set;
 
 /**
- * A configuration as it was sent, by entry: lists of named items (tables) item by item, all other fields as one entry
- * each. So named items can be replaced without losing anything else, known or not. Never changed once a {@link
- * Configuration} holds it.
+ * The raw JSON of a configuration, split into entries: each named item of a list (a table) is an entry, and so is each
+ * other top-level field. Named items can thus be replaced while all other fields, known or unknown, are preserved. Not
+ * modified once a {@link Configuration} holds it.
  */
 final class ConfigurationDocument {
     static final String ROUTES = "routes";
     static final String SERVICES = "services";
     static final String TENANTS = "tenants";
 
-    /** Where an entry stands: {@code table} empty: a field by itself. */
+    /** The key of an entry; {@code table} is empty for a top-level field that is not a table. */
     record Key(String table, String name) {}
 
     private static final String TOP_LEVEL = "";
@@ -44,39 +44,39 @@
         return fields.get(name);
     }
 
-    /** Adds a field, or replaces it; in a table, items by their names, and in an object its fields. */
+    /** Adds or replaces a field. Items of a table are merged by name, and objects field by field. */
     void put(String name, ConfigurationJson.Value value, byte[] body) {
-        Map<String, byte[]> items = items(value, body);
-        byte[] former = fields.get(name);
+        Map<String, byte[]> items = parseNamedItems(value, body);
+        byte[] previous = fields.get(name);
         if (items != null) {
             fields.remove(name);
             tables.computeIfAbsent(name, n -> new LinkedHashMap<>()).putAll(items);
-        } else if (value.content() instanceof Map && former != null && former[0] == '{') {
-            fields.put(name, overlay(former, value, body));
-        } else if (!tables.containsKey(name) || !empty(value)) {
+        } else if (value.content() instanceof Map && previous != null && previous[0] == '{') {
+            fields.put(name, mergeObject(previous, value, body));
+        } else if (!tables.containsKey(name) || !isEmptyList(value)) {
             tables.remove(name);
             fields.put(name, value.bytesIn(body));
         }
     }
 
-    private static byte[] overlay(byte[] former, ConfigurationJson.Value value, byte[] body) {
+    private static byte[] mergeObject(byte[] previous, ConfigurationJson.Value value, byte[] body) {
         Map<String, byte[]> merged = new LinkedHashMap<>();
-        ((Map<?, ?>) ConfigurationJson.read(former).content())
-                .forEach((field, old) -> merged.put((String) field, ((ConfigurationJson.Value) old).bytesIn(former)));
+        ((Map<?, ?>) ConfigurationJson.parse(previous).content())
+                .forEach((field, old) -> merged.put((String) field, ((ConfigurationJson.Value) old).bytesIn(previous)));
         ((Map<?, ?>) value.content())
                 .forEach((field, now) -> merged.put((String) field, ((ConfigurationJson.Value) now).bytesIn(body)));
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         merged.forEach((field, raw) -> {
             out.write(out.size() == 0 ? '{' : ',');
-            key(out, field);
+            writeKey(out, field);
             out.writeBytes(raw);
         });
-        text(out, merged.isEmpty() ? "{}" : "}");
+        writeAscii(out, merged.isEmpty() ? "{}" : "}");
         return out.toByteArray();
     }
 
-    /** The names of the items of a list, each behind its table's. */
-    static Set<String> names(String table, Object content) {
+    /** The named items of a list, each as {@code table/name}. */
+    static Set<String> namedItemPaths(String table, Object content) {
         Set<String> names = new HashSet<>();
         if (content instanceof List<?> list) {
             for (Object entry : list) {
@@ -89,7 +89,7 @@
         return names;
     }
 
-    /** Removes an item from a table; one that isn't there, from a table that isn't there, is gone already. */
+    /** Removes an item from a table; no effect if the item or the table does not exist. */
     void remove(String table, String item) {
         Map<String, byte[]> items = tables.get(table);
         if (items != null) {
@@ -97,33 +97,33 @@
         }
     }
 
-    /** An entry's bytes, or null: it isn't there. A field that holds an empty list is as good as none. */
+    /** The bytes of an entry, or null if it does not exist. A field that holds an empty list counts as absent. */
     byte[] entry(String table, String name) {
         if (!table.equals(TOP_LEVEL)) {
             return tables.getOrDefault(table, Map.of()).get(name);
         }
         byte[] field = fields.get(name);
-        return field == null || empty(field) ? null : field;
+        return field == null || isEmptyList(field) ? null : field;
     }
 
-    /** All that {@link #entry} gives, in the order in which it is shown. */
+    /** All entries that {@link #entry} returns, in the order of {@link #json}. */
     Map<Key, byte[]> entries() {
         Map<Key, byte[]> all = new LinkedHashMap<>();
         tables.forEach((table, items) -> items.forEach((name, body) -> all.put(new Key(table, name), body)));
         fields.forEach((name, body) -> {
-            if (!empty(body)) {
+            if (!isEmptyList(body)) {
                 all.put(new Key(TOP_LEVEL, name), body);
             }
         });
         return all;
     }
 
-    /** Keys of entries that are here and not the same in the other, or there and not here. */
+    /** The keys of entries that were added, changed or removed compared with {@code other}. */
     Set<Key> changedSince(ConfigurationDocument other) {
         Set<Key> changed = new LinkedHashSet<>();
         entries().forEach((key, body) -> {
-            byte[] former = other.entry(key.table, key.name);
-            if (former != body && !Arrays.equals(former, body)) {
+            byte[] previous = other.entry(key.table, key.name);
+            if (previous != body && !Arrays.equals(previous, body)) {
                 changed.add(key);
             }
         });
@@ -135,7 +135,7 @@
         return changed;
     }
 
-    /** Puts an entry as it is, or takes it out where {@code body} is null. */
+    /** Sets an entry without merging, or removes it if {@code body} is null. */
     void set(String table, String name, byte[] body) {
         if (table.equals(TOP_LEVEL)) {
             if (body == null) {
@@ -156,7 +156,7 @@
         }
     }
 
-    private static boolean empty(byte[] raw) {
+    private static boolean isEmptyList(byte[] raw) {
         if (raw[0] != '[') {
             return false;
         }
@@ -167,12 +167,12 @@
         return raw[at] == ']';
     }
 
-    private static boolean empty(ConfigurationJson.Value value) {
+    private static boolean isEmptyList(ConfigurationJson.Value value) {
         return value.content() instanceof List<?> list && list.isEmpty();
     }
 
-    /** The items of a list of objects with names of their own; null: it is something else. */
-    private static Map<String, byte[]> items(ConfigurationJson.Value value, byte[] body) {
+    /** The items of a non-empty list of objects with unique names, or null if the value is anything else. */
+    private static Map<String, byte[]> parseNamedItems(ConfigurationJson.Value value, byte[] body) {
         if (!(value.content() instanceof List<?> list) || list.isEmpty()) {
             return null;
         }
@@ -189,8 +189,8 @@
         return items;
     }
 
-    /** Bytes that {@link #json} has at most. */
-    long size() {
+    /** An upper bound of the length of {@link #json} in bytes. */
+    long maxJsonBytes() {
         long size = 32;
         for (Map.Entry<String, Map<String, byte[]>> table : tables.entrySet()) {
             size += 6L * table.getKey().length() + 6;
@@ -204,31 +204,31 @@
         return size;
     }
 
-    /** One object: the revision, routes, services, and the rest as it came. */
+    /** One object: the revision, routes, services, then all other tables and fields as they were received. */
     byte[] json(long revision) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(4_096);
-        text(out, "{\"revision\":" + revision);
+        writeAscii(out, "{\"revision\":" + revision);
         tables.forEach((name, items) -> {
             out.write(',');
-            key(out, name);
-            char between = '[';
+            writeKey(out, name);
+            char separator = '[';
             for (byte[] item : items.values()) {
-                out.write(between);
+                out.write(separator);
                 out.writeBytes(item);
-                between = ',';
+                separator = ',';
             }
-            text(out, items.isEmpty() ? "[]" : "]");
+            writeAscii(out, items.isEmpty() ? "[]" : "]");
         });
         fields.forEach((name, value) -> {
             out.write(',');
-            key(out, name);
+            writeKey(out, name);
             out.writeBytes(value);
         });
         out.write('}');
         return out.toByteArray();
     }
 
-    private static void key(ByteArrayOutputStream out, String name) {
+    private static void writeKey(ByteArrayOutputStream out, String name) {
         StringBuilder key = new StringBuilder(name.length() + 4).append('"');
         for (int i = 0; i < name.length(); i++) {
             char c = name.charAt(i);
@@ -244,10 +244,10 @@
                 key.append(c);
             }
         }
-        text(out, key.append("\":").toString());
+        writeAscii(out, key.append("\":").toString());
     }
 
-    private static void text(ByteArrayOutputStream out, String text) {
+    private static void writeAscii(ByteArrayOutputStream out, String text) {
         out.writeBytes(text.getBytes(StandardCharsets.US_ASCII));
     }
 }
--- a/src/main/java/brambletray/platform/configuration/ConfigurationException.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationException.java
@@ -2,7 +2,7 @@
 
 import brambletray.platform.errors.PlatformException;
 
-/** A configuration, a change of it or a stored one can't be taken; callers answer 400 with code and message. */
+/** Invalid configuration, change, delta or snapshot. Callers answer with 400, the code and the message. */
 public final class ConfigurationException extends PlatformException {
     private static final long serialVersionUID = 1L;
 
@@ -17,7 +17,7 @@
         this(code, field, reason, null);
     }
 
-    /** The field, as in {@code routes[r-1].timeout-ms}; empty for the body. */
+    /** The path of the field, such as {@code routes[r-1].timeout-ms}; empty for the whole body. */
     public String field() {
         return field;
     }
--- a/src/main/java/brambletray/platform/configuration/ConfigurationItems.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationItems.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** The items of a configuration that are understood: routes, services and tenants. For one thread. */
+/** The parsed items of the known tables of a configuration: routes, services and tenants. Not thread-safe. */
 final class ConfigurationItems {
     private final ItemTable<Route> routes;
     private final ItemTable<Service> services;
@@ -42,14 +42,14 @@
         return tenants.items();
     }
 
-    /** Adds or replaces what this object lists; {@link ConfigurationException} where an item is invalid. */
+    /** Adds or replaces the items listed in this object. Throws {@link ConfigurationException} if one is invalid. */
     void putAll(JsonFields in) {
         routes.putAll(in);
         services.putAll(in);
         tenants.putAll(in);
     }
 
-    /** Removes an item; one that isn't there, or of a table that is not understood, is gone already. */
+    /** Removes an item; no effect if it does not exist or the table is unknown. */
     void remove(String table, String name) {
         ItemTable<?> items = tables.get(table);
         if (items != null) {
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Applies an entry; one of a table that is not understood changes nothing here. */
+    /** Applies an entry of a delta; no effect if the table is unknown. */
     void apply(ConfigurationDelta.Entry entry) {
         ItemTable<?> items = tables.get(entry.table());
         if (items != null) {
--- a/src/main/java/brambletray/platform/configuration/ConfigurationJson.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationJson.java
@@ -11,14 +11,14 @@
 import java.util.Map;
 
 /**
- * Parses a body and remembers the position of each value: fields that are not understood are stored as the bytes they
- * came in, so that a configuration is shown as it was sent, to the last digit.
+ * Parses a JSON body and records the position of each value. Unknown fields are stored as their original bytes, so that
+ * a configuration is returned exactly as it was sent, including the notation of numbers.
  */
 final class ConfigurationJson {
-    /** Bytes of a body. */
+    /** Maximum size of a body in bytes. */
     static final int MAX_BODY_BYTES = 4 << 20;
 
-    /** Made at the first use: it costs tens of ms of a slow core. */
+    /** Created on first use, as creating the parser takes tens of milliseconds on a slow CPU core. */
     private static final class LazyParser {
         static final DslJson<Object> JSON = new DslJson<>(new DslJson.Settings<>()
                 .unknownNumbers(JsonReader.UnknownNumberParsing.LONG_AND_BIGDECIMAL)
@@ -26,12 +26,12 @@
     }
 
     /**
-     * A value: {@code Map<String, Value>}, {@code List<Value>}, String, Long, BigDecimal, Boolean or null; from and to
-     * in the body.
+     * A parsed value: {@code Map<String, Value>}, {@code List<Value>}, String, Long, BigDecimal, Boolean or null, with
+     * its position in the body ({@code end} exclusive).
      */
-    record Value(Object content, int from, int to) {
+    record Value(Object content, int start, int end) {
         byte[] bytesIn(byte[] body) {
-            return Arrays.copyOfRange(body, from, to);
+            return Arrays.copyOfRange(body, start, end);
         }
     }
 
@@ -43,20 +43,20 @@
         reader = LazyParser.JSON.newReader(body);
     }
 
-    /** Parses the body as one object; {@link ConfigurationException} where it is not exactly one. */
-    static Value read(byte[] body) {
+    /** Parses the body. Throws {@link ConfigurationException} unless it is exactly one JSON object. */
+    static Value parse(byte[] body) {
         if (body.length > MAX_BODY_BYTES) {
             throw tooLarge(body.length);
         }
-        JsonTextValidator.check(body);
+        JsonTextValidator.validate(body);
         ConfigurationJson json = new ConfigurationJson(body);
         try {
             json.reader.getNextToken();
-            Value value = json.value("");
+            Value value = json.parseValue("");
             if (!(value.content instanceof Map)) {
                 throw new ConfigurationException("wrong-type", "", "expected an object");
             }
-            for (int i = value.to; i < body.length; i++) {
+            for (int i = value.end; i < body.length; i++) {
                 if (body[i] > ' ') {
                     throw new ConfigurationException(
                             "unreadable", "", "expected nothing after the object, found more at byte " + i);
@@ -67,7 +67,7 @@
             throw new ConfigurationException(
                     "unreadable",
                     "",
-                    "expected whole JSON, broken near byte " + json.reader.getCurrentIndex() + " of " + body.length,
+                    "expected whole JSON, malformed near byte " + json.reader.getCurrentIndex() + " of " + body.length,
                     e);
         }
     }
@@ -77,35 +77,35 @@
                 "too-large", "", "expected at most " + MAX_BODY_BYTES + " bytes, found " + found);
     }
 
-    private Value value(String path) throws IOException {
-        int from = reader.getCurrentIndex() - 1;
+    private Value parseValue(String path) throws IOException {
+        int start = reader.getCurrentIndex() - 1;
         Object content = switch (reader.last()) {
-            case '{' -> object(path);
-            case '[' -> list(path);
+            case '{' -> parseObject(path);
+            case '[' -> parseList(path);
             case '"' -> reader.readString();
-            case 't' -> constant(reader.wasTrue(), Boolean.TRUE);
-            case 'f' -> constant(reader.wasFalse(), Boolean.FALSE);
-            case 'n' -> constant(reader.wasNull(), null);
+            case 't' -> parseLiteral(reader.wasTrue(), Boolean.TRUE);
+            case 'f' -> parseLiteral(reader.wasFalse(), Boolean.FALSE);
+            case 'n' -> parseLiteral(reader.wasNull(), null);
             default -> NumberConverter.deserializeNumber(reader);
         };
-        int to = reader.getCurrentIndex();
-        while (body[to - 1] <= ' ' && body[to - 1] >= 0) {
-            to--;
+        int end = reader.getCurrentIndex();
+        while (body[end - 1] <= ' ' && body[end - 1] >= 0) {
+            end--;
         }
         if (content instanceof Number) {
-            JsonTextValidator.checkNumber(body, from, to);
+            JsonTextValidator.validateNumber(body, start, end);
         }
-        return new Value(content, from, to);
+        return new Value(content, start, end);
     }
 
-    private Boolean constant(boolean was, Boolean value) throws IOException {
-        if (!was) {
+    private Boolean parseLiteral(boolean matched, Boolean value) throws IOException {
+        if (!matched) {
             throw reader.newParseError("Expected a value");
         }
         return value;
     }
 
-    private Map<String, Value> object(String path) throws IOException {
+    private Map<String, Value> parseObject(String path) throws IOException {
         Map<String, Value> fields = new LinkedHashMap<>();
         if (reader.getNextToken() == '}') {
             return fields;
@@ -120,7 +120,7 @@
             }
             reader.getNextToken();
             String field = path.isEmpty() ? abbreviate(name) : path;
-            if (fields.put(name, value(field)) != null) {
+            if (fields.put(name, parseValue(field)) != null) {
                 throw new ConfigurationException(
                         "duplicate-field",
                         field,
@@ -138,13 +138,13 @@
         }
     }
 
-    private List<Value> list(String path) throws IOException {
+    private List<Value> parseList(String path) throws IOException {
         List<Value> items = new ArrayList<>();
         if (reader.getNextToken() == ']') {
             return items;
         }
         while (true) {
-            items.add(value(path));
+            items.add(parseValue(path));
             byte next = reader.getNextToken();
             if (next == ']') {
                 return items;
@@ -156,7 +156,7 @@
         }
     }
 
-    /** A text from outside as messages show it: not longer than they should be. */
+    /** Truncates external text for use in error messages. */
     static String abbreviate(String text) {
         return text.length() > 60 ? text.substring(0, 60) + "..." : text;
     }
--- a/src/main/java/brambletray/platform/configuration/ConfigurationStateMachine.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationStateMachine.java
@@ -11,23 +11,22 @@
 import java.util.Map;
 
 /**
- * The replicated state of the core: the current configuration, and which changes led to it, so that a change sent
- * again is answered like the first time. Pure: the same changes applied in the same order lead to the same state,
- * byte for byte. For one thread.
+ * The replicated state machine of the core members: the current configuration and the changes that led to it, so that
+ * a repeated change gets the same answer as the first time. Deterministic: the same changes in the same order give the
+ * same state, byte for byte. Performs no I/O. Not thread-safe.
  */
 public final class ConfigurationStateMachine {
     /**
-     * Applied changes that are remembered, in snapshots too (24 bytes each); an operator sends a change again within
-     * seconds, and a day has hundreds. What builds on a revision before them is not rejected but {@link
-     * ChangeDecision.HistoryExpired}.
+     * Number of applied changes that are remembered, also in snapshots (24 bytes each). An operator repeats a change
+     * within seconds, and there are hundreds of changes a day. A change that builds on a revision before the remembered
+     * ones gets {@link ChangeDecision.HistoryExpired} instead of a rejection.
      */
     static final int MAX_REMEMBERED_CHANGES = 2_000;
 
-    private static final byte FORMAT = 1;
-    /** Of a change's fingerprint, bytes. */
+    private static final byte SNAPSHOT_FORMAT = 1;
     private static final int FINGERPRINT_BYTES = 16;
 
-    /** A change's fingerprint: the first half of its SHA-256. */
+    /** The first half of the SHA-256 of an encoded change. */
     private record Fingerprint(long high, long low) {}
 
     private record AppliedChange(long revision, Fingerprint fingerprint) {}
@@ -35,19 +34,19 @@
     private Configuration configuration = Configuration.NONE;
     private final ArrayDeque<AppliedChange> history = new ArrayDeque<>();
     private final Map<Fingerprint, Long> appliedRevisions = new HashMap<>();
-    /** Result of the last change that was evaluated, which mostly is the next to be applied. */
+    /** The last change that was evaluated; its result is cached, as it usually is the next change to be applied. */
     private Fingerprint lastEvaluated;
 
     private Configuration lastResult;
 
-    /** The configuration that applies now. */
+    /** The current configuration. */
     public Configuration configuration() {
         return configuration;
     }
 
     /**
-     * The revision that a call names as its base; 0 for the first. {@link ConfigurationException} where it is missing
-     * or no number.
+     * Parses the header that gives the base revision of a change; 0 for the first change. Throws {@link
+     * ConfigurationException} if it is missing or not a number.
      */
     public static long parseBaseRevision(String header) {
         boolean digits = header != null && !header.isEmpty() && header.chars().allMatch(c -> c >= '0' && c <= '9');
@@ -56,14 +55,14 @@
                 return Long.parseLong(header);
             }
         } catch (NumberFormatException e) {
-            // above all numbers that a revision can have
+            // larger than any possible revision
         }
-        throw new ConfigurationException("bad-base", "Brambletray-Base-Revision", "expected a revision's number");
+        throw new ConfigurationException("bad-base", "Brambletray-Base-Revision", "expected a revision number");
     }
 
     /**
-     * Whether this very change was applied, whatever came on top of it since. False also where it is not remembered
-     * any more.
+     * Whether exactly this change was applied, regardless of later changes. Also false if it is no longer
+     * remembered.
      */
     public boolean wasApplied(ChangeKind kind, long baseRevision, byte[] body) {
         return body.length <= ConfigurationJson.MAX_BODY_BYTES
@@ -73,8 +72,8 @@
 
     /**
      * Evaluates a change against the current configuration: {@code Proposable}, {@code AlreadyApplied}, {@code
-     * Stale}, {@code HistoryExpired} or {@code Invalid}. Whether it was applied before is checked first: such a
-     * change has an old base, and where it was the last one its revision is not above the current one.
+     * Stale}, {@code HistoryExpired} or {@code Invalid}. Whether it was already applied is checked first, because such
+     * a change has an old base revision and would otherwise be stale or, as the latest change, not newer.
      */
     public ChangeDecision evaluate(ChangeKind kind, long baseRevision, byte[] body) {
         if (body.length > ConfigurationJson.MAX_BODY_BYTES) {
@@ -86,23 +85,23 @@
     }
 
     /**
-     * Applies a committed change: {@code Applied}, or why it is not; another may have been committed since it was
-     * evaluated, and then nothing changes here or on any other member.
+     * Applies a committed change. Returns {@code Applied} or the reason why it was not applied: another change may have
+     * been committed after this one was evaluated, and then no member changes its state.
      */
     public ChangeDecision apply(byte[] change) {
         ChangeDecision decision = evaluateEncoded(change);
         if (decision instanceof ChangeDecision.Applied applied) {
             configuration = applied.configuration();
-            remember(new AppliedChange(configuration.revision(), lastEvaluated));
+            recordApplied(new AppliedChange(configuration.revision(), lastEvaluated));
         }
         return decision;
     }
 
     private ChangeDecision evaluateEncoded(byte[] bytes) {
         Fingerprint fingerprint = fingerprint(bytes);
-        Long before = appliedRevisions.get(fingerprint);
-        if (before != null) {
-            return new ChangeDecision.AlreadyApplied(before);
+        Long appliedRevision = appliedRevisions.get(fingerprint);
+        if (appliedRevision != null) {
+            return new ChangeDecision.AlreadyApplied(appliedRevision);
         }
         try {
             ConfigurationChange change = ConfigurationChange.decode(bytes);
@@ -121,12 +120,12 @@
         }
     }
 
-    /** Whether a change on this base may have been applied so long ago that it is not remembered. */
+    /** Whether a change on this base may have been applied and evicted from the history since. */
     private boolean mayHaveExpired(long baseRevision) {
         return history.size() >= MAX_REMEMBERED_CHANGES && baseRevision < history.peek().revision;
     }
 
-    private void remember(AppliedChange change) {
+    private void recordApplied(AppliedChange change) {
         history.add(change);
         appliedRevisions.put(change.fingerprint, change.revision);
         while (history.size() > MAX_REMEMBERED_CHANGES) {
@@ -144,11 +143,11 @@
         }
     }
 
-    /** The state as bytes: format, the applied changes from the oldest on, the current configuration. */
+    /** Serializes the state: format, applied changes from oldest to newest, current configuration. */
     public byte[] snapshot() {
         byte[] json = configuration == Configuration.NONE ? new byte[0] : configuration.json();
         ByteBuffer out = ByteBuffer.allocate(1 + 4 + history.size() * (8 + FINGERPRINT_BYTES) + json.length);
-        out.put(FORMAT).putInt(history.size());
+        out.put(SNAPSHOT_FORMAT).putInt(history.size());
         for (AppliedChange change : history) {
             out.putLong(change.revision).putLong(change.fingerprint.high).putLong(change.fingerprint.low);
         }
@@ -156,8 +155,8 @@
     }
 
     /**
-     * Replaces the state by a snapshot, empty bytes being the state before the first change; {@link
-     * ConfigurationException} where it cannot be read, and then nothing changes.
+     * Replaces the state by a snapshot; empty bytes stand for the state before the first change. Throws {@link
+     * ConfigurationException} if the snapshot is invalid, and then leaves the state unchanged.
      */
     public void restore(byte[] snapshot) {
         if (snapshot.length == 0) {
@@ -165,33 +164,34 @@
             return;
         }
         ByteBuffer in = ByteBuffer.wrap(snapshot);
-        ArrayDeque<AppliedChange> read = new ArrayDeque<>();
+        ArrayDeque<AppliedChange> restoredHistory = new ArrayDeque<>();
         Configuration current;
         try {
             byte format = in.get();
-            if (format != FORMAT) {
+            if (format != SNAPSHOT_FORMAT) {
                 throw new ConfigurationException(
-                        "bad-snapshot", "", "expected a snapshot of format " + FORMAT + ", found " + format);
+                        "bad-snapshot", "", "expected a snapshot of format " + SNAPSHOT_FORMAT + ", found " + format);
             }
             int count = in.getInt();
             for (int i = 0; i < count; i++) {
-                read.add(new AppliedChange(in.getLong(), new Fingerprint(in.getLong(), in.getLong())));
+                restoredHistory.add(new AppliedChange(in.getLong(), new Fingerprint(in.getLong(), in.getLong())));
             }
             byte[] json = new byte[in.remaining()];
             in.get(json);
             current = json.length == 0 ? Configuration.NONE : Configuration.read(json);
         } catch (BufferUnderflowException e) {
-            throw new ConfigurationException("bad-snapshot", "", "expected a complete snapshot, its end is missing", e);
+            throw new ConfigurationException(
+                    "bad-snapshot", "", "expected a complete snapshot, found a truncated one", e);
         }
-        reset(current, read);
+        reset(current, restoredHistory);
     }
 
-    private void reset(Configuration current, Collection<AppliedChange> read) {
+    private void reset(Configuration current, Collection<AppliedChange> restoredHistory) {
         configuration = current;
         lastEvaluated = null;
         lastResult = null;
         history.clear();
         appliedRevisions.clear();
-        read.forEach(this::remember);
+        restoredHistory.forEach(this::recordApplied);
     }
 }
--- a/src/main/java/brambletray/platform/configuration/DeltaCompression.java
+++ b/src/main/java/brambletray/platform/configuration/DeltaCompression.java
@@ -5,22 +5,25 @@
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
 
-/** Deflates deltas for slow and expensive links: a full configuration shrinks to about a tenth. */
+/** Deflates deltas and configurations for slow or expensive links; a full configuration shrinks to about a tenth. */
 final class DeltaCompression {
     private DeltaCompression() {}
 
-    /** Bytes unpacked: twice the largest configuration, as names and lengths come on top of an entry's own bytes. */
-    private static final int MAX_UNPACKED_BYTES = 2 * ConfigurationJson.MAX_BODY_BYTES;
+    /**
+     * Limit that guards against decompression bombs: twice the largest configuration, as a delta adds names and lengths
+     * to the bytes of the entries.
+     */
+    private static final int MAX_DECOMPRESSED_BYTES = 2 * ConfigurationJson.MAX_BODY_BYTES;
 
-    static byte[] pack(byte[] json) {
+    static byte[] compress(byte[] input) {
         Deflater deflater = new Deflater();
         try {
-            deflater.setInput(json);
+            deflater.setInput(input);
             deflater.finish();
-            ByteArrayOutputStream out = new ByteArrayOutputStream(1 + json.length / 8);
-            byte[] part = new byte[8_192];
+            ByteArrayOutputStream out = new ByteArrayOutputStream(1 + input.length / 8);
+            byte[] buffer = new byte[8_192];
             while (!deflater.finished()) {
-                out.write(part, 0, deflater.deflate(part));
+                out.write(buffer, 0, deflater.deflate(buffer));
             }
             return out.toByteArray();
         } finally {
@@ -28,17 +31,17 @@
         }
     }
 
-    static byte[] unpack(byte[] packed) {
+    static byte[] decompress(byte[] compressed) {
         Inflater inflater = new Inflater();
         try {
-            inflater.setInput(packed);
+            inflater.setInput(compressed);
             ByteArrayOutputStream out = new ByteArrayOutputStream(
-                    Math.min(MAX_UNPACKED_BYTES, 8 * Math.min(packed.length, MAX_UNPACKED_BYTES)));
-            byte[] part = new byte[8_192];
+                    Math.min(MAX_DECOMPRESSED_BYTES, 8 * Math.min(compressed.length, MAX_DECOMPRESSED_BYTES)));
+            byte[] buffer = new byte[8_192];
             while (!inflater.finished()) {
-                int count = inflater.inflate(part);
-                out.write(part, 0, count);
-                if (count == 0 && !inflater.finished() || out.size() > MAX_UNPACKED_BYTES) {
+                int count = inflater.inflate(buffer);
+                out.write(buffer, 0, count);
+                if (count == 0 && !inflater.finished() || out.size() > MAX_DECOMPRESSED_BYTES) {
                     throw new ConfigurationException(
                             "bad-packing", "", "expected a complete configuration, compressed");
                 }
--- a/src/main/java/brambletray/platform/configuration/ItemTable.java
+++ b/src/main/java/brambletray/platform/configuration/ItemTable.java
@@ -9,9 +9,9 @@
 import java.util.function.Function;
 
 /**
- * The items of one table of a configuration by name, in the order in which they came. For one thread.
+ * The parsed items of one table of a configuration by name, in insertion order. Not thread-safe.
  *
- * @param <T> what an item is read as
+ * @param <T> type of the parsed items
  */
 final class ItemTable<T> {
     private final String table;
@@ -19,7 +19,7 @@
     private final Map<String, T> items;
     private final Map<String, T> view;
 
-    /** Empty; {@code reader} reads one item, and throws {@link ConfigurationException} where it is invalid. */
+    /** An empty table. {@code reader} parses one item and throws {@link ConfigurationException} if it is invalid. */
     ItemTable(String table, Function<JsonFields, T> reader) {
         this(table, reader, Map.of());
     }
@@ -35,12 +35,12 @@
         return new ItemTable<>(table, reader, items);
     }
 
-    /** A view that cannot be changed. */
+    /** An unmodifiable view of the items. */
     Map<String, T> items() {
         return view;
     }
 
-    /** Adds or replaces the items that this object lists, each of them once. */
+    /** Adds or replaces the items listed in this object; each name may occur once. */
     void putAll(JsonFields in) {
         List<ConfigurationJson.Value> listed = in.list(table);
         Set<String> seen = new HashSet<>();
@@ -48,7 +48,7 @@
             JsonFields fields =
                     JsonFields.from(table + '[' + i + ']', listed.get(i).content());
             T item = reader.apply(fields);
-            String name = fields.name();
+            String name = fields.requiredName();
             if (!seen.add(name)) {
                 throw new ConfigurationException(
                         "duplicate-name",
@@ -59,12 +59,12 @@
         }
     }
 
-    /** Removes an item; one that isn't there is gone already. */
+    /** Removes an item; no effect if it does not exist. */
     void remove(String name) {
         items.remove(name);
     }
 
-    /** Puts an entry of this table, or removes it where it has no body. */
+    /** Adds or replaces an item by an entry of a delta, or removes it if the entry has no body. */
     void apply(ConfigurationDelta.Entry entry) {
         if (entry.body() == null) {
             remove(entry.name());
@@ -72,7 +72,7 @@
         }
         JsonFields fields = JsonFields.from(
                 table + '[' + ConfigurationJson.abbreviate(entry.name()) + ']',
-                ConfigurationJson.read(entry.body()).content());
+                ConfigurationJson.parse(entry.body()).content());
         items.put(entry.name(), reader.apply(fields));
     }
 }
--- a/src/main/java/brambletray/platform/configuration/JsonFields.java
+++ b/src/main/java/brambletray/platform/configuration/JsonFields.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The fields of one object, each read as what it should be; faults say which, and where. */
+/** Typed access to the fields of one JSON object; errors name the field by its path. */
 final class JsonFields {
     private final String path;
     private final Map<String, ConfigurationJson.Value> map;
@@ -15,7 +15,7 @@
         this.map = map;
     }
 
-    /** The fields of this value, which stands at {@code path}. */
+    /** The fields of the object {@code content}, located at {@code path}. */
     @SuppressWarnings("unchecked")
     static JsonFields from(String path, Object content) {
         if (!(content instanceof Map)) {
@@ -24,7 +24,7 @@
         return new JsonFields(path, (Map<String, ConfigurationJson.Value>) content);
     }
 
-    /** The same fields, under a better name. */
+    /** The same fields with another path for error messages, such as one with the item's name for its index. */
     JsonFields withPath(String path) {
         return new JsonFields(path, map);
     }
@@ -37,7 +37,7 @@
         return objectAt(field, value(field));
     }
 
-    Set<String> names() {
+    Set<String> fieldNames() {
         return map.keySet();
     }
 
@@ -45,7 +45,7 @@
         return value(field) != null;
     }
 
-    /** Null: missing, or null. */
+    /** The value of a field, or null if it is missing or JSON null. */
     Object value(String field) {
         ConfigurationJson.Value value = map.get(field);
         return value == null ? null : value.content();
@@ -63,11 +63,11 @@
         return new ConfigurationException(code, pathOf(field), reason);
     }
 
-    String name() {
+    String requiredName() {
         return requiredText("name");
     }
 
-    /** A text that must be there. */
+    /** A non-empty string; an error if the field is missing. */
     String requiredText(String field) {
         String text = text(field);
         if (text == null || text.isEmpty()) {
@@ -84,7 +84,7 @@
         return (String) value;
     }
 
-    /** A list of anything; null where it is missing. */
+    /** A list with elements of any type, or null if the field is missing. */
     @SuppressWarnings("unchecked")
     List<ConfigurationJson.Value> list(String field) {
         Object value = value(field);
@@ -98,7 +98,7 @@
         return has(field) ? (int) requiredLong(field, min, Integer.MAX_VALUE) : defaultValue;
     }
 
-    /** A whole number from least to most; 2500.0 is one, too. */
+    /** A whole number from {@code min} to {@code max}; 2500.0 counts as whole. */
     long requiredLong(String field, long min, long max) {
         Object value = value(field);
         if (value == null) {
--- a/src/main/java/brambletray/platform/configuration/JsonTextValidator.java
+++ b/src/main/java/brambletray/platform/configuration/JsonTextValidator.java
@@ -8,32 +8,32 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Validates the bytes of a JSON body before it is parsed: the JSON library accepts more than the standard allows, and
- * recurses as deep as the body is nested.
+ * Validates the bytes of a JSON body before it is parsed, because the JSON library accepts more than the standard
+ * allows and recurses as deep as the body is nested.
  */
 final class JsonTextValidator {
-    /** Objects and lists inside each other. */
+    /** Maximum nesting depth of objects and lists. */
     static final int MAX_DEPTH = 64;
 
     private JsonTextValidator() {}
 
-    static void check(byte[] body) {
-        boolean high = false;
-        boolean quoted = false;
+    static void validate(byte[] body) {
+        boolean hasNonAscii = false;
+        boolean inString = false;
         int depth = 0;
         for (int i = 0; i < body.length; i++) {
             byte b = body[i];
-            if (quoted) {
+            if (inString) {
                 if (b == '"') {
-                    quoted = false;
+                    inString = false;
                 } else if (b == '\\') {
                     i++;
                 } else if (b >= 0 && b < ' ') {
-                    throw unreadable("a control character in a text", i);
+                    throw unreadable("a control character in a string", i);
                 }
-                high |= b < 0 || i < body.length && body[i] < 0;
+                hasNonAscii |= b < 0 || i < body.length && body[i] < 0;
             } else if (b == '"') {
-                quoted = true;
+                inString = true;
             } else if (b == '{' || b == '[') {
                 if (++depth > MAX_DEPTH) {
                     throw new ConfigurationException(
@@ -42,61 +42,61 @@
             } else if (b == '}' || b == ']') {
                 depth--;
             } else if (b < ' ' && b != '\n' && b != '\r' && b != '\t') {
-                throw unreadable("a byte that is no JSON", i);
+                throw unreadable("an invalid byte", i);
             }
         }
-        if (quoted || depth != 0) {
-            throw unreadable("its end too early or too late", body.length);
+        if (inString || depth != 0) {
+            throw unreadable("an unterminated string or unbalanced brackets", body.length);
         }
-        if (high) {
-            decode(body);
+        if (hasNonAscii) {
+            requireUtf8(body);
         }
     }
 
-    private static void decode(byte[] body) {
+    private static void requireUtf8(byte[] body) {
         CharsetDecoder decoder = StandardCharsets.UTF_8
                 .newDecoder()
                 .onMalformedInput(CodingErrorAction.REPORT)
                 .onUnmappableCharacter(CodingErrorAction.REPORT);
         ByteBuffer in = ByteBuffer.wrap(body);
-        CharBuffer sink = CharBuffer.allocate(4_096);
+        CharBuffer decoded = CharBuffer.allocate(4_096);
         CoderResult result;
         do {
-            sink.clear();
-            result = decoder.decode(in, sink, true);
+            decoded.clear();
+            result = decoder.decode(in, decoded, true);
             if (result.isError()) {
-                throw unreadable("what isn't UTF-8", in.position());
+                throw unreadable("invalid UTF-8", in.position());
             }
         } while (result.isOverflow());
     }
 
     /**
-     * A number as JSON writes it: the library takes {@code +1}, {@code 05.1} and {@code 1.}, too, and they would be
-     * shown as they came.
+     * Checks a number against the JSON grammar. The library also accepts {@code +1}, {@code 05.1} and {@code 1.}, which
+     * would then be returned unchanged as part of the configuration.
      */
-    static void checkNumber(byte[] body, int from, int to) {
+    static void validateNumber(byte[] body, int from, int to) {
         int position = body[from] == '-' ? from + 1 : from;
-        int digitsEnd = digits(body, position, to);
-        boolean good = digitsEnd == position + 1 || digitsEnd > position && body[position] != '0';
+        int digitsEnd = skipDigits(body, position, to);
+        boolean valid = digitsEnd == position + 1 || digitsEnd > position && body[position] != '0';
         position = digitsEnd;
-        if (good && position < to && body[position] == '.') {
-            int end = digits(body, position + 1, to);
-            good = end > position + 1;
+        if (valid && position < to && body[position] == '.') {
+            int end = skipDigits(body, position + 1, to);
+            valid = end > position + 1;
             position = end;
         }
-        if (good && position < to && (body[position] | ' ') == 'e') {
+        if (valid && position < to && (body[position] | ' ') == 'e') {
             position++;
             position += position < to && (body[position] == '+' || body[position] == '-') ? 1 : 0;
-            int end = digits(body, position, to);
-            good = end > position;
+            int end = skipDigits(body, position, to);
+            valid = end > position;
             position = end;
         }
-        if (!good || position != to) {
-            throw unreadable("a number that is none", from);
+        if (!valid || position != to) {
+            throw unreadable("a malformed number", from);
         }
     }
 
-    private static int digits(byte[] body, int from, int to) {
+    private static int skipDigits(byte[] body, int from, int to) {
         int position = from;
         while (position < to && body[position] >= '0' && body[position] <= '9') {
             position++;
--- a/src/main/java/brambletray/platform/configuration/KeyDigest.java
+++ b/src/main/java/brambletray/platform/configuration/KeyDigest.java
@@ -5,10 +5,10 @@
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 
-/** The first half of the SHA-256 of a tenant's API key: what keys are compared by, and what may be logged of them. */
+/** The first half of the SHA-256 of a tenant's API key. Keys are compared by it, and only it may be logged. */
 public record KeyDigest(long high, long low) {
 
-    /** The digest of this key. */
+    /** Computes the digest of a key. */
     public static KeyDigest of(String key) {
         try {
             byte[] bytes = key.getBytes(StandardCharsets.UTF_8);
--- a/src/main/java/brambletray/platform/configuration/RouteKind.java
+++ b/src/main/java/brambletray/platform/configuration/RouteKind.java
@@ -1,24 +1,24 @@
 package brambletray.platform.configuration;
 
-/** What may be repeated of a route's requests (page PROTOCOL, Requests). */
+/** Whether the requests of a route may be repeated (page PROTOCOL, Requests). */
 public enum RouteKind {
-    /** A request may run more than once. */
+    /** A request may be executed more than once. */
     IDEMPOTENT("idempotent"),
-    /** A request runs at most once for each attempt of a client. */
+    /** A request is executed at most once for each attempt of a client. */
     NON_IDEMPOTENT("non_idempotent"),
-    /** All attempts of a tenant that bear the same operation key run at most once together. */
+    /** All attempts of a tenant with the same operation key are executed at most once in total. */
     KEYED("keyed");
 
-    private final String word;
+    private final String configurationValue;
 
     RouteKind(String word) {
-        this.word = word;
+        this.configurationValue = word;
     }
 
-    /** The kind of this word of a configuration; null: there is none. */
-    static RouteKind of(String word) {
+    /** The kind with this value in the configuration, or null if there is none. */
+    static RouteKind of(String value) {
         for (RouteKind kind : values()) {
-            if (kind.word.equals(word)) {
+            if (kind.configurationValue.equals(value)) {
                 return kind;
             }
         }
--- a/src/main/java/brambletray/platform/configuration/RouteTable.java
+++ b/src/main/java/brambletray/platform/configuration/RouteTable.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Routes by host and prefix: one look-up for the host, then one for each slash of the path, from its end on. */
+/** Routes by host and prefix: one lookup for the host, then one for each slash of the path, from its end. */
 final class RouteTable {
     private static final class HostRoutes {
         final Map<String, Route> routes = new HashMap<>();
@@ -14,7 +14,7 @@
 
     private final Map<String, HostRoutes> hosts = new HashMap<>();
 
-    /** {@link ConfigurationException} where two routes share host and prefix. */
+    /** Throws {@link ConfigurationException} if two routes have the same host and prefix. */
     RouteTable(Collection<Route> routes) {
         for (Route route : routes) {
             HostRoutes host = hosts.computeIfAbsent(route.host(), h -> new HostRoutes());
@@ -23,20 +23,20 @@
                 throw new ConfigurationException(
                         "same-place",
                         "routes[" + ConfigurationJson.abbreviate(route.name()) + "].path-prefix",
-                        "expected a host and prefix of its own, shares them with "
+                        "expected a unique host and prefix, shares them with "
                                 + ConfigurationJson.abbreviate(other.name()));
             }
             host.longestPrefix = Math.max(host.longestPrefix, route.prefix().length());
         }
     }
 
-    /** The route with the longest prefix of this path, with or without its query; null: none. */
+    /** The route with the longest prefix of this path, with or without query; null if there is none. */
     Route match(CharSequence name, String path) {
         HostRoutes host = hosts.get(normalizeHost(name));
         if (host == null) {
             return null;
         }
-        // no prefix is longer than the longest: a path of slashes costs no more than that
+        // Starting at the longest prefix bounds the number of lookups for paths with many slashes.
         int slash = Math.min(path.length(), host.longestPrefix) - 1;
         while ((slash = path.lastIndexOf('/', slash)) >= 0) {
             Route route = host.routes.get(path.substring(0, slash + 1));
@@ -48,7 +48,7 @@
         return null;
     }
 
-    /** The normalized name of a host: lower case, without its port. */
+    /** Normalizes a host name: lower case, without port. */
     static String normalizeHost(CharSequence host) {
         String text = host.toString();
         int colon = text.lastIndexOf(':');
--- a/src/main/java/brambletray/platform/configuration/Service.java
+++ b/src/main/java/brambletray/platform/configuration/Service.java
@@ -1,15 +1,15 @@
 package brambletray.platform.configuration;
 
 /**
- * A service.
+ * A service that routes send requests to.
  *
- * @param memoryMb what a host of it occupies on a worker
- * @param bootMs how long a start takes on average
- * @param maxConcurrency requests that an instance may have at a time
- * @param maxConnections connections that a host accepts, from all callers together
- * @param healthPath null: there is none
- * @param selfDedupe whether its instances keep a record of operation keys of their own, so that an operation whose run
- *     broke off may be sent again
+ * @param memoryMb memory that one instance host occupies on a worker
+ * @param bootMs average start-up time
+ * @param maxConcurrency maximum number of concurrent requests of an instance
+ * @param maxConnections maximum number of connections that a host accepts from all callers together
+ * @param healthPath path of the health check; null if there is none
+ * @param selfDedupe whether its instances deduplicate by operation key themselves, so that an interrupted operation may
+ *     be sent again
  */
 public record Service(
         String name,
@@ -20,7 +20,7 @@
         String healthPath,
         boolean selfDedupe) {
     static Service from(JsonFields in) {
-        String name = in.name();
+        String name = in.requiredName();
         JsonFields at = in.withPath("services[" + ConfigurationJson.abbreviate(name) + ']');
         return new Service(
                 name,
--- a/src/main/java/brambletray/platform/configuration/ServiceShare.java
+++ b/src/main/java/brambletray/platform/configuration/ServiceShare.java
@@ -1,4 +1,4 @@
 package brambletray.platform.configuration;
 
-/** A service's part of a route; parts go by their weights, 0 gets nothing. */
+/** The share of a route's requests that a service gets, proportional to its weight; none if the weight is 0. */
 public record ServiceShare(String service, double weight) {}
--- a/src/main/java/brambletray/platform/configuration/Tenant.java
+++ b/src/main/java/brambletray/platform/configuration/Tenant.java
@@ -6,30 +6,30 @@
 import java.util.Set;
 
 /**
- * A tenant: who its keys belong to, and what it may send over all edges together. Keys are secrets: they are in no log
- * line and no error.
+ * A tenant: its API keys, its priority and its rate limit over all edges together. Keys are secrets and appear in no
+ * log line and no error message.
  *
- * @param keyDigests of its API keys; empty: nobody can send as this tenant
- * @param priority 0 is the highest rank; counts in place of the route's; {@link #NO_PRIORITY}: the route's stays
- * @param ratePerS requests a second; 0: no limit
- * @param burstSize requests beyond the rate at one time
+ * @param keyDigests digests of its API keys; if empty, no request can be attributed to this tenant
+ * @param priority 0 is the highest; overrides the route's priority unless it is {@link #NO_PRIORITY}
+ * @param ratePerS maximum requests per second; 0 for no limit
+ * @param burstSize number of requests that may exceed the rate at one time
  */
 public record Tenant(String name, List<KeyDigest> keyDigests, int priority, double ratePerS, double burstSize) {
-    /** The priority of a tenant that names none. */
+    /** The value for a tenant without a priority of its own. */
     public static final int NO_PRIORITY = -1;
 
-    /** The priority of its requests on a route. */
+    /** The priority of the tenant's requests on a route. */
     public int priorityOn(Route route) {
         return priority == NO_PRIORITY ? route.priority() : priority;
     }
 
-    /** Whether its requests are limited. */
+    /** Whether the tenant has a rate limit. */
     public boolean isLimited() {
         return ratePerS > 0;
     }
 
     static Tenant from(JsonFields in) {
-        String name = in.name();
+        String name = in.requiredName();
         JsonFields at = in.withPath("tenants[" + ConfigurationJson.abbreviate(name) + ']');
         return new Tenant(
                 name,
--- a/src/main/java/brambletray/platform/configuration/TenantTable.java
+++ b/src/main/java/brambletray/platform/configuration/TenantTable.java
@@ -8,7 +8,7 @@
 final class TenantTable {
     private final Map<KeyDigest, Tenant> tenants = new HashMap<>();
 
-    /** {@link ConfigurationException} where two tenants share a key. */
+    /** Throws {@link ConfigurationException} if two tenants share a key. */
     TenantTable(Collection<Tenant> all) {
         for (Tenant tenant : all) {
             for (KeyDigest digest : tenant.keyDigests()) {
@@ -17,13 +17,14 @@
                     throw new ConfigurationException(
                             "shared-key",
                             "tenants[" + ConfigurationJson.abbreviate(tenant.name()) + "].api-keys",
-                            "expected keys of its own, shares one with " + ConfigurationJson.abbreviate(other.name()));
+                            "expected keys that no other tenant has, shares one with "
+                                    + ConfigurationJson.abbreviate(other.name()));
                 }
             }
         }
     }
 
-    /** The tenant that holds this key; null: nobody does. */
+    /** The tenant that holds this key, or null if none does. */
     Tenant find(String key) {
         return tenants.get(KeyDigest.of(key));
     }
--- a/src/main/java/brambletray/platform/configuration/package-info.java
+++ b/src/main/java/brambletray/platform/configuration/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The operators' configuration: routes, services and limits, read and checked, changed by entry in rising revisions.
- * Also the replicated state machine that applies changes at each member of the core, and the deltas by which edges
- * follow.
+ * The operators' configuration: routes, services, tenants and limits, parsed, validated and modified entry by entry
+ * with increasing revisions. Also contains the replicated state machine that applies changes at each core member, and
+ * the deltas that keep edges up to date.
  */
 package brambletray.platform.configuration;
--- a/src/test/java/brambletray/platform/configuration/ConfigurationTest.java
+++ b/src/test/java/brambletray/platform/configuration/ConfigurationTest.java
@@ -14,16 +14,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a configuration says, shows and becomes. */
+/** Parsing, serialization, modification, routing and compression of configurations. */
 class ConfigurationTest {
     @Test
     void fieldsAndTheirDefaults() {
-        String least =
+        String minimalRoute =
                 "{'name':'r','host':'H.example:8080','path-prefix':'/','route-type':'non_idempotent','timeout-ms':900.0,'service':'a'}";
-        Configuration configuration = Sample.configuration(Sample.whole(
+        Configuration configuration = SampleConfigurations.configuration(SampleConfigurations.document(
                 3,
-                least + ',' + Sample.route("q", "h", "/x/", "a"),
-                "{'name':'a','health-path':'/h'}," + Sample.service("b")));
+                minimalRoute + ',' + SampleConfigurations.route("q", "h", "/x/", "a"),
+                "{'name':'a','health-path':'/h'}," + SampleConfigurations.service("b")));
         assertEquals(
                 new Route(
                         "r",
@@ -60,41 +60,43 @@
                 () -> configuration.routes().clear());
     }
 
-    /** What isn't known stays, in lists of items and beside them, down to the digits. */
+    /** Unknown fields, in items and at top level, are preserved including the notation of numbers. */
     @Test
-    void unknownFieldsComeBackAsTheyWere() {
+    void unknownFieldsArePreserved() {
         String odd = "{'a':[1,2.50,-0.0,1e3,123456789012345678901234567890,true,null,{'b':'\\u00e9\\n'}]}";
         String body = "{'revision':5,'routes':["
-                + Sample.route("r", "h", "/", "a").replace("}", ",'tenant':" + odd + "}") + "],'services':["
-                + Sample.service("a").replace("}", ",'tls-mode':false}")
+                + SampleConfigurations.route("r", "h", "/", "a").replace("}", ",'tenant':" + odd + "}")
+                + "],'services':["
+                + SampleConfigurations.service("a").replace("}", ",'tls-mode':false}")
                 + "],'quotas':[{'name':'q1','n':1},{'name':'q2','n':2}],'x':" + odd
                 + ",'twins':[{'name':'t','n':1},{'name':'t','n':2}],'limits':{'max-body-bytes':10,'odd':1.0}}";
-        Configuration configuration = Sample.configuration(body);
-        assertEquals(body, Sample.text(configuration.json()));
+        Configuration configuration = SampleConfigurations.configuration(body);
+        assertEquals(body, SampleConfigurations.text(configuration.json()));
         String spaced = body.replace(",'", " ,\n '");
-        assertEquals(10, Sample.configuration(spaced).limits().maxBodyBytes());
-        byte[] shown = Sample.configuration(spaced).json();
+        assertEquals(10, SampleConfigurations.configuration(spaced).limits().maxBodyBytes());
+        byte[] shown = SampleConfigurations.configuration(spaced).json();
         assertArrayEquals(shown, Configuration.read(shown).json());
 
-        String added = Sample.route("s", "h", "/s/", "a");
-        Configuration next = configuration.modify(
-                Sample.bytes("{'revision':6,'upsert':{'quotas':[{'name':'q1','n':7}],'limits':{'idle-timeout-ms':99},"
+        String added = SampleConfigurations.route("s", "h", "/s/", "a");
+        Configuration next = configuration.modify(SampleConfigurations.bytes(
+                "{'revision':6,'upsert':{'quotas':[{'name':'q1','n':7}],'limits':{'idle-timeout-ms':99},"
                         + "'services':[],'routes':[" + added + "]},'withdraw':{'quotas':['q2','q9'],'never':['x']}}"));
         assertEquals(
                 body.replace("'revision':5", "'revision':6")
                         .replace("{'name':'q1','n':1},{'name':'q2','n':2}", "{'name':'q1','n':7}")
                         .replace("'odd':1.0", "'odd':1.0,'idle-timeout-ms':99")
                         .replace("],'services'", ',' + added + "],'services'"),
-                Sample.text(next.json()));
+                SampleConfigurations.text(next.json()));
         assertEquals(new ClientLimits(16_384, 10, 3_000, 99), next.limits());
-        assertEquals(body, Sample.text(configuration.json()), "the base is changed");
+        assertEquals(body, SampleConfigurations.text(configuration.json()), "the base was modified");
     }
 
     @Test
     void namedItemsAreReplacedAddedAndRemoved() {
-        Configuration next = Sample.configuration(Sample.two(7))
-                .modify(Sample.bytes("{'revision':20,'upsert':{'routes':["
-                        + Sample.route("r1", "h.example", "/uno/", "c") + "],'services':[" + Sample.service("c")
+        Configuration next = SampleConfigurations.configuration(SampleConfigurations.twoRoutes(7))
+                .modify(SampleConfigurations.bytes("{'revision':20,'upsert':{'routes':["
+                        + SampleConfigurations.route("r1", "h.example", "/uno/", "c") + "],'services':["
+                        + SampleConfigurations.service("c")
                         + "]},'withdraw':{'routes':['r2','r-old'],'services':['b']}}"));
         assertEquals(20, next.revision());
         assertEquals(List.of("r1"), List.copyOf(next.routes().keySet()));
@@ -105,17 +107,17 @@
         assertEquals(
                 1,
                 Configuration.NONE
-                        .modify(Sample.bytes("{'revision':1,'withdraw':{'routes':[]}}"))
+                        .modify(SampleConfigurations.bytes("{'revision':1,'withdraw':{'routes':[]}}"))
                         .revision());
     }
 
-    /** A change may swap the places of two routes. */
+    /** A change may swap the prefixes of two routes. */
     @Test
-    void onlyWhatItBecomesHasToBeValid() {
-        Configuration next = Sample.configuration(Sample.two(7))
-                .modify(Sample.bytes(
-                        "{'revision':8,'upsert':{'routes':[" + Sample.route("r2", "h.example", "/one/", "b") + ','
-                                + Sample.route("r1", "h.example", "/two/", "a") + "]}}"));
+    void onlyTheResultOfAChangeIsValidated() {
+        Configuration next = SampleConfigurations.configuration(SampleConfigurations.twoRoutes(7))
+                .modify(SampleConfigurations.bytes("{'revision':8,'upsert':{'routes':["
+                        + SampleConfigurations.route("r2", "h.example", "/one/", "b") + ','
+                        + SampleConfigurations.route("r1", "h.example", "/two/", "a") + "]}}"));
         assertEquals("r2", next.match("h.example", "/one/").name());
         assertEquals("r1", next.match("h.example", "/two/").name());
     }
@@ -144,14 +146,14 @@
                 "h.example,/a/////////////////////////////////////////////////,a"
             })
     void theLongestPrefixWins(String host, String path, String route) {
-        Configuration configuration = Sample.configuration(Sample.whole(
+        Configuration configuration = SampleConfigurations.configuration(SampleConfigurations.document(
                 1,
-                Sample.route("a", "h.example", "/a/", "s")
+                SampleConfigurations.route("a", "h.example", "/a/", "s")
                         + ','
-                        + Sample.route("ab", "h.example", "/a/b/", "s")
+                        + SampleConfigurations.route("ab", "h.example", "/a/b/", "s")
                         + ','
-                        + Sample.route("other", "other.example", "/", "s"),
-                Sample.service("s")));
+                        + SampleConfigurations.route("other", "other.example", "/", "s"),
+                SampleConfigurations.service("s")));
         Route match = configuration.match(host, path);
         assertEquals(route, match == null ? null : match.name());
     }
@@ -164,11 +166,15 @@
         'service':'a','weights':{'c':0,'a':10,'b':30}
         'services':['b','b','a','b']
         """)
-    void partsByWeight(String split) {
-        Route route = Sample.configuration(Sample.whole(
+    void trafficIsSplitByWeight(String split) {
+        Route route = SampleConfigurations.configuration(SampleConfigurations.document(
                         1,
-                        Sample.route("r", "h", "/", "a").replace("'service':'a'", split),
-                        Sample.service("a") + ',' + Sample.service("b") + ',' + Sample.service("c")))
+                        SampleConfigurations.route("r", "h", "/", "a").replace("'service':'a'", split),
+                        SampleConfigurations.service("a")
+                                + ','
+                                + SampleConfigurations.service("b")
+                                + ','
+                                + SampleConfigurations.service("c")))
                 .routes()
                 .get("r");
         Map<String, Integer> picked = new HashMap<>();
@@ -176,13 +182,13 @@
             picked.merge(route.selectService(i / 1_000.0), 1, Integer::sum);
         }
         assertEquals(Map.of("a", 250, "b", 750), picked);
-        assertNotEquals("c", route.selectService(1), "a weight of 0 gets nothing, whatever was rounded");
+        assertNotEquals("c", route.selectService(1), "weight 0 is never selected, even after rounding errors");
     }
 
     @Test
-    void followersGetChangesOrThePackedWhole() {
-        Configuration base = Sample.configuration(Sample.two(7));
-        byte[] body = Sample.bytes("{'revision':9,'withdraw':{'routes':['r1']}}");
+    void followersApplyChangesOrTheCompressedConfiguration() {
+        Configuration base = SampleConfigurations.configuration(SampleConfigurations.twoRoutes(7));
+        byte[] body = SampleConfigurations.bytes("{'revision':9,'withdraw':{'routes':['r1']}}");
         byte[] change = new ConfigurationChange(ChangeKind.MODIFY, 7, body).encode();
         assertArrayEquals(base.modify(body).json(), base.apply(change).json());
         assertEquals(
@@ -191,14 +197,15 @@
                                 ConfigurationException.class,
                                 () -> base.apply(change).apply(change))
                         .code());
-        byte[] packed = base.toCompressedBytes();
-        assertArrayEquals(base.json(), Configuration.fromCompressedBytes(packed).json());
-        packed[packed.length / 2] ^= 1;
-        assertThrows(ConfigurationException.class, () -> Configuration.fromCompressedBytes(packed));
+        byte[] compressed = base.toCompressedBytes();
+        assertArrayEquals(
+                base.json(), Configuration.fromCompressedBytes(compressed).json());
+        compressed[compressed.length / 2] ^= 1;
+        assertThrows(ConfigurationException.class, () -> Configuration.fromCompressedBytes(compressed));
         assertThrows(
                 ConfigurationException.class,
                 () -> Configuration.fromCompressedBytes(Arrays.copyOf(base.toCompressedBytes(), 40)));
-        byte[] bomb = DeltaCompression.pack(new byte[64 << 20]);
+        byte[] bomb = DeltaCompression.compress(new byte[64 << 20]);
         assertEquals(
                 "configuration.bad-packing",
                 assertThrows(ConfigurationException.class, () -> Configuration.fromCompressedBytes(bomb))
@@ -206,12 +213,12 @@
     }
 
     @Test
-    void itCantGrowBeyondWhatCanBeReadBack() {
-        Configuration base = Sample.configuration(Sample.two(1));
+    void changeBeyondTheSizeLimitIsRejected() {
+        Configuration base = SampleConfigurations.configuration(SampleConfigurations.twoRoutes(1));
         String filler = "x".repeat(3 << 20);
-        Configuration large = base.modify(Sample.bytes("{'revision':2,'upsert':{'a':'" + filler + "'}}"));
+        Configuration large = base.modify(SampleConfigurations.bytes("{'revision':2,'upsert':{'a':'" + filler + "'}}"));
         for (String more : List.of("'b':'" + filler + "'", "'quotas':[{'name':'q','x':'" + filler + "'}]")) {
-            byte[] body = Sample.bytes("{'revision':3,'upsert':{" + more + "}}");
+            byte[] body = SampleConfigurations.bytes("{'revision':3,'upsert':{" + more + "}}");
             assertEquals(
                     "configuration.too-large",
                     assertThrows(ConfigurationException.class, () -> large.modify(body))
--- a/src/test/java/brambletray/platform/configuration/InvalidConfigurationTest.java
+++ b/src/test/java/brambletray/platform/configuration/InvalidConfigurationTest.java
@@ -11,21 +11,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Each kind of configuration that may not be acknowledged, by what it is refused for, and where. */
+/** Invalid configurations and changes are rejected with the code of the error and the path of the field. */
 class InvalidConfigurationTest {
-    private static final String GOOD = Sample.two(7);
+    private static final String VALID = SampleConfigurations.twoRoutes(7);
 
-    private static void refused(ConfigurationException fault, String code, String field) {
-        assertEquals(code + " at " + field, fault.code().substring("configuration.".length()) + " at " + fault.field());
-        assertTrue(fault.getMessage().startsWith(fault.field()), fault.getMessage());
+    private static void assertRejected(ConfigurationException exception, String code, String field) {
+        assertEquals(
+                code + " at " + field,
+                exception.code().substring("configuration.".length()) + " at " + exception.field());
+        assertTrue(exception.getMessage().startsWith(exception.field()), exception.getMessage());
     }
 
     @Test
-    void theBodyThatTheTablesSpoilIsGood() {
-        assertEquals(2, Sample.configuration(GOOD).routes().size());
+    void unmodifiedBodyIsValid() {
+        assertEquals(2, SampleConfigurations.configuration(VALID).routes().size());
     }
 
-    /** The good body with one place of it replaced. */
+    /** The valid body with one part replaced. */
     @ParameterizedTest(name = "{0} becomes {1}")
     @CsvSource(delimiter = '|', quoteCharacter = '`', textBlock = """
         'revision':7,                   | ``                                | missing         | revision
@@ -80,9 +82,12 @@
         'revision':7                    | 'limits':{'idle-timeout-ms':0},'revision':7    | out-of-range | limits.idle-timeout-ms
         'revision':7                    | 'limits':{'max-body-bytes':-1},'revision':7    | out-of-range | limits.max-body-bytes
         """)
-    void spoiltInOnePlace(String good, String bad, String code, String field) {
-        String body = GOOD.replaceFirst(Pattern.quote(good), Matcher.quoteReplacement(bad));
-        refused(assertThrows(ConfigurationException.class, () -> Sample.configuration(body)), code, field);
+    void invalidInOnePlace(String valid, String invalid, String code, String field) {
+        String body = VALID.replaceFirst(Pattern.quote(valid), Matcher.quoteReplacement(invalid));
+        assertRejected(
+                assertThrows(ConfigurationException.class, () -> SampleConfigurations.configuration(body)),
+                code,
+                field);
     }
 
     @ParameterizedTest(name = "[{index}] {0}")
@@ -116,50 +121,52 @@
         {'a':{'b':1,'b':2}}|duplicate-field
         {'a':1,'\\u0061':2}|duplicate-field
         """)
-    void notOneWholeObject(String body, String code) {
+    void notExactlyOneJsonObject(String body, String code) {
         assertEquals(
                 "configuration." + code,
-                assertThrows(ConfigurationException.class, () -> Sample.configuration(body))
+                assertThrows(ConfigurationException.class, () -> SampleConfigurations.configuration(body))
                         .code());
     }
 
     @Test
     void truncatedAnywhere() {
-        byte[] body = Sample.bytes(GOOD);
+        byte[] body = SampleConfigurations.bytes(VALID);
         for (int length = 0; length < body.length; length++) {
             byte[] part = Arrays.copyOf(body, length);
             assertThrows(
                     ConfigurationException.class,
                     () -> Configuration.read(part),
-                    () -> "read with " + part.length + " bytes");
+                    () -> "accepted with " + part.length + " bytes");
         }
     }
 
     @Test
     void notUtf8TooDeepTooLarge() {
-        byte[] body = Sample.bytes("{'x':'??'," + GOOD.substring(1));
+        byte[] body = SampleConfigurations.bytes("{'x':'??'," + VALID.substring(1));
         assertEquals(7, Configuration.read(body).revision());
         body[6] = (byte) 0xc3;
-        refused(assertThrows(ConfigurationException.class, () -> Configuration.read(body)), "unreadable", "");
+        assertRejected(assertThrows(ConfigurationException.class, () -> Configuration.read(body)), "unreadable", "");
         String deep = "[".repeat(63) + "]".repeat(63);
         assertEquals(
                 7,
-                Sample.configuration("{'x':" + deep + ',' + GOOD.substring(1)).revision());
-        refused(
+                SampleConfigurations.configuration("{'x':" + deep + ',' + VALID.substring(1))
+                        .revision());
+        assertRejected(
                 assertThrows(
                         ConfigurationException.class,
-                        () -> Sample.configuration("{'x':[" + deep + "]," + GOOD.substring(1))),
+                        () -> SampleConfigurations.configuration("{'x':[" + deep + "]," + VALID.substring(1))),
                 "too-deep",
                 "");
-        String filler = " ".repeat(ConfigurationJson.MAX_BODY_BYTES - GOOD.length());
-        assertEquals(7, Sample.configuration(GOOD + filler).revision());
-        refused(
-                assertThrows(ConfigurationException.class, () -> Sample.configuration(GOOD + filler + ' ')),
+        String filler = " ".repeat(ConfigurationJson.MAX_BODY_BYTES - VALID.length());
+        assertEquals(7, SampleConfigurations.configuration(VALID + filler).revision());
+        assertRejected(
+                assertThrows(
+                        ConfigurationException.class, () -> SampleConfigurations.configuration(VALID + filler + ' ')),
                 "too-large",
                 "");
     }
 
-    /** Each is a change of a good configuration of revision 7. */
+    /** Each case is a change to the valid configuration, which has revision 7. */
     @ParameterizedTest(name = "{0}")
     @CsvSource(delimiter = '|', quoteCharacter = '`', textBlock = """
         {'upsert':{}}                                                        | missing         | revision
@@ -174,32 +181,38 @@
         {'revision':9,'withdraw':{'routes':[1]}}                             | wrong-type      | withdraw.routes[0]
         {'revision':9,'upsert':{'services':[{'name':'c'}]},'withdraw':{'services':['c']}} | ambiguous | withdraw.services[0]
         """)
-    void changesOfIt(String body, String code, String field) {
-        Configuration base = Sample.configuration(GOOD);
-        refused(assertThrows(ConfigurationException.class, () -> base.modify(Sample.bytes(body))), code, field);
+    void invalidChanges(String body, String code, String field) {
+        Configuration base = SampleConfigurations.configuration(VALID);
+        assertRejected(
+                assertThrows(ConfigurationException.class, () -> base.modify(SampleConfigurations.bytes(body))),
+                code,
+                field);
         assertEquals(2, base.routes().size());
     }
 
     @Test
-    void changesThatMoveARouteOntoAnother() {
-        Configuration base = Sample.configuration(GOOD);
-        byte[] body = Sample.bytes(
-                "{'revision':9,'upsert':{'routes':[" + Sample.route("r3", "h.example", "/two/", "a") + "]}}");
-        refused(
+    void changeToAHostAndPrefixInUseIsRejected() {
+        Configuration base = SampleConfigurations.configuration(VALID);
+        byte[] body = SampleConfigurations.bytes("{'revision':9,'upsert':{'routes':["
+                + SampleConfigurations.route("r3", "h.example", "/two/", "a") + "]}}");
+        assertRejected(
                 assertThrows(ConfigurationException.class, () -> base.modify(body)),
                 "same-place",
                 "routes[r3].path-prefix");
     }
 
     @Test
-    void replacementsHaveToRise() {
-        Configuration seven = Sample.configuration(GOOD);
+    void replacementNeedsAHigherRevision() {
+        Configuration seven = SampleConfigurations.configuration(VALID);
         assertEquals(
-                8, Sample.configuration(Sample.two(8)).requireNewerThan(seven).revision());
-        refused(
+                8,
+                SampleConfigurations.configuration(SampleConfigurations.twoRoutes(8))
+                        .requireNewerThan(seven)
+                        .revision());
+        assertRejected(
                 assertThrows(
                         ConfigurationException.class,
-                        () -> Sample.configuration(GOOD).requireNewerThan(seven)),
+                        () -> SampleConfigurations.configuration(VALID).requireNewerThan(seven)),
                 "old-revision",
                 "revision");
     }
@@ -217,7 +230,7 @@
         "57,57",
         "1234567890123456789,1234567890123456789"
     })
-    void bases(String header, long base) {
+    void baseRevisionHeader(String header, long base) {
         if (base < 0) {
             assertEquals(
                     "configuration.bad-base",
--- a/src/test/java/brambletray/platform/configuration/Sample.java
+++ b/src/test/java/brambletray/platform/configuration/SampleConfigurations.java
@@ -2,9 +2,9 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Bodies for tests: single quotes stand for double ones. */
-final class Sample {
-    private Sample() {}
+/** Configuration bodies for tests, written with single quotes in place of double quotes. */
+final class SampleConfigurations {
+    private SampleConfigurations() {}
 
     static byte[] bytes(String text) {
         return text.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
@@ -25,13 +25,13 @@
                 + "','health-path':null,'max-connections':72,'memory-mb':512,'boot-ms':750,'max-concurrency':4}";
     }
 
-    static String whole(long revision, String routes, String services) {
+    static String document(long revision, String routes, String services) {
         return "{'revision':" + revision + ",'routes':[" + routes + "],'services':[" + services + "]}";
     }
 
     /** Routes r1 (to a) and r2 (to b) at {@code h.example}. */
-    static String two(long revision) {
-        return whole(
+    static String twoRoutes(long revision) {
+        return document(
                 revision,
                 route("r1", "h.example", "/one/", "a") + ',' + route("r2", "h.example", "/two/", "b"),
                 service("a") + ',' + service("b"));
--- a/src/test/java/brambletray/platform/configuration/TenantConfigurationTest.java
+++ b/src/test/java/brambletray/platform/configuration/TenantConfigurationTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Tenants, their keys and keyed routes in configurations. */
+/** Tenants, API keys and keyed routes in configurations. */
 class TenantConfigurationTest {
     private static final String ROUTES = "\"routes\":[{\"name\":\"pay\",\"host\":\"h\",\"path-prefix\":\"/pay/\","
             + "\"route-type\":\"keyed\","
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void aFirstConfigurationWithKeyedRoutesAndTenantsIsTaken() {
+    void firstConfigurationMayHaveKeyedRoutesAndTenants() {
         Configuration configuration =
                 read("{'name':'acme','api-keys':['k1','k2'],'priority':1,'rate-per-s':110,'burst-size':55.5}");
         assertEquals(RouteKind.KEYED, configuration.routes().get("pay").kind());
@@ -43,37 +43,37 @@
         assertFalse(configuration.routes().get("pay").isPublic());
         assertTrue(configuration.routes().get("open").isPublic());
         assertTrue(configuration.services().get("ledger").selfDedupe());
-        Tenant tenant = configuration.tenantOf("k2");
+        Tenant tenant = configuration.tenantForKey("k2");
         assertEquals("acme", tenant.name());
         assertEquals(1, tenant.priority());
         assertEquals(110, tenant.ratePerS());
         assertEquals(55.5, tenant.burstSize());
-        assertNull(configuration.tenantOf("k3"));
+        assertNull(configuration.tenantForKey("k3"));
         assertArrayEquals(
                 configuration.json(), Configuration.read(configuration.json()).json());
     }
 
     @Test
-    void noRateOrARateOfZeroIsNoLimit() {
+    void missingOrZeroRateMeansNoLimit() {
         Configuration configuration =
                 read("{'name':'a','api-keys':['k1']},{'name':'b','api-keys':['k2'],'rate-per-s':0}");
-        assertFalse(configuration.tenantOf("k1").isLimited());
-        assertFalse(configuration.tenantOf("k2").isLimited());
+        assertFalse(configuration.tenantForKey("k1").isLimited());
+        assertFalse(configuration.tenantForKey("k2").isLimited());
     }
 
     @Test
-    void keysAreAddedTakenAwayAndPassedOn() {
+    void keysAreAddedRemovedAndMovedToAnotherTenant() {
         Configuration before = read("{'name':'a','api-keys':['k1','k2']},{'name':'b','api-keys':['k3']}");
-        Configuration passedOn = modify(
+        Configuration moved = modify(
                 before,
                 "{'revision':2,'upsert':{'tenants':[{'name':'a','api-keys':['k1']},"
                         + "{'name':'b','api-keys':['k2','k3']}]}}");
-        assertEquals("b", passedOn.tenantOf("k2").name());
-        assertEquals("a", passedOn.tenantOf("k1").name());
-        Configuration withdrawn = modify(passedOn, "{'revision':3,'withdraw':{'tenants':['b']}}");
-        assertNull(withdrawn.tenantOf("k2"));
-        assertNull(withdrawn.tenantOf("k3"));
-        assertEquals("a", withdrawn.tenantOf("k1").name());
+        assertEquals("b", moved.tenantForKey("k2").name());
+        assertEquals("a", moved.tenantForKey("k1").name());
+        Configuration withdrawn = modify(moved, "{'revision':3,'withdraw':{'tenants':['b']}}");
+        assertNull(withdrawn.tenantForKey("k2"));
+        assertNull(withdrawn.tenantForKey("k3"));
+        assertEquals("a", withdrawn.tenantForKey("k1").name());
     }
 
     @ParameterizedTest
@@ -89,14 +89,14 @@
         {'name':'a','api-keys':['secret'],'burst-size':-1}                    | out-of-range
         {'name':'a','api-keys':['secret'],'priority':-1}                      | out-of-range
         """)
-    void invalidTenantsAreRefusedWithoutShowingTheirKeys(String tenants, String code) {
+    void invalidTenantsAreRejectedWithoutRevealingTheirKeys(String tenants, String code) {
         ConfigurationException error = assertThrows(ConfigurationException.class, () -> read(tenants));
         assertTrue(error.code().endsWith(code), error.code());
         assertFalse(error.getMessage().contains("secret"), error.getMessage());
     }
 
     @Test
-    void aDeltaCarriesTenants() {
+    void deltaContainsTenants() {
         Configuration before = read("{'name':'a','api-keys':['k1']},{'name':'c','api-keys':['k9']}");
         Configuration after = modify(
                 before,
@@ -107,8 +107,8 @@
         history.advanceTo(after);
         Configuration received = before.apply(history.deltaSince(1));
         assertEquals(after.digest(), received.digest());
-        assertNull(received.tenantOf("k1"));
-        assertNull(received.tenantOf("k9"));
-        assertEquals(3, received.tenantOf("k4").ratePerS());
+        assertNull(received.tenantForKey("k1"));
+        assertNull(received.tenantForKey("k9"));
+        assertEquals(3, received.tenantForKey("k4").ratePerS());
     }
 }
