--- a/src/main/java/brambletray/platform/configuration/ConfigurationDelta.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationDelta.java
@@ -11,20 +11,19 @@
 import java.util.List;
 
 /**
- * The difference from one revision of the configuration to a later one: the entries that were set and removed between
- * them.
+ * The difference between one revision of the configuration and a later one: the entries that were set or removed.
  *
- * @param baseRevision the revision that it is applied to; 0: it holds a full configuration
- * @param digest of the result ({@link Configuration#digest})
+ * @param baseRevision the revision that the delta applies to; 0 if it holds a full configuration
+ * @param digest digest of the resulting configuration ({@link Configuration#digest})
  */
 public record ConfigurationDelta(long baseRevision, long revision, long digest, List<Entry> entries) {
     private static final byte FORMAT = 1;
     private static final int REMOVED = -1;
 
-    /** One entry: {@code table} empty: a field that holds no named items; {@code body} null: withdrawn. */
+    /** A changed entry. {@code table} is empty for a field without named items; {@code body} is null if removed. */
     public record Entry(String table, String name, byte[] body) {}
 
-    /** As it goes over a slow link: deflated. The same content gives the same bytes. */
+    /** Serializes and deflates the delta for a slow link. The same content always gives the same bytes. */
     public byte[] toCompressedBytes() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
@@ -44,9 +43,9 @@
         return DeltaCompression.compress(bytes.toByteArray());
     }
 
-    /** A number for these bytes, never 0: the same for the same, so that a transfer is known again. */
-    public static long transferId(byte[] packed) {
-        long id = ConfigurationDigest.of(packed);
+    /** An ID derived from the bytes alone, never 0, by which a transfer of the same bytes is recognized. */
+    public static long transferId(byte[] compressed) {
+        long id = ConfigurationDigest.of(compressed);
         return id == 0 ? 1 : id;
     }
 
@@ -58,14 +57,15 @@
     }
 
     /**
-     * From {@link #toCompressedBytes}; {@link ConfigurationException} {@code configuration.bad-packing} or {@code
-     * configuration.bad-delta}.
+     * Parses the result of {@link #toCompressedBytes}. Throws {@link ConfigurationException} with code {@code
+     * configuration.bad-packing} or {@code configuration.bad-delta} if it is malformed.
      */
-    public static ConfigurationDelta fromCompressedBytes(byte[] packed) {
-        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(DeltaCompression.decompress(packed)))) {
+    public static ConfigurationDelta fromCompressedBytes(byte[] compressed) {
+        try (DataInputStream in =
+                new DataInputStream(new ByteArrayInputStream(DeltaCompression.decompress(compressed)))) {
             byte format = in.readByte();
             if (format != FORMAT) {
-                throw malformed("a difference of format " + FORMAT + ", found " + format, null);
+                throw malformed("a delta of format " + FORMAT + ", found " + format, null);
             }
             long baseRevision = in.readLong();
             long revision = in.readLong();
--- a/src/main/java/brambletray/platform/configuration/ConfigurationDocument.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationDocument.java
@@ -11,16 +11,16 @@
 import java.util.Set;
 
 /**
- * A configuration as it was sent, by entry: lists of named items (tables) item by item, all other fields as one entry
- * each. So named items can be replaced without losing anything else, known or not. Never changed once a {@link
- * Configuration} holds it.
+ * The raw JSON of a configuration, split into entries: each named item of a list (a table) is an entry, and so is each
+ * other top-level field. Named items can thus be replaced while all other fields, known or unknown, are preserved. Not
+ * modified once a {@link Configuration} holds it.
  */
 final class ConfigurationDocument {
     static final String ROUTES = "routes";
     static final String SERVICES = "services";
     static final String TENANTS = "tenants";
 
-    /** Where an entry stands: {@code table} empty: a field by itself. */
+    /** The key of an entry; {@code table} is empty for a top-level field that is not a table. */
     record Key(String table, String name) {}
 
     private static final String TOP_LEVEL = "";
@@ -44,25 +44,25 @@
         return fields.get(name);
     }
 
-    /** Adds a field, or replaces it; in a table, items by their names, and in an object its fields. */
+    /** Adds or replaces a field. Items of a table are merged by name, and objects field by field. */
     void put(String name, ConfigurationJson.Value value, byte[] body) {
         Map<String, byte[]> items = parseNamedItems(value, body);
-        byte[] former = fields.get(name);
+        byte[] previous = fields.get(name);
         if (items != null) {
             fields.remove(name);
             tables.computeIfAbsent(name, n -> new LinkedHashMap<>()).putAll(items);
-        } else if (value.content() instanceof Map && former != null && former[0] == '{') {
-            fields.put(name, mergeObject(former, value, body));
+        } else if (value.content() instanceof Map && previous != null && previous[0] == '{') {
+            fields.put(name, mergeObject(previous, value, body));
         } else if (!tables.containsKey(name) || !isEmptyList(value)) {
             tables.remove(name);
             fields.put(name, value.bytesIn(body));
         }
     }
 
-    private static byte[] mergeObject(byte[] former, ConfigurationJson.Value value, byte[] body) {
+    private static byte[] mergeObject(byte[] previous, ConfigurationJson.Value value, byte[] body) {
         Map<String, byte[]> merged = new LinkedHashMap<>();
-        ((Map<?, ?>) ConfigurationJson.parse(former).content())
-                .forEach((field, old) -> merged.put((String) field, ((ConfigurationJson.Value) old).bytesIn(former)));
+        ((Map<?, ?>) ConfigurationJson.parse(previous).content())
+                .forEach((field, old) -> merged.put((String) field, ((ConfigurationJson.Value) old).bytesIn(previous)));
         ((Map<?, ?>) value.content())
                 .forEach((field, now) -> merged.put((String) field, ((ConfigurationJson.Value) now).bytesIn(body)));
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -75,7 +75,7 @@
         return out.toByteArray();
     }
 
-    /** The names of the items of a list, each behind its table's. */
+    /** The named items of a list, each as {@code table/name}. */
     static Set<String> namedItemPaths(String table, Object content) {
         Set<String> names = new HashSet<>();
         if (content instanceof List<?> list) {
@@ -89,7 +89,7 @@
         return names;
     }
 
-    /** Removes an item from a table; one that isn't there, from a table that isn't there, is gone already. */
+    /** Removes an item from a table; no effect if the item or the table does not exist. */
     void remove(String table, String item) {
         Map<String, byte[]> items = tables.get(table);
         if (items != null) {
@@ -97,7 +97,7 @@
         }
     }
 
-    /** An entry's bytes, or null: it isn't there. A field that holds an empty list is as good as none. */
+    /** The bytes of an entry, or null if it does not exist. A field that holds an empty list counts as absent. */
     byte[] entry(String table, String name) {
         if (!table.equals(TOP_LEVEL)) {
             return tables.getOrDefault(table, Map.of()).get(name);
@@ -106,7 +106,7 @@
         return field == null || isEmptyList(field) ? null : field;
     }
 
-    /** All that {@link #entry} gives, in the order in which it is shown. */
+    /** All entries that {@link #entry} returns, in the order of {@link #json}. */
     Map<Key, byte[]> entries() {
         Map<Key, byte[]> all = new LinkedHashMap<>();
         tables.forEach((table, items) -> items.forEach((name, body) -> all.put(new Key(table, name), body)));
@@ -118,12 +118,12 @@
         return all;
     }
 
-    /** Keys of entries that are here and not the same in the other, or there and not here. */
+    /** The keys of entries that were added, changed or removed compared with {@code other}. */
     Set<Key> changedSince(ConfigurationDocument other) {
         Set<Key> changed = new LinkedHashSet<>();
         entries().forEach((key, body) -> {
-            byte[] former = other.entry(key.table, key.name);
-            if (former != body && !Arrays.equals(former, body)) {
+            byte[] previous = other.entry(key.table, key.name);
+            if (previous != body && !Arrays.equals(previous, body)) {
                 changed.add(key);
             }
         });
@@ -135,7 +135,7 @@
         return changed;
     }
 
-    /** Puts an entry as it is, or takes it out where {@code body} is null. */
+    /** Sets an entry without merging, or removes it if {@code body} is null. */
     void set(String table, String name, byte[] body) {
         if (table.equals(TOP_LEVEL)) {
             if (body == null) {
@@ -171,7 +171,7 @@
         return value.content() instanceof List<?> list && list.isEmpty();
     }
 
-    /** The items of a list of objects with names of their own; null: it is something else. */
+    /** The items of a non-empty list of objects with unique names, or null if the value is anything else. */
     private static Map<String, byte[]> parseNamedItems(ConfigurationJson.Value value, byte[] body) {
         if (!(value.content() instanceof List<?> list) || list.isEmpty()) {
             return null;
@@ -189,7 +189,7 @@
         return items;
     }
 
-    /** Bytes that {@link #json} has at most. */
+    /** An upper bound of the length of {@link #json} in bytes. */
     long maxJsonBytes() {
         long size = 32;
         for (Map.Entry<String, Map<String, byte[]>> table : tables.entrySet()) {
@@ -204,18 +204,18 @@
         return size;
     }
 
-    /** One object: the revision, routes, services, and the rest as it came. */
+    /** One object: the revision, routes, services, then all other tables and fields as they were received. */
     byte[] json(long revision) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(4_096);
         writeAscii(out, "{\"revision\":" + revision);
         tables.forEach((name, items) -> {
             out.write(',');
             writeKey(out, name);
-            char between = '[';
+            char separator = '[';
             for (byte[] item : items.values()) {
-                out.write(between);
+                out.write(separator);
                 out.writeBytes(item);
-                between = ',';
+                separator = ',';
             }
             writeAscii(out, items.isEmpty() ? "[]" : "]");
         });
--- a/src/main/java/brambletray/platform/configuration/ConfigurationJson.java
+++ b/src/main/java/brambletray/platform/configuration/ConfigurationJson.java
@@ -11,14 +11,14 @@
 import java.util.Map;
 
 /**
- * Parses a body and remembers the position of each value: fields that are not understood are stored as the bytes they
- * came in, so that a configuration is shown as it was sent, to the last digit.
+ * Parses a JSON body and records the position of each value. Unknown fields are stored as their original bytes, so that
+ * a configuration is returned exactly as it was sent, including the notation of numbers.
  */
 final class ConfigurationJson {
-    /** Bytes of a body. */
+    /** Maximum size of a body in bytes. */
     static final int MAX_BODY_BYTES = 4 << 20;
 
-    /** Made at the first use: it costs tens of ms of a slow core. */
+    /** Created on first use, as creating the parser takes tens of milliseconds on a slow CPU core. */
     private static final class LazyParser {
         static final DslJson<Object> JSON = new DslJson<>(new DslJson.Settings<>()
                 .unknownNumbers(JsonReader.UnknownNumberParsing.LONG_AND_BIGDECIMAL)
@@ -26,8 +26,8 @@
     }
 
     /**
-     * A value: {@code Map<String, Value>}, {@code List<Value>}, String, Long, BigDecimal, Boolean or null; from and to
-     * in the body.
+     * A parsed value: {@code Map<String, Value>}, {@code List<Value>}, String, Long, BigDecimal, Boolean or null, with
+     * its position in the body ({@code end} exclusive).
      */
     record Value(Object content, int start, int end) {
         byte[] bytesIn(byte[] body) {
@@ -43,7 +43,7 @@
         reader = LazyParser.JSON.newReader(body);
     }
 
-    /** Parses the body as one object; {@link ConfigurationException} where it is not exactly one. */
+    /** Parses the body. Throws {@link ConfigurationException} unless it is exactly one JSON object. */
     static Value parse(byte[] body) {
         if (body.length > MAX_BODY_BYTES) {
             throw tooLarge(body.length);
@@ -67,7 +67,7 @@
             throw new ConfigurationException(
                     "unreadable",
                     "",
-                    "expected whole JSON, broken near byte " + json.reader.getCurrentIndex() + " of " + body.length,
+                    "expected whole JSON, malformed near byte " + json.reader.getCurrentIndex() + " of " + body.length,
                     e);
         }
     }
@@ -78,7 +78,7 @@
     }
 
     private Value parseValue(String path) throws IOException {
-        int from = reader.getCurrentIndex() - 1;
+        int start = reader.getCurrentIndex() - 1;
         Object content = switch (reader.last()) {
             case '{' -> parseObject(path);
             case '[' -> parseList(path);
@@ -88,18 +88,18 @@
             case 'n' -> parseLiteral(reader.wasNull(), null);
             default -> NumberConverter.deserializeNumber(reader);
         };
-        int to = reader.getCurrentIndex();
-        while (body[to - 1] <= ' ' && body[to - 1] >= 0) {
-            to--;
+        int end = reader.getCurrentIndex();
+        while (body[end - 1] <= ' ' && body[end - 1] >= 0) {
+            end--;
         }
         if (content instanceof Number) {
-            JsonTextValidator.validateNumber(body, from, to);
+            JsonTextValidator.validateNumber(body, start, end);
         }
-        return new Value(content, from, to);
+        return new Value(content, start, end);
     }
 
-    private Boolean parseLiteral(boolean was, Boolean value) throws IOException {
-        if (!was) {
+    private Boolean parseLiteral(boolean matched, Boolean value) throws IOException {
+        if (!matched) {
             throw reader.newParseError("Expected a value");
         }
         return value;
@@ -156,7 +156,7 @@
         }
     }
 
-    /** A text from outside as messages show it: not longer than they should be. */
+    /** Truncates external text for use in error messages. */
     static String abbreviate(String text) {
         return text.length() > 60 ? text.substring(0, 60) + "..." : text;
     }
--- a/src/test/java/brambletray/platform/configuration/ConfigurationDeltaTest.java
+++ b/src/test/java/brambletray/platform/configuration/ConfigurationDeltaTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Configurations by difference: who has one version gets what leads to the current one, and knows that it came out
- * right.
+ * Deltas between configurations: applying a delta has to give exactly the sender's current configuration, and any other
+ * result has to be detected by its digest.
  */
 class ConfigurationDeltaTest {
     private final ChangeHistory history = new ChangeHistory();
@@ -28,12 +28,15 @@
         return SampleConfigurations.configuration(SampleConfigurations.document(
                 revision,
                 IntStream.range(0, count)
-                        .mapToObj(i -> SampleConfigurations.route("r" + i, "h" + i % 7 + ".example", "/p" + i + "/", "s" + i))
+                        .mapToObj(i ->
+                                SampleConfigurations.route("r" + i, "h" + i % 7 + ".example", "/p" + i + "/", "s" + i))
                         .collect(Collectors.joining(",")),
-                IntStream.range(0, count).mapToObj(i -> SampleConfigurations.service("s" + i)).collect(Collectors.joining(","))));
+                IntStream.range(0, count)
+                        .mapToObj(i -> SampleConfigurations.service("s" + i))
+                        .collect(Collectors.joining(","))));
     }
 
-    /** Near the longest body: many short routes to one service. */
+    /** {@code count} short routes to one service; 36,000 are close to the maximum body size. */
     private static Configuration withShortRoutes(long revision, int count) {
         return SampleConfigurations.configuration(SampleConfigurations.document(
                 revision,
@@ -50,7 +53,8 @@
     }
 
     private static Configuration withRoute(Configuration base, String name, String prefix, String service) {
-        return modified(base, "'routes':[" + SampleConfigurations.route(name, "new.example", prefix, service) + "]", "");
+        return modified(
+                base, "'routes':[" + SampleConfigurations.route(name, "new.example", prefix, service) + "]", "");
     }
 
     private static Configuration applySerialized(Configuration at, ConfigurationDelta delta) {
@@ -72,18 +76,18 @@
         assertEquals(expected.digest(), found.digest());
     }
 
-    private static String code(ConfigurationException fault) {
-        return fault.code();
+    private static String code(ConfigurationException exception) {
+        return exception.code();
     }
 
     @Test
     void changeOfOneRouteIsSentAsOneEntry() {
         for (Configuration before : List.of(withServices(1, 721), withShortRoutes(1, 36_000))) {
-            ChangeHistory many = new ChangeHistory();
-            many.advanceTo(before);
+            ChangeHistory changeHistory = new ChangeHistory();
+            changeHistory.advanceTo(before);
             Configuration after = withRoute(before, "r5", "/moved/", "s0");
-            many.advanceTo(after);
-            ConfigurationDelta delta = many.deltaSince(1);
+            changeHistory.advanceTo(after);
+            ConfigurationDelta delta = changeHistory.deltaSince(1);
             assertEquals(
                     List.of("routes/r5"),
                     delta.entries().stream()
@@ -98,11 +102,12 @@
     void fullDeltaIsCompressedAndReplacesAnyConfiguration() {
         Configuration configuration = withServices(7, 721);
         history.advanceTo(configuration);
-        byte[] packed = history.fullDelta().toCompressedBytes();
+        byte[] compressed = history.fullDelta().toCompressedBytes();
         assertTrue(
-                packed.length * 8 < configuration.json().length, packed.length + " of " + configuration.json().length);
-        assertSame(configuration, Configuration.NONE.apply(ConfigurationDelta.fromCompressedBytes(packed)));
-        assertSame(configuration, withServices(3, 9).apply(ConfigurationDelta.fromCompressedBytes(packed)));
+                compressed.length * 8 < configuration.json().length,
+                compressed.length + " of " + configuration.json().length);
+        assertSame(configuration, Configuration.NONE.apply(ConfigurationDelta.fromCompressedBytes(compressed)));
+        assertSame(configuration, withServices(3, 9).apply(ConfigurationDelta.fromCompressedBytes(compressed)));
     }
 
     @Test
@@ -145,7 +150,9 @@
                     step % 2 == 1
                             ? withServices(step, count)
                             : SampleConfigurations.configuration(SampleConfigurations.document(
-                                    step, SampleConfigurations.route("only", "h.example", "/", "t"), SampleConfigurations.service("t"))));
+                                    step,
+                                    SampleConfigurations.route("only", "h.example", "/", "t"),
+                                    SampleConfigurations.service("t"))));
         }
         assertTrue(!history.isRemembered(1));
         assertTrue(history.isRemembered(step - 1));
@@ -177,7 +184,8 @@
     void replacementWithOneChangedEntryHasAOneEntryDelta() {
         history.advanceTo(withServices(1, 40));
         Configuration after = SampleConfigurations.configuration(
-                new String(withServices(2, 40).json(), java.nio.charset.StandardCharsets.UTF_8).replace("/p7/", "/other/"));
+                new String(withServices(2, 40).json(), java.nio.charset.StandardCharsets.UTF_8)
+                        .replace("/p7/", "/other/"));
         history.advanceTo(after);
         assertEquals(1, history.deltaSince(1).entries().size());
         assertSame(after, applySerialized(withServices(1, 40), history.deltaSince(1)));
@@ -204,40 +212,48 @@
     void resultWithAnotherDigestIsRejected() {
         Configuration one = SampleConfigurations.configuration(SampleConfigurations.twoRoutes(1));
         history.advanceTo(one);
-        history.advanceTo(
-                modified(one, "'routes':[" + SampleConfigurations.route("r3", "h.example", "/three/", "a") + "]", "'routes':['r1']"));
-        ConfigurationDelta good = history.deltaSince(1);
-        List<ConfigurationDelta> wrong = new ArrayList<>();
-        for (int i = 0; i < good.entries().size(); i++) {
-            List<ConfigurationDelta.Entry> fewer = new ArrayList<>(good.entries());
+        history.advanceTo(modified(
+                one,
+                "'routes':[" + SampleConfigurations.route("r3", "h.example", "/three/", "a") + "]",
+                "'routes':['r1']"));
+        ConfigurationDelta validDelta = history.deltaSince(1);
+        List<ConfigurationDelta> invalidDeltas = new ArrayList<>();
+        for (int i = 0; i < validDelta.entries().size(); i++) {
+            List<ConfigurationDelta.Entry> fewer = new ArrayList<>(validDelta.entries());
             fewer.remove(i);
-            wrong.add(new ConfigurationDelta(1, good.revision(), good.digest(), fewer));
+            invalidDeltas.add(new ConfigurationDelta(1, validDelta.revision(), validDelta.digest(), fewer));
         }
-        wrong.add(new ConfigurationDelta(1, good.revision() + 1, good.digest(), good.entries()));
-        wrong.add(new ConfigurationDelta(1, good.revision(), good.digest() ^ 1, good.entries()));
-        for (ConfigurationDelta each : wrong) {
+        invalidDeltas.add(
+                new ConfigurationDelta(1, validDelta.revision() + 1, validDelta.digest(), validDelta.entries()));
+        invalidDeltas.add(
+                new ConfigurationDelta(1, validDelta.revision(), validDelta.digest() ^ 1, validDelta.entries()));
+        for (ConfigurationDelta each : invalidDeltas) {
             assertEquals(
                     "configuration.digest", code(assertThrows(ConfigurationException.class, () -> one.apply(each))));
         }
-        Configuration other = SampleConfigurations.configuration(SampleConfigurations.twoRoutes(1).replace("/two/", "/too/"));
-        assertEquals("configuration.digest", code(assertThrows(ConfigurationException.class, () -> other.apply(good))));
-        assertEquals(good.digest(), applySerialized(one, good).digest());
+        Configuration other = SampleConfigurations.configuration(
+                SampleConfigurations.twoRoutes(1).replace("/two/", "/too/"));
+        assertEquals(
+                "configuration.digest",
+                code(assertThrows(ConfigurationException.class, () -> other.apply(validDelta))));
+        assertEquals(validDelta.digest(), applySerialized(one, validDelta).digest());
     }
 
     @Test
     void corruptBytesThrowOnlyConfigurationException() {
         history.advanceTo(withServices(1, 30));
-        byte[] packed = history.fullDelta().toCompressedBytes();
+        byte[] compressed = history.fullDelta().toCompressedBytes();
         Random random = new Random(5);
         for (int i = 0; i < 400; i++) {
-            byte[] broken = Arrays.copyOf(packed, i % 2 == 0 ? packed.length : random.nextInt(packed.length));
-            if (broken.length > 0) {
-                broken[random.nextInt(broken.length)] ^= (byte) (1 + random.nextInt(255));
+            byte[] corrupt =
+                    Arrays.copyOf(compressed, i % 2 == 0 ? compressed.length : random.nextInt(compressed.length));
+            if (corrupt.length > 0) {
+                corrupt[random.nextInt(corrupt.length)] ^= (byte) (1 + random.nextInt(255));
             }
             assertThrows(
                     ConfigurationException.class,
-                    () -> Configuration.NONE.apply(ConfigurationDelta.fromCompressedBytes(broken)),
-                    "broken " + i);
+                    () -> Configuration.NONE.apply(ConfigurationDelta.fromCompressedBytes(corrupt)),
+                    "corrupt bytes, iteration " + i);
         }
     }
 
@@ -248,34 +264,45 @@
                 one.digest(),
                 SampleConfigurations.configuration(new String(one.json(), java.nio.charset.StandardCharsets.UTF_8))
                         .digest());
-        assertNotEquals(one.digest(), SampleConfigurations.configuration(SampleConfigurations.twoRoutes(2)).digest());
+        assertNotEquals(
+                one.digest(),
+                SampleConfigurations.configuration(SampleConfigurations.twoRoutes(2))
+                        .digest());
         Configuration there = withRoute(one, "r9", "/nine/", "a");
         Configuration back = modified(there, "", "'routes':['r9']");
-        assertEquals(SampleConfigurations.configuration(SampleConfigurations.twoRoutes(3)).digest(), back.digest());
-        String otherOrder =
-                SampleConfigurations.route("r2", "h.example", "/two/", "b") + ',' + SampleConfigurations.route("r1", "h.example", "/one/", "a");
         assertEquals(
-                SampleConfigurations.configuration(SampleConfigurations.document(1, otherOrder, SampleConfigurations.service("b") + ',' + SampleConfigurations.service("a")))
+                SampleConfigurations.configuration(SampleConfigurations.twoRoutes(3))
+                        .digest(),
+                back.digest());
+        String otherOrder = SampleConfigurations.route("r2", "h.example", "/two/", "b")
+                + ','
+                + SampleConfigurations.route("r1", "h.example", "/one/", "a");
+        assertEquals(
+                SampleConfigurations.configuration(SampleConfigurations.document(
+                                1,
+                                otherOrder,
+                                SampleConfigurations.service("b") + ',' + SampleConfigurations.service("a")))
                         .digest(),
                 one.digest());
     }
 
-    /** Changes at random, fields and tables that aren't understood among them; edges at random versions follow. */
+    /** Random changes, including unknown fields and tables, are applied by edges at random versions. */
     @Test
     void randomChangesConvergeAtAllEdges() {
         for (int seed = 0; seed < 60; seed++) {
             Random random = new Random(seed);
-            ChangeHistory scenario = new ChangeHistory();
+            ChangeHistory changeHistory = new ChangeHistory();
             Configuration configuration = SampleConfigurations.configuration(SampleConfigurations.twoRoutes(1));
-            scenario.advanceTo(configuration);
+            changeHistory.advanceTo(configuration);
             List<Configuration> edges = new ArrayList<>(List.of(configuration, configuration, Configuration.NONE));
             for (int step = 0; step < 40; step++) {
                 configuration = randomChange(configuration, random);
-                scenario.advanceTo(random.nextInt(5) == 0 ? Configuration.read(configuration.json()) : configuration);
+                changeHistory.advanceTo(
+                        random.nextInt(5) == 0 ? Configuration.read(configuration.json()) : configuration);
                 int which = random.nextInt(edges.size());
                 Configuration edge = edges.get(which);
-                ConfigurationDelta delta = scenario.deltaSince(edge.revision());
-                Configuration next = applySerialized(edge, delta == null ? scenario.fullDelta() : delta);
+                ConfigurationDelta delta = changeHistory.deltaSince(edge.revision());
+                Configuration next = applySerialized(edge, delta == null ? changeHistory.fullDelta() : delta);
                 assertSame(configuration, next);
                 assertEquals(content(configuration), content(Configuration.read(next.json())), "seed " + seed);
                 edges.set(which, next);
--- a/src/test/java/brambletray/platform/configuration/ConfigurationTest.java
+++ b/src/test/java/brambletray/platform/configuration/ConfigurationTest.java
@@ -14,15 +14,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a configuration says, shows and becomes. */
+/** Parsing, serialization, modification, routing and compression of configurations. */
 class ConfigurationTest {
     @Test
     void fieldsAndTheirDefaults() {
-        String least =
+        String minimalRoute =
                 "{'name':'r','host':'H.example:8080','path-prefix':'/','route-type':'non_idempotent','timeout-ms':900.0,'service':'a'}";
         Configuration configuration = SampleConfigurations.configuration(SampleConfigurations.document(
                 3,
-                least + ',' + SampleConfigurations.route("q", "h", "/x/", "a"),
+                minimalRoute + ',' + SampleConfigurations.route("q", "h", "/x/", "a"),
                 "{'name':'a','health-path':'/h'}," + SampleConfigurations.service("b")));
         assertEquals(
                 new Route(
@@ -60,12 +60,13 @@
                 () -> configuration.routes().clear());
     }
 
-    /** What isn't known stays, in lists of items and beside them, down to the digits. */
+    /** Unknown fields, in items and at top level, are preserved including the notation of numbers. */
     @Test
     void unknownFieldsArePreserved() {
         String odd = "{'a':[1,2.50,-0.0,1e3,123456789012345678901234567890,true,null,{'b':'\\u00e9\\n'}]}";
         String body = "{'revision':5,'routes':["
-                + SampleConfigurations.route("r", "h", "/", "a").replace("}", ",'tenant':" + odd + "}") + "],'services':["
+                + SampleConfigurations.route("r", "h", "/", "a").replace("}", ",'tenant':" + odd + "}")
+                + "],'services':["
                 + SampleConfigurations.service("a").replace("}", ",'tls-mode':false}")
                 + "],'quotas':[{'name':'q1','n':1},{'name':'q2','n':2}],'x':" + odd
                 + ",'twins':[{'name':'t','n':1},{'name':'t','n':2}],'limits':{'max-body-bytes':10,'odd':1.0}}";
@@ -77,8 +78,8 @@
         assertArrayEquals(shown, Configuration.read(shown).json());
 
         String added = SampleConfigurations.route("s", "h", "/s/", "a");
-        Configuration next = configuration.modify(
-                SampleConfigurations.bytes("{'revision':6,'upsert':{'quotas':[{'name':'q1','n':7}],'limits':{'idle-timeout-ms':99},"
+        Configuration next = configuration.modify(SampleConfigurations.bytes(
+                "{'revision':6,'upsert':{'quotas':[{'name':'q1','n':7}],'limits':{'idle-timeout-ms':99},"
                         + "'services':[],'routes':[" + added + "]},'withdraw':{'quotas':['q2','q9'],'never':['x']}}"));
         assertEquals(
                 body.replace("'revision':5", "'revision':6")
@@ -87,14 +88,15 @@
                         .replace("],'services'", ',' + added + "],'services'"),
                 SampleConfigurations.text(next.json()));
         assertEquals(new ClientLimits(16_384, 10, 3_000, 99), next.limits());
-        assertEquals(body, SampleConfigurations.text(configuration.json()), "the base is changed");
+        assertEquals(body, SampleConfigurations.text(configuration.json()), "the base was modified");
     }
 
     @Test
     void namedItemsAreReplacedAddedAndRemoved() {
         Configuration next = SampleConfigurations.configuration(SampleConfigurations.twoRoutes(7))
                 .modify(SampleConfigurations.bytes("{'revision':20,'upsert':{'routes':["
-                        + SampleConfigurations.route("r1", "h.example", "/uno/", "c") + "],'services':[" + SampleConfigurations.service("c")
+                        + SampleConfigurations.route("r1", "h.example", "/uno/", "c") + "],'services':["
+                        + SampleConfigurations.service("c")
                         + "]},'withdraw':{'routes':['r2','r-old'],'services':['b']}}"));
         assertEquals(20, next.revision());
         assertEquals(List.of("r1"), List.copyOf(next.routes().keySet()));
@@ -109,13 +111,13 @@
                         .revision());
     }
 
-    /** A change may swap the places of two routes. */
+    /** A change may swap the prefixes of two routes. */
     @Test
     void onlyTheResultOfAChangeIsValidated() {
         Configuration next = SampleConfigurations.configuration(SampleConfigurations.twoRoutes(7))
-                .modify(SampleConfigurations.bytes(
-                        "{'revision':8,'upsert':{'routes':[" + SampleConfigurations.route("r2", "h.example", "/one/", "b") + ','
-                                + SampleConfigurations.route("r1", "h.example", "/two/", "a") + "]}}"));
+                .modify(SampleConfigurations.bytes("{'revision':8,'upsert':{'routes':["
+                        + SampleConfigurations.route("r2", "h.example", "/one/", "b") + ','
+                        + SampleConfigurations.route("r1", "h.example", "/two/", "a") + "]}}"));
         assertEquals("r2", next.match("h.example", "/one/").name());
         assertEquals("r1", next.match("h.example", "/two/").name());
     }
@@ -168,7 +170,11 @@
         Route route = SampleConfigurations.configuration(SampleConfigurations.document(
                         1,
                         SampleConfigurations.route("r", "h", "/", "a").replace("'service':'a'", split),
-                        SampleConfigurations.service("a") + ',' + SampleConfigurations.service("b") + ',' + SampleConfigurations.service("c")))
+                        SampleConfigurations.service("a")
+                                + ','
+                                + SampleConfigurations.service("b")
+                                + ','
+                                + SampleConfigurations.service("c")))
                 .routes()
                 .get("r");
         Map<String, Integer> picked = new HashMap<>();
@@ -176,7 +182,7 @@
             picked.merge(route.selectService(i / 1_000.0), 1, Integer::sum);
         }
         assertEquals(Map.of("a", 250, "b", 750), picked);
-        assertNotEquals("c", route.selectService(1), "a weight of 0 gets nothing, whatever was rounded");
+        assertNotEquals("c", route.selectService(1), "weight 0 is never selected, even after rounding errors");
     }
 
     @Test
@@ -191,10 +197,11 @@
                                 ConfigurationException.class,
                                 () -> base.apply(change).apply(change))
                         .code());
-        byte[] packed = base.toCompressedBytes();
-        assertArrayEquals(base.json(), Configuration.fromCompressedBytes(packed).json());
-        packed[packed.length / 2] ^= 1;
-        assertThrows(ConfigurationException.class, () -> Configuration.fromCompressedBytes(packed));
+        byte[] compressed = base.toCompressedBytes();
+        assertArrayEquals(
+                base.json(), Configuration.fromCompressedBytes(compressed).json());
+        compressed[compressed.length / 2] ^= 1;
+        assertThrows(ConfigurationException.class, () -> Configuration.fromCompressedBytes(compressed));
         assertThrows(
                 ConfigurationException.class,
                 () -> Configuration.fromCompressedBytes(Arrays.copyOf(base.toCompressedBytes(), 40)));
--- a/src/test/java/brambletray/platform/configuration/InvalidConfigurationTest.java
+++ b/src/test/java/brambletray/platform/configuration/InvalidConfigurationTest.java
@@ -11,13 +11,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Each kind of configuration that may not be acknowledged, by what it is refused for, and where. */
+/** Invalid configurations and changes are rejected with the code of the error and the path of the field. */
 class InvalidConfigurationTest {
     private static final String VALID = SampleConfigurations.twoRoutes(7);
 
-    private static void assertRejected(ConfigurationException fault, String code, String field) {
-        assertEquals(code + " at " + field, fault.code().substring("configuration.".length()) + " at " + fault.field());
-        assertTrue(fault.getMessage().startsWith(fault.field()), fault.getMessage());
+    private static void assertRejected(ConfigurationException exception, String code, String field) {
+        assertEquals(
+                code + " at " + field,
+                exception.code().substring("configuration.".length()) + " at " + exception.field());
+        assertTrue(exception.getMessage().startsWith(exception.field()), exception.getMessage());
     }
 
     @Test
@@ -25,7 +27,7 @@
         assertEquals(2, SampleConfigurations.configuration(VALID).routes().size());
     }
 
-    /** The good body with one place of it replaced. */
+    /** The valid body with one part replaced. */
     @ParameterizedTest(name = "{0} becomes {1}")
     @CsvSource(delimiter = '|', quoteCharacter = '`', textBlock = """
         'revision':7,                   | ``                                | missing         | revision
@@ -80,9 +82,12 @@
         'revision':7                    | 'limits':{'idle-timeout-ms':0},'revision':7    | out-of-range | limits.idle-timeout-ms
         'revision':7                    | 'limits':{'max-body-bytes':-1},'revision':7    | out-of-range | limits.max-body-bytes
         """)
-    void invalidInOnePlace(String good, String bad, String code, String field) {
-        String body = VALID.replaceFirst(Pattern.quote(good), Matcher.quoteReplacement(bad));
-        assertRejected(assertThrows(ConfigurationException.class, () -> SampleConfigurations.configuration(body)), code, field);
+    void invalidInOnePlace(String valid, String invalid, String code, String field) {
+        String body = VALID.replaceFirst(Pattern.quote(valid), Matcher.quoteReplacement(invalid));
+        assertRejected(
+                assertThrows(ConfigurationException.class, () -> SampleConfigurations.configuration(body)),
+                code,
+                field);
     }
 
     @ParameterizedTest(name = "[{index}] {0}")
@@ -131,7 +136,7 @@
             assertThrows(
                     ConfigurationException.class,
                     () -> Configuration.read(part),
-                    () -> "read with " + part.length + " bytes");
+                    () -> "accepted with " + part.length + " bytes");
         }
     }
 
@@ -144,7 +149,8 @@
         String deep = "[".repeat(63) + "]".repeat(63);
         assertEquals(
                 7,
-                SampleConfigurations.configuration("{'x':" + deep + ',' + VALID.substring(1)).revision());
+                SampleConfigurations.configuration("{'x':" + deep + ',' + VALID.substring(1))
+                        .revision());
         assertRejected(
                 assertThrows(
                         ConfigurationException.class,
@@ -154,12 +160,13 @@
         String filler = " ".repeat(ConfigurationJson.MAX_BODY_BYTES - VALID.length());
         assertEquals(7, SampleConfigurations.configuration(VALID + filler).revision());
         assertRejected(
-                assertThrows(ConfigurationException.class, () -> SampleConfigurations.configuration(VALID + filler + ' ')),
+                assertThrows(
+                        ConfigurationException.class, () -> SampleConfigurations.configuration(VALID + filler + ' ')),
                 "too-large",
                 "");
     }
 
-    /** Each is a change of a good configuration of revision 7. */
+    /** Each case is a change to the valid configuration, which has revision 7. */
     @ParameterizedTest(name = "{0}")
     @CsvSource(delimiter = '|', quoteCharacter = '`', textBlock = """
         {'upsert':{}}                                                        | missing         | revision
@@ -176,15 +183,18 @@
         """)
     void invalidChanges(String body, String code, String field) {
         Configuration base = SampleConfigurations.configuration(VALID);
-        assertRejected(assertThrows(ConfigurationException.class, () -> base.modify(SampleConfigurations.bytes(body))), code, field);
+        assertRejected(
+                assertThrows(ConfigurationException.class, () -> base.modify(SampleConfigurations.bytes(body))),
+                code,
+                field);
         assertEquals(2, base.routes().size());
     }
 
     @Test
     void changeToAHostAndPrefixInUseIsRejected() {
         Configuration base = SampleConfigurations.configuration(VALID);
-        byte[] body = SampleConfigurations.bytes(
-                "{'revision':9,'upsert':{'routes':[" + SampleConfigurations.route("r3", "h.example", "/two/", "a") + "]}}");
+        byte[] body = SampleConfigurations.bytes("{'revision':9,'upsert':{'routes':["
+                + SampleConfigurations.route("r3", "h.example", "/two/", "a") + "]}}");
         assertRejected(
                 assertThrows(ConfigurationException.class, () -> base.modify(body)),
                 "same-place",
@@ -195,7 +205,10 @@
     void replacementNeedsAHigherRevision() {
         Configuration seven = SampleConfigurations.configuration(VALID);
         assertEquals(
-                8, SampleConfigurations.configuration(SampleConfigurations.twoRoutes(8)).requireNewerThan(seven).revision());
+                8,
+                SampleConfigurations.configuration(SampleConfigurations.twoRoutes(8))
+                        .requireNewerThan(seven)
+                        .revision());
         assertRejected(
                 assertThrows(
                         ConfigurationException.class,
--- a/src/test/java/brambletray/platform/configuration/SampleConfigurations.java
+++ b/src/test/java/brambletray/platform/configuration/SampleConfigurations.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Bodies for tests: single quotes stand for double ones. */
+/** Configuration bodies for tests, written with single quotes in place of double quotes. */
 final class SampleConfigurations {
     private SampleConfigurations() {}
 
--- a/src/test/java/brambletray/platform/configuration/TenantConfigurationTest.java
+++ b/src/test/java/brambletray/platform/configuration/TenantConfigurationTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Tenants, their keys and keyed routes in configurations. */
+/** Tenants, API keys and keyed routes in configurations. */
 class TenantConfigurationTest {
     private static final String ROUTES = "\"routes\":[{\"name\":\"pay\",\"host\":\"h\",\"path-prefix\":\"/pay/\","
             + "\"route-type\":\"keyed\","
@@ -64,13 +64,13 @@
     @Test
     void keysAreAddedRemovedAndMovedToAnotherTenant() {
         Configuration before = read("{'name':'a','api-keys':['k1','k2']},{'name':'b','api-keys':['k3']}");
-        Configuration passedOn = modify(
+        Configuration moved = modify(
                 before,
                 "{'revision':2,'upsert':{'tenants':[{'name':'a','api-keys':['k1']},"
                         + "{'name':'b','api-keys':['k2','k3']}]}}");
-        assertEquals("b", passedOn.tenantForKey("k2").name());
-        assertEquals("a", passedOn.tenantForKey("k1").name());
-        Configuration withdrawn = modify(passedOn, "{'revision':3,'withdraw':{'tenants':['b']}}");
+        assertEquals("b", moved.tenantForKey("k2").name());
+        assertEquals("a", moved.tenantForKey("k1").name());
+        Configuration withdrawn = modify(moved, "{'revision':3,'withdraw':{'tenants':['b']}}");
         assertNull(withdrawn.tenantForKey("k2"));
         assertNull(withdrawn.tenantForKey("k3"));
         assertEquals("a", withdrawn.tenantForKey("k1").name());
