--- a/src/main/java/brambletray/platform/controlplane/ControlPlaneProgram.java
+++ b/src/main/java/brambletray/platform/controlplane/ControlPlaneProgram.java
@@ -119,7 +119,7 @@
         return new OperationClaims(
                 registry,
                 new OperationAccess(),
-                ClaimWindow.standsForMs(nodeSettings.bounds().keyWindowS()),
+                ClaimWindow.claimDurationMs(nodeSettings.bounds().keyWindowS()),
                 FIRST_OPERATIONS_TOKEN);
     }
 
--- a/src/main/java/brambletray/platform/controlplane/EdgeCoordinator.java
+++ b/src/main/java/brambletray/platform/controlplane/EdgeCoordinator.java
@@ -30,7 +30,7 @@
 import brambletray.platform.provisioning.ProvisioningActions;
 import brambletray.platform.provisioning.StartRequest;
 import brambletray.platform.provisioning.StopRequest;
-import brambletray.platform.quota.QuotaTerms;
+import brambletray.platform.quota.QuotaParameters;
 import brambletray.platform.quota.TenantUsage;
 import brambletray.platform.settings.CloudApiSettings;
 import brambletray.platform.settings.NodeSettings;
@@ -113,7 +113,7 @@
         this.configuration = configuration;
         this.publisher = publisher;
         edges = new ConnectedEdges(term, authority);
-        quotas = new EdgeQuotas(authority, QuotaTerms.from(nodeSettings.bounds()));
+        quotas = new EdgeQuotas(authority, QuotaParameters.from(nodeSettings.bounds()));
         heartbeat = new CoordinatorHeartbeat(term, 0, 0);
         membership = new MembershipRegistry(term, nowMs, this::onRoster);
         CloudApiSettings cloudApi = nodeSettings.require("cloud-api.address", nodeSettings.cloudApi());
--- a/src/main/java/brambletray/platform/controlplane/EdgeQuotas.java
+++ b/src/main/java/brambletray/platform/controlplane/EdgeQuotas.java
@@ -5,7 +5,7 @@
 import brambletray.platform.quota.QuotaDebit;
 import brambletray.platform.quota.QuotaRequest;
 import brambletray.platform.quota.QuotaReturn;
-import brambletray.platform.quota.QuotaTerms;
+import brambletray.platform.quota.QuotaParameters;
 import brambletray.platform.quota.TenantQuotas;
 import brambletray.platform.quota.TenantUsage;
 import java.util.List;
@@ -20,7 +20,7 @@
     /** The newest configuration is known: what is still being applied may hold lower limits. */
     private boolean isInformed;
 
-    EdgeQuotas(EdgeCoordinator.Authority authority, QuotaTerms terms) {
+    EdgeQuotas(EdgeCoordinator.Authority authority, QuotaParameters terms) {
         this.authority = authority;
         quotas = new TenantQuotas(terms);
     }
--- a/src/main/java/brambletray/platform/controlplane/OperationClaims.java
+++ b/src/main/java/brambletray/platform/controlplane/OperationClaims.java
@@ -12,7 +12,7 @@
 import brambletray.platform.operations.OperationCommand;
 import brambletray.platform.operations.OperationRegistry;
 import brambletray.platform.operations.OperationRegistry.Outcome;
-import brambletray.platform.operations.OperationRegistry.StandingClaim;
+import brambletray.platform.operations.OperationRegistry.ActiveClaim;
 import brambletray.platform.replication.ProposalOutcome;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -101,7 +101,7 @@
 
     @Override
     public void onClaim(String edge, ClaimRequest request) {
-        StandingClaim holder = registry.holder(request.key(), access.nowMs());
+        ActiveClaim holder = registry.holder(request.key(), access.nowMs());
         if (holder != null) {
             // what has been applied is committed: no need to ask the others
             answerClaim(edge, request.claim(), holder);
@@ -197,7 +197,7 @@
     }
 
     /** {@code holder} null: the claim was released before. */
-    private void answerClaim(String edge, ClaimId claim, StandingClaim holder) {
+    private void answerClaim(String edge, ClaimId claim, ActiveClaim holder) {
         if (holder == null) {
             access.send(edge, new ClaimUnavailable(claim, RETRY_AFTER_MS));
         } else if (holder.id().equals(claim)) {
--- a/src/main/java/brambletray/platform/controlplane/OperationViews.java
+++ b/src/main/java/brambletray/platform/controlplane/OperationViews.java
@@ -2,7 +2,7 @@
 
 import brambletray.platform.operations.OperationKey;
 import brambletray.platform.operations.OperationRegistry;
-import brambletray.platform.operations.OperationRegistry.StandingClaim;
+import brambletray.platform.operations.OperationRegistry.ActiveClaim;
 import java.util.function.LongSupplier;
 
 /**
@@ -31,10 +31,10 @@
     }
 
     private byte[] summary() {
-        StandingClaim oldest = registry.oldest();
+        ActiveClaim oldest = registry.oldest();
         return new JsonObjectWriter()
                 .text("node", node)
-                .number("claims", registry.standingClaims())
+                .number("claims", registry.activeClaims())
                 .number("remembered", registry.size())
                 .number("waiting", claims.waitingCommands())
                 .number("batches", claims.batchesInFlight())
@@ -51,7 +51,7 @@
         }
     }
 
-    private byte[] lookup(StandingClaim claim) {
+    private byte[] lookup(ActiveClaim claim) {
         JsonObjectWriter json = new JsonObjectWriter().text("node", node).flag("claimed", claim != null);
         if (claim != null) {
             json.text("edge", claim.edge())
@@ -62,7 +62,7 @@
         return json.bytes();
     }
 
-    private long remainingMs(StandingClaim claim) {
+    private long remainingMs(ActiveClaim claim) {
         return Math.max(0, claim.expiresAtMs() - registry.logTimeMs(clock.getAsLong()));
     }
 }
--- a/src/main/java/brambletray/platform/distribution/ConfigurationPublisher.java
+++ b/src/main/java/brambletray/platform/distribution/ConfigurationPublisher.java
@@ -80,8 +80,8 @@
         if (request.full()) {
             return fullDeltaAbove(request.revision());
         }
-        Long known = transferByBase.get(request.revision());
-        PackedDelta delta = known == null ? null : cachedDeltas.get(known);
+        Long transferId = transferByBase.get(request.revision());
+        PackedDelta delta = transferId == null ? null : cachedDeltas.get(transferId);
         if (delta == null) {
             ConfigurationDelta difference = history.deltaSince(request.revision());
             delta = difference == null ? fullDeltaAbove(request.revision()) : cache(pack(difference));
@@ -120,11 +120,11 @@
         if (cachedDeltas.put(delta.transferId, delta) == null) {
             cachedBytes += delta.bytes.length;
         }
-        for (Iterator<PackedDelta> each = cachedDeltas.values().iterator();
+        for (Iterator<PackedDelta> iterator = cachedDeltas.values().iterator();
                 cachedDeltas.size() > 1
                         && (cachedDeltas.size() > MAX_CACHED_DELTAS || cachedBytes > MAX_CACHED_BYTES); ) {
-            cachedBytes -= each.next().bytes.length;
-            each.remove();
+            cachedBytes -= iterator.next().bytes.length;
+            iterator.remove();
         }
         return delta;
     }
--- a/src/main/java/brambletray/platform/distribution/ConfigurationSubscriber.java
+++ b/src/main/java/brambletray/platform/distribution/ConfigurationSubscriber.java
@@ -149,14 +149,14 @@
     }
 
     private void complete(long nowMs) {
-        byte[] all = bytes;
+        byte[] received = bytes;
         transferId = 0;
         bytes = null;
         receivedBytes = 0;
         requestPending = false;
         Configuration next;
         try {
-            next = configuration.apply(ConfigurationDelta.fromCompressedBytes(all));
+            next = configuration.apply(ConfigurationDelta.fromCompressedBytes(received));
         } catch (ConfigurationException error) {
             // Where even the full configuration was rejected the next request waits, so that it is not fetched in a
             // loop.
@@ -168,7 +168,7 @@
         }
         needsFull = false;
         configuration = next;
-        actions.onConfiguration(configuration, all.length, nowMs - startedAtMs);
+        actions.onConfiguration(configuration, received.length, nowMs - startedAtMs);
         startedAtMs = nowMs;
         if (newestRevision > configuration.revision()) {
             request(nowMs);
--- a/src/main/java/brambletray/platform/edge/HeldRights.java
+++ b/src/main/java/brambletray/platform/edge/HeldRights.java
@@ -2,7 +2,7 @@
 
 import brambletray.platform.proxy.QuotaGate;
 import brambletray.platform.quota.QuotaReturn;
-import brambletray.platform.quota.QuotaTerms;
+import brambletray.platform.quota.QuotaParameters;
 import brambletray.platform.quota.RunAheadAllowances;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -34,7 +34,7 @@
         private HeldRight(String tenant, long askedAtMs) {
             this.tenant = tenant;
             this.askedAtMs = askedAtMs;
-            validUntilMs = askedAtMs + QuotaTerms.RIGHT_VALIDITY_MS;
+            validUntilMs = askedAtMs + QuotaParameters.RIGHT_VALIDITY_MS;
         }
 
         @Override
@@ -85,7 +85,7 @@
             if (!right.isSpent) {
                 right.isReturned = true;
             }
-            if (!right.isSpent && nowMs - right.askedAtMs <= QuotaTerms.MAX_RETURN_AGE_MS) {
+            if (!right.isSpent && nowMs - right.askedAtMs <= QuotaParameters.MAX_RETURN_AGE_MS) {
                 unspent.merge(right.tenant, 1, Integer::sum);
             }
         }
--- a/src/main/java/brambletray/platform/edge/OperationClient.java
+++ b/src/main/java/brambletray/platform/edge/OperationClient.java
@@ -155,7 +155,7 @@
 
         private GrantedClaim grantedClaim(ClaimId claim, long claimedAtMs) {
             return new GrantedClaim(
-                    claim, operation, claimedAtMs + ClaimWindow.SEND_WITHIN_MS, results, claimClient, clock);
+                    claim, operation, claimedAtMs + ClaimWindow.MAX_SEND_DELAY_MS, results, claimClient, clock);
         }
 
         @Override
--- a/src/main/java/brambletray/platform/operations/LogClock.java
+++ b/src/main/java/brambletray/platform/operations/LogClock.java
@@ -15,22 +15,22 @@
  * do not reach it.
  */
 final class LogClock {
-    private final long self;
+    private final long processId;
     private long timeMs;
     /** Batches that have been applied. */
     private long sequence;
     /** Of the last batch; 0: none yet. */
     private long proposer;
     /** The latest of the proposer's batches that follow {@link #foreignSequence}, by its steady clock. */
-    private long lastMadeAtMs = Long.MIN_VALUE;
+    private long lastCreatedAtMs = Long.MIN_VALUE;
     /** Number of the last batch that is not the proposer's. */
     private long foreignSequence;
     /** When this process had applied the last batch of another, by its steady clock, rounded up. */
     private long foreignAppliedAtMs;
 
     /** {@code self}: names this process, not 0; {@code nowMs}: steady clock. */
-    LogClock(long self, long nowMs) {
-        this.self = self;
+    LogClock(long processId, long nowMs) {
+        this.processId = processId;
         foreignAppliedAtMs = nowMs + 1;
     }
 
@@ -41,13 +41,13 @@
 
     /** What the time would be after a batch that is made now and is the next in the log. */
     long estimateMs(long nowMs) {
-        long since = proposer == self ? Math.max(foreignAppliedAtMs, lastMadeAtMs) : foreignAppliedAtMs;
-        return timeMs + Math.max(0, nowMs - since);
+        long startMs = proposer == processId ? Math.max(foreignAppliedAtMs, lastCreatedAtMs) : foreignAppliedAtMs;
+        return timeMs + Math.max(0, nowMs - startMs);
     }
 
     /** Of a batch that this process makes now. */
     BatchStamp stamp(long nowMs) {
-        return new BatchStamp(self, nowMs, proposer == self ? foreignSequence : sequence, foreignAppliedAtMs);
+        return new BatchStamp(processId, nowMs, proposer == processId ? foreignSequence : sequence, foreignAppliedAtMs);
     }
 
     /** The next batch of the log, applied here at {@code nowMs} of the steady clock. */
@@ -55,15 +55,15 @@
         if (stamp.proposer() != proposer) {
             proposer = stamp.proposer();
             foreignSequence = sequence;
-            lastMadeAtMs = Long.MIN_VALUE;
+            lastCreatedAtMs = Long.MIN_VALUE;
         }
         if (stamp.foreignSequence() >= foreignSequence) {
-            long since = Math.max(stamp.foreignAppliedAtMs(), lastMadeAtMs);
-            timeMs += Math.max(0, stamp.madeAtMs() - since);
+            long startMs = Math.max(stamp.foreignAppliedAtMs(), lastCreatedAtMs);
+            timeMs += Math.max(0, stamp.createdAtMs() - startMs);
         }
-        lastMadeAtMs = Math.max(lastMadeAtMs, stamp.madeAtMs());
+        lastCreatedAtMs = Math.max(lastCreatedAtMs, stamp.createdAtMs());
         sequence++;
-        if (proposer != self) {
+        if (proposer != processId) {
             foreignAppliedAtMs = nowMs + 1;
         }
     }
@@ -72,17 +72,17 @@
         out.writeLong(timeMs);
         out.writeLong(sequence);
         out.writeLong(proposer);
-        out.writeLong(lastMadeAtMs);
+        out.writeLong(lastCreatedAtMs);
         out.writeLong(foreignSequence);
     }
 
     /** The clock that {@link #write} has written, at this process and moment. */
-    static LogClock read(DataInputStream in, long self, long nowMs) throws IOException {
-        LogClock clock = new LogClock(self, nowMs);
+    static LogClock read(DataInputStream in, long processId, long nowMs) throws IOException {
+        LogClock clock = new LogClock(processId, nowMs);
         clock.timeMs = in.readLong();
         clock.sequence = in.readLong();
         clock.proposer = in.readLong();
-        clock.lastMadeAtMs = in.readLong();
+        clock.lastCreatedAtMs = in.readLong();
         clock.foreignSequence = in.readLong();
         return clock;
     }
--- a/src/main/java/brambletray/platform/operations/OperationBatch.java
+++ b/src/main/java/brambletray/platform/operations/OperationBatch.java
@@ -46,7 +46,7 @@
 
     private static void write(BatchStamp stamp, DataOutputStream out) throws IOException {
         out.writeLong(stamp.proposer());
-        out.writeLong(stamp.madeAtMs());
+        out.writeLong(stamp.createdAtMs());
         out.writeLong(stamp.foreignSequence());
         out.writeLong(stamp.foreignAppliedAtMs());
     }
--- a/src/main/java/brambletray/platform/operations/OperationRegistry.java
+++ b/src/main/java/brambletray/platform/operations/OperationRegistry.java
@@ -26,17 +26,17 @@
     private static final int RELEASE_BYTES = 24;
 
     /** A claim that stands. {@code edge}: the name of the edge that drew it. */
-    public record StandingClaim(ClaimId id, String edge, long expiresAtMs) {}
+    public record ActiveClaim(ClaimId id, String edge, long expiresAtMs) {}
 
     /**
      * What became of a command.
      *
      * @param holder the claim that stands on its key now; null: none
      */
-    public record Outcome(OperationCommand command, StandingClaim holder) {}
+    public record Outcome(OperationCommand command, ActiveClaim holder) {}
 
     /** In the order of their expiry, but for windows that were changed. */
-    private final Map<OperationKey, StandingClaim> claims = new LinkedHashMap<>();
+    private final Map<OperationKey, ActiveClaim> claims = new LinkedHashMap<>();
 
     /**
      * Claims that were released, and until when that is remembered: a copy of a claim that is committed after its
@@ -44,13 +44,13 @@
      */
     private final Map<ClaimId, Long> released = new LinkedHashMap<>();
 
-    private final long self;
+    private final long processId;
     private LogClock clock;
 
     /** {@code self}: names this process, and no other before or after it; {@code nowMs}: steady clock. */
-    public OperationRegistry(long self, long nowMs) {
-        this.self = self;
-        clock = new LogClock(self, nowMs);
+    public OperationRegistry(long processId, long nowMs) {
+        this.processId = processId;
+        clock = new LogClock(processId, nowMs);
     }
 
     /** The stamp of a batch that this process makes now. */
@@ -67,24 +67,24 @@
      * The claim that stands on this key at this moment of the steady clock; null: none, or one whose window may be
      * over, which only the next batch can say.
      */
-    public StandingClaim holder(OperationKey key, long nowMs) {
-        StandingClaim claim = claims.get(key);
+    public ActiveClaim holder(OperationKey key, long nowMs) {
+        ActiveClaim claim = claims.get(key);
         return claim == null || clock.estimateMs(nowMs) >= claim.expiresAtMs() ? null : claim;
     }
 
-    private StandingClaim holder(OperationKey key) {
-        StandingClaim claim = claims.get(key);
+    private ActiveClaim holder(OperationKey key) {
+        ActiveClaim claim = claims.get(key);
         return claim == null || isExpired(claim.expiresAtMs()) ? null : claim;
     }
 
     /** The claim that was made first of those that are remembered; null: none. */
-    public StandingClaim oldest() {
-        Iterator<StandingClaim> oldest = claims.values().iterator();
+    public ActiveClaim oldest() {
+        Iterator<ActiveClaim> oldest = claims.values().iterator();
         return oldest.hasNext() ? oldest.next() : null;
     }
 
     /** How many claims stand. */
-    public int standingClaims() {
+    public int activeClaims() {
         return claims.size();
     }
 
@@ -114,12 +114,12 @@
         if (holder(claim.key()) == null && !released.containsKey(claim.claim())) {
             // put anew, so that it is the last in order
             claims.remove(claim.key());
-            claims.put(claim.key(), new StandingClaim(claim.claim(), claim.edge(), expiresAtMs));
+            claims.put(claim.key(), new ActiveClaim(claim.claim(), claim.edge(), expiresAtMs));
         }
     }
 
     private void applyRelease(OperationCommand release, long expiresAtMs) {
-        StandingClaim holder = claims.get(release.key());
+        ActiveClaim holder = claims.get(release.key());
         if (holder != null && holder.id().equals(release.claim())) {
             claims.remove(release.key());
         }
@@ -127,7 +127,7 @@
     }
 
     private void removeExpired() {
-        Iterator<StandingClaim> oldestClaim = claims.values().iterator();
+        Iterator<ActiveClaim> oldestClaim = claims.values().iterator();
         while (oldestClaim.hasNext() && isExpired(oldestClaim.next().expiresAtMs())) {
             oldestClaim.remove();
         }
@@ -148,23 +148,23 @@
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(SNAPSHOT_FORMAT);
             clock.write(out);
-            Map<String, Integer> edges = new HashMap<>();
-            List<String> names = new ArrayList<>();
-            for (StandingClaim claim : claims.values()) {
-                if (edges.putIfAbsent(claim.edge(), names.size()) == null) {
-                    names.add(claim.edge());
+            Map<String, Integer> edgeIndexes = new HashMap<>();
+            List<String> edgeNames = new ArrayList<>();
+            for (ActiveClaim claim : claims.values()) {
+                if (edgeIndexes.putIfAbsent(claim.edge(), edgeNames.size()) == null) {
+                    edgeNames.add(claim.edge());
                 }
             }
-            out.writeInt(names.size());
-            for (String name : names) {
+            out.writeInt(edgeNames.size());
+            for (String name : edgeNames) {
                 out.writeUTF(name);
             }
             out.writeInt(claims.size());
-            for (Map.Entry<OperationKey, StandingClaim> entry : claims.entrySet()) {
+            for (Map.Entry<OperationKey, ActiveClaim> entry : claims.entrySet()) {
                 OperationCodec.write(entry.getKey(), out);
                 OperationCodec.write(entry.getValue().id(), out);
                 out.writeLong(entry.getValue().expiresAtMs());
-                out.writeInt(edges.get(entry.getValue().edge()));
+                out.writeInt(edgeIndexes.get(entry.getValue().edge()));
             }
             out.writeInt(released.size());
             for (Map.Entry<ClaimId, Long> entry : released.entrySet()) {
@@ -182,7 +182,7 @@
      * where it cannot be read, and then nothing changes.
      */
     public void restore(byte[] snapshot, long nowMs) {
-        OperationRegistry other = new OperationRegistry(self, nowMs);
+        OperationRegistry other = new OperationRegistry(processId, nowMs);
         if (snapshot.length > 0) {
             other.read(snapshot, nowMs);
         }
@@ -202,16 +202,16 @@
                         "expected a snapshot of format " + SNAPSHOT_FORMAT + ", found " + format,
                         null);
             }
-            clock = LogClock.read(in, self, nowMs);
-            List<String> names = new ArrayList<>();
+            clock = LogClock.read(in, processId, nowMs);
+            List<String> edgeNames = new ArrayList<>();
             for (int i = in.readInt(); i > 0; i--) {
-                names.add(in.readUTF());
+                edgeNames.add(in.readUTF());
             }
             for (int i = in.readInt(); i > 0; i--) {
                 OperationKey key = OperationCodec.readKey(in);
                 ClaimId claim = OperationCodec.readClaimId(in);
                 long expiresAtMs = in.readLong();
-                claims.put(key, new StandingClaim(claim, names.get(in.readInt()), expiresAtMs));
+                claims.put(key, new ActiveClaim(claim, edgeNames.get(in.readInt()), expiresAtMs));
             }
             for (int i = in.readInt(); i > 0; i--) {
                 released.put(OperationCodec.readClaimId(in), in.readLong());
--- a/src/main/java/brambletray/platform/quota/EdgeIncarnation.java
+++ b/src/main/java/brambletray/platform/quota/EdgeIncarnation.java
@@ -1,4 +1,4 @@
 package brambletray.platform.quota;
 
-/** One process of an edge: a restarted edge bears the same name, and holds nothing of what its former process held. */
+/** One process of an edge. A restarted edge keeps its name but holds no rights of its previous process. */
 public record EdgeIncarnation(String name, long incarnation) {}
--- a/src/main/java/brambletray/platform/quota/QuotaDebit.java
+++ b/src/main/java/brambletray/platform/quota/QuotaDebit.java
@@ -1,4 +1,4 @@
 package brambletray.platform.quota;
 
-/** From an edge: requests of a tenant that reached an instance without a right of their own (retries, hedges). */
+/** From an edge: requests of a tenant that reached an instance without a right, such as retries and hedges. */
 public record QuotaDebit(String tenant, int requests) {}
--- a/src/main/java/brambletray/platform/quota/QuotaGrant.java
+++ b/src/main/java/brambletray/platform/quota/QuotaGrant.java
@@ -1,9 +1,9 @@
 package brambletray.platform.quota;
 
 /**
- * One right.
+ * The right to send one request.
  *
  * @param runAhead requests of this tenant that the edge may send without a right once it has lost the coordinator;
- *     replaces what was said before
+ *     replaces the value of earlier grants
  */
 public record QuotaGrant(long id, int runAhead) implements QuotaResponse {}
--- a/src/main/java/brambletray/platform/quota/QuotaRefusal.java
+++ b/src/main/java/brambletray/platform/quota/QuotaRefusal.java
@@ -1,4 +1,4 @@
 package brambletray.platform.quota;
 
-/** The tenant is beyond its limit. */
+/** No right is granted: the tenant has reached its limit or is unknown. */
 public record QuotaRefusal(long id, int retryAfterMs) implements QuotaResponse {}
--- a/src/main/java/brambletray/platform/quota/QuotaReturn.java
+++ b/src/main/java/brambletray/platform/quota/QuotaReturn.java
@@ -1,4 +1,4 @@
 package brambletray.platform.quota;
 
-/** From an edge: rights of a tenant that were granted a short time ago, were not spent and never will be. */
+/** From an edge: returns recently granted rights of a tenant that were not spent and never will be. */
 public record QuotaReturn(String tenant, int rights) {}
--- a/src/main/java/brambletray/platform/quota/RecentGrants.java
+++ b/src/main/java/brambletray/platform/quota/RecentGrants.java
@@ -3,19 +3,20 @@
 import java.util.ArrayDeque;
 
 /**
- * How many rights of one tenant were granted so lately that they may be returned. More are never taken back, so that
- * what comes late or twice gives nobody a second right. Pure: time comes in as steady ms.
+ * Counts the rights of one tenant that were granted recently enough to be returned. No more than these are accepted
+ * back, so a late or duplicate return does not create a second right. Pure: callers pass the time, as ms of a
+ * monotonic clock.
  */
 final class RecentGrants {
-    /** ms; grants of one slice are counted together. */
+    /** Grants are counted in slices of this length, ms. */
     private static final int SLICE_MS = 25;
 
     private static final class Slice {
-        private final long beganAtMs;
+        private final long startedAtMs;
         private int count;
 
-        private Slice(long beganAtMs) {
-            this.beganAtMs = beganAtMs;
+        private Slice(long startedAtMs) {
+            this.startedAtMs = startedAtMs;
         }
     }
 
@@ -25,7 +26,7 @@
     void onGranted(long nowMs) {
         removeOld(nowMs);
         Slice newest = slices.peekLast();
-        if (newest == null || nowMs - newest.beganAtMs >= SLICE_MS) {
+        if (newest == null || nowMs - newest.startedAtMs >= SLICE_MS) {
             newest = new Slice(nowMs);
             slices.add(newest);
         }
@@ -33,8 +34,8 @@
         total++;
     }
 
-    /** Takes back at most so many; how many were. */
-    int takeBack(int rights, long nowMs) {
+    /** Accepts at most this many rights back and returns how many it accepted. */
+    int reclaim(int rights, long nowMs) {
         removeOld(nowMs);
         int left = Math.min(rights, total);
         int taken = left;
@@ -51,14 +52,14 @@
         return taken;
     }
 
-    /** Rights that were granted so lately and were not returned. */
+    /** Rights that were granted recently enough to be returned, and have not been. */
     int outstanding(long nowMs) {
         removeOld(nowMs);
         return total;
     }
 
     private void removeOld(long nowMs) {
-        while (!slices.isEmpty() && nowMs - slices.peekFirst().beganAtMs > QuotaTerms.RETURN_VALIDITY_MS) {
+        while (!slices.isEmpty() && nowMs - slices.peekFirst().startedAtMs > QuotaParameters.RETURN_VALIDITY_MS) {
             total -= slices.removeFirst().count;
         }
     }
--- a/src/main/java/brambletray/platform/quota/RunAheadAllowances.java
+++ b/src/main/java/brambletray/platform/quota/RunAheadAllowances.java
@@ -4,81 +4,81 @@
 import java.util.Map;
 
 /**
- * At an edge: how many requests of each tenant may be sent without a right once the coordinator is lost, and what was
- * sent so and is not reported yet. Pure: time comes in as steady ms.
+ * Run-ahead at an edge: how many requests of each tenant it may send without a right once the coordinator is lost,
+ * and the requests sent this way that are not yet reported. Pure: callers pass the time, as ms of a monotonic clock.
  *
- * <p>Within one window no more is sent than the largest allowance, even where a new one comes in between: a report may
- * be lost with the link that it was sent on.
+ * <p>A new allowance does not reset what was spent within the window, so no window exceeds the largest allowance: the
+ * report of the requests already sent may be lost with its link.
  */
 public final class RunAheadAllowances {
     private static final class Allowance {
-        private int amount;
+        private int limit;
         private long validUntilMs;
         private int spent;
-        private long spentAtMs;
+        private long lastSpentAtMs;
     }
 
     private final long windowMs;
     private final Map<String, Allowance> allowances = new HashMap<>();
     private final Map<String, Integer> unreported = new HashMap<>();
 
-    /** {@code windowMs}: in which the requests of a tenant are counted. */
+    /** {@code windowMs}: the window in which the requests of a tenant are counted. */
     public RunAheadAllowances(long windowMs) {
         this.windowMs = windowMs;
     }
 
-    /** A grant allows so many, in place of what was allowed before; {@code askedAtMs}: when it was asked for. */
-    public void onGrant(String tenant, int runAhead, long askedAtMs) {
+    /** Replaces the allowance by that of a grant; {@code requestedAtMs}: when the grant was requested. */
+    public void onGrant(String tenant, int runAhead, long requestedAtMs) {
         Allowance allowance = allowances.computeIfAbsent(tenant, none -> new Allowance());
-        allowance.amount = runAhead;
-        allowance.validUntilMs = askedAtMs + QuotaTerms.RUN_AHEAD_VALIDITY_MS;
+        allowance.limit = runAhead;
+        allowance.validUntilMs = requestedAtMs + QuotaParameters.RUN_AHEAD_VALIDITY_MS;
     }
 
-    /** Whether one request may be sent now; if so it counts as sent, and is to be reported. */
+    /** Whether one request may be sent now; if so, it is counted as sent and as unreported. */
     public boolean trySpend(String tenant, long nowMs) {
-        if (!has(tenant, nowMs)) {
+        if (!canSpend(tenant, nowMs)) {
             return false;
         }
         Allowance allowance = allowances.get(tenant);
         allowance.spent++;
-        allowance.spentAtMs = nowMs;
+        allowance.lastSpentAtMs = nowMs;
         addUnreported(tenant, 1);
         return true;
     }
 
     /** Whether a request of this tenant may be sent without a right now. */
-    private boolean has(String tenant, long nowMs) {
+    private boolean canSpend(String tenant, long nowMs) {
         Allowance allowance = allowances.get(tenant);
         if (allowance == null || nowMs >= allowance.validUntilMs) {
             return false;
         }
-        if (nowMs - allowance.spentAtMs > windowMs) {
+        if (nowMs - allowance.lastSpentAtMs > windowMs) {
             allowance.spent = 0;
         }
-        return allowance.spent < allowance.amount;
+        return allowance.spent < allowance.limit;
     }
 
-    /** Requests that were sent without rights, or whose report could not be sent. */
+    /** Adds requests that were sent without rights, or whose report could not be sent. */
     public void addUnreported(String tenant, int requests) {
         unreported.merge(tenant, requests, Integer::sum);
     }
 
-    /** Whether {@link #takeUnreported} has something to take. */
+    /** Whether {@link #takeUnreported} would return any requests. */
     public boolean hasUnreported() {
         return !unreported.isEmpty();
     }
 
-    /** Requests that were sent without rights, by tenant; none are left. */
+    /** Returns and clears the unreported requests that were sent without rights, by tenant. */
     public Map<String, Integer> takeUnreported() {
         Map<String, Integer> taken = Map.copyOf(unreported);
         unreported.clear();
         return taken;
     }
 
-    /** Forgets allowances that can neither be spent nor limit another any more. */
+    /** Removes allowances that can no longer be spent and whose spending has left the window. */
     public void removeExpired(long nowMs) {
         allowances
                 .values()
-                .removeIf(allowance -> nowMs >= allowance.validUntilMs && nowMs - allowance.spentAtMs > windowMs);
+                .removeIf(allowance -> nowMs >= allowance.validUntilMs && nowMs - allowance.lastSpentAtMs > windowMs);
     }
 }
--- a/src/main/java/brambletray/platform/quota/RunAheadShares.java
+++ b/src/main/java/brambletray/platform/quota/RunAheadShares.java
@@ -6,34 +6,36 @@
 import java.util.Map;
 
 /**
- * How many requests of one tenant each edge may send without a right once it has lost the coordinator (escrow). What
- * all edges may send so never exceeds the total: a share that was given counts until nothing that was sent by it can
- * fall into the same window as what comes after, whether the edge is heard of again or not.
+ * Divides the run-ahead of one tenant among the edges (escrow): how many requests each may send without a right once
+ * it has lost the coordinator. The shares never exceed the total: a share stays reserved until no request sent under
+ * it can fall into the same window as a later one, whether or not the edge is heard from again.
  */
 final class RunAheadShares {
-    /** What one edge may hold: by its newest grant, and by a larger one before that it may not have seen replaced. */
-    /** What an edge was told it may send ahead, until when that counts. */
-    private record Allowance(int amount, long heldUntilMs) {}
+    /** The run-ahead of one grant to an edge, reserved until it expires. */
+    private record Allowance(int amount, long expiresAtMs) {}
 
-    /** The allowances of one edge that still count; each is smaller than those before it, and ends later. */
+    /**
+     * The reserved allowances of one edge, each smaller than the one before and later to expire. A larger, earlier one
+     * stays reserved as the edge may not have received the grant that replaces it.
+     */
     private static final class Share {
         private final ArrayDeque<Allowance> allowances = new ArrayDeque<>();
 
-        int counted(long nowMs) {
+        int reservedAmount(long nowMs) {
             removeExpired(nowMs);
             return allowances.isEmpty() ? 0 : allowances.peekFirst().amount();
         }
 
-        void replace(int amount, long untilMs, long nowMs) {
+        void add(int amount, long expiresAtMs, long nowMs) {
             removeExpired(nowMs);
             while (!allowances.isEmpty() && allowances.peekLast().amount() <= amount) {
                 allowances.removeLast();
             }
-            allowances.addLast(new Allowance(amount, untilMs));
+            allowances.addLast(new Allowance(amount, expiresAtMs));
         }
 
         private void removeExpired(long nowMs) {
-            while (!allowances.isEmpty() && nowMs >= allowances.peekFirst().heldUntilMs()) {
+            while (!allowances.isEmpty() && nowMs >= allowances.peekFirst().expiresAtMs()) {
                 allowances.removeFirst();
             }
         }
@@ -45,46 +47,46 @@
     }
 
     private final Map<EdgeIncarnation, Share> shares = new HashMap<>();
-    private final long noneBeforeMs;
+    private final long noSharesBeforeMs;
 
-    /** {@code noneBeforeMs}: until then shares of a former giver may be in use, and none are given. */
-    RunAheadShares(long noneBeforeMs) {
-        this.noneBeforeMs = noneBeforeMs;
+    /** {@code noSharesBeforeMs}: until then, shares of a previous coordinator may be in use and none are given. */
+    RunAheadShares(long noSharesBeforeMs) {
+        this.noSharesBeforeMs = noSharesBeforeMs;
     }
 
     /**
-     * Renews the share of an edge that has demand, evenly among those that have.
+     * Renews the share of an edge that has demand: an even part among the edges that have demand.
      *
-     * @param available what all edges may hold together
-     * @param heldUntilMs until when it counts
+     * @param available requests that all edges together may hold as shares
+     * @param expiresAtMs until when the new share stays reserved
      */
-    int renew(EdgeIncarnation edge, int available, long heldUntilMs, long nowMs) {
-        if (nowMs < noneBeforeMs) {
+    int renew(EdgeIncarnation edge, int available, long expiresAtMs, long nowMs) {
+        if (nowMs < noSharesBeforeMs) {
             return 0;
         }
         removeExpired(nowMs);
         Share share = shares.computeIfAbsent(edge, none -> new Share());
-        int others = total(nowMs) - share.counted(nowMs);
-        int even = Math.max(1, available / shares.size());
-        int amount = Math.max(0, Math.min(even, available - others));
-        share.replace(amount, heldUntilMs, nowMs);
+        int heldByOthers = total(nowMs) - share.reservedAmount(nowMs);
+        int evenShare = Math.max(1, available / shares.size());
+        int amount = Math.max(0, Math.min(evenShare, available - heldByOthers));
+        share.add(amount, expiresAtMs, nowMs);
         return amount;
     }
 
-    /** What all edges may hold together now. */
+    /** The reserved shares of all edges together. */
     int total(long nowMs) {
         int total = 0;
         for (Share share : shares.values()) {
-            total += share.isExpired(nowMs) ? 0 : share.counted(nowMs);
+            total += share.isExpired(nowMs) ? 0 : share.reservedAmount(nowMs);
         }
         return total;
     }
 
     private void removeExpired(long nowMs) {
-        Iterator<Share> each = shares.values().iterator();
-        while (each.hasNext()) {
-            if (each.next().isExpired(nowMs)) {
-                each.remove();
+        Iterator<Share> iterator = shares.values().iterator();
+        while (iterator.hasNext()) {
+            if (iterator.next().isExpired(nowMs)) {
+                iterator.remove();
             }
         }
     }
--- a/src/main/java/brambletray/platform/quota/TenantQuota.java
+++ b/src/main/java/brambletray/platform/quota/TenantQuota.java
@@ -2,9 +2,9 @@
 
 import brambletray.platform.configuration.Tenant;
 
-/** The rights of one limited tenant at their giver. */
+/** The quota of one limited tenant at the coordinator. */
 final class TenantQuota {
-    private final QuotaTerms terms;
+    private final QuotaParameters terms;
     private final TokenBucket bucket;
     private final RunAheadShares shares;
     private final RecentGrants recentGrants = new RecentGrants();
@@ -14,8 +14,8 @@
     private long debited;
     private long returned;
 
-    /** Begins as a giver that knows nothing of what was given before: with an empty bucket, and without run-ahead. */
-    TenantQuota(Tenant tenant, QuotaTerms terms, long nowMs) {
+    /** Starts with an empty bucket and no run-ahead, as the grants of a previous coordinator are not known. */
+    TenantQuota(Tenant tenant, QuotaParameters terms, long nowMs) {
         this.tenant = tenant;
         this.terms = terms;
         bucket = new TokenBucket(tenant.ratePerS(), capacity(), nowMs);
@@ -41,7 +41,7 @@
         return new QuotaGrant(id, shares.renew(edge, availableRunAhead(nowMs), nowMs + terms.runAheadHoldMs(), nowMs));
     }
 
-    /** Less than the terms bear while the bucket is in debt. */
+    /** The run-ahead that the parameters allow, less the debt of the bucket. */
     private int availableRunAhead(long nowMs) {
         double debt = Math.max(0, -bucket.tokens(nowMs));
         return (int) Math.max(0, terms.runAhead(tenant.ratePerS(), tenant.burstSize()) - Math.ceil(debt));
@@ -53,18 +53,18 @@
     }
 
     void onReturn(int rights, long nowMs) {
-        int taken = recentGrants.takeBack(rights, nowMs);
+        int taken = recentGrants.reclaim(rights, nowMs);
         returned += taken;
         bucket.credit(taken, creditLimit(nowMs), nowMs);
     }
 
     /**
-     * What the bucket may hold after a return. Together with the rights that may be spent still it stays near the
-     * capacity: otherwise rights that are returned and granted again and again, while no instance is free, would add up
-     * and all be spent at once.
+     * Upper bound of the tokens after a return. It keeps tokens and outstanding rights together near the capacity:
+     * otherwise rights that are repeatedly returned and granted again while no instance is free would accumulate, and
+     * could all be spent at once.
      */
     private double creditLimit(long nowMs) {
-        double spentLate = tenant.ratePerS() * QuotaTerms.RIGHT_VALIDITY_MS / 1_000;
+        double spentLate = tenant.ratePerS() * QuotaParameters.RIGHT_VALIDITY_MS / 1_000;
         return bucket.capacity() + spentLate - recentGrants.outstanding(nowMs);
     }
 
--- a/src/main/java/brambletray/platform/quota/TenantQuotas.java
+++ b/src/main/java/brambletray/platform/quota/TenantQuotas.java
@@ -7,28 +7,29 @@
 import java.util.Map;
 
 /**
- * The one giver of rights under the quotas of all tenants, in its term. It begins with empty buckets, as it does not
- * know what a former giver gave just before. Pure: time comes in as steady ms.
+ * The quotas of all tenants at the coordinator, which alone grants rights during its term. It starts with empty
+ * buckets, as it does not know what the previous coordinator has just granted. Pure: callers pass the time, as ms of a
+ * monotonic clock.
  */
 public final class TenantQuotas {
-    /** What a tenant that is not known is told to wait, ms. */
-    private static final int UNKNOWN_RETRY_AFTER_MS = 1_000;
-    /** An unlimited tenant's request needs no right, and none when the coordinator is lost. */
+    /** Retry delay in refusals for unknown tenants, ms. */
+    private static final int UNKNOWN_TENANT_RETRY_AFTER_MS = 1_000;
+    /** Run-ahead of tenants without a limit: their requests need no rights, with or without a coordinator. */
     private static final int UNLIMITED_RUN_AHEAD = 1_000;
 
-    private final QuotaTerms terms;
+    private final QuotaParameters terms;
     private Map<String, Tenant> tenants = Map.of();
-    /** Of the limited tenants. */
+    /** The quotas of the limited tenants, by name. */
     private final Map<String, TenantQuota> quotas = new HashMap<>();
 
-    /** Knows no tenant yet. */
-    public TenantQuotas(QuotaTerms terms) {
+    /** Starts without tenants. */
+    public TenantQuotas(QuotaParameters terms) {
         this.terms = terms;
     }
 
     /**
-     * The tenants of the newest configuration, by name. Limits hold at once, and refill nothing; a tenant that is new,
-     * or is limited from now on, begins with an empty bucket.
+     * Replaces the tenants by those of the newest configuration, by name. Changed limits apply at once without
+     * refilling a bucket; a tenant that is new, or was unlimited before, starts with an empty bucket.
      */
     public void updateTenants(Map<String, Tenant> newest, long nowMs) {
         tenants = Map.copyOf(newest);
@@ -50,7 +51,7 @@
         return tenant != null && tenant.isLimited();
     }
 
-    /** An edge asks for the right to send one request. */
+    /** Answers the request of an edge for the right to send one request. */
     public QuotaResponse onRequest(EdgeIncarnation edge, QuotaRequest request, long nowMs) {
         TenantQuota quota = quotas.get(request.tenant());
         if (quota != null) {
@@ -58,10 +59,10 @@
         }
         return tenants.containsKey(request.tenant())
                 ? new QuotaGrant(request.id(), UNLIMITED_RUN_AHEAD)
-                : new QuotaRefusal(request.id(), UNKNOWN_RETRY_AFTER_MS);
+                : new QuotaRefusal(request.id(), UNKNOWN_TENANT_RETRY_AFTER_MS);
     }
 
-    /** An edge has sent requests without rights. */
+    /** Debits requests that an edge has sent without rights. */
     public void onDebit(QuotaDebit debit, long nowMs) {
         TenantQuota quota = quotas.get(debit.tenant());
         if (quota != null && debit.requests() > 0) {
@@ -69,7 +70,7 @@
         }
     }
 
-    /** An edge gives back rights that it did not spend. */
+    /** Credits unspent rights that an edge returns. */
     public void onReturn(QuotaReturn unspent, long nowMs) {
         TenantQuota quota = quotas.get(unspent.tenant());
         if (quota != null && unspent.rights() > 0) {
@@ -77,7 +78,7 @@
         }
     }
 
-    /** Of the limited tenants, for operators. */
+    /** Usage of the limited tenants, for operators. */
     public List<TenantUsage> usages(long nowMs) {
         List<TenantUsage> usages = new ArrayList<>();
         for (TenantQuota quota : quotas.values()) {
--- a/src/main/java/brambletray/platform/quota/TenantUsage.java
+++ b/src/main/java/brambletray/platform/quota/TenantUsage.java
@@ -1,17 +1,17 @@
 package brambletray.platform.quota;
 
 /**
- * Why a tenant is refused or not, for operators.
+ * Limits, bucket and counters of a tenant, which show operators why its requests are granted or refused.
  *
- * @param ratePerS its limit, requests a second; 0: none
- * @param burst its limit at one time beyond the rate
- * @param capacity the depth of its bucket
- * @param tokens requests that would be granted at once; below 0: the debt
- * @param runAhead what edges may send without rights
- * @param granted rights since the coordinator began
- * @param refused requests since then
- * @param debited requests that were sent without a right since then
- * @param returned rights that were not used since then
+ * @param ratePerS its limit, requests per second; 0: none
+ * @param burst requests that it may send at once beyond the rate
+ * @param capacity the capacity of its bucket, in requests
+ * @param tokens tokens in its bucket, one per request; negative: its debt
+ * @param runAhead requests that all edges together may send without rights
+ * @param granted rights granted since the coordinator started
+ * @param refused requests refused since then
+ * @param debited requests sent without a right since then
+ * @param returned unspent rights returned since then
  */
 public record TenantUsage(
         String tenant,
@@ -26,15 +26,15 @@
         long returned) {
     /** Whether a request would be granted now. */
     public enum State {
-        /** There is a token. */
+        /** At least one token is available. */
         GRANTING,
         /** The limit is reached. */
         AT_LIMIT,
-        /** Requests that were sent without rights are paid off first. */
+        /** Requests were sent without rights; their debt must be worked off first. */
         IN_DEBT
     }
 
-    /** Why a request would be refused now. */
+    /** Whether a request would be granted now, and if not, why. */
     public State state() {
         if (tokens >= 1) {
             return State.GRANTING;
--- a/src/main/java/brambletray/platform/quota/TokenBucket.java
+++ b/src/main/java/brambletray/platform/quota/TokenBucket.java
@@ -1,6 +1,6 @@
 package brambletray.platform.quota;
 
-/** A token bucket that can be in debt. It begins empty. Pure: time comes in as steady ms. */
+/** A token bucket that starts empty and may go into debt. Pure: callers pass the time, as ms of a monotonic clock. */
 final class TokenBucket {
     private static final double MS_PER_S = 1_000;
 
@@ -15,7 +15,7 @@
         this.updatedAtMs = nowMs;
     }
 
-    /** Other limits from now on: what was accumulated stays, up to the new capacity. */
+    /** Changes the limits; accumulated tokens are kept, up to the new capacity. */
     void updateLimits(double ratePerS, double newCapacity, long nowMs) {
         refill(nowMs);
         ratePerMs = ratePerS / MS_PER_S;
@@ -23,7 +23,7 @@
         tokens = Math.min(tokens, capacity);
     }
 
-    /** Takes one token if there is one. */
+    /** Takes one token if one is available. */
     boolean tryTake(long nowMs) {
         refill(nowMs);
         if (tokens < 1) {
@@ -33,20 +33,20 @@
         return true;
     }
 
-    /** Takes tokens that are there or not. */
+    /** Takes tokens unconditionally, into debt if necessary. */
     void debit(int count, long nowMs) {
         refill(nowMs);
         tokens -= count;
     }
 
-    /** Puts back what was taken and not used, as far as no more than {@code limit} tokens are there then. */
+    /** Puts back unused tokens, but raises the bucket to at most {@code limit} tokens. */
     void credit(int count, double limit, long nowMs) {
         refill(nowMs);
-        double most = Math.min(capacity, limit);
-        tokens = Math.max(tokens, Math.min(most, tokens + count));
+        double maxTokens = Math.min(capacity, limit);
+        tokens = Math.max(tokens, Math.min(maxTokens, tokens + count));
     }
 
-    /** Below 0: the debt. */
+    /** The current number of tokens; negative: the debt. */
     double tokens(long nowMs) {
         refill(nowMs);
         return tokens;
--- a/src/main/java/brambletray/platform/quota/package-info.java
+++ b/src/main/java/brambletray/platform/quota/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Quotas of tenants, counted over all edges. The coordinator gives out rights, each for one request and for a short
- * time, from one token bucket a tenant; edges spend only rights that they hold, so that the error is bounded by
- * construction. Pure: time comes in as an argument.
+ * Quotas of tenants over all edges. The coordinator grants rights, each for one request and valid for a short time,
+ * from one token bucket per tenant. Edges spend only rights that they hold, so the overage is bounded by construction.
+ * An edge that has lost the coordinator may send a limited number of requests without rights: its run-ahead. Pure:
+ * callers pass the time.
  */
 package brambletray.platform.quota;
--- a/src/test/java/brambletray/platform/controlplane/OperationLatencyTest.java
+++ b/src/test/java/brambletray/platform/controlplane/OperationLatencyTest.java
@@ -51,7 +51,7 @@
 
     private void found(int bytesPerMs) {
         world.applications = (node, origin) -> new SimulatedCoreMember(
-                node, origin, origin >>> 20, ClaimWindow.standsForMs(KEY_WINDOW_S), new Edges());
+                node, origin, origin >>> 20, ClaimWindow.claimDurationMs(KEY_WINDOW_S), new Edges());
         cluster.found();
         world.jitter = true;
         world.nodes.values().forEach(node -> node.disk.bytesPerMs = bytesPerMs);
--- a/src/test/java/brambletray/platform/controlplane/OperationLossTest.java
+++ b/src/test/java/brambletray/platform/controlplane/OperationLossTest.java
@@ -136,7 +136,7 @@
         world.await(() -> answers.contains(new ClaimGranted(SECOND)), 2_000, "a grant");
         System.out.println("a claim is granted " + (world.now - ledAt) + " ms after a leader is settled");
         world.await(() -> SimulatedCoreMember.of(survivor).claims.isIdle(), 3_000, "an empty queue");
-        assertEquals(1, SimulatedCoreMember.of(survivor).registry.standingClaims());
+        assertEquals(1, SimulatedCoreMember.of(survivor).registry.activeClaims());
     }
 
     @Test
--- a/src/test/java/brambletray/platform/distribution/ConfigurationDistributionTest.java
+++ b/src/test/java/brambletray/platform/distribution/ConfigurationDistributionTest.java
@@ -14,157 +14,157 @@
 /** How configurations reach edges on slow links, in virtual time. */
 class ConfigurationDistributionTest {
     /** Bytes a ms: 2 Mbit/s. */
-    private static final int SLOW = 250;
+    private static final int LINK_BYTES_PER_MS = 250;
 
-    private static void assertCalm(SimulatedEdges town) {
-        for (SimulatedEdges.Edge edge : town.edges) {
+    private static void assertHeartbeatsOnTime(SimulatedEdges simulation) {
+        for (SimulatedEdges.Edge edge : simulation.edges) {
             assertTrue(
-                    edge.longestSilence < 500,
-                    "edge " + edge.number + " heard no pulse for " + edge.longestSilence + " ms");
+                    edge.longestHeartbeatGapMs < 500,
+                    "edge " + edge.number + " heard no pulse for " + edge.longestHeartbeatGapMs + " ms");
         }
     }
 
     @Test
-    void oneChangeOfManyIsEverywhereAtOnce() {
-        SimulatedEdges town = new SimulatedEdges(89, SLOW);
-        Configuration first = SimulatedEdges.large(1, 721);
-        town.become(first);
-        long start = town.untilAll(1, 10_000);
+    void aSingleRouteChangeReachesAllEdgesWithin20Ms() {
+        SimulatedEdges simulation = new SimulatedEdges(89, LINK_BYTES_PER_MS);
+        Configuration first = SimulatedEdges.withRoutes(1, 721);
+        simulation.publish(first);
+        long start = simulation.runUntilAllAt(1, 10_000);
         assertTrue(start < 300, "the first took " + start + " ms");
-        long before = town.edges.get(0).bytes;
-        town.run(2_000);
-        long idle = town.edges.get(0).bytes - before;
-        town.become(SimulatedEdges.moved(first, "r5", 123_456));
-        long change = town.untilAll(2, 10_000);
+        long before = simulation.edges.get(0).bytes;
+        simulation.run(2_000);
+        long idle = simulation.edges.get(0).bytes - before;
+        simulation.publish(SimulatedEdges.withRoutePath(first, "r5", 123_456));
+        long change = simulation.runUntilAllAt(2, 10_000);
         assertTrue(change < 20, "the change took " + change + " ms");
-        assertTrue(town.edges.get(0).bytes - before - idle < 700, "bytes " + (town.edges.get(0).bytes - before - idle));
+        assertTrue(simulation.edges.get(0).bytes - before - idle < 700, "bytes " + (simulation.edges.get(0).bytes - before - idle));
         assertTrue(idle < 900, "bytes in 2 s at rest: " + idle);
-        assertCalm(town);
+        assertHeartbeatsOnTime(simulation);
     }
 
     @Test
-    void aReplacementOfAllComesWhole() {
-        SimulatedEdges town = new SimulatedEdges(61, SLOW);
-        town.become(SimulatedEdges.large(1, 721));
-        town.run(3_000);
-        town.become(SimulatedEdges.dense(2, 60_000));
-        assertTrue(town.untilAll(2, 4_000) < 400);
-        assertCalm(town);
+    void aCompleteReplacementReachesAllEdges() {
+        SimulatedEdges simulation = new SimulatedEdges(61, LINK_BYTES_PER_MS);
+        simulation.publish(SimulatedEdges.withRoutes(1, 721));
+        simulation.run(3_000);
+        simulation.publish(SimulatedEdges.incompressible(2, 60_000));
+        assertTrue(simulation.runUntilAllAt(2, 4_000) < 400);
+        assertHeartbeatsOnTime(simulation);
     }
 
     @Test
-    void tenChangesASecondForAMinute() {
-        SimulatedEdges town = new SimulatedEdges(20, SLOW);
-        Configuration configuration = SimulatedEdges.large(1, 721);
-        town.become(configuration);
-        town.run(3_000);
-        long before = town.edges.get(3).bytes;
+    void edgesFollowTenChangesPerSecondForAMinute() {
+        SimulatedEdges simulation = new SimulatedEdges(20, LINK_BYTES_PER_MS);
+        Configuration configuration = SimulatedEdges.withRoutes(1, 721);
+        simulation.publish(configuration);
+        simulation.run(3_000);
+        long before = simulation.edges.get(3).bytes;
         Random random = new Random(1);
         for (int i = 0; i < 600; i++) {
-            configuration = SimulatedEdges.moved(configuration, "r" + random.nextInt(721), 200_000 + i);
-            town.become(configuration);
+            configuration = SimulatedEdges.withRoutePath(configuration, "r" + random.nextInt(721), 200_000 + i);
+            simulation.publish(configuration);
             if (i == 300) {
-                town.edges.get(7).restart();
+                simulation.edges.get(7).restart();
             }
-            town.run(100);
+            simulation.run(100);
         }
-        assertTrue(town.untilAll(601, 2_000) < 20);
-        assertTrue(town.edges.get(3).bytes - before < 600 * 500, "bytes " + (town.edges.get(3).bytes - before));
-        assertTrue(town.edges.get(7).wholes <= 2, "wholes " + town.edges.get(7).wholes);
-        assertCalm(town);
+        assertTrue(simulation.runUntilAllAt(601, 2_000) < 20);
+        assertTrue(simulation.edges.get(3).bytes - before < 600 * 500, "bytes " + (simulation.edges.get(3).bytes - before));
+        assertTrue(simulation.edges.get(7).fullTransfers <= 2, "wholes " + simulation.edges.get(7).fullTransfers);
+        assertHeartbeatsOnTime(simulation);
     }
 
     @Test
-    void fourMegabytesTakeWhatTheLinkNeedsAndPulsesPassBetween() {
-        SimulatedEdges town = new SimulatedEdges(4, SLOW);
-        Configuration configuration = SimulatedEdges.dense(1, (4 << 20) - 4_096);
-        town.become(configuration);
-        long took = town.untilAll(1, 30_000);
-        int packed = packed(configuration);
-        assertTrue(took < packed / SLOW * 115L / 100, took + " ms for " + packed + " bytes");
-        assertCalm(town);
-        assertEquals(1, town.edges.get(0).wholes);
+    void fourMegabytesUseTheLinkFullyWithoutDelayingHeartbeats() {
+        SimulatedEdges simulation = new SimulatedEdges(4, LINK_BYTES_PER_MS);
+        Configuration configuration = SimulatedEdges.incompressible(1, (4 << 20) - 4_096);
+        simulation.publish(configuration);
+        long took = simulation.runUntilAllAt(1, 30_000);
+        int packed = compressedBytes(configuration);
+        assertTrue(took < packed / LINK_BYTES_PER_MS * 115L / 100, took + " ms for " + packed + " bytes");
+        assertHeartbeatsOnTime(simulation);
+        assertEquals(1, simulation.edges.get(0).fullTransfers);
     }
 
-    private static int packed(Configuration configuration) {
+    private static int compressedBytes(Configuration configuration) {
         ChangeHistory history = new ChangeHistory();
         history.advanceTo(configuration);
         return history.fullDelta().toCompressedBytes().length;
     }
 
     @Test
-    void changesDuringALongTransferDoNotStartItAnew() {
-        SimulatedEdges town = new SimulatedEdges(3, SLOW);
-        Configuration configuration = SimulatedEdges.dense(1, 400_000);
-        town.become(configuration);
+    void changesDuringALongTransferDoNotRestartIt() {
+        SimulatedEdges simulation = new SimulatedEdges(3, LINK_BYTES_PER_MS);
+        Configuration configuration = SimulatedEdges.incompressible(1, 400_000);
+        simulation.publish(configuration);
         for (int i = 0; i < 40; i++) {
-            town.run(50);
-            configuration = SimulatedEdges.moved(configuration, "r" + i, i + 10);
-            town.become(configuration);
+            simulation.run(50);
+            configuration = SimulatedEdges.withRoutePath(configuration, "r" + i, i + 10);
+            simulation.publish(configuration);
         }
-        assertTrue(town.untilAll(41, 5_000) < 1_000);
-        for (SimulatedEdges.Edge edge : town.edges) {
-            assertEquals(1, edge.wholes);
+        assertTrue(simulation.runUntilAllAt(41, 5_000) < 1_000);
+        for (SimulatedEdges.Edge edge : simulation.edges) {
+            assertEquals(1, edge.fullTransfers);
             assertEquals(1, edge.revisions.get(0));
         }
-        assertCalm(town);
+        assertHeartbeatsOnTime(simulation);
     }
 
     @Test
-    void aNewCoordinatorGoesOnWithTheTransfer() {
-        SimulatedEdges town = new SimulatedEdges(3, SLOW);
-        Configuration configuration = SimulatedEdges.dense(1, 400_000);
+    void aNewCoordinatorResumesTheTransfer() {
+        SimulatedEdges simulation = new SimulatedEdges(3, LINK_BYTES_PER_MS);
+        Configuration configuration = SimulatedEdges.incompressible(1, 400_000);
         ChangeHistory other = new ChangeHistory();
         other.advanceTo(configuration);
-        town.become(configuration);
-        town.run(800);
-        long before = town.edges.get(0).bytes;
-        town.newCoordinator(other);
-        town.run(3_000);
-        assertTrue(town.all(1));
-        int size = packed(configuration);
+        simulation.publish(configuration);
+        simulation.run(800);
+        long before = simulation.edges.get(0).bytes;
+        simulation.replaceCoordinator(other);
+        simulation.run(3_000);
+        assertTrue(simulation.allAt(1));
+        int size = compressedBytes(configuration);
         assertTrue(
-                town.edges.get(0).bytes < size * 115L / 100 + 2_000,
-                town.edges.get(0).bytes + " of " + size + ", " + before + " before");
-        assertEquals(1, town.edges.get(0).wholes);
+                simulation.edges.get(0).bytes < size * 115L / 100 + 2_000,
+                simulation.edges.get(0).bytes + " of " + size + ", " + before + " before");
+        assertEquals(1, simulation.edges.get(0).fullTransfers);
     }
 
     @Test
-    void aLinkThatEndsAmidATransferStartsNothingAnew() {
-        SimulatedEdges town = new SimulatedEdges(1, SLOW);
-        SimulatedEdges.Edge edge = town.edges.get(0);
-        town.become(SimulatedEdges.dense(1, 400_000));
+    void aTransferResumesAfterALostLink() {
+        SimulatedEdges simulation = new SimulatedEdges(1, LINK_BYTES_PER_MS);
+        SimulatedEdges.Edge edge = simulation.edges.get(0);
+        simulation.publish(SimulatedEdges.incompressible(1, 400_000));
         for (int i = 0; i < 6; i++) {
-            town.run(200);
-            edge.cut();
-            town.run(100);
-            edge.join();
+            simulation.run(200);
+            edge.disconnect();
+            simulation.run(100);
+            edge.connect();
         }
-        int all = packed(SimulatedEdges.dense(1, 400_000)) / SLOW;
-        long more = town.untilAll(1, 3_000);
+        int all = compressedBytes(SimulatedEdges.incompressible(1, 400_000)) / LINK_BYTES_PER_MS;
+        long more = simulation.runUntilAllAt(1, 3_000);
         assertTrue(more < all - 6 * 200 + 300, more + " ms more, of " + all);
-        assertEquals(1, edge.wholes);
+        assertEquals(1, edge.fullTransfers);
     }
 
     @Test
-    void aFarLinkIsKeptBusy() {
-        SimulatedEdges town = new SimulatedEdges(2, SLOW);
-        town.way = 12;
-        Configuration configuration = SimulatedEdges.dense(1, 400_000);
-        town.become(configuration);
-        long took = town.untilAll(1, 9_000);
-        assertTrue(took < packed(configuration) / SLOW * 115L / 100, took + " ms");
-        assertCalm(town);
+    void aLinkWithHighLatencyIsFullyUsed() {
+        SimulatedEdges simulation = new SimulatedEdges(2, LINK_BYTES_PER_MS);
+        simulation.oneWayDelayMs = 12;
+        Configuration configuration = SimulatedEdges.incompressible(1, 400_000);
+        simulation.publish(configuration);
+        long took = simulation.runUntilAllAt(1, 9_000);
+        assertTrue(took < compressedBytes(configuration) / LINK_BYTES_PER_MS * 115L / 100, took + " ms");
+        assertHeartbeatsOnTime(simulation);
     }
 
     @Test
-    void thoseWhoNeedTheWholeShareOneWhileLittleChanges() {
+    void fullDeltasAreSharedWhileLittleChanges() {
         ChangeHistory history = new ChangeHistory();
         ConfigurationPublisher publisher = new ConfigurationPublisher(history);
-        Configuration configuration = SimulatedEdges.dense(1, 40_000);
+        Configuration configuration = SimulatedEdges.incompressible(1, 40_000);
         history.advanceTo(configuration);
         long first = publisher.nextChunk(new DeltaRequest(0, 0, 0, false), 1).transferId();
-        configuration = SimulatedEdges.moved(configuration, "r1", 7);
+        configuration = SimulatedEdges.withRoutePath(configuration, "r1", 7);
         history.advanceTo(configuration);
         DeltaChunk again = publisher.nextChunk(new DeltaRequest(0, 0, 0, false), 1);
         assertEquals(first, again.transferId());
@@ -173,15 +173,15 @@
                 2,
                 publisher.nextChunk(new DeltaRequest(1, 0, 0, true), 1).revision(),
                 "no whole one that the asker has already");
-        history.advanceTo(SimulatedEdges.dense(9, 40_000));
+        history.advanceTo(SimulatedEdges.incompressible(9, 40_000));
         assertEquals(9, publisher.nextChunk(new DeltaRequest(0, 0, 0, false), 1).revision());
     }
 
     @Test
-    void aTransferThatTheCoordinatorDoesNotKnowBeginsAnew() {
+    void anUnknownTransferStartsFromTheBeginning() {
         ChangeHistory history = new ChangeHistory();
         ConfigurationPublisher publisher = new ConfigurationPublisher(history);
-        history.advanceTo(SimulatedEdges.dense(1, 40_000));
+        history.advanceTo(SimulatedEdges.incompressible(1, 40_000));
         DeltaChunk begun = publisher.nextChunk(new DeltaRequest(0, 12_345, DeltaChunk.CHUNK_BYTES, false), 1);
         assertEquals(0, begun.offset());
         assertEquals(
@@ -202,118 +202,118 @@
     }
 
     @Test
-    void halfTheEdgesStartedAtOnce() {
-        SimulatedEdges town = new SimulatedEdges(61, SLOW);
-        Configuration configuration = SimulatedEdges.large(1, 721);
-        town.become(configuration);
-        town.run(2_000);
-        town.become(SimulatedEdges.moved(configuration, "r1", 77_777_777));
-        town.edges.stream().filter(edge -> edge.number % 2 == 0).forEach(SimulatedEdges.Edge::restart);
-        assertTrue(town.untilAll(2, 4_000) < 600);
-        assertCalm(town);
+    void halfTheEdgesRestartAtOnce() {
+        SimulatedEdges simulation = new SimulatedEdges(61, LINK_BYTES_PER_MS);
+        Configuration configuration = SimulatedEdges.withRoutes(1, 721);
+        simulation.publish(configuration);
+        simulation.run(2_000);
+        simulation.publish(SimulatedEdges.withRoutePath(configuration, "r1", 77_777_777));
+        simulation.edges.stream().filter(edge -> edge.number % 2 == 0).forEach(SimulatedEdges.Edge::restart);
+        assertTrue(simulation.runUntilAllAt(2, 4_000) < 600);
+        assertHeartbeatsOnTime(simulation);
     }
 
     @Test
-    void anEdgeTwoThousandVersionsBehindGetsOneDifference() {
-        SimulatedEdges town = new SimulatedEdges(2, SLOW);
-        Configuration configuration = SimulatedEdges.large(1, 721);
-        town.become(configuration);
-        town.run(1_000);
-        town.edges.get(1).cut();
+    void anEdgeTwoThousandRevisionsBehindGetsOneDelta() {
+        SimulatedEdges simulation = new SimulatedEdges(2, LINK_BYTES_PER_MS);
+        Configuration configuration = SimulatedEdges.withRoutes(1, 721);
+        simulation.publish(configuration);
+        simulation.run(1_000);
+        simulation.edges.get(1).disconnect();
         for (int i = 0; i < 2_000; i++) {
-            configuration = SimulatedEdges.moved(configuration, "r" + i % 30, 300_000 + i);
-            town.become(configuration);
-            town.run(5);
+            configuration = SimulatedEdges.withRoutePath(configuration, "r" + i % 30, 300_000 + i);
+            simulation.publish(configuration);
+            simulation.run(5);
         }
-        long before = town.edges.get(1).bytes;
-        town.edges.get(1).join();
-        assertTrue(town.untilAll(2_001, 2_000) < 300);
-        assertTrue(town.edges.get(1).bytes - before < 2_500, "bytes " + (town.edges.get(1).bytes - before));
-        assertEquals(List.of(1L, 2_001L), town.edges.get(1).revisions);
+        long before = simulation.edges.get(1).bytes;
+        simulation.edges.get(1).connect();
+        assertTrue(simulation.runUntilAllAt(2_001, 2_000) < 300);
+        assertTrue(simulation.edges.get(1).bytes - before < 2_500, "bytes " + (simulation.edges.get(1).bytes - before));
+        assertEquals(List.of(1L, 2_001L), simulation.edges.get(1).revisions);
     }
 
     @Test
-    void anUnknownBaseGetsTheWhole() {
-        SimulatedEdges town = new SimulatedEdges(1, SLOW);
-        Configuration configuration = SimulatedEdges.dense(1, 40_000);
-        town.become(configuration);
-        town.run(1_000);
-        Configuration next = SimulatedEdges.moved(configuration, "r3", 400_000);
+    void anUnknownBaseRevisionGetsTheFullConfiguration() {
+        SimulatedEdges simulation = new SimulatedEdges(1, LINK_BYTES_PER_MS);
+        Configuration configuration = SimulatedEdges.incompressible(1, 40_000);
+        simulation.publish(configuration);
+        simulation.run(1_000);
+        Configuration next = SimulatedEdges.withRoutePath(configuration, "r3", 400_000);
         ChangeHistory fresh = new ChangeHistory();
         fresh.advanceTo(next);
-        town.newCoordinator(fresh);
-        town.run(1_000);
-        assertTrue(town.all(2));
-        assertEquals(2, town.edges.get(0).wholes);
+        simulation.replaceCoordinator(fresh);
+        simulation.run(1_000);
+        assertTrue(simulation.allAt(2));
+        assertEquals(2, simulation.edges.get(0).fullTransfers);
     }
 
     @Test
-    void aDifferenceThatDoesNotFitIsFollowedByTheWhole() {
-        SimulatedEdges town = new SimulatedEdges(1, SLOW);
-        SimulatedEdges.Edge edge = town.edges.get(0);
-        town.become(SimulatedEdges.large(1, 721));
-        town.run(1_000);
+    void aDeltaThatDoesNotApplyIsFollowedByTheFullConfiguration() {
+        SimulatedEdges simulation = new SimulatedEdges(1, LINK_BYTES_PER_MS);
+        SimulatedEdges.Edge edge = simulation.edges.get(0);
+        simulation.publish(SimulatedEdges.withRoutes(1, 721));
+        simulation.run(1_000);
         // The helm's history is not the edge's: under the same number it has something else.
         ChangeHistory other = new ChangeHistory();
-        Configuration strange = SimulatedEdges.large(1, 720);
+        Configuration strange = SimulatedEdges.withRoutes(1, 720);
         other.advanceTo(strange);
-        Configuration next = SimulatedEdges.moved(strange, "r3", 400_000);
+        Configuration next = SimulatedEdges.withRoutePath(strange, "r3", 400_000);
         other.advanceTo(next);
-        town.newCoordinator(other);
-        town.run(1_000);
-        assertEquals(List.of("configuration.digest"), edge.faults);
-        assertTrue(town.all(2));
+        simulation.replaceCoordinator(other);
+        simulation.run(1_000);
+        assertEquals(List.of("configuration.digest"), edge.errors);
+        assertTrue(simulation.allAt(2));
         assertEquals(next.digest(), edge.subscriber.configuration().digest());
         assertEquals(720, edge.subscriber.configuration().routes().size());
     }
 
     @Test
-    void bytesThatBreakOnTheWayAreNeverTakenAndNotFetchedInCircles() {
-        SimulatedEdges town = new SimulatedEdges(1, SLOW);
-        SimulatedEdges.Edge edge = town.edges.get(0);
-        edge.onTheWay = SimulatedEdges::broken;
-        town.become(SimulatedEdges.large(1, 100));
-        town.run(10_000);
-        assertTrue(town.all(0));
-        assertTrue(edge.faults.size() >= 5 && edge.faults.size() <= 12, edge.faults.toString());
-        edge.onTheWay = chunk -> chunk;
-        assertTrue(town.untilAll(1, 3_000) < 1_500);
+    void corruptedChunksAreRejectedAndNotRequestedInALoop() {
+        SimulatedEdges simulation = new SimulatedEdges(1, LINK_BYTES_PER_MS);
+        SimulatedEdges.Edge edge = simulation.edges.get(0);
+        edge.chunkFilter = SimulatedEdges::corrupted;
+        simulation.publish(SimulatedEdges.withRoutes(1, 100));
+        simulation.run(10_000);
+        assertTrue(simulation.allAt(0));
+        assertTrue(edge.errors.size() >= 5 && edge.errors.size() <= 12, edge.errors.toString());
+        edge.chunkFilter = chunk -> chunk;
+        assertTrue(simulation.runUntilAllAt(1, 3_000) < 1_500);
     }
 
     @Test
-    void aChunkThatIsLostIsAskedForAgain() {
-        SimulatedEdges town = new SimulatedEdges(1, SLOW);
-        SimulatedEdges.Edge edge = town.edges.get(0);
+    void aLostChunkIsRequestedAgain() {
+        SimulatedEdges simulation = new SimulatedEdges(1, LINK_BYTES_PER_MS);
+        SimulatedEdges.Edge edge = simulation.edges.get(0);
         int[] count = new int[1];
         DeltaChunk none = new DeltaChunk(1, 0, 0, 0, 0, new byte[0]);
-        edge.onTheWay = chunk -> ++count[0] % 5 == 0 ? none : chunk;
-        town.become(SimulatedEdges.dense(1, 100_000));
-        assertTrue(town.untilAll(1, 10_000) < 8_000);
-        assertEquals(1, edge.wholes);
+        edge.chunkFilter = chunk -> ++count[0] % 5 == 0 ? none : chunk;
+        simulation.publish(SimulatedEdges.incompressible(1, 100_000));
+        assertTrue(simulation.runUntilAllAt(1, 10_000) < 8_000);
+        assertEquals(1, edge.fullTransfers);
     }
 
     @Test
-    void nobodyGoesBack() {
-        SimulatedEdges town = new SimulatedEdges(1, SLOW);
-        Configuration configuration = SimulatedEdges.large(1, 721);
+    void revisionsNeverGoBack() {
+        SimulatedEdges simulation = new SimulatedEdges(1, LINK_BYTES_PER_MS);
+        Configuration configuration = SimulatedEdges.withRoutes(1, 721);
         ChangeHistory late = new ChangeHistory();
         late.advanceTo(configuration);
-        town.become(configuration);
-        town.run(500);
-        town.become(SimulatedEdges.moved(configuration, "r1", 500_000));
-        town.run(500);
-        town.newCoordinator(late);
-        town.run(3_000);
-        assertEquals(List.of(1L, 2L), town.edges.get(0).revisions);
-        assertNull(town.coordinator.nextChunk(new DeltaRequest(2, 0, 0, false), 2));
-        town.edges.get(0).subscriber.onChunk(new DeltaChunk(2, 1, 9, 5, 0, new byte[5]), town.now);
-        assertTrue(town.all(2));
+        simulation.publish(configuration);
+        simulation.run(500);
+        simulation.publish(SimulatedEdges.withRoutePath(configuration, "r1", 500_000));
+        simulation.run(500);
+        simulation.replaceCoordinator(late);
+        simulation.run(3_000);
+        assertEquals(List.of(1L, 2L), simulation.edges.get(0).revisions);
+        assertNull(simulation.coordinator.nextChunk(new DeltaRequest(2, 0, 0, false), 2));
+        simulation.edges.get(0).subscriber.onChunk(new DeltaChunk(2, 1, 9, 5, 0, new byte[5]), simulation.now);
+        assertTrue(simulation.allAt(2));
     }
 
     @Test
-    void oddChunksDoNoHarm() {
-        SimulatedEdges town = new SimulatedEdges(1, SLOW);
-        ConfigurationSubscriber edge = town.edges.get(0).subscriber;
+    void malformedChunksAreIgnored() {
+        SimulatedEdges simulation = new SimulatedEdges(1, LINK_BYTES_PER_MS);
+        ConfigurationSubscriber edge = simulation.edges.get(0).subscriber;
         for (DeltaChunk odd : List.of(
                 new DeltaChunk(1, 5, 1, -1, 0, new byte[1]),
                 new DeltaChunk(1, 5, 1, Integer.MAX_VALUE, 0, new byte[1]),
@@ -324,17 +324,17 @@
                 new DeltaChunk(1, 5, 1, 10, 0, new byte[10]))) {
             edge.onChunk(odd, 0);
         }
-        town.become(SimulatedEdges.large(6, 50));
-        town.run(2_000);
-        assertTrue(town.all(6));
+        simulation.publish(SimulatedEdges.withRoutes(6, 50));
+        simulation.run(2_000);
+        assertTrue(simulation.allAt(6));
     }
 
     @Test
-    void whatThePublisherKeepsIsBounded() {
+    void theDeltaCacheIsBounded() {
         ChangeHistory history = new ChangeHistory();
         ConfigurationPublisher publisher = new ConfigurationPublisher(history);
         for (int i = 1; i < 12; i++) {
-            history.advanceTo(SimulatedEdges.dense(i, 3 << 20));
+            history.advanceTo(SimulatedEdges.incompressible(i, 3 << 20));
             publisher.nextChunk(new DeltaRequest(0, 0, 0, false), 1);
         }
         assertTrue(
--- a/src/test/java/brambletray/platform/distribution/ConfigurationSubscriberTest.java
+++ b/src/test/java/brambletray/platform/distribution/ConfigurationSubscriberTest.java
@@ -12,9 +12,9 @@
 class ConfigurationSubscriberTest {
     private static final long TERM = 5;
 
-    private final ConfigurationSubscriber subscriber = new ConfigurationSubscriber(new Silent());
+    private final ConfigurationSubscriber subscriber = new ConfigurationSubscriber(new NoOpActions());
 
-    private static final class Silent implements ConfigurationSubscriber.Actions {
+    private static final class NoOpActions implements ConfigurationSubscriber.Actions {
         @Override
         public void sendRequest(DeltaRequest request) {}
 
@@ -30,18 +30,18 @@
     /** The first revision comes in one chunk. */
     private void receiveFirstRevision() {
         ChangeHistory history = new ChangeHistory();
-        history.advanceTo(SimulatedEdges.large(1, 3));
+        history.advanceTo(SimulatedEdges.withRoutes(1, 3));
         byte[] bytes = history.fullDelta().toCompressedBytes();
         subscriber.onChunk(new DeltaChunk(TERM, 1, 1, bytes.length, 0, bytes), 0);
     }
 
     @Test
-    void nothingIsTheNewestBeforeACoordinatorHasSpoken() {
+    void nothingIsNewestBeforeTheFirstAnnouncement() {
         assertFalse(subscriber.isNewest());
     }
 
     @Test
-    void anAnnouncedRevisionIsTheNewestOnceItHasCome() {
+    void anAnnouncedRevisionIsNewestOnceReceived() {
         subscriber.onNewestRevision(1, 0);
         assertFalse(subscriber.isNewest());
         receiveFirstRevision();
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aCoordinatorThatCannotTellYetVouchesForNothing() {
+    void nothingIsNewestWhileTheCoordinatorKnowsNoRevision() {
         subscriber.onNewestRevision(1, 0);
         receiveFirstRevision();
         subscriber.onNewestRevision(0, 0);
--- a/src/test/java/brambletray/platform/distribution/ProcessSignalsTest.java
+++ b/src/test/java/brambletray/platform/distribution/ProcessSignalsTest.java
@@ -24,7 +24,7 @@
     };
 
     @Test
-    void aProgramHearsEachHangUpAndTheFirstTermination() {
+    void aProgramReceivesEachHangUpAndTheFirstTermination() {
         signals.register(program);
         signals.reload();
         signals.reload();
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aHangUpBeforeTheProgramRunsIsHeardOnceItRuns() {
+    void aHangUpBeforeTheProgramRunsIsDeliveredOnceItRuns() {
         signals.reload();
         signals.reload();
         assertEquals(List.of(), done);
--- a/src/test/java/brambletray/platform/distribution/SimulatedEdges.java
+++ b/src/test/java/brambletray/platform/distribution/SimulatedEdges.java
@@ -17,45 +17,45 @@
  * all that was sent on it before. Pulses go as the coordinator's do.
  */
 final class SimulatedEdges {
-    static final int PULSE = 250;
-    private static final int HEAD = 60;
+    static final int HEARTBEAT_INTERVAL_MS = 250;
+    private static final int FRAME_HEADER_BYTES = 60;
 
-    private record Event(long at, long order, Runnable what) {}
+    private record Event(long atMs, long order, Runnable action) {}
 
     final class Edge implements ConfigurationSubscriber.Actions {
         final int number;
         ConfigurationSubscriber subscriber = new ConfigurationSubscriber(this);
-        boolean linked = true;
-        long freeAt;
+        boolean connected = true;
+        long linkFreeAtMs;
         long bytes;
-        int wholes;
-        int fetches;
-        long lastPulse;
-        long longestSilence;
-        long took;
+        int fullTransfers;
+        int requests;
+        long lastHeartbeatMs;
+        long longestHeartbeatGapMs;
+        long appliedAtMs;
         final List<Long> revisions = new ArrayList<>();
-        final List<String> faults = new ArrayList<>();
-        UnaryOperator<DeltaChunk> onTheWay = chunk -> chunk;
-        private int life;
+        final List<String> errors = new ArrayList<>();
+        UnaryOperator<DeltaChunk> chunkFilter = chunk -> chunk;
+        private int linkGeneration;
 
         Edge(int number) {
             this.number = number;
         }
 
         @Override
-        public void sendRequest(DeltaRequest fetch) {
-            fetches++;
-            if (!linked) {
+        public void sendRequest(DeltaRequest request) {
+            requests++;
+            if (!connected) {
                 return;
             }
-            int asked = life;
-            ConfigurationPublisher to = coordinator;
-            at(now + way, () -> {
-                if (asked == life && to == coordinator) {
-                    DeltaChunk chunk = coordinator.nextChunk(fetch, term);
+            int sentInGeneration = linkGeneration;
+            ConfigurationPublisher receiver = coordinator;
+            schedule(now + oneWayDelayMs, () -> {
+                if (sentInGeneration == linkGeneration && receiver == coordinator) {
+                    DeltaChunk chunk = coordinator.nextChunk(request, term);
                     if (chunk != null) {
-                        wholes += chunk.offset() == 0 && chunk.totalBytes() > DeltaChunk.CHUNK_BYTES ? 1 : 0;
-                        send(chunk.bytes().length, () -> subscriber.onChunk(onTheWay.apply(chunk), now));
+                        fullTransfers += chunk.offset() == 0 && chunk.totalBytes() > DeltaChunk.CHUNK_BYTES ? 1 : 0;
+                        send(chunk.bytes().length, () -> subscriber.onChunk(chunkFilter.apply(chunk), now));
                     }
                 }
             });
@@ -63,44 +63,44 @@
 
         /** Over the link, behind what is on it. */
         void send(int size, Runnable arrival) {
-            int sent = life;
-            bytes += size + HEAD;
-            freeAt = Math.max(freeAt, now) + Math.max(1, (size + HEAD) / rate);
-            at(freeAt + way, () -> {
-                if (sent == life && linked) {
+            int sentInGeneration = linkGeneration;
+            bytes += size + FRAME_HEADER_BYTES;
+            linkFreeAtMs = Math.max(linkFreeAtMs, now) + Math.max(1, (size + FRAME_HEADER_BYTES) / bytesPerMs);
+            schedule(linkFreeAtMs + oneWayDelayMs, () -> {
+                if (sentInGeneration == linkGeneration && connected) {
                     arrival.run();
                 }
             });
         }
 
         /** What is on the way is lost. */
-        void cut() {
-            life++;
-            linked = false;
-            freeAt = now;
+        void disconnect() {
+            linkGeneration++;
+            connected = false;
+            linkFreeAtMs = now;
         }
 
-        void join() {
-            linked = true;
-            lastPulse = now;
+        void connect() {
+            connected = true;
+            lastHeartbeatMs = now;
             subscriber.onLinkUp(now);
         }
 
         void restart() {
-            cut();
+            disconnect();
             subscriber = new ConfigurationSubscriber(this);
-            join();
+            connect();
         }
 
         @Override
         public void onConfiguration(Configuration configuration, int size, long ms) {
             revisions.add(configuration.revision());
-            took = now;
+            appliedAtMs = now;
         }
 
         @Override
-        public void onRejected(ConfigurationException fault) {
-            faults.add(fault.code());
+        public void onRejected(ConfigurationException error) {
+            errors.add(error.code());
         }
     }
 
@@ -110,83 +110,83 @@
     long term = 1;
     long now;
     /** ms one way. */
-    int way = 1;
+    int oneWayDelayMs = 1;
 
-    private final int rate;
+    private final int bytesPerMs;
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
+            new PriorityQueue<>(Comparator.comparingLong(Event::atMs).thenComparingLong(Event::order));
     private long order;
 
     /** {@code rate}: bytes a ms of each link. */
-    SimulatedEdges(int edges, int rate) {
-        this.rate = rate;
+    SimulatedEdges(int edges, int bytesPerMs) {
+        this.bytesPerMs = bytesPerMs;
         IntStream.range(0, edges).forEach(i -> this.edges.add(new Edge(i)));
-        pulse();
+        sendHeartbeat();
         for (Edge edge : this.edges) {
-            ticks(edge);
+            scheduleTicks(edge);
         }
     }
 
-    void at(long when, Runnable what) {
+    void schedule(long when, Runnable what) {
         events.add(new Event(Math.max(when, now), order++, what));
     }
 
-    private void pulse() {
-        edges.forEach(this::pulse);
-        at(now + PULSE, this::pulse);
+    private void sendHeartbeat() {
+        edges.forEach(this::sendHeartbeat);
+        schedule(now + HEARTBEAT_INTERVAL_MS, this::sendHeartbeat);
     }
 
-    private void pulse(Edge edge) {
-        if (edge.linked) {
+    private void sendHeartbeat(Edge edge) {
+        if (edge.connected) {
             long revision = coordinator.revision();
             edge.send(20, () -> {
-                edge.longestSilence = Math.max(edge.longestSilence, now - edge.lastPulse);
-                edge.lastPulse = now;
+                edge.longestHeartbeatGapMs = Math.max(edge.longestHeartbeatGapMs, now - edge.lastHeartbeatMs);
+                edge.lastHeartbeatMs = now;
                 edge.subscriber.onNewestRevision(revision, now);
             });
         }
     }
 
-    private void ticks(Edge edge) {
+    private void scheduleTicks(Edge edge) {
         edge.subscriber.tick(now);
-        at(now + 50, () -> ticks(edge));
+        schedule(now + 50, () -> scheduleTicks(edge));
     }
 
     /** In force here, and pulsed at once. */
-    void become(Configuration configuration) {
+    void publish(Configuration configuration) {
         history.advanceTo(configuration);
-        edges.forEach(this::pulse);
+        edges.forEach(this::sendHeartbeat);
     }
 
     /** Another member is the coordinator: it has followed along, and has packed nothing yet. */
-    void newCoordinator(ChangeHistory known) {
+    void replaceCoordinator(ChangeHistory knownHistory) {
         term++;
-        coordinator = new ConfigurationPublisher(known);
+        coordinator = new ConfigurationPublisher(knownHistory);
         for (Edge edge : edges) {
-            edge.cut();
-            edge.join();
-            pulse(edge);
+            edge.disconnect();
+            edge.connect();
+            sendHeartbeat(edge);
         }
     }
 
     void run(long ms) {
         long until = now + ms;
-        while (!events.isEmpty() && events.peek().at <= until) {
+        while (!events.isEmpty() && events.peek().atMs <= until) {
             Event next = events.poll();
-            now = next.at;
-            next.what.run();
+            now = next.atMs;
+            next.action.run();
         }
         now = until;
     }
 
-    boolean all(long revision) {
+    boolean allAt(long revision) {
         return edges.stream().allMatch(edge -> edge.subscriber.configuration().revision() == revision);
     }
 
     /** ms until all have this revision, at most so many. */
-    long untilAll(long revision, int most) {
+    long runUntilAllAt(long revision, int maxMs) {
         long from = now;
-        while (!all(revision) && now - from < most) {
+        while (!allAt(revision) && now - from < maxMs) {
             run(1);
         }
         return now - from;
@@ -197,7 +197,7 @@
     }
 
     /** So many services with a route each. */
-    static Configuration large(long revision, int count) {
+    static Configuration withRoutes(long revision, int count) {
         return Configuration.read(
                 bytes(
                         "{'revision':" + revision + ",'routes':["
@@ -208,7 +208,7 @@
     }
 
     /** One that packs badly: {@code bytes} of digits at random in it. */
-    static Configuration dense(long revision, int bytes) {
+    static Configuration incompressible(long revision, int bytes) {
         java.util.Random random = new java.util.Random(revision);
         StringBuilder filler = new StringBuilder();
         while (filler.length() < bytes) {
@@ -223,12 +223,12 @@
                 + "/','route-type':'idempotent','timeout-ms':2500,'target-ms':400,'priority':2,'service':'s','retry-count':2}";
     }
 
-    static Configuration moved(Configuration base, String route, long path) {
+    static Configuration withRoutePath(Configuration base, String route, long path) {
         return base.modify(
                 bytes("{'revision':" + (base.revision() + 1) + ",'upsert':{'routes':[" + route(route, path) + "]}}"));
     }
 
-    static DeltaChunk broken(DeltaChunk chunk) {
+    static DeltaChunk corrupted(DeltaChunk chunk) {
         byte[] other = Arrays.copyOf(chunk.bytes(), chunk.bytes().length);
         other[other.length / 2] ^= 4;
         return new DeltaChunk(
--- a/src/test/java/brambletray/platform/edge/OperationClientTest.java
+++ b/src/test/java/brambletray/platform/edge/OperationClientTest.java
@@ -279,9 +279,9 @@
     void aClaimIsNotUsedLaterThanItsWindowAtTheCoreCovers() {
         Edge a = edge("a");
         a.claim("r1");
-        until(ClaimWindow.SEND_WITHIN_MS - 1);
+        until(ClaimWindow.MAX_SEND_DELAY_MS - 1);
         assertTrue(a.claims.get("r1").isUsable());
-        until(ClaimWindow.SEND_WITHIN_MS);
+        until(ClaimWindow.MAX_SEND_DELAY_MS);
         assertFalse(a.claims.get("r1").isUsable());
     }
 
--- a/src/test/java/brambletray/platform/edge/QuotaClientTest.java
+++ b/src/test/java/brambletray/platform/edge/QuotaClientTest.java
@@ -11,7 +11,7 @@
 import brambletray.platform.quota.QuotaRefusal;
 import brambletray.platform.quota.QuotaRequest;
 import brambletray.platform.quota.QuotaReturn;
-import brambletray.platform.quota.QuotaTerms;
+import brambletray.platform.quota.QuotaParameters;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -97,7 +97,7 @@
         nowMs += 1;
         client.onResponse(new QuotaGrant(1, 0));
         assertTrue(waiting.right.isValid());
-        nowMs += QuotaTerms.RIGHT_VALIDITY_MS;
+        nowMs += QuotaParameters.RIGHT_VALIDITY_MS;
         assertFalse(waiting.right.isValid(), "counted from when it was asked for");
     }
 
@@ -112,7 +112,7 @@
     @Test
     void aRightThatComesTooLateIsAskedForAgain() {
         Waiting waiting = acquire();
-        nowMs += QuotaTerms.RIGHT_VALIDITY_MS;
+        nowMs += QuotaParameters.RIGHT_VALIDITY_MS;
         client.onResponse(new QuotaGrant(1, 0));
         assertEquals(null, waiting.right);
         assertEquals(List.of(new QuotaRequest(1, "a"), new QuotaRequest(2, "a")), all(QuotaRequest.class));
@@ -158,7 +158,7 @@
     @Test
     void anAllowanceExpires() {
         loseAfterGrant(2);
-        nowMs += QuotaTerms.RUN_AHEAD_VALIDITY_MS;
+        nowMs += QuotaParameters.RUN_AHEAD_VALIDITY_MS;
         assertEquals(null, acquire().right);
     }
 
@@ -229,7 +229,7 @@
     void aRightThatIsFoundUnspentTooLateIsLost() {
         acquire();
         client.onResponse(new QuotaGrant(1, 0));
-        nowMs += QuotaTerms.MAX_RETURN_AGE_MS + 1;
+        nowMs += QuotaParameters.MAX_RETURN_AGE_MS + 1;
         client.tick(true);
         assertEquals(List.of(), all(QuotaReturn.class));
     }
--- a/src/test/java/brambletray/platform/edge/QuotaHistory.java
+++ b/src/test/java/brambletray/platform/edge/QuotaHistory.java
@@ -8,7 +8,7 @@
 import brambletray.platform.quota.QuotaRequest;
 import brambletray.platform.quota.QuotaResponse;
 import brambletray.platform.quota.QuotaReturn;
-import brambletray.platform.quota.QuotaTerms;
+import brambletray.platform.quota.QuotaParameters;
 import brambletray.platform.quota.TenantQuotas;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -78,7 +78,7 @@
     /** One term of the coordinator. */
     private final class Giver {
         private final long term;
-        private final TenantQuotas quotas = new TenantQuotas(new QuotaTerms(WINDOW_MS, OVERAGE, SLACK));
+        private final TenantQuotas quotas = new TenantQuotas(new QuotaParameters(WINDOW_MS, OVERAGE, SLACK));
         private boolean isStopped;
         private boolean isCutOff;
 
--- a/src/test/java/brambletray/platform/operations/LogClockTest.java
+++ b/src/test/java/brambletray/platform/operations/LogClockTest.java
@@ -14,7 +14,7 @@
     private static final int STEPS = 400;
 
     @Test
-    void batchesOfOneProposerThatFollowCloselyLoseNoTime() {
+    void consecutiveBatchesOfOneProposerLoseNoTime() {
         LogClock clock = new LogClock(1, 0);
         BatchStamp first = clock.stamp(10);
         for (long madeAt = 10; madeAt < 60_000; madeAt += 5) {
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aRestartOfAllCountsNothingOfTheTimeBetween() {
+    void downtimeOfAllProcessesIsNotCounted() {
         LogClock before = new LogClock(1, 0);
         before.advance(before.stamp(5_000), 5_005);
         long stopped = before.timeMs();
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aBatchMadeBeforeAnothersWasAppliedCountsNothing() {
+    void aBatchCreatedBeforeAnotherProposersWasAppliedAddsNoTime() {
         LogClock slow = new LogClock(1, 0);
         LogClock other = new LogClock(2, 0);
         BatchStamp late = slow.stamp(50_000);
@@ -50,12 +50,12 @@
         assertEquals(claimedAt, slow.timeMs());
     }
 
-    private static LogClock restarted(LogClock clock, long self, long nowMs) {
+    private static LogClock restarted(LogClock clock, long processId, long nowMs) {
         try {
             var bytes = new java.io.ByteArrayOutputStream();
             clock.write(new java.io.DataOutputStream(bytes));
             return LogClock.read(
-                    new java.io.DataInputStream(new java.io.ByteArrayInputStream(bytes.toByteArray())), self, nowMs);
+                    new java.io.DataInputStream(new java.io.ByteArrayInputStream(bytes.toByteArray())), processId, nowMs);
         } catch (java.io.IOException e) {
             throw new AssertionError(e);
         }
@@ -67,9 +67,9 @@
         LogClock clock;
         int applied;
 
-        Process(Random random, long self) {
+        Process(Random random, long processId) {
             offsetMs = random.nextInt(1_000_000);
-            clock = new LogClock(self, offsetMs);
+            clock = new LogClock(processId, offsetMs);
         }
 
         long clockMs(long nowMs) {
@@ -77,45 +77,45 @@
         }
     }
 
-    private record Made(BatchStamp stamp, long atMs) {}
+    private record CreatedBatch(BatchStamp stamp, long createdAtMs) {}
 
     /** Several proposers, each behind by a part of the log, batches in flight that are overtaken or lost, restarts. */
     @Test
-    void timeNeverAdvancesFasterThanBatchesWereMade() {
+    void logTimeNeverAdvancesFasterThanRealTime() {
         long first = Long.getLong("operations.first", 1);
         int seeds = Integer.getInteger("operations.seeds", SEEDS);
         long advanced = 0;
         for (long seed = first; seed < first + seeds; seed++) {
-            advanced += play(seed);
+            advanced += simulate(seed);
         }
         System.out.println("log clock: seeds " + first + " to " + (first + seeds - 1) + ", " + advanced + " ms");
         assertTrue(advanced > seeds * 100L, "hardly any time was counted");
     }
 
-    private static long play(long seed) {
+    private static long simulate(long seed) {
         Random random = new Random(seed);
         List<Process> processes = new ArrayList<>();
-        long nextSelf = 1;
+        long nextProcessId = 1;
         for (int i = 0; i < 3; i++) {
-            processes.add(new Process(random, nextSelf++));
+            processes.add(new Process(random, nextProcessId++));
         }
-        List<Made> log = new ArrayList<>();
+        List<CreatedBatch> log = new ArrayList<>();
         List<Long> times = new ArrayList<>();
         LogClock reference = new LogClock(99, 0);
-        ArrayDeque<Made> inFlight = new ArrayDeque<>();
+        ArrayDeque<CreatedBatch> inFlight = new ArrayDeque<>();
         long nowMs = 0;
-        int busy = 0;
+        int usualProcess = 0;
         for (int step = 0; step < STEPS; step++) {
             nowMs += random.nextInt(4) == 0 ? random.nextInt(3_000) : random.nextInt(10);
-            busy = random.nextInt(10) == 0 ? random.nextInt(3) : busy;
-            Process process = processes.get(random.nextInt(3) == 0 ? random.nextInt(3) : busy);
+            usualProcess = random.nextInt(10) == 0 ? random.nextInt(3) : usualProcess;
+            Process process = processes.get(random.nextInt(3) == 0 ? random.nextInt(3) : usualProcess);
             switch (random.nextInt(6)) {
-                case 0, 1 -> inFlight.add(new Made(process.clock.stamp(process.clockMs(nowMs)), nowMs));
+                case 0, 1 -> inFlight.add(new CreatedBatch(process.clock.stamp(process.clockMs(nowMs)), nowMs));
                 case 2, 3 -> {
                     if (!inFlight.isEmpty()) {
-                        Made made = random.nextInt(4) == 0 ? inFlight.pollLast() : inFlight.poll();
-                        reference.advance(made.stamp, nowMs);
-                        log.add(made);
+                        CreatedBatch batch = random.nextInt(4) == 0 ? inFlight.pollLast() : inFlight.poll();
+                        reference.advance(batch.stamp, nowMs);
+                        log.add(batch);
                         times.add(reference.timeMs());
                     }
                 }
@@ -127,9 +127,9 @@
                 }
                 default -> {
                     if (random.nextInt(10) == 0) {
-                        Process next = new Process(random, nextSelf++);
+                        Process next = new Process(random, nextProcessId++);
                         next.applied = process.applied;
-                        next.clock = restarted(process.clock, nextSelf - 1, next.clockMs(nowMs));
+                        next.clock = restarted(process.clock, nextProcessId - 1, next.clockMs(nowMs));
                         processes.set(processes.indexOf(process), next);
                     }
                 }
@@ -139,17 +139,17 @@
         return reference.timeMs();
     }
 
-    private static void check(long seed, List<Made> log, List<Long> times) {
-        long[] madeBy = new long[log.size()];
+    private static void check(long seed, List<CreatedBatch> log, List<Long> times) {
+        long[] latestCreatedAtMs = new long[log.size()];
         long latest = Long.MIN_VALUE;
         for (int i = 0; i < log.size(); i++) {
-            latest = Math.max(latest, log.get(i).atMs);
-            madeBy[i] = latest;
+            latest = Math.max(latest, log.get(i).createdAtMs);
+            latestCreatedAtMs[i] = latest;
         }
         for (int i = 0; i < log.size(); i++) {
             for (int k = i + 1; k < log.size(); k++) {
                 long counted = times.get(k) - times.get(i);
-                long real = madeBy[k] - madeBy[i];
+                long real = latestCreatedAtMs[k] - latestCreatedAtMs[i];
                 assertTrue(
                         counted <= real,
                         "seed " + seed + ": " + counted + " ms counted in " + real + " from " + i + " to " + k);
--- a/src/test/java/brambletray/platform/operations/OperationBatchTest.java
+++ b/src/test/java/brambletray/platform/operations/OperationBatchTest.java
@@ -19,19 +19,19 @@
                     new OperationCommand.Release(new ClaimId(3, 2), OperationKey.of("", "k"))));
 
     @Test
-    void whatIsWrittenIsRead() {
+    void encodedBatchesAreDecoded() {
         assertTrue(OperationBatch.isBatch(BATCH.encode()));
         assertEquals(BATCH, OperationBatch.decode(BATCH.encode()));
     }
 
     @Test
-    void otherEntriesAreNoBatches() {
+    void otherLogEntriesAreNotBatches() {
         assertFalse(OperationBatch.isBatch(new byte[0]));
         assertFalse(OperationBatch.isBatch(new byte[] {1, 2, 3}));
     }
 
     @Test
-    void partsAndWhatFollowsAreRefused() {
+    void truncatedBatchesAndTrailingBytesAreRejected() {
         byte[] bytes = BATCH.encode();
         for (int length = 0; length < bytes.length; length++) {
             byte[] part = Arrays.copyOf(bytes, length);
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void brokenBytesAreReadOrRefusedAndNothingElse() {
+    void corruptedBytesAreDecodedOrRejected() {
         Random random = new Random(1);
         for (int i = 0; i < 5_000; i++) {
             byte[] bytes = BATCH.encode();
--- a/src/test/java/brambletray/platform/operations/OperationRegistryTest.java
+++ b/src/test/java/brambletray/platform/operations/OperationRegistryTest.java
@@ -31,7 +31,7 @@
     }
 
     private long holderAfter(long nowMs, OperationCommand command) {
-        OperationRegistry.StandingClaim holder = apply(nowMs, command).get(0).holder();
+        OperationRegistry.ActiveClaim holder = apply(nowMs, command).get(0).holder();
         return holder == null ? 0 : holder.id().sequence();
     }
 
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void theSameClaimAgainHoldsAndDoesNotProlongItsWindow() {
+    void aRepeatedClaimDoesNotExtendItsWindow() {
         apply(10, claim(1, KEY));
         long expiresAtMs = registry.holder(KEY, 10).expiresAtMs();
         assertEquals(1, holderAfter(5_000, claim(1, KEY)));
@@ -59,14 +59,14 @@
     }
 
     @Test
-    void aWindowEndsWhereNothingElseWasCommitted() {
+    void aWindowEndsWithoutFurtherBatches() {
         apply(1_000, claim(1, KEY));
         assertNotNull(registry.holder(KEY, 60_900));
         assertNull(registry.holder(KEY, 61_100));
     }
 
     @Test
-    void expiredClaimsAreForgottenByTheNextBatch() {
+    void expiredClaimsAreRemovedByTheNextBatch() {
         apply(1_000, claim(1, KEY));
         apply(61_100);
         assertEquals(0, registry.size());
@@ -93,13 +93,13 @@
     }
 
     @Test
-    void aReleaseThatComesAfterTheNextClaimFreesNothing() {
+    void aReleaseAfterTheNextClaimFreesNothing() {
         apply(10, claim(1, KEY), release(1, KEY), claim(2, KEY));
         assertEquals(2, holderAfter(20, release(1, KEY)));
     }
 
     @Test
-    void aRestoredClaimStandsForItsWindowAtLeast() {
+    void aRestoredClaimStaysActiveForItsWholeWindow() {
         apply(1_000, claim(1, KEY));
         apply(31_000);
         OperationRegistry restarted = new OperationRegistry(2, 500_000);
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void aSnapshotThatCannotBeReadChangesNothing() {
+    void anUnreadableSnapshotChangesNothing() {
         apply(10, claim(1, KEY));
         byte[] snapshot = registry.snapshot();
         for (int length = 1; length < snapshot.length; length++) {
@@ -122,7 +122,7 @@
 
     /** Restored anywhere on the way, a member has the same bytes as one that has applied all. */
     @Test
-    void theSameBatchesLeadToTheSameBytes() {
+    void theSameBatchesLeadToIdenticalSnapshots() {
         for (long seed = 1; seed <= 100; seed++) {
             Random random = new Random(seed);
             OperationRegistry proposer = new OperationRegistry(1, 0);
@@ -130,8 +130,8 @@
             long nowMs = 0;
             for (int i = 0; i < 60; i++) {
                 nowMs += random.nextInt(5_000);
-                OperationRegistry maker = random.nextInt(3) == 0 ? other : proposer;
-                OperationBatch batch = new OperationBatch(maker.stamp(nowMs), WINDOW_MS, drawn(random));
+                OperationRegistry creator = random.nextInt(3) == 0 ? other : proposer;
+                OperationBatch batch = new OperationBatch(creator.stamp(nowMs), WINDOW_MS, randomCommands(random));
                 proposer.apply(batch, nowMs);
                 other.apply(OperationBatch.decode(batch.encode()), nowMs + random.nextInt(400));
                 assertArrayEquals(proposer.snapshot(), other.snapshot(), "seed " + seed);
@@ -144,7 +144,7 @@
         }
     }
 
-    private static List<OperationCommand> drawn(Random random) {
+    private static List<OperationCommand> randomCommands(Random random) {
         List<OperationCommand> commands = new ArrayList<>();
         for (int i = random.nextInt(6); i > 0; i--) {
             OperationKey key = OperationKey.of("t", "k" + random.nextInt(8));
--- a/src/test/java/brambletray/platform/quota/RunAheadSharesTest.java
+++ b/src/test/java/brambletray/platform/quota/RunAheadSharesTest.java
@@ -4,13 +4,13 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How much the edges may send without rights, as it is counted at the giver. */
+/** The run-ahead that the coordinator reserves for edges. */
 class RunAheadSharesTest {
     private static final EdgeIncarnation FIRST = new EdgeIncarnation("a", 1);
     private static final EdgeIncarnation SECOND = new EdgeIncarnation("b", 1);
 
     @Test
-    void eachAmountOfAShrinkingShareCountsUntilItsOwnEnd() {
+    void eachAmountOfAShrinkingShareIsReservedUntilItsOwnExpiry() {
         RunAheadShares shares = new RunAheadShares(0);
         assertEquals(10, shares.renew(FIRST, 10, 1_000, 0));
         assertEquals(8, shares.renew(FIRST, 8, 2_000, 500));
--- a/src/test/java/brambletray/platform/quota/TenantQuotasTest.java
+++ b/src/test/java/brambletray/platform/quota/TenantQuotasTest.java
@@ -9,15 +9,15 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The giver of rights: what it grants, refuses and lets edges send ahead. Drawn by hand, in virtual time. */
+/** What the coordinator grants, refuses and allows edges as run-ahead, in virtual time. */
 class TenantQuotasTest {
-    private static final QuotaTerms TERMS = new QuotaTerms(5_000, 0.1, 20);
+    private static final QuotaParameters TERMS = new QuotaParameters(5_000, 0.1, 20);
     private static final double RATE = 50;
     private static final double BURST = 30;
     private static final EdgeIncarnation EDGE = new EdgeIncarnation("edge-1", 1);
     private static final EdgeIncarnation OTHER_EDGE = new EdgeIncarnation("edge-2", 1);
-    /** ms from a giver's begin until its buckets are full and its run-ahead may be given. */
-    private static final long SETTLED_MS = 60_000;
+    /** Time after the start, ms, at which the buckets are full and run-ahead may be given. */
+    private static final long WARM_UP_MS = 60_000;
 
     private final TenantQuotas quotas = new TenantQuotas(TERMS);
     private long nextId;
@@ -51,21 +51,21 @@
     }
 
     @Test
-    void aNewGiverBeginsWithAnEmptyBucket() {
+    void aNewCoordinatorStartsWithAnEmptyBucket() {
         limit(RATE, BURST, 0);
         assertEquals(0, grants(EDGE, 100, 0));
         assertEquals(25, grants(EDGE, 100, 500));
     }
 
     @Test
-    void noMoreIsSavedUpThanTheCapacity() {
+    void tokensAccumulateUpToTheCapacity() {
         limit(RATE, BURST, 0);
-        assertEquals(capacity(), grants(EDGE, 1_000, SETTLED_MS));
-        assertEquals(0, grants(EDGE, 1_000, SETTLED_MS));
+        assertEquals(capacity(), grants(EDGE, 1_000, WARM_UP_MS));
+        assertEquals(0, grants(EDGE, 1_000, WARM_UP_MS));
     }
 
     @Test
-    void whoIsRefusedIsToldWhenTheNextRightComes() {
+    void aRefusalSaysWhenTheNextRightIsAvailable() {
         limit(RATE, BURST, 0);
         QuotaRefusal refusal = assertInstanceOf(QuotaRefusal.class, ask(EDGE, 0));
         assertEquals(20, refusal.retryAfterMs());
@@ -73,111 +73,111 @@
     }
 
     @Test
-    void aTenantThatIsNotKnownIsRefusedAndOneWithoutALimitIsNot() {
+    void unknownTenantsAreRefusedAndUnlimitedTenantsAreGranted() {
         limit(RATE, BURST, 0);
         assertInstanceOf(QuotaRefusal.class, quotas.onRequest(EDGE, new QuotaRequest(1, "nobody"), 0));
         assertInstanceOf(QuotaGrant.class, quotas.onRequest(EDGE, new QuotaRequest(2, "free"), 0));
     }
 
     @Test
-    void aChangedLimitHoldsAtOnceAndRefillsNothing() {
+    void aChangedLimitAppliesAtOnceWithoutARefill() {
         limit(RATE, BURST, 0);
-        assertEquals(capacity(), grants(EDGE, 1_000, SETTLED_MS));
-        limit(10 * RATE, BURST, SETTLED_MS);
-        assertEquals(0, grants(EDGE, 1_000, SETTLED_MS));
-        assertEquals(50, grants(EDGE, 1_000, SETTLED_MS + 100));
-        limit(10, 0, 2 * SETTLED_MS);
-        assertEquals((int) TERMS.capacity(10, 0), grants(EDGE, 1_000, 2 * SETTLED_MS));
+        assertEquals(capacity(), grants(EDGE, 1_000, WARM_UP_MS));
+        limit(10 * RATE, BURST, WARM_UP_MS);
+        assertEquals(0, grants(EDGE, 1_000, WARM_UP_MS));
+        assertEquals(50, grants(EDGE, 1_000, WARM_UP_MS + 100));
+        limit(10, 0, 2 * WARM_UP_MS);
+        assertEquals((int) TERMS.capacity(10, 0), grants(EDGE, 1_000, 2 * WARM_UP_MS));
     }
 
     @Test
-    void aTenantThatWasWithdrawnComesBackWithoutAnything() {
+    void aTenantThatIsRemovedAndAddedAgainStartsWithAnEmptyBucket() {
         limit(RATE, BURST, 0);
-        quotas.updateTenants(Map.of(), SETTLED_MS);
-        assertEquals(0, grants(EDGE, 10, SETTLED_MS));
-        limit(RATE, BURST, SETTLED_MS);
-        assertEquals(0, grants(EDGE, 10, SETTLED_MS));
+        quotas.updateTenants(Map.of(), WARM_UP_MS);
+        assertEquals(0, grants(EDGE, 10, WARM_UP_MS));
+        limit(RATE, BURST, WARM_UP_MS);
+        assertEquals(0, grants(EDGE, 10, WARM_UP_MS));
     }
 
     @Test
     void requestsWithoutRightsPutTheBucketIntoDebt() {
         limit(RATE, BURST, 0);
-        quotas.onDebit(new QuotaDebit("a", capacity() + 25), SETTLED_MS);
-        assertEquals(0, grants(EDGE, 1_000, SETTLED_MS + 500));
-        assertEquals(1, grants(EDGE, 1_000, SETTLED_MS + 520));
+        quotas.onDebit(new QuotaDebit("a", capacity() + 25), WARM_UP_MS);
+        assertEquals(0, grants(EDGE, 1_000, WARM_UP_MS + 500));
+        assertEquals(1, grants(EDGE, 1_000, WARM_UP_MS + 520));
     }
 
     @Test
-    void unspentRightsComeBackUnlessTheyAreLateOrWereNeverGiven() {
+    void returnedRightsAreCreditedUnlessLateOrNeverGranted() {
         limit(RATE, BURST, 0);
-        assertEquals(capacity(), grants(EDGE, 1_000, SETTLED_MS));
-        quotas.onReturn(new QuotaReturn("a", 5), SETTLED_MS);
-        assertEquals(5, grants(EDGE, 1_000, SETTLED_MS));
-        long late = SETTLED_MS + QuotaTerms.RETURN_VALIDITY_MS + 1;
-        int accrued = (int) (RATE * (late - SETTLED_MS) / 1_000);
+        assertEquals(capacity(), grants(EDGE, 1_000, WARM_UP_MS));
+        quotas.onReturn(new QuotaReturn("a", 5), WARM_UP_MS);
+        assertEquals(5, grants(EDGE, 1_000, WARM_UP_MS));
+        long late = WARM_UP_MS + QuotaParameters.RETURN_VALIDITY_MS + 1;
+        int accrued = (int) (RATE * (late - WARM_UP_MS) / 1_000);
         quotas.onReturn(new QuotaReturn("a", 1_000), late);
         assertEquals(accrued, grants(EDGE, 1_000, late));
         quotas.onReturn(new QuotaReturn("a", 1_000), late);
-        assertEquals(accrued, grants(EDGE, 1_000, late), "as many as were granted lately, and no more");
+        assertEquals(accrued, grants(EDGE, 1_000, late), "no more than were granted recently");
     }
 
     @Test
-    void rightsThatAreReturnedAndGrantedAgainDoNotAddUp() {
+    void rightsThatAreReturnedAndGrantedAgainDoNotAccumulate() {
         limit(RATE, BURST, 0);
         int granted = 0;
-        for (long nowMs = SETTLED_MS; nowMs < SETTLED_MS + 3_000; nowMs += 200) {
+        for (long nowMs = WARM_UP_MS; nowMs < WARM_UP_MS + 3_000; nowMs += 200) {
             quotas.onReturn(new QuotaReturn("a", granted), nowMs);
             granted = grants(EDGE, 1_000, nowMs);
         }
-        double late = RATE * (QuotaTerms.RIGHT_VALIDITY_MS + QuotaTerms.RETURN_VALIDITY_MS) / 1_000;
+        double late = RATE * (QuotaParameters.RIGHT_VALIDITY_MS + QuotaParameters.RETURN_VALIDITY_MS) / 1_000;
         assertTrue(granted <= capacity() + late, granted + " of " + capacity());
     }
 
     @Test
-    void aNewGiverLetsNobodySendAheadWhileSharesOfAFormerOneMayBeInUse() {
+    void aNewCoordinatorGivesNoRunAheadWhileSharesOfItsPredecessorMayBeInUse() {
         limit(RATE, BURST, 0);
         assertEquals(0, runAhead(EDGE, TERMS.runAheadHoldMs() - 1));
         assertTrue(runAhead(EDGE, TERMS.runAheadHoldMs()) > 0);
     }
 
     @Test
-    void whatEdgesMaySendAheadNeverExceedsTheTotal() {
+    void runAheadOfAllEdgesNeverExceedsTheTotal() {
         limit(RATE, BURST, 0);
         int total = TERMS.runAhead(RATE, BURST);
-        assertEquals(total, runAhead(EDGE, SETTLED_MS));
-        assertEquals(0, runAhead(OTHER_EDGE, SETTLED_MS), "the first edge may hold all of it");
-        assertEquals(total / 2, runAhead(EDGE, SETTLED_MS + 100));
-        assertEquals(0, runAhead(OTHER_EDGE, SETTLED_MS + 200), "it may not have seen the smaller share yet");
-        long seen = SETTLED_MS + TERMS.runAheadHoldMs();
+        assertEquals(total, runAhead(EDGE, WARM_UP_MS));
+        assertEquals(0, runAhead(OTHER_EDGE, WARM_UP_MS), "the first edge may hold the whole run-ahead");
+        assertEquals(total / 2, runAhead(EDGE, WARM_UP_MS + 100));
+        assertEquals(0, runAhead(OTHER_EDGE, WARM_UP_MS + 200), "the smaller share may not have arrived yet");
+        long seen = WARM_UP_MS + TERMS.runAheadHoldMs();
         assertEquals(total / 2, runAhead(EDGE, seen));
         assertEquals(total / 2, runAhead(OTHER_EDGE, seen));
     }
 
     @Test
-    void theShareOfALostEdgeAndOfAFormerProcessIsHeldUntilItCannotCountAnyMore() {
+    void theShareOfALostEdgeStaysReservedUntilItLeavesTheWindow() {
         limit(RATE, BURST, 0);
         int total = TERMS.runAhead(RATE, BURST);
-        assertEquals(total, runAhead(EDGE, SETTLED_MS));
+        assertEquals(total, runAhead(EDGE, WARM_UP_MS));
         EdgeIncarnation restarted = new EdgeIncarnation(EDGE.name(), EDGE.incarnation() + 1);
-        assertEquals(0, runAhead(restarted, SETTLED_MS + TERMS.runAheadHoldMs() - 1));
-        assertEquals(total, runAhead(restarted, SETTLED_MS + TERMS.runAheadHoldMs()));
+        assertEquals(0, runAhead(restarted, WARM_UP_MS + TERMS.runAheadHoldMs() - 1));
+        assertEquals(total, runAhead(restarted, WARM_UP_MS + TERMS.runAheadHoldMs()));
     }
 
     @Test
-    void aDebtIsTakenFromWhatMayBeSentAhead() {
+    void debtIsDeductedFromTheRunAhead() {
         limit(RATE, BURST, 0);
         int total = TERMS.runAhead(RATE, BURST);
-        quotas.onDebit(new QuotaDebit("a", capacity() + 5), SETTLED_MS);
-        assertEquals(0, grants(EDGE, 1, SETTLED_MS));
-        assertEquals(total, runAhead(EDGE, SETTLED_MS + 1_000), "the debt has been worked off");
+        quotas.onDebit(new QuotaDebit("a", capacity() + 5), WARM_UP_MS);
+        assertEquals(0, grants(EDGE, 1, WARM_UP_MS));
+        assertEquals(total, runAhead(EDGE, WARM_UP_MS + 1_000), "the debt has been worked off");
     }
 
     @Test
-    void operatorsSeeWhyATenantIsRefused() {
+    void usageShowsWhyATenantIsRefused() {
         limit(RATE, BURST, 0);
-        grants(EDGE, 1_000, SETTLED_MS);
-        quotas.onDebit(new QuotaDebit("a", 3), SETTLED_MS);
-        TenantUsage usage = quotas.usages(SETTLED_MS).get(0);
+        grants(EDGE, 1_000, WARM_UP_MS);
+        quotas.onDebit(new QuotaDebit("a", 3), WARM_UP_MS);
+        TenantUsage usage = quotas.usages(WARM_UP_MS).get(0);
         assertEquals("a", usage.tenant());
         assertEquals(RATE, usage.ratePerS());
         assertEquals(capacity(), usage.granted());
