--- a/src/main/java/brambletray/platform/operations/ClaimGranted.java
+++ b/src/main/java/brambletray/platform/operations/ClaimGranted.java
@@ -1,4 +1,4 @@
 package brambletray.platform.operations;
 
-/** The claim is on enough disks: the request may be sent. */
+/** The claim is durable on enough members: the request may be sent. */
 public record ClaimGranted(ClaimId claim) {}
--- a/src/main/java/brambletray/platform/operations/ClaimHeld.java
+++ b/src/main/java/brambletray/platform/operations/ClaimHeld.java
@@ -1,9 +1,9 @@
 package brambletray.platform.operations;
 
 /**
- * Another claim came first, and its window is not over.
+ * Another claim on the key was made first and has not expired.
  *
  * @param holder the other claim
- * @param holderEdge name of the edge that drew it
+ * @param holderEdge name of the edge that made it
  */
 public record ClaimHeld(ClaimId claim, ClaimId holder, String holderEdge) {}
--- a/src/main/java/brambletray/platform/operations/ClaimId.java
+++ b/src/main/java/brambletray/platform/operations/ClaimId.java
@@ -1,9 +1,9 @@
 package brambletray.platform.operations;
 
 /**
- * Names one claim: drawn by an edge for one attempt of a client, and never drawn again.
+ * Identifies one claim. An edge creates it for one attempt of a client and never reuses it.
  *
- * @param incarnation of the edge process
- * @param sequence counts its claims
+ * @param incarnation incarnation of the edge process
+ * @param sequence number of the claim within that process
  */
 public record ClaimId(long incarnation, long sequence) {}
--- a/src/main/java/brambletray/platform/operations/ClaimReleased.java
+++ b/src/main/java/brambletray/platform/operations/ClaimReleased.java
@@ -1,4 +1,4 @@
 package brambletray.platform.operations;
 
-/** The release is committed, or there was nothing to release. */
+/** The answer to a {@link ClaimRelease}: it is committed, or there was nothing to release. */
 public record ClaimReleased(ClaimId claim) {}
--- a/src/main/java/brambletray/platform/operations/ClaimUnavailable.java
+++ b/src/main/java/brambletray/platform/operations/ClaimUnavailable.java
@@ -1,4 +1,4 @@
 package brambletray.platform.operations;
 
-/** The claim could not be committed now. It may still come to be; the edge releases it or claims again. */
+/** The claim was not committed, but still may be later: the edge must release it or repeat the request. */
 public record ClaimUnavailable(ClaimId claim, int retryAfterMs) {}
--- a/src/main/java/brambletray/platform/operations/LogClock.java
+++ b/src/main/java/brambletray/platform/operations/LogClock.java
@@ -5,52 +5,52 @@
 import java.io.IOException;
 
 /**
- * The time of the replicated log, ms. The same batches in the same order lead to the same time at all members. Pure,
- * for one thread.
+ * The time of the replicated log, ms: applying the same batches in the same order gives the same time at all members.
+ * Pure; not thread-safe.
  *
- * <p>Invariant: between two batches of the log it advances by no more than the real time between the moments at which
- * they were made (the latest of those up to each of them). It counts the time that one proposer has measured between
- * its own batches, and at another proposer's first batches the time since that one had applied all before; what cannot
- * be compared counts as nothing. So it stands still while no batch is committed for a restart, and steps of wall clocks
- * do not reach it.
+ * <p>Invariant: between two batches of the log, the clock advances by no more than the real time between their
+ * creation, where the creation time of a batch is the latest of all batches up to it. It counts the time that one
+ * proposer has measured between its own batches and, at the first batches of another proposer, the time since that one
+ * had applied all preceding batches. Intervals that cannot be compared count as 0. So the clock does not advance while
+ * a restart interrupts commits, and is not affected by steps of wall clocks.
  */
 final class LogClock {
     private final long processId;
     private long timeMs;
-    /** Batches that have been applied. */
+    /** Number of batches applied. */
     private long sequence;
-    /** Of the last batch; 0: none yet. */
+    /** The proposer of the last batch; 0: no batch yet. */
     private long proposer;
-    /** The latest of the proposer's batches that follow {@link #foreignSequence}, by its steady clock. */
+    /** Latest creation time of the proposer's batches after {@link #foreignSequence}, by its monotonic clock. */
     private long lastCreatedAtMs = Long.MIN_VALUE;
-    /** Number of the last batch that is not the proposer's. */
+    /** Number of the last batch from a different proposer. */
     private long foreignSequence;
-    /** When this process had applied the last batch of another, by its steady clock, rounded up. */
+    /** When this process applied the last batch of another proposer, by its monotonic clock, rounded up. */
     private long foreignAppliedAtMs;
 
-    /** {@code self}: names this process, not 0; {@code nowMs}: steady clock. */
+    /** {@code self}: identifies this process, not 0; {@code nowMs}: monotonic clock. */
     LogClock(long processId, long nowMs) {
         this.processId = processId;
         foreignAppliedAtMs = nowMs + 1;
     }
 
-    /** As of the last batch. */
+    /** The time as of the last batch. */
     long timeMs() {
         return timeMs;
     }
 
-    /** What the time would be after a batch that is made now and is the next in the log. */
+    /** The time if a batch created now were the next in the log. */
     long estimateMs(long nowMs) {
         long startMs = proposer == processId ? Math.max(foreignAppliedAtMs, lastCreatedAtMs) : foreignAppliedAtMs;
         return timeMs + Math.max(0, nowMs - startMs);
     }
 
-    /** Of a batch that this process makes now. */
+    /** The stamp of a batch that this process creates now. */
     BatchStamp stamp(long nowMs) {
         return new BatchStamp(processId, nowMs, proposer == processId ? foreignSequence : sequence, foreignAppliedAtMs);
     }
 
-    /** The next batch of the log, applied here at {@code nowMs} of the steady clock. */
+    /** Applies the next batch of the log; {@code nowMs}: monotonic clock of this process. */
     void advance(BatchStamp stamp, long nowMs) {
         if (stamp.proposer() != proposer) {
             proposer = stamp.proposer();
@@ -76,7 +76,7 @@
         out.writeLong(foreignSequence);
     }
 
-    /** The clock that {@link #write} has written, at this process and moment. */
+    /** Reads what {@link #write} has written, for this process at {@code nowMs}. */
     static LogClock read(DataInputStream in, long processId, long nowMs) throws IOException {
         LogClock clock = new LogClock(processId, nowMs);
         clock.timeMs = in.readLong();
--- a/src/main/java/brambletray/platform/operations/OperationBatch.java
+++ b/src/main/java/brambletray/platform/operations/OperationBatch.java
@@ -10,24 +10,24 @@
 import java.util.List;
 
 /**
- * Commands that are one entry of the replicated log.
+ * Commands that form one entry of the replicated log.
  *
- * @param stamp when it was made
- * @param windowMs for how long its claims stand, and its releases are remembered
+ * @param stamp when it was created
+ * @param windowMs how long its claims stay active and its releases are kept
  */
 public record OperationBatch(BatchStamp stamp, long windowMs, List<OperationCommand> commands) {
-    /** First byte of an encoded batch; configuration changes begin with another. */
+    /** First byte of an encoded batch, which tells it from configuration changes in the log. */
     public static final byte FORMAT = 2;
 
     private static final int CLAIM = 1;
     private static final int RELEASE = 2;
 
-    /** Whether these bytes of the replicated log are a batch. */
+    /** Whether this entry of the replicated log is a batch. */
     public static boolean isBatch(byte[] entry) {
         return entry.length > 0 && entry[0] == FORMAT;
     }
 
-    /** The batch as bytes. */
+    /** Encodes the batch. */
     public byte[] encode() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(32 + 64 * commands.size());
         try (DataOutputStream out = new DataOutputStream(bytes)) {
@@ -64,11 +64,11 @@
         }
     }
 
-    /** {@link OperationsException} for anything but what {@link #encode} has returned. */
+    /** Decodes a batch; throws {@link OperationsException} if {@link #encode} cannot have produced the bytes. */
     public static OperationBatch decode(byte[] bytes) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             if (in.readByte() != FORMAT) {
-                throw new OperationsException("operations.bad-batch", "expected a batch of format " + FORMAT, null);
+                throw new OperationsException("operations.bad-batch", "unsupported batch format, expected " + FORMAT, null);
             }
             BatchStamp stamp = readStamp(in);
             long windowMs = in.readLong();
@@ -78,11 +78,11 @@
                 commands.add(read(in));
             }
             if (in.read() >= 0) {
-                throw new OperationsException("operations.bad-batch", "expected nothing after the last command", null);
+                throw new OperationsException("operations.bad-batch", "unexpected bytes after the last command", null);
             }
             return new OperationBatch(stamp, windowMs, commands);
         } catch (IOException e) {
-            throw new OperationsException("operations.bad-batch", "expected a complete batch: " + e.getMessage(), e);
+            throw new OperationsException("operations.bad-batch", "batch is truncated or malformed: " + e.getMessage(), e);
         }
     }
 
@@ -95,7 +95,7 @@
             case RELEASE -> new OperationCommand.Release(claim, key);
             default ->
                 throw new OperationsException(
-                        "operations.bad-batch", "expected a claim or a release, found kind " + kind, null);
+                        "operations.bad-batch", "unknown command kind " + kind + ", expected a claim or a release", null);
         };
     }
 }
--- a/src/main/java/brambletray/platform/operations/OperationCodec.java
+++ b/src/main/java/brambletray/platform/operations/OperationCodec.java
@@ -4,7 +4,7 @@
 import java.io.DataOutputStream;
 import java.io.IOException;
 
-/** How keys and claims are laid out in batches and snapshots. */
+/** Binary encoding of keys and claim ids in batches and snapshots. */
 final class OperationCodec {
     private OperationCodec() {}
 
--- a/src/main/java/brambletray/platform/operations/OperationKey.java
+++ b/src/main/java/brambletray/platform/operations/OperationKey.java
@@ -6,11 +6,11 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** Names an operation over the whole system: the first half of the SHA-256 of its tenant and its operation key. */
+/** Identifies an operation in the whole system: the first half of the SHA-256 of its tenant and operation key. */
 public record OperationKey(long high, long low) {
     private static final int HEX_DIGITS = 32;
 
-    /** {@code tenant}: empty for nobody's. */
+    /** Hashes a tenant and an operation key; {@code tenant} is empty if the request has none. */
     public static OperationKey of(String tenant, String key) {
         try {
             MessageDigest sha = MessageDigest.getInstance("SHA-256");
@@ -23,12 +23,12 @@
         }
     }
 
-    /** As 32 hexadecimal digits. */
+    /** The key as 32 hexadecimal digits. */
     public String hex() {
         return HexFormat.of().toHexDigits(high) + HexFormat.of().toHexDigits(low);
     }
 
-    /** The key that {@link #hex} has written; null for anything else. */
+    /** Parses the form written by {@link #hex}; null if the text is not a key. */
     public static OperationKey parse(String hex) {
         if (hex.length() != HEX_DIGITS || !hex.chars().allMatch(HexFormat::isHexDigit)) {
             return null;
--- a/src/main/java/brambletray/platform/operations/OperationMessages.java
+++ b/src/main/java/brambletray/platform/operations/OperationMessages.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The frames of this package, in the order in which Kryo registers them. */
+/** The message types of this package, in Kryo registration order. */
 public final class OperationMessages {
     public static final List<Class<?>> ALL = List.of(
             ClaimRequest.class,
--- a/src/main/java/brambletray/platform/operations/OperationRegistry.java
+++ b/src/main/java/brambletray/platform/operations/OperationRegistry.java
@@ -14,58 +14,58 @@
 import java.util.Map;
 
 /**
- * The claims that stand: the replicated state by which an operation runs at most once. Pure and deterministic: the same
- * batches in the same order lead to the same state at all members, byte for byte. For one thread.
+ * The active claims: the replicated state by which an operation runs at most once. Pure and deterministic: applying
+ * the same batches in the same order gives the same state, byte for byte, at all members. Not thread-safe.
  *
- * <p>Time is the log's ({@link LogClock}): never faster than real time, so a claim stands for its window at least,
- * whatever clocks are stepped and whatever restarts.
+ * <p>Time is that of the log ({@link LogClock}). It never runs faster than real time, so a claim stays active for at
+ * least its window, whichever clocks are stepped and whichever processes restart.
  */
 public final class OperationRegistry {
     private static final byte SNAPSHOT_FORMAT = 1;
     private static final int CLAIM_BYTES = 44;
     private static final int RELEASE_BYTES = 24;
 
-    /** A claim that stands. {@code edge}: the name of the edge that drew it. */
+    /** A claim that is active; {@code edge}: the name of the edge that made it. */
     public record ActiveClaim(ClaimId id, String edge, long expiresAtMs) {}
 
     /**
-     * What became of a command.
+     * The result of a command.
      *
-     * @param holder the claim that stands on its key now; null: none
+     * @param holder the claim that is active on its key afterwards; null: none
      */
     public record Outcome(OperationCommand command, ActiveClaim holder) {}
 
-    /** In the order of their expiry, but for windows that were changed. */
+    /** In order of expiry, except where the window was changed in between. */
     private final Map<OperationKey, ActiveClaim> claims = new LinkedHashMap<>();
 
     /**
-     * Claims that were released, and until when that is remembered: a copy of a claim that is committed after its
-     * release, out of an older proposal, does not stand.
+     * Released claims, and until when each release is kept: an older proposal may commit a copy of a claim after its
+     * release, and this copy must not become active.
      */
     private final Map<ClaimId, Long> released = new LinkedHashMap<>();
 
     private final long processId;
     private LogClock clock;
 
-    /** {@code self}: names this process, and no other before or after it; {@code nowMs}: steady clock. */
+    /** {@code processId}: identifies this process, never reused; {@code nowMs}: monotonic clock. */
     public OperationRegistry(long processId, long nowMs) {
         this.processId = processId;
         clock = new LogClock(processId, nowMs);
     }
 
-    /** The stamp of a batch that this process makes now. */
+    /** The stamp of a batch that this process creates now. */
     public BatchStamp stamp(long nowMs) {
         return clock.stamp(nowMs);
     }
 
-    /** The log's time as far as it is known at this moment of the steady clock. */
+    /** Estimates the time of the log at {@code nowMs} of the monotonic clock. */
     public long logTimeMs(long nowMs) {
         return clock.estimateMs(nowMs);
     }
 
     /**
-     * The claim that stands on this key at this moment of the steady clock; null: none, or one whose window may be
-     * over, which only the next batch can say.
+     * The claim that is active on this key at {@code nowMs} of the monotonic clock; null: none, or one that may have
+     * expired, which only the next batch decides.
      */
     public ActiveClaim holder(OperationKey key, long nowMs) {
         ActiveClaim claim = claims.get(key);
@@ -77,23 +77,23 @@
         return claim == null || isExpired(claim.expiresAtMs()) ? null : claim;
     }
 
-    /** The claim that was made first of those that are remembered; null: none. */
+    /** The oldest claim that is kept; null: none. */
     public ActiveClaim oldest() {
         Iterator<ActiveClaim> oldest = claims.values().iterator();
         return oldest.hasNext() ? oldest.next() : null;
     }
 
-    /** How many claims stand. */
+    /** Number of active claims. */
     public int activeClaims() {
         return claims.size();
     }
 
-    /** How many claims and releases are remembered. */
+    /** Number of claims and releases that are kept. */
     public int size() {
         return claims.size() + released.size();
     }
 
-    /** Applies a committed batch; {@code nowMs}: steady clock. */
+    /** Applies a committed batch; {@code nowMs}: monotonic clock. */
     public List<Outcome> apply(OperationBatch batch, long nowMs) {
         clock.advance(batch.stamp(), nowMs);
         removeExpired();
@@ -112,7 +112,7 @@
 
     private void apply(OperationCommand.Claim claim, long expiresAtMs) {
         if (holder(claim.key()) == null && !released.containsKey(claim.claim())) {
-            // put anew, so that it is the last in order
+            // Removed first, so that the new claim is the last in insertion order.
             claims.remove(claim.key());
             claims.put(claim.key(), new ActiveClaim(claim.claim(), claim.edge(), expiresAtMs));
         }
@@ -141,7 +141,7 @@
         return clock.timeMs() >= expiresAtMs;
     }
 
-    /** The state as bytes: format, clock, names of edges, claims, releases. */
+    /** Encodes the state: format, clock, names of edges, claims, releases. */
     public byte[] snapshot() {
         ByteArrayOutputStream bytes =
                 new ByteArrayOutputStream(64 + CLAIM_BYTES * claims.size() + RELEASE_BYTES * released.size());
@@ -178,8 +178,8 @@
     }
 
     /**
-     * Replaces the state by a snapshot; empty bytes are the state before the first batch. {@link OperationsException}
-     * where it cannot be read, and then nothing changes.
+     * Replaces the state by a snapshot; an empty one is the state before the first batch. Throws {@link
+     * OperationsException} and changes nothing if the snapshot cannot be read.
      */
     public void restore(byte[] snapshot, long nowMs) {
         OperationRegistry other = new OperationRegistry(processId, nowMs);
@@ -199,7 +199,7 @@
             if (format != SNAPSHOT_FORMAT) {
                 throw new OperationsException(
                         "operations.bad-snapshot",
-                        "expected a snapshot of format " + SNAPSHOT_FORMAT + ", found " + format,
+                        "unsupported snapshot format " + format + ", expected " + SNAPSHOT_FORMAT,
                         null);
             }
             clock = LogClock.read(in, processId, nowMs);
@@ -218,7 +218,7 @@
             }
         } catch (IOException | IndexOutOfBoundsException e) {
             throw new OperationsException(
-                    "operations.bad-snapshot", "expected a complete snapshot: " + e.getMessage(), e);
+                    "operations.bad-snapshot", "snapshot is truncated or malformed: " + e.getMessage(), e);
         }
     }
 }
--- a/src/main/java/brambletray/platform/operations/OperationState.java
+++ b/src/main/java/brambletray/platform/operations/OperationState.java
@@ -1,13 +1,13 @@
 package brambletray.platform.operations;
 
-/** What the edge that holds a claim knows of its request. */
+/** The state of a request, as known to the edge that holds its claim. */
 public enum OperationState {
-    /** It may be sent, or is at an instance. */
+    /** The request may still be sent, or an instance is processing it. */
     RUNNING,
-    /** An instance has answered; the answer is known. */
+    /** An instance has answered, and the answer is known. */
     DONE,
-    /** It has not run and never will; the claim is being released. */
+    /** The request has not run and never will; the claim is being released. */
     NOT_RUN,
-    /** It may have run, and its answer is not known. */
+    /** The request may have run, but its answer is not known. */
     UNKNOWN
 }
--- a/src/main/java/brambletray/platform/operations/OperationsException.java
+++ b/src/main/java/brambletray/platform/operations/OperationsException.java
@@ -2,7 +2,7 @@
 
 import brambletray.platform.errors.PlatformException;
 
-/** Bytes that are no batch or snapshot of this package. */
+/** The bytes cannot be decoded as a batch or snapshot of this package. */
 public final class OperationsException extends PlatformException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/brambletray/platform/operations/ResultResponse.java
+++ b/src/main/java/brambletray/platform/operations/ResultResponse.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * What became of a claim.
+ * The state of a claim and, once its request is answered, the result.
  *
- * @param status of the answer, 0 unless {@link OperationState#DONE}
- * @param headers names and values in turns
+ * @param status HTTP status of the answer, 0 unless {@link OperationState#DONE}
+ * @param headers names and values, alternating
  */
 public record ResultResponse(
         long queryId, OperationState state, int status, String reason, List<String> headers, byte[] body) {}
--- a/src/main/java/brambletray/platform/operations/package-info.java
+++ b/src/main/java/brambletray/platform/operations/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Operations: all attempts of a tenant with one operation key run at most once within the key window (rule TWICE). A
- * claim on the key is replicated and durable before a request is sent; the answer is kept by the edge that ran it, and
- * given to repeats. Pure: time comes in as an argument, messages and effects go out.
+ * Operations: all attempts of a tenant with the same operation key run at most once within the key window (rule
+ * TWICE). A claim on the key is replicated and durable before a request is sent. The edge that sent the request keeps
+ * the answer and returns it to repeated attempts. Pure: callers pass the time, messages and effects are returned.
  */
 package brambletray.platform.operations;
--- a/src/test/java/brambletray/platform/operations/LogClockTest.java
+++ b/src/test/java/brambletray/platform/operations/LogClockTest.java
@@ -18,7 +18,7 @@
         LogClock clock = new LogClock(1, 0);
         BatchStamp first = clock.stamp(10);
         for (long madeAt = 10; madeAt < 60_000; madeAt += 5) {
-            // two are in flight: the next is made before the last is applied
+            // Two batches are in flight: the second is created before the first is applied.
             BatchStamp second = clock.stamp(madeAt + 5);
             clock.advance(first, madeAt + 8);
             first = second;
@@ -61,7 +61,7 @@
         }
     }
 
-    /** A process with a steady clock of its own that has applied a part of the log. */
+    /** A process with its own monotonic clock that has applied a prefix of the log. */
     private static final class Process {
         final long offsetMs;
         LogClock clock;
@@ -79,7 +79,7 @@
 
     private record CreatedBatch(BatchStamp stamp, long createdAtMs) {}
 
-    /** Several proposers, each behind by a part of the log, batches in flight that are overtaken or lost, restarts. */
+    /** Random runs of several proposers that lag behind the log, with reordered and lost batches and restarts. */
     @Test
     void logTimeNeverAdvancesFasterThanRealTime() {
         long first = Long.getLong("operations.first", 1);
@@ -89,7 +89,7 @@
             advanced += simulate(seed);
         }
         System.out.println("log clock: seeds " + first + " to " + (first + seeds - 1) + ", " + advanced + " ms");
-        assertTrue(advanced > seeds * 100L, "hardly any time was counted");
+        assertTrue(advanced > seeds * 100L, "the log clocks barely advanced");
     }
 
     private static long simulate(long seed) {
--- a/src/test/java/brambletray/platform/operations/OperationRegistryTest.java
+++ b/src/test/java/brambletray/platform/operations/OperationRegistryTest.java
@@ -120,7 +120,7 @@
         assertArrayEquals(snapshot, registry.snapshot());
     }
 
-    /** Restored anywhere on the way, a member has the same bytes as one that has applied all. */
+    /** A member restored from a snapshot at any batch has the same state as one that has applied all batches. */
     @Test
     void theSameBatchesLeadToIdenticalSnapshots() {
         for (long seed = 1; seed <= 100; seed++) {
