--- a/src/main/java/brambletray/platform/distribution/ConfigurationPublisher.java
+++ b/src/main/java/brambletray/platform/distribution/ConfigurationPublisher.java
@@ -8,22 +8,23 @@
 import java.util.Map;
 
 /**
- * The coordinator's side of the distribution of configurations: it answers each {@link DeltaRequest} with one {@link
- * DeltaChunk}, of the delta from what the edge has, or of the full configuration where that revision is not
- * remembered. It has no state for each edge: a request says how far the edge is, so a transfer goes on at any
- * coordinator. Packed deltas are shared by all edges that need the same. Pure; for one thread.
+ * The coordinator's side of configuration distribution. It answers each {@link DeltaRequest} with one {@link
+ * DeltaChunk} of the delta from the edge's revision, or of the full configuration if that revision is no longer in the
+ * history. It keeps no state per edge: a request states the edge's progress, so any coordinator can continue a
+ * transfer. Edges that need the same delta share its compressed form. Pure; not thread-safe.
  */
 public final class ConfigurationPublisher {
     /**
-     * Packed deltas that are cached, and bytes of them together; the least recently requested go first, but never the
-     * last one.
+     * Limits of the cache of compressed deltas: their number, and their bytes in total. The least recently requested
+     * are evicted first, but one always remains.
      */
     static final int MAX_CACHED_DELTAS = 256;
 
     static final int MAX_CACHED_BYTES = 8 << 20;
     /**
-     * The full configuration is packed again when the delta since is more than this part of it: under many changes,
-     * edges that need the full one share a copy, and take the delta since on top.
+     * The cached full configuration is compressed anew once the delta since then exceeds this fraction of its size
+     * (one eighth). Until then, edges that need it share a copy and fetch the delta on top, so that frequent changes do
+     * not cause a new copy each.
      */
     private static final int REPACK_FRACTION = 8;
 
@@ -31,24 +32,24 @@
 
     private final ChangeHistory history;
     private final Map<Long, PackedDelta> cachedDeltas = new LinkedHashMap<>(16, 0.75f, true);
-    /** What leads from each asked revision to {@link #currentRevision}. */
+    /** For each requested revision, the transfer that leads from it to {@link #currentRevision}. */
     private final Map<Long, Long> transferByBase = new LinkedHashMap<>();
 
     private long currentRevision;
     private int cachedBytes;
     private PackedDelta fullDelta;
 
-    /** Publishes the current configuration of this history. */
+    /** Publishes the current configuration of {@code history}. */
     public ConfigurationPublisher(ChangeHistory history) {
         this.history = history;
     }
 
-    /** The newest revision, 0 for none. */
+    /** The newest revision; 0: none. */
     public long revision() {
         return history.current().revision();
     }
 
-    /** A chunk of what the edge lacks, or null if it has the newest revision. */
+    /** The next chunk for the edge, or null if it has the newest revision. */
     public DeltaChunk nextChunk(DeltaRequest request, long term) {
         PackedDelta delta = request.transferId() == 0 ? null : cachedDeltas.get(request.transferId());
         if (delta == null || delta.revision <= request.revision()) {
@@ -106,7 +107,7 @@
         return cache(fullDelta);
     }
 
-    /** Bytes of cached deltas. */
+    /** Total size of the cached deltas, bytes. */
     int cachedBytes() {
         return cachedBytes;
     }
--- a/src/main/java/brambletray/platform/distribution/ConfigurationSubscriber.java
+++ b/src/main/java/brambletray/platform/distribution/ConfigurationSubscriber.java
@@ -5,34 +5,34 @@
 import brambletray.platform.configuration.ConfigurationException;
 
 /**
- * The edge's side of the distribution of configurations: it fetches what it lacks, chunk by chunk, at the pace of its
- * link. What has come of a transfer stays when the coordinator changes or the link ends, and the transfer goes on
- * from there. The revision never goes back. Pure; times are ms of a steady clock.
+ * The edge's side of configuration distribution: it fetches newer configurations chunk by chunk, at the pace of its
+ * link. When the coordinator changes or the link ends, a transfer keeps the chunks received and resumes after them.
+ * The revision never decreases. Pure; times are ms of a monotonic clock.
  */
 public final class ConfigurationSubscriber {
-    /** Chunks requested ahead, so that a link is never idle; more would only delay heartbeats and requests. */
+    /** Chunks requested ahead to keep the link busy; more would only delay heartbeats and requests. */
     static final int MAX_CHUNKS_AHEAD = 2;
     /**
-     * ms without a chunk after which it is requested again, doubled each time until one comes. After the end of a
-     * link it is requested at once; this is for a coordinator that stayed silent as its lease was uncertain. What is
-     * requested twice comes twice, on a link that may be full already.
+     * Time without a chunk after which it is requested again, ms; doubled after each retry until a chunk arrives. This
+     * covers a coordinator that does not answer while its lease is uncertain; on a new link the chunk is requested at
+     * once. The delay is doubled because each repeated request is answered, on a link that may already be saturated.
      */
     static final int RETRY_MS = 500;
 
     static final int MAX_RETRY_MS = 4_000;
 
-    /** What the subscriber wants done. */
+    /** Effects that the subscriber asks its caller to carry out. */
     public interface Actions {
-        /** To the coordinator; lost where there is none. */
+        /** Sends a request to the coordinator; dropped if there is none. */
         void sendRequest(DeltaRequest request);
 
         /**
-         * Another configuration applies here; {@code bytes} on the wire, in {@code durationMs} from the first request
-         * on.
+         * A new configuration applies. {@code bytes}: size of its transfer; {@code durationMs}: time since the first
+         * request.
          */
         void onConfiguration(Configuration configuration, int bytes, long durationMs);
 
-        /** What was fetched does not lead to the coordinator's configuration. */
+        /** The fetched delta is invalid or does not lead to the coordinator's configuration. */
         void onRejected(ConfigurationException error);
     }
 
@@ -44,19 +44,19 @@
     private long requestedAtMs;
     private int retryMs = RETRY_MS;
     private long startedAtMs;
-    /** The last transfer was rejected: nothing is requested before; ms. */
+    /** Earliest time of the next request after a rejected transfer, ms. */
     private long noRequestBeforeMs = Long.MIN_VALUE;
 
-    /** The transfer under way; 0: none has begun. */
+    /** The transfer in progress; 0: none. */
     private long transferId;
 
     private long revision;
     private byte[] bytes;
     private int receivedBytes;
-    /** Up to which offset chunks have been asked for. */
+    /** Offset up to which chunks have been requested. */
     private int requestedBytes;
 
-    /** Begins without a configuration. */
+    /** Starts without a configuration. */
     public ConfigurationSubscriber(Actions actions) {
         this.actions = actions;
     }
@@ -66,12 +66,12 @@
         return configuration;
     }
 
-    /** Whether the last announcement spoke of nothing newer; false as well where it could not name a revision. */
+    /** Whether the configuration is at least the last announced revision; false if that announcement had none. */
     public boolean isNewest() {
         return newestRevision > 0 && configuration.revision() >= newestRevision;
     }
 
-    /** The coordinator has announced the newest revision; 0: it cannot tell yet. */
+    /** Handles the announcement of the newest revision; 0: the coordinator does not know it yet. */
     public void onNewestRevision(long next, long nowMs) {
         newestRevision = next;
         if (!requestPending && newestRevision > configuration.revision() && nowMs >= noRequestBeforeMs) {
@@ -80,7 +80,7 @@
         }
     }
 
-    /** A link to a coordinator is up: what was requested on the one before is lost. */
+    /** Handles a new link to a coordinator: requests on the previous link are lost and are repeated. */
     public void onLinkUp(long nowMs) {
         retryMs = RETRY_MS;
         if (requestPending) {
@@ -88,12 +88,12 @@
         }
     }
 
-    /** When {@link #tick} has something to do; {@link Long#MAX_VALUE}: not before something else happens. */
+    /** When {@link #tick} is due; {@link Long#MAX_VALUE}: not until another event occurs. */
     public long nextDueMs() {
         return requestPending ? requestedAtMs + retryMs : Long.MAX_VALUE;
     }
 
-    /** To be called at {@link #nextDueMs}, or more often. */
+    /** Repeats a request that is overdue; to be called at {@link #nextDueMs} or more often. */
     public void tick(long nowMs) {
         if (requestPending && nowMs - requestedAtMs >= retryMs) {
             retryMs = Math.min(MAX_RETRY_MS, 2 * retryMs);
@@ -108,7 +108,7 @@
         actions.sendRequest(new DeltaRequest(configuration.revision(), transferId, receivedBytes, needsFull));
     }
 
-    /** A chunk has come. */
+    /** Handles a received chunk; malformed or unexpected chunks are ignored. */
     public void onChunk(DeltaChunk chunk, long nowMs) {
         if (chunk.revision() <= configuration.revision()
                 || chunk.totalBytes() <= 0
@@ -122,7 +122,7 @@
             if (chunk.offset() != 0) {
                 return;
             }
-            // The coordinator does not have that transfer any more, or starts one.
+            // A new transfer, or the coordinator no longer has the previous one.
             transferId = chunk.transferId();
             revision = chunk.revision();
             bytes = new byte[chunk.totalBytes()];
@@ -158,7 +158,7 @@
         try {
             next = configuration.apply(ConfigurationDelta.fromCompressedBytes(received));
         } catch (ConfigurationException error) {
-            // Where even the full configuration was rejected the next request waits, so that it is not fetched in a
+            // If even the full configuration was rejected, delay the next request so that it is not fetched in a tight
             // loop.
             noRequestBeforeMs = needsFull ? nowMs + 2 * RETRY_MS : nowMs;
             needsFull = true;
--- a/src/main/java/brambletray/platform/distribution/CoordinatorHeartbeat.java
+++ b/src/main/java/brambletray/platform/distribution/CoordinatorHeartbeat.java
@@ -1,9 +1,9 @@
 package brambletray.platform.distribution;
 
 /**
- * From the coordinator to an edge, several times a second: it still holds its term, and which configuration and
- * roster are the newest. Opens the link: what the coordinator sends before its first heartbeat, or after an {@code
- * EdgeWelcome} without a coordinator, has no authority. An edge that has less fetches it, so large data comes at the
- * pace of its link, and a heartbeat waits behind two chunks at most.
+ * From the coordinator to an edge, several times per second: confirms its term and announces the newest configuration
+ * and roster. Messages of the coordinator have no authority before its first heartbeat on the link, or after an {@code
+ * EdgeWelcome} without a coordinator. An edge that is behind fetches the data itself, so large data is sent at the pace
+ * of its link and a heartbeat waits behind at most two chunks.
  */
 public record CoordinatorHeartbeat(long term, long revision, long rosterNumber) {}
--- a/src/main/java/brambletray/platform/distribution/DeltaRequest.java
+++ b/src/main/java/brambletray/platform/distribution/DeltaRequest.java
@@ -1,12 +1,12 @@
 package brambletray.platform.distribution;
 
 /**
- * An edge asks the coordinator for a chunk of what it lacks of the configuration; it also says what it has, and sends
- * that alone when it has just applied a revision.
+ * From an edge to the coordinator: requests the next chunk of a newer configuration and reports the revision that the
+ * edge has. After applying a revision the edge also sends one just to report it.
  *
- * @param revision that it serves by; 0: none
- * @param transferId the transfer that it goes on with; 0: a new one
- * @param offset bytes of it that it has
- * @param full a delta did not lead where it should: it wants the full configuration
+ * @param revision the revision that the edge has applied; 0: none
+ * @param transferId the transfer to continue; 0: a new one
+ * @param offset position in the transfer from which bytes are requested
+ * @param full whether the full configuration is requested, as a delta was rejected
  */
 public record DeltaRequest(long revision, long transferId, int offset, boolean full) {}
--- a/src/main/java/brambletray/platform/distribution/FrameTypes.java
+++ b/src/main/java/brambletray/platform/distribution/FrameTypes.java
@@ -9,7 +9,7 @@
 import brambletray.platform.replication.ReplicationMessage;
 import java.util.List;
 
-/** All messages between processes of the system, in the order in which Kryo registers them. */
+/** All message types exchanged between processes of the system, in Kryo registration order. */
 public final class FrameTypes {
     private static final List<Class<?>> DISTRIBUTION = List.of(
             LinkIntroduction.class,
--- a/src/main/java/brambletray/platform/distribution/ProcessSignals.java
+++ b/src/main/java/brambletray/platform/distribution/ProcessSignals.java
@@ -5,13 +5,12 @@
 import sun.misc.Signal;
 
 /**
- * SIGTERM and SIGHUP of one process, from the first line of its main on. A signal that nobody handles ends a virtual
- * machine with 143 or 129, which counts as a process that failed.
+ * Handles SIGTERM and SIGHUP of one process, from the first line of its main method on. Without handlers, these signals
+ * end the JVM with exit code 143 or 129, which counts as a failed process.
  *
- * <p>Until the program runs, SIGTERM ends the process with 0, as nothing has been served, and SIGHUP is remembered.
- * From then on the program
- * hears the first SIGTERM, and each SIGHUP that comes before it. What comes after the first SIGTERM changes nothing.
- * Thread-safe.
+ * <p>Until the program runs, SIGTERM ends the process with exit code 0, as nothing has been served, and SIGHUP is
+ * deferred. Then the program receives the first SIGTERM and each SIGHUP before it. All signals after the first SIGTERM
+ * are ignored. Thread-safe.
  */
 public final class ProcessSignals {
     private static final ProcessSignals PROCESS = new ProcessSignals(System::exit);
@@ -22,9 +21,9 @@
     private boolean terminated;
     private boolean reloadPending;
 
-    /** A program that runs. Called on a thread of the system's; neither method may block or throw. */
+    /** A running program. Its methods are called on a JVM thread and must not block or throw. */
     public interface Program {
-        /** SIGTERM: ends in order, with exit code 0. */
+        /** SIGTERM: shuts down gracefully, with exit code 0. */
         void terminate();
 
         /** SIGHUP: the settings file may have changed. */
@@ -40,13 +39,13 @@
         this.lock = lock;
     }
 
-    /** The first line of a program's main. */
+    /** Installs the signal handlers; to be called first in the main method of a program. */
     public static void handle() {
         Signal.handle(new Signal("TERM"), signal -> PROCESS.terminate());
         Signal.handle(new Signal("HUP"), signal -> PROCESS.reload());
     }
 
-    /** The program of this process runs, and hears of signals from now on. */
+    /** Registers the program of this process, which receives the signals from now on. */
     public static void registerProgram(Program program) {
         PROCESS.register(program);
     }
--- a/src/main/java/brambletray/platform/distribution/RosterRequest.java
+++ b/src/main/java/brambletray/platform/distribution/RosterRequest.java
@@ -1,7 +1,7 @@
 package brambletray.platform.distribution;
 
 /**
- * An edge asks the coordinator for its newest roster, as a heartbeat announces a later one than it has: one request
- * at a time.
+ * From an edge to the coordinator: requests the newest roster, after a heartbeat has announced a later one than the
+ * edge has. An edge has at most one such request pending.
  */
 public record RosterRequest(long term, long rosterNumber) {}
--- a/src/main/java/brambletray/platform/distribution/SettingsReload.java
+++ b/src/main/java/brambletray/platform/distribution/SettingsReload.java
@@ -5,13 +5,13 @@
 import brambletray.platform.settings.SettingsException;
 import java.util.function.Consumer;
 
-/** What both programs do at SIGHUP: reread the settings file, and keep the present settings if it is invalid. */
+/** Reloads the settings file on SIGHUP, in both programs; an invalid file leaves the current settings in place. */
 public final class SettingsReload {
     private SettingsReload() {}
 
     /**
-     * Reads the file of {@code current} again and hands the result to {@code apply}; logs {@code settings-reloaded}, or
-     * {@code settings-rejected} with code and reason.
+     * Rereads the file of {@code current} and passes the result to {@code apply}. Logs {@code settings-reloaded}, or
+     * {@code settings-rejected} with the error code and reason.
      */
     public static void run(NodeSettings current, Consumer<NodeSettings> apply, EventLog log) {
         try {
--- a/src/main/java/brambletray/platform/distribution/package-info.java
+++ b/src/main/java/brambletray/platform/distribution/package-info.java
@@ -1,4 +1,4 @@
 /**
- * How configurations and rosters reach edges, and the frames that the system's processes exchange for it.
+ * Distribution of configurations and rosters to edges, and the messages that the processes exchange for it.
  */
 package brambletray.platform.distribution;
--- a/src/test/java/brambletray/platform/distribution/ConfigurationDistributionTest.java
+++ b/src/test/java/brambletray/platform/distribution/ConfigurationDistributionTest.java
@@ -11,16 +11,16 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** How configurations reach edges on slow links, in virtual time. */
+/** Distribution of configurations to edges on slow links, in virtual time. */
 class ConfigurationDistributionTest {
-    /** Bytes a ms: 2 Mbit/s. */
+    /** 2 Mbit/s. */
     private static final int LINK_BYTES_PER_MS = 250;
 
     private static void assertHeartbeatsOnTime(SimulatedEdges simulation) {
         for (SimulatedEdges.Edge edge : simulation.edges) {
             assertTrue(
                     edge.longestHeartbeatGapMs < 500,
-                    "edge " + edge.number + " heard no pulse for " + edge.longestHeartbeatGapMs + " ms");
+                    "edge " + edge.number + " received no heartbeat for " + edge.longestHeartbeatGapMs + " ms");
         }
     }
 
@@ -30,7 +30,7 @@
         Configuration first = SimulatedEdges.withRoutes(1, 721);
         simulation.publish(first);
         long start = simulation.runUntilAllAt(1, 10_000);
-        assertTrue(start < 300, "the first took " + start + " ms");
+        assertTrue(start < 300, "the first configuration took " + start + " ms");
         long before = simulation.edges.get(0).bytes;
         simulation.run(2_000);
         long idle = simulation.edges.get(0).bytes - before;
@@ -38,7 +38,7 @@
         long change = simulation.runUntilAllAt(2, 10_000);
         assertTrue(change < 20, "the change took " + change + " ms");
         assertTrue(simulation.edges.get(0).bytes - before - idle < 700, "bytes " + (simulation.edges.get(0).bytes - before - idle));
-        assertTrue(idle < 900, "bytes in 2 s at rest: " + idle);
+        assertTrue(idle < 900, "bytes in 2 s without changes: " + idle);
         assertHeartbeatsOnTime(simulation);
     }
 
@@ -70,7 +70,7 @@
         }
         assertTrue(simulation.runUntilAllAt(601, 2_000) < 20);
         assertTrue(simulation.edges.get(3).bytes - before < 600 * 500, "bytes " + (simulation.edges.get(3).bytes - before));
-        assertTrue(simulation.edges.get(7).fullTransfers <= 2, "wholes " + simulation.edges.get(7).fullTransfers);
+        assertTrue(simulation.edges.get(7).fullTransfers <= 2, "full transfers " + simulation.edges.get(7).fullTransfers);
         assertHeartbeatsOnTime(simulation);
     }
 
@@ -172,7 +172,7 @@
         assertEquals(
                 2,
                 publisher.nextChunk(new DeltaRequest(1, 0, 0, true), 1).revision(),
-                "no whole one that the asker has already");
+                "no full configuration that the edge already has");
         history.advanceTo(SimulatedEdges.incompressible(9, 40_000));
         assertEquals(9, publisher.nextChunk(new DeltaRequest(0, 0, 0, false), 1).revision());
     }
@@ -253,7 +253,7 @@
         SimulatedEdges.Edge edge = simulation.edges.get(0);
         simulation.publish(SimulatedEdges.withRoutes(1, 721));
         simulation.run(1_000);
-        // The helm's history is not the edge's: under the same number it has something else.
+        // The new coordinator's history differs from the edge's: the same revision has other content.
         ChangeHistory other = new ChangeHistory();
         Configuration strange = SimulatedEdges.withRoutes(1, 720);
         other.advanceTo(strange);
@@ -338,7 +338,7 @@
             publisher.nextChunk(new DeltaRequest(0, 0, 0, false), 1);
         }
         assertTrue(
-                publisher.cachedBytes() <= ConfigurationPublisher.MAX_CACHED_BYTES, "kept " + publisher.cachedBytes());
+                publisher.cachedBytes() <= ConfigurationPublisher.MAX_CACHED_BYTES, "cached bytes " + publisher.cachedBytes());
         assertTrue(ConfigurationDelta.fromCompressedBytes(history.fullDelta().toCompressedBytes())
                         .revision()
                 == 11);
--- a/src/test/java/brambletray/platform/distribution/ConfigurationSubscriberTest.java
+++ b/src/test/java/brambletray/platform/distribution/ConfigurationSubscriberTest.java
@@ -8,7 +8,7 @@
 import brambletray.platform.configuration.ConfigurationException;
 import org.junit.jupiter.api.Test;
 
-/** Whether an edge knows that what it serves by is the newest configuration. */
+/** Whether an edge knows that its configuration is the newest. */
 class ConfigurationSubscriberTest {
     private static final long TERM = 5;
 
@@ -27,7 +27,7 @@
         }
     }
 
-    /** The first revision comes in one chunk. */
+    /** Delivers the first revision, in one chunk. */
     private void receiveFirstRevision() {
         ChangeHistory history = new ChangeHistory();
         history.advanceTo(SimulatedEdges.withRoutes(1, 3));
--- a/src/test/java/brambletray/platform/distribution/ProcessSignalsTest.java
+++ b/src/test/java/brambletray/platform/distribution/ProcessSignalsTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a process does at signals, in each order in which they may come. */
+/** How a process handles signals, in every order in which they may arrive. */
 class ProcessSignalsTest {
     private final List<String> done = new ArrayList<>();
     private final ProcessSignals signals = new ProcessSignals(code -> done.add("exit " + code));
--- a/src/test/java/brambletray/platform/distribution/ProcessSignalsTurnsTest.java
+++ b/src/test/java/brambletray/platform/distribution/ProcessSignalsTurnsTest.java
@@ -6,7 +6,7 @@
 import brambletray.platform.interleaving.Turns;
 import org.junit.jupiter.api.Test;
 
-/** A signal and the start of a process, under every order of their turns. */
+/** A signal that arrives while the process starts, in every interleaving of the two threads. */
 class ProcessSignalsTurnsTest {
     @Test
     void settingsThatChangeWhileTheProcessStartsAreReadAgain() {
@@ -24,9 +24,9 @@
                 signals.register(new Reloads(() -> known[0] = settings[0]));
             });
             turns.run();
-            assertEquals(2, known[0], "the settings that the process goes by");
+            assertEquals(2, known[0], "the settings that the process has read");
         });
-        assertTrue(orders >= 3, "few orders: " + orders);
+        assertTrue(orders >= 3, "too few interleavings: " + orders);
     }
 
     private record Reloads(Runnable reread) implements ProcessSignals.Program {
--- a/src/test/java/brambletray/platform/distribution/SimulatedEdges.java
+++ b/src/test/java/brambletray/platform/distribution/SimulatedEdges.java
@@ -13,8 +13,8 @@
 import java.util.stream.IntStream;
 
 /**
- * A helm and edges in virtual time, each edge on a link of so many bytes a ms to it: what is sent on a link waits for
- * all that was sent on it before. Pulses go as the coordinator's do.
+ * Simulates a coordinator and its edges in virtual time. Each edge has a link of limited bandwidth on which messages
+ * queue behind those sent before. Heartbeats are sent at the coordinator's interval.
  */
 final class SimulatedEdges {
     static final int HEARTBEAT_INTERVAL_MS = 250;
@@ -61,7 +61,7 @@
             });
         }
 
-        /** Over the link, behind what is on it. */
+        /** Sends to the edge, queued behind what is already on the link. */
         void send(int size, Runnable arrival) {
             int sentInGeneration = linkGeneration;
             bytes += size + FRAME_HEADER_BYTES;
@@ -73,7 +73,7 @@
             });
         }
 
-        /** What is on the way is lost. */
+        /** Closes the link; messages in flight are lost. */
         void disconnect() {
             linkGeneration++;
             connected = false;
@@ -109,7 +109,7 @@
     ConfigurationPublisher coordinator = new ConfigurationPublisher(history);
     long term = 1;
     long now;
-    /** ms one way. */
+    /** One-way latency of each link, ms. */
     int oneWayDelayMs = 1;
 
     private final int bytesPerMs;
@@ -117,7 +117,7 @@
             new PriorityQueue<>(Comparator.comparingLong(Event::atMs).thenComparingLong(Event::order));
     private long order;
 
-    /** {@code rate}: bytes a ms of each link. */
+    /** {@code rate}: bandwidth of each link. */
     SimulatedEdges(int edges, int bytesPerMs) {
         this.bytesPerMs = bytesPerMs;
         IntStream.range(0, edges).forEach(i -> this.edges.add(new Edge(i)));
@@ -152,13 +152,13 @@
         schedule(now + 50, () -> scheduleTicks(edge));
     }
 
-    /** In force here, and pulsed at once. */
+    /** Publishes the configuration at the coordinator and announces it at once. */
     void publish(Configuration configuration) {
         history.advanceTo(configuration);
         edges.forEach(this::sendHeartbeat);
     }
 
-    /** Another member is the coordinator: it has followed along, and has packed nothing yet. */
+    /** Makes another member the coordinator; it has the given history and nothing cached. */
     void replaceCoordinator(ChangeHistory knownHistory) {
         term++;
         coordinator = new ConfigurationPublisher(knownHistory);
@@ -183,7 +183,7 @@
         return edges.stream().allMatch(edge -> edge.subscriber.configuration().revision() == revision);
     }
 
-    /** ms until all have this revision, at most so many. */
+    /** Runs until all edges have this revision, for at most {@code maxMs}; returns the elapsed ms. */
     long runUntilAllAt(long revision, int maxMs) {
         long from = now;
         while (!allAt(revision) && now - from < maxMs) {
@@ -196,7 +196,7 @@
         return text.replace('\'', '"').getBytes(java.nio.charset.StandardCharsets.UTF_8);
     }
 
-    /** So many services with a route each. */
+    /** A configuration of one service and {@code count} routes. */
     static Configuration withRoutes(long revision, int count) {
         return Configuration.read(
                 bytes(
@@ -207,7 +207,7 @@
                                 + "],'services':[{'name':'s','max-connections':72,'memory-mb':512,'boot-ms':750,'max-concurrency':4}]}"));
     }
 
-    /** One that packs badly: {@code bytes} of digits at random in it. */
+    /** A configuration that compresses badly: it contains {@code bytes} random digits. */
     static Configuration incompressible(long revision, int bytes) {
         java.util.Random random = new java.util.Random(revision);
         StringBuilder filler = new StringBuilder();
