--- a/src/main/java/brambletray/platform/operations/OperationBatch.java
+++ b/src/main/java/brambletray/platform/operations/OperationBatch.java
@@ -68,7 +68,8 @@
     public static OperationBatch decode(byte[] bytes) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             if (in.readByte() != FORMAT) {
-                throw new OperationsException("operations.bad-batch", "unsupported batch format, expected " + FORMAT, null);
+                throw new OperationsException(
+                        "operations.bad-batch", "unsupported batch format, expected " + FORMAT, null);
             }
             BatchStamp stamp = readStamp(in);
             long windowMs = in.readLong();
@@ -82,7 +83,8 @@
             }
             return new OperationBatch(stamp, windowMs, commands);
         } catch (IOException e) {
-            throw new OperationsException("operations.bad-batch", "batch is truncated or malformed: " + e.getMessage(), e);
+            throw new OperationsException(
+                    "operations.bad-batch", "batch is truncated or malformed: " + e.getMessage(), e);
         }
     }
 
@@ -95,7 +97,9 @@
             case RELEASE -> new OperationCommand.Release(claim, key);
             default ->
                 throw new OperationsException(
-                        "operations.bad-batch", "unknown command kind " + kind + ", expected a claim or a release", null);
+                        "operations.bad-batch",
+                        "unknown command kind " + kind + ", expected a claim or a release",
+                        null);
         };
     }
 }
--- a/src/main/java/brambletray/platform/quota/TenantQuota.java
+++ b/src/main/java/brambletray/platform/quota/TenantQuota.java
@@ -4,7 +4,7 @@
 
 /** The quota of one limited tenant at the coordinator. */
 final class TenantQuota {
-    private final QuotaParameters terms;
+    private final QuotaParameters parameters;
     private final TokenBucket bucket;
     private final RunAheadShares shares;
     private final RecentGrants recentGrants = new RecentGrants();
@@ -15,15 +15,15 @@
     private long returned;
 
     /** Starts with an empty bucket and no run-ahead, as the grants of a previous coordinator are not known. */
-    TenantQuota(Tenant tenant, QuotaParameters terms, long nowMs) {
+    TenantQuota(Tenant tenant, QuotaParameters parameters, long nowMs) {
         this.tenant = tenant;
-        this.terms = terms;
+        this.parameters = parameters;
         bucket = new TokenBucket(tenant.ratePerS(), capacity(), nowMs);
-        shares = new RunAheadShares(nowMs + terms.runAheadHoldMs());
+        shares = new RunAheadShares(nowMs + parameters.runAheadHoldMs());
     }
 
     private double capacity() {
-        return terms.capacity(tenant.ratePerS(), tenant.burstSize());
+        return parameters.capacity(tenant.ratePerS(), tenant.burstSize());
     }
 
     void updateLimits(Tenant changed, long nowMs) {
@@ -38,13 +38,14 @@
         }
         granted++;
         recentGrants.onGranted(nowMs);
-        return new QuotaGrant(id, shares.renew(edge, availableRunAhead(nowMs), nowMs + terms.runAheadHoldMs(), nowMs));
+        return new QuotaGrant(
+                id, shares.renew(edge, availableRunAhead(nowMs), nowMs + parameters.runAheadHoldMs(), nowMs));
     }
 
     /** The run-ahead that the parameters allow, less the debt of the bucket. */
     private int availableRunAhead(long nowMs) {
         double debt = Math.max(0, -bucket.tokens(nowMs));
-        return (int) Math.max(0, terms.runAhead(tenant.ratePerS(), tenant.burstSize()) - Math.ceil(debt));
+        return (int) Math.max(0, parameters.runAhead(tenant.ratePerS(), tenant.burstSize()) - Math.ceil(debt));
     }
 
     void onDebit(int requests, long nowMs) {
--- a/src/main/java/brambletray/platform/quota/TenantQuotas.java
+++ b/src/main/java/brambletray/platform/quota/TenantQuotas.java
@@ -17,14 +17,14 @@
     /** Run-ahead of tenants without a limit: their requests need no rights, with or without a coordinator. */
     private static final int UNLIMITED_RUN_AHEAD = 1_000;
 
-    private final QuotaParameters terms;
+    private final QuotaParameters parameters;
     private Map<String, Tenant> tenants = Map.of();
     /** The quotas of the limited tenants, by name. */
     private final Map<String, TenantQuota> quotas = new HashMap<>();
 
     /** Starts without tenants. */
-    public TenantQuotas(QuotaParameters terms) {
-        this.terms = terms;
+    public TenantQuotas(QuotaParameters parameters) {
+        this.parameters = parameters;
     }
 
     /**
@@ -38,7 +38,7 @@
             if (tenant.isLimited()) {
                 TenantQuota quota = quotas.get(tenant.name());
                 if (quota == null) {
-                    quotas.put(tenant.name(), new TenantQuota(tenant, terms, nowMs));
+                    quotas.put(tenant.name(), new TenantQuota(tenant, parameters, nowMs));
                 } else {
                     quota.updateLimits(tenant, nowMs);
                 }
--- a/src/test/java/brambletray/platform/distribution/ConfigurationDistributionTest.java
+++ b/src/test/java/brambletray/platform/distribution/ConfigurationDistributionTest.java
@@ -37,7 +37,9 @@
         simulation.publish(SimulatedEdges.withRoutePath(first, "r5", 123_456));
         long change = simulation.runUntilAllAt(2, 10_000);
         assertTrue(change < 20, "the change took " + change + " ms");
-        assertTrue(simulation.edges.get(0).bytes - before - idle < 700, "bytes " + (simulation.edges.get(0).bytes - before - idle));
+        assertTrue(
+                simulation.edges.get(0).bytes - before - idle < 700,
+                "bytes " + (simulation.edges.get(0).bytes - before - idle));
         assertTrue(idle < 900, "bytes in 2 s without changes: " + idle);
         assertHeartbeatsOnTime(simulation);
     }
@@ -69,8 +71,11 @@
             simulation.run(100);
         }
         assertTrue(simulation.runUntilAllAt(601, 2_000) < 20);
-        assertTrue(simulation.edges.get(3).bytes - before < 600 * 500, "bytes " + (simulation.edges.get(3).bytes - before));
-        assertTrue(simulation.edges.get(7).fullTransfers <= 2, "full transfers " + simulation.edges.get(7).fullTransfers);
+        assertTrue(
+                simulation.edges.get(3).bytes - before < 600 * 500,
+                "bytes " + (simulation.edges.get(3).bytes - before));
+        assertTrue(
+                simulation.edges.get(7).fullTransfers <= 2, "full transfers " + simulation.edges.get(7).fullTransfers);
         assertHeartbeatsOnTime(simulation);
     }
 
@@ -140,9 +145,9 @@
             simulation.run(100);
             edge.connect();
         }
-        int all = compressedBytes(SimulatedEdges.incompressible(1, 400_000)) / LINK_BYTES_PER_MS;
-        long more = simulation.runUntilAllAt(1, 3_000);
-        assertTrue(more < all - 6 * 200 + 300, more + " ms more, of " + all);
+        int fullTransferMs = compressedBytes(SimulatedEdges.incompressible(1, 400_000)) / LINK_BYTES_PER_MS;
+        long remainingMs = simulation.runUntilAllAt(1, 3_000);
+        assertTrue(remainingMs < fullTransferMs - 6 * 200 + 300, remainingMs + " ms more, of " + fullTransferMs);
         assertEquals(1, edge.fullTransfers);
     }
 
@@ -254,12 +259,12 @@
         simulation.publish(SimulatedEdges.withRoutes(1, 721));
         simulation.run(1_000);
         // The new coordinator's history differs from the edge's: the same revision has other content.
-        ChangeHistory other = new ChangeHistory();
-        Configuration strange = SimulatedEdges.withRoutes(1, 720);
-        other.advanceTo(strange);
-        Configuration next = SimulatedEdges.withRoutePath(strange, "r3", 400_000);
-        other.advanceTo(next);
-        simulation.replaceCoordinator(other);
+        ChangeHistory otherHistory = new ChangeHistory();
+        Configuration otherConfiguration = SimulatedEdges.withRoutes(1, 720);
+        otherHistory.advanceTo(otherConfiguration);
+        Configuration next = SimulatedEdges.withRoutePath(otherConfiguration, "r3", 400_000);
+        otherHistory.advanceTo(next);
+        simulation.replaceCoordinator(otherHistory);
         simulation.run(1_000);
         assertEquals(List.of("configuration.digest"), edge.errors);
         assertTrue(simulation.allAt(2));
@@ -296,13 +301,13 @@
     void revisionsNeverGoBack() {
         SimulatedEdges simulation = new SimulatedEdges(1, LINK_BYTES_PER_MS);
         Configuration configuration = SimulatedEdges.withRoutes(1, 721);
-        ChangeHistory late = new ChangeHistory();
-        late.advanceTo(configuration);
+        ChangeHistory outdatedHistory = new ChangeHistory();
+        outdatedHistory.advanceTo(configuration);
         simulation.publish(configuration);
         simulation.run(500);
         simulation.publish(SimulatedEdges.withRoutePath(configuration, "r1", 500_000));
         simulation.run(500);
-        simulation.replaceCoordinator(late);
+        simulation.replaceCoordinator(outdatedHistory);
         simulation.run(3_000);
         assertEquals(List.of(1L, 2L), simulation.edges.get(0).revisions);
         assertNull(simulation.coordinator.nextChunk(new DeltaRequest(2, 0, 0, false), 2));
@@ -314,7 +319,7 @@
     void malformedChunksAreIgnored() {
         SimulatedEdges simulation = new SimulatedEdges(1, LINK_BYTES_PER_MS);
         ConfigurationSubscriber edge = simulation.edges.get(0).subscriber;
-        for (DeltaChunk odd : List.of(
+        for (DeltaChunk malformed : List.of(
                 new DeltaChunk(1, 5, 1, -1, 0, new byte[1]),
                 new DeltaChunk(1, 5, 1, Integer.MAX_VALUE, 0, new byte[1]),
                 new DeltaChunk(1, 5, 1, 10, -1, new byte[1]),
@@ -322,7 +327,7 @@
                 new DeltaChunk(1, 5, 1, 10, 9, new byte[1]),
                 new DeltaChunk(1, 5, 1, 10, 0, new byte[0]),
                 new DeltaChunk(1, 5, 1, 10, 0, new byte[10]))) {
-            edge.onChunk(odd, 0);
+            edge.onChunk(malformed, 0);
         }
         simulation.publish(SimulatedEdges.withRoutes(6, 50));
         simulation.run(2_000);
@@ -338,7 +343,8 @@
             publisher.nextChunk(new DeltaRequest(0, 0, 0, false), 1);
         }
         assertTrue(
-                publisher.cachedBytes() <= ConfigurationPublisher.MAX_CACHED_BYTES, "cached bytes " + publisher.cachedBytes());
+                publisher.cachedBytes() <= ConfigurationPublisher.MAX_CACHED_BYTES,
+                "cached bytes " + publisher.cachedBytes());
         assertTrue(ConfigurationDelta.fromCompressedBytes(history.fullDelta().toCompressedBytes())
                         .revision()
                 == 11);
--- a/src/test/java/brambletray/platform/distribution/ProcessSignalsTest.java
+++ b/src/test/java/brambletray/platform/distribution/ProcessSignalsTest.java
@@ -8,18 +8,18 @@
 
 /** How a process handles signals, in every order in which they may arrive. */
 class ProcessSignalsTest {
-    private final List<String> done = new ArrayList<>();
-    private final ProcessSignals signals = new ProcessSignals(code -> done.add("exit " + code));
+    private final List<String> events = new ArrayList<>();
+    private final ProcessSignals signals = new ProcessSignals(code -> events.add("exit " + code));
 
     private final ProcessSignals.Program program = new ProcessSignals.Program() {
         @Override
         public void terminate() {
-            done.add("terminate");
+            events.add("terminate");
         }
 
         @Override
         public void reload() {
-            done.add("reload");
+            events.add("reload");
         }
     };
 
@@ -29,7 +29,7 @@
         signals.reload();
         signals.reload();
         signals.terminate();
-        assertEquals(List.of("reload", "reload", "terminate"), done);
+        assertEquals(List.of("reload", "reload", "terminate"), events);
     }
 
     @Test
@@ -38,7 +38,7 @@
         signals.terminate();
         signals.terminate();
         signals.terminate();
-        assertEquals(List.of("terminate"), done);
+        assertEquals(List.of("terminate"), events);
     }
 
     @Test
@@ -46,7 +46,7 @@
         signals.register(program);
         signals.terminate();
         signals.reload();
-        assertEquals(List.of("terminate"), done);
+        assertEquals(List.of("terminate"), events);
     }
 
     @Test
@@ -54,15 +54,15 @@
         signals.terminate();
         signals.terminate();
         signals.register(program);
-        assertEquals(List.of("exit 0"), done);
+        assertEquals(List.of("exit 0"), events);
     }
 
     @Test
     void aHangUpBeforeTheProgramRunsIsDeliveredOnceItRuns() {
         signals.reload();
         signals.reload();
-        assertEquals(List.of(), done);
+        assertEquals(List.of(), events);
         signals.register(program);
-        assertEquals(List.of("reload"), done);
+        assertEquals(List.of("reload"), events);
     }
 }
--- a/src/test/java/brambletray/platform/distribution/ProcessSignalsTurnsTest.java
+++ b/src/test/java/brambletray/platform/distribution/ProcessSignalsTurnsTest.java
@@ -21,7 +21,7 @@
             turns.thread("start", () -> {
                 known[0] = settings[0];
                 turns.point();
-                signals.register(new Reloads(() -> known[0] = settings[0]));
+                signals.register(new ReloadingProgram(() -> known[0] = settings[0]));
             });
             turns.run();
             assertEquals(2, known[0], "the settings that the process has read");
@@ -29,7 +29,7 @@
         assertTrue(orders >= 3, "too few interleavings: " + orders);
     }
 
-    private record Reloads(Runnable reread) implements ProcessSignals.Program {
+    private record ReloadingProgram(Runnable onReload) implements ProcessSignals.Program {
         @Override
         public void terminate() {
             throw new AssertionError("no termination was sent");
@@ -37,7 +37,7 @@
 
         @Override
         public void reload() {
-            reread.run();
+            onReload.run();
         }
     }
 }
--- a/src/test/java/brambletray/platform/operations/LogClockTest.java
+++ b/src/test/java/brambletray/platform/operations/LogClockTest.java
@@ -55,7 +55,9 @@
             var bytes = new java.io.ByteArrayOutputStream();
             clock.write(new java.io.DataOutputStream(bytes));
             return LogClock.read(
-                    new java.io.DataInputStream(new java.io.ByteArrayInputStream(bytes.toByteArray())), processId, nowMs);
+                    new java.io.DataInputStream(new java.io.ByteArrayInputStream(bytes.toByteArray())),
+                    processId,
+                    nowMs);
         } catch (java.io.IOException e) {
             throw new AssertionError(e);
         }
--- a/src/test/java/brambletray/platform/quota/TenantQuotasTest.java
+++ b/src/test/java/brambletray/platform/quota/TenantQuotasTest.java
@@ -11,7 +11,7 @@
 
 /** What the coordinator grants, refuses and allows edges as run-ahead, in virtual time. */
 class TenantQuotasTest {
-    private static final QuotaParameters TERMS = new QuotaParameters(5_000, 0.1, 20);
+    private static final QuotaParameters PARAMETERS = new QuotaParameters(5_000, 0.1, 20);
     private static final double RATE = 50;
     private static final double BURST = 30;
     private static final EdgeIncarnation EDGE = new EdgeIncarnation("edge-1", 1);
@@ -19,89 +19,89 @@
     /** Time after the start, ms, at which the buckets are full and run-ahead may be given. */
     private static final long WARM_UP_MS = 60_000;
 
-    private final TenantQuotas quotas = new TenantQuotas(TERMS);
+    private final TenantQuotas quotas = new TenantQuotas(PARAMETERS);
     private long nextId;
 
     private static Tenant tenant(String name, double rate, double burst) {
         return new Tenant(name, List.of(), 0, rate, burst);
     }
 
-    private void limit(double rate, double burst, long nowMs) {
+    private void setLimit(double rate, double burst, long nowMs) {
         quotas.updateTenants(Map.of("a", tenant("a", rate, burst), "free", tenant("free", 0, 0)), nowMs);
     }
 
-    private QuotaResponse ask(EdgeIncarnation edge, long nowMs) {
+    private QuotaResponse request(EdgeIncarnation edge, long nowMs) {
         return quotas.onRequest(edge, new QuotaRequest(++nextId, "a"), nowMs);
     }
 
     private int grants(EdgeIncarnation edge, int requests, long nowMs) {
         int granted = 0;
         for (int i = 0; i < requests; i++) {
-            granted += ask(edge, nowMs) instanceof QuotaGrant ? 1 : 0;
+            granted += request(edge, nowMs) instanceof QuotaGrant ? 1 : 0;
         }
         return granted;
     }
 
     private int runAhead(EdgeIncarnation edge, long nowMs) {
-        return assertInstanceOf(QuotaGrant.class, ask(edge, nowMs)).runAhead();
+        return assertInstanceOf(QuotaGrant.class, request(edge, nowMs)).runAhead();
     }
 
     private static int capacity() {
-        return (int) TERMS.capacity(RATE, BURST);
+        return (int) PARAMETERS.capacity(RATE, BURST);
     }
 
     @Test
     void aNewCoordinatorStartsWithAnEmptyBucket() {
-        limit(RATE, BURST, 0);
+        setLimit(RATE, BURST, 0);
         assertEquals(0, grants(EDGE, 100, 0));
         assertEquals(25, grants(EDGE, 100, 500));
     }
 
     @Test
     void tokensAccumulateUpToTheCapacity() {
-        limit(RATE, BURST, 0);
+        setLimit(RATE, BURST, 0);
         assertEquals(capacity(), grants(EDGE, 1_000, WARM_UP_MS));
         assertEquals(0, grants(EDGE, 1_000, WARM_UP_MS));
     }
 
     @Test
     void aRefusalSaysWhenTheNextRightIsAvailable() {
-        limit(RATE, BURST, 0);
-        QuotaRefusal refusal = assertInstanceOf(QuotaRefusal.class, ask(EDGE, 0));
+        setLimit(RATE, BURST, 0);
+        QuotaRefusal refusal = assertInstanceOf(QuotaRefusal.class, request(EDGE, 0));
         assertEquals(20, refusal.retryAfterMs());
-        assertInstanceOf(QuotaGrant.class, ask(EDGE, refusal.retryAfterMs()));
+        assertInstanceOf(QuotaGrant.class, request(EDGE, refusal.retryAfterMs()));
     }
 
     @Test
     void unknownTenantsAreRefusedAndUnlimitedTenantsAreGranted() {
-        limit(RATE, BURST, 0);
+        setLimit(RATE, BURST, 0);
         assertInstanceOf(QuotaRefusal.class, quotas.onRequest(EDGE, new QuotaRequest(1, "nobody"), 0));
         assertInstanceOf(QuotaGrant.class, quotas.onRequest(EDGE, new QuotaRequest(2, "free"), 0));
     }
 
     @Test
     void aChangedLimitAppliesAtOnceWithoutARefill() {
-        limit(RATE, BURST, 0);
+        setLimit(RATE, BURST, 0);
         assertEquals(capacity(), grants(EDGE, 1_000, WARM_UP_MS));
-        limit(10 * RATE, BURST, WARM_UP_MS);
+        setLimit(10 * RATE, BURST, WARM_UP_MS);
         assertEquals(0, grants(EDGE, 1_000, WARM_UP_MS));
         assertEquals(50, grants(EDGE, 1_000, WARM_UP_MS + 100));
-        limit(10, 0, 2 * WARM_UP_MS);
-        assertEquals((int) TERMS.capacity(10, 0), grants(EDGE, 1_000, 2 * WARM_UP_MS));
+        setLimit(10, 0, 2 * WARM_UP_MS);
+        assertEquals((int) PARAMETERS.capacity(10, 0), grants(EDGE, 1_000, 2 * WARM_UP_MS));
     }
 
     @Test
     void aTenantThatIsRemovedAndAddedAgainStartsWithAnEmptyBucket() {
-        limit(RATE, BURST, 0);
+        setLimit(RATE, BURST, 0);
         quotas.updateTenants(Map.of(), WARM_UP_MS);
         assertEquals(0, grants(EDGE, 10, WARM_UP_MS));
-        limit(RATE, BURST, WARM_UP_MS);
+        setLimit(RATE, BURST, WARM_UP_MS);
         assertEquals(0, grants(EDGE, 10, WARM_UP_MS));
     }
 
     @Test
     void requestsWithoutRightsPutTheBucketIntoDebt() {
-        limit(RATE, BURST, 0);
+        setLimit(RATE, BURST, 0);
         quotas.onDebit(new QuotaDebit("a", capacity() + 25), WARM_UP_MS);
         assertEquals(0, grants(EDGE, 1_000, WARM_UP_MS + 500));
         assertEquals(1, grants(EDGE, 1_000, WARM_UP_MS + 520));
@@ -109,7 +109,7 @@
 
     @Test
     void returnedRightsAreCreditedUnlessLateOrNeverGranted() {
-        limit(RATE, BURST, 0);
+        setLimit(RATE, BURST, 0);
         assertEquals(capacity(), grants(EDGE, 1_000, WARM_UP_MS));
         quotas.onReturn(new QuotaReturn("a", 5), WARM_UP_MS);
         assertEquals(5, grants(EDGE, 1_000, WARM_UP_MS));
@@ -123,7 +123,7 @@
 
     @Test
     void rightsThatAreReturnedAndGrantedAgainDoNotAccumulate() {
-        limit(RATE, BURST, 0);
+        setLimit(RATE, BURST, 0);
         int granted = 0;
         for (long nowMs = WARM_UP_MS; nowMs < WARM_UP_MS + 3_000; nowMs += 200) {
             quotas.onReturn(new QuotaReturn("a", granted), nowMs);
@@ -135,38 +135,38 @@
 
     @Test
     void aNewCoordinatorGivesNoRunAheadWhileSharesOfItsPredecessorMayBeInUse() {
-        limit(RATE, BURST, 0);
-        assertEquals(0, runAhead(EDGE, TERMS.runAheadHoldMs() - 1));
-        assertTrue(runAhead(EDGE, TERMS.runAheadHoldMs()) > 0);
+        setLimit(RATE, BURST, 0);
+        assertEquals(0, runAhead(EDGE, PARAMETERS.runAheadHoldMs() - 1));
+        assertTrue(runAhead(EDGE, PARAMETERS.runAheadHoldMs()) > 0);
     }
 
     @Test
     void runAheadOfAllEdgesNeverExceedsTheTotal() {
-        limit(RATE, BURST, 0);
-        int total = TERMS.runAhead(RATE, BURST);
+        setLimit(RATE, BURST, 0);
+        int total = PARAMETERS.runAhead(RATE, BURST);
         assertEquals(total, runAhead(EDGE, WARM_UP_MS));
         assertEquals(0, runAhead(OTHER_EDGE, WARM_UP_MS), "the first edge may hold the whole run-ahead");
         assertEquals(total / 2, runAhead(EDGE, WARM_UP_MS + 100));
         assertEquals(0, runAhead(OTHER_EDGE, WARM_UP_MS + 200), "the smaller share may not have arrived yet");
-        long seen = WARM_UP_MS + TERMS.runAheadHoldMs();
-        assertEquals(total / 2, runAhead(EDGE, seen));
-        assertEquals(total / 2, runAhead(OTHER_EDGE, seen));
+        long expiredAtMs = WARM_UP_MS + PARAMETERS.runAheadHoldMs();
+        assertEquals(total / 2, runAhead(EDGE, expiredAtMs));
+        assertEquals(total / 2, runAhead(OTHER_EDGE, expiredAtMs));
     }
 
     @Test
     void theShareOfALostEdgeStaysReservedUntilItLeavesTheWindow() {
-        limit(RATE, BURST, 0);
-        int total = TERMS.runAhead(RATE, BURST);
+        setLimit(RATE, BURST, 0);
+        int total = PARAMETERS.runAhead(RATE, BURST);
         assertEquals(total, runAhead(EDGE, WARM_UP_MS));
-        EdgeIncarnation restarted = new EdgeIncarnation(EDGE.name(), EDGE.incarnation() + 1);
-        assertEquals(0, runAhead(restarted, WARM_UP_MS + TERMS.runAheadHoldMs() - 1));
-        assertEquals(total, runAhead(restarted, WARM_UP_MS + TERMS.runAheadHoldMs()));
+        EdgeIncarnation restartedEdge = new EdgeIncarnation(EDGE.name(), EDGE.incarnation() + 1);
+        assertEquals(0, runAhead(restartedEdge, WARM_UP_MS + PARAMETERS.runAheadHoldMs() - 1));
+        assertEquals(total, runAhead(restartedEdge, WARM_UP_MS + PARAMETERS.runAheadHoldMs()));
     }
 
     @Test
     void debtIsDeductedFromTheRunAhead() {
-        limit(RATE, BURST, 0);
-        int total = TERMS.runAhead(RATE, BURST);
+        setLimit(RATE, BURST, 0);
+        int total = PARAMETERS.runAhead(RATE, BURST);
         quotas.onDebit(new QuotaDebit("a", capacity() + 5), WARM_UP_MS);
         assertEquals(0, grants(EDGE, 1, WARM_UP_MS));
         assertEquals(total, runAhead(EDGE, WARM_UP_MS + 1_000), "the debt has been worked off");
@@ -174,7 +174,7 @@
 
     @Test
     void usageShowsWhyATenantIsRefused() {
-        limit(RATE, BURST, 0);
+        setLimit(RATE, BURST, 0);
         grants(EDGE, 1_000, WARM_UP_MS);
         quotas.onDebit(new QuotaDebit("a", 3), WARM_UP_MS);
         TenantUsage usage = quotas.usages(WARM_UP_MS).get(0);
