--- a/src/test/java/brambletray/platform/distribution/SimulatedEdges.java
+++ b/src/test/java/brambletray/platform/distribution/SimulatedEdges.java
@@ -117,7 +117,7 @@
             new PriorityQueue<>(Comparator.comparingLong(Event::atMs).thenComparingLong(Event::order));
     private long order;
 
-    /** {@code rate}: bandwidth of each link. */
+    /** {@code bytesPerMs}: bandwidth of each link. */
     SimulatedEdges(int edges, int bytesPerMs) {
         this.bytesPerMs = bytesPerMs;
         IntStream.range(0, edges).forEach(i -> this.edges.add(new Edge(i)));
