--- a/src/main/java/brambletray/platform/quota/QuotaParameters.java
+++ b/src/main/java/brambletray/platform/quota/QuotaParameters.java
@@ -3,56 +3,56 @@
 import brambletray.platform.settings.DeploymentBounds;
 
 /**
- * What the deployment allows a tenant beyond its limit in one window, and how it is divided. In any window, arrivals
- * may come to {@code (rate * window + burst) * (1 + overage) + slack}; {@code docs/quota.md} proves that the division
- * stays below.
+ * How far the deployment lets a tenant exceed its limit within one window, and how this overage is divided. In any
+ * window, at most {@code (rate * window + burst) * (1 + overage) + slack} requests may arrive; {@code docs/quota.md}
+ * proves that the division stays within this bound.
  *
  * @param windowMs the window in which requests are counted
- * @param overage what may be exceeded, as a share of the limit
- * @param slack what may be exceeded besides, requests
+ * @param overage allowed excess, as a share of the limit
+ * @param slack allowed excess in addition to {@code overage}, in requests
  */
 public record QuotaParameters(long windowMs, double overage, double slack) {
-    /** For how long after it was asked for a right may be spent, ms. */
+    /** How long after its request a right may be spent, ms. */
     public static final int RIGHT_VALIDITY_MS = 150;
-    /** For how long after it was asked for an unspent right may be returned, ms. */
+    /** How long after its request an unspent right may be returned, ms. */
     public static final int RETURN_VALIDITY_MS = 250;
-    /** For how long after it was asked for an edge returns an unspent right; later it is lost. */
+    /** How long after its request an edge returns an unspent right, ms; an older one is discarded. */
     public static final int MAX_RETURN_AGE_MS = 220;
-    /** For how long after a grant was asked for the run-ahead in it may be spent, ms. */
+    /** How long after the request of a grant its run-ahead may be spent, ms. */
     public static final int RUN_AHEAD_VALIDITY_MS = 3_000;
 
-    /** Share of the excess by which a bucket is deeper than the tenant's burst. */
+    /** Share of the overage budget that is added to the tenant's burst as bucket capacity. */
     private static final double CAPACITY_SHARE = 0.4;
-    /** Share of the excess that edges may send without rights. */
+    /** Share of the overage budget that edges may send without rights. */
     private static final double RUN_AHEAD_SHARE = 0.4;
-    /** What a bucket must hold at least for a grant. */
+    /** Minimum capacity of a bucket: a grant takes one token. */
     private static final double MIN_CAPACITY = 1;
 
-    /** The terms of this deployment. */
+    /** Creates the parameters from the bounds of the deployment. */
     public static QuotaParameters from(DeploymentBounds bounds) {
         return new QuotaParameters((long) (bounds.quotaWindowS() * 1_000), bounds.quotaOverage(), bounds.quotaSlack());
     }
 
-    /** What is left of overage and slack once rights that are spent or returned late are paid for; requests. */
+    /** Overage and slack, less the rights that may be spent or returned late; in requests. */
     private double overageBudget(double ratePerS, double burst) {
         double allowed = overage * (ratePerS * windowMs / 1_000 + burst) + slack;
-        double late = ratePerS * (RIGHT_VALIDITY_MS + RETURN_VALIDITY_MS) / 1_000;
-        return Math.max(0, allowed - late);
+        double lateRights = ratePerS * (RIGHT_VALIDITY_MS + RETURN_VALIDITY_MS) / 1_000;
+        return Math.max(0, allowed - lateRights);
     }
 
-    /** The depth of a tenant's bucket, requests. */
+    /** The capacity of a tenant's bucket, in requests. */
     double capacity(double ratePerS, double burst) {
         return Math.max(MIN_CAPACITY, burst + CAPACITY_SHARE * overageBudget(ratePerS, burst));
     }
 
-    /** What all edges together may send without rights while they have no coordinator, requests. */
+    /** Requests that all edges together may send without rights while they have no coordinator. */
     int runAhead(double ratePerS, double burst) {
         return (int) (RUN_AHEAD_SHARE * overageBudget(ratePerS, burst));
     }
 
     /**
-     * ms after a grant until nothing that was sent ahead by it can fall into the same window as what is sent from then
-     * on.
+     * Time after a grant, ms, from which no request sent under its run-ahead can fall into the same window as a new
+     * request.
      */
     long runAheadHoldMs() {
         return RUN_AHEAD_VALIDITY_MS + windowMs;
--- a/src/main/java/brambletray/platform/quota/TenantQuota.java
+++ b/src/main/java/brambletray/platform/quota/TenantQuota.java
@@ -2,7 +2,7 @@
 
 import brambletray.platform.configuration.Tenant;
 
-/** The rights of one limited tenant at their giver. */
+/** The quota of one limited tenant at the coordinator. */
 final class TenantQuota {
     private final QuotaParameters parameters;
     private final TokenBucket bucket;
@@ -14,12 +14,12 @@
     private long debited;
     private long returned;
 
-    /** Begins as a giver that knows nothing of what was given before: with an empty bucket, and without run-ahead. */
-    TenantQuota(Tenant tenant, QuotaParameters terms, long nowMs) {
+    /** Starts with an empty bucket and no run-ahead, as the grants of a previous coordinator are not known. */
+    TenantQuota(Tenant tenant, QuotaParameters parameters, long nowMs) {
         this.tenant = tenant;
-        this.parameters = terms;
+        this.parameters = parameters;
         bucket = new TokenBucket(tenant.ratePerS(), capacity(), nowMs);
-        shares = new RunAheadShares(nowMs + terms.runAheadHoldMs());
+        shares = new RunAheadShares(nowMs + parameters.runAheadHoldMs());
     }
 
     private double capacity() {
@@ -38,10 +38,11 @@
         }
         granted++;
         recentGrants.onGranted(nowMs);
-        return new QuotaGrant(id, shares.renew(edge, availableRunAhead(nowMs), nowMs + parameters.runAheadHoldMs(), nowMs));
+        return new QuotaGrant(
+                id, shares.renew(edge, availableRunAhead(nowMs), nowMs + parameters.runAheadHoldMs(), nowMs));
     }
 
-    /** Less than the terms bear while the bucket is in debt. */
+    /** The run-ahead that the parameters allow, less the debt of the bucket. */
     private int availableRunAhead(long nowMs) {
         double debt = Math.max(0, -bucket.tokens(nowMs));
         return (int) Math.max(0, parameters.runAhead(tenant.ratePerS(), tenant.burstSize()) - Math.ceil(debt));
@@ -59,9 +60,9 @@
     }
 
     /**
-     * What the bucket may hold after a return. Together with the rights that may be spent still it stays near the
-     * capacity: otherwise rights that are returned and granted again and again, while no instance is free, would add up
-     * and all be spent at once.
+     * Upper bound of the tokens after a return. It keeps tokens and outstanding rights together near the capacity:
+     * otherwise rights that are repeatedly returned and granted again while no instance is free would accumulate, and
+     * could all be spent at once.
      */
     private double creditLimit(long nowMs) {
         double spentLate = tenant.ratePerS() * QuotaParameters.RIGHT_VALIDITY_MS / 1_000;
--- a/src/test/java/brambletray/platform/distribution/ConfigurationDistributionTest.java
+++ b/src/test/java/brambletray/platform/distribution/ConfigurationDistributionTest.java
@@ -11,79 +11,84 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** How configurations reach edges on slow links, in virtual time. */
+/** Distribution of configurations to edges on slow links, in virtual time. */
 class ConfigurationDistributionTest {
-    /** Bytes a ms: 2 Mbit/s. */
+    /** 2 Mbit/s. */
     private static final int LINK_BYTES_PER_MS = 250;
 
-    private static void assertHeartbeatsOnTime(SimulatedEdges town) {
-        for (SimulatedEdges.Edge edge : town.edges) {
+    private static void assertHeartbeatsOnTime(SimulatedEdges simulation) {
+        for (SimulatedEdges.Edge edge : simulation.edges) {
             assertTrue(
                     edge.longestHeartbeatGapMs < 500,
-                    "edge " + edge.number + " heard no pulse for " + edge.longestHeartbeatGapMs + " ms");
+                    "edge " + edge.number + " received no heartbeat for " + edge.longestHeartbeatGapMs + " ms");
         }
     }
 
     @Test
     void aSingleRouteChangeReachesAllEdgesWithin20Ms() {
-        SimulatedEdges town = new SimulatedEdges(89, LINK_BYTES_PER_MS);
+        SimulatedEdges simulation = new SimulatedEdges(89, LINK_BYTES_PER_MS);
         Configuration first = SimulatedEdges.withRoutes(1, 721);
-        town.publish(first);
-        long start = town.runUntilAllAt(1, 10_000);
-        assertTrue(start < 300, "the first took " + start + " ms");
-        long before = town.edges.get(0).bytes;
-        town.run(2_000);
-        long idle = town.edges.get(0).bytes - before;
-        town.publish(SimulatedEdges.withRoutePath(first, "r5", 123_456));
-        long change = town.runUntilAllAt(2, 10_000);
+        simulation.publish(first);
+        long start = simulation.runUntilAllAt(1, 10_000);
+        assertTrue(start < 300, "the first configuration took " + start + " ms");
+        long before = simulation.edges.get(0).bytes;
+        simulation.run(2_000);
+        long idle = simulation.edges.get(0).bytes - before;
+        simulation.publish(SimulatedEdges.withRoutePath(first, "r5", 123_456));
+        long change = simulation.runUntilAllAt(2, 10_000);
         assertTrue(change < 20, "the change took " + change + " ms");
-        assertTrue(town.edges.get(0).bytes - before - idle < 700, "bytes " + (town.edges.get(0).bytes - before - idle));
-        assertTrue(idle < 900, "bytes in 2 s at rest: " + idle);
-        assertHeartbeatsOnTime(town);
+        assertTrue(
+                simulation.edges.get(0).bytes - before - idle < 700,
+                "bytes " + (simulation.edges.get(0).bytes - before - idle));
+        assertTrue(idle < 900, "bytes in 2 s without changes: " + idle);
+        assertHeartbeatsOnTime(simulation);
     }
 
     @Test
     void aCompleteReplacementReachesAllEdges() {
-        SimulatedEdges town = new SimulatedEdges(61, LINK_BYTES_PER_MS);
-        town.publish(SimulatedEdges.withRoutes(1, 721));
-        town.run(3_000);
-        town.publish(SimulatedEdges.incompressible(2, 60_000));
-        assertTrue(town.runUntilAllAt(2, 4_000) < 400);
-        assertHeartbeatsOnTime(town);
+        SimulatedEdges simulation = new SimulatedEdges(61, LINK_BYTES_PER_MS);
+        simulation.publish(SimulatedEdges.withRoutes(1, 721));
+        simulation.run(3_000);
+        simulation.publish(SimulatedEdges.incompressible(2, 60_000));
+        assertTrue(simulation.runUntilAllAt(2, 4_000) < 400);
+        assertHeartbeatsOnTime(simulation);
     }
 
     @Test
     void edgesFollowTenChangesPerSecondForAMinute() {
-        SimulatedEdges town = new SimulatedEdges(20, LINK_BYTES_PER_MS);
+        SimulatedEdges simulation = new SimulatedEdges(20, LINK_BYTES_PER_MS);
         Configuration configuration = SimulatedEdges.withRoutes(1, 721);
-        town.publish(configuration);
-        town.run(3_000);
-        long before = town.edges.get(3).bytes;
+        simulation.publish(configuration);
+        simulation.run(3_000);
+        long before = simulation.edges.get(3).bytes;
         Random random = new Random(1);
         for (int i = 0; i < 600; i++) {
             configuration = SimulatedEdges.withRoutePath(configuration, "r" + random.nextInt(721), 200_000 + i);
-            town.publish(configuration);
+            simulation.publish(configuration);
             if (i == 300) {
-                town.edges.get(7).restart();
+                simulation.edges.get(7).restart();
             }
-            town.run(100);
+            simulation.run(100);
         }
-        assertTrue(town.runUntilAllAt(601, 2_000) < 20);
-        assertTrue(town.edges.get(3).bytes - before < 600 * 500, "bytes " + (town.edges.get(3).bytes - before));
-        assertTrue(town.edges.get(7).fullTransfers <= 2, "wholes " + town.edges.get(7).fullTransfers);
-        assertHeartbeatsOnTime(town);
+        assertTrue(simulation.runUntilAllAt(601, 2_000) < 20);
+        assertTrue(
+                simulation.edges.get(3).bytes - before < 600 * 500,
+                "bytes " + (simulation.edges.get(3).bytes - before));
+        assertTrue(
+                simulation.edges.get(7).fullTransfers <= 2, "full transfers " + simulation.edges.get(7).fullTransfers);
+        assertHeartbeatsOnTime(simulation);
     }
 
     @Test
     void fourMegabytesUseTheLinkFullyWithoutDelayingHeartbeats() {
-        SimulatedEdges town = new SimulatedEdges(4, LINK_BYTES_PER_MS);
+        SimulatedEdges simulation = new SimulatedEdges(4, LINK_BYTES_PER_MS);
         Configuration configuration = SimulatedEdges.incompressible(1, (4 << 20) - 4_096);
-        town.publish(configuration);
-        long took = town.runUntilAllAt(1, 30_000);
+        simulation.publish(configuration);
+        long took = simulation.runUntilAllAt(1, 30_000);
         int packed = compressedBytes(configuration);
         assertTrue(took < packed / LINK_BYTES_PER_MS * 115L / 100, took + " ms for " + packed + " bytes");
-        assertHeartbeatsOnTime(town);
-        assertEquals(1, town.edges.get(0).fullTransfers);
+        assertHeartbeatsOnTime(simulation);
+        assertEquals(1, simulation.edges.get(0).fullTransfers);
     }
 
     private static int compressedBytes(Configuration configuration) {
@@ -94,67 +99,67 @@
 
     @Test
     void changesDuringALongTransferDoNotRestartIt() {
-        SimulatedEdges town = new SimulatedEdges(3, LINK_BYTES_PER_MS);
+        SimulatedEdges simulation = new SimulatedEdges(3, LINK_BYTES_PER_MS);
         Configuration configuration = SimulatedEdges.incompressible(1, 400_000);
-        town.publish(configuration);
+        simulation.publish(configuration);
         for (int i = 0; i < 40; i++) {
-            town.run(50);
+            simulation.run(50);
             configuration = SimulatedEdges.withRoutePath(configuration, "r" + i, i + 10);
-            town.publish(configuration);
+            simulation.publish(configuration);
         }
-        assertTrue(town.runUntilAllAt(41, 5_000) < 1_000);
-        for (SimulatedEdges.Edge edge : town.edges) {
+        assertTrue(simulation.runUntilAllAt(41, 5_000) < 1_000);
+        for (SimulatedEdges.Edge edge : simulation.edges) {
             assertEquals(1, edge.fullTransfers);
             assertEquals(1, edge.revisions.get(0));
         }
-        assertHeartbeatsOnTime(town);
+        assertHeartbeatsOnTime(simulation);
     }
 
     @Test
     void aNewCoordinatorResumesTheTransfer() {
-        SimulatedEdges town = new SimulatedEdges(3, LINK_BYTES_PER_MS);
+        SimulatedEdges simulation = new SimulatedEdges(3, LINK_BYTES_PER_MS);
         Configuration configuration = SimulatedEdges.incompressible(1, 400_000);
         ChangeHistory other = new ChangeHistory();
         other.advanceTo(configuration);
-        town.publish(configuration);
-        town.run(800);
-        long before = town.edges.get(0).bytes;
-        town.replaceCoordinator(other);
-        town.run(3_000);
-        assertTrue(town.allAt(1));
+        simulation.publish(configuration);
+        simulation.run(800);
+        long before = simulation.edges.get(0).bytes;
+        simulation.replaceCoordinator(other);
+        simulation.run(3_000);
+        assertTrue(simulation.allAt(1));
         int size = compressedBytes(configuration);
         assertTrue(
-                town.edges.get(0).bytes < size * 115L / 100 + 2_000,
-                town.edges.get(0).bytes + " of " + size + ", " + before + " before");
-        assertEquals(1, town.edges.get(0).fullTransfers);
+                simulation.edges.get(0).bytes < size * 115L / 100 + 2_000,
+                simulation.edges.get(0).bytes + " of " + size + ", " + before + " before");
+        assertEquals(1, simulation.edges.get(0).fullTransfers);
     }
 
     @Test
     void aTransferResumesAfterALostLink() {
-        SimulatedEdges town = new SimulatedEdges(1, LINK_BYTES_PER_MS);
-        SimulatedEdges.Edge edge = town.edges.get(0);
-        town.publish(SimulatedEdges.incompressible(1, 400_000));
+        SimulatedEdges simulation = new SimulatedEdges(1, LINK_BYTES_PER_MS);
+        SimulatedEdges.Edge edge = simulation.edges.get(0);
+        simulation.publish(SimulatedEdges.incompressible(1, 400_000));
         for (int i = 0; i < 6; i++) {
-            town.run(200);
+            simulation.run(200);
             edge.disconnect();
-            town.run(100);
+            simulation.run(100);
             edge.connect();
         }
-        int all = compressedBytes(SimulatedEdges.incompressible(1, 400_000)) / LINK_BYTES_PER_MS;
-        long more = town.runUntilAllAt(1, 3_000);
-        assertTrue(more < all - 6 * 200 + 300, more + " ms more, of " + all);
+        int fullTransferMs = compressedBytes(SimulatedEdges.incompressible(1, 400_000)) / LINK_BYTES_PER_MS;
+        long remainingMs = simulation.runUntilAllAt(1, 3_000);
+        assertTrue(remainingMs < fullTransferMs - 6 * 200 + 300, remainingMs + " ms more, of " + fullTransferMs);
         assertEquals(1, edge.fullTransfers);
     }
 
     @Test
     void aLinkWithHighLatencyIsFullyUsed() {
-        SimulatedEdges town = new SimulatedEdges(2, LINK_BYTES_PER_MS);
-        town.oneWayDelayMs = 12;
+        SimulatedEdges simulation = new SimulatedEdges(2, LINK_BYTES_PER_MS);
+        simulation.oneWayDelayMs = 12;
         Configuration configuration = SimulatedEdges.incompressible(1, 400_000);
-        town.publish(configuration);
-        long took = town.runUntilAllAt(1, 9_000);
+        simulation.publish(configuration);
+        long took = simulation.runUntilAllAt(1, 9_000);
         assertTrue(took < compressedBytes(configuration) / LINK_BYTES_PER_MS * 115L / 100, took + " ms");
-        assertHeartbeatsOnTime(town);
+        assertHeartbeatsOnTime(simulation);
     }
 
     @Test
@@ -172,7 +177,7 @@
         assertEquals(
                 2,
                 publisher.nextChunk(new DeltaRequest(1, 0, 0, true), 1).revision(),
-                "no whole one that the asker has already");
+                "no full configuration that the edge already has");
         history.advanceTo(SimulatedEdges.incompressible(9, 40_000));
         assertEquals(9, publisher.nextChunk(new DeltaRequest(0, 0, 0, false), 1).revision());
     }
@@ -203,118 +208,118 @@
 
     @Test
     void halfTheEdgesRestartAtOnce() {
-        SimulatedEdges town = new SimulatedEdges(61, LINK_BYTES_PER_MS);
+        SimulatedEdges simulation = new SimulatedEdges(61, LINK_BYTES_PER_MS);
         Configuration configuration = SimulatedEdges.withRoutes(1, 721);
-        town.publish(configuration);
-        town.run(2_000);
-        town.publish(SimulatedEdges.withRoutePath(configuration, "r1", 77_777_777));
-        town.edges.stream().filter(edge -> edge.number % 2 == 0).forEach(SimulatedEdges.Edge::restart);
-        assertTrue(town.runUntilAllAt(2, 4_000) < 600);
-        assertHeartbeatsOnTime(town);
+        simulation.publish(configuration);
+        simulation.run(2_000);
+        simulation.publish(SimulatedEdges.withRoutePath(configuration, "r1", 77_777_777));
+        simulation.edges.stream().filter(edge -> edge.number % 2 == 0).forEach(SimulatedEdges.Edge::restart);
+        assertTrue(simulation.runUntilAllAt(2, 4_000) < 600);
+        assertHeartbeatsOnTime(simulation);
     }
 
     @Test
     void anEdgeTwoThousandRevisionsBehindGetsOneDelta() {
-        SimulatedEdges town = new SimulatedEdges(2, LINK_BYTES_PER_MS);
+        SimulatedEdges simulation = new SimulatedEdges(2, LINK_BYTES_PER_MS);
         Configuration configuration = SimulatedEdges.withRoutes(1, 721);
-        town.publish(configuration);
-        town.run(1_000);
-        town.edges.get(1).disconnect();
+        simulation.publish(configuration);
+        simulation.run(1_000);
+        simulation.edges.get(1).disconnect();
         for (int i = 0; i < 2_000; i++) {
             configuration = SimulatedEdges.withRoutePath(configuration, "r" + i % 30, 300_000 + i);
-            town.publish(configuration);
-            town.run(5);
+            simulation.publish(configuration);
+            simulation.run(5);
         }
-        long before = town.edges.get(1).bytes;
-        town.edges.get(1).connect();
-        assertTrue(town.runUntilAllAt(2_001, 2_000) < 300);
-        assertTrue(town.edges.get(1).bytes - before < 2_500, "bytes " + (town.edges.get(1).bytes - before));
-        assertEquals(List.of(1L, 2_001L), town.edges.get(1).revisions);
+        long before = simulation.edges.get(1).bytes;
+        simulation.edges.get(1).connect();
+        assertTrue(simulation.runUntilAllAt(2_001, 2_000) < 300);
+        assertTrue(simulation.edges.get(1).bytes - before < 2_500, "bytes " + (simulation.edges.get(1).bytes - before));
+        assertEquals(List.of(1L, 2_001L), simulation.edges.get(1).revisions);
     }
 
     @Test
     void anUnknownBaseRevisionGetsTheFullConfiguration() {
-        SimulatedEdges town = new SimulatedEdges(1, LINK_BYTES_PER_MS);
+        SimulatedEdges simulation = new SimulatedEdges(1, LINK_BYTES_PER_MS);
         Configuration configuration = SimulatedEdges.incompressible(1, 40_000);
-        town.publish(configuration);
-        town.run(1_000);
+        simulation.publish(configuration);
+        simulation.run(1_000);
         Configuration next = SimulatedEdges.withRoutePath(configuration, "r3", 400_000);
         ChangeHistory fresh = new ChangeHistory();
         fresh.advanceTo(next);
-        town.replaceCoordinator(fresh);
-        town.run(1_000);
-        assertTrue(town.allAt(2));
-        assertEquals(2, town.edges.get(0).fullTransfers);
+        simulation.replaceCoordinator(fresh);
+        simulation.run(1_000);
+        assertTrue(simulation.allAt(2));
+        assertEquals(2, simulation.edges.get(0).fullTransfers);
     }
 
     @Test
     void aDeltaThatDoesNotApplyIsFollowedByTheFullConfiguration() {
-        SimulatedEdges town = new SimulatedEdges(1, LINK_BYTES_PER_MS);
-        SimulatedEdges.Edge edge = town.edges.get(0);
-        town.publish(SimulatedEdges.withRoutes(1, 721));
-        town.run(1_000);
-        // The helm's history is not the edge's: under the same number it has something else.
-        ChangeHistory other = new ChangeHistory();
-        Configuration strange = SimulatedEdges.withRoutes(1, 720);
-        other.advanceTo(strange);
-        Configuration next = SimulatedEdges.withRoutePath(strange, "r3", 400_000);
-        other.advanceTo(next);
-        town.replaceCoordinator(other);
-        town.run(1_000);
+        SimulatedEdges simulation = new SimulatedEdges(1, LINK_BYTES_PER_MS);
+        SimulatedEdges.Edge edge = simulation.edges.get(0);
+        simulation.publish(SimulatedEdges.withRoutes(1, 721));
+        simulation.run(1_000);
+        // The new coordinator's history differs from the edge's: the same revision has other content.
+        ChangeHistory otherHistory = new ChangeHistory();
+        Configuration otherConfiguration = SimulatedEdges.withRoutes(1, 720);
+        otherHistory.advanceTo(otherConfiguration);
+        Configuration next = SimulatedEdges.withRoutePath(otherConfiguration, "r3", 400_000);
+        otherHistory.advanceTo(next);
+        simulation.replaceCoordinator(otherHistory);
+        simulation.run(1_000);
         assertEquals(List.of("configuration.digest"), edge.errors);
-        assertTrue(town.allAt(2));
+        assertTrue(simulation.allAt(2));
         assertEquals(next.digest(), edge.subscriber.configuration().digest());
         assertEquals(720, edge.subscriber.configuration().routes().size());
     }
 
     @Test
     void corruptedChunksAreRejectedAndNotRequestedInALoop() {
-        SimulatedEdges town = new SimulatedEdges(1, LINK_BYTES_PER_MS);
-        SimulatedEdges.Edge edge = town.edges.get(0);
+        SimulatedEdges simulation = new SimulatedEdges(1, LINK_BYTES_PER_MS);
+        SimulatedEdges.Edge edge = simulation.edges.get(0);
         edge.chunkFilter = SimulatedEdges::corrupted;
-        town.publish(SimulatedEdges.withRoutes(1, 100));
-        town.run(10_000);
-        assertTrue(town.allAt(0));
+        simulation.publish(SimulatedEdges.withRoutes(1, 100));
+        simulation.run(10_000);
+        assertTrue(simulation.allAt(0));
         assertTrue(edge.errors.size() >= 5 && edge.errors.size() <= 12, edge.errors.toString());
         edge.chunkFilter = chunk -> chunk;
-        assertTrue(town.runUntilAllAt(1, 3_000) < 1_500);
+        assertTrue(simulation.runUntilAllAt(1, 3_000) < 1_500);
     }
 
     @Test
     void aLostChunkIsRequestedAgain() {
-        SimulatedEdges town = new SimulatedEdges(1, LINK_BYTES_PER_MS);
-        SimulatedEdges.Edge edge = town.edges.get(0);
+        SimulatedEdges simulation = new SimulatedEdges(1, LINK_BYTES_PER_MS);
+        SimulatedEdges.Edge edge = simulation.edges.get(0);
         int[] count = new int[1];
         DeltaChunk none = new DeltaChunk(1, 0, 0, 0, 0, new byte[0]);
         edge.chunkFilter = chunk -> ++count[0] % 5 == 0 ? none : chunk;
-        town.publish(SimulatedEdges.incompressible(1, 100_000));
-        assertTrue(town.runUntilAllAt(1, 10_000) < 8_000);
+        simulation.publish(SimulatedEdges.incompressible(1, 100_000));
+        assertTrue(simulation.runUntilAllAt(1, 10_000) < 8_000);
         assertEquals(1, edge.fullTransfers);
     }
 
     @Test
     void revisionsNeverGoBack() {
-        SimulatedEdges town = new SimulatedEdges(1, LINK_BYTES_PER_MS);
+        SimulatedEdges simulation = new SimulatedEdges(1, LINK_BYTES_PER_MS);
         Configuration configuration = SimulatedEdges.withRoutes(1, 721);
-        ChangeHistory late = new ChangeHistory();
-        late.advanceTo(configuration);
-        town.publish(configuration);
-        town.run(500);
-        town.publish(SimulatedEdges.withRoutePath(configuration, "r1", 500_000));
-        town.run(500);
-        town.replaceCoordinator(late);
-        town.run(3_000);
-        assertEquals(List.of(1L, 2L), town.edges.get(0).revisions);
-        assertNull(town.coordinator.nextChunk(new DeltaRequest(2, 0, 0, false), 2));
-        town.edges.get(0).subscriber.onChunk(new DeltaChunk(2, 1, 9, 5, 0, new byte[5]), town.now);
-        assertTrue(town.allAt(2));
+        ChangeHistory outdatedHistory = new ChangeHistory();
+        outdatedHistory.advanceTo(configuration);
+        simulation.publish(configuration);
+        simulation.run(500);
+        simulation.publish(SimulatedEdges.withRoutePath(configuration, "r1", 500_000));
+        simulation.run(500);
+        simulation.replaceCoordinator(outdatedHistory);
+        simulation.run(3_000);
+        assertEquals(List.of(1L, 2L), simulation.edges.get(0).revisions);
+        assertNull(simulation.coordinator.nextChunk(new DeltaRequest(2, 0, 0, false), 2));
+        simulation.edges.get(0).subscriber.onChunk(new DeltaChunk(2, 1, 9, 5, 0, new byte[5]), simulation.now);
+        assertTrue(simulation.allAt(2));
     }
 
     @Test
     void malformedChunksAreIgnored() {
-        SimulatedEdges town = new SimulatedEdges(1, LINK_BYTES_PER_MS);
-        ConfigurationSubscriber edge = town.edges.get(0).subscriber;
-        for (DeltaChunk odd : List.of(
+        SimulatedEdges simulation = new SimulatedEdges(1, LINK_BYTES_PER_MS);
+        ConfigurationSubscriber edge = simulation.edges.get(0).subscriber;
+        for (DeltaChunk malformed : List.of(
                 new DeltaChunk(1, 5, 1, -1, 0, new byte[1]),
                 new DeltaChunk(1, 5, 1, Integer.MAX_VALUE, 0, new byte[1]),
                 new DeltaChunk(1, 5, 1, 10, -1, new byte[1]),
@@ -322,11 +327,11 @@
                 new DeltaChunk(1, 5, 1, 10, 9, new byte[1]),
                 new DeltaChunk(1, 5, 1, 10, 0, new byte[0]),
                 new DeltaChunk(1, 5, 1, 10, 0, new byte[10]))) {
-            edge.onChunk(odd, 0);
+            edge.onChunk(malformed, 0);
         }
-        town.publish(SimulatedEdges.withRoutes(6, 50));
-        town.run(2_000);
-        assertTrue(town.allAt(6));
+        simulation.publish(SimulatedEdges.withRoutes(6, 50));
+        simulation.run(2_000);
+        assertTrue(simulation.allAt(6));
     }
 
     @Test
@@ -338,7 +343,8 @@
             publisher.nextChunk(new DeltaRequest(0, 0, 0, false), 1);
         }
         assertTrue(
-                publisher.cachedBytes() <= ConfigurationPublisher.MAX_CACHED_BYTES, "kept " + publisher.cachedBytes());
+                publisher.cachedBytes() <= ConfigurationPublisher.MAX_CACHED_BYTES,
+                "cached bytes " + publisher.cachedBytes());
         assertTrue(ConfigurationDelta.fromCompressedBytes(history.fullDelta().toCompressedBytes())
                         .revision()
                 == 11);
--- a/src/test/java/brambletray/platform/distribution/SimulatedEdges.java
+++ b/src/test/java/brambletray/platform/distribution/SimulatedEdges.java
@@ -13,8 +13,8 @@
 import java.util.stream.IntStream;
 
 /**
- * A helm and edges in virtual time, each edge on a link of so many bytes a ms to it: what is sent on a link waits for
- * all that was sent on it before. Pulses go as the coordinator's do.
+ * Simulates a coordinator and its edges in virtual time. Each edge has a link of limited bandwidth on which messages
+ * queue behind those sent before. Heartbeats are sent at the coordinator's interval.
  */
 final class SimulatedEdges {
     static final int HEARTBEAT_INTERVAL_MS = 250;
@@ -43,16 +43,16 @@
         }
 
         @Override
-        public void sendRequest(DeltaRequest fetch) {
+        public void sendRequest(DeltaRequest request) {
             requests++;
             if (!connected) {
                 return;
             }
-            int asked = linkGeneration;
-            ConfigurationPublisher to = coordinator;
+            int sentInGeneration = linkGeneration;
+            ConfigurationPublisher receiver = coordinator;
             schedule(now + oneWayDelayMs, () -> {
-                if (asked == linkGeneration && to == coordinator) {
-                    DeltaChunk chunk = coordinator.nextChunk(fetch, term);
+                if (sentInGeneration == linkGeneration && receiver == coordinator) {
+                    DeltaChunk chunk = coordinator.nextChunk(request, term);
                     if (chunk != null) {
                         fullTransfers += chunk.offset() == 0 && chunk.totalBytes() > DeltaChunk.CHUNK_BYTES ? 1 : 0;
                         send(chunk.bytes().length, () -> subscriber.onChunk(chunkFilter.apply(chunk), now));
@@ -61,19 +61,19 @@
             });
         }
 
-        /** Over the link, behind what is on it. */
+        /** Sends to the edge, queued behind what is already on the link. */
         void send(int size, Runnable arrival) {
-            int sent = linkGeneration;
+            int sentInGeneration = linkGeneration;
             bytes += size + FRAME_HEADER_BYTES;
             linkFreeAtMs = Math.max(linkFreeAtMs, now) + Math.max(1, (size + FRAME_HEADER_BYTES) / bytesPerMs);
             schedule(linkFreeAtMs + oneWayDelayMs, () -> {
-                if (sent == linkGeneration && connected) {
+                if (sentInGeneration == linkGeneration && connected) {
                     arrival.run();
                 }
             });
         }
 
-        /** What is on the way is lost. */
+        /** Closes the link; messages in flight are lost. */
         void disconnect() {
             linkGeneration++;
             connected = false;
@@ -99,8 +99,8 @@
         }
 
         @Override
-        public void onRejected(ConfigurationException fault) {
-            errors.add(fault.code());
+        public void onRejected(ConfigurationException error) {
+            errors.add(error.code());
         }
     }
 
@@ -109,7 +109,7 @@
     ConfigurationPublisher coordinator = new ConfigurationPublisher(history);
     long term = 1;
     long now;
-    /** ms one way. */
+    /** One-way latency of each link, ms. */
     int oneWayDelayMs = 1;
 
     private final int bytesPerMs;
@@ -117,9 +117,9 @@
             new PriorityQueue<>(Comparator.comparingLong(Event::atMs).thenComparingLong(Event::order));
     private long order;
 
-    /** {@code rate}: bytes a ms of each link. */
-    SimulatedEdges(int edges, int rate) {
-        this.bytesPerMs = rate;
+    /** {@code bytesPerMs}: bandwidth of each link. */
+    SimulatedEdges(int edges, int bytesPerMs) {
+        this.bytesPerMs = bytesPerMs;
         IntStream.range(0, edges).forEach(i -> this.edges.add(new Edge(i)));
         sendHeartbeat();
         for (Edge edge : this.edges) {
@@ -152,16 +152,16 @@
         schedule(now + 50, () -> scheduleTicks(edge));
     }
 
-    /** In force here, and pulsed at once. */
+    /** Publishes the configuration at the coordinator and announces it at once. */
     void publish(Configuration configuration) {
         history.advanceTo(configuration);
         edges.forEach(this::sendHeartbeat);
     }
 
-    /** Another member is the coordinator: it has followed along, and has packed nothing yet. */
-    void replaceCoordinator(ChangeHistory known) {
+    /** Makes another member the coordinator; it has the given history and nothing cached. */
+    void replaceCoordinator(ChangeHistory knownHistory) {
         term++;
-        coordinator = new ConfigurationPublisher(known);
+        coordinator = new ConfigurationPublisher(knownHistory);
         for (Edge edge : edges) {
             edge.disconnect();
             edge.connect();
@@ -183,10 +183,10 @@
         return edges.stream().allMatch(edge -> edge.subscriber.configuration().revision() == revision);
     }
 
-    /** ms until all have this revision, at most so many. */
-    long runUntilAllAt(long revision, int most) {
+    /** Runs until all edges have this revision, for at most {@code maxMs}; returns the elapsed ms. */
+    long runUntilAllAt(long revision, int maxMs) {
         long from = now;
-        while (!allAt(revision) && now - from < most) {
+        while (!allAt(revision) && now - from < maxMs) {
             run(1);
         }
         return now - from;
@@ -196,7 +196,7 @@
         return text.replace('\'', '"').getBytes(java.nio.charset.StandardCharsets.UTF_8);
     }
 
-    /** So many services with a route each. */
+    /** A configuration of one service and {@code count} routes. */
     static Configuration withRoutes(long revision, int count) {
         return Configuration.read(
                 bytes(
@@ -207,7 +207,7 @@
                                 + "],'services':[{'name':'s','max-connections':72,'memory-mb':512,'boot-ms':750,'max-concurrency':4}]}"));
     }
 
-    /** One that packs badly: {@code bytes} of digits at random in it. */
+    /** A configuration that compresses badly: it contains {@code bytes} random digits. */
     static Configuration incompressible(long revision, int bytes) {
         java.util.Random random = new java.util.Random(revision);
         StringBuilder filler = new StringBuilder();
--- a/src/test/java/brambletray/platform/operations/OperationRegistryTest.java
+++ b/src/test/java/brambletray/platform/operations/OperationRegistryTest.java
@@ -120,7 +120,7 @@
         assertArrayEquals(snapshot, registry.snapshot());
     }
 
-    /** Restored anywhere on the way, a member has the same bytes as one that has applied all. */
+    /** A member restored from a snapshot at any batch has the same state as one that has applied all batches. */
     @Test
     void theSameBatchesLeadToIdenticalSnapshots() {
         for (long seed = 1; seed <= 100; seed++) {
@@ -130,8 +130,8 @@
             long nowMs = 0;
             for (int i = 0; i < 60; i++) {
                 nowMs += random.nextInt(5_000);
-                OperationRegistry maker = random.nextInt(3) == 0 ? other : proposer;
-                OperationBatch batch = new OperationBatch(maker.stamp(nowMs), WINDOW_MS, randomCommands(random));
+                OperationRegistry creator = random.nextInt(3) == 0 ? other : proposer;
+                OperationBatch batch = new OperationBatch(creator.stamp(nowMs), WINDOW_MS, randomCommands(random));
                 proposer.apply(batch, nowMs);
                 other.apply(OperationBatch.decode(batch.encode()), nowMs + random.nextInt(400));
                 assertArrayEquals(proposer.snapshot(), other.snapshot(), "seed " + seed);
--- a/src/test/java/brambletray/platform/quota/RunAheadSharesTest.java
+++ b/src/test/java/brambletray/platform/quota/RunAheadSharesTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How much the edges may send without rights, as it is counted at the giver. */
+/** The run-ahead that the coordinator reserves for edges. */
 class RunAheadSharesTest {
     private static final EdgeIncarnation FIRST = new EdgeIncarnation("a", 1);
     private static final EdgeIncarnation SECOND = new EdgeIncarnation("b", 1);
--- a/src/test/java/brambletray/platform/quota/TenantQuotasTest.java
+++ b/src/test/java/brambletray/platform/quota/TenantQuotasTest.java
@@ -9,14 +9,14 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The giver of rights: what it grants, refuses and lets edges send ahead. Drawn by hand, in virtual time. */
+/** What the coordinator grants, refuses and allows edges as run-ahead, in virtual time. */
 class TenantQuotasTest {
     private static final QuotaParameters PARAMETERS = new QuotaParameters(5_000, 0.1, 20);
     private static final double RATE = 50;
     private static final double BURST = 30;
     private static final EdgeIncarnation EDGE = new EdgeIncarnation("edge-1", 1);
     private static final EdgeIncarnation OTHER_EDGE = new EdgeIncarnation("edge-2", 1);
-    /** ms from a giver's begin until its buckets are full and its run-ahead may be given. */
+    /** Time after the start, ms, at which the buckets are full and run-ahead may be given. */
     private static final long WARM_UP_MS = 60_000;
 
     private final TenantQuotas quotas = new TenantQuotas(PARAMETERS);
@@ -118,7 +118,7 @@
         quotas.onReturn(new QuotaReturn("a", 1_000), late);
         assertEquals(accrued, grants(EDGE, 1_000, late));
         quotas.onReturn(new QuotaReturn("a", 1_000), late);
-        assertEquals(accrued, grants(EDGE, 1_000, late), "as many as were granted lately, and no more");
+        assertEquals(accrued, grants(EDGE, 1_000, late), "no more than were granted recently");
     }
 
     @Test
@@ -145,12 +145,12 @@
         setLimit(RATE, BURST, 0);
         int total = PARAMETERS.runAhead(RATE, BURST);
         assertEquals(total, runAhead(EDGE, WARM_UP_MS));
-        assertEquals(0, runAhead(OTHER_EDGE, WARM_UP_MS), "the first edge may hold all of it");
+        assertEquals(0, runAhead(OTHER_EDGE, WARM_UP_MS), "the first edge may hold the whole run-ahead");
         assertEquals(total / 2, runAhead(EDGE, WARM_UP_MS + 100));
-        assertEquals(0, runAhead(OTHER_EDGE, WARM_UP_MS + 200), "it may not have seen the smaller share yet");
-        long seen = WARM_UP_MS + PARAMETERS.runAheadHoldMs();
-        assertEquals(total / 2, runAhead(EDGE, seen));
-        assertEquals(total / 2, runAhead(OTHER_EDGE, seen));
+        assertEquals(0, runAhead(OTHER_EDGE, WARM_UP_MS + 200), "the smaller share may not have arrived yet");
+        long expiredAtMs = WARM_UP_MS + PARAMETERS.runAheadHoldMs();
+        assertEquals(total / 2, runAhead(EDGE, expiredAtMs));
+        assertEquals(total / 2, runAhead(OTHER_EDGE, expiredAtMs));
     }
 
     @Test
@@ -158,9 +158,9 @@
         setLimit(RATE, BURST, 0);
         int total = PARAMETERS.runAhead(RATE, BURST);
         assertEquals(total, runAhead(EDGE, WARM_UP_MS));
-        EdgeIncarnation restarted = new EdgeIncarnation(EDGE.name(), EDGE.incarnation() + 1);
-        assertEquals(0, runAhead(restarted, WARM_UP_MS + PARAMETERS.runAheadHoldMs() - 1));
-        assertEquals(total, runAhead(restarted, WARM_UP_MS + PARAMETERS.runAheadHoldMs()));
+        EdgeIncarnation restartedEdge = new EdgeIncarnation(EDGE.name(), EDGE.incarnation() + 1);
+        assertEquals(0, runAhead(restartedEdge, WARM_UP_MS + PARAMETERS.runAheadHoldMs() - 1));
+        assertEquals(total, runAhead(restartedEdge, WARM_UP_MS + PARAMETERS.runAheadHoldMs()));
     }
 
     @Test
