--- a/src/main/java/brambletray/platform/edge/HeldRights.java
+++ b/src/main/java/brambletray/platform/edge/HeldRights.java
@@ -1,8 +1,8 @@
 package brambletray.platform.edge;
 
 import brambletray.platform.proxy.QuotaGate;
-import brambletray.platform.quota.QuotaReturn;
 import brambletray.platform.quota.QuotaParameters;
+import brambletray.platform.quota.QuotaReturn;
 import brambletray.platform.quota.RunAheadAllowances;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/brambletray/platform/proxy/TenantAuthentication.java
+++ b/src/main/java/brambletray/platform/proxy/TenantAuthentication.java
@@ -25,7 +25,8 @@
         if (configuration.tenants().isEmpty()) {
             return ANONYMOUS;
         }
-        Tenant tenant = keys.size() == 1 ? configuration.tenantForKey(keys.get(0).strip()) : null;
+        Tenant tenant =
+                keys.size() == 1 ? configuration.tenantForKey(keys.get(0).strip()) : null;
         if (tenant == null) {
             return route.isPublic() ? ANONYMOUS : REJECTED;
         }
--- a/src/test/java/brambletray/platform/proxy/ForwardingTest.java
+++ b/src/test/java/brambletray/platform/proxy/ForwardingTest.java
@@ -253,7 +253,9 @@
     void largeBodiesAreForwardedCompletely() {
         String body = "0123456789".repeat(1_000);
         send(HEAD.replace("GET", "PUT") + "Content-Length: 10000\r\n\r\n" + body);
-        assertTrue(host.lastRequest.endsWith("\r\nContent-Length: 10000\r\n\r\n" + body), host.lastRequest.length() + " bytes");
+        assertTrue(
+                host.lastRequest.endsWith("\r\nContent-Length: 10000\r\n\r\n" + body),
+                host.lastRequest.length() + " bytes");
         host.act("answers r1".split(" "));
         proxy.settle();
         assertEquals(List.of("200 a:r1"), client.look());
--- a/src/test/java/brambletray/platform/proxy/RandomExchanges.java
+++ b/src/test/java/brambletray/platform/proxy/RandomExchanges.java
@@ -288,8 +288,8 @@
         String method = !body.isEmpty() ? "POST" : random.nextInt(8) == 0 ? "HEAD" : "GET";
         int count = random.nextInt(MAX_RETRY_COUNT + 1);
         String uri = (repeatable ? "/r" : "/n") + count + "/p" + requestCount + "?q=" + requestCount;
-        ExchangeChecker.ClientAttempt exchange = checker.onRequestSent(
-                new ExchangeChecker.ClientAttempt("t" + requestCount++, method, uri, body, repeatable, Math.max(1, count)));
+        ExchangeChecker.ClientAttempt exchange = checker.onRequestSent(new ExchangeChecker.ClientAttempt(
+                "t" + requestCount++, method, uri, body, repeatable, Math.max(1, count)));
         int remainingMs = random.nextInt(4) == 0 ? 1 + random.nextInt(120) : 200 + random.nextInt(2_500);
         pick(clients)
                 .send(exchange, "Brambletray-Deadline-Remaining: " + remainingMs + "\r\n", random.nextInt(10) == 0);
@@ -331,7 +331,8 @@
 
     private void checkNothingLeft() {
         if (router.inFlight() != 0 || router.activeRequests() != 0) {
-            checker.addViolation("REST", router.inFlight() + " requests in flight, " + router.activeRequests() + " active");
+            checker.addViolation(
+                    "REST", router.inFlight() + " requests in flight, " + router.activeRequests() + " active");
         }
         if (router.heldBytes() != 0) {
             checker.addViolation("REST", router.heldBytes() + " bytes buffered");
--- a/src/test/java/brambletray/platform/proxy/RandomHost.java
+++ b/src/test/java/brambletray/platform/proxy/RandomHost.java
@@ -188,7 +188,8 @@
                         "OWED",
                         "a request at " + name + " while " + current.id + " has no response yet on its connection");
             } else if (noMoreRequests) {
-                checker.addViolation("OWED", "a request at " + name + " on a connection that allows no further request");
+                checker.addViolation(
+                        "OWED", "a request at " + name + " on a connection that allows no further request");
             } else if (now() > surplusDeliveredMs && now() > proxyUnawareUntilMs) {
                 checker.addViolation(
                         "OWED", "a request at " + name + " on a connection with surplus bytes that had arrived before");
