--- a/src/main/java/brambletray/platform/admission/InstancePool.java
+++ b/src/main/java/brambletray/platform/admission/InstancePool.java
@@ -158,7 +158,7 @@
         instance.unreachableCount = 0;
     }
 
-    /** The result of a probe. */
+    /** Handles the result of a probe of an instance. */
     void onProbed(String id, boolean ok, int waiting, long now) {
         PooledInstance instance = instances.find(id);
         if (instance == null) {
--- a/src/main/java/brambletray/platform/admission/RequestQueue.java
+++ b/src/main/java/brambletray/platform/admission/RequestQueue.java
@@ -204,7 +204,7 @@
         return null;
     }
 
-    /** When the next request's remaining time becomes shorter than the work, ms. */
+    /** Earliest time, in ms, at which a waiting request has less than {@code workMs} left until its deadline. */
     long nextExpiryMs(int workMs) {
         long next = Long.MAX_VALUE;
         for (int i = 0; i < waiters.size(); i++) {
--- a/src/main/java/brambletray/platform/admission/ZoneSpread.java
+++ b/src/main/java/brambletray/platform/admission/ZoneSpread.java
@@ -5,9 +5,10 @@
 
 /**
  * Decides, in the root zone, which zones have a queue of their own. A zone's queue opens if for {@code openAfterMs} the
- * zone's demand justified an instance (saved cross-zone traffic outweighs its memory) or filled one. An opening queue
- * is sent one request, which makes it start an instance; the root zone serves the others until the boot should have
- * ended. A request that comes back from a zone shows that its queue is not open (any more).
+ * zone's demand justified an instance (saved cross-zone traffic outweighs the instance's memory) or filled an instance.
+ * An opening queue is sent one request, which makes it start an instance; the root zone serves the zone's other
+ * requests until the expected end of the boot. A request that comes back from a zone shows that the zone's queue is not
+ * open, or no longer open.
  */
 final class ZoneSpread {
     private static final int MAX_REMEMBERED_REDIRECTS = 32;
--- a/src/main/java/brambletray/platform/edge/EdgeProgram.java
+++ b/src/main/java/brambletray/platform/edge/EdgeProgram.java
@@ -103,9 +103,8 @@
         this.exit = exit;
         this.nodeSettings = nodeSettings;
         this.machine = machine;
-        Address internalAddress = new Address(nodeSettings.ip(), nodeSettings.internalPortLow());
-        self = new Peer(
-                nodeSettings.node(), nodeSettings.zone(), internalAddress.toString(), newIncarnation, Peer.ACTIVE);
+        Address address = new Address(nodeSettings.ip(), nodeSettings.internalPortLow());
+        self = new Peer(nodeSettings.node(), nodeSettings.zone(), address.toString(), newIncarnation, Peer.ACTIVE);
         introduction = new LinkIntroduction(self.name(), self.address(), false);
         connectionPools = new HostConnectionPools(machine, 4_000, counters);
         admissionTimer = new EarliestTimer(machine, this::tickAdmission);
@@ -136,7 +135,7 @@
                 newIncarnation);
         frontEndServer = new FrontEndServer(machine, requestRouter, MAX_CLIENTS);
         shutdown = new GracefulShutdown(machine, requestRouter, frontEndServer, exit);
-        edgeLinks = new EdgeLinks(machine, codec, internalAddress, introduction, new PeerListener());
+        edgeLinks = new EdgeLinks(machine, codec, address, introduction, new PeerListener());
         coordinatorClient = coordinatorClient(newIncarnation);
         heartbeatMonitor = new HeartbeatMonitor(self, HEARTBEAT_INTERVAL_MS, new MonitorActions());
     }
--- a/src/main/java/brambletray/platform/edge/QuotaClient.java
+++ b/src/main/java/brambletray/platform/edge/QuotaClient.java
@@ -33,7 +33,7 @@
 
     /** Delivers messages to the coordinator. */
     interface Transport {
-        /** Returns false if there is none. */
+        /** Sends a message to the coordinator; returns false if the edge is not attached to a coordinator. */
         boolean send(Object frame);
     }
 
--- a/src/main/java/brambletray/platform/election/ElectionMessage.java
+++ b/src/main/java/brambletray/platform/election/ElectionMessage.java
@@ -42,8 +42,8 @@
             implements ElectionMessage {}
 
     /**
-     * Neither granted nor renewed: a higher term was granted, or the lease of another member is valid for {@code
-     * remainingMs} more.
+     * The lease was neither granted nor renewed, because a higher term was granted, or because the lease of another
+     * member is valid for {@code remainingMs} more.
      */
     record LeaseDenied(String role, long term, long grantedTerm, int remainingMs, long voterIncarnation)
             implements ElectionMessage {}
--- a/src/main/java/brambletray/platform/election/ElectionView.java
+++ b/src/main/java/brambletray/platform/election/ElectionView.java
@@ -14,7 +14,7 @@
     private long viewNumber;
     private List<Member> members = List.of();
     private long activeSinceMs = Long.MIN_VALUE / 2;
-    /** When the previous view became active here; long ago for a member that has seen none. */
+    /** Time at which the previous view became active here; far in the past if this member has seen no previous view. */
     private long previousActiveSinceMs = Long.MIN_VALUE / 2;
 
     private boolean followsPreviousViewDirectly;
--- a/src/main/java/brambletray/platform/election/LeaseCandidate.java
+++ b/src/main/java/brambletray/platform/election/LeaseCandidate.java
@@ -207,7 +207,7 @@
         }
     }
 
-    /** Another member is a candidate: while this one is still probing, it yields to a lower rank. */
+    /** Another member is a candidate: this member, while it is still probing, yields to a member of lower rank. */
     void onOtherCandidate(Member other) {
         ElectionView view = state.view();
         boolean yields = state.attempt() != null
--- a/src/main/java/brambletray/platform/election/LeaseElection.java
+++ b/src/main/java/brambletray/platform/election/LeaseElection.java
@@ -54,7 +54,7 @@
         flush();
     }
 
-    /** To be called every 25 to 50 ms. */
+    /** Advances the election to this time; must be called every 25 to 50 ms. */
     public void tick(long timeMs) {
         advanceTime(timeMs);
         state.onTick();
--- a/src/main/java/brambletray/platform/election/LeaseRequestHandler.java
+++ b/src/main/java/brambletray/platform/election/LeaseRequestHandler.java
@@ -17,7 +17,7 @@
         this.deliverToSelf = deliverToSelf;
     }
 
-    /** {@code from}: address of the candidate; null for this member itself. */
+    /** Handles a lease request; {@code from}: address of the candidate, null if this member is the candidate. */
     void onLeaseRequest(String from, ElectionMessage.LeaseRequest request) {
         if (!isOfThisView(request.viewNumber())) {
             return;
--- a/src/main/java/brambletray/platform/failuredetection/MembershipRegistry.java
+++ b/src/main/java/brambletray/platform/failuredetection/MembershipRegistry.java
@@ -26,8 +26,8 @@
      */
     public static final int REPORTED_GRACE_MS = 2_000;
     /**
-     * ms for which a new coordinator publishes no roster if no edge has reported one: the first edge to connect may be
-     * one that has none.
+     * ms for which a new coordinator publishes no roster if no edge has reported a roster: the first edge to connect
+     * may be an edge without a roster.
      */
     public static final int FIRST_ROSTER_WAIT_MS = 300;
     /** ms between two ticks above which the coordinator itself was paused, so that suspicions may be outdated. */
@@ -39,7 +39,7 @@
     private static final int IMMUNITY_MS = 5_000;
 
     private static final int MAX_IMMUNITY_MS = 60_000;
-    /** Maximum number of peers; also of immunities, of which the least recently used are dropped. */
+    /** Maximum number of peers, and of remembered immunities; the least recently used immunities are dropped. */
     private static final int MAX_MEMBERS = 4_096;
 
     private record Immunity(long incarnation, int durationMs) {}
--- a/src/main/java/brambletray/platform/operations/LogClock.java
+++ b/src/main/java/brambletray/platform/operations/LogClock.java
@@ -39,7 +39,7 @@
         return timeMs;
     }
 
-    /** The time if a batch created now were the next in the log. */
+    /** Estimates the log time of a batch that is created now, if that batch is the next in the log. */
     long estimateMs(long nowMs) {
         long startMs = proposer == processId ? Math.max(foreignAppliedAtMs, lastCreatedAtMs) : foreignAppliedAtMs;
         return timeMs + Math.max(0, nowMs - startMs);
--- a/src/main/java/brambletray/platform/operations/OperationRegistry.java
+++ b/src/main/java/brambletray/platform/operations/OperationRegistry.java
@@ -112,7 +112,7 @@
 
     private void apply(OperationCommand.Claim claim, long expiresAtMs) {
         if (holder(claim.key()) == null && !released.containsKey(claim.claim())) {
-            // Removed first, so that the new claim is the last in insertion order.
+            // An expired claim of the key is removed first, so that the new claim is the last in insertion order.
             claims.remove(claim.key());
             claims.put(claim.key(), new ActiveClaim(claim.claim(), claim.edge(), expiresAtMs));
         }
--- a/src/main/java/brambletray/platform/proxy/RequestCounters.java
+++ b/src/main/java/brambletray/platform/proxy/RequestCounters.java
@@ -20,7 +20,7 @@
     public long unauthenticated;
     /** Responses 429. */
     public long overQuota;
-    /** Responses 503 of this edge. */
+    /** 503 responses that this edge generated. */
     public long unavailable;
     /** Responses 502. */
     public long failed;
--- a/src/main/java/brambletray/platform/replication/JoinAdmission.java
+++ b/src/main/java/brambletray/platform/replication/JoinAdmission.java
@@ -175,9 +175,8 @@
                 .removeIf(incarnation -> state.nowMs() - requestedAtMs.get(incarnation) > REQUEST_EXPIRY_MS
                         || state.view().contains(incarnation)
                         || state.retiredIncarnations().contains(incarnation));
-        // entries and compactions since the request may have left it behind: no view change starts for a newcomer that
-        // it
-        // could not admit
+        // Entries and compactions since its request may have left a newcomer behind: no view change starts for a
+        // newcomer that the view change could not admit.
         admitted.values()
                 .removeIf(joinRequest -> !isCaughtUp(state.log()
                         .patchFor(joinRequest.lastIndex(), joinRequest.lastView(), joinRequest.commitIndex())));
--- a/src/main/java/brambletray/platform/replication/PlannedLeave.java
+++ b/src/main/java/brambletray/platform/replication/PlannedLeave.java
@@ -53,7 +53,7 @@
         } else if (state.nowMs() - startedAtMs >= state.settings().leaveTimeoutMs()) {
             end("leave timeout expired");
         } else if (state.view().members().size() == 1 && !joinAdmission.hasNewcomers()) {
-            end("only member of the view");
+            end("alone");
         } else if (roles.viewChange() == null
                 && state.nowMs() - announcedAtMs >= RETRY_INTERVAL_MS
                 && (!roles.isLeader() || isDrained())) {
--- a/src/main/java/brambletray/platform/replication/Replica.java
+++ b/src/main/java/brambletray/platform/replication/Replica.java
@@ -318,8 +318,8 @@
     }
 
     /**
-     * Control-plane address of the leader of the later view, once this process is shutting down and that view excludes
-     * it; else null.
+     * The control-plane address of the successor view's leader, if this process is shutting down and the successor view
+     * excludes it; else null.
      */
     public String successor() {
         return state.isLeaving() && roles.isExcluded()
--- a/src/main/java/brambletray/platform/replication/ReplicationEvent.java
+++ b/src/main/java/brambletray/platform/replication/ReplicationEvent.java
@@ -88,7 +88,7 @@
         }
     }
 
-    /** This member has promised the ballot of another member's view change and stopped working in lower ones. */
+    /** This member has promised the ballot of another member's view change and stopped working in lower ballots. */
     record BallotPromised(Ballot ballot, String proposer, Ballot view, long lastIndex) implements ReplicationEvent {
         @Override
         public String name() {
--- a/src/main/java/brambletray/relay/control/Connections.java
+++ b/src/main/java/brambletray/relay/control/Connections.java
@@ -22,7 +22,7 @@
     private static final double HOLD_TIME_GROWTH = 1.02;
     /** Fleet size up to which connections are held for the full keep-alive time; in larger ones for less at first. */
     private static final double FULL_HOLD_RELAYS = 14;
-    /** us; first back-off after a host accepted no further connection. */
+    /** The first back-off in us after a host accepted no further connection. */
     private static final double INITIAL_CAPACITY_BACKOFF_US = 200 * MS;
     /** us; longest such back-off in a fleet of up to {@link #FULL_HOLD_RELAYS}; longer in proportion in larger ones. */
     private static final double MAX_CAPACITY_BACKOFF_US = 2 * SECOND;
--- a/src/main/java/brambletray/relay/control/State.java
+++ b/src/main/java/brambletray/relay/control/State.java
@@ -265,7 +265,7 @@
         }
     }
 
-    /** What rate limits and retry-after times apply to: a destination, or an endpoint where each has its own limits. */
+    /** The scope of rate limits and retry-after times: a destination, or an endpoint if each has its own limits. */
     static final class LimitScope implements Serializable {
         private static final long serialVersionUID = Memory.VERSION;
         final TokenBucket bucket = new TokenBucket();
--- a/src/main/java/brambletray/relay/core/PendingMessage.java
+++ b/src/main/java/brambletray/relay/core/PendingMessage.java
@@ -9,7 +9,7 @@
 /** A message that the control module holds, or that still has calls in flight. */
 final class PendingMessage {
     Message message;
-    /** By attempt number; null if the call was not made, or was made before a restart. */
+    /** The calls by attempt number; an element is null if the call was not made, or was made before a restart. */
     final List<HostTransport.Call> calls = new ArrayList<>();
 
     Journal.Entry entry;
--- a/src/main/java/brambletray/relay/message/Body.java
+++ b/src/main/java/brambletray/relay/message/Body.java
@@ -25,7 +25,7 @@
         };
     }
 
-    /** True when both can be read and have the same content. */
+    /** Whether both bodies can be read and have the same content. */
     static boolean same(Body one, Body other) {
         try {
             return one.length() == other.length() && Arrays.equals(one.bytes(), other.bytes());
--- a/src/main/java/brambletray/relay/message/Message.java
+++ b/src/main/java/brambletray/relay/message/Message.java
@@ -16,7 +16,7 @@
         long deadline,
         Body body,
         Origin origin) {
-    /** A message of whose end only the platform is notified. */
+    /** Creates a message without an origin: only the platform is notified of the message's end. */
     public Message(
             String id,
             String messageClass,
@@ -29,7 +29,7 @@
         this(id, messageClass, tenant, routeKey, idempotencyKey, destination, deadline, body, null);
     }
 
-    /** True when the other is a resubmission of this message; its deadline may differ. */
+    /** Whether {@code other} is a resubmission of this message; the deadline of a resubmission may differ. */
     public boolean sameAs(Message other) {
         return id.equals(other.id)
                 && messageClass.equals(other.messageClass)
--- a/src/test/java/brambletray/CheckstyleRatchetTest.java
+++ b/src/test/java/brambletray/CheckstyleRatchetTest.java
@@ -12,9 +12,9 @@
 /** The list of tolerated Checkstyle violations only shrinks; {@code mvn verify} compares its counts with the code. */
 class CheckstyleRatchetTest {
     /** Bounds of the list: lowered with it, never raised. */
-    private static final int MOST_ENTRIES = 204;
+    private static final int MOST_ENTRIES = 202;
 
-    private static final int MOST_VIOLATIONS = 306;
+    private static final int MOST_VIOLATIONS = 304;
 
     private record Entry(String file, String check, int count) {
         static Entry of(String line) {
--- a/src/test/java/brambletray/relay/control/ControlTest.java
+++ b/src/test/java/brambletray/relay/control/ControlTest.java
@@ -141,7 +141,7 @@
         return harness.control.turn(harness.now, List.of(recovered(harness, cls, priorAttempts)));
     }
 
-    /** Attempts made before a restart count; forgetting them would allow double effects. */
+    /** Attempts from before a restart are counted too; if they were forgotten, a message could take effect twice. */
     @Test
     void recoveredMessagesKeepTheirPriorAttempts() {
         ControlHarness harness = new ControlHarness(settings(8, false, 2));
